--- a/internal/controller/requests/explain.go
+++ b/internal/controller/requests/explain.go
@@ -108,7 +108,7 @@
 
 // Explanation is what `gullrudder explain` shows.
 type Explanation struct {
-	Waiting
+	Waiting  `msgpack:",inline"`
 	State    string    `msgpack:"state" json:"state"`
 	Position int       `msgpack:"position" json:"position"` // 1: nothing that waits stands before it
 	Before   []Waiting `msgpack:"before" json:"before"`     // the first of those
