--- /dev/null
+++ b/internal/controller/reports/golden_bytes_test.go
@@ -0,0 +1,14 @@
+package reports
+
+import (
+	"testing"
+
+	"gullrudder/internal/goldenbytes"
+)
+
+func TestGoldenBytes(t *testing.T) {
+	goldenbytes.Check(t,
+		goldenbytes.MessagePack("machine", RosterEntry{Addr: "10.0.0.1:7000"}),
+		goldenbytes.JSON("machine", RosterEntry{Addr: "10.0.0.1:7000"}),
+	)
+}
--- /dev/null
+++ b/internal/goldenbytes/goldenbytes.go
@@ -0,0 +1,213 @@
+// Package goldenbytes compares encoded values with the bytes that an earlier version of the program
+// wrote, so that a renamed or moved field cannot change what is stored or sent. It is used by tests
+// only and keeps no state besides its -update flag.
+package goldenbytes
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"encoding/xml"
+	"errors"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"gullrudder/internal/wire/packed"
+)
+
+// File is the file beside a package's tests that keeps the bytes, one encoded value a line.
+const File = "testdata/golden-bytes.txt"
+
+var update = flag.Bool("update", false, "write "+File+" anew from what the code encodes")
+
+// Case is one value in one encoding. Its name stands for it in the file and never changes.
+type Case struct {
+	name   string
+	filled []byte
+	zero   []byte // nil: not compared
+	again  func(raw []byte) ([]byte, error)
+	err    error
+}
+
+type codec struct {
+	name   string
+	encode func(any) ([]byte, error)
+	decode func([]byte, any) error
+}
+
+// MessagePack is a case of a value with every field set, as it is sent and stored in MessagePack.
+func MessagePack[T any](name string, filled T) Case {
+	return newCase(codec{"msgpack", packed.Marshal, packed.Unmarshal}, name, filled)
+}
+
+// JSON is a case of a value with every field set, as it is written in JSON.
+func JSON[T any](name string, filled T) Case {
+	return newCase(codec{"json", json.Marshal, json.Unmarshal}, name, filled)
+}
+
+// XML is a case of a value with every field set, as it is written in XML.
+func XML[T any](name string, filled T) Case {
+	return newCase(codec{"xml", xml.Marshal, xml.Unmarshal}, name, filled)
+}
+
+// Bytes is a case of a format of the package's own. Again decodes the bytes and encodes them again.
+func Bytes(name string, filled []byte, again func(raw []byte) ([]byte, error)) Case {
+	return Case{name: "bytes " + name, filled: filled, again: again}
+}
+
+func newCase[T any](by codec, name string, filled T) Case {
+	c := Case{name: by.name + " " + name}
+	if c.filled, c.err = by.encode(filled); c.err != nil {
+		return c
+	}
+	var zero T
+	if c.zero, c.err = by.encode(zero); c.err != nil {
+		return c
+	}
+	if missing := unset(reflect.ValueOf(filled), name); missing != "" {
+		c.err = unsetError(missing)
+	}
+	c.again = func(raw []byte) ([]byte, error) {
+		var v T
+		if err := by.decode(raw, &v); err != nil {
+			return nil, err
+		}
+		return by.encode(v)
+	}
+	return c
+}
+
+// Partial lets a case leave fields unset, where the program itself writes the value so.
+func (c Case) Partial() Case {
+	var missing unsetError
+	if errors.As(c.err, &missing) {
+		c.err = nil
+	}
+	return c
+}
+
+type unsetError string
+
+func (e unsetError) Error() string { return "the filled value leaves this unset: " + string(e) }
+
+// unset names the first exported field that has its zero value, or an empty list or map.
+func unset(v reflect.Value, path string) string {
+	switch v.Kind() {
+	case reflect.Pointer:
+		if v.IsNil() {
+			return path
+		}
+		return unset(v.Elem(), path)
+	case reflect.Slice, reflect.Map, reflect.Array:
+		if v.Len() == 0 {
+			return path
+		}
+		if v.Kind() == reflect.Map {
+			return ""
+		}
+		return unset(v.Index(0), path)
+	case reflect.Struct:
+		switch v.Interface().(type) {
+		case time.Time, xml.Name:
+			return ""
+		}
+		for i := range v.NumField() {
+			if f := v.Type().Field(i); f.IsExported() {
+				if missing := unset(v.Field(i), path+"."+f.Name); missing != "" {
+					return missing
+				}
+			}
+		}
+		return ""
+	}
+	if v.IsZero() {
+		return path
+	}
+	return ""
+}
+
+// Check compares the cases with the package's file: the filled values and the zero values are encoded
+// to the bytes that the file has, and its bytes of the filled values are decoded and encoded again to
+// the same. Every line of the file needs its case.
+func Check(t *testing.T, cases ...Case) {
+	t.Helper()
+	if *update {
+		write(t, cases)
+	}
+	kept := read(t)
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) { c.check(t, kept) })
+		delete(kept, c.name+" filled")
+		delete(kept, c.name+" zero")
+	}
+	for name := range kept {
+		t.Errorf("%s: no case for %q", File, name)
+	}
+}
+
+func (c Case) check(t *testing.T, kept map[string][]byte) {
+	t.Helper()
+	if c.err != nil {
+		t.Fatal(c.err)
+	}
+	want, ok := kept[c.name+" filled"]
+	if !ok {
+		t.Fatalf("not in %s", File)
+	}
+	if !bytes.Equal(c.filled, want) {
+		t.Errorf("encoded to\n%x, want\n%x\n(%q,\n%q)", c.filled, want, c.filled, want)
+	}
+	if zero := kept[c.name+" zero"]; !bytes.Equal(c.zero, zero) {
+		t.Errorf("the zero value is encoded to\n%x, want\n%x", c.zero, zero)
+	}
+	again, err := c.again(want)
+	if err != nil {
+		t.Fatalf("decode: %v", err)
+	}
+	if !bytes.Equal(again, want) {
+		t.Errorf("decoded and encoded again to\n%x, want\n%x", again, want)
+	}
+}
+
+func read(t *testing.T) map[string][]byte {
+	t.Helper()
+	text, err := os.ReadFile(File)
+	if err != nil {
+		t.Fatal(err)
+	}
+	kept := map[string][]byte{}
+	for line := range strings.Lines(string(text)) {
+		name, digits, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
+		raw, err := hex.DecodeString(digits)
+		if !ok || err != nil {
+			t.Fatalf("%s: %q: %v", File, line, err)
+		}
+		kept[name] = raw
+	}
+	return kept
+}
+
+func write(t *testing.T, cases []Case) {
+	t.Helper()
+	var out bytes.Buffer
+	for _, c := range cases {
+		if c.err != nil {
+			t.Fatalf("%s: %v", c.name, c.err)
+		}
+		out.WriteString(c.name + " filled\t" + hex.EncodeToString(c.filled) + "\n")
+		if c.zero != nil {
+			out.WriteString(c.name + " zero\t" + hex.EncodeToString(c.zero) + "\n")
+		}
+	}
+	if err := os.MkdirAll(filepath.Dir(File), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(File, out.Bytes(), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/site/processes/golden_bytes_test.go
@@ -0,0 +1,11 @@
+package processes
+
+import (
+	"testing"
+
+	"gullrudder/internal/goldenbytes"
+)
+
+func TestGoldenBytes(t *testing.T) {
+	goldenbytes.Check(t, goldenbytes.JSON("identity", Identity{PID: 4711, Began: 70_000, Boot: "0f0e"}))
+}
