--- a/internal/controller/leader/hearing/hearing.go
+++ b/internal/controller/leader/hearing/hearing.go
@@ -13,175 +13,179 @@
 const (
 	// reports that are missing in a row, of all machines together, before silence is ours and not chance:
 	// at the mean rate they come, none comes by chance in so long once in a hundred thousand times.
-	missing = 12
-	// leastGap is the shortest silence that counts: a burst of work or of the network may hold
+	missedHeartbeats = 12
+	// minSilence is the shortest silence that counts: a burst of work or of the network may hold
 	// everything up for that long.
-	leastGap = time.Second
-	// paused is a gap between two ticks that shows that this process stood still.
-	paused = 300 * time.Millisecond
-	// warned is how long a follower believes that the leader hears nobody, from when it was told.
-	warned = 2 * time.Second
-	// remembered is for how long a caller counts: a worker tries every controller within that.
-	remembered = 10 * time.Second
-	// numbered is for how long a caller's numbers are kept, to tell copies of its reports.
-	numbered = 2 * time.Minute
-	// mostCallers bounds what is kept of callers.
-	mostCallers = 20_000
-	// callersShare is which part of the machines that are expected has to call elsewhere, and fewCallers
+	minSilence = time.Second
+	// pauseThreshold is a gap between two ticks that shows that this process stood still.
+	pauseThreshold = 300 * time.Millisecond
+	// redirectSuspension is how long a follower believes that the leader hears nobody, from when it was told.
+	redirectSuspension = 2 * time.Second
+	// contactWindow is for how long a caller counts: a worker tries every controller within that.
+	contactWindow = 10 * time.Second
+	// sequenceRetention is for how long a caller's numbers are kept, to tell copies of its reports.
+	sequenceRetention = 2 * time.Minute
+	// maxContacts bounds what is kept of callers.
+	maxContacts = 20_000
+	// minPeerShare is which part of the machines that are expected has to call elsewhere, and fewCallers
 	// how many at least. Of fewer machines nothing can be told.
-	callersShare = 0.125
-	fewCallers   = 3
-	// lostShare is which part of the machines may be overdue before the leader takes the silence for its own,
+	minPeerShare = 0.125
+	minWorkers   = 3
+	// overdueShare is which part of the machines may be overdue before the leader takes the silence for its own,
 	// though some are heard: those that have booted since, say. Half of a site may be lost with a zone.
-	lostShare = 2.0 / 3
-	// counted is for how long an answer to a question, or the want of one, tells of the link; mostAsked bounds
+	overdueShare = 2.0 / 3
+	// probeWindow is for how long an answer to a question, or the want of one, tells of the link; mostAsked bounds
 	// what is kept of them.
-	counted   = 3 * time.Second
-	mostAsked = 256
-	// shy is how long who was not heard leaves the next leadership to others.
-	shy = 30 * time.Second
+	probeWindow = 3 * time.Second
+	maxProbes   = 256
+	// campaignDeferral is how long who was not heard leaves the next leadership to others.
+	campaignDeferral = 30 * time.Second
 )
 
-// Hearing is what a controller knows of being reached by workers.
-type Hearing struct {
-	every time.Duration // between two reports of a worker
+// Monitor is what a controller knows of being reached by workers.
+type Monitor struct {
+	heartbeatInterval time.Duration // between two reports of a worker
 
-	heard    time.Time // when a report came last
-	ticked   time.Time
-	expected int            // machines whose reports should come
-	overdue  int            // of these, those whose reports are missing for longer than they ever take
-	callers  map[string]int // by the other controllers, workers that came to them instead
-	deafAt   time.Time      // when a leadership of ours ended for that
-	asked    []question     // of late
+	lastHeartbeatAt  time.Time // when a report came last
+	lastTickAt       time.Time
+	expectedMachines int            // machines whose reports should come
+	overdueMachines  int            // of these, those whose reports are missing for longer than they ever take
+	workersByPeer    map[string]int // by the other controllers, workers that came to them instead
+	transferredAt    time.Time      // when a leadership of ours ended for that
+	probes           []probe        // of late
 
-	warnedTo time.Time // as a follower: until when the leader is known to hear nobody
-	came     map[string]caller
+	redirectsSuspendedUntil time.Time // as a follower: until when the leader is known to hear nobody
+	contacts                map[string]contact
 }
 
-// caller is a worker that came to this controller though it does not lead.
-type caller struct {
-	at           time.Time
-	session, seq uint64
+// contact is a worker that came to this controller though it does not lead.
+type contact struct {
+	at                    time.Time
+	incarnation, sequence uint64
 }
 
-// question is what became of one that was put to a machine directly.
-type question struct {
-	at       time.Time
-	missed   bool // its reports were missing
-	answered bool
+// probe is what became of one that was put to a machine directly.
+type probe struct {
+	at               time.Time
+	heartbeatOverdue bool // its reports were missing
+	answered         bool
 }
 
 // New makes the hearing of a process. every is how often a worker reports.
-func New(every time.Duration) *Hearing {
-	return &Hearing{every: every, callers: map[string]int{}, came: map[string]caller{}}
+func New(heartbeatInterval time.Duration) *Monitor {
+	return &Monitor{heartbeatInterval: heartbeatInterval, workersByPeer: map[string]int{}, contacts: map[string]contact{}}
 }
 
-// Begin is a new leadership: nobody can have reported to it yet.
-func (h *Hearing) Begin(now time.Time) {
-	h.heard, h.ticked, h.expected, h.overdue = now, now, 0, 0
-	clear(h.callers)
-	h.warnedTo = time.Time{}
-	clear(h.came)
-	h.asked = nil
+// StartLeadership is a new leadership: nobody can have reported to it yet.
+func (h *Monitor) StartLeadership(now time.Time) {
+	h.lastHeartbeatAt, h.lastTickAt, h.expectedMachines, h.overdueMachines = now, now, 0, 0
+	clear(h.workersByPeer)
+	h.redirectsSuspendedUntil = time.Time{}
+	clear(h.contacts)
+	h.probes = nil
 }
 
-// Reported is a report that has come to the leader.
-func (h *Hearing) Reported(now time.Time) { h.heard = now }
+// RecordHeartbeat is a report that has come to the leader.
+func (h *Monitor) RecordHeartbeat(now time.Time) { h.lastHeartbeatAt = now }
 
 // Tick takes in how many machines the leader expects reports of, and how many of these are overdue. A time in which this process stood
 // still is not a silence of others.
-func (h *Hearing) Tick(now time.Time, expected, overdue int) {
-	if gap := now.Sub(h.ticked); gap > paused {
-		h.heard = h.heard.Add(gap)
+func (h *Monitor) Tick(now time.Time, expected, overdue int) {
+	if gap := now.Sub(h.lastTickAt); gap > pauseThreshold {
+		h.lastHeartbeatAt = h.lastHeartbeatAt.Add(gap)
 	}
-	h.ticked, h.expected, h.overdue = now, expected, overdue
+	h.lastTickAt, h.expectedMachines, h.overdueMachines = now, expected, overdue
 }
 
-// Asked takes in whether a machine answered a question of ours. missed: its reports were missing then.
-func (h *Hearing) Asked(now time.Time, missed, answered bool) {
-	h.asked = append(h.asked, question{now, missed, answered})
-	for len(h.asked) > mostAsked || now.Sub(h.asked[0].at) > counted {
-		h.asked = h.asked[1:]
+// RecordProbe takes in whether a machine answered a question of ours. missed: its reports were missing then.
+func (h *Monitor) RecordProbe(now time.Time, heartbeatOverdue, answered bool) {
+	h.probes = append(h.probes, probe{now, heartbeatOverdue, answered})
+	for len(h.probes) > maxProbes || now.Sub(h.probes[0].at) > probeWindow {
+		h.probes = h.probes[1:]
 	}
 }
 
-// Suspects reports whether the leader hears none of its machines, for so long that it is no chance, and at
+// SuspectsPartition reports whether the leader hears none of its machines, for so long that it is no chance, and at
 // most for as long as every one of them should have reported; or so few that the others cannot all be lost.
-func (h *Hearing) Suspects(now time.Time) bool {
-	if h.expected < fewCallers {
+func (h *Monitor) SuspectsPartition(now time.Time) bool {
+	if h.expectedMachines < minWorkers {
 		return false // one lost report, and the worker asks elsewhere: no reason to hand over
 	}
-	all := h.every*5/4 + leastGap/2
-	some := missing * h.every / time.Duration(h.expected)
-	return now.Sub(h.heard) >= max(min(some, all), leastGap) || float64(h.overdue) >= lostShare*float64(h.expected)
+	fullInterval := h.heartbeatInterval*5/4 + minSilence/2
+	expectedSilence := missedHeartbeats * h.heartbeatInterval / time.Duration(h.expectedMachines)
+	return now.Sub(h.lastHeartbeatAt) >= max(min(expectedSilence, fullInterval), minSilence) || float64(h.overdueMachines) >= overdueShare*float64(h.expectedMachines)
 }
 
-// Doubts reports whether some of the machines are to be asked directly: it may be we who are not reached. So many
+// NeedsProbes reports whether some of the machines are to be asked directly: it may be we who are not reached. So many
 // that call elsewhere do not hear what we answer.
-func (h *Hearing) Doubts(now time.Time) bool { return h.Suspects(now) || h.elsewhere() }
+func (h *Monitor) NeedsProbes(now time.Time) bool {
+	return h.SuspectsPartition(now) || h.manyWorkersAtPeer()
+}
 
-// Warns reports whether workers had better not be sent here for now: the silence is not explained yet.
-func (h *Hearing) Warns(now time.Time) bool {
-	yes, no := h.answers(now, func(question) bool { return true })
-	return h.Suspects(now) && 4*yes <= no || h.Deaf(now)
+// ShouldSuspendRedirects reports whether workers had better not be sent here for now: the silence is not explained yet.
+func (h *Monitor) ShouldSuspendRedirects(now time.Time) bool {
+	answered, unanswered := h.countProbes(now, func(probe) bool { return true })
+	return h.SuspectsPartition(now) && 4*answered <= unanswered || h.IsPartitioned(now)
 }
 
-// Deaf reports whether the leader is cut off from the workers, in one direction at least: machines that are asked
+// IsPartitioned reports whether the leader is cut off from the workers, in one direction at least: machines that are asked
 // directly do not answer, those whose reports are missing if it hears too little, those that do report if
 // many call elsewhere. Without the questions a new leader took the time in which the workers waited for
 // the one before for a failure of its own, and handed over a sound leadership (docs/incidents: inc-1518, inc-98a2).
-func (h *Hearing) Deaf(now time.Time) bool {
-	return h.Suspects(now) && h.unanswered(now, true) || h.elsewhere() && h.unanswered(now, false)
+func (h *Monitor) IsPartitioned(now time.Time) bool {
+	return h.SuspectsPartition(now) && h.probesUnanswered(now, true) || h.manyWorkersAtPeer() && h.probesUnanswered(now, false)
 }
 
-// elsewhere reports whether many workers call another controller.
-func (h *Hearing) elsewhere() bool {
-	_, most := h.called()
-	return h.expected >= fewCallers && most >= h.need()
+// manyWorkersAtPeer reports whether many workers call another controller.
+func (h *Monitor) manyWorkersAtPeer() bool {
+	_, most := h.busiestPeer()
+	return h.expectedMachines >= minWorkers && most >= h.requiredWorkers()
 }
 
-// unanswered reports whether the questions of late to machines whose reports were missing, or were not, found no answers.
-func (h *Hearing) unanswered(now time.Time, missed bool) bool {
-	yes, no := h.answers(now, func(q question) bool { return q.missed == missed })
-	return no >= fewCallers && 4*yes <= no
+// probesUnanswered reports whether the questions of late to machines whose reports were missing, or were not, found no answers.
+func (h *Monitor) probesUnanswered(now time.Time, heartbeatOverdue bool) bool {
+	answered, unanswered := h.countProbes(now, func(q probe) bool { return q.heartbeatOverdue == heartbeatOverdue })
+	return unanswered >= minWorkers && 4*answered <= unanswered
 }
 
-// answers counts the questions of late that were answered, and those that were not.
-func (h *Hearing) answers(now time.Time, counts func(question) bool) (yes, no int) {
-	for _, q := range h.asked {
+// countProbes counts the questions of late that were answered, and those that were not.
+func (h *Monitor) countProbes(now time.Time, matches func(probe) bool) (answered, unanswered int) {
+	for _, q := range h.probes {
 		switch {
-		case now.Sub(q.at) > counted || !counts(q):
+		case now.Sub(q.at) > probeWindow || !matches(q):
 		case q.answered:
-			yes++
+			answered++
 		default:
-			no++
+			unanswered++
 		}
 	}
-	return yes, no
+	return answered, unanswered
 }
 
-// Told takes in how many workers came to another controller of late.
-func (h *Hearing) Told(peer string, callers int) { h.callers[peer] = callers }
+// RecordPeerWorkers takes in how many workers came to another controller of late.
+func (h *Monitor) RecordPeerWorkers(peer string, workers int) { h.workersByPeer[peer] = workers }
 
 // Successor is the controller that the workers reach while the leader hears nobody; empty: there is no
 // such controller, or nothing to hand over.
-func (h *Hearing) Successor(now time.Time) string {
-	if !h.Deaf(now) {
+func (h *Monitor) Successor(now time.Time) string {
+	if !h.IsPartitioned(now) {
 		return ""
 	}
-	best, most := h.called()
-	if most < h.need() {
+	best, most := h.busiestPeer()
+	if most < h.requiredWorkers() {
 		return ""
 	}
 	return best
 }
 
-// need is how many workers have to call elsewhere.
-func (h *Hearing) need() int { return max(fewCallers, int(callersShare*float64(h.expected))) }
+// requiredWorkers is how many workers have to call elsewhere.
+func (h *Monitor) requiredWorkers() int {
+	return max(minWorkers, int(minPeerShare*float64(h.expectedMachines)))
+}
 
-// called is the controller to which the most workers came of late, and how many.
-func (h *Hearing) called() (best string, most int) {
-	for peer, n := range h.callers {
+// busiestPeer is the controller to which the most workers came of late, and how many.
+func (h *Monitor) busiestPeer() (best string, most int) {
+	for peer, n := range h.workersByPeer {
 		if n > most || n == most && peer < best {
 			best, most = peer, n
 		}
@@ -189,44 +193,48 @@
 	return best, most
 }
 
-// Yielded records that a leadership was handed over for want of hearing.
-func (h *Hearing) Yielded(now time.Time) { h.deafAt = now }
+// RecordTransfer records that a leadership was handed over for want of hearing.
+func (h *Monitor) RecordTransfer(now time.Time) { h.transferredAt = now }
 
-// Shy reports whether this controller was not heard lately and had better leave the leadership to others.
-func (h *Hearing) Shy(now time.Time) bool { return !h.deafAt.IsZero() && now.Sub(h.deafAt) < shy }
+// ShouldDeferCampaign reports whether this controller was not heard lately and had better leave the leadership to others.
+func (h *Monitor) ShouldDeferCampaign(now time.Time) bool {
+	return !h.transferredAt.IsZero() && now.Sub(h.transferredAt) < campaignDeferral
+}
 
-// Warned takes in what the leader says of itself. A leader that hears again is named again.
-func (h *Hearing) Warned(now time.Time, deaf bool) {
-	if !deaf {
-		h.warnedTo = time.Time{}
+// RecordLeaderStatus takes in what the leader says of itself. A leader that hears again is named again.
+func (h *Monitor) RecordLeaderStatus(now time.Time, suspendRedirects bool) {
+	if !suspendRedirects {
+		h.redirectsSuspendedUntil = time.Time{}
 		return
 	}
-	h.warnedTo = now.Add(warned)
+	h.redirectsSuspendedUntil = now.Add(redirectSuspension)
 }
 
-// Withheld reports whether workers are not to be sent to the leader: it would not hear them.
-func (h *Hearing) Withheld(now time.Time) bool { return now.Before(h.warnedTo) }
+// RedirectsSuspended reports whether workers are not to be sent to the leader: it would not hear them.
+func (h *Monitor) RedirectsSuspended(now time.Time) bool {
+	return now.Before(h.redirectsSuspendedUntil)
+}
 
-// Called is a worker's report to a controller that does not lead. One that is not newer than those that came before
+// RecordWorkerContact is a worker's report to a controller that does not lead. One that is not newer than those that came before
 // is a copy: its machine may be no more.
-func (h *Hearing) Called(now time.Time, machine string, session, seq uint64) {
-	c, known := h.came[machine]
-	if known && (session < c.session || session == c.session && seq <= c.seq) || !known && len(h.came) >= mostCallers {
+func (h *Monitor) RecordWorkerContact(now time.Time, machine string, incarnation, sequence uint64) {
+	previous, known := h.contacts[machine]
+	if known && (incarnation < previous.incarnation || incarnation == previous.incarnation && sequence <= previous.sequence) || !known && len(h.contacts) >= maxContacts {
 		return
 	}
-	h.came[machine] = caller{now, session, seq}
+	h.contacts[machine] = contact{now, incarnation, sequence}
 }
 
-// Callers is how many workers have called here of late.
-func (h *Hearing) Callers(now time.Time) int {
-	n := 0
-	for id, c := range h.came {
+// RecentWorkers is how many workers have called here of late.
+func (h *Monitor) RecentWorkers(now time.Time) int {
+	count := 0
+	for machine, c := range h.contacts {
 		switch since := now.Sub(c.at); {
-		case since > numbered:
-			delete(h.came, id)
-		case since <= remembered:
-			n++
+		case since > sequenceRetention:
+			delete(h.contacts, machine)
+		case since <= contactWindow:
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/controller/leader/horizon/horizon.go
+++ b/internal/controller/leader/horizon/horizon.go
@@ -16,79 +16,79 @@
 	"time"
 )
 
-// remembered is how many stamps are kept: those of the greetings of some seconds.
-const remembered = 16
+// maxNonces is how many stamps are kept: those of the greetings of some seconds.
+const maxNonces = 16
 
-type stamp struct {
-	number uint64
-	at     time.Time
+type nonce struct {
+	value    uint64
+	issuedAt time.Time
 }
 
-// Horizon is what a controller knows of cancellations that others may have confirmed.
-type Horizon struct {
-	reach  time.Duration // how long after a confirmation a lease may still be renewed that does not know of it
-	next   uint64
-	stamps []stamp
-	since  time.Time // what was confirmed before this is carried out everywhere, for certain; zero: nothing is known
+// Limit is what a controller knows of cancellations that others may have confirmed.
+type Limit struct {
+	window          time.Duration // how long after a confirmation a lease may still be renewed that does not know of it
+	lastNonce       uint64
+	issued          []nonce
+	completedBefore time.Time // what was confirmed before this is carried out everywhere, for certain; zero: nothing is known
 }
 
-// Reach is how long after a cancellation was confirmed a lease may be renewed by who does not know of it: within the
+// Window is how long after a cancellation was confirmed a lease may be renewed by who does not know of it: within the
 // time that users are told, less the longest that a worker's tasks outlive a 200. Both clocks may drift. It is
 // negative if the settings leave no such time.
-func Reach(cancelWithin, leaseEnd time.Duration) time.Duration {
-	return cancelWithin - cancelWithin/500 - leaseEnd
+func Window(cancelTimeout, maxLeaseAge time.Duration) time.Duration {
+	return cancelTimeout - cancelTimeout/500 - maxLeaseAge
 }
 
 // New makes the horizon of a process that has just started: it knows nothing. Stamps begin anywhere, so that those of an earlier life
 // of this process are not taken for its own.
-func New(reach time.Duration, rng *rand.Rand) *Horizon {
-	return &Horizon{reach: reach, next: rng.Uint64() | 1}
+func New(window time.Duration, rng *rand.Rand) *Limit {
+	return &Limit{window: window, lastNonce: rng.Uint64() | 1}
 }
 
-// Stamp makes a number that goes with an answer to a leader; its next greeting brings it back.
-func (h *Horizon) Stamp(now time.Time) uint64 {
-	h.next++
-	if h.next == 0 {
-		h.next++
+// NewNonce makes a number that goes with an answer to a leader; its next greeting brings it back.
+func (h *Limit) NewNonce(now time.Time) uint64 {
+	h.lastNonce++
+	if h.lastNonce == 0 {
+		h.lastNonce++
 	}
-	h.stamps = append(h.stamps, stamp{h.next, now})
-	if len(h.stamps) > remembered {
-		h.stamps = h.stamps[1:]
+	h.issued = append(h.issued, nonce{h.lastNonce, now})
+	if len(h.issued) > maxNonces {
+		h.issued = h.issued[1:]
 	}
-	return h.next
+	return h.lastNonce
 }
 
-// Heard takes in the word of a leader that has read its ledger and was entitled when it said so: what was confirmed longer
+// RecordLeaderProgress takes in the word of a leader that has read its ledger and was entitled when it said so: what was confirmed longer
 // than age before that is carried out. The word was given after the stamp was made that it brings back; one
 // without a stamp of ours may be as old as any and tells nothing.
-func (h *Horizon) Heard(echo uint64, age time.Duration) {
-	if echo == 0 || age < 0 {
+func (h *Limit) RecordLeaderProgress(echoedNonce uint64, oldestCancellationAge time.Duration) {
+	if echoedNonce == 0 || oldestCancellationAge < 0 {
 		return
 	}
-	for _, s := range h.stamps {
-		if s.number == echo {
-			h.know(s.at.Add(-age - age/500))
+	for _, issued := range h.issued {
+		if issued.value == echoedNonce {
+			h.advance(issued.issuedAt.Add(-oldestCancellationAge - oldestCancellationAge/500))
 		}
 	}
 }
 
-// Read takes in that this controller leads and has read its ledger: it knows of every confirmation, and all before
+// RecordLoaded takes in that this controller leads and has read its ledger: it knows of every confirmation, and all before
 // oldest are carried out.
-func (h *Horizon) Read(oldest time.Time) { h.know(oldest) }
+func (h *Limit) RecordLoaded(oldestCancellation time.Time) { h.advance(oldestCancellation) }
 
-func (h *Horizon) know(since time.Time) {
-	if since.After(h.since) {
-		h.since = since
+func (h *Limit) advance(completedBefore time.Time) {
+	if completedBefore.After(h.completedBefore) {
+		h.completedBefore = completedBefore
 	}
 }
 
-// Since is the time before which everything that was confirmed is carried out; zero: nothing is known.
-func (h *Horizon) Since() time.Time { return h.since }
+// CompletedBefore is the time before which everything that was confirmed is carried out; zero: nothing is known.
+func (h *Limit) CompletedBefore() time.Time { return h.completedBefore }
 
-// Until is until when leases may be renewed without the ledger: not at all if nothing is known.
-func (h *Horizon) Until() time.Time {
-	if h.since.IsZero() || h.reach <= 0 {
+// RenewUntil is until when leases may be renewed without the ledger: not at all if nothing is known.
+func (h *Limit) RenewUntil() time.Time {
+	if h.completedBefore.IsZero() || h.window <= 0 {
 		return time.Time{}
 	}
-	return h.since.Add(h.reach)
+	return h.completedBefore.Add(h.window)
 }
--- a/internal/controller/leader/promises.go
+++ b/internal/controller/leader/promises.go
@@ -8,213 +8,213 @@
 	"gullrudder/internal/wire/packed"
 )
 
-// Hello is what the leader sends to each other controller; it asks for a promise. With Doubt it
+// PingRequest is what the leader sends to each other controller; it asks for a promise. With Doubt it
 // asks too whether the state service answers the other. With Yield the leadership is over: nobody
 // relies on a promise to it any more, and whoever can is to end its lease; To is who had better lead
 // next. Deaf says that no worker reaches the leader. With Read the leader has read its ledger, and all cancellations that
 // were confirmed longer than Age ago are carried out; Echo is the stamp of the other's last answer.
-type Hello struct {
-	Name  string `msgpack:"name"`
-	Token uint64 `msgpack:"token"`
-	Doubt bool   `msgpack:"doubt,omitempty"`
-	Yield uint64 `msgpack:"yield,omitempty"`
-	To    string `msgpack:"to,omitempty"`
-	Deaf  bool   `msgpack:"deaf,omitempty"`
-
-	Read bool          `msgpack:"read,omitempty"`
-	Age  time.Duration `msgpack:"age,omitempty"`
-	Echo uint64        `msgpack:"echo,omitempty"`
+type PingRequest struct {
+	Name              string `msgpack:"name"`
+	FencingToken      uint64 `msgpack:"token"`
+	ProbeStateService bool   `msgpack:"doubt,omitempty"`
+	ReleasedLeaseID   uint64 `msgpack:"yield,omitempty"`
+	Successor         string `msgpack:"to,omitempty"`
+	SuspendRedirects  bool   `msgpack:"deaf,omitempty"`
+
+	StateLoaded           bool          `msgpack:"read,omitempty"`
+	OldestCancellationAge time.Duration `msgpack:"age,omitempty"`
+	EchoedNonce           uint64        `msgpack:"echo,omitempty"`
 }
 
-// HelloAnswer says whether the promise is given, whether the state service has answered of late, and how
+// PingResponse says whether the promise is given, whether the state service has answered of late, and how
 // many workers came to the other controller since it knows that they do not reach the leader. Stamp tells when it
 // was given, to the one who gave it.
-type HelloAnswer struct {
-	Promised bool `msgpack:"promised"`
-	Sees     bool `msgpack:"sees,omitempty"`
-	Callers  int  `msgpack:"callers,omitempty"`
+type PingResponse struct {
+	Granted        bool `msgpack:"promised"`
+	StateServiceOK bool `msgpack:"sees,omitempty"`
+	RecentWorkers  int  `msgpack:"callers,omitempty"`
 
-	Stamp uint64 `msgpack:"stamp,omitempty"`
+	Nonce uint64 `msgpack:"stamp,omitempty"`
 }
 
-// InquiryAnswer tells a newly started controller whether it may have been promised to.
-type InquiryAnswer struct {
-	Leading bool `msgpack:"leading"`
+// VoteQueryResponse tells a newly started controller whether it may have been promised to.
+type VoteQueryResponse struct {
+	IsLeader bool `msgpack:"leading"`
 }
 
-// HandleHello answers the leader's request for a promise.
-func (e *Election) HandleHello(now time.Time, h Hello) HelloAnswer {
-	e.met = now
-	if h.Yield != 0 {
-		e.takeYield(now, h)
-		return HelloAnswer{}
+// HandlePing answers the leader's request for a promise.
+func (e *Election) HandlePing(now time.Time, request PingRequest) PingResponse {
+	e.peerContactAt = now
+	if request.ReleasedLeaseID != 0 {
+		e.acceptTransfer(now, request)
+		return PingResponse{}
 	}
-	if h.Token < e.promisedToken {
-		return HelloAnswer{} // of a leadership that is over: it came late, and nobody waits for the answer
+	if request.FencingToken < e.grantedToken {
+		return PingResponse{} // of a leadership that is over: it came late, and nobody waits for the answer
 	}
-	if e.mode != following || e.absent {
+	if e.role != roleFollower || e.keyAbsent {
 		// We campaign or lead, or know that the key is gone while the state service
 		// works: the sender has lost its lease and must not be carried on.
-		return HelloAnswer{Sees: e.mode == following}
+		return PingResponse{StateServiceOK: e.role == roleFollower}
 	}
-	e.leaderName, e.leaderHeard = h.Name, now
-	if until := now.Add(e.longer(e.opt.Promise)); until.After(e.promisedUntil) {
-		e.promisedUntil = until
+	e.leaderName, e.leaderPingedAt = request.Name, now
+	if until := now.Add(e.plusDrift(e.options.GrantDuration)); until.After(e.grantedUntil) {
+		e.grantedUntil = until
 	}
-	e.promisedToken = max(e.promisedToken, h.Token)
-	e.probe = e.probe || h.Doubt
-	e.hearing.Warned(now, h.Deaf)
-	if h.Read {
-		e.horizon.Heard(h.Echo, h.Age)
+	e.grantedToken = max(e.grantedToken, request.FencingToken)
+	e.probeRequested = e.probeRequested || request.ProbeStateService
+	e.connectivity.RecordLeaderStatus(now, request.SuspendRedirects)
+	if request.StateLoaded {
+		e.renewalLimit.RecordLeaderProgress(request.EchoedNonce, request.OldestCancellationAge)
 	}
-	return HelloAnswer{Promised: true, Sees: now.Sub(e.seen) < e.opt.Promise/4, Callers: e.hearing.Callers(now), Stamp: e.horizon.Stamp(now)}
+	return PingResponse{Granted: true, StateServiceOK: now.Sub(e.stateServiceOKAt) < e.options.GrantDuration/4, RecentWorkers: e.connectivity.RecentWorkers(now), Nonce: e.renewalLimit.NewNonce(now)}
 }
 
-// HandleInquiry answers a newly started controller. A leader whose renewal is late is not entitled, and may be so
+// HandleVoteQuery answers a newly started controller. A leader whose renewal is late is not entitled, and may be so
 // again by the renewal; the answer to a promise of that controller's earlier life may still be on its way to it and
 // counts then. Told that nobody leads, the new process would not be bound by it.
-func (e *Election) HandleInquiry(now time.Time) InquiryAnswer {
-	e.met = now
-	return InquiryAnswer{Leading: e.mode == leading}
+func (e *Election) HandleVoteQuery(now time.Time) VoteQueryResponse {
+	e.peerContactAt = now
+	return VoteQueryResponse{IsLeader: e.role == roleLeader}
 }
 
-// takeYield takes in that a leadership was handed over. A promise that was given to it binds no
+// acceptTransfer takes in that a leadership was handed over. A promise that was given to it binds no
 // more, unless a later leader relies on one: a message like this may come minutes late.
-func (e *Election) takeYield(now time.Time, h Hello) {
-	e.yielded = h.Yield
-	if h.Token < e.promisedToken {
+func (e *Election) acceptTransfer(now time.Time, request PingRequest) {
+	e.releasedLeaseID = request.ReleasedLeaseID
+	if request.FencingToken < e.grantedToken {
 		return // another leads since, and who is to follow it nobody has said
 	}
-	e.handedTo = h.To
-	if e.mode == following && h.Token == e.promisedToken {
-		e.promisedUntil = now
+	e.preferredSuccessor = request.Successor
+	if e.role == roleFollower && request.FencingToken == e.grantedToken {
+		e.grantedUntil = now
 		e.leaderName = ""
 	}
 }
 
-func (e *Election) askPromises(now time.Time, box *outbox.Box) {
-	for _, p := range e.opt.Peers {
-		pr := e.promises[p.Name]
-		if pr == nil {
-			pr = &promise{}
-			e.promises[p.Name] = pr
+func (e *Election) requestGrants(now time.Time, box *outbox.Box) {
+	for _, peer := range e.options.Peers {
+		grant := e.grants[peer.Name]
+		if grant == nil {
+			grant = &peerGrant{}
+			e.grants[peer.Name] = grant
 		}
-		if pr.asking || now.Before(pr.next) {
+		if grant.requestPending || now.Before(grant.nextRequestAt) {
 			continue
 		}
-		pr.asking = true
+		grant.requestPending = true
 		epoch, sent := e.epoch, now
-		h := Hello{Name: e.opt.Name, Token: e.token, Doubt: e.doubts(now), Deaf: e.hearing.Warns(now)}
-		if e.reads && e.Entitled(now) {
-			h.Read, h.Age, h.Echo = true, now.Sub(e.oldest), pr.stamp
+		request := PingRequest{Name: e.options.Name, FencingToken: e.fencingToken, ProbeStateService: e.suspectsStateService(now), SuspendRedirects: e.connectivity.ShouldSuspendRedirects(now)}
+		if e.stateLoaded && e.HoldsLease(now) {
+			request.StateLoaded, request.OldestCancellationAge, request.EchoedNonce = true, now.Sub(e.oldestCancellation), grant.nonce
 		}
-		box.Add(outbox.Call{Service: outbox.Peer, Addr: p.Addr, Method: "POST", Path: "/peer/hello",
-			Body: h, Timeout: e.opt.Promise / 3,
+		box.Add(outbox.Call{Service: outbox.Peer, Addr: peer.Addr, Method: "POST", Path: "/peer/hello",
+			Body: request, Timeout: e.options.GrantDuration / 3,
 			Done: func(now time.Time, r outbox.Result) {
 				if e.epoch != epoch {
 					return
 				}
-				pr.asking = false
-				e.heardPeer(now, r)
-				pr.next = sent.Add(e.opt.Promise / 5)
-				if e.doubts(now) {
-					pr.next = sent.Add(e.opt.Promise / 10)
+				grant.requestPending = false
+				e.recordPeerContact(now, r)
+				grant.nextRequestAt = sent.Add(e.options.GrantDuration / 5)
+				if e.suspectsStateService(now) {
+					grant.nextRequestAt = sent.Add(e.options.GrantDuration / 10)
 				}
-				var a HelloAnswer
-				if r.Status != 200 || packed.Unmarshal(r.Body, &a) != nil {
+				var response PingResponse
+				if r.Status != 200 || packed.Unmarshal(r.Body, &response) != nil {
 					// A peer that does not answer may still be bound by its last
 					// promise, and we by its end.
 					return
 				}
 				// Once the entitlement has lapsed only the state service can tell that
 				// nobody has led since: the peers may promise after a leadership of theirs.
-				if a.Promised && e.Entitled(now) {
-					pr.sent, pr.granted = sent, true
+				if response.Granted && e.HoldsLease(now) {
+					grant.sentAt, grant.granted = sent, true
 				}
-				pr.stamp = a.Stamp
-				if a.Sees {
-					e.othersServed(now, box, p.Name)
+				grant.nonce = response.Nonce
+				if response.StateServiceOK {
+					e.recordPeerServed(now, box, peer.Name)
 				}
-				e.hearing.Told(p.Name, a.Callers)
-				e.handOver(now, box)
+				e.connectivity.RecordPeerWorkers(peer.Name, response.RecentWorkers)
+				e.transferIfPartitioned(now, box)
 			}})
 	}
 }
 
-// doubts reports that renewals fail, or that one is long without an answer.
-func (e *Election) doubts(now time.Time) bool {
-	return e.failures > 0 || e.touching && now.Sub(e.touched) > e.opt.Lease/6
+// suspectsStateService reports that renewals fail, or that one is long without an answer.
+func (e *Election) suspectsStateService(now time.Time) bool {
+	return e.failedRenewals > 0 || e.renewalPending && now.Sub(e.lastRenewalSentAt) > e.options.LeaseDuration/6
 }
 
-// othersServed takes in that the state service answers another controller. If two renewals of ours
+// recordPeerServed takes in that the state service answers another controller. If two renewals of ours
 // have failed by then, or one has and the next is without an answer, and that goes on for as long as a
 // renewal needs after an outage that has just ended, the leadership is handed over.
-func (e *Election) othersServed(now time.Time, box *outbox.Box, name string) {
-	if e.mode != leading || e.failures == 0 || e.failures == 1 && !(e.touching && now.Sub(e.touched) > e.opt.Lease/6) {
+func (e *Election) recordPeerServed(now time.Time, box *outbox.Box, peerName string) {
+	if e.role != roleLeader || e.failedRenewals == 0 || e.failedRenewals == 1 && !(e.renewalPending && now.Sub(e.lastRenewalSentAt) > e.options.LeaseDuration/6) {
 		return
 	}
-	if e.served.IsZero() {
-		e.served = now
+	if e.peerServedSince.IsZero() {
+		e.peerServedSince = now
 	}
-	if now.Sub(e.served) >= e.opt.Lease/5 && now.Sub(e.failing) >= e.opt.Lease/3 {
-		e.yield(now, box, "the state service answers "+name+" and not this controller", "")
+	if now.Sub(e.peerServedSince) >= e.options.LeaseDuration/5 && now.Sub(e.firstFailureSentAt) >= e.options.LeaseDuration/3 {
+		e.transferLeadership(now, box, "the state service answers "+peerName+" and not this controller", "")
 	}
 }
 
-// handOver ends a leadership that no worker reaches while they reach another controller: their leases
+// transferIfPartitioned ends a leadership that no worker reaches while they reach another controller: their leases
 // run, and each of them is lost with all that runs there unless somebody leads whom they do reach.
-func (e *Election) handOver(now time.Time, box *outbox.Box) {
-	if e.mode != leading {
+func (e *Election) transferIfPartitioned(now time.Time, box *outbox.Box) {
+	if e.role != roleLeader {
 		return
 	}
-	if to := e.hearing.Successor(now); to != "" {
-		e.yield(now, box, "the workers reach "+to+" and not this controller", to)
-		e.hearing.Yielded(now)
+	if successor := e.connectivity.Successor(now); successor != "" {
+		e.transferLeadership(now, box, "the workers reach "+successor+" and not this controller", successor)
+		e.connectivity.RecordTransfer(now)
 	}
 }
 
-// yield hands the leadership over at once, to anybody or to a controller that is named. The others are
+// transferLeadership hands the leadership over at once, to anybody or to a controller that is named. The others are
 // told that nobody relies on their promises any more, and which lease to end. Waiting for its end and for theirs took three times as long.
-func (e *Election) yield(now time.Time, box *outbox.Box, why, to string) {
-	permit, token := e.permit, e.token
-	e.StepDown(now, box, why)
-	for _, p := range e.opt.Peers {
-		box.Add(outbox.Call{Service: outbox.Peer, Addr: p.Addr, Method: "POST", Path: "/peer/hello",
-			Body: Hello{Name: e.opt.Name, Token: token, Yield: permit, To: to}, Timeout: e.opt.Promise / 3, Done: func(time.Time, outbox.Result) {}})
+func (e *Election) transferLeadership(now time.Time, box *outbox.Box, reason, successor string) {
+	leaseID, fencingToken := e.leaseID, e.fencingToken
+	e.StepDown(now, box, reason)
+	for _, peer := range e.options.Peers {
+		box.Add(outbox.Call{Service: outbox.Peer, Addr: peer.Addr, Method: "POST", Path: "/peer/hello",
+			Body: PingRequest{Name: e.options.Name, FencingToken: fencingToken, ReleasedLeaseID: leaseID, Successor: successor}, Timeout: e.options.GrantDuration / 3, Done: func(time.Time, outbox.Result) {}})
 	}
 }
 
-// look asks the state service whether it answers, if the leader wants to know, and ends the lease of a
+// probeStateService asks the state service whether it answers, if the leader wants to know, and ends the lease of a
 // leadership that was handed over.
-func (e *Election) look(now time.Time, box *outbox.Box) {
-	if e.yielded != 0 {
-		box.Add(outbox.Call{Service: outbox.State, Method: "DELETE", Path: fmt.Sprintf("/leases/%d", e.yielded),
+func (e *Election) probeStateService(now time.Time, box *outbox.Box) {
+	if e.releasedLeaseID != 0 {
+		box.Add(outbox.Call{Service: outbox.State, Method: "DELETE", Path: fmt.Sprintf("/leases/%d", e.releasedLeaseID),
 			Timeout: time.Second, Done: func(time.Time, outbox.Result) {}})
-		e.yielded = 0
+		e.releasedLeaseID = 0
 	}
-	if !e.probe || e.probing {
+	if !e.probeRequested || e.probePending {
 		return
 	}
-	e.probe, e.probing = false, true
-	box.Add(outbox.Call{Service: outbox.State, Method: "GET", Path: "/keys/" + Key, Timeout: e.opt.Promise / 4,
+	e.probeRequested, e.probePending = false, true
+	box.Add(outbox.Call{Service: outbox.State, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: e.options.GrantDuration / 4,
 		Done: func(now time.Time, r outbox.Result) {
-			e.probing = false
-			e.heardState(now, r)
+			e.probePending = false
+			e.recordStateServiceContact(now, r)
 			if r.Status == 200 || r.Status == 404 {
-				e.seen = now
+				e.stateServiceOKAt = now
 			}
 		}})
 }
 
-// Wait is how long it takes at least until another leader can be there: what is left of a promise.
-func (e *Election) Wait(now time.Time) time.Duration { return max(e.promisedUntil.Sub(now), 0) }
+// ElectionDelay is how long it takes at least until another leader can be there: what is left of a promise.
+func (e *Election) ElectionDelay(now time.Time) time.Duration { return max(e.grantedUntil.Sub(now), 0) }
 
 // StepDown gives the leadership up.
-func (e *Election) StepDown(now time.Time, box *outbox.Box, why string) {
-	if e.mode != leading {
+func (e *Election) StepDown(now time.Time, box *outbox.Box, reason string) {
+	if e.role != roleLeader {
 		return
 	}
-	e.log.Info("leadership ended", "token", e.token, "why", why, "led", now.Sub(e.since).Round(time.Millisecond))
-	e.dropLease(box)
-	e.resume(now, now)
+	e.log.Info("leadership ended", "token", e.fencingToken, "why", reason, "led", now.Sub(e.electedAt).Round(time.Millisecond))
+	e.revokeLease(box)
+	e.becomeFollower(now, now)
 }
--- a/internal/controller/node/node.go
+++ b/internal/controller/node/node.go
@@ -109,9 +109,9 @@
 		peers = append(peers, leader.Peer{Name: p.Name, Addr: p.Addr})
 		n.peers[p.Name] = p.Addr
 	}
-	n.election = leader.New(leader.Options{Name: cfg.Name, Peers: peers, Lease: opt.LeaderLease,
-		Promise: opt.Promise, Slack: 100 * time.Millisecond, Report: cfg.ReportEvery,
-		Reach: horizon.Reach(cfg.CancelWithin, workers.LeaseEnd(cfg.WorkerLease))}, now, rng, log)
+	n.election = leader.New(leader.Options{Name: cfg.Name, Peers: peers, LeaseDuration: opt.LeaderLease,
+		GrantDuration: opt.Promise, SafetyMargin: 100 * time.Millisecond, HeartbeatInterval: cfg.ReportEvery,
+		RenewalWindow: horizon.Window(cfg.CancelWithin, workers.LeaseEnd(cfg.WorkerLease))}, now, rng, log)
 	return n
 }
 
@@ -156,10 +156,10 @@
 	}
 	// While a renewal is late the state is kept and nothing is done. It is never built anew
 	// under the same token: its counter would give out numbers for the second time.
-	if n.lead != nil && (!n.election.Leading() || n.lead.token != n.election.Token()) {
+	if n.lead != nil && (!n.election.IsLeader() || n.lead.token != n.election.FencingToken()) {
 		n.resign()
 	}
-	n.acting = n.election.Entitled(now)
+	n.acting = n.election.HoldsLease(now)
 	if n.lead == nil && n.acting {
 		n.takeOver(now)
 	}
@@ -197,7 +197,7 @@
 	case path == "/peer/hello" && r.Peer:
 		n.only(r, "POST", func() { n.hello(now, r) })
 	case path == "/peer/inquiry" && r.Peer:
-		n.only(r, "POST", func() { n.out.Reply(r, 200, n.election.HandleInquiry(now), 0) })
+		n.only(r, "POST", func() { n.out.Reply(r, 200, n.election.HandleVoteQuery(now), 0) })
 	default:
 		n.out.Refuse(r, 404, "no such path", 0)
 	}
@@ -205,14 +205,14 @@
 
 // report hands a machine's report to the clerk. Who is not entitled to act tells it where to go.
 func (n *Node) report(now time.Time, r *inbox.Request) {
-	hearing := n.election.Hearing()
+	hearing := n.election.Connectivity()
 	if !n.acting {
 		// That the worker came here is what the leader has to know.
 		if c, ok := workers.CallerIn(r.Body); ok {
-			hearing.Called(now, c.Machine, c.Session, c.Seq)
+			hearing.RecordWorkerContact(now, c.Machine, c.Session, c.Seq)
 		}
 		to := n.election.Leader(now)
-		if hearing.Withheld(now) {
+		if hearing.RedirectsSuspended(now) {
 			to = "" // the leader would not hear it
 		}
 		n.out.Reply(r, 421, workers.Elsewhere{Leader: to}, 0)
@@ -223,7 +223,7 @@
 		return
 	}
 	if n.lead.clerk.Report(now, r, n.lead.takeover.Built()) {
-		hearing.Reported(now)
+		hearing.RecordHeartbeat(now)
 	}
 }
 
@@ -236,13 +236,13 @@
 }
 
 func (n *Node) hello(now time.Time, r *inbox.Request) {
-	var h leader.Hello
+	var h leader.PingRequest
 	if err := packed.Unmarshal(r.Body, &h); err != nil || n.peers[h.Name] == "" {
 		n.out.Refuse(r, 400, "no greeting of a known controller", 0)
 		return
 	}
 	n.met = true
-	n.out.Reply(r, 200, n.election.HandleHello(now, h), 0)
+	n.out.Reply(r, 200, n.election.HandlePing(now, h), 0)
 }
 
 func (n *Node) ready(now time.Time, r *inbox.Request) {
@@ -253,7 +253,7 @@
 		n.out.Refuse(r, 503, "no leader known yet", 0)
 		return
 	}
-	if n.election.Alone(now) {
+	if n.election.IsIsolated(now) {
 		// Users who are sent here are all refused until it is over, and others would serve them.
 		n.out.Refuse(r, 503, "cut off from the state service and the other controllers", 0)
 		return
@@ -271,15 +271,15 @@
 	}
 	l.book.Tick(now, &n.box)
 	oldest, known := l.book.Unsettled(now)
-	n.election.Knows(now, oldest, known)
+	n.election.SetOldestCancellation(now, oldest, known)
 	l.clerk.TakeGone(now)
 	if !now.Before(l.nextLook) {
 		l.nextLook = now.Add(200 * time.Millisecond)
 		l.clerk.Expire(now)
 	}
-	n.election.Hearing().Tick(now, l.takeover.Expected(), l.takeover.Overdue())
+	n.election.Connectivity().Tick(now, l.takeover.Expected(), l.takeover.Overdue())
 	l.takeover.Tick(now, tickEvery)
-	l.zones.Look(now, n.election.Hearing().Suspects(now), func(take func(zones.Machine)) { l.inZones(now, take) })
+	l.zones.Look(now, n.election.Connectivity().SuspectsPartition(now), func(take func(zones.Machine)) { l.inZones(now, take) })
 	placing := l.takeover.Placing()
 	if !now.Before(l.nextTime) {
 		l.nextTime = now.Add(n.lookEvery(l.times.Open()))
@@ -325,7 +325,7 @@
 // Acts says whether this controller is entitled to act, and whether it places: an entitlement is of
 // little use to anybody before the ledger is read and the machines are accounted for.
 func (n *Node) Acts(now time.Time) (acting, placing bool) {
-	acting = n.lead != nil && n.election.Entitled(now) && n.lead.takeover.Built()
+	acting = n.lead != nil && n.election.HoldsLease(now) && n.lead.takeover.Built()
 	return acting, acting && n.lead.takeover.Placing()
 }
 
@@ -334,14 +334,14 @@
 
 // takeOver begins a leadership with nothing but the ledger to come.
 func (n *Node) takeOver(now time.Time) {
-	n.lead = n.newLeadership(now, n.election.Token())
+	n.lead = n.newLeadership(now, n.election.FencingToken())
 	n.lead.ledger.Load(&n.box)
 }
 
 // newLeadership makes the slices and introduces them to one another.
 func (n *Node) newLeadership(now time.Time, token uint64) *leadership {
 	l := &leadership{token: token}
-	l.ledger = ledger.New(ledger.Options{LeaderKey: leader.Key, ValueBytes: n.cfg.ValueBytes, TxnOps: n.cfg.TxnOps,
+	l.ledger = ledger.New(ledger.Options{LeaderKey: leader.LeaderKey, ValueBytes: n.cfg.ValueBytes, TxnOps: n.cfg.TxnOps,
 		WriteRate: n.cfg.StateWrites, Quiet: 500 * time.Millisecond}, token, n.log)
 	l.settings = settings.New(n.opt, l.ledger, &n.out, n.log)
 	opt := l.settings.Options()
@@ -361,7 +361,7 @@
 	l.clerk = reports.NewClerk(reports.World{Platform: n.cfg, Token: token, Ledger: l.ledger, Book: l.book, Fleet: l.fleet, Cloud: l.cloud,
 		Planner: l.planner, Placer: l.placer, Times: l.times, Pace: slow, Blame: blamed, Reach: links, Answers: &n.out, Log: n.log})
 	l.takeover = takeover.New(takeover.World{Platform: n.cfg, Token: token, Since: now, Ledger: l.ledger, Book: l.book, Settings: l.settings,
-		Fleet: l.fleet, Cloud: l.cloud, Clerk: l.clerk, Placer: l.placer, Floor: l.planner.Floor(), Zones: l.zones, Reach: links, Hearing: n.election.Hearing(), Horizon: n.election.Horizon(), Box: &n.box, Log: n.log})
+		Fleet: l.fleet, Cloud: l.cloud, Clerk: l.clerk, Placer: l.placer, Floor: l.planner.Floor(), Zones: l.zones, Reach: links, Hearing: n.election.Connectivity(), Horizon: n.election.RenewalLimit(), Box: &n.box, Log: n.log})
 	l.requests = requests.NewDesk(requests.World{Platform: n.cfg, Options: opt, Ledger: l.ledger, Book: l.book, Fleet: l.fleet, Cloud: l.cloud,
 		Planner: l.planner, Placer: l.placer, Rental: l.rental, Takeover: l.takeover, Times: l.times, Blame: blamed, Zones: l.zones,
 		Acting: func() bool { return n.lead == l && n.acting }, Answers: &n.out, Box: &n.box, Log: n.log})
--- a/internal/controller/node/users.go
+++ b/internal/controller/node/users.go
@@ -23,17 +23,17 @@
 	addr := n.peers[n.election.Leader(now)]
 	if r.Peer || addr == "" {
 		// What is known of when there can be one: a promise has to be over, and users count from a second.
-		n.out.Refuse(r, 503, "no leader at present", max(comeBack, n.election.Wait(now)+comeBack/10))
+		n.out.Refuse(r, 503, "no leader at present", max(comeBack, n.election.ElectionDelay(now)+comeBack/10))
 		return
 	}
 	timeout := 1800 * time.Millisecond
 	if r.Method == "POST" {
 		timeout = 4 * time.Second
 	}
-	led := n.election.Followed()
+	led := n.election.FollowedToken()
 	n.box.Add(outbox.Call{Service: outbox.Peer, Addr: addr, Method: r.Method, Path: r.Target, Body: raw(r.Body), Timeout: timeout,
 		Done: func(now time.Time, res outbox.Result) {
-			if n.acting || n.election.Followed() != led {
+			if n.acting || n.election.FollowedToken() != led {
 				// It was held up, and another leads since, who may have told the user something newer.
 				n.out.Refuse(r, 503, "another controller leads since", comeBack)
 				return
--- a/internal/controller/node/users_test.go
+++ b/internal/controller/node/users_test.go
@@ -21,7 +21,7 @@
 		CancelWithin: 30 * time.Second, StateWrites: 10, StateRate: 100, ValueBytes: 4096, TxnOps: 8, CloudRate: 2, CPUShare: 1}
 	n := New(cfg, config.DefaultOptions(), now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	greet := func(name string, token uint64) {
-		raw, err := packed.Marshal(leader.Hello{Name: name, Token: token})
+		raw, err := packed.Marshal(leader.PingRequest{Name: name, FencingToken: token})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/reports/clerk.go
+++ b/internal/controller/reports/clerk.go
@@ -85,7 +85,7 @@
 func NewClerk(w World) *Clerk {
 	return &Clerk{cfg: w.Platform, log: w.Log, out: w.Answers, token: w.Token, ledger: w.Ledger, book: w.Book, fleet: w.Fleet, cloud: w.Cloud,
 		planner: w.Planner, placer: w.Placer, times: w.Times, pace: w.Pace, blame: w.Blame, reach: w.Reach,
-		reaches: horizon.Reach(w.Platform.CancelWithin, w.Fleet.Lease())}
+		reaches: horizon.Window(w.Platform.CancelWithin, w.Fleet.Lease())}
 }
 
 // TurnAway refuses the reports that still wait for an answer.
--- a/internal/controller/requests/desk.go
+++ b/internal/controller/requests/desk.go
@@ -76,7 +76,7 @@
 func NewDesk(w World) *Desk {
 	d := &Desk{cfg: w.Platform, opt: w.Options, teams: w.Platform.TeamsByName(), log: w.Log, out: w.Answers, box: w.Box, ledger: w.Ledger,
 		book: w.Book, fleet: w.Fleet, cloud: w.Cloud, planner: w.Planner, placer: w.Placer, rental: w.Rental, take: w.Takeover, times: w.Times, blame: w.Blame, zoneBook: w.Zones, acting: w.Acting}
-	d.late = horizon.Reach(d.cfg.CancelWithin, d.fleet.Lease()) <= 0
+	d.late = horizon.Window(d.cfg.CancelWithin, d.fleet.Lease()) <= 0
 	// What two seconds' changes hold may wait for a commit.
 	rate := d.cfg.StateWrites * float64(max(d.cfg.ValueBytes/jobBytes, 1))
 	d.gate = standing.NewGate(int(2*rate), rate)
--- a/internal/controller/takeover/silence.go
+++ b/internal/controller/takeover/silence.go
@@ -98,11 +98,11 @@
 // takeover go ever again to those that are no more, and counted they would make a leader deaf that has lost a
 // zone. If only callers elsewhere are the reason, those that report are asked.
 func (t *Takeover) askSample(now time.Time) {
-	if now.Before(t.nextSample) || !t.hearing.Doubts(now) {
+	if now.Before(t.nextSample) || !t.hearing.NeedsProbes(now) {
 		return
 	}
 	t.nextSample = now.Add(askAgain / 2)
-	missed := t.hearing.Suspects(now)
+	missed := t.hearing.SuspectsPartition(now)
 	list := t.fleet.Sorted()
 	up := slices.ContainsFunc(list, func(m *workers.Machine) bool { return m.Up })
 	for left, looked := sample, 0; left > 0 && looked < len(list); looked++ {
@@ -116,7 +116,7 @@
 		}
 		left--
 		t.mayAsk--
-		t.question(now, m, max(m.Session, 1), 3, func(now time.Time, answered bool) { t.hearing.Asked(now, missed, answered) })
+		t.question(now, m, max(m.Session, 1), 3, func(now time.Time, answered bool) { t.hearing.RecordProbe(now, missed, answered) })
 	}
 }
 
@@ -130,7 +130,7 @@
 func (t *Takeover) dropSilent(now time.Time) {
 	var ids, failed []string
 	known := 0
-	ours := t.hearing.Suspects(now)
+	ours := t.hearing.SuspectsPartition(now)
 	t.expected, t.overdue = 0, 0
 	ears := map[string]int{}
 	for id, m := range t.fleet.Machines {
--- a/internal/controller/takeover/takeover.go
+++ b/internal/controller/takeover/takeover.go
@@ -43,8 +43,8 @@
 	floor    *floor.Book
 	zones    *zones.Book
 	reach    *reach.Book
-	hearing  *hearing.Hearing
-	horizon  *horizon.Horizon
+	hearing  *hearing.Monitor
+	horizon  *horizon.Limit
 
 	first      bool               // the ledger was empty: nobody has led before
 	built      bool               // the ledger has been taken over
@@ -78,8 +78,8 @@
 	Floor    *floor.Book
 	Zones    *zones.Book
 	Reach    *reach.Book
-	Hearing  *hearing.Hearing // whether the workers reach this controller
-	Horizon  *horizon.Horizon // which cancellations can be open that an earlier leader has confirmed
+	Hearing  *hearing.Monitor // whether the workers reach this controller
+	Horizon  *horizon.Limit   // which cancellations can be open that an earlier leader has confirmed
 	Box      *outbox.Box
 	Log      *slog.Logger
 }
@@ -114,7 +114,7 @@
 // MayRenew reports whether a report may be answered with 200 now. Before the ledger is read this keeps tasks alive whose
 // cancellation this leader does not know of: only while their leases end in time all the same.
 func (t *Takeover) MayRenew(now time.Time) bool {
-	if t.built || now.Before(t.horizon.Until()) {
+	if t.built || now.Before(t.horizon.RenewUntil()) {
 		return true
 	}
 	if !t.refused {
@@ -180,7 +180,7 @@
 			chunks = append(chunks, chunk{name, id, c, v})
 			return
 		}
-		t.book.Restore(now, t.since, t.horizon.Since(), name, decode)
+		t.book.Restore(now, t.since, t.horizon.CompletedBefore(), name, decode)
 	})
 	for _, c := range chunks {
 		t.book.RestoreChunk(now, c.name, c.id, c.c, c.v)
--- a/internal/controller/takeover/takeover_test.go
+++ b/internal/controller/takeover/takeover_test.go
@@ -38,8 +38,8 @@
 type taking struct {
 	*Takeover
 	out     *inbox.Answers
-	hearing *hearing.Hearing
-	horizon *horizon.Horizon
+	hearing *hearing.Monitor
+	horizon *horizon.Limit
 }
 
 func newTakeover(now time.Time, token uint64) *taking {
@@ -47,8 +47,8 @@
 	opt := config.DefaultOptions()
 	cfg := &config.Platform{Name: "n", ReportEvery: 4 * time.Second, WorkerLease: 20 * time.Second, CancelWithin: 45 * time.Second, CPUShare: 0.2, Connections: 1000}
 	k := &taking{out: &inbox.Answers{Log: log}, hearing: hearing.New(4 * time.Second)}
-	k.hearing.Begin(now)
-	k.horizon = horizon.New(horizon.Reach(cfg.CancelWithin, workers.LeaseEnd(cfg.WorkerLease)), rand.New(rand.NewPCG(1, 1)))
+	k.hearing.StartLeadership(now)
+	k.horizon = horizon.New(horizon.Window(cfg.CancelWithin, workers.LeaseEnd(cfg.WorkerLease)), rand.New(rand.NewPCG(1, 1)))
 	links := reach.New(token, cfg.WorkerLease, reach.NewMetrics(prometheus.NewRegistry()), log)
 	box := &outbox.Box{}
 	led := ledger.New(ledger.Options{ValueBytes: 8192, TxnOps: 12, WriteRate: 15}, token, log)
@@ -210,7 +210,7 @@
 				}
 			}
 			if !c.unheard {
-				n.hearing.Reported(now)
+				n.hearing.RecordHeartbeat(now)
 			}
 			n.hearing.Tick(now.Add(-250*time.Millisecond), c.machines, 0) // more seldom it would be a pause of ours
 			n.hearing.Tick(now, c.machines, 0)
@@ -268,7 +268,7 @@
 			n.missing = append(n.missing, m)
 		}
 		deaf := false
-		n.hearing.Told("b", 40) // who waited for the leader before calls there
+		n.hearing.RecordPeerWorkers("b", 40) // who waited for the leader before calls there
 		for range 80 {
 			now = now.Add(50 * time.Millisecond)
 			n.Tick(now, 50*time.Millisecond)
@@ -285,7 +285,7 @@
 				}
 				call.Done(now, outbox.Result{Status: 200, Body: raw})
 			}
-			deaf = deaf || n.hearing.Deaf(now)
+			deaf = deaf || n.hearing.IsPartitioned(now)
 		}
 		if deaf != (alive == 0) {
 			t.Errorf("%s: deaf %v", name, deaf)
@@ -332,7 +332,7 @@
 func TestMachineThatDisobeysGetsNoLease(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	k, report := cancelled(t, now)
-	reach := horizon.Reach(45*time.Second, workers.LeaseEnd(20*time.Second))
+	reach := horizon.Window(45*time.Second, workers.LeaseEnd(20*time.Second))
 	report.Token = 9
 	for _, at := range []time.Duration{0, 5 * time.Second, reach - 3*time.Second} {
 		report.Seq++
@@ -357,8 +357,8 @@
 	if k.built = false; k.MayRenew(now) {
 		t.Error("renews though nothing is known")
 	}
-	k.horizon.Heard(k.horizon.Stamp(now), 3*time.Second)
-	reach := horizon.Reach(45*time.Second, workers.LeaseEnd(20*time.Second))
+	k.horizon.RecordLeaderProgress(k.horizon.NewNonce(now), 3*time.Second)
+	reach := horizon.Window(45*time.Second, workers.LeaseEnd(20*time.Second))
 	for after, want := range map[time.Duration]bool{0: true, reach - 3100*time.Millisecond: true, reach - 3*time.Second: false, time.Minute: false} {
 		if got := k.MayRenew(now.Add(after)); got != want {
 			t.Errorf("after %v: %v, want %v", after, got, want)
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -448,7 +448,7 @@
 
 // mark is the mark of the leader's key, 0 if nobody leads.
 func (s *StateService) mark() uint64 {
-	if k := s.keys[leader.Key]; k != nil {
+	if k := s.keys[leader.LeaderKey]; k != nil {
 		return k.mark
 	}
 	return 0
@@ -456,7 +456,7 @@
 
 // leader names the controller that holds the leader's key, if any does.
 func (s *StateService) leader() string {
-	k := s.keys[leader.Key]
+	k := s.keys[leader.LeaderKey]
 	if k == nil {
 		return ""
 	}
--- a/internal/standin/troubles.go
+++ b/internal/standin/troubles.go
@@ -213,12 +213,12 @@
 				Write string `msgpack:"write"`
 			} `msgpack:"apply"`
 		}
-		if packed.Unmarshal(body, &t) == nil && len(t.Apply) == 1 && t.Apply[0].Write == leader.Key {
+		if packed.Unmarshal(body, &t) == nil && len(t.Apply) == 1 && t.Apply[0].Write == leader.LeaderKey {
 			return keyWritten
 		}
 	case call.Service == outbox.Peer && call.Path == "/peer/hello":
-		var h leader.Hello
-		if packed.Unmarshal(body, &h) == nil && h.Yield != 0 {
+		var h leader.PingRequest
+		if packed.Unmarshal(body, &h) == nil && h.ReleasedLeaseID != 0 {
 			return yieldSent
 		}
 		return promiseGiven
