--- a/internal/controller/book/book.go
+++ b/internal/controller/book/book.go
@@ -33,7 +33,7 @@
 	options       *config.Options
 	log           *slog.Logger
 	storage       *ledger.Store
-	workers       *workers.Fleet
+	workers       *workers.Registry
 	accounting    *timeline.Log
 	onOrderChange func() // the order of the jobs is not what it was
 	onDone        func(time.Time, *jobs.Job)
@@ -57,7 +57,7 @@
 	Platform   *config.Platform
 	Options    *config.Options
 	Storage    *ledger.Store
-	Workers    *workers.Fleet
+	Workers    *workers.Registry
 	Accounting *timeline.Log
 	Log        *slog.Logger
 }
--- a/internal/controller/node/node.go
+++ b/internal/controller/node/node.go
@@ -82,12 +82,12 @@
 	storage         *ledger.Store
 	dynamicConfig   *settings.Settings
 	jobStore        *book.Store
-	workers         *workers.Fleet
+	workers         *workers.Registry
 	cloud           *fleet.Cloud
 	planner         *plan.Planner
 	placer          *place.Placer
 	autoscaler      *rental.Desk
-	heartbeats      *reports.Clerk
+	heartbeats      *reports.Handler
 	failover        *takeover.Reconciler
 	zones           *zones.Book
 	accounting      *timeline.Log
@@ -111,7 +111,7 @@
 	}
 	n.election = leader.New(leader.Options{Name: platform.Name, Peers: peers, LeaseDuration: options.LeaderLease,
 		GrantDuration: options.Promise, SafetyMargin: 100 * time.Millisecond, HeartbeatInterval: platform.ReportEvery,
-		RenewalWindow: horizon.Window(platform.CancelWithin, workers.LeaseEnd(platform.WorkerLease))}, now, rng, log)
+		RenewalWindow: horizon.Window(platform.CancelWithin, workers.LeaseExpiry(platform.WorkerLease))}, now, rng, log)
 	return n
 }
 
@@ -139,10 +139,10 @@
 	}
 	if l := n.leadership; l != nil {
 		if n.holdsLease {
-			l.heartbeats.Answer(now, l.failover.CanStartTasks())
+			l.heartbeats.SendResponses(now, l.failover.CanStartTasks())
 			l.storage.Flush(now, &n.outbox)
 		} else {
-			l.heartbeats.TurnAway()
+			l.heartbeats.RejectPending()
 			l.accounting.Away(now)
 		}
 	}
@@ -174,7 +174,7 @@
 	l.cloud.Close()
 	l.failover.Close()
 	l.accounting.End()
-	l.heartbeats.TurnAway()
+	l.heartbeats.RejectPending()
 }
 
 // route routes what came in.
@@ -208,21 +208,21 @@
 	connectivity := n.election.Connectivity()
 	if !n.holdsLease {
 		// That the worker came here is what the leader has to know.
-		if caller, ok := workers.CallerIn(request.Body); ok {
-			connectivity.RecordWorkerContact(now, caller.Machine, caller.Session, caller.Seq)
+		if caller, ok := workers.DecodeHeartbeatID(request.Body); ok {
+			connectivity.RecordWorkerContact(now, caller.Machine, caller.Incarnation, caller.Sequence)
 		}
 		redirectTo := n.election.Leader(now)
 		if connectivity.RedirectsSuspended(now) {
 			redirectTo = "" // the leader would not hear it
 		}
-		n.responder.Reply(request, 421, workers.Elsewhere{Leader: redirectTo}, 0)
+		n.responder.Reply(request, 421, workers.Redirect{Leader: redirectTo}, 0)
 		return
 	}
 	if !n.leadership.failover.CanRenewLeases(now) {
 		n.responder.Refuse(request, 503, "the ledger is not read", 0)
 		return
 	}
-	if n.leadership.heartbeats.Report(now, request, n.leadership.failover.StateLoaded()) {
+	if n.leadership.heartbeats.HandleHeartbeat(now, request, n.leadership.failover.StateLoaded()) {
 		connectivity.RecordHeartbeat(now)
 	}
 }
@@ -272,10 +272,10 @@
 	l.jobStore.Tick(now, &n.outbox)
 	oldest, known := l.jobStore.CancellationsCompletedBefore(now)
 	n.election.SetOldestCancellation(now, oldest, known)
-	l.heartbeats.TakeGone(now)
+	l.heartbeats.RemoveDeleted(now)
 	if !now.Before(l.nextExpiryCheck) {
 		l.nextExpiryCheck = now.Add(200 * time.Millisecond)
-		l.heartbeats.Expire(now)
+		l.heartbeats.ExpireLeases(now)
 	}
 	n.election.Connectivity().Tick(now, l.failover.ExpectedHeartbeats(), l.failover.OverdueHeartbeats())
 	l.failover.Tick(now, tickInterval)
@@ -304,8 +304,8 @@
 		if zone == "" {
 			continue
 		}
-		visit(zones.Machine{Zone: zone, Up: m.Up, Live: (m.Up || m.Rostered) && !l.workers.Expired(now, m), Heard: m.Heard,
-			Leaving: m.Draining == workers.Silent || m.Draining == workers.Returned, Ear: m.Ear})
+		visit(zones.Machine{Zone: zone, Up: m.HasReported, Live: (m.HasReported || m.Registered) && !l.workers.IsLeaseExpired(now, m), Heard: m.LastContactAt,
+			Leaving: m.DrainReason == workers.DrainUnresponsive || m.DrainReason == workers.DrainTerminating, Ear: m.IsSentinel})
 	}
 }
 
@@ -346,20 +346,20 @@
 	l.dynamicConfig = settings.New(n.options, l.storage, &n.responder, n.log)
 	options := l.dynamicConfig.Options()
 	l.cloud = fleet.New(fencingToken, n.platform.CloudRate, n.platform.ListLag, n.log)
-	l.workers = workers.NewFleet(workers.LeaseEnd(n.platform.WorkerLease), n.log)
+	l.workers = workers.NewRegistry(workers.LeaseExpiry(n.platform.WorkerLease), n.log)
 	l.planner = plan.New(n.options, n.platform)
 	l.accounting = timeline.New(n.metrics, n.log)
 	l.zones = zones.New(n.platform.ReportEvery, now, n.log)
-	stragglers := pace.New(n.platform.ReportEvery)
-	machineLinks := reach.New(fencingToken, n.platform.WorkerLease, n.linkMetrics, n.log)
-	failureHistory := blame.New()
+	stragglers := pace.NewDetector(n.platform.ReportEvery)
+	machineLinks := reach.NewTracker(fencingToken, n.platform.WorkerLease, n.linkMetrics, n.log)
+	failureHistory := blame.NewTracker()
 	l.jobStore = book.New(book.Components{Platform: n.platform, Options: options, Storage: l.storage, Workers: l.workers, Accounting: l.accounting, Log: n.log})
 	l.placer = place.NewPlacer(place.World{Platform: n.platform, Token: fencingToken, Jobs: l.jobStore.Unfinished, Fleet: l.workers, Planner: l.planner,
 		Room: func(now time.Time) plan.Room { return l.autoscaler.Room(now) }, Box: &n.outbox, Log: n.log})
 	l.autoscaler = rental.NewDesk(rental.World{Platform: n.platform, Options: options, Token: fencingToken, Since: now, First: func() bool { return l.failover.IsFirstLeader() },
 		Cloud: l.cloud, Fleet: l.workers, Planner: l.planner, Placer: l.placer, Pace: stragglers, Zones: l.zones, Box: &n.outbox, Log: n.log})
-	l.heartbeats = reports.NewClerk(reports.World{Platform: n.platform, Token: fencingToken, Ledger: l.storage, Book: l.jobStore, Fleet: l.workers, Cloud: l.cloud,
-		Planner: l.planner, Placer: l.placer, Times: l.accounting, Pace: stragglers, Blame: failureHistory, Reach: machineLinks, Answers: &n.responder, Log: n.log})
+	l.heartbeats = reports.NewHandler(reports.Components{Platform: n.platform, FencingToken: fencingToken, Storage: l.storage, JobStore: l.jobStore, Workers: l.workers, Cloud: l.cloud,
+		Planner: l.planner, Placer: l.placer, Accounting: l.accounting, Stragglers: stragglers, Failures: failureHistory, Reachability: machineLinks, Responder: &n.responder, Log: n.log})
 	l.failover = takeover.New(takeover.Components{Platform: n.platform, FencingToken: fencingToken, ElectedAt: now, Storage: l.storage, JobStore: l.jobStore, DynamicConfig: l.dynamicConfig,
 		Workers: l.workers, Cloud: l.cloud, Heartbeats: l.heartbeats, Placer: l.placer, FairShare: l.planner.Floor(), Zones: l.zones, Reachability: machineLinks, Connectivity: n.election.Connectivity(), RenewalLimit: n.election.RenewalLimit(), Outbox: &n.outbox, Log: n.log})
 	l.api = requests.NewDesk(requests.World{Platform: n.platform, Options: options, Ledger: l.storage, Book: l.jobStore, Fleet: l.workers, Cloud: l.cloud,
@@ -369,7 +369,7 @@
 	l.jobStore.OnDone(func(now time.Time, job *jobs.Job) {
 		l.autoscaler.Ended(now, job)
 		l.planner.Floor().Done(now, job)
-		l.heartbeats.Over(job)
+		l.heartbeats.ForgetJob(job)
 	})
 	l.jobStore.OnWaiting(func(job *jobs.Job) {
 		l.jobStore.DependencyGraph().Hurry(job, l.planner.PerTask, 2*n.platform.ReportEvery, job.Guaranteed)
--- a/internal/controller/node/status.go
+++ b/internal/controller/node/status.go
@@ -98,21 +98,21 @@
 			status.WaitingTasks += job.Waiting()
 			status.PlacedTasks += len(job.Active)
 		}
-		for _, machine := range leadership.workers.Sorted() {
+		for _, machine := range leadership.workers.MachinesByName() {
 			if len(status.Machines) == maxMachinesShown {
 				break
 			}
-			state := string(machine.Draining)
+			state := string(machine.DrainReason)
 			switch {
 			case state != "":
-			case leadership.workers.Expired(now, machine):
+			case leadership.workers.IsLeaseExpired(now, machine):
 				state = "silent"
-			case machine.Unreached:
+			case machine.IsUnreachable:
 				state = "does not hear"
 			default:
 				state = "ok"
 			}
-			status.Machines = append(status.Machines, MachineStatus{machine.ID, machine.Type, machine.Zone, machine.Spot, state, len(machine.Attempts), machine.UsedCPU})
+			status.Machines = append(status.Machines, MachineStatus{machine.ID, machine.Type, machine.Zone, machine.Spot, state, len(machine.Attempts), machine.UsedCPUs})
 		}
 	}
 	n.responder.Reply(request, 200, status, 0)
--- a/internal/controller/pace/pace.go
+++ b/internal/controller/pace/pace.go
@@ -9,75 +9,75 @@
 )
 
 const (
-	// fewest tasks of a job must have ended before one is compared with their mean.
-	fewest = 4
-	// enough tasks of a machine must have been compared before it is called slow.
-	enough = 8
-	// remembered is for how many tasks a machine is remembered: one that recovers is not slow for ever.
-	remembered = 32
-	// slower is how many times longer tasks take on a slow machine at least.
-	slower = 1.4
-	// sure is how many standard errors its mean has to be beyond that.
-	sure = 3
-	// most is how far one task may count: a hundred times longer says no more than eight times.
-	most = 2.1 // ln 8
+	// minCompletedTasks tasks of a job must have ended before one is compared with their mean.
+	minCompletedTasks = 4
+	// minComparisons tasks of a machine must have been compared before it is called slow.
+	minComparisons = 8
+	// maxComparisons is for how many tasks a machine is remembered: one that recovers is not slow for ever.
+	maxComparisons = 32
+	// slowdownThreshold is how many times longer tasks take on a slow machine at least.
+	slowdownThreshold = 1.4
+	// minStandardErrors is how many standard errors its mean has to be beyond that.
+	minStandardErrors = 3
+	// maxLogRatio is how far one task may count: a hundred times longer says no more than eight times.
+	maxLogRatio = 2.1 // ln 8
 )
 
-// Book is what is known of the machines' pace.
-type Book struct {
-	resolution time.Duration // how exactly run times are known: what machines report, and how often
-	mean       float64       // of all tasks' logarithms
-	spread     float64       // their variance
-	seen       float64
-	machines   map[string]*record
+// Detector is what is known of the machines' pace.
+type Detector struct {
+	resolution       time.Duration // how exactly run times are known: what machines report, and how often
+	meanLogRatio     float64       // of all tasks' logarithms
+	logRatioVariance float64       // their variance
+	samples          float64
+	machines         map[string]*machineStats
 }
 
-type record struct{ mean, count float64 }
+type machineStats struct{ meanLogRatio, count float64 }
 
-// New makes an empty one. Run times are known to the resolution.
-func New(resolution time.Duration) *Book {
-	return &Book{resolution: resolution, spread: 0.25, machines: map[string]*record{}}
+// NewDetector makes an empty one. Run times are known to the resolution.
+func NewDetector(resolution time.Duration) *Detector {
+	return &Detector{resolution: resolution, logRatioVariance: 0.25, machines: map[string]*machineStats{}}
 }
 
-// Ran takes in how long a task has run on a machine, and the mean of so many tasks of the same job
+// RecordRun takes in how long a task has run on a machine, and the mean of so many tasks of the same job
 // that ended before. Owners' estimates are not used: they are wrong for a whole job at once, and
 // machines that happened to run it would all look slow.
-func (b *Book) Ran(machine string, ran, mean time.Duration, others int) {
-	if others < fewest || mean < 2*b.resolution || ran <= 0 {
+func (d *Detector) RecordRun(machineID string, runTime, meanRunTime time.Duration, completed int) {
+	if completed < minCompletedTasks || meanRunTime < 2*d.resolution || runTime <= 0 {
 		return
 	}
-	x := max(min(math.Log(ran.Seconds()/mean.Seconds()), most), -most)
-	b.seen = min(b.seen+1, 4096)
-	weight := 1 / (b.seen + 16)
-	off := x - b.mean
-	b.mean += weight * off
-	b.spread += weight * (off*off - b.spread)
-	r := b.machines[machine]
-	if r == nil {
-		r = &record{}
-		b.machines[machine] = r
+	logRatio := max(min(math.Log(runTime.Seconds()/meanRunTime.Seconds()), maxLogRatio), -maxLogRatio)
+	d.samples = min(d.samples+1, 4096)
+	weight := 1 / (d.samples + 16)
+	deviation := logRatio - d.meanLogRatio
+	d.meanLogRatio += weight * deviation
+	d.logRatioVariance += weight * (deviation*deviation - d.logRatioVariance)
+	stats := d.machines[machineID]
+	if stats == nil {
+		stats = &machineStats{}
+		d.machines[machineID] = stats
 	}
-	r.count = min(r.count+1, remembered)
-	r.mean += (x - r.mean) / r.count
+	stats.count = min(stats.count+1, maxComparisons)
+	stats.meanLogRatio += (logRatio - stats.meanLogRatio) / stats.count
 }
 
-// Slow reports whether tasks take longer on the machine for certain.
-func (b *Book) Slow(machine string) bool {
-	r := b.machines[machine]
-	if r == nil || r.count < enough {
+// IsSlow reports whether tasks take longer on the machine for certain.
+func (d *Detector) IsSlow(machineID string) bool {
+	stats := d.machines[machineID]
+	if stats == nil || stats.count < minComparisons {
 		return false
 	}
-	return r.mean-b.mean > math.Log(slower)+sure*math.Sqrt(b.spread/r.count)
+	return stats.meanLogRatio-d.meanLogRatio > math.Log(slowdownThreshold)+minStandardErrors*math.Sqrt(d.logRatioVariance/stats.count)
 }
 
-// Times is how many times longer tasks take on the machine, as far as is known: 1 if nothing is.
-func (b *Book) Times(machine string) float64 {
-	r := b.machines[machine]
-	if r == nil || r.count < enough {
+// Slowdown is how many times longer tasks take on the machine, as far as is known: 1 if nothing is.
+func (d *Detector) Slowdown(machineID string) float64 {
+	stats := d.machines[machineID]
+	if stats == nil || stats.count < minComparisons {
 		return 1
 	}
-	return math.Exp(r.mean - b.mean)
+	return math.Exp(stats.meanLogRatio - d.meanLogRatio)
 }
 
-// Gone forgets a machine.
-func (b *Book) Gone(machine string) { delete(b.machines, machine) }
+// Forget forgets a machine.
+func (d *Detector) Forget(machineID string) { delete(d.machines, machineID) }
--- a/internal/controller/pace/pace_test.go
+++ b/internal/controller/pace/pace_test.go
@@ -14,11 +14,11 @@
 
 // Of 400 machines ten take twice as long. Tasks of a job differ by half, and owners' estimates do not
 // count. The slow ones are found within forty tasks each, and hardly any other is taken for one.
-func TestSlowMachinesAreFound(t *testing.T) {
+func TestFindsSlowMachines(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	b := New(time.Second)
+	detector := NewDetector(time.Second)
 	const machines, slow = 400, 10
-	found, wrong := map[int]int{}, map[int]bool{}
+	found, falsePositives := map[int]int{}, map[int]bool{}
 	for round := range 40 {
 		mean := time.Duration(20+rng.IntN(200)) * time.Second
 		for m := range machines {
@@ -27,25 +27,25 @@
 				ran *= 2
 			}
 			name := fmt.Sprint(m)
-			b.Ran(name, ran, mean, 50)
+			detector.RecordRun(name, ran, mean, 50)
 			switch {
-			case !b.Slow(name):
+			case !detector.IsSlow(name):
 			case m < slow && found[m] == 0:
 				found[m] = round + 1
 			case m >= slow:
-				wrong[m] = true
+				falsePositives[m] = true
 			}
 		}
 	}
-	if len(found) != slow || len(wrong) > 2 {
-		t.Errorf("%d of %d slow machines found, %d others", len(found), slow, len(wrong))
+	if len(found) != slow || len(falsePositives) > 2 {
+		t.Errorf("%d of %d slow machines found, %d others", len(found), slow, len(falsePositives))
 	}
 }
 
 // A machine that was slow and is not any more is used again; and what is slow everywhere is no
 // machine's fault.
-func TestSlowForAWhile(t *testing.T) {
-	b := New(time.Second)
+func TestMachineRecovers(t *testing.T) {
+	detector := NewDetector(time.Second)
 	rng := rand.New(rand.NewPCG(3, 4))
 	run := func(tasks int, times float64) {
 		for range tasks {
@@ -54,35 +54,35 @@
 				if m == 0 {
 					k = times
 				}
-				b.Ran(fmt.Sprint(m), time.Duration(k*float64(time.Minute)*math.Exp(rng.NormFloat64()*0.2)), time.Minute, 10)
+				detector.RecordRun(fmt.Sprint(m), time.Duration(k*float64(time.Minute)*math.Exp(rng.NormFloat64()*0.2)), time.Minute, 10)
 			}
 		}
 	}
 	run(20, 3)
-	if !b.Slow("0") || b.Times("0") < 2 {
-		t.Fatalf("a machine that takes three times as long is not found: %.2f times", b.Times("0"))
+	if !detector.IsSlow("0") || detector.Slowdown("0") < 2 {
+		t.Fatalf("a machine that takes three times as long is not found: %.2f times", detector.Slowdown("0"))
 	}
 	run(200, 1)
-	if b.Slow("0") {
+	if detector.IsSlow("0") {
 		t.Error("slow for ever")
 	}
-	all := New(time.Second)
+	all := NewDetector(time.Second)
 	for range 30 {
 		for m := range 10 {
-			all.Ran(fmt.Sprint(m), 5*time.Minute, time.Minute, 10)
+			all.RecordRun(fmt.Sprint(m), 5*time.Minute, time.Minute, 10)
 		}
 	}
 	for m := range 10 {
-		if all.Slow(fmt.Sprint(m)) {
+		if all.IsSlow(fmt.Sprint(m)) {
 			t.Error("all are slow, so none is")
 		}
 	}
-	few := New(10 * time.Second)
+	few := NewDetector(10 * time.Second)
 	for range 50 {
-		few.Ran("m", time.Minute, 15*time.Second, 10) // no longer than what reports tell apart
-		few.Ran("n", time.Hour, time.Minute, 2)       // nothing to compare with
+		few.RecordRun("m", time.Minute, 15*time.Second, 10) // no longer than what reports tell apart
+		few.RecordRun("n", time.Hour, time.Minute, 2)       // nothing to compare with
 	}
-	if few.Slow("m") || few.Slow("n") {
+	if few.IsSlow("m") || few.IsSlow("n") {
 		t.Error("called slow without evidence")
 	}
 }
--- a/internal/controller/place/gangs.go
+++ b/internal/controller/place/gangs.go
@@ -33,9 +33,9 @@
 		switch {
 		case m.Attempts[a.Key] != a:
 			delete(p.booked, a) // its machine is gone
-		case m.Draining != workers.InUse || !a.Job.Live() || now.Sub(a.Assigned) > 2*p.cfg.ReportEvery+time.Second:
+		case m.DrainReason != workers.NotDraining || !a.Job.Live() || now.Sub(a.Assigned) > 2*p.cfg.ReportEvery+time.Second:
 			delete(p.booked, a)
-			p.fleet.Unbook(m, a)
+			p.fleet.Unassign(m, a)
 			a.Job.Again(a.Key.Task)
 		}
 	}
@@ -56,13 +56,13 @@
 // bookGang lays all tasks of a gang on as few machines as can be.
 func (p *Placer) bookGang(now time.Time, j *jobs.Job) {
 	want := j.Waiting()
-	if want == 0 || TeamRoom(j, p.teams[j.Team], p.fleet.Team(j.Team)) < want {
+	if want == 0 || TeamRoom(j, p.teams[j.Team], p.fleet.TeamUsage(j.Team)) < want {
 		return
 	}
 	byZone := map[string][]*workers.Machine{}
 	var zones []string
-	for _, m := range p.fleet.Sorted() {
-		if m.Accounted && m.Rostered && Usable(j, m) && now.Sub(m.Heard) < 2*p.cfg.ReportEvery && m.Fits(j) > 0 {
+	for _, m := range p.fleet.MachinesByName() {
+		if m.Reconciled && m.Registered && Usable(j, m) && now.Sub(m.LastContactAt) < 2*p.cfg.ReportEvery && m.TasksThatFit(j) > 0 {
 			if byZone[m.Zone] == nil {
 				zones = append(zones, m.Zone)
 			}
@@ -72,7 +72,7 @@
 	zoneRoom := func(list []*workers.Machine) int {
 		room := 0
 		for _, m := range list {
-			room += m.Fits(j)
+			room += m.TasksThatFit(j)
 		}
 		return room
 	}
@@ -88,10 +88,10 @@
 		if j.OneZone && zoneRoom(list) < want {
 			continue
 		}
-		sort.SliceStable(list, func(a, b int) bool { return list[a].Fits(j) > list[b].Fits(j) })
+		sort.SliceStable(list, func(a, b int) bool { return list[a].TasksThatFit(j) > list[b].TasksThatFit(j) })
 		allowed := min(left, ZoneRoom(j, z))
 		for _, m := range list {
-			if c := min(m.Fits(j), allowed); c > 0 {
+			if c := min(m.TasksThatFit(j), allowed); c > 0 {
 				shares = append(shares, share{m, c})
 				allowed -= c
 				left -= c
--- a/internal/controller/place/partial.go
+++ b/internal/controller/place/partial.go
@@ -17,7 +17,7 @@
 
 // teamRoom is how many more tasks of the job its team's limit allows, with what may run out of sight.
 func (p *Placer) teamRoom(j *jobs.Job) int {
-	used := *p.fleet.Team(j.Team)
+	used := *p.fleet.TeamUsage(j.Team)
 	out := p.hidden[j.Team]
-	return TeamRoom(j, p.teams[j.Team], &workers.Usage{CPUs: used.CPUs + out.CPUs, Cards: used.Cards + out.Cards})
+	return TeamRoom(j, p.teams[j.Team], &workers.Usage{CPUs: used.CPUs + out.CPUs, GPUs: used.GPUs + out.GPUs})
 }
--- a/internal/controller/place/place.go
+++ b/internal/controller/place/place.go
@@ -37,11 +37,13 @@
 }
 
 // Size is what an empty machine of the type has.
-func Size(t *fleet.Type) workers.Room { return workers.Room{CPUs: t.CPUs, Cards: t.Cards, Mem: t.Mem} }
+func Size(t *fleet.Type) workers.Resources {
+	return workers.Resources{CPUs: t.CPUs, GPUs: t.Cards, MemoryGB: t.Mem}
+}
 
 // PerMachine is how many tasks an empty machine of the type holds.
 func PerMachine(j *jobs.Job, t *fleet.Type) int {
-	return Size(t).Fits(j)
+	return Size(t).TasksThatFit(j)
 }
 
 // ZoneRoom is how many more tasks of the job may be put into the zone, given where its
@@ -67,7 +69,7 @@
 		n = min(n, int(math.Floor((t.CPULimit-u.CPUs+grain)/j.CPUs)))
 	}
 	if t.CardsLimit > 0 && j.Cards > 0 {
-		n = min(n, int(math.Floor((t.CardsLimit-u.Cards+grain)/j.Cards)))
+		n = min(n, int(math.Floor((t.CardsLimit-u.GPUs+grain)/j.Cards)))
 	}
 	return max(n, 0)
 }
@@ -88,12 +90,12 @@
 // to tell of its zone's return none may: its room looked free, and nothing was held elsewhere for jobs that
 // had waited long. Nor on one that seems to hear nothing of us.
 func Usable(j *jobs.Job, m *workers.Machine) bool {
-	return m.Draining == workers.InUse && !m.Ear && !m.Unreached && m.CPUs+m.Mem > 0 && (len(m.Failed) == 0 || !m.Failed[j.ID]) && KindAllowed(j, Kind(m))
+	return m.DrainReason == workers.NotDraining && !m.IsSentinel && !m.IsUnreachable && m.CPUs+m.MemoryGB > 0 && (len(m.FailedJobs) == 0 || !m.FailedJobs[j.ID]) && KindAllowed(j, Kind(m))
 }
 
 // Fuller reports whether a is the better place to pack onto than b.
 func Fuller(a, b *workers.Machine) bool {
-	fa, fb := a.UsedCPU/max(a.CPUs, grain), b.UsedCPU/max(b.CPUs, grain)
+	fa, fb := a.UsedCPUs/max(a.CPUs, grain), b.UsedCPUs/max(b.CPUs, grain)
 	if math.Abs(fa-fb) > grain {
 		return fa > fb
 	}
--- a/internal/controller/place/placer.go
+++ b/internal/controller/place/placer.go
@@ -26,7 +26,7 @@
 	token   uint64
 	counter uint64
 	jobs    map[string]*jobs.Job // the book's, for looking only
-	fleet   *workers.Fleet
+	fleet   *workers.Registry
 	planner *plan.Planner
 	room    func(time.Time) plan.Room
 
@@ -52,7 +52,7 @@
 	Platform *config.Platform
 	Token    uint64
 	Jobs     map[string]*jobs.Job // all that are not finished
-	Fleet    *workers.Fleet
+	Fleet    *workers.Registry
 	Planner  *plan.Planner
 	Room     func(time.Time) plan.Room // the machines that the plan counts on
 	Box      *outbox.Box
@@ -151,10 +151,10 @@
 
 // holdFor keeps the free room of a machine for a job.
 func (p *Placer) holdFor(m *workers.Machine, j *jobs.Job) {
-	if m.HeldFor == nil {
+	if m.ReservedFor == nil {
 		p.held = append(p.held, m)
 	}
-	m.HeldFor = j
+	m.ReservedFor = j
 	p.holding[j] = true
 }
 
@@ -162,7 +162,7 @@
 // with the most room, so that smaller tasks do not take it bit by bit.
 func (p *Placer) hold(now time.Time) {
 	for _, m := range p.held {
-		m.HeldFor = nil
+		m.ReservedFor = nil
 	}
 	p.held = p.held[:0]
 	clear(p.holding)
@@ -194,11 +194,11 @@
 			left := free[:0]
 			before := want
 			for _, m := range free {
-				if want > 0 && m.HeldFor == nil && Usable(j, m) && m.Fits(j) == 0 && m.CPUs >= j.CPUs && m.Mem >= j.Mem {
+				if want > 0 && m.ReservedFor == nil && Usable(j, m) && m.TasksThatFit(j) == 0 && m.CPUs >= j.CPUs && m.MemoryGB >= j.Mem {
 					p.holdFor(m, j)
 					want--
 				}
-				if m.HeldFor == nil {
+				if m.ReservedFor == nil {
 					left = append(left, m)
 				}
 			}
@@ -264,11 +264,11 @@
 func fitting(j *jobs.Job, free []*workers.Machine, want int) int {
 	room := 0
 	for _, m := range free {
-		if room >= want || j.CPUs > 0 && m.CPUs-m.UsedCPU < j.CPUs-1e-6 {
+		if room >= want || j.CPUs > 0 && m.CPUs-m.UsedCPUs < j.CPUs-1e-6 {
 			break // sorted: the rest has less
 		}
 		if Usable(j, m) {
-			room += m.Fits(j)
+			room += m.TasksThatFit(j)
 		}
 	}
 	return min(room, want)
@@ -276,9 +276,9 @@
 
 // byRoom lists the machines that are up, those with the most free CPUs first.
 func (p *Placer) byRoom() []*workers.Machine {
-	list := p.fleet.Up()
+	list := p.fleet.ReportingMachines()
 	slices.SortFunc(list, func(a, b *workers.Machine) int {
-		return cmp.Or(cmp.Compare(b.CPUs-b.UsedCPU, a.CPUs-a.UsedCPU), cmp.Compare(b.CPUs, a.CPUs), compareIDs(a, b))
+		return cmp.Or(cmp.Compare(b.CPUs-b.UsedCPUs, a.CPUs-a.UsedCPUs), cmp.Compare(b.CPUs, a.CPUs), compareIDs(a, b))
 	})
 	return list
 }
@@ -291,7 +291,7 @@
 // Wants is, by entry of an order, how many of its tasks need room now. What a team's limit still
 // allows is shared by its jobs, the first in the order first: each for itself would want all of it.
 func (p *Placer) Wants(order []plan.Entry) []int {
-	left := map[string]workers.Room{}
+	left := map[string]workers.Resources{}
 	list := make([]int, len(order))
 	for i := range order {
 		j := order[i].Job
@@ -302,17 +302,17 @@
 		}
 		room, ok := left[j.Team]
 		if !ok {
-			used := p.fleet.Team(j.Team)
-			room = workers.Room{CPUs: noLimit, Cards: noLimit, Mem: noLimit}
+			used := p.fleet.TeamUsage(j.Team)
+			room = workers.Resources{CPUs: noLimit, GPUs: noLimit, MemoryGB: noLimit}
 			if t.CPULimit > 0 {
 				room.CPUs = t.CPULimit - used.CPUs
 			}
 			if t.CardsLimit > 0 {
-				room.Cards = t.CardsLimit - used.Cards
+				room.GPUs = t.CardsLimit - used.GPUs
 			}
 		}
-		list[i] = min(list[i], room.Fits(j))
-		left[j.Team] = room.Take(j, list[i])
+		list[i] = min(list[i], room.TasksThatFit(j))
+		left[j.Team] = room.AfterPlacing(j, list[i])
 	}
 	return list
 }
@@ -320,7 +320,7 @@
 // Wanted is how many tasks of the job need room now: those that wait, less what the
 // team's limit forbids.
 func (p *Placer) Wanted(j *jobs.Job) int {
-	return min(j.Waiting(), TeamRoom(j, p.teams[j.Team], p.fleet.Team(j.Team)))
+	return min(j.Waiting(), TeamRoom(j, p.teams[j.Team], p.fleet.TeamUsage(j.Team)))
 }
 
 // holdWhole holds machines for a gang that waits, by what they hold when empty, and
@@ -331,8 +331,8 @@
 		if covered >= want {
 			break
 		}
-		if m.HeldFor == nil && Usable(j, m) {
-			if c := m.Holds(j); c > 0 {
+		if m.ReservedFor == nil && Usable(j, m) {
+			if c := m.TasksThatFitWhenEmpty(j); c > 0 {
 				p.holdFor(m, j)
 				covered += c
 			}
--- a/internal/controller/place/placer_test.go
+++ b/internal/controller/place/placer_test.go
@@ -20,7 +20,7 @@
 	m := p.addMachine(now, 1, "small", "a", false)
 	far, near := p.addJob(now, 0, 2, 4), p.addJob(now, 2, 20, 4)
 	far.Image, far.ImageGB, near.Image, near.ImageGB = "far", 1, "near", 1 // fetched in 4 s
-	m.Store.Use("near", 1)
+	m.ImageCache.RecordUse("near", 1)
 	first := func() string {
 		list := p.Starts(now, m, 1)
 		if len(list) != 1 {
@@ -58,7 +58,7 @@
 			j := p.addJob(now, i, rapid.IntRange(1, 40).Draw(t, "tasks"), rapid.SampledFrom([]float64{0, 1, 3}).Draw(t, "cpus"))
 			j.Spot, j.Zone = rapid.Bool().Draw(t, "spot"), rapid.SampledFrom([]string{"", "a"}).Draw(t, "zone")
 			if rapid.IntRange(0, 3).Draw(t, "failed") == 0 {
-				free[0].Failed[j.ID] = true
+				free[0].FailedJobs[j.ID] = true
 				j.Errors = 1
 			}
 			want := rapid.IntRange(1, j.Tasks).Draw(t, "want")
@@ -73,9 +73,9 @@
 func (p *Placer) plainFuller(now time.Time, j *jobs.Job, m *workers.Machine) int {
 	room := 0
 	for _, o := range p.fleet.Machines {
-		if o != m && o.Up && o.Accounted && o.Rostered && now.Sub(o.Heard) < 2*p.cfg.ReportEvery && !now.Before(o.RoomFrom) &&
-			Fuller(o, m) && Usable(j, o) && (o.HeldFor == nil || o.HeldFor == j) {
-			room += min(o.Fits(j), ZoneRoom(j, o.Zone))
+		if o != m && o.HasReported && o.Reconciled && o.Registered && now.Sub(o.LastContactAt) < 2*p.cfg.ReportEvery && !now.Before(o.StartsNotBefore) &&
+			Fuller(o, m) && Usable(j, o) && (o.ReservedFor == nil || o.ReservedFor == j) {
+			room += min(o.TasksThatFit(j), ZoneRoom(j, o.Zone))
 		}
 	}
 	return min(room, j.Waiting())
@@ -104,7 +104,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				for _, c := range p.Starts(now, m, 5) {
-					if c.Op != "start" {
+					if c.Operation != "start" {
 						t.Fatalf("%v instead of a start", c)
 					}
 				}
@@ -123,7 +123,7 @@
 			p.lookAnew()
 			for i := range p.waiting {
 				e := &p.waiting[i]
-				if got, want := p.refuses(m, e), m.Fits(e.Job) == 0 || !KindAllowed(e.Job, Kind(m)); got != want {
+				if got, want := p.refuses(m, e), m.TasksThatFit(e.Job) == 0 || !KindAllowed(e.Job, Kind(m)); got != want {
 					t.Fatalf("%s refuses %s: %v", m.ID, e.Job.ID, got)
 				}
 				if got, want := p.elsewhere(now, e, m), p.plainFuller(now, e.Job, m); got != want {
--- a/internal/controller/place/preempt.go
+++ b/internal/controller/place/preempt.go
@@ -49,7 +49,7 @@
 				break
 			}
 			if Usable(j, o.m) {
-				want -= o.m.Fits(j)
+				want -= o.m.TasksThatFit(j)
 				if j.CPUs > 0 {
 					want -= int(o.leaving / j.CPUs)
 				}
@@ -72,10 +72,10 @@
 	var open []opening
 	var victims []victim
 	for _, m := range p.fleet.Machines {
-		if !m.Accounted {
+		if !m.Reconciled {
 			continue
 		}
-		fresh := now.Sub(m.Heard) <= 2*p.cfg.ReportEvery
+		fresh := now.Sub(m.LastContactAt) <= 2*p.cfg.ReportEvery
 		o := opening{m: m}
 		for _, a := range m.Attempts {
 			switch {
@@ -85,7 +85,7 @@
 				victims = append(victims, victim{m, a})
 			}
 		}
-		if o.leaving > 0 || m.LevelOf() < workers.Levels {
+		if o.leaving > 0 || m.UtilizationBucket() < workers.BucketCount {
 			open = append(open, o)
 		}
 	}
@@ -113,6 +113,6 @@
 		want -= max(int(v.a.Job.CPUs/max(j.CPUs, 0.1)), 1)
 		p.holdFor(v.m, j)
 		p.log.Info("stopping a task for another job", "task", v.a.Key, "machine", v.m.ID, "for", j.ID)
-		workers.Tell(p.box, p.token, v.m, []workers.Command{workers.Kill(v.a.Key.String(), v.a.Number, v.a.Job.Save.Seconds())})
+		workers.SendCommands(p.box, p.token, v.m, []workers.Command{workers.Kill(v.a.Key.String(), v.a.Number, v.a.Job.Save.Seconds())})
 	}
 }
--- a/internal/controller/place/shapes.go
+++ b/internal/controller/place/shapes.go
@@ -56,7 +56,7 @@
 // refuses reports that no task of the job may start on the machine for lack of room or by its kind.
 func (p *Placer) refuses(m *workers.Machine, e *candidate) bool {
 	l := &p.looks[e.shape]
-	l.refused = l.refused || m.Fits(e.Job) == 0 || !KindAllowed(e.Job, Kind(m))
+	l.refused = l.refused || m.TasksThatFit(e.Job) == 0 || !KindAllowed(e.Job, Kind(m))
 	return l.refused
 }
 
--- a/internal/controller/place/starts.go
+++ b/internal/controller/place/starts.go
@@ -10,13 +10,13 @@
 
 // Starts picks what the machine starts now.
 func (p *Placer) Starts(now time.Time, m *workers.Machine, most int) []workers.Command {
-	if !m.Accounted || !m.Rostered || m.Draining != workers.InUse || m.CPUs+m.Mem == 0 || now.Before(m.RoomFrom) {
+	if !m.Reconciled || !m.Registered || m.DrainReason != workers.NotDraining || m.CPUs+m.MemoryGB == 0 || now.Before(m.StartsNotBefore) {
 		return nil
 	}
 	p.rank(now)
 	list := p.bookedStarts(now, m, most)
 	p.lookAnew()
-	full := func() bool { return len(list) >= most || m.CPUs-m.UsedCPU < p.least-1e-6 }
+	full := func() bool { return len(list) >= most || m.CPUs-m.UsedCPUs < p.least-1e-6 }
 	for rest := p.waiting; len(rest) > 0 && !full(); {
 		same := 1
 		for same < len(rest) && rest[same].Rank == rest[0].Rank {
@@ -53,17 +53,17 @@
 // near reports whether the job's tasks lose nothing by starting on the machine: their image
 // is there, or they have waited for such a machine as long as fetching takes.
 func (p *Placer) near(now time.Time, j *jobs.Job, m *workers.Machine) bool {
-	return m.Store.Has(j.Image) || !j.Passed.IsZero() && now.Sub(j.Passed) >= m.Store.Fetch(j.ImageGB)
+	return m.ImageCache.Has(j.Image) || !j.Passed.IsZero() && now.Sub(j.Passed) >= m.ImageCache.FetchTime(j.ImageGB)
 }
 
 // startSome starts as many tasks of one job on the machine as there is room for.
 func (p *Placer) startSome(now time.Time, m *workers.Machine, e *candidate, list []workers.Command, most int) []workers.Command {
 	j := e.Job
-	count := min(m.Fits(j), j.Waiting(), most-len(list))
+	count := min(m.TasksThatFit(j), j.Waiting(), most-len(list))
 	if count <= 0 || !j.Live() || !p.mayStart(j) || now.Before(j.NotBefore) || !Usable(j, m) {
 		return list
 	}
-	if h := m.HeldFor; h != nil && h != j && (!e.Hold || p.firsts[h] && !(e.First && standing.Older(j, h))) {
+	if h := m.ReservedFor; h != nil && h != j && (!e.Hold || p.firsts[h] && !(e.First && standing.Older(j, h))) {
 		// What is held for the oldest is not taken bit by bit by those that are planned.
 		return list
 	}
@@ -112,7 +112,7 @@
 // attempt records a new attempt on the machine.
 func (p *Placer) attempt(now time.Time, m *workers.Machine, j *jobs.Job, task int, number uint64) *jobs.Attempt {
 	a := &jobs.Attempt{Key: jobs.Key{Job: j.ID, Task: task}, Number: number, Machine: m.ID, Zone: m.Zone, Job: j, Assigned: now}
-	p.fleet.Place(m, a)
+	p.fleet.Assign(m, a)
 	return a
 }
 
@@ -125,18 +125,18 @@
 // soon: those are left to them. More than it wants are not counted.
 func (p *Placer) fuller(now time.Time, j *jobs.Job, m *workers.Machine, want, most int) int {
 	room := 0
-	from := workers.Levels
+	from := workers.BucketCount
 	if j.CPUs > 0 {
 		from-- // on the last level no CPU is free
 	}
-	for level := from; level >= m.LevelOf(); level-- {
-		for _, o := range p.fleet.Level(level) {
+	for level := from; level >= m.UtilizationBucket(); level-- {
+		for _, o := range p.fleet.MachinesInBucket(level) {
 			if most--; most < 0 || room >= want {
 				return min(room, want)
 			}
-			if o != m && o.Accounted && o.Rostered && now.Sub(o.Heard) < 2*p.cfg.ReportEvery && !now.Before(o.RoomFrom) &&
-				(level > m.LevelOf() || Fuller(o, m)) && Usable(j, o) && (o.HeldFor == nil || o.HeldFor == j) {
-				room += min(o.Fits(j), ZoneRoom(j, o.Zone))
+			if o != m && o.Reconciled && o.Registered && now.Sub(o.LastContactAt) < 2*p.cfg.ReportEvery && !now.Before(o.StartsNotBefore) &&
+				(level > m.UtilizationBucket() || Fuller(o, m)) && Usable(j, o) && (o.ReservedFor == nil || o.ReservedFor == j) {
+				room += min(o.TasksThatFit(j), ZoneRoom(j, o.Zone))
 			}
 		}
 	}
--- a/internal/controller/place/world_test.go
+++ b/internal/controller/place/world_test.go
@@ -25,7 +25,7 @@
 	log := slog.New(slog.DiscardHandler)
 	cfg := &config.Platform{Name: "n", ReportEvery: 4 * time.Second, WorkerLease: 20 * time.Second, CPUShare: 0.2, Connections: 1000,
 		Teams: []config.Team{{Name: "t", CPUs: 500, CPULimit: 1e6}}}
-	f := workers.NewFleet(workers.LeaseEnd(cfg.WorkerLease), log)
+	f := workers.NewRegistry(workers.LeaseExpiry(cfg.WorkerLease), log)
 	return NewPlacer(World{Platform: cfg, Token: 1, Jobs: map[string]*jobs.Job{}, Fleet: f, Planner: plan.New(config.DefaultOptions(), cfg),
 		Room: func(time.Time) plan.Room {
 			r := plan.Room{Machine: 16}
@@ -37,27 +37,27 @@
 }
 
 func (p *Placer) addMachine(now time.Time, i int, typ, zone string, spot bool) *workers.Machine {
-	m := p.fleet.Machine(fmt.Sprintf("vm-%06d", i))
+	m := p.fleet.GetOrAdd(fmt.Sprintf("vm-%06d", i))
 	p.look(now, m, typ, zone, spot)
 	t := types[typ]
-	p.fleet.Measure(m, Size(t), t.CacheGB, t.FetchRate)
-	m.Accounted, m.Rostered = true, true
+	p.fleet.SetCapacity(m, Size(t), t.CacheGB, t.FetchRate)
+	m.Reconciled, m.Registered = true, true
 	return m
 }
 
 // look takes in a report that has exactly what is on the machine, all of it running.
 func (p *Placer) look(now time.Time, m *workers.Machine, typ, zone string, spot bool) {
-	r := &workers.Report{Machine: m.ID, Type: typ, Zone: zone, Spot: spot, Session: 1, Seq: m.Seq + 1}
+	r := &workers.Heartbeat{Machine: m.ID, Type: typ, Zone: zone, Spot: spot, Incarnation: 1, Sequence: m.Sequence + 1}
 	for _, a := range m.Attempts {
-		r.Tasks = append(r.Tasks, workers.TaskReport{Task: a.Key.String(), Attempt: a.Number, State: workers.StateRunning})
+		r.Tasks = append(r.Tasks, workers.TaskStatus{Task: a.Key.String(), Attempt: a.Number, State: workers.StateRunning})
 	}
-	p.fleet.Observe(now, m, r, true, func(id string) *jobs.Job { return p.jobs[id] })
-	m.Answered, m.Heard = now, now
+	p.fleet.Reconcile(now, m, r, true, func(id string) *jobs.Job { return p.jobs[id] })
+	m.LeaseRenewedAt, m.LastContactAt = now, now
 }
 
 // lose takes all tasks off a machine; they are started again.
 func (p *Placer) lose(m *workers.Machine) {
-	for _, e := range p.fleet.Clear(m) {
+	for _, e := range p.fleet.ReleaseAll(m) {
 		e.Attempt.Job.Again(e.Attempt.Key.Task)
 	}
 	p.Changed()
--- a/internal/controller/rental/back.go
+++ b/internal/controller/rental/back.go
@@ -28,7 +28,7 @@
 func (d *Desk) shed(now time.Time, opts []option, work ahead) {
 	up := map[fleet.Kind][]*workers.Machine{}
 	for _, m := range d.fleet.Machines {
-		if m.Up && (m.Draining == workers.InUse || m.Draining == workers.Surplus) {
+		if m.HasReported && (m.DrainReason == workers.NotDraining || m.DrainReason == workers.DrainExpensive) {
 			up[place.Kind(m)] = append(up[place.Kind(m)], m)
 		}
 	}
@@ -39,10 +39,10 @@
 		for _, m := range up[o.kind] {
 			cheaper += m.CPUs
 			switch {
-			case spare && m.Draining == workers.InUse && d.paidFor(now, m.ID) == 0:
-				m.Draining = workers.Surplus
-			case !spare && m.Draining == workers.Surplus:
-				m.Draining = workers.InUse
+			case spare && m.DrainReason == workers.NotDraining && d.paidFor(now, m.ID) == 0:
+				m.DrainReason = workers.DrainExpensive
+			case !spare && m.DrainReason == workers.DrainExpensive:
+				m.DrainReason = workers.NotDraining
 			}
 		}
 	}
@@ -69,21 +69,21 @@
 				reason = "never up"
 			}
 		case d.held[i].expired:
-			if now.Sub(m.Answered) > d.fleet.Lease()+patience && !(m.Ear && d.zones.Away(h.Kind.Zone)) {
+			if now.Sub(m.LeaseRenewedAt) > d.fleet.Lease()+patience && !(m.IsSentinel && d.zones.Away(h.Kind.Zone)) {
 				reason = "lost"
 			}
-		case !m.Up: // on the roster of an earlier leader: its tasks are not known yet
-		case m.Draining.Leaving() && len(m.Attempts) == 0:
-			reason = string(m.Draining)
-		case m.Draining != workers.InUse || len(m.Attempts) > 0 || d.paidFor(now, id) > 0:
+		case !m.HasReported: // on the roster of an earlier leader: its tasks are not known yet
+		case m.DrainReason.LeadsToTermination() && len(m.Attempts) == 0:
+			reason = string(m.DrainReason)
+		case m.DrainReason != workers.NotDraining || len(m.Attempts) > 0 || d.paidFor(now, id) > 0:
 		case waiting == 0 && now.Sub(m.IdleSince) > d.opt.IdleAfter, now.Sub(m.IdleSince) > 3*d.opt.IdleAfter:
 			reason = "idle"
 		}
 		if reason == "" {
 			continue
 		}
-		if m != nil && (m.Draining == workers.InUse || m.Draining.Leaving()) {
-			m.Draining = workers.Returned
+		if m != nil && (m.DrainReason == workers.NotDraining || m.DrainReason.LeadsToTermination()) {
+			m.DrainReason = workers.DrainTerminating
 		}
 		why[reason] = append(why[reason], id)
 	}
--- a/internal/controller/rental/dearer.go
+++ b/internal/controller/rental/dearer.go
@@ -42,7 +42,7 @@
 		list := serving[opts[i].kind]
 		if n := o.spares(d.offerOf(opts[i], len(list))); n > 0 {
 			for _, m := range list[:n] {
-				m.Draining = workers.Surplus
+				m.DrainReason = workers.DrainExpensive
 			}
 			o.add(part{0, -float64(n) * opts[i].typ.CPUs})
 		}
@@ -73,7 +73,7 @@
 		o.add(part{f.boot, float64(n) * f.cpus})
 		if len(again) > 0 {
 			for _, m := range again[:n] {
-				m.Draining = workers.InUse
+				m.DrainReason = workers.NotDraining
 			}
 			continue
 		}
@@ -130,13 +130,13 @@
 func (d *Desk) dearMachines(now time.Time, opts []option) (serving, resting map[fleet.Kind][]*workers.Machine) {
 	serving, resting = map[fleet.Kind][]*workers.Machine{}, map[fleet.Kind][]*workers.Machine{}
 	isDear := dearKinds(opts)
-	for _, m := range d.fleet.Up() {
+	for _, m := range d.fleet.ReportingMachines() {
 		k := place.Kind(m)
 		switch {
-		case !isDear[k] || d.fleet.Expired(now, m):
-		case m.Draining == workers.Surplus:
+		case !isDear[k] || d.fleet.IsLeaseExpired(now, m):
+		case m.DrainReason == workers.DrainExpensive:
 			resting[k] = append(resting[k], m)
-		case m.Draining == workers.InUse && d.paidFor(now, m.ID) == 0:
+		case m.DrainReason == workers.NotDraining && d.paidFor(now, m.ID) == 0:
 			serving[k] = append(serving[k], m)
 		}
 	}
@@ -171,7 +171,7 @@
 		case m == nil:
 			wait := d.cloud.BootLeft(t, now.Sub(h.Born))
 			byTime[int(wait.Seconds())/grid+1] += t.CPUs
-		case m.Draining == workers.InUse:
+		case m.DrainReason == workers.NotDraining:
 			byTime[0] += t.CPUs
 		}
 		price := t.Price
--- a/internal/controller/rental/desk.go
+++ b/internal/controller/rental/desk.go
@@ -33,10 +33,10 @@
 	since   time.Time // when the leadership began
 	first   func() bool
 	cloud   *fleet.Cloud
-	fleet   *workers.Fleet
+	fleet   *workers.Registry
 	planner *plan.Planner
 	placer  *place.Placer
-	pace    *pace.Book
+	pace    *pace.Detector
 
 	sized    time.Time
 	nextSize time.Time
@@ -67,7 +67,7 @@
 		if m == nil && !h.Deleting && h.State != fleet.Failed && !d.zones.Away(h.Kind.Zone) {
 			awaited[h.Kind.Type] = append(awaited[h.Kind.Type], now.Sub(h.Born))
 		}
-		d.held = append(d.held, held{id, h, d.cloud.Types[h.Kind.Type], m, m != nil && d.fleet.Expired(now, m)})
+		d.held = append(d.held, held{id, h, d.cloud.Types[h.Kind.Type], m, m != nil && d.fleet.IsLeaseExpired(now, m)})
 	}
 	for _, list := range awaited {
 		slices.SortFunc(list, func(a, b time.Duration) int { return cmp.Compare(b, a) })
@@ -83,10 +83,10 @@
 	Since    time.Time   // when the leadership began
 	First    func() bool // nobody has led before: the ledger was empty
 	Cloud    *fleet.Cloud
-	Fleet    *workers.Fleet
+	Fleet    *workers.Registry
 	Planner  *plan.Planner
 	Placer   *place.Placer
-	Pace     *pace.Book
+	Pace     *pace.Detector
 	Zones    *zones.Book
 	Box      *outbox.Box
 	Log      *slog.Logger
--- a/internal/controller/rental/desk_test.go
+++ b/internal/controller/rental/desk_test.go
@@ -34,34 +34,34 @@
 	cfg := &config.Platform{Name: "n", ReportEvery: 4 * time.Second, WorkerLease: 20 * time.Second, CPUShare: 0.2, Connections: 1000, CloudRate: 2,
 		Teams: []config.Team{{Name: "t", CPUs: 500, CPULimit: 1e6}}}
 	r := &room{jobs: map[string]*jobs.Job{}, box: &outbox.Box{}}
-	f, planner, cloud := workers.NewFleet(workers.LeaseEnd(cfg.WorkerLease), log), plan.New(opt, cfg), fleet.New(1, 2, time.Second, log)
+	f, planner, cloud := workers.NewRegistry(workers.LeaseExpiry(cfg.WorkerLease), log), plan.New(opt, cfg), fleet.New(1, 2, time.Second, log)
 	cloud.Types = map[string]*fleet.Type{"small": {Name: "small", CPUs: 4, Mem: 8, Zones: []string{"a"}, Price: 1, SpotPrice: 0.3, BootS: 40},
 		"large": {Name: "large", CPUs: 16, Mem: 64, Zones: []string{"a", "b"}, Price: 4, SpotPrice: 1, BootS: 30}}
 	placer := place.NewPlacer(place.World{Platform: cfg, Token: 1, Jobs: r.jobs, Fleet: f, Planner: planner,
 		Room: func(now time.Time) plan.Room { return r.Room(now) }, Box: r.box, Log: log})
 	r.Desk = NewDesk(World{Platform: cfg, Options: &opt, Token: 1, Since: now, First: func() bool { return true }, Cloud: cloud, Fleet: f,
-		Planner: planner, Placer: placer, Pace: pace.New(cfg.ReportEvery), Zones: zones.New(cfg.ReportEvery, now, log), Box: r.box, Log: log})
+		Planner: planner, Placer: placer, Pace: pace.NewDetector(cfg.ReportEvery), Zones: zones.New(cfg.ReportEvery, now, log), Box: r.box, Log: log})
 	return r
 }
 
 func (r *room) addMachine(now time.Time, i int, typ, zone string, spot bool) *workers.Machine {
-	m := r.fleet.Machine(fmt.Sprintf("vm-%06d", i))
+	m := r.fleet.GetOrAdd(fmt.Sprintf("vm-%06d", i))
 	r.look(now, m, typ, zone, spot)
 	r.cloud.Seen(now, m.ID, "", place.Kind(m))
 	t := r.cloud.Types[typ]
-	r.fleet.Measure(m, place.Size(t), t.CacheGB, t.FetchRate)
-	m.Accounted, m.Rostered = true, true
+	r.fleet.SetCapacity(m, place.Size(t), t.CacheGB, t.FetchRate)
+	m.Reconciled, m.Registered = true, true
 	return m
 }
 
 // look takes in a report that has exactly what is on the machine, all of it running.
 func (r *room) look(now time.Time, m *workers.Machine, typ, zone string, spot bool) {
-	rep := &workers.Report{Machine: m.ID, Type: typ, Zone: zone, Spot: spot, Session: 1, Seq: m.Seq + 1}
+	rep := &workers.Heartbeat{Machine: m.ID, Type: typ, Zone: zone, Spot: spot, Incarnation: 1, Sequence: m.Sequence + 1}
 	for _, a := range m.Attempts {
-		rep.Tasks = append(rep.Tasks, workers.TaskReport{Task: a.Key.String(), Attempt: a.Number, State: workers.StateRunning})
+		rep.Tasks = append(rep.Tasks, workers.TaskStatus{Task: a.Key.String(), Attempt: a.Number, State: workers.StateRunning})
 	}
-	r.fleet.Observe(now, m, rep, true, func(id string) *jobs.Job { return r.jobs[id] })
-	m.Answered, m.Heard = now, now
+	r.fleet.Reconcile(now, m, rep, true, func(id string) *jobs.Job { return r.jobs[id] })
+	m.LeaseRenewedAt, m.LastContactAt = now, now
 }
 
 func (r *room) addJob(now time.Time, i, tasks int, cpus float64) *jobs.Job {
@@ -89,7 +89,7 @@
 			m := n.addMachine(now, len(all), "large", "a", true)
 			for range tasks {
 				t := j.NextTask()
-				n.fleet.Place(m, &jobs.Attempt{Key: jobs.Key{Job: j.ID, Task: t}, Number: uint64(t + 1), Machine: m.ID, Zone: m.Zone, Job: j, Assigned: now})
+				n.fleet.Assign(m, &jobs.Attempt{Key: jobs.Key{Job: j.ID, Task: t}, Number: uint64(t + 1), Machine: m.ID, Zone: m.Zone, Job: j, Assigned: now})
 			}
 			all = append(all, m)
 		}
@@ -103,7 +103,7 @@
 		n.thinOut(now)
 		var drained []string
 		for _, m := range all {
-			if m.Draining == workers.Thin && len(m.Attempts) > 0 {
+			if m.DrainReason == workers.DrainConsolidated && len(m.Attempts) > 0 {
 				drained = append(drained, m.ID)
 			}
 		}
@@ -116,11 +116,11 @@
 			continue
 		}
 		m := n.fleet.Machines[drained[0]]
-		r := workers.Report{Machine: m.ID, Type: "large", Zone: "a", Spot: true, Session: 1, Seq: m.Seq + 1, Token: 1}
+		r := workers.Heartbeat{Machine: m.ID, Type: "large", Zone: "a", Spot: true, Incarnation: 1, Sequence: m.Sequence + 1, FencingToken: 1}
 		for _, a := range m.Attempts {
-			r.Tasks = append(r.Tasks, workers.TaskReport{Task: a.Key.String(), Attempt: a.Number, State: workers.StateExited, Why: "halted", Saved: true})
+			r.Tasks = append(r.Tasks, workers.TaskStatus{Task: a.Key.String(), Attempt: a.Number, State: workers.StateExited, Reason: "halted", CheckpointSaved: true})
 		}
-		for _, e := range n.fleet.Observe(now, m, &r, true, func(id string) *jobs.Job { return n.jobs[id] }) {
+		for _, e := range n.fleet.Reconcile(now, m, &r, true, func(id string) *jobs.Job { return n.jobs[id] }) {
 			e.Attempt.Job.Again(e.Attempt.Key.Task)
 		}
 		n.placer.Changed()
@@ -156,8 +156,8 @@
 	for i := range 6 {
 		id := fmt.Sprintf("vm-%06d", i)
 		d.cloud.Hosts[id] = &fleet.Host{ID: id, Kind: fleet.Kind{Type: "large", Zone: "a", Spot: true}, Born: now.Add(-time.Minute), State: fleet.Running}
-		m := d.fleet.Machine(id)
-		m.Rostered, m.Answered, m.Heard = true, now, now // when the leadership began
+		m := d.fleet.GetOrAdd(id)
+		m.Registered, m.LeaseRenewedAt, m.LastContactAt = true, now, now // when the leadership began
 	}
 	d.addJob(now, 2, 96, 1)
 	asked := func() int {
@@ -232,13 +232,13 @@
 				if i < 4 {
 					ran *= 4
 				}
-				n.pace.Ran(m.ID, ran, 70*time.Second, 10)
+				n.pace.RecordRun(m.ID, ran, 70*time.Second, 10)
 			}
 		}
 		n.setSlowAside(now)
 		var aside []string
-		for _, m := range n.fleet.Sorted() {
-			if m.Draining == workers.Slow {
+		for _, m := range n.fleet.MachinesByName() {
+			if m.DrainReason == workers.DrainSlow {
 				aside = append(aside, m.ID)
 			}
 		}
@@ -246,7 +246,7 @@
 			t.Errorf("price %g: %v set aside, want %d", price, aside, want)
 		}
 		now = now.Add(2 * time.Minute)
-		for _, m := range n.fleet.Sorted() {
+		for _, m := range n.fleet.MachinesByName() {
 			n.look(now, m, "small", "a", false)
 		}
 		n.gather(now)
--- a/internal/controller/rental/forecast.go
+++ b/internal/controller/rental/forecast.go
@@ -17,11 +17,11 @@
 
 type slot struct {
 	kind fleet.Kind
-	free workers.Room
+	free workers.Resources
 }
 
 type kindRoom struct {
-	size  workers.Room
+	size  workers.Resources
 	count int
 }
 
@@ -37,15 +37,15 @@
 			// What is needed instead is rented at once, not once its machines are given up.
 		case m == nil:
 			f.add(h.Kind, t)
-		case d.held[i].expired || m.Draining != workers.InUse:
+		case d.held[i].expired || m.DrainReason != workers.NotDraining:
 			// Also one that an earlier leader had: three hundred that had died with it were
 			// taken for booting once, for a minute and a half.
-		case !m.Up:
+		case !m.HasReported:
 			f.add(h.Kind, t) // it has said nothing yet: taken for full
-			f.open[len(f.open)-1].free = workers.Room{}
+			f.open[len(f.open)-1].free = workers.Resources{}
 		default:
 			f.add(h.Kind, t)
-			f.open[len(f.open)-1].free = m.Free()
+			f.open[len(f.open)-1].free = m.Available()
 		}
 	}
 	return f
@@ -63,7 +63,7 @@
 }
 
 func (f *forecast) take(i int, j *jobs.Job, count int) int {
-	f.open[i].free = f.open[i].free.Take(j, count)
+	f.open[i].free = f.open[i].free.AfterPlacing(j, count)
 	return count
 }
 
@@ -80,7 +80,7 @@
 			f.open = f.open[:left]
 			return found
 		}
-		if fit := f.open[i].free.Fits(j); fit > 0 && place.KindAllowed(j, f.open[i].kind) {
+		if fit := f.open[i].free.TasksThatFit(j); fit > 0 && place.KindAllowed(j, f.open[i].kind) {
 			found += f.take(i, j, min(fit, want-found))
 		}
 		if f.open[i].free.CPUs >= f.least-1e-6 {
@@ -107,7 +107,7 @@
 	n := 0
 	for k, r := range f.kinds {
 		if place.KindAllowed(j, k) {
-			n += r.count * r.size.Fits(j)
+			n += r.count * r.size.TasksThatFit(j)
 		}
 	}
 	return n
--- a/internal/controller/rental/room.go
+++ b/internal/controller/rental/room.go
@@ -15,11 +15,11 @@
 
 // Room is the fleet that a plan counts on: what is there or booting, and what can still be rented.
 func (d *Desk) Room(now time.Time) plan.Room {
-	r := plan.Room{Startable: func(j *jobs.Job) int { return place.TeamRoom(j, d.teams[j.Team], d.fleet.Team(j.Team)) }}
+	r := plan.Room{Startable: func(j *jobs.Job) int { return place.TeamRoom(j, d.teams[j.Team], d.fleet.TeamUsage(j.Team)) }}
 	held := map[fleet.Kind]int{}
 	for id, h := range d.cloud.Hosts {
 		m := d.fleet.Machines[id]
-		if t := d.cloud.Types[h.Kind.Type]; t != nil && !h.Deleting && !d.zones.Away(h.Kind.Zone) && (m == nil || !d.fleet.Expired(now, m)) {
+		if t := d.cloud.Types[h.Kind.Type]; t != nil && !h.Deleting && !d.zones.Away(h.Kind.Zone) && (m == nil || !d.fleet.IsLeaseExpired(now, m)) {
 			r.CPUs += t.CPUs
 			held[h.Kind]++
 		}
--- a/internal/controller/rental/slow.go
+++ b/internal/controller/rental/slow.go
@@ -16,16 +16,16 @@
 func (d *Desk) setSlowAside(now time.Time) {
 	up, aside := 0, 0
 	var slow []*workers.Machine
-	for _, m := range d.fleet.Sorted() {
-		if !m.Up || d.fleet.Expired(now, m) {
+	for _, m := range d.fleet.MachinesByName() {
+		if !m.HasReported || d.fleet.IsLeaseExpired(now, m) {
 			continue
 		}
 		up++
 		t := d.cloud.Types[m.Type]
 		switch {
-		case m.Draining == workers.Slow:
+		case m.DrainReason == workers.DrainSlow:
 			aside++
-		case m.Draining == workers.InUse && t != nil && t.Price > 0 && d.cloud.Hosts[m.ID] != nil && d.pace.Slow(m.ID):
+		case m.DrainReason == workers.NotDraining && t != nil && t.Price > 0 && d.cloud.Hosts[m.ID] != nil && d.pace.IsSlow(m.ID):
 			slow = append(slow, m)
 		}
 	}
@@ -34,7 +34,7 @@
 			return
 		}
 		aside++
-		m.Draining = workers.Slow
-		d.log.Info("a machine is slow", "machine", m.ID, "times", d.pace.Times(m.ID), "tasks", len(m.Attempts))
+		m.DrainReason = workers.DrainSlow
+		d.log.Info("a machine is slow", "machine", m.ID, "times", d.pace.Slowdown(m.ID), "tasks", len(m.Attempts))
 	}
 }
--- a/internal/controller/rental/thin.go
+++ b/internal/controller/rental/thin.go
@@ -25,10 +25,10 @@
 func (d *Desk) thinOut(now time.Time) {
 	slack := 0.0
 	var list []*workers.Machine // the emptiest first
-	for _, m := range d.fleet.Up() {
-		if m.Draining == workers.InUse && m.Accounted && !d.fleet.Expired(now, m) {
+	for _, m := range d.fleet.ReportingMachines() {
+		if m.DrainReason == workers.NotDraining && m.Reconciled && !d.fleet.IsLeaseExpired(now, m) {
 			list = append(list, m)
-			slack += (1-spare)*m.CPUs - m.UsedCPU
+			slack += (1-spare)*m.CPUs - m.UsedCPUs
 		}
 	}
 	order := d.placer.Order(now)
@@ -44,14 +44,14 @@
 		}
 		return 1
 	})
-	free := make([]workers.Room, len(list))
+	free := make([]workers.Resources, len(list))
 	for i, m := range list {
-		free[i] = m.Free()
+		free[i] = m.Available()
 	}
 	emptied := 0
 	for i, m := range list {
 		// A tenth of the fleet at a time: what is moved has to start anew elsewhere.
-		if emptied > len(list)/10 || m.LevelOf() > workers.Levels/2 {
+		if emptied > len(list)/10 || m.UtilizationBucket() > workers.BucketCount/2 {
 			return
 		}
 		if slack < m.CPUs || d.paidFor(now, m.ID) > 0 {
@@ -61,7 +61,7 @@
 		case len(m.Attempts) == 0:
 			if now.Sub(m.IdleSince) > d.opt.IdleAfter/2 {
 				slack -= m.CPUs
-				m.Draining = workers.Thin
+				m.DrainReason = workers.DrainConsolidated
 			}
 		case d.movable(now, m) && fitElsewhere(m, list[i+1:], free[i+1:]):
 			slack -= m.CPUs
@@ -82,14 +82,14 @@
 		}
 		perTask := d.planner.PerTask(a.Job)
 		last = max(last, perTask-now.Sub(a.Running), perTask/4)
-		cost += a.Job.CPUs * (a.Job.Save + m.Store.Fetch(a.Job.ImageGB) + d.cfg.ReportEvery).Seconds()
+		cost += a.Job.CPUs * (a.Job.Save + m.ImageCache.FetchTime(a.Job.ImageGB) + d.cfg.ReportEvery).Seconds()
 	}
 	return last.Seconds()*m.CPUs > moveGain*cost
 }
 
 // fitElsewhere lays all tasks of the machine into the free room of others, the fullest
 // first. If not all fit, nothing is taken.
-func fitElsewhere(m *workers.Machine, others []*workers.Machine, free []workers.Room) bool {
+func fitElsewhere(m *workers.Machine, others []*workers.Machine, free []workers.Resources) bool {
 	type taken struct {
 		i int
 		j *jobs.Job
@@ -98,15 +98,15 @@
 	for _, a := range m.Attempts {
 		found := false
 		for i := len(others) - 1; i >= 0 && !found; i-- {
-			if free[i].Fits(a.Job) > 0 && place.Usable(a.Job, others[i]) && others[i].HeldFor == nil {
-				free[i] = free[i].Take(a.Job, 1)
+			if free[i].TasksThatFit(a.Job) > 0 && place.Usable(a.Job, others[i]) && others[i].ReservedFor == nil {
+				free[i] = free[i].AfterPlacing(a.Job, 1)
 				laid = append(laid, taken{i, a.Job})
 				found = true
 			}
 		}
 		if !found {
 			for _, t := range laid {
-				free[t.i] = free[t.i].Take(t.j, -1)
+				free[t.i] = free[t.i].AfterPlacing(t.j, -1)
 			}
 			return false
 		}
@@ -116,12 +116,12 @@
 
 // emptyOut has all tasks of a machine save and stop; it is returned once they have.
 func (d *Desk) emptyOut(now time.Time, m *workers.Machine) {
-	m.Draining = workers.Thin
+	m.DrainReason = workers.DrainConsolidated
 	d.log.Info("emptying a machine", "machine", m.ID, "tasks", len(m.Attempts))
 	var list []workers.Command
 	for _, a := range m.Attempts {
 		a.Stopping = now
 		list = append(list, workers.Kill(a.Key.String(), a.Number, a.Job.Save.Seconds()))
 	}
-	workers.Tell(d.box, d.token, m, list)
+	workers.SendCommands(d.box, d.token, m, list)
 }
--- a/internal/controller/rental/worth_test.go
+++ b/internal/controller/rental/worth_test.go
@@ -206,7 +206,7 @@
 	for range 30 {
 		now = now.Add(time.Second)
 		for _, m := range d.fleet.Machines {
-			m.Answered, m.Heard = now, now
+			m.LeaseRenewedAt, m.LastContactAt = now, now
 		}
 		d.size(now)
 		d.cloud.Tick(now, d.box)
@@ -272,12 +272,12 @@
 		now = now.Add(time.Second)
 		for _, m := range d.fleet.Machines {
 			if m.Zone == heard || heard == "ab" {
-				m.Answered, m.Heard = now, now
+				m.LeaseRenewedAt, m.LastContactAt = now, now
 			}
 		}
 		d.zones.Look(now, false, func(take func(zones.Machine)) {
 			for _, m := range d.fleet.Machines {
-				take(zones.Machine{Zone: m.Zone, Up: true, Live: !d.fleet.Expired(now, m), Heard: m.Heard})
+				take(zones.Machine{Zone: m.Zone, Up: true, Live: !d.fleet.IsLeaseExpired(now, m), Heard: m.LastContactAt})
 			}
 		})
 		d.gather(now)
@@ -293,7 +293,7 @@
 	if cpus := d.Room(now).CPUs; cpus != 4*16 || d.forecast().cpus != 4*16 || d.mayAsk(now, b) != 0 {
 		t.Errorf("%g CPUs are counted on, %d may be asked for, while a zone is cut", cpus, d.mayAsk(now, b))
 	}
-	for _, m := range d.fleet.Sorted() { // they are given back
+	for _, m := range d.fleet.MachinesByName() { // they are given back
 		if m.Zone == "b" {
 			d.fleet.Remove(m)
 			delete(d.cloud.Hosts, m.ID)
--- a/internal/controller/reports/answer.go
+++ b/internal/controller/reports/answer.go
@@ -8,109 +8,109 @@
 	"gullrudder/internal/controller/workers/reach"
 )
 
-// enrolWait is how long a new machine's report may wait for its place on the roster.
-const enrolWait = 700 * time.Millisecond
+// maxRegistrationWait is how long a new machine's report may wait for its place on the roster.
+const maxRegistrationWait = 700 * time.Millisecond
 
-// Answer answers the reports of this batch; what starts where is decided now, if anything may start.
-func (c *Clerk) Answer(now time.Time, starting bool) {
-	list := c.list
-	c.list = nil
-	for _, p := range list {
-		if p.is == reach.Fresh && p.m.Enrolling && starting && now.Sub(p.at) < enrolWait {
+// SendResponses answers the reports of this batch; what starts where is decided now, if anything may start.
+func (h *Handler) SendResponses(now time.Time, canStart bool) {
+	batch := h.pending
+	h.pending = nil
+	for _, pending := range batch {
+		if pending.freshness == reach.Fresh && pending.machine.Registering && canStart && now.Sub(pending.receivedAt) < maxRegistrationWait {
 			// Its place on the roster is being written; with that it gets tasks at once.
-			c.list = append(c.list, p)
+			h.pending = append(h.pending, pending)
 			continue
 		}
 		// The same machine may have reported twice; only its newest report gets starts.
-		ans := workers.Answer{Token: c.token, Commands: []workers.Command{}}
+		response := workers.HeartbeatResponse{FencingToken: h.fencingToken, Commands: []workers.Command{}}
 		switch {
-		case p.is != reach.Fresh && p.built:
-			ans.Commands = c.unwanted(p.rep)
-		case p.is == reach.Fresh:
-			if c.disobeys(now, p.m) {
+		case pending.freshness != reach.Fresh && pending.stateLoaded:
+			response.Commands = h.killCancelled(pending.heartbeat)
+		case pending.freshness == reach.Fresh:
+			if h.ignoresKills(now, pending.machine) {
 				// Its lease is what ends them in time.
-				c.log.Info("a machine does not end what was cancelled: it gets no more leases", "machine", p.m.ID)
-				c.out.Refuse(p.req, 503, "tasks of cancelled jobs are still there", 0)
+				h.log.Info("a machine does not end what was cancelled: it gets no more leases", "machine", pending.machine.ID)
+				h.responder.Refuse(pending.request, 503, "tasks of cancelled jobs are still there", 0)
 				continue
 			}
-			c.saveBeforeNotice(now, p.m)
-			ans.Commands = append(ans.Commands, c.orders(now, p.m, p.rep)...)
-			if c.reach.Newest(p.m, p.rep) {
-				if starting && c.reach.Hears(p.m) {
-					ans.Commands = append(ans.Commands, c.placer.Starts(now, p.m, mostCommands-len(ans.Commands))...)
+			h.checkpointBeforeReclaim(now, pending.machine)
+			response.Commands = append(response.Commands, h.commandsFor(now, pending.machine, pending.heartbeat)...)
+			if h.reachability.IsNewest(pending.machine, pending.heartbeat) {
+				if canStart && h.reachability.IsReachable(pending.machine) {
+					response.Commands = append(response.Commands, h.placer.Starts(now, pending.machine, maxCommandsPerResponse-len(response.Commands))...)
 				}
-				c.reach.Answered(p.m)
+				h.reachability.RecordAcknowledged(pending.machine)
 			}
 		}
-		p.m.Answered = now
-		c.out.Reply(p.req, 200, ans, 0)
+		pending.machine.LeaseRenewedAt = now
+		h.responder.Reply(pending.request, 200, response, 0)
 	}
 }
 
-// unwanted ends the tasks of cancelled jobs in a report that is not believed: whether it is old or not, they are to
+// killCancelled ends the tasks of cancelled jobs in a report that is not believed: whether it is old or not, they are to
 // end, and a 200 without that would keep them for another lease.
-func (c *Clerk) unwanted(rep *workers.Report) []workers.Command {
-	list := []workers.Command{}
-	for _, t := range rep.Tasks {
-		if key, err := jobs.ParseKey(t.Task); err == nil && t.State != workers.StateExited && len(list) < mostCommands && c.book.IsTaskCancelled(key) {
-			list = append(list, workers.Kill(t.Task, t.Attempt, 0))
+func (h *Handler) killCancelled(heartbeat *workers.Heartbeat) []workers.Command {
+	commands := []workers.Command{}
+	for _, status := range heartbeat.Tasks {
+		if key, err := jobs.ParseKey(status.Task); err == nil && status.State != workers.StateExited && len(commands) < maxCommandsPerResponse && h.jobStore.IsTaskCancelled(key) {
+			commands = append(commands, workers.Kill(status.Task, status.Attempt, 0))
 		}
 	}
-	return list
+	return commands
 }
 
-// disobeys reports whether a task that a machine was told twice to end at once is still there so long after its user was
+// ignoresKills reports whether a task that a machine was told twice to end at once is still there so long after its user was
 // told that it is cancelled that another lease would keep it for too long.
-func (c *Clerk) disobeys(now time.Time, m *workers.Machine) bool {
-	for _, a := range m.Attempts {
-		if j := a.Job; j != nil && j.State == jobs.Cancelled && a.Kills >= 2 && !j.Told.IsZero() && now.Sub(j.Told) >= c.reaches {
+func (h *Handler) ignoresKills(now time.Time, machine *workers.Machine) bool {
+	for _, attempt := range machine.Attempts {
+		if job := attempt.Job; job != nil && job.State == jobs.Cancelled && attempt.Kills >= 2 && !job.Told.IsZero() && now.Sub(job.Told) >= h.cancelWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// orders lists what the machine is told besides starts.
-func (c *Clerk) orders(now time.Time, m *workers.Machine, rep *workers.Report) []workers.Command {
-	var list []workers.Command
-	for _, t := range rep.Tasks {
-		if t.State != workers.StateExited || len(list) >= mostCommands {
+// commandsFor lists what the machine is told besides starts.
+func (h *Handler) commandsFor(now time.Time, machine *workers.Machine, heartbeat *workers.Heartbeat) []workers.Command {
+	var commands []workers.Command
+	for _, status := range heartbeat.Tasks {
+		if status.State != workers.StateExited || len(commands) >= maxCommandsPerResponse {
 			continue
 		}
-		key, err := jobs.ParseKey(t.Task)
-		if err != nil || t.Why != workers.WhyDone || c.book.IsResultDurable(key) {
-			list = append(list, workers.Forget(t.Task, t.Attempt))
+		key, err := jobs.ParseKey(status.Task)
+		if err != nil || status.Reason != workers.ReasonDone || h.jobStore.IsResultDurable(key) {
+			commands = append(commands, workers.Forget(status.Task, status.Attempt))
 		}
 	}
-	for _, a := range m.Attempts {
-		if len(list) >= mostCommands {
+	for _, attempt := range machine.Attempts {
+		if len(commands) >= maxCommandsPerResponse {
 			break
 		}
-		j := a.Job
-		if a.Unsent {
+		job := attempt.Job
+		if attempt.Unsent {
 			continue
 		}
 		switch {
-		case a.Stray || j == nil || j.Cancelling || j.State == jobs.Cancelled:
-			a.Kills++
-			list = append(list, workers.Kill(a.Key.String(), a.Number, 0))
-		case !a.Stopping.IsZero() && !a.Saving:
-			list = append(list, workers.Kill(a.Key.String(), a.Number, j.Save.Seconds()))
+		case attempt.Stray || job == nil || job.Cancelling || job.State == jobs.Cancelled:
+			attempt.Kills++
+			commands = append(commands, workers.Kill(attempt.Key.String(), attempt.Number, 0))
+		case !attempt.Stopping.IsZero() && !attempt.Saving:
+			commands = append(commands, workers.Kill(attempt.Key.String(), attempt.Number, job.Save.Seconds()))
 		}
 	}
-	return list
+	return commands
 }
 
-// saveBeforeNotice has the tasks that can save do so in time before the cloud takes the
+// checkpointBeforeReclaim has the tasks that can save do so in time before the cloud takes the
 // machine.
-func (c *Clerk) saveBeforeNotice(now time.Time, m *workers.Machine) {
-	if m.NoticeAt.IsZero() {
+func (h *Handler) checkpointBeforeReclaim(now time.Time, machine *workers.Machine) {
+	if machine.ReclaimAt.IsZero() {
 		return
 	}
-	for _, a := range m.Attempts {
-		if j := a.Job; j != nil && j.Checkpoint > 0 && a.Stopping.IsZero() && !a.Running.IsZero() &&
-			m.NoticeAt.Sub(now) < j.Save+3*c.cfg.ReportEvery+time.Second {
-			a.Stopping = now
+	for _, attempt := range machine.Attempts {
+		if job := attempt.Job; job != nil && job.Checkpoint > 0 && attempt.Stopping.IsZero() && !attempt.Running.IsZero() &&
+			machine.ReclaimAt.Sub(now) < job.Save+3*h.platform.ReportEvery+time.Second {
+			attempt.Stopping = now
 		}
 	}
 }
--- a/internal/controller/reports/blame/blame_test.go
+++ b/internal/controller/reports/blame/blame_test.go
@@ -15,139 +15,139 @@
 
 func TestMain(m *testing.M) { steady.Main(m) }
 
-// world is a small case: which job was tried on which machine, and what came of it.
-type world struct {
+// attributionCase is a small case: which job was tried on which machine, and what came of it.
+type attributionCase struct {
 	jobs, machines int
 	failed         [][]bool // by job and machine
-	well           []bool   // a task of the job has completed
+	hasCompleted   []bool   // a task of the job has completed
 	completions    []int    // by machine, after its last failure
 }
 
-// exact is the posterior by trying every assignment of mistakes and faults.
-func (w *world) exact() (mistaken, faulty []float64) {
-	mistaken, faulty = make([]float64, w.jobs), make([]float64, w.machines)
-	all := 0.0
+// exactPosterior is the posterior by trying every assignment of mistakes and faults.
+func (w *attributionCase) exactPosterior() (crashLooping, faulty []float64) {
+	crashLooping, faulty = make([]float64, w.jobs), make([]float64, w.machines)
+	total := 0.0
 	for code := range 1 << (w.jobs + w.machines) {
 		p := 1.0
-		is := func(i int) bool { return code>>i&1 == 1 }
+		isSet := func(i int) bool { return code>>i&1 == 1 }
 		for j := range w.jobs {
 			switch {
-			case is(j) && w.well[j]:
+			case isSet(j) && w.hasCompleted[j]:
 				p = 0
-			case is(j):
-				p *= mistakes
+			case isSet(j):
+				p *= crashLoopPrior
 			default:
-				p *= 1 - mistakes
+				p *= 1 - crashLoopPrior
 			}
 			for m := range w.machines {
-				if !w.failed[j][m] || is(j) {
+				if !w.failed[j][m] || isSet(j) {
 					continue
 				}
-				if is(w.jobs + m) {
-					p *= hit
+				if isSet(w.jobs + m) {
+					p *= faultyMachineFailureRate
 				} else {
-					p *= noise
+					p *= healthyFailureRate
 				}
 			}
 		}
 		for m := range w.machines {
-			k := float64(min(w.completions[m], wells))
-			if is(w.jobs + m) {
-				p *= faults * math.Pow(1-hit, k)
+			k := float64(min(w.completions[m], maxCompletions))
+			if isSet(w.jobs + m) {
+				p *= faultPrior * math.Pow(1-faultyMachineFailureRate, k)
 			} else {
-				p *= (1 - faults) * math.Pow(1-noise, k)
+				p *= (1 - faultPrior) * math.Pow(1-healthyFailureRate, k)
 			}
 		}
-		all += p
+		total += p
 		for j := range w.jobs {
-			if is(j) {
-				mistaken[j] += p
+			if isSet(j) {
+				crashLooping[j] += p
 			}
 		}
 		for m := range w.machines {
-			if is(w.jobs + m) {
+			if isSet(w.jobs + m) {
 				faulty[m] += p
 			}
 		}
 	}
-	for j := range mistaken {
-		mistaken[j] /= all
+	for j := range crashLooping {
+		crashLooping[j] /= total
 	}
 	for m := range faulty {
-		faulty[m] /= all
+		faulty[m] /= total
 	}
-	return mistaken, faulty
+	return crashLooping, faulty
 }
 
-// Verdicts lists the jobs that are taken for mistaken and the machines that are taken for faulty, by name.
-func (b *Book) Verdicts() (mistaken, faulty []string) {
-	for id, j := range b.jobs {
-		if j.mistaken {
-			mistaken = append(mistaken, id)
+// verdicts lists the jobs that are taken for mistaken and the machines that are taken for faulty, by name.
+func (t *Tracker) verdicts() (crashLooping, faulty []string) {
+	for jobID, j := range t.jobs {
+		if j.isCrashLooping {
+			crashLooping = append(crashLooping, jobID)
 		}
 	}
-	for on := range b.machines {
-		if b.Faulty(on) {
-			faulty = append(faulty, on)
+	for machineID := range t.machines {
+		if t.IsFaulty(machineID) {
+			faulty = append(faulty, machineID)
 		}
 	}
-	slices.SortFunc(mistaken, cmp.Compare[string])
+	slices.SortFunc(crashLooping, cmp.Compare[string])
 	slices.SortFunc(faulty, cmp.Compare[string])
-	return mistaken, faulty
+	return crashLooping, faulty
 }
 
 // On small cases every verdict is one that the exact posterior supports, and what is nearly certain
 // is found.
-func TestVerdictsAgainstTheExactPosterior(t *testing.T) {
+func TestVerdictsMatchExactPosterior(t *testing.T) {
 	verdicts, missed, certain := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{jobs: rapid.IntRange(1, 4).Draw(t, "jobs"), machines: rapid.IntRange(1, 5).Draw(t, "machines")}
-		bad := rapid.SliceOfN(rapid.Bool(), w.jobs, w.jobs).Draw(t, "mistaken")
-		sick := rapid.SliceOfN(rapid.IntRange(0, 3), w.machines, w.machines).Draw(t, "sick")
-		b, now := New(), time.Unix(1000, 0)
-		w.failed, w.well, w.completions = make([][]bool, w.jobs), make([]bool, w.jobs), make([]int, w.machines)
-		for j := range w.jobs {
-			w.failed[j] = make([]bool, w.machines)
-			w.well[j] = !bad[j] && rapid.Bool().Draw(t, "has completed")
+		attribution := &attributionCase{jobs: rapid.IntRange(1, 4).Draw(t, "jobs"), machines: rapid.IntRange(1, 5).Draw(t, "machines")}
+		crashLoops := rapid.SliceOfN(rapid.Bool(), attribution.jobs, attribution.jobs).Draw(t, "mistaken")
+		health := rapid.SliceOfN(rapid.IntRange(0, 3), attribution.machines, attribution.machines).Draw(t, "sick")
+		tracker, now := NewTracker(), time.Unix(1000, 0)
+		attribution.failed, attribution.hasCompleted, attribution.completions = make([][]bool, attribution.jobs), make([]bool, attribution.jobs), make([]int, attribution.machines)
+		for j := range attribution.jobs {
+			attribution.failed[j] = make([]bool, attribution.machines)
+			attribution.hasCompleted[j] = !crashLoops[j] && rapid.Bool().Draw(t, "has completed")
 		}
-		for j := range w.jobs {
-			for m := range w.machines {
-				if fails := bad[j] || sick[m] == 0; fails && rapid.IntRange(0, 3).Draw(t, "tried") > 0 {
-					w.failed[j][m] = true
+		for j := range attribution.jobs {
+			for m := range attribution.machines {
+				if fails := crashLoops[j] || health[m] == 0; fails && rapid.IntRange(0, 3).Draw(t, "tried") > 0 {
+					attribution.failed[j][m] = true
 					done := 0
-					if w.well[j] {
+					if attribution.hasCompleted[j] {
 						done = 1
 					}
-					b.Failed(now, fmt.Sprint("job-", j), fmt.Sprint("vm-", m), done)
+					tracker.RecordFailure(now, fmt.Sprint("job-", j), fmt.Sprint("vm-", m), done)
 				}
 			}
 		}
-		for m := range w.machines {
-			if sick[m] > 0 {
-				w.completions[m] = rapid.IntRange(0, 5).Draw(t, "completions")
-				for range w.completions[m] {
-					b.Done("another", fmt.Sprint("vm-", m))
+		for m := range attribution.machines {
+			if health[m] > 0 {
+				attribution.completions[m] = rapid.IntRange(0, 5).Draw(t, "completions")
+				for range attribution.completions[m] {
+					tracker.RecordCompletion("another", fmt.Sprint("vm-", m))
 				}
-				if b.machines[fmt.Sprint("vm-", m)] == nil {
-					w.completions[m] = 0 // nothing has failed there: nothing is remembered
+				if tracker.machines[fmt.Sprint("vm-", m)] == nil {
+					attribution.completions[m] = 0 // nothing has failed there: nothing is remembered
 				}
 			}
 		}
 		// All verdicts anew, by all that is known in the end: one that was found on the way stays until a
 		// task completes, and may have been right by what was known then.
-		for _, x := range b.jobs {
-			x.mistaken = false
+		for _, x := range tracker.jobs {
+			x.isCrashLooping = false
 		}
 		found := map[*job]bool{}
-		for id, x := range b.jobs {
-			found[x] = !x.well && len(x.machines) >= fewest && b.ofJob(id, "", deep) > sureOfJob
+		for id, x := range tracker.jobs {
+			found[x] = !x.hasCompleted && len(x.failedOn) >= minFailures && tracker.crashLoopProbability(id, "", maxDepth) > crashLoopThreshold
 		}
-		for x, yes := range found {
-			x.mistaken = yes
+		for x, isCrashLooping := range found {
+			x.isCrashLooping = isCrashLooping
 		}
-		mistaken, faulty := w.exact()
-		for j, p := range mistaken {
-			got := b.Mistaken(fmt.Sprint("job-", j))
+		crashLooping, faulty := attribution.exactPosterior()
+		for j, p := range crashLooping {
+			got := tracker.IsCrashLooping(fmt.Sprint("job-", j))
 			if got {
 				verdicts++
 			}
@@ -156,13 +156,13 @@
 			}
 			if p > 0.999 {
 				certain++
-				if !got && len(b.jobs[fmt.Sprint("job-", j)].machines) >= fewest {
+				if !got && len(tracker.jobs[fmt.Sprint("job-", j)].failedOn) >= minFailures {
 					missed++
 				}
 			}
 		}
 		for m, p := range faulty {
-			if b.Faulty(fmt.Sprint("vm-", m)) && p < 0.5 {
+			if tracker.IsFaulty(fmt.Sprint("vm-", m)) && p < 0.5 {
 				t.Errorf("machine %d is called faulty, which is %.3f likely", m, p)
 			}
 		}
@@ -174,103 +174,103 @@
 
 // Ten machines, of which two fail everything, and two mistaken jobs among ten, at the same time: each is
 // found, and nothing else. Each job is tried on machines that it has not failed on.
-func TestBothAtOnce(t *testing.T) {
-	b, now := New(), time.Unix(1000, 0)
+func TestCrashLoopingJobsAndFaultyMachinesTogether(t *testing.T) {
+	tracker, now := NewTracker(), time.Unix(1000, 0)
 	done := map[int]int{}
 	for round := range 40 {
 		for j := range 10 {
 			m := (j*3 + round) % 10
-			job, on := fmt.Sprint("job-", j), fmt.Sprint("vm-", m)
-			if b.Faulty(on) || b.Mistaken(job) {
+			jobID, machineID := fmt.Sprint("job-", j), fmt.Sprint("vm-", m)
+			if tracker.IsFaulty(machineID) || tracker.IsCrashLooping(jobID) {
 				continue
 			}
 			if j < 2 || m < 2 {
-				b.Failed(now, job, on, done[j])
+				tracker.RecordFailure(now, jobID, machineID, done[j])
 			} else {
 				done[j]++
-				b.Done(job, on)
+				tracker.RecordCompletion(jobID, machineID)
 			}
 			now = now.Add(100 * time.Millisecond)
 		}
 	}
-	mistaken, faulty := b.Verdicts()
-	if fmt.Sprint(mistaken) != "[job-0 job-1]" || fmt.Sprint(faulty) != "[vm-0 vm-1]" {
-		t.Errorf("mistaken %v, faulty %v", mistaken, faulty)
+	crashLooping, faulty := tracker.verdicts()
+	if fmt.Sprint(crashLooping) != "[job-0 job-1]" || fmt.Sprint(faulty) != "[vm-0 vm-1]" {
+		t.Errorf("mistaken %v, faulty %v", crashLooping, faulty)
 	}
 }
 
 // What the recorded day had: two mistaken jobs fail on the same machine, which is well.
-func TestMistakenJobsSpoilNoMachine(t *testing.T) {
-	b, now := New(), time.Unix(1000, 0)
+func TestCrashLoopingJobsDoNotMakeMachineFaulty(t *testing.T) {
+	tracker, now := NewTracker(), time.Unix(1000, 0)
 	for i := range 6 {
-		b.Failed(now, "job-1", fmt.Sprint("vm-", i), 0)
-		b.Failed(now, "job-2", fmt.Sprint("vm-", i), 0)
+		tracker.RecordFailure(now, "job-1", fmt.Sprint("vm-", i), 0)
+		tracker.RecordFailure(now, "job-2", fmt.Sprint("vm-", i), 0)
 	}
-	if mistaken, faulty := b.Verdicts(); len(mistaken) != 2 || len(faulty) != 0 {
-		t.Errorf("mistaken %v, faulty %v", mistaken, faulty)
+	if crashLooping, faulty := tracker.verdicts(); len(crashLooping) != 2 || len(faulty) != 0 {
+		t.Errorf("mistaken %v, faulty %v", crashLooping, faulty)
 	}
-	b.Done("job-1", "vm-9")
-	if b.Mistaken("job-1") {
+	tracker.RecordCompletion("job-1", "vm-9")
+	if tracker.IsCrashLooping("job-1") {
 		t.Error("a job that has completed a task is still called mistaken")
 	}
 }
 
 // A faulty machine that gets only the mistaken job is not found by it, and need not be.
-func TestAFaultyMachineThatGetsOnlyTheMistakenJob(t *testing.T) {
-	b, now := New(), time.Unix(1000, 0)
+func TestFaultyMachineWithOnlyCrashLoopingJob(t *testing.T) {
+	tracker, now := NewTracker(), time.Unix(1000, 0)
 	for i := range 4 {
-		b.Failed(now, "job-1", fmt.Sprint("vm-", i), 0)
+		tracker.RecordFailure(now, "job-1", fmt.Sprint("vm-", i), 0)
 	}
-	b.Failed(now, "job-1", "sick", 0)
-	if b.Faulty("sick") {
+	tracker.RecordFailure(now, "job-1", "sick", 0)
+	if tracker.IsFaulty("sick") {
 		t.Error("called faulty by one job")
 	}
-	b.Failed(now, "job-2", "sick", 5)
-	b.Failed(now, "job-3", "sick", 7)
-	if !b.Faulty("sick") || b.Faulty("vm-0") {
+	tracker.RecordFailure(now, "job-2", "sick", 5)
+	tracker.RecordFailure(now, "job-3", "sick", 7)
+	if !tracker.IsFaulty("sick") || tracker.IsFaulty("vm-0") {
 		t.Error("not found once others fail there")
 	}
 }
 
 // Retries come later each time and share a budget, whatever the number of mistaken jobs.
-func TestRetriesShareABudget(t *testing.T) {
-	b, now := New(), time.Unix(1000, 0)
+func TestRetriesShareBudget(t *testing.T) {
+	tracker, now := NewTracker(), time.Unix(1000, 0)
 	const jobs = 200
 	next := map[string]time.Time{}
 	for i := range jobs {
-		id := fmt.Sprint("job-", i)
-		b.Keep(now, id)
-		next[id] = now
+		jobID := fmt.Sprint("job-", i)
+		tracker.RestoreCrashLooping(now, jobID)
+		next[jobID] = now
 	}
 	tried, end := 0, now.Add(2*time.Minute)
 	for ; now.Before(end); now = now.Add(100 * time.Millisecond) {
-		for id, at := range next {
+		for jobID, at := range next {
 			if !at.After(now) {
 				tried++
-				next[id] = b.Retry(now, id)
+				next[jobID] = tracker.ScheduleRetry(now, jobID)
 			}
 		}
 	}
 	// All are tried once as they are found; then the budget counts.
-	if most := jobs + stored + int(2*time.Minute/refill); tried > most || tried < jobs+60 {
+	if most := jobs + maxStoredRetries + int(2*time.Minute/retryRefillInterval); tried > most || tried < jobs+60 {
 		t.Errorf("%d tries of %d jobs in two minutes, at most %d", tried, jobs, most)
 	}
 }
 
 // The book holds what has failed of late, and costs the same however much that is.
-func TestTheBookIsBounded(t *testing.T) {
-	b, now := New(), time.Unix(1000, 0)
+func TestTrackerIsBounded(t *testing.T) {
+	tracker, now := NewTracker(), time.Unix(1000, 0)
 	for i := range 5000 {
-		b.Failed(now, fmt.Sprint("job-", i%7), fmt.Sprint("vm-", i), 0)
-		b.Failed(now, fmt.Sprint("job-x", i), "vm-0", 1)
+		tracker.RecordFailure(now, fmt.Sprint("job-", i%7), fmt.Sprint("vm-", i), 0)
+		tracker.RecordFailure(now, fmt.Sprint("job-x", i), "vm-0", 1)
 		now = now.Add(time.Second)
 	}
-	if n := len(b.jobs) + len(b.machines); n > 2000 || len(b.machines["vm-0"].jobs) > 4*wide {
+	if n := len(tracker.jobs) + len(tracker.machines); n > 2000 || len(tracker.machines["vm-0"].failedJobs) > 4*maxNeighbours {
 		t.Errorf("%d jobs and machines are remembered", n)
 	}
-	b.Over("job-1")
-	b.Gone("vm-0")
-	if b.Machines("job-1") != 0 || b.Faulty("vm-0") {
+	tracker.ForgetJob("job-1")
+	tracker.ForgetMachine("vm-0")
+	if tracker.FailedMachineCount("job-1") != 0 || tracker.IsFaulty("vm-0") {
 		t.Error("what is over is remembered")
 	}
 }
--- a/internal/controller/reports/clerk.go
+++ b/internal/controller/reports/clerk.go
@@ -24,201 +24,201 @@
 	"gullrudder/internal/wire/packed"
 )
 
-// RosterPrefix marks the ledger's entries for machines that may hold tasks.
-const RosterPrefix = "m:"
+// MachineKeyPrefix marks the ledger's entries for machines that may hold tasks.
+const MachineKeyPrefix = "m:"
 
-// RosterEntry is what the ledger keeps of such a machine.
-type RosterEntry struct {
+// MachineRecord is what the ledger keeps of such a machine.
+type MachineRecord struct {
 	Addr string `msgpack:"a" json:"a"`
 }
 
-// pending is a report that waits for its answer.
-type pending struct {
-	req *inbox.Request
-	m   *workers.Machine
-	rep *workers.Report
-	is  reach.Verdict
-	at  time.Time
+// pendingHeartbeat is a report that waits for its answer.
+type pendingHeartbeat struct {
+	request    *inbox.Request
+	machine    *workers.Machine
+	heartbeat  *workers.Heartbeat
+	freshness  reach.Freshness
+	receivedAt time.Time
 
-	built bool // the ledger was read when it came
+	stateLoaded bool // the ledger was read when it came
 }
 
-// Clerk is a leader's dealings with reports.
-type Clerk struct {
-	cfg     *config.Platform
-	log     *slog.Logger
-	out     *inbox.Answers
-	token   uint64
-	ledger  *ledger.Store
-	book    *book.Store
-	fleet   *workers.Fleet
-	cloud   *fleet.Cloud
-	planner *plan.Planner
-	placer  *place.Placer
-	times   *timeline.Log
-	pace    *pace.Book
-	blame   *blame.Book
-	reach   *reach.Book
-	reaches time.Duration // how long after a cancellation a lease that is given still ends in time
-	list    []pending
+// Handler is a leader's dealings with reports.
+type Handler struct {
+	platform     *config.Platform
+	log          *slog.Logger
+	responder    *inbox.Answers
+	fencingToken uint64
+	storage      *ledger.Store
+	jobStore     *book.Store
+	workers      *workers.Registry
+	cloud        *fleet.Cloud
+	planner      *plan.Planner
+	placer       *place.Placer
+	accounting   *timeline.Log
+	stragglers   *pace.Detector
+	failures     *blame.Tracker
+	reachability *reach.Tracker
+	cancelWindow time.Duration // how long after a cancellation a lease that is given still ends in time
+	pending      []pendingHeartbeat
 }
 
-// World is what a clerk sees of its neighbours.
-type World struct {
-	Platform *config.Platform
-	Token    uint64
-	Ledger   *ledger.Store
-	Book     *book.Store
-	Fleet    *workers.Fleet
-	Cloud    *fleet.Cloud
-	Planner  *plan.Planner
-	Placer   *place.Placer
-	Times    *timeline.Log
-	Pace     *pace.Book
-	Blame    *blame.Book
-	Reach    *reach.Book
-	Answers  *inbox.Answers
-	Log      *slog.Logger
+// Components is what a clerk sees of its neighbours.
+type Components struct {
+	Platform     *config.Platform
+	FencingToken uint64
+	Storage      *ledger.Store
+	JobStore     *book.Store
+	Workers      *workers.Registry
+	Cloud        *fleet.Cloud
+	Planner      *plan.Planner
+	Placer       *place.Placer
+	Accounting   *timeline.Log
+	Stragglers   *pace.Detector
+	Failures     *blame.Tracker
+	Reachability *reach.Tracker
+	Responder    *inbox.Answers
+	Log          *slog.Logger
 }
 
-// NewClerk makes the clerk of a new leadership.
-func NewClerk(w World) *Clerk {
-	return &Clerk{cfg: w.Platform, log: w.Log, out: w.Answers, token: w.Token, ledger: w.Ledger, book: w.Book, fleet: w.Fleet, cloud: w.Cloud,
-		planner: w.Planner, placer: w.Placer, times: w.Times, pace: w.Pace, blame: w.Blame, reach: w.Reach,
-		reaches: horizon.Window(w.Platform.CancelWithin, w.Fleet.Lease())}
+// NewHandler makes the clerk of a new leadership.
+func NewHandler(components Components) *Handler {
+	return &Handler{platform: components.Platform, log: components.Log, responder: components.Responder, fencingToken: components.FencingToken, storage: components.Storage, jobStore: components.JobStore, workers: components.Workers, cloud: components.Cloud,
+		planner: components.Planner, placer: components.Placer, accounting: components.Accounting, stragglers: components.Stragglers, failures: components.Failures, reachability: components.Reachability,
+		cancelWindow: horizon.Window(components.Platform.CancelWithin, components.Workers.Lease())}
 }
 
-// TurnAway refuses the reports that still wait for an answer.
-func (c *Clerk) TurnAway() {
-	for _, p := range c.list {
-		c.out.Reply(p.req, 503, nil, 0)
+// RejectPending refuses the reports that still wait for an answer.
+func (h *Handler) RejectPending() {
+	for _, pending := range h.pending {
+		h.responder.Reply(pending.request, 503, nil, 0)
 	}
-	c.list = nil
+	h.pending = nil
 }
 
-// mostCommands bounds the commands of one answer, so that it stays below 64 KiB.
-const mostCommands = 300
+// maxCommandsPerResponse bounds the commands of one answer, so that it stays below 64 KiB.
+const maxCommandsPerResponse = 300
 
-// Report takes in a report; its answer goes out at the end of the step. Before the ledger is read
+// HandleHeartbeat takes in a report; its answer goes out at the end of the step. Before the ledger is read
 // (built) nothing in it is believed. It says whether the machine lived just now: a copy does not tell.
-func (c *Clerk) Report(now time.Time, r *inbox.Request, built bool) (lives bool) {
-	var rep workers.Report
-	if err := packed.Unmarshal(r.Body, &rep); err != nil || rep.Machine == "" || len(rep.Machine) > workers.LongestName || rep.Session == 0 {
-		c.out.Refuse(r, 400, "no report", 0)
+func (h *Handler) HandleHeartbeat(now time.Time, request *inbox.Request, stateLoaded bool) (isAlive bool) {
+	var heartbeat workers.Heartbeat
+	if err := packed.Unmarshal(request.Body, &heartbeat); err != nil || heartbeat.Machine == "" || len(heartbeat.Machine) > workers.MaxNameBytes || heartbeat.Incarnation == 0 {
+		h.responder.Refuse(request, 400, "no report", 0)
 		return false
 	}
-	if rep.Token > c.token || c.cloud.Dead(rep.Machine) || len(c.fleet.Machines) > 20000 {
-		c.out.Refuse(r, 503, "not now", 0)
+	if heartbeat.FencingToken > h.fencingToken || h.cloud.Dead(heartbeat.Machine) || len(h.workers.Machines) > 20000 {
+		h.responder.Refuse(request, 503, "not now", 0)
 		return false
 	}
-	m := c.fleet.Machine(rep.Machine)
-	is := reach.Unproven
-	if built {
-		is = c.reach.Report(now, m, &rep)
+	machine := h.workers.GetOrAdd(heartbeat.Machine)
+	freshness := reach.Unverified
+	if stateLoaded {
+		freshness = h.reachability.Classify(now, machine, &heartbeat)
 	}
-	if is == reach.Copy {
+	if freshness == reach.Stale {
 		// With a 200 a machine that is no more would keep its tasks for as long as copies of its reports come.
-		c.out.Refuse(r, 503, "an older report", 0)
+		h.responder.Refuse(request, 503, "an older report", 0)
 		return false
 	}
-	m.Answered = now
-	if is == reach.Fresh {
+	machine.LeaseRenewedAt = now
+	if freshness == reach.Fresh {
 		// Only a worker that has seen our token is believed: what an earlier leader still sends it has no
 		// effect any more, and the report was made after that.
-		c.Observe(now, m, &rep, true)
-		c.enrol(now, m, &rep)
+		h.Reconcile(now, machine, &heartbeat, true)
+		h.register(now, machine, &heartbeat)
 	}
-	c.list = append(c.list, pending{r, m, &rep, is, now, built})
-	return is == reach.Fresh
+	h.pending = append(h.pending, pendingHeartbeat{request, machine, &heartbeat, freshness, now, stateLoaded})
+	return freshness == reach.Fresh
 }
 
-// enrol writes down that the machine may hold tasks, before it gets any.
-func (c *Clerk) enrol(now time.Time, m *workers.Machine, rep *workers.Report) {
-	c.cloud.Seen(now, rep.Machine, rep.Addr, fleet.Kind{Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot})
-	if t := c.cloud.Types[rep.Type]; t != nil && m.CPUs+m.Mem+m.Cards == 0 {
-		c.fleet.Measure(m, place.Size(t), t.CacheGB, t.FetchRate)
+// register writes down that the machine may hold tasks, before it gets any.
+func (h *Handler) register(now time.Time, machine *workers.Machine, heartbeat *workers.Heartbeat) {
+	h.cloud.Seen(now, heartbeat.Machine, heartbeat.Addr, fleet.Kind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot})
+	if machineType := h.cloud.Types[heartbeat.Type]; machineType != nil && machine.CPUs+machine.MemoryGB+machine.GPUs == 0 {
+		h.workers.SetCapacity(machine, place.Size(machineType), machineType.CacheGB, machineType.FetchRate)
 	}
-	if m.Rostered || m.Enrolling {
+	if machine.Registered || machine.Registering {
 		return
 	}
-	m.Enrolling = true
-	if m.Addr == "" {
-		m.Addr = rep.Addr
+	machine.Registering = true
+	if machine.Addr == "" {
+		machine.Addr = heartbeat.Addr
 	}
-	err := c.ledger.Set(now, RosterPrefix+m.ID, RosterEntry{Addr: rep.Addr}, 0, true, func(_ time.Time, ok bool) {
-		if ok && c.fleet.Machines[m.ID] == m {
-			m.Rostered, m.Enrolling = true, false
+	err := h.storage.Set(now, MachineKeyPrefix+machine.ID, MachineRecord{Addr: heartbeat.Addr}, 0, true, func(_ time.Time, ok bool) {
+		if ok && h.workers.Machines[machine.ID] == machine {
+			machine.Registered, machine.Registering = true, false
 		}
 	})
 	if err != nil {
-		c.log.Error("a machine cannot be enrolled", "machine", m.ID, "error", err)
-		m.Enrolling = false
+		h.log.Error("a machine cannot be enrolled", "machine", machine.ID, "error", err)
+		machine.Registering = false
 	}
 }
 
-// Observe takes in what is on a machine; whole is false for the answer to a direct command.
-func (c *Clerk) Observe(now time.Time, m *workers.Machine, rep *workers.Report, whole bool) {
-	ended := c.fleet.Observe(now, m, rep, whole, c.book.Find)
-	c.reach.Ended(now, m, ended)
-	c.Ended(now, m, ended)
-	if !m.Accounted {
-		m.Accounted = true
-		c.log.Debug("machine accounted for", "machine", m.ID, "tasks", len(m.Attempts))
+// Reconcile takes in what is on a machine; whole is false for the answer to a direct command.
+func (h *Handler) Reconcile(now time.Time, machine *workers.Machine, heartbeat *workers.Heartbeat, complete bool) {
+	ended := h.workers.Reconcile(now, machine, heartbeat, complete, h.jobStore.Find)
+	h.reachability.RecordEnded(now, machine, ended)
+	h.HandleEnded(now, machine, ended)
+	if !machine.Reconciled {
+		machine.Reconciled = true
+		h.log.Debug("machine accounted for", "machine", machine.ID, "tasks", len(machine.Attempts))
 	}
 }
 
-// lostTo is the cause that the account of a job gives for an attempt that did not get done.
-func lostTo(e workers.Ended) timeline.Cause {
+// lossCause is the cause that the account of a job gives for an attempt that did not get done.
+func lossCause(ended workers.EndedAttempt) timeline.Cause {
 	switch {
-	case !e.Attempt.Stopping.IsZero() || e.Why == workers.WhyHalted:
+	case !ended.Attempt.Stopping.IsZero() || ended.Reason == workers.ReasonStopped:
 		return timeline.Stopped
-	case e.Why == workers.Lost:
+	case ended.Reason == workers.ReasonLost:
 		return timeline.LostMachine
 	}
 	return timeline.LostFailed
 }
 
-// Ended takes in the attempts that are known to be gone.
-func (c *Clerk) Ended(now time.Time, m *workers.Machine, list []workers.Ended) {
-	for _, e := range list {
-		a := e.Attempt
-		j := a.Job
-		if j == nil || a.Key.Task >= j.Tasks {
+// HandleEnded takes in the attempts that are known to be gone.
+func (h *Handler) HandleEnded(now time.Time, machine *workers.Machine, endedAttempts []workers.EndedAttempt) {
+	for _, ended := range endedAttempts {
+		attempt := ended.Attempt
+		job := attempt.Job
+		if job == nil || attempt.Key.Task >= job.Tasks {
 			continue
 		}
-		c.placer.Changed()
-		if e.Why != workers.WhyDone {
-			c.log.Debug("attempt ended", "task", a.Key, "attempt", a.Number, "machine", m.ID, "why", e.Why)
+		h.placer.Changed()
+		if ended.Reason != workers.ReasonDone {
+			h.log.Debug("attempt ended", "task", attempt.Key, "attempt", attempt.Number, "machine", machine.ID, "why", ended.Reason)
 		}
-		switch e.Why {
-		case workers.WhyDone:
-			if j.Service {
+		switch ended.Reason {
+		case workers.ReasonDone:
+			if job.Service {
 				break // a replica runs until its job is cancelled: it is started again
 			}
-			if !a.Running.IsZero() && !j.Resumed[a.Key.Task] {
-				if j.RanCount > 0 {
-					c.pace.Ran(m.ID, now.Sub(a.Running), j.RanSum/time.Duration(j.RanCount), j.RanCount)
+			if !attempt.Running.IsZero() && !job.Resumed[attempt.Key.Task] {
+				if job.RanCount > 0 {
+					h.stragglers.RecordRun(machine.ID, now.Sub(attempt.Running), job.RanSum/time.Duration(job.RanCount), job.RanCount)
 				}
-				c.planner.Learn(j, now.Sub(a.Running))
+				h.planner.Learn(job, now.Sub(attempt.Running))
 			}
-			c.times.TaskDone(j, a.Key.Task)
-			c.completed(now, m, j)
-			if j.TaskDone(a.Key.Task) {
-				c.book.FinishIfDone(now, j)
+			h.accounting.TaskDone(job, attempt.Key.Task)
+			h.recordCompletion(now, machine, job)
+			if job.TaskDone(attempt.Key.Task) {
+				h.jobStore.FinishIfDone(now, job)
 			}
 			continue
-		case workers.WhyError:
-			c.failed(now, m, j)
-		case workers.WhyNoRoom:
-			m.RoomFrom = now.Add(2 * time.Second)
-		case workers.WhyInUse, workers.WhyNoSuch:
-			j.NotBefore = now.Add(2 * time.Second)
-			c.log.Info("start refused", "task", a.Key, "machine", m.ID, "why", e.Why)
+		case workers.ReasonError:
+			h.recordFailure(now, machine, job)
+		case workers.ReasonNoCapacity:
+			machine.StartsNotBefore = now.Add(2 * time.Second)
+		case workers.ReasonInUse, workers.ReasonNotFound:
+			job.NotBefore = now.Add(2 * time.Second)
+			h.log.Info("start refused", "task", attempt.Key, "machine", machine.ID, "why", ended.Reason)
 		}
-		c.times.Lost(j, a.Key.Task, lostTo(e))
-		if e.Saved {
-			j.Resumed[a.Key.Task] = true
+		h.accounting.Lost(job, attempt.Key.Task, lossCause(ended))
+		if ended.CheckpointSaved {
+			job.Resumed[attempt.Key.Task] = true
 		}
-		j.Again(a.Key.Task)
+		job.Again(attempt.Key.Task)
 	}
 }
--- a/internal/controller/reports/golden_bytes_test.go
+++ b/internal/controller/reports/golden_bytes_test.go
@@ -8,7 +8,7 @@
 
 func TestGoldenBytes(t *testing.T) {
 	goldenbytes.Check(t,
-		goldenbytes.MessagePack("machine", RosterEntry{Addr: "10.0.0.1:7000"}),
-		goldenbytes.JSON("machine", RosterEntry{Addr: "10.0.0.1:7000"}),
+		goldenbytes.MessagePack("machine", MachineRecord{Addr: "10.0.0.1:7000"}),
+		goldenbytes.JSON("machine", MachineRecord{Addr: "10.0.0.1:7000"}),
 	)
 }
--- a/internal/controller/reports/gone.go
+++ b/internal/controller/reports/gone.go
@@ -4,43 +4,43 @@
 	"time"
 )
 
-// Expire takes the tasks of workers whose lease has ended for gone. A machine of which nothing has shown that
+// ExpireLeases takes the tasks of workers whose lease has ended for gone. A machine of which nothing has shown that
 // it is there any more is let go of: all that came of it may have been a copy of what an earlier leader heard.
-func (c *Clerk) Expire(now time.Time) {
-	for _, m := range c.fleet.Machines {
-		if !c.fleet.Expired(now, m) {
+func (h *Handler) ExpireLeases(now time.Time) {
+	for _, machine := range h.workers.Machines {
+		if !h.workers.IsLeaseExpired(now, machine) {
 			continue
 		}
-		if !m.Up && !m.Rostered && !m.Enrolling {
-			c.fleet.Remove(m)
-			c.reach.Gone(m.ID)
+		if !machine.HasReported && !machine.Registered && !machine.Registering {
+			h.workers.Remove(machine)
+			h.reachability.Forget(machine.ID)
 			continue
 		}
-		if len(m.Attempts) > 0 {
-			c.log.Info("a worker's lease has ended", "machine", m.ID, "tasks", len(m.Attempts))
-			c.Ended(now, m, c.fleet.Clear(m))
+		if len(machine.Attempts) > 0 {
+			h.log.Info("a worker's lease has ended", "machine", machine.ID, "tasks", len(machine.Attempts))
+			h.HandleEnded(now, machine, h.workers.ReleaseAll(machine))
 		}
-		if m.Rostered {
-			m.Rostered = false
-			c.ledger.Delete(now, RosterPrefix+m.ID)
+		if machine.Registered {
+			machine.Registered = false
+			h.storage.Delete(now, MachineKeyPrefix+machine.ID)
 		}
 	}
 }
 
-// TakeGone takes in the machines whose deletion the cloud has confirmed.
-func (c *Clerk) TakeGone(now time.Time) {
-	gone := c.cloud.Gone
-	c.cloud.Gone = nil
-	for _, id := range gone {
-		m := c.fleet.Machines[id]
-		if m == nil {
+// RemoveDeleted takes in the machines whose deletion the cloud has confirmed.
+func (h *Handler) RemoveDeleted(now time.Time) {
+	deleted := h.cloud.Gone
+	h.cloud.Gone = nil
+	for _, id := range deleted {
+		machine := h.workers.Machines[id]
+		if machine == nil {
 			continue
 		}
-		c.Ended(now, m, c.fleet.Clear(m))
-		c.fleet.Remove(m)
-		c.pace.Gone(m.ID)
-		c.blame.Gone(m.ID)
-		c.reach.Gone(m.ID)
-		c.ledger.Delete(now, RosterPrefix+id)
+		h.HandleEnded(now, machine, h.workers.ReleaseAll(machine))
+		h.workers.Remove(machine)
+		h.stragglers.Forget(machine.ID)
+		h.failures.ForgetMachine(machine.ID)
+		h.reachability.Forget(machine.ID)
+		h.storage.Delete(now, MachineKeyPrefix+id)
 	}
 }
--- a/internal/controller/requests/desk.go
+++ b/internal/controller/requests/desk.go
@@ -37,14 +37,14 @@
 	box      *outbox.Box
 	ledger   *ledger.Store
 	book     *book.Store
-	fleet    *workers.Fleet
+	fleet    *workers.Registry
 	cloud    *fleet.Cloud
 	planner  *plan.Planner
 	placer   *place.Placer
 	rental   *rental.Desk
 	take     *takeover.Reconciler
 	times    *timeline.Log
-	blame    *blame.Book
+	blame    *blame.Tracker
 	zoneBook *zones.Book
 	gate     *standing.Gate // bounds the submissions that are not durable yet
 	acting   func() bool    // the leadership is entitled to act
@@ -57,14 +57,14 @@
 	Options  *config.Options
 	Ledger   *ledger.Store
 	Book     *book.Store
-	Fleet    *workers.Fleet
+	Fleet    *workers.Registry
 	Cloud    *fleet.Cloud
 	Planner  *plan.Planner
 	Placer   *place.Placer
 	Rental   *rental.Desk
 	Takeover *takeover.Reconciler
 	Times    *timeline.Log
-	Blame    *blame.Book
+	Blame    *blame.Tracker
 	Zones    *zones.Book
 	Acting   func() bool
 	Answers  *inbox.Answers
--- a/internal/controller/requests/explain.go
+++ b/internal/controller/requests/explain.go
@@ -244,7 +244,7 @@
 		x.change("the end of those jobs; if one of them is cancelled, so is this one")
 		return
 	case j.Mistaken:
-		x.because("its tasks have failed on %d machines and on none of them has one completed: it looks as if it was submitted with a mistake", max(d.blame.Machines(j.ID), 2))
+		x.because("its tasks have failed on %d machines and on none of them has one completed: it looks as if it was submitted with a mistake", max(d.blame.FailedMachineCount(j.ID), 2))
 		x.because("one task is tried at a time; the next in %.0f s", max(j.NotBefore.Sub(now), 0).Seconds())
 		x.change("a task that completes: then all are started again")
 		x.change("its cancellation, and a submission without the mistake")
@@ -262,31 +262,31 @@
 		x.because("its tasks failed or were refused lately: it is tried again in %.0f s", j.NotBefore.Sub(now).Seconds())
 	}
 	team := d.teams[j.Team]
-	if place.TeamRoom(j, team, d.fleet.Team(j.Team)) == 0 {
+	if place.TeamRoom(j, team, d.fleet.TeamUsage(j.Team)) == 0 {
 		x.because("team %s uses all that its limit allows (%g CPUs, %g cards)", j.Team, team.CPULimit, team.CardsLimit)
 		x.change("a higher limit of team %s, or the end of a task of the team", j.Team)
 	}
 	may, room, held, zones, fetched, deaf := 0, 0, 0, 0, 0, 0
-	for _, m := range d.fleet.Up() {
-		if m.Unreached {
+	for _, m := range d.fleet.ReportingMachines() {
+		if m.IsUnreachable {
 			deaf++
 		}
-		if !place.Usable(j, m) || m.Draining != workers.InUse {
+		if !place.Usable(j, m) || m.DrainReason != workers.NotDraining {
 			continue
 		}
 		may++
-		fits := m.Fits(j)
+		fits := m.TasksThatFit(j)
 		if fits == 0 {
 			continue
 		}
 		switch {
 		case place.ZoneRoom(j, m.Zone) == 0:
 			zones++
-		case m.HeldFor != nil && m.HeldFor != j:
+		case m.ReservedFor != nil && m.ReservedFor != j:
 			held++
 		default:
 			room += fits
-			if m.Store.Has(j.Image) {
+			if m.ImageCache.Has(j.Image) {
 				fetched++
 			}
 		}
--- a/internal/controller/takeover/partly.go
+++ b/internal/controller/takeover/partly.go
@@ -48,7 +48,7 @@
 	capacity := workers.Usage{}
 	for _, machine := range t.unreconciled {
 		cpus, gpus := t.maxCapacity(machine)
-		capacity.CPUs, capacity.Cards = capacity.CPUs+cpus, capacity.Cards+gpus
+		capacity.CPUs, capacity.GPUs = capacity.CPUs+cpus, capacity.GPUs+gpus
 	}
 	usageByTeam := place.Hidden{}
 	for _, job := range t.jobStore.Unfinished {
@@ -57,15 +57,15 @@
 		}
 		usage := usageByTeam[job.Team]
 		unseen := float64(job.Tasks - job.NDone - len(job.Active))
-		usageByTeam[job.Team] = workers.Usage{CPUs: min(usage.CPUs+unseen*job.CPUs, capacity.CPUs), Cards: min(usage.Cards+unseen*job.Cards, capacity.Cards)}
+		usageByTeam[job.Team] = workers.Usage{CPUs: min(usage.CPUs+unseen*job.CPUs, capacity.CPUs), GPUs: min(usage.GPUs+unseen*job.Cards, capacity.GPUs)}
 	}
 	return usageByTeam
 }
 
 // maxCapacity is what a machine has at most, as far as it is known.
 func (t *Reconciler) maxCapacity(machine *workers.Machine) (cpus, gpus float64) {
-	if machine.CPUs+machine.Mem > 0 {
-		return machine.CPUs, machine.Cards
+	if machine.CPUs+machine.MemoryGB > 0 {
+		return machine.CPUs, machine.GPUs
 	}
 	if instance := t.cloud.Hosts[machine.ID]; instance != nil {
 		if instanceType := t.cloud.Types[instance.Kind.Type]; instanceType != nil {
--- a/internal/controller/takeover/silence.go
+++ b/internal/controller/takeover/silence.go
@@ -33,11 +33,11 @@
 	if !t.canProbe() {
 		return false
 	}
-	if machine.Addr == "" || !t.reachability.Due(now, machine) {
+	if machine.Addr == "" || !t.reachability.IsProbeDue(now, machine) {
 		return true
 	}
 	t.probeBudget--
-	t.sendProbe(now, machine, max(machine.Session, 1), 3, func(time.Time, bool) {})
+	t.sendProbe(now, machine, max(machine.Incarnation, 1), 3, func(time.Time, bool) {})
 	return true
 }
 
@@ -50,44 +50,44 @@
 // sendProbe asks; told learns whether an answer came.
 func (t *Reconciler) sendProbe(now time.Time, machine *workers.Machine, session uint64, tries int, onResult func(now time.Time, answered bool)) {
 	t.probesInFlight++
-	probeID := t.reachability.Ask(now, machine)
+	probeID := t.reachability.StartProbe(now, machine)
 	t.outbox.Add(outbox.Call{Service: outbox.Worker, Addr: machine.Addr, Method: "POST", Path: "/commands",
-		Body: workers.Direct{Token: t.fencingToken, Session: session, Commands: []workers.Command{}}, Timeout: probeTimeout,
+		Body: workers.DirectCommands{FencingToken: t.fencingToken, Incarnation: session, Commands: []workers.Command{}}, Timeout: probeTimeout,
 		Done: func(now time.Time, result outbox.Result) {
 			if t.closed {
 				return
 			}
 			t.probesInFlight--
-			var report workers.Report
+			var report workers.Heartbeat
 			if result.Status != 200 && result.Status != 409 || packed.Unmarshal(result.Body, &report) != nil || report.Machine != machine.ID {
-				t.reachability.NoAnswer(now, machine)
+				t.reachability.ProbeFailed(now, machine)
 				onResult(now, false)
 				return
 			}
 			onResult(now, true)
-			switch restarted := t.reachability.Answer(now, machine, probeID, &report); {
+			switch restarted := t.reachability.ProbeAnswered(now, machine, probeID, &report); {
 			case restarted:
-				t.heartbeats.Ended(now, machine, t.workers.Clear(machine))
+				t.heartbeats.HandleEnded(now, machine, t.workers.ReleaseAll(machine))
 			case result.Status == 409:
-				if tries > 0 && report.Token <= t.fencingToken && !machine.Accounted {
-					t.sendProbe(now, machine, report.Session, tries-1, func(time.Time, bool) {})
+				if tries > 0 && report.FencingToken <= t.fencingToken && !machine.Reconciled {
+					t.sendProbe(now, machine, report.Incarnation, tries-1, func(time.Time, bool) {})
 				}
-			case !machine.Accounted && report.Token == t.fencingToken && machine.Newer(&report):
-				t.heartbeats.Observe(now, machine, &report, false)
+			case !machine.Reconciled && report.FencingToken == t.fencingToken && machine.IsNewer(&report):
+				t.heartbeats.Reconcile(now, machine, &report, false)
 			}
 		}})
 }
 
 // isHeartbeatOverdue reports whether nothing certain has come of the machine for longer than its reports take.
 func (t *Reconciler) isHeartbeatOverdue(now time.Time, machine *workers.Machine) bool {
-	return now.Sub(machine.Heard) >= t.platform.ReportEvery*5/4+time.Second
+	return now.Sub(machine.LastContactAt) >= t.platform.ReportEvery*5/4+time.Second
 }
 
 // probeRequested asks the machines of which it is in doubt whether they hear us.
 func (t *Reconciler) probeRequested(now time.Time) {
-	for _, machine := range t.reachability.Wanted() {
+	for _, machine := range t.reachability.TakeProbeRequests() {
 		if t.workers.Machines[machine.ID] == machine && !t.probe(now, machine) {
-			t.reachability.Want(machine)
+			t.reachability.RequestProbe(machine)
 		}
 	}
 }
@@ -105,12 +105,12 @@
 	}
 	t.nextProbeSample = now.Add(probeTimeout / 2)
 	suspected := t.connectivity.SuspectsPartition(now)
-	machines := t.workers.Sorted()
-	up := slices.ContainsFunc(machines, func(machine *workers.Machine) bool { return machine.Up })
+	machines := t.workers.MachinesByName()
+	up := slices.ContainsFunc(machines, func(machine *workers.Machine) bool { return machine.HasReported })
 	for remaining, visited := probeSampleSize, 0; remaining > 0 && visited < len(machines); visited++ {
 		t.sampleOffset++
 		machine := machines[t.sampleOffset%len(machines)]
-		if up && !machine.Up || machine.Addr == "" || machine.Draining != workers.InUse || t.workers.Expired(now, machine) || !suspected && t.isHeartbeatOverdue(now, machine) || !t.reachability.Due(now, machine) {
+		if up && !machine.HasReported || machine.Addr == "" || machine.DrainReason != workers.NotDraining || t.workers.IsLeaseExpired(now, machine) || !suspected && t.isHeartbeatOverdue(now, machine) || !t.reachability.IsProbeDue(now, machine) {
 			continue
 		}
 		if !t.canProbe() {
@@ -118,7 +118,7 @@
 		}
 		remaining--
 		t.probeBudget--
-		t.sendProbe(now, machine, max(machine.Session, 1), 3, func(now time.Time, answered bool) { t.connectivity.RecordProbe(now, suspected, answered) })
+		t.sendProbe(now, machine, max(machine.Incarnation, 1), 3, func(now time.Time, answered bool) { t.connectivity.RecordProbe(now, suspected, answered) })
 	}
 }
 
@@ -136,35 +136,35 @@
 	t.expectedHeartbeats, t.overdueHeartbeats = 0, 0
 	sentinels := map[string]int{}
 	for id, machine := range t.workers.Machines {
-		if !machine.Up && !machine.Rostered || machine.Draining == workers.Silent || machine.Draining == workers.Returned {
+		if !machine.HasReported && !machine.Registered || machine.DrainReason == workers.DrainUnresponsive || machine.DrainReason == workers.DrainTerminating {
 			continue
 		}
 		machineCount++
-		if machine.Ear {
-			if machine.Ear = t.zones.Away(machine.Zone); machine.Ear {
+		if machine.IsSentinel {
+			if machine.IsSentinel = t.zones.Away(machine.Zone); machine.IsSentinel {
 				sentinels[machine.Zone]++
 				continue
 			}
 		}
 		overdue := t.isHeartbeatOverdue(now, machine)
-		if !t.workers.Expired(now, machine) {
+		if !t.workers.IsLeaseExpired(now, machine) {
 			t.expectedHeartbeats++
-			if overdue || machine.Unreached {
+			if overdue || machine.IsUnreachable {
 				t.overdueHeartbeats++
 			}
 		}
 		if instance := t.cloud.Hosts[id]; instance != nil && instance.State == fleet.Failed && !instance.Deleting && !t.completed {
-			machine.Draining = workers.Silent
+			machine.DrainReason = workers.DrainUnresponsive
 			failed = append(failed, id)
 			continue
 		}
 		if suspected {
 			continue
 		}
-		if overdue || t.reachability.Doubted(machine) {
+		if overdue || t.reachability.IsSuspected(machine) {
 			t.probe(now, machine)
 		}
-		if t.reachability.Silent(now, machine) {
+		if t.reachability.IsUnresponsive(now, machine) {
 			silent = append(silent, id)
 		}
 	}
@@ -178,16 +178,16 @@
 		return
 	}
 	for _, id := range silent {
-		t.workers.Machines[id].Draining = workers.Silent
+		t.workers.Machines[id].DrainReason = workers.DrainUnresponsive
 	}
-	t.cloud.Return(now, silent, string(workers.Silent))
+	t.cloud.Return(now, silent, string(workers.DrainUnresponsive))
 }
 
 // keepSentinels keeps some machines of a zone that is cut, those on which the least was lost: their reports tell
 // of its return at once, and they need not boot.
 func (t *Reconciler) keepSentinels(ids []string, sentinels map[string]int) []string {
 	slices.SortFunc(ids, func(a, b string) int {
-		return cmp.Or(cmp.Compare(t.workers.Machines[a].UsedCPU, t.workers.Machines[b].UsedCPU), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(t.workers.Machines[a].UsedCPUs, t.workers.Machines[b].UsedCPUs), cmp.Compare(a, b))
 	})
 	return slices.DeleteFunc(ids, func(id string) bool {
 		machine := t.workers.Machines[id]
@@ -195,7 +195,7 @@
 			return false
 		}
 		sentinels[machine.Zone]++
-		machine.Ear = true
+		machine.IsSentinel = true
 		return true
 	})
 }
--- a/internal/controller/takeover/takeover.go
+++ b/internal/controller/takeover/takeover.go
@@ -36,13 +36,13 @@
 	storage       *ledger.Store
 	jobStore      *book.Store
 	dynamicConfig *settings.Settings
-	workers       *workers.Fleet
+	workers       *workers.Registry
 	cloud         *fleet.Cloud
-	heartbeats    *reports.Clerk
+	heartbeats    *reports.Handler
 	placer        *place.Placer
 	fairShare     *floor.Book
 	zones         *zones.Book
-	reachability  *reach.Book
+	reachability  *reach.Tracker
 	connectivity  *hearing.Monitor
 	renewalLimit  *horizon.Limit
 
@@ -71,13 +71,13 @@
 	Storage       *ledger.Store
 	JobStore      *book.Store
 	DynamicConfig *settings.Settings
-	Workers       *workers.Fleet
+	Workers       *workers.Registry
 	Cloud         *fleet.Cloud
-	Heartbeats    *reports.Clerk
+	Heartbeats    *reports.Handler
 	Placer        *place.Placer
 	FairShare     *floor.Book
 	Zones         *zones.Book
-	Reachability  *reach.Book
+	Reachability  *reach.Tracker
 	Connectivity  *hearing.Monitor // whether the workers reach this controller
 	RenewalLimit  *horizon.Limit   // which cancellations can be open that an earlier leader has confirmed
 	Outbox        *outbox.Box
@@ -157,7 +157,7 @@
 	}
 	var chunks []chunk
 	t.storage.ForEach(func(name string, decode func(any) error) {
-		if id, ok := strings.CutPrefix(name, reports.RosterPrefix); ok {
+		if id, ok := strings.CutPrefix(name, reports.MachineKeyPrefix); ok {
 			t.restoreRosterEntry(id, decode)
 			return
 		}
@@ -186,8 +186,8 @@
 		t.jobStore.RestoreChunk(now, c.name, c.id, c.c, c.v)
 	}
 	t.jobStore.FinishRestore(now)
-	for _, m := range t.workers.Sorted() {
-		if m.Rostered {
+	for _, m := range t.workers.MachinesByName() {
+		if m.Registered {
 			t.unreconciled = append(t.unreconciled, m)
 		}
 	}
@@ -202,17 +202,17 @@
 
 // restoreRosterEntry takes in a machine of the roster.
 func (t *Reconciler) restoreRosterEntry(id string, decode func(any) error) {
-	var entry reports.RosterEntry
+	var entry reports.MachineRecord
 	if err := decode(&entry); err != nil {
 		t.log.Error("a roster entry cannot be read", "machine", id, "error", err)
 	}
-	machine := t.workers.Machine(id)
-	machine.Rostered, machine.Addr = true, entry.Addr
-	if machine.Answered.IsZero() {
-		machine.Answered = t.electedAt
+	machine := t.workers.GetOrAdd(id)
+	machine.Registered, machine.Addr = true, entry.Addr
+	if machine.LeaseRenewedAt.IsZero() {
+		machine.LeaseRenewedAt = t.electedAt
 	}
-	if machine.Heard.IsZero() {
-		machine.Heard = t.electedAt
+	if machine.LastContactAt.IsZero() {
+		machine.LastContactAt = t.electedAt
 	}
 }
 
@@ -222,7 +222,7 @@
 func (t *Reconciler) reconcileMachines(now time.Time) {
 	remaining := t.unreconciled[:0]
 	for _, machine := range t.unreconciled {
-		if !machine.Rostered || machine.Accounted || t.cloud.Dead(machine.ID) || t.workers.Expired(now, machine) {
+		if !machine.Registered || machine.Reconciled || t.cloud.Dead(machine.ID) || t.workers.IsLeaseExpired(now, machine) {
 			continue
 		}
 		remaining = append(remaining, machine)
@@ -230,7 +230,7 @@
 	t.unreconciled = remaining
 	for _, machine := range t.unreconciled {
 		// A machine that has just got its first answer reports again at once.
-		if machine.Answered.Equal(t.electedAt) || now.Sub(machine.Answered) > probeTimeout {
+		if machine.LeaseRenewedAt.Equal(t.electedAt) || now.Sub(machine.LeaseRenewedAt) > probeTimeout {
 			t.probe(now, machine)
 		}
 	}
--- a/internal/controller/takeover/takeover_test.go
+++ b/internal/controller/takeover/takeover_test.go
@@ -48,18 +48,18 @@
 	platform := &config.Platform{Name: "n", ReportEvery: 4 * time.Second, WorkerLease: 20 * time.Second, CancelWithin: 45 * time.Second, CPUShare: 0.2, Connections: 1000}
 	reconciler := &testReconciler{responder: &inbox.Answers{Log: log}, connectivity: hearing.New(4 * time.Second)}
 	reconciler.connectivity.StartLeadership(now)
-	reconciler.renewalLimit = horizon.New(horizon.Window(platform.CancelWithin, workers.LeaseEnd(platform.WorkerLease)), rand.New(rand.NewPCG(1, 1)))
-	machineLinks := reach.New(fencingToken, platform.WorkerLease, reach.NewMetrics(prometheus.NewRegistry()), log)
+	reconciler.renewalLimit = horizon.New(horizon.Window(platform.CancelWithin, workers.LeaseExpiry(platform.WorkerLease)), rand.New(rand.NewPCG(1, 1)))
+	machineLinks := reach.NewTracker(fencingToken, platform.WorkerLease, reach.NewMetrics(prometheus.NewRegistry()), log)
 	outbox := &outbox.Box{}
 	store := ledger.New(ledger.Options{ValueBytes: 8192, TxnOps: 12, WriteRate: 15}, fencingToken, log)
-	registry, planner, cloudState := workers.NewFleet(workers.LeaseEnd(platform.WorkerLease), log), plan.New(options, platform), fleet.New(fencingToken, 2, time.Second, log)
+	registry, planner, cloudState := workers.NewRegistry(workers.LeaseExpiry(platform.WorkerLease), log), plan.New(options, platform), fleet.New(fencingToken, 2, time.Second, log)
 	cloudState.Types = map[string]*fleet.Type{"small": {Name: "small", CPUs: 4, Mem: 8, Zones: []string{"a"}, Price: 1, SpotPrice: 0.3, BootS: 40}}
 	accountingLog := timeline.New(timeline.NewMetrics(prometheus.NewRegistry()), log)
 	jobStore := book.New(book.Components{Platform: platform, Options: &options, Storage: store, Workers: registry, Accounting: accountingLog, Log: log})
 	placer := place.NewPlacer(place.World{Platform: platform, Token: fencingToken, Jobs: jobStore.Unfinished, Fleet: registry, Planner: planner,
 		Room: func(time.Time) plan.Room { return plan.Room{} }, Box: outbox, Log: log})
-	heartbeats := reports.NewClerk(reports.World{Platform: platform, Token: fencingToken, Ledger: store, Book: jobStore, Fleet: registry, Cloud: cloudState, Planner: planner,
-		Placer: placer, Times: accountingLog, Pace: pace.New(platform.ReportEvery), Blame: blame.New(), Reach: machineLinks, Answers: reconciler.responder, Log: log})
+	heartbeats := reports.NewHandler(reports.Components{Platform: platform, FencingToken: fencingToken, Storage: store, JobStore: jobStore, Workers: registry, Cloud: cloudState, Planner: planner,
+		Placer: placer, Accounting: accountingLog, Stragglers: pace.NewDetector(platform.ReportEvery), Failures: blame.NewTracker(), Reachability: machineLinks, Responder: reconciler.responder, Log: log})
 	reconciler.Reconciler = New(Components{Platform: platform, FencingToken: fencingToken, ElectedAt: now, Storage: store, JobStore: jobStore, DynamicConfig: settings.New(options, store, reconciler.responder, log), Workers: registry,
 		Cloud: cloudState, Heartbeats: heartbeats, Placer: placer, FairShare: planner.Floor(), Zones: zones.New(platform.ReportEvery, now, log), Reachability: machineLinks, Connectivity: reconciler.connectivity, RenewalLimit: reconciler.renewalLimit, Outbox: outbox, Log: log})
 	reconciler.stateLoaded, reconciler.completed, reconciler.isFirstLeader = true, true, true
@@ -67,13 +67,13 @@
 }
 
 func (k *testReconciler) exchangeHeartbeat(now time.Time, report []byte) []inbox.Reply {
-	k.heartbeats.Report(now, &inbox.Request{Method: "POST", Target: "/v1/report", Body: report}, true)
-	k.heartbeats.Answer(now, k.completed)
+	k.heartbeats.HandleHeartbeat(now, &inbox.Request{Method: "POST", Target: "/v1/report", Body: report}, true)
+	k.heartbeats.SendResponses(now, k.completed)
 	return k.responder.Take()
 }
 
 // sendHeartbeat brings a report and gives back what the machine is told.
-func (k *testReconciler) sendHeartbeat(t *testing.T, now time.Time, report workers.Report) workers.Answer {
+func (k *testReconciler) sendHeartbeat(t *testing.T, now time.Time, report workers.Heartbeat) workers.HeartbeatResponse {
 	t.Helper()
 	raw, err := packed.Marshal(report)
 	if err != nil {
@@ -83,7 +83,7 @@
 	if len(replies) != 1 || replies[0].Status != 200 {
 		t.Fatalf("%+v", replies)
 	}
-	var response workers.Answer
+	var response workers.HeartbeatResponse
 	if err := packed.Unmarshal(replies[0].Body, &response); err != nil {
 		t.Fatal(err)
 	}
@@ -96,19 +96,19 @@
 func TestHeartbeatUnderAnOlderFencingTokenIsNotBelieved(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
-	machine := reconciler.workers.Machine("vm-1")
-	machine.Rostered, machine.Answered, machine.Heard = true, now, now
+	machine := reconciler.workers.GetOrAdd("vm-1")
+	machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = true, now, now
 	reconciler.unreconciled, reconciler.completed = []*workers.Machine{machine}, false
-	report := workers.Report{Machine: "vm-1", Type: "small", Zone: "a", Session: 1, Seq: 4, Token: 8}
-	if response := reconciler.sendHeartbeat(t, now, report); response.Token != 9 || machine.Accounted {
-		t.Errorf("token %d, accounted for %v by a report under an older token", response.Token, machine.Accounted)
+	report := workers.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8}
+	if response := reconciler.sendHeartbeat(t, now, report); response.FencingToken != 9 || machine.Reconciled {
+		t.Errorf("token %d, accounted for %v by a report under an older token", response.FencingToken, machine.Reconciled)
 	}
 	reconciler.reconcileMachines(now)
 	if reconciler.completed {
 		t.Error("places before the machine is accounted for")
 	}
-	report.Seq, report.Token = 5, 9
-	if reconciler.sendHeartbeat(t, now, report); !machine.Accounted {
+	report.Sequence, report.FencingToken = 5, 9
+	if reconciler.sendHeartbeat(t, now, report); !machine.Reconciled {
 		t.Error("not accounted for by a report under the token")
 	}
 	if reconciler.reconcileMachines(now); !reconciler.completed {
@@ -127,37 +127,37 @@
 		if i < silent {
 			zone = "b"
 		}
-		machine := reconciler.workers.Machine(id)
-		reconciler.workers.Observe(now, machine, &workers.Report{Machine: id, Addr: id, Type: "small", Zone: zone, Session: 1, Seq: 1}, true, reconciler.jobStore.Find)
-		machine.Accounted, machine.Rostered, machine.Answered, machine.Heard, machine.UsedCPU = true, true, now, now, float64(i%4)
-		reconciler.workers.Measure(machine, workers.Room{CPUs: 4, Mem: 8}, 1, 1)
+		machine := reconciler.workers.GetOrAdd(id)
+		reconciler.workers.Reconcile(now, machine, &workers.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: zone, Incarnation: 1, Sequence: 1}, true, reconciler.jobStore.Find)
+		machine.Reconciled, machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt, machine.UsedCPUs = true, true, now, now, float64(i%4)
+		reconciler.workers.SetCapacity(machine, workers.Resources{CPUs: 4, MemoryGB: 8}, 1, 1)
 	}
 	step := func(unavailable bool) (sentinels, deleted int) {
 		now = now.Add(500 * time.Millisecond)
 		reconciler.refillProbeBudget(50 * time.Millisecond)
 		reconciler.probeBudget = 100
-		for _, machine := range reconciler.workers.Sorted() {
-			if machine.Zone == "a" || !unavailable && machine.Draining == workers.InUse && !machine.Ear {
-				machine.Answered, machine.Heard = now, now
+		for _, machine := range reconciler.workers.MachinesByName() {
+			if machine.Zone == "a" || !unavailable && machine.DrainReason == workers.NotDraining && !machine.IsSentinel {
+				machine.LeaseRenewedAt, machine.LastContactAt = now, now
 			}
 		}
 		reconciler.zones.Look(now, false, func(visit func(zones.Machine)) {
-			for _, machine := range reconciler.workers.Sorted() {
-				visit(zones.Machine{Zone: machine.Zone, Up: true, Live: !reconciler.workers.Expired(now, machine), Heard: machine.Heard, Leaving: machine.Draining == workers.Silent, Ear: machine.Ear})
+			for _, machine := range reconciler.workers.MachinesByName() {
+				visit(zones.Machine{Zone: machine.Zone, Up: true, Live: !reconciler.workers.IsLeaseExpired(now, machine), Heard: machine.LastContactAt, Leaving: machine.DrainReason == workers.DrainUnresponsive, Ear: machine.IsSentinel})
 			}
 		})
 		reconciler.terminateSilent(now)
 		for _, call := range reconciler.outbox.Take() {
 			call.Done(now, outbox.Result{})
 		}
-		for _, machine := range reconciler.workers.Sorted() {
-			if machine.Ear {
+		for _, machine := range reconciler.workers.MachinesByName() {
+			if machine.IsSentinel {
 				sentinels++
 				if place.Usable(jobs.NewJob(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, Spot: true}, now), machine) {
 					t.Errorf("a task may be placed on %s, which is away", machine.ID)
 				}
 			}
-			if machine.Draining == workers.Silent {
+			if machine.DrainReason == workers.DrainUnresponsive {
 				deleted++
 			}
 		}
@@ -170,9 +170,9 @@
 	if sentinels != silent/10 || deleted != silent-silent/10 {
 		t.Fatalf("%d of %d silent machines are kept, %d deleted", sentinels, silent, deleted)
 	}
-	for _, machine := range reconciler.workers.Sorted() { // one of them tells of the return, the other stays away
-		if machine.Ear {
-			machine.Answered, machine.Heard = now, now
+	for _, machine := range reconciler.workers.MachinesByName() { // one of them tells of the return, the other stays away
+		if machine.IsSentinel {
+			machine.LeaseRenewedAt, machine.LastContactAt = now, now
 			break
 		}
 	}
@@ -196,17 +196,17 @@
 		reconciler := newTestReconciler(now, 1)
 		for i := range test.machines {
 			id := fmt.Sprintf("vm-%06d", i)
-			machine := reconciler.workers.Machine(id)
-			reconciler.workers.Observe(now, machine, &workers.Report{Machine: id, Addr: id, Type: "small", Zone: "a", Session: 1, Seq: 1}, true, reconciler.jobStore.Find)
-			machine.Accounted, machine.Rostered, machine.Answered, machine.Heard = true, true, now, now
+			machine := reconciler.workers.GetOrAdd(id)
+			reconciler.workers.Reconcile(now, machine, &workers.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, true, reconciler.jobStore.Find)
+			machine.Reconciled, machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = true, true, now, now
 		}
 		for range 40 {
 			now = now.Add(500 * time.Millisecond)
 			reconciler.refillProbeBudget(50 * time.Millisecond)
 			reconciler.probeBudget = 100
-			for i, machine := range reconciler.workers.Sorted() {
+			for i, machine := range reconciler.workers.MachinesByName() {
 				if i >= test.silent {
-					machine.Answered, machine.Heard = now, now
+					machine.LeaseRenewedAt, machine.LastContactAt = now, now
 				}
 			}
 			if !test.unheard {
@@ -220,8 +220,8 @@
 			}
 		}
 		terminated := 0
-		for i, machine := range reconciler.workers.Sorted() {
-			if machine.Draining == workers.Silent {
+		for i, machine := range reconciler.workers.MachinesByName() {
+			if machine.DrainReason == workers.DrainUnresponsive {
 				terminated++
 				if i >= test.silent {
 					t.Errorf("%s is deleted though it reports", machine.ID)
@@ -241,8 +241,8 @@
 	reconciler := newTestReconciler(now, 9)
 	reconciler.completed = false
 	for id, state := range map[string]string{"vm-1": fleet.Failed, "vm-2": fleet.Running} {
-		machine := reconciler.workers.Machine(id)
-		machine.Rostered, machine.Answered, machine.Heard = true, now, now
+		machine := reconciler.workers.GetOrAdd(id)
+		machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = true, now, now
 		reconciler.unreconciled = append(reconciler.unreconciled, machine)
 		reconciler.cloud.Hosts[id] = &fleet.Host{ID: id, State: state, Listed: now.Add(time.Hour)}
 	}
@@ -263,8 +263,8 @@
 		reconciler := newTestReconciler(now, 9)
 		reconciler.completed = false
 		for i := range 40 {
-			machine := reconciler.workers.Machine(fmt.Sprintf("vm-%06d", i))
-			machine.Addr, machine.Rostered, machine.Answered, machine.Heard = machine.ID, true, now, now
+			machine := reconciler.workers.GetOrAdd(fmt.Sprintf("vm-%06d", i))
+			machine.Addr, machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = machine.ID, true, now, now
 			reconciler.unreconciled = append(reconciler.unreconciled, machine)
 		}
 		inboundLost := false
@@ -279,7 +279,7 @@
 					call.Done(now, outbox.Result{})
 					continue
 				}
-				raw, err := packed.Marshal(workers.Report{Machine: call.Addr, Addr: call.Addr, Type: "small", Zone: "a", Session: 1, Seq: uint64(now.UnixMilli()), Token: 9})
+				raw, err := packed.Marshal(workers.Heartbeat{Machine: call.Addr, Addr: call.Addr, Type: "small", Zone: "a", Incarnation: 1, Sequence: uint64(now.UnixMilli()), FencingToken: 9})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -294,7 +294,7 @@
 }
 
 // newReconcilerWithCancelledJob is a takeover that knows a job with one task, cancelled a second ago.
-func newReconcilerWithCancelledJob(t *testing.T, now time.Time) (reconciler *testReconciler, report workers.Report) {
+func newReconcilerWithCancelledJob(t *testing.T, now time.Time) (reconciler *testReconciler, report workers.Heartbeat) {
 	reconciler = newTestReconciler(now, 9)
 	if !reconciler.jobStore.OpenArchive() {
 		t.Fatal("no history")
@@ -302,15 +302,15 @@
 	job := jobs.NewJob(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, Mem: 1}, now)
 	reconciler.jobStore.Unfinished["job-1"] = job
 	reconciler.jobStore.ApplyCancellation(now.Add(-time.Second), job)
-	reconciler.workers.Machine("vm-1").Rostered = true
-	return reconciler, workers.Report{Machine: "vm-1", Addr: "vm-1", Type: "small", Zone: "a", Session: 1, Seq: 4, Token: 8,
-		Tasks: []workers.TaskReport{{Task: "job-1/0", Attempt: 5, State: workers.StateRunning}}}
+	reconciler.workers.GetOrAdd("vm-1").Registered = true
+	return reconciler, workers.Heartbeat{Machine: "vm-1", Addr: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8,
+		Tasks: []workers.TaskStatus{{Task: "job-1/0", Attempt: 5, State: workers.StateRunning}}}
 }
 
-func countKills(response workers.Answer) int {
+func countKills(response workers.HeartbeatResponse) int {
 	count := 0
 	for _, command := range response.Commands {
-		if command.Op == "kill" && command.Task == "job-1/0" && command.Attempt == 5 && *command.Grace == 0 {
+		if command.Operation == "kill" && command.Task == "job-1/0" && command.Attempt == 5 && *command.GraceSeconds == 0 {
 			count++
 		}
 	}
@@ -332,15 +332,15 @@
 func TestMachineThatIgnoresKillsGetsNoLease(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler, report := newReconcilerWithCancelledJob(t, now)
-	renewalLimit := horizon.Window(45*time.Second, workers.LeaseEnd(20*time.Second))
-	report.Token = 9
+	renewalLimit := horizon.Window(45*time.Second, workers.LeaseExpiry(20*time.Second))
+	report.FencingToken = 9
 	for _, at := range []time.Duration{0, 5 * time.Second, renewalLimit - 3*time.Second} {
-		report.Seq++
+		report.Sequence++
 		if response := reconciler.sendHeartbeat(t, now.Add(at), report); countKills(response) != 1 {
 			t.Fatalf("after %v told %v", at, response.Commands)
 		}
 	}
-	report.Seq++
+	report.Sequence++
 	raw, err := packed.Marshal(report)
 	if err != nil {
 		t.Fatal(err)
@@ -358,7 +358,7 @@
 		t.Error("renews though nothing is known")
 	}
 	reconciler.renewalLimit.RecordLeaderProgress(reconciler.renewalLimit.NewNonce(now), 3*time.Second)
-	maxRenewal := horizon.Window(45*time.Second, workers.LeaseEnd(20*time.Second))
+	maxRenewal := horizon.Window(45*time.Second, workers.LeaseExpiry(20*time.Second))
 	for after, want := range map[time.Duration]bool{0: true, maxRenewal - 3100*time.Millisecond: true, maxRenewal - 3*time.Second: false, time.Minute: false} {
 		if got := reconciler.CanRenewLeases(now.Add(after)); got != want {
 			t.Errorf("after %v: %v, want %v", after, got, want)
--- a/internal/controller/timeline/look.go
+++ b/internal/controller/timeline/look.go
@@ -17,7 +17,7 @@
 	Placing bool // a takeover is complete
 	Healthy bool // the state service takes changes
 	Teams   map[string]config.Team
-	Fleet   *workers.Fleet
+	Fleet   *workers.Registry
 	Cloud   *fleet.Cloud
 	Order   []plan.Entry // in which jobs get room
 }
@@ -48,14 +48,14 @@
 }
 
 func newSeen(v View) *seen {
-	s := &seen{View: v, up: v.Fleet.Up(), shapes: map[shape]room{}, ahead: map[*jobs.Job]float64{}}
+	s := &seen{View: v, up: v.Fleet.ReportingMachines(), shapes: map[shape]room{}, ahead: map[*jobs.Job]float64{}}
 	for _, m := range s.up {
 		switch {
-		case m.Draining != workers.InUse:
-		case m.HeldFor == nil:
-			s.free += m.CPUs - m.UsedCPU
+		case m.DrainReason != workers.NotDraining:
+		case m.ReservedFor == nil:
+			s.free += m.CPUs - m.UsedCPUs
 		default:
-			s.held += m.CPUs - m.UsedCPU
+			s.held += m.CPUs - m.UsedCPUs
 		}
 	}
 	ahead := 0.0
@@ -81,19 +81,19 @@
 	}
 	r := room{holders: map[*jobs.Job]bool{}}
 	for _, m := range s.up {
-		if !place.Usable(j, m) || m.Holds(j) == 0 {
+		if !place.Usable(j, m) || m.TasksThatFitWhenEmpty(j) == 0 {
 			continue
 		}
 		r.usable = true
-		if m.Fits(j) == 0 {
+		if m.TasksThatFit(j) == 0 {
 			continue
 		}
 		r.freeOrHeld = true
-		if m.HeldFor == nil {
+		if m.ReservedFor == nil {
 			r.free = true
 			break
 		}
-		r.holders[m.HeldFor] = true
+		r.holders[m.ReservedFor] = true
 	}
 	for _, kind := range s.coming {
 		t := s.Cloud.Types[kind.Type]
@@ -150,7 +150,7 @@
 	if now.Before(j.NotBefore) {
 		return LostFailed
 	}
-	if place.TeamRoom(j, s.Teams[j.Team], s.Fleet.Team(j.Team)) == 0 {
+	if place.TeamRoom(j, s.Teams[j.Team], s.Fleet.TeamUsage(j.Team)) == 0 {
 		return TeamLimit
 	}
 	r := s.room(j)
--- a/internal/controller/timeline/timeline_test.go
+++ b/internal/controller/timeline/timeline_test.go
@@ -45,22 +45,22 @@
 func newSite() *site {
 	log := slog.New(slog.DiscardHandler)
 	r := &site{now: time.Unix(10_000, 0), View: View{Placing: true, Healthy: true, Teams: map[string]config.Team{"t": {Name: "t", CPULimit: 100}},
-		Fleet: workers.NewFleet(time.Minute, log), Cloud: fleet.New(1, 2, time.Second, log)}}
+		Fleet: workers.NewRegistry(time.Minute, log), Cloud: fleet.New(1, 2, time.Second, log)}}
 	r.Cloud.Types = map[string]*fleet.Type{"small": {Name: "small", CPUs: 2, Mem: 8, Zones: []string{"a"}}}
 	return r
 }
 
 func (r *site) machine(i int) *workers.Machine {
-	m := r.Fleet.Machine(fmt.Sprintf("vm-%d", i))
-	r.Fleet.Observe(r.now, m, &workers.Report{Machine: m.ID, Type: "small", Zone: "a", Session: 1, Seq: m.Seq + 1}, true, func(string) *jobs.Job { return nil })
-	r.Fleet.Measure(m, place.Size(r.Cloud.Types["small"]), 0, 0)
+	m := r.Fleet.GetOrAdd(fmt.Sprintf("vm-%d", i))
+	r.Fleet.Reconcile(r.now, m, &workers.Heartbeat{Machine: m.ID, Type: "small", Zone: "a", Incarnation: 1, Sequence: m.Sequence + 1}, true, func(string) *jobs.Job { return nil })
+	r.Fleet.SetCapacity(m, place.Size(r.Cloud.Types["small"]), 0, 0)
 	return m
 }
 
 func (r *site) start(m *workers.Machine, j *jobs.Job) *jobs.Attempt {
 	t := j.NextTask()
 	a := &jobs.Attempt{Key: jobs.Key{Job: j.ID, Task: t}, Number: uint64(t + 1), Machine: m.ID, Zone: m.Zone, Job: j, Assigned: r.now}
-	r.Fleet.Place(m, a)
+	r.Fleet.Assign(m, a)
 	return a
 }
 
@@ -90,8 +90,8 @@
 	step(NoMachine, func() { r.Placing = true })
 	step(Booting, func() { r.Cloud.Seen(r.now, "vm-1", "", fleet.Kind{Type: "small", Zone: "a"}) })
 	step(AwaitReport, func() { m = r.machine(1) })
-	step(Held, func() { m.HeldFor = other })
-	step(Behind, func() { m.HeldFor = nil; r.start(m, other); r.start(m, other) })
+	step(Held, func() { m.ReservedFor = other })
+	step(Behind, func() { m.ReservedFor = nil; r.start(m, other); r.start(m, other) })
 	step(Behind, func() {
 		m = r.machine(3)
 		r.Order = []plan.Entry{{Job: other}, {Job: j}}
@@ -103,7 +103,7 @@
 	step(Image, func() { j.SawRunning(a, r.now) })
 	step(Running, func() { j.SawRunning(b, r.now) })
 	step(Running, func() { j.TaskDone(a.Key.Task); j.Detach(a); l.TaskDone(j, a.Key.Task) })
-	step(LostMachine, func() { r.Fleet.Clear(m); j.Again(b.Key.Task); l.Lost(j, b.Key.Task, LostMachine) })
+	step(LostMachine, func() { r.Fleet.ReleaseAll(m); j.Again(b.Key.Task); l.Lost(j, b.Key.Task, LostMachine) })
 	step(LostMachine, func() { b = r.start(m, j) })
 	step(NotDurable, func() { j.SawRunning(b, r.now); j.TaskDone(b.Key.Task); l.TaskDone(j, b.Key.Task); j.Finishing = true })
 	step(StateAway, func() { r.Healthy = false })
@@ -158,12 +158,12 @@
 			case 2:
 				r.Placing, r.Healthy = rapid.Bool().Draw(t, "placing"), rapid.Bool().Draw(t, "healthy")
 			case 3:
-				if j.Waiting() > 0 && m.Fits(j) > 0 {
+				if j.Waiting() > 0 && m.TasksThatFit(j) > 0 {
 					a := r.start(m, j)
 					j.SawRunning(a, r.now)
 				}
 			case 4:
-				for _, e := range r.Fleet.Clear(m) {
+				for _, e := range r.Fleet.ReleaseAll(m) {
 					e.Attempt.Job.Again(e.Attempt.Key.Task)
 					l.Lost(e.Attempt.Job, e.Attempt.Key.Task, Stopped)
 				}
--- a/internal/controller/workers/reach/metrics.go
+++ b/internal/controller/workers/reach/metrics.go
@@ -4,9 +4,9 @@
 
 // Metrics count what links have shown, over all leaderships of a controller.
 type Metrics struct {
-	reports   *prometheus.CounterVec
-	questions *prometheus.CounterVec
-	doubts    *prometheus.CounterVec
+	heartbeats *prometheus.CounterVec
+	probes     *prometheus.CounterVec
+	suspicions *prometheus.CounterVec
 }
 
 // NewMetrics makes the counters and registers them.
@@ -15,14 +15,14 @@
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "gullrudder", Name: name, Help: help}, []string{label})
 	}
 	m := &Metrics{
-		reports:   counter("reports_total", "Reports that came while this controller led, by what they were taken for.", "verdict"),
-		questions: counter("worker_questions_total", "Questions put to workers directly, by whether they were answered.", "outcome"),
-		doubts:    counter("worker_doubts_total", "Machines that were taken for deaf, by the first evidence.", "why"),
+		heartbeats: counter("reports_total", "Reports that came while this controller led, by what they were taken for.", "verdict"),
+		probes:     counter("worker_questions_total", "Questions put to workers directly, by whether they were answered.", "outcome"),
+		suspicions: counter("worker_doubts_total", "Machines that were taken for deaf, by the first evidence.", "why"),
 	}
-	registry.MustRegister(m.reports, m.questions, m.doubts)
+	registry.MustRegister(m.heartbeats, m.probes, m.suspicions)
 	return m
 }
 
-func (m *Metrics) report(v Verdict) {
-	m.reports.WithLabelValues([...]string{"copy", "overtaken", "unproven", "new"}[v]).Inc()
+func (m *Metrics) countHeartbeat(freshness Freshness) {
+	m.heartbeats.WithLabelValues([...]string{"copy", "overtaken", "unproven", "new"}[freshness]).Inc()
 }
--- a/internal/controller/workers/reach/reach.go
+++ b/internal/controller/workers/reach/reach.go
@@ -15,258 +15,260 @@
 	"gullrudder/internal/controller/workers"
 )
 
-// Verdict is what a report is taken for.
-type Verdict int
+// Freshness is what a report is taken for.
+type Freshness int
 
 // Verdicts.
 const (
-	Copy      Verdict = iota // or of a life of the machine that is over: nothing in it counts, and it gets no 200
-	Overtaken                // by its machine's answer to a question of ours: answered, not believed
-	Unproven                 // it may be as old as any: answered, not believed
-	Fresh                    // newer than all that is known of its machine
+	Stale      Freshness = iota // or of a life of the machine that is over: nothing in it counts, and it gets no 200
+	Superseded                  // by its machine's answer to a question of ours: answered, not believed
+	Unverified                  // it may be as old as any: answered, not believed
+	Fresh                       // newer than all that is known of its machine
 )
 
 const (
-	// askAgain is how long a machine has to answer a question before it is asked again.
-	askAgain = time.Second
-	// unheard is after how many questions without an answer a machine counts as silent.
-	unheard = 2
-	// givenUp is how long a worker waits for an answer before it asks another controller. Two reports that
+	// probeInterval is how long a machine has to answer a question before it is asked again.
+	probeInterval = time.Second
+	// maxUnansweredProbes is after how many questions without an answer a machine counts as silent.
+	maxUnansweredProbes = 2
+	// workerResponseTimeout is how long a worker waits for an answer before it asks another controller. Two reports that
 	// come here sooner after one another than prompt show that the first was answered.
-	givenUp = 4 * time.Second
-	prompt  = 3500 * time.Millisecond
-	// deafened is how many answers that did not raise a machine's token show, with questions that were not
+	workerResponseTimeout = 4 * time.Second
+	promptInterval        = 3500 * time.Millisecond
+	// maxIneffectiveResponses is how many answers that did not raise a machine's token show, with questions that were not
 	// answered, that it does not hear them.
-	deafened = 2
+	maxIneffectiveResponses = 2
 )
 
-// Doubt is why a machine may not hear us.
-type Doubt int
+// Suspicion is why a machine may not hear us.
+type Suspicion int
 
 // Doubts.
 const (
-	None         Doubt = iota
-	NoProof            // nothing has shown yet that it does
-	StartsLost         // what it was told to start does not appear
-	SessionEnded       // its session ended though its reports were answered
-	NoAnswer           // a question was not answered
+	NotSuspected     Suspicion = iota
+	Unconfirmed                // nothing has shown yet that it does
+	StartsLost                 // what it was told to start does not appear
+	IncarnationEnded           // its session ended though its reports were answered
+	ProbeUnanswered            // a question was not answered
 )
 
-func (d Doubt) String() string {
+func (d Suspicion) String() string {
 	return [...]string{"none", "not proven yet", "starts do not appear", "its session ended though it was answered", "a question was not answered"}[d]
 }
 
 type link struct {
-	doubt    Doubt
-	since    time.Time // of the doubt, or of counting anew
-	asked    time.Time // when a question was sent last
-	unheard  int       // questions in a row that it did not answer
-	overtook time.Time // when it answered one last
-	session  uint64    // of its newest report
-	seq      uint64
-	reported time.Time // when that came
-	granted  bool      // and was answered
-	deafened int       // answers that have not raised its token
-	reborn   bool      // it has begun to count anew: what comes is not told from copies until its session is a higher one
+	suspicion            Suspicion
+	since                time.Time // of the doubt, or of counting anew
+	lastProbeAt          time.Time // when a question was sent last
+	unansweredProbes     int       // questions in a row that it did not answer
+	lastProbeAnswerAt    time.Time // when it answered one last
+	incarnation          uint64    // of its newest report
+	sequence             uint64
+	lastHeartbeatAt      time.Time // when that came
+	acknowledged         bool      // and was answered
+	ineffectiveResponses int       // answers that have not raised its token
+	countersReset        bool      // it has begun to count anew: what comes is not told from copies until its session is a higher one
 }
 
-// Book keeps the links.
-type Book struct {
-	token uint64
-	lease time.Duration
-	log   *slog.Logger
-	links map[string]*link
-	want  []*workers.Machine // to be asked as soon as can be
+// Tracker keeps the links.
+type Tracker struct {
+	fencingToken  uint64
+	lease         time.Duration
+	log           *slog.Logger
+	links         map[string]*link
+	probeRequests []*workers.Machine // to be asked as soon as can be
 
 	metrics *Metrics
 }
 
-// New makes the book of a new leadership. lease is how long a worker's lease lasts.
-func New(token uint64, lease time.Duration, metrics *Metrics, log *slog.Logger) *Book {
-	return &Book{token: token, lease: lease, metrics: metrics, log: log, links: map[string]*link{}}
+// NewTracker makes the book of a new leadership. lease is how long a worker's lease lasts.
+func NewTracker(fencingToken uint64, lease time.Duration, metrics *Metrics, log *slog.Logger) *Tracker {
+	return &Tracker{fencingToken: fencingToken, lease: lease, metrics: metrics, log: log, links: map[string]*link{}}
 }
 
-func (b *Book) of(m *workers.Machine) *link {
-	l := b.links[m.ID]
+func (t *Tracker) linkOf(machine *workers.Machine) *link {
+	l := t.links[machine.ID]
 	if l == nil {
-		l = &link{doubt: NoProof}
-		b.links[m.ID] = l
+		l = &link{suspicion: Unconfirmed}
+		t.links[machine.ID] = l
 	}
 	return l
 }
 
-// Gone lets go of a machine.
-func (b *Book) Gone(id string) { delete(b.links, id) }
+// Forget lets go of a machine.
+func (t *Tracker) Forget(machineID string) { delete(t.links, machineID) }
 
-// Report says what a report is. It is told of each before anything else is made of it.
-func (b *Book) Report(now time.Time, m *workers.Machine, r *workers.Report) Verdict {
-	v := b.verdict(now, m, r)
-	b.metrics.report(v)
-	return v
+// Classify says what a report is. It is told of each before anything else is made of it.
+func (t *Tracker) Classify(now time.Time, machine *workers.Machine, heartbeat *workers.Heartbeat) Freshness {
+	freshness := t.classify(now, machine, heartbeat)
+	t.metrics.countHeartbeat(freshness)
+	return freshness
 }
 
-func (b *Book) verdict(now time.Time, m *workers.Machine, r *workers.Report) Verdict {
-	l := b.of(m)
-	if m.Up && (l.reborn && r.Session <= m.Session || m.Newer(r) && r.Token < b.token) {
+func (t *Tracker) classify(now time.Time, machine *workers.Machine, heartbeat *workers.Heartbeat) Freshness {
+	l := t.linkOf(machine)
+	if machine.HasReported && (l.countersReset && heartbeat.Incarnation <= machine.Incarnation || machine.IsNewer(heartbeat) && heartbeat.FencingToken < t.fencingToken) {
 		// A worker never forgets a token that it has seen: this one has begun anew. Until its session is a higher
 		// one nothing tells what it sends from what is late of its earlier life, so it gets no 200 and its
 		// session ends.
-		b.born(now, m, l)
-		return Copy
+		t.recordCountersReset(now, machine, l)
+		return Stale
 	}
-	if m.Up && !m.Newer(r) {
-		if r.Session == m.Session && (r.Session > l.session || r.Session == l.session && r.Seq > l.seq) && now.Sub(l.overtook) < givenUp {
-			return Overtaken
+	if machine.HasReported && !machine.IsNewer(heartbeat) {
+		if heartbeat.Incarnation == machine.Incarnation && (heartbeat.Incarnation > l.incarnation || heartbeat.Incarnation == l.incarnation && heartbeat.Sequence > l.sequence) && now.Sub(l.lastProbeAnswerAt) < workerResponseTimeout {
+			return Superseded
 		}
-		return Copy
+		return Stale
 	}
-	if r.Token != b.token && !m.Up {
+	if heartbeat.FencingToken != t.fencingToken && !machine.HasReported {
 		// It may come from before this leadership, and from a machine that is no more. What is there has our token
 		// by the answer, and reports that at once.
-		if l.unheard >= unheard && l.deafened >= deafened {
+		if l.unansweredProbes >= maxUnansweredProbes && l.ineffectiveResponses >= maxIneffectiveResponses {
 			// It was answered, and asked, and nothing has reached it: with a 200 each time its lease would never
 			// be over for certain, and a takeover would wait for it for ever.
-			return Copy
+			return Stale
 		}
-		l.deafened++
-		return Unproven
+		l.ineffectiveResponses++
+		return Unverified
 	}
-	b.newer(now, m, l, r)
+	t.recordFresh(now, machine, l, heartbeat)
 	return Fresh
 }
 
-// born takes in that the machine counts anew. What runs there is gone once an answer to a question tells so, or
+// recordCountersReset takes in that the machine counts anew. What runs there is gone once an answer to a question tells so, or
 // its lease is over.
-func (b *Book) born(now time.Time, m *workers.Machine, l *link) {
-	if !l.reborn {
-		l.reborn, l.since = true, now
-		b.log.Info("a machine has begun to count its sessions anew", "machine", m.ID, "session", m.Session)
-		b.want = append(b.want, m)
+func (t *Tracker) recordCountersReset(now time.Time, machine *workers.Machine, l *link) {
+	if !l.countersReset {
+		l.countersReset, l.since = true, now
+		t.log.Info("a machine has begun to count its sessions anew", "machine", machine.ID, "session", machine.Incarnation)
+		t.probeRequests = append(t.probeRequests, machine)
 	}
-	m.Unreached = true
+	machine.IsUnreachable = true
 }
 
-// newer takes in a report that is newer than all before.
-func (b *Book) newer(now time.Time, m *workers.Machine, l *link, r *workers.Report) {
-	same := r.Session == l.session
+// recordFresh takes in a report that is newer than all before.
+func (t *Tracker) recordFresh(now time.Time, machine *workers.Machine, l *link, heartbeat *workers.Heartbeat) {
+	sameIncarnation := heartbeat.Incarnation == l.incarnation
 	switch {
-	case m.Up && !same && l.session != 0 && now.Sub(m.Answered) < b.lease*4/5 && !l.reborn:
-		b.doubts(now, m, l, SessionEnded)
-		b.want = append(b.want, m)
-	case l.doubt == NoProof && r.Token == b.token:
-		b.trust(m, l)
-	case l.doubt != None && same && l.granted && now.Sub(l.reported) < prompt && l.reported.After(l.since):
-		b.trust(m, l)
-	case l.doubt != None:
-		b.want = append(b.want, m)
+	case machine.HasReported && !sameIncarnation && l.incarnation != 0 && now.Sub(machine.LeaseRenewedAt) < t.lease*4/5 && !l.countersReset:
+		t.suspect(now, machine, l, IncarnationEnded)
+		t.probeRequests = append(t.probeRequests, machine)
+	case l.suspicion == Unconfirmed && heartbeat.FencingToken == t.fencingToken:
+		t.confirmReachable(machine, l)
+	case l.suspicion != NotSuspected && sameIncarnation && l.acknowledged && now.Sub(l.lastHeartbeatAt) < promptInterval && l.lastHeartbeatAt.After(l.since):
+		t.confirmReachable(machine, l)
+	case l.suspicion != NotSuspected:
+		t.probeRequests = append(t.probeRequests, machine)
 	}
-	l.session, l.seq, l.reported, l.granted, l.reborn = r.Session, r.Seq, now, false, false
-	m.Heard = now
-	m.Unreached = l.doubt != None && l.unheard > 0
+	l.incarnation, l.sequence, l.lastHeartbeatAt, l.acknowledged, l.countersReset = heartbeat.Incarnation, heartbeat.Sequence, now, false, false
+	machine.LastContactAt = now
+	machine.IsUnreachable = l.suspicion != NotSuspected && l.unansweredProbes > 0
 }
 
-// Newest reports whether it is the newest report of its machine: only its answer has starts.
-func (b *Book) Newest(m *workers.Machine, r *workers.Report) bool {
-	l := b.of(m)
-	return r.Session == l.session && r.Seq == l.seq
+// IsNewest reports whether it is the newest report of its machine: only its answer has starts.
+func (t *Tracker) IsNewest(machine *workers.Machine, heartbeat *workers.Heartbeat) bool {
+	l := t.linkOf(machine)
+	return heartbeat.Incarnation == l.incarnation && heartbeat.Sequence == l.sequence
 }
 
-// Answered takes in that the machine's newest report gets a 200.
-func (b *Book) Answered(m *workers.Machine) { b.of(m).granted = true }
+// RecordAcknowledged takes in that the machine's newest report gets a 200.
+func (t *Tracker) RecordAcknowledged(machine *workers.Machine) { t.linkOf(machine).acknowledged = true }
 
-// Ended takes in the attempts that a report of the machine has shown to be gone.
-func (b *Book) Ended(now time.Time, m *workers.Machine, list []workers.Ended) {
-	for _, e := range list {
-		if e.Why == workers.Lost && e.Attempt.Seen == 0 && !e.Attempt.Unsent {
-			b.doubts(now, m, b.of(m), StartsLost)
-			b.want = append(b.want, m)
+// RecordEnded takes in the attempts that a report of the machine has shown to be gone.
+func (t *Tracker) RecordEnded(now time.Time, machine *workers.Machine, ended []workers.EndedAttempt) {
+	for _, attempt := range ended {
+		if attempt.Reason == workers.ReasonLost && attempt.Attempt.Seen == 0 && !attempt.Attempt.Unsent {
+			t.suspect(now, machine, t.linkOf(machine), StartsLost)
+			t.probeRequests = append(t.probeRequests, machine)
 			return
 		}
 	}
 }
 
-func (b *Book) doubts(now time.Time, m *workers.Machine, l *link, d Doubt) {
-	if l.doubt == None || l.doubt == NoProof {
+func (t *Tracker) suspect(now time.Time, machine *workers.Machine, l *link, suspicion Suspicion) {
+	if l.suspicion == NotSuspected || l.suspicion == Unconfirmed {
 		l.since = now
-		b.metrics.doubts.WithLabelValues(d.String()).Inc()
-		b.log.Debug("a machine may not hear us", "machine", m.ID, "why", d.String())
+		t.metrics.suspicions.WithLabelValues(suspicion.String()).Inc()
+		t.log.Debug("a machine may not hear us", "machine", machine.ID, "why", suspicion.String())
 	}
-	l.doubt = d
+	l.suspicion = suspicion
 }
 
-func (b *Book) trust(m *workers.Machine, l *link) {
-	l.doubt, l.unheard, l.deafened = None, 0, 0
-	m.Unreached = l.reborn
+func (t *Tracker) confirmReachable(machine *workers.Machine, l *link) {
+	l.suspicion, l.unansweredProbes, l.ineffectiveResponses = NotSuspected, 0, 0
+	machine.IsUnreachable = l.countersReset
 }
 
-// Hears reports whether there is evidence that the machine hears us: if not it gets no starts.
-func (b *Book) Hears(m *workers.Machine) bool {
-	l := b.of(m)
-	return l.doubt == None && !l.reborn
+// IsReachable reports whether there is evidence that the machine hears us: if not it gets no starts.
+func (t *Tracker) IsReachable(machine *workers.Machine) bool {
+	l := t.linkOf(machine)
+	return l.suspicion == NotSuspected && !l.countersReset
 }
 
-// Doubted reports whether something has shown that the machine may not hear us.
-func (b *Book) Doubted(m *workers.Machine) bool {
-	l := b.links[m.ID]
-	return l != nil && (l.doubt > NoProof || l.reborn)
+// IsSuspected reports whether something has shown that the machine may not hear us.
+func (t *Tracker) IsSuspected(machine *workers.Machine) bool {
+	l := t.links[machine.ID]
+	return l != nil && (l.suspicion > Unconfirmed || l.countersReset)
 }
 
-// Wanted are the machines that are to be asked as soon as can be: what they hear is in doubt.
-func (b *Book) Wanted() []*workers.Machine {
-	list := b.want
-	b.want = nil
-	return list
+// TakeProbeRequests are the machines that are to be asked as soon as can be: what they hear is in doubt.
+func (t *Tracker) TakeProbeRequests() []*workers.Machine {
+	machines := t.probeRequests
+	t.probeRequests = nil
+	return machines
 }
 
-// Want has a machine asked as soon as can be, if it could not be.
-func (b *Book) Want(m *workers.Machine) { b.want = append(b.want, m) }
+// RequestProbe has a machine asked as soon as can be, if it could not be.
+func (t *Tracker) RequestProbe(machine *workers.Machine) {
+	t.probeRequests = append(t.probeRequests, machine)
+}
 
-// Due reports whether the machine may be asked now: not again before it has had time to answer.
-func (b *Book) Due(now time.Time, m *workers.Machine) bool {
-	l := b.of(m)
-	return l.asked.IsZero() || now.Sub(l.asked) >= askAgain
+// IsProbeDue reports whether the machine may be asked now: not again before it has had time to answer.
+func (t *Tracker) IsProbeDue(now time.Time, machine *workers.Machine) bool {
+	l := t.linkOf(machine)
+	return l.lastProbeAt.IsZero() || now.Sub(l.lastProbeAt) >= probeInterval
 }
 
-// Question is one that was sent to a machine.
-type Question struct{ session, seq uint64 }
+// Probe is one that was sent to a machine.
+type Probe struct{ incarnation, sequence uint64 }
 
-// Ask takes in that a question is sent to the machine.
-func (b *Book) Ask(now time.Time, m *workers.Machine) Question {
-	b.of(m).asked = now
-	return Question{m.Session, m.Seq}
+// StartProbe takes in that a question is sent to the machine.
+func (t *Tracker) StartProbe(now time.Time, machine *workers.Machine) Probe {
+	t.linkOf(machine).lastProbeAt = now
+	return Probe{machine.Incarnation, machine.Sequence}
 }
 
-// Answer takes in a machine's answer to a question: it hears us, and its report is certainly newer than all that
+// ProbeAnswered takes in a machine's answer to a question: it hears us, and its report is certainly newer than all that
 // was known when the question was sent. If its numbers say otherwise it has begun to count anew, and all that
 // ran there before is gone: no answer to a report of its earlier life reaches it.
-func (b *Book) Answer(now time.Time, m *workers.Machine, q Question, r *workers.Report) (reborn bool) {
-	l := b.of(m)
-	m.Heard, l.overtook = now, now
-	b.metrics.questions.WithLabelValues("answered").Inc()
-	l.unheard = 0
-	if m.Up && (r.Session < q.session || r.Session == q.session && r.Seq <= q.seq) {
-		b.born(now, m, l)
+func (t *Tracker) ProbeAnswered(now time.Time, machine *workers.Machine, probe Probe, heartbeat *workers.Heartbeat) (countersReset bool) {
+	l := t.linkOf(machine)
+	machine.LastContactAt, l.lastProbeAnswerAt = now, now
+	t.metrics.probes.WithLabelValues("answered").Inc()
+	l.unansweredProbes = 0
+	if machine.HasReported && (heartbeat.Incarnation < probe.incarnation || heartbeat.Incarnation == probe.incarnation && heartbeat.Sequence <= probe.sequence) {
+		t.recordCountersReset(now, machine, l)
 		return true
 	}
-	if r.Token == b.token {
-		b.trust(m, l)
+	if heartbeat.FencingToken == t.fencingToken {
+		t.confirmReachable(machine, l)
 	}
 	return false
 }
 
-// NoAnswer takes in that a machine did not answer a question.
-func (b *Book) NoAnswer(now time.Time, m *workers.Machine) {
-	l := b.of(m)
-	b.metrics.questions.WithLabelValues("not answered").Inc()
-	l.unheard++
-	if l.doubt != NoProof {
-		b.doubts(now, m, l, NoAnswer)
+// ProbeFailed takes in that a machine did not answer a question.
+func (t *Tracker) ProbeFailed(now time.Time, machine *workers.Machine) {
+	l := t.linkOf(machine)
+	t.metrics.probes.WithLabelValues("not answered").Inc()
+	l.unansweredProbes++
+	if l.suspicion != Unconfirmed {
+		t.suspect(now, machine, l, ProbeUnanswered)
 	}
 }
 
-// Silent reports whether the machine answers no questions, or counts anew for so long that it is better given
+// IsUnresponsive reports whether the machine answers no questions, or counts anew for so long that it is better given
 // back: sessions that it had before have to end one by one.
-func (b *Book) Silent(now time.Time, m *workers.Machine) bool {
-	l := b.links[m.ID]
-	return l != nil && (l.unheard >= unheard || l.reborn && now.Sub(l.since) > 2*b.lease)
+func (t *Tracker) IsUnresponsive(now time.Time, machine *workers.Machine) bool {
+	l := t.links[machine.ID]
+	return l != nil && (l.unansweredProbes >= maxUnansweredProbes || l.countersReset && now.Sub(l.since) > 2*t.lease)
 }
--- a/internal/controller/workers/workers.go
+++ b/internal/controller/workers/workers.go
@@ -13,356 +13,360 @@
 type Machine struct {
 	ID, Addr, Type, Zone string
 	Spot                 bool
-	CPUs, Cards, Mem     float64 // 0 until the type is known
-
-	Session, Seq uint64
-	Up           bool      // has reported to this leadership
-	Accounted    bool      // its tasks are known to this leadership
-	Answered     time.Time // when we last sent it a 200
-	Heard        time.Time // when it last lived for certain: a new report, or an answer to a question (set by reach)
-	Unreached    bool      // it reports, and seems to hear nothing of us (set by reach)
-	Attempts     map[jobs.Key]*jobs.Attempt
-	UsedCPU      float64
-	UsedCards    float64
-	UsedMem      float64
-
-	Rostered  bool      // the ledger says that it may hold tasks
-	Enrolling bool      // that is on its way into the ledger
-	NoticeAt  time.Time // when the cloud takes it away; zero: no notice
-	Draining  Drain
-	IdleSince time.Time
-	RoomFrom  time.Time       // no start before this, after a refusal for room
-	Failed    map[string]bool // jobs that ended here with an error
-	HeldFor   *jobs.Job       // the job that its free room is held for
-	Ear       bool            // kept, though silent, to tell of its zone's return
-	Store     Store           // for images
-
-	level, slot int // where it stands in the fleet's levels; level 0: nowhere
+	CPUs, GPUs, MemoryGB float64 // 0 until the type is known
+
+	Incarnation, Sequence uint64
+	HasReported           bool      // has reported to this leadership
+	Reconciled            bool      // its tasks are known to this leadership
+	LeaseRenewedAt        time.Time // when we last sent it a 200
+	LastContactAt         time.Time // when it last lived for certain: a new report, or an answer to a question (set by reach)
+	IsUnreachable         bool      // it reports, and seems to hear nothing of us (set by reach)
+	Attempts              map[jobs.Key]*jobs.Attempt
+	UsedCPUs              float64
+	UsedGPUs              float64
+	UsedMemoryGB          float64
+
+	Registered      bool      // the ledger says that it may hold tasks
+	Registering     bool      // that is on its way into the ledger
+	ReclaimAt       time.Time // when the cloud takes it away; zero: no notice
+	DrainReason     DrainReason
+	IdleSince       time.Time
+	StartsNotBefore time.Time       // no start before this, after a refusal for room
+	FailedJobs      map[string]bool // jobs that ended here with an error
+	ReservedFor     *jobs.Job       // the job that its free room is held for
+	IsSentinel      bool            // kept, though silent, to tell of its zone's return
+	ImageCache      ImageCache      // for images
+
+	bucket, bucketIndex int // where it stands in the fleet's levels; level 0: nowhere
 }
 
-const grain = 1e-6
+const resourceEpsilon = 1e-6
 
-// Room is what tasks take or find on a machine.
-type Room struct{ CPUs, Cards, Mem float64 }
+// Resources is what tasks take or find on a machine.
+type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// Fits is how many tasks of the job there is room for.
-func (r Room) Fits(j *jobs.Job) int {
-	n := fits(j.Tasks, j.CPUs, r.CPUs)
-	n = fits(n, j.Cards, r.Cards)
-	return max(fits(n, j.Mem, r.Mem), 0)
+// TasksThatFit is how many tasks of the job there is room for.
+func (r Resources) TasksThatFit(j *jobs.Job) int {
+	count := limitByResource(j.Tasks, j.CPUs, r.CPUs)
+	count = limitByResource(count, j.Cards, r.GPUs)
+	return max(limitByResource(count, j.Mem, r.MemoryGB), 0)
 }
 
-func fits(n int, need, free float64) int {
+func limitByResource(count int, need, available float64) int {
 	if need <= 0 {
-		return n
+		return count
 	}
-	return min(n, int((free+grain)/need))
+	return min(count, int((available+resourceEpsilon)/need))
 }
 
-// Take is the room that is left beside so many tasks of the job.
-func (r Room) Take(j *jobs.Job, tasks int) Room {
-	k := float64(tasks)
-	return Room{r.CPUs - k*j.CPUs, r.Cards - k*j.Cards, r.Mem - k*j.Mem}
+// AfterPlacing is the room that is left beside so many tasks of the job.
+func (r Resources) AfterPlacing(j *jobs.Job, tasks int) Resources {
+	count := float64(tasks)
+	return Resources{r.CPUs - count*j.CPUs, r.GPUs - count*j.Cards, r.MemoryGB - count*j.Mem}
 }
 
-// Free is the room that is not taken.
-func (m *Machine) Free() Room {
-	return Room{m.CPUs - m.UsedCPU, m.Cards - m.UsedCards, m.Mem - m.UsedMem}
+// Available is the room that is not taken.
+func (m *Machine) Available() Resources {
+	return Resources{m.CPUs - m.UsedCPUs, m.GPUs - m.UsedGPUs, m.MemoryGB - m.UsedMemoryGB}
 }
 
-// Fits is how many more tasks of the job the machine has room for.
-func (m *Machine) Fits(j *jobs.Job) int { return m.Free().Fits(j) }
+// TasksThatFit is how many more tasks of the job the machine has room for.
+func (m *Machine) TasksThatFit(j *jobs.Job) int { return m.Available().TasksThatFit(j) }
 
-// Holds is how many tasks of the job the machine has room for when nothing else runs.
-func (m *Machine) Holds(j *jobs.Job) int { return Room{m.CPUs, m.Cards, m.Mem}.Fits(j) }
+// TasksThatFitWhenEmpty is how many tasks of the job the machine has room for when nothing else runs.
+func (m *Machine) TasksThatFitWhenEmpty(j *jobs.Job) int {
+	return Resources{m.CPUs, m.GPUs, m.MemoryGB}.TasksThatFit(j)
+}
 
-func (m *Machine) add(a *jobs.Attempt) {
-	m.Attempts[a.Key] = a
-	if a.Job != nil {
-		m.Store.Use(a.Job.Image, a.Job.ImageGB)
-		m.UsedCPU += a.Job.CPUs
-		m.UsedCards += a.Job.Cards
-		m.UsedMem += a.Job.Mem
+func (m *Machine) addAttempt(attempt *jobs.Attempt) {
+	m.Attempts[attempt.Key] = attempt
+	if attempt.Job != nil {
+		m.ImageCache.RecordUse(attempt.Job.Image, attempt.Job.ImageGB)
+		m.UsedCPUs += attempt.Job.CPUs
+		m.UsedGPUs += attempt.Job.Cards
+		m.UsedMemoryGB += attempt.Job.Mem
 	}
 }
 
-func (m *Machine) remove(a *jobs.Attempt) {
-	if m.Attempts[a.Key] != a {
+func (m *Machine) removeAttempt(attempt *jobs.Attempt) {
+	if m.Attempts[attempt.Key] != attempt {
 		return
 	}
-	delete(m.Attempts, a.Key)
-	if a.Job != nil {
-		m.UsedCPU -= a.Job.CPUs
-		m.UsedCards -= a.Job.Cards
-		m.UsedMem -= a.Job.Mem
+	delete(m.Attempts, attempt.Key)
+	if attempt.Job != nil {
+		m.UsedCPUs -= attempt.Job.CPUs
+		m.UsedGPUs -= attempt.Job.Cards
+		m.UsedMemoryGB -= attempt.Job.Mem
 	}
 	if len(m.Attempts) == 0 {
-		m.UsedCPU, m.UsedCards, m.UsedMem = 0, 0, 0
+		m.UsedCPUs, m.UsedGPUs, m.UsedMemoryGB = 0, 0, 0
 	}
 }
 
 // Usage is what a team's tasks take, counting those whose fate is unknown.
-type Usage struct{ CPUs, Cards float64 }
+type Usage struct{ CPUs, GPUs float64 }
 
-// Lookup finds a job by its id: nil if there is none that is unfinished.
-type Lookup func(id string) *jobs.Job
+// JobLookup finds a job by its id: nil if there is none that is unfinished.
+type JobLookup func(id string) *jobs.Job
 
-// Ended is an attempt that is known to be gone.
-type Ended struct {
-	Attempt *jobs.Attempt
-	Why     string // as reported; "lost" if the machine just lacks it
-	Saved   bool
+// EndedAttempt is an attempt that is known to be gone.
+type EndedAttempt struct {
+	Attempt         *jobs.Attempt
+	Reason          string // as reported; "lost" if the machine just lacks it
+	CheckpointSaved bool
 }
 
-// Lost is the reason of an attempt that is gone without a word.
-const Lost = "lost"
+// ReasonLost is the reason of an attempt that is gone without a word.
+const ReasonLost = "lost"
 
-// margin is added to every span after which something is taken for gone.
-const margin = 500 * time.Millisecond
+// leaseMargin is added to every span after which something is taken for gone.
+const leaseMargin = 500 * time.Millisecond
 
-// LeaseEnd is how long after our last 200 a worker's tasks may still be there. The worker counts
+// LeaseExpiry is how long after our last 200 a worker's tasks may still be there. The worker counts
 // from when it sent the report, which was before; its clock may run slow.
-func LeaseEnd(lease time.Duration) time.Duration { return lease + lease/500 + margin }
-
-// Fleet is all machines that this leadership knows.
-type Fleet struct {
-	Machines map[string]*Machine
-	Teams    map[string]*Usage
-	levels   [Levels + 1][]*Machine // the machines that are up, by how full they are
-	looks    uint64                 // reports taken in
-	lease    time.Duration
-	log      *slog.Logger
+func LeaseExpiry(lease time.Duration) time.Duration { return lease + lease/500 + leaseMargin }
+
+// Registry is all machines that this leadership knows.
+type Registry struct {
+	Machines       map[string]*Machine
+	UsageByTeam    map[string]*Usage
+	buckets        [BucketCount + 1][]*Machine // the machines that are up, by how full they are
+	reconcileCount uint64                      // reports taken in
+	lease          time.Duration
+	log            *slog.Logger
 }
 
-// NewFleet makes an empty one. lease is how long a machine's tasks may outlive the last
+// NewRegistry makes an empty one. lease is how long a machine's tasks may outlive the last
 // 200 that it was sent, margin included.
-func NewFleet(lease time.Duration, log *slog.Logger) *Fleet {
-	return &Fleet{Machines: map[string]*Machine{}, Teams: map[string]*Usage{}, lease: lease, log: log}
+func NewRegistry(lease time.Duration, log *slog.Logger) *Registry {
+	return &Registry{Machines: map[string]*Machine{}, UsageByTeam: map[string]*Usage{}, lease: lease, log: log}
 }
 
 // Lease is how long a machine's tasks may outlive the last 200 that it was sent, margin included.
-func (f *Fleet) Lease() time.Duration { return f.lease }
-
-// Machine finds or makes a machine.
-func (f *Fleet) Machine(id string) *Machine {
-	m := f.Machines[id]
-	if m == nil {
-		m = &Machine{ID: id, Attempts: map[jobs.Key]*jobs.Attempt{}, Failed: map[string]bool{}}
-		f.Machines[id] = m
+func (r *Registry) Lease() time.Duration { return r.lease }
+
+// GetOrAdd finds or makes a machine.
+func (r *Registry) GetOrAdd(id string) *Machine {
+	machine := r.Machines[id]
+	if machine == nil {
+		machine = &Machine{ID: id, Attempts: map[jobs.Key]*jobs.Attempt{}, FailedJobs: map[string]bool{}}
+		r.Machines[id] = machine
 	}
-	return m
+	return machine
 }
 
-// Sorted lists the machines by name.
-func (f *Fleet) Sorted() []*Machine {
-	list := make([]*Machine, 0, len(f.Machines))
-	for _, m := range f.Machines {
-		list = append(list, m)
+// MachinesByName lists the machines by name.
+func (r *Registry) MachinesByName() []*Machine {
+	machines := make([]*Machine, 0, len(r.Machines))
+	for _, m := range r.Machines {
+		machines = append(machines, m)
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
-	return list
+	sort.Slice(machines, func(i, j int) bool { return machines[i].ID < machines[j].ID })
+	return machines
 }
 
-// Levels is into how many groups the machines that are up are divided by the share of their
+// BucketCount is into how many groups the machines that are up are divided by the share of their
 // CPUs that is taken. On the last one no CPU is free.
-const Levels = 17
+const BucketCount = 17
 
-// Level lists the machines of a level, 1 to Levels. It is for looking only.
-func (f *Fleet) Level(level int) []*Machine { return f.levels[level] }
+// MachinesInBucket lists the machines of a level, 1 to Levels. It is for looking only.
+func (r *Registry) MachinesInBucket(bucket int) []*Machine { return r.buckets[bucket] }
 
-// Up lists the machines that are up, the emptiest levels first.
-func (f *Fleet) Up() []*Machine { return slices.Concat(f.levels[1:]...) }
+// ReportingMachines lists the machines that are up, the emptiest levels first.
+func (r *Registry) ReportingMachines() []*Machine { return slices.Concat(r.buckets[1:]...) }
 
-// LevelOf is the level of a machine, 0 if it is on none.
-func (m *Machine) LevelOf() int { return m.level }
+// UtilizationBucket is the level of a machine, 0 if it is on none.
+func (m *Machine) UtilizationBucket() int { return m.bucket }
 
-// arrange puts a machine on the level where it belongs now.
-func (f *Fleet) arrange(m *Machine) {
-	level := 0
+// updateBucket puts a machine on the level where it belongs now.
+func (r *Registry) updateBucket(machine *Machine) {
+	bucket := 0
 	switch {
-	case !m.Up || m.CPUs+m.Mem == 0:
-	case m.CPUs-m.UsedCPU < grain:
-		level = Levels
+	case !machine.HasReported || machine.CPUs+machine.MemoryGB == 0:
+	case machine.CPUs-machine.UsedCPUs < resourceEpsilon:
+		bucket = BucketCount
 	default:
-		level = 1 + min(int(max(m.UsedCPU, 0)/m.CPUs*(Levels-1)), Levels-2)
+		bucket = 1 + min(int(max(machine.UsedCPUs, 0)/machine.CPUs*(BucketCount-1)), BucketCount-2)
 	}
-	if level == m.level {
+	if bucket == machine.bucket {
 		return
 	}
-	if list := f.levels[m.level]; m.level > 0 {
-		last := list[len(list)-1]
-		list[m.slot], last.slot = last, m.slot
-		f.levels[m.level] = list[:len(list)-1]
+	if members := r.buckets[machine.bucket]; machine.bucket > 0 {
+		last := members[len(members)-1]
+		members[machine.bucketIndex], last.bucketIndex = last, machine.bucketIndex
+		r.buckets[machine.bucket] = members[:len(members)-1]
 	}
-	m.level = level
-	if level > 0 {
-		m.slot = len(f.levels[level])
-		f.levels[level] = append(f.levels[level], m)
+	machine.bucket = bucket
+	if bucket > 0 {
+		machine.bucketIndex = len(r.buckets[bucket])
+		r.buckets[bucket] = append(r.buckets[bucket], machine)
 	}
 }
 
-// Measure records what the machine has.
-func (f *Fleet) Measure(m *Machine, r Room, cacheGB, fetchRate float64) {
-	m.CPUs, m.Cards, m.Mem = r.CPUs, r.Cards, r.Mem
-	m.Store.SizeGB, m.Store.Rate = cacheGB, fetchRate
-	f.arrange(m)
+// SetCapacity records what the machine has.
+func (r *Registry) SetCapacity(machine *Machine, capacity Resources, cacheGB, fetchRate float64) {
+	machine.CPUs, machine.GPUs, machine.MemoryGB = capacity.CPUs, capacity.GPUs, capacity.MemoryGB
+	machine.ImageCache.SizeGB, machine.ImageCache.FetchRate = cacheGB, fetchRate
+	r.updateBucket(machine)
 }
 
 // Remove lets go of a machine that is gone, after Clear.
-func (f *Fleet) Remove(m *Machine) {
-	m.Up = false
-	f.arrange(m)
-	delete(f.Machines, m.ID)
+func (r *Registry) Remove(machine *Machine) {
+	machine.HasReported = false
+	r.updateBucket(machine)
+	delete(r.Machines, machine.ID)
 }
 
-// Team is the usage of a team.
-func (f *Fleet) Team(name string) *Usage {
-	u := f.Teams[name]
-	if u == nil {
-		u = &Usage{}
-		f.Teams[name] = u
+// TeamUsage is the usage of a team.
+func (r *Registry) TeamUsage(name string) *Usage {
+	usage := r.UsageByTeam[name]
+	if usage == nil {
+		usage = &Usage{}
+		r.UsageByTeam[name] = usage
 	}
-	return u
+	return usage
 }
 
-// Place records an attempt that is about to be started on the machine.
-func (f *Fleet) Place(m *Machine, a *jobs.Attempt) {
-	m.add(a)
-	f.arrange(m)
-	if a.Job == nil {
+// Assign records an attempt that is about to be started on the machine.
+func (r *Registry) Assign(machine *Machine, attempt *jobs.Attempt) {
+	machine.addAttempt(attempt)
+	r.updateBucket(machine)
+	if attempt.Job == nil {
 		return
 	}
-	u := f.Team(a.Job.Team)
-	u.CPUs += a.Job.CPUs
-	u.Cards += a.Job.Cards
-	if !a.Stray {
-		a.Job.Attach(a)
+	usage := r.TeamUsage(attempt.Job.Team)
+	usage.CPUs += attempt.Job.CPUs
+	usage.GPUs += attempt.Job.Cards
+	if !attempt.Stray {
+		attempt.Job.Attach(attempt)
 	}
 }
 
 // release takes an attempt off its machine: it is known to be gone.
-func (f *Fleet) release(m *Machine, a *jobs.Attempt) {
-	m.remove(a)
-	f.arrange(m)
-	if a.Job == nil {
+func (r *Registry) release(machine *Machine, attempt *jobs.Attempt) {
+	machine.removeAttempt(attempt)
+	r.updateBucket(machine)
+	if attempt.Job == nil {
 		return
 	}
-	u := f.Team(a.Job.Team)
-	u.CPUs -= a.Job.CPUs
-	u.Cards -= a.Job.Cards
-	a.Job.Detach(a)
+	usage := r.TeamUsage(attempt.Job.Team)
+	usage.CPUs -= attempt.Job.CPUs
+	usage.GPUs -= attempt.Job.Cards
+	attempt.Job.Detach(attempt)
 }
 
-// Newer reports whether the report is newer than what is known of its machine.
-func (m *Machine) Newer(r *Report) bool {
-	if !m.Up {
+// IsNewer reports whether the report is newer than what is known of its machine.
+func (m *Machine) IsNewer(heartbeat *Heartbeat) bool {
+	if !m.HasReported {
 		return true
 	}
-	return r.Session > m.Session || r.Session == m.Session && r.Seq > m.Seq
+	return heartbeat.Incarnation > m.Incarnation || heartbeat.Incarnation == m.Incarnation && heartbeat.Sequence > m.Sequence
 }
 
-// Observe takes in a report that is newer than all before. whole is false for the answer
+// Reconcile takes in a report that is newer than all before. whole is false for the answer
 // to a direct command: it may have been made before the worker got the start commands of
 // a response that is still on its way, so a task that it lacks is not gone.
-func (f *Fleet) Observe(now time.Time, m *Machine, r *Report, whole bool, find Lookup) []Ended {
-	if !m.Up {
-		m.Up = true
-		m.IdleSince = now
-		f.arrange(m)
+func (r *Registry) Reconcile(now time.Time, machine *Machine, heartbeat *Heartbeat, complete bool, findJob JobLookup) []EndedAttempt {
+	if !machine.HasReported {
+		machine.HasReported = true
+		machine.IdleSince = now
+		r.updateBucket(machine)
 	}
-	f.looks++
-	newSession := r.Session != m.Session
-	m.Session, m.Seq = r.Session, r.Seq
-	m.Addr, m.Type, m.Zone, m.Spot = r.Addr, r.Type, r.Zone, r.Spot
-	f.notice(now, m, r)
-	var ended []Ended
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		key, err := jobs.ParseKey(t.Task)
+	r.reconcileCount++
+	isNewIncarnation := heartbeat.Incarnation != machine.Incarnation
+	machine.Incarnation, machine.Sequence = heartbeat.Incarnation, heartbeat.Sequence
+	machine.Addr, machine.Type, machine.Zone, machine.Spot = heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
+	r.recordReclaimNotice(now, machine, heartbeat)
+	var ended []EndedAttempt
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		key, err := jobs.ParseKey(status.Task)
 		if err != nil {
-			f.log.Info("a worker reports an impossible task", "machine", m.ID, "task", t.Task)
+			r.log.Info("a worker reports an impossible task", "machine", machine.ID, "task", status.Task)
 			continue
 		}
-		a := m.Attempts[key]
-		if t.State == StateExited {
-			if a != nil && a.Number == t.Attempt {
-				f.release(m, a)
-				ended = append(ended, Ended{a, t.Why, t.Saved})
-			} else if t.Why == WhyDone {
+		attempt := machine.Attempts[key]
+		if status.State == StateExited {
+			if attempt != nil && attempt.Number == status.Attempt {
+				r.release(machine, attempt)
+				ended = append(ended, EndedAttempt{attempt, status.Reason, status.CheckpointSaved})
+			} else if status.Reason == ReasonDone {
 				// Done by an attempt of which we hold nothing, such as one that an
 				// earlier leader started: its result counts all the same.
-				ended = append(ended, Ended{&jobs.Attempt{Key: key, Number: t.Attempt, Machine: m.ID, Zone: m.Zone, Job: find(key.Job)}, WhyDone, false})
+				ended = append(ended, EndedAttempt{&jobs.Attempt{Key: key, Number: status.Attempt, Machine: machine.ID, Zone: machine.Zone, Job: findJob(key.Job)}, ReasonDone, false})
 			}
 			continue
 		}
-		if a == nil || a.Number != t.Attempt {
-			if a != nil {
-				f.release(m, a)
-				ended = append(ended, Ended{a, Lost, false})
+		if attempt == nil || attempt.Number != status.Attempt {
+			if attempt != nil {
+				r.release(machine, attempt)
+				ended = append(ended, EndedAttempt{attempt, ReasonLost, false})
 			}
-			a = f.adopt(now, m, key, t.Attempt, find)
+			attempt = r.adopt(now, machine, key, status.Attempt, findJob)
 		}
-		a.Seen = f.looks
+		attempt.Seen = r.reconcileCount
 		switch {
-		case t.State == StateRunning && a.Job != nil:
-			a.Job.SawRunning(a, now)
-		case t.State == StateSaving:
-			a.Saving = true
+		case status.State == StateRunning && attempt.Job != nil:
+			attempt.Job.SawRunning(attempt, now)
+		case status.State == StateCheckpointing:
+			attempt.Saving = true
 		}
 	}
-	if whole || newSession {
-		for _, a := range m.Attempts {
-			if a.Seen != f.looks && !a.Unsent {
-				f.release(m, a)
-				ended = append(ended, Ended{a, Lost, false})
+	if complete || isNewIncarnation {
+		for _, attempt := range machine.Attempts {
+			if attempt.Seen != r.reconcileCount && !attempt.Unsent {
+				r.release(machine, attempt)
+				ended = append(ended, EndedAttempt{attempt, ReasonLost, false})
 			}
 		}
 	}
-	if len(m.Attempts) > 0 {
-		m.IdleSince = now
+	if len(machine.Attempts) > 0 {
+		machine.IdleSince = now
 	}
 	return ended
 }
 
-func (f *Fleet) notice(now time.Time, m *Machine, r *Report) {
-	if r.Notice == nil {
+func (r *Registry) recordReclaimNotice(now time.Time, machine *Machine, heartbeat *Heartbeat) {
+	if heartbeat.ReclaimInSeconds == nil {
 		return
 	}
-	if m.NoticeAt.IsZero() {
-		f.log.Info("the cloud takes a machine back", "machine", m.ID, "in", *r.Notice)
+	if machine.ReclaimAt.IsZero() {
+		r.log.Info("the cloud takes a machine back", "machine", machine.ID, "in", *heartbeat.ReclaimInSeconds)
 	}
-	m.NoticeAt = now.Add(time.Duration(max(min(*r.Notice, 3600), 0) * float64(time.Second)))
-	if m.Draining == InUse {
-		m.Draining = Noticed
+	machine.ReclaimAt = now.Add(time.Duration(max(min(*heartbeat.ReclaimInSeconds, 3600), 0) * float64(time.Second)))
+	if machine.DrainReason == NotDraining {
+		machine.DrainReason = DrainReclaimed
 	}
 }
 
 // adopt takes in an attempt of which we hold nothing. Unless its task may run here, it
 // is a stray: it holds its place until it is gone, and is to be stopped.
-func (f *Fleet) adopt(now time.Time, m *Machine, key jobs.Key, number uint64, find Lookup) *jobs.Attempt {
-	j := find(key.Job)
-	a := &jobs.Attempt{Key: key, Number: number, Machine: m.ID, Zone: m.Zone, Job: j, Assigned: now}
-	a.Stray = j == nil || key.Task >= j.Tasks || !j.Live() || j.IsDone(key.Task) || j.Active[key.Task] != nil
-	if j != nil && key.Task >= j.Tasks {
-		a.Job = nil
+func (r *Registry) adopt(now time.Time, machine *Machine, key jobs.Key, number uint64, findJob JobLookup) *jobs.Attempt {
+	job := findJob(key.Job)
+	attempt := &jobs.Attempt{Key: key, Number: number, Machine: machine.ID, Zone: machine.Zone, Job: job, Assigned: now}
+	attempt.Stray = job == nil || key.Task >= job.Tasks || !job.Live() || job.IsDone(key.Task) || job.Active[key.Task] != nil
+	if job != nil && key.Task >= job.Tasks {
+		attempt.Job = nil
 	}
-	f.Place(m, a)
-	return a
+	r.Assign(machine, attempt)
+	return attempt
 }
 
-// Unbook takes back an attempt whose start was never sent.
-func (f *Fleet) Unbook(m *Machine, a *jobs.Attempt) { f.release(m, a) }
+// Unassign takes back an attempt whose start was never sent.
+func (r *Registry) Unassign(machine *Machine, attempt *jobs.Attempt) { r.release(machine, attempt) }
 
-// Expired reports whether the worker's lease has ended for certain, so that it holds no
+// IsLeaseExpired reports whether the worker's lease has ended for certain, so that it holds no
 // task any more.
-func (f *Fleet) Expired(now time.Time, m *Machine) bool { return now.Sub(m.Answered) > f.lease }
-
-// Clear takes all attempts off a machine that is known to hold none.
-func (f *Fleet) Clear(m *Machine) []Ended {
-	var ended []Ended
-	for _, a := range m.Attempts {
-		f.release(m, a)
-		ended = append(ended, Ended{a, Lost, false})
+func (r *Registry) IsLeaseExpired(now time.Time, machine *Machine) bool {
+	return now.Sub(machine.LeaseRenewedAt) > r.lease
+}
+
+// ReleaseAll takes all attempts off a machine that is known to hold none.
+func (r *Registry) ReleaseAll(machine *Machine) []EndedAttempt {
+	var ended []EndedAttempt
+	for _, attempt := range machine.Attempts {
+		r.release(machine, attempt)
+		ended = append(ended, EndedAttempt{attempt, ReasonLost, false})
 	}
 	return ended
 }
--- a/internal/standin/account_test.go
+++ b/internal/standin/account_test.go
@@ -43,7 +43,7 @@
 		}
 		key, state := (jobs.Key{Job: j.spec.ID, Task: task}).String(), ""
 		for _, m := range w.Cloud.running() {
-			if t := m.tasks[key]; t != nil && t.state == workers.StateExited && t.why != workers.WhyDone {
+			if t := m.tasks[key]; t != nil && t.state == workers.StateExited && t.why != workers.ReasonDone {
 				r.failed[task] = true
 			} else if t != nil && t.state != workers.StateExited {
 				state = t.state
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -233,17 +233,17 @@
 	}
 	m.whenAwake(func() {
 		m.checkLease()
-		var d workers.Direct
+		var d workers.DirectCommands
 		if packed.Unmarshal(body, &d) != nil {
 			answer(400, nil)
 			return
 		}
 		m.seq++
-		if d.Token < m.token || d.Session != m.session {
+		if d.FencingToken < m.token || d.Incarnation != m.session {
 			answer(409, m.report())
 			return
 		}
-		m.token = d.Token
+		m.token = d.FencingToken
 		m.execute(d.Commands)
 		answer(200, m.report())
 	})
@@ -327,16 +327,16 @@
 	})
 }
 
-func (m *machine) report() workers.Report {
-	r := workers.Report{Machine: m.id, Addr: m.id, Type: m.flavor.Name, Zone: m.zone, Spot: m.spot,
-		Session: m.session, Seq: m.seq, Token: m.token, Tasks: []workers.TaskReport{}}
+func (m *machine) report() workers.Heartbeat {
+	r := workers.Heartbeat{Machine: m.id, Addr: m.id, Type: m.flavor.Name, Zone: m.zone, Spot: m.spot,
+		Incarnation: m.session, Sequence: m.seq, FencingToken: m.token, Tasks: []workers.TaskStatus{}}
 	if !m.notice.IsZero() {
 		left := m.notice.Sub(m.w.Now).Seconds()
-		r.Notice = &left
+		r.ReclaimInSeconds = &left
 	}
 	for _, n := range m.sorted() {
 		t := m.tasks[n]
-		r.Tasks = append(r.Tasks, workers.TaskReport{Task: t.key.String(), Attempt: t.attempt, State: t.state, Why: t.why, Saved: t.saved})
+		r.Tasks = append(r.Tasks, workers.TaskStatus{Task: t.key.String(), Attempt: t.attempt, State: t.state, Reason: t.why, CheckpointSaved: t.saved})
 	}
 	return r
 }
@@ -406,7 +406,7 @@
 		return
 	}
 	if status == 421 {
-		var e workers.Elsewhere
+		var e workers.Redirect
 		if packed.Unmarshal(raw, &e) == nil {
 			for i := range m.w.Opt.Nodes {
 				if nodeName(i) == e.Leader && i != m.target {
@@ -417,18 +417,18 @@
 			}
 		}
 	}
-	var a workers.Answer
+	var a workers.HeartbeatResponse
 	if status != 200 || packed.Unmarshal(raw, &a) != nil {
 		next()
 		return
 	}
 	m.busy = false
 	m.checkLease()
-	if a.Token < m.token || session != m.session {
+	if a.FencingToken < m.token || session != m.session {
 		return
 	}
-	if a.Token > m.token {
-		m.token = a.Token
+	if a.FencingToken > m.token {
+		m.token = a.FencingToken
 		m.soon()
 	}
 	m.granted = sent
@@ -443,7 +443,7 @@
 			return
 		}
 		t := m.tasks[c.Task]
-		switch c.Op {
+		switch c.Operation {
 		case "start":
 			m.begin(key, c)
 		case "kill":
@@ -451,9 +451,9 @@
 				continue
 			}
 			m.w.model.stopped(t)
-			saves := m.w.model.saves(key) && c.Grace != nil && *c.Grace >= 1 && t.state == workers.StateRunning
+			saves := m.w.model.saves(key) && c.GraceSeconds != nil && *c.GraceSeconds >= 1 && t.state == workers.StateRunning
 			if saves {
-				t.state = workers.StateSaving
+				t.state = workers.StateCheckpointing
 				m.later(t, time.Second, func() { m.exit(t, "halted", true) })
 			} else {
 				m.exit(t, "halted", false)
@@ -481,7 +481,7 @@
 	m.tasks[c.Task] = t
 	m.w.model.began(m, t)
 	if m.w.Rng.IntN(60) == 0 {
-		m.exit(t, workers.WhyNoRoom, false)
+		m.exit(t, workers.ReasonNoCapacity, false)
 		return
 	}
 	m.soon()
@@ -495,10 +495,10 @@
 		}
 		m.later(t, run, func() {
 			if fails || !m.w.Opt.Sound && m.w.Rng.IntN(50) == 0 {
-				m.exit(t, workers.WhyError, false)
+				m.exit(t, workers.ReasonError, false)
 				return
 			}
-			m.exit(t, workers.WhyDone, false)
+			m.exit(t, workers.ReasonDone, false)
 		})
 	})
 }
@@ -522,10 +522,10 @@
 		m.w.model.off(m, t)
 	}
 	t.state, t.why, t.saved = workers.StateExited, why, saved
-	if why == workers.WhyError {
+	if why == workers.ReasonError {
 		m.failed[t.key.Job] = true
 	}
-	if why == workers.WhyDone {
+	if why == workers.ReasonDone {
 		m.w.model.taskDone(t.key)
 	}
 	m.soon()
--- a/internal/standin/live/worker.go
+++ b/internal/standin/live/worker.go
@@ -81,12 +81,12 @@
 	}
 }
 
-func (w *worker) report() workers.Report {
+func (w *worker) report() workers.Heartbeat {
 	w.seq++
-	r := workers.Report{Machine: w.id, Addr: w.front.addr(), Type: w.cloud.flavor.Name, Zone: "a", Spot: w.spot, Session: w.session, Seq: w.seq,
-		Token: w.token, Tasks: []workers.TaskReport{}}
+	r := workers.Heartbeat{Machine: w.id, Addr: w.front.addr(), Type: w.cloud.flavor.Name, Zone: "a", Spot: w.spot, Incarnation: w.session, Sequence: w.seq,
+		FencingToken: w.token, Tasks: []workers.TaskStatus{}}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, workers.TaskReport{Task: t.key.String(), Attempt: t.attempt, State: t.state, Why: t.why})
+		r.Tasks = append(r.Tasks, workers.TaskStatus{Task: t.key.String(), Attempt: t.attempt, State: t.state, Reason: t.why})
 	}
 	return r
 }
@@ -115,9 +115,9 @@
 		pause := w.cloud.opt.Report
 		switch {
 		case err == nil && msg.Status == 200:
-			w.take(msg.Body, rep.Session, sent)
+			w.take(msg.Body, rep.Incarnation, sent)
 		case err == nil && msg.Status == 421:
-			var e workers.Elsewhere
+			var e workers.Redirect
 			next := -1
 			if packed.Unmarshal(msg.Body, &e) == nil {
 				next = slices.Index(names, e.Leader)
@@ -154,18 +154,18 @@
 }
 
 func (w *worker) take(body []byte, session uint64, sent time.Time) {
-	var a workers.Answer
+	var a workers.HeartbeatResponse
 	if packed.Unmarshal(body, &a) != nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.checkLease()
-	if w.gone || a.Token < w.token || session != w.session {
+	if w.gone || a.FencingToken < w.token || session != w.session {
 		return
 	}
-	if a.Token > w.token {
-		w.token = a.Token
+	if a.FencingToken > w.token {
+		w.token = a.FencingToken
 		w.changed()
 	}
 	w.granted = sent
@@ -179,14 +179,14 @@
 	if m.Target == "/status" {
 		return 200, w.report()
 	}
-	var d workers.Direct
+	var d workers.DirectCommands
 	if packed.Unmarshal(m.Body, &d) != nil {
 		return 400, nil
 	}
-	if w.gone || d.Token < w.token || d.Session != w.session {
+	if w.gone || d.FencingToken < w.token || d.Incarnation != w.session {
 		return 409, w.report()
 	}
-	w.token = d.Token
+	w.token = d.FencingToken
 	w.execute(d.Commands)
 	return 200, w.report()
 }
@@ -200,7 +200,7 @@
 		}
 		t := w.tasks[c.Task]
 		switch {
-		case c.Op == "start" && (t == nil || t.attempt != c.Attempt):
+		case c.Operation == "start" && (t == nil || t.attempt != c.Attempt):
 			if t != nil && t.state != workers.StateExited {
 				w.cloud.History.broke("%s is started on %s, which has it", c.Task, w.id)
 				continue
@@ -210,12 +210,12 @@
 			w.cloud.History.on(key, c.Attempt, w.id)
 			w.changed()
 			time.AfterFunc(time.Millisecond*time.Duration(10+w.rng.IntN(int(w.cloud.opt.TaskTime.Milliseconds()))), func() { w.finish(t) })
-		case c.Op == "kill" && t != nil && t.attempt == c.Attempt && t.state != workers.StateExited:
+		case c.Operation == "kill" && t != nil && t.attempt == c.Attempt && t.state != workers.StateExited:
 			t.state, t.why = workers.StateExited, "halted"
 			w.cloud.History.off(key, w.id)
 			w.changed()
-		case c.Op == "forget" && t != nil && t.attempt == c.Attempt && t.state == workers.StateExited:
-			if t.why == workers.WhyDone {
+		case c.Operation == "forget" && t != nil && t.attempt == c.Attempt && t.state == workers.StateExited:
+			if t.why == workers.ReasonDone {
 				w.cloud.History.forgotten(key)
 			}
 			delete(w.tasks, c.Task)
@@ -229,7 +229,7 @@
 	if w.gone || w.tasks[t.key.String()] != t || t.state != workers.StateRunning {
 		return
 	}
-	t.state, t.why = workers.StateExited, workers.WhyDone
+	t.state, t.why = workers.StateExited, workers.ReasonDone
 	w.cloud.History.finished(t.key)
 	w.cloud.History.off(t.key, w.id)
 	w.changed()
--- a/internal/standin/rules_test.go
+++ b/internal/standin/rules_test.go
@@ -84,8 +84,8 @@
 	}
 	stale := func() {
 		for _, m := range w.Cloud.running() {
-			raw, err := packed.Marshal(workers.Report{Machine: m.id, Addr: m.id, Type: m.flavor.Name, Zone: m.zone, Spot: m.spot,
-				Session: 1, Seq: 1, Tasks: []workers.TaskReport{}})
+			raw, err := packed.Marshal(workers.Heartbeat{Machine: m.id, Addr: m.id, Type: m.flavor.Name, Zone: m.zone, Spot: m.spot,
+				Incarnation: 1, Sequence: 1, Tasks: []workers.TaskStatus{}})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/standin/troubles_test.go
+++ b/internal/standin/troubles_test.go
@@ -146,8 +146,8 @@
 func TestACopyMakesNoMachine(t *testing.T) {
 	t.Parallel()
 	w, leader := site(t, 1)
-	raw, err := packed.Marshal(workers.Report{Machine: "vm-900000", Addr: "vm-900000", Type: "small", Zone: "a", Session: 1, Seq: 3,
-		Token: w.State.mark(), Tasks: []workers.TaskReport{}})
+	raw, err := packed.Marshal(workers.Heartbeat{Machine: "vm-900000", Addr: "vm-900000", Type: "small", Zone: "a", Incarnation: 1, Sequence: 3,
+		FencingToken: w.State.mark(), Tasks: []workers.TaskStatus{}})
 	if err != nil {
 		t.Fatal(err)
 	}
