--- a/internal/controller/node/node.go
+++ b/internal/controller/node/node.go
@@ -283,10 +283,10 @@
 	placing := l.failover.Completed()
 	if !now.Before(l.nextWaitReasons) {
 		l.nextWaitReasons = now.Add(n.waitReasonsInterval(l.accounting.Open()))
-		l.accounting.Look(now, timeline.View{Placing: placing, Healthy: l.storage.IsHealthy(), Teams: n.teams, Fleet: l.workers, Cloud: l.cloud, Order: l.placer.Last()})
+		l.accounting.Look(now, timeline.View{Placing: placing, Healthy: l.storage.IsHealthy(), Teams: n.teams, Fleet: l.workers, Cloud: l.cloud, Order: l.placer.LastOrder()})
 	}
 	l.jobStore.Save(now, placing)
-	l.planner.Floor().Save(now, l.storage, n.log)
+	l.planner.FairShare().Save(now, l.storage, n.log)
 	l.placer.Tick(now, placing)
 	if placing {
 		l.autoscaler.Tick(now)
@@ -354,34 +354,34 @@
 	machineLinks := reach.NewTracker(fencingToken, n.platform.WorkerLease, n.linkMetrics, n.log)
 	failureHistory := blame.NewTracker()
 	l.jobStore = book.New(book.Components{Platform: n.platform, Options: options, Storage: l.storage, Workers: l.workers, Accounting: l.accounting, Log: n.log})
-	l.placer = place.NewPlacer(place.World{Platform: n.platform, Token: fencingToken, Jobs: l.jobStore.Unfinished, Fleet: l.workers, Planner: l.planner,
-		Room: func(now time.Time) plan.Room { return l.autoscaler.Room(now) }, Box: &n.outbox, Log: n.log})
+	l.placer = place.New(place.Components{Platform: n.platform, FencingToken: fencingToken, Jobs: l.jobStore.Unfinished, Workers: l.workers, Planner: l.planner,
+		Capacity: func(now time.Time) plan.Capacity { return l.autoscaler.Room(now) }, Outbox: &n.outbox, Log: n.log})
 	l.autoscaler = rental.NewDesk(rental.World{Platform: n.platform, Options: options, Token: fencingToken, Since: now, First: func() bool { return l.failover.IsFirstLeader() },
 		Cloud: l.cloud, Fleet: l.workers, Planner: l.planner, Placer: l.placer, Pace: stragglers, Zones: l.zones, Box: &n.outbox, Log: n.log})
 	l.heartbeats = reports.NewHandler(reports.Components{Platform: n.platform, FencingToken: fencingToken, Storage: l.storage, JobStore: l.jobStore, Workers: l.workers, Cloud: l.cloud,
 		Planner: l.planner, Placer: l.placer, Accounting: l.accounting, Stragglers: stragglers, Failures: failureHistory, Reachability: machineLinks, Responder: &n.responder, Log: n.log})
 	l.failover = takeover.New(takeover.Components{Platform: n.platform, FencingToken: fencingToken, ElectedAt: now, Storage: l.storage, JobStore: l.jobStore, DynamicConfig: l.dynamicConfig,
-		Workers: l.workers, Cloud: l.cloud, Heartbeats: l.heartbeats, Placer: l.placer, FairShare: l.planner.Floor(), Zones: l.zones, Reachability: machineLinks, Connectivity: n.election.Connectivity(), RenewalLimit: n.election.RenewalLimit(), Outbox: &n.outbox, Log: n.log})
+		Workers: l.workers, Cloud: l.cloud, Heartbeats: l.heartbeats, Placer: l.placer, FairShare: l.planner.FairShare(), Zones: l.zones, Reachability: machineLinks, Connectivity: n.election.Connectivity(), RenewalLimit: n.election.RenewalLimit(), Outbox: &n.outbox, Log: n.log})
 	l.api = requests.NewDesk(requests.World{Platform: n.platform, Options: options, Ledger: l.storage, Book: l.jobStore, Fleet: l.workers, Cloud: l.cloud,
 		Planner: l.planner, Placer: l.placer, Rental: l.autoscaler, Takeover: l.failover, Times: l.accounting, Blame: failureHistory, Zones: l.zones,
 		Acting: func() bool { return n.leadership == l && n.holdsLease }, Answers: &n.responder, Box: &n.outbox, Log: n.log})
-	l.jobStore.OnOrderChange(l.placer.Changed)
+	l.jobStore.OnOrderChange(l.placer.InvalidateOrder)
 	l.jobStore.OnDone(func(now time.Time, job *jobs.Job) {
 		l.autoscaler.Ended(now, job)
-		l.planner.Floor().Done(now, job)
+		l.planner.FairShare().RecordDone(now, job)
 		l.heartbeats.ForgetJob(job)
 	})
 	l.jobStore.OnWaiting(func(job *jobs.Job) {
-		l.jobStore.DependencyGraph().Hurry(job, l.planner.PerTask, 2*n.platform.ReportEvery, job.Guaranteed)
+		l.jobStore.DependencyGraph().Hurry(job, l.planner.TaskRunTime, 2*n.platform.ReportEvery, job.Guaranteed)
 	})
 	l.jobStore.OnReady(func(now time.Time, job *jobs.Job) {
-		l.placer.Changed()
+		l.placer.InvalidateOrder()
 		l.autoscaler.Accepted(now, job)
 	})
 	l.dynamicConfig.OnChange(func(options config.Options) {
-		l.planner.Tune(options)
+		l.planner.SetOptions(options)
 		l.jobStore.SetOptions(options)
-		l.placer.Changed()
+		l.placer.InvalidateOrder()
 	})
 	return l
 }
--- a/internal/controller/place/gangs.go
+++ b/internal/controller/place/gangs.go
@@ -8,75 +8,75 @@
 	"gullrudder/internal/controller/workers"
 )
 
-// gangPatience is how long a gang may be in part on its machines before it is stopped to
+// gangCompletionTimeout is how long a gang may be in part on its machines before it is stopped to
 // be started anew as a whole.
-const gangPatience = 15 * time.Second
+const gangCompletionTimeout = 15 * time.Second
 
-// gangs books places for gangs: all tasks at once or none. The starts go out with the
+// scheduleGangs books places for gangs: all tasks at once or none. The starts go out with the
 // machines' next reports; until then the places count as taken.
-func (p *Placer) gangs(now time.Time) {
-	p.rank(now)
-	for _, e := range p.order {
-		j := e.Job
-		if !j.Gang || !j.Live() || now.Before(j.NotBefore) {
+func (p *Placer) scheduleGangs(now time.Time) {
+	p.refreshOrder(now)
+	for _, entry := range p.order {
+		job := entry.Job
+		if !job.Gang || !job.Live() || now.Before(job.NotBefore) {
 			continue
 		}
-		if len(j.Active) == 0 {
-			p.bookGang(now, j)
+		if len(job.Active) == 0 {
+			p.placeGang(now, job)
 			continue
 		}
-		p.mendGang(now, j)
+		p.stopPartialGang(now, job)
 	}
 	// What waits to be sent to a machine that is silent, or for a job that must not
 	// start any more, is taken back: it never left.
-	for a, m := range p.booked {
+	for attempt, machine := range p.pendingGangStarts {
 		switch {
-		case m.Attempts[a.Key] != a:
-			delete(p.booked, a) // its machine is gone
-		case m.DrainReason != workers.NotDraining || !a.Job.Live() || now.Sub(a.Assigned) > 2*p.cfg.ReportEvery+time.Second:
-			delete(p.booked, a)
-			p.fleet.Unassign(m, a)
-			a.Job.Again(a.Key.Task)
+		case machine.Attempts[attempt.Key] != attempt:
+			delete(p.pendingGangStarts, attempt) // its machine is gone
+		case machine.DrainReason != workers.NotDraining || !attempt.Job.Live() || now.Sub(attempt.Assigned) > 2*p.platform.ReportEvery+time.Second:
+			delete(p.pendingGangStarts, attempt)
+			p.workers.Unassign(machine, attempt)
+			attempt.Job.Again(attempt.Key.Task)
 		}
 	}
 }
 
-// mendGang stops what is left of a gang of which a part has been missing for too long.
-func (p *Placer) mendGang(now time.Time, j *jobs.Job) {
-	if j.Waiting() == 0 {
+// stopPartialGang stops what is left of a gang of which a part has been missing for too long.
+func (p *Placer) stopPartialGang(now time.Time, job *jobs.Job) {
+	if job.Waiting() == 0 {
 		return
 	}
-	for _, a := range j.Active {
-		if !a.Unsent && a.Stopping.IsZero() && now.Sub(a.Assigned) > gangPatience {
-			a.Stopping = now
+	for _, attempt := range job.Active {
+		if !attempt.Unsent && attempt.Stopping.IsZero() && now.Sub(attempt.Assigned) > gangCompletionTimeout {
+			attempt.Stopping = now
 		}
 	}
 }
 
-// bookGang lays all tasks of a gang on as few machines as can be.
-func (p *Placer) bookGang(now time.Time, j *jobs.Job) {
-	want := j.Waiting()
-	if want == 0 || TeamRoom(j, p.teams[j.Team], p.fleet.TeamUsage(j.Team)) < want {
+// placeGang lays all tasks of a gang on as few machines as can be.
+func (p *Placer) placeGang(now time.Time, job *jobs.Job) {
+	want := job.Waiting()
+	if want == 0 || TasksAllowedByQuota(job, p.teams[job.Team], p.workers.TeamUsage(job.Team)) < want {
 		return
 	}
 	byZone := map[string][]*workers.Machine{}
 	var zones []string
-	for _, m := range p.fleet.MachinesByName() {
-		if m.Reconciled && m.Registered && Usable(j, m) && now.Sub(m.LastContactAt) < 2*p.cfg.ReportEvery && m.TasksThatFit(j) > 0 {
+	for _, m := range p.workers.MachinesByName() {
+		if m.Reconciled && m.Registered && IsEligible(job, m) && now.Sub(m.LastContactAt) < 2*p.platform.ReportEvery && m.TasksThatFit(job) > 0 {
 			if byZone[m.Zone] == nil {
 				zones = append(zones, m.Zone)
 			}
 			byZone[m.Zone] = append(byZone[m.Zone], m)
 		}
 	}
-	zoneRoom := func(list []*workers.Machine) int {
+	zoneCapacity := func(list []*workers.Machine) int {
 		room := 0
 		for _, m := range list {
-			room += m.TasksThatFit(j)
+			room += m.TasksThatFit(job)
 		}
 		return room
 	}
-	sort.SliceStable(zones, func(a, b int) bool { return zoneRoom(byZone[zones[a]]) > zoneRoom(byZone[zones[b]]) })
+	sort.SliceStable(zones, func(a, b int) bool { return zoneCapacity(byZone[zones[a]]) > zoneCapacity(byZone[zones[b]]) })
 	type share struct {
 		m     *workers.Machine
 		count int
@@ -85,13 +85,13 @@
 	left := want
 	for _, z := range zones {
 		list := byZone[z]
-		if j.OneZone && zoneRoom(list) < want {
+		if job.OneZone && zoneCapacity(list) < want {
 			continue
 		}
-		sort.SliceStable(list, func(a, b int) bool { return list[a].TasksThatFit(j) > list[b].TasksThatFit(j) })
-		allowed := min(left, ZoneRoom(j, z))
+		sort.SliceStable(list, func(a, b int) bool { return list[a].TasksThatFit(job) > list[b].TasksThatFit(job) })
+		allowed := min(left, TasksAllowedInZone(job, z))
 		for _, m := range list {
-			if c := min(m.TasksThatFit(j), allowed); c > 0 {
+			if c := min(m.TasksThatFit(job), allowed); c > 0 {
 				shares = append(shares, share{m, c})
 				allowed -= c
 				left -= c
@@ -104,18 +104,18 @@
 	if left > 0 {
 		return
 	}
-	p.log.Debug("gang booked", "job", j.ID, "tasks", want, "machines", len(shares))
+	p.log.Debug("gang booked", "job", job.ID, "tasks", want, "machines", len(shares))
 	// The workers bring the tasks of a gang together by their attempt number.
-	number := p.nextNumber()
+	number := p.nextAttemptNumber()
 	for _, s := range shares {
 		for range s.count {
-			t := j.NextTask()
+			t := job.NextTask()
 			if t < 0 {
 				return
 			}
-			a := p.attempt(now, s.m, j, t, number)
+			a := p.newAttempt(now, s.m, job, t, number)
 			a.Unsent = true
-			p.booked[a] = s.m
+			p.pendingGangStarts[a] = s.m
 		}
 	}
 }
--- a/internal/controller/place/place.go
+++ b/internal/controller/place/place.go
@@ -13,90 +13,92 @@
 	"gullrudder/internal/controller/workers"
 )
 
-const grain = 1e-6
+const resourceTolerance = 1e-6
 
 // KindAllowed reports whether the job may run on such machines at all.
-func KindAllowed(j *jobs.Job, k fleet.Kind) bool {
-	if k.Spot && !j.Spot || j.Zone != "" && j.Zone != k.Zone {
+func KindAllowed(job *jobs.Job, kind fleet.Kind) bool {
+	if kind.Spot && !job.Spot || job.Zone != "" && job.Zone != kind.Zone {
 		return false
 	}
-	if len(j.Types) == 0 {
+	if len(job.Types) == 0 {
 		return true
 	}
-	for _, t := range j.Types {
-		if t == k.Type {
+	for _, machineType := range job.Types {
+		if machineType == kind.Type {
 			return true
 		}
 	}
 	return false
 }
 
-// TypeFits reports whether an empty machine of the type holds one task.
-func TypeFits(j *jobs.Job, t *fleet.Type) bool {
-	return j.CPUs <= t.CPUs+grain && j.Cards <= t.Cards+grain && j.Mem <= t.Mem+grain
+// FitsType reports whether an empty machine of the type holds one task.
+func FitsType(job *jobs.Job, machineType *fleet.Type) bool {
+	return job.CPUs <= machineType.CPUs+resourceTolerance && job.Cards <= machineType.Cards+resourceTolerance && job.Mem <= machineType.Mem+resourceTolerance
 }
 
-// Size is what an empty machine of the type has.
-func Size(t *fleet.Type) workers.Resources {
-	return workers.Resources{CPUs: t.CPUs, GPUs: t.Cards, MemoryGB: t.Mem}
+// TypeResources is what an empty machine of the type has.
+func TypeResources(machineType *fleet.Type) workers.Resources {
+	return workers.Resources{CPUs: machineType.CPUs, GPUs: machineType.Cards, MemoryGB: machineType.Mem}
 }
 
-// PerMachine is how many tasks an empty machine of the type holds.
-func PerMachine(j *jobs.Job, t *fleet.Type) int {
-	return Size(t).TasksThatFit(j)
+// TasksPerMachine is how many tasks an empty machine of the type holds.
+func TasksPerMachine(job *jobs.Job, machineType *fleet.Type) int {
+	return TypeResources(machineType).TasksThatFit(job)
 }
 
-// ZoneRoom is how many more tasks of the job may be put into the zone, given where its
+// TasksAllowedInZone is how many more tasks of the job may be put into the zone, given where its
 // other tasks are or may still be.
-func ZoneRoom(j *jobs.Job, zone string) int {
-	if !j.OneZone && !j.Spread {
-		return j.Tasks
+func TasksAllowedInZone(job *jobs.Job, zone string) int {
+	if !job.OneZone && !job.Spread {
+		return job.Tasks
 	}
-	here, elsewhere := j.InZone(zone)
-	if j.OneZone && elsewhere > 0 {
+	inZone, inOtherZones := job.InZone(zone)
+	if job.OneZone && inOtherZones > 0 {
 		return 0
 	}
-	if j.Spread {
-		return max((j.Tasks+1)/2-here, 0)
+	if job.Spread {
+		return max((job.Tasks+1)/2-inZone, 0)
 	}
-	return j.Tasks
+	return job.Tasks
 }
 
-// TeamRoom is how many more tasks of the job its team's limit allows.
-func TeamRoom(j *jobs.Job, t config.Team, u *workers.Usage) int {
-	n := j.Tasks
-	if t.CPULimit > 0 && j.CPUs > 0 {
-		n = min(n, int(math.Floor((t.CPULimit-u.CPUs+grain)/j.CPUs)))
+// TasksAllowedByQuota is how many more tasks of the job its team's limit allows.
+func TasksAllowedByQuota(job *jobs.Job, team config.Team, usage *workers.Usage) int {
+	tasks := job.Tasks
+	if team.CPULimit > 0 && job.CPUs > 0 {
+		tasks = min(tasks, int(math.Floor((team.CPULimit-usage.CPUs+resourceTolerance)/job.CPUs)))
 	}
-	if t.CardsLimit > 0 && j.Cards > 0 {
-		n = min(n, int(math.Floor((t.CardsLimit-u.GPUs+grain)/j.Cards)))
+	if team.CardsLimit > 0 && job.Cards > 0 {
+		tasks = min(tasks, int(math.Floor((team.CardsLimit-usage.GPUs+resourceTolerance)/job.Cards)))
 	}
-	return max(n, 0)
+	return max(tasks, 0)
 }
 
-// OverLimit reports whether the job can never run within its team's limit.
-func OverLimit(j *jobs.Job, t config.Team) bool {
-	n := 1.0
-	if j.Service || j.Gang {
-		n = float64(j.Tasks)
+// ExceedsQuota reports whether the job can never run within its team's limit.
+func ExceedsQuota(job *jobs.Job, team config.Team) bool {
+	tasks := 1.0
+	if job.Service || job.Gang {
+		tasks = float64(job.Tasks)
 	}
-	return t.CPULimit > 0 && n*j.CPUs > t.CPULimit+grain || t.CardsLimit > 0 && n*j.Cards > t.CardsLimit+grain
+	return team.CPULimit > 0 && tasks*job.CPUs > team.CPULimit+resourceTolerance || team.CardsLimit > 0 && tasks*job.Cards > team.CardsLimit+resourceTolerance
 }
 
-// Kind is the kind of a machine.
-func Kind(m *workers.Machine) fleet.Kind { return fleet.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot} }
+// MachineKind is the kind of a machine.
+func MachineKind(machine *workers.Machine) fleet.Kind {
+	return fleet.Kind{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
+}
 
-// Usable reports whether tasks of the job may be started on the machine if there is room. On one that is kept
+// IsEligible reports whether tasks of the job may be started on the machine if there is room. On one that is kept
 // to tell of its zone's return none may: its room looked free, and nothing was held elsewhere for jobs that
 // had waited long. Nor on one that seems to hear nothing of us.
-func Usable(j *jobs.Job, m *workers.Machine) bool {
-	return m.DrainReason == workers.NotDraining && !m.IsSentinel && !m.IsUnreachable && m.CPUs+m.MemoryGB > 0 && (len(m.FailedJobs) == 0 || !m.FailedJobs[j.ID]) && KindAllowed(j, Kind(m))
+func IsEligible(job *jobs.Job, machine *workers.Machine) bool {
+	return machine.DrainReason == workers.NotDraining && !machine.IsSentinel && !machine.IsUnreachable && machine.CPUs+machine.MemoryGB > 0 && (len(machine.FailedJobs) == 0 || !machine.FailedJobs[job.ID]) && KindAllowed(job, MachineKind(machine))
 }
 
-// Fuller reports whether a is the better place to pack onto than b.
-func Fuller(a, b *workers.Machine) bool {
-	fa, fb := a.UsedCPUs/max(a.CPUs, grain), b.UsedCPUs/max(b.CPUs, grain)
-	if math.Abs(fa-fb) > grain {
+// IsFuller reports whether a is the better place to pack onto than b.
+func IsFuller(a, b *workers.Machine) bool {
+	fa, fb := a.UsedCPUs/max(a.CPUs, resourceTolerance), b.UsedCPUs/max(b.CPUs, resourceTolerance)
+	if math.Abs(fa-fb) > resourceTolerance {
 		return fa > fb
 	}
 	if a.CPUs != b.CPUs {
--- a/internal/controller/place/placer.go
+++ b/internal/controller/place/placer.go
@@ -19,191 +19,191 @@
 // what a machine starts when it reports. It owns the order, the holds and the booked places of
 // gangs; a leader makes it at its election. Starts leave it as commands for a report's response.
 type Placer struct {
-	cfg     *config.Platform
-	teams   map[string]config.Team
-	log     *slog.Logger
-	box     *outbox.Box
-	token   uint64
-	counter uint64
-	jobs    map[string]*jobs.Job // the book's, for looking only
-	fleet   *workers.Registry
-	planner *plan.Planner
-	room    func(time.Time) plan.Room
+	platform       *config.Platform
+	teams          map[string]config.Team
+	log            *slog.Logger
+	outbox         *outbox.Box
+	fencingToken   uint64
+	attemptCounter uint64
+	jobs           map[string]*jobs.Job // the book's, for looking only
+	workers        *workers.Registry
+	planner        *plan.Planner
+	capacity       func(time.Time) plan.Capacity
 
-	order    []plan.Entry
-	ordered  time.Time
-	stale    bool
-	waiting  []candidate // those of the order that have tasks to start, gangs aside
-	shapes   map[shape]int
-	numbers  []int   // by entry of the order: the number of its job's shape
-	looks    []look  // by shape, of the machine whose starts are chosen
-	least    float64 // the CPUs of the smallest of their tasks
-	held     []*workers.Machine
-	holding  map[*jobs.Job]bool                 // jobs that machines are held for
-	firsts   map[*jobs.Job]bool                 // aged jobs that go before everything else
-	booked   map[*jobs.Attempt]*workers.Machine // starts of gangs that wait for their machines' reports
-	hidden   Hidden                             // not nil: only jobs of this leader start (partial.go)
-	nextRoom time.Time
-	nextGang time.Time
+	order              []plan.Entry
+	orderedAt          time.Time
+	isOrderStale       bool
+	candidates         []candidate // those of the order that have tasks to start, gangs aside
+	shapes             map[shape]int
+	shapeNumbers       []int        // by entry of the order: the number of its job's shape
+	shapeChecks        []shapeCheck // by shape, of the machine whose starts are chosen
+	smallestTaskCPUs   float64      // the CPUs of the smallest of their tasks
+	reservedMachines   []*workers.Machine
+	reservingJobs      map[*jobs.Job]bool                 // jobs that machines are held for
+	agedFirst          map[*jobs.Job]bool                 // aged jobs that go before everything else
+	pendingGangStarts  map[*jobs.Attempt]*workers.Machine // starts of gangs that wait for their machines' reports
+	unseenUsage        UnseenUsage                        // not nil: only jobs of this leader start (partial.go)
+	nextPreemption     time.Time
+	nextGangScheduling time.Time
 }
 
-// World is what a placer sees of its neighbours.
-type World struct {
-	Platform *config.Platform
-	Token    uint64
-	Jobs     map[string]*jobs.Job // all that are not finished
-	Fleet    *workers.Registry
-	Planner  *plan.Planner
-	Room     func(time.Time) plan.Room // the machines that the plan counts on
-	Box      *outbox.Box
-	Log      *slog.Logger
+// Components is what a placer sees of its neighbours.
+type Components struct {
+	Platform     *config.Platform
+	FencingToken uint64
+	Jobs         map[string]*jobs.Job // all that are not finished
+	Workers      *workers.Registry
+	Planner      *plan.Planner
+	Capacity     func(time.Time) plan.Capacity // the machines that the plan counts on
+	Outbox       *outbox.Box
+	Log          *slog.Logger
 }
 
-// NewPlacer makes the placer of a new leadership.
-func NewPlacer(w World) *Placer {
-	p := &Placer{cfg: w.Platform, teams: w.Platform.TeamsByName(), log: w.Log, box: w.Box, token: w.Token, jobs: w.Jobs, fleet: w.Fleet,
-		planner: w.Planner, room: w.Room, shapes: map[shape]int{}, holding: map[*jobs.Job]bool{}, firsts: map[*jobs.Job]bool{}, booked: map[*jobs.Attempt]*workers.Machine{}}
-	return p
+// New makes the placer of a new leadership.
+func New(components Components) *Placer {
+	placer := &Placer{platform: components.Platform, teams: components.Platform.TeamsByName(), log: components.Log, outbox: components.Outbox, fencingToken: components.FencingToken, jobs: components.Jobs, workers: components.Workers,
+		planner: components.Planner, capacity: components.Capacity, shapes: map[shape]int{}, reservingJobs: map[*jobs.Job]bool{}, agedFirst: map[*jobs.Job]bool{}, pendingGangStarts: map[*jobs.Attempt]*workers.Machine{}}
+	return placer
 }
 
 // Tick does what is due besides the machines' reports: gangs are booked, and room is made for
 // guaranteed jobs. Nothing is placed before a takeover is complete.
-func (p *Placer) Tick(now time.Time, placing bool) {
-	if now.Sub(p.ordered) > 500*time.Millisecond {
-		p.stale = true
+func (p *Placer) Tick(now time.Time, canPlace bool) {
+	if now.Sub(p.orderedAt) > 500*time.Millisecond {
+		p.isOrderStale = true
 	}
-	if !placing {
+	if !canPlace {
 		return
 	}
-	if !now.Before(p.nextGang) {
-		p.nextGang = now.Add(200 * time.Millisecond)
-		p.gangs(now)
+	if !now.Before(p.nextGangScheduling) {
+		p.nextGangScheduling = now.Add(200 * time.Millisecond)
+		p.scheduleGangs(now)
 	}
-	if !now.Before(p.nextRoom) {
-		p.nextRoom = now.Add(500 * time.Millisecond)
-		p.makeRoom(now)
+	if !now.Before(p.nextPreemption) {
+		p.nextPreemption = now.Add(500 * time.Millisecond)
+		p.preempt(now)
 	}
 }
 
-// Changed says that the order is not what it was: a job came, went or has other tasks to start.
-func (p *Placer) Changed() { p.stale = true }
+// InvalidateOrder says that the order is not what it was: a job came, went or has other tasks to start.
+func (p *Placer) InvalidateOrder() { p.isOrderStale = true }
 
 // Order is the jobs that may run, in the order in which they get room. It is for looking only.
 func (p *Placer) Order(now time.Time) []plan.Entry {
-	p.rank(now)
+	p.refreshOrder(now)
 	return p.order
 }
 
-// Shapes numbers, by entry of the order that was made last, what decides where the job's tasks fit:
+// ShapeNumbers numbers, by entry of the order that was made last, what decides where the job's tasks fit:
 // those of one number fit alike. It is for looking only.
-func (p *Placer) Shapes() []int { return p.numbers }
+func (p *Placer) ShapeNumbers() []int { return p.shapeNumbers }
 
-// Last is the order as it was made last. It is for looking only.
-func (p *Placer) Last() []plan.Entry { return p.order }
+// LastOrder is the order as it was made last. It is for looking only.
+func (p *Placer) LastOrder() []plan.Entry { return p.order }
 
-// Least is the CPUs of the smallest task that waits.
-func (p *Placer) Least() float64 { return p.least }
+// SmallestTaskCPUs is the CPUs of the smallest task that waits.
+func (p *Placer) SmallestTaskCPUs() float64 { return p.smallestTaskCPUs }
 
 // rankShare is how much of the processor's share may go into making the order, and rankCost
 // what it takes for a job (measured, with its hold: BenchmarkRank).
 const (
-	rankShare = 0.1
-	rankCost  = 4 * time.Microsecond
+	orderingCPUShare   = 0.1
+	orderingCostPerJob = 4 * time.Microsecond
 )
 
-// rankEvery is how often the order is made anew at most.
-func (p *Placer) rankEvery() time.Duration {
-	return max(100*time.Millisecond, time.Duration(float64(len(p.jobs))*float64(rankCost)/(rankShare*p.cfg.CPUShare)))
+// minOrderInterval is how often the order is made anew at most.
+func (p *Placer) minOrderInterval() time.Duration {
+	return max(100*time.Millisecond, time.Duration(float64(len(p.jobs))*float64(orderingCostPerJob)/(orderingCPUShare*p.platform.CPUShare)))
 }
 
-// rank makes the order and the holds anew if something has changed.
-func (p *Placer) rank(now time.Time) {
-	if !p.stale || now.Sub(p.ordered) < p.rankEvery() {
+// refreshOrder makes the order and the holds anew if something has changed.
+func (p *Placer) refreshOrder(now time.Time) {
+	if !p.isOrderStale || now.Sub(p.orderedAt) < p.minOrderInterval() {
 		return
 	}
-	p.stale, p.ordered = false, now
-	list := make([]*jobs.Job, 0, len(p.jobs))
-	for _, j := range p.jobs {
-		if j.Live() {
-			list = append(list, j)
+	p.isOrderStale, p.orderedAt = false, now
+	schedulable := make([]*jobs.Job, 0, len(p.jobs))
+	for _, job := range p.jobs {
+		if job.Live() {
+			schedulable = append(schedulable, job)
 		}
 	}
-	p.order = p.planner.Order(now, list, p.room(now))
-	p.waiting, p.numbers, p.least = p.waiting[:0], p.numbers[:0], math.Inf(1)
-	clear(p.firsts)
+	p.order = p.planner.Order(now, schedulable, p.capacity(now))
+	p.candidates, p.shapeNumbers, p.smallestTaskCPUs = p.candidates[:0], p.shapeNumbers[:0], math.Inf(1)
+	clear(p.agedFirst)
 	clear(p.shapes)
-	for _, e := range p.order {
-		number := p.shapeOf(e.Job)
-		p.numbers = append(p.numbers, number)
-		if e.First {
-			p.firsts[e.Job] = true
+	for _, entry := range p.order {
+		number := p.shapeNumber(entry.Job)
+		p.shapeNumbers = append(p.shapeNumbers, number)
+		if entry.AgedFirst {
+			p.agedFirst[entry.Job] = true
 		}
-		if e.Job.Waiting() == 0 {
+		if entry.Job.Waiting() == 0 {
 			continue
 		}
-		p.least = min(p.least, e.Job.CPUs)
-		if !e.Job.Gang {
-			p.waiting = append(p.waiting, candidate{e, number})
+		p.smallestTaskCPUs = min(p.smallestTaskCPUs, entry.Job.CPUs)
+		if !entry.Job.Gang {
+			p.candidates = append(p.candidates, candidate{entry, number})
 		}
 	}
-	p.hold(now)
+	p.updateReservations(now)
 }
 
-// holdFor keeps the free room of a machine for a job.
-func (p *Placer) holdFor(m *workers.Machine, j *jobs.Job) {
-	if m.ReservedFor == nil {
-		p.held = append(p.held, m)
+// reserveMachine keeps the free room of a machine for a job.
+func (p *Placer) reserveMachine(machine *workers.Machine, job *jobs.Job) {
+	if machine.ReservedFor == nil {
+		p.reservedMachines = append(p.reservedMachines, machine)
 	}
-	m.ReservedFor = j
-	p.holding[j] = true
+	machine.ReservedFor = job
+	p.reservingJobs[job] = true
 }
 
-// hold keeps free room for the jobs that go first but fit nowhere yet, on the machines
+// updateReservations keeps free room for the jobs that go first but fit nowhere yet, on the machines
 // with the most room, so that smaller tasks do not take it bit by bit.
-func (p *Placer) hold(now time.Time) {
-	for _, m := range p.held {
-		m.ReservedFor = nil
+func (p *Placer) updateReservations(now time.Time) {
+	for _, machine := range p.reservedMachines {
+		machine.ReservedFor = nil
 	}
-	p.held = p.held[:0]
-	clear(p.holding)
+	p.reservedMachines = p.reservedMachines[:0]
+	clear(p.reservingJobs)
 	var free []*workers.Machine // not held for a job, the most room first
-	rooms := newRoomFor(len(p.shapes))
+	fits := newShapeFits(len(p.shapes))
 	for i := range p.order {
-		e, number := &p.order[i], p.numbers[i]
-		j := e.Job
-		if !e.Hold || j.Waiting() == 0 || now.Before(j.NotBefore) {
+		entry, number := &p.order[i], p.shapeNumbers[i]
+		job := entry.Job
+		if !entry.MayReserve || job.Waiting() == 0 || now.Before(job.NotBefore) {
 			continue
 		}
-		want := p.Wanted(j)
-		if e.Most > 0 {
-			want = min(want, e.Most-len(j.Active))
+		want := p.StartableTasksOf(job)
+		if entry.MaxTasks > 0 {
+			want = min(want, entry.MaxTasks-len(job.Active))
 		}
-		if want <= 0 || j.Gang && want < j.Waiting() {
+		if want <= 0 || job.Gang && want < job.Waiting() {
 			continue
 		}
 		if free == nil {
-			free = p.byRoom()
+			free = p.machinesByFreeCPUs()
 		}
-		if j.Gang {
-			want -= p.holdWhole(j, free, want)
+		if job.Gang {
+			want -= p.reserveForGang(job, free, want)
 		}
 		if want > 0 {
-			want -= rooms.fit(j, number, free, want)
+			want -= fits.fittingTasks(job, number, free, want)
 		}
-		if want > 0 && !rooms.barren(j, number) {
-			left := free[:0]
+		if want > 0 && !fits.isExhausted(job, number) {
+			unreserved := free[:0]
 			before := want
-			for _, m := range free {
-				if want > 0 && m.ReservedFor == nil && Usable(j, m) && m.TasksThatFit(j) == 0 && m.CPUs >= j.CPUs && m.MemoryGB >= j.Mem {
-					p.holdFor(m, j)
+			for _, machine := range free {
+				if want > 0 && machine.ReservedFor == nil && IsEligible(job, machine) && machine.TasksThatFit(job) == 0 && machine.CPUs >= job.CPUs && machine.MemoryGB >= job.Mem {
+					p.reserveMachine(machine, job)
 					want--
 				}
-				if m.ReservedFor == nil {
-					left = append(left, m)
+				if machine.ReservedFor == nil {
+					unreserved = append(unreserved, machine)
 				}
 			}
-			rooms.held(j, number, before-want, len(free)-len(left))
-			if free = left; len(free) == 0 {
+			fits.recordReservation(job, number, before-want, len(free)-len(unreserved))
+			if free = unreserved; len(free) == 0 {
 				return
 			}
 		}
@@ -212,71 +212,73 @@
 
 // shape is all of a job that decides where its tasks fit, as long as none of them has failed.
 type shape struct {
-	cpus, cards, mem float64
-	zone, types      string
-	spot             bool
+	cpus, gpus, memoryGB float64
+	zone, machineTypes   string
+	spot                 bool
 }
 
-// roomFor is how many tasks of a shape fit on the machines that are free. Most jobs of a queue
+// shapeFits is how many tasks of a shape fit on the machines that are free. Most jobs of a queue
 // have one of a few shapes: without it each of them walks the machines anew.
 // They go by the numbers of the shapes.
-type roomFor []struct {
+type shapeFits []struct {
 	known   bool
 	fits    int
 	nothing bool // no machine is left that could be held for these
 }
 
-func newRoomFor(shapes int) roomFor { return make(roomFor, shapes) }
+func newShapeFits(shapes int) shapeFits { return make(shapeFits, shapes) }
 
-func shapeOf(j *jobs.Job) shape {
-	return shape{j.CPUs, j.Cards, j.Mem, j.Zone, strings.Join(j.Types, " "), j.Spot}
+func shapeOf(job *jobs.Job) shape {
+	return shape{job.CPUs, job.Cards, job.Mem, job.Zone, strings.Join(job.Types, " "), job.Spot}
 }
 
-// barren reports that holding was tried for a job of the same shape and no machine was found.
+// isExhausted reports that holding was tried for a job of the same shape and no machine was found.
 // The machines that are free only become fewer, so none is found for this one either.
-func (r roomFor) barren(j *jobs.Job, number int) bool { return j.Errors == 0 && r[number].nothing }
+func (r shapeFits) isExhausted(job *jobs.Job, number int) bool {
+	return job.Errors == 0 && r[number].nothing
+}
 
-// held is told how many machines were held for a job, and how many are not free any more.
-func (r roomFor) held(j *jobs.Job, number, machines, gone int) {
+// recordReservation is told how many machines were held for a job, and how many are not free any more.
+func (r shapeFits) recordReservation(job *jobs.Job, number, machines, removed int) {
 	for i := range r {
-		r[i].known = r[i].known && gone == 0
+		r[i].known = r[i].known && removed == 0
 	}
-	if machines == 0 && j.Errors == 0 {
+	if machines == 0 && job.Errors == 0 {
 		r[number].nothing = true
 	}
 }
 
-// fit is how many tasks of the job fit on the free machines, which are sorted by what is free;
+// fittingTasks is how many tasks of the job fit on the free machines, which are sorted by what is free;
 // more than it wants are not counted.
-func (r roomFor) fit(j *jobs.Job, number int, free []*workers.Machine, want int) int {
-	if j.Errors > 0 {
-		return fitting(j, free, want) // some machines may be left out for this job alone
+func (r shapeFits) fittingTasks(job *jobs.Job, number int, free []*workers.Machine, want int) int {
+	if job.Errors > 0 {
+		return countFittingTasks(job, free, want) // some machines may be left out for this job alone
 	}
-	s := &r[number]
-	if !s.known {
-		probe := *j
+	entry := &r[number]
+	if !entry.known {
+		probe := *job
 		probe.Tasks = jobs.MaxTasks
-		s.known, s.fits = true, fitting(&probe, free, math.MaxInt)
+		entry.known, entry.fits = true, countFittingTasks(&probe, free, math.MaxInt)
 	}
-	return min(s.fits, want)
+	return min(entry.fits, want)
 }
 
-func fitting(j *jobs.Job, free []*workers.Machine, want int) int {
-	room := 0
-	for _, m := range free {
-		if room >= want || j.CPUs > 0 && m.CPUs-m.UsedCPUs < j.CPUs-1e-6 {
+func countFittingTasks(job *jobs.Job, free []*workers.Machine, want int) int {
+	tasks := 0
+	for _, machine := range free {
+		if tasks >= want || job.CPUs > 0 && machine.CPUs-machine.UsedCPUs < job.CPUs-1e-6 {
 			break // sorted: the rest has less
 		}
-		if Usable(j, m) {
-			room += m.TasksThatFit(j)
+		if IsEligible(job, machine) {
+			tasks += machine.TasksThatFit(job)
 		}
 	}
-	return min(room, want)
+	return min(tasks, want)
 }
 
-// byRoom lists the machines that are up, those with the most free CPUs first.
-func (p *Placer) byRoom() []*workers.Machine {
-	list := p.fleet.ReportingMachines()
+// machinesByFreeCPUs lists the machines that are up, those with the most free CPUs first.
+func (p *Placer) machinesByFreeCPUs() []*workers.Machine {
+	list := p.workers.ReportingMachines()
 	slices.SortFunc(list, func(a, b *workers.Machine) int {
 		return cmp.Or(cmp.Compare(b.CPUs-b.UsedCPUs, a.CPUs-a.UsedCPUs), cmp.Compare(b.CPUs, a.CPUs), compareIDs(a, b))
 	})
@@ -285,55 +287,55 @@
 
 func compareIDs(a, b *workers.Machine) int { return cmp.Compare(a.ID, b.ID) }
 
-// noLimit is more than any fleet has.
-const noLimit = 1e12
+// unlimitedResource is more than any fleet has.
+const unlimitedResource = 1e12
 
-// Wants is, by entry of an order, how many of its tasks need room now. What a team's limit still
+// StartableTasks is, by entry of an order, how many of its tasks need room now. What a team's limit still
 // allows is shared by its jobs, the first in the order first: each for itself would want all of it.
-func (p *Placer) Wants(order []plan.Entry) []int {
-	left := map[string]workers.Resources{}
-	list := make([]int, len(order))
+func (p *Placer) StartableTasks(order []plan.Entry) []int {
+	quotaLeft := map[string]workers.Resources{}
+	tasks := make([]int, len(order))
 	for i := range order {
-		j := order[i].Job
-		list[i] = j.Waiting()
-		t := p.teams[j.Team]
-		if list[i] == 0 || t.CPULimit <= 0 && t.CardsLimit <= 0 {
+		job := order[i].Job
+		tasks[i] = job.Waiting()
+		team := p.teams[job.Team]
+		if tasks[i] == 0 || team.CPULimit <= 0 && team.CardsLimit <= 0 {
 			continue
 		}
-		room, ok := left[j.Team]
+		quota, ok := quotaLeft[job.Team]
 		if !ok {
-			used := p.fleet.TeamUsage(j.Team)
-			room = workers.Resources{CPUs: noLimit, GPUs: noLimit, MemoryGB: noLimit}
-			if t.CPULimit > 0 {
-				room.CPUs = t.CPULimit - used.CPUs
+			used := p.workers.TeamUsage(job.Team)
+			quota = workers.Resources{CPUs: unlimitedResource, GPUs: unlimitedResource, MemoryGB: unlimitedResource}
+			if team.CPULimit > 0 {
+				quota.CPUs = team.CPULimit - used.CPUs
 			}
-			if t.CardsLimit > 0 {
-				room.GPUs = t.CardsLimit - used.GPUs
+			if team.CardsLimit > 0 {
+				quota.GPUs = team.CardsLimit - used.GPUs
 			}
 		}
-		list[i] = min(list[i], room.TasksThatFit(j))
-		left[j.Team] = room.AfterPlacing(j, list[i])
+		tasks[i] = min(tasks[i], quota.TasksThatFit(job))
+		quotaLeft[job.Team] = quota.AfterPlacing(job, tasks[i])
 	}
-	return list
+	return tasks
 }
 
-// Wanted is how many tasks of the job need room now: those that wait, less what the
+// StartableTasksOf is how many tasks of the job need room now: those that wait, less what the
 // team's limit forbids.
-func (p *Placer) Wanted(j *jobs.Job) int {
-	return min(j.Waiting(), TeamRoom(j, p.teams[j.Team], p.fleet.TeamUsage(j.Team)))
+func (p *Placer) StartableTasksOf(job *jobs.Job) int {
+	return min(job.Waiting(), TasksAllowedByQuota(job, p.teams[job.Team], p.workers.TeamUsage(job.Team)))
 }
 
-// holdWhole holds machines for a gang that waits, by what they hold when empty, and
+// reserveForGang holds machines for a gang that waits, by what they hold when empty, and
 // returns how many of its tasks that covers.
-func (p *Placer) holdWhole(j *jobs.Job, free []*workers.Machine, want int) int {
+func (p *Placer) reserveForGang(job *jobs.Job, free []*workers.Machine, want int) int {
 	covered := 0
-	for _, m := range free {
+	for _, machine := range free {
 		if covered >= want {
 			break
 		}
-		if m.ReservedFor == nil && Usable(j, m) {
-			if c := m.TasksThatFitWhenEmpty(j); c > 0 {
-				p.holdFor(m, j)
+		if machine.ReservedFor == nil && IsEligible(job, machine) {
+			if c := machine.TasksThatFitWhenEmpty(job); c > 0 {
+				p.reserveMachine(machine, job)
 				covered += c
 			}
 		}
--- a/internal/controller/place/shapes.go
+++ b/internal/controller/place/shapes.go
@@ -15,62 +15,62 @@
 // was the first limit at 5,000 machines.
 type candidate struct {
 	plan.Entry
-	shape int
+	shapeNumber int
 }
 
-// look is what is known of a shape on the machine whose starts are chosen.
-type look struct {
-	refused bool // it has no room for any task of it, or may not have one
-	known   bool
-	fuller  int // tasks that machines that are fuller have room for, once known
+// shapeCheck is what is known of a shape on the machine whose starts are chosen.
+type shapeCheck struct {
+	isRejected    bool // it has no room for any task of it, or may not have one
+	isFullerKnown bool
+	fullerTasks   int // tasks that machines that are fuller have room for, once known
 }
 
-// shapeOf numbers the shape of a job of the order.
-func (p *Placer) shapeOf(j *jobs.Job) int {
-	key := shapeOf(j)
-	n, ok := p.shapes[key]
+// shapeNumber numbers the shape of a job of the order.
+func (p *Placer) shapeNumber(job *jobs.Job) int {
+	key := shapeOf(job)
+	number, ok := p.shapes[key]
 	if !ok {
-		n = len(p.shapes)
-		p.shapes[key] = n
+		number = len(p.shapes)
+		p.shapes[key] = number
 	}
-	return n
+	return number
 }
 
-// lookAnew forgets what was known of another machine.
-func (p *Placer) lookAnew() {
-	if cap(p.looks) < len(p.shapes) {
-		p.looks = make([]look, len(p.shapes))
+// resetShapeChecks forgets what was known of another machine.
+func (p *Placer) resetShapeChecks() {
+	if cap(p.shapeChecks) < len(p.shapes) {
+		p.shapeChecks = make([]shapeCheck, len(p.shapes))
 	}
-	p.looks = p.looks[:len(p.shapes)]
-	clear(p.looks)
+	p.shapeChecks = p.shapeChecks[:len(p.shapes)]
+	clear(p.shapeChecks)
 }
 
-// filled is told that the machine has got tasks: fewer others are fuller now, and what was refused
+// forgetFuller is told that the machine has got tasks: fewer others are fuller now, and what was refused
 // is refused still.
-func (p *Placer) filled() {
-	for i := range p.looks {
-		p.looks[i].known = false
+func (p *Placer) forgetFuller() {
+	for i := range p.shapeChecks {
+		p.shapeChecks[i].isFullerKnown = false
 	}
 }
 
-// refuses reports that no task of the job may start on the machine for lack of room or by its kind.
-func (p *Placer) refuses(m *workers.Machine, e *candidate) bool {
-	l := &p.looks[e.shape]
-	l.refused = l.refused || m.TasksThatFit(e.Job) == 0 || !KindAllowed(e.Job, Kind(m))
-	return l.refused
+// rejects reports that no task of the job may start on the machine for lack of room or by its kind.
+func (p *Placer) rejects(machine *workers.Machine, entry *candidate) bool {
+	check := &p.shapeChecks[entry.shapeNumber]
+	check.isRejected = check.isRejected || machine.TasksThatFit(entry.Job) == 0 || !KindAllowed(entry.Job, MachineKind(machine))
+	return check.isRejected
 }
 
-// elsewhere is how many of the job's waiting tasks are left to fuller machines.
-func (p *Placer) elsewhere(now time.Time, e *candidate, m *workers.Machine) int {
-	j := e.Job
-	if j.OneZone || j.Spread || j.Errors > 0 || p.holding[j] {
-		return p.fuller(now, j, m, j.Waiting(), mostLooked) // not as others of its shape
+// tasksLeftToFuller is how many of the job's waiting tasks are left to fuller machines.
+func (p *Placer) tasksLeftToFuller(now time.Time, entry *candidate, machine *workers.Machine) int {
+	job := entry.Job
+	if job.OneZone || job.Spread || job.Errors > 0 || p.reservingJobs[job] {
+		return p.tasksOnFuller(now, job, machine, job.Waiting(), maxMachinesExamined) // not as others of its shape
 	}
-	l := &p.looks[e.shape]
-	if !l.known {
-		probe := *j
+	check := &p.shapeChecks[entry.shapeNumber]
+	if !check.isFullerKnown {
+		probe := *job
 		probe.Tasks = jobs.MaxTasks // as others of the shape may have
-		l.known, l.fuller = true, p.fuller(now, &probe, m, math.MaxInt, mostLooked)
+		check.isFullerKnown, check.fullerTasks = true, p.tasksOnFuller(now, &probe, machine, math.MaxInt, maxMachinesExamined)
 	}
-	return min(l.fuller, j.Waiting())
+	return min(check.fullerTasks, job.Waiting())
 }
--- a/internal/controller/place/starts.go
+++ b/internal/controller/place/starts.go
@@ -8,137 +8,139 @@
 	"gullrudder/internal/controller/workers"
 )
 
-// Starts picks what the machine starts now.
-func (p *Placer) Starts(now time.Time, m *workers.Machine, most int) []workers.Command {
-	if !m.Reconciled || !m.Registered || m.DrainReason != workers.NotDraining || m.CPUs+m.MemoryGB == 0 || now.Before(m.StartsNotBefore) {
+// StartTasks picks what the machine starts now.
+func (p *Placer) StartTasks(now time.Time, machine *workers.Machine, maxStarts int) []workers.Command {
+	if !machine.Reconciled || !machine.Registered || machine.DrainReason != workers.NotDraining || machine.CPUs+machine.MemoryGB == 0 || now.Before(machine.StartsNotBefore) {
 		return nil
 	}
-	p.rank(now)
-	list := p.bookedStarts(now, m, most)
-	p.lookAnew()
-	full := func() bool { return len(list) >= most || m.CPUs-m.UsedCPUs < p.least-1e-6 }
-	for rest := p.waiting; len(rest) > 0 && !full(); {
-		same := 1
-		for same < len(rest) && rest[same].Rank == rest[0].Rank {
-			same++
+	p.refreshOrder(now)
+	commands := p.gangStarts(now, machine, maxStarts)
+	p.resetShapeChecks()
+	full := func() bool {
+		return len(commands) >= maxStarts || machine.CPUs-machine.UsedCPUs < p.smallestTaskCPUs-1e-6
+	}
+	for rest := p.candidates; len(rest) > 0 && !full(); {
+		sameRank := 1
+		for sameRank < len(rest) && rest[sameRank].Rank == rest[0].Rank {
+			sameRank++
 		}
 		// Among jobs of one rank those go first whose image is here.
-		for _, near := range [...]bool{true, false} {
-			for i := range rest[:same] {
+		for _, withImage := range [...]bool{true, false} {
+			for i := range rest[:sameRank] {
 				if full() {
 					break
 				}
-				e := &rest[i]
-				if p.refuses(m, e) {
+				entry := &rest[i]
+				if p.rejects(machine, entry) {
 					continue // before anything is looked up: most of a long queue
 				}
-				if p.near(now, e.Job, m) == near {
-					before := len(list)
-					if list = p.startSome(now, m, e, list, most); len(list) > before {
-						p.filled()
+				if p.isImageNear(now, entry.Job, machine) == withImage {
+					before := len(commands)
+					if commands = p.startTasksOf(now, machine, entry, commands, maxStarts); len(commands) > before {
+						p.forgetFuller()
 					}
-				} else if near && e.Job.Passed.IsZero() {
-					e.Job.Passed = now
+				} else if withImage && entry.Job.Passed.IsZero() {
+					entry.Job.Passed = now
 				}
 			}
 		}
-		rest = rest[same:]
+		rest = rest[sameRank:]
 	}
-	if len(list) > 0 {
-		m.IdleSince = now
+	if len(commands) > 0 {
+		machine.IdleSince = now
 	}
-	return list
+	return commands
 }
 
-// near reports whether the job's tasks lose nothing by starting on the machine: their image
+// isImageNear reports whether the job's tasks lose nothing by starting on the machine: their image
 // is there, or they have waited for such a machine as long as fetching takes.
-func (p *Placer) near(now time.Time, j *jobs.Job, m *workers.Machine) bool {
-	return m.ImageCache.Has(j.Image) || !j.Passed.IsZero() && now.Sub(j.Passed) >= m.ImageCache.FetchTime(j.ImageGB)
+func (p *Placer) isImageNear(now time.Time, job *jobs.Job, machine *workers.Machine) bool {
+	return machine.ImageCache.Has(job.Image) || !job.Passed.IsZero() && now.Sub(job.Passed) >= machine.ImageCache.FetchTime(job.ImageGB)
 }
 
-// startSome starts as many tasks of one job on the machine as there is room for.
-func (p *Placer) startSome(now time.Time, m *workers.Machine, e *candidate, list []workers.Command, most int) []workers.Command {
-	j := e.Job
-	count := min(m.TasksThatFit(j), j.Waiting(), most-len(list))
-	if count <= 0 || !j.Live() || !p.mayStart(j) || now.Before(j.NotBefore) || !Usable(j, m) {
-		return list
+// startTasksOf starts as many tasks of one job on the machine as there is room for.
+func (p *Placer) startTasksOf(now time.Time, machine *workers.Machine, entry *candidate, commands []workers.Command, maxStarts int) []workers.Command {
+	job := entry.Job
+	count := min(machine.TasksThatFit(job), job.Waiting(), maxStarts-len(commands))
+	if count <= 0 || !job.Live() || !p.canStart(job) || now.Before(job.NotBefore) || !IsEligible(job, machine) {
+		return commands
 	}
-	if h := m.ReservedFor; h != nil && h != j && (!e.Hold || p.firsts[h] && !(e.First && standing.Older(j, h))) {
+	if reservedFor := machine.ReservedFor; reservedFor != nil && reservedFor != job && (!entry.MayReserve || p.agedFirst[reservedFor] && !(entry.AgedFirst && standing.IsOlder(job, reservedFor))) {
 		// What is held for the oldest is not taken bit by bit by those that are planned.
-		return list
+		return commands
 	}
-	if e.Most > 0 {
-		count = min(count, e.Most-len(j.Active)) // of a beginning, until the next order
+	if entry.MaxTasks > 0 {
+		count = min(count, entry.MaxTasks-len(job.Active)) // of a beginning, until the next order
 	}
-	count = min(count, ZoneRoom(j, m.Zone), p.teamRoom(j))
+	count = min(count, TasksAllowedInZone(job, machine.Zone), p.tasksAllowedByQuota(job))
 	if count > 0 {
-		count = min(count, j.Waiting()-p.elsewhere(now, e, m))
+		count = min(count, job.Waiting()-p.tasksLeftToFuller(now, entry, machine))
 	}
 	for ; count > 0; count-- {
-		t := j.NextTask()
-		if t < 0 {
+		task := job.NextTask()
+		if task < 0 {
 			break
 		}
-		a := p.attempt(now, m, j, t, p.nextNumber())
-		list = append(list, workers.Start(a.Key.String(), a.Number))
-		j.Passed = time.Time{}
+		attempt := p.newAttempt(now, machine, job, task, p.nextAttemptNumber())
+		commands = append(commands, workers.Start(attempt.Key.String(), attempt.Number))
+		job.Passed = time.Time{}
 	}
-	return list
+	return commands
 }
 
-// bookedStarts are the starts of gangs that have waited for the machine's report.
-func (p *Placer) bookedStarts(now time.Time, m *workers.Machine, most int) []workers.Command {
-	var list []workers.Command
-	if len(p.booked) == 0 {
+// gangStarts are the starts of gangs that have waited for the machine's report.
+func (p *Placer) gangStarts(now time.Time, machine *workers.Machine, maxStarts int) []workers.Command {
+	var commands []workers.Command
+	if len(p.pendingGangStarts) == 0 {
 		return nil
 	}
-	for _, a := range m.Attempts {
-		if a.Unsent && !a.Stray && a.Job.Live() && len(list) < most {
-			a.Unsent, a.Assigned = false, now
-			delete(p.booked, a)
-			list = append(list, workers.Start(a.Key.String(), a.Number))
+	for _, attempt := range machine.Attempts {
+		if attempt.Unsent && !attempt.Stray && attempt.Job.Live() && len(commands) < maxStarts {
+			attempt.Unsent, attempt.Assigned = false, now
+			delete(p.pendingGangStarts, attempt)
+			commands = append(commands, workers.Start(attempt.Key.String(), attempt.Number))
 		}
 	}
-	return list
+	return commands
 }
 
-// nextNumber is a new attempt number. It derives from the token, so no other leader ever
+// nextAttemptNumber is a new attempt number. It derives from the token, so no other leader ever
 // uses it.
-func (p *Placer) nextNumber() uint64 {
-	p.counter++
-	return p.token<<24 | p.counter
+func (p *Placer) nextAttemptNumber() uint64 {
+	p.attemptCounter++
+	return p.fencingToken<<24 | p.attemptCounter
 }
 
-// attempt records a new attempt on the machine.
-func (p *Placer) attempt(now time.Time, m *workers.Machine, j *jobs.Job, task int, number uint64) *jobs.Attempt {
-	a := &jobs.Attempt{Key: jobs.Key{Job: j.ID, Task: task}, Number: number, Machine: m.ID, Zone: m.Zone, Job: j, Assigned: now}
-	p.fleet.Assign(m, a)
-	return a
+// newAttempt records a new attempt on the machine.
+func (p *Placer) newAttempt(now time.Time, machine *workers.Machine, job *jobs.Job, task int, number uint64) *jobs.Attempt {
+	attempt := &jobs.Attempt{Key: jobs.Key{Job: job.ID, Task: task}, Number: number, Machine: machine.ID, Zone: machine.Zone, Job: job, Assigned: now}
+	p.workers.Assign(machine, attempt)
+	return attempt
 }
 
-// mostLooked bounds the machines that are looked at for one job of one report: the cost of
+// maxMachinesExamined bounds the machines that are looked at for one job of one report: the cost of
 // a report must not grow with the fleet. Packing loses little by it: where so many fuller
 // machines have no room for the job, there is little room at all.
-const mostLooked = 64
+const maxMachinesExamined = 64
 
-// fuller is how many tasks of the job fit on machines that are fuller than m and report
+// tasksOnFuller is how many tasks of the job fit on machines that are fuller than m and report
 // soon: those are left to them. More than it wants are not counted.
-func (p *Placer) fuller(now time.Time, j *jobs.Job, m *workers.Machine, want, most int) int {
-	room := 0
-	from := workers.BucketCount
-	if j.CPUs > 0 {
-		from-- // on the last level no CPU is free
+func (p *Placer) tasksOnFuller(now time.Time, job *jobs.Job, machine *workers.Machine, want, maxMachines int) int {
+	tasks := 0
+	highestLevel := workers.BucketCount
+	if job.CPUs > 0 {
+		highestLevel-- // on the last level no CPU is free
 	}
-	for level := from; level >= m.UtilizationBucket(); level-- {
-		for _, o := range p.fleet.MachinesInBucket(level) {
-			if most--; most < 0 || room >= want {
-				return min(room, want)
+	for level := highestLevel; level >= machine.UtilizationBucket(); level-- {
+		for _, other := range p.workers.MachinesInBucket(level) {
+			if maxMachines--; maxMachines < 0 || tasks >= want {
+				return min(tasks, want)
 			}
-			if o != m && o.Reconciled && o.Registered && now.Sub(o.LastContactAt) < 2*p.cfg.ReportEvery && !now.Before(o.StartsNotBefore) &&
-				(level > m.UtilizationBucket() || Fuller(o, m)) && Usable(j, o) && (o.ReservedFor == nil || o.ReservedFor == j) {
-				room += min(o.TasksThatFit(j), ZoneRoom(j, o.Zone))
+			if other != machine && other.Reconciled && other.Registered && now.Sub(other.LastContactAt) < 2*p.platform.ReportEvery && !now.Before(other.StartsNotBefore) &&
+				(level > machine.UtilizationBucket() || IsFuller(other, machine)) && IsEligible(job, other) && (other.ReservedFor == nil || other.ReservedFor == job) {
+				tasks += min(other.TasksThatFit(job), TasksAllowedInZone(job, other.Zone))
 			}
 		}
 	}
-	return min(room, want)
+	return min(tasks, want)
 }
--- a/internal/controller/plan/exhaustive_test.go
+++ b/internal/controller/plan/exhaustive_test.go
@@ -9,9 +9,9 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// feasible tries every way to give the jobs whole CPUs term by term: the slow plain model
+// isFeasible tries every way to give the jobs whole CPUs term by term: the slow plain model
 // that the greedy plan is compared with. work is in CPU terms, due in terms.
-func feasible(work, due []int, cpus, term int) bool {
+func isFeasible(work, due []int, cpus, term int) bool {
 	done := true
 	for i := range work {
 		if work[i] > 0 {
@@ -21,18 +21,18 @@
 			}
 		}
 	}
-	return done || share(work, due, cpus, cpus, term, 0)
+	return done || assignTerm(work, due, cpus, cpus, term, 0)
 }
 
-// share gives the CPUs that are left in a term to the jobs from i on, in every way.
-func share(work, due []int, cpus, left, term, i int) bool {
-	if i == len(work) {
-		return feasible(work, due, cpus, term+1)
+// assignTerm gives the CPUs that are left in a term to the jobs from i on, in every way.
+func assignTerm(work, due []int, cpus, left, term, next int) bool {
+	if next == len(work) {
+		return isFeasible(work, due, cpus, term+1)
 	}
-	for give := min(left, work[i]); give >= 0; give-- {
-		work[i] -= give
-		ok := share(work, due, cpus, left-give, term, i+1)
-		work[i] += give
+	for give := min(left, work[next]); give >= 0; give-- {
+		work[next] -= give
+		ok := assignTerm(work, due, cpus, left-give, term, next+1)
+		work[next] += give
 		if ok {
 			return true
 		}
@@ -42,23 +42,23 @@
 
 // Whatever the greedy plan admits is feasible, and a job that is alone is admitted
 // exactly if it is feasible. All cases up to three jobs of four tasks, four terms.
-func TestAdmittedIsFeasible(t *testing.T) {
-	opt := config.DefaultOptions()
-	opt.Term = time.Second
+func TestAdmittedJobsAreFeasible(t *testing.T) {
+	options := config.DefaultOptions()
+	options.Term = time.Second
 	now := time.Unix(10_000, 0)
 	admitted, refused := 0, 0
 	for code := range 16 * 16 * 16 {
 		for cpus := 1; cpus <= 4; cpus++ {
-			p := New(opt, &config.Platform{})
-			room := Room{CPUs: float64(cpus) / (1 - opt.AgedShare)} // the aged have their share on top
-			var live []*jobs.Job
+			planner := New(options, &config.Platform{})
+			capacity := Capacity{CPUs: float64(cpus) / (1 - options.AgedShare)} // the aged have their share on top
+			var admittedJobs []*jobs.Job
 			var work, due []int
-			for k, c := 0, code; k < 3; k, c = k+1, c/16 {
-				tasks, terms := c%4+1, c/4%4+1
-				j := deadlineJob(fmt.Sprintf("job-%d", k), now, time.Duration(terms)*time.Second, tasks, 1, time.Second)
-				alone := feasible([]int{tasks}, []int{terms}, cpus, 0)
-				ok := p.Admit(now, j, live, room, 0, nil)
-				if k == 0 && ok != alone {
+			for index, digits := 0, code; index < 3; index, digits = index+1, digits/16 {
+				tasks, terms := digits%4+1, digits/4%4+1
+				job := deadlineJob(fmt.Sprintf("job-%d", index), now, time.Duration(terms)*time.Second, tasks, 1, time.Second)
+				alone := isFeasible([]int{tasks}, []int{terms}, cpus, 0)
+				ok := planner.Admit(now, job, admittedJobs, capacity, 0, nil)
+				if index == 0 && ok != alone {
 					t.Fatalf("%d tasks in %d terms on %d CPUs: admitted %v, feasible %v", tasks, terms, cpus, ok, alone)
 				}
 				if !ok {
@@ -66,10 +66,10 @@
 					continue
 				}
 				admitted++
-				j.Guaranteed = true
-				live, work, due = append(live, j), append(work, tasks), append(due, terms)
+				job.Guaranteed = true
+				admittedJobs, work, due = append(admittedJobs, job), append(work, tasks), append(due, terms)
 			}
-			if !feasible(work, due, cpus, 0) {
+			if !isFeasible(work, due, cpus, 0) {
 				t.Fatalf("admitted what cannot be done: work %v, due %v, %d CPUs", work, due, cpus)
 			}
 		}
--- a/internal/controller/plan/plan.go
+++ b/internal/controller/plan/plan.go
@@ -16,179 +16,179 @@
 
 // Planner holds what the plan is made from.
 type Planner struct {
-	opt     config.Options
-	teams   map[string]config.Team
-	waitBy  map[string][]time.Duration // aims of a class for starting, earliest first
-	doneBy  map[string][]time.Duration // aims of a class for finishing, earliest first
-	covered time.Duration              // aim for starting what a team's guarantee covers; 0: none
-	classes map[string]*classStats
-	shares  []submission
-	floor   *floor.Book
+	options            config.Options
+	teams              map[string]config.Team
+	startObjectives    map[string][]time.Duration // aims of a class for starting, earliest first
+	finishObjectives   map[string][]time.Duration // aims of a class for finishing, earliest first
+	guaranteeObjective time.Duration              // aim for starting what a team's guarantee covers; 0: none
+	runTimes           map[string]*classRunTimes
+	recentSubmissions  []submission
+	fairShare          *floor.Allocator
 }
 
-type classStats struct {
-	ratio float64 // actual run time over the owners' estimates
-	n     int
+type classRunTimes struct {
+	estimateRatio float64 // actual run time over the owners' estimates
+	samples       int
 }
 
 type submission struct {
-	at   time.Time
-	team string
-	cpus float64
+	submittedAt time.Time
+	team        string
+	cpus        float64
 }
 
 // New makes a planner.
-func New(opt config.Options, p *config.Platform) *Planner {
-	pl := &Planner{opt: opt, teams: p.TeamsByName(), waitBy: map[string][]time.Duration{},
-		doneBy: map[string][]time.Duration{}, classes: map[string]*classStats{},
-		floor: floor.New(floorTerms(opt))}
-	for _, o := range p.Objectives {
-		switch o.Kind {
+func New(options config.Options, platform *config.Platform) *Planner {
+	planner := &Planner{options: options, teams: platform.TeamsByName(), startObjectives: map[string][]time.Duration{},
+		finishObjectives: map[string][]time.Duration{}, runTimes: map[string]*classRunTimes{},
+		fairShare: floor.New(fairSharePolicy(options))}
+	for _, objective := range platform.Objectives {
+		switch objective.Kind {
 		case "wait":
-			pl.waitBy[o.Class] = append(pl.waitBy[o.Class], o.Within)
+			planner.startObjectives[objective.Class] = append(planner.startObjectives[objective.Class], objective.Within)
 		case "guarantee":
-			pl.covered = max(pl.covered, o.Within)
+			planner.guaranteeObjective = max(planner.guaranteeObjective, objective.Within)
 		case "finished":
-			pl.doneBy[o.Class] = append(pl.doneBy[o.Class], o.Within)
+			planner.finishObjectives[objective.Class] = append(planner.finishObjectives[objective.Class], objective.Within)
 		}
 	}
-	for _, by := range []map[string][]time.Duration{pl.waitBy, pl.doneBy} {
-		for _, list := range by {
+	for _, byClass := range []map[string][]time.Duration{planner.startObjectives, planner.finishObjectives} {
+		for _, list := range byClass {
 			slices.Sort(list)
 		}
 	}
-	return pl
+	return planner
 }
 
-// Tune takes other options; what was learnt stays.
-func (p *Planner) Tune(opt config.Options) {
-	p.opt = opt
-	p.floor.Tune(floorTerms(opt))
+// SetOptions takes other options; what was learnt stays.
+func (p *Planner) SetOptions(options config.Options) {
+	p.options = options
+	p.fairShare.SetPolicy(fairSharePolicy(options))
 }
 
-func floorTerms(opt config.Options) floor.Terms {
-	return floor.Terms{Window: opt.FloorWindow, Least: opt.FloorLeast, Share: opt.FloorShare, Late: opt.LateShare}
+func fairSharePolicy(options config.Options) floor.Policy {
+	return floor.Policy{Window: options.FloorWindow, MinServedShare: options.FloorLeast, CatchUpCPUShare: options.FloorShare, OverdueCPUShare: options.LateShare}
 }
 
-// Floor is what is known of how each class and team was served.
-func (p *Planner) Floor() *floor.Book { return p.floor }
+// FairShare is what is known of how each class and team was served.
+func (p *Planner) FairShare() *floor.Allocator { return p.fairShare }
 
-// Learn takes in how long a task of the job has run.
-func (p *Planner) Learn(j *jobs.Job, ran time.Duration) {
-	j.RanSum += ran
-	j.RanCount++
-	if j.Estimate <= 0 {
+// ObserveRunTime takes in how long a task of the job has run.
+func (p *Planner) ObserveRunTime(job *jobs.Job, ran time.Duration) {
+	job.RanSum += ran
+	job.RanCount++
+	if job.Estimate <= 0 {
 		return
 	}
-	s := p.classes[j.Class]
+	s := p.runTimes[job.Class]
 	if s == nil {
-		s = &classStats{ratio: 1}
-		p.classes[j.Class] = s
+		s = &classRunTimes{estimateRatio: 1}
+		p.runTimes[job.Class] = s
 	}
-	s.n++
-	weight := max(1/float64(s.n+4), 0.01)
-	s.ratio += weight * (min(ran.Seconds()/j.Estimate.Seconds(), 10) - s.ratio)
+	s.samples++
+	weight := max(1/float64(s.samples+4), 0.01)
+	s.estimateRatio += weight * (min(ran.Seconds()/job.Estimate.Seconds(), 10) - s.estimateRatio)
 }
 
-// PerTask is the expected run time of one of the job's tasks: the owner's estimate,
+// TaskRunTime is the expected run time of one of the job's tasks: the owner's estimate,
 // corrected by what its class and the job itself have shown.
-func (p *Planner) PerTask(j *jobs.Job) time.Duration {
-	est := j.Estimate
-	if s := p.classes[j.Class]; s != nil {
-		est = time.Duration(float64(est) * s.ratio)
+func (p *Planner) TaskRunTime(job *jobs.Job) time.Duration {
+	estimate := job.Estimate
+	if s := p.runTimes[job.Class]; s != nil {
+		estimate = time.Duration(float64(estimate) * s.estimateRatio)
 	}
-	if j.RanCount > 0 {
+	if job.RanCount > 0 {
 		// The first tasks to end are the short ones, so the job's own mean weighs more
 		// the more of them there are.
-		n := time.Duration(min(j.RanCount, 8))
-		est = (est*2 + j.RanSum/time.Duration(j.RanCount)*n) / (2 + n)
+		weight := time.Duration(min(job.RanCount, 8))
+		estimate = (estimate*2 + job.RanSum/time.Duration(job.RanCount)*weight) / (2 + weight)
 	}
-	return max(est, time.Second)
+	return max(estimate, time.Second)
 }
 
-// Work is the CPU time that the job still needs; a task that takes none counts a little.
-func (p *Planner) Work(j *jobs.Job, now time.Time) float64 {
-	return j.Remaining(p.PerTask(j), now).Seconds() * max(j.CPUs, 0.1)
+// RemainingCPUSeconds is the CPU time that the job still needs; a task that takes none counts a little.
+func (p *Planner) RemainingCPUSeconds(job *jobs.Job, now time.Time) float64 {
+	return job.Remaining(p.TaskRunTime(job), now).Seconds() * max(job.CPUs, 0.1)
 }
 
-// Due is when a deadline job has to be complete.
-func Due(j *jobs.Job) time.Time {
-	due, _ := j.Due()
+// DueAt is when a deadline job has to be complete.
+func DueAt(job *jobs.Job) time.Time {
+	due, _ := job.Due()
 	return due
 }
 
-// Room is the fleet that the plan counts on.
-type Room struct {
-	CPUs    float64       // of the machines that are there or booting
-	Machine float64       // of the machine type that jobs are rounded up to
-	Growth  float64       // CPUs that can still be rented, as far as is known
-	Boot    time.Duration // until rented machines serve
-	// Startable is how many more tasks of a job its team's limit lets run; nil: all that wait.
-	Startable func(j *jobs.Job) int
+// Capacity is the fleet that the plan counts on.
+type Capacity struct {
+	CPUs        float64       // of the machines that are there or booting
+	MachineCPUs float64       // of the machine type that jobs are rounded up to
+	GrowthCPUs  float64       // CPUs that can still be rented, as far as is known
+	BootTime    time.Duration // until rented machines serve
+	// StartableTasks is how many more tasks of a job its team's limit lets run; nil: all that wait.
+	StartableTasks func(j *jobs.Job) int
 }
 
-func (r Room) startable(j *jobs.Job) int {
-	if r.Startable == nil {
-		return j.Waiting()
+func (r Capacity) startableTasks(job *jobs.Job) int {
+	if r.StartableTasks == nil {
+		return job.Waiting()
 	}
-	return min(j.Waiting(), r.Startable(j))
+	return min(job.Waiting(), r.StartableTasks(job))
 }
 
-const horizon = 240 // terms that are planned at most
+const maxTerms = 240 // terms that are planned at most
 
 // schedule lays deadline jobs, tightest first, into terms. What does not fit before its
 // deadline is dropped, the job with the lowest payoff first; lost holds the dropped.
 type schedule struct {
-	term time.Duration
-	now  time.Time
-	held []float64
-	room Room
-	aged float64 // share of the room that is kept for the aged, and promised to nobody
+	term          time.Duration
+	now           time.Time
+	reservedCPUs  []float64
+	capacity      Capacity
+	withheldShare float64 // share of the room that is kept for the aged, and promised to nobody
 }
 
-// lay tries to hold room for a job and reports whether it fits; if not, nothing is held.
-func (s *schedule) lay(j *jobs.Job, perTask time.Duration, work float64) bool {
-	due := Due(j).Sub(s.now)
-	if due <= 0 {
+// reserve tries to hold room for a job and reports whether it fits; if not, nothing is held.
+func (s *schedule) reserve(job *jobs.Job, perTask time.Duration, work float64) bool {
+	remaining := DueAt(job).Sub(s.now)
+	if remaining <= 0 {
 		// A job that is late already has no terms left; counting them below zero once
 		// ended the process.
 		return work <= 1e-9
 	}
-	width := RoundUp(float64(j.Tasks-j.NDone)*max(j.CPUs, 0.1), s.room.Machine)
-	terms := int(due / s.term)
-	if terms > horizon {
-		terms = horizon
+	width := RoundUp(float64(job.Tasks-job.NDone)*max(job.CPUs, 0.1), s.capacity.MachineCPUs)
+	terms := int(remaining / s.term)
+	if terms > maxTerms {
+		terms = maxTerms
 	}
-	if len(j.Active) == 0 && due < perTask {
+	if len(job.Active) == 0 && remaining < perTask {
 		return false
 	}
 	// The last term counts as far as the deadline reaches into it.
-	tail := (due - time.Duration(terms)*s.term).Seconds()
-	taken := make([]float64, 0, terms+1)
+	lastTermSeconds := (remaining - time.Duration(terms)*s.term).Seconds()
+	reserved := make([]float64, 0, terms+1)
 	for t := 0; t <= terms && work > 1e-9; t++ {
 		span := s.term.Seconds()
 		if t == terms {
-			span = max(tail, 0)
+			span = max(lastTermSeconds, 0)
 		}
 		if span <= 0 {
 			break
 		}
-		for len(s.held) <= t {
-			s.held = append(s.held, 0)
+		for len(s.reservedCPUs) <= t {
+			s.reservedCPUs = append(s.reservedCPUs, 0)
 		}
-		cpus := s.room.CPUs
-		if time.Duration(t)*s.term >= s.room.Boot {
-			cpus += s.room.Growth
+		cpus := s.capacity.CPUs
+		if time.Duration(t)*s.term >= s.capacity.BootTime {
+			cpus += s.capacity.GrowthCPUs
 		}
-		r := min(width, max(cpus*(1-s.aged)-s.held[t], 0), math.Ceil(work/span/max(j.CPUs, 0.1)-1e-9)*max(j.CPUs, 0.1))
-		taken = append(taken, r)
-		work -= r * span
+		granted := min(width, max(cpus*(1-s.withheldShare)-s.reservedCPUs[t], 0), math.Ceil(work/span/max(job.CPUs, 0.1)-1e-9)*max(job.CPUs, 0.1))
+		reserved = append(reserved, granted)
+		work -= granted * span
 	}
 	if work > 1e-9 {
 		return false
 	}
-	for t, r := range taken {
-		s.held[t] += r
+	for t, granted := range reserved {
+		s.reservedCPUs[t] += granted
 	}
 	return true
 }
@@ -197,109 +197,109 @@
 // deadline beside what is held for the guaranteed jobs, and its team stays within its
 // share of the fleet. before is how long the jobs take at least that it needs, by the longest way through them, and needs are
 // these jobs: their terms have to fit as well, before the last of their own.
-func (p *Planner) Admit(now time.Time, j *jobs.Job, live []*jobs.Job, room Room, before time.Duration, needs []*jobs.Job) bool {
-	cpus := float64(j.Tasks) * j.CPUs
+func (p *Planner) Admit(now time.Time, job *jobs.Job, live []*jobs.Job, capacity Capacity, dependencyRunTime time.Duration, dependencies []*jobs.Job) bool {
+	cpus := float64(job.Tasks) * job.CPUs
 	share := cpus
-	keep := p.shares[:0]
-	for _, s := range p.shares {
-		if now.Sub(s.at) < p.opt.SubmitLease {
-			keep = append(keep, s)
-			if s.team == j.Team {
-				share += s.cpus
+	recent := p.recentSubmissions[:0]
+	for _, plan := range p.recentSubmissions {
+		if now.Sub(plan.submittedAt) < p.options.SubmitLease {
+			recent = append(recent, plan)
+			if plan.team == job.Team {
+				share += plan.cpus
 			}
 		}
 	}
-	p.shares = append(keep, submission{now, j.Team, cpus})
-	if j.Deadline <= 0 || j.Service || share > p.opt.TeamShare*(room.CPUs+room.Growth) {
+	p.recentSubmissions = append(recent, submission{now, job.Team, cpus})
+	if job.Deadline <= 0 || job.Service || share > p.options.TeamShare*(capacity.CPUs+capacity.GrowthCPUs) {
 		return false
 	}
-	var list []*jobs.Job
-	for _, o := range live {
-		if o.Held() && !o.Mistaken {
-			list = append(list, o)
+	var guaranteed []*jobs.Job
+	for _, other := range live {
+		if other.Held() && !other.Mistaken {
+			guaranteed = append(guaranteed, other)
 		}
 	}
-	s := p.replan(now, list, room, nil)
-	if before > 0 && now.Add(before+p.PerTask(j)).After(Due(j)) {
+	plan := p.planGuaranteed(now, guaranteed, capacity, nil)
+	if dependencyRunTime > 0 && now.Add(dependencyRunTime+p.TaskRunTime(job)).After(DueAt(job)) {
 		return false
 	}
-	for _, x := range needs {
-		if x.Held() {
+	for _, dependency := range dependencies {
+		if dependency.Held() {
 			continue // in the list
 		}
-		early := *x
-		if by := Due(j).Add(-p.PerTask(j)); early.DueBy.IsZero() || by.Before(early.DueBy) {
-			early.DueBy = by
+		early := *dependency
+		if deadline := DueAt(job).Add(-p.TaskRunTime(job)); early.DueBy.IsZero() || deadline.Before(early.DueBy) {
+			early.DueBy = deadline
 		}
-		if !s.lay(&early, p.PerTask(x), p.Work(x, now)) {
+		if !plan.reserve(&early, p.TaskRunTime(dependency), p.RemainingCPUSeconds(dependency, now)) {
 			return false
 		}
 	}
-	return s.lay(j, p.PerTask(j), p.Work(j, now))
+	return plan.reserve(job, p.TaskRunTime(job), p.RemainingCPUSeconds(job, now))
 }
 
-// replan lays the guaranteed jobs. planned, if given, gets those that fit.
-func (p *Planner) replan(now time.Time, list []*jobs.Job, room Room, planned map[*jobs.Job]bool) *schedule {
-	sort.SliceStable(list, func(a, b int) bool {
-		da, db := Due(list[a]), Due(list[b])
+// planGuaranteed lays the guaranteed jobs. planned, if given, gets those that fit.
+func (p *Planner) planGuaranteed(now time.Time, guaranteed []*jobs.Job, capacity Capacity, planned map[*jobs.Job]bool) *schedule {
+	sort.SliceStable(guaranteed, func(a, b int) bool {
+		da, db := DueAt(guaranteed[a]), DueAt(guaranteed[b])
 		if !da.Equal(db) {
 			return da.Before(db)
 		}
-		return list[a].ID < list[b].ID
+		return guaranteed[a].ID < guaranteed[b].ID
 	})
-	s := &schedule{term: p.opt.Term, now: now, room: room, aged: p.opt.AgedShare + p.floor.Reserve()}
-	for _, j := range list {
-		if s.lay(j, p.PerTask(j), p.Work(j, now)) && planned != nil {
-			planned[j] = true
+	plan := &schedule{term: p.options.Term, now: now, capacity: capacity, withheldShare: p.options.AgedShare + p.fairShare.ReservedCPUShare()}
+	for _, job := range guaranteed {
+		if plan.reserve(job, p.TaskRunTime(job), p.RemainingCPUSeconds(job, now)) && planned != nil {
+			planned[job] = true
 		}
 	}
-	return s
+	return plan
 }
 
 // payoff is what completing a job is worth, in steps: a whole step less for every step
 // of lateness.
-func (p *Planner) payoff(now time.Time, j *jobs.Job) int {
-	late := now.Sub(Due(j))
-	if late <= 0 {
+func (p *Planner) payoff(now time.Time, job *jobs.Job) int {
+	lateness := now.Sub(DueAt(job))
+	if lateness <= 0 {
 		return 0
 	}
-	return -1 - int(late/p.opt.PayoffStep)
+	return -1 - int(lateness/p.options.PayoffStep)
 }
 
 // Entry is a job in the order, with what the packing needs to know.
 type Entry struct {
-	Job     *jobs.Job
-	Hold    bool // free room may be held for it
-	Planned bool // guaranteed, and its terms fit
-	Within  bool // within its team's guarantee
-	First   bool // aged, and before everything else
-	Most    int  // tasks that it is to have at a time; 0: as many as can be
-	PerTask time.Duration
-	Work    float64
-	Rank    int // the lower the earlier; within a rank the order is by key
-	key     float64
+	Job                 *jobs.Job
+	MayReserve          bool // free room may be held for it
+	Planned             bool // guaranteed, and its terms fit
+	WithinQuota         bool // within its team's guarantee
+	AgedFirst           bool // aged, and before everything else
+	MaxTasks            int  // tasks that it is to have at a time; 0: as many as can be
+	TaskRunTime         time.Duration
+	RemainingCPUSeconds float64
+	Rank                int // the lower the earlier; within a rank the order is by key
+	sortKey             float64
 }
 
 // Ranks, the first first.
 const (
-	rankFirst = iota
+	rankAgedFirst = iota
 	rankService
-	rankBegin
-	rankBehind
+	rankInitialTasks
+	rankBelowShare
 	rankPlanned
-	rankCovered
-	rankWithin
-	rankLate
+	rankQuotaInTime
+	rankQuotaOverdue
+	rankOverdue
 	rankAged
-	rankBound
-	rankRest
-	rankMissed
-	rankMistaken
+	rankLimitBound
+	rankBestEffort
+	rankObjectivesMissed
+	rankCrashLooping
 )
 
-// Terms are those of the aged.
-func (p *Planner) Terms() standing.Terms {
-	return standing.Terms{Age: p.opt.AgeBound, Share: p.opt.AgedShare, Error: p.opt.EstimateError}
+// AgeingPolicy are those of the aged.
+func (p *Planner) AgeingPolicy() standing.Policy {
+	return standing.Policy{AgeBound: p.options.AgeBound, Share: p.options.AgedShare, EstimateError: p.options.EstimateError}
 }
 
 // Order ranks the jobs that may run: the oldest of the aged, as far as the share goes that is
@@ -308,218 +308,218 @@
 // bound, what is bound by its team's limit, then the shortest remaining time. Payoff steps: a job whose last aim is missed
 // already earns nothing by being early and goes last, until it has waited past the
 // operators' bound.
-func (p *Planner) Order(now time.Time, live []*jobs.Job, room Room) []Entry {
+func (p *Planner) Order(now time.Time, live []*jobs.Job, capacity Capacity) []Entry {
 	var guaranteed []*jobs.Job
-	for _, j := range live {
-		if j.Held() && !j.Mistaken && p.payoff(now, j) >= 0 {
-			guaranteed = append(guaranteed, j)
+	for _, job := range live {
+		if job.Held() && !job.Mistaken && p.payoff(now, job) >= 0 {
+			guaranteed = append(guaranteed, job)
 		}
 	}
 	planned := map[*jobs.Job]bool{}
-	p.replan(now, guaranteed, room, planned)
-	within := p.within(live)
-	bound := p.bound(now, live, room)
-	first := p.Terms().First(now, live, room.CPUs, room.startable)
-	begins := p.begins(now, live, room)
-	late := p.late(now, live, room, func(j *jobs.Job) bool { return planned[j] || first[j] })
-	list := make([]Entry, 0, len(live))
-	for _, j := range live {
-		e := Entry{Job: j, PerTask: p.PerTask(j), Work: p.Work(j, now), Planned: planned[j], Within: within[j]}
-		age := now.Sub(j.Since())
-		start := firstAfter(p.waitBy[j.Class], age)
-		srt := e.Work / max(room.CPUs, 1)
+	p.planGuaranteed(now, guaranteed, capacity, planned)
+	withinQuota := p.jobsWithinQuota(live)
+	limitBound := p.limitBoundTeams(now, live, capacity)
+	agedFirst := p.AgeingPolicy().FirstJobs(now, live, capacity.CPUs, capacity.startableTasks)
+	awaitingStart := p.jobsAwaitingStart(now, live, capacity)
+	allocations := p.allocateOverdue(now, live, capacity, func(job *jobs.Job) bool { return planned[job] || agedFirst[job] })
+	entries := make([]Entry, 0, len(live))
+	for _, job := range live {
+		entry := Entry{Job: job, TaskRunTime: p.TaskRunTime(job), RemainingCPUSeconds: p.RemainingCPUSeconds(job, now), Planned: planned[job], WithinQuota: withinQuota[job]}
+		age := now.Sub(job.Since())
+		startObjective := firstObjectiveAfter(p.startObjectives[job.Class], age)
+		remainingTime := entry.RemainingCPUSeconds / max(capacity.CPUs, 1)
 		switch {
-		case j.Mistaken:
+		case job.Mistaken:
 			// It is tried now and then, and takes nobody's place for that.
-			e.Rank, e.key = rankMistaken, srt
-		case first[j]:
-			e.Rank, e.key, e.Hold, e.First = rankFirst, -age.Seconds(), true, true
-		case j.Service:
-			e.Rank, e.key, e.Hold = rankService, -float64(j.Priority), true
-		case begins[j]:
-			e.Rank, e.key, e.Hold, e.Most = rankBegin, -age.Seconds(), true, beginning(j)
-		case late[j] == floor.Behind:
-			e.Rank, e.key, e.Hold = rankBehind, srt, true
-		case e.Planned:
-			e.Rank, e.key, e.Hold = rankPlanned, Due(j).Sub(now).Seconds(), true
-		case e.Within && age < p.covered:
+			entry.Rank, entry.sortKey = rankCrashLooping, remainingTime
+		case agedFirst[job]:
+			entry.Rank, entry.sortKey, entry.MayReserve, entry.AgedFirst = rankAgedFirst, -age.Seconds(), true, true
+		case job.Service:
+			entry.Rank, entry.sortKey, entry.MayReserve = rankService, -float64(job.Priority), true
+		case awaitingStart[job]:
+			entry.Rank, entry.sortKey, entry.MayReserve, entry.MaxTasks = rankInitialTasks, -age.Seconds(), true, initialTaskCount(job)
+		case allocations[job] == floor.BelowMinShare:
+			entry.Rank, entry.sortKey, entry.MayReserve = rankBelowShare, remainingTime, true
+		case entry.Planned:
+			entry.Rank, entry.sortKey, entry.MayReserve = rankPlanned, DueAt(job).Sub(now).Seconds(), true
+		case entry.WithinQuota && age < p.guaranteeObjective:
 			// It can still start in the time that the guarantee is aimed at.
-			e.Rank, e.key, e.Hold = rankCovered, e.Work, true
-		case e.Within:
-			e.Rank, e.key, e.Hold = rankWithin, -age.Seconds(), true
-		case late[j] == floor.Late:
-			e.Rank, e.key, e.Hold = rankLate, srt, true
-		case age > p.opt.AgeBound:
-			e.Rank, e.key, e.Hold = rankAged, -age.Seconds(), true
-		case p.missed(j, age, e.PerTask):
-			e.Rank, e.key = rankMissed, srt
-		case start > 0 && age > start*2/3:
+			entry.Rank, entry.sortKey, entry.MayReserve = rankQuotaInTime, entry.RemainingCPUSeconds, true
+		case entry.WithinQuota:
+			entry.Rank, entry.sortKey, entry.MayReserve = rankQuotaOverdue, -age.Seconds(), true
+		case allocations[job] == floor.Overdue:
+			entry.Rank, entry.sortKey, entry.MayReserve = rankOverdue, remainingTime, true
+		case age > p.options.AgeBound:
+			entry.Rank, entry.sortKey, entry.MayReserve = rankAged, -age.Seconds(), true
+		case p.objectivesMissed(job, age, entry.TaskRunTime):
+			entry.Rank, entry.sortKey = rankObjectivesMissed, remainingTime
+		case startObjective > 0 && age > startObjective*2/3:
 			// Two thirds of the time in which its tasks are to start are gone.
-			e.Rank, e.key, e.Hold = rankAged, (start - age).Seconds(), true
-		case bound[j.Team]:
-			e.Rank, e.key, e.Hold = rankBound, srt-age.Seconds()/p.opt.AgeBound.Seconds(), true
+			entry.Rank, entry.sortKey, entry.MayReserve = rankAged, (startObjective - age).Seconds(), true
+		case limitBound[job.Team]:
+			entry.Rank, entry.sortKey, entry.MayReserve = rankLimitBound, remainingTime-age.Seconds()/p.options.AgeBound.Seconds(), true
 		default:
 			// Ageing within the bound: waiting makes the remaining time count less.
-			e.Rank, e.key = rankRest, srt-age.Seconds()/p.opt.AgeBound.Seconds()
+			entry.Rank, entry.sortKey = rankBestEffort, remainingTime-age.Seconds()/p.options.AgeBound.Seconds()
 		}
-		e.Hold = e.Hold || j.Gang
-		list = append(list, e)
+		entry.MayReserve = entry.MayReserve || job.Gang
+		entries = append(entries, entry)
 	}
-	sort.Slice(list, func(a, b int) bool {
-		x, y := &list[a], &list[b]
+	sort.Slice(entries, func(a, b int) bool {
+		x, y := &entries[a], &entries[b]
 		if x.Rank != y.Rank {
 			return x.Rank < y.Rank
 		}
-		if x.key != y.key {
-			return x.key < y.key
+		if x.sortKey != y.sortKey {
+			return x.sortKey < y.sortKey
 		}
 		return x.Job.ID < y.Job.ID
 	})
-	return list
+	return entries
 }
 
-// late finds the jobs that can keep none of their aims any more, or are past the age bound, and which of
+// allocateOverdue finds the jobs that can keep none of their aims any more, or are past the age bound, and which of
 // them have room of their own now. Those that go ahead in any case are none of them.
-func (p *Planner) late(now time.Time, live []*jobs.Job, room Room, ahead func(*jobs.Job) bool) map[*jobs.Job]floor.Standing {
-	var claims []floor.Claim
-	for _, j := range live {
-		age := now.Sub(j.Since())
-		if j.Service || j.Mistaken || ahead(j) || age <= p.lateAfter(now, j) && !p.missed(j, age, p.PerTask(j)) {
+func (p *Planner) allocateOverdue(now time.Time, live []*jobs.Job, capacity Capacity, hasPrecedence func(*jobs.Job) bool) map[*jobs.Job]floor.Reason {
+	var overdue []floor.OverdueJob
+	for _, job := range live {
+		age := now.Sub(job.Since())
+		if job.Service || job.Mistaken || hasPrecedence(job) || age <= p.overdueAfter(now, job) && !p.objectivesMissed(job, age, p.TaskRunTime(job)) {
 			continue
 		}
-		claims = append(claims, floor.Claim{Job: j, Work: p.Work(j, now), Startable: room.startable(j),
-			Unserved: age > min(5*p.patience(j)/4, p.lateAfter(now, j))})
+		overdue = append(overdue, floor.OverdueJob{Job: job, RemainingCPUSeconds: p.RemainingCPUSeconds(job, now), StartableTasks: capacity.startableTasks(job),
+			IsUnserved: age > min(5*p.longestAllowed(job)/4, p.overdueAfter(now, job))})
 	}
-	return p.floor.Look(now, claims, live, room.CPUs)
+	return p.fairShare.Allocate(now, overdue, live, capacity.CPUs)
 }
 
-// lateAfter is from when on a job is late whatever its aims say: past the age bound, and sooner if nothing of its
+// overdueAfter is from when on a job is late whatever its aims say: past the age bound, and sooner if nothing of its
 // class was done of late. A guest's six jobs, with wide aims, were nobody's concern until the age bound, and two of
 // them were done by the end of the day (hunt day a4e2-15).
-func (p *Planner) lateAfter(now time.Time, j *jobs.Job) time.Duration {
-	if p.opt.BeginBound > 0 && p.floor.Nothing(now, j.Class) {
-		wait := 8 * p.opt.BeginBound / 5
-		if p.PerTask(j) > p.opt.BeginBound {
-			wait = p.opt.BeginBound // its tasks take so long that who waits longer is done late, or not at all
+func (p *Planner) overdueAfter(now time.Time, job *jobs.Job) time.Duration {
+	if p.options.BeginBound > 0 && p.fairShare.NoneDoneRecently(now, job.Class) {
+		wait := 8 * p.options.BeginBound / 5
+		if p.TaskRunTime(job) > p.options.BeginBound {
+			wait = p.options.BeginBound // its tasks take so long that who waits longer is done late, or not at all
 		}
-		return min(wait, p.opt.AgeBound)
+		return min(wait, p.options.AgeBound)
 	}
-	return p.opt.AgeBound
+	return p.options.AgeBound
 }
 
-// beginShare is which part of the fleet jobs may have that are to begin, for their beginnings.
-const beginShare = 0.05
+// initialTasksShare is which part of the fleet jobs may have that are to begin, for their beginnings.
+const initialTasksShare = 0.05
 
-// beginning is how many tasks at a time are a beginning of an array: it may take any width. A gang begins as a whole.
-func beginning(j *jobs.Job) int {
-	if j.Gang {
-		return j.Tasks
+// initialTaskCount is how many tasks at a time are a beginning of an array: it may take any width. A gang begins as a whole.
+func initialTaskCount(job *jobs.Job) int {
+	if job.Gang {
+		return job.Tasks
 	}
-	return min(max(j.Tasks/100, 1), 8)
+	return min(max(job.Tasks/100, 1), 8)
 }
 
-// begins finds the jobs of which nothing has begun within the bound, the oldest first, as far as their share goes.
+// jobsAwaitingStart finds the jobs of which nothing has begun within the bound, the oldest first, as far as their share goes.
 // Shortest remaining time first puts the largest last, and they began after more than four minutes.
-func (p *Planner) begins(now time.Time, live []*jobs.Job, room Room) map[*jobs.Job]bool {
-	if p.opt.BeginBound <= 0 {
+func (p *Planner) jobsAwaitingStart(now time.Time, live []*jobs.Job, capacity Capacity) map[*jobs.Job]bool {
+	if p.options.BeginBound <= 0 {
 		return nil
 	}
-	var list []*jobs.Job
-	for _, j := range live {
-		if !j.Service && !j.Mistaken && j.NDone+len(j.Active) == 0 && now.Sub(j.Since()) > p.opt.BeginBound && room.startable(j) > 0 {
-			list = append(list, j)
+	var awaiting []*jobs.Job
+	for _, job := range live {
+		if !job.Service && !job.Mistaken && job.NDone+len(job.Active) == 0 && now.Sub(job.Since()) > p.options.BeginBound && capacity.startableTasks(job) > 0 {
+			awaiting = append(awaiting, job)
 		}
 	}
-	slices.SortFunc(list, func(a, b *jobs.Job) int {
-		if standing.Older(a, b) {
+	slices.SortFunc(awaiting, func(a, b *jobs.Job) int {
+		if standing.IsOlder(a, b) {
 			return -1
 		}
 		return 1
 	})
 	marked := map[*jobs.Job]bool{}
-	used := 0.0
-	for _, j := range list {
-		if used >= beginShare*room.CPUs && len(marked) > 0 {
+	usedCPUs := 0.0
+	for _, job := range awaiting {
+		if usedCPUs >= initialTasksShare*capacity.CPUs && len(marked) > 0 {
 			break
 		}
-		marked[j] = true
-		used += float64(beginning(j)) * max(j.CPUs, 0.1)
+		marked[job] = true
+		usedCPUs += float64(initialTaskCount(job)) * max(job.CPUs, 0.1)
 	}
 	return marked
 }
 
-// patience is how long the job may take by the widest of its aims; without any, the age bound.
-func (p *Planner) patience(j *jobs.Job) time.Duration {
-	most := 3 * j.Within() / 2
-	if ends := p.doneBy[j.Class]; len(ends) > 0 {
-		most = max(most, ends[len(ends)-1])
+// longestAllowed is how long the job may take by the widest of its aims; without any, the age bound.
+func (p *Planner) longestAllowed(job *jobs.Job) time.Duration {
+	longest := 3 * job.Within() / 2
+	if finishObjectives := p.finishObjectives[job.Class]; len(finishObjectives) > 0 {
+		longest = max(longest, finishObjectives[len(finishObjectives)-1])
 	}
-	if waits := p.waitBy[j.Class]; len(waits) > 0 {
-		most = max(most, waits[len(waits)-1]+p.PerTask(j))
+	if startObjectives := p.startObjectives[job.Class]; len(startObjectives) > 0 {
+		longest = max(longest, startObjectives[len(startObjectives)-1]+p.TaskRunTime(job))
 	}
-	if most <= 0 {
-		return p.opt.AgeBound
+	if longest <= 0 {
+		return p.options.AgeBound
 	}
-	return most
+	return longest
 }
 
-// Standing says why an entry is where it is in the order.
-func (e *Entry) Standing() string {
+// RankReason says why an entry is where it is in the order.
+func (e *Entry) RankReason() string {
 	return [...]string{"aged, within the share that is kept", "service", "to begin, after a long wait", "late, and of a class or team that is served least", "guaranteed, its plan fits", "within its team's guarantee",
 		"within its team's guarantee, late", "late, within the share that is kept", "aged", "its team is bound by its limit", "shortest remaining time", "its aims are missed", "its tasks fail wherever they are tried"}[e.Rank]
 }
 
-// limitBound is how long a team's work must last at its limit for the team to go ahead.
-const limitBound = time.Minute
+// minLimitedWork is how long a team's work must last at its limit for the team to go ahead.
+const minLimitedWork = time.Minute
 
-// bound marks the teams whose work lasts long even with all that their limits allow, and
+// limitBoundTeams marks the teams whose work lasts long even with all that their limits allow, and
 // longer than the fleet needs for the work of all teams. What such a team does not use of its
 // limit now it cannot make up for later, however many machines there are then.
-func (p *Planner) bound(now time.Time, live []*jobs.Job, room Room) map[string]bool {
-	work, all := map[string]float64{}, 0.0
-	for _, j := range live {
-		w := p.Work(j, now)
-		work[j.Team] += w
-		all += w
-	}
-	least := max(limitBound.Seconds(), all/max(room.CPUs, 1))
+func (p *Planner) limitBoundTeams(now time.Time, live []*jobs.Job, capacity Capacity) map[string]bool {
+	workByTeam, totalWork := map[string]float64{}, 0.0
+	for _, job := range live {
+		work := p.RemainingCPUSeconds(job, now)
+		workByTeam[job.Team] += work
+		totalWork += work
+	}
+	minSeconds := max(minLimitedWork.Seconds(), totalWork/max(capacity.CPUs, 1))
 	marked := map[string]bool{}
-	for name, w := range work {
-		if limit := p.teams[name].CPULimit; limit > 0 && w > limit*least {
+	for name, work := range workByTeam {
+		if limit := p.teams[name].CPULimit; limit > 0 && work > limit*minSeconds {
 			marked[name] = true
 		}
 	}
 	return marked
 }
 
-// firstAfter is the first of the sorted aims that lies after age, or 0.
-func firstAfter(aims []time.Duration, age time.Duration) time.Duration {
-	for _, a := range aims {
-		if a > age {
-			return a
+// firstObjectiveAfter is the first of the sorted aims that lies after age, or 0.
+func firstObjectiveAfter(objectives []time.Duration, age time.Duration) time.Duration {
+	for _, objective := range objectives {
+		if objective > age {
+			return objective
 		}
 	}
 	return 0
 }
 
-// missed reports whether the job has aims and can keep none of them any more: for each, the
+// objectivesMissed reports whether the job has aims and can keep none of them any more: for each, the
 // wait at which all its tasks have to be started is over.
-func (p *Planner) missed(j *jobs.Job, age, perTask time.Duration) bool {
-	waits, ends := p.waitBy[j.Class], p.doneBy[j.Class]
-	if len(waits)+len(ends) == 0 && j.Within() <= 0 {
+func (p *Planner) objectivesMissed(job *jobs.Job, age, perTask time.Duration) bool {
+	startObjectives, finishObjectives := p.startObjectives[job.Class], p.finishObjectives[job.Class]
+	if len(startObjectives)+len(finishObjectives) == 0 && job.Within() <= 0 {
 		return false
 	}
-	late := age + perTask
-	return firstAfter(waits, age) == 0 && firstAfter(ends, late) == 0 && (j.Within() <= 0 || j.Within() <= late)
+	earliestFinish := age + perTask
+	return firstObjectiveAfter(startObjectives, age) == 0 && firstObjectiveAfter(finishObjectives, earliestFinish) == 0 && (job.Within() <= 0 || job.Within() <= earliestFinish)
 }
 
-// within marks the jobs that fit into their team's guarantee together with the team's
+// jobsWithinQuota marks the jobs that fit into their team's guarantee together with the team's
 // earlier unfinished jobs.
-func (p *Planner) within(live []*jobs.Job) map[*jobs.Job]bool {
+func (p *Planner) jobsWithinQuota(live []*jobs.Job) map[*jobs.Job]bool {
 	byTeam := map[string][]*jobs.Job{}
-	for _, j := range live {
-		if t := p.teams[j.Team]; t.CPUs > 0 || t.Cards > 0 {
-			byTeam[j.Team] = append(byTeam[j.Team], j)
+	for _, job := range live {
+		if team := p.teams[job.Team]; team.CPUs > 0 || team.Cards > 0 {
+			byTeam[job.Team] = append(byTeam[job.Team], job)
 		}
 	}
 	marked := map[*jobs.Job]bool{}
@@ -530,15 +530,15 @@
 			}
 			return list[a].ID < list[b].ID
 		})
-		t := p.teams[name]
-		var cpus, cards float64
-		for _, j := range list {
-			cpus += float64(j.Tasks) * j.CPUs
-			cards += float64(j.Tasks) * j.Cards
-			if cpus > t.CPUs+1e-6 || cards > t.Cards+1e-6 {
+		team := p.teams[name]
+		var cpus, gpus float64
+		for _, job := range list {
+			cpus += float64(job.Tasks) * job.CPUs
+			gpus += float64(job.Tasks) * job.Cards
+			if cpus > team.CPUs+1e-6 || gpus > team.Cards+1e-6 {
 				break
 			}
-			marked[j] = true
+			marked[job] = true
 		}
 	}
 	return marked
--- a/internal/controller/plan/roundup.go
+++ b/internal/controller/plan/roundup.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-const grain = 1e-6
+const cpuTolerance = 1e-6
 
 // RoundUp is the room that a guaranteed job is planned with: a power-of-two share of a
 // machine of the given size, or whole machines.
@@ -11,10 +11,10 @@
 		return cpus
 	}
 	if cpus >= machine {
-		return math.Ceil(cpus/machine-grain) * machine
+		return math.Ceil(cpus/machine-cpuTolerance) * machine
 	}
 	share := machine
-	for share/2 >= cpus-grain {
+	for share/2 >= cpus-cpuTolerance {
 		share /= 2
 	}
 	return share
--- a/internal/controller/rental/back.go
+++ b/internal/controller/rental/back.go
@@ -29,7 +29,7 @@
 	up := map[fleet.Kind][]*workers.Machine{}
 	for _, m := range d.fleet.Machines {
 		if m.HasReported && (m.DrainReason == workers.NotDraining || m.DrainReason == workers.DrainExpensive) {
-			up[place.Kind(m)] = append(up[place.Kind(m)], m)
+			up[place.MachineKind(m)] = append(up[place.MachineKind(m)], m)
 		}
 	}
 	cheaper := 0.0
--- a/internal/controller/rental/dearer.go
+++ b/internal/controller/rental/dearer.go
@@ -131,7 +131,7 @@
 	serving, resting = map[fleet.Kind][]*workers.Machine{}, map[fleet.Kind][]*workers.Machine{}
 	isDear := dearKinds(opts)
 	for _, m := range d.fleet.ReportingMachines() {
-		k := place.Kind(m)
+		k := place.MachineKind(m)
 		switch {
 		case !isDear[k] || d.fleet.IsLeaseExpired(now, m):
 		case m.DrainReason == workers.DrainExpensive:
@@ -196,7 +196,7 @@
 		if e.Job.Service {
 			return 0
 		}
-		return min(float64(e.Job.Waiting())*e.PerTask.Seconds()*max(e.Job.CPUs, 0.1), e.Work)
+		return min(float64(e.Job.Waiting())*e.TaskRunTime.Seconds()*max(e.Job.CPUs, 0.1), e.RemainingCPUSeconds)
 	}
 	needs := make([]float64, len(order))
 	for i := range order {
@@ -225,7 +225,7 @@
 		if seen++; seen%every != 0 {
 			continue
 		}
-		q := waiting{class: e.Job.Class, age: now.Sub(e.Job.Since()), perTask: e.PerTask, deadline: e.Job.Within(), ahead: ahead, weight: float64(every)}
+		q := waiting{class: e.Job.Class, age: now.Sub(e.Job.Since()), perTask: e.TaskRunTime, deadline: e.Job.Within(), ahead: ahead, weight: float64(every)}
 		if limit := d.teams[e.Job.Team].CPULimit; limit > 0 {
 			q.bound = teams[e.Job.Team] / limit
 		}
--- a/internal/controller/rental/desk.go
+++ b/internal/controller/rental/desk.go
@@ -159,7 +159,7 @@
 func (d *Desk) size(now time.Time) {
 	order := d.placer.Order(now)
 	d.gather(now)
-	wants := d.placer.Wants(order)
+	wants := d.placer.StartableTasks(order)
 	d.giveBack(now, wants)
 	// What an earlier leader has rented last is not listed yet; only where the ledger
 	// holds nothing at all is there no earlier leader.
@@ -179,7 +179,7 @@
 	for _, o := range opts {
 		most[o.kind] = d.mayAsk(now, o.kind)
 	}
-	shapes := d.placer.Shapes()
+	shapes := d.placer.ShapeNumbers()
 	settled := map[int]bool{} // shapes for which there is no room, and nothing to be asked
 	for i, want := range wants {
 		j := order[i].Job
@@ -199,7 +199,7 @@
 			lacking = max(lacking, want)
 		}
 		for _, o := range opts {
-			per := place.PerMachine(j, o.typ)
+			per := place.TasksPerMachine(j, o.typ)
 			if want <= 0 {
 				break
 			}
@@ -255,7 +255,7 @@
 			at[e.Job.Team] = i
 			list = append(list, teamWork{limit: d.teams[e.Job.Team].CPULimit})
 		}
-		list[i].work += e.Work
+		list[i].work += e.RemainingCPUSeconds
 	}
 	return list
 }
--- a/internal/controller/rental/desk_test.go
+++ b/internal/controller/rental/desk_test.go
@@ -37,8 +37,8 @@
 	f, planner, cloud := workers.NewRegistry(workers.LeaseExpiry(cfg.WorkerLease), log), plan.New(opt, cfg), fleet.New(1, 2, time.Second, log)
 	cloud.Types = map[string]*fleet.Type{"small": {Name: "small", CPUs: 4, Mem: 8, Zones: []string{"a"}, Price: 1, SpotPrice: 0.3, BootS: 40},
 		"large": {Name: "large", CPUs: 16, Mem: 64, Zones: []string{"a", "b"}, Price: 4, SpotPrice: 1, BootS: 30}}
-	placer := place.NewPlacer(place.World{Platform: cfg, Token: 1, Jobs: r.jobs, Fleet: f, Planner: planner,
-		Room: func(now time.Time) plan.Room { return r.Room(now) }, Box: r.box, Log: log})
+	placer := place.New(place.Components{Platform: cfg, FencingToken: 1, Jobs: r.jobs, Workers: f, Planner: planner,
+		Capacity: func(now time.Time) plan.Capacity { return r.Room(now) }, Outbox: r.box, Log: log})
 	r.Desk = NewDesk(World{Platform: cfg, Options: &opt, Token: 1, Since: now, First: func() bool { return true }, Cloud: cloud, Fleet: f,
 		Planner: planner, Placer: placer, Pace: pace.NewDetector(cfg.ReportEvery), Zones: zones.New(cfg.ReportEvery, now, log), Box: r.box, Log: log})
 	return r
@@ -47,9 +47,9 @@
 func (r *room) addMachine(now time.Time, i int, typ, zone string, spot bool) *workers.Machine {
 	m := r.fleet.GetOrAdd(fmt.Sprintf("vm-%06d", i))
 	r.look(now, m, typ, zone, spot)
-	r.cloud.Seen(now, m.ID, "", place.Kind(m))
+	r.cloud.Seen(now, m.ID, "", place.MachineKind(m))
 	t := r.cloud.Types[typ]
-	r.fleet.SetCapacity(m, place.Size(t), t.CacheGB, t.FetchRate)
+	r.fleet.SetCapacity(m, place.TypeResources(t), t.CacheGB, t.FetchRate)
 	m.Reconciled, m.Registered = true, true
 	return m
 }
@@ -69,7 +69,7 @@
 		Spread: i%4 == 1, Estimate: 30 * time.Second, Deadline: time.Duration(i%2) * time.Minute}, now)
 	j.State, j.Guaranteed = jobs.Accepted, i%2 == 1
 	r.jobs[j.ID] = j
-	r.placer.Changed()
+	r.placer.InvalidateOrder()
 	return j
 }
 
@@ -123,19 +123,19 @@
 		for _, e := range n.fleet.Reconcile(now, m, &r, true, func(id string) *jobs.Job { return n.jobs[id] }) {
 			e.Attempt.Job.Again(e.Attempt.Key.Task)
 		}
-		n.placer.Changed()
-		if len(n.placer.Starts(now, m, 9)) > 0 {
+		n.placer.InvalidateOrder()
+		if len(n.placer.StartTasks(now, m, 9)) > 0 {
 			t.Error("the machine that is emptied starts something")
 		}
 		n.gather(now)
-		n.giveBack(now, n.placer.Wants(n.placer.Order(now)))
+		n.giveBack(now, n.placer.StartableTasks(n.placer.Order(now)))
 		if !n.cloud.Hosts[m.ID].Deleting {
 			t.Error("the empty machine is not returned")
 		}
 		started := 0
 		now = now.Add(time.Second)
 		for _, o := range all {
-			for _, c := range n.placer.Starts(now, o, 9) {
+			for _, c := range n.placer.StartTasks(now, o, 9) {
 				if key, err := jobs.ParseKey(c.Task); err == nil && key.Job == j.ID && !strings.HasPrefix(o.ID, m.ID) {
 					started++
 				}
@@ -197,7 +197,7 @@
 	for i := range machines {
 		m := n.addMachine(now, i, map[bool]string{false: "small", true: "large"}[i%4 == 0], "a", i%2 == 0)
 		if i%8 > 0 {
-			n.placer.Starts(now, m, 300)
+			n.placer.StartTasks(now, m, 300)
 		}
 	}
 	return n, now
--- a/internal/controller/rental/forecast.go
+++ b/internal/controller/rental/forecast.go
@@ -26,7 +26,7 @@
 }
 
 func (d *Desk) forecast() *forecast {
-	f := &forecast{kinds: map[fleet.Kind]*kindRoom{}, least: d.placer.Least()}
+	f := &forecast{kinds: map[fleet.Kind]*kindRoom{}, least: d.placer.SmallestTaskCPUs()}
 	for i := range d.held {
 		h, t, m := d.held[i].host, d.held[i].typ, d.held[i].m
 		if t == nil || h.Deleting || h.State == fleet.Failed {
@@ -53,10 +53,10 @@
 
 func (f *forecast) add(k fleet.Kind, t *fleet.Type) {
 	f.cpus += t.CPUs
-	f.open = append(f.open, slot{k, place.Size(t)})
+	f.open = append(f.open, slot{k, place.TypeResources(t)})
 	r := f.kinds[k]
 	if r == nil {
-		r = &kindRoom{size: place.Size(t)}
+		r = &kindRoom{size: place.TypeResources(t)}
 		f.kinds[k] = r
 	}
 	r.count++
--- a/internal/controller/rental/room.go
+++ b/internal/controller/rental/room.go
@@ -14,8 +14,8 @@
 const Growth = 4
 
 // Room is the fleet that a plan counts on: what is there or booting, and what can still be rented.
-func (d *Desk) Room(now time.Time) plan.Room {
-	r := plan.Room{Startable: func(j *jobs.Job) int { return place.TeamRoom(j, d.teams[j.Team], d.fleet.TeamUsage(j.Team)) }}
+func (d *Desk) Room(now time.Time) plan.Capacity {
+	r := plan.Capacity{StartableTasks: func(j *jobs.Job) int { return place.TasksAllowedByQuota(j, d.teams[j.Team], d.fleet.TeamUsage(j.Team)) }}
 	held := map[fleet.Kind]int{}
 	for id, h := range d.cloud.Hosts {
 		m := d.fleet.Machines[id]
@@ -25,14 +25,14 @@
 		}
 	}
 	for _, t := range d.cloud.Types {
-		r.Machine = max(r.Machine, t.CPUs)
+		r.MachineCPUs = max(r.MachineCPUs, t.CPUs)
 		for _, z := range t.Zones {
 			for _, spot := range []bool{false, true} {
 				// Capacity is not published: a kind that was not refused lately is
 				// taken to have as many again, or a few.
 				if k := fleet.KindOf(t, z, spot); d.cloud.Askable(now, k) && !d.zones.Away(z) {
-					r.Growth += float64(max(Growth, held[k])) * t.CPUs
-					r.Boot = max(r.Boot, d.cloud.Boot(t))
+					r.GrowthCPUs += float64(max(Growth, held[k])) * t.CPUs
+					r.BootTime = max(r.BootTime, d.cloud.Boot(t))
 				}
 			}
 		}
--- a/internal/controller/rental/thin.go
+++ b/internal/controller/rental/thin.go
@@ -32,14 +32,14 @@
 		}
 	}
 	order := d.placer.Order(now)
-	for i, want := range d.placer.Wants(order) {
+	for i, want := range d.placer.StartableTasks(order) {
 		slack -= float64(want) * order[i].Job.CPUs
 	}
 	if slack <= 0 {
 		return
 	}
 	slices.SortStableFunc(list, func(a, b *workers.Machine) int {
-		if place.Fuller(b, a) {
+		if place.IsFuller(b, a) {
 			return -1
 		}
 		return 1
@@ -80,7 +80,7 @@
 		if !a.Stoppable(now) || now.Sub(a.Assigned) < settled {
 			return false
 		}
-		perTask := d.planner.PerTask(a.Job)
+		perTask := d.planner.TaskRunTime(a.Job)
 		last = max(last, perTask-now.Sub(a.Running), perTask/4)
 		cost += a.Job.CPUs * (a.Job.Save + m.ImageCache.FetchTime(a.Job.ImageGB) + d.cfg.ReportEvery).Seconds()
 	}
@@ -98,7 +98,7 @@
 	for _, a := range m.Attempts {
 		found := false
 		for i := len(others) - 1; i >= 0 && !found; i-- {
-			if free[i].TasksThatFit(a.Job) > 0 && place.Usable(a.Job, others[i]) && others[i].ReservedFor == nil {
+			if free[i].TasksThatFit(a.Job) > 0 && place.IsEligible(a.Job, others[i]) && others[i].ReservedFor == nil {
 				free[i] = free[i].AfterPlacing(a.Job, 1)
 				laid = append(laid, taken{i, a.Job})
 				found = true
--- a/internal/controller/rental/worth.go
+++ b/internal/controller/rental/worth.go
@@ -381,9 +381,9 @@
 		d.flows[k] = f
 	}
 	f.follow(now)
-	perTask := d.planner.PerTask(j)
+	perTask := d.planner.TaskRunTime(j)
 	f.spans[0].jobs++
-	f.spans[0].work += d.planner.Work(j, now)
+	f.spans[0].work += d.planner.RemainingCPUSeconds(j, now)
 	if f.perTask == 0 {
 		f.perTask, f.deadline = perTask, j.Within()
 	}
@@ -405,7 +405,7 @@
 		// Of a start only the wait of the whole job is known here: its last task ran to the end.
 		slack, ok := s.slack(after, 0, j.Within())
 		if s.start {
-			slack += d.planner.PerTask(j)
+			slack += d.planner.TaskRunTime(j)
 		}
 		if !ok {
 			continue
--- a/internal/controller/reports/answer.go
+++ b/internal/controller/reports/answer.go
@@ -37,7 +37,7 @@
 			response.Commands = append(response.Commands, h.commandsFor(now, pending.machine, pending.heartbeat)...)
 			if h.reachability.IsNewest(pending.machine, pending.heartbeat) {
 				if canStart && h.reachability.IsReachable(pending.machine) {
-					response.Commands = append(response.Commands, h.placer.Starts(now, pending.machine, maxCommandsPerResponse-len(response.Commands))...)
+					response.Commands = append(response.Commands, h.placer.StartTasks(now, pending.machine, maxCommandsPerResponse-len(response.Commands))...)
 				}
 				h.reachability.RecordAcknowledged(pending.machine)
 			}
--- a/internal/controller/reports/clerk.go
+++ b/internal/controller/reports/clerk.go
@@ -136,7 +136,7 @@
 func (h *Handler) register(now time.Time, machine *workers.Machine, heartbeat *workers.Heartbeat) {
 	h.cloud.Seen(now, heartbeat.Machine, heartbeat.Addr, fleet.Kind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot})
 	if machineType := h.cloud.Types[heartbeat.Type]; machineType != nil && machine.CPUs+machine.MemoryGB+machine.GPUs == 0 {
-		h.workers.SetCapacity(machine, place.Size(machineType), machineType.CacheGB, machineType.FetchRate)
+		h.workers.SetCapacity(machine, place.TypeResources(machineType), machineType.CacheGB, machineType.FetchRate)
 	}
 	if machine.Registered || machine.Registering {
 		return
@@ -186,7 +186,7 @@
 		if job == nil || attempt.Key.Task >= job.Tasks {
 			continue
 		}
-		h.placer.Changed()
+		h.placer.InvalidateOrder()
 		if ended.Reason != workers.ReasonDone {
 			h.log.Debug("attempt ended", "task", attempt.Key, "attempt", attempt.Number, "machine", machine.ID, "why", ended.Reason)
 		}
@@ -199,7 +199,7 @@
 				if job.RanCount > 0 {
 					h.stragglers.RecordRun(machine.ID, now.Sub(attempt.Running), job.RanSum/time.Duration(job.RanCount), job.RanCount)
 				}
-				h.planner.Learn(job, now.Sub(attempt.Running))
+				h.planner.ObserveRunTime(job, now.Sub(attempt.Running))
 			}
 			h.accounting.TaskDone(job, attempt.Key.Task)
 			h.recordCompletion(now, machine, job)
--- a/internal/controller/reports/failed.go
+++ b/internal/controller/reports/failed.go
@@ -74,7 +74,7 @@
 	}
 	h.log.Info("a job fails wherever it is tried", "job", job.ID, "team", job.Team, "class", job.Class, "machines", h.failures.FailedMachineCount(job.ID), "stopped", stopped)
 	h.jobStore.SaveRecord(now, job)
-	h.placer.Changed()
+	h.placer.InvalidateOrder()
 }
 
 // recordCompletion takes in that a task of the job has completed on the machine, which speaks for both.
@@ -86,7 +86,7 @@
 	job.Mistaken, job.NotBefore = false, time.Time{}
 	h.log.Info("a job that failed wherever it was tried has completed a task", "job", job.ID, "machine", machine.ID)
 	h.jobStore.SaveRecord(now, job)
-	h.placer.Changed()
+	h.placer.InvalidateOrder()
 }
 
 // ForgetJob takes in that a job is over.
--- a/internal/controller/requests/desk.go
+++ b/internal/controller/requests/desk.go
@@ -46,9 +46,9 @@
 	times    *timeline.Log
 	blame    *blame.Tracker
 	zoneBook *zones.Book
-	gate     *standing.Gate // bounds the submissions that are not durable yet
-	acting   func() bool    // the leadership is entitled to act
-	late     bool           // a lease that was just renewed may outlast the time that users are told for a cancellation
+	gate     *standing.SubmissionLimiter // bounds the submissions that are not durable yet
+	acting   func() bool                 // the leadership is entitled to act
+	late     bool                        // a lease that was just renewed may outlast the time that users are told for a cancellation
 }
 
 // World is what a desk sees of its neighbours.
@@ -79,7 +79,7 @@
 	d.late = horizon.Window(d.cfg.CancelWithin, d.fleet.Lease()) <= 0
 	// What two seconds' changes hold may wait for a commit.
 	rate := d.cfg.StateWrites * float64(max(d.cfg.ValueBytes/jobBytes, 1))
-	d.gate = standing.NewGate(int(2*rate), rate)
+	d.gate = standing.NewSubmissionLimiter(int(2*rate), rate)
 	return d
 }
 
@@ -197,14 +197,14 @@
 	if !ok {
 		return
 	}
-	if ok, retry := d.gate.Enter(now, j.Team, j.ID); !ok {
+	if ok, retry := d.gate.Acquire(now, j.Team, j.ID); !ok {
 		d.out.Refuse(r, 429, "too many submissions at once; there is a place for this one after the time given", retry)
 		return
 	}
 	record := jobs.FinalRecord(jobs.Cancelled, j.Tasks)
 	if !void {
 		d.book.WaitForDependencies(now, j, missing)
-		before, needs := d.book.DependencyGraph().Path(j, d.planner.PerTask)
+		before, needs := d.book.DependencyGraph().Path(j, d.planner.TaskRunTime)
 		j.Guaranteed = d.planner.Admit(now, j, d.book.StartableJobs(), d.rental.Room(now), before, needs)
 		if len(missing) == 0 {
 			d.promise(now, j)
@@ -216,7 +216,7 @@
 	err = d.ledger.Set(now, j.ID, record, j.Reserve(), true, func(now time.Time, ok bool) {
 		if counted {
 			counted = false
-			d.gate.Leave(j.Team)
+			d.gate.Release(j.Team)
 		}
 		if ok && j.State == jobs.Pending {
 			j.State, j.Ours = jobs.Accepted, true
@@ -234,7 +234,7 @@
 		}
 	})
 	if err != nil {
-		d.gate.Leave(j.Team)
+		d.gate.Release(j.Team)
 		d.book.DependencyGraph().Drop(j)
 		d.out.Refuse(r, 400, "too large to be kept", 0)
 		return
@@ -256,12 +256,12 @@
 	if len(d.teams) > 0 && !ok {
 		return "unknown team"
 	}
-	if place.OverLimit(j, team) {
+	if place.ExceedsQuota(j, team) {
 		return "needs more than its team's limit"
 	}
 	for _, t := range d.cloud.Types {
 		for _, z := range t.Zones {
-			if place.TypeFits(j, t) && place.KindAllowed(j, fleet.KindOf(t, z, false)) {
+			if place.FitsType(j, t) && place.KindAllowed(j, fleet.KindOf(t, z, false)) {
 				return ""
 			}
 		}
--- a/internal/controller/requests/explain.go
+++ b/internal/controller/requests/explain.go
@@ -24,31 +24,31 @@
 }
 
 // ahead is what is known of the work that can stand before a job.
-func (d *Desk) ahead(now time.Time, j *jobs.Job) standing.Ahead {
-	a := standing.Ahead{Limit: d.teams[j.Team].CPULimit, Task: j.CPUs, Longest: d.planner.PerTask(j), Settle: d.settle(j)}
-	a.Own.Add(j, d.planner.Work(j, now))
+func (d *Desk) ahead(now time.Time, j *jobs.Job) standing.WorkAhead {
+	a := standing.WorkAhead{TeamCPULimit: d.teams[j.Team].CPULimit, TaskCPUs: j.CPUs, LongestTask: d.planner.TaskRunTime(j), StartDelay: d.settle(j)}
+	a.Own.Add(j, d.planner.RemainingCPUSeconds(j, now))
 	for _, o := range d.book.Unfinished {
 		if o == j || o.Service || !o.Live() {
 			continue
 		}
-		a.Longest = max(a.Longest, d.planner.PerTask(o))
-		if !standing.Older(o, j) {
+		a.LongestTask = max(a.LongestTask, d.planner.TaskRunTime(o))
+		if !standing.IsOlder(o, j) {
 			continue
 		}
-		w := d.planner.Work(o, now)
+		w := d.planner.RemainingCPUSeconds(o, now)
 		a.Older.Add(o, w)
 		if o.Team == j.Team {
 			a.Team.Add(o, w)
 		}
 	}
 	for _, h := range d.cloud.Hosts {
-		if t := d.cloud.Types[h.Kind.Type]; t != nil && !h.Deleting && place.KindAllowed(j, h.Kind) && place.TypeFits(j, t) {
-			a.CPUs += t.CPUs
+		if t := d.cloud.Types[h.Kind.Type]; t != nil && !h.Deleting && place.KindAllowed(j, h.Kind) && place.FitsType(j, t) {
+			a.UsableCPUs += t.CPUs
 		}
 	}
 	fetch, least, boot := 0.0, 0.0, time.Duration(0)
 	for _, t := range d.cloud.Types {
-		if !place.TypeFits(j, t) {
+		if !place.FitsType(j, t) {
 			continue
 		}
 		if t.FetchRate > 0 {
@@ -65,12 +65,12 @@
 			}
 		}
 	}
-	if a.CPUs == 0 { // nothing is there yet: the least that is about to be rented for it
-		a.CPUs = least
-		a.Settle += boot
+	if a.UsableCPUs == 0 { // nothing is there yet: the least that is about to be rented for it
+		a.UsableCPUs = least
+		a.StartDelay += boot
 	}
 	// Once for its own image, and once while machines that have it are looked for.
-	a.Settle += time.Duration(2 * fetch * float64(time.Second))
+	a.StartDelay += time.Duration(2 * fetch * float64(time.Second))
 	return a
 }
 
@@ -79,8 +79,8 @@
 	if j.Service {
 		return
 	}
-	if b := d.planner.Terms().Bound(d.ahead(now, j)); b.Known {
-		j.StartBy, j.EndBy = b.First, b.Last
+	if b := d.planner.AgeingPolicy().WaitBound(d.ahead(now, j)); b.IsKnown {
+		j.StartBy, j.EndBy = b.FirstStart, b.LastStart
 	}
 }
 
@@ -159,7 +159,7 @@
 	}
 	for i := range order {
 		if e := &order[i]; e.Job.Live() && (e.Job.Waiting() > 0 || q.Get("all") != "") {
-			show(e.Job, e.Standing())
+			show(e.Job, e.RankReason())
 		}
 	}
 	for _, j := range d.book.WaitingJobs() {
@@ -196,16 +196,16 @@
 	for i := range order {
 		e := &order[i]
 		if e.Job == j {
-			x.Standing, found = e.Standing(), true
+			x.Standing, found = e.RankReason(), true
 			break
 		}
 		if e.Job.Waiting() == 0 || !e.Job.Live() {
 			continue
 		}
 		x.Position++
-		x.Ahead += e.Work
+		x.Ahead += e.RemainingCPUSeconds
 		if len(x.Before) < mostBefore {
-			x.Before = append(x.Before, waiting(now, e.Job, e.Standing()))
+			x.Before = append(x.Before, waiting(now, e.Job, e.RankReason()))
 		}
 	}
 	if x.Position++; !found {
@@ -239,7 +239,7 @@
 	case j.Waits > 0:
 		open := d.book.DependencyGraph().Open(j)
 		x.because("it waits for %d other jobs that have to be done first: %s", len(open), strings.Join(open[:min(len(open), mostBefore)], ", "))
-		before, _ := d.book.DependencyGraph().Path(j, d.planner.PerTask)
+		before, _ := d.book.DependencyGraph().Path(j, d.planner.TaskRunTime)
 		x.because("by the longest way through them that takes %.0f s at least", before.Seconds())
 		x.change("the end of those jobs; if one of them is cancelled, so is this one")
 		return
@@ -262,7 +262,7 @@
 		x.because("its tasks failed or were refused lately: it is tried again in %.0f s", j.NotBefore.Sub(now).Seconds())
 	}
 	team := d.teams[j.Team]
-	if place.TeamRoom(j, team, d.fleet.TeamUsage(j.Team)) == 0 {
+	if place.TasksAllowedByQuota(j, team, d.fleet.TeamUsage(j.Team)) == 0 {
 		x.because("team %s uses all that its limit allows (%g CPUs, %g cards)", j.Team, team.CPULimit, team.CardsLimit)
 		x.change("a higher limit of team %s, or the end of a task of the team", j.Team)
 	}
@@ -271,7 +271,7 @@
 		if m.IsUnreachable {
 			deaf++
 		}
-		if !place.Usable(j, m) || m.DrainReason != workers.NotDraining {
+		if !place.IsEligible(j, m) || m.DrainReason != workers.NotDraining {
 			continue
 		}
 		may++
@@ -280,7 +280,7 @@
 			continue
 		}
 		switch {
-		case place.ZoneRoom(j, m.Zone) == 0:
+		case place.TasksAllowedInZone(j, m.Zone) == 0:
 			zones++
 		case m.ReservedFor != nil && m.ReservedFor != j:
 			held++
@@ -323,9 +323,9 @@
 		x.because("%d machines with room are in zones where it may have no more tasks", zones)
 		x.change("a job that is not bound to one zone, or spread less")
 	}
-	if terms := d.planner.Terms(); !j.Service && !terms.Aged(now, j) && terms.Share > 0 {
+	if terms := d.planner.AgeingPolicy(); !j.Service && !terms.IsAged(now, j) && terms.Share > 0 {
 		x.change("waiting: in %.0f s it is aged, and %.0f %% of the fleet go to the aged, the oldest first",
-			(terms.Age - now.Sub(j.Since())).Seconds(), 100*terms.Share)
+			(terms.AgeBound - now.Sub(j.Since())).Seconds(), 100*terms.Share)
 	}
 }
 
--- a/internal/controller/requests/query.go
+++ b/internal/controller/requests/query.go
@@ -120,7 +120,7 @@
 // nothing of the job starts.
 func (d *Desk) writeCancellation(now time.Time, j *jobs.Job, r *inbox.Request) {
 	j.Cancelling = true
-	d.placer.Changed()
+	d.placer.InvalidateOrder()
 	rec := j.Record()
 	rec.State = jobs.FinalRecord(jobs.Cancelled, 0).State
 	err := d.ledger.Set(now, j.ID, rec, j.Reserve(), true, func(now time.Time, ok bool) {
--- a/internal/controller/requests/served.go
+++ b/internal/controller/requests/served.go
@@ -27,8 +27,8 @@
 func (d *Desk) served(now time.Time, r *inbox.Request) {
 	d.placer.Order(now) // what is told is as of the last order
 	a := ServedList{Groups: []ServedGroup{}, Least: d.opt.FloorLeast}
-	for _, s := range d.planner.Floor().Table(now) {
-		a.Groups = append(a.Groups, ServedGroup{s.Team, s.Name, s.Done, s.Late, s.Owed, s.Share, s.Largest})
+	for _, s := range d.planner.FairShare().Status(now) {
+		a.Groups = append(a.Groups, ServedGroup{s.IsTeam, s.Name, s.Done, s.Unserved, s.Allocated, s.ServedShare, s.IsLargest})
 	}
 	d.out.Reply(r, 200, a, 0)
 }
--- a/internal/controller/standing/floor/floor.go
+++ b/internal/controller/standing/floor/floor.go
@@ -21,366 +21,366 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// Terms are what the operators have set.
-type Terms struct {
-	Window time.Duration // what was done longer ago counts ever less
-	Least  float64       // share of the jobs of each class and team that is to be done
-	Share  float64       // of the fleet's CPUs, for classes and teams below that
-	Late   float64       // of the fleet's CPUs, for late jobs of any
+// Policy are what the operators have set.
+type Policy struct {
+	Window          time.Duration // what was done longer ago counts ever less
+	MinServedShare  float64       // share of the jobs of each class and team that is to be done
+	CatchUpCPUShare float64       // of the fleet's CPUs, for classes and teams below that
+	OverdueCPUShare float64       // of the fleet's CPUs, for late jobs of any
 }
 
 // Group is a class of jobs, a team, or the largest jobs of a class.
 type Group struct {
-	Team    bool // a team's; otherwise a class's
-	Name    string
-	Largest bool // of the class
+	IsTeam    bool // a team's; otherwise a class's
+	Name      string
+	IsLargest bool // of the class
 }
 
 // What is largest is not defined by who asks for it. Both readings count, by work and by number of tasks: the top
 // tenth of the jobs of a class that were seen of late, one at least, if they are larger than the middle one.
 const (
-	top       = 0.9
-	mostSizes = 128
-	// leniency is how much less of the largest than of a class is to be done: on a rough day they are the ones
+	largestQuantile = 0.9
+	maxRecentSizes  = 128
+	// largestLeniency is how much less of the largest than of a class is to be done: on a rough day they are the ones
 	// that are late, and room for them is taken from many others.
-	leniency = 0.1
+	largestLeniency = 0.1
 )
 
 // size of a job, by both readings.
-type extent struct{ work, tasks float64 }
+type jobSize struct{ work, tasks float64 }
 
-func extentOf(j *jobs.Job) extent {
-	return extent{float64(j.Tasks) * j.Estimate.Seconds() * size(j), float64(j.Tasks)}
+func sizeOf(job *jobs.Job) jobSize {
+	return jobSize{float64(job.Tasks) * job.Estimate.Seconds() * countedCPUs(job), float64(job.Tasks)}
 }
 
-// bounds are from which size on a job is one of its class's largest.
-func bounds(list []extent) extent {
-	at := func(of func(extent) float64) float64 {
-		values := make([]float64, len(list))
-		for i, x := range list {
-			values[i] = of(x)
+// largestThresholds are from which size on a job is one of its class's largest.
+func largestThresholds(sizes []jobSize) jobSize {
+	threshold := func(reading func(jobSize) float64) float64 {
+		values := make([]float64, len(sizes))
+		for i, size := range sizes {
+			values[i] = reading(size)
 		}
 		slices.Sort(values)
-		for _, v := range values[min(int(top*float64(len(values))), len(values)-1):] {
+		for _, v := range values[min(int(largestQuantile*float64(len(values))), len(values)-1):] {
 			if v > values[len(values)/2] || len(values) == 2 && v > values[0] {
 				return v
 			}
 		}
 		return math.Inf(1) // all are of one size
 	}
-	return extent{at(func(x extent) float64 { return x.work }), at(func(x extent) float64 { return x.tasks })}
+	return jobSize{threshold(func(size jobSize) float64 { return size.work }), threshold(func(size jobSize) float64 { return size.tasks })}
 }
 
-// tally is how many jobs were done, what is longer ago counting ever less.
-type tally struct {
-	done float64
-	at   time.Time
+// decayingCount is how many jobs were done, what is longer ago counting ever less.
+type decayingCount struct {
+	count     float64
+	updatedAt time.Time
 }
 
-func (t *tally) upTo(now time.Time, window time.Duration) float64 {
-	if dt := now.Sub(t.at); dt > 0 && window > 0 {
-		t.done *= math.Exp(-dt.Seconds() / window.Seconds())
-		t.at = now
+func (t *decayingCount) decayTo(now time.Time, window time.Duration) float64 {
+	if elapsed := now.Sub(t.updatedAt); elapsed > 0 && window > 0 {
+		t.count *= math.Exp(-elapsed.Seconds() / window.Seconds())
+		t.updatedAt = now
 	}
-	return t.done
+	return t.count
 }
 
-// Claim is a late job and what it needs.
-type Claim struct {
-	Job       *jobs.Job
-	Work      float64 // CPU seconds that are left
-	Startable int     // its tasks that wait and that its team's limit lets run
-	Unserved  bool    // it is late by so much that it counts against the share of its class and team
+// OverdueJob is a late job and what it needs.
+type OverdueJob struct {
+	Job                 *jobs.Job
+	RemainingCPUSeconds float64 // CPU seconds that are left
+	StartableTasks      int     // its tasks that wait and that its team's limit lets run
+	IsUnserved          bool    // it is late by so much that it counts against the share of its class and team
 }
 
-// Standing is why a late job has room.
-type Standing int
+// Reason is why a late job has room.
+type Reason int
 
 // Standings.
 const (
-	Late   Standing = iota + 1 // within the share that all late jobs have
-	Behind                     // its class or its team is served less than the least
+	Overdue       Reason = iota + 1 // within the share that all late jobs have
+	BelowMinShare                   // its class or its team is served less than the least
 )
 
-// Book keeps what was served.
-type Book struct {
-	terms  Terms
-	served map[Group]*tally
-	seen   map[string][]extent // by class, of jobs that were done of late
-	large  map[string]extent   // by class, from which size on
-	owed   map[*jobs.Job]bool  // have, or had, room of their own and still run
-	last   map[Group]Served    // as it was looked at last
-	dirty  bool
-	saveAt time.Time
+// Allocator keeps what was served.
+type Allocator struct {
+	policy      Policy
+	served      map[Group]*decayingCount
+	recentSizes map[string][]jobSize  // by class, of jobs that were done of late
+	largestFrom map[string]jobSize    // by class, from which size on
+	allocated   map[*jobs.Job]bool    // have, or had, room of their own and still run
+	lastStatus  map[Group]GroupStatus // as it was looked at last
+	dirty       bool
+	nextSave    time.Time
 }
 
-// Served is how a class or team was served when it was looked at last.
-type Served struct {
+// GroupStatus is how a class or team was served when it was looked at last.
+type GroupStatus struct {
 	Group
-	Done  float64 // jobs, of late
-	Late  int     // jobs that are unserved
-	Owed  int     // of these, such that have room of their own
-	Share float64 // of its jobs, done
+	Done        float64 // jobs, of late
+	Unserved    int     // jobs that are unserved
+	Allocated   int     // of these, such that have room of their own
+	ServedShare float64 // of its jobs, done
 }
 
 // New makes the book of a new leadership.
-func New(t Terms) *Book {
-	return &Book{terms: t, served: map[Group]*tally{}, seen: map[string][]extent{}, large: map[string]extent{}, owed: map[*jobs.Job]bool{}, last: map[Group]Served{}}
+func New(policy Policy) *Allocator {
+	return &Allocator{policy: policy, served: map[Group]*decayingCount{}, recentSizes: map[string][]jobSize{}, largestFrom: map[string]jobSize{}, allocated: map[*jobs.Job]bool{}, lastStatus: map[Group]GroupStatus{}}
 }
 
-// Tune takes other terms.
-func (b *Book) Tune(t Terms) { b.terms = t }
+// SetPolicy takes other terms.
+func (b *Allocator) SetPolicy(policy Policy) { b.policy = policy }
 
-// groups are those that a job counts for.
-func (b *Book) groups(j *jobs.Job) []Group {
-	list := []Group{{Name: j.Class}, {Team: true, Name: j.Team}}
-	from, known := b.large[j.Class]
-	if x := extentOf(j); known && (x.work >= from.work || x.tasks >= from.tasks) {
-		list = append(list, Group{Name: j.Class, Largest: true})
+// groupsOf are those that a job counts for.
+func (b *Allocator) groupsOf(job *jobs.Job) []Group {
+	list := []Group{{Name: job.Class}, {IsTeam: true, Name: job.Team}}
+	threshold, known := b.largestFrom[job.Class]
+	if size := sizeOf(job); known && (size.work >= threshold.work || size.tasks >= threshold.tasks) {
+		list = append(list, Group{Name: job.Class, IsLargest: true})
 	}
 	return list
 }
 
-// measure finds anew from which size on the jobs of each class are its largest.
-func (b *Book) measure(live []*jobs.Job) {
-	all := map[string][]extent{}
-	for class, list := range b.seen {
-		all[class] = slices.Clone(list)
+// updateThresholds finds anew from which size on the jobs of each class are its largest.
+func (b *Allocator) updateThresholds(live []*jobs.Job) {
+	sizes := map[string][]jobSize{}
+	for class, list := range b.recentSizes {
+		sizes[class] = slices.Clone(list)
 	}
-	for _, j := range live {
-		if !j.Service {
-			all[j.Class] = append(all[j.Class], extentOf(j))
+	for _, job := range live {
+		if !job.Service {
+			sizes[job.Class] = append(sizes[job.Class], sizeOf(job))
 		}
 	}
-	clear(b.large)
-	for class, list := range all {
-		b.large[class] = bounds(list)
+	clear(b.largestFrom)
+	for class, list := range sizes {
+		b.largestFrom[class] = largestThresholds(list)
 	}
 }
 
-// Done takes in a job that is done.
-func (b *Book) Done(now time.Time, j *jobs.Job) {
-	delete(b.owed, j)
+// RecordDone takes in a job that is done.
+func (b *Allocator) RecordDone(now time.Time, job *jobs.Job) {
+	delete(b.allocated, job)
 	b.dirty = true
-	list := append(b.seen[j.Class], extentOf(j))
-	b.seen[j.Class] = list[max(len(list)-mostSizes, 0):]
-	if _, known := b.large[j.Class]; !known || len(list)%16 == 0 {
-		b.large[j.Class] = bounds(b.seen[j.Class])
+	sizes := append(b.recentSizes[job.Class], sizeOf(job))
+	b.recentSizes[job.Class] = sizes[max(len(sizes)-maxRecentSizes, 0):]
+	if _, known := b.largestFrom[job.Class]; !known || len(sizes)%16 == 0 {
+		b.largestFrom[job.Class] = largestThresholds(b.recentSizes[job.Class])
 	}
-	for _, g := range b.groups(j) {
-		t := b.served[g]
-		if t == nil {
-			t = &tally{at: now}
-			b.served[g] = t
+	for _, g := range b.groupsOf(job) {
+		count := b.served[g]
+		if count == nil {
+			count = &decayingCount{updatedAt: now}
+			b.served[g] = count
 		}
-		t.upTo(now, b.terms.Window)
-		t.done++
+		count.decayTo(now, b.policy.Window)
+		count.count++
 	}
 }
 
-// Nothing reports whether no job of the class was done of late.
-func (b *Book) Nothing(now time.Time, class string) bool {
-	t := b.served[Group{Name: class}]
-	return t == nil || t.upTo(now, b.terms.Window) < 0.5
+// NoneDoneRecently reports whether no job of the class was done of late.
+func (b *Allocator) NoneDoneRecently(now time.Time, class string) bool {
+	count := b.served[Group{Name: class}]
+	return count == nil || count.decayTo(now, b.policy.Window) < 0.5
 }
 
-// state of a class or team while room is given out.
-type state struct {
-	least   float64 // share that is to be done
-	done    float64 // with those that were given room, as if they were done
-	late    float64 // jobs that are unserved
-	used    float64 // CPUs of the room that was given out
-	waiting []int   // claims of the group, those with the least work first
+// groupState of a class or team while room is given out.
+type groupState struct {
+	minServedShare float64 // share that is to be done
+	done           float64 // with those that were given room, as if they were done
+	unserved       float64 // jobs that are unserved
+	usedCPUs       float64 // CPUs of the room that was given out
+	waiting        []int   // claims of the group, those with the least work first
 }
 
-func (s *state) share() float64 {
-	if s.done+s.late <= 0 {
+func (s *groupState) servedShare() float64 {
+	if s.done+s.unserved <= 0 {
 		return 1
 	}
-	return s.done / (s.done + s.late)
+	return s.done / (s.done + s.unserved)
 }
 
-func (s *state) behind() bool { return s.share() < s.least }
+func (s *groupState) isBelowMinShare() bool { return s.servedShare() < s.minServedShare }
 
-// least is which share of a group's jobs is to be done.
-func (b *Book) least(g Group) float64 {
-	if g.Largest {
-		return b.terms.Least - leniency
+// minServedShare is which share of a group's jobs is to be done.
+func (b *Allocator) minServedShare(g Group) float64 {
+	if g.IsLargest {
+		return b.policy.MinServedShare - largestLeniency
 	}
-	return b.terms.Least
+	return b.policy.MinServedShare
 }
 
-// kind orders the kinds of groups.
-func kind(g Group) int {
+// groupOrder orders the kinds of groups.
+func groupOrder(g Group) int {
 	switch {
-	case g.Team:
+	case g.IsTeam:
 		return 1
-	case g.Largest:
+	case g.IsLargest:
 		return 2
 	}
 	return 0
 }
 
-// Look says which late jobs have room of their own now, and why. live are all jobs, cpus the fleet's.
-func (b *Book) Look(now time.Time, claims []Claim, live []*jobs.Job, cpus float64) map[*jobs.Job]Standing {
-	b.forget(claims)
-	clear(b.last)
-	if len(claims) == 0 {
+// Allocate says which late jobs have room of their own now, and why. live are all jobs, cpus the fleet's.
+func (b *Allocator) Allocate(now time.Time, overdue []OverdueJob, live []*jobs.Job, totalCPUs float64) map[*jobs.Job]Reason {
+	b.dropFinished(overdue)
+	clear(b.lastStatus)
+	if len(overdue) == 0 {
 		return nil
 	}
-	b.measure(live)
-	list := slices.Clone(claims)
-	slices.SortFunc(list, func(x, y Claim) int {
-		return cmp.Or(cmp.Compare(x.Work, y.Work), x.Job.Since().Compare(y.Job.Since()), cmp.Compare(x.Job.ID, y.Job.ID))
+	b.updateThresholds(live)
+	list := slices.Clone(overdue)
+	slices.SortFunc(list, func(x, y OverdueJob) int {
+		return cmp.Or(cmp.Compare(x.RemainingCPUSeconds, y.RemainingCPUSeconds), x.Job.Since().Compare(y.Job.Since()), cmp.Compare(x.Job.ID, y.Job.ID))
 	})
-	at := map[Group]*state{}
-	used := 0.0
+	states := map[Group]*groupState{}
+	usedCPUs := 0.0
 	for i, c := range list {
-		for _, g := range b.groups(c.Job) {
-			s := at[g]
+		for _, g := range b.groupsOf(c.Job) {
+			s := states[g]
 			if s == nil {
-				s = &state{least: b.least(g)}
+				s = &groupState{minServedShare: b.minServedShare(g)}
 				if t := b.served[g]; t != nil {
-					s.done = t.upTo(now, b.terms.Window)
+					s.done = t.decayTo(now, b.policy.Window)
 				}
-				at[g] = s
+				states[g] = s
 			}
-			if c.Unserved {
-				s.late++
+			if c.IsUnserved {
+				s.unserved++
 			}
-			if c.Startable > 0 {
+			if c.StartableTasks > 0 {
 				s.waiting = append(s.waiting, i)
 			}
 		}
-		if b.owed[c.Job] {
-			has := float64(len(c.Job.Active)) * size(c.Job)
-			used += has
-			for _, g := range b.groups(c.Job) {
-				at[g].used += has
+		if b.allocated[c.Job] {
+			running := float64(len(c.Job.Active)) * countedCPUs(c.Job)
+			usedCPUs += running
+			for _, g := range b.groupsOf(c.Job) {
+				states[g].usedCPUs += running
 			}
 		}
 	}
-	for g, s := range at {
-		b.last[g] = Served{Group: g, Done: s.done, Late: int(s.late), Share: s.share()}
+	for g, s := range states {
+		b.lastStatus[g] = GroupStatus{Group: g, Done: s.done, Unserved: int(s.unserved), ServedShare: s.servedShare()}
 	}
-	given := b.give(list, at, used, cpus)
-	for j := range given {
-		b.owed[j] = true
-		for _, g := range b.groups(j) {
-			s := b.last[g]
-			s.Owed++
-			b.last[g] = s
+	allocations := b.distribute(list, states, usedCPUs, totalCPUs)
+	for j := range allocations {
+		b.allocated[j] = true
+		for _, g := range b.groupsOf(j) {
+			s := b.lastStatus[g]
+			s.Allocated++
+			b.lastStatus[g] = s
 		}
 	}
-	return given
+	return allocations
 }
 
-// give hands out room, to whoever is served least, until the shares are used up. Who floods is served
+// distribute hands out room, to whoever is served least, until the shares are used up. Who floods is served
 // least: a class or team that has half of a share gets more of it only if nobody else wants it.
-func (b *Book) give(list []Claim, at map[Group]*state, used, cpus float64) map[*jobs.Job]Standing {
-	given := map[*jobs.Job]Standing{}
-	order := slices.SortedFunc(maps.Keys(at), func(x, y Group) int {
-		return cmp.Or(cmp.Compare(kind(x), kind(y)), cmp.Compare(x.Name, y.Name))
+func (b *Allocator) distribute(overdue []OverdueJob, states map[Group]*groupState, usedCPUs, totalCPUs float64) map[*jobs.Job]Reason {
+	allocations := map[*jobs.Job]Reason{}
+	order := slices.SortedFunc(maps.Keys(states), func(x, y Group) int {
+		return cmp.Or(cmp.Compare(groupOrder(x), groupOrder(y)), cmp.Compare(x.Name, y.Name))
 	})
 	for {
-		var least, modest *state
+		var least, modest *groupState
 		for _, g := range order {
-			s := at[g]
-			for len(s.waiting) > 0 && given[list[s.waiting[0]].Job] != 0 {
+			s := states[g]
+			for len(s.waiting) > 0 && allocations[overdue[s.waiting[0]].Job] != 0 {
 				s.waiting = s.waiting[1:]
 			}
 			if len(s.waiting) == 0 {
 				continue
 			}
-			if class := at[Group{Name: g.Name}]; g.Largest && len(class.waiting) > 0 && class.share() < half {
+			if class := states[Group{Name: g.Name}]; g.IsLargest && len(class.waiting) > 0 && class.servedShare() < minClassShareForLargest {
 				continue
 			}
-			if least == nil || s.share() < least.share() {
+			if least == nil || s.servedShare() < least.servedShare() {
 				least = s
 			}
-			if s.used < flood*b.limit(s.share(), s.least)*cpus && (modest == nil || s.share() < modest.share()) {
+			if s.usedCPUs < maxShareOfOneGroup*b.cpuShareLimit(s.servedShare(), s.minServedShare)*totalCPUs && (modest == nil || s.servedShare() < modest.servedShare()) {
 				modest = s
 			}
 		}
 		if least == nil {
-			return given
+			return allocations
 		}
-		if modest != nil && (modest.behind() || !least.behind()) {
+		if modest != nil && (modest.isBelowMinShare() || !least.isBelowMinShare()) {
 			least = modest // nobody who is served well enough goes before one who floods and is not
 		}
-		if used >= b.limit(least.share(), least.least)*cpus {
-			return given
+		if usedCPUs >= b.cpuShareLimit(least.servedShare(), least.minServedShare)*totalCPUs {
+			return allocations
 		}
-		why := Late
-		if least.behind() {
-			why = Behind
+		reason := Overdue
+		if least.isBelowMinShare() {
+			reason = BelowMinShare
 		}
-		c := list[least.waiting[0]]
-		given[c.Job] = why
-		needs := float64(c.Startable) * size(c.Job)
-		used += needs
-		for _, g := range b.groups(c.Job) {
-			at[g].used += needs
-			at[g].done++
-			if c.Unserved {
-				at[g].late--
+		job := overdue[least.waiting[0]]
+		allocations[job.Job] = reason
+		needs := float64(job.StartableTasks) * countedCPUs(job.Job)
+		usedCPUs += needs
+		for _, g := range b.groupsOf(job.Job) {
+			states[g].usedCPUs += needs
+			states[g].done++
+			if job.IsUnserved {
+				states[g].unserved--
 			}
 		}
 	}
 }
 
-// half of a class is to be served before its largest go ahead of the others. Of six jobs of four to ten minutes the longest had room
+// minClassShareForLargest of a class is to be served before its largest go ahead of the others. Of six jobs of four to ten minutes the longest had room
 // as the third, could not be done by the end of the day, and kept it from one that could: two were served (hunt day a4e2-15).
-const half = 0.5
+const minClassShareForLargest = 0.5
 
-// flood is which part of a share one class or team gets while others want some of it.
-const flood = 0.5
+// maxShareOfOneGroup is which part of a share one class or team gets while others want some of it.
+const maxShareOfOneGroup = 0.5
 
-// limit is the share of the fleet up to which a class or team that was served so much is given room.
-func (b *Book) limit(share, least float64) float64 {
-	if share < least {
-		return max(b.terms.Share, b.terms.Late)
+// cpuShareLimit is the share of the fleet up to which a class or team that was served so much is given room.
+func (b *Allocator) cpuShareLimit(servedShare, minServedShare float64) float64 {
+	if servedShare < minServedShare {
+		return max(b.policy.CatchUpCPUShare, b.policy.OverdueCPUShare)
 	}
-	return b.terms.Late
+	return b.policy.OverdueCPUShare
 }
 
-// size is what a task counts in a share; one that takes no CPU counts a little.
-func size(j *jobs.Job) float64 { return max(j.CPUs, 0.1) }
+// countedCPUs is what a task counts in a share; one that takes no CPU counts a little.
+func countedCPUs(job *jobs.Job) float64 { return max(job.CPUs, 0.1) }
 
-// forget drops from those with room what is not late any more, and what has nothing of it left.
-func (b *Book) forget(claims []Claim) {
-	if len(b.owed) == 0 {
+// dropFinished drops from those with room what is not late any more, and what has nothing of it left.
+func (b *Allocator) dropFinished(overdue []OverdueJob) {
+	if len(b.allocated) == 0 {
 		return
 	}
-	late := make(map[*jobs.Job]bool, len(claims))
-	for _, c := range claims {
-		late[c.Job] = true
+	isOverdue := make(map[*jobs.Job]bool, len(overdue))
+	for _, c := range overdue {
+		isOverdue[c.Job] = true
 	}
-	maps.DeleteFunc(b.owed, func(j *jobs.Job, _ bool) bool { return !late[j] || len(j.Active) == 0 })
+	maps.DeleteFunc(b.allocated, func(j *jobs.Job, _ bool) bool { return !isOverdue[j] || len(j.Active) == 0 })
 }
 
-// Reserve is the share of the fleet that is not to be promised to others: what late jobs may take now.
-func (b *Book) Reserve() float64 {
-	reserve := 0.0
-	for _, s := range b.last {
-		if s.Owed > 0 {
-			reserve = max(reserve, b.limit(s.Share, b.least(s.Group)))
+// ReservedCPUShare is the share of the fleet that is not to be promised to others: what late jobs may take now.
+func (b *Allocator) ReservedCPUShare() float64 {
+	share := 0.0
+	for _, s := range b.lastStatus {
+		if s.Allocated > 0 {
+			share = max(share, b.cpuShareLimit(s.ServedShare, b.minServedShare(s.Group)))
 		}
 	}
-	return reserve
+	return share
 }
 
-// Table lists how each class and team was served, as of the last look: those with late jobs, and
+// Status lists how each class and team was served, as of the last look: those with late jobs, and
 // those of which jobs were done of late.
-func (b *Book) Table(now time.Time) []Served {
-	all := map[Group]Served{}
-	for g, t := range b.served {
-		if d := t.upTo(now, b.terms.Window); d > 0.01 {
-			all[g] = Served{Group: g, Done: d, Share: 1}
+func (b *Allocator) Status(now time.Time) []GroupStatus {
+	groups := map[Group]GroupStatus{}
+	for g, count := range b.served {
+		if d := count.decayTo(now, b.policy.Window); d > 0.01 {
+			groups[g] = GroupStatus{Group: g, Done: d, ServedShare: 1}
 		}
 	}
-	maps.Copy(all, b.last)
-	return slices.SortedFunc(maps.Values(all), func(x, y Served) int {
-		return cmp.Or(cmp.Compare(x.Share, y.Share), cmp.Compare(x.Name, y.Name))
+	maps.Copy(groups, b.lastStatus)
+	return slices.SortedFunc(maps.Values(groups), func(x, y GroupStatus) int {
+		return cmp.Or(cmp.Compare(x.ServedShare, y.ServedShare), cmp.Compare(x.Name, y.Name))
 	})
 }
--- a/internal/controller/standing/floor/golden_bytes_test.go
+++ b/internal/controller/standing/floor/golden_bytes_test.go
@@ -7,6 +7,6 @@
 )
 
 func TestGoldenBytes(t *testing.T) {
-	value := record{At: 1_700_000_000_123, Groups: []row{{Team: true, Name: "vision", Done: 12.25, Largest: true}}}
+	value := savedState{SavedAt: 1_700_000_000_123, Groups: []savedGroup{{IsTeam: true, Name: "vision", Done: 12.25, IsLargest: true}}}
 	goldenbytes.Check(t, goldenbytes.MessagePack("served", value), goldenbytes.JSON("served", value))
 }
--- a/internal/controller/standing/floor/record.go
+++ b/internal/controller/standing/floor/record.go
@@ -14,63 +14,63 @@
 const EntryName = "f:served"
 
 const (
-	// saveEvery is how often it is written at most. It goes with commits that are made anyway.
-	saveEvery = 5 * time.Second
-	// mostGroups are written: those with the most jobs, fewer if a page does not hold them. recordReserve is the room that they need.
-	mostGroups    = 24
-	recordReserve = 2200
-	longestName   = 40
+	// saveInterval is how often it is written at most. It goes with commits that are made anyway.
+	saveInterval = 5 * time.Second
+	// maxSavedGroups are written: those with the most jobs, fewer if a page does not hold them. recordReserve is the room that they need.
+	maxSavedGroups = 24
+	recordBytes    = 2200
+	maxNameBytes   = 40
 )
 
-type record struct {
-	At     int64 `msgpack:"t" json:"t"` // ms since 1970
-	Groups []row `msgpack:"g" json:"g"`
+type savedState struct {
+	SavedAt int64        `msgpack:"t" json:"t"` // ms since 1970
+	Groups  []savedGroup `msgpack:"g" json:"g"`
 }
 
-type row struct {
-	Team    bool    `msgpack:"t,omitempty" json:"t,omitempty"`
-	Name    string  `msgpack:"n" json:"n"`
-	Done    float64 `msgpack:"d" json:"d"`
-	Largest bool    `msgpack:"l,omitempty" json:"l,omitempty"`
+type savedGroup struct {
+	IsTeam    bool    `msgpack:"t,omitempty" json:"t,omitempty"`
+	Name      string  `msgpack:"n" json:"n"`
+	Done      float64 `msgpack:"d" json:"d"`
+	IsLargest bool    `msgpack:"l,omitempty" json:"l,omitempty"`
 }
 
-// reserve is the room that the record has in its page.
-func reserve(led *ledger.Store) int { return min(recordReserve, led.MaxEntryBytes(EntryName)) }
+// recordSize is the room that the record has in its page.
+func recordSize(store *ledger.Store) int { return min(recordBytes, store.MaxEntryBytes(EntryName)) }
 
 // Save writes down what was served, if that has changed and it is time.
-func (b *Book) Save(now time.Time, led *ledger.Store, log *slog.Logger) {
-	if !b.dirty || now.Before(b.saveAt) || !led.IsHealthy() {
+func (b *Allocator) Save(now time.Time, store *ledger.Store, log *slog.Logger) {
+	if !b.dirty || now.Before(b.nextSave) || !store.IsHealthy() {
 		return
 	}
-	b.dirty, b.saveAt = false, now.Add(saveEvery)
-	rec := record{At: now.UnixMilli()}
-	for g, t := range b.served {
+	b.dirty, b.nextSave = false, now.Add(saveInterval)
+	state := savedState{SavedAt: now.UnixMilli()}
+	for g, count := range b.served {
 		// Names are the platform's, and of no use for telling a class if they are cut.
-		if d := t.upTo(now, b.terms.Window); d >= 0.01 && len(g.Name) <= longestName {
-			rec.Groups = append(rec.Groups, row{g.Team, g.Name, float64(int(d*100)) / 100, g.Largest})
+		if done := count.decayTo(now, b.policy.Window); done >= 0.01 && len(g.Name) <= maxNameBytes {
+			state.Groups = append(state.Groups, savedGroup{g.IsTeam, g.Name, float64(int(done*100)) / 100, g.IsLargest})
 		}
 	}
-	slices.SortFunc(rec.Groups, func(x, y row) int { return cmp.Or(cmp.Compare(y.Done, x.Done), cmp.Compare(x.Name, y.Name)) })
-	room := reserve(led)
-	rec.Groups = rec.Groups[:min(len(rec.Groups), mostGroups*room/recordReserve)]
-	if err := led.Set(now, EntryName, rec, room, false, nil); err != nil {
+	slices.SortFunc(state.Groups, func(x, y savedGroup) int { return cmp.Or(cmp.Compare(y.Done, x.Done), cmp.Compare(x.Name, y.Name)) })
+	size := recordSize(store)
+	state.Groups = state.Groups[:min(len(state.Groups), maxSavedGroups*size/recordBytes)]
+	if err := store.Set(now, EntryName, state, size, false, nil); err != nil {
 		log.Error("what was served cannot be noted", "error", err)
 	}
 }
 
 // Restore takes over what an earlier leader has written down.
-func (b *Book) Restore(now time.Time, decode func(any) error, led *ledger.Store) error {
-	var rec record
-	if err := decode(&rec); err != nil {
+func (b *Allocator) Restore(now time.Time, decode func(any) error, store *ledger.Store) error {
+	var state savedState
+	if err := decode(&state); err != nil {
 		return err
 	}
-	led.Reserve(EntryName, reserve(led))
-	at := time.UnixMilli(rec.At)
-	if at.After(now) {
-		at = now // the clocks of two controllers differ
+	store.Reserve(EntryName, recordSize(store))
+	savedAt := time.UnixMilli(state.SavedAt)
+	if savedAt.After(now) {
+		savedAt = now // the clocks of two controllers differ
 	}
-	for _, r := range rec.Groups {
-		b.served[Group{r.Team, r.Name, r.Largest}] = &tally{done: r.Done, at: at}
+	for _, group := range state.Groups {
+		b.served[Group{group.IsTeam, group.Name, group.IsLargest}] = &decayingCount{count: group.Done, updatedAt: savedAt}
 	}
 	return nil
 }
--- a/internal/controller/standing/gate_test.go
+++ b/internal/controller/standing/gate_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// crowd plays users of two teams at a gate through which ten submissions a second are saved: one
+// submitFromTwoTeams plays users of two teams at a gate through which ten submissions a second are saved: one
 // team sends ten times what can be taken and does not wait as it is told, the other a little.
-func crowd(t *testing.T, hammers bool) (waits map[string][]time.Duration, order []int) {
+func submitFromTwoTeams(t *testing.T, retriesAtOnce bool) (waits map[string][]time.Duration, order []int) {
 	t.Helper()
 	const rate = 10
-	g := NewGate(20, rate)
+	limiter := NewSubmissionLimiter(20, rate)
 	now := time.Unix(1000, 0)
 	type user struct {
 		team, id string
@@ -20,7 +20,7 @@
 		next     time.Time
 	}
 	var users []*user
-	var inside []string
+	var pending []string
 	waits = map[string][]time.Duration{}
 	for tick := range 4000 { // forty seconds, in steps of 10 ms
 		now = now.Add(10 * time.Millisecond)
@@ -32,19 +32,19 @@
 		if tick%50 == 0 {
 			users = append(users, &user{team: "calm", id: fmt.Sprintf("job-2%06d", tick), n: tick, first: now, next: now})
 		}
-		if tick%(100/rate) == 0 && len(inside) > 0 {
-			g.Leave(inside[0])
-			inside = inside[1:]
+		if tick%(100/rate) == 0 && len(pending) > 0 {
+			limiter.Release(pending[0])
+			pending = pending[1:]
 		}
-		left := users[:0]
+		remaining := users[:0]
 		for _, u := range users {
 			if now.Before(u.next) {
-				left = append(left, u)
+				remaining = append(remaining, u)
 				continue
 			}
-			ok, retry := g.Enter(now, u.team, u.id)
+			ok, retry := limiter.Acquire(now, u.team, u.id)
 			if ok {
-				inside = append(inside, u.team)
+				pending = append(pending, u.team)
 				waits[u.team] = append(waits[u.team], now.Sub(u.first))
 				if u.team == "flood" {
 					order = append(order, u.n)
@@ -55,16 +55,16 @@
 				t.Fatalf("told to come back after %v", retry)
 			}
 			u.next = now.Add(retry)
-			if hammers && u.team == "flood" {
+			if retriesAtOnce && u.team == "flood" {
 				u.next = now.Add(20 * time.Millisecond)
 			}
 			if now.Sub(u.first) < time.Minute {
-				left = append(left, u)
+				remaining = append(remaining, u)
 			}
 		}
-		users = left
-		if g.Pending() != len(inside) || g.Pending() > 20 {
-			t.Fatalf("%d are inside, the gate counts %d", len(inside), g.Pending())
+		users = remaining
+		if limiter.Pending() != len(pending) || limiter.Pending() > 20 {
+			t.Fatalf("%d are inside, the gate counts %d", len(pending), limiter.Pending())
 		}
 	}
 	return waits, order
@@ -73,31 +73,31 @@
 // A team that floods does not keep another one out, whether it hammers or not, and gains nothing
 // by it; those of a team who keep to what they are told are let in in the order in which they
 // first came.
-func TestTeamsShareTheGate(t *testing.T) {
+func TestTeamsShareTheLimiter(t *testing.T) {
 	counts := map[bool]int{}
-	for _, hammers := range []bool{false, true} {
-		waits, order := crowd(t, hammers)
+	for _, retriesAtOnce := range []bool{false, true} {
+		waits, order := submitFromTwoTeams(t, retriesAtOnce)
 		if n := len(waits["calm"]); n < 76 {
-			t.Errorf("hammering %v: %d of 80 submissions of the calm team were let in", hammers, n)
+			t.Errorf("hammering %v: %d of 80 submissions of the calm team were let in", retriesAtOnce, n)
 		}
 		for _, w := range waits["calm"] {
 			if w > 4*time.Second {
-				t.Errorf("hammering %v: a submission of the calm team waits %v", hammers, w)
+				t.Errorf("hammering %v: a submission of the calm team waits %v", retriesAtOnce, w)
 				break
 			}
 		}
-		counts[hammers] = len(waits["flood"])
+		counts[retriesAtOnce] = len(waits["flood"])
 		if len(order) < 200 {
-			t.Errorf("hammering %v: only %d of the flood were let in, of about 320 that can be saved", hammers, len(order))
+			t.Errorf("hammering %v: only %d of the flood were let in, of about 320 that can be saved", retriesAtOnce, len(order))
 		}
-		late := 0
+		outOfOrder := 0
 		for i := 1; i < len(order); i++ {
 			if order[i] < order[i-1]-30 { // within the three hundred milliseconds of one
-				late++
+				outOfOrder++
 			}
 		}
-		if !hammers && late > len(order)/20 {
-			t.Errorf("%d of %d were let in after others that came later", late, len(order))
+		if !retriesAtOnce && outOfOrder > len(order)/20 {
+			t.Errorf("%d of %d were let in after others that came later", outOfOrder, len(order))
 		}
 	}
 	if counts[true] > counts[false]*11/10 {
@@ -106,22 +106,22 @@
 }
 
 // Tickets do not pile up: a team whose users never come back is forgotten.
-func TestTicketsAreForgotten(t *testing.T) {
-	g := NewGate(1, 1)
+func TestTicketsExpire(t *testing.T) {
+	limiter := NewSubmissionLimiter(1, 1)
 	now := time.Unix(1000, 0)
-	g.Enter(now, "a", "job-1")
-	for i := range 3 * mostTickets {
-		if ok, _ := g.Enter(now, "b", fmt.Sprintf("job-9%05d", i)); ok {
+	limiter.Acquire(now, "a", "job-1")
+	for i := range 3 * maxTicketsPerTeam {
+		if ok, _ := limiter.Acquire(now, "b", fmt.Sprintf("job-9%05d", i)); ok {
 			t.Fatal("let in beyond the bound")
 		}
 	}
-	if n := len(g.teams["b"].row); n > mostTickets {
+	if n := len(limiter.teams["b"].queue); n > maxTicketsPerTeam {
 		t.Errorf("%d tickets are remembered", n)
 	}
-	g.Leave("a")
-	now = now.Add(2 * mostTickets * time.Second)
-	g.Enter(now, "c", "job-2")
-	if g.teams["b"] != nil {
+	limiter.Release("a")
+	now = now.Add(2 * maxTicketsPerTeam * time.Second)
+	limiter.Acquire(now, "c", "job-2")
+	if limiter.teams["b"] != nil {
 		t.Error("a team that is gone is remembered")
 	}
 }
--- a/internal/controller/takeover/partly.go
+++ b/internal/controller/takeover/partly.go
@@ -27,30 +27,30 @@
 func (t *Reconciler) updatePartialStart(now time.Time) {
 	if len(t.unreconciled) == 0 {
 		t.partialStart = false
-		t.placer.Partly(nil)
+		t.placer.SetPartialStart(nil)
 		return
 	}
 	if now.Sub(t.electedAt) < partialStartDelay || now.Before(t.nextUnseenUsage) {
 		return
 	}
 	t.nextUnseenUsage = now.Add(unseenUsageInterval)
-	t.placer.Partly(t.unseenUsage())
+	t.placer.SetPartialStart(t.unseenUsage())
 	if !t.partialStart {
 		t.partialStart = true
-		t.placer.Changed()
+		t.placer.InvalidateOrder()
 		t.log.Info("jobs of this leader begin to start", "token", t.fencingToken, "missing", len(t.unreconciled))
 	}
 }
 
 // unseenUsage is what each team's tasks may use at most on the machines that are missing: no more than its tasks that are neither
 // done nor seen on a machine, and no more than those machines have. Cancelled jobs count like all others until they are gone.
-func (t *Reconciler) unseenUsage() place.Hidden {
+func (t *Reconciler) unseenUsage() place.UnseenUsage {
 	capacity := workers.Usage{}
 	for _, machine := range t.unreconciled {
 		cpus, gpus := t.maxCapacity(machine)
 		capacity.CPUs, capacity.GPUs = capacity.CPUs+cpus, capacity.GPUs+gpus
 	}
-	usageByTeam := place.Hidden{}
+	usageByTeam := place.UnseenUsage{}
 	for _, job := range t.jobStore.Unfinished {
 		if job.Ours || job.State == jobs.Pending || job.Waits > 0 {
 			continue
--- a/internal/controller/takeover/takeover.go
+++ b/internal/controller/takeover/takeover.go
@@ -40,7 +40,7 @@
 	cloud         *fleet.Cloud
 	heartbeats    *reports.Handler
 	placer        *place.Placer
-	fairShare     *floor.Book
+	fairShare     *floor.Allocator
 	zones         *zones.Book
 	reachability  *reach.Tracker
 	connectivity  *hearing.Monitor
@@ -75,7 +75,7 @@
 	Cloud         *fleet.Cloud
 	Heartbeats    *reports.Handler
 	Placer        *place.Placer
-	FairShare     *floor.Book
+	FairShare     *floor.Allocator
 	Zones         *zones.Book
 	Reachability  *reach.Tracker
 	Connectivity  *hearing.Monitor // whether the workers reach this controller
@@ -192,7 +192,7 @@
 		}
 	}
 	t.stateLoaded = true
-	t.placer.Changed()
+	t.placer.InvalidateOrder()
 	t.isFirstLeader = len(t.jobStore.Unfinished)+t.jobStore.FinishedCount()+len(t.workers.Machines) == 0
 	t.log.Info("ledger taken over", "token", t.fencingToken, "jobs", len(t.jobStore.Unfinished), "finals", t.jobStore.FinishedCount()-t.jobStore.Archive().JobCount(),
 		"sealed", t.jobStore.Archive().JobCount(), "runs", t.jobStore.Archive().SegmentCount(), "machines", len(t.workers.Machines),
@@ -237,7 +237,7 @@
 	t.updatePartialStart(now)
 	if len(t.unreconciled) == 0 {
 		t.completed = true
-		t.placer.Changed()
+		t.placer.InvalidateOrder()
 		t.log.Info("placing begins", "token", t.fencingToken, "after", now.Sub(t.electedAt).Round(time.Millisecond))
 	}
 }
--- a/internal/controller/takeover/takeover_test.go
+++ b/internal/controller/takeover/takeover_test.go
@@ -56,12 +56,12 @@
 	cloudState.Types = map[string]*fleet.Type{"small": {Name: "small", CPUs: 4, Mem: 8, Zones: []string{"a"}, Price: 1, SpotPrice: 0.3, BootS: 40}}
 	accountingLog := timeline.New(timeline.NewMetrics(prometheus.NewRegistry()), log)
 	jobStore := book.New(book.Components{Platform: platform, Options: &options, Storage: store, Workers: registry, Accounting: accountingLog, Log: log})
-	placer := place.NewPlacer(place.World{Platform: platform, Token: fencingToken, Jobs: jobStore.Unfinished, Fleet: registry, Planner: planner,
-		Room: func(time.Time) plan.Room { return plan.Room{} }, Box: outbox, Log: log})
+	placer := place.New(place.Components{Platform: platform, FencingToken: fencingToken, Jobs: jobStore.Unfinished, Workers: registry, Planner: planner,
+		Capacity: func(time.Time) plan.Capacity { return plan.Capacity{} }, Outbox: outbox, Log: log})
 	heartbeats := reports.NewHandler(reports.Components{Platform: platform, FencingToken: fencingToken, Storage: store, JobStore: jobStore, Workers: registry, Cloud: cloudState, Planner: planner,
 		Placer: placer, Accounting: accountingLog, Stragglers: pace.NewDetector(platform.ReportEvery), Failures: blame.NewTracker(), Reachability: machineLinks, Responder: reconciler.responder, Log: log})
 	reconciler.Reconciler = New(Components{Platform: platform, FencingToken: fencingToken, ElectedAt: now, Storage: store, JobStore: jobStore, DynamicConfig: settings.New(options, store, reconciler.responder, log), Workers: registry,
-		Cloud: cloudState, Heartbeats: heartbeats, Placer: placer, FairShare: planner.Floor(), Zones: zones.New(platform.ReportEvery, now, log), Reachability: machineLinks, Connectivity: reconciler.connectivity, RenewalLimit: reconciler.renewalLimit, Outbox: outbox, Log: log})
+		Cloud: cloudState, Heartbeats: heartbeats, Placer: placer, FairShare: planner.FairShare(), Zones: zones.New(platform.ReportEvery, now, log), Reachability: machineLinks, Connectivity: reconciler.connectivity, RenewalLimit: reconciler.renewalLimit, Outbox: outbox, Log: log})
 	reconciler.stateLoaded, reconciler.completed, reconciler.isFirstLeader = true, true, true
 	return reconciler
 }
@@ -153,7 +153,7 @@
 		for _, machine := range reconciler.workers.MachinesByName() {
 			if machine.IsSentinel {
 				sentinels++
-				if place.Usable(jobs.NewJob(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, Spot: true}, now), machine) {
+				if place.IsEligible(jobs.NewJob(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, Spot: true}, now), machine) {
 					t.Errorf("a task may be placed on %s, which is away", machine.ID)
 				}
 			}
--- a/internal/controller/timeline/look.go
+++ b/internal/controller/timeline/look.go
@@ -81,7 +81,7 @@
 	}
 	r := room{holders: map[*jobs.Job]bool{}}
 	for _, m := range s.up {
-		if !place.Usable(j, m) || m.TasksThatFitWhenEmpty(j) == 0 {
+		if !place.IsEligible(j, m) || m.TasksThatFitWhenEmpty(j) == 0 {
 			continue
 		}
 		r.usable = true
@@ -97,7 +97,7 @@
 	}
 	for _, kind := range s.coming {
 		t := s.Cloud.Types[kind.Type]
-		r.coming = r.coming || t != nil && place.KindAllowed(j, kind) && place.TypeFits(j, t)
+		r.coming = r.coming || t != nil && place.KindAllowed(j, kind) && place.FitsType(j, t)
 	}
 	if j.Errors == 0 {
 		s.shapes[k] = r
@@ -150,7 +150,7 @@
 	if now.Before(j.NotBefore) {
 		return LostFailed
 	}
-	if place.TeamRoom(j, s.Teams[j.Team], s.Fleet.TeamUsage(j.Team)) == 0 {
+	if place.TasksAllowedByQuota(j, s.Teams[j.Team], s.Fleet.TeamUsage(j.Team)) == 0 {
 		return TeamLimit
 	}
 	r := s.room(j)
--- a/internal/controller/timeline/timeline_test.go
+++ b/internal/controller/timeline/timeline_test.go
@@ -53,7 +53,7 @@
 func (r *site) machine(i int) *workers.Machine {
 	m := r.Fleet.GetOrAdd(fmt.Sprintf("vm-%d", i))
 	r.Fleet.Reconcile(r.now, m, &workers.Heartbeat{Machine: m.ID, Type: "small", Zone: "a", Incarnation: 1, Sequence: m.Sequence + 1}, true, func(string) *jobs.Job { return nil })
-	r.Fleet.SetCapacity(m, place.Size(r.Cloud.Types["small"]), 0, 0)
+	r.Fleet.SetCapacity(m, place.TypeResources(r.Cloud.Types["small"]), 0, 0)
 	return m
 }
 
