--- a/cmd/gullrudder/account.go
+++ b/cmd/gullrudder/account.go
@@ -22,10 +22,10 @@
 }
 
 // shareText lists causes with their times.
-func shareText(list []requests.Share) string {
+func shareText(list []requests.TimeShare) string {
 	var parts []string
 	for _, s := range list {
-		parts = append(parts, s.Cause+" "+milliseconds(s.Ms))
+		parts = append(parts, s.Reason+" "+milliseconds(s.Milliseconds))
 	}
 	return strings.Join(parts, ", ")
 }
@@ -59,12 +59,12 @@
 }
 
 func accountTable(w io.Writer, all requests.Accounts) {
-	fmt.Fprintf(w, "%d jobs are not finished and not counted\n", all.Open)
+	fmt.Fprintf(w, "%d jobs are not finished and not counted\n", all.OpenJobs)
 	for _, a := range all.Accounts {
-		fmt.Fprintf(w, "\nTEAM %s, CLASS %s\t%d JOBS\tSHARE\tA JOB\n", a.Team, a.Class, a.Jobs)
+		fmt.Fprintf(w, "\nTEAM %s, CLASS %s\t%d JOBS\tSHARE\tA JOB\n", a.Team, a.Class, a.JobCount)
 		for _, s := range a.Shares {
-			fmt.Fprintf(w, "%s\t%s\t%.1f %%\t%s\n", s.Cause, milliseconds(s.Ms), 100*float64(s.Ms)/float64(max(a.Ms, 1)), milliseconds(s.Ms/int64(max(a.Jobs, 1))))
+			fmt.Fprintf(w, "%s\t%s\t%.1f %%\t%s\n", s.Reason, milliseconds(s.Milliseconds), 100*float64(s.Milliseconds)/float64(max(a.Milliseconds, 1)), milliseconds(s.Milliseconds/int64(max(a.JobCount, 1))))
 		}
-		fmt.Fprintf(w, "sum\t%s\t100 %%\t%s\n", milliseconds(a.Ms), milliseconds(a.Ms/int64(max(a.Jobs, 1))))
+		fmt.Fprintf(w, "sum\t%s\t100 %%\t%s\n", milliseconds(a.Milliseconds), milliseconds(a.Milliseconds/int64(max(a.JobCount, 1))))
 	}
 }
--- a/cmd/gullrudder/queue.go
+++ b/cmd/gullrudder/queue.go
@@ -58,31 +58,31 @@
 func explainTable(w io.Writer, x requests.Explanation) {
 	fmt.Fprintf(w, "job\t%s, %s\n", x.ID, x.State)
 	if x.Team != "" {
-		fmt.Fprintf(w, "team, class\t%s, %s\ntasks\t%d wait, %d run, %d done\nwaits since\t%s\n", x.Team, x.Class, x.Waiting.Waiting, x.Running, x.Done,
-			seconds(x.Age))
+		fmt.Fprintf(w, "team, class\t%s, %s\ntasks\t%d wait, %d run, %d done\nwaits since\t%s\n", x.Team, x.Class, x.QueuedJob.WaitingTasks, x.RunningTasks, x.DoneTasks,
+			seconds(x.AgeSeconds))
 	}
 	if x.Position > 0 {
-		fmt.Fprintf(w, "standing\t%s\nplace\t%d of those that wait, %.0f CPU seconds before it\n", x.Standing, x.Position, x.Ahead)
+		fmt.Fprintf(w, "standing\t%s\nplace\t%d of those that wait, %.0f CPU seconds before it\n", x.Rank, x.Position, x.CPUSecondsAhead)
 	}
-	if x.StartBy > 0 {
+	if x.FirstStartBoundSeconds > 0 {
 		late := ""
-		if x.Late {
+		if x.MissedStartBound {
 			late = ": MISSED, see the operators' page on waiting"
 		}
-		fmt.Fprintf(w, "stated when accepted\tfirst start within %s, last within %s%s\n", seconds(x.StartBy), seconds(x.EndBy), late)
+		fmt.Fprintf(w, "stated when accepted\tfirst start within %s, last within %s%s\n", seconds(x.FirstStartBoundSeconds), seconds(x.LastStartBoundSeconds), late)
 	} else if x.Team != "" {
 		fmt.Fprintln(w, "stated when accepted\tno bound: nothing that it can use was there, or it is a service")
 	}
-	if len(x.Account) > 0 {
-		fmt.Fprintf(w, "its time so far\t%s\n", shareText(x.Account))
+	if len(x.TimeShares) > 0 {
+		fmt.Fprintf(w, "its time so far\t%s\n", shareText(x.TimeShares))
 	}
-	for _, r := range x.Because {
+	for _, r := range x.Reasons {
 		fmt.Fprintf(w, "because\t%s\n", r)
 	}
-	for _, r := range x.Changes {
+	for _, r := range x.Remedies {
 		fmt.Fprintf(w, "would change it\t%s\n", r)
 	}
-	queueRows(w, x.Before, "\nFIRST OF THOSE BEFORE IT")
+	queueRows(w, x.JobsAhead, "\nFIRST OF THOSE BEFORE IT")
 }
 
 func queueCommand() *cobra.Command {
@@ -102,7 +102,7 @@
 				return err
 			}
 			return a.show(queue, func(w io.Writer) {
-				fmt.Fprintf(w, "%d jobs wait; %d have waited longer than was stated\n", queue.Total, queue.Late)
+				fmt.Fprintf(w, "%d jobs wait; %d have waited longer than was stated\n", queue.Total, queue.MissedStartBounds)
 				queueRows(w, queue.Jobs, "JOB")
 			})
 		})
@@ -112,13 +112,13 @@
 	return cmd
 }
 
-func queueRows(w io.Writer, rows []requests.Waiting, title string) {
+func queueRows(w io.Writer, rows []requests.QueuedJob, title string) {
 	if len(rows) == 0 {
 		return
 	}
 	fmt.Fprintf(w, "%s\tTEAM\tCLASS\tWAIT\tRUN\tAGE\tFIRST START BY\tSTANDING\n", title)
 	for _, j := range rows {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", j.ID, j.Team, j.Class, j.Waiting, j.Running, seconds(j.Age), seconds(j.StartBy), j.Standing)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", j.ID, j.Team, j.Class, j.WaitingTasks, j.RunningTasks, seconds(j.AgeSeconds), seconds(j.FirstStartBoundSeconds), j.Rank)
 	}
 }
 
@@ -138,7 +138,7 @@
 			if err != nil {
 				return &failure{2, fmt.Errorf("settings: %w", err)}
 			}
-			body, err := packed.Marshal(settings.Request{Who: who, Text: string(text)})
+			body, err := packed.Marshal(settings.ChangeRequest{Author: who, Text: string(text)})
 			if err != nil {
 				return err
 			}
@@ -166,6 +166,6 @@
 		fmt.Fprintln(w, "\nVERSION\tWHEN\tWHO\tWHAT")
 	}
 	for _, c := range s.Changes {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", c.Version, time.Unix(c.At, 0).UTC().Format(time.DateTime), c.Who, strings.Join(c.What, ", "))
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", c.Version, time.Unix(c.AppliedAt, 0).UTC().Format(time.DateTime), c.Author, strings.Join(c.Details, ", "))
 	}
 }
--- a/cmd/gullrudder/served.go
+++ b/cmd/gullrudder/served.go
@@ -14,7 +14,7 @@
 		"DONE counts jobs of the last minutes, what is longer ago counting ever less; LATE are jobs that can keep none of their\n"+
 			"aims any more. Below the least share (floor-least) a class or team has room ahead of others (floor-share).", cobra.NoArgs,
 		func(a *api, _ []string) error {
-			var list requests.ServedList
+			var list requests.ServiceShares
 			if err := a.get("/served", &list); err != nil {
 				return err
 			}
@@ -22,19 +22,19 @@
 		})
 }
 
-func servedTable(w io.Writer, list requests.ServedList) {
+func servedTable(w io.Writer, list requests.ServiceShares) {
 	fmt.Fprintln(w, "\tNAME\tSERVED\tDONE\tLATE\tWITH ROOM OF THEIR OWN")
 	for _, g := range list.Groups {
 		kind, mark := "class", ""
 		switch {
-		case g.Team:
+		case g.IsTeam:
 			kind = "team"
-		case g.Large:
+		case g.IsLargestJobs:
 			kind = "largest of class"
 		}
-		if g.Share < list.Least {
+		if g.Share < list.MinShare {
 			mark = "behind"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.0f %%\t%.1f\t%d\t%d\t%s\n", kind, g.Name, 100*g.Share, g.Done, g.Late, g.Owed, mark)
+		fmt.Fprintf(w, "%s\t%s\t%.0f %%\t%.1f\t%d\t%d\t%s\n", kind, g.Name, 100*g.Share, g.DoneJobs, g.OverdueJobs, g.OverdueReserved, mark)
 	}
 }
--- a/cmd/gullrudder/zones.go
+++ b/cmd/gullrudder/zones.go
@@ -21,7 +21,7 @@
 			return a.show(list, func(w io.Writer) {
 				fmt.Fprintln(w, "ZONE\tSTATE\tFOR\tHEARD\tMACHINES\tOVERDUE\tCUTS")
 				for _, z := range list.Zones {
-					fmt.Fprintf(w, "%s\t%s\t%.0f s\t%.1f s ago\t%d\t%d\t%d\n", z.Name, z.State, z.For, z.Heard, z.Machines, z.Overdue, z.Cuts)
+					fmt.Fprintf(w, "%s\t%s\t%.0f s\t%.1f s ago\t%d\t%d\t%d\n", z.Name, z.State, z.StateSeconds, z.LastHeartbeatSeconds, z.Machines, z.Overdue, z.Outages)
 				}
 			})
 		})
--- a/internal/console/model_test.go
+++ b/internal/console/model_test.go
@@ -41,8 +41,8 @@
 func newDesk() *desk {
 	at := time.Date(2026, 12, 1, 20, 30, 0, 0, time.UTC)
 	return &desk{snap: Snapshot{At: at, Status: node.Status{Leader: "controller-1", StateServiceHealthy: true, Jobs: 2, WaitingTasks: 38, PlacedTasks: 4},
-		Queue: requests.Queue{Total: 2, Jobs: []requests.Waiting{{ID: "job-17", Class: "ledger", Waiting: 36, Running: 4, Done: 2, Age: 65, StartBy: 559},
-			{ID: "job-18", Class: "tender", Waiting: 2, Age: 3, StartBy: 600}}},
+		Queue: requests.Queue{Total: 2, Jobs: []requests.QueuedJob{{ID: "job-17", Class: "ledger", WaitingTasks: 36, RunningTasks: 4, DoneTasks: 2, AgeSeconds: 65, FirstStartBoundSeconds: 559},
+			{ID: "job-18", Class: "tender", WaitingTasks: 2, AgeSeconds: 3, FirstStartBoundSeconds: 600}}},
 		Site:     pool.Overview{Rented: 1, Busy: 4, Workers: []pool.WorkerView{{Name: "worker", Machine: "vm-000001", CPUs: 8, MemGB: 22, Busy: 4, FreeMB: 80606}}},
 		Failures: []pool.Failure{{Task: "job-16/3", Exit: 3, Reason: "exit status 3", Tail: "line one\n\x1b[2Joops\n", Finished: at.Add(-time.Minute)}}}}
 }
@@ -141,7 +141,7 @@
 	d.snap.Status.Leader, d.snap.FreeMB, d.snap.KeepMB = "", 100, 256
 	d.snap.Problems = []string{"pool: no connection"}
 	for range 100 {
-		d.snap.Queue.Jobs = append(d.snap.Queue.Jobs, requests.Waiting{ID: "job-9"})
+		d.snap.Queue.Jobs = append(d.snap.Queue.Jobs, requests.QueuedJob{ID: "job-9"})
 	}
 	m := New(d, time.Hour)
 	press(m)
--- a/internal/console/view.go
+++ b/internal/console/view.go
@@ -44,7 +44,7 @@
 	case Jobs:
 		head = fmt.Sprintf("%-26s %-10s %6s %6s %6s %8s  %s", "JOB", "CLASS", "WAIT", "RUN", "DONE", "AGE", "FIRST START BY")
 		for _, j := range s.Queue.Jobs {
-			lines = append(lines, fmt.Sprintf("%-26s %-10s %6d %6d %6d %8s  %s", clip(j.ID, 26), clip(j.Class, 10), j.Waiting, j.Running, j.Done, span(j.Age), span(j.StartBy)))
+			lines = append(lines, fmt.Sprintf("%-26s %-10s %6d %6d %6d %8s  %s", clip(j.ID, 26), clip(j.Class, 10), j.WaitingTasks, j.RunningTasks, j.DoneTasks, span(j.AgeSeconds), span(j.FirstStartBoundSeconds)))
 			ids = append(ids, j.ID)
 		}
 		if more := s.Queue.Total - len(s.Queue.Jobs); more > 0 {
--- a/internal/controller/book/book.go
+++ b/internal/controller/book/book.go
@@ -34,7 +34,7 @@
 	log           *slog.Logger
 	storage       *ledger.Store
 	workers       *workers.Registry
-	accounting    *timeline.Log
+	accounting    *timeline.Tracker
 	onOrderChange func() // the order of the jobs is not what it was
 	onDone        func(time.Time, *jobs.Job)
 	onWaiting     func(*jobs.Job)            // a job begins to wait for others
@@ -58,7 +58,7 @@
 	Options    *config.Options
 	Storage    *ledger.Store
 	Workers    *workers.Registry
-	Accounting *timeline.Log
+	Accounting *timeline.Tracker
 	Log        *slog.Logger
 }
 
@@ -82,16 +82,16 @@
 // Add takes a job whose acceptance is on its way into the ledger.
 func (b *Store) Add(job *jobs.Job) {
 	b.Unfinished[job.ID] = job
-	b.accounting.Begin(job)
+	b.accounting.Open(job)
 }
 
 // ApplyCancellation takes in that a job's cancellation is durable.
 func (b *Store) ApplyCancellation(now time.Time, job *jobs.Job) {
-	job.State, job.Told = jobs.Cancelled, now
+	job.State, job.CancelConfirmedAt = jobs.Cancelled, now
 	b.stopping[job] = true
-	b.accounting.Close(now, job)
-	b.graph.Drop(job)
-	b.cancelDependents(now, b.graph.Below(job.ID))
+	b.accounting.Finish(now, job)
+	b.graph.Remove(job)
+	b.cancelDependents(now, b.graph.Dependents(job.ID))
 }
 
 // CancellationsCompletedBefore is the time before which every cancellation that was confirmed is carried out: now if all are. Not known: an
@@ -99,11 +99,11 @@
 func (b *Store) CancellationsCompletedBefore(now time.Time) (oldest time.Time, known bool) {
 	oldest = now
 	for j := range b.stopping {
-		if j.Told.IsZero() {
+		if j.CancelConfirmedAt.IsZero() {
 			return time.Time{}, false
 		}
-		if j.Told.Before(oldest) {
-			oldest = j.Told
+		if j.CancelConfirmedAt.Before(oldest) {
+			oldest = j.CancelConfirmedAt
 		}
 	}
 	return oldest, true
@@ -113,14 +113,14 @@
 func (b *Store) IsStopping(j *jobs.Job) bool { return b.stopping[j] }
 
 // IsTaskCancelled reports whether a task is of a job that is cancelled, or about to be: it is to end, whatever else is known.
-func (b *Store) IsTaskCancelled(task jobs.Key) bool {
-	if job := b.Unfinished[task.Job]; job != nil {
-		return job.Cancelling || job.State == jobs.Cancelled
+func (b *Store) IsTaskCancelled(task jobs.TaskID) bool {
+	if job := b.Unfinished[task.JobID]; job != nil {
+		return job.IsCancelling || job.State == jobs.Cancelled
 	}
-	if f, ok := b.finished[task.Job]; ok {
+	if f, ok := b.finished[task.JobID]; ok {
 		return !f.Done
 	}
-	return b.archive.LookupIndex(task.Job) == history.Cancelled
+	return b.archive.LookupIndex(task.JobID) == history.Cancelled
 }
 
 // FinalState is a finished job that is in the live pages.
@@ -152,7 +152,7 @@
 func (b *Store) StartableJobs() []*jobs.Job {
 	list := make([]*jobs.Job, 0, len(b.Unfinished))
 	for _, j := range b.Unfinished {
-		if j.Live() || j.State == jobs.Pending && !j.Cancelling && j.Waits == 0 {
+		if j.IsSchedulable() || j.State == jobs.Pending && !j.IsCancelling && j.UnmetDependencies == 0 {
 			list = append(list, j)
 		}
 	}
@@ -178,20 +178,20 @@
 
 // FinishIfDone writes down that a job is done once all its tasks are.
 func (b *Store) FinishIfDone(now time.Time, job *jobs.Job) {
-	if job.Service || job.NDone < job.Tasks || job.Finishing || job.Cancelling || job.State != jobs.Accepted {
+	if job.IsService || job.DoneTasks < job.Tasks || job.IsFinishing || job.IsCancelling || job.State != jobs.Accepted {
 		return
 	}
-	job.Finishing = true
-	err := b.storage.Set(now, job.ID, jobs.FinalRecord(jobs.Done, job.Tasks), 0, true, func(now time.Time, ok bool) {
+	job.IsFinishing = true
+	err := b.storage.Set(now, job.ID, jobs.NewFinalRecord(jobs.Done, job.Tasks), 0, true, func(now time.Time, ok bool) {
 		if !ok || job.State == jobs.Done {
 			return
 		}
 		job.State = jobs.Done
-		b.accounting.Close(now, job)
+		b.accounting.Finish(now, job)
 		b.onDone(now, job)
 		b.retire(now, job)
 		b.releaseDependents(now, job.ID)
-		b.log.Info("job done", "job", job.ID, "after", now.Sub(job.Submitted).Round(time.Millisecond))
+		b.log.Info("job done", "job", job.ID, "after", now.Sub(job.SubmittedAt).Round(time.Millisecond))
 	})
 	if err != nil {
 		b.log.Error("a result cannot be saved", "job", job.ID, "error", err)
@@ -204,7 +204,7 @@
 	b.storage.SetFinished(job.ID)
 	delete(b.Unfinished, job.ID)
 	delete(b.stopping, job)
-	for c := range job.Chunks() {
+	for c := range job.ChunkCount() {
 		b.storage.Delete(now, job.ChunkName(c))
 	}
 	b.onOrderChange()
@@ -215,22 +215,22 @@
 func (b *Store) saveResults(now time.Time, placing bool) {
 	var present map[*jobs.Job]bool
 	for _, j := range b.Unfinished {
-		if j.State == jobs.Cancelled && len(j.Active) == 0 && placing {
+		if j.State == jobs.Cancelled && len(j.ActiveAttempts) == 0 && placing {
 			if present == nil {
 				present = b.jobsWithAttempts()
 			}
 			if !present[j] {
-				if err := b.storage.Set(now, j.ID, jobs.FinalRecord(jobs.Cancelled, j.Tasks), 0, false, nil); err != nil {
+				if err := b.storage.Set(now, j.ID, jobs.NewFinalRecord(jobs.Cancelled, j.Tasks), 0, false, nil); err != nil {
 					b.log.Error("a cancelled job cannot be shrunk", "job", j.ID, "error", err)
 				}
 				b.retire(now, j)
 			}
 			continue
 		}
-		if j.Finishing || j.Cancelling || j.State != jobs.Accepted || !j.HasUnsaved() {
+		if j.IsFinishing || j.IsCancelling || j.State != jobs.Accepted || !j.HasUnsaved() {
 			continue
 		}
-		tasks, chunks := j.Unsaved()
+		tasks, chunks := j.TakeUnsaved()
 		var err error
 		left := max(len(chunks), 1)
 		durable := func(_ time.Time, ok bool) {
@@ -238,14 +238,14 @@
 				return
 			}
 			if left--; left == 0 {
-				j.Durable(tasks)
+				j.MarkDurable(tasks)
 			}
 		}
 		if chunks == nil {
 			err = b.writeRecord(now, j, durable)
 		}
 		for name, c := range chunks {
-			if e := b.storage.Set(now, name, c, jobs.ChunkReserve, false, durable); e != nil {
+			if e := b.storage.Set(now, name, c, jobs.MaxChunkBytes, false, durable); e != nil {
 				err = e
 			}
 		}
@@ -271,7 +271,7 @@
 // SaveRecord writes a job down as it is now, with the next commit: what is known of it has changed, and no
 // result of it is to be saved.
 func (b *Store) SaveRecord(now time.Time, job *jobs.Job) {
-	if job.Finishing || job.Cancelling || job.State != jobs.Accepted {
+	if job.IsFinishing || job.IsCancelling || job.State != jobs.Accepted {
 		return
 	}
 	if err := b.writeRecord(now, job, nil); err != nil {
@@ -282,18 +282,18 @@
 // writeRecord sets the job's record as it is now, for the next commit.
 func (b *Store) writeRecord(now time.Time, job *jobs.Job, done func(time.Time, bool)) error {
 	record := job.Record()
-	record.Spent = b.accounting.Kept(job)
-	return b.storage.Set(now, job.ID, record, job.Reserve(), false, done)
+	record.TimeAccount = b.accounting.EncodedAccount(job)
+	return b.storage.Set(now, job.ID, record, job.MaxRecordBytes(), false, done)
 }
 
 // IsResultDurable reports whether the result of a task that exited with done need not be kept
 // by its worker any more.
-func (b *Store) IsResultDurable(task jobs.Key) bool {
-	job := b.Unfinished[task.Job]
-	if job == nil || job.State == jobs.Cancelled || task.Task >= job.Tasks {
+func (b *Store) IsResultDurable(task jobs.TaskID) bool {
+	job := b.Unfinished[task.JobID]
+	if job == nil || job.State == jobs.Cancelled || task.Index >= job.Tasks {
 		return true
 	}
-	return job.IsDurable(task.Task)
+	return job.IsTaskDurable(task.Index)
 }
 
 // OpenArchive makes the keeper of the finished jobs. While it cannot tell which jobs there
@@ -328,11 +328,11 @@
 // checkStartBounds tells of jobs that have waited longer than was stated.
 func (b *Store) checkStartBounds(now time.Time) {
 	for _, j := range b.Unfinished {
-		if j.StartBy > 0 && !j.Late && j.Live() && j.NDone+len(j.Active) == 0 && now.Sub(j.Since()) > j.StartBy {
-			j.Late = true
+		if j.FirstStartBound > 0 && !j.MissedStartBound && j.IsSchedulable() && j.DoneTasks+len(j.ActiveAttempts) == 0 && now.Sub(j.EligibleSince()) > j.FirstStartBound {
+			j.MissedStartBound = true
 			b.missedStartBounds++
 			b.log.Error("a job waits longer than was stated", "job", j.ID, "team", j.Team, "class", j.Class,
-				"waits", now.Sub(j.Since()).Round(time.Second), "stated", j.StartBy, "machines", len(b.workers.Machines))
+				"waits", now.Sub(j.EligibleSince()).Round(time.Second), "stated", j.FirstStartBound, "machines", len(b.workers.Machines))
 		}
 	}
 }
@@ -350,18 +350,18 @@
 		b.log.Error("a job cannot be rebuilt", "job", name, "error", err)
 		return
 	}
-	if job.State == jobs.Done || job.State == jobs.Cancelled && record.CPUs+record.Mem+record.Cards == 0 {
+	if job.State == jobs.Done || job.State == jobs.Cancelled && record.CPUs+record.MemoryGB+record.GPUs == 0 {
 		b.finished[name] = FinalState{Done: job.State == jobs.Done, Tasks: job.Tasks, finishedAt: now}
 		b.storage.SetFinished(name)
 		return
 	}
 	b.Unfinished[name] = job
 	if job.State == jobs.Cancelled {
-		job.Told = confirmedAt
+		job.CancelConfirmedAt = confirmedAt
 		b.stopping[job] = true
 	}
 	if job.State == jobs.Accepted {
-		b.accounting.Restore(job, record.Spent, leaderSince)
+		b.accounting.Restore(job, record.TimeAccount, leaderSince)
 	}
 }
 
@@ -383,9 +383,9 @@
 func (b *Store) FinishRestore(now time.Time) {
 	b.restoreDependencies(now)
 	for _, j := range b.Unfinished {
-		b.storage.Reserve(j.ID, j.Reserve())
-		for c := range j.Chunks() {
-			b.storage.Reserve(j.ChunkName(c), jobs.ChunkReserve)
+		b.storage.Reserve(j.ID, j.MaxRecordBytes())
+		for c := range j.ChunkCount() {
+			b.storage.Reserve(j.ChunkName(c), jobs.MaxChunkBytes)
 		}
 		b.FinishIfDone(now, j)
 	}
--- a/internal/controller/book/needs.go
+++ b/internal/controller/book/needs.go
@@ -40,9 +40,9 @@
 			return DependencyMet
 		case j.State == jobs.Cancelled:
 			return DependencyCancelled
-		case j.State == jobs.Pending || j.Cancelling || j.Unsure:
+		case j.State == jobs.Pending || j.IsCancelling || j.HasUndecidedDependency:
 			return DependencyUndecided
-		case j.Service:
+		case j.IsService:
 			return DependencyService
 		}
 		return DependencyOpen
@@ -62,12 +62,12 @@
 func (b *Store) WaitingJobs() []*jobs.Job {
 	var list []*jobs.Job
 	for _, j := range b.Unfinished {
-		if j.Waits > 0 && j.State == jobs.Accepted && !j.Cancelling {
+		if j.UnmetDependencies > 0 && j.State == jobs.Accepted && !j.IsCancelling {
 			list = append(list, j)
 		}
 	}
 	slices.SortFunc(list, func(x, y *jobs.Job) int {
-		return cmp.Or(x.Submitted.Compare(y.Submitted), cmp.Compare(x.ID, y.ID))
+		return cmp.Or(x.SubmittedAt.Compare(y.SubmittedAt), cmp.Compare(x.ID, y.ID))
 	})
 	return list
 }
@@ -81,30 +81,30 @@
 
 // WaitForDependencies lets a job that is about to be accepted wait for the needs that are not done.
 func (b *Store) WaitForDependencies(now time.Time, job *jobs.Job, missing []string) {
-	if len(job.Needs) == 0 {
+	if len(job.Dependencies) == 0 {
 		return
 	}
 	if len(missing) == 0 {
-		job.Ready = now
+		job.ReadyAt = now
 		return
 	}
-	b.graph.Wait(job, missing)
+	b.graph.Add(job, missing)
 }
 
 // ApplyAcceptance takes in that a job's acceptance is durable. What became of its needs meanwhile counts from now on: one that was
 // cancelled takes it along, and when the last was done is written down.
 func (b *Store) ApplyAcceptance(now time.Time, job *jobs.Job) {
-	for _, id := range b.graph.Open(job) {
+	for _, id := range b.graph.Unmet(job) {
 		if b.DependencyState(id) == DependencyCancelled {
 			b.cancelDependents(now, b.withDependents(job))
 			return
 		}
 	}
-	if job.Waits > 0 {
+	if job.UnmetDependencies > 0 {
 		b.onWaiting(job) // by now it is known whether it is guaranteed
 		return
 	}
-	if job.Ready.After(job.Submitted) {
+	if job.ReadyAt.After(job.SubmittedAt) {
 		b.SaveRecord(now, job)
 	}
 	b.onReady(now, job)
@@ -112,19 +112,19 @@
 
 // releaseDependents lets those start that have waited for a job which is done now, durably.
 func (b *Store) releaseDependents(now time.Time, id string) {
-	for _, j := range b.graph.Done(now, id) {
+	for _, j := range b.graph.MarkDone(now, id) {
 		if j.State != jobs.Accepted {
 			continue // its acceptance is on its way
 		}
 		b.SaveRecord(now, j)
 		b.onReady(now, j)
-		b.log.Info("all that a job needs is done", "job", j.ID, "after", now.Sub(j.Submitted).Round(time.Millisecond))
+		b.log.Info("all that a job needs is done", "job", j.ID, "after", now.Sub(j.SubmittedAt).Round(time.Millisecond))
 	}
 }
 
 // withDependents is a job and all that need it.
 func (b *Store) withDependents(job *jobs.Job) []*jobs.Job {
-	return append([]*jobs.Job{job}, b.graph.Below(job.ID)...)
+	return append([]*jobs.Job{job}, b.graph.Dependents(job.ID)...)
 }
 
 // cancelDependents cancels jobs that need one which is cancelled in the ledger, directly or through others. None of them has a task
@@ -138,9 +138,9 @@
 		if dependent.State != jobs.Accepted {
 			continue // its acceptance is on its way; with it it learns of this
 		}
-		dependent.State, dependent.Told, dependent.Unsure = jobs.Cancelled, now, false
-		b.graph.Drop(dependent)
-		b.accounting.Close(now, dependent)
+		dependent.State, dependent.CancelConfirmedAt, dependent.HasUndecidedDependency = jobs.Cancelled, now, false
+		b.graph.Remove(dependent)
+		b.accounting.Finish(now, dependent)
 		b.log.Info("job cancelled with one that it needs", "job", dependent.ID)
 	}
 	b.onOrderChange()
@@ -157,18 +157,18 @@
 func (b *Store) restoreDependencies(now time.Time) {
 	var cancelled []*jobs.Job
 	for _, j := range b.Unfinished {
-		if len(j.Needs) == 0 || j.State != jobs.Accepted || !j.Ready.IsZero() {
+		if len(j.Dependencies) == 0 || j.State != jobs.Accepted || !j.ReadyAt.IsZero() {
 			continue // it waits for nothing, or that was over before
 		}
 		var missing []string
-		for _, id := range j.Needs {
+		for _, id := range j.Dependencies {
 			switch b.DependencyState(id) {
 			case DependencyMet:
 				continue
 			case DependencyCancelled:
 				cancelled = append(cancelled, j)
 			case DependencyArchived:
-				j.Unsure = true
+				j.HasUndecidedDependency = true
 				b.unresolved = append(b.unresolved, &unresolvedDependency{job: j, dependency: id})
 			case DependencyNeverAccepted:
 				b.log.Error("a job needs one that nobody knows: it waits", "job", j.ID, "needs", id)
@@ -176,16 +176,16 @@
 			missing = append(missing, id)
 		}
 		if len(missing) > 0 {
-			b.graph.Wait(j, missing)
+			b.graph.Add(j, missing)
 		} else {
-			j.Ready = now // done under the leader before, which could not write that down any more
+			j.ReadyAt = now // done under the leader before, which could not write that down any more
 		}
 	}
 	for _, j := range cancelled {
 		b.cancelDependents(now, b.withDependents(j))
 	}
 	for _, j := range b.Unfinished {
-		if j.Waits > 0 && j.State == jobs.Accepted {
+		if j.UnmetDependencies > 0 && j.State == jobs.Accepted {
 			b.onWaiting(j)
 		}
 	}
@@ -220,20 +220,20 @@
 	}
 	left := b.unresolved[:0]
 	for _, u := range b.unresolved {
-		u.job.Unsure = false
+		u.job.HasUndecidedDependency = false
 		if u.dependency != "" {
 			left = append(left, u)
 		}
 	}
 	b.unresolved = left
 	for _, u := range left {
-		u.job.Unsure = u.job.State == jobs.Accepted
+		u.job.HasUndecidedDependency = u.job.State == jobs.Accepted
 	}
 }
 
 // RetireCancelled takes in a job that was accepted though one that it needs was cancelled before: it is kept as cancelled.
 func (b *Store) RetireCancelled(now time.Time, job *jobs.Job) {
-	job.State, job.Told = jobs.Cancelled, now
-	b.accounting.Close(now, job)
+	job.State, job.CancelConfirmedAt = jobs.Cancelled, now
+	b.accounting.Finish(now, job)
 	b.retire(now, job)
 }
--- a/internal/controller/dependencies/dependencies.go
+++ b/internal/controller/dependencies/dependencies.go
@@ -16,54 +16,54 @@
 
 // Graph is who waits for whom.
 type Graph struct {
-	find  func(id string) *jobs.Job     // an unfinished job
-	after map[string]map[*jobs.Job]bool // by a need that is not done, those that wait for it
-	open  map[*jobs.Job]map[string]bool // by a job that waits, its needs that are not done
+	findJob    func(id string) *jobs.Job     // an unfinished job
+	dependents map[string]map[*jobs.Job]bool // by a need that is not done, those that wait for it
+	unmet      map[*jobs.Job]map[string]bool // by a job that waits, its needs that are not done
 }
 
 // New makes an empty graph.
 func New(find func(id string) *jobs.Job) *Graph {
-	return &Graph{find: find, after: map[string]map[*jobs.Job]bool{}, open: map[*jobs.Job]map[string]bool{}}
+	return &Graph{findJob: find, dependents: map[string]map[*jobs.Job]bool{}, unmet: map[*jobs.Job]map[string]bool{}}
 }
 
-// Wait lets a job wait for these needs, none of which is known to be done.
-func (g *Graph) Wait(j *jobs.Job, missing []string) {
+// Add lets a job wait for these needs, none of which is known to be done.
+func (g *Graph) Add(j *jobs.Job, missing []string) {
 	for _, id := range missing {
-		if g.open[j] == nil {
-			g.open[j] = map[string]bool{}
+		if g.unmet[j] == nil {
+			g.unmet[j] = map[string]bool{}
 		}
-		if !g.open[j][id] {
-			g.open[j][id] = true
-			if g.after[id] == nil {
-				g.after[id] = map[*jobs.Job]bool{}
+		if !g.unmet[j][id] {
+			g.unmet[j][id] = true
+			if g.dependents[id] == nil {
+				g.dependents[id] = map[*jobs.Job]bool{}
 			}
-			g.after[id][j] = true
+			g.dependents[id][j] = true
 		}
 	}
-	j.Waits = len(g.open[j])
+	j.UnmetDependencies = len(g.unmet[j])
 }
 
-// Done takes in that a job is done, durably, and gives back those that wait for nothing any more.
-func (g *Graph) Done(now time.Time, id string) []*jobs.Job {
+// MarkDone takes in that a job is done, durably, and gives back those that wait for nothing any more.
+func (g *Graph) MarkDone(now time.Time, id string) []*jobs.Job {
 	var free []*jobs.Job
-	for j := range g.after[id] {
-		delete(g.open[j], id)
-		if j.Waits = len(g.open[j]); j.Waits == 0 {
-			delete(g.open, j)
-			j.Ready = now
+	for j := range g.dependents[id] {
+		delete(g.unmet[j], id)
+		if j.UnmetDependencies = len(g.unmet[j]); j.UnmetDependencies == 0 {
+			delete(g.unmet, j)
+			j.ReadyAt = now
 			free = append(free, j)
 		}
 	}
-	delete(g.after, id)
-	return sorted(free)
+	delete(g.dependents, id)
+	return sortByID(free)
 }
 
-// Below lists all jobs that need this one, directly or through others.
-func (g *Graph) Below(id string) []*jobs.Job {
+// Dependents lists all jobs that need this one, directly or through others.
+func (g *Graph) Dependents(id string) []*jobs.Job {
 	seen := map[*jobs.Job]bool{}
 	var list []*jobs.Job
 	for next := []string{id}; len(next) > 0; next = next[1:] {
-		for j := range g.after[next[0]] {
+		for j := range g.dependents[next[0]] {
 			if !seen[j] {
 				seen[j] = true
 				list = append(list, j)
@@ -71,38 +71,38 @@
 			}
 		}
 	}
-	return sorted(list)
+	return sortByID(list)
 }
 
-// Open lists the needs of a job that are not done.
-func (g *Graph) Open(j *jobs.Job) []string {
-	list := make([]string, 0, len(g.open[j]))
-	for id := range g.open[j] {
+// Unmet lists the needs of a job that are not done.
+func (g *Graph) Unmet(j *jobs.Job) []string {
+	list := make([]string, 0, len(g.unmet[j]))
+	for id := range g.unmet[j] {
 		list = append(list, id)
 	}
 	slices.Sort(list)
 	return list
 }
 
-// Drop takes a job out that waits no more, since it is cancelled. What waits for it stays with its name.
-func (g *Graph) Drop(j *jobs.Job) {
-	for id := range g.open[j] {
-		delete(g.after[id], j)
-		if len(g.after[id]) == 0 {
-			delete(g.after, id)
+// Remove takes a job out that waits no more, since it is cancelled. What waits for it stays with its name.
+func (g *Graph) Remove(j *jobs.Job) {
+	for id := range g.unmet[j] {
+		delete(g.dependents[id], j)
+		if len(g.dependents[id]) == 0 {
+			delete(g.dependents, id)
 		}
 	}
-	delete(g.open, j)
+	delete(g.unmet, j)
 }
 
-// above lists the unfinished jobs that a job needs, directly or through others, those that need nothing last.
-func (g *Graph) above(j *jobs.Job) []*jobs.Job {
+// ancestors lists the unfinished jobs that a job needs, directly or through others, those that need nothing last.
+func (g *Graph) ancestors(j *jobs.Job) []*jobs.Job {
 	seen := map[*jobs.Job]bool{}
 	var list []*jobs.Job
 	var walk func(j *jobs.Job)
 	walk = func(j *jobs.Job) {
-		for _, id := range g.Open(j) {
-			if x := g.find(id); x != nil && !seen[x] {
+		for _, id := range g.Unmet(j) {
+			if x := g.findJob(id); x != nil && !seen[x] {
 				seen[x] = true
 				walk(x)
 				list = append(list, x)
@@ -114,14 +114,14 @@
 	return list
 }
 
-// Path is how long what a job needs takes at least, by the longest way through it, and the jobs on all ways.
-func (g *Graph) Path(j *jobs.Job, perTask func(*jobs.Job) time.Duration) (time.Duration, []*jobs.Job) {
-	list := g.above(j)
+// CriticalPath is how long what a job needs takes at least, by the longest way through it, and the jobs on all ways.
+func (g *Graph) CriticalPath(j *jobs.Job, perTask func(*jobs.Job) time.Duration) (time.Duration, []*jobs.Job) {
+	list := g.ancestors(j)
 	ends := map[*jobs.Job]time.Duration{}
 	end := func(j *jobs.Job) time.Duration {
 		longest := time.Duration(0)
-		for id := range g.open[j] {
-			if x := g.find(id); x != nil {
+		for id := range g.unmet[j] {
+			if x := g.findJob(id); x != nil {
 				longest = max(longest, ends[x])
 			}
 		}
@@ -133,31 +133,31 @@
 	return end(j), list
 }
 
-// Hurry has all that a job with a deadline needs inherit it: each is due so much earlier as those after it take, and has the
+// PropagateDeadline has all that a job with a deadline needs inherit it: each is due so much earlier as those after it take, and has the
 // priority of the most urgent that needs it. guaranteed: their terms are held as its own are.
-func (g *Graph) Hurry(j *jobs.Job, perTask func(*jobs.Job) time.Duration, settle time.Duration, guaranteed bool) {
-	list := append([]*jobs.Job{j}, g.above(j)...)
+func (g *Graph) PropagateDeadline(j *jobs.Job, perTask func(*jobs.Job) time.Duration, settle time.Duration, guaranteed bool) {
+	list := append([]*jobs.Job{j}, g.ancestors(j)...)
 	for _, x := range list {
-		due, ok := x.Due()
-		for id := range g.open[x] {
-			need := g.find(id)
+		due, ok := x.DueAt()
+		for id := range g.unmet[x] {
+			need := g.findJob(id)
 			if need == nil {
 				continue
 			}
-			need.Urgency = max(need.Urgency, x.Effective())
+			need.InheritedPriority = max(need.InheritedPriority, x.EffectivePriority())
 			if !ok {
 				continue
 			}
 			by := due.Add(-perTask(x) - settle)
-			if was, has := need.Due(); !has || by.Before(was) {
-				need.DueBy = by
+			if was, has := need.DueAt(); !has || by.Before(was) {
+				need.InheritedDeadline = by
 			}
-			need.Pulled = need.Pulled || guaranteed
+			need.RequiredByGuaranteed = need.RequiredByGuaranteed || guaranteed
 		}
 	}
 }
 
-func sorted(list []*jobs.Job) []*jobs.Job {
+func sortByID(list []*jobs.Job) []*jobs.Job {
 	slices.SortFunc(list, func(a, b *jobs.Job) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
--- a/internal/controller/dependencies/dependencies_test.go
+++ b/internal/controller/dependencies/dependencies_test.go
@@ -17,7 +17,7 @@
 var start = time.Unix(1000, 0)
 
 func job(id string, needs ...string) *jobs.Job {
-	j := jobs.NewJob(jobs.Spec{ID: id, Tasks: 1, CPUs: 1, Estimate: 10 * time.Second, Needs: needs}, start)
+	j := jobs.New(jobs.Spec{ID: id, Tasks: 1, CPUs: 1, RunTimeEstimate: 10 * time.Second, Dependencies: needs}, start)
 	j.State = jobs.Accepted
 	return j
 }
@@ -29,7 +29,7 @@
 }
 
 func (p *plain) open(j *jobs.Job) (list []string) {
-	for _, id := range j.Needs {
+	for _, id := range j.Dependencies {
 		if !p.done[id] {
 			list = append(list, id)
 		}
@@ -58,7 +58,7 @@
 	for _, id := range p.open(j) {
 		for _, o := range p.jobs {
 			if o.ID == id {
-				longest = max(longest, p.path(o)+o.Estimate)
+				longest = max(longest, p.path(o)+o.RunTimeEstimate)
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 		p := &plain{done: map[string]bool{}}
 		live := map[string]*jobs.Job{}
 		g := New(func(id string) *jobs.Job { return live[id] })
-		perTask := func(j *jobs.Job) time.Duration { return j.Estimate }
+		perTask := func(j *jobs.Job) time.Duration { return j.RunTimeEstimate }
 		for i := range rapid.IntRange(1, 40).Draw(t, "moves") {
 			switch what := rapid.IntRange(0, 4).Draw(t, "what"); {
 			case what < 3:
@@ -85,8 +85,8 @@
 					}
 				}
 				j := job(fmt.Sprintf("job-%03d", i), needs...)
-				j.Estimate = time.Duration(rapid.IntRange(1, 9).Draw(t, "estimate")) * time.Second
-				g.Wait(j, p.open(j))
+				j.RunTimeEstimate = time.Duration(rapid.IntRange(1, 9).Draw(t, "estimate")) * time.Second
+				g.Add(j, p.open(j))
 				p.jobs, live[j.ID] = append(p.jobs, j), j
 			case len(p.jobs) == 0:
 			case what == 3: // one that waits for nothing is done
@@ -102,7 +102,7 @@
 				}
 				delete(live, j.ID)
 				p.done[j.ID] = true
-				if got := g.Done(start.Add(time.Minute), j.ID); !slices.Equal(got, want) {
+				if got := g.MarkDone(start.Add(time.Minute), j.ID); !slices.Equal(got, want) {
 					t.Fatalf("%d are let go, %d should be", len(got), len(want))
 				}
 			default: // one is cancelled, and takes along all that need it
@@ -116,12 +116,12 @@
 						want = append(want, o)
 					}
 				}
-				got := g.Below(j.ID)
+				got := g.Dependents(j.ID)
 				if !slices.Equal(got, want) {
 					t.Fatalf("%d are taken along, %d should be", len(got), len(want))
 				}
 				for _, o := range append(got, j) {
-					g.Drop(o)
+					g.Remove(o)
 					delete(live, o.ID)
 					p.jobs = slices.DeleteFunc(p.jobs, func(x *jobs.Job) bool { return x == o })
 				}
@@ -130,10 +130,10 @@
 				if live[j.ID] == nil {
 					continue
 				}
-				if open := p.open(j); !slices.Equal(g.Open(j), open) || j.Waits != len(open) || j.Live() != (len(open) == 0) {
-					t.Fatalf("%s waits for %v (%d), not %v", j.ID, g.Open(j), j.Waits, open)
+				if open := p.open(j); !slices.Equal(g.Unmet(j), open) || j.UnmetDependencies != len(open) || j.IsSchedulable() != (len(open) == 0) {
+					t.Fatalf("%s waits for %v (%d), not %v", j.ID, g.Unmet(j), j.UnmetDependencies, open)
 				}
-				if got, _ := g.Path(j, perTask); got != p.path(j) {
+				if got, _ := g.CriticalPath(j, perTask); got != p.path(j) {
 					t.Fatalf("the longest way to %s takes %v, not %v", j.ID, got, p.path(j))
 				}
 			}
@@ -144,24 +144,24 @@
 // A deadline and a priority flow backwards through a diamond: each job is due by when the longest way after it has to begin.
 func TestDeadlineFlowsBackwards(t *testing.T) {
 	a, b, c, d := job("job-1"), job("job-2", "job-1"), job("job-3", "job-1"), job("job-4", "job-2", "job-3")
-	b.Estimate, d.Deadline, d.Priority = 30*time.Second, 100*time.Second, jobs.High
+	b.RunTimeEstimate, d.Deadline, d.Priority = 30*time.Second, 100*time.Second, jobs.High
 	live := map[string]*jobs.Job{"job-1": a, "job-2": b, "job-3": c, "job-4": d}
 	g := New(func(id string) *jobs.Job { return live[id] })
 	for _, j := range []*jobs.Job{b, c, d} {
-		g.Wait(j, j.Needs)
+		g.Add(j, j.Dependencies)
 	}
-	g.Hurry(d, func(j *jobs.Job) time.Duration { return j.Estimate }, 2*time.Second, true)
+	g.PropagateDeadline(d, func(j *jobs.Job) time.Duration { return j.RunTimeEstimate }, 2*time.Second, true)
 	for j, want := range map[*jobs.Job]time.Duration{a: 56 * time.Second, b: 88 * time.Second, c: 88 * time.Second, d: 100 * time.Second} {
-		if due, ok := j.Due(); !ok || due.Sub(start) != want {
+		if due, ok := j.DueAt(); !ok || due.Sub(start) != want {
 			t.Errorf("%s is due after %v, not %v", j.ID, due.Sub(start), want)
 		}
-		if j != d && (!j.Pulled || j.Urgency != jobs.High) {
-			t.Errorf("%s: pulled %v, urgency %v", j.ID, j.Pulled, j.Urgency)
+		if j != d && (!j.RequiredByGuaranteed || j.InheritedPriority != jobs.High) {
+			t.Errorf("%s: pulled %v, urgency %v", j.ID, j.RequiredByGuaranteed, j.InheritedPriority)
 		}
 	}
 	// Its time for all else counts from the end of what it needs, its deadline from the submission.
-	g.Done(start.Add(50*time.Second), "job-1")
-	if b.Within() != 38*time.Second || b.Since() != start.Add(50*time.Second) {
-		t.Errorf("%v after %v", b.Within(), b.Since())
+	g.MarkDone(start.Add(50*time.Second), "job-1")
+	if b.TimeToDeadline() != 38*time.Second || b.EligibleSince() != start.Add(50*time.Second) {
+		t.Errorf("%v after %v", b.TimeToDeadline(), b.EligibleSince())
 	}
 }
--- a/internal/controller/history/model_test.go
+++ b/internal/controller/history/model_test.go
@@ -97,7 +97,7 @@
 	if finalState.Cancelled {
 		state = jobs.Cancelled
 	}
-	err := r.storage.Set(r.now, id, jobs.FinalRecord(state, finalState.Tasks), 0, true, func(_ time.Time, ok bool) {
+	err := r.storage.Set(r.now, id, jobs.NewFinalRecord(state, finalState.Tasks), 0, true, func(_ time.Time, ok bool) {
 		if ok {
 			r.finished[id] = finalState
 			r.storage.SetFinished(id)
@@ -297,7 +297,7 @@
 	}
 	round := func(urgent int) {
 		for i := range urgent { // each has a page of its own
-			if err := leader.storage.Set(leader.now, fmt.Sprintf("job-2%05d", i), jobs.FinalRecord(jobs.Done, 1), 800, true, nil); err != nil {
+			if err := leader.storage.Set(leader.now, fmt.Sprintf("job-2%05d", i), jobs.NewFinalRecord(jobs.Done, 1), 800, true, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/controller/jobs/golden_bytes_test.go
+++ b/internal/controller/jobs/golden_bytes_test.go
@@ -7,16 +7,16 @@
 )
 
 func TestGoldenBytes(t *testing.T) {
-	record := Record{State: recAccepted, Tasks: 16, Label: true, Submitted: 1_700_000_000_123, Class: "train", Team: "vision", Service: true,
-		Gang: true, Priority: 3, CPUs: 1.5, Cards: 2, Mem: 12.25, Image: "image:7", ImageGB: 9.5, Types: []string{"small", "large"}, Zone: "a",
-		OneZone: true, Spread: true, Spot: true, Estimate: 61.5, Checkpoint: 30, Save: 2.5, Deadline: 3600, StartBy: 90, EndBy: 700,
-		Spent: "AQI", Mistaken: true, Needs: []string{"job-000001"}, Ready: 1_700_000_001_000, Bits: "AAE"}
+	record := Record{State: recordAccepted, Tasks: 16, Guaranteed: true, SubmittedMs: 1_700_000_000_123, Class: "train", Team: "vision", IsService: true,
+		IsGang: true, Priority: 3, CPUs: 1.5, GPUs: 2, MemoryGB: 12.25, Image: "image:7", ImageGB: 9.5, MachineTypes: []string{"small", "large"}, Zone: "a",
+		SingleZone: true, SpreadAcrossZones: true, AllowsSpot: true, EstimateSeconds: 61.5, CheckpointSeconds: 30, CheckpointDurationSeconds: 2.5, DeadlineSeconds: 3600, FirstStartBoundSeconds: 90, LastStartBoundSeconds: 700,
+		TimeAccount: "AQI", CrashLooping: true, Needs: []string{"job-000001"}, Ready: 1_700_000_001_000, DoneBits: "AAE"}
 	goldenbytes.Check(t,
 		goldenbytes.MessagePack("job", record),
 		goldenbytes.JSON("job", record),
-		goldenbytes.MessagePack("chunk", Chunk{Bits: "AAE"}),
-		goldenbytes.JSON("chunk", Chunk{Bits: "AAE"}),
-		goldenbytes.MessagePack("job done", FinalRecord(Done, 16)).Partial(),
-		goldenbytes.MessagePack("job cancelled", FinalRecord(Cancelled, 16)).Partial(),
+		goldenbytes.MessagePack("chunk", Chunk{DoneBits: "AAE"}),
+		goldenbytes.JSON("chunk", Chunk{DoneBits: "AAE"}),
+		goldenbytes.MessagePack("job done", NewFinalRecord(Done, 16)).Partial(),
+		goldenbytes.MessagePack("job cancelled", NewFinalRecord(Cancelled, 16)).Partial(),
 	)
 }
--- a/internal/controller/jobs/jobs.go
+++ b/internal/controller/jobs/jobs.go
@@ -33,40 +33,40 @@
 
 // Spec is what the owner submitted.
 type Spec struct {
-	ID, Class, Team  string
-	Service          bool
-	Gang             bool // all tasks run at the same time or none
-	Priority         Priority
-	Tasks            int
-	CPUs, Cards, Mem float64
-	Image            string
-	ImageGB          float64
-	Types            []string
-	Zone             string
-	OneZone, Spread  bool
-	Spot             bool
-	Estimate         time.Duration
-	Checkpoint, Save time.Duration
-	Deadline         time.Duration // 0: none
-	Needs            []string      // jobs that have to be done before any task of this one starts
+	ID, Class, Team                        string
+	IsService                              bool
+	IsGang                                 bool // all tasks run at the same time or none
+	Priority                               Priority
+	Tasks                                  int
+	CPUs, GPUs, MemoryGB                   float64
+	Image                                  string
+	ImageGB                                float64
+	MachineTypes                           []string
+	Zone                                   string
+	SingleZone, SpreadAcrossZones          bool
+	AllowsSpot                             bool
+	RunTimeEstimate                        time.Duration
+	CheckpointInterval, CheckpointDuration time.Duration
+	Deadline                               time.Duration // 0: none
+	Dependencies                           []string      // jobs that have to be done before any task of this one starts
 }
 
-// Key names a task.
-type Key struct {
-	Job  string
-	Task int
+// TaskID names a task.
+type TaskID struct {
+	JobID string
+	Index int
 }
 
-func (k Key) String() string { return k.Job + "/" + strconv.Itoa(k.Task) }
+func (k TaskID) String() string { return k.JobID + "/" + strconv.Itoa(k.Index) }
 
-// ParseKey reads the name of a task.
-func ParseKey(s string) (Key, error) {
+// ParseTaskID reads the name of a task.
+func ParseTaskID(s string) (TaskID, error) {
 	id, num, ok := strings.Cut(s, "/")
 	n, err := strconv.Atoi(num)
 	if !ok || err != nil || n < 0 || !ValidID(id) {
-		return Key{}, fmt.Errorf("%q is no task", s)
+		return TaskID{}, fmt.Errorf("%q is no task", s)
 	}
-	return Key{id, n}, nil
+	return TaskID{id, n}, nil
 }
 
 // ValidID reports whether an id has the form that all job ids have.
@@ -86,233 +86,233 @@
 // Attempt is one try to run a task: from the moment its start is sent until its machine
 // is known not to have it any more.
 type Attempt struct {
-	Key      Key
-	Number   uint64
-	Machine  string
-	Zone     string
-	Job      *Job // nil if the job is not known
-	Assigned time.Time
-	Unsent   bool      // its start waits for its machine's next report
-	Running  time.Time // first seen running
-	Saving   bool
-	Stopping time.Time // when a stop was last sent
-	Seen     uint64    // the last look at its machine that found it
-	Kills    int       // answers to its machine that told it to end at once
-	Stray    bool      // not ours to run: to be stopped, but it holds its place until gone
+	Task              TaskID
+	Number            uint64
+	MachineID         string
+	Zone              string
+	Job               *Job // nil if the job is not known
+	AssignedAt        time.Time
+	IsUnsent          bool      // its start waits for its machine's next report
+	RunningSince      time.Time // first seen running
+	IsCheckpointing   bool
+	StopSentAt        time.Time // when a stop was last sent
+	LastSeenReconcile uint64    // the last look at its machine that found it
+	KillsSent         int       // answers to its machine that told it to end at once
+	IsOrphan          bool      // not ours to run: to be stopped, but it holds its place until gone
 }
 
-// startStands is for how long a task has to run for its start to count.
-const startStands = 30 * time.Second
+// minRunBeforePreemption is for how long a task has to run for its start to count.
+const minRunBeforePreemption = 30 * time.Second
 
-// Stoppable reports whether the attempt may be stopped for a job of a higher priority with
+// CanBePreempted reports whether the attempt may be stopped for a job of a higher priority with
 // little lost: it saves. A job that has just begun is left its beginning: a start that is stopped within
 // startStands is none to its owner.
-func (a *Attempt) Stoppable(now time.Time) bool {
+func (a *Attempt) CanBePreempted(now time.Time) bool {
 	j := a.Job
-	if j != nil && j.NDone == 0 && now.Sub(a.Running) < startStands {
+	if j != nil && j.DoneTasks == 0 && now.Sub(a.RunningSince) < minRunBeforePreemption {
 		return false
 	}
-	return j != nil && !a.Stray && !a.Unsent && a.Stopping.IsZero() && !a.Running.IsZero() && !j.Gang && !j.Service && !j.Guaranteed &&
-		j.Checkpoint > 0 && now.Sub(a.Running) >= j.Save
+	return j != nil && !a.IsOrphan && !a.IsUnsent && a.StopSentAt.IsZero() && !a.RunningSince.IsZero() && !j.IsGang && !j.IsService && !j.Guaranteed &&
+		j.CheckpointInterval > 0 && now.Sub(a.RunningSince) >= j.CheckpointDuration
 }
 
 // Job is an accepted job, or one that is about to be.
 type Job struct {
 	Spec
-	State      State
-	Submitted  time.Time
-	Guaranteed bool
-	StartBy    time.Duration // bound on the wait for its first task, as stated when it was accepted; 0: none
-	EndBy      time.Duration // bound on the wait for its last task's start
-	Late       bool          // the first of them was missed, and that was told
-	Cancelling bool          // a cancellation is on its way into the ledger; nothing starts any more
-	Told       time.Time     // the earliest that its user can have been told that it is cancelled; zero: not known
-	Ours       bool          // this leader itself has committed its acceptance: no earlier one can have started it
-	Waits      int           // needs that are not known to be done durably; the graph's to set
-	Ready      time.Time     // when the last of its needs was done; zero: it had none open
-	Unsure     bool          // it cannot be told yet what became of one of its needs
-	DueBy      time.Time     // inherited from jobs that need it; zero: none
-	Urgency    Priority      // of the most urgent job that needs it
-	Pulled     bool          // a guaranteed job needs it: its terms are held like that one's
-	Finishing  bool          // all tasks are done, which is on its way into the ledger
-
-	NDone     int
-	done      []uint64
-	durable   []uint64
-	unsaved   []int
-	reserve   int
-	Active    map[int]*Attempt
-	running   int            // active attempts seen running
-	began     time.Duration  // the sum of when those began, counted from the submission
-	zones     map[string]int // active attempts by zone, where the job's rules ask for it
-	retry     []int          // tasks to be started again
-	next      int            // tasks from here on were never tried
-	RanSum    time.Duration  // run time of the tasks seen from start to end
-	RanCount  int
-	Resumed   map[int]bool // tasks that go on from a saved state: how long they ran last tells little
-	BadHosts  map[string]bool
-	NotBefore time.Time // start nothing before this
-	Passed    time.Time // since when machines without its image were left to others; zero: not at present
-	Errors    int
-	Mistaken  bool // its tasks fail wherever they are tried: one is tried at a time. The clerk's to set
+	State                  State
+	SubmittedAt            time.Time
+	Guaranteed             bool
+	FirstStartBound        time.Duration // bound on the wait for its first task, as stated when it was accepted; 0: none
+	LastStartBound         time.Duration // bound on the wait for its last task's start
+	MissedStartBound       bool          // the first of them was missed, and that was told
+	IsCancelling           bool          // a cancellation is on its way into the ledger; nothing starts any more
+	CancelConfirmedAt      time.Time     // the earliest that its user can have been told that it is cancelled; zero: not known
+	AcceptedByThisLeader   bool          // this leader itself has committed its acceptance: no earlier one can have started it
+	UnmetDependencies      int           // needs that are not known to be done durably; the graph's to set
+	ReadyAt                time.Time     // when the last of its needs was done; zero: it had none open
+	HasUndecidedDependency bool          // it cannot be told yet what became of one of its needs
+	InheritedDeadline      time.Time     // inherited from jobs that need it; zero: none
+	InheritedPriority      Priority      // of the most urgent job that needs it
+	RequiredByGuaranteed   bool          // a guaranteed job needs it: its terms are held like that one's
+	IsFinishing            bool          // all tasks are done, which is on its way into the ledger
+
+	DoneTasks        int
+	doneBits         []uint64
+	durableBits      []uint64
+	unsavedTasks     []int
+	maxRecordBytes   int
+	ActiveAttempts   map[int]*Attempt
+	runningCount     int            // active attempts seen running
+	runningStartSum  time.Duration  // the sum of when those began, counted from the submission
+	attemptsByZone   map[string]int // active attempts by zone, where the job's rules ask for it
+	retryTasks       []int          // tasks to be started again
+	nextUntried      int            // tasks from here on were never tried
+	CompletedRunTime time.Duration  // run time of the tasks seen from start to end
+	CompletedRuns    int
+	ResumedTasks     map[int]bool // tasks that go on from a saved state: how long they ran last tells little
+	FailedMachines   map[string]bool
+	NotBefore        time.Time // start nothing before this
+	PassedOverSince  time.Time // since when machines without its image were left to others; zero: not at present
+	FailureCount     int
+	CrashLooping     bool // its tasks fail wherever they are tried: one is tried at a time. The clerk's to set
 }
 
-// NewJob makes a job that is not accepted yet.
-func NewJob(s Spec, submitted time.Time) *Job {
+// New makes a job that is not accepted yet.
+func New(s Spec, submitted time.Time) *Job {
 	words := (s.Tasks + 63) / 64
-	return &Job{Spec: s, Submitted: submitted, done: make([]uint64, words), durable: make([]uint64, words),
-		Active: map[int]*Attempt{}, zones: map[string]int{}, Resumed: map[int]bool{}}
+	return &Job{Spec: s, SubmittedAt: submitted, doneBits: make([]uint64, words), durableBits: make([]uint64, words),
+		ActiveAttempts: map[int]*Attempt{}, attemptsByZone: map[string]int{}, ResumedTasks: map[int]bool{}}
 }
 
-// Attach makes the attempt the active one of its task.
-func (j *Job) Attach(a *Attempt) {
-	j.Active[a.Key.Task] = a
-	if j.OneZone || j.Spread {
-		j.zones[a.Zone]++
+// AddAttempt makes the attempt the active one of its task.
+func (j *Job) AddAttempt(a *Attempt) {
+	j.ActiveAttempts[a.Task.Index] = a
+	if j.SingleZone || j.SpreadAcrossZones {
+		j.attemptsByZone[a.Zone]++
 	}
 }
 
-// Detach takes the attempt back, if it is the active one of its task.
-func (j *Job) Detach(a *Attempt) {
-	if j.Active[a.Key.Task] != a {
+// RemoveAttempt takes the attempt back, if it is the active one of its task.
+func (j *Job) RemoveAttempt(a *Attempt) {
+	if j.ActiveAttempts[a.Task.Index] != a {
 		return
 	}
-	delete(j.Active, a.Key.Task)
-	if j.OneZone || j.Spread {
-		j.zones[a.Zone]--
+	delete(j.ActiveAttempts, a.Task.Index)
+	if j.SingleZone || j.SpreadAcrossZones {
+		j.attemptsByZone[a.Zone]--
 	}
-	if !a.Running.IsZero() {
-		j.running--
-		j.began -= a.Running.Sub(j.Submitted)
+	if !a.RunningSince.IsZero() {
+		j.runningCount--
+		j.runningStartSum -= a.RunningSince.Sub(j.SubmittedAt)
 	}
 }
 
-// SawRunning records that the attempt runs.
-func (j *Job) SawRunning(a *Attempt, now time.Time) {
-	if !a.Running.IsZero() {
+// MarkRunning records that the attempt runs.
+func (j *Job) MarkRunning(a *Attempt, now time.Time) {
+	if !a.RunningSince.IsZero() {
 		return
 	}
-	a.Running = now
-	if j.Active[a.Key.Task] == a {
-		j.running++
-		j.began += now.Sub(j.Submitted)
+	a.RunningSince = now
+	if j.ActiveAttempts[a.Task.Index] == a {
+		j.runningCount++
+		j.runningStartSum += now.Sub(j.SubmittedAt)
 	}
 }
 
-// InZone is how many of the active attempts are in the zone, and how many are elsewhere;
+// AttemptsInZone is how many of the active attempts are in the zone, and how many are elsewhere;
 // it is counted only for jobs whose rules ask for it.
-func (j *Job) InZone(zone string) (here, elsewhere int) {
-	here = j.zones[zone]
-	return here, len(j.Active) - here
+func (j *Job) AttemptsInZone(zone string) (here, otherZones int) {
+	here = j.attemptsByZone[zone]
+	return here, len(j.ActiveAttempts) - here
 }
 
-func bit(set []uint64, i int) bool { return set[i/64]>>(i%64)&1 == 1 }
-func setBit(set []uint64, i int)   { set[i/64] |= 1 << (i % 64) }
+func hasBit(set []uint64, i int) bool { return set[i/64]>>(i%64)&1 == 1 }
+func setBit(set []uint64, i int)      { set[i/64] |= 1 << (i % 64) }
 
-// IsDone reports whether a task has completed.
-func (j *Job) IsDone(task int) bool { return bit(j.done, task) }
+// IsTaskDone reports whether a task has completed.
+func (j *Job) IsTaskDone(task int) bool { return hasBit(j.doneBits, task) }
 
-// IsDurable reports whether a task's completion is in the ledger.
-func (j *Job) IsDurable(task int) bool { return j.State == Done || bit(j.durable, task) }
+// IsTaskDurable reports whether a task's completion is in the ledger.
+func (j *Job) IsTaskDurable(task int) bool { return j.State == Done || hasBit(j.durableBits, task) }
 
-// TaskDone records that a task has completed; false if that was known.
-func (j *Job) TaskDone(task int) bool {
-	if bit(j.done, task) {
+// MarkTaskDone records that a task has completed; false if that was known.
+func (j *Job) MarkTaskDone(task int) bool {
+	if hasBit(j.doneBits, task) {
 		return false
 	}
-	setBit(j.done, task)
-	j.NDone++
-	j.unsaved = append(j.unsaved, task)
+	setBit(j.doneBits, task)
+	j.DoneTasks++
+	j.unsavedTasks = append(j.unsavedTasks, task)
 	return true
 }
 
-// Left is the number of tasks that are to be done, as far as anything is planned for them: one of a job
+// RemainingTasks is the number of tasks that are to be done, as far as anything is planned for them: one of a job
 // that fails wherever it is tried.
-func (j *Job) Left() int {
-	if j.Mistaken && !j.Gang {
-		return min(j.Tasks-j.NDone, 1)
+func (j *Job) RemainingTasks() int {
+	if j.CrashLooping && !j.IsGang {
+		return min(j.Tasks-j.DoneTasks, 1)
 	}
-	return j.Tasks - j.NDone
+	return j.Tasks - j.DoneTasks
 }
 
-// Waiting is the number of tasks that wait to be started.
-func (j *Job) Waiting() int { return max(j.Left()-len(j.Active), 0) }
+// WaitingTasks is the number of tasks that wait to be started.
+func (j *Job) WaitingTasks() int { return max(j.RemainingTasks()-len(j.ActiveAttempts), 0) }
 
-// NextTask takes the next task to start, or -1.
-func (j *Job) NextTask() int {
-	for len(j.retry) > 0 {
-		t := j.retry[0]
-		j.retry = j.retry[1:]
-		if j.startable(t) {
+// TakeNextTask takes the next task to start, or -1.
+func (j *Job) TakeNextTask() int {
+	for len(j.retryTasks) > 0 {
+		t := j.retryTasks[0]
+		j.retryTasks = j.retryTasks[1:]
+		if j.canStart(t) {
 			return t
 		}
 	}
-	for j.next < j.Tasks {
-		t := j.next
-		j.next++
-		if j.startable(t) {
+	for j.nextUntried < j.Tasks {
+		t := j.nextUntried
+		j.nextUntried++
+		if j.canStart(t) {
 			return t
 		}
 	}
 	return -1
 }
 
-func (j *Job) startable(t int) bool { return !bit(j.done, t) && j.Active[t] == nil }
+func (j *Job) canStart(t int) bool { return !hasBit(j.doneBits, t) && j.ActiveAttempts[t] == nil }
 
-// Again puts a task back to be started.
-func (j *Job) Again(task int) {
-	if !bit(j.done, task) {
-		j.retry = append(j.retry, task)
+// Requeue puts a task back to be started.
+func (j *Job) Requeue(task int) {
+	if !hasBit(j.doneBits, task) {
+		j.retryTasks = append(j.retryTasks, task)
 	}
 }
 
-// Live reports whether tasks of the job may be started.
-func (j *Job) Live() bool {
-	return j.State == Accepted && !j.Cancelling && !j.Finishing && j.Waits == 0
+// IsSchedulable reports whether tasks of the job may be started.
+func (j *Job) IsSchedulable() bool {
+	return j.State == Accepted && !j.IsCancelling && !j.IsFinishing && j.UnmetDependencies == 0
 }
 
-// Since is from when all its times count but its deadline: it waits for nothing else since then.
-func (j *Job) Since() time.Time {
-	if j.Ready.After(j.Submitted) {
-		return j.Ready
+// EligibleSince is from when all its times count but its deadline: it waits for nothing else since then.
+func (j *Job) EligibleSince() time.Time {
+	if j.ReadyAt.After(j.SubmittedAt) {
+		return j.ReadyAt
 	}
-	return j.Submitted
+	return j.SubmittedAt
 }
 
-// Due is by when it has to be complete, for its own sake or for those that need it.
-func (j *Job) Due() (due time.Time, ok bool) {
+// DueAt is by when it has to be complete, for its own sake or for those that need it.
+func (j *Job) DueAt() (due time.Time, ok bool) {
 	if j.Deadline > 0 {
-		due = j.Submitted.Add(j.Deadline)
+		due = j.SubmittedAt.Add(j.Deadline)
 	}
-	if !j.DueBy.IsZero() && (due.IsZero() || j.DueBy.Before(due)) {
-		due = j.DueBy
+	if !j.InheritedDeadline.IsZero() && (due.IsZero() || j.InheritedDeadline.Before(due)) {
+		due = j.InheritedDeadline
 	}
 	return due, !due.IsZero()
 }
 
-// Held reports whether its terms are held: it is guaranteed, or a guaranteed job needs it.
-func (j *Job) Held() bool { return j.Guaranteed || j.Pulled }
+// HasGuarantee reports whether its terms are held: it is guaranteed, or a guaranteed job needs it.
+func (j *Job) HasGuarantee() bool { return j.Guaranteed || j.RequiredByGuaranteed }
 
-// Effective is its priority, or that of the most urgent job that needs it.
-func (j *Job) Effective() Priority { return max(j.Priority, j.Urgency) }
+// EffectivePriority is its priority, or that of the most urgent job that needs it.
+func (j *Job) EffectivePriority() Priority { return max(j.Priority, j.InheritedPriority) }
 
-// Within is how long after Since it has to be complete; 0: there is no deadline.
-func (j *Job) Within() time.Duration {
-	if due, ok := j.Due(); ok {
-		return max(due.Sub(j.Since()), time.Millisecond)
+// TimeToDeadline is how long after Since it has to be complete; 0: there is no deadline.
+func (j *Job) TimeToDeadline() time.Duration {
+	if due, ok := j.DueAt(); ok {
+		return max(due.Sub(j.EligibleSince()), time.Millisecond)
 	}
 	return 0
 }
 
-// Remaining is the task time still to run, by a per-task estimate.
-func (j *Job) Remaining(perTask time.Duration, now time.Time) time.Duration {
-	left := time.Duration(j.Left()) * perTask
-	ran := time.Duration(j.running)*now.Sub(j.Submitted) - j.began
-	return max(left-min(ran, time.Duration(j.running)*perTask*9/10), 0)
+// RemainingWork is the task time still to run, by a per-task estimate.
+func (j *Job) RemainingWork(perTask time.Duration, now time.Time) time.Duration {
+	left := time.Duration(j.RemainingTasks()) * perTask
+	ran := time.Duration(j.runningCount)*now.Sub(j.SubmittedAt) - j.runningStartSum
+	return max(left-min(ran, time.Duration(j.runningCount)*perTask*9/10), 0)
 }
 
-// Wire is the state as users see it.
-func (j *Job) Wire() string {
+// StateName is the state as users see it.
+func (j *Job) StateName() string {
 	switch j.State {
 	case Done:
 		return "done"
@@ -326,12 +326,12 @@
 }
 
 // RunningTasks counts the tasks seen running.
-func (j *Job) RunningTasks() int { return j.running }
+func (j *Job) RunningTasks() int { return j.runningCount }
 
-// chunkBits is how many tasks' results one ledger entry holds.
-const chunkBits = 2048
+// tasksPerChunk is how many tasks' results one ledger entry holds.
+const tasksPerChunk = 2048
 
-func packBits(set []uint64) string {
+func encodeBits(set []uint64) string {
 	raw := make([]byte, 0, len(set)*8)
 	for _, w := range set {
 		for i := 0; i < 8; i++ {
@@ -344,7 +344,7 @@
 	return base64.RawStdEncoding.EncodeToString(raw)
 }
 
-func unpackBits(s string, set []uint64) error {
+func decodeBits(s string, set []uint64) error {
 	raw, err := base64.RawStdEncoding.DecodeString(s)
 	if err != nil {
 		return fmt.Errorf("task results: %w", err)
--- a/internal/controller/jobs/jobs_test.go
+++ b/internal/controller/jobs/jobs_test.go
@@ -33,9 +33,9 @@
 	m := submission()
 	m["cpus"], m["strokes"] = 8, 16.0 // a whole number for an amount, and the reverse
 	got, err := parse(t, m)
-	want := Spec{ID: "job-000412", Class: "train", Team: "vision", Priority: High, Tasks: 16, CPUs: 8, Cards: 1, Mem: 64,
-		Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, OneZone: true, Spot: true, Estimate: 4 * time.Minute,
-		Checkpoint: 30 * time.Second, Save: 4 * time.Second, Deadline: 15 * time.Minute}
+	want := Spec{ID: "job-000412", Class: "train", Team: "vision", Priority: High, Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64,
+		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, SingleZone: true, AllowsSpot: true, RunTimeEstimate: 4 * time.Minute,
+		CheckpointInterval: 30 * time.Second, CheckpointDuration: 4 * time.Second, Deadline: 15 * time.Minute}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
 		t.Errorf("%v\n%s", err, diff)
 	}
@@ -44,8 +44,8 @@
 func TestMalformedSubmissions(t *testing.T) {
 	m := submission()
 	m["tows"] = []string{"job-2", "job-1", "job-2"}
-	if s, err := parse(t, m); err != nil || !slices.Equal(s.Needs, []string{"job-2", "job-1"}) {
-		t.Fatalf("needs %v, %v", s.Needs, err)
+	if s, err := parse(t, m); err != nil || !slices.Equal(s.Dependencies, []string{"job-2", "job-1"}) {
+		t.Fatalf("needs %v, %v", s.Dependencies, err)
 	}
 	nan := 0.0
 	nan /= nan
@@ -60,7 +60,7 @@
 		for _, v := range values {
 			m := submission()
 			m[name] = v
-			var r *Refusal
+			var r *ValidationError
 			if _, err := parse(t, m); !errors.As(err, &r) || r.Status != 400 {
 				t.Errorf("%s = %v: %v", name, v, err)
 			}
@@ -96,25 +96,25 @@
 func TestRecordRebuildsTheJob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Spec{ID: "job-1", Class: "c", Team: "t", Tasks: rapid.SampledFrom([]int{1, 63, 64, 65, 352, 2048, 2049, 9000}).Draw(t, "tasks"),
-			CPUs: 1, Mem: 2, Image: "i", Estimate: time.Second, Zone: "a", Types: []string{"x"}, Deadline: time.Minute,
-			Needs: rapid.SampledFrom([][]string{nil, {"job-7"}, {"job-8", "job-20260000000009"}}).Draw(t, "needs")}
-		j := NewJob(s, time.UnixMilli(123456))
+			CPUs: 1, MemoryGB: 2, Image: "i", RunTimeEstimate: time.Second, Zone: "a", MachineTypes: []string{"x"}, Deadline: time.Minute,
+			Dependencies: rapid.SampledFrom([][]string{nil, {"job-7"}, {"job-8", "job-20260000000009"}}).Draw(t, "needs")}
+		j := New(s, time.UnixMilli(123456))
 		j.State, j.Guaranteed = Accepted, rapid.Bool().Draw(t, "label")
 		chunks := map[string]Chunk{}
-		reserve := j.Reserve()
-		if len(s.Needs) > 0 && rapid.Bool().Draw(t, "met") {
-			j.Ready = time.UnixMilli(223456)
+		reserve := j.MaxRecordBytes()
+		if len(s.Dependencies) > 0 && rapid.Bool().Draw(t, "met") {
+			j.ReadyAt = time.UnixMilli(223456)
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "count") {
-			j.TaskDone(rapid.IntRange(0, s.Tasks-1).Draw(t, "task"))
+			j.MarkTaskDone(rapid.IntRange(0, s.Tasks-1).Draw(t, "task"))
 			if rapid.Bool().Draw(t, "save") {
-				_, some := j.Unsaved()
+				_, some := j.TakeUnsaved()
 				for k, v := range some {
 					chunks[k] = v
 				}
 			}
 		}
-		_, some := j.Unsaved()
+		_, some := j.TakeUnsaved()
 		for k, v := range some {
 			chunks[k] = v
 		}
@@ -126,7 +126,7 @@
 			t.Fatalf("%d bytes where %d are reserved, %v", len(text), reserve, err)
 		}
 		for name, c := range chunks {
-			_, n, ok := ChunkOf(name)
+			_, n, ok := ParseChunkName(name)
 			if !ok {
 				t.Fatalf("chunk %q", name)
 			}
@@ -134,16 +134,16 @@
 				t.Fatal(err)
 			}
 		}
-		if diff := cmp.Diff(j.Spec, got.Spec); diff != "" || got.Guaranteed != j.Guaranteed || !got.Submitted.Equal(j.Submitted) || !got.Ready.Equal(j.Ready) {
+		if diff := cmp.Diff(j.Spec, got.Spec); diff != "" || got.Guaranteed != j.Guaranteed || !got.SubmittedAt.Equal(j.SubmittedAt) || !got.ReadyAt.Equal(j.ReadyAt) {
 			t.Fatalf("%s", diff)
 		}
 		for i := range s.Tasks {
-			if got.IsDone(i) != j.IsDone(i) || got.IsDone(i) != got.IsDurable(i) {
-				t.Fatalf("task %d: done %v, rebuilt %v, durable %v", i, j.IsDone(i), got.IsDone(i), got.IsDurable(i))
+			if got.IsTaskDone(i) != j.IsTaskDone(i) || got.IsTaskDone(i) != got.IsTaskDurable(i) {
+				t.Fatalf("task %d: done %v, rebuilt %v, durable %v", i, j.IsTaskDone(i), got.IsTaskDone(i), got.IsTaskDurable(i))
 			}
 		}
-		if got.NDone != j.NDone {
-			t.Fatalf("%d done, rebuilt %d", j.NDone, got.NDone)
+		if got.DoneTasks != j.DoneTasks {
+			t.Fatalf("%d done, rebuilt %d", j.DoneTasks, got.DoneTasks)
 		}
 	})
 }
--- a/internal/controller/jobs/upgrade_test.go
+++ b/internal/controller/jobs/upgrade_test.go
@@ -57,9 +57,9 @@
 
 // What the version in production has stored is read, and rewritten without a field that it does not know: it may lead again.
 func TestRecordsOfProduction(t *testing.T) {
-	want := Spec{ID: "job-000412", Class: "train", Team: "vision", Priority: High, Tasks: 70, CPUs: 8, Cards: 1, Mem: 64, Image: "img-07",
-		ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spot: true, Estimate: 4 * time.Minute, Checkpoint: 30 * time.Second,
-		Save: 4 * time.Second, Deadline: 15 * time.Minute}
+	want := Spec{ID: "job-000412", Class: "train", Team: "vision", Priority: High, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
+		ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SingleZone: true, AllowsSpot: true, RunTimeEstimate: 4 * time.Minute, CheckpointInterval: 30 * time.Second,
+		CheckpointDuration: 4 * time.Second, Deadline: 15 * time.Minute}
 	for name, state := range map[string]State{"accepted": Accepted, "cancelling": Cancelled} {
 		var rec Record
 		fixture(t, name, &rec)
@@ -67,15 +67,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(want, j.Spec); diff != "" || j.State != state || j.NDone != 2 || !j.IsDurable(69) || !j.Guaranteed || !j.Mistaken ||
-			j.StartBy != 40*time.Second || j.EndBy != 90*time.Second || j.Submitted.UnixMilli() != 1_700_000_000_123 {
+		if diff := cmp.Diff(want, j.Spec); diff != "" || j.State != state || j.DoneTasks != 2 || !j.IsTaskDurable(69) || !j.Guaranteed || !j.CrashLooping ||
+			j.FirstStartBound != 40*time.Second || j.LastStartBound != 90*time.Second || j.SubmittedAt.UnixMilli() != 1_700_000_000_123 {
 			t.Errorf("%s: %s\n%+v", name, diff, j)
 		}
 		if state != Accepted {
 			continue
 		}
 		again := j.Record()
-		again.Spent = rec.Spent
+		again.TimeAccount = rec.TimeAccount
 		var old productionRecord
 		fixture(t, name, &old)
 		raw, err := packed.Sorted(again)
@@ -98,7 +98,7 @@
 		}
 	}
 	var c Chunk
-	if fixture(t, "chunk", &c); c.Bits != "AQI" {
+	if fixture(t, "chunk", &c); c.DoneBits != "AQI" {
 		t.Errorf("%+v", c)
 	}
 }
@@ -116,8 +116,8 @@
 		}
 	}
 	for _, needs := range [][]string{nil, {"job-1", "job-2"}} {
-		s := Spec{ID: "job-3", Class: "c", Team: "t", Tasks: 9, CPUs: 1, Image: "i", Estimate: time.Second, Needs: needs}
-		j := NewJob(s, time.UnixMilli(5000))
+		s := Spec{ID: "job-3", Class: "c", Team: "t", Tasks: 9, CPUs: 1, Image: "i", RunTimeEstimate: time.Second, Dependencies: needs}
+		j := New(s, time.UnixMilli(5000))
 		j.State = Accepted
 		raw, err := packed.Marshal(j.Record())
 		if err != nil {
--- a/internal/controller/ledger/load_test.go
+++ b/internal/controller/ledger/load_test.go
@@ -27,8 +27,8 @@
 	now := time.Unix(1000, 0)
 	var box outbox.Box
 	store, archiveStore, finished := openStores(b, cluster, now, &box)
-	record := jobs.NewJob(jobs.Spec{Class: "intake-settle", Team: "harvest-records", Tasks: 40, CPUs: 2, Mem: 4, Image: "img-07", ImageGB: 6.2,
-		Types: []string{"g8", "c4"}, Estimate: 4 * time.Minute, Deadline: 15 * time.Minute}, now).Record()
+	record := jobs.New(jobs.Spec{Class: "intake-settle", Team: "harvest-records", Tasks: 40, CPUs: 2, MemoryGB: 4, Image: "img-07", ImageGB: 6.2,
+		MachineTypes: []string{"g8", "c4"}, RunTimeEstimate: 4 * time.Minute, Deadline: 15 * time.Minute}, now).Record()
 	for i := range liveJobs {
 		if err := store.Set(now, fmt.Sprintf("job-9%08d", i), record, 0, true, nil); err != nil {
 			b.Fatal(err)
@@ -46,7 +46,7 @@
 	}
 	for i := range count {
 		name := id(i)
-		err := store.Set(now, name, jobs.FinalRecord(jobs.Done, 100), 0, true, func(_ time.Time, ok bool) {
+		err := store.Set(now, name, jobs.NewFinalRecord(jobs.Done, 100), 0, true, func(_ time.Time, ok bool) {
 			finished[name] = history.FinalState{Tasks: 100}
 			store.SetFinished(name)
 		})
--- a/internal/controller/node/node.go
+++ b/internal/controller/node/node.go
@@ -80,7 +80,7 @@
 type leadership struct {
 	fencingToken    uint64
 	storage         *ledger.Store
-	dynamicConfig   *settings.Settings
+	dynamicConfig   *settings.Store
 	jobStore        *book.Store
 	workers         *workers.Registry
 	cloud           *fleet.Cloud
@@ -90,8 +90,8 @@
 	heartbeats      *reports.Handler
 	failover        *takeover.Reconciler
 	zones           *zones.Book
-	accounting      *timeline.Log
-	api             *requests.Desk
+	accounting      *timeline.Tracker
+	api             *requests.Handler
 	nextExpiryCheck time.Time // for leases that have ended
 	nextWaitReasons time.Time // for the causes that jobs wait for
 }
@@ -143,7 +143,7 @@
 			l.storage.Flush(now, &n.outbox)
 		} else {
 			l.heartbeats.RejectPending()
-			l.accounting.Away(now)
+			l.accounting.LeaseLost(now)
 		}
 	}
 	return Effects{Replies: n.responder.Take(), Calls: n.outbox.Take()}
@@ -189,11 +189,13 @@
 	case path == "/v1/report" && !request.Peer:
 		n.requireMethod(request, "POST", func() { n.handleHeartbeat(now, request) })
 	case path == "/settings" && request.Method == "GET":
-		n.serveOrForward(now, request, func() { n.leadership.dynamicConfig.Show(now, request) })
+		n.serveOrForward(now, request, func() { n.leadership.dynamicConfig.ServeView(now, request) })
 	case path == "/settings":
-		n.requireMethod(request, "POST", func() { n.serveOrForward(now, request, func() { n.leadership.dynamicConfig.Apply(now, request) }) })
-	case requests.Method(segments) != "":
-		n.requireMethod(request, requests.Method(segments), func() { n.serveOrForward(now, request, func() { n.leadership.api.Serve(now, request, segments) }) })
+		n.requireMethod(request, "POST", func() {
+			n.serveOrForward(now, request, func() { n.leadership.dynamicConfig.ServeChange(now, request) })
+		})
+	case requests.MethodFor(segments) != "":
+		n.requireMethod(request, requests.MethodFor(segments), func() { n.serveOrForward(now, request, func() { n.leadership.api.Serve(now, request, segments) }) })
 	case path == "/peer/hello" && request.Peer:
 		n.requireMethod(request, "POST", func() { n.handlePing(now, request) })
 	case path == "/peer/inquiry" && request.Peer:
@@ -282,8 +284,8 @@
 	l.zones.Look(now, n.election.Connectivity().SuspectsPartition(now), func(take func(zones.Machine)) { l.visitZoneMachines(now, take) })
 	placing := l.failover.Completed()
 	if !now.Before(l.nextWaitReasons) {
-		l.nextWaitReasons = now.Add(n.waitReasonsInterval(l.accounting.Open()))
-		l.accounting.Look(now, timeline.View{Placing: placing, Healthy: l.storage.IsHealthy(), Teams: n.teams, Fleet: l.workers, Cloud: l.cloud, Order: l.placer.LastOrder()})
+		l.nextWaitReasons = now.Add(n.waitReasonsInterval(l.accounting.OpenCount()))
+		l.accounting.Sample(now, timeline.ClusterState{FailoverCompleted: placing, StorageHealthy: l.storage.IsHealthy(), Teams: n.teams, Workers: l.workers, Cloud: l.cloud, Queue: l.placer.LastOrder()})
 	}
 	l.jobStore.Save(now, placing)
 	l.planner.FairShare().Save(now, l.storage, n.log)
@@ -362,9 +364,9 @@
 		Planner: l.planner, Placer: l.placer, Accounting: l.accounting, Stragglers: stragglers, Failures: failureHistory, Reachability: machineLinks, Responder: &n.responder, Log: n.log})
 	l.failover = takeover.New(takeover.Components{Platform: n.platform, FencingToken: fencingToken, ElectedAt: now, Storage: l.storage, JobStore: l.jobStore, DynamicConfig: l.dynamicConfig,
 		Workers: l.workers, Cloud: l.cloud, Heartbeats: l.heartbeats, Placer: l.placer, FairShare: l.planner.FairShare(), Zones: l.zones, Reachability: machineLinks, Connectivity: n.election.Connectivity(), RenewalLimit: n.election.RenewalLimit(), Outbox: &n.outbox, Log: n.log})
-	l.api = requests.NewDesk(requests.World{Platform: n.platform, Options: options, Ledger: l.storage, Book: l.jobStore, Fleet: l.workers, Cloud: l.cloud,
-		Planner: l.planner, Placer: l.placer, Rental: l.autoscaler, Takeover: l.failover, Times: l.accounting, Blame: failureHistory, Zones: l.zones,
-		Acting: func() bool { return n.leadership == l && n.holdsLease }, Answers: &n.responder, Box: &n.outbox, Log: n.log})
+	l.api = requests.NewHandler(requests.Components{Platform: n.platform, Options: options, Storage: l.storage, JobStore: l.jobStore, Workers: l.workers, Cloud: l.cloud,
+		Planner: l.planner, Placer: l.placer, Autoscaler: l.autoscaler, Failover: l.failover, Accounting: l.accounting, Failures: failureHistory, Zones: l.zones,
+		HoldsLease: func() bool { return n.leadership == l && n.holdsLease }, Responder: &n.responder, Outbox: &n.outbox, Logger: n.log})
 	l.jobStore.OnOrderChange(l.placer.InvalidateOrder)
 	l.jobStore.OnDone(func(now time.Time, job *jobs.Job) {
 		l.autoscaler.Ended(now, job)
@@ -372,7 +374,7 @@
 		l.heartbeats.ForgetJob(job)
 	})
 	l.jobStore.OnWaiting(func(job *jobs.Job) {
-		l.jobStore.DependencyGraph().Hurry(job, l.planner.TaskRunTime, 2*n.platform.ReportEvery, job.Guaranteed)
+		l.jobStore.DependencyGraph().PropagateDeadline(job, l.planner.TaskRunTime, 2*n.platform.ReportEvery, job.Guaranteed)
 	})
 	l.jobStore.OnReady(func(now time.Time, job *jobs.Job) {
 		l.placer.InvalidateOrder()
--- a/internal/controller/node/past_test.go
+++ b/internal/controller/node/past_test.go
@@ -115,11 +115,11 @@
 	controller.leadership.cloud.Types = map[string]*fleet.Type{"small": {Name: "small", CPUs: 4, Mem: 8, Zones: []string{"a"}}}
 	ids := []string{"job-000001", "job-000002", "job-20261201121026", "job-20261201121027"}
 	for i, id := range ids {
-		job := jobs.NewJob(jobs.Spec{ID: id, Tasks: i + 7}, now)
+		job := jobs.New(jobs.Spec{ID: id, Tasks: i + 7}, now)
 		controller.leadership.jobStore.Add(job)
 		job.State = jobs.Accepted
 		for task := range job.Tasks {
-			job.TaskDone(task)
+			job.MarkTaskDone(task)
 		}
 		if i%2 == 1 {
 			job.State = jobs.Cancelled // with nothing left of it on any machine
--- a/internal/controller/node/settings_test.go
+++ b/internal/controller/node/settings_test.go
@@ -17,7 +17,7 @@
 
 func (n *Controller) applySettings(t *testing.T, now time.Time, service *fakeStateService, changedBy, text string) (int, string, settings.View) {
 	t.Helper()
-	raw, err := packed.Marshal(settings.Request{Who: changedBy, Text: text})
+	raw, err := packed.Marshal(settings.ChangeRequest{Author: changedBy, Text: text})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 		text := fmt.Sprintf("<gullrudder><aged-share>0.%02d</aged-share><seal-jobs>%d</seal-jobs></gullrudder>", i+10, i+1)
 		for range 3 { // the one that was not saved goes out first
 			if status, _, got := controller.applySettings(t, now, service, "berta", text); status == 200 {
-				if got.Version < i+1 || got.Changes[0].Who != "berta" && i > 0 || len(got.Changes) > 12 {
+				if got.Version < i+1 || got.Changes[0].Author != "berta" && i > 0 || len(got.Changes) > 12 {
 					t.Fatalf("change %d: %+v", i, got)
 				}
 				break
@@ -113,7 +113,7 @@
 		c.Done(now, outbox.Result{Status: 200, Body: body})
 	}
 	next.leadership.failover.LoadState(now)
-	if got := next.leadership.dynamicConfig.View(); got.Version != controller.leadership.dynamicConfig.View().Version || next.leadership.dynamicConfig.Options().AgedShare != 0.39 || got.Changes[0].Who != "berta" {
+	if got := next.leadership.dynamicConfig.View(); got.Version != controller.leadership.dynamicConfig.View().Version || next.leadership.dynamicConfig.Options().AgedShare != 0.39 || got.Changes[0].Author != "berta" {
 		t.Errorf("the next leader has %+v", got)
 	}
 }
--- a/internal/controller/node/status.go
+++ b/internal/controller/node/status.go
@@ -95,8 +95,8 @@
 			status.FinishedJobs, status.ArchiveSegments = leadership.jobStore.FinishedCount(), leadership.jobStore.Archive().SegmentCount()
 		}
 		for _, job := range leadership.jobStore.Unfinished {
-			status.WaitingTasks += job.Waiting()
-			status.PlacedTasks += len(job.Active)
+			status.WaitingTasks += job.WaitingTasks()
+			status.PlacedTasks += len(job.ActiveAttempts)
 		}
 		for _, machine := range leadership.workers.MachinesByName() {
 			if len(status.Machines) == maxMachinesShown {
--- a/internal/controller/place/gangs.go
+++ b/internal/controller/place/gangs.go
@@ -18,10 +18,10 @@
 	p.refreshOrder(now)
 	for _, entry := range p.order {
 		job := entry.Job
-		if !job.Gang || !job.Live() || now.Before(job.NotBefore) {
+		if !job.IsGang || !job.IsSchedulable() || now.Before(job.NotBefore) {
 			continue
 		}
-		if len(job.Active) == 0 {
+		if len(job.ActiveAttempts) == 0 {
 			p.placeGang(now, job)
 			continue
 		}
@@ -31,31 +31,31 @@
 	// start any more, is taken back: it never left.
 	for attempt, machine := range p.pendingGangStarts {
 		switch {
-		case machine.Attempts[attempt.Key] != attempt:
+		case machine.Attempts[attempt.Task] != attempt:
 			delete(p.pendingGangStarts, attempt) // its machine is gone
-		case machine.DrainReason != workers.NotDraining || !attempt.Job.Live() || now.Sub(attempt.Assigned) > 2*p.platform.ReportEvery+time.Second:
+		case machine.DrainReason != workers.NotDraining || !attempt.Job.IsSchedulable() || now.Sub(attempt.AssignedAt) > 2*p.platform.ReportEvery+time.Second:
 			delete(p.pendingGangStarts, attempt)
 			p.workers.Unassign(machine, attempt)
-			attempt.Job.Again(attempt.Key.Task)
+			attempt.Job.Requeue(attempt.Task.Index)
 		}
 	}
 }
 
 // stopPartialGang stops what is left of a gang of which a part has been missing for too long.
 func (p *Placer) stopPartialGang(now time.Time, job *jobs.Job) {
-	if job.Waiting() == 0 {
+	if job.WaitingTasks() == 0 {
 		return
 	}
-	for _, attempt := range job.Active {
-		if !attempt.Unsent && attempt.Stopping.IsZero() && now.Sub(attempt.Assigned) > gangCompletionTimeout {
-			attempt.Stopping = now
+	for _, attempt := range job.ActiveAttempts {
+		if !attempt.IsUnsent && attempt.StopSentAt.IsZero() && now.Sub(attempt.AssignedAt) > gangCompletionTimeout {
+			attempt.StopSentAt = now
 		}
 	}
 }
 
 // placeGang lays all tasks of a gang on as few machines as can be.
 func (p *Placer) placeGang(now time.Time, job *jobs.Job) {
-	want := job.Waiting()
+	want := job.WaitingTasks()
 	if want == 0 || TasksAllowedByQuota(job, p.teams[job.Team], p.workers.TeamUsage(job.Team)) < want {
 		return
 	}
@@ -85,7 +85,7 @@
 	left := want
 	for _, z := range zones {
 		list := byZone[z]
-		if job.OneZone && zoneCapacity(list) < want {
+		if job.SingleZone && zoneCapacity(list) < want {
 			continue
 		}
 		sort.SliceStable(list, func(a, b int) bool { return list[a].TasksThatFit(job) > list[b].TasksThatFit(job) })
@@ -109,12 +109,12 @@
 	number := p.nextAttemptNumber()
 	for _, s := range shares {
 		for range s.count {
-			t := job.NextTask()
+			t := job.TakeNextTask()
 			if t < 0 {
 				return
 			}
 			a := p.newAttempt(now, s.m, job, t, number)
-			a.Unsent = true
+			a.IsUnsent = true
 			p.pendingGangStarts[a] = s.m
 		}
 	}
--- a/internal/controller/place/partial.go
+++ b/internal/controller/place/partial.go
@@ -13,7 +13,9 @@
 func (p *Placer) SetPartialStart(unseenUsage UnseenUsage) { p.unseenUsage = unseenUsage }
 
 // canStart reports whether tasks of the job may start at all at present.
-func (p *Placer) canStart(job *jobs.Job) bool { return p.unseenUsage == nil || job.Ours }
+func (p *Placer) canStart(job *jobs.Job) bool {
+	return p.unseenUsage == nil || job.AcceptedByThisLeader
+}
 
 // tasksAllowedByQuota is how many more tasks of the job its team's limit allows, with what may run out of sight.
 func (p *Placer) tasksAllowedByQuota(job *jobs.Job) int {
--- a/internal/controller/place/place.go
+++ b/internal/controller/place/place.go
@@ -17,13 +17,13 @@
 
 // KindAllowed reports whether the job may run on such machines at all.
 func KindAllowed(job *jobs.Job, kind fleet.Kind) bool {
-	if kind.Spot && !job.Spot || job.Zone != "" && job.Zone != kind.Zone {
+	if kind.Spot && !job.AllowsSpot || job.Zone != "" && job.Zone != kind.Zone {
 		return false
 	}
-	if len(job.Types) == 0 {
+	if len(job.MachineTypes) == 0 {
 		return true
 	}
-	for _, machineType := range job.Types {
+	for _, machineType := range job.MachineTypes {
 		if machineType == kind.Type {
 			return true
 		}
@@ -33,7 +33,7 @@
 
 // FitsType reports whether an empty machine of the type holds one task.
 func FitsType(job *jobs.Job, machineType *fleet.Type) bool {
-	return job.CPUs <= machineType.CPUs+resourceTolerance && job.Cards <= machineType.Cards+resourceTolerance && job.Mem <= machineType.Mem+resourceTolerance
+	return job.CPUs <= machineType.CPUs+resourceTolerance && job.GPUs <= machineType.Cards+resourceTolerance && job.MemoryGB <= machineType.Mem+resourceTolerance
 }
 
 // TypeResources is what an empty machine of the type has.
@@ -49,14 +49,14 @@
 // TasksAllowedInZone is how many more tasks of the job may be put into the zone, given where its
 // other tasks are or may still be.
 func TasksAllowedInZone(job *jobs.Job, zone string) int {
-	if !job.OneZone && !job.Spread {
+	if !job.SingleZone && !job.SpreadAcrossZones {
 		return job.Tasks
 	}
-	inZone, inOtherZones := job.InZone(zone)
-	if job.OneZone && inOtherZones > 0 {
+	inZone, inOtherZones := job.AttemptsInZone(zone)
+	if job.SingleZone && inOtherZones > 0 {
 		return 0
 	}
-	if job.Spread {
+	if job.SpreadAcrossZones {
 		return max((job.Tasks+1)/2-inZone, 0)
 	}
 	return job.Tasks
@@ -68,8 +68,8 @@
 	if team.CPULimit > 0 && job.CPUs > 0 {
 		tasks = min(tasks, int(math.Floor((team.CPULimit-usage.CPUs+resourceTolerance)/job.CPUs)))
 	}
-	if team.CardsLimit > 0 && job.Cards > 0 {
-		tasks = min(tasks, int(math.Floor((team.CardsLimit-usage.GPUs+resourceTolerance)/job.Cards)))
+	if team.CardsLimit > 0 && job.GPUs > 0 {
+		tasks = min(tasks, int(math.Floor((team.CardsLimit-usage.GPUs+resourceTolerance)/job.GPUs)))
 	}
 	return max(tasks, 0)
 }
@@ -77,10 +77,10 @@
 // ExceedsQuota reports whether the job can never run within its team's limit.
 func ExceedsQuota(job *jobs.Job, team config.Team) bool {
 	tasks := 1.0
-	if job.Service || job.Gang {
+	if job.IsService || job.IsGang {
 		tasks = float64(job.Tasks)
 	}
-	return team.CPULimit > 0 && tasks*job.CPUs > team.CPULimit+resourceTolerance || team.CardsLimit > 0 && tasks*job.Cards > team.CardsLimit+resourceTolerance
+	return team.CPULimit > 0 && tasks*job.CPUs > team.CPULimit+resourceTolerance || team.CardsLimit > 0 && tasks*job.GPUs > team.CardsLimit+resourceTolerance
 }
 
 // MachineKind is the kind of a machine.
--- a/internal/controller/place/placer.go
+++ b/internal/controller/place/placer.go
@@ -124,7 +124,7 @@
 	p.isOrderStale, p.orderedAt = false, now
 	schedulable := make([]*jobs.Job, 0, len(p.jobs))
 	for _, job := range p.jobs {
-		if job.Live() {
+		if job.IsSchedulable() {
 			schedulable = append(schedulable, job)
 		}
 	}
@@ -138,11 +138,11 @@
 		if entry.AgedFirst {
 			p.agedFirst[entry.Job] = true
 		}
-		if entry.Job.Waiting() == 0 {
+		if entry.Job.WaitingTasks() == 0 {
 			continue
 		}
 		p.smallestTaskCPUs = min(p.smallestTaskCPUs, entry.Job.CPUs)
-		if !entry.Job.Gang {
+		if !entry.Job.IsGang {
 			p.candidates = append(p.candidates, candidate{entry, number})
 		}
 	}
@@ -171,20 +171,20 @@
 	for i := range p.order {
 		entry, number := &p.order[i], p.shapeNumbers[i]
 		job := entry.Job
-		if !entry.MayReserve || job.Waiting() == 0 || now.Before(job.NotBefore) {
+		if !entry.MayReserve || job.WaitingTasks() == 0 || now.Before(job.NotBefore) {
 			continue
 		}
 		want := p.StartableTasksOf(job)
 		if entry.MaxTasks > 0 {
-			want = min(want, entry.MaxTasks-len(job.Active))
+			want = min(want, entry.MaxTasks-len(job.ActiveAttempts))
 		}
-		if want <= 0 || job.Gang && want < job.Waiting() {
+		if want <= 0 || job.IsGang && want < job.WaitingTasks() {
 			continue
 		}
 		if free == nil {
 			free = p.machinesByFreeCPUs()
 		}
-		if job.Gang {
+		if job.IsGang {
 			want -= p.reserveForGang(job, free, want)
 		}
 		if want > 0 {
@@ -194,7 +194,7 @@
 			unreserved := free[:0]
 			before := want
 			for _, machine := range free {
-				if want > 0 && machine.ReservedFor == nil && IsEligible(job, machine) && machine.TasksThatFit(job) == 0 && machine.CPUs >= job.CPUs && machine.MemoryGB >= job.Mem {
+				if want > 0 && machine.ReservedFor == nil && IsEligible(job, machine) && machine.TasksThatFit(job) == 0 && machine.CPUs >= job.CPUs && machine.MemoryGB >= job.MemoryGB {
 					p.reserveMachine(machine, job)
 					want--
 				}
@@ -229,13 +229,13 @@
 func newShapeFits(shapes int) shapeFits { return make(shapeFits, shapes) }
 
 func shapeOf(job *jobs.Job) shape {
-	return shape{job.CPUs, job.Cards, job.Mem, job.Zone, strings.Join(job.Types, " "), job.Spot}
+	return shape{job.CPUs, job.GPUs, job.MemoryGB, job.Zone, strings.Join(job.MachineTypes, " "), job.AllowsSpot}
 }
 
 // isExhausted reports that holding was tried for a job of the same shape and no machine was found.
 // The machines that are free only become fewer, so none is found for this one either.
 func (r shapeFits) isExhausted(job *jobs.Job, number int) bool {
-	return job.Errors == 0 && r[number].nothing
+	return job.FailureCount == 0 && r[number].nothing
 }
 
 // recordReservation is told how many machines were held for a job, and how many are not free any more.
@@ -243,7 +243,7 @@
 	for i := range r {
 		r[i].known = r[i].known && removed == 0
 	}
-	if machines == 0 && job.Errors == 0 {
+	if machines == 0 && job.FailureCount == 0 {
 		r[number].nothing = true
 	}
 }
@@ -251,7 +251,7 @@
 // fittingTasks is how many tasks of the job fit on the free machines, which are sorted by what is free;
 // more than it wants are not counted.
 func (r shapeFits) fittingTasks(job *jobs.Job, number int, free []*workers.Machine, want int) int {
-	if job.Errors > 0 {
+	if job.FailureCount > 0 {
 		return countFittingTasks(job, free, want) // some machines may be left out for this job alone
 	}
 	entry := &r[number]
@@ -297,7 +297,7 @@
 	tasks := make([]int, len(order))
 	for i := range order {
 		job := order[i].Job
-		tasks[i] = job.Waiting()
+		tasks[i] = job.WaitingTasks()
 		team := p.teams[job.Team]
 		if tasks[i] == 0 || team.CPULimit <= 0 && team.CardsLimit <= 0 {
 			continue
@@ -322,7 +322,7 @@
 // StartableTasksOf is how many tasks of the job need room now: those that wait, less what the
 // team's limit forbids.
 func (p *Placer) StartableTasksOf(job *jobs.Job) int {
-	return min(job.Waiting(), TasksAllowedByQuota(job, p.teams[job.Team], p.workers.TeamUsage(job.Team)))
+	return min(job.WaitingTasks(), TasksAllowedByQuota(job, p.teams[job.Team], p.workers.TeamUsage(job.Team)))
 }
 
 // reserveForGang holds machines for a gang that waits, by what they hold when empty, and
--- a/internal/controller/place/placer_test.go
+++ b/internal/controller/place/placer_test.go
@@ -56,10 +56,10 @@
 		free, fits := placer.machinesByFreeCPUs(), newShapeFits(12)
 		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
 			j := placer.addJob(now, i, rapid.IntRange(1, 40).Draw(t, "tasks"), rapid.SampledFrom([]float64{0, 1, 3}).Draw(t, "cpus"))
-			j.Spot, j.Zone = rapid.Bool().Draw(t, "spot"), rapid.SampledFrom([]string{"", "a"}).Draw(t, "zone")
+			j.AllowsSpot, j.Zone = rapid.Bool().Draw(t, "spot"), rapid.SampledFrom([]string{"", "a"}).Draw(t, "zone")
 			if rapid.IntRange(0, 3).Draw(t, "failed") == 0 {
 				free[0].FailedJobs[j.ID] = true
-				j.Errors = 1
+				j.FailureCount = 1
 			}
 			want := rapid.IntRange(1, j.Tasks).Draw(t, "want")
 			if got, walked := fits.fittingTasks(j, placer.shapeNumber(j), free, want), countFittingTasks(j, free, want); got != walked {
@@ -78,7 +78,7 @@
 			tasks += min(other.TasksThatFit(job), TasksAllowedInZone(job, other.Zone))
 		}
 	}
-	return min(tasks, job.Waiting())
+	return min(tasks, job.WaitingTasks())
 }
 
 // What is kept up to date with each change is what a plain walk finds: the levels of the
@@ -115,7 +115,7 @@
 			case 4:
 				placer.InvalidateOrder()
 			}
-			if got, want := placer.tasksOnFuller(now, j, m, j.Waiting(), 1<<30), placer.tasksOnFullerByWalk(now, j, m); got != want {
+			if got, want := placer.tasksOnFuller(now, j, m, j.WaitingTasks(), 1<<30), placer.tasksOnFullerByWalk(now, j, m); got != want {
 				t.Fatalf("%d tasks of %s fit on machines fuller than %s, want %d", got, j.ID, m.ID, want)
 			}
 			checkJobCounters(t, now, j)
@@ -136,18 +136,18 @@
 
 func checkJobCounters(t *rapid.T, now time.Time, job *jobs.Job) {
 	running, ran, zones := 0, time.Duration(0), map[string]int{}
-	for _, a := range job.Active {
+	for _, a := range job.ActiveAttempts {
 		zones[a.Zone]++
-		if !a.Running.IsZero() {
+		if !a.RunningSince.IsZero() {
 			running++
-			ran += now.Sub(a.Running)
+			ran += now.Sub(a.RunningSince)
 		}
 	}
 	perTask := time.Hour
-	if got, want := job.Remaining(perTask, now), time.Duration(job.Tasks-job.NDone)*perTask-ran; got != want || job.RunningTasks() != running {
+	if got, want := job.RemainingWork(perTask, now), time.Duration(job.Tasks-job.DoneTasks)*perTask-ran; got != want || job.RunningTasks() != running {
 		t.Fatalf("%s: %v remain of %d running, want %v of %d", job.ID, got, job.RunningTasks(), want, running)
 	}
-	if here, _ := job.InZone("a"); job.Spread && here != zones["a"] {
+	if here, _ := job.AttemptsInZone("a"); job.SpreadAcrossZones && here != zones["a"] {
 		t.Fatalf("%s: %d in the zone, want %d", job.ID, here, zones["a"])
 	}
 }
--- a/internal/controller/place/preempt.go
+++ b/internal/controller/place/preempt.go
@@ -79,9 +79,9 @@
 		o := freeableMachine{machine: machine}
 		for _, a := range machine.Attempts {
 			switch {
-			case !a.Stopping.IsZero() && a.Job != nil:
+			case !a.StopSentAt.IsZero() && a.Job != nil:
 				o.stoppingCPUs += a.Job.CPUs
-			case heardRecently && a.Stoppable(now):
+			case heardRecently && a.CanBePreempted(now):
 				victims = append(victims, victim{machine, a})
 			}
 		}
@@ -92,8 +92,8 @@
 	slices.SortFunc(freeable, func(x, y freeableMachine) int { return compareIDs(x.machine, y.machine) })
 	sort.Slice(victims, func(x, y int) bool {
 		a, b := victims[x].attempt, victims[y].attempt
-		if !a.Assigned.Equal(b.Assigned) {
-			return a.Assigned.After(b.Assigned)
+		if !a.AssignedAt.Equal(b.AssignedAt) {
+			return a.AssignedAt.After(b.AssignedAt)
 		}
 		return a.Number > b.Number
 	})
@@ -106,13 +106,13 @@
 		if want <= 0 {
 			return
 		}
-		if !v.attempt.Stopping.IsZero() || v.attempt.Job.Effective() >= job.Effective() || !IsEligible(job, v.machine) || TasksAllowedInZone(job, v.machine.Zone) == 0 {
+		if !v.attempt.StopSentAt.IsZero() || v.attempt.Job.EffectivePriority() >= job.EffectivePriority() || !IsEligible(job, v.machine) || TasksAllowedInZone(job, v.machine.Zone) == 0 {
 			continue
 		}
-		v.attempt.Stopping = now
+		v.attempt.StopSentAt = now
 		want -= max(int(v.attempt.Job.CPUs/max(job.CPUs, 0.1)), 1)
 		p.reserveMachine(v.machine, job)
-		p.log.Info("stopping a task for another job", "task", v.attempt.Key, "machine", v.machine.ID, "for", job.ID)
-		workers.SendCommands(p.outbox, p.fencingToken, v.machine, []workers.Command{workers.Kill(v.attempt.Key.String(), v.attempt.Number, v.attempt.Job.Save.Seconds())})
+		p.log.Info("stopping a task for another job", "task", v.attempt.Task, "machine", v.machine.ID, "for", job.ID)
+		workers.SendCommands(p.outbox, p.fencingToken, v.machine, []workers.Command{workers.Kill(v.attempt.Task.String(), v.attempt.Number, v.attempt.Job.CheckpointDuration.Seconds())})
 	}
 }
--- a/internal/controller/place/shapes.go
+++ b/internal/controller/place/shapes.go
@@ -63,8 +63,8 @@
 // tasksLeftToFuller is how many of the job's waiting tasks are left to fuller machines.
 func (p *Placer) tasksLeftToFuller(now time.Time, entry *candidate, machine *workers.Machine) int {
 	job := entry.Job
-	if job.OneZone || job.Spread || job.Errors > 0 || p.reservingJobs[job] {
-		return p.tasksOnFuller(now, job, machine, job.Waiting(), maxMachinesExamined) // not as others of its shape
+	if job.SingleZone || job.SpreadAcrossZones || job.FailureCount > 0 || p.reservingJobs[job] {
+		return p.tasksOnFuller(now, job, machine, job.WaitingTasks(), maxMachinesExamined) // not as others of its shape
 	}
 	check := &p.shapeChecks[entry.shapeNumber]
 	if !check.isFullerKnown {
@@ -72,5 +72,5 @@
 		probe.Tasks = jobs.MaxTasks // as others of the shape may have
 		check.isFullerKnown, check.fullerTasks = true, p.tasksOnFuller(now, &probe, machine, math.MaxInt, maxMachinesExamined)
 	}
-	return min(check.fullerTasks, job.Waiting())
+	return min(check.fullerTasks, job.WaitingTasks())
 }
--- a/internal/controller/place/starts.go
+++ b/internal/controller/place/starts.go
@@ -39,8 +39,8 @@
 					if commands = p.startTasksOf(now, machine, entry, commands, maxStarts); len(commands) > before {
 						p.forgetFuller()
 					}
-				} else if withImage && entry.Job.Passed.IsZero() {
-					entry.Job.Passed = now
+				} else if withImage && entry.Job.PassedOverSince.IsZero() {
+					entry.Job.PassedOverSince = now
 				}
 			}
 		}
@@ -55,14 +55,14 @@
 // isImageNear reports whether the job's tasks lose nothing by starting on the machine: their image
 // is there, or they have waited for such a machine as long as fetching takes.
 func (p *Placer) isImageNear(now time.Time, job *jobs.Job, machine *workers.Machine) bool {
-	return machine.ImageCache.Has(job.Image) || !job.Passed.IsZero() && now.Sub(job.Passed) >= machine.ImageCache.FetchTime(job.ImageGB)
+	return machine.ImageCache.Has(job.Image) || !job.PassedOverSince.IsZero() && now.Sub(job.PassedOverSince) >= machine.ImageCache.FetchTime(job.ImageGB)
 }
 
 // startTasksOf starts as many tasks of one job on the machine as there is room for.
 func (p *Placer) startTasksOf(now time.Time, machine *workers.Machine, entry *candidate, commands []workers.Command, maxStarts int) []workers.Command {
 	job := entry.Job
-	count := min(machine.TasksThatFit(job), job.Waiting(), maxStarts-len(commands))
-	if count <= 0 || !job.Live() || !p.canStart(job) || now.Before(job.NotBefore) || !IsEligible(job, machine) {
+	count := min(machine.TasksThatFit(job), job.WaitingTasks(), maxStarts-len(commands))
+	if count <= 0 || !job.IsSchedulable() || !p.canStart(job) || now.Before(job.NotBefore) || !IsEligible(job, machine) {
 		return commands
 	}
 	if reservedFor := machine.ReservedFor; reservedFor != nil && reservedFor != job && (!entry.MayReserve || p.agedFirst[reservedFor] && !(entry.AgedFirst && standing.IsOlder(job, reservedFor))) {
@@ -70,20 +70,20 @@
 		return commands
 	}
 	if entry.MaxTasks > 0 {
-		count = min(count, entry.MaxTasks-len(job.Active)) // of a beginning, until the next order
+		count = min(count, entry.MaxTasks-len(job.ActiveAttempts)) // of a beginning, until the next order
 	}
 	count = min(count, TasksAllowedInZone(job, machine.Zone), p.tasksAllowedByQuota(job))
 	if count > 0 {
-		count = min(count, job.Waiting()-p.tasksLeftToFuller(now, entry, machine))
+		count = min(count, job.WaitingTasks()-p.tasksLeftToFuller(now, entry, machine))
 	}
 	for ; count > 0; count-- {
-		task := job.NextTask()
+		task := job.TakeNextTask()
 		if task < 0 {
 			break
 		}
 		attempt := p.newAttempt(now, machine, job, task, p.nextAttemptNumber())
-		commands = append(commands, workers.Start(attempt.Key.String(), attempt.Number))
-		job.Passed = time.Time{}
+		commands = append(commands, workers.Start(attempt.Task.String(), attempt.Number))
+		job.PassedOverSince = time.Time{}
 	}
 	return commands
 }
@@ -95,10 +95,10 @@
 		return nil
 	}
 	for _, attempt := range machine.Attempts {
-		if attempt.Unsent && !attempt.Stray && attempt.Job.Live() && len(commands) < maxStarts {
-			attempt.Unsent, attempt.Assigned = false, now
+		if attempt.IsUnsent && !attempt.IsOrphan && attempt.Job.IsSchedulable() && len(commands) < maxStarts {
+			attempt.IsUnsent, attempt.AssignedAt = false, now
 			delete(p.pendingGangStarts, attempt)
-			commands = append(commands, workers.Start(attempt.Key.String(), attempt.Number))
+			commands = append(commands, workers.Start(attempt.Task.String(), attempt.Number))
 		}
 	}
 	return commands
@@ -113,7 +113,7 @@
 
 // newAttempt records a new attempt on the machine.
 func (p *Placer) newAttempt(now time.Time, machine *workers.Machine, job *jobs.Job, task int, number uint64) *jobs.Attempt {
-	attempt := &jobs.Attempt{Key: jobs.Key{Job: job.ID, Task: task}, Number: number, Machine: machine.ID, Zone: machine.Zone, Job: job, Assigned: now}
+	attempt := &jobs.Attempt{Task: jobs.TaskID{JobID: job.ID, Index: task}, Number: number, MachineID: machine.ID, Zone: machine.Zone, Job: job, AssignedAt: now}
 	p.workers.Assign(machine, attempt)
 	return attempt
 }
--- a/internal/controller/place/world_test.go
+++ b/internal/controller/place/world_test.go
@@ -49,7 +49,7 @@
 func (p *Placer) observeHeartbeat(now time.Time, machine *workers.Machine, machineType, zone string, spot bool) {
 	heartbeat := &workers.Heartbeat{Machine: machine.ID, Type: machineType, Zone: zone, Spot: spot, Incarnation: 1, Sequence: machine.Sequence + 1}
 	for _, a := range machine.Attempts {
-		heartbeat.Tasks = append(heartbeat.Tasks, workers.TaskStatus{Task: a.Key.String(), Attempt: a.Number, State: workers.StateRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, workers.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: workers.StateRunning})
 	}
 	p.workers.Reconcile(now, machine, heartbeat, true, func(id string) *jobs.Job { return p.jobs[id] })
 	machine.LeaseRenewedAt, machine.LastContactAt = now, now
@@ -58,14 +58,14 @@
 // clearMachine takes all tasks off a machine; they are started again.
 func (p *Placer) clearMachine(machine *workers.Machine) {
 	for _, e := range p.workers.ReleaseAll(machine) {
-		e.Attempt.Job.Again(e.Attempt.Key.Task)
+		e.Attempt.Job.Requeue(e.Attempt.Task.Index)
 	}
 	p.InvalidateOrder()
 }
 
 func (p *Placer) addJob(now time.Time, i, tasks int, cpus float64) *jobs.Job {
-	job := jobs.NewJob(jobs.Spec{ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "t", Tasks: tasks, CPUs: cpus, Mem: cpus, Spot: i%3 > 0,
-		Spread: i%4 == 1, Estimate: 30 * time.Second, Deadline: time.Duration(i%2) * time.Minute}, now)
+	job := jobs.New(jobs.Spec{ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "t", Tasks: tasks, CPUs: cpus, MemoryGB: cpus, AllowsSpot: i%3 > 0,
+		SpreadAcrossZones: i%4 == 1, RunTimeEstimate: 30 * time.Second, Deadline: time.Duration(i%2) * time.Minute}, now)
 	job.State, job.Guaranteed = jobs.Accepted, i%2 == 1
 	p.jobs[job.ID] = job
 	p.InvalidateOrder()
--- a/internal/controller/plan/plan.go
+++ b/internal/controller/plan/plan.go
@@ -75,9 +75,9 @@
 
 // ObserveRunTime takes in how long a task of the job has run.
 func (p *Planner) ObserveRunTime(job *jobs.Job, ran time.Duration) {
-	job.RanSum += ran
-	job.RanCount++
-	if job.Estimate <= 0 {
+	job.CompletedRunTime += ran
+	job.CompletedRuns++
+	if job.RunTimeEstimate <= 0 {
 		return
 	}
 	s := p.runTimes[job.Class]
@@ -87,33 +87,33 @@
 	}
 	s.samples++
 	weight := max(1/float64(s.samples+4), 0.01)
-	s.estimateRatio += weight * (min(ran.Seconds()/job.Estimate.Seconds(), 10) - s.estimateRatio)
+	s.estimateRatio += weight * (min(ran.Seconds()/job.RunTimeEstimate.Seconds(), 10) - s.estimateRatio)
 }
 
 // TaskRunTime is the expected run time of one of the job's tasks: the owner's estimate,
 // corrected by what its class and the job itself have shown.
 func (p *Planner) TaskRunTime(job *jobs.Job) time.Duration {
-	estimate := job.Estimate
+	estimate := job.RunTimeEstimate
 	if s := p.runTimes[job.Class]; s != nil {
 		estimate = time.Duration(float64(estimate) * s.estimateRatio)
 	}
-	if job.RanCount > 0 {
+	if job.CompletedRuns > 0 {
 		// The first tasks to end are the short ones, so the job's own mean weighs more
 		// the more of them there are.
-		weight := time.Duration(min(job.RanCount, 8))
-		estimate = (estimate*2 + job.RanSum/time.Duration(job.RanCount)*weight) / (2 + weight)
+		weight := time.Duration(min(job.CompletedRuns, 8))
+		estimate = (estimate*2 + job.CompletedRunTime/time.Duration(job.CompletedRuns)*weight) / (2 + weight)
 	}
 	return max(estimate, time.Second)
 }
 
 // RemainingCPUSeconds is the CPU time that the job still needs; a task that takes none counts a little.
 func (p *Planner) RemainingCPUSeconds(job *jobs.Job, now time.Time) float64 {
-	return job.Remaining(p.TaskRunTime(job), now).Seconds() * max(job.CPUs, 0.1)
+	return job.RemainingWork(p.TaskRunTime(job), now).Seconds() * max(job.CPUs, 0.1)
 }
 
 // DueAt is when a deadline job has to be complete.
 func DueAt(job *jobs.Job) time.Time {
-	due, _ := job.Due()
+	due, _ := job.DueAt()
 	return due
 }
 
@@ -129,9 +129,9 @@
 
 func (r Capacity) startableTasks(job *jobs.Job) int {
 	if r.StartableTasks == nil {
-		return job.Waiting()
+		return job.WaitingTasks()
 	}
-	return min(job.Waiting(), r.StartableTasks(job))
+	return min(job.WaitingTasks(), r.StartableTasks(job))
 }
 
 const maxTerms = 240 // terms that are planned at most
@@ -154,12 +154,12 @@
 		// ended the process.
 		return work <= 1e-9
 	}
-	width := RoundUp(float64(job.Tasks-job.NDone)*max(job.CPUs, 0.1), s.capacity.MachineCPUs)
+	width := RoundUp(float64(job.Tasks-job.DoneTasks)*max(job.CPUs, 0.1), s.capacity.MachineCPUs)
 	terms := int(remaining / s.term)
 	if terms > maxTerms {
 		terms = maxTerms
 	}
-	if len(job.Active) == 0 && remaining < perTask {
+	if len(job.ActiveAttempts) == 0 && remaining < perTask {
 		return false
 	}
 	// The last term counts as far as the deadline reaches into it.
@@ -210,12 +210,12 @@
 		}
 	}
 	p.recentSubmissions = append(recent, submission{now, job.Team, cpus})
-	if job.Deadline <= 0 || job.Service || share > p.options.TeamShare*(capacity.CPUs+capacity.GrowthCPUs) {
+	if job.Deadline <= 0 || job.IsService || share > p.options.TeamShare*(capacity.CPUs+capacity.GrowthCPUs) {
 		return false
 	}
 	var guaranteed []*jobs.Job
 	for _, other := range live {
-		if other.Held() && !other.Mistaken {
+		if other.HasGuarantee() && !other.CrashLooping {
 			guaranteed = append(guaranteed, other)
 		}
 	}
@@ -224,12 +224,12 @@
 		return false
 	}
 	for _, dependency := range dependencies {
-		if dependency.Held() {
+		if dependency.HasGuarantee() {
 			continue // in the list
 		}
 		early := *dependency
-		if deadline := DueAt(job).Add(-p.TaskRunTime(job)); early.DueBy.IsZero() || deadline.Before(early.DueBy) {
-			early.DueBy = deadline
+		if deadline := DueAt(job).Add(-p.TaskRunTime(job)); early.InheritedDeadline.IsZero() || deadline.Before(early.InheritedDeadline) {
+			early.InheritedDeadline = deadline
 		}
 		if !plan.reserve(&early, p.TaskRunTime(dependency), p.RemainingCPUSeconds(dependency, now)) {
 			return false
@@ -311,7 +311,7 @@
 func (p *Planner) Order(now time.Time, live []*jobs.Job, capacity Capacity) []Entry {
 	var guaranteed []*jobs.Job
 	for _, job := range live {
-		if job.Held() && !job.Mistaken && p.payoff(now, job) >= 0 {
+		if job.HasGuarantee() && !job.CrashLooping && p.payoff(now, job) >= 0 {
 			guaranteed = append(guaranteed, job)
 		}
 	}
@@ -325,16 +325,16 @@
 	entries := make([]Entry, 0, len(live))
 	for _, job := range live {
 		entry := Entry{Job: job, TaskRunTime: p.TaskRunTime(job), RemainingCPUSeconds: p.RemainingCPUSeconds(job, now), Planned: planned[job], WithinQuota: withinQuota[job]}
-		age := now.Sub(job.Since())
+		age := now.Sub(job.EligibleSince())
 		startObjective := firstObjectiveAfter(p.startObjectives[job.Class], age)
 		remainingTime := entry.RemainingCPUSeconds / max(capacity.CPUs, 1)
 		switch {
-		case job.Mistaken:
+		case job.CrashLooping:
 			// It is tried now and then, and takes nobody's place for that.
 			entry.Rank, entry.sortKey = rankCrashLooping, remainingTime
 		case agedFirst[job]:
 			entry.Rank, entry.sortKey, entry.MayReserve, entry.AgedFirst = rankAgedFirst, -age.Seconds(), true, true
-		case job.Service:
+		case job.IsService:
 			entry.Rank, entry.sortKey, entry.MayReserve = rankService, -float64(job.Priority), true
 		case awaitingStart[job]:
 			entry.Rank, entry.sortKey, entry.MayReserve, entry.MaxTasks = rankInitialTasks, -age.Seconds(), true, initialTaskCount(job)
@@ -362,7 +362,7 @@
 			// Ageing within the bound: waiting makes the remaining time count less.
 			entry.Rank, entry.sortKey = rankBestEffort, remainingTime-age.Seconds()/p.options.AgeBound.Seconds()
 		}
-		entry.MayReserve = entry.MayReserve || job.Gang
+		entry.MayReserve = entry.MayReserve || job.IsGang
 		entries = append(entries, entry)
 	}
 	sort.Slice(entries, func(a, b int) bool {
@@ -383,8 +383,8 @@
 func (p *Planner) allocateOverdue(now time.Time, live []*jobs.Job, capacity Capacity, hasPrecedence func(*jobs.Job) bool) map[*jobs.Job]floor.Reason {
 	var overdue []floor.OverdueJob
 	for _, job := range live {
-		age := now.Sub(job.Since())
-		if job.Service || job.Mistaken || hasPrecedence(job) || age <= p.overdueAfter(now, job) && !p.objectivesMissed(job, age, p.TaskRunTime(job)) {
+		age := now.Sub(job.EligibleSince())
+		if job.IsService || job.CrashLooping || hasPrecedence(job) || age <= p.overdueAfter(now, job) && !p.objectivesMissed(job, age, p.TaskRunTime(job)) {
 			continue
 		}
 		overdue = append(overdue, floor.OverdueJob{Job: job, RemainingCPUSeconds: p.RemainingCPUSeconds(job, now), StartableTasks: capacity.startableTasks(job),
@@ -412,7 +412,7 @@
 
 // initialTaskCount is how many tasks at a time are a beginning of an array: it may take any width. A gang begins as a whole.
 func initialTaskCount(job *jobs.Job) int {
-	if job.Gang {
+	if job.IsGang {
 		return job.Tasks
 	}
 	return min(max(job.Tasks/100, 1), 8)
@@ -426,7 +426,7 @@
 	}
 	var awaiting []*jobs.Job
 	for _, job := range live {
-		if !job.Service && !job.Mistaken && job.NDone+len(job.Active) == 0 && now.Sub(job.Since()) > p.options.BeginBound && capacity.startableTasks(job) > 0 {
+		if !job.IsService && !job.CrashLooping && job.DoneTasks+len(job.ActiveAttempts) == 0 && now.Sub(job.EligibleSince()) > p.options.BeginBound && capacity.startableTasks(job) > 0 {
 			awaiting = append(awaiting, job)
 		}
 	}
@@ -450,7 +450,7 @@
 
 // longestAllowed is how long the job may take by the widest of its aims; without any, the age bound.
 func (p *Planner) longestAllowed(job *jobs.Job) time.Duration {
-	longest := 3 * job.Within() / 2
+	longest := 3 * job.TimeToDeadline() / 2
 	if finishObjectives := p.finishObjectives[job.Class]; len(finishObjectives) > 0 {
 		longest = max(longest, finishObjectives[len(finishObjectives)-1])
 	}
@@ -506,11 +506,11 @@
 // wait at which all its tasks have to be started is over.
 func (p *Planner) objectivesMissed(job *jobs.Job, age, perTask time.Duration) bool {
 	startObjectives, finishObjectives := p.startObjectives[job.Class], p.finishObjectives[job.Class]
-	if len(startObjectives)+len(finishObjectives) == 0 && job.Within() <= 0 {
+	if len(startObjectives)+len(finishObjectives) == 0 && job.TimeToDeadline() <= 0 {
 		return false
 	}
 	earliestFinish := age + perTask
-	return firstObjectiveAfter(startObjectives, age) == 0 && firstObjectiveAfter(finishObjectives, earliestFinish) == 0 && (job.Within() <= 0 || job.Within() <= earliestFinish)
+	return firstObjectiveAfter(startObjectives, age) == 0 && firstObjectiveAfter(finishObjectives, earliestFinish) == 0 && (job.TimeToDeadline() <= 0 || job.TimeToDeadline() <= earliestFinish)
 }
 
 // jobsWithinQuota marks the jobs that fit into their team's guarantee together with the team's
@@ -525,8 +525,8 @@
 	marked := map[*jobs.Job]bool{}
 	for name, list := range byTeam {
 		sort.Slice(list, func(a, b int) bool {
-			if !list[a].Submitted.Equal(list[b].Submitted) {
-				return list[a].Submitted.Before(list[b].Submitted)
+			if !list[a].SubmittedAt.Equal(list[b].SubmittedAt) {
+				return list[a].SubmittedAt.Before(list[b].SubmittedAt)
 			}
 			return list[a].ID < list[b].ID
 		})
@@ -534,7 +534,7 @@
 		var cpus, gpus float64
 		for _, job := range list {
 			cpus += float64(job.Tasks) * job.CPUs
-			gpus += float64(job.Tasks) * job.Cards
+			gpus += float64(job.Tasks) * job.GPUs
 			if cpus > team.CPUs+1e-6 || gpus > team.Cards+1e-6 {
 				break
 			}
--- a/internal/controller/plan/plan_test.go
+++ b/internal/controller/plan/plan_test.go
@@ -10,7 +10,7 @@
 )
 
 func deadlineJob(id string, submittedAt time.Time, deadline time.Duration, tasks int, cpus float64, estimate time.Duration) *jobs.Job {
-	job := jobs.NewJob(jobs.Spec{ID: id, Class: "c", Tasks: tasks, CPUs: cpus, Mem: 1, Estimate: estimate, Deadline: deadline}, submittedAt)
+	job := jobs.New(jobs.Spec{ID: id, Class: "c", Tasks: tasks, CPUs: cpus, MemoryGB: 1, RunTimeEstimate: estimate, Deadline: deadline}, submittedAt)
 	job.State = jobs.Accepted
 	return job
 }
@@ -65,7 +65,7 @@
 	options := config.DefaultOptions()
 	planner := New(options, &config.Platform{})
 	newJob := func(id string, age time.Duration, tasks int) *jobs.Job {
-		j := jobs.NewJob(jobs.Spec{ID: id, Class: "c", Team: "t", Tasks: tasks, CPUs: 1, Mem: 1, Estimate: time.Minute}, now.Add(-age))
+		j := jobs.New(jobs.Spec{ID: id, Class: "c", Team: "t", Tasks: tasks, CPUs: 1, MemoryGB: 1, RunTimeEstimate: time.Minute}, now.Add(-age))
 		j.State = jobs.Accepted
 		return j
 	}
@@ -81,7 +81,7 @@
 	if want := "job-1:8 job-4:0 job-2:0 job-3:0 "; got != want {
 		t.Errorf("order %q, want %q", got, want)
 	}
-	huge.Active[0] = &jobs.Attempt{Job: huge, Running: now}
+	huge.ActiveAttempts[0] = &jobs.Attempt{Job: huge, RunningSince: now}
 	if e := planner.Order(now, []*jobs.Job{second, huge}, Capacity{CPUs: 100, MachineCPUs: 16}); e[0].Job != second || e[0].MaxTasks != 1 || e[1].MaxTasks != 0 {
 		t.Error("who has begun still goes ahead of who has not")
 	}
@@ -98,9 +98,9 @@
 	}{{5 * time.Minute, options.BeginBound + time.Second, true}, {5 * time.Minute, options.BeginBound - time.Second, false},
 		{time.Minute, options.BeginBound + time.Second, false}, {time.Minute, 8*options.BeginBound/5 + time.Second, true}} {
 		p := New(options, &config.Platform{})
-		j := jobs.NewJob(jobs.Spec{ID: "job-1", Class: "guest", Team: "t", Tasks: 30, CPUs: 1, Mem: 1, Estimate: c.run}, now.Add(-c.age))
+		j := jobs.New(jobs.Spec{ID: "job-1", Class: "guest", Team: "t", Tasks: 30, CPUs: 1, MemoryGB: 1, RunTimeEstimate: c.run}, now.Add(-c.age))
 		j.State = jobs.Accepted
-		j.Active[0] = &jobs.Attempt{Job: j, Running: now} // it has begun
+		j.ActiveAttempts[0] = &jobs.Attempt{Job: j, RunningSince: now} // it has begun
 		if e := p.Order(now, []*jobs.Job{j}, Capacity{CPUs: 100, MachineCPUs: 16})[0]; (e.Rank == rankBelowShare) != c.behind {
 			t.Errorf("tasks of %v after %v: %s", c.run, c.age, e.RankReason())
 		}
--- a/internal/controller/rental/dearer.go
+++ b/internal/controller/rental/dearer.go
@@ -193,10 +193,10 @@
 func (d *Desk) weigh(now time.Time, order []plan.Entry, o *outlook) {
 	count, total := 0, 0.0
 	waits := func(e *plan.Entry) float64 {
-		if e.Job.Service {
+		if e.Job.IsService {
 			return 0
 		}
-		return min(float64(e.Job.Waiting())*e.TaskRunTime.Seconds()*max(e.Job.CPUs, 0.1), e.RemainingCPUSeconds)
+		return min(float64(e.Job.WaitingTasks())*e.TaskRunTime.Seconds()*max(e.Job.CPUs, 0.1), e.RemainingCPUSeconds)
 	}
 	needs := make([]float64, len(order))
 	for i := range order {
@@ -221,11 +221,11 @@
 			l = &standpoint{}
 			latest[e.Job.Class] = l
 		}
-		l.see(now.Sub(e.Job.Since()), ahead/total)
+		l.see(now.Sub(e.Job.EligibleSince()), ahead/total)
 		if seen++; seen%every != 0 {
 			continue
 		}
-		q := waiting{class: e.Job.Class, age: now.Sub(e.Job.Since()), perTask: e.TaskRunTime, deadline: e.Job.Within(), ahead: ahead, weight: float64(every)}
+		q := waiting{class: e.Job.Class, age: now.Sub(e.Job.EligibleSince()), perTask: e.TaskRunTime, deadline: e.Job.TimeToDeadline(), ahead: ahead, weight: float64(every)}
 		if limit := d.teams[e.Job.Team].CPULimit; limit > 0 {
 			q.bound = teams[e.Job.Team] / limit
 		}
--- a/internal/controller/rental/desk.go
+++ b/internal/controller/rental/desk.go
@@ -183,7 +183,7 @@
 	settled := map[int]bool{} // shapes for which there is no room, and nothing to be asked
 	for i, want := range wants {
 		j := order[i].Job
-		alike := !j.Gang && !j.Service
+		alike := !j.IsGang && !j.IsService
 		if want == 0 || alike && settled[shapes[i]] {
 			continue
 		}
@@ -193,7 +193,7 @@
 		}
 		nothing := want == had
 		lacking := needed(j) - f.capacity(j)
-		if j.Held() && !j.Spot {
+		if j.HasGuarantee() && !j.AllowsSpot {
 			// The fleet is mostly cheap machines, on which it may not run: how long the work at hand lasts says nothing of when it
 			// gets room. Such jobs had one machine between them and stood in line before it past their deadlines.
 			lacking = max(lacking, want)
--- a/internal/controller/rental/desk_test.go
+++ b/internal/controller/rental/desk_test.go
@@ -58,15 +58,15 @@
 func (r *room) look(now time.Time, m *workers.Machine, typ, zone string, spot bool) {
 	rep := &workers.Heartbeat{Machine: m.ID, Type: typ, Zone: zone, Spot: spot, Incarnation: 1, Sequence: m.Sequence + 1}
 	for _, a := range m.Attempts {
-		rep.Tasks = append(rep.Tasks, workers.TaskStatus{Task: a.Key.String(), Attempt: a.Number, State: workers.StateRunning})
+		rep.Tasks = append(rep.Tasks, workers.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: workers.StateRunning})
 	}
 	r.fleet.Reconcile(now, m, rep, true, func(id string) *jobs.Job { return r.jobs[id] })
 	m.LeaseRenewedAt, m.LastContactAt = now, now
 }
 
 func (r *room) addJob(now time.Time, i, tasks int, cpus float64) *jobs.Job {
-	j := jobs.NewJob(jobs.Spec{ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "t", Tasks: tasks, CPUs: cpus, Mem: cpus, Spot: i%3 > 0,
-		Spread: i%4 == 1, Estimate: 30 * time.Second, Deadline: time.Duration(i%2) * time.Minute}, now)
+	j := jobs.New(jobs.Spec{ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "t", Tasks: tasks, CPUs: cpus, MemoryGB: cpus, AllowsSpot: i%3 > 0,
+		SpreadAcrossZones: i%4 == 1, RunTimeEstimate: 30 * time.Second, Deadline: time.Duration(i%2) * time.Minute}, now)
 	j.State, j.Guaranteed = jobs.Accepted, i%2 == 1
 	r.jobs[j.ID] = j
 	r.placer.InvalidateOrder()
@@ -80,16 +80,16 @@
 		now := time.Unix(10_000, 0)
 		n := newDesk(now)
 		j := n.addJob(now, 2, 3, 4)
-		j.Estimate, j.Save = 5*time.Minute, 4*time.Second
+		j.RunTimeEstimate, j.CheckpointDuration = 5*time.Minute, 4*time.Second
 		if saves {
-			j.Checkpoint = 15 * time.Second
+			j.CheckpointInterval = 15 * time.Second
 		}
 		var all []*workers.Machine
 		for _, tasks := range []int{1, 2} {
 			m := n.addMachine(now, len(all), "large", "a", true)
 			for range tasks {
-				t := j.NextTask()
-				n.fleet.Assign(m, &jobs.Attempt{Key: jobs.Key{Job: j.ID, Task: t}, Number: uint64(t + 1), Machine: m.ID, Zone: m.Zone, Job: j, Assigned: now})
+				t := j.TakeNextTask()
+				n.fleet.Assign(m, &jobs.Attempt{Task: jobs.TaskID{JobID: j.ID, Index: t}, Number: uint64(t + 1), MachineID: m.ID, Zone: m.Zone, Job: j, AssignedAt: now})
 			}
 			all = append(all, m)
 		}
@@ -118,10 +118,10 @@
 		m := n.fleet.Machines[drained[0]]
 		r := workers.Heartbeat{Machine: m.ID, Type: "large", Zone: "a", Spot: true, Incarnation: 1, Sequence: m.Sequence + 1, FencingToken: 1}
 		for _, a := range m.Attempts {
-			r.Tasks = append(r.Tasks, workers.TaskStatus{Task: a.Key.String(), Attempt: a.Number, State: workers.StateExited, Reason: "halted", CheckpointSaved: true})
+			r.Tasks = append(r.Tasks, workers.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: workers.StateExited, Reason: "halted", CheckpointSaved: true})
 		}
 		for _, e := range n.fleet.Reconcile(now, m, &r, true, func(id string) *jobs.Job { return n.jobs[id] }) {
-			e.Attempt.Job.Again(e.Attempt.Key.Task)
+			e.Attempt.Job.Requeue(e.Attempt.Task.Index)
 		}
 		n.placer.InvalidateOrder()
 		if len(n.placer.StartTasks(now, m, 9)) > 0 {
@@ -136,7 +136,7 @@
 		now = now.Add(time.Second)
 		for _, o := range all {
 			for _, c := range n.placer.StartTasks(now, o, 9) {
-				if key, err := jobs.ParseKey(c.Task); err == nil && key.Job == j.ID && !strings.HasPrefix(o.ID, m.ID) {
+				if key, err := jobs.ParseTaskID(c.Task); err == nil && key.JobID == j.ID && !strings.HasPrefix(o.ID, m.ID) {
 					started++
 				}
 			}
--- a/internal/controller/rental/forecast.go
+++ b/internal/controller/rental/forecast.go
@@ -95,7 +95,7 @@
 // needed is how many of its tasks must have a place at the same time for a job ever to
 // get anywhere.
 func needed(j *jobs.Job) int {
-	if j.Gang || j.Service {
+	if j.IsGang || j.IsService {
 		return j.Tasks
 	}
 	return 1
--- a/internal/controller/rental/thin.go
+++ b/internal/controller/rental/thin.go
@@ -77,12 +77,12 @@
 	var last time.Duration // until the machine would be empty by itself
 	cost := 0.0            // CPU seconds that stand still
 	for _, a := range m.Attempts {
-		if !a.Stoppable(now) || now.Sub(a.Assigned) < settled {
+		if !a.CanBePreempted(now) || now.Sub(a.AssignedAt) < settled {
 			return false
 		}
 		perTask := d.planner.TaskRunTime(a.Job)
-		last = max(last, perTask-now.Sub(a.Running), perTask/4)
-		cost += a.Job.CPUs * (a.Job.Save + m.ImageCache.FetchTime(a.Job.ImageGB) + d.cfg.ReportEvery).Seconds()
+		last = max(last, perTask-now.Sub(a.RunningSince), perTask/4)
+		cost += a.Job.CPUs * (a.Job.CheckpointDuration + m.ImageCache.FetchTime(a.Job.ImageGB) + d.cfg.ReportEvery).Seconds()
 	}
 	return last.Seconds()*m.CPUs > moveGain*cost
 }
@@ -120,8 +120,8 @@
 	d.log.Info("emptying a machine", "machine", m.ID, "tasks", len(m.Attempts))
 	var list []workers.Command
 	for _, a := range m.Attempts {
-		a.Stopping = now
-		list = append(list, workers.Kill(a.Key.String(), a.Number, a.Job.Save.Seconds()))
+		a.StopSentAt = now
+		list = append(list, workers.Kill(a.Task.String(), a.Number, a.Job.CheckpointDuration.Seconds()))
 	}
 	workers.SendCommands(d.box, d.token, m, list)
 }
--- a/internal/controller/rental/worth.go
+++ b/internal/controller/rental/worth.go
@@ -385,17 +385,17 @@
 	f.spans[0].jobs++
 	f.spans[0].work += d.planner.RemainingCPUSeconds(j, now)
 	if f.perTask == 0 {
-		f.perTask, f.deadline = perTask, j.Within()
+		f.perTask, f.deadline = perTask, j.TimeToDeadline()
 	}
 	f.perTask += (perTask - f.perTask) / 8
-	f.deadline += (j.Within() - f.deadline) / 8
+	f.deadline += (j.TimeToDeadline() - f.deadline) / 8
 }
 
 // Ended learns how the steps of a job were kept that is done.
 func (d *Desk) Ended(now time.Time, j *jobs.Job) {
 	k := math.Exp(-now.Sub(d.recorded).Seconds() / lookAhead.Seconds())
 	d.recorded = now
-	after := now.Sub(j.Since())
+	after := now.Sub(j.EligibleSince())
 	for i := range d.steps {
 		r, s := &d.records[i], &d.steps[i]
 		r.jobs, r.missed = r.jobs*k, r.missed*k
@@ -403,7 +403,7 @@
 			continue
 		}
 		// Of a start only the wait of the whole job is known here: its last task ran to the end.
-		slack, ok := s.slack(after, 0, j.Within())
+		slack, ok := s.slack(after, 0, j.TimeToDeadline())
 		if s.start {
 			slack += d.planner.TaskRunTime(j)
 		}
--- a/internal/controller/rental/worth_test.go
+++ b/internal/controller/rental/worth_test.go
@@ -167,7 +167,7 @@
 	d := newDesk(now)
 	d.steps, d.records = steps, make([]record, 2)
 	for i := range 60 { // a burst, and nothing after it
-		d.took(now, jobs.NewJob(jobs.Spec{ID: "job-1", Class: "c", Team: "t", Tasks: 100, CPUs: 1, Estimate: time.Minute}, now))
+		d.took(now, jobs.New(jobs.Spec{ID: "job-1", Class: "c", Team: "t", Tasks: 100, CPUs: 1, RunTimeEstimate: time.Minute}, now))
 		if i == 30 {
 			now = now.Add(time.Second)
 		}
@@ -179,7 +179,7 @@
 	}
 	for range 50 {
 		now = now.Add(2 * time.Second)
-		d.took(now, jobs.NewJob(jobs.Spec{ID: "job-1", Class: "c", Team: "t", Tasks: 10, CPUs: 1, Estimate: time.Minute}, now))
+		d.took(now, jobs.New(jobs.Spec{ID: "job-1", Class: "c", Team: "t", Tasks: 10, CPUs: 1, RunTimeEstimate: time.Minute}, now))
 	}
 	if r := f.rate(now); r.work < 250 || r.work > 350 {
 		t.Errorf("a flow of 300 CPU s a second counts as %g", r.work)
--- a/internal/controller/reports/answer.go
+++ b/internal/controller/reports/answer.go
@@ -52,7 +52,7 @@
 func (h *Handler) killCancelled(heartbeat *workers.Heartbeat) []workers.Command {
 	commands := []workers.Command{}
 	for _, status := range heartbeat.Tasks {
-		if key, err := jobs.ParseKey(status.Task); err == nil && status.State != workers.StateExited && len(commands) < maxCommandsPerResponse && h.jobStore.IsTaskCancelled(key) {
+		if key, err := jobs.ParseTaskID(status.Task); err == nil && status.State != workers.StateExited && len(commands) < maxCommandsPerResponse && h.jobStore.IsTaskCancelled(key) {
 			commands = append(commands, workers.Kill(status.Task, status.Attempt, 0))
 		}
 	}
@@ -63,7 +63,7 @@
 // told that it is cancelled that another lease would keep it for too long.
 func (h *Handler) ignoresKills(now time.Time, machine *workers.Machine) bool {
 	for _, attempt := range machine.Attempts {
-		if job := attempt.Job; job != nil && job.State == jobs.Cancelled && attempt.Kills >= 2 && !job.Told.IsZero() && now.Sub(job.Told) >= h.cancelWindow {
+		if job := attempt.Job; job != nil && job.State == jobs.Cancelled && attempt.KillsSent >= 2 && !job.CancelConfirmedAt.IsZero() && now.Sub(job.CancelConfirmedAt) >= h.cancelWindow {
 			return true
 		}
 	}
@@ -77,7 +77,7 @@
 		if status.State != workers.StateExited || len(commands) >= maxCommandsPerResponse {
 			continue
 		}
-		key, err := jobs.ParseKey(status.Task)
+		key, err := jobs.ParseTaskID(status.Task)
 		if err != nil || status.Reason != workers.ReasonDone || h.jobStore.IsResultDurable(key) {
 			commands = append(commands, workers.Forget(status.Task, status.Attempt))
 		}
@@ -87,15 +87,15 @@
 			break
 		}
 		job := attempt.Job
-		if attempt.Unsent {
+		if attempt.IsUnsent {
 			continue
 		}
 		switch {
-		case attempt.Stray || job == nil || job.Cancelling || job.State == jobs.Cancelled:
-			attempt.Kills++
-			commands = append(commands, workers.Kill(attempt.Key.String(), attempt.Number, 0))
-		case !attempt.Stopping.IsZero() && !attempt.Saving:
-			commands = append(commands, workers.Kill(attempt.Key.String(), attempt.Number, job.Save.Seconds()))
+		case attempt.IsOrphan || job == nil || job.IsCancelling || job.State == jobs.Cancelled:
+			attempt.KillsSent++
+			commands = append(commands, workers.Kill(attempt.Task.String(), attempt.Number, 0))
+		case !attempt.StopSentAt.IsZero() && !attempt.IsCheckpointing:
+			commands = append(commands, workers.Kill(attempt.Task.String(), attempt.Number, job.CheckpointDuration.Seconds()))
 		}
 	}
 	return commands
@@ -108,9 +108,9 @@
 		return
 	}
 	for _, attempt := range machine.Attempts {
-		if job := attempt.Job; job != nil && job.Checkpoint > 0 && attempt.Stopping.IsZero() && !attempt.Running.IsZero() &&
-			machine.ReclaimAt.Sub(now) < job.Save+3*h.platform.ReportEvery+time.Second {
-			attempt.Stopping = now
+		if job := attempt.Job; job != nil && job.CheckpointInterval > 0 && attempt.StopSentAt.IsZero() && !attempt.RunningSince.IsZero() &&
+			machine.ReclaimAt.Sub(now) < job.CheckpointDuration+3*h.platform.ReportEvery+time.Second {
+			attempt.StopSentAt = now
 		}
 	}
 }
--- a/internal/controller/reports/clerk.go
+++ b/internal/controller/reports/clerk.go
@@ -55,7 +55,7 @@
 	cloud        *fleet.Cloud
 	planner      *plan.Planner
 	placer       *place.Placer
-	accounting   *timeline.Log
+	accounting   *timeline.Tracker
 	stragglers   *pace.Detector
 	failures     *blame.Tracker
 	reachability *reach.Tracker
@@ -73,7 +73,7 @@
 	Cloud        *fleet.Cloud
 	Planner      *plan.Planner
 	Placer       *place.Placer
-	Accounting   *timeline.Log
+	Accounting   *timeline.Tracker
 	Stragglers   *pace.Detector
 	Failures     *blame.Tracker
 	Reachability *reach.Tracker
@@ -168,14 +168,14 @@
 }
 
 // lossCause is the cause that the account of a job gives for an attempt that did not get done.
-func lossCause(ended workers.EndedAttempt) timeline.Cause {
+func lossCause(ended workers.EndedAttempt) timeline.WaitReason {
 	switch {
-	case !ended.Attempt.Stopping.IsZero() || ended.Reason == workers.ReasonStopped:
-		return timeline.Stopped
+	case !ended.Attempt.StopSentAt.IsZero() || ended.Reason == workers.ReasonStopped:
+		return timeline.Preempted
 	case ended.Reason == workers.ReasonLost:
-		return timeline.LostMachine
+		return timeline.MachineLost
 	}
-	return timeline.LostFailed
+	return timeline.AttemptFailed
 }
 
 // HandleEnded takes in the attempts that are known to be gone.
@@ -183,27 +183,27 @@
 	for _, ended := range endedAttempts {
 		attempt := ended.Attempt
 		job := attempt.Job
-		if job == nil || attempt.Key.Task >= job.Tasks {
+		if job == nil || attempt.Task.Index >= job.Tasks {
 			continue
 		}
 		h.placer.InvalidateOrder()
 		if ended.Reason != workers.ReasonDone {
-			h.log.Debug("attempt ended", "task", attempt.Key, "attempt", attempt.Number, "machine", machine.ID, "why", ended.Reason)
+			h.log.Debug("attempt ended", "task", attempt.Task, "attempt", attempt.Number, "machine", machine.ID, "why", ended.Reason)
 		}
 		switch ended.Reason {
 		case workers.ReasonDone:
-			if job.Service {
+			if job.IsService {
 				break // a replica runs until its job is cancelled: it is started again
 			}
-			if !attempt.Running.IsZero() && !job.Resumed[attempt.Key.Task] {
-				if job.RanCount > 0 {
-					h.stragglers.RecordRun(machine.ID, now.Sub(attempt.Running), job.RanSum/time.Duration(job.RanCount), job.RanCount)
+			if !attempt.RunningSince.IsZero() && !job.ResumedTasks[attempt.Task.Index] {
+				if job.CompletedRuns > 0 {
+					h.stragglers.RecordRun(machine.ID, now.Sub(attempt.RunningSince), job.CompletedRunTime/time.Duration(job.CompletedRuns), job.CompletedRuns)
 				}
-				h.planner.ObserveRunTime(job, now.Sub(attempt.Running))
+				h.planner.ObserveRunTime(job, now.Sub(attempt.RunningSince))
 			}
-			h.accounting.TaskDone(job, attempt.Key.Task)
+			h.accounting.MarkTaskDone(job, attempt.Task.Index)
 			h.recordCompletion(now, machine, job)
-			if job.TaskDone(attempt.Key.Task) {
+			if job.MarkTaskDone(attempt.Task.Index) {
 				h.jobStore.FinishIfDone(now, job)
 			}
 			continue
@@ -213,12 +213,12 @@
 			machine.StartsNotBefore = now.Add(2 * time.Second)
 		case workers.ReasonInUse, workers.ReasonNotFound:
 			job.NotBefore = now.Add(2 * time.Second)
-			h.log.Info("start refused", "task", attempt.Key, "machine", machine.ID, "why", ended.Reason)
+			h.log.Info("start refused", "task", attempt.Task, "machine", machine.ID, "why", ended.Reason)
 		}
-		h.accounting.Lost(job, attempt.Key.Task, lossCause(ended))
+		h.accounting.MarkTaskLost(job, attempt.Task.Index, lossCause(ended))
 		if ended.CheckpointSaved {
-			job.Resumed[attempt.Key.Task] = true
+			job.ResumedTasks[attempt.Task.Index] = true
 		}
-		job.Again(attempt.Key.Task)
+		job.Requeue(attempt.Task.Index)
 	}
 }
--- a/internal/controller/reports/failed.go
+++ b/internal/controller/reports/failed.go
@@ -18,14 +18,14 @@
 // recordFailure takes in that a task has ended with an error. The job avoids the machine; whether the machine
 // is faulty or the job was submitted with a mistake is for the book of blame.
 func (h *Handler) recordFailure(now time.Time, machine *workers.Machine, job *jobs.Job) {
-	job.Errors++
-	h.log.Info("task failed", "job", job.ID, "machine", machine.ID, "errors", job.Errors)
-	if job.Mistaken && !h.failures.IsCrashLooping(job.ID) {
+	job.FailureCount++
+	h.log.Info("task failed", "job", job.ID, "machine", machine.ID, "errors", job.FailureCount)
+	if job.CrashLooping && !h.failures.IsCrashLooping(job.ID) {
 		h.failures.RestoreCrashLooping(now, job.ID) // an earlier leader found it
 	}
-	h.failures.RecordFailure(now, job.ID, machine.ID, job.NDone)
+	h.failures.RecordFailure(now, job.ID, machine.ID, job.DoneTasks)
 	h.avoidMachine(now, machine, job)
-	if !job.Gang && !job.Service && h.failures.IsCrashLooping(job.ID) {
+	if !job.IsGang && !job.IsService && h.failures.IsCrashLooping(job.ID) {
 		h.throttleCrashLooping(now, job)
 	}
 	if h.failures.IsFaulty(machine.ID) && machine.DrainReason == workers.NotDraining {
@@ -37,23 +37,23 @@
 // avoidMachine keeps the job off the machine, until it has failed on so many that all are tried again, later.
 func (h *Handler) avoidMachine(now time.Time, machine *workers.Machine, job *jobs.Job) {
 	machine.FailedJobs[job.ID] = true
-	if job.BadHosts == nil {
-		job.BadHosts = map[string]bool{}
+	if job.FailedMachines == nil {
+		job.FailedMachines = map[string]bool{}
 	}
-	job.BadHosts[machine.ID] = true
-	if len(job.BadHosts) < maxAvoidedMachines {
+	job.FailedMachines[machine.ID] = true
+	if len(job.FailedMachines) < maxAvoidedMachines {
 		return
 	}
 	job.NotBefore = now.Add(2 * time.Second)
-	if job.NDone == 0 {
-		job.NotBefore = now.Add(min(time.Duration(job.Errors)*2*time.Second, maxRetryDelay))
+	if job.DoneTasks == 0 {
+		job.NotBefore = now.Add(min(time.Duration(job.FailureCount)*2*time.Second, maxRetryDelay))
 	}
-	for id := range job.BadHosts {
+	for id := range job.FailedMachines {
 		if other := h.workers.Machines[id]; other != nil {
 			delete(other.FailedJobs, job.ID)
 		}
 	}
-	job.BadHosts = nil
+	job.FailedMachines = nil
 }
 
 // throttleCrashLooping has one task of the job tried at a time, and that seldom. What of it runs is stopped: it would
@@ -61,14 +61,14 @@
 // does not start all of its tasks once more.
 func (h *Handler) throttleCrashLooping(now time.Time, job *jobs.Job) {
 	job.NotBefore = h.failures.ScheduleRetry(now, job.ID)
-	if job.Mistaken {
+	if job.CrashLooping {
 		return
 	}
-	job.Mistaken = true
+	job.CrashLooping = true
 	stopped := 0
-	for _, attempt := range job.Active {
-		if !attempt.Unsent && attempt.Stopping.IsZero() {
-			attempt.Stopping = now
+	for _, attempt := range job.ActiveAttempts {
+		if !attempt.IsUnsent && attempt.StopSentAt.IsZero() {
+			attempt.StopSentAt = now
 			stopped++
 		}
 	}
@@ -80,10 +80,10 @@
 // recordCompletion takes in that a task of the job has completed on the machine, which speaks for both.
 func (h *Handler) recordCompletion(now time.Time, machine *workers.Machine, job *jobs.Job) {
 	h.failures.RecordCompletion(job.ID, machine.ID)
-	if !job.Mistaken {
+	if !job.CrashLooping {
 		return
 	}
-	job.Mistaken, job.NotBefore = false, time.Time{}
+	job.CrashLooping, job.NotBefore = false, time.Time{}
 	h.log.Info("a job that failed wherever it was tried has completed a task", "job", job.ID, "machine", machine.ID)
 	h.jobStore.SaveRecord(now, job)
 	h.placer.InvalidateOrder()
--- a/internal/controller/requests/account.go
+++ b/internal/controller/requests/account.go
@@ -10,39 +10,39 @@
 	"gullrudder/internal/wire/inbox"
 )
 
-// Share is the time that was counted to one cause.
-type Share struct {
-	Cause string `msgpack:"cause" json:"cause"`
-	Ms    int64  `msgpack:"ms" json:"ms"`
+// TimeShare is the time that was counted to one cause.
+type TimeShare struct {
+	Reason       string `msgpack:"cause" json:"cause"`
+	Milliseconds int64  `msgpack:"ms" json:"ms"`
 }
 
-// Account is where the time of a team's finished jobs of a class went.
-type Account struct {
-	Team   string  `msgpack:"team" json:"team"`
-	Class  string  `msgpack:"class" json:"class"`
-	Jobs   int     `msgpack:"jobs" json:"jobs"`
-	Ms     int64   `msgpack:"ms" json:"ms"` // the sum of the shares
-	Shares []Share `msgpack:"shares" json:"shares"`
+// ClassAccount is where the time of a team's finished jobs of a class went.
+type ClassAccount struct {
+	Team         string      `msgpack:"team" json:"team"`
+	Class        string      `msgpack:"class" json:"class"`
+	JobCount     int         `msgpack:"jobs" json:"jobs"`
+	Milliseconds int64       `msgpack:"ms" json:"ms"` // the sum of the shares
+	Shares       []TimeShare `msgpack:"shares" json:"shares"`
 }
 
 // Accounts is what `gullrudder account` shows.
 type Accounts struct {
-	Accounts []Account `msgpack:"accounts" json:"accounts"`
-	Open     int       `msgpack:"open" json:"open"` // jobs that are not finished, and not counted
+	Accounts []ClassAccount `msgpack:"accounts" json:"accounts"`
+	OpenJobs int            `msgpack:"open" json:"open"` // jobs that are not finished, and not counted
 }
 
-func shares(s *timeline.Spent) []Share {
-	list := []Share{}
+func newTimeShares(s *timeline.Breakdown) []TimeShare {
+	list := []TimeShare{}
 	for c, ms := range s {
 		if ms > 0 {
-			list = append(list, Share{timeline.Cause(c).String(), ms})
+			list = append(list, TimeShare{timeline.WaitReason(c).String(), ms})
 		}
 	}
 	return list
 }
 
-// account tells where the time of finished jobs went, by team and class.
-func (d *Desk) account(now time.Time, r *inbox.Request) {
+// serveAccounts tells where the time of finished jobs went, by team and class.
+func (d *Handler) serveAccounts(now time.Time, r *inbox.Request) {
 	_, raw, _ := strings.Cut(r.Target, "?")
 	q, err := url.ParseQuery(raw)
 	since := time.Time{}
@@ -55,12 +55,12 @@
 		}
 	}
 	if err != nil {
-		d.out.Refuse(r, 400, "since_s is a number of seconds, team and class are names", 0)
+		d.responder.Refuse(r, 400, "since_s is a number of seconds, team and class are names", 0)
 		return
 	}
-	a := Accounts{Accounts: []Account{}, Open: d.times.Open()}
-	for _, t := range d.times.Tallies(q.Get("team"), q.Get("class"), since) {
-		a.Accounts = append(a.Accounts, Account{t.Team, t.Class, t.Jobs, t.Spent.Total(), shares(&t.Spent)})
+	a := Accounts{Accounts: []ClassAccount{}, OpenJobs: d.accounting.OpenCount()}
+	for _, t := range d.accounting.Totals(q.Get("team"), q.Get("class"), since) {
+		a.Accounts = append(a.Accounts, ClassAccount{t.Team, t.Class, t.JobCount, t.Breakdown.Total(), newTimeShares(&t.Breakdown)})
 	}
-	d.out.Reply(r, 200, a, 0)
+	d.responder.Reply(r, 200, a, 0)
 }
--- a/internal/controller/requests/needs.go
+++ b/internal/controller/requests/needs.go
@@ -10,14 +10,14 @@
 	"gullrudder/internal/wire/inbox"
 )
 
-const unsure = "it cannot be told yet what became of a job that it needs"
+const dependencyUndecided = "it cannot be told yet what became of a job that it needs"
 
-// needs looks at the jobs that a submission names: those that it is to wait for, and whether one of them is cancelled. Not ok:
+// checkDependencies looks at the jobs that a submission names: those that it is to wait for, and whether one of them is cancelled. Not ok:
 // it is answered, or will be once the history's data have told of one of them.
-func (d *Desk) needs(now time.Time, r *inbox.Request, spec jobs.Spec, told map[string]book.DependencyState) (missing []string, void, ok bool) {
-	for _, id := range spec.Needs {
-		need := d.book.DependencyState(id)
-		if t, known := told[id]; known && need == book.DependencyArchived {
+func (d *Handler) checkDependencies(now time.Time, r *inbox.Request, spec jobs.Spec, resolved map[string]book.DependencyState) (missing []string, void, ok bool) {
+	for _, id := range spec.Dependencies {
+		need := d.jobStore.DependencyState(id)
+		if t, known := resolved[id]; known && need == book.DependencyArchived {
 			need = t
 		}
 		switch need {
@@ -27,30 +27,30 @@
 		case book.DependencyOpen:
 			missing = append(missing, id)
 		case book.DependencyUndecided:
-			d.out.Refuse(r, 503, unsure, comeBack)
+			d.responder.Refuse(r, 503, dependencyUndecided, retryDelay)
 			return nil, false, false
 		case book.DependencyService:
-			d.out.Refuse(r, 422, "needs "+id+", a service, which is never done", 0)
+			d.responder.Refuse(r, 422, "needs "+id+", a service, which is never done", 0)
 			return nil, false, false
 		case book.DependencyArchived:
-			d.askPast(now, r, spec, id, told)
+			d.lookUpDependency(now, r, spec, id, resolved)
 			return nil, false, false
 		default:
-			d.out.Refuse(r, 422, "needs "+id+", which was never accepted", 0)
+			d.responder.Refuse(r, 422, "needs "+id+", which was never accepted", 0)
 			return nil, false, false
 		}
 	}
 	return missing, void, true
 }
 
-// askPast asks the history's data of a job that a submission names, and goes on with it then.
-func (d *Desk) askPast(now time.Time, r *inbox.Request, spec jobs.Spec, id string, told map[string]book.DependencyState) {
-	d.book.Archive().Resolve(now, d.box, id, func(now time.Time, f history.FinalState, known bool, err error) {
-		if !d.acting() || err != nil {
-			d.out.Refuse(r, 503, unsure, notNow)
+// lookUpDependency asks the history's data of a job that a submission names, and goes on with it then.
+func (d *Handler) lookUpDependency(now time.Time, r *inbox.Request, spec jobs.Spec, id string, resolved map[string]book.DependencyState) {
+	d.jobStore.Archive().Resolve(now, d.outbox, id, func(now time.Time, f history.FinalState, known bool, err error) {
+		if !d.holdsLease() || err != nil {
+			d.responder.Refuse(r, 503, dependencyUndecided, archiveRetryDelay)
 			return
 		}
-		next := maps.Clone(told)
+		next := maps.Clone(resolved)
 		if next == nil {
 			next = map[string]book.DependencyState{}
 		}
@@ -62,15 +62,15 @@
 		default:
 			next[id] = book.DependencyMet
 		}
-		d.submitNew(now, r, spec, nil, next)
+		d.acceptSubmission(now, r, spec, nil, next)
 	})
 }
 
-// accepted takes in that a job's acceptance is durable; void: it needs one that is cancelled, and so is it.
-func (d *Desk) accepted(now time.Time, j *jobs.Job, void bool) {
+// markAccepted takes in that a job's acceptance is durable; void: it needs one that is cancelled, and so is it.
+func (d *Handler) markAccepted(now time.Time, j *jobs.Job, void bool) {
 	if void {
-		d.book.RetireCancelled(now, j)
+		d.jobStore.RetireCancelled(now, j)
 		return
 	}
-	d.book.ApplyAcceptance(now, j)
+	d.jobStore.ApplyAcceptance(now, j)
 }
--- a/internal/controller/requests/zones.go
+++ b/internal/controller/requests/zones.go
@@ -6,28 +6,28 @@
 	"gullrudder/internal/wire/inbox"
 )
 
-// ZoneView is what is known of a zone. Times are in seconds.
-type ZoneView struct {
-	Name     string  `msgpack:"name" json:"name"`
-	State    string  `msgpack:"state" json:"state"`
-	For      float64 `msgpack:"for_s" json:"for_s"`
-	Heard    float64 `msgpack:"heard_s_ago" json:"heard_s_ago"`
-	Machines int     `msgpack:"machines" json:"machines"` // whose reports should come
-	Overdue  int     `msgpack:"overdue" json:"overdue"`   // of these, whose reports are missing
-	Cuts     int     `msgpack:"cuts" json:"cuts"`         // of the last ten minutes
+// ZoneStatus is what is known of a zone. Times are in seconds.
+type ZoneStatus struct {
+	Name                 string  `msgpack:"name" json:"name"`
+	State                string  `msgpack:"state" json:"state"`
+	StateSeconds         float64 `msgpack:"for_s" json:"for_s"`
+	LastHeartbeatSeconds float64 `msgpack:"heard_s_ago" json:"heard_s_ago"`
+	Machines             int     `msgpack:"machines" json:"machines"` // whose reports should come
+	Overdue              int     `msgpack:"overdue" json:"overdue"`   // of these, whose reports are missing
+	Outages              int     `msgpack:"cuts" json:"cuts"`         // of the last ten minutes
 }
 
 // Zones is what `gullrudder zones` shows.
 type Zones struct {
-	Zones []ZoneView `msgpack:"zones" json:"zones"`
+	Zones []ZoneStatus `msgpack:"zones" json:"zones"`
 }
 
-// zones tells what is known of each zone.
-func (d *Desk) zones(now time.Time, r *inbox.Request) {
-	a := Zones{Zones: []ZoneView{}}
-	for _, v := range d.zoneBook.Views() {
-		a.Zones = append(a.Zones, ZoneView{v.Name, v.State.String(), now.Sub(v.Since).Round(time.Second).Seconds(),
+// serveZones tells what is known of each zone.
+func (d *Handler) serveZones(now time.Time, r *inbox.Request) {
+	a := Zones{Zones: []ZoneStatus{}}
+	for _, v := range d.zoneTracker.Views() {
+		a.Zones = append(a.Zones, ZoneStatus{v.Name, v.State.String(), now.Sub(v.Since).Round(time.Second).Seconds(),
 			now.Sub(v.Heard).Round(100 * time.Millisecond).Seconds(), v.Machines, v.Overdue, v.Cuts})
 	}
-	d.out.Reply(r, 200, a, 0)
+	d.responder.Reply(r, 200, a, 0)
 }
--- a/internal/controller/standing/floor/floor.go
+++ b/internal/controller/standing/floor/floor.go
@@ -50,7 +50,7 @@
 type jobSize struct{ work, tasks float64 }
 
 func sizeOf(job *jobs.Job) jobSize {
-	return jobSize{float64(job.Tasks) * job.Estimate.Seconds() * countedCPUs(job), float64(job.Tasks)}
+	return jobSize{float64(job.Tasks) * job.RunTimeEstimate.Seconds() * countedCPUs(job), float64(job.Tasks)}
 }
 
 // largestThresholds are from which size on a job is one of its class's largest.
@@ -148,7 +148,7 @@
 		sizes[class] = slices.Clone(list)
 	}
 	for _, job := range live {
-		if !job.Service {
+		if !job.IsService {
 			sizes[job.Class] = append(sizes[job.Class], sizeOf(job))
 		}
 	}
@@ -231,7 +231,7 @@
 	b.updateThresholds(live)
 	list := slices.Clone(overdue)
 	slices.SortFunc(list, func(x, y OverdueJob) int {
-		return cmp.Or(cmp.Compare(x.RemainingCPUSeconds, y.RemainingCPUSeconds), x.Job.Since().Compare(y.Job.Since()), cmp.Compare(x.Job.ID, y.Job.ID))
+		return cmp.Or(cmp.Compare(x.RemainingCPUSeconds, y.RemainingCPUSeconds), x.Job.EligibleSince().Compare(y.Job.EligibleSince()), cmp.Compare(x.Job.ID, y.Job.ID))
 	})
 	states := map[Group]*groupState{}
 	usedCPUs := 0.0
@@ -253,7 +253,7 @@
 			}
 		}
 		if b.allocated[c.Job] {
-			running := float64(len(c.Job.Active)) * countedCPUs(c.Job)
+			running := float64(len(c.Job.ActiveAttempts)) * countedCPUs(c.Job)
 			usedCPUs += running
 			for _, g := range b.groupsOf(c.Job) {
 				states[g].usedCPUs += running
@@ -356,7 +356,7 @@
 	for _, c := range overdue {
 		isOverdue[c.Job] = true
 	}
-	maps.DeleteFunc(b.allocated, func(j *jobs.Job, _ bool) bool { return !isOverdue[j] || len(j.Active) == 0 })
+	maps.DeleteFunc(b.allocated, func(j *jobs.Job, _ bool) bool { return !isOverdue[j] || len(j.ActiveAttempts) == 0 })
 }
 
 // ReservedCPUShare is the share of the fleet that is not to be promised to others: what late jobs may take now.
--- a/internal/controller/standing/floor/floor_test.go
+++ b/internal/controller/standing/floor/floor_test.go
@@ -21,13 +21,13 @@
 }
 
 func overdueJob(id int, class, team string, tasks int, cpus float64) *jobs.Job {
-	job := jobs.NewJob(jobs.Spec{ID: fmt.Sprintf("job-%d", id), Class: class, Team: team, Tasks: tasks, CPUs: cpus, Mem: 1, Estimate: time.Minute}, time.Unix(1000, 0))
+	job := jobs.New(jobs.Spec{ID: fmt.Sprintf("job-%d", id), Class: class, Team: team, Tasks: tasks, CPUs: cpus, MemoryGB: 1, RunTimeEstimate: time.Minute}, time.Unix(1000, 0))
 	job.State = jobs.Accepted
 	return job
 }
 
 func overdueJobOf(job *jobs.Job) OverdueJob {
-	return OverdueJob{Job: job, RemainingCPUSeconds: float64(job.Tasks) * job.CPUs * 60, StartableTasks: job.Waiting(), IsUnserved: true}
+	return OverdueJob{Job: job, RemainingCPUSeconds: float64(job.Tasks) * job.CPUs * 60, StartableTasks: job.WaitingTasks(), IsUnserved: true}
 }
 
 // bestServedShare is what the least served class or team could have at most, by trying every set of jobs that fits.
@@ -151,12 +151,12 @@
 		running := 0.0
 		for j := range live {
 			overdue = append(overdue, overdueJobOf(j))
-			running += float64(len(j.Active)) * j.CPUs
+			running += float64(len(j.ActiveAttempts)) * j.CPUs
 		}
 		for j := range b.Allocate(now, overdue, nil, cpus) {
 			for task := range j.Tasks {
-				if j.Active[task] == nil {
-					j.Attach(&jobs.Attempt{Key: jobs.Key{Job: j.ID, Task: task}, Job: j})
+				if j.ActiveAttempts[task] == nil {
+					j.AddAttempt(&jobs.Attempt{Task: jobs.TaskID{JobID: j.ID, Index: task}, Job: j})
 				}
 			}
 			ends[j] = now.Add(30 * time.Second)
@@ -248,7 +248,7 @@
 		t.Fatal("a late job gets nothing")
 	}
 	for task := range first.Tasks {
-		first.Attach(&jobs.Attempt{Key: jobs.Key{Job: first.ID, Task: task}, Job: first})
+		first.AddAttempt(&jobs.Attempt{Task: jobs.TaskID{JobID: first.ID, Index: task}, Job: first})
 	}
 	second := overdueJob(2, "c", "t", 20, 1)
 	if allocations := b.Allocate(now, []OverdueJob{overdueJobOf(first), overdueJobOf(second)}, nil, 100); len(allocations) != 0 {
@@ -299,14 +299,14 @@
 	var overdue []OverdueJob
 	for i := range 6 {
 		j := overdueJob(i, "guest", "guests", 55, 8)
-		j.Estimate = time.Duration(4+i) * time.Minute
+		j.RunTimeEstimate = time.Duration(4+i) * time.Minute
 		live = append(live, j)
-		overdue = append(overdue, OverdueJob{Job: j, RemainingCPUSeconds: 55 * 8 * j.Estimate.Seconds(), StartableTasks: 55, IsUnserved: true})
+		overdue = append(overdue, OverdueJob{Job: j, RemainingCPUSeconds: 55 * 8 * j.RunTimeEstimate.Seconds(), StartableTasks: 55, IsUnserved: true})
 	}
 	allocations := b.Allocate(now, overdue, live, 3300)
 	for i, j := range live {
 		if want := i < 3; (allocations[j] != 0) != want {
-			t.Errorf("job %d of %v a task: room %v", i, j.Estimate, allocations[j])
+			t.Errorf("job %d of %v a task: room %v", i, j.RunTimeEstimate, allocations[j])
 		}
 	}
 	// Once half of it is done, the largest is served least.
--- a/internal/controller/standing/model_test.go
+++ b/internal/controller/standing/model_test.go
@@ -15,10 +15,10 @@
 	for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
 		s := jobs.Spec{ID: fmt.Sprintf("job-%06d", i), Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"),
 			Tasks: rapid.IntRange(1, 6).Draw(t, "tasks"), CPUs: rapid.SampledFrom([]float64{0, 0.5, 2, 8}).Draw(t, "cpus"),
-			Service: rapid.IntRange(0, 9).Draw(t, "service") == 0}
-		j := jobs.NewJob(s, now.Add(-time.Duration(rapid.IntRange(0, 900).Draw(t, "age"))*time.Second))
+			IsService: rapid.IntRange(0, 9).Draw(t, "service") == 0}
+		j := jobs.New(s, now.Add(-time.Duration(rapid.IntRange(0, 900).Draw(t, "age"))*time.Second))
 		for k := range rapid.IntRange(0, s.Tasks).Draw(t, "running") {
-			j.Attach(&jobs.Attempt{Key: jobs.Key{Job: s.ID, Task: k}, Job: j})
+			j.AddAttempt(&jobs.Attempt{Task: jobs.TaskID{JobID: s.ID, Index: k}, Job: j})
 		}
 		live = append(live, j)
 	}
@@ -32,15 +32,15 @@
 		used := 0.0
 		var next *jobs.Job
 		for _, j := range live {
-			if j.Service || now.Sub(j.Submitted) <= policy.AgeBound {
+			if j.IsService || now.Sub(j.SubmittedAt) <= policy.AgeBound {
 				continue
 			}
-			used += float64(len(j.Active)) * max(j.CPUs, 0.1)
+			used += float64(len(j.ActiveAttempts)) * max(j.CPUs, 0.1)
 			if marked[j.ID] {
 				used += float64(startableTasks(j)) * max(j.CPUs, 0.1)
 				continue
 			}
-			if j.Waiting() > 0 && (next == nil || j.Submitted.Before(next.Submitted) || j.Submitted.Equal(next.Submitted) && j.ID < next.ID) {
+			if j.WaitingTasks() > 0 && (next == nil || j.SubmittedAt.Before(next.SubmittedAt) || j.SubmittedAt.Equal(next.SubmittedAt) && j.ID < next.ID) {
 				next = j
 			}
 		}
@@ -60,7 +60,7 @@
 		cpus := rapid.Float64Range(1, 60).Draw(t, "fleet")
 		live := drawJobs(t, now)
 		limit := map[string]int{"a": rapid.IntRange(0, 3).Draw(t, "limit"), "b": 9}
-		startableTasks := func(j *jobs.Job) int { return min(j.Waiting(), limit[j.Team]) }
+		startableTasks := func(j *jobs.Job) int { return min(j.WaitingTasks(), limit[j.Team]) }
 		got := policy.FirstJobs(now, live, cpus, startableTasks)
 		want := firstJobsByWalk(policy, now, live, cpus, startableTasks)
 		if len(got) != len(want) {
@@ -72,7 +72,7 @@
 			}
 		}
 		i := rapid.IntRange(0, len(live)-1).Draw(t, "again")
-		if len(live[i].Active) > 0 {
+		if len(live[i].ActiveAttempts) > 0 {
 			return
 		}
 		// Cancelled, and submitted anew as several that are as large together.
@@ -80,7 +80,7 @@
 		for k := range live[i].Tasks {
 			s := live[i].Spec
 			s.ID, s.Tasks = fmt.Sprintf("job-9%05d", k), 1
-			resubmitted = append(resubmitted, jobs.NewJob(s, now))
+			resubmitted = append(resubmitted, jobs.New(s, now))
 		}
 		later := policy.FirstJobs(now, resubmitted, cpus, startableTasks)
 		for j := range got {
@@ -89,7 +89,7 @@
 			}
 		}
 		for j := range later {
-			if j.Submitted.Equal(now) {
+			if j.SubmittedAt.Equal(now) {
 				t.Fatal("what was submitted anew goes first")
 			}
 		}
--- a/internal/controller/standing/standing.go
+++ b/internal/controller/standing/standing.go
@@ -25,7 +25,7 @@
 // IsOlder reports whether a stands before b: by its first acceptance, or by when the last job that it needs was done. The
 // ledger keeps both.
 func IsOlder(a, b *jobs.Job) bool {
-	if x, y := a.Since(), b.Since(); !x.Equal(y) {
+	if x, y := a.EligibleSince(), b.EligibleSince(); !x.Equal(y) {
 		return x.Before(y)
 	}
 	return a.ID < b.ID
@@ -33,7 +33,7 @@
 
 // IsAged reports whether a job has waited past the age bound. A service has no age: it never ends.
 func (t Policy) IsAged(now time.Time, job *jobs.Job) bool {
-	return !job.Service && now.Sub(job.Since()) > t.AgeBound
+	return !job.IsService && now.Sub(job.EligibleSince()) > t.AgeBound
 }
 
 // FirstJobs marks the aged jobs that go before everything else now. placeable says how many more
@@ -46,8 +46,8 @@
 		if !t.IsAged(now, job) {
 			continue
 		}
-		usedCPUs += float64(len(job.Active)) * countedCPUs(job)
-		if job.Waiting() > 0 {
+		usedCPUs += float64(len(job.ActiveAttempts)) * countedCPUs(job)
+		if job.WaitingTasks() > 0 {
 			aged = append(aged, job)
 		}
 	}
@@ -83,7 +83,7 @@
 // Add counts the unfinished tasks of a job.
 func (l *Load) Add(job *jobs.Job, cpuSeconds float64) {
 	l.CPUSeconds += cpuSeconds
-	l.CPUs += float64(job.Tasks-job.NDone) * countedCPUs(job)
+	l.CPUs += float64(job.Tasks-job.DoneTasks) * countedCPUs(job)
 }
 
 // WorkAhead is what is known of the work that can stand before a job when it is accepted.
--- a/internal/controller/takeover/partly.go
+++ b/internal/controller/takeover/partly.go
@@ -52,12 +52,12 @@
 	}
 	usageByTeam := place.UnseenUsage{}
 	for _, job := range t.jobStore.Unfinished {
-		if job.Ours || job.State == jobs.Pending || job.Waits > 0 {
+		if job.AcceptedByThisLeader || job.State == jobs.Pending || job.UnmetDependencies > 0 {
 			continue
 		}
 		usage := usageByTeam[job.Team]
-		unseen := float64(job.Tasks - job.NDone - len(job.Active))
-		usageByTeam[job.Team] = workers.Usage{CPUs: min(usage.CPUs+unseen*job.CPUs, capacity.CPUs), GPUs: min(usage.GPUs+unseen*job.Cards, capacity.GPUs)}
+		unseen := float64(job.Tasks - job.DoneTasks - len(job.ActiveAttempts))
+		usageByTeam[job.Team] = workers.Usage{CPUs: min(usage.CPUs+unseen*job.CPUs, capacity.CPUs), GPUs: min(usage.GPUs+unseen*job.GPUs, capacity.GPUs)}
 	}
 	return usageByTeam
 }
--- a/internal/controller/takeover/takeover.go
+++ b/internal/controller/takeover/takeover.go
@@ -35,7 +35,7 @@
 	electedAt     time.Time
 	storage       *ledger.Store
 	jobStore      *book.Store
-	dynamicConfig *settings.Settings
+	dynamicConfig *settings.Store
 	workers       *workers.Registry
 	cloud         *fleet.Cloud
 	heartbeats    *reports.Handler
@@ -70,7 +70,7 @@
 	ElectedAt     time.Time
 	Storage       *ledger.Store
 	JobStore      *book.Store
-	DynamicConfig *settings.Settings
+	DynamicConfig *settings.Store
 	Workers       *workers.Registry
 	Cloud         *fleet.Cloud
 	Heartbeats    *reports.Handler
@@ -161,7 +161,7 @@
 			t.restoreRosterEntry(id, decode)
 			return
 		}
-		if name == settings.EntryName {
+		if name == settings.EntryKey {
 			t.dynamicConfig.Restore(decode)
 			return
 		}
@@ -171,7 +171,7 @@
 			}
 			return
 		}
-		if id, c, ok := jobs.ChunkOf(name); ok {
+		if id, c, ok := jobs.ParseChunkName(name); ok {
 			var v jobs.Chunk
 			if err := decode(&v); err != nil {
 				t.log.Error("task results cannot be read", "entry", name, "error", err)
--- a/internal/controller/takeover/takeover_test.go
+++ b/internal/controller/takeover/takeover_test.go
@@ -153,7 +153,7 @@
 		for _, machine := range reconciler.workers.MachinesByName() {
 			if machine.IsSentinel {
 				sentinels++
-				if place.IsEligible(jobs.NewJob(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, Spot: true}, now), machine) {
+				if place.IsEligible(jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, AllowsSpot: true}, now), machine) {
 					t.Errorf("a task may be placed on %s, which is away", machine.ID)
 				}
 			}
@@ -299,7 +299,7 @@
 	if !reconciler.jobStore.OpenArchive() {
 		t.Fatal("no history")
 	}
-	job := jobs.NewJob(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, Mem: 1}, now)
+	job := jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, MemoryGB: 1}, now)
 	reconciler.jobStore.Unfinished["job-1"] = job
 	reconciler.jobStore.ApplyCancellation(now.Add(-time.Second), job)
 	reconciler.workers.GetOrAdd("vm-1").Registered = true
--- a/internal/controller/timeline/golden_bytes_test.go
+++ b/internal/controller/timeline/golden_bytes_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestGoldenBytes(t *testing.T) {
-	var spent Spent
+	var spent Breakdown
 	for cause := range spent {
 		spent[cause] = int64(cause+1) * 1000
 	}
-	goldenbytes.Check(t, goldenbytes.Bytes("account", []byte(spent.pack()), func(raw []byte) ([]byte, error) {
-		again, err := parse(string(raw))
-		return []byte(again.pack()), err
+	goldenbytes.Check(t, goldenbytes.Bytes("account", []byte(spent.encode()), func(raw []byte) ([]byte, error) {
+		again, err := parseBreakdown(string(raw))
+		return []byte(again.encode()), err
 	}))
 }
--- a/internal/controller/timeline/look.go
+++ b/internal/controller/timeline/look.go
@@ -12,169 +12,169 @@
 	"gullrudder/internal/controller/workers"
 )
 
-// View is what a look sees of the other slices.
-type View struct {
-	Placing bool // a takeover is complete
-	Healthy bool // the state service takes changes
-	Teams   map[string]config.Team
-	Fleet   *workers.Registry
-	Cloud   *fleet.Cloud
-	Order   []plan.Entry // in which jobs get room
+// ClusterState is what a look sees of the other slices.
+type ClusterState struct {
+	FailoverCompleted bool // a takeover is complete
+	StorageHealthy    bool // the state service takes changes
+	Teams             map[string]config.Team
+	Workers           *workers.Registry
+	Cloud             *fleet.Cloud
+	Queue             []plan.Entry // in which jobs get room
 }
 
-// seen is one look: what it found for a shape of job holds for all that have it.
-type seen struct {
-	View
-	up     []*workers.Machine
-	shapes map[shape]room
-	coming []fleet.Kind          // of machines that are rented and not up
-	free   float64               // CPUs that are free, and not held
-	held   float64               // free and held
-	ahead  map[*jobs.Job]float64 // CPUs that wait before a job in the order
+// sample is one look: what it found for a shape of job holds for all that have it.
+type sample struct {
+	ClusterState
+	upMachines   []*workers.Machine
+	byShape      map[resourceShape]availability
+	bootingKinds []fleet.Kind          // of machines that are rented and not up
+	freeCPUs     float64               // CPUs that are free, and not held
+	reservedCPUs float64               // free and held
+	cpusAhead    map[*jobs.Job]float64 // CPUs that wait before a job in the order
 }
 
-// shape is what decides which machines a job may use and what of them it needs.
-type shape struct {
-	cpus, cards, mem float64
-	zone, types      string
-	spot             bool
+// resourceShape is what decides which machines a job may use and what of them it needs.
+type resourceShape struct {
+	cpus, gpus, memoryGB float64
+	zone, machineTypes   string
+	allowsSpot           bool
 }
 
-// room is what a shape finds.
-type room struct {
-	usable, coming   bool
-	free, freeOrHeld bool
-	holders          map[*jobs.Job]bool // for whom the room is held
+// availability is what a shape finds.
+type availability struct {
+	hasUsable, hasBooting      bool
+	hasFree, hasFreeOrReserved bool
+	reservedFor                map[*jobs.Job]bool // for whom the room is held
 }
 
-func newSeen(v View) *seen {
-	s := &seen{View: v, up: v.Fleet.ReportingMachines(), shapes: map[shape]room{}, ahead: map[*jobs.Job]float64{}}
-	for _, m := range s.up {
+func newSample(v ClusterState) *sample {
+	s := &sample{ClusterState: v, upMachines: v.Workers.ReportingMachines(), byShape: map[resourceShape]availability{}, cpusAhead: map[*jobs.Job]float64{}}
+	for _, m := range s.upMachines {
 		switch {
 		case m.DrainReason != workers.NotDraining:
 		case m.ReservedFor == nil:
-			s.free += m.CPUs - m.UsedCPUs
+			s.freeCPUs += m.CPUs - m.UsedCPUs
 		default:
-			s.held += m.CPUs - m.UsedCPUs
+			s.reservedCPUs += m.CPUs - m.UsedCPUs
 		}
 	}
 	ahead := 0.0
-	for i := range v.Order {
-		j := v.Order[i].Job
-		s.ahead[j] = ahead
-		ahead += float64(j.Waiting()) * j.CPUs
+	for i := range v.Queue {
+		j := v.Queue[i].Job
+		s.cpusAhead[j] = ahead
+		ahead += float64(j.WaitingTasks()) * j.CPUs
 	}
 	kinds := map[fleet.Kind]bool{}
 	for id, h := range v.Cloud.Hosts {
-		if m := v.Fleet.Machines[id]; !h.Deleting && h.State != fleet.Failed && m == nil && !kinds[h.Kind] {
+		if m := v.Workers.Machines[id]; !h.Deleting && h.State != fleet.Failed && m == nil && !kinds[h.Kind] {
 			kinds[h.Kind] = true
-			s.coming = append(s.coming, h.Kind)
+			s.bootingKinds = append(s.bootingKinds, h.Kind)
 		}
 	}
 	return s
 }
 
-func (s *seen) room(j *jobs.Job) room {
-	k := shape{j.CPUs, j.Cards, j.Mem, j.Zone, strings.Join(j.Types, " "), j.Spot}
-	if r, ok := s.shapes[k]; ok && j.Errors == 0 {
+func (s *sample) availabilityFor(j *jobs.Job) availability {
+	k := resourceShape{j.CPUs, j.GPUs, j.MemoryGB, j.Zone, strings.Join(j.MachineTypes, " "), j.AllowsSpot}
+	if r, ok := s.byShape[k]; ok && j.FailureCount == 0 {
 		return r
 	}
-	r := room{holders: map[*jobs.Job]bool{}}
-	for _, m := range s.up {
+	r := availability{reservedFor: map[*jobs.Job]bool{}}
+	for _, m := range s.upMachines {
 		if !place.IsEligible(j, m) || m.TasksThatFitWhenEmpty(j) == 0 {
 			continue
 		}
-		r.usable = true
+		r.hasUsable = true
 		if m.TasksThatFit(j) == 0 {
 			continue
 		}
-		r.freeOrHeld = true
+		r.hasFreeOrReserved = true
 		if m.ReservedFor == nil {
-			r.free = true
+			r.hasFree = true
 			break
 		}
-		r.holders[m.ReservedFor] = true
+		r.reservedFor[m.ReservedFor] = true
 	}
-	for _, kind := range s.coming {
+	for _, kind := range s.bootingKinds {
 		t := s.Cloud.Types[kind.Type]
-		r.coming = r.coming || t != nil && place.KindAllowed(j, kind) && place.FitsType(j, t)
+		r.hasBooting = r.hasBooting || t != nil && place.KindAllowed(j, kind) && place.FitsType(j, t)
 	}
-	if j.Errors == 0 {
-		s.shapes[k] = r
+	if j.FailureCount == 0 {
+		s.byShape[k] = r
 	}
 	return r
 }
 
-// cause says what keeps the job from being done now: of its unfinished tasks the one that is
+// reasonFor says what keeps the job from being done now: of its unfinished tasks the one that is
 // furthest from being done counts. A task that only waits for a loss to be made good counts to it
 // once all that is left was lost.
-func (s *seen) cause(now time.Time, j *jobs.Job, a *account) Cause {
-	away := func(c Cause) Cause {
-		if !s.Healthy {
-			return StateAway
+func (s *sample) reasonFor(now time.Time, j *jobs.Job, a *account) WaitReason {
+	away := func(c WaitReason) WaitReason {
+		if !s.StorageHealthy {
+			return StateUnavailable
 		}
 		return c
 	}
 	switch {
 	case j.State == jobs.Pending:
 		return away(NotAccepted)
-	case j.Finishing || j.Cancelling || j.State != jobs.Accepted || j.NDone >= j.Tasks:
+	case j.IsFinishing || j.IsCancelling || j.State != jobs.Accepted || j.DoneTasks >= j.Tasks:
 		return away(NotDurable)
-	case j.Waits > 0:
-		return Needs
-	case !s.Placing:
+	case j.UnmetDependencies > 0:
+		return AwaitingDependencies
+	case !s.FailoverCompleted:
 		return NoLeader
 	}
-	if j.Mistaken {
-		return Failing
+	if j.CrashLooping {
+		return CrashLooping
 	}
-	if left := j.Tasks - j.NDone; len(a.lost) >= left {
-		worst := Cause(-1)
-		for _, c := range a.lost {
+	if left := j.Tasks - j.DoneTasks; len(a.lostTasks) >= left {
+		worst := WaitReason(-1)
+		for _, c := range a.lostTasks {
 			if worst < 0 || c < worst {
 				worst = c
 			}
 		}
 		return worst
 	}
-	if j.Waiting() > 0 {
-		return s.waits(now, j)
+	if j.WaitingTasks() > 0 {
+		return s.waitReason(now, j)
 	}
-	if j.RunningTasks() < len(j.Active) {
-		return starting(now, j)
+	if j.RunningTasks() < len(j.ActiveAttempts) {
+		return startingReason(now, j)
 	}
 	return Running
 }
 
-func (s *seen) waits(now time.Time, j *jobs.Job) Cause {
+func (s *sample) waitReason(now time.Time, j *jobs.Job) WaitReason {
 	if now.Before(j.NotBefore) {
-		return LostFailed
+		return AttemptFailed
 	}
-	if place.TasksAllowedByQuota(j, s.Teams[j.Team], s.Fleet.TeamUsage(j.Team)) == 0 {
-		return TeamLimit
+	if place.TasksAllowedByQuota(j, s.Teams[j.Team], s.Workers.TeamUsage(j.Team)) == 0 {
+		return TeamQuota
 	}
-	r := s.room(j)
-	ahead := s.ahead[j]
+	r := s.availabilityFor(j)
+	ahead := s.cpusAhead[j]
 	switch {
-	case r.free && ahead < s.free, r.freeOrHeld && r.holders[j]:
-		return AwaitReport
-	case r.freeOrHeld && ahead < s.free+s.held:
-		return Held
-	case r.usable:
-		return Behind
-	case r.coming:
-		return Booting
-	}
-	return NoMachine
+	case r.hasFree && ahead < s.freeCPUs, r.hasFreeOrReserved && r.reservedFor[j]:
+		return AwaitingHeartbeat
+	case r.hasFreeOrReserved && ahead < s.freeCPUs+s.reservedCPUs:
+		return Reserved
+	case r.hasUsable:
+		return Queued
+	case r.hasBooting:
+		return MachineBooting
+	}
+	return NoMachineRented
 }
 
-// starting is for jobs all of whose tasks have a machine and not all run: until the worker has
+// startingReason is for jobs all of whose tasks have a machine and not all run: until the worker has
 // reported a task, its start is on its way.
-func starting(now time.Time, j *jobs.Job) Cause {
-	for _, a := range j.Active {
-		if a.Running.IsZero() && a.Seen == 0 {
-			return AwaitReport
+func startingReason(now time.Time, j *jobs.Job) WaitReason {
+	for _, a := range j.ActiveAttempts {
+		if a.RunningSince.IsZero() && a.LastSeenReconcile == 0 {
+			return AwaitingHeartbeat
 		}
 	}
-	return Image
+	return FetchingImage
 }
--- a/internal/controller/timeline/timeline.go
+++ b/internal/controller/timeline/timeline.go
@@ -17,47 +17,47 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// Cause is what kept a job from being done at a moment.
-type Cause int
+// WaitReason is what kept a job from being done at a moment.
+type WaitReason int
 
 // The causes. Their numbers are kept in the ledger: new ones come at the end.
 const (
-	NotAccepted   Cause = iota // its acceptance is not durable yet
-	NoLeader                   // nobody was entitled to place, or a takeover was not complete
-	StateAway                  // the state service took no changes, and that was what it waited for
-	NoMachine                  // no machine that may run it was there or coming
-	Booting                    // those that may run it were still booting
-	TeamLimit                  // its team's limit
-	Held                       // what room there was is held for jobs before it
-	Behind                     // all room is taken: it is behind others in the order
-	AwaitReport                // there was room, and the start waits for its machine's next report
-	Image                      // its last tasks to start fetch their image
-	Running                    // all tasks that are not done run
-	LostMachine                // all that is left was lost before, with a machine or its lease
-	LostFailed                 // all that is left had failed, or been refused by its machine
-	Stopped                    // all that is left had been stopped for other work
-	NotDurable                 // all is done, and that is not durable yet
-	Unknown                    // under an earlier leader, after what it had written down
-	Failing                    // its tasks fail wherever they are tried, and it is tried seldom
-	Needs                      // other jobs have to be done first; counted only of jobs that need some
-	CauseCount    = int(Needs) + 1
-	keptFinished  = 4096 // accounts of finished jobs that are kept
-	tallyInterval = time.Minute
+	NotAccepted          WaitReason = iota // its acceptance is not durable yet
+	NoLeader                               // nobody was entitled to place, or a takeover was not complete
+	StateUnavailable                       // the state service took no changes, and that was what it waited for
+	NoMachineRented                        // no machine that may run it was there or coming
+	MachineBooting                         // those that may run it were still booting
+	TeamQuota                              // its team's limit
+	Reserved                               // what room there was is held for jobs before it
+	Queued                                 // all room is taken: it is behind others in the order
+	AwaitingHeartbeat                      // there was room, and the start waits for its machine's next report
+	FetchingImage                          // its last tasks to start fetch their image
+	Running                                // all tasks that are not done run
+	MachineLost                            // all that is left was lost before, with a machine or its lease
+	AttemptFailed                          // all that is left had failed, or been refused by its machine
+	Preempted                              // all that is left had been stopped for other work
+	NotDurable                             // all is done, and that is not durable yet
+	EarlierLeader                          // under an earlier leader, after what it had written down
+	CrashLooping                           // its tasks fail wherever they are tried, and it is tried seldom
+	AwaitingDependencies                   // other jobs have to be done first; counted only of jobs that need some
+	WaitReasonCount      = int(AwaitingDependencies) + 1
+	maxFinishedAccounts  = 4096 // accounts of finished jobs that are kept
+	logInterval          = time.Minute
 )
 
 // String is the cause as it is shown.
-func (c Cause) String() string {
-	return [CauseCount]string{"not accepted yet", "no acting leader", "state service away", "no machine of its kind rented", "machines boot",
+func (c WaitReason) String() string {
+	return [WaitReasonCount]string{"not accepted yet", "no acting leader", "state service away", "no machine of its kind rented", "machines boot",
 		"team's limit", "room held for others", "behind others in the order", "waits for a report", "image", "running",
 		"attempt lost with its machine", "attempt failed or refused", "stopped for other work", "result not durable",
 		"under an earlier leader", "fails wherever it is tried", "waits for other jobs"}[c]
 }
 
-// Spent is the time that was counted to each cause, in whole milliseconds.
-type Spent [CauseCount]int64
+// Breakdown is the time that was counted to each cause, in whole milliseconds.
+type Breakdown [WaitReasonCount]int64
 
 // Total is the sum.
-func (s *Spent) Total() int64 {
+func (s *Breakdown) Total() int64 {
 	sum := int64(0)
 	for _, ms := range s {
 		sum += ms
@@ -65,7 +65,7 @@
 	return sum
 }
 
-func (s *Spent) add(o *Spent) {
+func (s *Breakdown) add(o *Breakdown) {
 	for c, ms := range o {
 		s[c] += ms
 	}
@@ -74,208 +74,208 @@
 // account is what is known of an unfinished job. Times are whole milliseconds since its
 // submission: what was counted always sums to upTo exactly.
 type account struct {
-	spent Spent
-	upTo  int64
-	cause Cause         // of the time since then
-	lost  map[int]Cause // its unfinished tasks that were lost before, and to what
+	breakdown Breakdown
+	countedMs int64
+	reason    WaitReason         // of the time since then
+	lostTasks map[int]WaitReason // its unfinished tasks that were lost before, and to what
 }
 
-func sinceSubmission(j *jobs.Job, now time.Time) int64 {
-	return max(now.Sub(j.Submitted).Milliseconds(), 0)
+func msSinceSubmission(j *jobs.Job, now time.Time) int64 {
+	return max(now.Sub(j.SubmittedAt).Milliseconds(), 0)
 }
 
-// until counts the time up to a moment to the cause that was seen last.
-func (a *account) until(ms int64) {
-	if ms > a.upTo {
-		a.spent[a.cause] += ms - a.upTo
-		a.upTo = ms
+// countUntil counts the time up to a moment to the cause that was seen last.
+func (a *account) countUntil(ms int64) {
+	if ms > a.countedMs {
+		a.breakdown[a.reason] += ms - a.countedMs
+		a.countedMs = ms
 	}
 }
 
-// Ended is the account of a finished job.
-type Ended struct {
-	ID, Team, Class string
-	Done            bool
-	At              time.Time
-	Spent           Spent
+// FinishedAccount is the account of a finished job.
+type FinishedAccount struct {
+	JobID, Team, Class string
+	IsDone             bool
+	EndedAt            time.Time
+	Breakdown          Breakdown
 }
 
-type group struct{ team, class string }
+type groupKey struct{ team, class string }
 
-// Tally is the sum of the accounts of a team's finished jobs of a class.
-type Tally struct {
+// GroupTotal is the sum of the accounts of a team's finished jobs of a class.
+type GroupTotal struct {
 	Team, Class string
-	Jobs        int
-	Spent       Spent
+	JobCount    int
+	Breakdown   Breakdown
 }
 
-// Log keeps the accounts.
-type Log struct {
-	log      *slog.Logger
-	open     map[*jobs.Job]*account
-	idle     time.Time // since when nobody was entitled to act; zero: at present somebody is
-	sums     map[group]*Tally
-	ended    []Ended // a ring of the last ones
-	next     int
-	byID     map[string]int // of the ring
-	nextTell time.Time
-	metrics  *Metrics
+// Tracker keeps the accounts.
+type Tracker struct {
+	logger    *slog.Logger
+	accounts  map[*jobs.Job]*account
+	idleSince time.Time // since when nobody was entitled to act; zero: at present somebody is
+	totals    map[groupKey]*GroupTotal
+	finished  []FinishedAccount // a ring of the last ones
+	nextSlot  int
+	slotByJob map[string]int // of the ring
+	nextLog   time.Time
+	metrics   *Metrics
 }
 
 // New makes the log of a new leadership.
-func New(metrics *Metrics, log *slog.Logger) *Log {
-	return &Log{log: log, metrics: metrics, open: map[*jobs.Job]*account{}, sums: map[group]*Tally{}, byID: map[string]int{}}
+func New(metrics *Metrics, log *slog.Logger) *Tracker {
+	return &Tracker{logger: log, metrics: metrics, accounts: map[*jobs.Job]*account{}, totals: map[groupKey]*GroupTotal{}, slotByJob: map[string]int{}}
 }
 
-// Begin opens the account of a job that was just submitted.
-func (l *Log) Begin(j *jobs.Job) { l.open[j] = &account{cause: NotAccepted} }
+// Open opens the account of a job that was just submitted.
+func (l *Tracker) Open(j *jobs.Job) { l.accounts[j] = &account{reason: NotAccepted} }
 
 // Restore opens the account of a job that an earlier leader has kept: what it wrote down, and
 // nothing known of the time since then. since is when this leadership began.
-func (l *Log) Restore(j *jobs.Job, kept string, since time.Time) {
-	a := &account{cause: NoLeader}
-	if spent, err := parse(kept); err != nil {
-		l.log.Error("an account cannot be read", "job", j.ID, "error", err)
+func (l *Tracker) Restore(j *jobs.Job, kept string, since time.Time) {
+	a := &account{reason: NoLeader}
+	if spent, err := parseBreakdown(kept); err != nil {
+		l.logger.Error("an account cannot be read", "job", j.ID, "error", err)
 	} else {
-		a.spent, a.upTo = spent, spent.Total()
+		a.breakdown, a.countedMs = spent, spent.Total()
 	}
-	begin := sinceSubmission(j, since)
-	if begin > a.upTo {
-		a.spent[Unknown] += begin - a.upTo
-		a.upTo = begin
+	begin := msSinceSubmission(j, since)
+	if begin > a.countedMs {
+		a.breakdown[EarlierLeader] += begin - a.countedMs
+		a.countedMs = begin
 	}
-	l.open[j] = a
+	l.accounts[j] = a
 }
 
-// Kept is what the ledger keeps of a job's account: the record is written anyway.
-func (l *Log) Kept(j *jobs.Job) string {
-	a := l.open[j]
+// EncodedAccount is what the ledger keeps of a job's account: the record is written anyway.
+func (l *Tracker) EncodedAccount(j *jobs.Job) string {
+	a := l.accounts[j]
 	if a == nil {
 		return ""
 	}
-	return a.spent.pack()
+	return a.breakdown.encode()
 }
 
-// Lost says that a task of the job has to be run again, and to what its attempt was lost.
-func (l *Log) Lost(j *jobs.Job, task int, to Cause) {
-	a := l.open[j]
+// MarkTaskLost says that a task of the job has to be run again, and to what its attempt was lost.
+func (l *Tracker) MarkTaskLost(j *jobs.Job, task int, to WaitReason) {
+	a := l.accounts[j]
 	if a == nil {
 		return
 	}
-	if a.lost == nil {
-		a.lost = map[int]Cause{}
+	if a.lostTasks == nil {
+		a.lostTasks = map[int]WaitReason{}
 	}
-	a.lost[task] = to
+	a.lostTasks[task] = to
 }
 
-// TaskDone says that a task is done.
-func (l *Log) TaskDone(j *jobs.Job, task int) {
-	if a := l.open[j]; a != nil {
-		delete(a.lost, task)
+// MarkTaskDone says that a task is done.
+func (l *Tracker) MarkTaskDone(j *jobs.Job, task int) {
+	if a := l.accounts[j]; a != nil {
+		delete(a.lostTasks, task)
 	}
 }
 
-// Away says that from now on nobody is entitled to act; the next look ends that.
-func (l *Log) Away(now time.Time) {
-	if l.idle.IsZero() {
-		l.idle = now
+// LeaseLost says that from now on nobody is entitled to act; the next look ends that.
+func (l *Tracker) LeaseLost(now time.Time) {
+	if l.idleSince.IsZero() {
+		l.idleSince = now
 	}
 }
 
 // End says that the leadership is over.
-func (l *Log) End() { l.metrics.open.Set(0) }
+func (l *Tracker) End() { l.metrics.openJobs.Set(0) }
 
-// Close ends the account of a job that is done or cancelled.
-func (l *Log) Close(now time.Time, j *jobs.Job) {
-	a := l.open[j]
+// Finish ends the account of a job that is done or cancelled.
+func (l *Tracker) Finish(now time.Time, j *jobs.Job) {
+	a := l.accounts[j]
 	if a == nil {
 		return
 	}
-	delete(l.open, j)
-	a.until(sinceSubmission(j, now))
-	l.keep(Ended{j.ID, j.Team, j.Class, j.State == jobs.Done, now, a.spent})
-	k := group{j.Team, j.Class}
-	t := l.sums[k]
+	delete(l.accounts, j)
+	a.countUntil(msSinceSubmission(j, now))
+	l.keepFinished(FinishedAccount{j.ID, j.Team, j.Class, j.State == jobs.Done, now, a.breakdown})
+	k := groupKey{j.Team, j.Class}
+	t := l.totals[k]
 	if t == nil {
-		t = &Tally{Team: j.Team, Class: j.Class}
-		l.sums[k] = t
+		t = &GroupTotal{Team: j.Team, Class: j.Class}
+		l.totals[k] = t
 	}
-	t.Jobs++
-	t.Spent.add(&a.spent)
-	l.metrics.ended(j, &a.spent)
+	t.JobCount++
+	t.Breakdown.add(&a.breakdown)
+	l.metrics.recordEnded(j, &a.breakdown)
 }
 
-func (l *Log) keep(e Ended) {
-	if len(l.ended) < keptFinished {
-		l.ended = append(l.ended, e)
-		l.byID[e.ID] = len(l.ended) - 1
+func (l *Tracker) keepFinished(e FinishedAccount) {
+	if len(l.finished) < maxFinishedAccounts {
+		l.finished = append(l.finished, e)
+		l.slotByJob[e.JobID] = len(l.finished) - 1
 		return
 	}
-	delete(l.byID, l.ended[l.next].ID)
-	l.ended[l.next] = e
-	l.byID[e.ID] = l.next
-	l.next = (l.next + 1) % keptFinished
+	delete(l.slotByJob, l.finished[l.nextSlot].JobID)
+	l.finished[l.nextSlot] = e
+	l.slotByJob[e.JobID] = l.nextSlot
+	l.nextSlot = (l.nextSlot + 1) % maxFinishedAccounts
 }
 
-// Look counts the time since the last look to the causes that were seen then, and sees which hold
+// Sample counts the time since the last look to the causes that were seen then, and sees which hold
 // now. It is called every half second or so.
-func (l *Log) Look(now time.Time, v View) {
-	if !l.idle.IsZero() {
-		for j, a := range l.open {
-			a.until(sinceSubmission(j, l.idle))
-			a.cause = NoLeader
+func (l *Tracker) Sample(now time.Time, v ClusterState) {
+	if !l.idleSince.IsZero() {
+		for j, a := range l.accounts {
+			a.countUntil(msSinceSubmission(j, l.idleSince))
+			a.reason = NoLeader
 		}
-		l.idle = time.Time{}
+		l.idleSince = time.Time{}
 	}
-	seen := newSeen(v)
-	for j, a := range l.open {
-		a.until(sinceSubmission(j, now))
-		a.cause = seen.cause(now, j, a)
+	seen := newSample(v)
+	for j, a := range l.accounts {
+		a.countUntil(msSinceSubmission(j, now))
+		a.reason = seen.reasonFor(now, j, a)
 	}
-	l.metrics.open.Set(float64(len(l.open)))
-	l.tell(now)
+	l.metrics.openJobs.Set(float64(len(l.accounts)))
+	l.logTotals(now)
 }
 
-// Of is the account of a job up to now; false if this leader has none.
-func (l *Log) Of(now time.Time, j *jobs.Job) (Spent, Cause, bool) {
-	a := l.open[j]
+// Account is the account of a job up to now; false if this leader has none.
+func (l *Tracker) Account(now time.Time, j *jobs.Job) (Breakdown, WaitReason, bool) {
+	a := l.accounts[j]
 	if a == nil {
-		return Spent{}, 0, false
+		return Breakdown{}, 0, false
 	}
 	b := *a
-	b.until(sinceSubmission(j, now))
-	return b.spent, b.cause, true
+	b.countUntil(msSinceSubmission(j, now))
+	return b.breakdown, b.reason, true
 }
 
-// OfEnded is the account of a job that has ended under this leader, as long as it is kept.
-func (l *Log) OfEnded(id string) (Ended, bool) {
-	i, ok := l.byID[id]
+// FinishedAccount is the account of a job that has ended under this leader, as long as it is kept.
+func (l *Tracker) FinishedAccount(id string) (FinishedAccount, bool) {
+	i, ok := l.slotByJob[id]
 	if !ok {
-		return Ended{}, false
+		return FinishedAccount{}, false
 	}
-	return l.ended[i], true
+	return l.finished[i], true
 }
 
-// Tallies are the sums by team and class of the jobs that ended since a moment, of those that are
+// Totals are the sums by team and class of the jobs that ended since a moment, of those that are
 // kept, or all under this leader if it is zero. Empty names stand for any.
-func (l *Log) Tallies(team, class string, since time.Time) []Tally {
-	sums := l.sums
+func (l *Tracker) Totals(team, class string, since time.Time) []GroupTotal {
+	sums := l.totals
 	if !since.IsZero() {
-		sums = map[group]*Tally{}
-		for _, e := range l.ended {
-			if e.At.Before(since) {
+		sums = map[groupKey]*GroupTotal{}
+		for _, e := range l.finished {
+			if e.EndedAt.Before(since) {
 				continue
 			}
-			k := group{e.Team, e.Class}
+			k := groupKey{e.Team, e.Class}
 			if sums[k] == nil {
-				sums[k] = &Tally{Team: e.Team, Class: e.Class}
+				sums[k] = &GroupTotal{Team: e.Team, Class: e.Class}
 			}
-			sums[k].Jobs++
-			sums[k].Spent.add(&e.Spent)
+			sums[k].JobCount++
+			sums[k].Breakdown.add(&e.Breakdown)
 		}
 	}
-	var list []Tally
-	for _, k := range slices.SortedFunc(maps.Keys(sums), func(a, b group) int {
+	var list []GroupTotal
+	for _, k := range slices.SortedFunc(maps.Keys(sums), func(a, b groupKey) int {
 		return slices.Compare([]string{a.team, a.class}, []string{b.team, b.class})
 	}) {
 		if (team == "" || team == k.team) && (class == "" || class == k.class) {
@@ -285,77 +285,77 @@
 	return list
 }
 
-// Open is the number of accounts that are not ended.
-func (l *Log) Open() int { return len(l.open) }
+// OpenCount is the number of accounts that are not ended.
+func (l *Tracker) OpenCount() int { return len(l.accounts) }
 
-// tell logs a line for each class now and then, so that a day's log ends with them.
-func (l *Log) tell(now time.Time) {
-	if now.Before(l.nextTell) {
+// logTotals logs a line for each class now and then, so that a day's log ends with them.
+func (l *Tracker) logTotals(now time.Time) {
+	if now.Before(l.nextLog) {
 		return
 	}
-	first := l.nextTell.IsZero()
-	l.nextTell = now.Add(tallyInterval)
+	first := l.nextLog.IsZero()
+	l.nextLog = now.Add(logInterval)
 	if first {
 		return
 	}
-	for _, t := range l.Tallies("", "", time.Time{}) {
-		args := []any{"team", t.Team, "class", t.Class, "jobs", t.Jobs, "seconds", t.Spent.Total() / 1000}
-		for c, ms := range t.Spent {
+	for _, t := range l.Totals("", "", time.Time{}) {
+		args := []any{"team", t.Team, "class", t.Class, "jobs", t.JobCount, "seconds", t.Breakdown.Total() / 1000}
+		for c, ms := range t.Breakdown {
 			if ms > 0 {
-				args = append(args, Cause(c).String(), fmt.Sprintf("%.1f%%", 100*float64(ms)/float64(t.Spent.Total())))
+				args = append(args, WaitReason(c).String(), fmt.Sprintf("%.1f%%", 100*float64(ms)/float64(t.Breakdown.Total())))
 			}
 		}
-		l.log.Info("where the time went", args...)
+		l.logger.Info("where the time went", args...)
 	}
 }
 
 const (
-	// mostKept bounds the causes that the ledger keeps of a job: the largest; the rest goes to
+	// maxEncodedReasons bounds the causes that the ledger keeps of a job: the largest; the rest goes to
 	// Unknown, so that the sum stays what it is.
-	mostKept = 8
-	// longestMs fits into six bytes of a varint: over a hundred years.
-	longestMs = 1<<42 - 1
-	// KeptBytes is the most that Kept needs.
-	KeptBytes = (mostKept*(1+6)*4 + 2) / 3
+	maxEncodedReasons = 8
+	// maxEncodedMs fits into six bytes of a varint: over a hundred years.
+	maxEncodedMs = 1<<42 - 1
+	// MaxEncodedBytes is the most that Kept needs.
+	MaxEncodedBytes = (maxEncodedReasons*(1+6)*4 + 2) / 3
 )
 
-// pack is a byte for the cause and a varint of its milliseconds, for those that are not zero.
-func (s *Spent) pack() string {
+// encode is a byte for the cause and a varint of its milliseconds, for those that are not zero.
+func (s *Breakdown) encode() string {
 	kept := *s
-	order := make([]int, 0, CauseCount)
+	order := make([]int, 0, WaitReasonCount)
 	for c := range kept {
-		if kept[c] > 0 && Cause(c) != Unknown {
+		if kept[c] > 0 && WaitReason(c) != EarlierLeader {
 			order = append(order, c)
 		}
 	}
-	if len(order) >= mostKept {
+	if len(order) >= maxEncodedReasons {
 		slices.SortFunc(order, func(a, b int) int { return cmp.Compare(kept[b], kept[a]) })
-		for _, c := range order[mostKept-1:] {
-			kept[Unknown] += kept[c]
+		for _, c := range order[maxEncodedReasons-1:] {
+			kept[EarlierLeader] += kept[c]
 			kept[c] = 0
 		}
 	}
-	raw := make([]byte, 0, mostKept*4)
+	raw := make([]byte, 0, maxEncodedReasons*4)
 	for c, ms := range kept {
 		if ms > 0 {
 			raw = append(raw, byte(c))
-			raw = binary.AppendUvarint(raw, uint64(min(ms, longestMs)))
+			raw = binary.AppendUvarint(raw, uint64(min(ms, maxEncodedMs)))
 		}
 	}
 	return base64.RawStdEncoding.EncodeToString(raw)
 }
 
-func parse(kept string) (Spent, error) {
-	var s Spent
+func parseBreakdown(kept string) (Breakdown, error) {
+	var s Breakdown
 	raw, err := base64.RawStdEncoding.DecodeString(kept)
 	if err != nil {
-		return Spent{}, fmt.Errorf("account: %w", err)
+		return Breakdown{}, fmt.Errorf("account: %w", err)
 	}
 	for len(raw) > 0 {
 		c := int(raw[0])
 		ms, n := binary.Uvarint(raw[1:])
-		if n <= 0 || c >= CauseCount || ms > longestMs {
-			return Spent{}, fmt.Errorf("account: cause %d is cut short or unknown", c)
+		if n <= 0 || c >= WaitReasonCount || ms > maxEncodedMs {
+			return Breakdown{}, fmt.Errorf("account: cause %d is cut short or unknown", c)
 		}
 		s[c] += int64(ms)
 		raw = raw[1+n:]
--- a/internal/controller/timeline/timeline_test.go
+++ b/internal/controller/timeline/timeline_test.go
@@ -20,47 +20,47 @@
 
 func TestMain(m *testing.M) { steady.Main(m) }
 
-func newLog() *Log {
+func newLog() *Tracker {
 	l, _ := newLogAndFigures()
 	return l
 }
 
-func newLogAndFigures() (*Log, *prometheus.Registry) {
+func newLogAndFigures() (*Tracker, *prometheus.Registry) {
 	registry := prometheus.NewRegistry()
 	return New(NewMetrics(registry), slog.New(slog.DiscardHandler)), registry
 }
 
 func newJob(i, tasks int, at time.Time) *jobs.Job {
-	j := jobs.NewJob(jobs.Spec{ID: fmt.Sprintf("job-%06d", i), Team: "t", Class: "c", Tasks: tasks, CPUs: 1, Mem: 1, Spot: true}, at)
+	j := jobs.New(jobs.Spec{ID: fmt.Sprintf("job-%06d", i), Team: "t", Class: "c", Tasks: tasks, CPUs: 1, MemoryGB: 1, AllowsSpot: true}, at)
 	j.State = jobs.Accepted
 	return j
 }
 
 // site is a fleet of one kind of machine.
 type site struct {
-	View
+	ClusterState
 	now time.Time
 }
 
 func newSite() *site {
 	log := slog.New(slog.DiscardHandler)
-	r := &site{now: time.Unix(10_000, 0), View: View{Placing: true, Healthy: true, Teams: map[string]config.Team{"t": {Name: "t", CPULimit: 100}},
-		Fleet: workers.NewRegistry(time.Minute, log), Cloud: fleet.New(1, 2, time.Second, log)}}
+	r := &site{now: time.Unix(10_000, 0), ClusterState: ClusterState{FailoverCompleted: true, StorageHealthy: true, Teams: map[string]config.Team{"t": {Name: "t", CPULimit: 100}},
+		Workers: workers.NewRegistry(time.Minute, log), Cloud: fleet.New(1, 2, time.Second, log)}}
 	r.Cloud.Types = map[string]*fleet.Type{"small": {Name: "small", CPUs: 2, Mem: 8, Zones: []string{"a"}}}
 	return r
 }
 
 func (r *site) machine(i int) *workers.Machine {
-	m := r.Fleet.GetOrAdd(fmt.Sprintf("vm-%d", i))
-	r.Fleet.Reconcile(r.now, m, &workers.Heartbeat{Machine: m.ID, Type: "small", Zone: "a", Incarnation: 1, Sequence: m.Sequence + 1}, true, func(string) *jobs.Job { return nil })
-	r.Fleet.SetCapacity(m, place.TypeResources(r.Cloud.Types["small"]), 0, 0)
+	m := r.Workers.GetOrAdd(fmt.Sprintf("vm-%d", i))
+	r.Workers.Reconcile(r.now, m, &workers.Heartbeat{Machine: m.ID, Type: "small", Zone: "a", Incarnation: 1, Sequence: m.Sequence + 1}, true, func(string) *jobs.Job { return nil })
+	r.Workers.SetCapacity(m, place.TypeResources(r.Cloud.Types["small"]), 0, 0)
 	return m
 }
 
 func (r *site) start(m *workers.Machine, j *jobs.Job) *jobs.Attempt {
-	t := j.NextTask()
-	a := &jobs.Attempt{Key: jobs.Key{Job: j.ID, Task: t}, Number: uint64(t + 1), Machine: m.ID, Zone: m.Zone, Job: j, Assigned: r.now}
-	r.Fleet.Assign(m, a)
+	t := j.TakeNextTask()
+	a := &jobs.Attempt{Task: jobs.TaskID{JobID: j.ID, Index: t}, Number: uint64(t + 1), MachineID: m.ID, Zone: m.Zone, Job: j, AssignedAt: r.now}
+	r.Workers.Assign(m, a)
 	return a
 }
 
@@ -70,13 +70,13 @@
 	l, registry := newLogAndFigures()
 	j, other := newJob(1, 2, r.now), newJob(2, 9, r.now)
 	j.State = jobs.Pending
-	l.Begin(j)
-	var want Spent
-	step := func(cause Cause, before func()) {
+	l.Open(j)
+	var want Breakdown
+	step := func(cause WaitReason, before func()) {
 		t.Helper()
 		before()
-		l.Look(r.now, r.View)
-		if _, got, _ := l.Of(r.now, j); got != cause {
+		l.Sample(r.now, r.ClusterState)
+		if _, got, _ := l.Account(r.now, j); got != cause {
 			t.Errorf("%v instead of %v", got, cause)
 		}
 		want[cause] += 1500
@@ -85,36 +85,41 @@
 	var m *workers.Machine
 	var a, b *jobs.Attempt
 	step(NotAccepted, func() {})
-	step(StateAway, func() { r.Healthy = false })
-	step(NoLeader, func() { r.Healthy, r.Placing, j.State = true, false, jobs.Accepted })
-	step(NoMachine, func() { r.Placing = true })
-	step(Booting, func() { r.Cloud.Seen(r.now, "vm-1", "", fleet.Kind{Type: "small", Zone: "a"}) })
-	step(AwaitReport, func() { m = r.machine(1) })
-	step(Held, func() { m.ReservedFor = other })
-	step(Behind, func() { m.ReservedFor = nil; r.start(m, other); r.start(m, other) })
-	step(Behind, func() {
+	step(StateUnavailable, func() { r.StorageHealthy = false })
+	step(NoLeader, func() { r.StorageHealthy, r.FailoverCompleted, j.State = true, false, jobs.Accepted })
+	step(NoMachineRented, func() { r.FailoverCompleted = true })
+	step(MachineBooting, func() { r.Cloud.Seen(r.now, "vm-1", "", fleet.Kind{Type: "small", Zone: "a"}) })
+	step(AwaitingHeartbeat, func() { m = r.machine(1) })
+	step(Reserved, func() { m.ReservedFor = other })
+	step(Queued, func() { m.ReservedFor = nil; r.start(m, other); r.start(m, other) })
+	step(Queued, func() {
 		m = r.machine(3)
-		r.Order = []plan.Entry{{Job: other}, {Job: j}}
+		r.Queue = []plan.Entry{{Job: other}, {Job: j}}
 	})
-	step(TeamLimit, func() { r.Teams["t"] = config.Team{Name: "t", CPULimit: 2} })
-	step(AwaitReport, func() { r.Order = nil; r.Teams["t"] = config.Team{}; m = r.machine(2); a = r.start(m, j) })
-	step(AwaitReport, func() { b = r.start(m, j) })
-	step(Image, func() { a.Seen, b.Seen = 1, 1 })
-	step(Image, func() { j.SawRunning(a, r.now) })
-	step(Running, func() { j.SawRunning(b, r.now) })
-	step(Running, func() { j.TaskDone(a.Key.Task); j.Detach(a); l.TaskDone(j, a.Key.Task) })
-	step(LostMachine, func() { r.Fleet.ReleaseAll(m); j.Again(b.Key.Task); l.Lost(j, b.Key.Task, LostMachine) })
-	step(LostMachine, func() { b = r.start(m, j) })
-	step(NotDurable, func() { j.SawRunning(b, r.now); j.TaskDone(b.Key.Task); l.TaskDone(j, b.Key.Task); j.Finishing = true })
-	step(StateAway, func() { r.Healthy = false })
-	l.Away(r.now)
+	step(TeamQuota, func() { r.Teams["t"] = config.Team{Name: "t", CPULimit: 2} })
+	step(AwaitingHeartbeat, func() { r.Queue = nil; r.Teams["t"] = config.Team{}; m = r.machine(2); a = r.start(m, j) })
+	step(AwaitingHeartbeat, func() { b = r.start(m, j) })
+	step(FetchingImage, func() { a.LastSeenReconcile, b.LastSeenReconcile = 1, 1 })
+	step(FetchingImage, func() { j.MarkRunning(a, r.now) })
+	step(Running, func() { j.MarkRunning(b, r.now) })
+	step(Running, func() { j.MarkTaskDone(a.Task.Index); j.RemoveAttempt(a); l.MarkTaskDone(j, a.Task.Index) })
+	step(MachineLost, func() { r.Workers.ReleaseAll(m); j.Requeue(b.Task.Index); l.MarkTaskLost(j, b.Task.Index, MachineLost) })
+	step(MachineLost, func() { b = r.start(m, j) })
+	step(NotDurable, func() {
+		j.MarkRunning(b, r.now)
+		j.MarkTaskDone(b.Task.Index)
+		l.MarkTaskDone(j, b.Task.Index)
+		j.IsFinishing = true
+	})
+	step(StateUnavailable, func() { r.StorageHealthy = false })
+	l.LeaseLost(r.now)
 	want[NoLeader] += 700
 	r.now = r.now.Add(700 * time.Millisecond)
-	l.Look(r.now, r.View)
+	l.Sample(r.now, r.ClusterState)
 	j.State = jobs.Done
-	l.Close(r.now, j)
-	e, ok := l.OfEnded(j.ID)
-	if !ok || e.Spent != want || e.Spent.Total() != r.now.Sub(j.Submitted).Milliseconds() {
+	l.Finish(r.now, j)
+	e, ok := l.FinishedAccount(j.ID)
+	if !ok || e.Breakdown != want || e.Breakdown.Total() != r.now.Sub(j.SubmittedAt).Milliseconds() {
 		t.Errorf("%+v, want %v", e, want)
 	}
 	families, err := registry.Gather()
@@ -130,7 +135,7 @@
 			t.Errorf("%s sums to %g", f.GetName(), sum)
 		}
 	}
-	if all := l.Tallies("t", "", time.Time{}); len(all) != 1 || all[0].Jobs != 1 || all[0].Spent != want || len(l.Tallies("t", "x", time.Time{})) > 0 {
+	if all := l.Totals("t", "", time.Time{}); len(all) != 1 || all[0].JobCount != 1 || all[0].Breakdown != want || len(l.Totals("t", "x", time.Time{})) > 0 {
 		t.Errorf("%+v", all)
 	}
 }
@@ -144,7 +149,7 @@
 		list := []*jobs.Job{}
 		for i := range rapid.IntRange(1, 4).Draw(t, "jobs") {
 			list = append(list, newJob(i, 3, r.now))
-			l.Begin(list[i])
+			l.Open(list[i])
 		}
 		ended := map[string]int64{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -152,26 +157,26 @@
 			j := rapid.SampledFrom(list).Draw(t, "job")
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0:
-				l.Look(r.now, r.View)
+				l.Sample(r.now, r.ClusterState)
 			case 1:
-				l.Away(r.now)
+				l.LeaseLost(r.now)
 			case 2:
-				r.Placing, r.Healthy = rapid.Bool().Draw(t, "placing"), rapid.Bool().Draw(t, "healthy")
+				r.FailoverCompleted, r.StorageHealthy = rapid.Bool().Draw(t, "placing"), rapid.Bool().Draw(t, "healthy")
 			case 3:
-				if j.Waiting() > 0 && m.TasksThatFit(j) > 0 {
+				if j.WaitingTasks() > 0 && m.TasksThatFit(j) > 0 {
 					a := r.start(m, j)
-					j.SawRunning(a, r.now)
+					j.MarkRunning(a, r.now)
 				}
 			case 4:
-				for _, e := range r.Fleet.ReleaseAll(m) {
-					e.Attempt.Job.Again(e.Attempt.Key.Task)
-					l.Lost(e.Attempt.Job, e.Attempt.Key.Task, Stopped)
+				for _, e := range r.Workers.ReleaseAll(m) {
+					e.Attempt.Job.Requeue(e.Attempt.Task.Index)
+					l.MarkTaskLost(e.Attempt.Job, e.Attempt.Task.Index, Preempted)
 				}
 			case 5:
 				if _, over := ended[j.ID]; !over {
 					j.State = jobs.Done
-					l.Close(r.now, j)
-					ended[j.ID] = sinceSubmission(j, r.now)
+					l.Finish(r.now, j)
+					ended[j.ID] = msSinceSubmission(j, r.now)
 				}
 			case 6: // another leader, whose clock is a little behind or ahead
 				next := newLog()
@@ -180,30 +185,30 @@
 					if _, over := ended[j.ID]; over {
 						continue
 					}
-					kept := l.Kept(j)
-					if len(kept) > KeptBytes || len(kept)+12 > jobs.SpentReserve {
+					kept := l.EncodedAccount(j)
+					if len(kept) > MaxEncodedBytes || len(kept)+12 > jobs.MaxTimeAccountBytes {
 						t.Fatalf("%d bytes are kept", len(kept))
 					}
 					next.Restore(j, kept, r.now.Add(skew))
 				}
-				for _, e := range l.ended {
-					next.keep(e)
+				for _, e := range l.finished {
+					next.keepFinished(e)
 				}
-				next.sums, l = l.sums, next
+				next.totals, l = l.totals, next
 				r.now = r.now.Add(max(skew, 0))
 			}
 		}
 		sum := int64(0)
 		for id, ms := range ended {
-			e, ok := l.OfEnded(id)
+			e, ok := l.FinishedAccount(id)
 			// A clock that went back by a change of leader takes nothing back.
-			if !ok || e.Spent.Total() < ms || e.Spent.Total() > ms+500 {
-				t.Fatalf("%s: %d ms are accounted for, want %d", id, e.Spent.Total(), ms)
+			if !ok || e.Breakdown.Total() < ms || e.Breakdown.Total() > ms+500 {
+				t.Fatalf("%s: %d ms are accounted for, want %d", id, e.Breakdown.Total(), ms)
 			}
-			sum += e.Spent.Total()
+			sum += e.Breakdown.Total()
 		}
-		for _, a := range l.Tallies("", "", time.Time{}) {
-			sum -= a.Spent.Total()
+		for _, a := range l.Totals("", "", time.Time{}) {
+			sum -= a.Breakdown.Total()
 		}
 		if sum != 0 {
 			t.Fatalf("the sums by class differ by %d ms", sum)
@@ -215,22 +220,22 @@
 // stays. What cannot be read is an error.
 func TestKeptAccounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s Spent
-		for range rapid.IntRange(0, CauseCount).Draw(t, "causes") {
-			s[rapid.IntRange(0, CauseCount-1).Draw(t, "cause")] = int64(rapid.IntRange(0, 1<<40).Draw(t, "ms"))
+		var s Breakdown
+		for range rapid.IntRange(0, WaitReasonCount).Draw(t, "causes") {
+			s[rapid.IntRange(0, WaitReasonCount-1).Draw(t, "cause")] = int64(rapid.IntRange(0, 1<<40).Draw(t, "ms"))
 		}
-		got, err := parse(s.pack())
+		got, err := parseBreakdown(s.encode())
 		if err != nil || got.Total() != s.Total() {
 			t.Fatalf("%v came back as %v: %v", s, got, err)
 		}
 		for c := range got {
-			if got[c] != s[c] && got[c] != 0 && Cause(c) != Unknown {
+			if got[c] != s[c] && got[c] != 0 && WaitReason(c) != EarlierLeader {
 				t.Fatalf("%v came back as %v", s, got)
 			}
 		}
 	})
 	for _, text := range []string{"?", "AA", "//8B"} {
-		if _, err := parse(text); err == nil {
+		if _, err := parseBreakdown(text); err == nil {
 			t.Errorf("%q can be read", text)
 		}
 	}
@@ -239,18 +244,18 @@
 // The accounts that are kept of finished jobs are the last ones.
 func TestFinishedAccountsAreBounded(t *testing.T) {
 	l, now := newLog(), time.Unix(10_000, 0)
-	for i := range keptFinished + 50 {
+	for i := range maxFinishedAccounts + 50 {
 		j := newJob(i, 1, now)
-		l.Begin(j)
+		l.Open(j)
 		now = now.Add(time.Second)
-		l.Close(now, j)
+		l.Finish(now, j)
 	}
-	_, first := l.OfEnded("job-000049")
-	_, last := l.OfEnded(fmt.Sprintf("job-%06d", keptFinished+49))
-	if len(l.ended) != keptFinished || len(l.byID) != keptFinished || first || !last {
-		t.Errorf("%d are kept, the 50th %v, the last %v", len(l.byID), first, last)
+	_, first := l.FinishedAccount("job-000049")
+	_, last := l.FinishedAccount(fmt.Sprintf("job-%06d", maxFinishedAccounts+49))
+	if len(l.finished) != maxFinishedAccounts || len(l.slotByJob) != maxFinishedAccounts || first || !last {
+		t.Errorf("%d are kept, the 50th %v, the last %v", len(l.slotByJob), first, last)
 	}
-	if got := l.Tallies("", "", now.Add(-9500*time.Millisecond)); len(got) != 1 || got[0].Jobs != 10 {
+	if got := l.Totals("", "", now.Add(-9500*time.Millisecond)); len(got) != 1 || got[0].JobCount != 10 {
 		t.Errorf("of the last 9.5 s: %+v", got)
 	}
 }
@@ -262,15 +267,15 @@
 			r, l := newSite(), newLog()
 			for i := range size {
 				j := newJob(i, 3, r.now)
-				j.CPUs, j.Mem = 1, 1+float64(i%20)/100
+				j.CPUs, j.MemoryGB = 1, 1+float64(i%20)/100
 				m := r.machine(i)
 				r.start(m, j)
 				r.start(m, j)
-				l.Begin(j)
+				l.Open(j)
 			}
 			for b.Loop() {
 				r.now = r.now.Add(time.Second)
-				l.Look(r.now, r.View)
+				l.Sample(r.now, r.ClusterState)
 			}
 		})
 	}
--- a/internal/controller/workers/reach/model_test.go
+++ b/internal/controller/workers/reach/model_test.go
@@ -51,7 +51,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		tracker, now := newTestTracker(), time.Unix(1000, 0)
 		model := &workerModel{incarnation: 1}
-		machine := &workers.Machine{ID: "vm-1", Registered: rapid.Bool().Draw(t, "rostered"), Attempts: map[jobs.Key]*jobs.Attempt{}}
+		machine := &workers.Machine{ID: "vm-1", Registered: rapid.Bool().Draw(t, "rostered"), Attempts: map[jobs.TaskID]*jobs.Attempt{}}
 		registry := workers.NewRegistry(testLease, slog.New(slog.DiscardHandler))
 		newestSentAt, hasReceivedAnything := time.Time{}, false
 		classifiedFresh := map[int]bool{}
@@ -139,7 +139,7 @@
 		"a new session":                        {[]workers.Heartbeat{newHeartbeat(1, 8, testFencingToken), newHeartbeat(2, 1, testFencingToken), newHeartbeat(1, 9, testFencingToken)}, "[3 3 0]"},
 		"it begins anew, and its session ends": {[]workers.Heartbeat{newHeartbeat(1, 3, testFencingToken), newHeartbeat(1, 1, 0), newHeartbeat(1, 4, 0), newHeartbeat(1, 5, testFencingToken), newHeartbeat(2, 1, testFencingToken)}, "[3 0 0 0 3]"},
 	} {
-		tracker, machine := newTestTracker(), &workers.Machine{ID: "vm-1", Registered: true, Attempts: map[jobs.Key]*jobs.Attempt{}}
+		tracker, machine := newTestTracker(), &workers.Machine{ID: "vm-1", Registered: true, Attempts: map[jobs.TaskID]*jobs.Attempt{}}
 		var got []Freshness
 		for _, r := range c.reports {
 			got = append(got, classify(tracker, machine, r))
@@ -154,7 +154,7 @@
 // without an answer it counts as silent, however punctual its reports are. If it answers again it goes on.
 func TestReportingMachineMayBeUnreachable(t *testing.T) {
 	tracker, now := newTestTracker(), time.Unix(1000, 0)
-	machine := &workers.Machine{ID: "vm-1", Registered: true, Attempts: map[jobs.Key]*jobs.Attempt{}}
+	machine := &workers.Machine{ID: "vm-1", Registered: true, Attempts: map[jobs.TaskID]*jobs.Attempt{}}
 	registry := workers.NewRegistry(testLease, slog.New(slog.DiscardHandler))
 	sequence := uint64(0)
 	sendHeartbeat := func() Freshness {
@@ -173,8 +173,8 @@
 	if !tracker.IsReachable(machine) {
 		t.Fatal("no starts though it has seen our token")
 	}
-	job := jobs.NewJob(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1}, now)
-	registry.Assign(machine, &jobs.Attempt{Key: jobs.Key{Job: "job-1"}, Number: 1, Machine: machine.ID, Job: job, Assigned: now})
+	job := jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1}, now)
+	registry.Assign(machine, &jobs.Attempt{Task: jobs.TaskID{JobID: "job-1"}, Number: 1, MachineID: machine.ID, Job: job, AssignedAt: now})
 	sendHeartbeat()
 	if suspicion := tracker.linkOf(machine).suspicion; tracker.IsReachable(machine) || suspicion != StartsLost || len(tracker.TakeProbeRequests()) == 0 {
 		t.Errorf("doubt %v, and it gets starts %v", suspicion, tracker.IsReachable(machine))
