--- a/internal/controller/workers/reach/reach.go
+++ b/internal/controller/workers/reach/reach.go
@@ -177,7 +177,7 @@
 // RecordEnded takes in the attempts that a report of the machine has shown to be gone.
 func (t *Tracker) RecordEnded(now time.Time, machine *workers.Machine, ended []workers.EndedAttempt) {
 	for _, attempt := range ended {
-		if attempt.Reason == workers.ReasonLost && attempt.Attempt.Seen == 0 && !attempt.Attempt.Unsent {
+		if attempt.Reason == workers.ReasonLost && attempt.Attempt.LastSeenReconcile == 0 && !attempt.Attempt.IsUnsent {
 			t.suspect(now, machine, t.linkOf(machine), StartsLost)
 			t.probeRequests = append(t.probeRequests, machine)
 			return
--- a/internal/controller/workers/workers.go
+++ b/internal/controller/workers/workers.go
@@ -21,7 +21,7 @@
 	LeaseRenewedAt        time.Time // when we last sent it a 200
 	LastContactAt         time.Time // when it last lived for certain: a new report, or an answer to a question (set by reach)
 	IsUnreachable         bool      // it reports, and seems to hear nothing of us (set by reach)
-	Attempts              map[jobs.Key]*jobs.Attempt
+	Attempts              map[jobs.TaskID]*jobs.Attempt
 	UsedCPUs              float64
 	UsedGPUs              float64
 	UsedMemoryGB          float64
@@ -48,8 +48,8 @@
 // TasksThatFit is how many tasks of the job there is room for.
 func (r Resources) TasksThatFit(j *jobs.Job) int {
 	count := limitByResource(j.Tasks, j.CPUs, r.CPUs)
-	count = limitByResource(count, j.Cards, r.GPUs)
-	return max(limitByResource(count, j.Mem, r.MemoryGB), 0)
+	count = limitByResource(count, j.GPUs, r.GPUs)
+	return max(limitByResource(count, j.MemoryGB, r.MemoryGB), 0)
 }
 
 func limitByResource(count int, need, available float64) int {
@@ -62,7 +62,7 @@
 // AfterPlacing is the room that is left beside so many tasks of the job.
 func (r Resources) AfterPlacing(j *jobs.Job, tasks int) Resources {
 	count := float64(tasks)
-	return Resources{r.CPUs - count*j.CPUs, r.GPUs - count*j.Cards, r.MemoryGB - count*j.Mem}
+	return Resources{r.CPUs - count*j.CPUs, r.GPUs - count*j.GPUs, r.MemoryGB - count*j.MemoryGB}
 }
 
 // Available is the room that is not taken.
@@ -79,24 +79,24 @@
 }
 
 func (m *Machine) addAttempt(attempt *jobs.Attempt) {
-	m.Attempts[attempt.Key] = attempt
+	m.Attempts[attempt.Task] = attempt
 	if attempt.Job != nil {
 		m.ImageCache.RecordUse(attempt.Job.Image, attempt.Job.ImageGB)
 		m.UsedCPUs += attempt.Job.CPUs
-		m.UsedGPUs += attempt.Job.Cards
-		m.UsedMemoryGB += attempt.Job.Mem
+		m.UsedGPUs += attempt.Job.GPUs
+		m.UsedMemoryGB += attempt.Job.MemoryGB
 	}
 }
 
 func (m *Machine) removeAttempt(attempt *jobs.Attempt) {
-	if m.Attempts[attempt.Key] != attempt {
+	if m.Attempts[attempt.Task] != attempt {
 		return
 	}
-	delete(m.Attempts, attempt.Key)
+	delete(m.Attempts, attempt.Task)
 	if attempt.Job != nil {
 		m.UsedCPUs -= attempt.Job.CPUs
-		m.UsedGPUs -= attempt.Job.Cards
-		m.UsedMemoryGB -= attempt.Job.Mem
+		m.UsedGPUs -= attempt.Job.GPUs
+		m.UsedMemoryGB -= attempt.Job.MemoryGB
 	}
 	if len(m.Attempts) == 0 {
 		m.UsedCPUs, m.UsedGPUs, m.UsedMemoryGB = 0, 0, 0
@@ -149,7 +149,7 @@
 func (r *Registry) GetOrAdd(id string) *Machine {
 	machine := r.Machines[id]
 	if machine == nil {
-		machine = &Machine{ID: id, Attempts: map[jobs.Key]*jobs.Attempt{}, FailedJobs: map[string]bool{}}
+		machine = &Machine{ID: id, Attempts: map[jobs.TaskID]*jobs.Attempt{}, FailedJobs: map[string]bool{}}
 		r.Machines[id] = machine
 	}
 	return machine
@@ -236,9 +236,9 @@
 	}
 	usage := r.TeamUsage(attempt.Job.Team)
 	usage.CPUs += attempt.Job.CPUs
-	usage.GPUs += attempt.Job.Cards
-	if !attempt.Stray {
-		attempt.Job.Attach(attempt)
+	usage.GPUs += attempt.Job.GPUs
+	if !attempt.IsOrphan {
+		attempt.Job.AddAttempt(attempt)
 	}
 }
 
@@ -251,8 +251,8 @@
 	}
 	usage := r.TeamUsage(attempt.Job.Team)
 	usage.CPUs -= attempt.Job.CPUs
-	usage.GPUs -= attempt.Job.Cards
-	attempt.Job.Detach(attempt)
+	usage.GPUs -= attempt.Job.GPUs
+	attempt.Job.RemoveAttempt(attempt)
 }
 
 // IsNewer reports whether the report is newer than what is known of its machine.
@@ -280,7 +280,7 @@
 	var ended []EndedAttempt
 	for i := range heartbeat.Tasks {
 		status := &heartbeat.Tasks[i]
-		key, err := jobs.ParseKey(status.Task)
+		key, err := jobs.ParseTaskID(status.Task)
 		if err != nil {
 			r.log.Info("a worker reports an impossible task", "machine", machine.ID, "task", status.Task)
 			continue
@@ -293,7 +293,7 @@
 			} else if status.Reason == ReasonDone {
 				// Done by an attempt of which we hold nothing, such as one that an
 				// earlier leader started: its result counts all the same.
-				ended = append(ended, EndedAttempt{&jobs.Attempt{Key: key, Number: status.Attempt, Machine: machine.ID, Zone: machine.Zone, Job: findJob(key.Job)}, ReasonDone, false})
+				ended = append(ended, EndedAttempt{&jobs.Attempt{Task: key, Number: status.Attempt, MachineID: machine.ID, Zone: machine.Zone, Job: findJob(key.JobID)}, ReasonDone, false})
 			}
 			continue
 		}
@@ -304,17 +304,17 @@
 			}
 			attempt = r.adopt(now, machine, key, status.Attempt, findJob)
 		}
-		attempt.Seen = r.reconcileCount
+		attempt.LastSeenReconcile = r.reconcileCount
 		switch {
 		case status.State == StateRunning && attempt.Job != nil:
-			attempt.Job.SawRunning(attempt, now)
+			attempt.Job.MarkRunning(attempt, now)
 		case status.State == StateCheckpointing:
-			attempt.Saving = true
+			attempt.IsCheckpointing = true
 		}
 	}
 	if complete || isNewIncarnation {
 		for _, attempt := range machine.Attempts {
-			if attempt.Seen != r.reconcileCount && !attempt.Unsent {
+			if attempt.LastSeenReconcile != r.reconcileCount && !attempt.IsUnsent {
 				r.release(machine, attempt)
 				ended = append(ended, EndedAttempt{attempt, ReasonLost, false})
 			}
@@ -341,11 +341,11 @@
 
 // adopt takes in an attempt of which we hold nothing. Unless its task may run here, it
 // is a stray: it holds its place until it is gone, and is to be stopped.
-func (r *Registry) adopt(now time.Time, machine *Machine, key jobs.Key, number uint64, findJob JobLookup) *jobs.Attempt {
-	job := findJob(key.Job)
-	attempt := &jobs.Attempt{Key: key, Number: number, Machine: machine.ID, Zone: machine.Zone, Job: job, Assigned: now}
-	attempt.Stray = job == nil || key.Task >= job.Tasks || !job.Live() || job.IsDone(key.Task) || job.Active[key.Task] != nil
-	if job != nil && key.Task >= job.Tasks {
+func (r *Registry) adopt(now time.Time, machine *Machine, key jobs.TaskID, number uint64, findJob JobLookup) *jobs.Attempt {
+	job := findJob(key.JobID)
+	attempt := &jobs.Attempt{Task: key, Number: number, MachineID: machine.ID, Zone: machine.Zone, Job: job, AssignedAt: now}
+	attempt.IsOrphan = job == nil || key.Index >= job.Tasks || !job.IsSchedulable() || job.IsTaskDone(key.Index) || job.ActiveAttempts[key.Index] != nil
+	if job != nil && key.Index >= job.Tasks {
 		attempt.Job = nil
 	}
 	r.Assign(machine, attempt)
--- a/internal/controller/workers/workers_test.go
+++ b/internal/controller/workers/workers_test.go
@@ -11,7 +11,7 @@
 
 func newTestRegistry() (*Registry, *Machine, *jobs.Job, time.Time) {
 	f := NewRegistry(10*time.Second, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	j := jobs.NewJob(jobs.Spec{ID: "job-1", Team: "t", Tasks: 4, CPUs: 1, Mem: 1}, time.Unix(0, 0))
+	j := jobs.New(jobs.Spec{ID: "job-1", Team: "t", Tasks: 4, CPUs: 1, MemoryGB: 1}, time.Unix(0, 0))
 	j.State = jobs.Accepted
 	m := f.GetOrAdd("vm-1")
 	m.CPUs, m.MemoryGB = 8, 8
@@ -32,7 +32,7 @@
 func TestAttemptIsLostOnlyByNewerCompleteHeartbeat(t *testing.T) {
 	f, m, j, now := newTestRegistry()
 	f.reconcile(m, j, now, true, 2, 5)
-	a := &jobs.Attempt{Key: jobs.Key{Job: "job-1", Task: 0}, Number: 9, Machine: m.ID, Job: j}
+	a := &jobs.Attempt{Task: jobs.TaskID{JobID: "job-1", Index: 0}, Number: 9, MachineID: m.ID, Job: j}
 	f.Assign(m, a)
 	for _, c := range []struct {
 		name         string
@@ -56,7 +56,7 @@
 func TestStrayAttemptsHoldResources(t *testing.T) {
 	f, m, j, now := newTestRegistry()
 	f.reconcile(m, j, now, true, 1, 1, TaskStatus{Task: "job-1/2", Attempt: 3, State: StateRunning})
-	if f.TeamUsage("t").CPUs != 1 || j.Active[2] == nil {
+	if f.TeamUsage("t").CPUs != 1 || j.ActiveAttempts[2] == nil {
 		t.Fatal("a running task was not adopted")
 	}
 	other := f.GetOrAdd("vm-2")
@@ -64,8 +64,8 @@
 	f.reconcile(other, j, now, true, 1, 1, TaskStatus{Task: "job-1/2", Attempt: 4, State: StateRunning},
 		TaskStatus{Task: "job-1/77", Attempt: 4, State: StateRunning}, TaskStatus{Task: "nonsense", Attempt: 1, State: StateRunning})
 	for _, a := range other.Attempts {
-		if !a.Stray {
-			t.Errorf("%v is not a stray", a.Key)
+		if !a.IsOrphan {
+			t.Errorf("%v is not a stray", a.Task)
 		}
 	}
 	if f.TeamUsage("t").CPUs != 2 {
--- a/internal/standin/account_test.go
+++ b/internal/standin/account_test.go
@@ -41,7 +41,7 @@
 		if j.done[task] {
 			continue
 		}
-		key, state := (jobs.Key{Job: j.spec.ID, Task: task}).String(), ""
+		key, state := (jobs.TaskID{JobID: j.spec.ID, Index: task}).String(), ""
 		for _, m := range w.Cloud.running() {
 			if t := m.tasks[key]; t != nil && t.state == workers.StateExited && t.why != workers.ReasonDone {
 				r.failed[task] = true
@@ -101,9 +101,9 @@
 			return
 		}
 		spent = map[string]time.Duration{}
-		for _, s := range x.Account {
-			spent[s.Cause] += time.Duration(s.Ms) * time.Millisecond
-			sum += time.Duration(s.Ms) * time.Millisecond
+		for _, s := range x.TimeShares {
+			spent[s.Reason] += time.Duration(s.Milliseconds) * time.Millisecond
+			sum += time.Duration(s.Milliseconds) * time.Millisecond
 		}
 	})
 	w.Run(5 * time.Millisecond)
@@ -131,15 +131,15 @@
 		slack := opt.ReportEvery*5/4 + 1100*time.Millisecond // a report, a look, a message that takes long
 		for id, j := range w.model.jobs {
 			r := records[id]
-			if j.finished.IsZero() || j.asked || j.spec.Service {
+			if j.finished.IsZero() || j.asked || j.spec.IsService {
 				continue
 			}
 			spent, sum := w.account(id)
 			if spent == nil {
 				t.Fatalf("seed %d: no account of %s", seed, id)
 			}
-			mine := [phases]time.Duration{fetching: spent[timeline.Image.String()], running: spent[timeline.Running.String()],
-				making: spent[timeline.LostFailed.String()] + spent[timeline.LostMachine.String()] + spent[timeline.Stopped.String()],
+			mine := [phases]time.Duration{fetching: spent[timeline.FetchingImage.String()], running: spent[timeline.Running.String()],
+				making: spent[timeline.AttemptFailed.String()] + spent[timeline.MachineLost.String()] + spent[timeline.Preempted.String()],
 				over:   spent[timeline.NotDurable.String()]}
 			mine[waiting] = sum - mine[fetching] - mine[running] - mine[making] - mine[over]
 			for p := range phases {
@@ -192,16 +192,16 @@
 			}
 			for id, j := range w.model.jobs {
 				rec, ok := w.State.record(id)
-				if !ok || j.accepted.IsZero() || rec.Submitted == 0 || j.asked || !j.finished.IsZero() ||
+				if !ok || j.accepted.IsZero() || rec.SubmittedMs == 0 || j.asked || !j.finished.IsZero() ||
 					w.model.anyAbove(id, func(x *modelJob) bool { return x.asked }) {
 					continue // an account ends with a cancellation, also with that of a job that is needed
 				}
 				spent, sum := w.account(id)
-				age := w.Now.Sub(time.UnixMilli(rec.Submitted))
+				age := w.Now.Sub(time.UnixMilli(rec.SubmittedMs))
 				if len(spent) > 0 && (sum-age).Abs() > 150*time.Millisecond {
 					t.Errorf("seed %d: %s: its account sums to %v, its age is %v: %v", seed, id, sum, age, spent)
 				}
-				if spent[timeline.Unknown.String()] > 0 {
+				if spent[timeline.EarlierLeader.String()] > 0 {
 					unknown++
 				}
 			}
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -57,7 +57,7 @@
 }
 
 type onMachine struct {
-	key     jobs.Key
+	key     jobs.TaskID
 	attempt uint64
 	state   string
 	why     string
@@ -437,7 +437,7 @@
 
 func (m *machine) execute(list []workers.Command) {
 	for _, c := range list {
-		key, err := jobs.ParseKey(c.Task)
+		key, err := jobs.ParseTaskID(c.Task)
 		if err != nil {
 			m.w.breakRule("a command for %q", c.Task)
 			return
@@ -467,7 +467,7 @@
 	}
 }
 
-func (m *machine) begin(key jobs.Key, c workers.Command) {
+func (m *machine) begin(key jobs.TaskID, c workers.Command) {
 	if t := m.tasks[c.Task]; t != nil {
 		if t.attempt == c.Attempt {
 			return
@@ -523,7 +523,7 @@
 	}
 	t.state, t.why, t.saved = workers.StateExited, why, saved
 	if why == workers.ReasonError {
-		m.failed[t.key.Job] = true
+		m.failed[t.key.JobID] = true
 	}
 	if why == workers.ReasonDone {
 		m.w.model.taskDone(t.key)
--- a/internal/standin/day.go
+++ b/internal/standin/day.go
@@ -126,7 +126,7 @@
 	for _, k := range famineWork {
 		for at := time.Duration(0); at < submits; at += k.every / 4 {
 			s := k.spec
-			s.ID, s.Image, s.ImageGB, s.Spot, s.Estimate = fmt.Sprintf("job-%07d", n), s.Class, 0.5, true, k.run
+			s.ID, s.Image, s.ImageGB, s.AllowsSpot, s.RunTimeEstimate = fmt.Sprintf("job-%07d", n), s.Class, 0.5, true, k.run
 			if n++; n%25 == 0 {
 				s.Tasks *= 10
 			}
@@ -167,7 +167,9 @@
 	}
 	for class, list := range byClass {
 		for name, size := range map[string]func(*modelJob) float64{
-			"by work":  func(j *modelJob) float64 { return float64(j.spec.Tasks) * j.spec.Estimate.Seconds() * j.spec.CPUs },
+			"by work": func(j *modelJob) float64 {
+				return float64(j.spec.Tasks) * j.spec.RunTimeEstimate.Seconds() * j.spec.CPUs
+			},
 			"by tasks": func(j *modelJob) float64 { return float64(j.spec.Tasks) },
 		} {
 			slices.SortStableFunc(list, func(a, b *modelJob) int { return cmp.Compare(size(b), size(a)) })
--- a/internal/standin/famine.go
+++ b/internal/standin/famine.go
@@ -55,11 +55,11 @@
 	run   time.Duration
 	every time.Duration
 }{
-	{jobs.Spec{Class: "urgent", Team: "red", Priority: jobs.High, Tasks: 8, CPUs: 1, Mem: 1, Deadline: 40 * time.Second}, 10 * time.Second, time.Second},
-	{jobs.Spec{Class: "batch", Team: "red", Priority: jobs.Normal, Tasks: 30, CPUs: 1, Mem: 1}, 12 * time.Second, 6 * time.Second},
-	{jobs.Spec{Class: "flood", Team: "blue", Priority: jobs.Normal, Tasks: 20, CPUs: 2, Mem: 2}, 15 * time.Second, 8 * time.Second},
-	{jobs.Spec{Class: "archive", Team: "guests", Priority: jobs.Low, Tasks: 10, CPUs: 4, Mem: 4, Checkpoint: 10 * time.Second, Save: time.Second}, 30 * time.Second, 24 * time.Second},
-	{jobs.Spec{Class: "scan", Team: "guests", Priority: jobs.Low, Tasks: 400, CPUs: 0.25, Mem: 0.5}, 40 * time.Second, time.Hour},
+	{jobs.Spec{Class: "urgent", Team: "red", Priority: jobs.High, Tasks: 8, CPUs: 1, MemoryGB: 1, Deadline: 40 * time.Second}, 10 * time.Second, time.Second},
+	{jobs.Spec{Class: "batch", Team: "red", Priority: jobs.Normal, Tasks: 30, CPUs: 1, MemoryGB: 1}, 12 * time.Second, 6 * time.Second},
+	{jobs.Spec{Class: "flood", Team: "blue", Priority: jobs.Normal, Tasks: 20, CPUs: 2, MemoryGB: 2}, 15 * time.Second, 8 * time.Second},
+	{jobs.Spec{Class: "archive", Team: "guests", Priority: jobs.Low, Tasks: 10, CPUs: 4, MemoryGB: 4, CheckpointInterval: 10 * time.Second, CheckpointDuration: time.Second}, 30 * time.Second, 24 * time.Second},
+	{jobs.Spec{Class: "scan", Team: "guests", Priority: jobs.Low, Tasks: 400, CPUs: 0.25, MemoryGB: 0.5}, 40 * time.Second, time.Hour},
 }
 
 // Famine plays the day: from the first minute on for seven, six in ten of the machines are to be had, the
@@ -75,7 +75,7 @@
 			}
 			for range times {
 				s := k.spec
-				s.ID, s.Image, s.ImageGB, s.Spot, s.Estimate = fmt.Sprintf("job-%07d", n), s.Class, 0.5, true, k.run
+				s.ID, s.Image, s.ImageGB, s.AllowsSpot, s.RunTimeEstimate = fmt.Sprintf("job-%07d", n), s.Class, 0.5, true, k.run
 				n++
 				run := time.Duration(float64(k.run) * (0.7 + 0.6*w.Rng.Float64()))
 				w.At(at+time.Duration(w.Rng.Int64N(int64(time.Second))), func() { w.Users.Send(s, run) })
--- a/internal/standin/hunt.go
+++ b/internal/standin/hunt.go
@@ -65,7 +65,7 @@
 			continue
 		}
 		for t := range j.spec.Tasks {
-			on[id] = append(on[id], u.w.model.where[jobs.Key{Job: id, Task: t}]...)
+			on[id] = append(on[id], u.w.model.where[jobs.TaskID{JobID: id, Index: t}]...)
 		}
 		if len(on[id]) > 0 {
 			list = append(list, id)
@@ -101,7 +101,7 @@
 		}
 		return ""
 	}
-	s := jobs.Spec{ID: fmt.Sprintf("job-8%06d", u.odd), Class: "odd", Team: "none", Tasks: 1, CPUs: 1, Mem: 1, Image: "i", Spot: true, Estimate: time.Second}
+	s := jobs.Spec{ID: fmt.Sprintf("job-8%06d", u.odd), Class: "odd", Team: "none", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AllowsSpot: true, RunTimeEstimate: time.Second}
 	if len(u.w.Opt.Teams) > 0 {
 		s.Team = u.w.Opt.Teams[0].Name
 	}
@@ -151,7 +151,7 @@
 }
 
 func (m *model) lookForWaiting() {
-	busy := map[jobs.Key]bool{}
+	busy := map[jobs.TaskID]bool{}
 	used := map[string]float64{}
 	up := m.w.Cloud.running()
 	room := map[*machine][2]float64{}
@@ -159,8 +159,8 @@
 		cpus, mem := h.flavor.CPUs, h.flavor.Mem
 		for _, t := range h.tasks {
 			busy[t.key] = true
-			if j := m.jobs[t.key.Job]; j != nil && t.why == "" {
-				cpus, mem = cpus-j.spec.CPUs, mem-j.spec.Mem
+			if j := m.jobs[t.key.JobID]; j != nil && t.why == "" {
+				cpus, mem = cpus-j.spec.CPUs, mem-j.spec.MemoryGB
 				used[j.spec.Team] += j.spec.CPUs
 			}
 		}
@@ -185,7 +185,7 @@
 }
 
 // couldStart lists the machines that have room for a task of the job that waits, none if no task waits.
-func (m *model) couldStart(id string, j *modelJob, busy map[jobs.Key]bool, used map[string]float64, up []*machine, room map[*machine][2]float64) []*machine {
+func (m *model) couldStart(id string, j *modelJob, busy map[jobs.TaskID]bool, used map[string]float64, up []*machine, room map[*machine][2]float64) []*machine {
 	s := j.spec
 	if j.accepted.IsZero() || j.asked || j.mistaken || !j.cancelled.IsZero() || m.anyNeed(id, func(x *modelJob) bool { return x.finished.IsZero() }) {
 		return nil
@@ -193,7 +193,7 @@
 	waits := false
 	zones, there := map[string]int{}, 0
 	for t := range s.Tasks {
-		k := jobs.Key{Job: id, Task: t}
+		k := jobs.TaskID{JobID: id, Index: t}
 		waits = waits || !j.done[t] && !busy[k]
 		for _, h := range m.where[k] {
 			if m.holds(h) {
@@ -212,12 +212,12 @@
 	}
 	return slices.DeleteFunc(slices.Clone(up), func(h *machine) bool {
 		r := room[h]
-		return !(h.notice.IsZero() && !h.faulty && !h.failed[id] && h.allows(s) && r[0] >= s.CPUs && r[1] >= s.Mem &&
-			(!s.OneZone || there == zones[h.zone]) && (!s.Spread || zones[h.zone] < (s.Tasks+1)/2))
+		return !(h.notice.IsZero() && !h.faulty && !h.failed[id] && h.allows(s) && r[0] >= s.CPUs && r[1] >= s.MemoryGB &&
+			(!s.SingleZone || there == zones[h.zone]) && (!s.SpreadAcrossZones || zones[h.zone] < (s.Tasks+1)/2))
 	})
 }
 
 // allows reports whether tasks of the job may be on the machine at all.
 func (m *machine) allows(s jobs.Spec) bool {
-	return (len(s.Types) == 0 || slices.Contains(s.Types, m.flavor.Name)) && (s.Zone == "" || s.Zone == m.zone) && (!m.spot || s.Spot)
+	return (len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, m.flavor.Name)) && (s.Zone == "" || s.Zone == m.zone) && (!m.spot || s.AllowsSpot)
 }
--- a/internal/standin/live/history.go
+++ b/internal/standin/live/history.go
@@ -11,10 +11,10 @@
 // told to forget its result: from then on only the state service knows it.
 type History struct {
 	mu       sync.Mutex
-	where    map[jobs.Key]string
+	where    map[jobs.TaskID]string
 	attempts map[uint64]string
-	done     map[jobs.Key]bool
-	over     map[jobs.Key]bool
+	done     map[jobs.TaskID]bool
+	over     map[jobs.TaskID]bool
 	needs    map[string][]need
 
 	Started    int
@@ -29,7 +29,7 @@
 }
 
 func newHistory() *History {
-	return &History{where: map[jobs.Key]string{}, attempts: map[uint64]string{}, done: map[jobs.Key]bool{}, over: map[jobs.Key]bool{}, needs: map[string][]need{}}
+	return &History{where: map[jobs.TaskID]string{}, attempts: map[uint64]string{}, done: map[jobs.TaskID]bool{}, over: map[jobs.TaskID]bool{}, needs: map[string][]need{}}
 }
 
 func (h *History) broke(format string, args ...any) {
@@ -38,7 +38,7 @@
 	h.Broken = append(h.Broken, fmt.Sprintf(format, args...))
 }
 
-func (h *History) on(key jobs.Key, attempt uint64, machine string) {
+func (h *History) on(key jobs.TaskID, attempt uint64, machine string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.Started++
@@ -52,9 +52,9 @@
 		h.Duplicated++
 		h.Broken = append(h.Broken, fmt.Sprintf("%s starts again after its result was durable", key))
 	}
-	for _, n := range h.needs[key.Job] {
+	for _, n := range h.needs[key.JobID] {
 		for i := range n.tasks {
-			if !h.done[jobs.Key{Job: n.job, Task: i}] {
+			if !h.done[jobs.TaskID{JobID: n.job, Index: i}] {
 				h.Broken = append(h.Broken, fmt.Sprintf("too_early: %s starts before %s is done", key, n.job))
 				break
 			}
@@ -71,7 +71,7 @@
 	h.needs[job] = append(h.needs[job], need{other, tasks})
 }
 
-func (h *History) off(key jobs.Key, machine string) {
+func (h *History) off(key jobs.TaskID, machine string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.where[key] == machine {
@@ -79,13 +79,13 @@
 	}
 }
 
-func (h *History) finished(key jobs.Key) {
+func (h *History) finished(key jobs.TaskID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.done[key] = true
 }
 
-func (h *History) forgotten(key jobs.Key) {
+func (h *History) forgotten(key jobs.TaskID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.over[key] = true
@@ -97,7 +97,7 @@
 	defer h.mu.Unlock()
 	n := 0
 	for i := range tasks {
-		if h.done[jobs.Key{Job: job, Task: i}] {
+		if h.done[jobs.TaskID{JobID: job, Index: i}] {
 			n++
 		}
 	}
--- a/internal/standin/live/worker.go
+++ b/internal/standin/live/worker.go
@@ -36,7 +36,7 @@
 }
 
 type task struct {
-	key     jobs.Key
+	key     jobs.TaskID
 	attempt uint64
 	state   string
 	why     string
@@ -193,7 +193,7 @@
 
 func (w *worker) execute(list []workers.Command) {
 	for _, c := range list {
-		key, err := jobs.ParseKey(c.Task)
+		key, err := jobs.ParseTaskID(c.Task)
 		if err != nil {
 			w.cloud.History.broke("a command for %q", c.Task)
 			continue
--- a/internal/standin/meetings_test.go
+++ b/internal/standin/meetings_test.go
@@ -102,8 +102,8 @@
 	for seed := range uint64(4) {
 		w, leader := busy(t, seed)
 		for i := range 12 {
-			s := jobs.Spec{ID: fmt.Sprintf("job-2%03d", i), Class: "apart", Team: "none", Tasks: 2 + i%2, CPUs: 0.5, Mem: 0.5, Image: "i", Spot: true,
-				Priority: jobs.High, Estimate: 10 * time.Second}
+			s := jobs.Spec{ID: fmt.Sprintf("job-2%03d", i), Class: "apart", Team: "none", Tasks: 2 + i%2, CPUs: 0.5, MemoryGB: 0.5, Image: "i", AllowsSpot: true,
+				Priority: jobs.High, RunTimeEstimate: 10 * time.Second}
 			w.At(time.Duration(i)*300*time.Millisecond, func() {
 				w.Users.Send(s, 5*time.Second)
 				w.model.jobs[s.ID].apart = 20 * time.Second
@@ -167,8 +167,8 @@
 		}
 		for i := range 40 {
 			w.At(time.Duration(i)*time.Second, func() {
-				w.Users.Send(jobs.Spec{ID: fmt.Sprintf("job-3%03d", i), Class: "short", Team: "none", Tasks: 5, CPUs: 1, Mem: 1, Image: "i", Spot: true,
-					Priority: jobs.High, Estimate: 4 * time.Second}, 4*time.Second)
+				w.Users.Send(jobs.Spec{ID: fmt.Sprintf("job-3%03d", i), Class: "short", Team: "none", Tasks: 5, CPUs: 1, MemoryGB: 1, Image: "i", AllowsSpot: true,
+					Priority: jobs.High, RunTimeEstimate: 4 * time.Second}, 4*time.Second)
 			})
 		}
 		w.At(8*time.Second, func() { w.Crash(leader, 200*time.Millisecond) })
@@ -333,8 +333,8 @@
 		w, _ := busy(t, seed)
 		for i := range int(every.Seconds()) * rounds {
 			w.At(time.Duration(i)*time.Second, func() {
-				w.Users.Send(jobs.Spec{ID: fmt.Sprintf("job-4%03d", i), Class: "short", Team: "none", Tasks: 2, CPUs: 1, Mem: 1, Image: "i", Spot: true,
-					Priority: jobs.High, Estimate: 2 * time.Second}, 2*time.Second)
+				w.Users.Send(jobs.Spec{ID: fmt.Sprintf("job-4%03d", i), Class: "short", Team: "none", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", AllowsSpot: true,
+					Priority: jobs.High, RunTimeEstimate: 2 * time.Second}, 2*time.Second)
 			})
 		}
 		placed, looks := 0, 0
--- a/internal/standin/mistakes_test.go
+++ b/internal/standin/mistakes_test.go
@@ -44,7 +44,7 @@
 			quarantined := machinesIn{}
 			w := New(seed, opt, slog.New(quarantined))
 			job := func(id string, tasks int) jobs.Spec {
-				return jobs.Spec{ID: "job-" + id, Class: "c", Team: "none", Tasks: tasks, CPUs: 1, Mem: 1, Image: "i", Spot: true, Estimate: 12 * time.Second}
+				return jobs.Spec{ID: "job-" + id, Class: "c", Team: "none", Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "i", AllowsSpot: true, RunTimeEstimate: 12 * time.Second}
 			}
 			for i := range 80 {
 				w.At(time.Duration(i)*2*time.Second, func() { w.Users.Send(job(fmt.Sprintf("%06d", i), 12), 12*time.Second) })
@@ -91,7 +91,7 @@
 					t.Errorf("seed %d: %s was started %d times, %d of these under later leaders", seed, id, n, n-at70[id])
 				}
 				x := w.explained(id)
-				if told := strings.Join(x.Because, "; "); !strings.Contains(told, "submitted with a mistake") {
+				if told := strings.Join(x.Reasons, "; "); !strings.Contains(told, "submitted with a mistake") {
 					t.Errorf("seed %d: %s is not explained: %s", seed, id, told)
 				}
 			}
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -11,7 +11,7 @@
 type model struct {
 	w     *World
 	jobs  map[string]*modelJob
-	where map[jobs.Key][]*machine
+	where map[jobs.TaskID][]*machine
 	tries map[uint64]string // attempt -> task and machine
 	Ran   int
 }
@@ -37,21 +37,21 @@
 }
 
 func newModel(w *World) *model {
-	return &model{w: w, jobs: map[string]*modelJob{}, where: map[jobs.Key][]*machine{}, tries: map[uint64]string{}}
+	return &model{w: w, jobs: map[string]*modelJob{}, where: map[jobs.TaskID][]*machine{}, tries: map[uint64]string{}}
 }
 
-func (m *model) runTime(k jobs.Key) time.Duration {
-	if j := m.jobs[k.Job]; j != nil {
-		return j.run + time.Duration(k.Task)*j.apart
+func (m *model) runTime(k jobs.TaskID) time.Duration {
+	if j := m.jobs[k.JobID]; j != nil {
+		return j.run + time.Duration(k.Index)*j.apart
 	}
 	return time.Second
 }
 
-func (m *model) fails(k jobs.Key) bool { return m.jobs[k.Job] != nil && m.jobs[k.Job].mistaken }
+func (m *model) fails(k jobs.TaskID) bool { return m.jobs[k.JobID] != nil && m.jobs[k.JobID].mistaken }
 
-func (m *model) saves(k jobs.Key) bool {
-	j := m.jobs[k.Job]
-	return j != nil && j.spec.Checkpoint > 0
+func (m *model) saves(k jobs.TaskID) bool {
+	j := m.jobs[k.JobID]
+	return j != nil && j.spec.CheckpointInterval > 0
 }
 
 // holds reports whether the machine's worker can still have tasks: it kills them when its
@@ -66,7 +66,7 @@
 	if before, ok := m.tries[t.attempt]; ok {
 		m.w.breakRule("attempt %d of %s on %s was used before: %s", t.attempt, t.key, h.id, before)
 	}
-	if j := m.jobs[t.key.Job]; j != nil {
+	if j := m.jobs[t.key.JobID]; j != nil {
 		j.starts++
 	}
 	m.tries[t.attempt] = fmt.Sprintf("%s on %s", t.key, h.id)
@@ -75,7 +75,7 @@
 // on is called when a task is on its machine: it has its image.
 func (m *model) on(h *machine, t *onMachine) {
 	m.Ran++
-	j := m.jobs[t.key.Job]
+	j := m.jobs[t.key.JobID]
 	if j == nil || !j.tried {
 		m.w.breakRule("a task of an unknown job runs: %s", t.key)
 		return
@@ -83,7 +83,7 @@
 	if j.began.IsZero() {
 		j.began, j.firstBy = m.w.Now, t.attempt
 	}
-	if t.key.Task >= j.spec.Tasks {
+	if t.key.Index >= j.spec.Tasks {
 		m.w.breakRule("an impossible task runs: %s", t.key)
 	}
 	for _, o := range m.where[t.key] {
@@ -91,7 +91,7 @@
 			m.w.breakRule("ran_twice: %s on %s while on %s", t.key, h.id, o.id)
 		}
 	}
-	m.needsAreMet(t.key.Job)
+	m.needsAreMet(t.key.JobID)
 	m.where[t.key] = append(m.where[t.key], h)
 	if !j.cancelled.IsZero() && m.w.Now.Sub(j.cancelled) > m.w.Opt.Cancel {
 		m.w.breakRule("ran_cancelled: %s starts %v after its user was told", t.key, m.w.Now.Sub(j.cancelled))
@@ -102,25 +102,25 @@
 	}
 }
 
-func (m *model) kind(h *machine, k jobs.Key, j *modelJob) {
+func (m *model) kind(h *machine, k jobs.TaskID, j *modelJob) {
 	s := j.spec
 	if !h.allows(s) {
 		m.w.breakRule("wrong_place: %s on %s", k, h.id)
 	}
 	zones := map[string]int{}
 	for t := range s.Tasks {
-		for _, o := range m.where[jobs.Key{Job: k.Job, Task: t}] {
+		for _, o := range m.where[jobs.TaskID{JobID: k.JobID, Index: t}] {
 			if m.holds(o) {
 				zones[o.zone]++
 			}
 		}
 	}
-	if s.OneZone && len(zones) > 1 {
-		m.w.breakRule("wrong_place: %s is in %d zones", k.Job, len(zones))
+	if s.SingleZone && len(zones) > 1 {
+		m.w.breakRule("wrong_place: %s is in %d zones", k.JobID, len(zones))
 	}
 	for z, n := range zones {
-		if s.Spread && n > (s.Tasks+1)/2 {
-			m.w.breakRule("wrong_place: %d tasks of %s are in zone %s", n, k.Job, z)
+		if s.SpreadAcrossZones && n > (s.Tasks+1)/2 {
+			m.w.breakRule("wrong_place: %d tasks of %s are in zone %s", n, k.JobID, z)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 	used := 0.0
 	for k, list := range m.where {
 		for _, h := range list {
-			if j := m.jobs[k.Job]; j.spec.Team == team && m.holds(h) {
+			if j := m.jobs[k.JobID]; j.spec.Team == team && m.holds(h) {
 				used += j.spec.CPUs
 			}
 		}
@@ -152,12 +152,12 @@
 	}
 }
 
-func (m *model) taskDone(k jobs.Key) {
-	if j := m.jobs[k.Job]; j != nil {
-		again := j.done[k.Task]
-		j.done[k.Task] = true
+func (m *model) taskDone(k jobs.TaskID) {
+	if j := m.jobs[k.JobID]; j != nil {
+		again := j.done[k.Index]
+		j.done[k.Index] = true
 		if len(j.done) == j.spec.Tasks && !again {
-			m.w.Users.ended(k.Job)
+			m.w.Users.ended(k.JobID)
 		}
 	}
 }
@@ -220,7 +220,7 @@
 
 // stopped is called when a command stops a task.
 func (m *model) stopped(t *onMachine) {
-	j := m.jobs[t.key.Job]
+	j := m.jobs[t.key.JobID]
 	if j != nil && !j.asked && !j.began.IsZero() && j.firstBy == t.attempt && m.w.Now.Sub(j.began) < startStands {
 		j.began = time.Time{}
 	}
@@ -247,7 +247,7 @@
 
 func (m *model) mustBeGone(id string) {
 	for t := range m.jobs[id].spec.Tasks {
-		for _, h := range m.where[jobs.Key{Job: id, Task: t}] {
+		for _, h := range m.where[jobs.TaskID{JobID: id, Index: t}] {
 			if m.holds(h) {
 				m.w.breakRule("ran_cancelled: %s/%d is still on %s", id, t, h.id)
 			}
--- a/internal/standin/night_test.go
+++ b/internal/standin/night_test.go
@@ -58,7 +58,7 @@
 			run = min(max(run, time.Second), 20*c.run)
 			estimate := time.Duration(float64(run) / (0.7 + 1.2*rng.Float64()))
 			s := jobs.Spec{ID: fmt.Sprintf("job-%07d", n), Class: c.name, Team: c.team, Priority: c.priority, Tasks: 1 + rng.IntN(2*c.tasks),
-				CPUs: c.cpus, Mem: 1, Image: c.name, ImageGB: 0.5, Spot: true, Estimate: estimate,
+				CPUs: c.cpus, MemoryGB: 1, Image: c.name, ImageGB: 0.5, AllowsSpot: true, RunTimeEstimate: estimate,
 				Deadline: time.Duration(c.deadline * float64(estimate))}
 			n++
 			w.At(time.Duration(at*float64(length)), func() { w.Users.Send(s, run) })
@@ -98,8 +98,8 @@
 				w.At(at, func() {
 					most = max(most, len(w.Cloud.running()))
 					for _, id := range w.Users.ids[max(len(w.Users.ids)-600, 0):] {
-						if rec, ok := w.State.record(id); ok && rec.StartBy > 0 {
-							stated[id] = time.Duration(rec.StartBy) * time.Second
+						if rec, ok := w.State.record(id); ok && rec.FirstStartBoundSeconds > 0 {
+							stated[id] = time.Duration(rec.FirstStartBoundSeconds) * time.Second
 						}
 					}
 				})
--- a/internal/standin/pipelines.go
+++ b/internal/standin/pipelines.go
@@ -15,7 +15,7 @@
 			break
 		}
 		id := u.ids[u.w.Rng.IntN(len(u.ids))]
-		if j := u.w.model.jobs[id]; !j.accepted.IsZero() && !j.spec.Service && !j.mistaken {
+		if j := u.w.model.jobs[id]; !j.accepted.IsZero() && !j.spec.IsService && !j.mistaken {
 			list = append(list, id)
 		}
 	}
@@ -31,14 +31,14 @@
 	}
 	var send func(i int)
 	send = func(i int) {
-		s := jobs.Spec{ID: ids[i], Class: "pipeline", Team: team, Tasks: tasks, CPUs: 1, Mem: 1, Image: "i", Spot: true, Estimate: run}
+		s := jobs.Spec{ID: ids[i], Class: "pipeline", Team: team, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "i", AllowsSpot: true, RunTimeEstimate: run}
 		for _, n := range needs[i] {
 			x := u.w.model.jobs[ids[n]]
 			if x == nil || x.accepted.IsZero() {
 				u.w.At(200*time.Millisecond, func() { send(i) })
 				return
 			}
-			s.Needs = append(s.Needs, ids[n])
+			s.Dependencies = append(s.Dependencies, ids[n])
 		}
 		if i == len(needs)-1 {
 			s.Deadline, s.Priority = deadline, jobs.High
@@ -53,7 +53,7 @@
 
 // anyNeed reports whether something holds of a job that this one names.
 func (m *model) anyNeed(id string, holds func(*modelJob) bool) bool {
-	for _, need := range m.jobs[id].spec.Needs {
+	for _, need := range m.jobs[id].spec.Dependencies {
 		if holds(m.jobs[need]) {
 			return true
 		}
@@ -63,7 +63,7 @@
 
 // anyAbove reports whether something holds of a job that this one needs, directly or through others.
 func (m *model) anyAbove(id string, holds func(*modelJob) bool) bool {
-	for _, need := range m.jobs[id].spec.Needs {
+	for _, need := range m.jobs[id].spec.Dependencies {
 		if holds(m.jobs[need]) || m.anyAbove(need, holds) {
 			return true
 		}
@@ -73,7 +73,7 @@
 
 // needsAreMet is called when a task of the job is on a machine.
 func (m *model) needsAreMet(id string) {
-	for _, need := range m.jobs[id].spec.Needs {
+	for _, need := range m.jobs[id].spec.Dependencies {
 		x := m.jobs[need]
 		if len(x.done) < x.spec.Tasks {
 			m.w.breakRule("too_early: a task of %s runs before %s is done", id, need)
@@ -88,7 +88,7 @@
 // mustNotBeOrphaned is called when a user is told that a job is queued or runs.
 func (m *model) mustNotBeOrphaned(id string, asked time.Time) {
 	late := func(x *modelJob) bool { return !x.cancelled.IsZero() && asked.Sub(x.cancelled) > m.w.Opt.Cancel }
-	if len(m.jobs[id].spec.Needs) > 0 && m.anyAbove(id, late) {
+	if len(m.jobs[id].spec.Dependencies) > 0 && m.anyAbove(id, late) {
 		m.w.breakRule("orphaned: %s is not called cancelled", id)
 	}
 }
--- a/internal/standin/pipelines_test.go
+++ b/internal/standin/pipelines_test.go
@@ -119,7 +119,7 @@
 			need := []string{"job-750000", "job-7500000000000000", "job-7510000", "job-75000000000010000"}[i]
 			w.At(time.Duration(i*300)*time.Millisecond, func() {
 				s := w.model.jobs[need].spec
-				s.ID, s.Needs = "job-"+name, []string{need}
+				s.ID, s.Dependencies = "job-"+name, []string{need}
 				w.Users.Send(s, time.Second)
 			})
 			if i < 2 {
@@ -153,7 +153,7 @@
 		ids := w.Users.Pipeline("81", chain(1), 2, 3*time.Second, time.Minute, "none")
 		w.Run(1500 * time.Millisecond)
 		s := w.model.jobs[ids[0]].spec
-		s.ID, s.Needs = "job-82", []string{ids[0]}
+		s.ID, s.Dependencies = "job-82", []string{ids[0]}
 		w.At(time.Duration(w.Rng.IntN(60))*time.Millisecond, func() { w.Users.Send(s, time.Second) })
 		w.At(time.Duration(w.Rng.IntN(60))*time.Millisecond+time.Duration(seed%2)*3500*time.Millisecond, func() { w.Users.cancel(ids[0]) })
 		if seed%3 == 0 {
@@ -176,7 +176,7 @@
 	w.Run(6 * time.Second)
 	for i, needs := range [][]string{{"job-999"}, {ids[0], "job-8400"}, {"job-84000000000000002"}} {
 		s := w.model.jobs[ids[0]].spec
-		s.ID, s.Needs = "job-840"+string(rune('0'+i)), needs
+		s.ID, s.Dependencies = "job-840"+string(rune('0'+i)), needs
 		w.Users.mustRefuse(s.ID, Wire(s), 422)
 	}
 	for _, bad := range []any{"job-1", []string{"1"}, []int{3}, map[string]any{}} {
@@ -234,13 +234,13 @@
 		w, _ := limited(t, seed)
 		var ids []string
 		for i := range 4 {
-			need := jobs.Spec{ID: fmt.Sprintf("job-86%02d", i), Class: "need", Team: "red", Tasks: 4, CPUs: 1, Mem: 1, Image: "i", Spot: true, Estimate: 5 * time.Second}
+			need := jobs.Spec{ID: fmt.Sprintf("job-86%02d", i), Class: "need", Team: "red", Tasks: 4, CPUs: 1, MemoryGB: 1, Image: "i", AllowsSpot: true, RunTimeEstimate: 5 * time.Second}
 			if i == 3 {
 				need.Zone = "b"
 			}
 			w.Users.Send(need, 5*time.Second)
 			after := need
-			after.ID, after.Team, after.Needs = fmt.Sprintf("job-87%02d", i), "blue", []string{need.ID}
+			after.ID, after.Team, after.Dependencies = fmt.Sprintf("job-87%02d", i), "blue", []string{need.ID}
 			w.At(2*time.Second, func() { w.Users.Send(after, 3*time.Second) })
 			ids = append(ids, after.ID)
 		}
--- a/internal/standin/scale.go
+++ b/internal/standin/scale.go
@@ -28,7 +28,7 @@
 	cpus := 0
 	for i := 0; cpus < 12*machines; i++ { // more than the fleet has, all the time
 		s := jobs.Spec{ID: fmt.Sprintf("job-%07d", i), Class: fmt.Sprintf("class-%d", i%5), Team: "t", Priority: jobs.Normal, Tasks: tasks, CPUs: 1,
-			Mem: 1, Image: "img", ImageGB: 1, Spot: true, Estimate: run}
+			MemoryGB: 1, Image: "img", ImageGB: 1, AllowsSpot: true, RunTimeEstimate: run}
 		cpus += tasks
 		for again := range 5 {
 			id := s
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -402,7 +402,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return j.IsDurable, nil
+	return j.IsTaskDurable, nil
 }
 
 // sealed reads the history as the next leader would.
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -25,16 +25,16 @@
 // Wire is a submission as it goes over the wire.
 func Wire(s jobs.Spec) map[string]any {
 	kind := "array"
-	if s.Service {
+	if s.IsService {
 		kind = "service"
 	}
 	m := map[string]any{"id": s.ID, "berth": s.Class, "crew": s.Team, "rig": kind,
 		"heading": [...]string{"best_effort", "standard", "high", "critical"}[s.Priority], "strokes": s.Tasks,
-		"cpus": s.CPUs, "cards": s.Cards, "mem_gb": s.Mem, "hull": s.Image, "image_gb": s.ImageGB,
-		"one_zone": s.OneZone, "spread": s.Spread, "driftwood": s.Spot,
-		"voyage_s": s.Estimate.Seconds(), "mooring_s": s.Checkpoint.Seconds(), "tieup_s": s.Save.Seconds()}
-	if len(s.Needs) > 0 {
-		m["tows"] = s.Needs
+		"cpus": s.CPUs, "cards": s.GPUs, "mem_gb": s.MemoryGB, "hull": s.Image, "image_gb": s.ImageGB,
+		"one_zone": s.SingleZone, "spread": s.SpreadAcrossZones, "driftwood": s.AllowsSpot,
+		"voyage_s": s.RunTimeEstimate.Seconds(), "mooring_s": s.CheckpointInterval.Seconds(), "tieup_s": s.CheckpointDuration.Seconds()}
+	if len(s.Dependencies) > 0 {
+		m["tows"] = s.Dependencies
 	}
 	if s.Deadline > 0 {
 		m["landfall_s"] = s.Deadline.Seconds()
@@ -42,8 +42,8 @@
 	if s.Zone != "" {
 		m["harbour"] = s.Zone
 	}
-	if len(s.Types) > 0 {
-		m["keels"] = s.Types
+	if len(s.MachineTypes) > 0 {
+		m["keels"] = s.MachineTypes
 	}
 	return m
 }
@@ -53,8 +53,8 @@
 	r := u.w.Rng
 	run := time.Duration(1+r.IntN(12)) * time.Second
 	s := jobs.Spec{ID: fmt.Sprintf("job-%06d", u.next), Class: fmt.Sprintf("class-%d", r.IntN(3)), Priority: jobs.Priority(r.IntN(4)),
-		Tasks: 1 + r.IntN(cmp.Or(u.w.Opt.Arrays, 9)), CPUs: float64(1 + r.IntN(3)), Mem: 2, Image: "img", ImageGB: 1, Spot: r.IntN(3) > 0,
-		OneZone: r.IntN(6) == 0, Estimate: run, Team: "none"}
+		Tasks: 1 + r.IntN(cmp.Or(u.w.Opt.Arrays, 9)), CPUs: float64(1 + r.IntN(3)), MemoryGB: 2, Image: "img", ImageGB: 1, AllowsSpot: r.IntN(3) > 0,
+		SingleZone: r.IntN(6) == 0, RunTimeEstimate: run, Team: "none"}
 	if u.next%3 == 0 { // longer than the history's index knows exactly
 		s.ID = fmt.Sprintf("job-%014d", u.next)
 	}
@@ -62,30 +62,30 @@
 	if len(u.w.Opt.Teams) > 0 {
 		s.Team = u.w.Opt.Teams[r.IntN(len(u.w.Opt.Teams))].Name
 	}
-	if !s.OneZone && r.IntN(6) == 0 {
-		s.Spread = true
+	if !s.SingleZone && r.IntN(6) == 0 {
+		s.SpreadAcrossZones = true
 	}
-	if r.IntN(8) == 0 && !s.Spread {
+	if r.IntN(8) == 0 && !s.SpreadAcrossZones {
 		s.Zone = "b"
 	}
 	if r.IntN(8) == 0 {
-		s.Types = []string{"small"}
+		s.MachineTypes = []string{"small"}
 	}
 	if r.IntN(3) == 0 {
 		s.Deadline = 3*run + 10*time.Second
 	}
 	if r.IntN(3) == 0 {
-		s.Checkpoint, s.Save = 2*time.Second, time.Second
+		s.CheckpointInterval, s.CheckpointDuration = 2*time.Second, time.Second
 	}
 	if r.IntN(12) == 0 {
-		s.Service, s.Tasks, s.Deadline, s.Estimate = true, 1+r.IntN(2), 0, 0
+		s.IsService, s.Tasks, s.Deadline, s.RunTimeEstimate = true, 1+r.IntN(2), 0, 0
 		run = 1000 * time.Hour
 	}
 	if r.IntN(3) == 0 {
-		s.Needs = u.someNeeds(1 + r.IntN(2))
+		s.Dependencies = u.someNeeds(1 + r.IntN(2))
 	}
 	u.Send(s, run)
-	if r.IntN(5) == 0 || s.Service {
+	if r.IntN(5) == 0 || s.IsService {
 		u.w.At(time.Duration(r.IntN(40))*time.Second, func() { u.cancel(s.ID) })
 	}
 	if r.IntN(4) == 0 {
@@ -240,7 +240,7 @@
 // cancelled as their users know it.
 func (u *Users) Unfinished() int {
 	return u.count(func(j *modelJob) bool {
-		return !j.accepted.IsZero() && j.finished.IsZero() && j.cancelled.IsZero() && !j.spec.Service
+		return !j.accepted.IsZero() && j.finished.IsZero() && j.cancelled.IsZero() && !j.spec.IsService
 	})
 }
 
@@ -251,16 +251,16 @@
 
 // mustSurvive checks that a result that a worker forgets is kept in the state service.
 func (u *Users) mustSurvive(t *onMachine) {
-	j := u.w.model.jobs[t.key.Job]
+	j := u.w.model.jobs[t.key.JobID]
 	if j == nil || t.why != "done" || j.asked {
 		return
 	}
-	kept, err := u.w.State.results(t.key.Job)
+	kept, err := u.w.State.results(t.key.JobID)
 	if err != nil {
 		u.w.breakRule("the ledger cannot be read: %v", err)
 		return
 	}
-	if !kept(t.key.Task) {
+	if !kept(t.key.Index) {
 		u.w.breakRule("the result of %s is forgotten before it is durable", t.key)
 	}
 }
--- a/internal/standin/waiting_test.go
+++ b/internal/standin/waiting_test.go
@@ -20,16 +20,16 @@
 	opt.Tuning.FloorShare, opt.Tuning.LateShare, opt.Tuning.BeginBound = 0, 0, 0
 	w := New(seed, opt, quiet())
 	urgent := func(i int) {
-		w.Users.Send(jobs.Spec{ID: fmt.Sprintf("job-1%05d", i), Class: "urgent", Team: "desk", Priority: jobs.Production, Tasks: 9, CPUs: 1, Mem: 1,
-			Image: "u", ImageGB: 1, Spot: true, Estimate: 12 * time.Second, Deadline: 40 * time.Second}, 12*time.Second)
+		w.Users.Send(jobs.Spec{ID: fmt.Sprintf("job-1%05d", i), Class: "urgent", Team: "desk", Priority: jobs.Production, Tasks: 9, CPUs: 1, MemoryGB: 1,
+			Image: "u", ImageGB: 1, AllowsSpot: true, RunTimeEstimate: 12 * time.Second, Deadline: 40 * time.Second}, 12*time.Second)
 	}
 	for i := range 500 {
 		w.At(time.Duration(i)*time.Second, func() { urgent(i) })
 	}
 	for i := range 6 {
 		w.At(time.Duration(20+i)*time.Second, func() {
-			w.Users.Send(jobs.Spec{ID: fmt.Sprintf("job-%06d", i), Class: "ledger", Team: "harvest", Priority: jobs.Low, Tasks: 2, CPUs: 4, Mem: 4,
-				Image: "l", ImageGB: 1, Spot: true, Estimate: 20 * time.Second}, 20*time.Second)
+			w.Users.Send(jobs.Spec{ID: fmt.Sprintf("job-%06d", i), Class: "ledger", Team: "harvest", Priority: jobs.Low, Tasks: 2, CPUs: 4, MemoryGB: 4,
+				Image: "l", ImageGB: 1, AllowsSpot: true, RunTimeEstimate: 20 * time.Second}, 20*time.Second)
 		})
 	}
 	return w
@@ -66,14 +66,14 @@
 				for i := range 6 {
 					id := fmt.Sprintf("job-%06d", i)
 					x := w.explained(id)
-					bounds[id] = time.Duration(x.StartBy * float64(time.Second))
+					bounds[id] = time.Duration(x.FirstStartBoundSeconds * float64(time.Second))
 					if kept {
 						most = max(most, bounds[id])
 					}
 					if kept && bounds[id] == 0 {
 						t.Fatalf("seed %d: no bound is stated for %s: %+v", seed, id, x)
 					}
-					if len(x.Because) == 0 || x.Waiting.Waiting > 0 && x.Position < 1 {
+					if len(x.Reasons) == 0 || x.QueuedJob.WaitingTasks > 0 && x.Position < 1 {
 						t.Errorf("seed %d: %s is not explained: %+v", seed, id, x)
 					}
 				}
