--- a/internal/controller/fleet/golden_bytes_test.go
+++ b/internal/controller/fleet/golden_bytes_test.go
@@ -7,6 +7,6 @@
 )
 
 func TestGoldenBytes(t *testing.T) {
-	goldenbytes.Check(t, goldenbytes.MessagePack("machine type", Type{Name: "small", CPUs: 8, Cards: 2, Mem: 32.5, Price: 1.25, SpotPrice: 0.5,
-		BootS: 40, CacheGB: 100, FetchRate: 0.25, Zones: []string{"a", "b"}}))
+	goldenbytes.Check(t, goldenbytes.MessagePack("machine type", MachineType{Name: "small", CPUs: 8, GPUs: 2, MemoryGB: 32.5, HourlyPrice: 1.25, SpotHourlyPrice: 0.5,
+		BootSeconds: 40, ImageCacheGB: 100, FetchGBPerSecond: 0.25, Zones: []string{"a", "b"}}))
 }
--- a/internal/controller/fleet/queue.go
+++ b/internal/controller/fleet/queue.go
@@ -8,74 +8,74 @@
 )
 
 const (
-	// againShare is how much of the cloud's rate may go into calls that are repeated, so that these
+	// retryShare is how much of the cloud's rate may go into calls that are repeated, so that these
 	// never starve the others.
-	againShare = 0.5
-	// soonest and latest bound the wait before a call is repeated.
-	soonest = 250 * time.Millisecond
-	latest  = 5 * time.Second
-	// tripped is after how many calls without an answer in a row the cloud counts as away: then one
+	retryShare = 0.5
+	// minRetryDelay and latest bound the wait before a call is repeated.
+	minRetryDelay = 250 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
+	// breakerThreshold is after how many calls without an answer in a row the cloud counts as away: then one
 	// call at a time finds out whether it is back.
-	tripped = 5
-	// probing is how often that is.
-	probing = time.Second
+	breakerThreshold = 5
+	// probeInterval is how often that is.
+	probeInterval = time.Second
 )
 
-// queue is the calls that wait for the cloud's rate. What frees machines goes before what takes more;
+// callQueue is the calls that wait for the cloud's rate. What frees machines goes before what takes more;
 // what is repeated waits longer each time, not in step with others, and has a budget of its own. A
 // call that fails holds up no other call: once a rental in a zone that did not answer paused them all.
-type queue struct {
-	urgent, list []waiting
-	budget       *outbox.Limiter
-	rng          *rand.Rand
-	failed       int       // calls in a row that had no answer
-	probe        time.Time // nothing is called before this while the cloud is away
+type callQueue struct {
+	urgent, ordinary []queuedCall
+	retryBudget      *outbox.Limiter
+	rng              *rand.Rand
+	unansweredInRow  int       // calls in a row that had no answer
+	nextProbe        time.Time // nothing is called before this while the cloud is away
 }
 
-type waiting struct {
-	send  func(*outbox.Box)
-	after time.Time
-	again bool
+type queuedCall struct {
+	send      func(*outbox.Box)
+	notBefore time.Time
+	isRetry   bool
 }
 
-func newQueue(token uint64, rate float64) queue {
-	return queue{budget: outbox.NewLimiter(rate*againShare, max(burst, time.Duration(float64(time.Second)/(rate*againShare)))),
-		rng: rand.New(rand.NewPCG(token, 1))}
+func newCallQueue(fencingToken uint64, callsPerSecond float64) callQueue {
+	return callQueue{retryBudget: outbox.NewLimiter(callsPerSecond*retryShare, max(rateBurst, time.Duration(float64(time.Second)/(callsPerSecond*retryShare)))),
+		rng: rand.New(rand.NewPCG(fencingToken, 1))}
 }
 
 // add puts a new call into the queue: one that frees machines before all others.
-func (q *queue) add(urgent bool, send func(*outbox.Box)) {
+func (q *callQueue) add(urgent bool, send func(*outbox.Box)) {
 	if urgent {
-		q.urgent = append([]waiting{{send: send}}, q.urgent...)
+		q.urgent = append([]queuedCall{{send: send}}, q.urgent...)
 		return
 	}
-	q.list = append(q.list, waiting{send: send})
+	q.ordinary = append(q.ordinary, queuedCall{send: send})
 }
 
-// again puts a call back that has failed so many times before.
-func (q *queue) again(now time.Time, urgent bool, tries int, send func(*outbox.Box)) {
-	w := waiting{send, now.Add(q.jitter(min(soonest<<min(tries, 6), latest))), true}
+// retry puts a call back that has failed so many times before.
+func (q *callQueue) retry(now time.Time, urgent bool, retries int, send func(*outbox.Box)) {
+	w := queuedCall{send, now.Add(q.jitter(min(minRetryDelay<<min(retries, 6), maxRetryDelay))), true}
 	if urgent {
 		q.urgent = append(q.urgent, w)
 		return
 	}
-	q.list = append(q.list, w)
+	q.ordinary = append(q.ordinary, w)
 }
 
 // jitter is between half and one and a half of a wait.
-func (q *queue) jitter(d time.Duration) time.Duration {
+func (q *callQueue) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(q.rng.Int64N(int64(d)))
 }
 
 // next takes the call that goes now, if any does.
-func (q *queue) next(now time.Time) func(*outbox.Box) {
-	for _, list := range []*[]waiting{&q.urgent, &q.list} {
+func (q *callQueue) next(now time.Time) func(*outbox.Box) {
+	for _, list := range []*[]queuedCall{&q.urgent, &q.ordinary} {
 		for i, w := range *list {
-			if now.Before(w.after) || w.again && q.budget.Available(now) == 0 {
+			if now.Before(w.notBefore) || w.isRetry && q.retryBudget.Available(now) == 0 {
 				continue
 			}
-			if w.again {
-				q.budget.Take(1)
+			if w.isRetry {
+				q.retryBudget.Take(1)
 			}
 			*list = append((*list)[:i:i], (*list)[i+1:]...)
 			return w.send
@@ -84,26 +84,26 @@
 	return nil
 }
 
-// went is told of every call: of a cloud that is away one at a time finds out whether it is back.
-func (q *queue) went(now time.Time) {
-	if q.away() {
-		q.probe = now.Add(q.jitter(probing))
+// callSent is told of every call: of a cloud that is away one at a time finds out whether it is back.
+func (q *callQueue) callSent(now time.Time) {
+	if q.isUnavailable() {
+		q.nextProbe = now.Add(q.jitter(probeInterval))
 	}
 }
 
-// heard takes in what came of a call.
-func (q *queue) heard(now time.Time, r outbox.Result) {
+// observeResult takes in what came of a call.
+func (q *callQueue) observeResult(now time.Time, r outbox.Result) {
 	if !r.Unknown() {
-		q.failed = 0
+		q.unansweredInRow = 0
 		return
 	}
-	if q.failed++; q.failed >= tripped {
-		q.probe = now.Add(q.jitter(probing))
+	if q.unansweredInRow++; q.unansweredInRow >= breakerThreshold {
+		q.nextProbe = now.Add(q.jitter(probeInterval))
 	}
 }
 
-// away reports that the cloud has not answered for a while.
-func (q *queue) away() bool { return q.failed >= tripped }
+// isUnavailable reports that the cloud has not answered for a while.
+func (q *callQueue) isUnavailable() bool { return q.unansweredInRow >= breakerThreshold }
 
-// closed reports that nothing may be called now.
-func (q *queue) closed(now time.Time) bool { return q.away() && now.Before(q.probe) }
+// isPaused reports that nothing may be called now.
+func (q *callQueue) isPaused(now time.Time) bool { return q.isUnavailable() && now.Before(q.nextProbe) }
--- a/internal/controller/fleet/queue_test.go
+++ b/internal/controller/fleet/queue_test.go
@@ -10,18 +10,18 @@
 	"gullrudder/internal/wire/outbox"
 )
 
-// play answers all calls for so long as answer says; calls is by path and zone how many there were.
-func (f *fixture) play(span time.Duration, answer func(c outbox.Call) (int, any)) map[string]int {
+// respondFor answers all calls for so long as answer says; calls is by path and zone how many there were.
+func (f *fixture) respondFor(span time.Duration, answer func(c outbox.Call) (int, any)) map[string]int {
 	calls := map[string]int{}
 	for end := f.now.Add(span); f.now.Before(end); {
-		for _, c := range f.calls(50 * time.Millisecond) {
+		for _, c := range f.callsAfter(50 * time.Millisecond) {
 			name := strings.SplitN(c.Path, "?", 2)[0]
 			if body, ok := c.Body.(map[string]any); ok && body["harbour"] != nil {
 				name += " " + body["harbour"].(string)
 			}
 			calls[name]++
 			if status, v := answer(c); status > 0 {
-				f.answer(c, status, v)
+				f.respond(c, status, v)
 			} else {
 				c.Done(f.now, outbox.Result{})
 			}
@@ -32,58 +32,58 @@
 
 // Rentals in a zone that does not answer hold up neither another zone's, nor what is given back, nor
 // the lists; they are repeated within half of the rate, and nothing more is asked for there.
-func TestTroubleOfAZoneStaysThere(t *testing.T) {
-	f := fresh(t)
+func TestFailingZoneDoesNotBlockOtherCalls(t *testing.T) {
+	f := newFixture(t)
 	for i := range 6 {
-		f.c.Rent(f.now, Kind{fmt.Sprintf("k%d", i), "dark", false}, 1)
+		f.client.RequestInstances(f.now, InstanceKind{fmt.Sprintf("k%d", i), "dark", false}, 1)
 	}
-	dark := true
+	zoneFails := true
 	answer := func(c outbox.Call) (int, any) {
 		body, _ := c.Body.(map[string]any)
 		switch {
 		case c.Path == "/hosts/delete":
 			return 200, nil
-		case body["harbour"] == "dark" && dark:
+		case body["harbour"] == "dark" && zoneFails:
 			return 500, nil // no word of what came of it
 		case body["harbour"] != nil:
 			return 200, map[string]any{"oarlocks": []string{"vm-" + body["charter"].(string)}}
 		}
-		return 200, page(0, 0, false)
+		return 200, instancePage(0, 0, false)
 	}
-	f.play(5*time.Second, answer)
-	f.c.Rent(f.now, Kind{"k", "bright", false}, 1)
-	f.c.Return(f.now, []string{"vm-000001"}, "test")
-	soon := f.play(time.Second, answer)
+	f.respondFor(5*time.Second, answer)
+	f.client.RequestInstances(f.now, InstanceKind{"k", "bright", false}, 1)
+	f.client.Terminate(f.now, []string{"vm-000001"}, "test")
+	soon := f.respondFor(time.Second, answer)
 	if soon["/hosts bright"] != 1 || soon["/hosts/delete"] != 1 {
 		t.Errorf("within a second of it: %v", soon)
 	}
-	if f.c.Askable(f.now, Kind{"other", "dark", false}) || !f.c.Askable(f.now, Kind{"other", "bright", false}) {
+	if f.client.CanRequest(f.now, InstanceKind{"other", "dark", false}) || !f.client.CanRequest(f.now, InstanceKind{"other", "bright", false}) {
 		t.Error("asks on where nothing is answered, or not where it is")
 	}
-	long := f.play(20*time.Second, answer)
-	if n := long["/hosts dark"]; n < 5 || float64(n) > 20*4*againShare+8 {
+	long := f.respondFor(20*time.Second, answer)
+	if n := long["/hosts dark"]; n < 5 || float64(n) > 20*4*retryShare+8 {
 		t.Errorf("%d repeated rentals in 20 s at 4 calls a second", n)
 	}
 	if long["/hosts"] < 8 {
 		t.Errorf("%d lists in 20 s", long["/hosts"])
 	}
-	dark = false
-	f.play(20*time.Second, answer)
-	if !f.c.Askable(f.now, Kind{"other", "dark", false}) || len(f.c.trouble) != 1 || f.c.trouble["dark"] != 0 {
-		t.Errorf("the zone is back: %v", f.c.trouble)
+	zoneFails = false
+	f.respondFor(20*time.Second, answer)
+	if !f.client.CanRequest(f.now, InstanceKind{"other", "dark", false}) || len(f.client.unresolvedByZone) != 1 || f.client.unresolvedByZone["dark"] != 0 {
+		t.Errorf("the zone is back: %v", f.client.unresolvedByZone)
 	}
 }
 
 // One machine that cannot be deleted keeps none of the others of its request.
-func TestDeletionThatIsRefused(t *testing.T) {
-	f := fresh(t)
+func TestRefusedDeletionIsSplit(t *testing.T) {
+	f := newFixture(t)
 	var ids []string
 	for i := range 100 {
 		ids = append(ids, fmt.Sprintf("vm-%06d", i))
-		f.c.Hosts[ids[i]] = &Host{ID: ids[i], Listed: f.now.Add(time.Hour)}
+		f.client.Instances[ids[i]] = &Instance{ID: ids[i], LastListed: f.now.Add(time.Hour)}
 	}
-	f.c.Return(f.now, ids, "test")
-	f.play(time.Minute, func(c outbox.Call) (int, any) {
+	f.client.Terminate(f.now, ids, "test")
+	f.respondFor(time.Minute, func(c outbox.Call) (int, any) {
 		if c.Path != "/hosts/delete" {
 			return 503, map[string]any{"error": "trouble"}
 		}
@@ -92,16 +92,16 @@
 		}
 		return 200, nil
 	})
-	if len(f.c.Gone) != 99 || f.c.Dead("vm-000042") {
-		t.Errorf("%d of 99 are gone", len(f.c.Gone))
+	if len(f.client.ConfirmedDeletions) != 99 || f.client.IsDeleted("vm-000042") {
+		t.Errorf("%d of 99 are gone", len(f.client.ConfirmedDeletions))
 	}
 }
 
 // A cloud that does not answer is asked about once a second, whatever waits; when it is back all of it goes out.
-func TestCloudThatIsAway(t *testing.T) {
-	f := fresh(t)
+func TestUnavailableCloudIsProbed(t *testing.T) {
+	f := newFixture(t)
 	for i := range 12 {
-		f.c.Rent(f.now, Kind{fmt.Sprintf("k%d", i), fmt.Sprint("zone", i), false}, 1)
+		f.client.RequestInstances(f.now, InstanceKind{fmt.Sprintf("k%d", i), fmt.Sprint("zone", i), false}, 1)
 	}
 	away := true
 	answer := func(c outbox.Call) (int, any) {
@@ -113,17 +113,17 @@
 		}
 		return 503, map[string]any{"error": "no list now"}
 	}
-	f.play(10*time.Second, answer)
+	f.respondFor(10*time.Second, answer)
 	n := 0
-	for _, k := range f.play(20*time.Second, answer) {
+	for _, k := range f.respondFor(20*time.Second, answer) {
 		n += k
 	}
 	if n < 12 || n > 45 {
 		t.Errorf("%d calls in 20 s to a cloud that is away", n)
 	}
 	away = false
-	f.play(20*time.Second, answer)
-	if len(f.c.Hosts) != 12 {
-		t.Errorf("%d of 12 rented once it is back", len(f.c.Hosts))
+	f.respondFor(20*time.Second, answer)
+	if len(f.client.Instances) != 12 {
+		t.Errorf("%d of 12 rented once it is back", len(f.client.Instances))
 	}
 }
--- a/internal/controller/node/node.go
+++ b/internal/controller/node/node.go
@@ -83,13 +83,13 @@
 	dynamicConfig   *settings.Store
 	jobStore        *book.Store
 	workers         *workers.Registry
-	cloud           *fleet.Cloud
+	cloud           *fleet.Client
 	planner         *plan.Planner
 	placer          *place.Placer
-	autoscaler      *rental.Desk
+	autoscaler      *rental.Scaler
 	heartbeats      *reports.Handler
 	failover        *takeover.Reconciler
-	zones           *zones.Book
+	zones           *zones.Tracker
 	accounting      *timeline.Tracker
 	api             *requests.Handler
 	nextExpiryCheck time.Time // for leases that have ended
@@ -281,7 +281,7 @@
 	}
 	n.election.Connectivity().Tick(now, l.failover.ExpectedHeartbeats(), l.failover.OverdueHeartbeats())
 	l.failover.Tick(now, tickInterval)
-	l.zones.Look(now, n.election.Connectivity().SuspectsPartition(now), func(take func(zones.Machine)) { l.visitZoneMachines(now, take) })
+	l.zones.Observe(now, n.election.Connectivity().SuspectsPartition(now), func(take func(zones.Machine)) { l.visitZoneMachines(now, take) })
 	placing := l.failover.Completed()
 	if !now.Before(l.nextWaitReasons) {
 		l.nextWaitReasons = now.Add(n.waitReasonsInterval(l.accounting.OpenCount()))
@@ -300,14 +300,14 @@
 func (l *leadership) visitZoneMachines(now time.Time, visit func(zones.Machine)) {
 	for id, m := range l.workers.Machines {
 		zone := m.Zone
-		if h := l.cloud.Hosts[id]; zone == "" && h != nil {
+		if h := l.cloud.Instances[id]; zone == "" && h != nil {
 			zone = h.Kind.Zone
 		}
 		if zone == "" {
 			continue
 		}
-		visit(zones.Machine{Zone: zone, Up: m.HasReported, Live: (m.HasReported || m.Registered) && !l.workers.IsLeaseExpired(now, m), Heard: m.LastContactAt,
-			Leaving: m.DrainReason == workers.DrainUnresponsive || m.DrainReason == workers.DrainTerminating, Ear: m.IsSentinel})
+		visit(zones.Machine{Zone: zone, HasReported: m.HasReported, LeaseValid: (m.HasReported || m.Registered) && !l.workers.IsLeaseExpired(now, m), LastHeartbeat: m.LastContactAt,
+			Deleting: m.DrainReason == workers.DrainUnresponsive || m.DrainReason == workers.DrainTerminating, Sentinel: m.IsSentinel})
 	}
 }
 
@@ -357,9 +357,9 @@
 	failureHistory := blame.NewTracker()
 	l.jobStore = book.New(book.Components{Platform: n.platform, Options: options, Storage: l.storage, Workers: l.workers, Accounting: l.accounting, Log: n.log})
 	l.placer = place.New(place.Components{Platform: n.platform, FencingToken: fencingToken, Jobs: l.jobStore.Unfinished, Workers: l.workers, Planner: l.planner,
-		Capacity: func(now time.Time) plan.Capacity { return l.autoscaler.Room(now) }, Outbox: &n.outbox, Log: n.log})
-	l.autoscaler = rental.NewDesk(rental.World{Platform: n.platform, Options: options, Token: fencingToken, Since: now, First: func() bool { return l.failover.IsFirstLeader() },
-		Cloud: l.cloud, Fleet: l.workers, Planner: l.planner, Placer: l.placer, Pace: stragglers, Zones: l.zones, Box: &n.outbox, Log: n.log})
+		Capacity: func(now time.Time) plan.Capacity { return l.autoscaler.ExpectedCapacity(now) }, Outbox: &n.outbox, Log: n.log})
+	l.autoscaler = rental.New(rental.Components{Platform: n.platform, Options: options, FencingToken: fencingToken, ElectedAt: now, IsFirstLeader: func() bool { return l.failover.IsFirstLeader() },
+		Cloud: l.cloud, Workers: l.workers, Planner: l.planner, Placer: l.placer, Stragglers: stragglers, Zones: l.zones, Outbox: &n.outbox, Log: n.log})
 	l.heartbeats = reports.NewHandler(reports.Components{Platform: n.platform, FencingToken: fencingToken, Storage: l.storage, JobStore: l.jobStore, Workers: l.workers, Cloud: l.cloud,
 		Planner: l.planner, Placer: l.placer, Accounting: l.accounting, Stragglers: stragglers, Failures: failureHistory, Reachability: machineLinks, Responder: &n.responder, Log: n.log})
 	l.failover = takeover.New(takeover.Components{Platform: n.platform, FencingToken: fencingToken, ElectedAt: now, Storage: l.storage, JobStore: l.jobStore, DynamicConfig: l.dynamicConfig,
@@ -369,7 +369,7 @@
 		HoldsLease: func() bool { return n.leadership == l && n.holdsLease }, Responder: &n.responder, Outbox: &n.outbox, Logger: n.log})
 	l.jobStore.OnOrderChange(l.placer.InvalidateOrder)
 	l.jobStore.OnDone(func(now time.Time, job *jobs.Job) {
-		l.autoscaler.Ended(now, job)
+		l.autoscaler.JobEnded(now, job)
 		l.planner.FairShare().RecordDone(now, job)
 		l.heartbeats.ForgetJob(job)
 	})
@@ -378,7 +378,7 @@
 	})
 	l.jobStore.OnReady(func(now time.Time, job *jobs.Job) {
 		l.placer.InvalidateOrder()
-		l.autoscaler.Accepted(now, job)
+		l.autoscaler.JobAccepted(now, job)
 	})
 	l.dynamicConfig.OnChange(func(options config.Options) {
 		l.planner.SetOptions(options)
--- a/internal/controller/node/past_test.go
+++ b/internal/controller/node/past_test.go
@@ -112,7 +112,7 @@
 		c.Done(now, service.exchange(t, c))
 	}
 	controller.leadership.failover.LoadState(now)
-	controller.leadership.cloud.Types = map[string]*fleet.Type{"small": {Name: "small", CPUs: 4, Mem: 8, Zones: []string{"a"}}}
+	controller.leadership.cloud.MachineTypes = map[string]*fleet.MachineType{"small": {Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}}}
 	ids := []string{"job-000001", "job-000002", "job-20261201121026", "job-20261201121027"}
 	for i, id := range ids {
 		job := jobs.New(jobs.Spec{ID: id, Tasks: i + 7}, now)
--- a/internal/controller/place/place.go
+++ b/internal/controller/place/place.go
@@ -16,7 +16,7 @@
 const resourceTolerance = 1e-6
 
 // KindAllowed reports whether the job may run on such machines at all.
-func KindAllowed(job *jobs.Job, kind fleet.Kind) bool {
+func KindAllowed(job *jobs.Job, kind fleet.InstanceKind) bool {
 	if kind.Spot && !job.AllowsSpot || job.Zone != "" && job.Zone != kind.Zone {
 		return false
 	}
@@ -32,17 +32,17 @@
 }
 
 // FitsType reports whether an empty machine of the type holds one task.
-func FitsType(job *jobs.Job, machineType *fleet.Type) bool {
-	return job.CPUs <= machineType.CPUs+resourceTolerance && job.GPUs <= machineType.Cards+resourceTolerance && job.MemoryGB <= machineType.Mem+resourceTolerance
+func FitsType(job *jobs.Job, machineType *fleet.MachineType) bool {
+	return job.CPUs <= machineType.CPUs+resourceTolerance && job.GPUs <= machineType.GPUs+resourceTolerance && job.MemoryGB <= machineType.MemoryGB+resourceTolerance
 }
 
 // TypeResources is what an empty machine of the type has.
-func TypeResources(machineType *fleet.Type) workers.Resources {
-	return workers.Resources{CPUs: machineType.CPUs, GPUs: machineType.Cards, MemoryGB: machineType.Mem}
+func TypeResources(machineType *fleet.MachineType) workers.Resources {
+	return workers.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 }
 
 // TasksPerMachine is how many tasks an empty machine of the type holds.
-func TasksPerMachine(job *jobs.Job, machineType *fleet.Type) int {
+func TasksPerMachine(job *jobs.Job, machineType *fleet.MachineType) int {
 	return TypeResources(machineType).TasksThatFit(job)
 }
 
@@ -84,8 +84,8 @@
 }
 
 // MachineKind is the kind of a machine.
-func MachineKind(machine *workers.Machine) fleet.Kind {
-	return fleet.Kind{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
+func MachineKind(machine *workers.Machine) fleet.InstanceKind {
+	return fleet.InstanceKind{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
 }
 
 // IsEligible reports whether tasks of the job may be started on the machine if there is room. On one that is kept
--- a/internal/controller/place/world_test.go
+++ b/internal/controller/place/world_test.go
@@ -17,8 +17,8 @@
 
 func TestMain(m *testing.M) { steady.Main(m) }
 
-var machineTypes = map[string]*fleet.Type{"small": {Name: "small", CPUs: 4, Mem: 8, Zones: []string{"a"}, Price: 1, SpotPrice: 0.3, BootS: 40, CacheGB: 40, FetchRate: 0.25},
-	"large": {Name: "large", CPUs: 16, Mem: 64, Zones: []string{"a", "b"}, Price: 4, SpotPrice: 1, BootS: 30, CacheGB: 40, FetchRate: 0.25}}
+var machineTypes = map[string]*fleet.MachineType{"small": {Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}, HourlyPrice: 1, SpotHourlyPrice: 0.3, BootSeconds: 40, ImageCacheGB: 40, FetchGBPerSecond: 0.25},
+	"large": {Name: "large", CPUs: 16, MemoryGB: 64, Zones: []string{"a", "b"}, HourlyPrice: 4, SpotHourlyPrice: 1, BootSeconds: 30, ImageCacheGB: 40, FetchGBPerSecond: 0.25}}
 
 // newTestPlacer is a placer with a fleet of machines and jobs of its own.
 func newTestPlacer(now time.Time) *Placer {
@@ -40,7 +40,7 @@
 	machine := p.workers.GetOrAdd(fmt.Sprintf("vm-%06d", i))
 	p.observeHeartbeat(now, machine, machineType, zone, spot)
 	t := machineTypes[machineType]
-	p.workers.SetCapacity(machine, TypeResources(t), t.CacheGB, t.FetchRate)
+	p.workers.SetCapacity(machine, TypeResources(t), t.ImageCacheGB, t.FetchGBPerSecond)
 	machine.Reconciled, machine.Registered = true, true
 	return machine
 }
--- a/internal/controller/rental/dearer.go
+++ b/internal/controller/rental/dearer.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	// dear is from how many times the cheapest price on a kind has to be worth it by the aims.
-	dear = 1.5
-	// dearShare is how many CPUs of dear kinds there may be for each cheap one, by their worth. A short
+	// expensiveRatio is from how many times the cheapest price on a kind has to be worth it by the aims.
+	expensiveRatio = 1.5
+	// expensiveCPUShare is how many CPUs of dear kinds there may be for each cheap one, by their worth. A short
 	// queue on a small fleet looked worth ten times the fleet's money: what is to come later, and would
 	// have to be paid then, is not known at a start. Work that lasts long enough is not bound by it.
-	dearShare = 0.5
-	// mostWeighed bounds the jobs of a forecast: of more, every so many stands for its neighbours.
-	mostWeighed = 300
-	// grid is to how many seconds the time is rounded at which booting machines begin to serve.
-	grid = 5
+	expensiveCPUShare = 0.5
+	// maxForecastJobs bounds the jobs of a forecast: of more, every so many stands for its neighbours.
+	maxForecastJobs = 300
+	// bootGridSeconds is to how many seconds the time is rounded at which booting machines begin to serve.
+	bootGridSeconds = 5
 )
 
-// dearer weighs the kinds that are dearer than the cheapest by what they save: how many of each are
+// weighExpensive weighs the kinds that are dearer than the cheapest by what they save: how many of each are
 // worth renting now. Machines of such kinds that are there and not worth their price any more are
 // emptied, and used again before others are rented. A kind that is not in the answer is not weighed:
 // it is cheap, or the platform states no aims.
-func (d *Desk) dearer(now time.Time, opts []option, order []plan.Entry, work ahead) map[fleet.Kind]int {
-	if len(d.steps) == 0 {
-		d.shed(now, opts, work)
+func (d *Scaler) weighExpensive(now time.Time, opts []offering, order []plan.Entry, work teamBacklogs) map[fleet.InstanceKind]int {
+	if len(d.objectives) == 0 {
+		d.cordonExpensive(now, opts, work)
 		return nil
 	}
-	pays := map[fleet.Kind]int{}
-	o := d.outlook(now, order)
-	serving, resting := d.dearMachines(now, opts)
-	isDear := dearKinds(opts)
-	left := d.dearRoom(opts)
+	pays := map[fleet.InstanceKind]int{}
+	o := d.newObjectiveForecast(now, order)
+	inUse, cordoned := d.expensiveMachines(now, opts)
+	isDear := expensiveKinds(opts)
+	left := d.expensiveCPUHeadroom(opts)
 	for i := len(opts) - 1; i >= 0 && isDear[opts[i].kind]; i-- {
-		list := serving[opts[i].kind]
-		if n := o.spares(d.offerOf(opts[i], len(list))); n > 0 {
+		list := inUse[opts[i].kind]
+		if n := o.surplusCount(d.candidateOf(opts[i], len(list))); n > 0 {
 			for _, m := range list[:n] {
 				m.DrainReason = workers.DrainExpensive
 			}
-			o.add(part{0, -float64(n) * opts[i].typ.CPUs})
+			o.addCapacity(capacityStep{0, -float64(n) * opts[i].machineType.CPUs})
 		}
 	}
 	for _, opt := range opts {
@@ -52,25 +52,25 @@
 			continue
 		}
 		pays[opt.kind] = 0
-		if len(o.queue) == 0 || opt.typ.CPUs <= 0 {
+		if len(o.queue) == 0 || opt.machineType.CPUs <= 0 {
 			continue // what has no CPUs is rented for lack of its kind only
 		}
-		again := resting[opt.kind]
+		again := cordoned[opt.kind]
 		may := 0
-		if d.mayAsk(now, opt.kind) > 0 && !d.zones.Away(opt.kind.Zone) {
-			may = d.cloud.MostAsked()
+		if d.maxRequestable(now, opt.kind) > 0 && !d.zones.IsUnavailable(opt.kind.Zone) {
+			may = d.cloud.MaxRequestable()
 		}
-		f := d.offerOf(opt, len(again))
+		f := d.candidateOf(opt, len(again))
 		if len(again) > 0 {
-			f.boot = 0
+			f.bootSeconds = 0
 		} else {
-			f.most = min(may, int(max(left, 0)/f.cpus))
+			f.maxCount = min(may, int(max(left, 0)/f.cpus))
 		}
-		if f.most == 0 {
+		if f.maxCount == 0 {
 			continue
 		}
-		n, _ := o.mostPays(f)
-		o.add(part{f.boot, float64(n) * f.cpus})
+		n, _ := o.bestCount(f)
+		o.addCapacity(capacityStep{f.bootSeconds, float64(n) * f.cpus})
 		if len(again) > 0 {
 			for _, m := range again[:n] {
 				m.DrainReason = workers.NotDraining
@@ -83,114 +83,114 @@
 	return pays
 }
 
-// dearKinds marks the kinds that are dear.
-func dearKinds(opts []option) map[fleet.Kind]bool {
-	marked := map[fleet.Kind]bool{}
+// expensiveKinds marks the kinds that are dear.
+func expensiveKinds(opts []offering) map[fleet.InstanceKind]bool {
+	marked := map[fleet.InstanceKind]bool{}
 	for _, o := range opts {
-		if ratio(o.price, opts[0].price) > dear {
+		if priceRatio(o.price, opts[0].price) > expensiveRatio {
 			marked[o.kind] = true
 		}
 	}
 	return marked
 }
 
-// dearRoom is how many CPUs of dear kinds there may be more.
-func (d *Desk) dearRoom(opts []option) float64 {
-	isDear := dearKinds(opts)
+// expensiveCPUHeadroom is how many CPUs of dear kinds there may be more.
+func (d *Scaler) expensiveCPUHeadroom(opts []offering) float64 {
+	isDear := expensiveKinds(opts)
 	for k := range isDear {
-		if d.cloud.Asking(k) {
+		if d.cloud.HasPendingRequest(k) {
 			return 0 // how many come of it is not known yet
 		}
 	}
 	room := 0.0
-	for i := range d.held {
-		h, t := d.held[i].host, d.held[i].typ
+	for i := range d.instances {
+		h, t := d.instances[i].instance, d.instances[i].machineType
 		switch {
-		case t == nil || h.Deleting || h.State == fleet.Failed || d.held[i].expired:
+		case t == nil || h.Deleting || h.State == fleet.StateFailed || d.instances[i].leaseExpired:
 		case isDear[h.Kind]:
 			room -= t.CPUs
 		default:
-			room += dearShare * t.CPUs
+			room += expensiveCPUShare * t.CPUs
 		}
 	}
 	return room
 }
 
-// offerOf is so many machines of an option.
-func (d *Desk) offerOf(o option, most int) offer {
-	price := o.typ.Price
+// candidateOf is so many machines of an option.
+func (d *Scaler) candidateOf(o offering, most int) candidateKind {
+	price := o.machineType.HourlyPrice
 	if o.kind.Spot {
-		price = o.typ.SpotPrice
+		price = o.machineType.SpotHourlyPrice
 	}
-	return offer{cpus: o.typ.CPUs, money: price / 3600, boot: d.cloud.Boot(o.typ).Seconds(), most: most}
+	return candidateKind{cpus: o.machineType.CPUs, costPerSecond: price / 3600, bootSeconds: d.cloud.ExpectedBootTime(o.machineType).Seconds(), maxCount: most}
 }
 
-// dearMachines lists the machines of dear kinds that are up, the emptiest first: those in use that
+// expensiveMachines lists the machines of dear kinds that are up, the emptiest first: those in use that
 // have been paid for their first minute, and those that are being emptied as surplus.
-func (d *Desk) dearMachines(now time.Time, opts []option) (serving, resting map[fleet.Kind][]*workers.Machine) {
-	serving, resting = map[fleet.Kind][]*workers.Machine{}, map[fleet.Kind][]*workers.Machine{}
-	isDear := dearKinds(opts)
-	for _, m := range d.fleet.ReportingMachines() {
+func (d *Scaler) expensiveMachines(now time.Time, opts []offering) (inUse, cordoned map[fleet.InstanceKind][]*workers.Machine) {
+	inUse, cordoned = map[fleet.InstanceKind][]*workers.Machine{}, map[fleet.InstanceKind][]*workers.Machine{}
+	isDear := expensiveKinds(opts)
+	for _, m := range d.workers.ReportingMachines() {
 		k := place.MachineKind(m)
 		switch {
-		case !isDear[k] || d.fleet.IsLeaseExpired(now, m):
+		case !isDear[k] || d.workers.IsLeaseExpired(now, m):
 		case m.DrainReason == workers.DrainExpensive:
-			resting[k] = append(resting[k], m)
-		case m.DrainReason == workers.NotDraining && d.paidFor(now, m.ID) == 0:
-			serving[k] = append(serving[k], m)
+			cordoned[k] = append(cordoned[k], m)
+		case m.DrainReason == workers.NotDraining && d.prepaidTime(now, m.ID) == 0:
+			inUse[k] = append(inUse[k], m)
 		}
 	}
-	for k := range resting { // those with the most on them are used again first
-		slices.Reverse(resting[k])
+	for k := range cordoned { // those with the most on them are used again first
+		slices.Reverse(cordoned[k])
 	}
-	return serving, resting
+	return inUse, cordoned
 }
 
-// add takes a part into the fleet as it is and is coming.
-func (o *outlook) add(p part) {
+// addCapacity takes a part into the fleet as it is and is coming.
+func (o *objectiveForecast) addCapacity(p capacityStep) {
 	if p.cpus == 0 {
 		return
 	}
-	o.known = false
-	i, _ := slices.BinarySearchFunc(o.parts, p, func(a, b part) int { return cmp.Compare(a.at, b.at) })
-	o.parts = slices.Insert(o.parts, i, p)
+	o.hasBaseline = false
+	i, _ := slices.BinarySearchFunc(o.capacitySteps, p, func(a, b capacityStep) int { return cmp.Compare(a.at, b.at) })
+	o.capacitySteps = slices.Insert(o.capacitySteps, i, p)
 }
 
-// outlook gathers what a forecast needs.
-func (d *Desk) outlook(now time.Time, order []plan.Entry) *outlook {
-	o := &outlook{steps: d.steps, records: d.records, thrift: d.opt.Thrift}
+// newObjectiveForecast gathers what a forecast needs.
+func (d *Scaler) newObjectiveForecast(now time.Time, order []plan.Entry) *objectiveForecast {
+	o := &objectiveForecast{objectives: d.objectives, history: d.history, costWeight: d.options.Thrift}
 	byTime := map[int]float64{}
-	for i := range d.held {
-		h, t, m := d.held[i].host, d.held[i].typ, d.held[i].m
-		if t == nil || h.Deleting || h.State == fleet.Failed {
+	for i := range d.instances {
+		h, t, m := d.instances[i].instance, d.instances[i].machineType, d.instances[i].machine
+		if t == nil || h.Deleting || h.State == fleet.StateFailed {
 			continue
 		}
 		switch {
-		case d.zones.Away(h.Kind.Zone), d.held[i].expired:
+		case d.zones.IsUnavailable(h.Kind.Zone), d.instances[i].leaseExpired:
 			continue
 		case m == nil:
-			wait := d.cloud.BootLeft(t, now.Sub(h.Born))
-			byTime[int(wait.Seconds())/grid+1] += t.CPUs
+			wait := d.cloud.RemainingBootTime(t, now.Sub(h.RequestedAt))
+			byTime[int(wait.Seconds())/bootGridSeconds+1] += t.CPUs
 		case m.DrainReason == workers.NotDraining:
 			byTime[0] += t.CPUs
 		}
-		price := t.Price
+		price := t.HourlyPrice
 		if h.Kind.Spot {
-			price = t.SpotPrice
+			price = t.SpotHourlyPrice
 		}
-		o.spend += price / 3600
+		o.spendRate += price / 3600
 	}
 	for at, cpus := range byTime {
-		o.parts = append(o.parts, part{float64(at * grid), cpus})
+		o.capacitySteps = append(o.capacitySteps, capacityStep{float64(at * bootGridSeconds), cpus})
 	}
-	slices.SortFunc(o.parts, func(a, b part) int { return cmp.Compare(a.at, b.at) })
-	d.weigh(now, order, o)
+	slices.SortFunc(o.capacitySteps, func(a, b capacityStep) int { return cmp.Compare(a.at, b.at) })
+	d.addDemand(now, order, o)
 	return o
 }
 
-// weigh fills in the queue and what arrives. A task that waits starts when what waits before it has
+// addDemand fills in the queue and what arrives. A task that waits starts when what waits before it has
 // had its room: what runs already only hands that on.
-func (d *Desk) weigh(now time.Time, order []plan.Entry, o *outlook) {
+func (d *Scaler) addDemand(now time.Time, order []plan.Entry, forecast *objectiveForecast) {
 	count, total := 0, 0.0
 	waits := func(e *plan.Entry) float64 {
 		if e.Job.IsService {
@@ -206,9 +206,9 @@
 			total += w
 		}
 	}
-	every := 1 + count/mostWeighed
+	every := 1 + count/maxForecastJobs
 	ahead, seen := 0.0, 0
-	teams, latest := map[string]float64{}, map[string]*standpoint{}
+	teams, latest := map[string]float64{}, map[string]*queuePosition{}
 	for i := range order {
 		e, w := &order[i], needs[i]
 		if w == 0 {
@@ -218,44 +218,44 @@
 		teams[e.Job.Team] += w
 		l := latest[e.Job.Class]
 		if l == nil {
-			l = &standpoint{}
+			l = &queuePosition{}
 			latest[e.Job.Class] = l
 		}
-		l.see(now.Sub(e.Job.EligibleSince()), ahead/total)
+		l.observe(now.Sub(e.Job.EligibleSince()), ahead/total)
 		if seen++; seen%every != 0 {
 			continue
 		}
-		q := waiting{class: e.Job.Class, age: now.Sub(e.Job.EligibleSince()), perTask: e.TaskRunTime, deadline: e.Job.TimeToDeadline(), ahead: ahead, weight: float64(every)}
+		q := queuedJob{class: e.Job.Class, age: now.Sub(e.Job.EligibleSince()), taskDuration: e.TaskRunTime, deadline: e.Job.TimeToDeadline(), workAhead: ahead, weight: float64(every)}
 		if limit := d.teams[e.Job.Team].CPULimit; limit > 0 {
-			q.bound = teams[e.Job.Team] / limit
+			q.quotaDelay = teams[e.Job.Team] / limit
 		}
-		o.queue = append(o.queue, q)
+		forecast.queue = append(forecast.queue, q)
 	}
 	for team, w := range teams {
 		if limit := d.teams[team].CPULimit; limit > 0 {
-			w = min(w, limit*lookAhead.Seconds()/2)
+			w = min(w, limit*forecastSpan.Seconds()/2)
 		}
-		o.backlog += w
+		forecast.backlog += w
 	}
-	for _, f := range d.flows {
+	for _, f := range d.arrivals {
 		rate := f.rate(now)
 		load, bound := rate.work, 0.0
 		if limit := d.teams[f.team].CPULimit; limit > 0 {
 			load, bound = min(load, limit), teams[f.team]/limit
 		}
-		o.load += load
-		a := arrival{class: f.class, rate: rate.jobs, perTask: f.perTask, deadline: f.deadline, bound: bound}
+		forecast.arrivingWork += load
+		a := expectedArrival{class: f.class, rate: rate.jobs, taskDuration: f.taskDuration, deadline: f.deadline, quotaDelay: bound}
 		if l := latest[f.class]; l != nil {
-			a.place = l.sum / l.weight
+			a.position = l.sum / l.weight
 		}
-		o.to = append(o.to, a)
+		forecast.arrivals = append(forecast.arrivals, a)
 	}
 }
 
-// standpoint is where in the queue a new job of a class would stand: where those stand that came last.
-type standpoint struct{ sum, weight float64 }
+// queuePosition is where in the queue a new job of a class would stand: where those stand that came last.
+type queuePosition struct{ sum, weight float64 }
 
-func (p *standpoint) see(age time.Duration, at float64) {
+func (p *queuePosition) observe(age time.Duration, at float64) {
 	w := 1 / (age.Seconds() + 5)
 	p.sum += w * at
 	p.weight += w
--- a/internal/controller/rental/desk.go
+++ b/internal/controller/rental/desk.go
@@ -22,124 +22,124 @@
 	"gullrudder/internal/wire/outbox"
 )
 
-// Desk is a leader's renting and returning.
-type Desk struct {
-	cfg     *config.Platform
-	opt     *config.Options
-	teams   map[string]config.Team
-	log     *slog.Logger
-	box     *outbox.Box
-	token   uint64
-	since   time.Time // when the leadership began
-	first   func() bool
-	cloud   *fleet.Cloud
-	fleet   *workers.Registry
-	planner *plan.Planner
-	placer  *place.Placer
-	pace    *pace.Detector
+// Scaler is a leader's renting and returning.
+type Scaler struct {
+	platform      *config.Platform
+	options       *config.Options
+	teams         map[string]config.Team
+	log           *slog.Logger
+	outbox        *outbox.Box
+	fencingToken  uint64
+	electedAt     time.Time // when the leadership began
+	isFirstLeader func() bool
+	cloud         *fleet.Client
+	workers       *workers.Registry
+	planner       *plan.Planner
+	placer        *place.Placer
+	stragglers    *pace.Detector
 
-	sized    time.Time
-	nextSize time.Time
-	nextThin time.Time
-	zones    *zones.Book
-	steps    []step
-	records  []record // by step
-	recorded time.Time
-	flows    map[[2]string]*flow
-	held     []held // of the present look
+	lastScaled        time.Time
+	nextScale         time.Time
+	nextConsolidation time.Time
+	zones             *zones.Tracker
+	objectives        []objective
+	history           []objectiveRecord // by step
+	historyUpdated    time.Time
+	arrivals          map[[2]string]*arrivalFlow
+	instances         []trackedInstance // of the present look
 }
 
-// held is a machine that is rented, as far as is known.
-type held struct {
-	id      string
-	host    *fleet.Host
-	typ     *fleet.Type      // nil if it is not known
-	m       *workers.Machine // nil before its worker has reported, or the roster named it
-	expired bool             // its lease has ended: nothing is on it
+// trackedInstance is a machine that is rented, as far as is known.
+type trackedInstance struct {
+	id           string
+	instance     *fleet.Instance
+	machineType  *fleet.MachineType // nil if it is not known
+	machine      *workers.Machine   // nil before its worker has reported, or the roster named it
+	leaseExpired bool               // its lease has ended: nothing is on it
 }
 
-// gather looks each machine up once for all that a look does.
-func (d *Desk) gather(now time.Time) {
-	d.held = d.held[:0]
+// refreshInstances looks each machine up once for all that a look does.
+func (d *Scaler) refreshInstances(now time.Time) {
+	d.instances = d.instances[:0]
 	awaited := map[string][]time.Duration{}
-	for id, h := range d.cloud.Hosts {
-		m := d.fleet.Machines[id]
-		if m == nil && !h.Deleting && h.State != fleet.Failed && !d.zones.Away(h.Kind.Zone) {
-			awaited[h.Kind.Type] = append(awaited[h.Kind.Type], now.Sub(h.Born))
+	for id, h := range d.cloud.Instances {
+		m := d.workers.Machines[id]
+		if m == nil && !h.Deleting && h.State != fleet.StateFailed && !d.zones.IsUnavailable(h.Kind.Zone) {
+			awaited[h.Kind.Type] = append(awaited[h.Kind.Type], now.Sub(h.RequestedAt))
 		}
-		d.held = append(d.held, held{id, h, d.cloud.Types[h.Kind.Type], m, m != nil && d.fleet.IsLeaseExpired(now, m)})
+		d.instances = append(d.instances, trackedInstance{id, h, d.cloud.MachineTypes[h.Kind.Type], m, m != nil && d.workers.IsLeaseExpired(now, m)})
 	}
 	for _, list := range awaited {
 		slices.SortFunc(list, func(a, b time.Duration) int { return cmp.Compare(b, a) })
 	}
-	d.cloud.Awaits(awaited)
+	d.cloud.ObserveAwaited(awaited)
 }
 
-// World is what a desk sees of its neighbours.
-type World struct {
-	Platform *config.Platform
-	Options  *config.Options
-	Token    uint64
-	Since    time.Time   // when the leadership began
-	First    func() bool // nobody has led before: the ledger was empty
-	Cloud    *fleet.Cloud
-	Fleet    *workers.Registry
-	Planner  *plan.Planner
-	Placer   *place.Placer
-	Pace     *pace.Detector
-	Zones    *zones.Book
-	Box      *outbox.Box
-	Log      *slog.Logger
+// Components is what a desk sees of its neighbours.
+type Components struct {
+	Platform      *config.Platform
+	Options       *config.Options
+	FencingToken  uint64
+	ElectedAt     time.Time   // when the leadership began
+	IsFirstLeader func() bool // nobody has led before: the ledger was empty
+	Cloud         *fleet.Client
+	Workers       *workers.Registry
+	Planner       *plan.Planner
+	Placer        *place.Placer
+	Stragglers    *pace.Detector
+	Zones         *zones.Tracker
+	Outbox        *outbox.Box
+	Log           *slog.Logger
 }
 
-// NewDesk makes the desk of a new leadership.
-func NewDesk(w World) *Desk {
-	d := &Desk{cfg: w.Platform, opt: w.Options, teams: w.Platform.TeamsByName(), log: w.Log, box: w.Box, token: w.Token, since: w.Since,
-		first: w.First, cloud: w.Cloud, fleet: w.Fleet, planner: w.Planner, placer: w.Placer, pace: w.Pace, zones: w.Zones, steps: stepsOf(w.Platform.Objectives),
-		flows: map[[2]string]*flow{}, recorded: w.Since}
-	d.records = make([]record, len(d.steps))
+// New makes the desk of a new leadership.
+func New(w Components) *Scaler {
+	d := &Scaler{platform: w.Platform, options: w.Options, teams: w.Platform.TeamsByName(), log: w.Log, outbox: w.Outbox, fencingToken: w.FencingToken, electedAt: w.ElectedAt,
+		isFirstLeader: w.IsFirstLeader, cloud: w.Cloud, workers: w.Workers, planner: w.Planner, placer: w.Placer, stragglers: w.Stragglers, zones: w.Zones, objectives: objectivesOf(w.Platform.Objectives),
+		arrivals: map[[2]string]*arrivalFlow{}, historyUpdated: w.ElectedAt}
+	d.history = make([]objectiveRecord, len(d.objectives))
 	return d
 }
 
 // Tick looks at what is due. Answers of the cloud make it look at once.
-func (d *Desk) Tick(now time.Time) {
-	if !now.Before(d.nextThin) {
-		d.nextThin = now.Add(5 * time.Second)
-		d.setSlowAside(now)
-		d.thinOut(now)
+func (d *Scaler) Tick(now time.Time) {
+	if !now.Before(d.nextConsolidation) {
+		d.nextConsolidation = now.Add(5 * time.Second)
+		d.cordonStragglers(now)
+		d.consolidate(now)
 	}
-	if !now.Before(d.nextSize) || d.cloud.TakeSettled() {
-		d.sized, d.nextSize = now, now.Add(time.Second)
-		d.size(now)
+	if !now.Before(d.nextScale) || d.cloud.TakeRequestAnswered() {
+		d.lastScaled, d.nextScale = now, now.Add(time.Second)
+		d.scale(now)
 	}
 }
 
-// Accepted has what a new job needs asked for soon: machines take long to boot.
-func (d *Desk) Accepted(now time.Time, j *jobs.Job) {
-	d.took(now, j)
-	if soon := d.sized.Add(300 * time.Millisecond); soon.Before(d.nextSize) {
-		d.nextSize = soon
+// JobAccepted has what a new job needs asked for soon: machines take long to boot.
+func (d *Scaler) JobAccepted(now time.Time, j *jobs.Job) {
+	d.recordArrival(now, j)
+	if soon := d.lastScaled.Add(300 * time.Millisecond); soon.Before(d.nextScale) {
+		d.nextScale = soon
 	}
 }
 
-// option is a kind of machine that can be rented, with its price per CPU.
-type option struct {
-	kind  fleet.Kind
-	typ   *fleet.Type
-	price float64
+// offering is a kind of machine that can be rented, with its price per CPU.
+type offering struct {
+	kind        fleet.InstanceKind
+	machineType *fleet.MachineType
+	price       float64
 }
 
-// serving is how long a rented machine is expected to be of use.
-const serving = 3 * time.Minute
+// expectedService is how long a rented machine is expected to be of use.
+const expectedService = 3 * time.Minute
 
-func (d *Desk) options() []option {
-	var list []option
-	for _, t := range d.cloud.Types {
-		size := max(t.CPUs, t.Cards*8, 0.1)
+func (d *Scaler) offerings() []offering {
+	var list []offering
+	for _, t := range d.cloud.MachineTypes {
+		size := max(t.CPUs, t.GPUs*8, 0.1)
 		// A machine is paid for while it boots: spread over the time it is likely to serve.
-		size *= serving.Seconds() / (serving + d.cloud.Boot(t)).Seconds()
+		size *= expectedService.Seconds() / (expectedService + d.cloud.ExpectedBootTime(t)).Seconds()
 		for _, z := range t.Zones {
-			list = append(list, option{fleet.KindOf(t, z, false), t, t.Price / size}, option{fleet.KindOf(t, z, true), t, t.SpotPrice / size})
+			list = append(list, offering{fleet.InstanceKindOf(t, z, false), t, t.HourlyPrice / size}, offering{fleet.InstanceKindOf(t, z, true), t, t.SpotHourlyPrice / size})
 		}
 	}
 	sort.Slice(list, func(a, b int) bool {
@@ -155,29 +155,29 @@
 	return list
 }
 
-// size rents what the waiting work justifies and gives back what stands idle.
-func (d *Desk) size(now time.Time) {
+// scale rents what the waiting work justifies and gives back what stands idle.
+func (d *Scaler) scale(now time.Time) {
 	order := d.placer.Order(now)
-	d.gather(now)
+	d.refreshInstances(now)
 	wants := d.placer.StartableTasks(order)
-	d.giveBack(now, wants)
+	d.terminateUnneeded(now, wants)
 	// What an earlier leader has rented last is not listed yet; only where the ledger
 	// holds nothing at all is there no earlier leader.
-	if len(d.cloud.Types) == 0 || !d.first() && (d.cloud.Lists == 0 || now.Sub(d.since) < d.cfg.ListLag) {
+	if len(d.cloud.MachineTypes) == 0 || !d.isFirstLeader() && (d.cloud.CompletedLists == 0 || now.Sub(d.electedAt) < d.platform.ListLag) {
 		return
 	}
-	opts := d.options()
+	opts := d.offerings()
 	if len(opts) == 0 {
 		return
 	}
 	cheapest := opts[0].price
 	// Room that is there or coming, per machine; the waiting tasks are laid into it.
-	f := d.forecast()
-	work := d.workAhead(order)
-	pays := d.dearer(now, opts, order, work)
-	asked, most := map[fleet.Kind]int{}, map[fleet.Kind]int{}
+	f := d.projectCapacity()
+	work := d.backlogByTeam(order)
+	pays := d.weighExpensive(now, opts, order, work)
+	asked, most := map[fleet.InstanceKind]int{}, map[fleet.InstanceKind]int{}
 	for _, o := range opts {
-		most[o.kind] = d.mayAsk(now, o.kind)
+		most[o.kind] = d.maxRequestable(now, o.kind)
 	}
 	shapes := d.placer.ShapeNumbers()
 	settled := map[int]bool{} // shapes for which there is no room, and nothing to be asked
@@ -188,99 +188,99 @@
 			continue
 		}
 		had := want
-		if want -= f.lay(j, want); want <= 0 {
+		if want -= f.fill(j, want); want <= 0 {
 			continue
 		}
 		nothing := want == had
-		lacking := needed(j) - f.capacity(j)
+		lacking := requiredTasks(j) - f.taskCapacity(j)
 		if j.HasGuarantee() && !j.AllowsSpot {
 			// The fleet is mostly cheap machines, on which it may not run: how long the work at hand lasts says nothing of when it
 			// gets room. Such jobs had one machine between them and stood in line before it past their deadlines.
 			lacking = max(lacking, want)
 		}
 		for _, o := range opts {
-			per := place.TasksPerMachine(j, o.typ)
+			per := place.TasksPerMachine(j, o.machineType)
 			if want <= 0 {
 				break
 			}
 			if per == 0 || !place.KindAllowed(j, o.kind) || most[o.kind] == 0 {
 				continue
 			}
-			worth := d.worth(o.price, cheapest)
-			total := work.within(worth)
+			worth := d.requiredBacklog(o.price, cheapest)
+			total := work.completableWithin(worth)
 			pay, weighed := pays[o.kind]
-			for want > 0 && asked[o.kind] < most[o.kind] && (lacking > 0 || weighed && asked[o.kind] < pay || total > f.cpus*worth) {
+			for want > 0 && asked[o.kind] < most[o.kind] && (lacking > 0 || weighed && asked[o.kind] < pay || total > f.totalCPUs*worth) {
 				asked[o.kind]++
 				nothing = false
 				clear(settled)
-				if d.zones.Away(o.kind.Zone) {
+				if d.zones.IsUnavailable(o.kind.Zone) {
 					break // to learn of its return; no room to count on
 				}
-				f.add(o.kind, o.typ)
+				f.add(o.kind, o.machineType)
 				lacking -= per
-				want -= f.take(len(f.open)-1, j, min(per, want))
+				want -= f.reserve(len(f.slots)-1, j, min(per, want))
 			}
 		}
 		settled[shapes[i]] = alike && nothing
 	}
 	for _, o := range opts {
 		if asked[o.kind] > 0 {
-			d.zones.Asked(now, o.kind.Zone, asked[o.kind])
-			d.cloud.Rent(now, o.kind, asked[o.kind])
+			d.zones.RecordRequest(now, o.kind.Zone, asked[o.kind])
+			d.cloud.RequestInstances(now, o.kind, asked[o.kind])
 		}
 	}
 }
 
-// mayAsk is how many machines of a kind may be asked for now.
-func (d *Desk) mayAsk(now time.Time, k fleet.Kind) int {
-	if !d.cloud.Askable(now, k) {
+// maxRequestable is how many machines of a kind may be asked for now.
+func (d *Scaler) maxRequestable(now time.Time, k fleet.InstanceKind) int {
+	if !d.cloud.CanRequest(now, k) {
 		return 0
 	}
-	return d.zones.May(now, k.Zone, d.cloud.MostAsked())
+	return d.zones.MaxRequestable(now, k.Zone, d.cloud.MaxRequestable())
 }
 
-// ahead is the work at hand, in CPU seconds, by team.
-type ahead []teamWork
+// teamBacklogs is the work at hand, in CPU seconds, by team.
+type teamBacklogs []teamBacklog
 
-type teamWork struct{ work, limit float64 }
+type teamBacklog struct{ work, cpuLimit float64 }
 
-func (d *Desk) workAhead(order []plan.Entry) ahead {
+func (d *Scaler) backlogByTeam(order []plan.Entry) teamBacklogs {
 	at := map[string]int{}
-	var list ahead
+	var list teamBacklogs
 	for k := range order {
 		e := &order[k]
 		i, ok := at[e.Job.Team]
 		if !ok {
 			i = len(list)
 			at[e.Job.Team] = i
-			list = append(list, teamWork{limit: d.teams[e.Job.Team].CPULimit})
+			list = append(list, teamBacklog{cpuLimit: d.teams[e.Job.Team].CPULimit})
 		}
 		list[i].work += e.RemainingCPUSeconds
 	}
 	return list
 }
 
-// within is how much of the work could be done in so many seconds with any number of
+// completableWithin is how much of the work could be done in so many seconds with any number of
 // machines: no team gets further than its limit.
-func (a ahead) within(seconds float64) float64 {
+func (a teamBacklogs) completableWithin(seconds float64) float64 {
 	sum := 0.0
 	for _, t := range a {
-		if t.limit > 0 {
-			t.work = min(t.work, t.limit*seconds)
+		if t.cpuLimit > 0 {
+			t.work = min(t.work, t.cpuLimit*seconds)
 		}
 		sum += t.work
 	}
 	return sum
 }
 
-// worth is how long, in seconds, the work at hand must last for a kind to be rented: the
+// requiredBacklog is how long, in seconds, the work at hand must last for a kind to be rented: the
 // dearer it is, the longer. Where the platform states aims, that is for the cheap kinds only.
-func (d *Desk) worth(price, cheapest float64) float64 {
-	return d.opt.Backlog.Seconds() * ratio(price, cheapest) / 3
+func (d *Scaler) requiredBacklog(price, cheapest float64) float64 {
+	return d.options.Backlog.Seconds() * priceRatio(price, cheapest) / 3
 }
 
-// ratio is how many times as dear a price is; what costs nothing is not dearer than anything.
-func ratio(price, cheapest float64) float64 {
+// priceRatio is how many times as dear a price is; what costs nothing is not dearer than anything.
+func priceRatio(price, cheapest float64) float64 {
 	if cheapest <= 0 {
 		return 1
 	}
--- a/internal/controller/rental/desk_test.go
+++ b/internal/controller/rental/desk_test.go
@@ -21,50 +21,50 @@
 
 func TestMain(m *testing.M) { steady.Main(m) }
 
-// room is a desk with a fleet of machines, a cloud and jobs of its own.
-type room struct {
-	*Desk
-	jobs map[string]*jobs.Job
-	box  *outbox.Box
+// fixture is a desk with a fleet of machines, a cloud and jobs of its own.
+type fixture struct {
+	*Scaler
+	jobs   map[string]*jobs.Job
+	outbox *outbox.Box
 }
 
-func newDesk(now time.Time) *room {
+func newFixture(now time.Time) *fixture {
 	log := slog.New(slog.DiscardHandler)
 	opt := config.DefaultOptions()
 	cfg := &config.Platform{Name: "n", ReportEvery: 4 * time.Second, WorkerLease: 20 * time.Second, CPUShare: 0.2, Connections: 1000, CloudRate: 2,
 		Teams: []config.Team{{Name: "t", CPUs: 500, CPULimit: 1e6}}}
-	r := &room{jobs: map[string]*jobs.Job{}, box: &outbox.Box{}}
-	f, planner, cloud := workers.NewRegistry(workers.LeaseExpiry(cfg.WorkerLease), log), plan.New(opt, cfg), fleet.New(1, 2, time.Second, log)
-	cloud.Types = map[string]*fleet.Type{"small": {Name: "small", CPUs: 4, Mem: 8, Zones: []string{"a"}, Price: 1, SpotPrice: 0.3, BootS: 40},
-		"large": {Name: "large", CPUs: 16, Mem: 64, Zones: []string{"a", "b"}, Price: 4, SpotPrice: 1, BootS: 30}}
+	r := &fixture{jobs: map[string]*jobs.Job{}, outbox: &outbox.Box{}}
+	f, planner, cloudClient := workers.NewRegistry(workers.LeaseExpiry(cfg.WorkerLease), log), plan.New(opt, cfg), fleet.New(1, 2, time.Second, log)
+	cloudClient.MachineTypes = map[string]*fleet.MachineType{"small": {Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}, HourlyPrice: 1, SpotHourlyPrice: 0.3, BootSeconds: 40},
+		"large": {Name: "large", CPUs: 16, MemoryGB: 64, Zones: []string{"a", "b"}, HourlyPrice: 4, SpotHourlyPrice: 1, BootSeconds: 30}}
 	placer := place.New(place.Components{Platform: cfg, FencingToken: 1, Jobs: r.jobs, Workers: f, Planner: planner,
-		Capacity: func(now time.Time) plan.Capacity { return r.Room(now) }, Outbox: r.box, Log: log})
-	r.Desk = NewDesk(World{Platform: cfg, Options: &opt, Token: 1, Since: now, First: func() bool { return true }, Cloud: cloud, Fleet: f,
-		Planner: planner, Placer: placer, Pace: pace.NewDetector(cfg.ReportEvery), Zones: zones.New(cfg.ReportEvery, now, log), Box: r.box, Log: log})
+		Capacity: func(now time.Time) plan.Capacity { return r.ExpectedCapacity(now) }, Outbox: r.outbox, Log: log})
+	r.Scaler = New(Components{Platform: cfg, Options: &opt, FencingToken: 1, ElectedAt: now, IsFirstLeader: func() bool { return true }, Cloud: cloudClient, Workers: f,
+		Planner: planner, Placer: placer, Stragglers: pace.NewDetector(cfg.ReportEvery), Zones: zones.New(cfg.ReportEvery, now, log), Outbox: r.outbox, Log: log})
 	return r
 }
 
-func (r *room) addMachine(now time.Time, i int, typ, zone string, spot bool) *workers.Machine {
-	m := r.fleet.GetOrAdd(fmt.Sprintf("vm-%06d", i))
-	r.look(now, m, typ, zone, spot)
-	r.cloud.Seen(now, m.ID, "", place.MachineKind(m))
-	t := r.cloud.Types[typ]
-	r.fleet.SetCapacity(m, place.TypeResources(t), t.CacheGB, t.FetchRate)
+func (r *fixture) addMachine(now time.Time, i int, typ, zone string, spot bool) *workers.Machine {
+	m := r.workers.GetOrAdd(fmt.Sprintf("vm-%06d", i))
+	r.sendHeartbeat(now, m, typ, zone, spot)
+	r.cloud.ObserveHeartbeat(now, m.ID, "", place.MachineKind(m))
+	t := r.cloud.MachineTypes[typ]
+	r.workers.SetCapacity(m, place.TypeResources(t), t.ImageCacheGB, t.FetchGBPerSecond)
 	m.Reconciled, m.Registered = true, true
 	return m
 }
 
-// look takes in a report that has exactly what is on the machine, all of it running.
-func (r *room) look(now time.Time, m *workers.Machine, typ, zone string, spot bool) {
+// sendHeartbeat takes in a report that has exactly what is on the machine, all of it running.
+func (r *fixture) sendHeartbeat(now time.Time, m *workers.Machine, typ, zone string, spot bool) {
 	rep := &workers.Heartbeat{Machine: m.ID, Type: typ, Zone: zone, Spot: spot, Incarnation: 1, Sequence: m.Sequence + 1}
 	for _, a := range m.Attempts {
 		rep.Tasks = append(rep.Tasks, workers.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: workers.StateRunning})
 	}
-	r.fleet.Reconcile(now, m, rep, true, func(id string) *jobs.Job { return r.jobs[id] })
+	r.workers.Reconcile(now, m, rep, true, func(id string) *jobs.Job { return r.jobs[id] })
 	m.LeaseRenewedAt, m.LastContactAt = now, now
 }
 
-func (r *room) addJob(now time.Time, i, tasks int, cpus float64) *jobs.Job {
+func (r *fixture) addJob(now time.Time, i, tasks int, cpus float64) *jobs.Job {
 	j := jobs.New(jobs.Spec{ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "t", Tasks: tasks, CPUs: cpus, MemoryGB: cpus, AllowsSpot: i%3 > 0,
 		SpreadAcrossZones: i%4 == 1, RunTimeEstimate: 30 * time.Second, Deadline: time.Duration(i%2) * time.Minute}, now)
 	j.State, j.Guaranteed = jobs.Accepted, i%2 == 1
@@ -75,10 +75,10 @@
 
 // A machine that is hardly used is emptied if its tasks save and others have room for them;
 // the tasks start again elsewhere.
-func TestThinMachinesAreEmptied(t *testing.T) {
+func TestUnderusedMachinesAreDrained(t *testing.T) {
 	for name, saves := range map[string]bool{"tasks that save": true, "tasks that do not": false} {
 		now := time.Unix(10_000, 0)
-		n := newDesk(now)
+		n := newFixture(now)
 		j := n.addJob(now, 2, 3, 4)
 		j.RunTimeEstimate, j.CheckpointDuration = 5*time.Minute, 4*time.Second
 		if saves {
@@ -89,25 +89,25 @@
 			m := n.addMachine(now, len(all), "large", "a", true)
 			for range tasks {
 				t := j.TakeNextTask()
-				n.fleet.Assign(m, &jobs.Attempt{Task: jobs.TaskID{JobID: j.ID, Index: t}, Number: uint64(t + 1), MachineID: m.ID, Zone: m.Zone, Job: j, AssignedAt: now})
+				n.workers.Assign(m, &jobs.Attempt{Task: jobs.TaskID{JobID: j.ID, Index: t}, Number: uint64(t + 1), MachineID: m.ID, Zone: m.Zone, Job: j, AssignedAt: now})
 			}
 			all = append(all, m)
 		}
 		for _, m := range all {
-			n.look(now, m, "large", "a", true)
+			n.sendHeartbeat(now, m, "large", "a", true)
 		}
 		now = now.Add(2 * time.Minute)
 		for _, m := range all {
-			n.look(now, m, "large", "a", true)
+			n.sendHeartbeat(now, m, "large", "a", true)
 		}
-		n.thinOut(now)
+		n.consolidate(now)
 		var drained []string
 		for _, m := range all {
 			if m.DrainReason == workers.DrainConsolidated && len(m.Attempts) > 0 {
 				drained = append(drained, m.ID)
 			}
 		}
-		calls := n.box.Take()
+		calls := n.outbox.Take()
 		if saves != (len(drained) == 1) || len(calls) != len(drained) {
 			t.Errorf("%s: %v emptied by %d calls", name, drained, len(calls))
 			continue
@@ -115,21 +115,21 @@
 		if !saves {
 			continue
 		}
-		m := n.fleet.Machines[drained[0]]
+		m := n.workers.Machines[drained[0]]
 		r := workers.Heartbeat{Machine: m.ID, Type: "large", Zone: "a", Spot: true, Incarnation: 1, Sequence: m.Sequence + 1, FencingToken: 1}
 		for _, a := range m.Attempts {
 			r.Tasks = append(r.Tasks, workers.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: workers.StateExited, Reason: "halted", CheckpointSaved: true})
 		}
-		for _, e := range n.fleet.Reconcile(now, m, &r, true, func(id string) *jobs.Job { return n.jobs[id] }) {
+		for _, e := range n.workers.Reconcile(now, m, &r, true, func(id string) *jobs.Job { return n.jobs[id] }) {
 			e.Attempt.Job.Requeue(e.Attempt.Task.Index)
 		}
 		n.placer.InvalidateOrder()
 		if len(n.placer.StartTasks(now, m, 9)) > 0 {
 			t.Error("the machine that is emptied starts something")
 		}
-		n.gather(now)
-		n.giveBack(now, n.placer.StartableTasks(n.placer.Order(now)))
-		if !n.cloud.Hosts[m.ID].Deleting {
+		n.refreshInstances(now)
+		n.terminateUnneeded(now, n.placer.StartableTasks(n.placer.Order(now)))
+		if !n.cloud.Instances[m.ID].Deleting {
 			t.Error("the empty machine is not returned")
 		}
 		started := 0
@@ -150,46 +150,46 @@
 // Machines that an earlier leader had and that died with it are neither room nor coming: what waits
 // is rented for once their leases have ended, and they are returned, which frees their places. They
 // were taken for booting until they had been rented for minutes.
-func TestMachinesThatDiedWithAnEarlierLeader(t *testing.T) {
+func TestMachinesLostWithPreviousLeaderAreReplaced(t *testing.T) {
 	now := time.Unix(10_000, 0)
-	d := newDesk(now)
+	d := newFixture(now)
 	for i := range 6 {
 		id := fmt.Sprintf("vm-%06d", i)
-		d.cloud.Hosts[id] = &fleet.Host{ID: id, Kind: fleet.Kind{Type: "large", Zone: "a", Spot: true}, Born: now.Add(-time.Minute), State: fleet.Running}
-		m := d.fleet.GetOrAdd(id)
+		d.cloud.Instances[id] = &fleet.Instance{ID: id, Kind: fleet.InstanceKind{Type: "large", Zone: "a", Spot: true}, RequestedAt: now.Add(-time.Minute), State: fleet.StateRunning}
+		m := d.workers.GetOrAdd(id)
 		m.Registered, m.LeaseRenewedAt, m.LastContactAt = true, now, now // when the leadership began
 	}
 	d.addJob(now, 2, 96, 1)
 	asked := func() int {
-		d.cloud.Tick(now, d.box)
+		d.cloud.Tick(now, d.outbox)
 		n := 0
-		for _, c := range d.box.Take() {
+		for _, c := range d.outbox.Take() {
 			if c.Path == "/hosts" {
 				n += c.Body.(map[string]any)["how_many"].(int)
 			}
 		}
 		return n
 	}
-	if d.size(now); asked() > 0 {
+	if d.scale(now); asked() > 0 {
 		t.Error("rents for work that may still run on machines that are not accounted for")
 	}
-	now = now.Add(d.fleet.Lease() + time.Second)
-	if d.size(now); asked() == 0 {
+	now = now.Add(d.workers.Lease() + time.Second)
+	if d.scale(now); asked() == 0 {
 		t.Error("takes machines that are gone for room that is coming")
 	}
-	now = now.Add(patience)
-	d.size(now)
-	for id, h := range d.cloud.Hosts {
+	now = now.Add(silenceGrace)
+	d.scale(now)
+	for id, h := range d.cloud.Instances {
 		if !h.Deleting {
 			t.Errorf("%s is not returned", id)
 		}
 	}
 }
 
-// loaded is a fleet under load: every machine full but for a part of them, and jobs that wait.
-func loaded(machines, waiting int) (*room, time.Time) {
+// newLoadedFixture is a fleet under load: every machine full but for a part of them, and jobs that wait.
+func newLoadedFixture(machines, waiting int) (*fixture, time.Time) {
 	now := time.Unix(10_000, 0)
-	n := newDesk(now)
+	n := newFixture(now)
 	for i := range waiting {
 		n.addJob(now, i, 100+i%50, 1)
 	}
@@ -203,16 +203,16 @@
 	return n, now
 }
 
-// BenchmarkSize is the look at what to rent and to give back, with three aims to weigh.
-func BenchmarkSize(b *testing.B) {
+// BenchmarkScale is the look at what to rent and to give back, with three aims to weigh.
+func BenchmarkScale(b *testing.B) {
 	for _, size := range [...]int{250, 1000, 5000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n, now := loaded(size, size)
-			n.steps = stepsOf([]config.Objective{{Kind: "finished", Class: "c", Within: 2 * time.Minute, Share: 0.9},
+			n, now := newLoadedFixture(size, size)
+			n.objectives = objectivesOf([]config.Objective{{Kind: "finished", Class: "c", Within: 2 * time.Minute, Share: 0.9},
 				{Kind: "finished", Class: "c", Within: 4 * time.Minute, Share: 0.99}, {Kind: "wait", Class: "c", Within: time.Minute, Share: 0.9}})
-			n.records = make([]record, len(n.steps))
+			n.history = make([]objectiveRecord, len(n.objectives))
 			for b.Loop() {
-				n.size(now)
+				n.scale(now)
 			}
 		})
 	}
@@ -220,11 +220,11 @@
 
 // Machines on which tasks take three times as long get nothing more and are returned; of those that
 // cost nothing none is, and never more than a small part of the fleet at a time.
-func TestSlowMachinesAreReturned(t *testing.T) {
+func TestStragglersAreTerminated(t *testing.T) {
 	for _, price := range []float64{1, 0} {
 		now := time.Unix(10_000, 0)
-		n := newDesk(now)
-		n.cloud.Types["small"].Price = price
+		n := newFixture(now)
+		n.cloud.MachineTypes["small"].HourlyPrice = price
 		for i := range 40 {
 			m := n.addMachine(now, i, "small", "a", false)
 			for k := range 30 {
@@ -232,12 +232,12 @@
 				if i < 4 {
 					ran *= 4
 				}
-				n.pace.RecordRun(m.ID, ran, 70*time.Second, 10)
+				n.stragglers.RecordRun(m.ID, ran, 70*time.Second, 10)
 			}
 		}
-		n.setSlowAside(now)
+		n.cordonStragglers(now)
 		var aside []string
-		for _, m := range n.fleet.MachinesByName() {
+		for _, m := range n.workers.MachinesByName() {
 			if m.DrainReason == workers.DrainSlow {
 				aside = append(aside, m.ID)
 			}
@@ -246,13 +246,13 @@
 			t.Errorf("price %g: %v set aside, want %d", price, aside, want)
 		}
 		now = now.Add(2 * time.Minute)
-		for _, m := range n.fleet.MachinesByName() {
-			n.look(now, m, "small", "a", false)
+		for _, m := range n.workers.MachinesByName() {
+			n.sendHeartbeat(now, m, "small", "a", false)
 		}
-		n.gather(now)
-		n.giveBack(now, nil)
+		n.refreshInstances(now)
+		n.terminateUnneeded(now, nil)
 		for _, id := range aside {
-			if !n.cloud.Hosts[id].Deleting {
+			if !n.cloud.Instances[id].Deleting {
 				t.Errorf("%s is slow and empty and is not returned", id)
 			}
 		}
--- a/internal/controller/rental/slow.go
+++ b/internal/controller/rental/slow.go
@@ -6,35 +6,35 @@
 	"gullrudder/internal/controller/workers"
 )
 
-// slowShare is how much of the fleet may be set aside at a time for being slow: more says something of
+// maxCordonedShare is how much of the fleet may be set aside at a time for being slow: more says something of
 // the work, or of the cloud, and not of the machines.
-const slowShare = 0.05
+const maxCordonedShare = 0.05
 
-// setSlowAside has nothing more start on machines that are slow but report: they cost what others do.
+// cordonStragglers has nothing more start on machines that are slow but report: they cost what others do.
 // What runs there goes on; then they are returned, and the work at hand rents others. What costs
 // nothing is kept, however slow: it would be rented again.
-func (d *Desk) setSlowAside(now time.Time) {
+func (d *Scaler) cordonStragglers(now time.Time) {
 	up, aside := 0, 0
 	var slow []*workers.Machine
-	for _, m := range d.fleet.MachinesByName() {
-		if !m.HasReported || d.fleet.IsLeaseExpired(now, m) {
+	for _, m := range d.workers.MachinesByName() {
+		if !m.HasReported || d.workers.IsLeaseExpired(now, m) {
 			continue
 		}
 		up++
-		t := d.cloud.Types[m.Type]
+		t := d.cloud.MachineTypes[m.Type]
 		switch {
 		case m.DrainReason == workers.DrainSlow:
 			aside++
-		case m.DrainReason == workers.NotDraining && t != nil && t.Price > 0 && d.cloud.Hosts[m.ID] != nil && d.pace.IsSlow(m.ID):
+		case m.DrainReason == workers.NotDraining && t != nil && t.HourlyPrice > 0 && d.cloud.Instances[m.ID] != nil && d.stragglers.IsSlow(m.ID):
 			slow = append(slow, m)
 		}
 	}
 	for _, m := range slow {
-		if float64(aside) >= slowShare*float64(up) {
+		if float64(aside) >= maxCordonedShare*float64(up) {
 			return
 		}
 		aside++
 		m.DrainReason = workers.DrainSlow
-		d.log.Info("a machine is slow", "machine", m.ID, "times", d.pace.Slowdown(m.ID), "tasks", len(m.Attempts))
+		d.log.Info("a machine is slow", "machine", m.ID, "times", d.stragglers.Slowdown(m.ID), "tasks", len(m.Attempts))
 	}
 }
--- a/internal/controller/rental/thin.go
+++ b/internal/controller/rental/thin.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// spare is the share of the fleet's CPUs that stays free for what arrives next.
-	spare = 0.1
-	// settled is how long a task runs on a machine before it may be moved (again).
-	settled = 30 * time.Second
+	// freeCPUShare is the share of the fleet's CPUs that stays free for what arrives next.
+	freeCPUShare = 0.1
+	// minRunBeforeMove is how long a task runs on a machine before it may be moved (again).
+	minRunBeforeMove = 30 * time.Second
 	// moveGain is how many times over the price of a move must come back: its CPUs stand
 	// still while the task saves and its image is fetched.
 	moveGain = 3
 )
 
-// thinOut empties machines that are hardly used, where the fuller ones have room for their
+// consolidate empties machines that are hardly used, where the fuller ones have room for their
 // tasks and the fleet stays large enough for what waits and some more: without it a few long
 // tasks keep many machines to the end of a day. Only tasks that save are moved.
-func (d *Desk) thinOut(now time.Time) {
+func (d *Scaler) consolidate(now time.Time) {
 	slack := 0.0
 	var list []*workers.Machine // the emptiest first
-	for _, m := range d.fleet.ReportingMachines() {
-		if m.DrainReason == workers.NotDraining && m.Reconciled && !d.fleet.IsLeaseExpired(now, m) {
+	for _, m := range d.workers.ReportingMachines() {
+		if m.DrainReason == workers.NotDraining && m.Reconciled && !d.workers.IsLeaseExpired(now, m) {
 			list = append(list, m)
-			slack += (1-spare)*m.CPUs - m.UsedCPUs
+			slack += (1-freeCPUShare)*m.CPUs - m.UsedCPUs
 		}
 	}
 	order := d.placer.Order(now)
@@ -54,48 +54,48 @@
 		if emptied > len(list)/10 || m.UtilizationBucket() > workers.BucketCount/2 {
 			return
 		}
-		if slack < m.CPUs || d.paidFor(now, m.ID) > 0 {
+		if slack < m.CPUs || d.prepaidTime(now, m.ID) > 0 {
 			continue
 		}
 		switch {
 		case len(m.Attempts) == 0:
-			if now.Sub(m.IdleSince) > d.opt.IdleAfter/2 {
+			if now.Sub(m.IdleSince) > d.options.IdleAfter/2 {
 				slack -= m.CPUs
 				m.DrainReason = workers.DrainConsolidated
 			}
-		case d.movable(now, m) && fitElsewhere(m, list[i+1:], free[i+1:]):
+		case d.isMovable(now, m) && fitOnOthers(m, list[i+1:], free[i+1:]):
 			slack -= m.CPUs
 			emptied++
-			d.emptyOut(now, m)
+			d.drain(now, m)
 		}
 	}
 }
 
-// movable reports whether all tasks on the machine save, and whether emptying it is worth
+// isMovable reports whether all tasks on the machine save, and whether emptying it is worth
 // what moving them costs.
-func (d *Desk) movable(now time.Time, m *workers.Machine) bool {
+func (d *Scaler) isMovable(now time.Time, m *workers.Machine) bool {
 	var last time.Duration // until the machine would be empty by itself
 	cost := 0.0            // CPU seconds that stand still
 	for _, a := range m.Attempts {
-		if !a.CanBePreempted(now) || now.Sub(a.AssignedAt) < settled {
+		if !a.CanBePreempted(now) || now.Sub(a.AssignedAt) < minRunBeforeMove {
 			return false
 		}
 		perTask := d.planner.TaskRunTime(a.Job)
 		last = max(last, perTask-now.Sub(a.RunningSince), perTask/4)
-		cost += a.Job.CPUs * (a.Job.CheckpointDuration + m.ImageCache.FetchTime(a.Job.ImageGB) + d.cfg.ReportEvery).Seconds()
+		cost += a.Job.CPUs * (a.Job.CheckpointDuration + m.ImageCache.FetchTime(a.Job.ImageGB) + d.platform.ReportEvery).Seconds()
 	}
 	return last.Seconds()*m.CPUs > moveGain*cost
 }
 
-// fitElsewhere lays all tasks of the machine into the free room of others, the fullest
+// fitOnOthers lays all tasks of the machine into the free room of others, the fullest
 // first. If not all fit, nothing is taken.
-func fitElsewhere(m *workers.Machine, others []*workers.Machine, free []workers.Resources) bool {
+func fitOnOthers(machine *workers.Machine, others []*workers.Machine, free []workers.Resources) bool {
 	type taken struct {
 		i int
 		j *jobs.Job
 	}
 	var laid []taken
-	for _, a := range m.Attempts {
+	for _, a := range machine.Attempts {
 		found := false
 		for i := len(others) - 1; i >= 0 && !found; i-- {
 			if free[i].TasksThatFit(a.Job) > 0 && place.IsEligible(a.Job, others[i]) && others[i].ReservedFor == nil {
@@ -114,8 +114,8 @@
 	return true
 }
 
-// emptyOut has all tasks of a machine save and stop; it is returned once they have.
-func (d *Desk) emptyOut(now time.Time, m *workers.Machine) {
+// drain has all tasks of a machine save and stop; it is returned once they have.
+func (d *Scaler) drain(now time.Time, m *workers.Machine) {
 	m.DrainReason = workers.DrainConsolidated
 	d.log.Info("emptying a machine", "machine", m.ID, "tasks", len(m.Attempts))
 	var list []workers.Command
@@ -123,5 +123,5 @@
 		a.StopSentAt = now
 		list = append(list, workers.Kill(a.Task.String(), a.Number, a.Job.CheckpointDuration.Seconds()))
 	}
-	workers.SendCommands(d.box, d.token, m, list)
+	workers.SendCommands(d.outbox, d.fencingToken, m, list)
 }
--- a/internal/controller/reports/clerk.go
+++ b/internal/controller/reports/clerk.go
@@ -52,7 +52,7 @@
 	storage      *ledger.Store
 	jobStore     *book.Store
 	workers      *workers.Registry
-	cloud        *fleet.Cloud
+	cloud        *fleet.Client
 	planner      *plan.Planner
 	placer       *place.Placer
 	accounting   *timeline.Tracker
@@ -70,7 +70,7 @@
 	Storage      *ledger.Store
 	JobStore     *book.Store
 	Workers      *workers.Registry
-	Cloud        *fleet.Cloud
+	Cloud        *fleet.Client
 	Planner      *plan.Planner
 	Placer       *place.Placer
 	Accounting   *timeline.Tracker
@@ -107,7 +107,7 @@
 		h.responder.Refuse(request, 400, "no report", 0)
 		return false
 	}
-	if heartbeat.FencingToken > h.fencingToken || h.cloud.Dead(heartbeat.Machine) || len(h.workers.Machines) > 20000 {
+	if heartbeat.FencingToken > h.fencingToken || h.cloud.IsDeleted(heartbeat.Machine) || len(h.workers.Machines) > 20000 {
 		h.responder.Refuse(request, 503, "not now", 0)
 		return false
 	}
@@ -134,9 +134,9 @@
 
 // register writes down that the machine may hold tasks, before it gets any.
 func (h *Handler) register(now time.Time, machine *workers.Machine, heartbeat *workers.Heartbeat) {
-	h.cloud.Seen(now, heartbeat.Machine, heartbeat.Addr, fleet.Kind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot})
-	if machineType := h.cloud.Types[heartbeat.Type]; machineType != nil && machine.CPUs+machine.MemoryGB+machine.GPUs == 0 {
-		h.workers.SetCapacity(machine, place.TypeResources(machineType), machineType.CacheGB, machineType.FetchRate)
+	h.cloud.ObserveHeartbeat(now, heartbeat.Machine, heartbeat.Addr, fleet.InstanceKind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot})
+	if machineType := h.cloud.MachineTypes[heartbeat.Type]; machineType != nil && machine.CPUs+machine.MemoryGB+machine.GPUs == 0 {
+		h.workers.SetCapacity(machine, place.TypeResources(machineType), machineType.ImageCacheGB, machineType.FetchGBPerSecond)
 	}
 	if machine.Registered || machine.Registering {
 		return
--- a/internal/controller/reports/gone.go
+++ b/internal/controller/reports/gone.go
@@ -29,8 +29,8 @@
 
 // RemoveDeleted takes in the machines whose deletion the cloud has confirmed.
 func (h *Handler) RemoveDeleted(now time.Time) {
-	deleted := h.cloud.Gone
-	h.cloud.Gone = nil
+	deleted := h.cloud.ConfirmedDeletions
+	h.cloud.ConfirmedDeletions = nil
 	for _, id := range deleted {
 		machine := h.workers.Machines[id]
 		if machine == nil {
--- a/internal/controller/requests/desk.go
+++ b/internal/controller/requests/desk.go
@@ -38,14 +38,14 @@
 	storage             *ledger.Store
 	jobStore            *book.Store
 	workers             *workers.Registry
-	cloud               *fleet.Cloud
+	cloud               *fleet.Client
 	planner             *plan.Planner
 	placer              *place.Placer
-	autoscaler          *rental.Desk
+	autoscaler          *rental.Scaler
 	failover            *takeover.Reconciler
 	accounting          *timeline.Tracker
 	failures            *blame.Tracker
-	zoneTracker         *zones.Book
+	zoneTracker         *zones.Tracker
 	submissionGate      *standing.SubmissionLimiter // bounds the submissions that are not durable yet
 	holdsLease          func() bool                 // the leadership is entitled to act
 	leaseOutlastsCancel bool                        // a lease that was just renewed may outlast the time that users are told for a cancellation
@@ -58,14 +58,14 @@
 	Storage    *ledger.Store
 	JobStore   *book.Store
 	Workers    *workers.Registry
-	Cloud      *fleet.Cloud
+	Cloud      *fleet.Client
 	Planner    *plan.Planner
 	Placer     *place.Placer
-	Autoscaler *rental.Desk
+	Autoscaler *rental.Scaler
 	Failover   *takeover.Reconciler
 	Accounting *timeline.Tracker
 	Failures   *blame.Tracker
-	Zones      *zones.Book
+	Zones      *zones.Tracker
 	HoldsLease func() bool
 	Responder  *inbox.Answers
 	Outbox     *outbox.Box
@@ -179,7 +179,7 @@
 		d.responder.Refuse(r, refusal.Status, refusal.Reason, 0)
 		return
 	}
-	if len(d.cloud.Types) == 0 {
+	if len(d.cloud.MachineTypes) == 0 {
 		d.responder.Refuse(r, 503, "the machine types are not known yet", retryDelay)
 		return
 	}
@@ -205,7 +205,7 @@
 	if !void {
 		d.jobStore.WaitForDependencies(now, j, missing)
 		before, needs := d.jobStore.DependencyGraph().CriticalPath(j, d.planner.TaskRunTime)
-		j.Guaranteed = d.planner.Admit(now, j, d.jobStore.StartableJobs(), d.autoscaler.Room(now), before, needs)
+		j.Guaranteed = d.planner.Admit(now, j, d.jobStore.StartableJobs(), d.autoscaler.ExpectedCapacity(now), before, needs)
 		if len(missing) == 0 {
 			d.setStartBounds(now, j)
 		}
@@ -259,9 +259,9 @@
 	if place.ExceedsQuota(j, team) {
 		return "needs more than its team's limit"
 	}
-	for _, t := range d.cloud.Types {
+	for _, t := range d.cloud.MachineTypes {
 		for _, z := range t.Zones {
-			if place.FitsType(j, t) && place.KindAllowed(j, fleet.KindOf(t, z, false)) {
+			if place.FitsType(j, t) && place.KindAllowed(j, fleet.InstanceKindOf(t, z, false)) {
 				return ""
 			}
 		}
--- a/internal/controller/requests/explain.go
+++ b/internal/controller/requests/explain.go
@@ -41,26 +41,26 @@
 			a.Team.Add(o, w)
 		}
 	}
-	for _, h := range d.cloud.Hosts {
-		if t := d.cloud.Types[h.Kind.Type]; t != nil && !h.Deleting && place.KindAllowed(j, h.Kind) && place.FitsType(j, t) {
+	for _, h := range d.cloud.Instances {
+		if t := d.cloud.MachineTypes[h.Kind.Type]; t != nil && !h.Deleting && place.KindAllowed(j, h.Kind) && place.FitsType(j, t) {
 			a.UsableCPUs += t.CPUs
 		}
 	}
 	fetch, least, boot := 0.0, 0.0, time.Duration(0)
-	for _, t := range d.cloud.Types {
+	for _, t := range d.cloud.MachineTypes {
 		if !place.FitsType(j, t) {
 			continue
 		}
-		if t.FetchRate > 0 {
-			fetch = max(fetch, j.ImageGB/t.FetchRate)
+		if t.FetchGBPerSecond > 0 {
+			fetch = max(fetch, j.ImageGB/t.FetchGBPerSecond)
 		}
 		for _, z := range t.Zones {
 			for _, spot := range []bool{false, true} {
-				if k := fleet.KindOf(t, z, spot); d.cloud.Askable(now, k) && place.KindAllowed(j, k) {
-					if cpus := float64(rental.Growth) * t.CPUs; least == 0 || cpus < least {
+				if k := fleet.InstanceKindOf(t, z, spot); d.cloud.CanRequest(now, k) && place.KindAllowed(j, k) {
+					if cpus := float64(rental.AssumedGrowth) * t.CPUs; least == 0 || cpus < least {
 						least = cpus
 					}
-					boot = max(boot, d.cloud.Boot(t))
+					boot = max(boot, d.cloud.ExpectedBootTime(t))
 				}
 			}
 		}
--- a/internal/controller/requests/zones.go
+++ b/internal/controller/requests/zones.go
@@ -27,7 +27,7 @@
 	a := Zones{Zones: []ZoneStatus{}}
 	for _, v := range d.zoneTracker.Views() {
 		a.Zones = append(a.Zones, ZoneStatus{v.Name, v.State.String(), now.Sub(v.Since).Round(time.Second).Seconds(),
-			now.Sub(v.Heard).Round(100 * time.Millisecond).Seconds(), v.Machines, v.Overdue, v.Cuts})
+			now.Sub(v.LastHeartbeat).Round(100 * time.Millisecond).Seconds(), v.Machines, v.Overdue, v.Outages})
 	}
 	d.responder.Reply(r, 200, a, 0)
 }
--- a/internal/controller/takeover/partly.go
+++ b/internal/controller/takeover/partly.go
@@ -67,16 +67,16 @@
 	if machine.CPUs+machine.MemoryGB > 0 {
 		return machine.CPUs, machine.GPUs
 	}
-	if instance := t.cloud.Hosts[machine.ID]; instance != nil {
-		if instanceType := t.cloud.Types[instance.Kind.Type]; instanceType != nil {
-			return instanceType.CPUs, instanceType.Cards
+	if instance := t.cloud.Instances[machine.ID]; instance != nil {
+		if instanceType := t.cloud.MachineTypes[instance.Kind.Type]; instanceType != nil {
+			return instanceType.CPUs, instanceType.GPUs
 		}
 	}
-	if len(t.cloud.Types) == 0 {
+	if len(t.cloud.MachineTypes) == 0 {
 		return math.Inf(1), math.Inf(1)
 	}
-	for _, instanceType := range t.cloud.Types {
-		cpus, gpus = max(cpus, instanceType.CPUs), max(gpus, instanceType.Cards)
+	for _, instanceType := range t.cloud.MachineTypes {
+		cpus, gpus = max(cpus, instanceType.CPUs), max(gpus, instanceType.GPUs)
 	}
 	return cpus, gpus
 }
--- a/internal/controller/takeover/silence.go
+++ b/internal/controller/takeover/silence.go
@@ -141,7 +141,7 @@
 		}
 		machineCount++
 		if machine.IsSentinel {
-			if machine.IsSentinel = t.zones.Away(machine.Zone); machine.IsSentinel {
+			if machine.IsSentinel = t.zones.IsUnavailable(machine.Zone); machine.IsSentinel {
 				sentinels[machine.Zone]++
 				continue
 			}
@@ -153,7 +153,7 @@
 				t.overdueHeartbeats++
 			}
 		}
-		if instance := t.cloud.Hosts[id]; instance != nil && instance.State == fleet.Failed && !instance.Deleting && !t.completed {
+		if instance := t.cloud.Instances[id]; instance != nil && instance.State == fleet.StateFailed && !instance.Deleting && !t.completed {
 			machine.DrainReason = workers.DrainUnresponsive
 			failed = append(failed, id)
 			continue
@@ -169,7 +169,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		t.cloud.Return(now, failed, "failed")
+		t.cloud.Terminate(now, failed, "failed")
 	}
 	if len(silent) == 0 || len(silent)*3 > machineCount {
 		return
@@ -180,7 +180,7 @@
 	for _, id := range silent {
 		t.workers.Machines[id].DrainReason = workers.DrainUnresponsive
 	}
-	t.cloud.Return(now, silent, string(workers.DrainUnresponsive))
+	t.cloud.Terminate(now, silent, string(workers.DrainUnresponsive))
 }
 
 // keepSentinels keeps some machines of a zone that is cut, those on which the least was lost: their reports tell
@@ -191,7 +191,7 @@
 	})
 	return slices.DeleteFunc(ids, func(id string) bool {
 		machine := t.workers.Machines[id]
-		if sentinels[machine.Zone] >= t.zones.Keep(machine.Zone) {
+		if sentinels[machine.Zone] >= t.zones.SentinelCount(machine.Zone) {
 			return false
 		}
 		sentinels[machine.Zone]++
--- a/internal/controller/takeover/takeover.go
+++ b/internal/controller/takeover/takeover.go
@@ -37,11 +37,11 @@
 	jobStore      *book.Store
 	dynamicConfig *settings.Store
 	workers       *workers.Registry
-	cloud         *fleet.Cloud
+	cloud         *fleet.Client
 	heartbeats    *reports.Handler
 	placer        *place.Placer
 	fairShare     *floor.Allocator
-	zones         *zones.Book
+	zones         *zones.Tracker
 	reachability  *reach.Tracker
 	connectivity  *hearing.Monitor
 	renewalLimit  *horizon.Limit
@@ -72,11 +72,11 @@
 	JobStore      *book.Store
 	DynamicConfig *settings.Store
 	Workers       *workers.Registry
-	Cloud         *fleet.Cloud
+	Cloud         *fleet.Client
 	Heartbeats    *reports.Handler
 	Placer        *place.Placer
 	FairShare     *floor.Allocator
-	Zones         *zones.Book
+	Zones         *zones.Tracker
 	Reachability  *reach.Tracker
 	Connectivity  *hearing.Monitor // whether the workers reach this controller
 	RenewalLimit  *horizon.Limit   // which cancellations can be open that an earlier leader has confirmed
@@ -222,7 +222,7 @@
 func (t *Reconciler) reconcileMachines(now time.Time) {
 	remaining := t.unreconciled[:0]
 	for _, machine := range t.unreconciled {
-		if !machine.Registered || machine.Reconciled || t.cloud.Dead(machine.ID) || t.workers.IsLeaseExpired(now, machine) {
+		if !machine.Registered || machine.Reconciled || t.cloud.IsDeleted(machine.ID) || t.workers.IsLeaseExpired(now, machine) {
 			continue
 		}
 		remaining = append(remaining, machine)
--- a/internal/controller/takeover/takeover_test.go
+++ b/internal/controller/takeover/takeover_test.go
@@ -53,7 +53,7 @@
 	outbox := &outbox.Box{}
 	store := ledger.New(ledger.Options{ValueBytes: 8192, TxnOps: 12, WriteRate: 15}, fencingToken, log)
 	registry, planner, cloudState := workers.NewRegistry(workers.LeaseExpiry(platform.WorkerLease), log), plan.New(options, platform), fleet.New(fencingToken, 2, time.Second, log)
-	cloudState.Types = map[string]*fleet.Type{"small": {Name: "small", CPUs: 4, Mem: 8, Zones: []string{"a"}, Price: 1, SpotPrice: 0.3, BootS: 40}}
+	cloudState.MachineTypes = map[string]*fleet.MachineType{"small": {Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}, HourlyPrice: 1, SpotHourlyPrice: 0.3, BootSeconds: 40}}
 	accountingLog := timeline.New(timeline.NewMetrics(prometheus.NewRegistry()), log)
 	jobStore := book.New(book.Components{Platform: platform, Options: &options, Storage: store, Workers: registry, Accounting: accountingLog, Log: log})
 	placer := place.New(place.Components{Platform: platform, FencingToken: fencingToken, Jobs: jobStore.Unfinished, Workers: registry, Planner: planner,
@@ -141,9 +141,9 @@
 				machine.LeaseRenewedAt, machine.LastContactAt = now, now
 			}
 		}
-		reconciler.zones.Look(now, false, func(visit func(zones.Machine)) {
+		reconciler.zones.Observe(now, false, func(visit func(zones.Machine)) {
 			for _, machine := range reconciler.workers.MachinesByName() {
-				visit(zones.Machine{Zone: machine.Zone, Up: true, Live: !reconciler.workers.IsLeaseExpired(now, machine), Heard: machine.LastContactAt, Leaving: machine.DrainReason == workers.DrainUnresponsive, Ear: machine.IsSentinel})
+				visit(zones.Machine{Zone: machine.Zone, HasReported: true, LeaseValid: !reconciler.workers.IsLeaseExpired(now, machine), LastHeartbeat: machine.LastContactAt, Deleting: machine.DrainReason == workers.DrainUnresponsive, Sentinel: machine.IsSentinel})
 			}
 		})
 		reconciler.terminateSilent(now)
@@ -240,14 +240,14 @@
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
 	reconciler.completed = false
-	for id, state := range map[string]string{"vm-1": fleet.Failed, "vm-2": fleet.Running} {
+	for id, state := range map[string]string{"vm-1": fleet.StateFailed, "vm-2": fleet.StateRunning} {
 		machine := reconciler.workers.GetOrAdd(id)
 		machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = true, now, now
 		reconciler.unreconciled = append(reconciler.unreconciled, machine)
-		reconciler.cloud.Hosts[id] = &fleet.Host{ID: id, State: state, Listed: now.Add(time.Hour)}
+		reconciler.cloud.Instances[id] = &fleet.Instance{ID: id, State: state, LastListed: now.Add(time.Hour)}
 	}
 	reconciler.terminateSilent(now)
-	if !reconciler.cloud.Hosts["vm-1"].Deleting || reconciler.cloud.Hosts["vm-2"].Deleting {
+	if !reconciler.cloud.Instances["vm-1"].Deleting || reconciler.cloud.Instances["vm-2"].Deleting {
 		t.Error("not the one that failed is deleted")
 	}
 	if reconciler.reconcileMachines(now); reconciler.completed {
--- a/internal/controller/timeline/look.go
+++ b/internal/controller/timeline/look.go
@@ -18,7 +18,7 @@
 	StorageHealthy    bool // the state service takes changes
 	Teams             map[string]config.Team
 	Workers           *workers.Registry
-	Cloud             *fleet.Cloud
+	Cloud             *fleet.Client
 	Queue             []plan.Entry // in which jobs get room
 }
 
@@ -27,7 +27,7 @@
 	ClusterState
 	upMachines   []*workers.Machine
 	byShape      map[resourceShape]availability
-	bootingKinds []fleet.Kind          // of machines that are rented and not up
+	bootingKinds []fleet.InstanceKind  // of machines that are rented and not up
 	freeCPUs     float64               // CPUs that are free, and not held
 	reservedCPUs float64               // free and held
 	cpusAhead    map[*jobs.Job]float64 // CPUs that wait before a job in the order
@@ -64,9 +64,9 @@
 		s.cpusAhead[j] = ahead
 		ahead += float64(j.WaitingTasks()) * j.CPUs
 	}
-	kinds := map[fleet.Kind]bool{}
-	for id, h := range v.Cloud.Hosts {
-		if m := v.Workers.Machines[id]; !h.Deleting && h.State != fleet.Failed && m == nil && !kinds[h.Kind] {
+	kinds := map[fleet.InstanceKind]bool{}
+	for id, h := range v.Cloud.Instances {
+		if m := v.Workers.Machines[id]; !h.Deleting && h.State != fleet.StateFailed && m == nil && !kinds[h.Kind] {
 			kinds[h.Kind] = true
 			s.bootingKinds = append(s.bootingKinds, h.Kind)
 		}
@@ -96,7 +96,7 @@
 		r.reservedFor[m.ReservedFor] = true
 	}
 	for _, kind := range s.bootingKinds {
-		t := s.Cloud.Types[kind.Type]
+		t := s.Cloud.MachineTypes[kind.Type]
 		r.hasBooting = r.hasBooting || t != nil && place.KindAllowed(j, kind) && place.FitsType(j, t)
 	}
 	if j.FailureCount == 0 {
--- a/internal/controller/timeline/timeline_test.go
+++ b/internal/controller/timeline/timeline_test.go
@@ -46,14 +46,14 @@
 	log := slog.New(slog.DiscardHandler)
 	r := &site{now: time.Unix(10_000, 0), ClusterState: ClusterState{FailoverCompleted: true, StorageHealthy: true, Teams: map[string]config.Team{"t": {Name: "t", CPULimit: 100}},
 		Workers: workers.NewRegistry(time.Minute, log), Cloud: fleet.New(1, 2, time.Second, log)}}
-	r.Cloud.Types = map[string]*fleet.Type{"small": {Name: "small", CPUs: 2, Mem: 8, Zones: []string{"a"}}}
+	r.Cloud.MachineTypes = map[string]*fleet.MachineType{"small": {Name: "small", CPUs: 2, MemoryGB: 8, Zones: []string{"a"}}}
 	return r
 }
 
 func (r *site) machine(i int) *workers.Machine {
 	m := r.Workers.GetOrAdd(fmt.Sprintf("vm-%d", i))
 	r.Workers.Reconcile(r.now, m, &workers.Heartbeat{Machine: m.ID, Type: "small", Zone: "a", Incarnation: 1, Sequence: m.Sequence + 1}, true, func(string) *jobs.Job { return nil })
-	r.Workers.SetCapacity(m, place.TypeResources(r.Cloud.Types["small"]), 0, 0)
+	r.Workers.SetCapacity(m, place.TypeResources(r.Cloud.MachineTypes["small"]), 0, 0)
 	return m
 }
 
@@ -88,7 +88,7 @@
 	step(StateUnavailable, func() { r.StorageHealthy = false })
 	step(NoLeader, func() { r.StorageHealthy, r.FailoverCompleted, j.State = true, false, jobs.Accepted })
 	step(NoMachineRented, func() { r.FailoverCompleted = true })
-	step(MachineBooting, func() { r.Cloud.Seen(r.now, "vm-1", "", fleet.Kind{Type: "small", Zone: "a"}) })
+	step(MachineBooting, func() { r.Cloud.ObserveHeartbeat(r.now, "vm-1", "", fleet.InstanceKind{Type: "small", Zone: "a"}) })
 	step(AwaitingHeartbeat, func() { m = r.machine(1) })
 	step(Reserved, func() { m.ReservedFor = other })
 	step(Queued, func() { m.ReservedFor = nil; r.start(m, other); r.start(m, other) })
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -15,7 +15,7 @@
 // Cloud rents machines; each has a worker.
 type Cloud struct {
 	w        *World
-	flavors  map[string]fleet.Type
+	flavors  map[string]fleet.MachineType
 	machines map[string]*machine
 	names    []string
 	charters map[string][]string
@@ -33,7 +33,7 @@
 type machine struct {
 	w       *World
 	id      string
-	flavor  fleet.Type
+	flavor  fleet.MachineType
 	zone    string
 	spot    bool
 	born    time.Time
@@ -66,9 +66,9 @@
 }
 
 func newCloud(w *World) *Cloud {
-	c := &Cloud{w: w, machines: map[string]*machine{}, charters: map[string][]string{}, capacity: cmp.Or(w.Opt.Capacity, 6), flavors: map[string]fleet.Type{
-		"small": {Name: "small", CPUs: 4, Mem: 16, Price: 0.2, SpotPrice: 0.06, BootS: 3, Zones: []string{"a", "b"}},
-		"large": {Name: "large", CPUs: 16, Cards: 2, Mem: 64, Price: 0.9, SpotPrice: 0.3, BootS: 4, Zones: []string{"b"}},
+	c := &Cloud{w: w, machines: map[string]*machine{}, charters: map[string][]string{}, capacity: cmp.Or(w.Opt.Capacity, 6), flavors: map[string]fleet.MachineType{
+		"small": {Name: "small", CPUs: 4, MemoryGB: 16, HourlyPrice: 0.2, SpotHourlyPrice: 0.06, BootSeconds: 3, Zones: []string{"a", "b"}},
+		"large": {Name: "large", CPUs: 16, GPUs: 2, MemoryGB: 64, HourlyPrice: 0.9, SpotHourlyPrice: 0.3, BootSeconds: 4, Zones: []string{"b"}},
 	}}
 	var snap func()
 	snap = func() {
@@ -105,7 +105,7 @@
 func (c *Cloud) serve(method, path string, body []byte, answer func(int, any)) {
 	switch {
 	case path == "/flavors":
-		list := []fleet.Type{c.flavors["large"], c.flavors["small"]}
+		list := []fleet.MachineType{c.flavors["large"], c.flavors["small"]}
 		answer(200, map[string]any{"keels": list})
 	case method == "GET":
 		// A list may be older than the one before.
@@ -166,7 +166,7 @@
 		c.names = append(c.names, m.id)
 		ids = append(ids, m.id)
 		if c.w.Rng.IntN(30) != 0 { // some never come up
-			c.w.At(time.Duration(m.flavor.BootS*(0.3+c.w.Rng.Float64())*float64(time.Second)), m.start)
+			c.w.At(time.Duration(m.flavor.BootSeconds*(0.3+c.w.Rng.Float64())*float64(time.Second)), m.start)
 		}
 	}
 	c.charters[charter] = ids
--- a/internal/standin/hunt.go
+++ b/internal/standin/hunt.go
@@ -156,7 +156,7 @@
 	up := m.w.Cloud.running()
 	room := map[*machine][2]float64{}
 	for _, h := range up {
-		cpus, mem := h.flavor.CPUs, h.flavor.Mem
+		cpus, mem := h.flavor.CPUs, h.flavor.MemoryGB
 		for _, t := range h.tasks {
 			busy[t.key] = true
 			if j := m.jobs[t.key.JobID]; j != nil && t.why == "" {
--- a/internal/standin/live/cloud.go
+++ b/internal/standin/live/cloud.go
@@ -30,7 +30,7 @@
 type Cloud struct {
 	opt     Options
 	History *History
-	flavor  fleet.Type
+	flavor  fleet.MachineType
 	front   *front
 
 	mu       sync.Mutex
@@ -43,7 +43,7 @@
 // NewCloud starts a cloud on a free port of loopback.
 func NewCloud(opt Options) (*Cloud, error) {
 	c := &Cloud{opt: opt, History: newHistory(), machines: map[string]*worker{}, charters: map[string][]string{}, rng: rand.New(rand.NewPCG(opt.Seed, 11)),
-		flavor: fleet.Type{Name: "bench", CPUs: 8, Mem: 32, Price: 1, SpotPrice: 0.5, BootS: 0.2, CacheGB: 100, FetchRate: 100, Zones: []string{"a"}}}
+		flavor: fleet.MachineType{Name: "bench", CPUs: 8, MemoryGB: 32, HourlyPrice: 1, SpotHourlyPrice: 0.5, BootSeconds: 0.2, ImageCacheGB: 100, FetchGBPerSecond: 100, Zones: []string{"a"}}}
 	var err error
 	c.front, err = serveFront(c.serve)
 	return c, err
@@ -68,7 +68,7 @@
 	path, _, _ := cutQuery(m.Target)
 	switch {
 	case path == "/flavors":
-		return 200, map[string]any{"keels": []fleet.Type{c.flavor}}
+		return 200, map[string]any{"keels": []fleet.MachineType{c.flavor}}
 	case path == "/hosts" && m.Method == "GET":
 		rows := []any{}
 		for _, id := range c.names {
