--- a/internal/site/store/files.go
+++ b/internal/site/store/files.go
@@ -10,9 +10,9 @@
 	"syscall"
 )
 
-// Files is the directory that a store lives in. What is written counts as kept only after Sync
+// Directory is the directory that a store lives in. What is written counts as kept only after Sync
 // of the file, and a file's name, or its new name, only after SyncDir.
-type Files interface {
+type Directory interface {
 	Create(name string) (File, error) // a new empty file, in place of an old one
 	Open(name string) (File, error)
 	Read(name string) ([]byte, error)
@@ -30,8 +30,8 @@
 	Close() error
 }
 
-// Dir is a directory of the operating system.
-type Dir struct {
+// OSDirectory is a directory of the operating system.
+type OSDirectory struct {
 	path string
 	lock *os.File
 }
@@ -39,12 +39,12 @@
 // ErrLocked says that another process has the directory.
 var ErrLocked = errors.New("another process has this directory")
 
-// LockDir takes a directory, which is made if it is not there, for this process alone.
-func LockDir(path string) (*Dir, error) {
+// LockDirectory takes a directory, which is made if it is not there, for this process alone.
+func LockDirectory(path string) (*OSDirectory, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("data directory: %w", err)
 	}
-	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(filepath.Join(path, lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("data directory: %w", err)
 	}
@@ -55,30 +55,30 @@
 		}
 		return nil, fmt.Errorf("lock %s: %w", path, err)
 	}
-	return &Dir{path, lock}, nil
+	return &OSDirectory{path, lock}, nil
 }
 
-// ReadDir is a directory that is only looked at, perhaps while another process has it.
-func ReadDir(path string) (*Dir, error) {
+// ReadOnlyDirectory is a directory that is only looked at, perhaps while another process has it.
+func ReadOnlyDirectory(path string) (*OSDirectory, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, fmt.Errorf("data directory: %w", err)
 	}
-	return &Dir{path: path}, nil
+	return &OSDirectory{path: path}, nil
 }
 
 // Close gives the directory back.
-func (d *Dir) Close() error {
+func (d *OSDirectory) Close() error {
 	if d.lock == nil {
 		return nil
 	}
 	return d.lock.Close()
 }
 
-func (d *Dir) name(name string) string { return filepath.Join(d.path, name) }
+func (d *OSDirectory) filePath(name string) string { return filepath.Join(d.path, name) }
 
 // Create makes a new file.
-func (d *Dir) Create(name string) (File, error) {
-	f, err := os.OpenFile(d.name(name), os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
+func (d *OSDirectory) Create(name string) (File, error) {
+	f, err := os.OpenFile(d.filePath(name), os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -86,8 +86,8 @@
 }
 
 // Open opens a file to write to it.
-func (d *Dir) Open(name string) (File, error) {
-	f, err := os.OpenFile(d.name(name), os.O_RDWR, 0)
+func (d *OSDirectory) Open(name string) (File, error) {
+	f, err := os.OpenFile(d.filePath(name), os.O_RDWR, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -95,16 +95,18 @@
 }
 
 // Read reads a whole file.
-func (d *Dir) Read(name string) ([]byte, error) { return os.ReadFile(d.name(name)) }
+func (d *OSDirectory) Read(name string) ([]byte, error) { return os.ReadFile(d.filePath(name)) }
 
 // Rename gives a file another name, in place of a file that had it.
-func (d *Dir) Rename(from, to string) error { return os.Rename(d.name(from), d.name(to)) }
+func (d *OSDirectory) Rename(from, to string) error {
+	return os.Rename(d.filePath(from), d.filePath(to))
+}
 
 // Remove deletes a file.
-func (d *Dir) Remove(name string) error { return os.Remove(d.name(name)) }
+func (d *OSDirectory) Remove(name string) error { return os.Remove(d.filePath(name)) }
 
 // List names the files, in order.
-func (d *Dir) List() ([]string, error) {
+func (d *OSDirectory) List() ([]string, error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return nil, err
@@ -120,7 +122,7 @@
 }
 
 // SyncDir makes the names of the files last.
-func (d *Dir) SyncDir() error {
+func (d *OSDirectory) SyncDir() error {
 	f, err := os.Open(d.path)
 	if err != nil {
 		return err
--- a/internal/site/store/model_test.go
+++ b/internal/site/store/model_test.go
@@ -20,7 +20,7 @@
 	"gullrudder/internal/wire/packed"
 )
 
-func emptyStore(t interface{ Fatal(...any) }, opt config.Store, now time.Time) (*store.State, *store.Disk, *lossy.Disk) {
+func openEmpty(t interface{ Fatal(...any) }, opt config.KVServer, now time.Time) (*store.State, *store.Storage, *lossy.Disk) {
 	files := lossy.New(rand.New(rand.NewPCG(1, 1)))
 	state, disk, _, err := store.Open(files, opt, now, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -39,19 +39,19 @@
 	return store.Request{Method: "POST", Target: target, Body: raw}
 }
 
-func one(t interface{ Fatalf(string, ...any) }, s *store.State, now time.Time, r store.Request) store.Reply {
+func sendOne(t interface{ Fatalf(string, ...any) }, s *store.State, now time.Time, r store.Request) store.Response {
 	e := s.Step(now, []store.Request{r})
-	for _, reply := range e.Replies {
-		if reply.Ref == r.Ref {
+	for _, reply := range e.Responses {
+		if reply.Handle == r.Handle {
 			return reply
 		}
 	}
 	t.Fatalf("%s %s is not answered", r.Method, r.Target)
-	return store.Reply{}
+	return store.Response{}
 }
 
 // decode reads an answer as it goes over the wire.
-func decode(t interface{ Fatal(...any) }, r store.Reply, v any) {
+func decode(t interface{ Fatal(...any) }, r store.Response, v any) {
 	raw, err := packed.Marshal(r.Body)
 	if err == nil {
 		err = packed.Unmarshal(raw, v)
@@ -61,19 +61,19 @@
 	}
 }
 
-type listed struct {
+type listResponse struct {
 	Entries []struct {
 		Key   string `msgpack:"path"`
 		Value string `msgpack:"value"`
 		Mark  uint64 `msgpack:"mark"`
 	} `msgpack:"entries"`
-	More     bool   `msgpack:"has_next"`
+	HasMore  bool   `msgpack:"has_next"`
 	Revision uint64 `msgpack:"tide"`
 }
 
-type watched struct {
+type watchResponse struct {
 	Revision uint64 `msgpack:"tide"`
-	Log      []struct {
+	Events   []struct {
 		Write string             `msgpack:"write"`
 		Drop  string             `msgpack:"drop"`
 		Value msgpack.RawMessage `msgpack:"value"`
@@ -83,10 +83,10 @@
 
 // The store answers as the plain model does: commits with all their guards, keys, lists in any
 // pages, and a watcher who follows the changes has the same keys as one who reads them.
-func TestStoreAgreesWithThePlainModel(t *testing.T) {
+func TestStateAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
-		s, _, _ := emptyStore(t, config.DefaultStore(), now)
+		s, _, _ := openEmpty(t, config.DefaultKVServer(), now)
 		m := crash.NewPlain()
 		seen, follow := map[string]uint64{}, uint64(0)
 		key := rapid.Custom(func(t *rapid.T) string {
@@ -100,7 +100,7 @@
 				var a struct {
 					Lease uint64 `msgpack:"permit"`
 				}
-				decode(t, one(t, s, now, post(t, "/leases", map[string]any{"ttl_ms": 60_000})), &a)
+				decode(t, sendOne(t, s, now, post(t, "/leases", map[string]any{"ttl_ms": 60_000})), &a)
 				if a.Lease != id {
 					t.Fatalf("lease %d, want %d", a.Lease, id)
 				}
@@ -111,12 +111,12 @@
 					want = 200
 				}
 				m.End(id)
-				if r := one(t, s, now, store.Request{Method: "DELETE", Target: fmt.Sprintf("/leases/%d", id)}); r.Status != want {
+				if r := sendOne(t, s, now, store.Request{Method: "DELETE", Target: fmt.Sprintf("/leases/%d", id)}); r.Status != want {
 					t.Fatalf("ending lease %d: %d, want %d", id, r.Status, want)
 				}
 			case 2:
 				k := key.Draw(t, "key")
-				r := one(t, s, now, get("/keys/"+k))
+				r := sendOne(t, s, now, get("/keys/"+k))
 				if there := m.Keys[k]; (there.Mark > 0) != (r.Status == 200) {
 					t.Fatalf("%s: %d, want %+v", k, r.Status, there)
 				}
@@ -140,7 +140,7 @@
 					ops = append(ops, o)
 				}
 				want, failed := m.Commit(guards, ops)
-				r := one(t, s, now, crash.Commit(guards, ops))
+				r := sendOne(t, s, now, crash.Commit(guards, ops))
 				var a struct {
 					Failed   []string `msgpack:"failed"`
 					Revision uint64   `msgpack:"tide"`
@@ -153,9 +153,9 @@
 			if why := m.Differs(s); why != "" {
 				t.Fatal(why)
 			}
-			var w watched
-			decode(t, one(t, s, now, get(fmt.Sprintf("/watch?starts=&from=%d", follow))), &w)
-			for _, e := range w.Log {
+			var w watchResponse
+			decode(t, sendOne(t, s, now, get(fmt.Sprintf("/watch?starts=&from=%d", follow))), &w)
+			for _, e := range w.Events {
 				delete(seen, e.Drop)
 				if e.Write != "" {
 					seen[e.Write] = e.Mark
@@ -176,13 +176,13 @@
 		var got []string
 		for {
 			q := url.Values{"starts": {prefix}, "most": {"2"}, "from": {from}}
-			var a listed
-			decode(t, one(t, s, now, get("/keys?"+q.Encode())), &a)
+			var a listResponse
+			decode(t, sendOne(t, s, now, get("/keys?"+q.Encode())), &a)
 			for _, e := range a.Entries {
 				got = append(got, e.Key)
 				from = e.Key
 			}
-			if !a.More {
+			if !a.HasMore {
 				break
 			}
 		}
@@ -193,11 +193,11 @@
 }
 
 // Requests over a limit or out of form change nothing and say so.
-func TestLimitsOfTheProtocol(t *testing.T) {
+func TestProtocolLimits(t *testing.T) {
 	now := time.Unix(100, 0)
-	opt := config.DefaultStore()
-	opt.TxnOps, opt.ValueBytes, opt.Rate, opt.WriteRate, opt.Watches = 2, 1024, 100, 10, 1
-	s, _, _ := emptyStore(t, opt, now)
+	opt := config.DefaultKVServer()
+	opt.MaxTransactionOps, opt.MaxValueBytes, opt.RequestRate, opt.WriteRate, opt.MaxWatches = 2, 1024, 100, 10, 1
+	s, _, _ := openEmpty(t, opt, now)
 	write := func(keys ...string) []any {
 		var list []any
 		for _, k := range keys {
@@ -232,17 +232,17 @@
 		"a value of the limit": {post(t, "/commit", map[string]any{"apply": []any{map[string]any{"write": "z", "value": strings.Repeat("x", 1022)}}}), 200},
 	} {
 		now = now.Add(time.Second) // the rates allow it
-		if r := one(t, s, now, c.r); r.Status != c.want {
+		if r := sendOne(t, s, now, c.r); r.Status != c.want {
 			t.Errorf("%s: %d, want %d: %+v", name, r.Status, c.want, r.Body)
 		}
 	}
 	now = now.Add(time.Second)
 	statuses := map[int]int{}
 	for range 15 {
-		statuses[one(t, s, now, post(t, "/commit", map[string]any{"apply": write("a")})).Status]++
+		statuses[sendOne(t, s, now, post(t, "/commit", map[string]any{"apply": write("a")})).Status]++
 	}
 	for range 100 {
-		statuses[one(t, s, now, get("/keys/zz")).Status]++
+		statuses[sendOne(t, s, now, get("/keys/zz")).Status]++
 	}
 	if statuses[200] != 10 || statuses[404] != 85 || statuses[429] != 20 {
 		t.Errorf("with 10 changes and 100 requests a second: %v", statuses)
@@ -253,46 +253,46 @@
 // it asks for is not kept any more.
 func TestWatches(t *testing.T) {
 	now := time.Unix(100, 0)
-	s, _, _ := emptyStore(t, config.DefaultStore(), now)
+	s, _, _ := openEmpty(t, config.DefaultKVServer(), now)
 	commit := func(key string) uint64 {
 		var a struct {
 			Revision uint64 `msgpack:"tide"`
 		}
-		decode(t, one(t, s, now, crash.Commit(nil, []crash.Op{{Key: key, Value: "v"}})), &a)
+		decode(t, sendOne(t, s, now, crash.Commit(nil, []crash.Op{{Key: key, Value: "v"}})), &a)
 		return a.Revision
 	}
 	first := commit("a/1")
 	watch := get(fmt.Sprintf("/watch?starts=a/&from=%d&wait_ms=5000", first))
-	watch.Ref = "watcher"
-	if e := s.Step(now, []store.Request{watch}); len(e.Replies) != 0 {
+	watch.Handle = "watcher"
+	if e := s.Step(now, []store.Request{watch}); len(e.Responses) != 0 {
 		t.Fatal("answered though nothing has changed")
 	}
-	if e := s.Step(now, []store.Request{crash.Commit(nil, []crash.Op{{Key: "b", Value: "v"}})}); len(e.Replies) != 1 {
+	if e := s.Step(now, []store.Request{crash.Commit(nil, []crash.Op{{Key: "b", Value: "v"}})}); len(e.Responses) != 1 {
 		t.Fatal("answered for another prefix")
 	}
 	e := s.Step(now, []store.Request{crash.Commit(nil, []crash.Op{{Key: "a/2", Value: "v"}, {Key: "a/1"}})})
-	var w watched
-	if len(e.Replies) != 2 || e.Replies[1].Ref != "watcher" {
-		t.Fatalf("%+v", e.Replies)
+	var w watchResponse
+	if len(e.Responses) != 2 || e.Responses[1].Handle != "watcher" {
+		t.Fatalf("%+v", e.Responses)
 	}
-	if decode(t, e.Replies[1], &w); len(w.Log) != 2 || w.Log[0].Write != "a/2" || w.Log[1].Drop != "a/1" || w.Log[0].Mark != w.Log[1].Mark {
+	if decode(t, e.Responses[1], &w); len(w.Events) != 2 || w.Events[0].Write != "a/2" || w.Events[1].Drop != "a/1" || w.Events[0].Mark != w.Events[1].Mark {
 		t.Errorf("%+v", w)
 	}
 	watch = get(fmt.Sprintf("/watch?starts=a/&from=%d&wait_ms=5000", w.Revision))
 	s.Step(now, []store.Request{watch})
-	if e := s.Step(now.Add(4*time.Second), nil); len(e.Replies) != 0 {
+	if e := s.Step(now.Add(4*time.Second), nil); len(e.Responses) != 0 {
 		t.Error("answered before its time is up")
 	}
-	if e := s.Step(now.Add(5*time.Second), nil); len(e.Replies) != 1 || e.Replies[0].Status != 200 {
-		t.Errorf("not answered when its time is up: %+v", e.Replies)
+	if e := s.Step(now.Add(5*time.Second), nil); len(e.Responses) != 1 || e.Responses[0].Status != 200 {
+		t.Errorf("not answered when its time is up: %+v", e.Responses)
 	}
 	for i := range 25_000 {
 		commit(fmt.Sprintf("c/%d", i%7))
 	}
-	if r := one(t, s, now, get(fmt.Sprintf("/watch?starts=c/&from=%d", s.Revision()-10_000))); r.Status != 200 {
+	if r := sendOne(t, s, now, get(fmt.Sprintf("/watch?starts=c/&from=%d", s.Revision()-10_000))); r.Status != 200 {
 		t.Errorf("the last 10,000 changes are not kept: %d", r.Status)
 	}
-	if r := one(t, s, now, watch); r.Status != 410 {
+	if r := sendOne(t, s, now, watch); r.Status != 410 {
 		t.Errorf("a watch from long ago: %d, want 410", r.Status)
 	}
 }
--- a/internal/site/store/record.go
+++ b/internal/site/store/record.go
@@ -9,100 +9,100 @@
 
 // A frame's payload is a row of records: commits, leases that begin and leases that end.
 const (
-	recCommit = 1
-	recGrant  = 2
-	recEnd    = 3
+	recordCommit     = 1
+	recordLeaseGrant = 2
+	recordLeaseEnd   = 3
 
-	opWrite = 1
-	opDrop  = 2
+	opWrite  = 1
+	opDelete = 2
 )
 
-var errRecord = errors.New("a record ends early")
+var errRecordTruncated = errors.New("a record ends early")
 
-func appendText(out []byte, s []byte) []byte {
+func appendBytes(out []byte, s []byte) []byte {
 	out = binary.AppendUvarint(out, uint64(len(s)))
 	return append(out, s...)
 }
 
-func appendCommit(out []byte, revision uint64, changes []change) []byte {
-	out = append(out, recCommit)
+func appendCommitRecord(out []byte, revision uint64, changes []change) []byte {
+	out = append(out, recordCommit)
 	out = binary.AppendUvarint(out, revision)
 	out = binary.AppendUvarint(out, uint64(len(changes)))
 	for _, c := range changes {
-		if c.drop {
-			out = appendText(append(out, opDrop), []byte(c.key))
+		if c.isDelete {
+			out = appendBytes(append(out, opDelete), []byte(c.key))
 			continue
 		}
-		out = appendText(append(out, opWrite), []byte(c.key))
-		out = appendText(out, c.value)
-		out = binary.AppendUvarint(out, c.lease)
+		out = appendBytes(append(out, opWrite), []byte(c.key))
+		out = appendBytes(out, c.value)
+		out = binary.AppendUvarint(out, c.leaseID)
 	}
 	return out
 }
 
-func appendGrant(out []byte, id uint64, ttl time.Duration) []byte {
-	out = binary.AppendUvarint(append(out, recGrant), id)
+func appendLeaseGrantRecord(out []byte, id uint64, ttl time.Duration) []byte {
+	out = binary.AppendUvarint(append(out, recordLeaseGrant), id)
 	return binary.AppendUvarint(out, uint64(ttl.Milliseconds()))
 }
 
-// appendEnd records the end of a lease; revision is that of the removal of its keys, 0 if it
+// appendLeaseEndRecord records the end of a lease; revision is that of the removal of its keys, 0 if it
 // had none.
-func appendEnd(out []byte, id, revision uint64) []byte {
-	out = binary.AppendUvarint(append(out, recEnd), id)
+func appendLeaseEndRecord(out []byte, id, revision uint64) []byte {
+	out = binary.AppendUvarint(append(out, recordLeaseEnd), id)
 	return binary.AppendUvarint(out, revision)
 }
 
-type reader struct {
-	b   []byte
-	err error
+type recordReader struct {
+	rest []byte
+	err  error
 }
 
-func (r *reader) number() uint64 {
-	v, n := binary.Uvarint(r.b)
+func (r *recordReader) readUvarint() uint64 {
+	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
-		r.err, r.b = errRecord, nil
+		r.err, r.rest = errRecordTruncated, nil
 		return 0
 	}
-	r.b = r.b[n:]
+	r.rest = r.rest[n:]
 	return v
 }
 
-func (r *reader) text() []byte {
-	n := r.number()
-	if n > uint64(len(r.b)) {
-		r.err, r.b = errRecord, nil
+func (r *recordReader) readBytes() []byte {
+	n := r.readUvarint()
+	if n > uint64(len(r.rest)) {
+		r.err, r.rest = errRecordTruncated, nil
 		return nil
 	}
-	s := r.b[:n]
-	r.b = r.b[n:]
+	s := r.rest[:n]
+	r.rest = r.rest[n:]
 	return s
 }
 
-func (r *reader) kind() byte {
-	if len(r.b) == 0 {
-		r.err = errRecord
+func (r *recordReader) readKind() byte {
+	if len(r.rest) == 0 {
+		r.err = errRecordTruncated
 		return 0
 	}
-	k := r.b[0]
-	r.b = r.b[1:]
+	k := r.rest[0]
+	r.rest = r.rest[1:]
 	return k
 }
 
-// replay applies the records of a frame. Revisions only rise: a record that says otherwise is
+// replayRecords applies the records of a frame. Revisions only rise: a record that says otherwise is
 // damage that the checksum does not show.
-func (c *content) replay(payload []byte) error {
-	r := &reader{b: payload}
-	for len(r.b) > 0 {
-		switch kind := r.kind(); kind {
-		case recCommit:
-			revision := r.number()
-			n := r.number()
+func (c *keyspace) replayRecords(payload []byte) error {
+	r := &recordReader{rest: payload}
+	for len(r.rest) > 0 {
+		switch kind := r.readKind(); kind {
+		case recordCommit:
+			revision := r.readUvarint()
+			count := r.readUvarint()
 			var changes []change
-			for ; n > 0 && r.err == nil; n-- {
-				ch := change{drop: r.kind() == opDrop, key: string(r.text())}
-				if !ch.drop {
-					ch.value = append([]byte(nil), r.text()...)
-					ch.lease = r.number()
+			for ; count > 0 && r.err == nil; count-- {
+				ch := change{isDelete: r.readKind() == opDelete, key: string(r.readBytes())}
+				if !ch.isDelete {
+					ch.value = append([]byte(nil), r.readBytes()...)
+					ch.leaseID = r.readUvarint()
 				}
 				changes = append(changes, ch)
 			}
@@ -112,15 +112,15 @@
 			if r.err == nil {
 				c.apply(revision, changes, nil)
 			}
-		case recGrant:
-			id, ttl := r.number(), time.Duration(r.number())*time.Millisecond
+		case recordLeaseGrant:
+			id, ttl := r.readUvarint(), time.Duration(r.readUvarint())*time.Millisecond
 			if r.err == nil {
-				c.grant(id, ttl, time.Time{}, nil)
+				c.addLease(id, ttl, time.Time{}, nil)
 			}
-		case recEnd:
-			id, revision := r.number(), r.number()
+		case recordLeaseEnd:
+			id, revision := r.readUvarint(), r.readUvarint()
 			if r.err == nil {
-				c.end(id, revision, nil)
+				c.removeLease(id, revision, nil)
 			}
 		default:
 			return fmt.Errorf("a record of kind %d", kind)
--- a/internal/site/store/recover.go
+++ b/internal/site/store/recover.go
@@ -9,248 +9,248 @@
 	"strings"
 )
 
-// Report is what was found in a directory.
-type Report struct {
-	Revision  uint64   `json:"revision"`
-	Keys      int      `json:"keys"`
-	Leases    int      `json:"leases"`
-	Snapshot  string   `json:"snapshot,omitempty"`
-	Snapshots []string `json:"snapshots,omitempty"`
-	Segments  []string `json:"segments,omitempty"`
-	Frames    int      `json:"frames"`
-	LogBytes  int64    `json:"log_bytes"`
-	SnapBytes int64    `json:"snapshot_bytes"`
-	Torn      int64    `json:"torn_bytes"`       // at the end: written and never answered
-	Passed    []string `json:"passed,omitempty"` // what was damaged and not needed
-	Unused    []string `json:"unused,omitempty"` // of an unfinished snapshot
+// Inspection is what was found in a directory.
+type Inspection struct {
+	Revision            uint64   `json:"revision"`
+	Keys                int      `json:"keys"`
+	Leases              int      `json:"leases"`
+	Snapshot            string   `json:"snapshot,omitempty"`
+	Snapshots           []string `json:"snapshots,omitempty"`
+	Segments            []string `json:"segments,omitempty"`
+	Frames              int      `json:"frames"`
+	LogBytes            int64    `json:"log_bytes"`
+	SnapshotBytes       int64    `json:"snapshot_bytes"`
+	TornBytes           int64    `json:"torn_bytes"`       // at the end: written and never answered
+	SkippedDamage       []string `json:"passed,omitempty"` // what was damaged and not needed
+	UnfinishedSnapshots []string `json:"unused,omitempty"` // of an unfinished snapshot
 }
 
-// Damaged ends a start: something that was answered cannot be read any more.
-type Damaged struct {
+// DamageError ends a start: something that was answered cannot be read any more.
+type DamageError struct {
 	File   string
 	Offset int64
 	Reason string
 }
 
-func (d *Damaged) Error() string {
+func (d *DamageError) Error() string {
 	return fmt.Sprintf("%s at byte %d: %s; nothing was changed. Look with 'gullrudder state inspect', and restore a backup "+
 		"into an empty directory, or the file if a copy of it is whole", d.File, d.Offset, d.Reason)
 }
 
-func damaged(file string, offset int, format string, args ...any) error {
-	return &Damaged{file, int64(offset), fmt.Sprintf(format, args...)}
+func newDamageError(file string, offset int, format string, args ...any) error {
+	return &DamageError{file, int64(offset), fmt.Sprintf(format, args...)}
 }
 
-// found is the state of a directory, and where its log goes on.
-type found struct {
-	content *content
-	report  Report
-	tail    *segmentHead // the last segment; nil if one has to be made
-	offset  int64        // where its next frame goes
-	next    uint64       // number of that
-	segment uint64       // number of the segment that has to be made
+// recovery is the state of a directory, and where its log goes on.
+type recovery struct {
+	keyspace    *keyspace
+	inspection  Inspection
+	lastSegment *segmentHeader // the last segment; nil if one has to be made
+	offset      int64          // where its next frame goes
+	nextFrame   uint64         // number of that
+	newSegment  uint64         // number of the segment that has to be made
 }
 
-// examine reads a directory and changes nothing.
-func examine(files Files) (*found, error) {
+// recoverDirectory reads a directory and changes nothing.
+func recoverDirectory(files Directory) (*recovery, error) {
 	names, err := files.List()
 	if err != nil {
 		return nil, fmt.Errorf("list the data directory: %w", err)
 	}
-	var snaps, logs []uint64
-	f := &found{}
+	var snapshots, segments []uint64
+	recovered := &recovery{}
 	for _, name := range names {
-		if n, ok := numbered(name, snapPrefix); ok {
-			snaps = append(snaps, n)
-			f.report.Snapshots = append(f.report.Snapshots, name)
-		} else if n, ok := numbered(name, logPrefix); ok {
-			logs = append(logs, n)
-			f.report.Segments = append(f.report.Segments, name)
+		if n, ok := parseFileNumber(name, snapshotPrefix); ok {
+			snapshots = append(snapshots, n)
+			recovered.inspection.Snapshots = append(recovered.inspection.Snapshots, name)
+		} else if n, ok := parseFileNumber(name, segmentPrefix); ok {
+			segments = append(segments, n)
+			recovered.inspection.Segments = append(recovered.inspection.Segments, name)
 		} else if strings.HasSuffix(name, tempSuffix) {
-			f.report.Unused = append(f.report.Unused, name)
-		} else if name != lockName {
+			recovered.inspection.UnfinishedSnapshots = append(recovered.inspection.UnfinishedSnapshots, name)
+		} else if name != lockFileName {
 			return nil, fmt.Errorf("file %q is none of a store's: is this the right directory?", name)
 		}
 	}
-	slices.Sort(logs)
-	sort.Slice(snaps, func(i, j int) bool { return snaps[i] > snaps[j] })
-	return f, f.read(files, snaps, logs)
+	slices.Sort(segments)
+	sort.Slice(snapshots, func(i, j int) bool { return snapshots[i] > snapshots[j] })
+	return recovered, recovered.load(files, snapshots, segments)
 }
 
-func (f *found) read(files Files, snaps, logs []uint64) error {
-	var last error
-	for _, n := range snaps {
-		name := snapName(n)
+func (f *recovery) load(files Directory, snapshots, segments []uint64) error {
+	var firstDamage error
+	for _, n := range snapshots {
+		name := snapshotName(n)
 		raw, err := files.Read(name)
 		if err != nil {
 			return fmt.Errorf("read %s: %w", name, err)
 		}
-		c, segment, next, err := readSnapshot(name, raw)
+		data, segment, next, err := readSnapshot(name, raw)
 		if err == nil && segment != n {
-			err = &damage{name, 8, fmt.Errorf("it is of segment %d", segment)}
+			err = &fileError{name, 8, fmt.Errorf("it is of segment %d", segment)}
 		}
 		if err != nil {
-			f.report.Passed = append(f.report.Passed, err.Error())
-			if last == nil {
-				last = err
+			f.inspection.SkippedDamage = append(f.inspection.SkippedDamage, err.Error())
+			if firstDamage == nil {
+				firstDamage = err
 			}
 			continue
 		}
-		f.content, f.report.Snapshot, f.report.SnapBytes = c, name, int64(len(raw))
-		if err := f.readLog(files, after(logs, segment), segment, next); err != nil {
-			return f.orDamaged(last, err)
+		f.keyspace, f.inspection.Snapshot, f.inspection.SnapshotBytes = data, name, int64(len(raw))
+		if err := f.replaySegments(files, segmentsFrom(segments, segment), segment, next); err != nil {
+			return f.preferDamage(firstDamage, err)
 		}
 		return nil
 	}
-	f.content = newContent()
-	if last != nil && (len(logs) == 0 || logs[0] != 1) {
-		return f.orDamaged(last, nil)
+	f.keyspace = newKeyspace()
+	if firstDamage != nil && (len(segments) == 0 || segments[0] != 1) {
+		return f.preferDamage(firstDamage, nil)
 	}
-	return f.readLog(files, logs, 1, 1)
+	return f.replaySegments(files, segments, 1, 1)
 }
 
-// orDamaged prefers the damage that made the rest necessary.
-func (f *found) orDamaged(first, then error) error {
-	var d *damage
+// preferDamage prefers the damage that made the rest necessary.
+func (f *recovery) preferDamage(first, then error) error {
+	var d *fileError
 	if errors.As(first, &d) {
-		return &Damaged{d.file, d.offset, d.err.Error()}
+		return &DamageError{d.file, d.offset, d.err.Error()}
 	}
 	return then
 }
 
-func after(logs []uint64, segment uint64) []uint64 {
-	for i, n := range logs {
+func segmentsFrom(segments []uint64, segment uint64) []uint64 {
+	for i, n := range segments {
 		if n >= segment {
-			return logs[i:]
+			return segments[i:]
 		}
 	}
 	return nil
 }
 
-func (f *found) finish() {
-	f.report.Revision, f.report.Keys, f.report.Leases = f.content.revision, f.content.tree.Len(), len(f.content.leases)
+func (f *recovery) summarize() {
+	f.inspection.Revision, f.inspection.Keys, f.inspection.Leases = f.keyspace.revision, f.keyspace.tree.Len(), len(f.keyspace.leases)
 }
 
-// readLog replays the segments from the given one on, whose first frame is known.
-func (f *found) readLog(files Files, logs []uint64, segment, next uint64) error {
-	defer f.finish()
-	f.next, f.segment = next, segment
-	if len(logs) == 0 {
-		if f.report.Snapshot != "" {
-			return damaged(logName(segment), 0, "the segment after %s is missing", f.report.Snapshot)
+// replaySegments replays the segments from the given one on, whose first frame is known.
+func (f *recovery) replaySegments(files Directory, segments []uint64, segment, nextFrame uint64) error {
+	defer f.summarize()
+	f.nextFrame, f.newSegment = nextFrame, segment
+	if len(segments) == 0 {
+		if f.inspection.Snapshot != "" {
+			return newDamageError(segmentName(segment), 0, "the segment after %s is missing", f.inspection.Snapshot)
 		}
 		return nil
 	}
 	type piece struct {
 		raw  []byte
-		head segmentHead
+		head segmentHeader
 		ok   bool
 	}
-	pieces := make([]piece, len(logs))
-	for i, n := range logs {
+	parts := make([]piece, len(segments))
+	for i, n := range segments {
 		if n != segment+uint64(i) {
-			return damaged(logName(segment+uint64(i)), 0, "the segment is missing")
+			return newDamageError(segmentName(segment+uint64(i)), 0, "the segment is missing")
 		}
-		raw, err := files.Read(logName(n))
+		raw, err := files.Read(segmentName(n))
 		if errors.Is(err, fs.ErrNotExist) {
-			return damaged(logName(n), 0, "the segment is missing")
+			return newDamageError(segmentName(n), 0, "the segment is missing")
 		}
 		if err != nil {
-			return fmt.Errorf("read %s: %w", logName(n), err)
+			return fmt.Errorf("read %s: %w", segmentName(n), err)
 		}
 		p := piece{raw: raw}
-		p.head, p.ok = parseSegmentHead(raw)
+		p.head, p.ok = parseSegmentHeader(raw)
 		p.ok = p.ok && p.head.segment == n
-		pieces[i] = p
-		f.report.LogBytes += int64(len(raw))
+		parts[i] = p
+		f.inspection.LogBytes += int64(len(raw))
 	}
 	// A last segment without a header was being made when everything ended, if there is no
 	// frame in it either.
-	if p := pieces[len(pieces)-1]; !p.ok {
-		name := logName(logs[len(logs)-1])
-		if at, whole := wholeFrame(p.raw, 0, 0); whole {
-			return damaged(name, 0, "the header is damaged, and a whole frame follows at byte %d", at)
+	if p := parts[len(parts)-1]; !p.ok {
+		name := segmentName(segments[len(segments)-1])
+		if at, whole := findWholeFrame(p.raw, 0, 0); whole {
+			return newDamageError(name, 0, "the header is damaged, and a whole frame follows at byte %d", at)
 		}
-		f.report.Torn += int64(len(p.raw))
-		pieces = pieces[:len(pieces)-1]
+		f.inspection.TornBytes += int64(len(p.raw))
+		parts = parts[:len(parts)-1]
 	}
-	for i, p := range pieces {
-		name := logName(segment + uint64(i))
+	for i, p := range parts {
+		name := segmentName(segment + uint64(i))
 		if !p.ok {
-			return damaged(name, 0, "the header of the segment is damaged")
+			return newDamageError(name, 0, "the header of the segment is damaged")
 		}
-		if p.head.first != f.next {
-			return damaged(name, 8, "frames %d to %d are missing before it", f.next, p.head.first-1)
+		if p.head.firstFrame != f.nextFrame {
+			return newDamageError(name, 8, "frames %d to %d are missing before it", f.nextFrame, p.head.firstFrame-1)
 		}
 		until := ^uint64(0)
-		if i+1 < len(pieces) {
-			until = pieces[i+1].head.first
+		if i+1 < len(parts) {
+			until = parts[i+1].head.firstFrame
 		}
-		if err := f.replay(name, p.raw, until); err != nil {
+		if err := f.replaySegment(name, p.raw, until); err != nil {
 			return err
 		}
 		head := p.head
-		f.tail, f.segment = &head, head.segment+1
+		f.lastSegment, f.newSegment = &head, head.segment+1
 	}
-	if len(pieces) < len(logs) {
-		f.tail = nil // the last one is made anew
-		f.segment = logs[len(logs)-1]
+	if len(parts) < len(segments) {
+		f.lastSegment = nil // the last one is made anew
+		f.newSegment = segments[len(segments)-1]
 	}
 	return nil
 }
 
-// replay applies a segment's frames up to a number, which belongs to the next segment.
-func (f *found) replay(name string, raw []byte, until uint64) error {
-	rest := raw[segmentHeader:]
-	for f.next < until {
+// replaySegment applies a segment's frames up to a number, which belongs to the next segment.
+func (f *recovery) replaySegment(name string, raw []byte, endFrame uint64) error {
+	rest := raw[segmentHeaderBytes:]
+	for f.nextFrame < endFrame {
 		at := len(raw) - len(rest)
-		number, payload, more, ok := cutFrame(rest)
-		if !ok || number != f.next {
-			if until != ^uint64(0) {
-				return damaged(name, at, "frame %d is damaged, and the log goes on behind it", f.next)
+		number, payload, remaining, ok := cutFrame(rest)
+		if !ok || number != f.nextFrame {
+			if endFrame != ^uint64(0) {
+				return newDamageError(name, at, "frame %d is damaged, and the log goes on behind it", f.nextFrame)
 			}
-			if at, whole := wholeFrame(raw, at+1, f.next); whole {
-				return damaged(name, len(raw)-len(rest), "frame %d is damaged, and a whole one follows at byte %d", f.next, at)
+			if at, whole := findWholeFrame(raw, at+1, f.nextFrame); whole {
+				return newDamageError(name, len(raw)-len(rest), "frame %d is damaged, and a whole one follows at byte %d", f.nextFrame, at)
 			}
-			f.report.Torn = int64(len(rest))
+			f.inspection.TornBytes = int64(len(rest))
 			break
 		}
-		if err := f.content.replay(payload); err != nil {
-			return damaged(name, at, "frame %d cannot be read: %v", number, err)
+		if err := f.keyspace.replayRecords(payload); err != nil {
+			return newDamageError(name, at, "frame %d cannot be read: %v", number, err)
 		}
-		f.report.Frames++
-		f.next++
-		rest = more
+		f.inspection.Frames++
+		f.nextFrame++
+		rest = remaining
 	}
 	f.offset = int64(len(raw) - len(rest))
 	return nil
 }
 
-// wholeFrame looks for a whole frame of at least the given number, from an offset on.
-func wholeFrame(raw []byte, from int, least uint64) (at int, ok bool) {
-	for at = from; at+frameHeader <= len(raw); at++ {
+// findWholeFrame looks for a whole frame of at least the given number, from an offset on.
+func findWholeFrame(raw []byte, from int, minNumber uint64) (at int, ok bool) {
+	for at = from; at+frameHeaderBytes <= len(raw); at++ {
 		if raw[at] != frameMagic&0xff {
 			continue
 		}
-		if n, _, _, whole := cutFrame(raw[at:]); whole && n >= least {
+		if n, _, _, whole := cutFrame(raw[at:]); whole && n >= minNumber {
 			return at, true
 		}
 	}
 	return 0, false
 }
 
-// open goes on where examine has found the log to end.
-func (f *found) open(files Files) (*Log, error) {
-	if f.tail == nil {
-		return beginSegment(files, segmentHead{f.segment, f.next, f.content.revision})
+// openWAL goes on where examine has found the log to end.
+func (f *recovery) openWAL(files Directory) (*WAL, error) {
+	if f.lastSegment == nil {
+		return createSegment(files, segmentHeader{f.newSegment, f.nextFrame, f.keyspace.revision})
 	}
-	name := logName(f.tail.segment)
+	name := segmentName(f.lastSegment.segment)
 	file, err := files.Open(name)
 	if err != nil {
 		return nil, fmt.Errorf("open %s: %w", name, err)
 	}
-	l := &Log{files: files, file: file, segment: f.tail.segment, next: f.next, offset: f.offset}
-	if f.report.Torn > 0 {
+	wal := &WAL{files: files, file: file, segment: f.lastSegment.segment, nextFrame: f.nextFrame, offset: f.offset}
+	if f.inspection.TornBytes > 0 {
 		// What is behind the end was never answered, and is not to be looked at again.
 		err = file.Truncate(f.offset)
 	}
@@ -266,18 +266,18 @@
 		file.Close()
 		return nil, fmt.Errorf("go on in %s: %w", name, err)
 	}
-	return l, nil
+	return wal, nil
 }
 
-// clear removes what unfinished snapshots and deletions have left.
-func (f *found) clear(files Files) error {
-	for _, name := range f.report.Unused {
+// removeLeftovers removes what unfinished snapshots and deletions have left.
+func (f *recovery) removeLeftovers(files Directory) error {
+	for _, name := range f.inspection.UnfinishedSnapshots {
 		if err := files.Remove(name); err != nil {
 			return fmt.Errorf("remove %s: %w", name, err)
 		}
 	}
-	if n, ok := numbered(f.report.Snapshot, snapPrefix); ok {
-		return prune(files, n)
+	if n, ok := parseFileNumber(f.inspection.Snapshot, snapshotPrefix); ok {
+		return removeCoveredFiles(files, n)
 	}
 	return nil
 }
--- a/internal/site/store/service.go
+++ b/internal/site/store/service.go
@@ -11,303 +11,303 @@
 )
 
 const (
-	queueLength = 4096
-	// batchLength bounds a step. While the disk syncs what a step has changed, the next one
+	requestQueueLength = 4096
+	// maxBatchRequests bounds a step. While the disk syncs what a step has changed, the next one
 	// is worked through: with large steps one would wait for the other.
-	batchLength = 16
-	answerSteps = 256 // steps whose answers are on their way out
-	tickEvery   = 20 * time.Millisecond
-	// snapshotPause is after how many tries of the disk a snapshot that failed is tried again.
-	snapshotPause = 10
+	maxBatchRequests    = 16
+	responseQueueLength = 256 // steps whose answers are on their way out
+	tickInterval        = 20 * time.Millisecond
+	// snapshotRetryIntervals is after how many tries of the disk a snapshot that failed is tried again.
+	snapshotRetryIntervals = 10
 )
 
-// Service connects a State with the network, the clock and the disk. One goroutine owns the
+// Server connects a State with the network, the clock and the disk. One goroutine owns the
 // state; while the disk syncs one step's records, the next steps gather. Their answers wait,
 // also those of reads: what a read has seen might else be gone after a crash.
-type Service struct {
-	state *State
-	disk  *Disk
-	opt   config.Store
-	log   *slog.Logger
-	watch *Metrics
-	queue chan Request
+type Server struct {
+	state    *State
+	storage  *Storage
+	options  config.KVServer
+	log      *slog.Logger
+	metrics  *Metrics
+	requests chan Request
 
-	open      []Effects // steps whose records are not on their way yet
-	flight    []Effects // steps whose records are being kept
-	bytes     int       // of these
-	kept      chan kept
-	work      chan keepJob
-	snapped   chan snapped
-	answers   chan []Effects // on their way out
-	snapping  bool           // one is under way
-	beginning bool           // one begins after the records that are on their way
-	noSnap    time.Time      // no snapshot before this
-	repairAt  time.Time
-	repairs   bool // a repair is under way
+	pendingSteps      []Effects // steps whose records are not on their way yet
+	inFlightSteps     []Effects // steps whose records are being kept
+	inFlightBytes     int       // of these
+	writeResults      chan writeResult
+	writeJobs         chan writeJob
+	snapshotResults   chan snapshotResult
+	responses         chan []Effects // on their way out
+	snapshotRunning   bool           // one is under way
+	snapshotBeginning bool           // one begins after the records that are on their way
+	nextSnapshotAt    time.Time      // no snapshot before this
+	nextRepairAt      time.Time
+	repairPending     bool // a repair is under way
 }
 
-type keepJob struct {
+type writeJob struct {
 	records  []byte
 	revision uint64
 	view     *View // a snapshot of it is to begin after this
 	repair   bool
 }
 
-type kept struct {
-	err      error
-	took     time.Duration
-	broken   bool
-	repair   bool
-	snapshot *Snapshot
-	snapErr  error
+type writeResult struct {
+	err         error
+	duration    time.Duration
+	broken      bool
+	repair      bool
+	snapshot    *SnapshotWriter
+	snapshotErr error
 }
 
-type snapped struct {
-	snapshot *Snapshot
+type snapshotResult struct {
+	snapshot *SnapshotWriter
 	err      error
-	took     time.Duration
+	duration time.Duration
 }
 
-// NewService makes the service of a store that was opened.
-func NewService(state *State, disk *Disk, opt config.Store, watch *Metrics, log *slog.Logger) *Service {
-	return &Service{state: state, disk: disk, opt: opt, log: log, watch: watch, queue: make(chan Request, queueLength),
-		kept: make(chan kept, 1), work: make(chan keepJob, 1), snapped: make(chan snapped, 1), answers: make(chan []Effects, answerSteps)}
+// NewServer makes the service of a store that was opened.
+func NewServer(state *State, storage *Storage, options config.KVServer, metrics *Metrics, log *slog.Logger) *Server {
+	return &Server{state: state, storage: storage, options: options, log: log, metrics: metrics, requests: make(chan Request, requestQueueLength),
+		writeResults: make(chan writeResult, 1), writeJobs: make(chan writeJob, 1), snapshotResults: make(chan snapshotResult, 1), responses: make(chan []Effects, responseQueueLength)}
 }
 
 // Serve runs the service at an address; it returns only if that cannot be had.
-func (s *Service) Serve(listen string) error {
-	go s.keep()
-	go s.own()
+func (s *Server) Serve(addr string) error {
+	go s.runWriter()
+	go s.runOwner()
 	go func() {
-		for steps := range s.answers {
-			s.release(steps)
+		for steps := range s.responses {
+			s.sendResponses(steps)
 		}
 	}()
-	server := httpwire.NewServer(httpwire.ServerOptions{Public: listen, MaxConns: s.opt.Connections, Idle: 75 * time.Second,
-		Slow: 10 * time.Second, Handle: s.handle})
-	return server.Keep(s.log)
+	server := httpwire.NewServer(httpwire.ServerOptions{PublicAddr: addr, MaxConnections: s.options.MaxConnections, IdleTimeout: 75 * time.Second,
+		ReadTimeout: 10 * time.Second, Handler: s.enqueue})
+	return server.RunWithRestart(s.log)
 }
 
-func (s *Service) handle(r *httpwire.Request) {
+func (s *Server) enqueue(r *httpwire.Request) {
 	select {
-	case s.queue <- Request{Ref: r, Method: r.Method, Target: r.Target, Body: r.Body}:
+	case s.requests <- Request{Handle: r, Method: r.Method, Target: r.Target, Body: r.Body}:
 	default:
-		s.watch.shed.Inc()
-		r.Reply(503, nil, time.Second)
+		s.metrics.shedCount.Inc()
+		r.Respond(503, nil, time.Second)
 	}
 }
 
-// keep is the only one that writes to the log.
-func (s *Service) keep() {
-	for job := range s.work {
-		began := time.Now()
-		k := kept{repair: job.repair}
+// runWriter is the only one that writes to the log.
+func (s *Server) runWriter() {
+	for job := range s.writeJobs {
+		startedAt := time.Now()
+		result := writeResult{repair: job.repair}
 		if job.repair {
-			k.err = s.disk.Repair(job.revision)
+			result.err = s.storage.Repair(job.revision)
 		} else {
-			k.err = s.disk.Keep(job.records)
+			result.err = s.storage.Append(job.records)
 		}
-		k.took = time.Since(began)
-		if k.err == nil && job.view != nil {
-			k.snapshot, k.snapErr = s.disk.Begin(job.view)
+		result.duration = time.Since(startedAt)
+		if result.err == nil && job.view != nil {
+			result.snapshot, result.snapshotErr = s.storage.BeginSnapshot(job.view)
 		}
-		k.broken = s.disk.Broken()
-		s.kept <- k
+		result.broken = s.storage.IsBroken()
+		s.writeResults <- result
 	}
 }
 
-func (s *Service) own() {
-	ticker := time.NewTicker(tickEvery)
+func (s *Server) runOwner() {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	batch := make([]Request, 0, batchLength)
+	batch := make([]Request, 0, maxBatchRequests)
 	for {
 		batch = batch[:0]
 		select {
-		case r := <-s.queue:
+		case r := <-s.requests:
 			batch = append(batch, r)
-		case k := <-s.kept:
-			s.settled(time.Now(), k)
-		case d := <-s.snapped:
-			s.snapshotDone(time.Now(), d)
+		case result := <-s.writeResults:
+			s.handleWriteResult(time.Now(), result)
+		case result := <-s.snapshotResults:
+			s.handleSnapshotResult(time.Now(), result)
 		case <-ticker.C:
 		}
 	fill:
-		for len(batch) < batchLength {
+		for len(batch) < maxBatchRequests {
 			select {
-			case r := <-s.queue:
+			case r := <-s.requests:
 				batch = append(batch, r)
 			default:
 				break fill
 			}
 		}
 		now := time.Now()
-		if e := s.state.Step(now, batch); len(e.Records) > 0 || len(e.Replies) > 0 {
-			s.open = append(s.open, e)
+		if effects := s.state.Step(now, batch); len(effects.Records) > 0 || len(effects.Responses) > 0 {
+			s.pendingSteps = append(s.pendingSteps, effects)
 		}
-		s.handOver(now)
-		s.watch.observe(s.state, len(s.queue), s.disk.logged+s.disk.covered)
+		s.submitPending(now)
+		s.metrics.observeState(s.state, len(s.requests), s.storage.uncoveredLogBytes+s.storage.pendingSnapshotLogBytes)
 	}
 }
 
-// handOver sends what has gathered to the disk, or answers it if there is nothing to keep.
-func (s *Service) handOver(now time.Time) {
-	if s.flight != nil {
+// submitPending sends what has gathered to the disk, or answers it if there is nothing to keep.
+func (s *Server) submitPending(now time.Time) {
+	if s.inFlightSteps != nil {
 		return
 	}
-	if s.state.failing && !s.repairs && !now.Before(s.repairAt) {
-		s.repairs = true
-		s.work <- keepJob{repair: true, revision: s.state.revision}
+	if s.state.writesFailing && !s.repairPending && !now.Before(s.nextRepairAt) {
+		s.repairPending = true
+		s.writeJobs <- writeJob{repair: true, revision: s.state.revision}
 	}
 	var records []byte
-	for _, e := range s.open {
+	for _, e := range s.pendingSteps {
 		records = append(records, e.Records...)
 	}
 	if len(records) == 0 {
-		if len(s.open) > 0 {
-			s.answers <- s.open
+		if len(s.pendingSteps) > 0 {
+			s.responses <- s.pendingSteps
 		}
-		s.open = nil
+		s.pendingSteps = nil
 		return
 	}
-	job := keepJob{records: records, revision: s.state.revision}
-	if !s.snapping && s.disk.Due() && now.After(s.noSnap) {
+	job := writeJob{records: records, revision: s.state.revision}
+	if !s.snapshotRunning && s.storage.IsSnapshotDue() && now.After(s.nextSnapshotAt) {
 		// All that has gathered goes into this frame, so the content is what it will be
 		// right after it.
-		s.snapping, s.beginning = true, true
+		s.snapshotRunning, s.snapshotBeginning = true, true
 		job.view = s.state.Freeze()
 	}
-	s.bytes = len(records)
-	s.flight, s.open = s.open, nil
-	s.work <- job
+	s.inFlightBytes = len(records)
+	s.inFlightSteps, s.pendingSteps = s.pendingSteps, nil
+	s.writeJobs <- job
 }
 
-func (s *Service) release(steps []Effects) {
+func (s *Server) sendResponses(steps []Effects) {
 	for _, e := range steps {
-		for _, r := range e.Replies {
-			s.send(r)
+		for _, r := range e.Responses {
+			s.sendResponse(r)
 		}
 	}
 }
 
-func (s *Service) send(r Reply) {
+func (s *Server) sendResponse(r Response) {
 	body, err := packed.Marshal(r.Body)
 	if err != nil {
 		s.log.Error("an answer cannot be encoded", "error", err)
 		r.Status, body = 503, nil
 	}
-	if req, ok := r.Ref.(*httpwire.Request); ok {
-		s.watch.answered(req.Method, req.Target, r.Status)
-		req.Reply(r.Status, body, r.Retry)
+	if req, ok := r.Handle.(*httpwire.Request); ok {
+		s.metrics.countResponse(req.Method, req.Target, r.Status)
+		req.Respond(r.Status, body, r.RetryAfter)
 	}
 }
 
-// settled takes in what became of the records that were on their way.
-func (s *Service) settled(now time.Time, k kept) {
-	if k.repair {
-		s.repaired(now, k)
+// handleWriteResult takes in what became of the records that were on their way.
+func (s *Server) handleWriteResult(now time.Time, result writeResult) {
+	if result.repair {
+		s.handleRepairResult(now, result)
 		return
 	}
-	steps := s.flight
-	s.flight = nil
-	if k.err == nil {
-		s.disk.Kept(s.bytes)
-		s.watch.synced(k.took)
-		s.answers <- steps
+	steps := s.inFlightSteps
+	s.inFlightSteps = nil
+	if result.err == nil {
+		s.storage.RecordAppended(s.inFlightBytes)
+		s.metrics.observeSync(result.duration)
+		s.responses <- steps
 	} else {
-		s.takeBack(steps, k.err)
+		s.rollBack(steps, result.err)
 	}
-	if k.broken {
-		s.state.Fail(now, true)
-		s.repairAt = now.Add(s.opt.RetryAfter)
+	if result.broken {
+		s.state.SetWritesFailing(now, true)
+		s.nextRepairAt = now.Add(s.options.DiskRetryInterval)
 	}
 	switch {
-	case k.snapshot != nil:
-		s.disk.Begun()
-		go s.snapshot(k.snapshot)
-	case k.snapErr != nil:
-		s.noSnapshot(now, k.snapErr)
-	case k.err != nil && s.beginning:
-		s.snapping = false // it was to begin after these records
+	case result.snapshot != nil:
+		s.storage.RecordSnapshotBegun()
+		go s.runSnapshot(result.snapshot)
+	case result.snapshotErr != nil:
+		s.deferSnapshot(now, result.snapshotErr)
+	case result.err != nil && s.snapshotBeginning:
+		s.snapshotRunning = false // it was to begin after these records
 	}
-	s.beginning = false
+	s.snapshotBeginning = false
 }
 
-// noSnapshot gives a snapshot up for a while; the log grows on.
-func (s *Service) noSnapshot(now time.Time, err error) {
-	s.snapping = false
-	s.noSnap = now.Add(snapshotPause * s.opt.RetryAfter)
-	s.watch.snapFailed.Inc()
+// deferSnapshot gives a snapshot up for a while; the log grows on.
+func (s *Server) deferSnapshot(now time.Time, err error) {
+	s.snapshotRunning = false
+	s.nextSnapshotAt = now.Add(snapshotRetryIntervals * s.options.DiskRetryInterval)
+	s.metrics.failedSnapshotCount.Inc()
 	s.log.Error("a snapshot failed; the log goes on", "error", err)
 }
 
-// takeBack undoes the steps whose records were not kept. Those that were never written, and
+// rollBack undoes the steps whose records were not kept. Those that were never written, and
 // those of which it is certain that they are not in the log, are told so; of the rest nobody
 // knows.
-func (s *Service) takeBack(steps []Effects, err error) {
-	s.watch.failed.Inc()
+func (s *Server) rollBack(steps []Effects, err error) {
+	s.metrics.failedWriteCount.Inc()
 	s.log.Error("changes cannot be kept", "error", err)
-	for _, list := range [][]Effects{s.open, steps} {
+	for _, list := range [][]Effects{s.pendingSteps, steps} {
 		for i := len(list) - 1; i >= 0; i-- {
 			s.state.Undo(list[i])
 		}
 	}
 	refuse := func(list []Effects) {
 		for _, e := range list {
-			for _, r := range e.Replies {
-				s.send(Reply{Ref: r.Ref, Status: 503, Body: errorAnswer{"changes cannot be kept"}, Retry: s.opt.RetryAfter})
+			for _, r := range e.Responses {
+				s.sendResponse(Response{Handle: r.Handle, Status: 503, Body: errorResponse{"changes cannot be kept"}, RetryAfter: s.options.DiskRetryInterval})
 			}
 		}
 	}
-	refuse(s.open)
-	s.open = nil
+	refuse(s.pendingSteps)
+	s.pendingSteps = nil
 	if errors.Is(err, ErrNotWritten) {
 		refuse(steps)
 		return
 	}
 	for _, e := range steps {
-		for _, r := range e.Replies {
-			if req, ok := r.Ref.(*httpwire.Request); ok {
-				req.Drop()
+		for _, r := range e.Responses {
+			if req, ok := r.Handle.(*httpwire.Request); ok {
+				req.Abort()
 			}
 		}
 	}
 }
 
-func (s *Service) repaired(now time.Time, k kept) {
-	s.repairs = false
-	if k.err != nil {
-		s.log.Error("the disk still fails", "error", k.err)
-		s.repairAt = now.Add(s.opt.RetryAfter)
+func (s *Server) handleRepairResult(now time.Time, result writeResult) {
+	s.repairPending = false
+	if result.err != nil {
+		s.log.Error("the disk still fails", "error", result.err)
+		s.nextRepairAt = now.Add(s.options.DiskRetryInterval)
 		return
 	}
 	s.log.Info("changes are kept again, in a new segment of the log")
-	s.state.Fail(now, false)
+	s.state.SetWritesFailing(now, false)
 }
 
-// snapshot writes a snapshot while the service goes on, and lets go of the log that it covers.
-func (s *Service) snapshot(snap *Snapshot) {
-	began := time.Now()
-	log := s.log.With("snapshot", snap.name())
-	log.Info("snapshot begins", "revision", snap.view.revision, "keys", snap.view.tree.Len())
-	err := snap.write(func(stage string) { log.Info("snapshot " + stage) })
+// runSnapshot writes a snapshot while the service goes on, and lets go of the log that it covers.
+func (s *Server) runSnapshot(writer *SnapshotWriter) {
+	startedAt := time.Now()
+	log := s.log.With("snapshot", writer.fileName())
+	log.Info("snapshot begins", "revision", writer.view.revision, "keys", writer.view.tree.Len())
+	err := writer.writeAll(func(stage string) { log.Info("snapshot " + stage) })
 	if err != nil {
-		err = errors.Join(err, snap.Abandon())
+		err = errors.Join(err, writer.Abort())
 	} else {
 		log.Info("deleting the log that is covered")
-		if err := s.disk.Prune(snap); err != nil {
+		if err := s.storage.Prune(writer); err != nil {
 			log.Error("what a snapshot covers cannot be removed", "error", err)
 		}
 	}
-	s.snapped <- snapped{snap, err, time.Since(began)}
+	s.snapshotResults <- snapshotResult{writer, err, time.Since(startedAt)}
 }
 
-func (s *Service) snapshotDone(now time.Time, d snapped) {
-	s.disk.Finish(d.snapshot, d.err == nil)
-	if d.err != nil {
-		s.noSnapshot(now, d.err)
+func (s *Server) handleSnapshotResult(now time.Time, result snapshotResult) {
+	s.storage.RecordSnapshotDone(result.snapshot, result.err == nil)
+	if result.err != nil {
+		s.deferSnapshot(now, result.err)
 		return
 	}
-	s.snapping = false
-	s.watch.snapshot(d.took, d.snapshot.offset)
-	s.log.Info("snapshot done", "snapshot", d.snapshot.name(), "bytes", d.snapshot.offset, "took", d.took.Round(time.Millisecond))
+	s.snapshotRunning = false
+	s.metrics.observeSnapshot(result.duration, result.snapshot.offset)
+	s.log.Info("snapshot done", "snapshot", result.snapshot.fileName(), "bytes", result.snapshot.offset, "took", result.duration.Round(time.Millisecond))
 }
--- a/internal/site/store/service_test.go
+++ b/internal/site/store/service_test.go
@@ -15,45 +15,45 @@
 	"gullrudder/internal/wire/packed"
 )
 
-// broken is a directory whose files fail when they are told to.
-type broken struct {
-	store.Files
-	mu   sync.Mutex
-	fail error
+// failingDirectory is a directory whose files fail when they are told to.
+type failingDirectory struct {
+	store.Directory
+	mu  sync.Mutex
+	err error
 }
 
-func (b *broken) set(err error) {
+func (b *failingDirectory) setError(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fail = err
+	b.err = err
 }
 
-func (b *broken) failing() error {
+func (b *failingDirectory) failing() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.fail
+	return b.err
 }
 
-func (b *broken) Create(name string) (store.File, error) {
+func (b *failingDirectory) Create(name string) (store.File, error) {
 	if err := b.failing(); err != nil {
 		return nil, err
 	}
-	f, err := b.Files.Create(name)
-	return &brokenFile{f, b}, err
+	f, err := b.Directory.Create(name)
+	return &failingFile{f, b}, err
 }
 
-func (b *broken) Open(name string) (store.File, error) {
-	f, err := b.Files.Open(name)
-	return &brokenFile{f, b}, err
+func (b *failingDirectory) Open(name string) (store.File, error) {
+	f, err := b.Directory.Open(name)
+	return &failingFile{f, b}, err
 }
 
-type brokenFile struct {
+type failingFile struct {
 	store.File
-	b *broken
+	directory *failingDirectory
 }
 
-func (f *brokenFile) Sync() error {
-	if err := f.b.failing(); err != nil {
+func (f *failingFile) Sync() error {
+	if err := f.directory.failing(); err != nil {
 		return err
 	}
 	return f.File.Sync()
@@ -62,7 +62,7 @@
 // The service over the network, with a disk that fails for a while: what nobody knows of gets no
 // answer, what is not taken gets 503 at once, reads go on, and once the disk works again changes
 // are taken again. Everything that was answered is there when the directory is opened anew.
-func TestServiceThroughAFailingDisk(t *testing.T) {
+func TestServerThroughDiskFailure(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -70,20 +70,20 @@
 	addr := l.Addr().String()
 	l.Close()
 	path := t.TempDir()
-	dir, err := store.LockDir(path)
+	dir, err := store.LockDirectory(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	files := &broken{Files: dir}
-	opt := config.DefaultStore()
-	opt.RetryAfter, opt.SnapshotLeast, opt.SnapshotShare = 20*time.Millisecond, 4096, 0
+	files := &failingDirectory{Directory: dir}
+	opt := config.DefaultKVServer()
+	opt.DiskRetryInterval, opt.SnapshotMinLogBytes, opt.SnapshotLogRatio = 20*time.Millisecond, 4096, 0
 	log := slog.New(slog.DiscardHandler)
 	state, disk, _, err := store.Open(files, opt, time.Now(), log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() {
-		if err := store.NewService(state, disk, opt, store.NewMetrics(), log).Serve(addr); err != nil {
+		if err := store.NewServer(state, disk, opt, store.NewMetrics(), log).Serve(addr); err != nil {
 			t.Log(err)
 		}
 	}()
@@ -119,7 +119,7 @@
 		}()
 	}
 	wait.Wait()
-	files.set(fmt.Errorf("the disk fails"))
+	files.setError(fmt.Errorf("the disk fails"))
 	if got, err := ask(crash.Commit(nil, []crash.Op{{Key: "doubt", Value: "v"}})); err == nil {
 		t.Errorf("a commit whose sync failed is answered %d", got)
 	}
@@ -130,10 +130,10 @@
 	if got, err := ask(get("/keys/doubt")); err != nil || got != 404 {
 		t.Errorf("what was not kept is read: %d, %v", got, err)
 	}
-	files.set(nil)
+	files.setError(nil)
 	until("a commit once the disk works", crash.Commit(nil, []crash.Op{{Key: "after", Value: "v"}}), 200)
 	m, err := client.Do(addr, "GET", "/keys?starts=k/&most=1000", nil, 5*time.Second)
-	var a listed
+	var a listResponse
 	if err != nil || packed.Unmarshal(m.Body, &a) != nil || len(a.Entries) != 800 {
 		t.Errorf("%d keys, %v", len(a.Entries), err)
 	}
--- a/internal/site/store/state.go
+++ b/internal/site/store/state.go
@@ -21,120 +21,120 @@
 
 // Limits of the protocol.
 const (
-	longestKey  = 200
-	mostListed  = 1000
-	listedBytes = 512 << 10
-	longestWait = 60 * time.Second
-	shortestTTL = 100 * time.Millisecond
-	longestTTL  = 600 * time.Second
-	mostLeases  = 10_000
-	txnBytes    = 64 << 10
-	guardsPerOp = 4
-	escaped     = 6  // JSON bytes of one byte at most
-	entryBytes  = 64 // JSON bytes of a listed entry besides key and value
+	maxKeyBytes              = 200
+	maxListedKeys            = 1000
+	maxListBytes             = 512 << 10
+	maxWatchWait             = 60 * time.Second
+	minLeaseTTL              = 100 * time.Millisecond
+	maxLeaseTTL              = 600 * time.Second
+	maxLeases                = 10_000
+	maxTransactionBytes      = 64 << 10
+	maxPreconditionsPerOp    = 4
+	maxJSONBytesPerByte      = 6  // JSON bytes of one byte at most
+	listedEntryOverheadBytes = 64 // JSON bytes of a listed entry besides key and value
 )
 
 // State is what the store holds and who waits for it.
 type State struct {
-	*content
-	opt      config.Store
-	requests *outbox.Limiter // nil: no limit
-	writes   *outbox.Limiter
-	watches  []*watch
-	failing  bool // changes cannot be kept at present
-	e        Effects
-	now      time.Time
+	*keyspace
+	options        config.KVServer
+	requestLimiter *outbox.RateLimiter // nil: no limit
+	writeLimiter   *outbox.RateLimiter
+	watches        []*watch
+	writesFailing  bool // changes cannot be kept at present
+	effects        Effects
+	now            time.Time
 }
 
 type watch struct {
-	ref    any
-	prefix string
-	from   uint64
-	until  time.Time
+	handle       any
+	prefix       string
+	fromRevision uint64
+	deadline     time.Time
 }
 
 // newState makes the owner of a content. Leases have their full time from now on.
-func newState(c *content, opt config.Store, now time.Time) *State {
-	s := &State{content: c, opt: opt}
-	if opt.Rate > 0 {
-		s.requests = outbox.NewLimiter(opt.Rate, time.Second)
+func newState(data *keyspace, options config.KVServer, now time.Time) *State {
+	s := &State{keyspace: data, options: options}
+	if options.RequestRate > 0 {
+		s.requestLimiter = outbox.NewRateLimiter(options.RequestRate, time.Second)
 	}
-	if opt.WriteRate > 0 {
-		s.writes = outbox.NewLimiter(opt.WriteRate, time.Second)
+	if options.WriteRate > 0 {
+		s.writeLimiter = outbox.NewRateLimiter(options.WriteRate, time.Second)
 	}
-	s.renewAll(now)
+	s.renewAllLeases(now)
 	return s
 }
 
-func (s *State) renewAll(now time.Time) {
+func (s *State) renewAllLeases(now time.Time) {
 	for _, l := range s.leases {
-		l.ends = now.Add(l.ttl)
+		l.expiresAt = now.Add(l.ttl)
 	}
 }
 
-// Fail says whether changes can be kept. While they cannot, commits are refused and no lease
+// SetWritesFailing says whether changes can be kept. While they cannot, commits are refused and no lease
 // ends; afterwards every lease has its full time again.
-func (s *State) Fail(now time.Time, failing bool) {
-	if s.failing && !failing {
-		s.renewAll(now)
+func (s *State) SetWritesFailing(now time.Time, failing bool) {
+	if s.writesFailing && !failing {
+		s.renewAllLeases(now)
 	}
-	s.failing = failing
+	s.writesFailing = failing
 }
 
 // Undo takes steps back whose records were not kept, the last one first.
-func (s *State) Undo(e Effects) { s.rewind(e.undos) }
+func (s *State) Undo(e Effects) { s.undoAll(e.undos) }
 
-// Visit shows every key, in order.
-func (s *State) Visit(see func(key string, value []byte, mark, lease uint64)) {
+// ForEachKey shows every key, in order.
+func (s *State) ForEachKey(visit func(key string, value []byte, mark, lease uint64)) {
 	s.tree.Ascend(func(it *item) bool {
-		see(it.key, it.value, it.mark, it.lease)
+		visit(it.key, it.value, it.modRevision, it.leaseID)
 		return true
 	})
 }
 
-// Leases lists the leases that are there.
-func (s *State) Leases() []uint64 { return slices.Sorted(maps.Keys(s.leases)) }
+// LeaseIDs lists the leases that are there.
+func (s *State) LeaseIDs() []uint64 { return slices.Sorted(maps.Keys(s.leases)) }
 
-// LastLease is the number of the last lease that was granted.
-func (s *State) LastLease() uint64 { return s.granted }
+// LastLeaseID is the number of the last lease that was granted.
+func (s *State) LastLeaseID() uint64 { return s.lastLeaseID }
 
 // Revision is that of the last change.
 func (s *State) Revision() uint64 { return s.revision }
 
 // Step works through a batch of requests.
 func (s *State) Step(now time.Time, batch []Request) Effects {
-	s.e, s.now = Effects{}, now
+	s.effects, s.now = Effects{}, now
 	before := s.revision
-	if !s.failing {
-		s.expire()
+	if !s.writesFailing {
+		s.expireLeases()
 	}
 	for i := range batch {
-		s.request(&batch[i])
+		s.handleRequest(&batch[i])
 	}
-	s.wake(before)
-	e := s.e
-	s.e = Effects{}
+	s.notifyWatches(before)
+	e := s.effects
+	s.effects = Effects{}
 	return e
 }
 
-func (s *State) reply(ref any, status int, body any) {
-	s.e.Replies = append(s.e.Replies, Reply{Ref: ref, Status: status, Body: body})
+func (s *State) respond(handle any, status int, body any) {
+	s.effects.Responses = append(s.effects.Responses, Response{Handle: handle, Status: status, Body: body})
 }
 
-func (s *State) refuse(ref any, status int, retry time.Duration, format string, args ...any) {
-	s.e.Replies = append(s.e.Replies, Reply{Ref: ref, Status: status, Body: errorAnswer{fmt.Sprintf(format, args...)}, Retry: retry})
+func (s *State) reject(handle any, status int, retryAfter time.Duration, format string, args ...any) {
+	s.effects.Responses = append(s.effects.Responses, Response{Handle: handle, Status: status, Body: errorResponse{fmt.Sprintf(format, args...)}, RetryAfter: retryAfter})
 }
 
-// expire ends the leases whose time is over.
-func (s *State) expire() {
-	var over []uint64
+// expireLeases ends the leases whose time is over.
+func (s *State) expireLeases() {
+	var expired []uint64
 	for id, l := range s.leases {
-		if !s.now.Before(l.ends) {
-			over = append(over, id)
+		if !s.now.Before(l.expiresAt) {
+			expired = append(expired, id)
 		}
 	}
-	slices.Sort(over)
-	for _, id := range over {
+	slices.Sort(expired)
+	for _, id := range expired {
 		s.endLease(id)
 	}
 }
@@ -144,20 +144,20 @@
 	if len(s.leases[id].keys) > 0 {
 		revision = s.revision + 1
 	}
-	s.e.Records = appendEnd(s.e.Records, id, revision)
-	s.end(id, revision, &s.e.undos)
+	s.effects.Records = appendLeaseEndRecord(s.effects.Records, id, revision)
+	s.removeLease(id, revision, &s.effects.undos)
 }
 
-// wake answers the watches that have something to see, and those whose time is up.
-func (s *State) wake(before uint64) {
-	news, whole := s.since(before, "")
+// notifyWatches answers the watches that have something to see, and those whose time is up.
+func (s *State) notifyWatches(before uint64) {
+	events, retained := s.eventsSince(before, "")
 	open := s.watches[:0]
 	for _, w := range s.watches {
-		due := !whole || !s.now.Before(w.until) && !s.failing
-		for _, e := range news {
-			due = due || strings.HasPrefix(e.key, w.prefix)
+		isDue := !retained || !s.now.Before(w.deadline) && !s.writesFailing
+		for _, e := range events {
+			isDue = isDue || strings.HasPrefix(e.key, w.prefix)
 		}
-		if !due || !s.look(w) {
+		if !isDue || !s.notifyWatch(w) {
 			open = append(open, w)
 		}
 	}
@@ -165,102 +165,102 @@
 	s.watches = open
 }
 
-// look answers a watch, if there is something to see or its time is up.
-func (s *State) look(w *watch) bool {
-	events, ok := s.since(w.from, w.prefix)
+// notifyWatch answers a watch, if there is something to see or its time is up.
+func (s *State) notifyWatch(watcher *watch) bool {
+	events, ok := s.eventsSince(watcher.fromRevision, watcher.prefix)
 	if !ok {
-		s.reply(w.ref, 410, revisionAnswer{s.revision})
+		s.respond(watcher.handle, 410, revisionResponse{s.revision})
 		return true
 	}
-	if len(events) == 0 && s.now.Before(w.until) {
+	if len(events) == 0 && s.now.Before(watcher.deadline) {
 		return false
 	}
-	a := watchAnswer{Revision: s.revision, Events: make([]eventAnswer, 0, len(events))}
+	a := watchResponse{Revision: s.revision, Events: make([]eventResponse, 0, len(events))}
 	for _, e := range events {
-		ea := eventAnswer{Write: e.key, Value: e.value, Mark: e.mark}
-		if e.drop {
-			ea = eventAnswer{Drop: e.key, Mark: e.mark}
+		response := eventResponse{WrittenKey: e.key, Value: e.value, ModRevision: e.modRevision}
+		if e.isDelete {
+			response = eventResponse{DeletedKey: e.key, ModRevision: e.modRevision}
 		}
-		a.Events = append(a.Events, ea)
+		a.Events = append(a.Events, response)
 	}
-	s.reply(w.ref, 200, a)
+	s.respond(watcher.handle, 200, a)
 	return true
 }
 
-func (s *State) request(r *Request) {
-	if s.requests != nil {
-		if s.requests.Available(s.now) < 1 {
-			s.refuse(r.Ref, 429, time.Second, "more than %g requests a second", s.opt.Rate)
+func (s *State) handleRequest(request *Request) {
+	if s.requestLimiter != nil {
+		if s.requestLimiter.Available(s.now) < 1 {
+			s.reject(request.Handle, 429, time.Second, "more than %g requests a second", s.options.RequestRate)
 			return
 		}
-		s.requests.Take(1)
+		s.requestLimiter.Take(1)
 	}
-	u, err := url.ParseRequestURI(r.Target)
+	target, err := url.ParseRequestURI(request.Target)
 	if err != nil {
-		s.refuse(r.Ref, 400, 0, "no such path")
+		s.reject(request.Handle, 400, 0, "no such path")
 		return
 	}
-	rest, one := strings.CutPrefix(u.Path, "/keys/")
-	id, lease := strings.CutPrefix(u.Path, "/leases/")
-	id, touch := strings.CutSuffix(id, "/touch")
+	key, isKeyPath := strings.CutPrefix(target.Path, "/keys/")
+	id, isLeasePath := strings.CutPrefix(target.Path, "/leases/")
+	id, isTouch := strings.CutSuffix(id, "/touch")
 	switch {
-	case u.Path == "/commit" && r.Method == "POST":
-		s.commit(r)
-	case one && r.Method == "GET":
-		s.one(r, rest)
-	case u.Path == "/keys" && r.Method == "GET":
-		s.list(r, u.Query())
-	case u.Path == "/leases" && r.Method == "POST":
-		s.lease(r)
-	case lease && (touch && r.Method == "POST" || !touch && r.Method == "DELETE"):
-		s.serveLease(r, id, touch)
-	case u.Path == "/watch" && r.Method == "GET":
-		s.watch(r, u.Query())
-	case u.Path == "/ready" && r.Method == "GET":
-		s.reply(r.Ref, 200, revisionAnswer{s.revision})
+	case target.Path == "/commit" && request.Method == "POST":
+		s.commitTransaction(request)
+	case isKeyPath && request.Method == "GET":
+		s.getKey(request, key)
+	case target.Path == "/keys" && request.Method == "GET":
+		s.listKeys(request, target.Query())
+	case target.Path == "/leases" && request.Method == "POST":
+		s.grantLease(request)
+	case isLeasePath && (isTouch && request.Method == "POST" || !isTouch && request.Method == "DELETE"):
+		s.handleLease(request, id, isTouch)
+	case target.Path == "/watch" && request.Method == "GET":
+		s.openWatch(request, target.Query())
+	case target.Path == "/ready" && request.Method == "GET":
+		s.respond(request.Handle, 200, revisionResponse{s.revision})
 	default:
-		s.refuse(r.Ref, 400, 0, "no such path or method")
+		s.reject(request.Handle, 400, 0, "no such path or method")
 	}
 }
 
-func validKey(key string) bool {
-	return key != "" && len(key) <= longestKey && !strings.ContainsAny(key, " \t\r\n")
+func isValidKey(key string) bool {
+	return key != "" && len(key) <= maxKeyBytes && !strings.ContainsAny(key, " \t\r\n")
 }
 
-func (s *State) one(r *Request, key string) {
-	if !validKey(key) {
-		s.refuse(r.Ref, 400, 0, "a key has 1 to %d bytes and no spaces", longestKey)
+func (s *State) getKey(r *Request, key string) {
+	if !isValidKey(key) {
+		s.reject(r.Handle, 400, 0, "a key has 1 to %d bytes and no spaces", maxKeyBytes)
 		return
 	}
 	it := s.get(key)
 	if it == nil {
-		s.reply(r.Ref, 404, revisionAnswer{s.revision})
+		s.respond(r.Handle, 404, revisionResponse{s.revision})
 		return
 	}
-	s.reply(r.Ref, 200, keyAnswer{it.key, it.value, it.mark, it.lease})
+	s.respond(r.Handle, 200, keyResponse{it.key, it.value, it.modRevision, it.leaseID})
 }
 
-// count reads a number of a query; it is 0 if the field is missing.
-func count(q url.Values, name string, most uint64) (uint64, bool) {
+// parseCount reads a number of a query; it is 0 if the field is missing.
+func parseCount(q url.Values, name string, limit uint64) (uint64, bool) {
 	text := q.Get(name)
 	if text == "" {
 		return 0, true
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
-	return n, err == nil && n <= most
+	return n, err == nil && n <= limit
 }
 
-func (s *State) list(r *Request, q url.Values) {
-	prefix, from := q.Get("starts"), q.Get("from")
-	most, ok := count(q, "most", 1<<32)
-	if !ok || len(prefix) > longestKey || len(from) > longestKey {
-		s.refuse(r.Ref, 400, 0, "a list that cannot be understood")
+func (s *State) listKeys(request *Request, query url.Values) {
+	prefix, from := query.Get("starts"), query.Get("from")
+	maxEntries, ok := parseCount(query, "most", 1<<32)
+	if !ok || len(prefix) > maxKeyBytes || len(from) > maxKeyBytes {
+		s.reject(request.Handle, 400, 0, "a list that cannot be understood")
 		return
 	}
-	if most == 0 || most > mostListed {
-		most = mostListed
+	if maxEntries == 0 || maxEntries > maxListedKeys {
+		maxEntries = maxListedKeys
 	}
-	a := listAnswer{Entries: []keyAnswer{}, Revision: s.revision}
+	a := listResponse{Entries: []keyResponse{}, Revision: s.revision}
 	bytes := 0
 	s.tree.AscendGreaterOrEqual(&item{key: max(prefix, from)}, func(it *item) bool {
 		if !strings.HasPrefix(it.key, prefix) {
@@ -269,158 +269,158 @@
 		if it.key == from {
 			return true
 		}
-		bytes += it.size + len(it.key) + entryBytes
-		if uint64(len(a.Entries)) == most || bytes > listedBytes && len(a.Entries) > 0 {
-			a.More = true
+		bytes += it.jsonBytes + len(it.key) + listedEntryOverheadBytes
+		if uint64(len(a.Entries)) == maxEntries || bytes > maxListBytes && len(a.Entries) > 0 {
+			a.HasMore = true
 			return false
 		}
-		a.Entries = append(a.Entries, keyAnswer{it.key, it.value, it.mark, it.lease})
+		a.Entries = append(a.Entries, keyResponse{it.key, it.value, it.modRevision, it.leaseID})
 		return true
 	})
-	s.reply(r.Ref, 200, a)
+	s.respond(request.Handle, 200, a)
 }
 
-func (s *State) lease(r *Request) {
+func (s *State) grantLease(request *Request) {
 	var a leaseRequest
-	if err := packed.Unmarshal(r.Body, &a); err != nil {
-		s.refuse(r.Ref, 400, 0, "%v", err)
+	if err := packed.Unmarshal(request.Body, &a); err != nil {
+		s.reject(request.Handle, 400, 0, "%v", err)
 		return
 	}
-	ttl := time.Duration(a.TTL) * time.Millisecond
+	ttl := time.Duration(a.TTLMillis) * time.Millisecond
 	switch {
-	case a.TTL < shortestTTL.Milliseconds() || a.TTL > longestTTL.Milliseconds():
-		s.refuse(r.Ref, 400, 0, "ttl_ms is not between %d and %d", shortestTTL.Milliseconds(), longestTTL.Milliseconds())
-	case s.failing:
-		s.refuse(r.Ref, 503, time.Second, "changes cannot be kept")
-	case len(s.leases) >= mostLeases:
-		s.refuse(r.Ref, 429, time.Second, "more than %d leases", mostLeases)
+	case a.TTLMillis < minLeaseTTL.Milliseconds() || a.TTLMillis > maxLeaseTTL.Milliseconds():
+		s.reject(request.Handle, 400, 0, "ttl_ms is not between %d and %d", minLeaseTTL.Milliseconds(), maxLeaseTTL.Milliseconds())
+	case s.writesFailing:
+		s.reject(request.Handle, 503, time.Second, "changes cannot be kept")
+	case len(s.leases) >= maxLeases:
+		s.reject(request.Handle, 429, time.Second, "more than %d leases", maxLeases)
 	default:
-		id := s.granted + 1
-		s.grant(id, ttl, s.now, &s.e.undos)
-		s.e.Records = appendGrant(s.e.Records, id, ttl)
-		s.reply(r.Ref, 200, leaseAnswer{id})
+		id := s.lastLeaseID + 1
+		s.addLease(id, ttl, s.now, &s.effects.undos)
+		s.effects.Records = appendLeaseGrantRecord(s.effects.Records, id, ttl)
+		s.respond(request.Handle, 200, leaseResponse{id})
 	}
 }
 
-func (s *State) serveLease(r *Request, text string, touch bool) {
+func (s *State) handleLease(request *Request, text string, isTouch bool) {
 	id, err := strconv.ParseUint(text, 10, 64)
-	l := s.leases[id]
+	granted := s.leases[id]
 	switch {
 	case err != nil:
-		s.refuse(r.Ref, 400, 0, "no number of a lease")
-	case l == nil:
-		s.refuse(r.Ref, 404, 0, "no such lease")
-	case touch:
-		l.ends = s.now.Add(l.ttl)
-		s.reply(r.Ref, 200, leaseAnswer{id})
-	case s.failing:
-		s.refuse(r.Ref, 503, time.Second, "changes cannot be kept")
+		s.reject(request.Handle, 400, 0, "no number of a lease")
+	case granted == nil:
+		s.reject(request.Handle, 404, 0, "no such lease")
+	case isTouch:
+		granted.expiresAt = s.now.Add(granted.ttl)
+		s.respond(request.Handle, 200, leaseResponse{id})
+	case s.writesFailing:
+		s.reject(request.Handle, 503, time.Second, "changes cannot be kept")
 	default:
 		s.endLease(id)
-		s.reply(r.Ref, 200, leaseAnswer{id})
+		s.respond(request.Handle, 200, leaseResponse{id})
 	}
 }
 
-func (s *State) watch(r *Request, q url.Values) {
-	from, ok := count(q, "from", ^uint64(0))
-	wait, valid := count(q, "wait_ms", uint64(longestWait.Milliseconds()))
-	prefix := q.Get("starts")
-	if !ok || !valid || len(prefix) > longestKey {
-		s.refuse(r.Ref, 400, 0, "a watch that cannot be understood")
+func (s *State) openWatch(request *Request, query url.Values) {
+	from, ok := parseCount(query, "from", ^uint64(0))
+	wait, valid := parseCount(query, "wait_ms", uint64(maxWatchWait.Milliseconds()))
+	prefix := query.Get("starts")
+	if !ok || !valid || len(prefix) > maxKeyBytes {
+		s.reject(request.Handle, 400, 0, "a watch that cannot be understood")
 		return
 	}
-	w := &watch{r.Ref, prefix, from, s.now.Add(time.Duration(wait) * time.Millisecond)}
-	if s.look(w) {
+	watcher := &watch{request.Handle, prefix, from, s.now.Add(time.Duration(wait) * time.Millisecond)}
+	if s.notifyWatch(watcher) {
 		return
 	}
-	if len(s.watches) >= s.opt.Watches {
-		s.refuse(r.Ref, 429, time.Second, "more than %d watches", s.opt.Watches)
+	if len(s.watches) >= s.options.MaxWatches {
+		s.reject(request.Handle, 429, time.Second, "more than %d watches", s.options.MaxWatches)
 		return
 	}
-	s.watches = append(s.watches, w)
+	s.watches = append(s.watches, watcher)
 }
 
-// check says why a transaction is malformed or over the limits, empty if it is neither.
-func (s *State) check(t *transaction, body []byte) string {
+// validateTransaction says why a transaction is malformed or over the limits, empty if it is neither.
+func (s *State) validateTransaction(t *transaction, body []byte) string {
 	switch {
-	case len(t.Apply) > s.opt.TxnOps:
-		return fmt.Sprintf("%d changes, at most %d are allowed", len(t.Apply), s.opt.TxnOps)
-	case len(t.Guards) > guardsPerOp*s.opt.TxnOps:
-		return fmt.Sprintf("%d guards, at most %d are allowed", len(t.Guards), guardsPerOp*s.opt.TxnOps)
-	case len(body)*escaped > txnBytes && packed.JSONSize(body) > txnBytes:
+	case len(t.Operations) > s.options.MaxTransactionOps:
+		return fmt.Sprintf("%d changes, at most %d are allowed", len(t.Operations), s.options.MaxTransactionOps)
+	case len(t.Preconditions) > maxPreconditionsPerOp*s.options.MaxTransactionOps:
+		return fmt.Sprintf("%d guards, at most %d are allowed", len(t.Preconditions), maxPreconditionsPerOp*s.options.MaxTransactionOps)
+	case len(body)*maxJSONBytesPerByte > maxTransactionBytes && packed.JSONSize(body) > maxTransactionBytes:
 		return "the transaction is larger than 64 KiB"
 	}
-	for _, g := range t.Guards {
-		if !validKey(g.Key) {
+	for _, g := range t.Preconditions {
+		if !isValidKey(g.Key) {
 			return fmt.Sprintf("guard of %q: no key", g.Key)
 		}
 	}
-	for _, o := range t.Apply {
-		if (o.Write == "") == (o.Drop == "") || !validKey(o.Write+o.Drop) {
+	for _, o := range t.Operations {
+		if (o.WriteKey == "") == (o.DeleteKey == "") || !isValidKey(o.WriteKey+o.DeleteKey) {
 			return "a change has either a key to write or one to drop"
 		}
-		if o.Write != "" && len(o.Value) == 0 {
-			return fmt.Sprintf("no value for %s", o.Write)
+		if o.WriteKey != "" && len(o.Value) == 0 {
+			return fmt.Sprintf("no value for %s", o.WriteKey)
 		}
-		if size := packed.JSONSize(o.Value); size > s.opt.ValueBytes {
-			return fmt.Sprintf("the value of %s has %d bytes, at most %d are allowed", o.Write, size, s.opt.ValueBytes)
+		if size := packed.JSONSize(o.Value); size > s.options.MaxValueBytes {
+			return fmt.Sprintf("the value of %s has %d bytes, at most %d are allowed", o.WriteKey, size, s.options.MaxValueBytes)
 		}
 	}
 	return ""
 }
 
-func (s *State) commit(r *Request) {
+func (s *State) commitTransaction(request *Request) {
 	var t transaction
-	if err := packed.Unmarshal(r.Body, &t); err != nil {
-		s.refuse(r.Ref, 400, 0, "%v", err)
+	if err := packed.Unmarshal(request.Body, &t); err != nil {
+		s.reject(request.Handle, 400, 0, "%v", err)
 		return
 	}
-	if why := s.check(&t, r.Body); why != "" {
-		s.refuse(r.Ref, 400, 0, "%s", why)
+	if reason := s.validateTransaction(&t, request.Body); reason != "" {
+		s.reject(request.Handle, 400, 0, "%s", reason)
 		return
 	}
-	if s.failing && len(t.Apply) > 0 {
-		s.refuse(r.Ref, 503, time.Second, "changes cannot be kept")
+	if s.writesFailing && len(t.Operations) > 0 {
+		s.reject(request.Handle, 503, time.Second, "changes cannot be kept")
 		return
 	}
-	if s.writes != nil {
-		if s.writes.Available(s.now) < len(t.Apply) {
-			s.refuse(r.Ref, 429, time.Second, "more than %g changes a second", s.opt.WriteRate)
+	if s.writeLimiter != nil {
+		if s.writeLimiter.Available(s.now) < len(t.Operations) {
+			s.reject(request.Handle, 429, time.Second, "more than %g changes a second", s.options.WriteRate)
 			return
 		}
-		s.writes.Take(len(t.Apply))
+		s.writeLimiter.Take(len(t.Operations))
 	}
-	for _, o := range t.Apply {
-		if o.Lease != 0 && s.leases[o.Lease] == nil {
-			s.refuse(r.Ref, 400, 0, "no such lease")
+	for _, o := range t.Operations {
+		if o.LeaseID != 0 && s.leases[o.LeaseID] == nil {
+			s.reject(request.Handle, 400, 0, "no such lease")
 			return
 		}
 	}
 	var failed []string
-	for _, g := range t.Guards {
-		mark := uint64(0)
+	for _, g := range t.Preconditions {
+		modRevision := uint64(0)
 		if it := s.get(g.Key); it != nil {
-			mark = it.mark
+			modRevision = it.modRevision
 		}
-		if mark != g.Mark {
+		if modRevision != g.ModRevision {
 			failed = append(failed, g.Key)
 		}
 	}
 	if len(failed) > 0 {
-		s.reply(r.Ref, 409, conflictAnswer{failed, s.revision})
+		s.respond(request.Handle, 409, conflictResponse{failed, s.revision})
 		return
 	}
-	if len(t.Apply) > 0 {
-		changes := make([]change, 0, len(t.Apply))
-		for _, o := range t.Apply {
-			if o.Drop != "" {
-				changes = append(changes, change{drop: true, key: o.Drop})
+	if len(t.Operations) > 0 {
+		changes := make([]change, 0, len(t.Operations))
+		for _, o := range t.Operations {
+			if o.DeleteKey != "" {
+				changes = append(changes, change{isDelete: true, key: o.DeleteKey})
 			} else {
-				changes = append(changes, change{key: o.Write, value: o.Value, lease: o.Lease})
+				changes = append(changes, change{key: o.WriteKey, value: o.Value, leaseID: o.LeaseID})
 			}
 		}
-		s.e.Records = appendCommit(s.e.Records, s.revision+1, changes)
-		s.apply(s.revision+1, changes, &s.e.undos)
+		s.effects.Records = appendCommitRecord(s.effects.Records, s.revision+1, changes)
+		s.apply(s.revision+1, changes, &s.effects.undos)
 	}
-	s.reply(r.Ref, 200, revisionAnswer{s.revision})
+	s.respond(request.Handle, 200, revisionResponse{s.revision})
 }
--- a/internal/standin/crash/plain.go
+++ b/internal/standin/crash/plain.go
@@ -113,12 +113,12 @@
 
 // Differs says how a store differs from the model, empty if it does not.
 func (p *Plain) Differs(s *store.State) string {
-	if s.Revision() != p.Revision || s.LastLease() != p.Granted {
-		return fmt.Sprintf("revision %d and %d leases granted, want %d and %d", s.Revision(), s.LastLease(), p.Revision, p.Granted)
+	if s.Revision() != p.Revision || s.LastLeaseID() != p.Granted {
+		return fmt.Sprintf("revision %d and %d leases granted, want %d and %d", s.Revision(), s.LastLeaseID(), p.Revision, p.Granted)
 	}
 	seen := 0
 	why := ""
-	s.Visit(func(key string, value []byte, mark, lease uint64) {
+	s.ForEachKey(func(key string, value []byte, mark, lease uint64) {
 		seen++
 		want, ok := p.Keys[key]
 		if got := (PlainKey{text(value), mark, lease}); why == "" && (!ok || got != want) {
@@ -128,7 +128,7 @@
 	if why == "" && seen != len(p.Keys) {
 		why = fmt.Sprintf("%d keys, want %d", seen, len(p.Keys))
 	}
-	if got, want := s.Leases(), slices.Sorted(maps.Keys(p.Leases)); why == "" && !slices.Equal(got, want) {
+	if got, want := s.LeaseIDs(), slices.Sorted(maps.Keys(p.Leases)); why == "" && !slices.Equal(got, want) {
 		why = fmt.Sprintf("leases %v, want %v", got, want)
 	}
 	return why
--- a/internal/standin/crash/play.go
+++ b/internal/standin/crash/play.go
@@ -31,8 +31,8 @@
 	disk  *lossy.Disk
 	rng   *rand.Rand
 	state *store.State
-	log   *store.Disk
-	snap  *store.Snapshot
+	log   *store.Storage
+	snap  *store.SnapshotWriter
 	now   time.Time
 
 	acked  *Plain   // what has been answered
@@ -54,7 +54,7 @@
 	if disk != nil {
 		p.disk = disk
 	}
-	state, log, _, err := store.Open(p.disk, config.DefaultStore(), p.now, slog.New(slog.DiscardHandler))
+	state, log, _, err := store.Open(p.disk, config.DefaultKVServer(), p.now, slog.New(slog.DiscardHandler))
 	if errors.Is(err, lossy.ErrCrashed) {
 		return false
 	}
@@ -88,7 +88,7 @@
 func (p *Player) key() string { return fmt.Sprintf("k/%d", p.rng.IntN(12)) }
 
 // request makes a random request, and what the model says to it.
-func (p *Player) request(m *Plain) (r store.Request, check func(store.Reply) string) {
+func (p *Player) request(m *Plain) (r store.Request, check func(store.Response) string) {
 	want := 200
 	switch p.rng.IntN(10) {
 	case 0:
@@ -129,7 +129,7 @@
 		want, _ = m.Commit(guards, ops)
 		r = Commit(guards, ops)
 	}
-	return r, func(got store.Reply) string {
+	return r, func(got store.Response) string {
 		if got.Status != want {
 			return fmt.Sprintf("%s %s is answered %d, want %d", r.Method, r.Target, got.Status, want)
 		}
@@ -183,7 +183,7 @@
 	e := p.state.Step(p.now, nil)
 	next := p.acked.Clone()
 	left := map[uint64]bool{}
-	for _, id := range p.state.Leases() {
+	for _, id := range p.state.LeaseIDs() {
 		left[id] = true
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.acked.Leases)) {
@@ -212,14 +212,14 @@
 	}
 	next := p.acked.Clone()
 	var batch []store.Request
-	var checks []func(store.Reply) string
+	var checks []func(store.Response) string
 	for range 1 + p.rng.IntN(3) {
 		r, check := p.request(next)
 		batch, checks = append(batch, r), append(checks, check)
 	}
 	e := p.state.Step(p.now, batch)
 	for i, check := range checks {
-		if why := check(e.Replies[i]); why != "" {
+		if why := check(e.Responses[i]); why != "" {
 			p.Broken = why
 			return false
 		}
@@ -232,11 +232,11 @@
 	if len(e.Records) == 0 {
 		return true
 	}
-	err := p.log.Keep(e.Records)
+	err := p.log.Append(e.Records)
 	switch {
 	case err == nil:
 		p.acked = next
-		p.log.Kept(len(e.Records))
+		p.log.RecordAppended(len(e.Records))
 		return true
 	case errors.Is(err, lossy.ErrCrashed):
 		p.may = append(p.may, next)
@@ -256,9 +256,9 @@
 }
 
 func (p *Player) failed() {
-	if p.log.Broken() && !p.open {
+	if p.log.IsBroken() && !p.open {
 		p.open = true
-		p.state.Fail(p.now, true)
+		p.state.SetWritesFailing(p.now, true)
 	}
 }
 
@@ -270,15 +270,15 @@
 	}
 	if err != nil {
 		e := p.state.Step(p.now, []store.Request{Commit(nil, []Op{{Key: "k/0", Value: "no"}})})
-		if len(e.Replies) != 1 || e.Replies[0].Status != 503 || len(e.Records) > 0 {
-			p.Broken = fmt.Sprintf("a commit that cannot be kept: %+v", e.Replies)
+		if len(e.Responses) != 1 || e.Responses[0].Status != 503 || len(e.Records) > 0 {
+			p.Broken = fmt.Sprintf("a commit that cannot be kept: %+v", e.Responses)
 			return false
 		}
 		return true
 	}
 	// What nobody knew of is void from now on.
 	p.open, p.may = false, nil
-	p.state.Fail(p.now, false)
+	p.state.SetWritesFailing(p.now, false)
 	for id := range p.acked.Leases {
 		p.ends[id] = p.now.Add(ttl)
 	}
@@ -291,7 +291,7 @@
 		if p.open || p.rng.IntN(5) > 0 {
 			return true
 		}
-		snap, err := p.log.Begin(p.state.Freeze())
+		snap, err := p.log.BeginSnapshot(p.state.Freeze())
 		if errors.Is(err, lossy.ErrCrashed) {
 			return false
 		}
@@ -299,7 +299,7 @@
 			p.failed()
 			return true
 		}
-		p.log.Begun()
+		p.log.RecordSnapshotBegun()
 		p.snap = snap
 		return true
 	}
@@ -308,16 +308,16 @@
 	case errors.Is(err, lossy.ErrCrashed):
 		return false
 	case err != nil:
-		if errors.Is(p.snap.Abandon(), lossy.ErrCrashed) {
+		if errors.Is(p.snap.Abort(), lossy.ErrCrashed) {
 			return false
 		}
-		p.log.Finish(p.snap, false)
+		p.log.RecordSnapshotDone(p.snap, false)
 		p.snap = nil
 	case done:
 		if errors.Is(p.log.Prune(p.snap), lossy.ErrCrashed) {
 			return false
 		}
-		p.log.Finish(p.snap, true)
+		p.log.RecordSnapshotDone(p.snap, true)
 		p.snap = nil
 	}
 	return true
--- a/internal/standin/famine.go
+++ b/internal/standin/famine.go
@@ -36,14 +36,14 @@
 // lowest priority only, and aims for the classes of the others.
 func FamineOptions(tuning config.Options) Options {
 	return Options{Nodes: 3, ReportEvery: 2 * time.Second, Lease: 12 * time.Second, Cancel: 30 * time.Second, Capacity: 12, AskOnce: true, Sound: true, Unchecked: true,
-		Tuning: tuning, Teams: []config.Team{{Name: "red", CPUs: 80}, {Name: "blue", CPUs: 40, CPULimit: 400}, {Name: "guests", CPULimit: 400}},
+		Tuning: tuning, Teams: []config.Team{{Name: "red", GuaranteedCPUs: 80}, {Name: "blue", GuaranteedCPUs: 40, CPULimit: 400}, {Name: "guests", CPULimit: 400}},
 		Settings: func(p *config.Platform) {
-			p.StateRate, p.StateWrites = 400, 60
+			p.StateRequestRate, p.StateWriteRate = 400, 60
 			p.Objectives = []config.Objective{
-				{Kind: "deadline", Class: "urgent", Share: 0.95, Times: 1.5},
-				{Kind: "finished", Class: "batch", Within: 90 * time.Second, Share: 0.95},
-				{Kind: "finished", Class: "flood", Within: 120 * time.Second, Share: 0.95},
-				{Kind: "wait", Class: "archive", Within: 150 * time.Second, Share: 0.9},
+				{Kind: "deadline", Class: "urgent", TargetShare: 0.95, DeadlineFactor: 1.5},
+				{Kind: "finished", Class: "batch", TimeLimit: 90 * time.Second, TargetShare: 0.95},
+				{Kind: "finished", Class: "flood", TimeLimit: 120 * time.Second, TargetShare: 0.95},
+				{Kind: "wait", Class: "archive", TimeLimit: 150 * time.Second, TargetShare: 0.9},
 			}
 		}}
 }
--- a/internal/standin/hunt_test.go
+++ b/internal/standin/hunt_test.go
@@ -13,7 +13,7 @@
 func limited(t *testing.T, seed uint64) (w *World, leader int) {
 	opt := options()
 	opt.Loss, opt.Sound = 0, true
-	opt.Teams = []config.Team{{Name: "red", CPUs: 8, CPULimit: 30}, {Name: "blue"}}
+	opt.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 8, CPULimit: 30}, {Name: "blue"}}
 	w = New(seed, opt, quiet())
 	for i := range 6 {
 		w.Users.Send(jobs.Spec{ID: fmt.Sprintf("job-5%03d", i), Class: "long", Team: "red", Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", AllowsSpot: true,
--- a/internal/standin/live/cloud.go
+++ b/internal/standin/live/cloud.go
@@ -185,7 +185,7 @@
 	var buf []byte
 	chunk := make([]byte, 16<<10)
 	for {
-		m, used, err := httpwire.Parse(buf, false, httpwire.MaxBody)
+		m, used, err := httpwire.Parse(buf, false, httpwire.MaxBodyBytes)
 		if err != nil {
 			return
 		}
@@ -202,7 +202,7 @@
 		if err != nil {
 			return
 		}
-		if _, err := conn.Write(httpwire.AppendResponse(nil, status, raw, 0, m.Close)); err != nil || m.Close {
+		if _, err := conn.Write(httpwire.AppendResponse(nil, status, raw, 0, m.CloseConnection)); err != nil || m.CloseConnection {
 			return
 		}
 		buf = append([]byte(nil), buf[used:]...)
--- a/internal/standin/live/worker.go
+++ b/internal/standin/live/worker.go
@@ -98,7 +98,7 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	client := httpwire.NewClient(1, 1, httpwire.MaxBody)
+	client := httpwire.NewClient(1, 1, httpwire.MaxBodyBytes)
 	at := int(w.born.UnixNano()) % len(names)
 	for {
 		w.mu.Lock()
--- a/internal/standin/night_test.go
+++ b/internal/standin/night_test.go
@@ -79,7 +79,7 @@
 			opt := options()
 			opt.AskOnce, opt.Loss, opt.Capacity = true, 0, 42
 			opt.ReportEvery, opt.Lease = 8*time.Second, 40*time.Second
-			opt.Teams = []config.Team{{Name: "red", CPUs: 100, CPULimit: 1200}, {Name: "blue", CPUs: 100, CPULimit: 1200}}
+			opt.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 100, CPULimit: 1200}, {Name: "blue", GuaranteedCPUs: 100, CPULimit: 1200}}
 			opt.Tuning = config.DefaultOptions()
 			opt.Tuning.AgedShare = *kept
 			w := New(seed, opt, quiet())
--- a/internal/standin/pipelines_test.go
+++ b/internal/standin/pipelines_test.go
@@ -201,7 +201,7 @@
 		t.Fatalf("only %d are accepted", n)
 	}
 	for _, c := range w.nodes { // as those do that know of limits to come, from their next start on
-		c.cfg.ValueBytes, c.cfg.TxnOps = 1536, 4
+		c.cfg.MaxValueBytes, c.cfg.MaxTransactionOps = 1536, 4
 	}
 	w.Crash(w.Leader(), time.Second)
 	w.Run(6 * time.Second)
--- a/internal/standin/rules_test.go
+++ b/internal/standin/rules_test.go
@@ -23,12 +23,12 @@
 
 func options() Options {
 	tuning := config.DefaultOptions()
-	tuning.Backlog = 5 * time.Second
+	tuning.ScaleOutBacklog = 5 * time.Second
 	// Finished jobs are sealed at once, and runs merged, so that every schedule meets both.
-	tuning.SealAfter, tuning.SealJobs, tuning.MergeRuns = 0, 2, 2
+	tuning.ArchiveDelay, tuning.MinSegmentJobs, tuning.CompactionFanIn = 0, 2, 2
 	return Options{Nodes: 3, ReportEvery: time.Second, Lease: 8 * time.Second, Cancel: 20 * time.Second,
 		Loss: 0.002, Late: 0.5, Tuning: tuning,
-		Teams: []config.Team{{Name: "red", CPUs: 8, CPULimit: 14}, {Name: "blue", CPUs: 4, CPULimit: 20}}}
+		Teams: []config.Team{{Name: "red", GuaranteedCPUs: 8, CPULimit: 14}, {Name: "blue", GuaranteedCPUs: 4, CPULimit: 20}}}
 }
 
 // A day without troubles ends with all work done; without this, a model that finds no
--- a/internal/standin/size_test.go
+++ b/internal/standin/size_test.go
@@ -11,7 +11,7 @@
 func large() Options {
 	o := options()
 	o.Capacity, o.Arrays = 25, 60
-	o.Teams = []config.Team{{Name: "red", CPUs: 100, CPULimit: 400}, {Name: "blue", CPUs: 50, CPULimit: 500}}
+	o.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 100, CPULimit: 400}, {Name: "blue", GuaranteedCPUs: 50, CPULimit: 500}}
 	return o
 }
 
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -407,10 +407,10 @@
 
 // sealed reads the history as the next leader would.
 func (s *StateService) sealed(id string) bool {
-	var box outbox.Box
+	var box outbox.Outbox
 	l := ledger.New(ledger.Options{WriteRate: 1}, 0, s.w.Log)
 	l.Load(&box)
-	for calls := box.Take(); len(calls) > 0; calls = box.Take() {
+	for calls := box.TakeCalls(); len(calls) > 0; calls = box.TakeCalls() {
 		for _, c := range calls {
 			c.Done(s.w.Now, s.Exchange(c))
 		}
--- a/internal/standin/troubles.go
+++ b/internal/standin/troubles.go
@@ -205,9 +205,9 @@
 // momentOf is the moment of an election that a call is, -1 for none.
 func momentOf(call outbox.Call, body []byte) int {
 	switch {
-	case call.Service == outbox.State && call.Path == "/leases" && call.Method == "POST":
+	case call.Destination == outbox.StateService && call.Path == "/leases" && call.Method == "POST":
 		return campaignSent
-	case call.Service == outbox.State && call.Path == "/commit":
+	case call.Destination == outbox.StateService && call.Path == "/commit":
 		var t struct {
 			Apply []struct {
 				Write string `msgpack:"write"`
@@ -216,7 +216,7 @@
 		if packed.Unmarshal(body, &t) == nil && len(t.Apply) == 1 && t.Apply[0].Write == leader.LeaderKey {
 			return keyWritten
 		}
-	case call.Service == outbox.Peer && call.Path == "/peer/hello":
+	case call.Destination == outbox.PeerController && call.Path == "/peer/hello":
 		var h leader.PingRequest
 		if packed.Unmarshal(body, &h) == nil && h.ReleasedLeaseID != 0 {
 			return yieldSent
--- a/internal/standin/upgrade_test.go
+++ b/internal/standin/upgrade_test.go
@@ -30,7 +30,7 @@
 		order := []int{(leader + 1) % 3, (leader + 2) % 3, leader} // who leads is the last
 		for k, i := range order {
 			w.At(time.Duration(3*k)*time.Second, func() {
-				w.nodes[i].cfg.ValueBytes, w.nodes[i].cfg.TxnOps = 1536, 4
+				w.nodes[i].cfg.MaxValueBytes, w.nodes[i].cfg.MaxTransactionOps = 1536, 4
 				w.Crash(i, time.Second)
 			})
 		}
--- a/internal/standin/waiting_test.go
+++ b/internal/standin/waiting_test.go
@@ -15,9 +15,9 @@
 func flood(seed uint64, share float64) *World {
 	opt := options()
 	opt.Teams, opt.Loss, opt.Capacity = nil, 0, 1
-	opt.Tuning.AgeBound, opt.Tuning.AgedShare, opt.Tuning.Term, opt.Tuning.TeamShare = time.Minute, share, 5*time.Second, 1000
+	opt.Tuning.AgeBound, opt.Tuning.AgedShare, opt.Tuning.PlanningInterval, opt.Tuning.SubmissionShare = time.Minute, share, 5*time.Second, 1000
 	// The floor and the beginnings serve the same work by shares of their own.
-	opt.Tuning.FloorShare, opt.Tuning.LateShare, opt.Tuning.BeginBound = 0, 0, 0
+	opt.Tuning.FairShareCapacity, opt.Tuning.OverdueShare, opt.Tuning.StartBound = 0, 0, 0
 	w := New(seed, opt, quiet())
 	urgent := func(i int) {
 		w.Users.Send(jobs.Spec{ID: fmt.Sprintf("job-1%05d", i), Class: "urgent", Team: "desk", Priority: jobs.Production, Tasks: 9, CPUs: 1, MemoryGB: 1,
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -114,11 +114,11 @@
 func nodeName(i int) string { return fmt.Sprintf("node-%d", i) }
 
 func (w *World) settings(i int) *config.Platform {
-	p := &config.Platform{Name: nodeName(i), Zone: "a", Public: nodeName(i), PeerBind: nodeName(i),
+	p := &config.Platform{Name: nodeName(i), Zone: "a", PublicAddr: nodeName(i), PeerListenAddr: nodeName(i),
 		Zones: []string{"a", "b"}, Teams: w.Opt.Teams,
-		ReportEvery: w.Opt.ReportEvery, WorkerLease: w.Opt.Lease, CancelWithin: w.Opt.Cancel,
-		StateRate: 200, StateWrites: 20, ValueBytes: 4096, TxnOps: 8, CloudRate: 5, ListLag: 2 * time.Second,
-		CPUShare: 1, MemoryMB: 100, Connections: 1000}
+		HeartbeatInterval: w.Opt.ReportEvery, WorkerLeaseDuration: w.Opt.Lease, CancelTimeout: w.Opt.Cancel,
+		StateRequestRate: 200, StateWriteRate: 20, MaxValueBytes: 4096, MaxTransactionOps: 8, CloudRequestRate: 5, CloudListLag: 2 * time.Second,
+		CPUQuota: 1, MemoryQuotaMB: 100, MaxConnections: 1000}
 	if w.Opt.Settings != nil {
 		w.Opt.Settings(p)
 	}
@@ -228,12 +228,12 @@
 	w.longest = max(w.longest, took)
 	w.steps++
 	for _, r := range e.Replies {
-		if f, ok := r.Ref.(func(inbox.Reply)); ok {
+		if f, ok := r.Handle.(func(inbox.Response)); ok {
 			f(r)
 		}
 	}
 	for _, call := range e.Calls {
-		w.At(call.After, func() { w.call(c, c.gen, call) })
+		w.At(call.Delay, func() { w.call(c, c.gen, call) })
 	}
 }
 
@@ -276,7 +276,7 @@
 		}
 	}
 	w.At(call.Timeout, func() { settle(outbox.Result{}) })
-	host := map[outbox.Service]string{outbox.State: "state", outbox.Cloud: "cloud"}[call.Service]
+	host := map[outbox.Destination]string{outbox.StateService: "state", outbox.CloudAPI: "cloud"}[call.Destination]
 	if host == "" {
 		host = call.Addr
 	}
@@ -312,14 +312,14 @@
 		w.came(moment, c.cfg.Name)
 	}
 	w.At(there, func() {
-		switch call.Service {
-		case outbox.State:
+		switch call.Destination {
+		case outbox.StateService:
 			w.State.serve(c.cfg.Name, call.Method, call.Path, body, answer)
-		case outbox.Cloud:
+		case outbox.CloudAPI:
 			w.Cloud.serve(call.Method, call.Path, body, answer)
-		case outbox.Worker:
+		case outbox.WorkerAgent:
 			w.Cloud.direct(call.Addr, body, answer)
-		case outbox.Peer:
+		case outbox.PeerController:
 			w.request(call.Addr, true, call.Method, call.Path, body, answer)
 		}
 	})
@@ -332,8 +332,8 @@
 		if c.cfg.Name != name || c.node == nil {
 			continue
 		}
-		reply := func(r inbox.Reply) { answer(r.Status, encoded(r.Body)) }
-		w.deliver(c, node.Command{Request: &inbox.Request{Ref: reply, Peer: peer, Method: method, Target: path, Body: body}})
+		reply := func(r inbox.Response) { answer(r.Status, encoded(r.Body)) }
+		w.deliver(c, node.Command{Request: &inbox.Request{Handle: reply, FromPeer: peer, Method: method, Target: path, Body: body}})
 		return true
 	}
 	return false
--- a/internal/wire/httpwire/client.go
+++ b/internal/wire/httpwire/client.go
@@ -9,25 +9,25 @@
 
 // Client sends requests and keeps idle connections for the next one.
 type Client struct {
-	maxIdle int
-	limit   int
-	slots   chan struct{}
-	mu      sync.Mutex
-	idle    map[string][]idleConn
+	maxIdlePerAddr int
+	maxBodyBytes   int
+	openRequests   chan struct{}
+	mu             sync.Mutex
+	idle           map[string][]idleConn
 }
 
 type idleConn struct {
 	net.Conn
-	since time.Time
+	idleSince time.Time
 }
 
-// keep is how long an idle connection is trusted.
-const keep = 20 * time.Second
+// maxIdleTime is how long an idle connection is trusted.
+const maxIdleTime = 20 * time.Second
 
 // NewClient bounds the open requests, the idle connections for one address and the
 // size of a response.
-func NewClient(maxOpen, maxIdle, limit int) *Client {
-	return &Client{maxIdle: maxIdle, limit: limit, slots: make(chan struct{}, maxOpen), idle: map[string][]idleConn{}}
+func NewClient(maxOpenRequests, maxIdlePerAddr, maxBodyBytes int) *Client {
+	return &Client{maxIdlePerAddr: maxIdlePerAddr, maxBodyBytes: maxBodyBytes, openRequests: make(chan struct{}, maxOpenRequests), idle: map[string][]idleConn{}}
 }
 
 // Do sends one request. An error means that no whole answer came and that nobody knows
@@ -35,34 +35,34 @@
 func (c *Client) Do(addr, method, target string, body []byte, timeout time.Duration) (*Message, error) {
 	deadline := time.Now().Add(timeout)
 	select {
-	case c.slots <- struct{}{}:
-		defer func() { <-c.slots }()
+	case c.openRequests <- struct{}{}:
+		defer func() { <-c.openRequests }()
 	default:
 		return nil, fmt.Errorf("%s %s: too many open requests", method, addr)
 	}
-	conn, err := c.connect(addr, deadline)
+	conn, err := c.takeConn(addr, deadline)
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", method, addr, err)
 	}
-	msg, err := c.exchange(conn, addr, method, target, body, deadline)
+	msg, err := c.roundTrip(conn, addr, method, target, body, deadline)
 	if err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("%s %s%s: %w", method, addr, target, err)
 	}
-	if msg.Close || !c.store(addr, conn) {
+	if msg.CloseConnection || !c.keepConn(addr, conn) {
 		conn.Close()
 	}
 	return msg, nil
 }
 
-func (c *Client) connect(addr string, deadline time.Time) (net.Conn, error) {
+func (c *Client) takeConn(addr string, deadline time.Time) (net.Conn, error) {
 	c.mu.Lock()
-	list := c.idle[addr]
-	for len(list) > 0 {
-		last := list[len(list)-1]
-		list = list[:len(list)-1]
-		c.idle[addr] = list
-		if time.Since(last.since) < keep {
+	idle := c.idle[addr]
+	for len(idle) > 0 {
+		last := idle[len(idle)-1]
+		idle = idle[:len(idle)-1]
+		c.idle[addr] = idle
+		if time.Since(last.idleSince) < maxIdleTime {
 			c.mu.Unlock()
 			return last.Conn, nil
 		}
@@ -74,17 +74,17 @@
 	return d.Dial("tcp4", addr)
 }
 
-func (c *Client) store(addr string, conn net.Conn) bool {
+func (c *Client) keepConn(addr string, conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[addr]) >= c.maxIdle {
+	if len(c.idle[addr]) >= c.maxIdlePerAddr {
 		return false
 	}
 	c.idle[addr] = append(c.idle[addr], idleConn{conn, time.Now()})
 	return true
 }
 
-func (c *Client) exchange(conn net.Conn, addr, method, target string, body []byte, deadline time.Time) (*Message, error) {
+func (c *Client) roundTrip(conn net.Conn, addr, method, target string, body []byte, deadline time.Time) (*Message, error) {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return nil, err
 	}
@@ -98,13 +98,13 @@
 		}
 		n, err := conn.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		msg, used, perr := Parse(buf, true, c.limit)
+		msg, used, perr := Parse(buf, true, c.maxBodyBytes)
 		if perr != nil {
 			return nil, perr
 		}
 		if msg != nil {
 			if used < len(buf) {
-				msg.Close = true
+				msg.CloseConnection = true
 			}
 			return msg, nil
 		}
--- a/internal/wire/httpwire/parse.go
+++ b/internal/wire/httpwire/parse.go
@@ -12,188 +12,188 @@
 
 // Bounds on what a far side may send.
 const (
-	MaxHead    = 8 << 10
-	MaxHeaders = 64
-	MaxBody    = 64 << 10
+	MaxHeadBytes = 8 << 10
+	MaxHeaders   = 64
+	MaxBodyBytes = 64 << 10
 )
 
-// Fault is a message that breaks the protocol; Status is what a server answers to it.
-type Fault struct {
+// ProtocolError is a message that breaks the protocol; Status is what a server answers to it.
+type ProtocolError struct {
 	Status int
 	Reason string
 }
 
-func (f *Fault) Error() string { return fmt.Sprintf("%d: %s", f.Status, f.Reason) }
+func (f *ProtocolError) Error() string { return fmt.Sprintf("%d: %s", f.Status, f.Reason) }
 
-func fault(status int, reason string) error { return &Fault{status, reason} }
+func newProtocolError(status int, reason string) error { return &ProtocolError{status, reason} }
 
 // Message is one parsed request or response.
 type Message struct {
-	Method, Target string // of a request
-	Status         int    // of a response
-	RetryAfter     time.Duration
-	Close          bool
-	Body           []byte
+	Method, Target  string // of a request
+	Status          int    // of a response
+	RetryAfter      time.Duration
+	CloseConnection bool
+	Body            []byte
 }
 
-type head struct {
-	msg     Message
-	length  int
-	has     bool
-	minor10 bool
-	keep    bool
+type messageHead struct {
+	message          Message
+	contentLength    int
+	hasContentLength bool
+	isHTTP10         bool
+	keepAlive        bool
 }
 
 // Parse looks for one whole message at the start of buf. It returns nil and 0 while
 // more bytes are needed, otherwise the message and how many bytes it took. The body
 // is a part of buf. limit bounds the body.
-func Parse(buf []byte, response bool, limit int) (*Message, int, error) {
-	end := bytes.Index(buf, []byte("\r\n\r\n"))
+func Parse(buffer []byte, isResponse bool, maxBodyBytes int) (*Message, int, error) {
+	end := bytes.Index(buffer, []byte("\r\n\r\n"))
 	if end < 0 {
-		if len(buf) > MaxHead {
-			return nil, 0, fault(431, "head too large")
+		if len(buffer) > MaxHeadBytes {
+			return nil, 0, newProtocolError(431, "head too large")
 		}
-		if i := bytes.IndexByte(buf, '\n'); i == 0 || i > 0 && buf[i-1] != '\r' {
-			return nil, 0, fault(400, "bare line feed")
+		if i := bytes.IndexByte(buffer, '\n'); i == 0 || i > 0 && buffer[i-1] != '\r' {
+			return nil, 0, newProtocolError(400, "bare line feed")
 		}
 		return nil, 0, nil
 	}
-	if end > MaxHead {
-		return nil, 0, fault(431, "head too large")
+	if end > MaxHeadBytes {
+		return nil, 0, newProtocolError(431, "head too large")
 	}
-	h, err := parseHead(buf[:end], response)
+	head, err := parseHead(buffer[:end], isResponse)
 	if err != nil {
 		return nil, 0, err
 	}
-	if h.length > limit {
-		return nil, 0, fault(413, "body too large")
+	if head.contentLength > maxBodyBytes {
+		return nil, 0, newProtocolError(413, "body too large")
 	}
-	total := end + 4 + h.length
-	if len(buf) < total {
+	total := end + 4 + head.contentLength
+	if len(buffer) < total {
 		return nil, 0, nil
 	}
-	h.msg.Body = buf[end+4 : total]
-	return &h.msg, total, nil
+	head.message.Body = buffer[end+4 : total]
+	return &head.message, total, nil
 }
 
-func parseHead(raw []byte, response bool) (*head, error) {
+func parseHead(raw []byte, isResponse bool) (*messageHead, error) {
 	text := string(raw)
 	line, rest, _ := strings.Cut(text, "\r\n")
-	h := &head{}
-	if err := h.firstLine(line, response); err != nil {
+	head := &messageHead{}
+	if err := head.parseFirstLine(line, isResponse); err != nil {
 		return nil, err
 	}
 	for n := 0; rest != ""; n++ {
 		if n == MaxHeaders {
-			return nil, fault(431, "too many headers")
+			return nil, newProtocolError(431, "too many headers")
 		}
 		line, rest, _ = strings.Cut(rest, "\r\n")
-		if err := h.header(line); err != nil {
+		if err := head.parseHeader(line); err != nil {
 			return nil, err
 		}
 	}
-	if h.minor10 && !h.keep {
-		h.msg.Close = true
+	if head.isHTTP10 && !head.keepAlive {
+		head.message.CloseConnection = true
 	}
-	if response && !h.has && h.msg.Status != 204 && h.msg.Status != 304 {
-		return nil, fault(400, "response without Content-Length")
+	if isResponse && !head.hasContentLength && head.message.Status != 204 && head.message.Status != 304 {
+		return nil, newProtocolError(400, "response without Content-Length")
 	}
-	if !response && !h.has && h.msg.Method != "GET" && h.msg.Method != "DELETE" && h.msg.Method != "HEAD" {
-		h.length = 0
+	if !isResponse && !head.hasContentLength && head.message.Method != "GET" && head.message.Method != "DELETE" && head.message.Method != "HEAD" {
+		head.contentLength = 0
 	}
-	return h, nil
+	return head, nil
 }
 
-func (h *head) firstLine(line string, response bool) error {
+func (h *messageHead) parseFirstLine(line string, isResponse bool) error {
 	parts := strings.SplitN(line, " ", 3)
-	if response {
-		if len(parts) < 2 || !h.version(parts[0]) || len(parts[1]) != 3 {
-			return fault(400, "bad status line")
+	if isResponse {
+		if len(parts) < 2 || !h.parseVersion(parts[0]) || len(parts[1]) != 3 {
+			return newProtocolError(400, "bad status line")
 		}
 		code, err := strconv.Atoi(parts[1])
 		if err != nil || code < 100 || code > 599 {
-			return fault(400, "bad status code")
+			return newProtocolError(400, "bad status code")
 		}
-		h.msg.Status = code
+		h.message.Status = code
 		return nil
 	}
-	if len(parts) != 3 || !token(parts[0]) || parts[1] == "" || parts[1][0] != '/' || !h.version(parts[2]) {
-		return fault(400, "bad request line")
+	if len(parts) != 3 || !isToken(parts[0]) || parts[1] == "" || parts[1][0] != '/' || !h.parseVersion(parts[2]) {
+		return newProtocolError(400, "bad request line")
 	}
 	for i := 0; i < len(parts[1]); i++ {
 		if c := parts[1][i]; c <= ' ' || c >= 0x7f {
-			return fault(400, "bad request target")
+			return newProtocolError(400, "bad request target")
 		}
 	}
-	h.msg.Method, h.msg.Target = parts[0], parts[1]
+	h.message.Method, h.message.Target = parts[0], parts[1]
 	return nil
 }
 
-func (h *head) version(v string) bool {
-	h.minor10 = v == "HTTP/1.0"
-	return h.minor10 || v == "HTTP/1.1"
+func (h *messageHead) parseVersion(v string) bool {
+	h.isHTTP10 = v == "HTTP/1.0"
+	return h.isHTTP10 || v == "HTTP/1.1"
 }
 
-func (h *head) header(line string) error {
+func (h *messageHead) parseHeader(line string) error {
 	name, value, ok := strings.Cut(line, ":")
-	if !ok || !token(name) {
-		return fault(400, "bad header line")
+	if !ok || !isToken(name) {
+		return newProtocolError(400, "bad header line")
 	}
 	value = strings.Trim(value, " \t")
 	for i := 0; i < len(value); i++ {
 		if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
-			return fault(400, "control character in a header")
+			return newProtocolError(400, "control character in a header")
 		}
 	}
 	switch strings.ToLower(name) {
 	case "content-length":
-		n, err := contentLength(value)
+		n, err := parseContentLength(value)
 		if err != nil {
 			return err
 		}
-		if h.has && n != h.length {
-			return fault(400, "conflicting Content-Length")
+		if h.hasContentLength && n != h.contentLength {
+			return newProtocolError(400, "conflicting Content-Length")
 		}
-		h.length, h.has = n, true
+		h.contentLength, h.hasContentLength = n, true
 	case "transfer-encoding":
-		return fault(501, "transfer coding not supported")
+		return newProtocolError(501, "transfer coding not supported")
 	case "connection":
 		for _, v := range strings.Split(value, ",") {
 			switch strings.ToLower(strings.TrimSpace(v)) {
 			case "close":
-				h.msg.Close = true
+				h.message.CloseConnection = true
 			case "keep-alive":
-				h.keep = true
+				h.keepAlive = true
 			}
 		}
 	case "retry-after":
 		if s, err := strconv.ParseFloat(value, 64); err == nil && s >= 0 && s < 3600 {
-			h.msg.RetryAfter = time.Duration(s * float64(time.Second))
+			h.message.RetryAfter = time.Duration(s * float64(time.Second))
 		}
 	}
 	return nil
 }
 
-func contentLength(v string) (int, error) {
-	if v == "" {
-		return 0, fault(400, "bad Content-Length")
+func parseContentLength(value string) (int, error) {
+	if value == "" {
+		return 0, newProtocolError(400, "bad Content-Length")
 	}
-	for i := 0; i < len(v); i++ {
-		if v[i] < '0' || v[i] > '9' {
-			return 0, fault(400, "bad Content-Length")
+	for i := 0; i < len(value); i++ {
+		if value[i] < '0' || value[i] > '9' {
+			return 0, newProtocolError(400, "bad Content-Length")
 		}
 	}
-	if len(v) > 9 {
-		return 0, fault(413, "body too large")
+	if len(value) > 9 {
+		return 0, newProtocolError(413, "body too large")
 	}
-	n, err := strconv.Atoi(v)
+	n, err := strconv.Atoi(value)
 	if err != nil {
-		return 0, fault(400, "bad Content-Length")
+		return 0, newProtocolError(400, "bad Content-Length")
 	}
 	return n, nil
 }
 
-func token(s string) bool {
+func isToken(s string) bool {
 	if s == "" {
 		return false
 	}
@@ -222,36 +222,36 @@
 }
 
 // AppendResponse encodes a response; retry of 0 leaves Retry-After out.
-func AppendResponse(out []byte, status int, body []byte, retry time.Duration, closing bool) []byte {
-	return appendResponse(out, status, "application/msgpack", body, retry, closing)
+func AppendResponse(out []byte, status int, body []byte, retryAfter time.Duration, closeConnection bool) []byte {
+	return appendResponse(out, status, "application/msgpack", body, retryAfter, closeConnection)
 }
 
-// AppendText encodes a response of another kind than the protocols'.
-func AppendText(out []byte, status int, kind string, body []byte, closing bool) []byte {
-	return appendResponse(out, status, kind, body, 0, closing)
+// AppendTextResponse encodes a response of another kind than the protocols'.
+func AppendTextResponse(out []byte, status int, contentType string, body []byte, closeConnection bool) []byte {
+	return appendResponse(out, status, contentType, body, 0, closeConnection)
 }
 
-func appendResponse(out []byte, status int, kind string, body []byte, retry time.Duration, closing bool) []byte {
+func appendResponse(out []byte, status int, contentType string, body []byte, retryAfter time.Duration, closeConnection bool) []byte {
 	out = append(out, "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(status), 10)
 	out = append(out, ' ')
-	out = append(out, reason(status)...)
+	out = append(out, statusText(status)...)
 	out = append(out, "\r\nContent-Type: "...)
-	out = append(out, kind...)
+	out = append(out, contentType...)
 	out = append(out, "\r\nContent-Length: "...)
 	out = strconv.AppendInt(out, int64(len(body)), 10)
-	if retry > 0 {
+	if retryAfter > 0 {
 		out = append(out, "\r\nRetry-After: "...)
-		out = strconv.AppendInt(out, int64((retry+time.Second-1)/time.Second), 10)
+		out = strconv.AppendInt(out, int64((retryAfter+time.Second-1)/time.Second), 10)
 	}
-	if closing {
+	if closeConnection {
 		out = append(out, "\r\nConnection: close"...)
 	}
 	out = append(out, "\r\n\r\n"...)
 	return append(out, body...)
 }
 
-func reason(status int) string {
+func statusText(status int) string {
 	switch status {
 	case 200:
 		return "OK"
--- a/internal/wire/httpwire/parse_test.go
+++ b/internal/wire/httpwire/parse_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestWhatBadRequestsGet(t *testing.T) {
+func TestParseRejectsMalformedRequests(t *testing.T) {
 	for text, want := range map[string]int{
 		"GET /ready HTTP/1.1\r\n\r\n":                                            0,
 		"POST /work HTTP/1.1\r\nContent-Length: 0\r\nContent-Length: 0\r\n\r\n":  0,
@@ -22,15 +22,15 @@
 		"GET /ready HTTP/1.1\r\nno colon\r\n\r\n":                                400,
 		"GET /ready HTTP/1.1\r\nName : x\r\n\r\n":                                400,
 		"GET /ready HTTP/1.1\n\n":                                                400,
-		"GET /" + strings.Repeat("a", MaxHead) + " HTTP/1.1\r\n\r\n":             431,
+		"GET /" + strings.Repeat("a", MaxHeadBytes) + " HTTP/1.1\r\n\r\n":        431,
 		"GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxHeaders+1) + "\r\n": 431,
-		"GET /" + strings.Repeat("b", MaxHead+10):                                431,
+		"GET /" + strings.Repeat("b", MaxHeadBytes+10):                           431,
 	} {
-		_, _, err := Parse([]byte(text), false, MaxBody)
-		var f *Fault
+		_, _, err := Parse([]byte(text), false, MaxBodyBytes)
+		var protocolErr *ProtocolError
 		got := 0
-		if errors.As(err, &f) {
-			got = f.Status
+		if errors.As(err, &protocolErr) {
+			got = protocolErr.Status
 		}
 		if got != want {
 			t.Errorf("%.60q: %d, want %d (%v)", text, got, want, err)
@@ -38,14 +38,14 @@
 	}
 }
 
-func TestMessagesArriveInPieces(t *testing.T) {
+func TestParseNeedsWholeMessage(t *testing.T) {
 	whole := AppendRequest(nil, "POST", "h", "/work", []byte("body"))
 	for i := range whole {
-		if m, _, err := Parse(whole[:i], false, MaxBody); m != nil || err != nil {
+		if m, _, err := Parse(whole[:i], false, MaxBodyBytes); m != nil || err != nil {
 			t.Fatalf("%d bytes: %v, %v", i, m, err)
 		}
 	}
-	m, n, err := Parse(append(whole, "GET"...), false, MaxBody)
+	m, n, err := Parse(append(whole, "GET"...), false, MaxBodyBytes)
 	if err != nil || m == nil || n != len(whole) || string(m.Body) != "body" {
 		t.Fatalf("%v, %d, %v", m, n, err)
 	}
@@ -57,8 +57,8 @@
 	f.Add([]byte("HTTP/1.1 200\r\nContent-Length: 1\r\n\r\n"), true)
 	f.Add([]byte("\r\n\r\n"), false)
 	f.Fuzz(func(t *testing.T, raw []byte, response bool) {
-		m, n, err := Parse(raw, response, MaxBody)
-		if m != nil && (err != nil || n <= 0 || n > len(raw) || len(m.Body) > MaxBody) {
+		m, n, err := Parse(raw, response, MaxBodyBytes)
+		if m != nil && (err != nil || n <= 0 || n > len(raw) || len(m.Body) > MaxBodyBytes) {
 			t.Fatalf("%d of %d bytes, body of %d, %v", n, len(raw), len(m.Body), err)
 		}
 		if m == nil && n != 0 {
--- a/internal/wire/httpwire/server.go
+++ b/internal/wire/httpwire/server.go
@@ -13,50 +13,50 @@
 // Request is one request that waits for its answer.
 type Request struct {
 	Message
-	Peer bool // came in on the controllers' own address
-	conn *conn
+	FromPeer bool // came in on the controllers' own address
+	conn     *conn
 }
 
 // conn is the state of one connection. The evio loop owns buf, waiting and touched;
 // out is handed over under the lock.
 type conn struct {
-	ev       evio.Conn
-	buf      []byte
-	waiting  bool
-	closing  bool
-	touched  time.Time
-	mu       sync.Mutex
-	out      []byte
-	answered bool
-	dropped  bool // the connection ends without an answer
+	events           evio.Conn
+	buffer           []byte
+	awaitingResponse bool
+	isClosing        bool
+	lastActivity     time.Time
+	mu               sync.Mutex
+	output           []byte
+	responded        bool
+	aborted          bool // the connection ends without an answer
 }
 
 // ServerOptions bound a server.
 type ServerOptions struct {
-	Public, Peer string // Peer may be empty
-	MaxConns     int
-	Idle         time.Duration // a connection with no request for this long is closed
-	Slow         time.Duration // a request has to be whole within this
-	Handle       func(*Request)
+	PublicAddr, PeerAddr string // Peer may be empty
+	MaxConnections       int
+	IdleTimeout          time.Duration // a connection with no request for this long is closed
+	ReadTimeout          time.Duration // a request has to be whole within this
+	Handler              func(*Request)
 }
 
 // Server is the evio server of one controller.
 type Server struct {
-	opt   ServerOptions
-	conns map[*conn]struct{} // owned by the evio loop
+	options ServerOptions
+	conns   map[*conn]struct{} // owned by the evio loop
 }
 
 // NewServer makes a server; Run starts it.
-func NewServer(opt ServerOptions) *Server {
-	return &Server{opt: opt, conns: map[*conn]struct{}{}}
+func NewServer(options ServerOptions) *Server {
+	return &Server{options: options, conns: map[*conn]struct{}{}}
 }
 
 // Run serves until the listeners fail.
 func (s *Server) Run() error {
-	events := evio.Events{NumLoops: 1, Opened: s.opened, Closed: s.closed, Data: s.data, Tick: s.tick}
-	addrs := []string{"tcp://" + s.opt.Public}
-	if s.opt.Peer != "" {
-		addrs = append(addrs, "tcp://"+s.opt.Peer)
+	events := evio.Events{NumLoops: 1, Opened: s.onOpened, Closed: s.onClosed, Data: s.onData, Tick: s.onTick}
+	addrs := []string{"tcp://" + s.options.PublicAddr}
+	if s.options.PeerAddr != "" {
+		addrs = append(addrs, "tcp://"+s.options.PeerAddr)
 	}
 	if err := evio.Serve(events, addrs...); err != nil {
 		return err
@@ -65,147 +65,147 @@
 	return errors.New("the accept loop ended")
 }
 
-// settled is how long a server has to run for its end not to mean that its address cannot be had.
-const settled = time.Second
+// minServeTime is how long a server has to run for its end not to mean that its address cannot be had.
+const minServeTime = time.Second
 
-// Keep serves, and again whenever evio ends its loop, as it does where sockets run out. It returns only if
+// RunWithRestart serves, and again whenever evio ends its loop, as it does where sockets run out. It returns only if
 // the address cannot be had.
-func (s *Server) Keep(log *slog.Logger) error {
+func (s *Server) RunWithRestart(log *slog.Logger) error {
 	for {
-		began := time.Now()
+		startedAt := time.Now()
 		err := s.Run()
-		if time.Since(began) < settled {
-			return fmt.Errorf("serve %s: %w", s.opt.Public, err)
+		if time.Since(startedAt) < minServeTime {
+			return fmt.Errorf("serve %s: %w", s.options.PublicAddr, err)
 		}
 		log.Error("the server stopped and is started again", "error", err)
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
-func (s *Server) opened(c evio.Conn) ([]byte, evio.Options, evio.Action) {
+func (s *Server) onOpened(c evio.Conn) ([]byte, evio.Options, evio.Action) {
 	// evio ends its whole loop when accept fails, so the last sockets are never used up.
-	if len(s.conns) >= s.opt.MaxConns {
+	if len(s.conns) >= s.options.MaxConnections {
 		return nil, evio.Options{}, evio.Close
 	}
-	st := &conn{ev: c, touched: time.Now()}
-	c.SetContext(st)
-	s.conns[st] = struct{}{}
+	state := &conn{events: c, lastActivity: time.Now()}
+	c.SetContext(state)
+	s.conns[state] = struct{}{}
 	return nil, evio.Options{ReuseInputBuffer: true}, evio.None
 }
 
-func (s *Server) closed(c evio.Conn, _ error) evio.Action {
-	if st, ok := c.Context().(*conn); ok {
-		delete(s.conns, st)
+func (s *Server) onClosed(c evio.Conn, _ error) evio.Action {
+	if state, ok := c.Context().(*conn); ok {
+		delete(s.conns, state)
 	}
 	return evio.None
 }
 
-func (s *Server) data(c evio.Conn, in []byte) ([]byte, evio.Action) {
-	st, ok := c.Context().(*conn)
+func (s *Server) onData(connection evio.Conn, input []byte) ([]byte, evio.Action) {
+	state, ok := connection.Context().(*conn)
 	if !ok {
 		return nil, evio.Close
 	}
-	if in == nil {
-		return s.woken(st)
+	if input == nil {
+		return s.onWake(state)
 	}
-	if st.closing {
+	if state.isClosing {
 		return nil, evio.None
 	}
-	if st.waiting {
+	if state.awaitingResponse {
 		// Requests are not sent pipelined: what comes early is dropped, and the
 		// connection ends with the answer that is due.
-		st.closing = true
+		state.isClosing = true
 		return nil, evio.None
 	}
-	if len(st.buf) == 0 {
-		st.touched = time.Now()
+	if len(state.buffer) == 0 {
+		state.lastActivity = time.Now()
 	}
-	st.buf = append(st.buf, in...)
-	msg, n, err := Parse(st.buf, false, MaxBody)
+	state.buffer = append(state.buffer, input...)
+	message, used, err := Parse(state.buffer, false, MaxBodyBytes)
 	if err != nil {
-		st.closing = true
+		state.isClosing = true
 		status := 400
-		var f *Fault
-		if errors.As(err, &f) {
-			status = f.Status
+		var protocolErr *ProtocolError
+		if errors.As(err, &protocolErr) {
+			status = protocolErr.Status
 		}
 		return AppendResponse(nil, status, nil, 0, true), evio.Close
 	}
-	if msg == nil {
+	if message == nil {
 		return nil, evio.None
 	}
-	if n < len(st.buf) || msg.Close {
-		st.closing = true
+	if used < len(state.buffer) || message.CloseConnection {
+		state.isClosing = true
 	}
 	// The body is the request's own from here on; the buffer starts anew.
-	st.buf = nil
-	st.waiting = true
-	s.opt.Handle(&Request{Message: *msg, Peer: c.AddrIndex() == 1, conn: st})
+	state.buffer = nil
+	state.awaitingResponse = true
+	s.options.Handler(&Request{Message: *message, FromPeer: connection.AddrIndex() == 1, conn: state})
 	return nil, evio.None
 }
 
-func (s *Server) woken(st *conn) ([]byte, evio.Action) {
-	st.mu.Lock()
-	out := st.out
-	st.out = nil
-	st.answered = false
-	dropped := st.dropped
-	st.mu.Unlock()
-	if dropped {
+func (s *Server) onWake(state *conn) ([]byte, evio.Action) {
+	state.mu.Lock()
+	output := state.output
+	state.output = nil
+	state.responded = false
+	aborted := state.aborted
+	state.mu.Unlock()
+	if aborted {
 		return nil, evio.Close
 	}
 	action := evio.None
-	if out != nil {
-		st.waiting = false
-		st.touched = time.Now()
+	if output != nil {
+		state.awaitingResponse = false
+		state.lastActivity = time.Now()
 	}
-	if st.closing && !st.waiting {
+	if state.isClosing && !state.awaitingResponse {
 		action = evio.Close
 	}
-	return out, action
+	return output, action
 }
 
-// Reply answers the request; only the first answer counts. It may be called from any
+// Respond answers the request; only the first answer counts. It may be called from any
 // goroutine.
-func (r *Request) Reply(status int, body []byte, retry time.Duration) {
-	r.answer(AppendResponse(nil, status, body, retry, r.Message.Close))
+func (r *Request) Respond(status int, body []byte, retryAfter time.Duration) {
+	r.send(AppendResponse(nil, status, body, retryAfter, r.Message.CloseConnection))
 }
 
-func (r *Request) answer(out []byte) {
-	st := r.conn
-	st.mu.Lock()
-	if st.answered {
-		st.mu.Unlock()
+func (r *Request) send(out []byte) {
+	c := r.conn
+	c.mu.Lock()
+	if c.responded {
+		c.mu.Unlock()
 		return
 	}
-	st.answered = true
-	st.out = out
-	st.mu.Unlock()
-	st.ev.Wake()
+	c.responded = true
+	c.output = out
+	c.mu.Unlock()
+	c.events.Wake()
 }
 
-// Drop ends the connection without an answer: whoever asked learns that nobody knows what
+// Abort ends the connection without an answer: whoever asked learns that nobody knows what
 // became of the request.
-func (r *Request) Drop() {
-	st := r.conn
-	st.mu.Lock()
-	st.answered, st.dropped = true, true
-	st.mu.Unlock()
-	st.ev.Wake()
+func (r *Request) Abort() {
+	c := r.conn
+	c.mu.Lock()
+	c.responded, c.aborted = true, true
+	c.mu.Unlock()
+	c.events.Wake()
 }
 
-// ReplyText answers with plain text, as metrics are.
-func (r *Request) ReplyText(status int, kind string, body []byte) {
-	r.answer(AppendText(nil, status, kind, body, r.Message.Close))
+// RespondText answers with plain text, as metrics are.
+func (r *Request) RespondText(status int, contentType string, body []byte) {
+	r.send(AppendTextResponse(nil, status, contentType, body, r.Message.CloseConnection))
 }
 
-func (s *Server) tick() (time.Duration, evio.Action) {
+func (s *Server) onTick() (time.Duration, evio.Action) {
 	now := time.Now()
-	for st := range s.conns {
-		idle := now.Sub(st.touched)
-		if !st.waiting && (len(st.buf) > 0 && idle > s.opt.Slow || idle > s.opt.Idle) {
-			st.closing = true
-			st.ev.Wake()
+	for state := range s.conns {
+		idle := now.Sub(state.lastActivity)
+		if !state.awaitingResponse && (len(state.buffer) > 0 && idle > s.options.ReadTimeout || idle > s.options.IdleTimeout) {
+			state.isClosing = true
+			state.events.Wake()
 		}
 	}
 	return time.Second, evio.None
--- a/internal/wire/inbox/inbox.go
+++ b/internal/wire/inbox/inbox.go
@@ -11,29 +11,29 @@
 
 // Request is a request that came in. Ref is the runtime's own.
 type Request struct {
-	Ref    any
-	Peer   bool
-	Method string
-	Target string
-	Body   []byte
+	Handle   any
+	FromPeer bool
+	Method   string
+	Target   string
+	Body     []byte
 }
 
-// Reply answers a request.
-type Reply struct {
-	Ref    any
-	Status int
-	Body   []byte
-	Retry  time.Duration
+// Response answers a request.
+type Response struct {
+	Handle     any
+	Status     int
+	Body       []byte
+	RetryAfter time.Duration
 }
 
-// Answers collects the replies of one step.
-type Answers struct {
-	Log  *slog.Logger
-	list []Reply
+// Responder collects the replies of one step.
+type Responder struct {
+	Log       *slog.Logger
+	responses []Response
 }
 
-// Reply answers a request with a body, or none if it is nil.
-func (a *Answers) Reply(r *Request, status int, body any, retry time.Duration) {
+// Respond answers a request with a body, or none if it is nil.
+func (a *Responder) Respond(r *Request, status int, body any, retryAfter time.Duration) {
 	var raw []byte
 	if body != nil {
 		var err error
@@ -42,22 +42,22 @@
 			status, raw = 503, nil
 		}
 	}
-	a.list = append(a.list, Reply{r.Ref, status, raw, retry})
+	a.responses = append(a.responses, Response{r.Handle, status, raw, retryAfter})
 }
 
-// Refuse answers a request with a reason.
-func (a *Answers) Refuse(r *Request, status int, reason string, retry time.Duration) {
-	a.Reply(r, status, map[string]string{"error": reason}, retry)
+// RespondError answers a request with a reason.
+func (a *Responder) RespondError(r *Request, status int, message string, retryAfter time.Duration) {
+	a.Respond(r, status, map[string]string{"error": message}, retryAfter)
 }
 
-// Pass answers a request with bytes that came from elsewhere.
-func (a *Answers) Pass(r *Request, status int, body []byte, retry time.Duration) {
-	a.list = append(a.list, Reply{r.Ref, status, body, retry})
+// RespondRaw answers a request with bytes that came from elsewhere.
+func (a *Responder) RespondRaw(r *Request, status int, body []byte, retryAfter time.Duration) {
+	a.responses = append(a.responses, Response{r.Handle, status, body, retryAfter})
 }
 
-// Take empties the collection.
-func (a *Answers) Take() []Reply {
-	list := a.list
-	a.list = nil
-	return list
+// TakeResponses empties the collection.
+func (a *Responder) TakeResponses() []Response {
+	responses := a.responses
+	a.responses = nil
+	return responses
 }
--- a/internal/wire/outbox/outbox.go
+++ b/internal/wire/outbox/outbox.go
@@ -5,15 +5,15 @@
 
 import "time"
 
-// Service names the far side of a call.
-type Service int
+// Destination names the far side of a call.
+type Destination int
 
 // The far sides that a controller speaks to.
 const (
-	State Service = iota
-	Cloud
-	Peer
-	Worker
+	StateService Destination = iota
+	CloudAPI
+	PeerController
+	WorkerAgent
 )
 
 // Result is what came of a call. Status is 0 if no answer came, and then nobody
@@ -25,54 +25,54 @@
 	Err        error
 }
 
-// Unknown reports whether the outcome of the call is unknown.
-func (r Result) Unknown() bool { return r.Status == 0 }
+// IsUncertain reports whether the outcome of the call is unknown.
+func (r Result) IsUncertain() bool { return r.Status == 0 }
 
 // Call is one request. Done runs on the owner loop, exactly once.
 type Call struct {
-	Service Service
-	Addr    string
-	Method  string
-	Path    string
-	Body    any
-	After   time.Duration // wait this long before sending
-	Timeout time.Duration
-	Done    func(now time.Time, r Result)
+	Destination Destination
+	Addr        string
+	Method      string
+	Path        string
+	Body        any
+	Delay       time.Duration // wait this long before sending
+	Timeout     time.Duration
+	Done        func(now time.Time, r Result)
 }
 
-// Box collects the calls of one step.
-type Box struct{ calls []Call }
+// Outbox collects the calls of one step.
+type Outbox struct{ calls []Call }
 
 // Add puts a call into the box.
-func (b *Box) Add(c Call) { b.calls = append(b.calls, c) }
+func (b *Outbox) Add(c Call) { b.calls = append(b.calls, c) }
 
-// Take empties the box.
-func (b *Box) Take() []Call {
+// TakeCalls empties the box.
+func (b *Outbox) TakeCalls() []Call {
 	calls := b.calls
 	b.calls = nil
 	return calls
 }
 
-// Limiter is a token bucket.
-type Limiter struct {
-	rate, burst, level float64
-	last               time.Time
+// RateLimiter is a token bucket.
+type RateLimiter struct {
+	rate, burst, tokens float64
+	updatedAt           time.Time
 }
 
-// NewLimiter allows rate units a second, and bursts of that much for so long.
-func NewLimiter(rate float64, burst time.Duration) *Limiter {
-	most := rate * burst.Seconds()
-	return &Limiter{rate: rate, burst: most, level: most}
+// NewRateLimiter allows rate units a second, and bursts of that much for so long.
+func NewRateLimiter(rate float64, burst time.Duration) *RateLimiter {
+	capacity := rate * burst.Seconds()
+	return &RateLimiter{rate: rate, burst: capacity, tokens: capacity}
 }
 
 // Available is the number of whole units that may be taken now.
-func (l *Limiter) Available(now time.Time) int {
-	if !l.last.IsZero() && now.After(l.last) {
-		l.level = min(l.burst, l.level+now.Sub(l.last).Seconds()*l.rate)
+func (l *RateLimiter) Available(now time.Time) int {
+	if !l.updatedAt.IsZero() && now.After(l.updatedAt) {
+		l.tokens = min(l.burst, l.tokens+now.Sub(l.updatedAt).Seconds()*l.rate)
 	}
-	l.last = now
-	return int(max(l.level, 0))
+	l.updatedAt = now
+	return int(max(l.tokens, 0))
 }
 
 // Take uses n units; the caller has asked Available before.
-func (l *Limiter) Take(n int) { l.level -= float64(n) }
+func (l *RateLimiter) Take(n int) { l.tokens -= float64(n) }
--- a/internal/wire/packed/packed.go
+++ b/internal/wire/packed/packed.go
@@ -13,15 +13,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-const maxDepth = 16
+const maxNestingDepth = 16
 
-var errShort = errors.New("body ends early")
+var errTruncated = errors.New("body ends early")
 
 // Marshal encodes a message.
 func Marshal(v any) ([]byte, error) { return msgpack.Marshal(v) }
 
-// Sorted encodes a message with the keys of its maps in order: what is equal has equal bytes.
-func Sorted(v any) ([]byte, error) {
+// MarshalSorted encodes a message with the keys of its maps in order: what is equal has equal bytes.
+func MarshalSorted(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
 	enc.SetSortMapKeys(true)
@@ -33,7 +33,7 @@
 
 // Unmarshal checks a body and decodes it.
 func Unmarshal(body []byte, v any) error {
-	if err := Check(body); err != nil {
+	if err := Validate(body); err != nil {
 		return err
 	}
 	if err := msgpack.Unmarshal(body, v); err != nil {
@@ -42,9 +42,9 @@
 	return nil
 }
 
-// Map decodes a body that has to be one map with text keys.
-func Map(body []byte) (map[string]any, error) {
-	if err := Check(body); err != nil {
+// UnmarshalMap decodes a body that has to be one map with text keys.
+func UnmarshalMap(body []byte) (map[string]any, error) {
+	if err := Validate(body); err != nil {
 		return nil, err
 	}
 	dec := msgpack.NewDecoder(bytes.NewReader(body))
@@ -59,10 +59,10 @@
 	return m, nil
 }
 
-// Check walks a body: it has to be exactly one value, made of maps with text keys,
+// Validate walks a body: it has to be exactly one value, made of maps with text keys,
 // lists, text, numbers, booleans and null, nested no deeper than maxDepth.
-func Check(body []byte) error {
-	rest, err := skip(body, 0)
+func Validate(body []byte) error {
+	rest, err := skipValue(body, 0)
 	if err != nil {
 		return err
 	}
@@ -72,12 +72,12 @@
 	return nil
 }
 
-func skip(b []byte, depth int) ([]byte, error) {
-	if depth > maxDepth {
+func skipValue(b []byte, depth int) ([]byte, error) {
+	if depth > maxNestingDepth {
 		return nil, errors.New("nested too deeply")
 	}
 	if len(b) == 0 {
-		return nil, errShort
+		return nil, errTruncated
 	}
 	c := b[0]
 	b = b[1:]
@@ -87,33 +87,33 @@
 	case c <= 0x8f:
 		return skipMap(b, int(c&0x0f), depth)
 	case c <= 0x9f:
-		return skipList(b, int(c&0x0f), depth)
+		return skipArray(b, int(c&0x0f), depth)
 	case c <= 0xbf:
-		return take(b, int(c&0x1f))
+		return skipBytes(b, int(c&0x1f))
 	}
 	switch c {
 	case 0xca, 0xce, 0xd2:
-		return take(b, 4)
+		return skipBytes(b, 4)
 	case 0xcb, 0xcf, 0xd3:
-		return take(b, 8)
+		return skipBytes(b, 8)
 	case 0xcc, 0xd0:
-		return take(b, 1)
+		return skipBytes(b, 1)
 	case 0xcd, 0xd1:
-		return take(b, 2)
+		return skipBytes(b, 2)
 	case 0xd9, 0xda, 0xdb:
-		n, b, err := length(b, 1<<(c-0xd9))
+		n, b, err := readLength(b, 1<<(c-0xd9))
 		if err != nil {
 			return nil, err
 		}
-		return take(b, n)
+		return skipBytes(b, n)
 	case 0xdc, 0xdd:
-		n, b, err := length(b, 2<<(c-0xdc))
+		n, b, err := readLength(b, 2<<(c-0xdc))
 		if err != nil {
 			return nil, err
 		}
-		return skipList(b, n, depth)
+		return skipArray(b, n, depth)
 	case 0xde, 0xdf:
-		n, b, err := length(b, 2<<(c-0xde))
+		n, b, err := readLength(b, 2<<(c-0xde))
 		if err != nil {
 			return nil, err
 		}
@@ -122,9 +122,9 @@
 	return nil, fmt.Errorf("type 0x%02x is not used here", c)
 }
 
-func length(b []byte, width int) (int, []byte, error) {
+func readLength(b []byte, width int) (int, []byte, error) {
 	if len(b) < width {
-		return 0, nil, errShort
+		return 0, nil, errTruncated
 	}
 	var n uint64
 	switch width {
@@ -136,41 +136,41 @@
 		n = uint64(binary.BigEndian.Uint32(b))
 	}
 	if n > uint64(len(b)) {
-		return 0, nil, errShort
+		return 0, nil, errTruncated
 	}
 	return int(n), b[width:], nil
 }
 
-func take(b []byte, n int) ([]byte, error) {
+func skipBytes(b []byte, n int) ([]byte, error) {
 	if len(b) < n {
-		return nil, errShort
+		return nil, errTruncated
 	}
 	return b[n:], nil
 }
 
-func skipList(b []byte, n, depth int) ([]byte, error) {
+func skipArray(b []byte, items, depth int) ([]byte, error) {
 	var err error
-	for ; n > 0; n-- {
-		if b, err = skip(b, depth+1); err != nil {
+	for ; items > 0; items-- {
+		if b, err = skipValue(b, depth+1); err != nil {
 			return nil, err
 		}
 	}
 	return b, nil
 }
 
-func skipMap(b []byte, n, depth int) ([]byte, error) {
+func skipMap(b []byte, pairs, depth int) ([]byte, error) {
 	var err error
-	for ; n > 0; n-- {
+	for ; pairs > 0; pairs-- {
 		if len(b) == 0 {
-			return nil, errShort
+			return nil, errTruncated
 		}
 		if c := b[0]; c&0xe0 != 0xa0 && (c < 0xd9 || c > 0xdb) {
 			return nil, errors.New("a key is not text")
 		}
-		if b, err = skip(b, depth+1); err != nil {
+		if b, err = skipValue(b, depth+1); err != nil {
 			return nil, err
 		}
-		if b, err = skip(b, depth+1); err != nil {
+		if b, err = skipValue(b, depth+1); err != nil {
 			return nil, err
 		}
 	}
@@ -180,45 +180,45 @@
 // JSONSize is how many bytes a checked value takes as JSON, in which the limits of the state
 // service are counted.
 func JSONSize(raw []byte) int {
-	size, _ := jsonSize(raw)
+	size, _ := jsonValueSize(raw)
 	return size
 }
 
-func jsonSize(b []byte) (size int, rest []byte) {
+func jsonValueSize(b []byte) (size int, rest []byte) {
 	if len(b) == 0 {
 		return 0, nil
 	}
 	c := b[0]
 	switch {
 	case c <= 0x7f:
-		return digits(uint64(c)), b[1:]
+		return decimalDigits(uint64(c)), b[1:]
 	case c <= 0x8f:
-		return jsonMap(b[1:], int(c&0x0f))
+		return jsonMapSize(b[1:], int(c&0x0f))
 	case c <= 0x9f:
-		return jsonList(b[1:], int(c&0x0f))
+		return jsonArraySize(b[1:], int(c&0x0f))
 	case c <= 0xbf:
-		return jsonText(b[1:], int(c&0x1f))
+		return jsonStringSize(b[1:], int(c&0x1f))
 	case c >= 0xe0:
-		return 1 + digits(uint64(-int64(int8(c)))), b[1:]
+		return 1 + decimalDigits(uint64(-int64(int8(c)))), b[1:]
 	}
 	if c >= 0xd9 && c <= 0xdb {
-		if n, rest, err := length(b[1:], 1<<(c-0xd9)); err == nil {
-			return jsonText(rest, n)
+		if n, rest, err := readLength(b[1:], 1<<(c-0xd9)); err == nil {
+			return jsonStringSize(rest, n)
 		}
 		return 0, nil
 	}
 	if c >= 0xdc && c <= 0xdf {
-		n, rest, err := length(b[1:], 2<<((c-0xdc)&1))
+		n, rest, err := readLength(b[1:], 2<<((c-0xdc)&1))
 		switch {
 		case err != nil:
 			return 0, nil
 		case c <= 0xdd:
-			return jsonList(rest, n)
+			return jsonArraySize(rest, n)
 		}
-		return jsonMap(rest, n)
+		return jsonMapSize(rest, n)
 	}
 	var plain any
-	rest, err := skip(b, 0)
+	rest, err := skipValue(b, 0)
 	if err != nil || msgpack.Unmarshal(b[:len(b)-len(rest)], &plain) != nil {
 		return 0, nil
 	}
@@ -229,7 +229,7 @@
 	return len(text), rest
 }
 
-func digits(v uint64) int {
+func decimalDigits(v uint64) int {
 	n := 1
 	for ; v >= 10; v /= 10 {
 		n++
@@ -237,37 +237,37 @@
 	return n
 }
 
-func jsonText(b []byte, n int) (int, []byte) {
-	if n > len(b) {
+func jsonStringSize(b []byte, length int) (int, []byte) {
+	if length > len(b) {
 		return 0, nil
 	}
-	for _, c := range b[:n] {
+	for _, c := range b[:length] {
 		if c >= ' ' && c < 0x7f && c != '"' && c != '\\' && c != '<' && c != '>' && c != '&' {
 			continue
 		}
-		if text, err := json.Marshal(string(b[:n])); err == nil {
-			return len(text), b[n:]
+		if text, err := json.Marshal(string(b[:length])); err == nil {
+			return len(text), b[length:]
 		}
 	}
-	return n + 2, b[n:]
+	return length + 2, b[length:]
 }
 
-func jsonList(b []byte, n int) (size int, rest []byte) {
+func jsonArraySize(b []byte, n int) (size int, rest []byte) {
 	size = 2 + max(n-1, 0)
 	for ; n > 0; n-- {
 		var s int
-		s, b = jsonSize(b)
+		s, b = jsonValueSize(b)
 		size += s
 	}
 	return size, b
 }
 
-func jsonMap(b []byte, n int) (size int, rest []byte) {
+func jsonMapSize(b []byte, n int) (size int, rest []byte) {
 	size = 2 + max(n-1, 0)
 	for ; n > 0; n-- {
 		var k, v int
-		k, b = jsonSize(b)
-		v, b = jsonSize(b)
+		k, b = jsonValueSize(b)
+		v, b = jsonValueSize(b)
 		size += k + 1 + v
 	}
 	return size, b
--- a/internal/wire/packed/packed_test.go
+++ b/internal/wire/packed/packed_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestCheckRefusesWhatCostsMemory(t *testing.T) {
+func TestValidateRejectsBodiesThatCostMemory(t *testing.T) {
 	deep := append(bytes.Repeat([]byte{0x91}, 1000), 0xc0)
 	for name, body := range map[string][]byte{
 		"deep nesting":        deep,
@@ -17,13 +17,13 @@
 		"trailing bytes":      {0xc0, 0xc0},
 		"empty":               {},
 	} {
-		if Check(body) == nil {
+		if Validate(body) == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-func FuzzUnmarshal(f *testing.F) {
+func FuzzUnmarshalMap(f *testing.F) {
 	good, err := Marshal(map[string]any{"id": "job-1", "strokes": 3, "keels": []string{"g8"}, "voyage_s": 1.5, "harbour": nil})
 	if err != nil {
 		f.Fatal(err)
@@ -32,8 +32,8 @@
 	f.Add([]byte{0x81, 0xa1, 'a', 0xdc, 0xff, 0xff})
 	f.Add([]byte{0xc1})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		m, err := Map(body)
-		if err == nil && Check(body) != nil {
+		m, err := UnmarshalMap(body)
+		if err == nil && Validate(body) != nil {
 			t.Fatalf("decoded %v from what the check refuses", m)
 		}
 	})
--- a/internal/wire/packed/size_test.go
+++ b/internal/wire/packed/size_test.go
@@ -8,7 +8,7 @@
 )
 
 // The size that is counted is what the plain way gives: decode, and encode as JSON.
-func TestJSONSizeIsTheSizeOfTheJSON(t *testing.T) {
+func TestJSONSizeEqualsLengthOfJSON(t *testing.T) {
 	text := rapid.OneOf(rapid.StringMatching(`[a-z0-9 <>"\\]{0,40}`), rapid.String())
 	var value func(depth int) *rapid.Generator[any]
 	value = func(depth int) *rapid.Generator[any] {
--- a/internal/wire/scrape/scrape.go
+++ b/internal/wire/scrape/scrape.go
@@ -15,29 +15,29 @@
 )
 
 // Serve answers GET /metrics at an address until the listener fails.
-func Serve(registry *prometheus.Registry, listen string, log *slog.Logger) error {
-	server := httpwire.NewServer(httpwire.ServerOptions{Public: listen, MaxConns: 16, Idle: 75 * time.Second, Slow: 10 * time.Second,
-		Handle: func(r *httpwire.Request) {
+func Serve(registry *prometheus.Registry, addr string, log *slog.Logger) error {
+	server := httpwire.NewServer(httpwire.ServerOptions{PublicAddr: addr, MaxConnections: 16, IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second,
+		Handler: func(r *httpwire.Request) {
 			if r.Method != "GET" || r.Target != "/metrics" {
-				r.Reply(404, nil, 0)
+				r.Respond(404, nil, 0)
 				return
 			}
 			families, err := registry.Gather()
-			var out bytes.Buffer
-			for _, f := range families {
+			var text bytes.Buffer
+			for _, family := range families {
 				if err == nil {
-					_, err = expfmt.MetricFamilyToText(&out, f)
+					_, err = expfmt.MetricFamilyToText(&text, family)
 				}
 			}
 			if err != nil {
 				log.Error("the metrics cannot be written", "error", err)
-				r.Reply(503, nil, time.Second)
+				r.Respond(503, nil, time.Second)
 				return
 			}
-			r.ReplyText(200, string(expfmt.NewFormat(expfmt.TypeTextPlain)), out.Bytes())
+			r.RespondText(200, string(expfmt.NewFormat(expfmt.TypeTextPlain)), text.Bytes())
 		}})
 	if err := server.Run(); err != nil {
-		return fmt.Errorf("serve metrics at %s: %w", listen, err)
+		return fmt.Errorf("serve metrics at %s: %w", addr, err)
 	}
 	return nil
 }
