--- a/cmd/faulttest/appliance.go
+++ b/cmd/faulttest/appliance.go
@@ -6,16 +6,17 @@
 	"path/filepath"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/simulator/sitetest"
+
+	"github.com/spf13/cobra"
 )
 
 func applianceCommand() *cobra.Command {
 	var runs, tasks int
 	var seed uint64
 	var program string
-	cmd := &cobra.Command{Use: "appliance", Short: "Kill the parts of a whole site of real processes while it works, again and again", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "appliance", Short: "Kill the parts of a whole site of real processes while it works, again and again", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			program, err := filepath.Abs(program)
 			if err != nil {
@@ -35,13 +36,26 @@
 					return err
 				}
 				worst, sum = max(worst, rep.First), sum+rep.First
-				fmt.Fprintf(cmd.OutOrStdout(), "run %d: first task after %.2f s, %d tasks done after %.1f s with %d parts killed, then all\n", i, rep.First.Seconds(), tasks,
-					rep.All.Seconds(), rep.Kills)
+				fmt.Fprintf(
+					cmd.OutOrStdout(),
+					"run %d: first task after %.2f s, %d tasks done after %.1f s with %d parts killed, then all\n",
+					i,
+					rep.First.Seconds(),
+					tasks,
+					rep.All.Seconds(),
+					rep.Kills,
+				)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d runs: no task lost, none beside itself, nothing left; first task after %.2f s on average, %.2f s at most\n", runs,
-				sum.Seconds()/float64(max(runs, 1)), worst.Seconds())
+			fmt.Fprintf(
+				cmd.OutOrStdout(),
+				"%d runs: no task lost, none beside itself, nothing left; first task after %.2f s on average, %.2f s at most\n",
+				runs,
+				sum.Seconds()/float64(max(runs, 1)),
+				worst.Seconds(),
+			)
 			return nil
-		}}
+		},
+	}
 	cmd.Flags().IntVar(&runs, "runs", 3, "how many runs")
 	cmd.Flags().IntVar(&tasks, "tasks", 60, "tasks of a run, of 0.3 s each")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the first run")
--- a/cmd/faulttest/commits.go
+++ b/cmd/faulttest/commits.go
@@ -11,29 +11,36 @@
 	"syscall"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/config"
 	"gullrudder/internal/simulator/crashtest"
 	"gullrudder/internal/site/kvserver"
 	"gullrudder/internal/wire/http1"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+	"github.com/spf13/cobra"
 )
 
 func commitsCommand() *cobra.Command {
 	var path, dir, counts string
 	var span, sync time.Duration
 	var bytes int
-	cmd := &cobra.Command{Use: "commits", Short: "Commits a second of a state service, against the least that its disk allows", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "commits", Short: "Commits a second of a state service, against the least that its disk allows", Args: cobra.NoArgs,
 		Long: "For each number of clients: commits of one key each for a while, without and with snapshots all the time. Then the\n" +
 			"bytes that the log has got are written to a file on the same disk, with as many syncs: the ratio of the two times\n" +
 			"is what the service costs besides.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return measureCommits(cmd, path, dir, counts, span, sync, bytes)
-		}}
+		},
+	}
 	cmd.Flags().StringVar(&counts, "clients", "1,16,128", "numbers of clients")
 	cmd.Flags().DurationVar(&span, "for", 5*time.Second, "how long each measurement takes")
-	cmd.Flags().DurationVar(&sync, "sync", 0, "a disk whose syncs take so much longer, in the service, which then runs in this process, and bare")
+	cmd.Flags().DurationVar(
+		&sync,
+		"sync",
+		0,
+		"a disk whose syncs take so much longer, in the service, which then runs in this process, and bare",
+	)
 	cmd.Flags().IntVar(&bytes, "bytes", 200, "size of a value")
 	cmd.Flags().StringVar(&path, "program", "", "the gullrudder program; it is built if none is given")
 	cmd.Flags().StringVar(&dir, "dir", "", "a directory on the disk that is measured; a temporary one if none is given")
@@ -97,7 +104,11 @@
 	if err != nil {
 		return err
 	}
-	p := &process{name: "state", path: path, args: []string{"state", "--data", data, "--listen", ports[0], "--metrics", ports[1], "--options", options}}
+	p := &process{
+		name: "state",
+		path: path,
+		args: []string{"state", "--data", data, "--listen", ports[0], "--metrics", ports[1], "--options", options},
+	}
 	if sync > 0 {
 		err = serveSlowly(data, options, ports[0], ports[1], sync)
 	} else {
--- a/cmd/faulttest/crash.go
+++ b/cmd/faulttest/crash.go
@@ -10,11 +10,11 @@
 	"sync"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/simulator/crashtest"
 	"gullrudder/internal/simulator/emulator"
 	"gullrudder/internal/wire/http1"
+
+	"github.com/spf13/cobra"
 )
 
 func crashCommand() *cobra.Command {
@@ -22,7 +22,8 @@
 	var seed uint64
 	var points, verbose bool
 	var path, dir string
-	cmd := &cobra.Command{Use: "crash", Short: "Kill a state service and its controllers at random moments and check what comes back",
+	cmd := &cobra.Command{
+		Use: "crash", Short: "Kill a state service and its controllers at random moments and check what comes back",
 		Long: "Starts one gullrudder state and three gullrudder serve, with workers and a cloud of its own, plays jobs, and kills\n" +
 			"processes at random moments, by preference inside snapshots, sealing and merging. With --points it plays\n" +
 			"short runs on a disk that loses what was not synced, ended at every operation, --runs of them.",
@@ -34,7 +35,8 @@
 				return crashPoints(cmd, seed, runs, steps)
 			}
 			return crashRuns(cmd, seed, runs, path, dir, verbose)
-		}}
+		},
+	}
 	cmd.Flags().IntVar(&runs, "runs", 20, "how many kills, or with --points how many short runs")
 	cmd.Flags().IntVar(&steps, "steps", 30, "with --points: steps of a short run")
 	cmd.Flags().Uint64Var(&seed, "seed", 0, "seed of the random choices; 0: one that is printed")
@@ -54,7 +56,15 @@
 			return err
 		}
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "%d runs of %d steps, seeds from %d: %d crash points, %d tries, all as answered\n", runs, steps, seed, points, tries)
+	fmt.Fprintf(
+		cmd.OutOrStdout(),
+		"%d runs of %d steps, seeds from %d: %d crash points, %d tries, all as answered\n",
+		runs,
+		steps,
+		seed,
+		points,
+		tries,
+	)
 	return nil
 }
 
@@ -92,9 +102,14 @@
 
 // moments are the lines of the logs after which a kill is worth most, and what they are called.
 var moments = []struct{ line, name string }{
-	{"snapshot begins", "in a snapshot"}, {"snapshot written", "before the sync of a snapshot"}, {"snapshot synced", "before a rename"},
-	{"snapshot renamed", "after a rename"}, {"deleting the log", "in a log's deletion"},
-	{"msg=sealing", "in a sealing"}, {"msg=merging", "in a merge"}, {"msg=sealed", "after a sealing"},
+	{"snapshot begins", "in a snapshot"},
+	{"snapshot written", "before the sync of a snapshot"},
+	{"snapshot synced", "before a rename"},
+	{"snapshot renamed", "after a rename"},
+	{"deleting the log", "in a log's deletion"},
+	{"msg=sealing", "in a sealing"},
+	{"msg=merging", "in a merge"},
+	{"msg=sealed", "after a sealing"},
 }
 
 func (f *field) sealed() (sealings, merges int) {
@@ -149,8 +164,14 @@
 )
 
 func newField(seed uint64, path, dir string, verbose bool) (*field, error) {
-	f := &field{seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), client: http1.NewClient(64, 8, 16<<20), hot: [2]chan *process{make(chan *process, 1), make(chan *process, 1)},
-		stop: make(chan struct{}), hits: map[string]int{}}
+	f := &field{
+		seed:   seed,
+		rng:    rand.New(rand.NewPCG(seed, 1)),
+		client: http1.NewClient(64, 8, 16<<20),
+		hot:    [2]chan *process{make(chan *process, 1), make(chan *process, 1)},
+		stop:   make(chan struct{}),
+		hits:   map[string]int{},
+	}
 	ports, err := freePorts(2*nodes + 1)
 	if err != nil {
 		return nil, err
@@ -161,8 +182,10 @@
 	for i, addr := range f.public {
 		names[fmt.Sprintf("node-%d", i)] = addr
 	}
-	if f.cloud, err = emulator.NewCloud(emulator.Options{Controllers: names, Report: 250 * time.Millisecond, Lease: 4 * time.Second, Capacity: 6,
-		TaskTime: 150 * time.Millisecond, Seed: seed}); err != nil {
+	if f.cloud, err = emulator.NewCloud(emulator.Options{
+		Controllers: names, Report: 250 * time.Millisecond, Lease: 4 * time.Second, Capacity: 6,
+		TaskTime: 150 * time.Millisecond, Seed: seed,
+	}); err != nil {
 		return nil, err
 	}
 	for name, text := range map[string]string{"state.xml": storeOptions, "node.xml": nodeOptions} {
@@ -203,7 +226,13 @@
 		f.wait.Add(1)
 		go p.run()
 	}
-	f.users = &users{f: f, rng: rand.New(rand.NewPCG(f.seed, 7)), jobs: map[string]*userJob{}, stop: make(chan struct{}), ended: make(chan struct{})}
+	f.users = &users{
+		f:     f,
+		rng:   rand.New(rand.NewPCG(f.seed, 7)),
+		jobs:  map[string]*userJob{},
+		stop:  make(chan struct{}),
+		ended: make(chan struct{}),
+	}
 	go f.users.run()
 	return nil
 }
--- a/cmd/faulttest/famine.go
+++ b/cmd/faulttest/famine.go
@@ -7,10 +7,10 @@
 	"slices"
 	"sync"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/config"
 	"gullrudder/internal/simulator"
+
+	"github.com/spf13/cobra"
 )
 
 // all are the shares of all classes.
@@ -27,7 +27,8 @@
 	var seed uint64
 	var atLeast float64
 	tuning := config.DefaultOptions()
-	cmd := &cobra.Command{Use: "famine", Short: "Who is served when most machines are lost for minutes, in virtual time", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "famine", Short: "Who is served when most machines are lost for minutes, in virtual time", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			days, broken := make([]simulator.Famine, runs), make([][]string, runs)
 			var wait sync.WaitGroup
@@ -48,7 +49,18 @@
 			for i, f := range days {
 				c, cs := simulator.Least(f.Classes)
 				t, ts := simulator.Least(f.Teams)
-				fmt.Fprintf(out, "seed %d: %d machines, then %d; least served %s %.2f, team %s %.2f;%s\n", seed+uint64(i), f.Seats, f.Left, c, cs, t, ts, all(f.Classes))
+				fmt.Fprintf(
+					out,
+					"seed %d: %d machines, then %d; least served %s %.2f, team %s %.2f;%s\n",
+					seed+uint64(i),
+					f.Seats,
+					f.Left,
+					c,
+					cs,
+					t,
+					ts,
+					all(f.Classes),
+				)
 				if cs < leastClass {
 					class, leastClass = c, cs
 				}
@@ -60,7 +72,16 @@
 					fmt.Fprintf(out, "seed %d: a rule is broken: %v\n", seed+uint64(i), broken[i])
 				}
 			}
-			fmt.Fprintf(out, "%d runs, %d rules broken, least served %.2f (by class: %s), %.2f (by team: %s)\n", runs, rules, leastClass, class, leastTeam, team)
+			fmt.Fprintf(
+				out,
+				"%d runs, %d rules broken, least served %.2f (by class: %s), %.2f (by team: %s)\n",
+				runs,
+				rules,
+				leastClass,
+				class,
+				leastTeam,
+				team,
+			)
 			if rules > 0 {
 				return fmt.Errorf("a rule was broken in %d of %d runs", rules, runs)
 			}
@@ -68,13 +89,24 @@
 				return fmt.Errorf("only %.2f of a class or team was served, less than %.2f", least, atLeast)
 			}
 			return nil
-		}}
+		},
+	}
 	cmd.Flags().IntVar(&runs, "runs", 20, "how many days")
 	cmd.Flags().IntVar(&jobs, "jobs", 8, "how many days at a time; the result does not depend on it")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the first day")
 	cmd.Flags().Float64Var(&atLeast, "at-least", 0, "fail if less than this share of any class or team is served")
-	cmd.Flags().Float64Var(&tuning.FairShareCapacity, "floor-share", tuning.FairShareCapacity, "share of the fleet for classes and teams that are served least")
+	cmd.Flags().Float64Var(
+		&tuning.FairShareCapacity,
+		"floor-share",
+		tuning.FairShareCapacity,
+		"share of the fleet for classes and teams that are served least",
+	)
 	cmd.Flags().Float64Var(&tuning.OverdueShare, "late-share", tuning.OverdueShare, "share of the fleet for late jobs")
-	cmd.Flags().Float64Var(&tuning.MinServedShare, "floor-least", tuning.MinServedShare, "share of the jobs of each class and team that is to be done")
+	cmd.Flags().Float64Var(
+		&tuning.MinServedShare,
+		"floor-least",
+		tuning.MinServedShare,
+		"share of the jobs of each class and team that is to be done",
+	)
 	return cmd
 }
--- a/cmd/faulttest/leaders.go
+++ b/cmd/faulttest/leaders.go
@@ -8,16 +8,17 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/config"
 	"gullrudder/internal/simulator"
+
+	"github.com/spf13/cobra"
 )
 
 func leadersCommand() *cobra.Command {
 	var failures, jobs int
 	var seed uint64
-	cmd := &cobra.Command{Use: "leaders", Short: "How long nobody acts after a failure of the leader, by cause, in virtual time", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "leaders", Short: "How long nobody acts after a failure of the leader, by cause, in virtual time", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			names := simulator.New(0, leadersWorld(), slog.New(slog.DiscardHandler)).Failures()
 			slices.Sort(names)
@@ -46,7 +47,18 @@
 				slices.Sort(acting)
 				slices.Sort(placing)
 				slices.Sort(accepting)
-				fmt.Fprintf(out, "%s\t%d\t%v\t%v\t%v\t%v\t%v\t%v\n", name, each, acting[each/2], acting[each-1], placing[each/2], placing[each-1], accepting[each/2], accepting[each-1])
+				fmt.Fprintf(
+					out,
+					"%s\t%d\t%v\t%v\t%v\t%v\t%v\t%v\n",
+					name,
+					each,
+					acting[each/2],
+					acting[each-1],
+					placing[each/2],
+					placing[each-1],
+					accepting[each/2],
+					accepting[each-1],
+				)
 			}
 			if err := out.Flush(); err != nil {
 				return err
@@ -57,7 +69,8 @@
 				}
 			}
 			return nil
-		}}
+		},
+	}
 	cmd.Flags().IntVar(&failures, "failures", 200, "how many failures, over all causes")
 	cmd.Flags().IntVar(&jobs, "jobs", 8, "how many worlds at a time; the result does not depend on it")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the first world")
@@ -65,7 +78,9 @@
 }
 
 func leadersWorld() simulator.Options {
-	return simulator.Options{Nodes: 3, ReportEvery: 2500 * time.Millisecond, Lease: 15 * time.Second, Cancel: 35 * time.Second,
+	return simulator.Options{
+		Nodes: 3, ReportEvery: 2500 * time.Millisecond, Lease: 15 * time.Second, Cancel: 35 * time.Second,
 		Teams:  []config.Team{{Name: "red", GuaranteedCPUs: 8, CPULimit: 14}, {Name: "blue", GuaranteedCPUs: 4, CPULimit: 20}},
-		Tuning: config.DefaultOptions()}
+		Tuning: config.DefaultOptions(),
+	}
 }
--- a/cmd/faulttest/main.go
+++ b/cmd/faulttest/main.go
@@ -11,7 +11,18 @@
 
 func main() {
 	root := &cobra.Command{Use: "faulttest", Short: "Long measurements and random faults", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(crashCommand(), commitsCommand(), restartCommand(), leadersCommand(), applianceCommand(), scaleCommand(), famineCommand(), troublesCommand(), upgradeCommand(), pipelinesCommand())
+	root.AddCommand(
+		crashCommand(),
+		commitsCommand(),
+		restartCommand(),
+		leadersCommand(),
+		applianceCommand(),
+		scaleCommand(),
+		famineCommand(),
+		troublesCommand(),
+		upgradeCommand(),
+		pipelinesCommand(),
+	)
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "faulttest:", err)
 		os.Exit(1)
--- a/cmd/faulttest/restart.go
+++ b/cmd/faulttest/restart.go
@@ -7,17 +7,18 @@
 	"slices"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/simulator/crashtest"
 	"gullrudder/internal/site/kvserver"
 	"gullrudder/internal/wire/http1"
+
+	"github.com/spf13/cobra"
 )
 
 func restartCommand() *cobra.Command {
 	var path, dir string
 	var changes, keys, times, bytes int
-	cmd := &cobra.Command{Use: "restart", Short: "How long a state service takes to come back, with and without a history", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "restart", Short: "How long a state service takes to come back, with and without a history", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			root, err := os.MkdirTemp(dir, "faulttest-restart-")
 			if err != nil {
@@ -41,7 +42,8 @@
 				}
 			}
 			return nil
-		}}
+		},
+	}
 	cmd.Flags().IntVar(&changes, "changes", 1_000_000, "changes in the history")
 	cmd.Flags().IntVar(&keys, "keys", 10_000, "keys that are there")
 	cmd.Flags().IntVar(&times, "times", 11, "restarts")
--- a/cmd/faulttest/scale.go
+++ b/cmd/faulttest/scale.go
@@ -6,24 +6,40 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/config"
 	"gullrudder/internal/simulator"
+
+	"github.com/spf13/cobra"
 )
 
 func scaleCommand() *cobra.Command {
 	var sizes []int
 	var seed uint64
-	cmd := &cobra.Command{Use: "scale", Short: "What a large fleet costs its leader, and how it comes back when a third of it fails at once", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "scale", Short: "What a large fleet costs its leader, and how it comes back when a third of it fails at once", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-			fmt.Fprintln(out, "machines\ttasks\tsteps a second\ta step\tlongest\tof a processor\tstate changes/s\theap MB\tplacing after\tfull again after")
+			fmt.Fprintln(
+				out,
+				"machines\ttasks\tsteps a second\ta step\tlongest\tof a processor\tstate changes/s\theap MB\tplacing after\tfull again after",
+			)
 			for _, n := range sizes {
 				w := simulator.New(seed, scaleWorld(n), slog.New(slog.DiscardHandler))
 				s, err := w.Scale(n)
-				fmt.Fprintf(out, "%d\t%d\t%.0f\t%v\t%v\t%.3f\t%.1f\t%d\t%v\t%v\n", s.Machines, s.Tasks, float64(s.Steps)/60, s.Step.Round(time.Microsecond),
-					s.Longest.Round(100*time.Microsecond), s.Busy, s.Writes, s.Heap, s.Placing, s.Again)
+				fmt.Fprintf(
+					out,
+					"%d\t%d\t%.0f\t%v\t%v\t%.3f\t%.1f\t%d\t%v\t%v\n",
+					s.Machines,
+					s.Tasks,
+					float64(s.Steps)/60,
+					s.Step.Round(time.Microsecond),
+					s.Longest.Round(100*time.Microsecond),
+					s.Busy,
+					s.Writes,
+					s.Heap,
+					s.Placing,
+					s.Again,
+				)
 				if err != nil {
 					return fmt.Errorf("%d machines: %w", n, err)
 				}
@@ -32,16 +48,19 @@
 				}
 			}
 			return nil
-		}}
+		},
+	}
 	cmd.Flags().IntSliceVar(&sizes, "machines", []int{1000, 2500, 5000, 10000}, "sizes of the fleet")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the worlds")
 	return cmd
 }
 
 func scaleWorld(machines int) simulator.Options {
-	return simulator.Options{Nodes: 3, ReportEvery: 2500 * time.Millisecond, Lease: 15 * time.Second, Cancel: 35 * time.Second, AskOnce: true,
+	return simulator.Options{
+		Nodes: 3, ReportEvery: 2500 * time.Millisecond, Lease: 15 * time.Second, Cancel: 35 * time.Second, AskOnce: true,
 		Capacity: (machines + 5) / 6, Unchecked: true, Tuning: config.DefaultOptions(), Settings: func(p *config.Platform) {
 			p.StateWriteRate, p.MaxValueBytes, p.MaxTransactionOps, p.CloudRequestRate, p.MaxConnections, p.CPUQuota = 100, 16384, 16, 9, 10000, 1
 			p.StateRequestRate = 600
-		}}
+		},
+	}
 }
--- a/cmd/faulttest/troubles.go
+++ b/cmd/faulttest/troubles.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/config"
 	"gullrudder/internal/simulator"
+
+	"github.com/spf13/cobra"
 )
 
 func troublesCommand() *cobra.Command {
@@ -19,7 +19,8 @@
 	var kinds []string
 	var begin time.Duration
 	tuning := config.DefaultOptions()
-	cmd := &cobra.Command{Use: "troubles", Short: "Rules and who is served on days of troubles, several at once, in virtual time", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "troubles", Short: "Rules and who is served on days of troubles, several at once, in virtual time", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			tuning.StartBound = begin
 			opt := simulator.FamineOptions(tuning)
@@ -54,8 +55,19 @@
 				}
 				class, team, largest := d.Least()
 				if min(class, team, largest) < 0.5 || d.FirstStart > 4*time.Minute {
-					fmt.Fprintf(out, "seed %d: %d machines, least served %.2f (class) %.2f (team) %.2f (largest), latest first start %.0f s; %.0f CPU seconds asked for, %.0f there: possible %v\n",
-						seed+uint64(i), d.Machines, class, team, largest, d.FirstStart.Seconds(), d.Asked, d.Had, d.Possible())
+					fmt.Fprintf(
+						out,
+						"seed %d: %d machines, least served %.2f (class) %.2f (team) %.2f (largest), latest first start %.0f s; %.0f CPU seconds asked for, %.0f there: possible %v\n",
+						seed+uint64(i),
+						d.Machines,
+						class,
+						team,
+						largest,
+						d.FirstStart.Seconds(),
+						d.Asked,
+						d.Had,
+						d.Possible(),
+					)
 					if !d.Possible() {
 						continue
 					}
@@ -68,18 +80,33 @@
 				fewest, most = min(fewest, d.Machines), max(most, d.Machines)
 			}
 			fmt.Fprintf(out, "%d to %d machines at a time\n", fewest, most)
-			fmt.Fprintf(out, "%d runs, %d rules broken, %d forgotten, least served %.2f (class) %.2f (team) %.2f (largest), latest first start %.0f s\n",
-				runs, rules, forgotten, least[0], least[1], least[2], latest.Seconds())
+			fmt.Fprintf(
+				out,
+				"%d runs, %d rules broken, %d forgotten, least served %.2f (class) %.2f (team) %.2f (largest), latest first start %.0f s\n",
+				runs,
+				rules,
+				forgotten,
+				least[0],
+				least[1],
+				least[2],
+				latest.Seconds(),
+			)
 			if rules > 0 || min(least[0], least[1], least[2]) < 0.5 || latest > 4*time.Minute {
 				return fmt.Errorf("a rule was broken, or somebody was not served")
 			}
 			return nil
-		}}
+		},
+	}
 	cmd.Flags().IntVar(&runs, "runs", 40, "how many days")
 	cmd.Flags().IntVar(&jobs, "jobs", 8, "how many days at a time; the result does not depend on it")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the first day")
 	cmd.Flags().IntVar(&capacity, "capacity", 36, "machines of each of the six kinds")
 	cmd.Flags().StringSliceVar(&kinds, "kinds", simulator.Strikes(), "which troubles: "+strings.Join(simulator.Strikes(), ", "))
-	cmd.Flags().DurationVar(&begin, "begin-bound", tuning.StartBound, "a job of which nothing has begun after this begins ahead of others; 0: none does")
+	cmd.Flags().DurationVar(
+		&begin,
+		"begin-bound",
+		tuning.StartBound,
+		"a job of which nothing has begun after this begins ahead of others; 0: none does",
+	)
 	return cmd
 }
--- a/cmd/faulttest/upgrade.go
+++ b/cmd/faulttest/upgrade.go
@@ -10,10 +10,10 @@
 	"sync"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/http1"
+
+	"github.com/spf13/cobra"
 )
 
 func upgradeCommand() *cobra.Command {
@@ -21,11 +21,14 @@
 	var seed uint64
 	var older, newer string
 	var verbose bool
-	cmd := &cobra.Command{Use: "upgrade", Short: "Roll controllers from one version to another in drawn orders, with kills, and check what users are told",
+	cmd := &cobra.Command{
+		Use:   "upgrade",
+		Short: "Roll controllers from one version to another in drawn orders, with kills, and check what users are told",
 		Long: "Each run starts a state service and three controllers of the older program, with workers and a cloud of its own, plays jobs, and\n" +
 			"brings the controllers back with the newer program, one after the other in a drawn order; others die before their turn and come\n" +
 			"back old. Once all are new, jobs that need others are submitted, and limits that the newer version knows of count.",
-		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
+		Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			if older == "" {
 				return errors.New("--program-old is missing: the README tells how it is built from the history")
 			}
@@ -52,13 +55,22 @@
 				sum.add(r)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d jobs accepted, %d of them with needs, %d done\n", sum.accepted, sum.dependants, sum.done)
-			fmt.Fprintf(cmd.OutOrStdout(), "%d upgrades, %d rules broken, %d lost, %d doubled, no answer for at most %.1f s, no placing for at most %.1f s\n",
-				runs, len(sum.broken), sum.lost, sum.doubled, sum.silent.Seconds(), sum.idle.Seconds())
+			fmt.Fprintf(
+				cmd.OutOrStdout(),
+				"%d upgrades, %d rules broken, %d lost, %d doubled, no answer for at most %.1f s, no placing for at most %.1f s\n",
+				runs,
+				len(sum.broken),
+				sum.lost,
+				sum.doubled,
+				sum.silent.Seconds(),
+				sum.idle.Seconds(),
+			)
 			if len(sum.broken) > 0 {
 				return errors.New("a rule was broken")
 			}
 			return nil
-		}}
+		},
+	}
 	cmd.Flags().IntVar(&runs, "runs", 4, "how many upgrades")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the first run")
 	cmd.Flags().StringVar(&older, "program-old", "", "the program that the controllers run at first")
@@ -118,7 +130,14 @@
 			var s struct {
 				Placing bool `msgpack:"placing"`
 			}
-			if m, err := client.Do(addr, "GET", "/status", nil, 200*time.Millisecond); err == nil && m.Status == 200 && codec.Unmarshal(m.Body, &s) == nil && s.Placing {
+			if m, err := client.Do(
+				addr,
+				"GET",
+				"/status",
+				nil,
+				200*time.Millisecond,
+			); err == nil && m.Status == 200 && codec.Unmarshal(m.Body, &s) == nil &&
+				s.Placing {
 				g.seen(time.Now())
 			}
 		}
--- a/cmd/faulttest/users.go
+++ b/cmd/faulttest/users.go
@@ -106,8 +106,10 @@
 	if u.rng.IntN(3) == 0 {
 		id = fmt.Sprintf("job-2026%010d", n)
 	}
-	j := &userJob{spec: jobs.Spec{ID: id, Class: "short", Team: "red", Priority: jobs.Normal, Tasks: 1 + u.rng.IntN(12), CPUs: 0.5, MemoryGB: 1,
-		Image: "i", ImageGB: 0.1, AllowsSpot: true, RunTimeEstimate: 200 * time.Millisecond}}
+	j := &userJob{spec: jobs.Spec{
+		ID: id, Class: "short", Team: "red", Priority: jobs.Normal, Tasks: 1 + u.rng.IntN(12), CPUs: 0.5, MemoryGB: 1,
+		Image: "i", ImageGB: 0.1, AllowsSpot: true, RunTimeEstimate: 200 * time.Millisecond,
+	}}
 	for range u.rng.IntN(3) {
 		if need := u.pick(func(o *userJob) bool { return o.accepted }); need != nil && u.needs.Load() {
 			j.needs = append(j.needs, need)
--- a/cmd/gullrudder/account.go
+++ b/cmd/gullrudder/account.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/controller/api"
+
+	"github.com/spf13/cobra"
 )
 
 func milliseconds(ms int64) string {
@@ -63,7 +63,14 @@
 	for _, a := range all.Accounts {
 		fmt.Fprintf(w, "\nTEAM %s, CLASS %s\t%d JOBS\tSHARE\tA JOB\n", a.Team, a.Class, a.JobCount)
 		for _, s := range a.Shares {
-			fmt.Fprintf(w, "%s\t%s\t%.1f %%\t%s\n", s.Reason, milliseconds(s.Milliseconds), 100*float64(s.Milliseconds)/float64(max(a.Milliseconds, 1)), milliseconds(s.Milliseconds/int64(max(a.JobCount, 1))))
+			fmt.Fprintf(
+				w,
+				"%s\t%s\t%.1f %%\t%s\n",
+				s.Reason,
+				milliseconds(s.Milliseconds),
+				100*float64(s.Milliseconds)/float64(max(a.Milliseconds, 1)),
+				milliseconds(s.Milliseconds/int64(max(a.JobCount, 1))),
+			)
 		}
 		fmt.Fprintf(w, "sum\t%s\t100 %%\t%s\n", milliseconds(a.Milliseconds), milliseconds(a.Milliseconds/int64(max(a.JobCount, 1))))
 	}
--- a/cmd/gullrudder/client.go
+++ b/cmd/gullrudder/client.go
@@ -9,12 +9,12 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/controller"
 	"gullrudder/internal/site/datadir"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/http1"
+
+	"github.com/spf13/cobra"
 )
 
 // Exit codes, besides 0 and 2 for wrong usage or settings.
@@ -79,7 +79,8 @@
 	end := time.Now().Add(a.patience)
 	for try := 0; ; try++ {
 		msg, err := a.client.Do(servers[try%len(servers)], method, path, body, 5*time.Second)
-		if err == nil && (msg.Status < 300 || msg.Status == 400 || msg.Status == 404 || msg.Status == 405 || msg.Status == 409 || msg.Status == 422) {
+		if err == nil &&
+			(msg.Status < 300 || msg.Status == 400 || msg.Status == 404 || msg.Status == 405 || msg.Status == 409 || msg.Status == 422) {
 			return msg, nil
 		}
 		wait := time.Second
@@ -206,11 +207,29 @@
 func statusTable(w io.Writer, s controller.Status) {
 	fmt.Fprintf(w, "node\t%s\nleader\t%s\n", s.Controller, orDash(s.Leader))
 	if s.FencingToken > 0 {
-		fmt.Fprintf(w, "token\t%d\nplacing\t%v\nstate service ok\t%v\njobs\t%d\njobs finished\t%d, %d runs sealed\ntasks waiting\t%d\ntasks placed\t%d\n",
-			s.FencingToken, s.Placing, s.StateServiceHealthy, s.Jobs, s.FinishedJobs, s.ArchiveSegments, s.WaitingTasks, s.PlacedTasks)
+		fmt.Fprintf(
+			w,
+			"token\t%d\nplacing\t%v\nstate service ok\t%v\njobs\t%d\njobs finished\t%d, %d runs sealed\ntasks waiting\t%d\ntasks placed\t%d\n",
+			s.FencingToken,
+			s.Placing,
+			s.StateServiceHealthy,
+			s.Jobs,
+			s.FinishedJobs,
+			s.ArchiveSegments,
+			s.WaitingTasks,
+			s.PlacedTasks,
+		)
 	}
 	b := s.Budgets
-	fmt.Fprintf(w, "budgets\tstate %g/s, changes %g/s, cloud %g/s, %d connections, %g MB\n", b.StateRequestRate, b.StateWriteRate, b.CloudRequestRate, b.Connections, b.MemoryMB)
+	fmt.Fprintf(
+		w,
+		"budgets\tstate %g/s, changes %g/s, cloud %g/s, %d connections, %g MB\n",
+		b.StateRequestRate,
+		b.StateWriteRate,
+		b.CloudRequestRate,
+		b.Connections,
+		b.MemoryMB,
+	)
 	if len(s.Machines) > 0 {
 		fmt.Fprintln(w, "\nMACHINE\tTYPE\tZONE\tSPOT\tSTATE\tTASKS\tCPUS")
 		for _, m := range s.Machines {
--- a/cmd/gullrudder/console.go
+++ b/cmd/gullrudder/console.go
@@ -6,12 +6,12 @@
 	"io"
 	"time"
 
-	tea "github.com/charmbracelet/bubbletea"
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/console"
 	"gullrudder/internal/site/datadir"
 	"gullrudder/internal/site/machinepool"
+
+	tea "github.com/charmbracelet/bubbletea"
+	"github.com/spf13/cobra"
 )
 
 // lookPatience is how long a look of the console waits for an answer.
@@ -54,12 +54,17 @@
 }
 
 func consoleCommand() *cobra.Command {
-	return userCommand("console", "Watch and run the site from a terminal", "Watch and run the site from a terminal. ? shows the keys. It keeps no state.",
-		cobra.NoArgs, func(a *apiClient, _ []string) error {
+	return userCommand(
+		"console",
+		"Watch and run the site from a terminal",
+		"Watch and run the site from a terminal. ? shows the keys. It keeps no state.",
+		cobra.NoArgs,
+		func(a *apiClient, _ []string) error {
 			a.patience = lookPatience
 			_, err := tea.NewProgram(console.New(site{a}, time.Second), tea.WithAltScreen()).Run()
 			return err
-		})
+		},
+	)
 }
 
 func topCommand() *cobra.Command {
--- a/cmd/gullrudder/queue.go
+++ b/cmd/gullrudder/queue.go
@@ -9,11 +9,11 @@
 	"strings"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/controller/api"
 	"gullrudder/internal/controller/dynamicconfig"
 	"gullrudder/internal/wire/codec"
+
+	"github.com/spf13/cobra"
 )
 
 // get asks for something that is answered with v.
@@ -58,8 +58,16 @@
 func explainTable(w io.Writer, x api.Explanation) {
 	fmt.Fprintf(w, "job\t%s, %s\n", x.ID, x.State)
 	if x.Team != "" {
-		fmt.Fprintf(w, "team, class\t%s, %s\ntasks\t%d wait, %d run, %d done\nwaits since\t%s\n", x.Team, x.Class, x.QueuedJob.WaitingTasks, x.RunningTasks, x.DoneTasks,
-			seconds(x.AgeSeconds))
+		fmt.Fprintf(
+			w,
+			"team, class\t%s, %s\ntasks\t%d wait, %d run, %d done\nwaits since\t%s\n",
+			x.Team,
+			x.Class,
+			x.QueuedJob.WaitingTasks,
+			x.RunningTasks,
+			x.DoneTasks,
+			seconds(x.AgeSeconds),
+		)
 	}
 	if x.Position > 0 {
 		fmt.Fprintf(w, "standing\t%s\nplace\t%d of those that wait, %.0f CPU seconds before it\n", x.Rank, x.Position, x.CPUSecondsAhead)
@@ -69,7 +77,13 @@
 		if x.MissedStartBound {
 			late = ": MISSED, see the operators' page on waiting"
 		}
-		fmt.Fprintf(w, "stated when accepted\tfirst start within %s, last within %s%s\n", seconds(x.FirstStartBoundSeconds), seconds(x.LastStartBoundSeconds), late)
+		fmt.Fprintf(
+			w,
+			"stated when accepted\tfirst start within %s, last within %s%s\n",
+			seconds(x.FirstStartBoundSeconds),
+			seconds(x.LastStartBoundSeconds),
+			late,
+		)
 	} else if x.Team != "" {
 		fmt.Fprintln(w, "stated when accepted\tno bound: nothing that it can use was there, or it is a service")
 	}
@@ -118,18 +132,35 @@
 	}
 	fmt.Fprintf(w, "%s\tTEAM\tCLASS\tWAIT\tRUN\tAGE\tFIRST START BY\tSTANDING\n", title)
 	for _, j := range rows {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", j.ID, j.Team, j.Class, j.WaitingTasks, j.RunningTasks, seconds(j.AgeSeconds), seconds(j.FirstStartBoundSeconds), j.Rank)
+		fmt.Fprintf(
+			w,
+			"%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n",
+			j.ID,
+			j.Team,
+			j.Class,
+			j.WaitingTasks,
+			j.RunningTasks,
+			seconds(j.AgeSeconds),
+			seconds(j.FirstStartBoundSeconds),
+			j.Rank,
+		)
 	}
 }
 
 func settingsCommand() *cobra.Command {
-	cmd := userCommand("settings", "Show the settings that count, and who changed what", "", cobra.NoArgs, func(a *apiClient, _ []string) error {
-		var s dynamicconfig.View
-		if err := a.get("/settings", &s); err != nil {
-			return err
-		}
-		return a.show(s, func(w io.Writer) { settingsTable(w, s) })
-	})
+	cmd := userCommand(
+		"settings",
+		"Show the settings that count, and who changed what",
+		"",
+		cobra.NoArgs,
+		func(a *apiClient, _ []string) error {
+			var s dynamicconfig.View
+			if err := a.get("/settings", &s); err != nil {
+				return err
+			}
+			return a.show(s, func(w io.Writer) { settingsTable(w, s) })
+		},
+	)
 	var who string
 	apply := userCommand("apply FILE", "Have other settings count, on all controllers, without a restart",
 		"The file has the form of serve's --options. It is taken as a whole or not at all; what it does not name gets its default.",
@@ -166,6 +197,13 @@
 		fmt.Fprintln(w, "\nVERSION\tWHEN\tWHO\tWHAT")
 	}
 	for _, c := range s.Changes {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", c.Version, time.Unix(c.AppliedAt, 0).UTC().Format(time.DateTime), c.Author, strings.Join(c.Details, ", "))
+		fmt.Fprintf(
+			w,
+			"%d\t%s\t%s\t%s\n",
+			c.Version,
+			time.Unix(c.AppliedAt, 0).UTC().Format(time.DateTime),
+			c.Author,
+			strings.Join(c.Details, ", "),
+		)
 	}
 }
--- a/cmd/gullrudder/serve.go
+++ b/cmd/gullrudder/serve.go
@@ -9,20 +9,49 @@
 	"runtime"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/config"
 	"gullrudder/internal/controller"
 	"gullrudder/internal/wire/metrics"
+
+	"github.com/spf13/cobra"
 )
 
 // version is set by the release build.
 var version = "development"
 
 func root() *cobra.Command {
-	cmd := &cobra.Command{Use: "gullrudder", Short: "A cluster scheduler for deadline jobs",
-		SilenceUsage: true, SilenceErrors: true}
-	cmd.AddCommand(serveCommand(), checkCommand(), submitCommand(), showCommand(), cancelCommand(false), cancelCommand(true), explainCommand(), queueCommand(), accountCommand(), servedCommand(), zonesCommand(), settingsCommand(), statusCommand(), stateCommand(), upCommand(), downCommand(), drainCommand(), undrainCommand(), doctorCommand(), installCommand(), topCommand(), consoleCommand(), failuresCommand(), workerCommand(), poolCommand(), versionCommand())
+	cmd := &cobra.Command{
+		Use: "gullrudder", Short: "A cluster scheduler for deadline jobs",
+		SilenceUsage: true, SilenceErrors: true,
+	}
+	cmd.AddCommand(
+		serveCommand(),
+		checkCommand(),
+		submitCommand(),
+		showCommand(),
+		cancelCommand(false),
+		cancelCommand(true),
+		explainCommand(),
+		queueCommand(),
+		accountCommand(),
+		servedCommand(),
+		zonesCommand(),
+		settingsCommand(),
+		statusCommand(),
+		stateCommand(),
+		upCommand(),
+		downCommand(),
+		drainCommand(),
+		undrainCommand(),
+		doctorCommand(),
+		installCommand(),
+		topCommand(),
+		consoleCommand(),
+		failuresCommand(),
+		workerCommand(),
+		poolCommand(),
+		versionCommand(),
+	)
 	return cmd
 }
 
@@ -48,7 +77,8 @@
 
 func serveCommand() *cobra.Command {
 	var platform, operators, metricsAddress string
-	cmd := &cobra.Command{Use: "serve", Short: "Run a controller", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "serve", Short: "Run a controller", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			cfg, opt, err := load(platform, operators)
 			if err != nil {
@@ -74,7 +104,8 @@
 			log.Info("serving", "public", cfg.PublicAddr, "peers", cfg.PeerListenAddr)
 			controller.NewRuntime(n, cfg, log).Serve()
 			return nil
-		}}
+		},
+	}
 	settingsFlags(cmd, &platform, &operators)
 	cmd.Flags().StringVar(&metricsAddress, "metrics", "", "serve figures for Prometheus at this address; empty: nowhere")
 	return cmd
@@ -93,7 +124,8 @@
 
 func checkCommand() *cobra.Command {
 	var platform, operators string
-	cmd := &cobra.Command{Use: "check", Short: "Check the settings files", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "check", Short: "Check the settings files", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, _, err := load(platform, operators)
 			if err != nil {
@@ -104,15 +136,18 @@
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "ok: %s, %d other controllers, %d teams\n", cfg.Name, len(cfg.Peers), len(cfg.Teams))
 			return err
-		}}
+		},
+	}
 	settingsFlags(cmd, &platform, &operators)
 	return cmd
 }
 
 func versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
+	return &cobra.Command{
+		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			_, err := fmt.Fprintf(cmd.OutOrStdout(), "gullrudder %s (%s)\n", version, runtime.Version())
 			return err
-		}}
+		},
+	}
 }
--- a/cmd/gullrudder/served.go
+++ b/cmd/gullrudder/served.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"io"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/controller/api"
+
+	"github.com/spf13/cobra"
 )
 
 func servedCommand() *cobra.Command {
--- a/cmd/gullrudder/site.go
+++ b/cmd/gullrudder/site.go
@@ -13,15 +13,15 @@
 	"syscall"
 	"time"
 
-	"github.com/spf13/cobra"
-	"golang.org/x/sys/unix"
-
 	"gullrudder/internal/controller"
 	"gullrudder/internal/site/agent"
 	"gullrudder/internal/site/datadir"
 	"gullrudder/internal/site/machinepool"
 	"gullrudder/internal/site/supervisor"
 	"gullrudder/internal/wire/http1"
+
+	"github.com/spf13/cobra"
+	"golang.org/x/sys/unix"
 )
 
 // siteDir is the directory of a site on this machine.
@@ -43,7 +43,8 @@
 func upCommand() *cobra.Command {
 	var data string
 	var w datadir.Wishes
-	cmd := &cobra.Command{Use: "up", Short: "Run a whole site on this machine, in the foreground", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "up", Short: "Run a whole site on this machine, in the foreground", Args: cobra.NoArgs,
 		Long: "Run a whole site on this machine: state service, pool, controllers and a worker, each started again when it ends.\n" +
 			"The first run makes the directory; the flags besides --data count only then. SIGTERM or an interrupt ends it.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -52,7 +53,8 @@
 				return &failure{exitUnavailable, err}
 			}
 			return up(cmd.OutOrStdout(), h)
-		}}
+		},
+	}
 	dataFlag(cmd, &data)
 	cmd.Flags().Float64Var(&w.CPUs, "cpus", 0, "CPUs that tasks may take; 0: all")
 	cmd.Flags().Float64Var(&w.MemGB, "mem", 0, "memory that tasks may take, in GB; 0: all but one")
@@ -77,7 +79,8 @@
 	}
 	parts := []supervisor.Part{
 		{Name: "state", Args: []string{"state", "--data", h.Dir("state"), "--listen", h.State}},
-		{Name: "pool", Args: []string{"pool", "--data", h.Dir()}}}
+		{Name: "pool", Args: []string{"pool", "--data", h.Dir()}},
+	}
 	for i, n := range h.Controllers {
 		parts = append(parts, supervisor.Part{Name: n.Name, Args: []string{"serve", "--config", h.Controller(i), "--options", h.Options()}})
 	}
@@ -151,7 +154,8 @@
 
 func downCommand() *cobra.Command {
 	var data string
-	cmd := &cobra.Command{Use: "down", Short: "End the site on this machine; tasks that run start again with the next up", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "down", Short: "End the site on this machine; tasks that run start again with the next up", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			h, err := datadir.Open(siteDir(data))
 			if err != nil {
@@ -172,7 +176,8 @@
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "the site has ended")
 			return nil
-		}}
+		},
+	}
 	dataFlag(cmd, &data)
 	return cmd
 }
@@ -204,7 +209,10 @@
 					heard = time.Now()
 				}
 				if time.Since(heard) > workerGone {
-					return &failure{exitUnavailable, fmt.Errorf("the worker has not been heard for %v; the drain goes on (see gullrudder doctor)", workerGone)}
+					return &failure{
+						exitUnavailable,
+						fmt.Errorf("the worker has not been heard for %v; the drain goes on (see gullrudder doctor)", workerGone),
+					}
 				}
 				time.Sleep(500 * time.Millisecond)
 				if err := a.siteCall("GET", "/site", &o); err != nil {
@@ -239,18 +247,25 @@
 
 func poolCommand() *cobra.Command {
 	var data string
-	cmd := &cobra.Command{Use: "pool", Short: "Run a site's pool: its machines as a cloud, and the jobs' descriptions", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "pool", Short: "Run a site's pool: its machines as a cloud, and the jobs' descriptions", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			h, err := datadir.Open(siteDir(data))
 			if err != nil {
 				return &failure{2, err}
 			}
-			s, err := machinepool.NewService(h.Dir(), machinepool.Options{Zone: h.Zone, Price: h.Price}, h.KeepFreeMB<<20, logger(os.Stderr, logLevel()).With("part", "pool"))
+			s, err := machinepool.NewService(
+				h.Dir(),
+				machinepool.Options{Zone: h.Zone, Price: h.Price},
+				h.KeepFreeMB<<20,
+				logger(os.Stderr, logLevel()).With("part", "pool"),
+			)
 			if err != nil {
 				return &failure{exitUnavailable, err}
 			}
 			return &failure{exitUnavailable, s.Serve(h.Pool)}
-		}}
+		},
+	}
 	dataFlag(cmd, &data)
 	return cmd
 }
@@ -265,7 +280,8 @@
 
 func workerCommand() *cobra.Command {
 	var data string
-	cmd := &cobra.Command{Use: "worker", Short: "Run a site's worker: it runs the tasks", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "worker", Short: "Run a site's worker: it runs the tasks", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			h, err := datadir.Open(siteDir(data))
 			if err != nil {
@@ -281,8 +297,10 @@
 				controllers[n.Name] = n.Public
 			}
 			report, lease := h.Spans()
-			r, err := agent.NewRuntime(agent.Options{Addr: h.Worker, Type: fmt.Sprintf("own-%g-%g", h.CPUs, h.MemGB), Zone: h.Zone, CPUs: h.CPUs, MemGB: h.MemGB,
-				Controllers: controllers, Report: report, Lease: lease},
+			r, err := agent.NewRuntime(agent.Options{
+				Addr: h.Worker, Type: fmt.Sprintf("own-%g-%g", h.CPUs, h.MemGB), Zone: h.Zone, CPUs: h.CPUs, MemGB: h.MemGB,
+				Controllers: controllers, Report: report, Lease: lease,
+			},
 				agent.Place{Dir: h.Dir("worker"), Name: "worker", Pool: h.Pool, As: as, Free: h.KeepFreeMB << 20}, log)
 			if err != nil {
 				return &failure{exitUnavailable, err}
@@ -299,7 +317,8 @@
 				r.Close()
 				return &failure{exitUnavailable, err}
 			}
-		}}
+		},
+	}
 	dataFlag(cmd, &data)
 	return cmd
 }
@@ -311,7 +330,8 @@
 
 func doctorCommand() *cobra.Command {
 	var data string
-	cmd := &cobra.Command{Use: "doctor", Short: "Check the site on this machine, and say what to do", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "doctor", Short: "Check the site on this machine, and say what to do", Args: cobra.NoArgs,
 		Long: "Check the site on this machine, and say what to do. Exit code 1 if anything is wrong.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			wrong := 0
@@ -330,7 +350,8 @@
 				return &failure{exitRefused, fmt.Errorf("%d things are wrong", wrong)}
 			}
 			return nil
-		}}
+		},
+	}
 	dataFlag(cmd, &data)
 	return cmd
 }
@@ -393,7 +414,10 @@
 
 func installCommand() *cobra.Command {
 	var data string
-	cmd := &cobra.Command{Use: "install FILE", Short: "Write a service unit that runs the site, to the file that is named and nothing else", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{
+		Use:   "install FILE",
+		Short: "Write a service unit that runs the site, to the file that is named and nothing else",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			program, err := os.Executable()
 			if err != nil {
@@ -410,7 +434,8 @@
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "written: %s\n", args[0])
 			return nil
-		}}
+		},
+	}
 	dataFlag(cmd, &data)
 	return cmd
 }
--- a/cmd/gullrudder/state.go
+++ b/cmd/gullrudder/state.go
@@ -8,10 +8,10 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/config"
 	"gullrudder/internal/site/kvserver"
+
+	"github.com/spf13/cobra"
 )
 
 // exitDamaged ends a state service whose directory cannot be trusted.
@@ -19,7 +19,8 @@
 
 func stateCommand() *cobra.Command {
 	var data, listen, operators, metrics string
-	cmd := &cobra.Command{Use: "state", Short: "Run a state service", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "state", Short: "Run a state service", Args: cobra.NoArgs,
 		Long: "Run a state service for controllers: keys, guarded commits, leases and watches, kept in a directory.\n" +
 			"Exit codes: 2 wrong usage or settings, 4 the directory is damaged or taken.",
 		RunE: func(*cobra.Command, []string) error {
@@ -49,7 +50,8 @@
 			}
 			go func() { ends <- kvserver.NewServer(state, disk, opt, watch, log).Serve(listen) }()
 			return &failure{exitUnavailable, <-ends}
-		}}
+		},
+	}
 	cmd.Flags().StringVar(&data, "data", "", "the directory that the store is kept in")
 	cmd.Flags().StringVar(&listen, "listen", "", "address of the service, host:port")
 	cmd.Flags().StringVar(&operators, "options", "", "the operators' settings of the store (XML)")
@@ -61,7 +63,8 @@
 func stateInspectCommand() *cobra.Command {
 	var output string
 	var keys bool
-	cmd := &cobra.Command{Use: "inspect DIR", Short: "Show what a store's directory holds, and what is damaged", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{
+		Use: "inspect DIR", Short: "Show what a store's directory holds, and what is damaged", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			a := apiClient{output: output, out: cmd.OutOrStdout()}
 			if output != "table" && output != "json" {
@@ -87,7 +90,8 @@
 				return &failure{exitDamaged, err}
 			}
 			return nil
-		}}
+		},
+	}
 	cmd.Flags().StringVar(&output, "output", "table", "table or json")
 	cmd.Flags().BoolVar(&keys, "keys", false, "list the keys too")
 	return cmd
@@ -126,7 +130,8 @@
 }
 
 func stateBackupCommand() *cobra.Command {
-	return &cobra.Command{Use: "backup DIR FILE", Short: "Write what a store's directory holds to a file", Args: cobra.ExactArgs(2),
+	return &cobra.Command{
+		Use: "backup DIR FILE", Short: "Write what a store's directory holds to a file", Args: cobra.ExactArgs(2),
 		Long: "Write what a store's directory holds to a file, which appears only once it is whole. The service may run.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			report, err := kvserver.Backup(args[0], args[1])
@@ -135,11 +140,13 @@
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "revision %d, %d keys\n", report.Revision, report.Keys)
 			return err
-		}}
+		},
+	}
 }
 
 func stateRestoreCommand() *cobra.Command {
-	return &cobra.Command{Use: "restore FILE DIR", Short: "Make a store's directory of a backup", Args: cobra.ExactArgs(2),
+	return &cobra.Command{
+		Use: "restore FILE DIR", Short: "Make a store's directory of a backup", Args: cobra.ExactArgs(2),
 		Long: "Make a store's directory of a backup. The directory must hold nothing. Revisions go on far above the backup's,\n" +
 			"so that no token is given out twice.",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -149,5 +156,6 @@
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "revision %d, %d keys\n", report.Revision, report.Keys)
 			return err
-		}}
+		},
+	}
 }
--- a/cmd/gullrudder/submit.go
+++ b/cmd/gullrudder/submit.go
@@ -9,10 +9,10 @@
 	"strconv"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/site/datadir"
 	"gullrudder/internal/wire/codec"
+
+	"github.com/spf13/cobra"
 )
 
 // jobFlags are a job's, for those who write no job file.
@@ -53,7 +53,12 @@
 	cmd.Flags().DurationVar(&f.estimate, "estimate", time.Minute, "about how long a task runs")
 	cmd.Flags().DurationVar(&f.save, "save", 0, "what a task needs to save when it is told to stop (SIGTERM); 0: it cannot")
 	cmd.Flags().StringToStringVar(&f.env, "env", nil, "variables of the tasks' environment, NAME=value")
-	cmd.Flags().StringSliceVar(&f.after, "after", nil, "jobs that have to be done before any task of this one starts; if one is cancelled, so is this one")
+	cmd.Flags().StringSliceVar(
+		&f.after,
+		"after",
+		nil,
+		"jobs that have to be done before any task of this one starts; if one is cancelled, so is this one",
+	)
 	cmd.Flags().BoolVar(&f.wait, "wait", false, "wait until the job is over")
 	// What stands after the first word is the command's own: its flags are not ours.
 	cmd.Flags().SetInterspersed(false)
@@ -70,10 +75,33 @@
 	if id == "" {
 		id = "job-" + strconv.FormatInt(time.Now().UnixNano(), 10)
 	}
-	fields := map[string]any{"id": id, "berth": f.class, "crew": f.team, "rig": "array", "heading": f.priority, "strokes": f.tasks,
-		"cpus": f.cpus, "cards": 0.0, "mem_gb": f.mem, "hull": "none", "image_gb": 0.0, "keels": nil, "harbour": nil, "one_zone": false, "spread": false,
-		"driftwood": false, "voyage_s": max(f.estimate, time.Second).Seconds(), "mooring_s": 0.0, "tieup_s": f.save.Seconds(), "landfall_s": nil,
-		"command": args, "env": f.env, "workdir": f.dir, "retries": f.retries, "save_s": f.save.Seconds()}
+	fields := map[string]any{
+		"id":         id,
+		"berth":      f.class,
+		"crew":       f.team,
+		"rig":        "array",
+		"heading":    f.priority,
+		"strokes":    f.tasks,
+		"cpus":       f.cpus,
+		"cards":      0.0,
+		"mem_gb":     f.mem,
+		"hull":       "none",
+		"image_gb":   0.0,
+		"keels":      nil,
+		"harbour":    nil,
+		"one_zone":   false,
+		"spread":     false,
+		"driftwood":  false,
+		"voyage_s":   max(f.estimate, time.Second).Seconds(),
+		"mooring_s":  0.0,
+		"tieup_s":    f.save.Seconds(),
+		"landfall_s": nil,
+		"command":    args,
+		"env":        f.env,
+		"workdir":    f.dir,
+		"retries":    f.retries,
+		"save_s":     f.save.Seconds(),
+	}
 	if f.save > 0 {
 		fields["mooring_s"] = f.estimate.Seconds()
 	}
--- a/cmd/gullrudder/zones.go
+++ b/cmd/gullrudder/zones.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"io"
 
-	"github.com/spf13/cobra"
-
 	"gullrudder/internal/controller/api"
+
+	"github.com/spf13/cobra"
 )
 
 func zonesCommand() *cobra.Command {
@@ -21,7 +21,17 @@
 			return a.show(list, func(w io.Writer) {
 				fmt.Fprintln(w, "ZONE\tSTATE\tFOR\tHEARD\tMACHINES\tOVERDUE\tCUTS")
 				for _, z := range list.Zones {
-					fmt.Fprintf(w, "%s\t%s\t%.0f s\t%.1f s ago\t%d\t%d\t%d\n", z.Name, z.State, z.StateSeconds, z.LastHeartbeatSeconds, z.Machines, z.Overdue, z.Outages)
+					fmt.Fprintf(
+						w,
+						"%s\t%s\t%.0f s\t%.1f s ago\t%d\t%d\t%d\n",
+						z.Name,
+						z.State,
+						z.StateSeconds,
+						z.LastHeartbeatSeconds,
+						z.Machines,
+						z.Overdue,
+						z.Outages,
+					)
 				}
 			})
 		})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -173,7 +173,13 @@
 	}
 	// What is written from now on keeps to the lower of the limits that are and those that are to come without notice.
 	next := cluster.State.Next
-	platform.StateRequestRate, platform.StateWriteRate = lowerLimit(platform.StateRequestRate, next.RPS), lowerLimit(platform.StateWriteRate, next.WriteRPS)
+	platform.StateRequestRate, platform.StateWriteRate = lowerLimit(
+		platform.StateRequestRate,
+		next.RPS,
+	), lowerLimit(
+		platform.StateWriteRate,
+		next.WriteRPS,
+	)
 	platform.MaxValueBytes = int(lowerLimit(float64(platform.MaxValueBytes), next.ValueKB*1024))
 	platform.MaxTransactionOps = int(lowerLimit(float64(platform.MaxTransactionOps), float64(next.TxnOps)))
 	for _, item := range file.Others {
@@ -183,7 +189,10 @@
 		platform.Teams = append(platform.Teams, Team{team.Name, team.CPUs, team.CPUsMax, team.GPUs, team.GPUsMax})
 	}
 	for _, item := range cluster.Objectives {
-		platform.Objectives = append(platform.Objectives, Objective{item.Kind, item.Class, DurationFromSeconds(item.WithinS), item.Share, item.Times})
+		platform.Objectives = append(
+			platform.Objectives,
+			Objective{item.Kind, item.Class, DurationFromSeconds(item.WithinS), item.Share, item.Times},
+		)
 	}
 	return platform, platform.validate()
 }
@@ -197,8 +206,10 @@
 		}
 	}
 	addrs := []struct{ name, value string }{
-		{"public_addr", p.PublicAddr}, {"peer_bind", p.PeerListenAddr},
-		{"outside.cloud", p.CloudAddr}, {"outside.state", p.StateAddr},
+		{"public_addr", p.PublicAddr},
+		{"peer_bind", p.PeerListenAddr},
+		{"outside.cloud", p.CloudAddr},
+		{"outside.state", p.StateAddr},
 	}
 	for i, peer := range p.Peers {
 		if peer.Name == "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -36,7 +36,8 @@
 
 func TestParseOptions(t *testing.T) {
 	options, err := ParseOptions([]byte("<gullrudder>\n <!-- ours -->\n <term>30</term>\n <age-bound>5m</age-bound>\n</gullrudder>"))
-	if err != nil || options.PlanningInterval != 30*time.Second || options.AgeBound != 5*time.Minute || options.IdleTimeout != DefaultOptions().IdleTimeout {
+	if err != nil || options.PlanningInterval != 30*time.Second || options.AgeBound != 5*time.Minute ||
+		options.IdleTimeout != DefaultOptions().IdleTimeout {
 		t.Fatalf("%+v, %v", options, err)
 	}
 	for text, line := range map[string]string{
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -73,7 +73,12 @@
 }
 
 func durationField(low, high time.Duration, target *time.Duration) optionField {
-	return optionField{low.Seconds(), high.Seconds(), func() float64 { return target.Seconds() }, func(v float64) { *target = DurationFromSeconds(v) }}
+	return optionField{
+		low.Seconds(),
+		high.Seconds(),
+		func() float64 { return target.Seconds() },
+		func(v float64) { *target = DurationFromSeconds(v) },
+	}
 }
 
 func numberField(low, high float64, target *float64) optionField {
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -21,8 +21,10 @@
 
 // DefaultKVServer is used where the file says nothing.
 func DefaultKVServer() KVServer {
-	return KVServer{MaxValueBytes: 64 << 10, MaxTransactionOps: 128, MaxConnections: 1024, MaxWatches: 4096,
-		SnapshotMinLogBytes: 1 << 20, SnapshotLogRatio: 0.5, DiskRetryInterval: time.Second}
+	return KVServer{
+		MaxValueBytes: 64 << 10, MaxTransactionOps: 128, MaxConnections: 1024, MaxWatches: 4096,
+		SnapshotMinLogBytes: 1 << 20, SnapshotLogRatio: 0.5, DiskRetryInterval: time.Second,
+	}
 }
 
 // LoadKVServer reads the operators' file of a state service; no path means the defaults.
@@ -42,13 +44,18 @@
 func ParseKVServer(raw []byte) (KVServer, error) {
 	s := DefaultKVServer()
 	err := parseElements(raw, "state", map[string]optionField{
-		"rps":            numberField(0, 1e6, &s.RequestRate),
-		"write-rps":      numberField(0, 1e6, &s.WriteRate),
-		"value-kb":       {1, 64, func() float64 { return float64(s.MaxValueBytes) / 1024 }, func(v float64) { s.MaxValueBytes = int(v * 1024) }},
-		"txn-ops":        countField(1, 1000, &s.MaxTransactionOps),
-		"connections":    countField(4, 10_000, &s.MaxConnections),
-		"watches":        countField(1, 100_000, &s.MaxWatches),
-		"snapshot-kb":    {1, 1 << 20, func() float64 { return float64(s.SnapshotMinLogBytes) / 1024 }, func(v float64) { s.SnapshotMinLogBytes = int64(v * 1024) }},
+		"rps":         numberField(0, 1e6, &s.RequestRate),
+		"write-rps":   numberField(0, 1e6, &s.WriteRate),
+		"value-kb":    {1, 64, func() float64 { return float64(s.MaxValueBytes) / 1024 }, func(v float64) { s.MaxValueBytes = int(v * 1024) }},
+		"txn-ops":     countField(1, 1000, &s.MaxTransactionOps),
+		"connections": countField(4, 10_000, &s.MaxConnections),
+		"watches":     countField(1, 100_000, &s.MaxWatches),
+		"snapshot-kb": {
+			1,
+			1 << 20,
+			func() float64 { return float64(s.SnapshotMinLogBytes) / 1024 },
+			func(v float64) { s.SnapshotMinLogBytes = int64(v * 1024) },
+		},
 		"snapshot-share": numberField(0, 100, &s.SnapshotLogRatio),
 		"retry-after":    durationField(10*time.Millisecond, time.Minute, &s.DiskRetryInterval),
 	})
--- a/internal/console/model.go
+++ b/internal/console/model.go
@@ -33,12 +33,14 @@
 	return &Model{site: site, every: every, width: 80, height: 24}
 }
 
-type looked Snapshot
-type timePassed struct{}
-type acted struct {
-	what string
-	err  error
-}
+type (
+	looked     Snapshot
+	timePassed struct{}
+	acted      struct {
+		what string
+		err  error
+	}
+)
 
 // Init looks for the first time.
 func (m *Model) Init() tea.Cmd { return m.look() }
--- a/internal/console/model_test.go
+++ b/internal/console/model_test.go
@@ -7,13 +7,13 @@
 	"time"
 	"unicode/utf8"
 
-	tea "github.com/charmbracelet/bubbletea"
-	"github.com/google/go-cmp/cmp"
-
 	"gullrudder/internal/controller"
 	"gullrudder/internal/controller/api"
 	"gullrudder/internal/site/machinepool"
 	"gullrudder/internal/testseed"
+
+	tea "github.com/charmbracelet/bubbletea"
+	"github.com/google/go-cmp/cmp"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
@@ -40,11 +40,22 @@
 
 func newDesk() *desk {
 	at := time.Date(2026, 12, 1, 20, 30, 0, 0, time.UTC)
-	return &desk{snap: Snapshot{At: at, Status: controller.Status{Leader: "controller-1", StateServiceHealthy: true, Jobs: 2, WaitingTasks: 38, PlacedTasks: 4},
-		Queue: api.Queue{Total: 2, Jobs: []api.QueuedJob{{ID: "job-17", Class: "ledger", WaitingTasks: 36, RunningTasks: 4, DoneTasks: 2, AgeSeconds: 65, FirstStartBoundSeconds: 559},
-			{ID: "job-18", Class: "tender", WaitingTasks: 2, AgeSeconds: 3, FirstStartBoundSeconds: 600}}},
-		Site:     machinepool.Overview{Rented: 1, Busy: 4, Workers: []machinepool.WorkerView{{Name: "worker", Machine: "vm-000001", CPUs: 8, MemGB: 22, Busy: 4, FreeMB: 80606}}},
-		Failures: []machinepool.Failure{{Task: "job-16/3", Exit: 3, Reason: "exit status 3", Tail: "line one\n\x1b[2Joops\n", Finished: at.Add(-time.Minute)}}}}
+	return &desk{snap: Snapshot{
+		At:     at,
+		Status: controller.Status{Leader: "controller-1", StateServiceHealthy: true, Jobs: 2, WaitingTasks: 38, PlacedTasks: 4},
+		Queue: api.Queue{Total: 2, Jobs: []api.QueuedJob{
+			{ID: "job-17", Class: "ledger", WaitingTasks: 36, RunningTasks: 4, DoneTasks: 2, AgeSeconds: 65, FirstStartBoundSeconds: 559},
+			{ID: "job-18", Class: "tender", WaitingTasks: 2, AgeSeconds: 3, FirstStartBoundSeconds: 600},
+		}},
+		Site: machinepool.Overview{
+			Rented:  1,
+			Busy:    4,
+			Workers: []machinepool.WorkerView{{Name: "worker", Machine: "vm-000001", CPUs: 8, MemGB: 22, Busy: 4, FreeMB: 80606}},
+		},
+		Failures: []machinepool.Failure{
+			{Task: "job-16/3", Exit: 3, Reason: "exit status 3", Tail: "line one\n\x1b[2Joops\n", Finished: at.Add(-time.Minute)},
+		},
+	}}
 }
 
 // press works through keys, and everything that comes of them but the passing of time.
@@ -74,20 +85,26 @@
 // The screens as text, as a terminal of 80 by 24 shows them.
 func TestScreens(t *testing.T) {
 	for key, want := range map[string][]string{
-		"1": {"gullrudder  leader controller-1, state service ok   2 jobs, 38 tasks wait, 4 run",
+		"1": {
+			"gullrudder  leader controller-1, state service ok   2 jobs, 38 tasks wait, 4 run",
 			"1 [jobs]  2 workers  3 failures  ? help  q leave", "",
 			"  JOB                        CLASS        WAIT    RUN   DONE      AGE  FIRST STA",
 			"> job-17                     ledger         36      4      2     1m5s  9m19s",
-			"  job-18                     tender          2      0      0       3s  10m0s"},
-		"2": {"gullrudder  leader controller-1, state service ok   2 jobs, 38 tasks wait, 4 run",
+			"  job-18                     tender          2      0      0       3s  10m0s",
+		},
+		"2": {
+			"gullrudder  leader controller-1, state service ok   2 jobs, 38 tasks wait, 4 run",
 			"1 jobs  2 [workers]  3 failures  ? help  q leave", "",
 			"  WORKER               MACHINE          CPUS       GB  TASKS    FREE MB  HEARD",
-			"> worker               vm-000001           8       22      4      80606  now"},
-		"3": {"gullrudder  leader controller-1, state service ok   2 jobs, 38 tasks wait, 4 run",
+			"> worker               vm-000001           8       22      4      80606  now",
+		},
+		"3": {
+			"gullrudder  leader controller-1, state service ok   2 jobs, 38 tasks wait, 4 run",
 			"1 jobs  2 workers  3 [failures]  ? help  q leave", "",
 			"  TASK                              EXIT  WHEN                 REASON",
 			"> job-16/3                             3  2026-12-01 20:29:00  exit status 3", "",
-			"end of the error output of job-16/3:", "line one", "?[2Joops"},
+			"end of the error output of job-16/3:", "line one", "?[2Joops",
+		},
 	} {
 		m := New(newDesk(), time.Hour)
 		press(m, key)
--- a/internal/console/view.go
+++ b/internal/console/view.go
@@ -44,7 +44,19 @@
 	case Jobs:
 		head = fmt.Sprintf("%-26s %-10s %6s %6s %6s %8s  %s", "JOB", "CLASS", "WAIT", "RUN", "DONE", "AGE", "FIRST START BY")
 		for _, j := range s.Queue.Jobs {
-			lines = append(lines, fmt.Sprintf("%-26s %-10s %6d %6d %6d %8s  %s", clip(j.ID, 26), clip(j.Class, 10), j.WaitingTasks, j.RunningTasks, j.DoneTasks, span(j.AgeSeconds), span(j.FirstStartBoundSeconds)))
+			lines = append(
+				lines,
+				fmt.Sprintf(
+					"%-26s %-10s %6d %6d %6d %8s  %s",
+					clip(j.ID, 26),
+					clip(j.Class, 10),
+					j.WaitingTasks,
+					j.RunningTasks,
+					j.DoneTasks,
+					span(j.AgeSeconds),
+					span(j.FirstStartBoundSeconds),
+				),
+			)
 			ids = append(ids, j.ID)
 		}
 		if more := s.Queue.Total - len(s.Queue.Jobs); more > 0 {
@@ -60,7 +72,10 @@
 			if w.Silent > 5 {
 				heard = span(w.Silent) + " ago"
 			}
-			lines = append(lines, fmt.Sprintf("%-20s %-12s %8g %8g %6d %10d  %s", clip(w.Name, 20), orDash(w.Machine), w.CPUs, w.MemGB, w.Busy, w.FreeMB, heard))
+			lines = append(
+				lines,
+				fmt.Sprintf("%-20s %-12s %8g %8g %6d %10d  %s", clip(w.Name, 20), orDash(w.Machine), w.CPUs, w.MemGB, w.Busy, w.FreeMB, heard),
+			)
 			ids = append(ids, w.Name)
 		}
 		if len(lines) == 0 {
@@ -69,20 +84,25 @@
 	case Failures:
 		head = fmt.Sprintf("%-32s %5s  %-20s %s", "TASK", "EXIT", "WHEN", "REASON")
 		for _, f := range s.Failures {
-			lines = append(lines, fmt.Sprintf("%-32s %5d  %-20s %s", clip(f.Task, 32), f.Exit, f.Finished.UTC().Format(time.DateTime), clip(f.Reason, 20)))
+			lines = append(
+				lines,
+				fmt.Sprintf("%-32s %5d  %-20s %s", clip(f.Task, 32), f.Exit, f.Finished.UTC().Format(time.DateTime), clip(f.Reason, 20)),
+			)
 			ids = append(ids, f.Task)
 		}
 		if len(lines) == 0 {
 			lines = []string{"no task has failed"}
 		}
 	case Help:
-		lines = []string{"1  jobs          2  workers       3  failures      ?  this page",
+		lines = []string{
+			"1  jobs          2  workers       3  failures      ?  this page",
 			"j, down: next row          k, up: the row before",
 			"c  cancel the job of the row (asks first)",
 			"d  drain the site: nothing more starts, what runs goes on (asks first)",
 			"u  use the site again",
 			"r  look again now          q  leave; everything goes on without the console", "",
-			"On the failures screen the end of the row's error output stands below the list."}
+			"On the failures screen the end of the row's error output stands below the list.",
+		}
 	}
 	return head, lines, ids
 }
@@ -96,8 +116,17 @@
 	if leader == "-" {
 		state = "NO LEADER"
 	}
-	lines := []string{fmt.Sprintf("gullrudder  leader %s, %s   %d jobs, %d tasks wait, %d run   %s", leader, state, s.Status.Jobs, s.Status.WaitingTasks, s.Status.PlacedTasks,
-		s.At.UTC().Format("15:04:05"))}
+	lines := []string{
+		fmt.Sprintf(
+			"gullrudder  leader %s, %s   %d jobs, %d tasks wait, %d run   %s",
+			leader,
+			state,
+			s.Status.Jobs,
+			s.Status.WaitingTasks,
+			s.Status.PlacedTasks,
+			s.At.UTC().Format("15:04:05"),
+		),
+	}
 	switch {
 	case s.Site.Draining && s.Site.Rented > 0:
 		lines = append(lines, fmt.Sprintf("DRAINING: %d tasks run still; nothing more starts until undrain", s.Site.Busy))
@@ -105,7 +134,10 @@
 		lines = append(lines, "DRAINED: nothing runs; nothing starts until undrain")
 	}
 	if s.KeepMB > 0 && s.FreeMB < s.KeepMB {
-		lines = append(lines, fmt.Sprintf("DISK: %d MB free, below %d MB nothing is accepted: delete old outputs (gullrudder doctor)", s.FreeMB, s.KeepMB))
+		lines = append(
+			lines,
+			fmt.Sprintf("DISK: %d MB free, below %d MB nothing is accepted: delete old outputs (gullrudder doctor)", s.FreeMB, s.KeepMB),
+		)
 	}
 	for _, p := range s.Problems {
 		lines = append(lines, "PROBLEM: "+p)
--- a/internal/controller/accounting/look.go
+++ b/internal/controller/accounting/look.go
@@ -48,7 +48,12 @@
 }
 
 func newSample(v ClusterState) *sample {
-	s := &sample{ClusterState: v, upMachines: v.Workers.ReportingMachines(), byShape: map[resourceShape]availability{}, cpusAhead: map[*jobs.Job]float64{}}
+	s := &sample{
+		ClusterState: v,
+		upMachines:   v.Workers.ReportingMachines(),
+		byShape:      map[resourceShape]availability{},
+		cpusAhead:    map[*jobs.Job]float64{},
+	}
 	for _, m := range s.upMachines {
 		switch {
 		case m.DrainReason != worker.NotDraining:
--- a/internal/controller/accounting/metrics.go
+++ b/internal/controller/accounting/metrics.go
@@ -1,9 +1,9 @@
 package accounting
 
 import (
-	"github.com/prometheus/client_golang/prometheus"
-
 	"gullrudder/internal/controller/jobs"
+
+	"github.com/prometheus/client_golang/prometheus"
 )
 
 // Metrics are the accounts of ended jobs as counters, over all leaderships of a controller.
@@ -16,13 +16,19 @@
 // NewMetrics makes the counters and registers them.
 func NewMetrics(registry *prometheus.Registry) *Metrics {
 	m := &Metrics{
-		jobSeconds: prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "gullrudder", Name: "job_seconds_total",
-			Help: "Time from submission to the final state of jobs that ended while this controller led, by what kept them."},
+		jobSeconds: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Namespace: "gullrudder", Name: "job_seconds_total",
+			Help: "Time from submission to the final state of jobs that ended while this controller led, by what kept them.",
+		},
 			[]string{"team", "class", "cause"}),
-		jobsEnded: prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "gullrudder", Name: "jobs_ended_total",
-			Help: "Jobs that ended while this controller led."}, []string{"team", "class", "state"}),
-		openJobs: prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "gullrudder", Name: "jobs_open",
-			Help: "Jobs that are not finished, as the leader knows them."}),
+		jobsEnded: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Namespace: "gullrudder", Name: "jobs_ended_total",
+			Help: "Jobs that ended while this controller led.",
+		}, []string{"team", "class", "state"}),
+		openJobs: prometheus.NewGauge(prometheus.GaugeOpts{
+			Namespace: "gullrudder", Name: "jobs_open",
+			Help: "Jobs that are not finished, as the leader knows them.",
+		}),
 	}
 	registry.MustRegister(m.jobSeconds, m.jobsEnded, m.openJobs)
 	return m
--- a/internal/controller/accounting/timeline.go
+++ b/internal/controller/accounting/timeline.go
@@ -47,10 +47,12 @@
 
 // String is the cause as it is shown.
 func (c WaitReason) String() string {
-	return [WaitReasonCount]string{"not accepted yet", "no acting leader", "state service away", "no machine of its kind rented", "machines boot",
+	return [WaitReasonCount]string{
+		"not accepted yet", "no acting leader", "state service away", "no machine of its kind rented", "machines boot",
 		"team's limit", "room held for others", "behind others in the order", "waits for a report", "image", "running",
 		"attempt lost with its machine", "attempt failed or refused", "stopped for other work", "result not durable",
-		"under an earlier leader", "fails wherever it is tried", "waits for other jobs"}[c]
+		"under an earlier leader", "fails wherever it is tried", "waits for other jobs",
+	}[c]
 }
 
 // Breakdown is the time that was counted to each cause, in whole milliseconds.
@@ -124,7 +126,13 @@
 
 // New makes the log of a new leadership.
 func New(metrics *Metrics, log *slog.Logger) *Tracker {
-	return &Tracker{logger: log, metrics: metrics, accounts: map[*jobs.Job]*account{}, totals: map[groupKey]*GroupTotal{}, slotByJob: map[string]int{}}
+	return &Tracker{
+		logger:    log,
+		metrics:   metrics,
+		accounts:  map[*jobs.Job]*account{},
+		totals:    map[groupKey]*GroupTotal{},
+		slotByJob: map[string]int{},
+	}
 }
 
 // Open opens the account of a job that was just submitted.
--- a/internal/controller/accounting/timeline_test.go
+++ b/internal/controller/accounting/timeline_test.go
@@ -6,9 +6,6 @@
 	"testing"
 	"time"
 
-	"github.com/prometheus/client_golang/prometheus"
-	"pgregory.net/rapid"
-
 	"gullrudder/internal/config"
 	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/cloud"
@@ -16,6 +13,9 @@
 	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/testseed"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"pgregory.net/rapid"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
@@ -44,22 +44,37 @@
 
 func newSite() *site {
 	log := slog.New(slog.DiscardHandler)
-	r := &site{now: time.Unix(10_000, 0), ClusterState: ClusterState{FailoverCompleted: true, StorageHealthy: true, Teams: map[string]config.Team{"t": {Name: "t", CPULimit: 100}},
-		Workers: worker.NewRegistry(time.Minute, log), Cloud: cloud.New(1, 2, time.Second, log)}}
+	r := &site{now: time.Unix(10_000, 0), ClusterState: ClusterState{
+		FailoverCompleted: true, StorageHealthy: true, Teams: map[string]config.Team{"t": {Name: "t", CPULimit: 100}},
+		Workers: worker.NewRegistry(time.Minute, log), Cloud: cloud.New(1, 2, time.Second, log),
+	}}
 	r.Cloud.MachineTypes = map[string]*cloud.MachineType{"small": {Name: "small", CPUs: 2, MemoryGB: 8, Zones: []string{"a"}}}
 	return r
 }
 
 func (r *site) machine(i int) *worker.Machine {
 	m := r.Workers.GetOrAdd(fmt.Sprintf("vm-%d", i))
-	r.Workers.Reconcile(r.now, m, &worker.Heartbeat{Machine: m.ID, Type: "small", Zone: "a", Incarnation: 1, Sequence: m.Sequence + 1}, true, func(string) *jobs.Job { return nil })
+	r.Workers.Reconcile(
+		r.now,
+		m,
+		&worker.Heartbeat{Machine: m.ID, Type: "small", Zone: "a", Incarnation: 1, Sequence: m.Sequence + 1},
+		true,
+		func(string) *jobs.Job { return nil },
+	)
 	r.Workers.SetCapacity(m, placement.TypeResources(r.Cloud.MachineTypes["small"]), 0, 0)
 	return m
 }
 
 func (r *site) start(m *worker.Machine, j *jobs.Job) *jobs.Attempt {
 	t := j.TakeNextTask()
-	a := &jobs.Attempt{Task: jobs.TaskID{JobID: j.ID, Index: t}, Number: uint64(t + 1), MachineID: m.ID, Zone: m.Zone, Job: j, AssignedAt: r.now}
+	a := &jobs.Attempt{
+		Task:       jobs.TaskID{JobID: j.ID, Index: t},
+		Number:     uint64(t + 1),
+		MachineID:  m.ID,
+		Zone:       m.Zone,
+		Job:        j,
+		AssignedAt: r.now,
+	}
 	r.Workers.Assign(m, a)
 	return a
 }
@@ -131,11 +146,17 @@
 		for _, m := range f.GetMetric() {
 			sum += m.GetCounter().GetValue()
 		}
-		if f.GetName() == "gullrudder_job_seconds_total" && int64(sum*1000+0.5) != want.Total() || f.GetName() == "gullrudder_jobs_ended_total" && sum != 1 {
+		if f.GetName() == "gullrudder_job_seconds_total" && int64(sum*1000+0.5) != want.Total() ||
+			f.GetName() == "gullrudder_jobs_ended_total" && sum != 1 {
 			t.Errorf("%s sums to %g", f.GetName(), sum)
 		}
 	}
-	if all := l.Totals("t", "", time.Time{}); len(all) != 1 || all[0].JobCount != 1 || all[0].Breakdown != want || len(l.Totals("t", "x", time.Time{})) > 0 {
+	if all := l.Totals(
+		"t",
+		"",
+		time.Time{},
+	); len(all) != 1 || all[0].JobCount != 1 || all[0].Breakdown != want ||
+		len(l.Totals("t", "x", time.Time{})) > 0 {
 		t.Errorf("%+v", all)
 	}
 }
--- a/internal/controller/admission/plan.go
+++ b/internal/controller/admission/plan.go
@@ -39,9 +39,11 @@
 
 // New makes a planner.
 func New(options config.Options, platform *config.Platform) *Planner {
-	planner := &Planner{options: options, teams: platform.TeamsByName(), startObjectives: map[string][]time.Duration{},
+	planner := &Planner{
+		options: options, teams: platform.TeamsByName(), startObjectives: map[string][]time.Duration{},
 		finishObjectives: map[string][]time.Duration{}, runTimes: map[string]*classRunTimes{},
-		fairShare: fairshare.New(fairSharePolicy(options))}
+		fairShare: fairshare.New(fairSharePolicy(options)),
+	}
 	for _, objective := range platform.Objectives {
 		switch objective.Kind {
 		case "wait":
@@ -67,7 +69,12 @@
 }
 
 func fairSharePolicy(options config.Options) fairshare.Policy {
-	return fairshare.Policy{Window: options.FairShareWindow, MinServedShare: options.MinServedShare, CatchUpCPUShare: options.FairShareCapacity, OverdueCPUShare: options.OverdueShare}
+	return fairshare.Policy{
+		Window:          options.FairShareWindow,
+		MinServedShare:  options.MinServedShare,
+		CatchUpCPUShare: options.FairShareCapacity,
+		OverdueCPUShare: options.OverdueShare,
+	}
 }
 
 // FairShare is what is known of how each class and team was served.
@@ -197,7 +204,14 @@
 // deadline beside what is held for the guaranteed jobs, and its team stays within its
 // share of the fleet. before is how long the jobs take at least that it needs, by the longest way through them, and needs are
 // these jobs: their terms have to fit as well, before the last of their own.
-func (p *Planner) Admit(now time.Time, job *jobs.Job, live []*jobs.Job, capacity Capacity, dependencyRunTime time.Duration, dependencies []*jobs.Job) bool {
+func (p *Planner) Admit(
+	now time.Time,
+	job *jobs.Job,
+	live []*jobs.Job,
+	capacity Capacity,
+	dependencyRunTime time.Duration,
+	dependencies []*jobs.Job,
+) bool {
 	cpus := float64(job.Tasks) * job.CPUs
 	share := cpus
 	recent := p.recentSubmissions[:0]
@@ -247,7 +261,12 @@
 		}
 		return guaranteed[a].ID < guaranteed[b].ID
 	})
-	plan := &schedule{term: p.options.PlanningInterval, now: now, capacity: capacity, withheldShare: p.options.AgedShare + p.fairShare.ReservedCPUShare()}
+	plan := &schedule{
+		term:          p.options.PlanningInterval,
+		now:           now,
+		capacity:      capacity,
+		withheldShare: p.options.AgedShare + p.fairShare.ReservedCPUShare(),
+	}
 	for _, job := range guaranteed {
 		if plan.reserve(job, p.TaskRunTime(job), p.RemainingCPUSeconds(job, now)) && planned != nil {
 			planned[job] = true
@@ -324,7 +343,13 @@
 	allocations := p.allocateOverdue(now, live, capacity, func(job *jobs.Job) bool { return planned[job] || agedFirst[job] })
 	entries := make([]Entry, 0, len(live))
 	for _, job := range live {
-		entry := Entry{Job: job, TaskRunTime: p.TaskRunTime(job), RemainingCPUSeconds: p.RemainingCPUSeconds(job, now), Planned: planned[job], WithinQuota: withinQuota[job]}
+		entry := Entry{
+			Job:                 job,
+			TaskRunTime:         p.TaskRunTime(job),
+			RemainingCPUSeconds: p.RemainingCPUSeconds(job, now),
+			Planned:             planned[job],
+			WithinQuota:         withinQuota[job],
+		}
 		age := now.Sub(job.EligibleSince())
 		startObjective := firstObjectiveAfter(p.startObjectives[job.Class], age)
 		remainingTime := entry.RemainingCPUSeconds / max(capacity.CPUs, 1)
@@ -380,15 +405,23 @@
 
 // allocateOverdue finds the jobs that can keep none of their aims any more, or are past the age bound, and which of
 // them have room of their own now. Those that go ahead in any case are none of them.
-func (p *Planner) allocateOverdue(now time.Time, live []*jobs.Job, capacity Capacity, hasPrecedence func(*jobs.Job) bool) map[*jobs.Job]fairshare.Reason {
+func (p *Planner) allocateOverdue(
+	now time.Time,
+	live []*jobs.Job,
+	capacity Capacity,
+	hasPrecedence func(*jobs.Job) bool,
+) map[*jobs.Job]fairshare.Reason {
 	var overdue []fairshare.OverdueJob
 	for _, job := range live {
 		age := now.Sub(job.EligibleSince())
-		if job.IsService || job.CrashLooping || hasPrecedence(job) || age <= p.overdueAfter(now, job) && !p.objectivesMissed(job, age, p.TaskRunTime(job)) {
+		if job.IsService || job.CrashLooping || hasPrecedence(job) ||
+			age <= p.overdueAfter(now, job) && !p.objectivesMissed(job, age, p.TaskRunTime(job)) {
 			continue
 		}
-		overdue = append(overdue, fairshare.OverdueJob{Job: job, RemainingCPUSeconds: p.RemainingCPUSeconds(job, now), StartableTasks: capacity.startableTasks(job),
-			IsUnserved: age > min(5*p.longestAllowed(job)/4, p.overdueAfter(now, job))})
+		overdue = append(overdue, fairshare.OverdueJob{
+			Job: job, RemainingCPUSeconds: p.RemainingCPUSeconds(job, now), StartableTasks: capacity.startableTasks(job),
+			IsUnserved: age > min(5*p.longestAllowed(job)/4, p.overdueAfter(now, job)),
+		})
 	}
 	return p.fairShare.Allocate(now, overdue, live, capacity.CPUs)
 }
@@ -426,7 +459,9 @@
 	}
 	var awaiting []*jobs.Job
 	for _, job := range live {
-		if !job.IsService && !job.CrashLooping && job.DoneTasks+len(job.ActiveAttempts) == 0 && now.Sub(job.EligibleSince()) > p.options.StartBound && capacity.startableTasks(job) > 0 {
+		if !job.IsService && !job.CrashLooping && job.DoneTasks+len(job.ActiveAttempts) == 0 &&
+			now.Sub(job.EligibleSince()) > p.options.StartBound &&
+			capacity.startableTasks(job) > 0 {
 			awaiting = append(awaiting, job)
 		}
 	}
@@ -465,8 +500,10 @@
 
 // RankReason says why an entry is where it is in the order.
 func (e *Entry) RankReason() string {
-	return [...]string{"aged, within the share that is kept", "service", "to begin, after a long wait", "late, and of a class or team that is served least", "guaranteed, its plan fits", "within its team's guarantee",
-		"within its team's guarantee, late", "late, within the share that is kept", "aged", "its team is bound by its limit", "shortest remaining time", "its aims are missed", "its tasks fail wherever they are tried"}[e.Rank]
+	return [...]string{
+		"aged, within the share that is kept", "service", "to begin, after a long wait", "late, and of a class or team that is served least", "guaranteed, its plan fits", "within its team's guarantee",
+		"within its team's guarantee, late", "late, within the share that is kept", "aged", "its team is bound by its limit", "shortest remaining time", "its aims are missed", "its tasks fail wherever they are tried",
+	}[e.Rank]
 }
 
 // minLimitedWork is how long a team's work must last at its limit for the team to go ahead.
@@ -510,7 +547,8 @@
 		return false
 	}
 	earliestFinish := age + perTask
-	return firstObjectiveAfter(startObjectives, age) == 0 && firstObjectiveAfter(finishObjectives, earliestFinish) == 0 && (job.TimeToDeadline() <= 0 || job.TimeToDeadline() <= earliestFinish)
+	return firstObjectiveAfter(startObjectives, age) == 0 && firstObjectiveAfter(finishObjectives, earliestFinish) == 0 &&
+		(job.TimeToDeadline() <= 0 || job.TimeToDeadline() <= earliestFinish)
 }
 
 // jobsWithinQuota marks the jobs that fit into their team's guarantee together with the team's
--- a/internal/controller/admission/plan_test.go
+++ b/internal/controller/admission/plan_test.go
@@ -10,7 +10,10 @@
 )
 
 func deadlineJob(id string, submittedAt time.Time, deadline time.Duration, tasks int, cpus float64, estimate time.Duration) *jobs.Job {
-	job := jobs.New(jobs.Spec{ID: id, Class: "c", Tasks: tasks, CPUs: cpus, MemoryGB: 1, RunTimeEstimate: estimate, Deadline: deadline}, submittedAt)
+	job := jobs.New(
+		jobs.Spec{ID: id, Class: "c", Tasks: tasks, CPUs: cpus, MemoryGB: 1, RunTimeEstimate: estimate, Deadline: deadline},
+		submittedAt,
+	)
 	job.State = jobs.Accepted
 	return job
 }
@@ -82,7 +85,12 @@
 		t.Errorf("order %q, want %q", got, want)
 	}
 	huge.ActiveAttempts[0] = &jobs.Attempt{Job: huge, RunningSince: now}
-	if e := planner.Order(now, []*jobs.Job{second, huge}, Capacity{CPUs: 100, MachineCPUs: 16}); e[0].Job != second || e[0].MaxTasks != 1 || e[1].MaxTasks != 0 {
+	if e := planner.Order(
+		now,
+		[]*jobs.Job{second, huge},
+		Capacity{CPUs: 100, MachineCPUs: 16},
+	); e[0].Job != second || e[0].MaxTasks != 1 ||
+		e[1].MaxTasks != 0 {
 		t.Error("who has begun still goes ahead of who has not")
 	}
 }
@@ -95,8 +103,12 @@
 	for _, c := range []struct {
 		run, age time.Duration
 		behind   bool
-	}{{5 * time.Minute, options.StartBound + time.Second, true}, {5 * time.Minute, options.StartBound - time.Second, false},
-		{time.Minute, options.StartBound + time.Second, false}, {time.Minute, 8*options.StartBound/5 + time.Second, true}} {
+	}{
+		{5 * time.Minute, options.StartBound + time.Second, true},
+		{5 * time.Minute, options.StartBound - time.Second, false},
+		{time.Minute, options.StartBound + time.Second, false},
+		{time.Minute, 8*options.StartBound/5 + time.Second, true},
+	} {
 		p := New(options, &config.Platform{})
 		j := jobs.New(jobs.Spec{ID: "job-1", Class: "guest", Team: "t", Tasks: 30, CPUs: 1, MemoryGB: 1, RunTimeEstimate: c.run}, now.Add(-c.age))
 		j.State = jobs.Accepted
--- a/internal/controller/ageing/model_test.go
+++ b/internal/controller/ageing/model_test.go
@@ -5,17 +5,19 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"gullrudder/internal/controller/jobs"
+
+	"pgregory.net/rapid"
 )
 
 func drawJobs(t *rapid.T, now time.Time) []*jobs.Job {
 	var live []*jobs.Job
 	for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
-		s := jobs.Spec{ID: fmt.Sprintf("job-%06d", i), Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"),
+		s := jobs.Spec{
+			ID: fmt.Sprintf("job-%06d", i), Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"),
 			Tasks: rapid.IntRange(1, 6).Draw(t, "tasks"), CPUs: rapid.SampledFrom([]float64{0, 0.5, 2, 8}).Draw(t, "cpus"),
-			IsService: rapid.IntRange(0, 9).Draw(t, "service") == 0}
+			IsService: rapid.IntRange(0, 9).Draw(t, "service") == 0,
+		}
 		j := jobs.New(s, now.Add(-time.Duration(rapid.IntRange(0, 900).Draw(t, "age"))*time.Second))
 		for k := range rapid.IntRange(0, s.Tasks).Draw(t, "running") {
 			j.AddAttempt(&jobs.Attempt{Task: jobs.TaskID{JobID: s.ID, Index: k}, Job: j})
@@ -40,7 +42,8 @@
 				used += float64(startableTasks(j)) * max(j.CPUs, 0.1)
 				continue
 			}
-			if j.WaitingTasks() > 0 && (next == nil || j.SubmittedAt.Before(next.SubmittedAt) || j.SubmittedAt.Equal(next.SubmittedAt) && j.ID < next.ID) {
+			if j.WaitingTasks() > 0 &&
+				(next == nil || j.SubmittedAt.Before(next.SubmittedAt) || j.SubmittedAt.Equal(next.SubmittedAt) && j.ID < next.ID) {
 				next = j
 			}
 		}
@@ -100,7 +103,14 @@
 // stated where nothing is kept for the aged.
 func TestWaitBoundGrowsWithWorkAhead(t *testing.T) {
 	policy := Policy{AgeBound: 7 * time.Minute, Share: 0.1, EstimateError: 2}
-	base := WorkAhead{Older: Load{36_000, 120}, Own: Load{1200, 24}, TaskCPUs: 2, LongestTask: time.Minute, UsableCPUs: 240, StartDelay: 10 * time.Second}
+	base := WorkAhead{
+		Older:       Load{36_000, 120},
+		Own:         Load{1200, 24},
+		TaskCPUs:    2,
+		LongestTask: time.Minute,
+		UsableCPUs:  240,
+		StartDelay:  10 * time.Second,
+	}
 	// On 24 CPUs: 36,000 CPU seconds that may take twice as long, and 120 CPUs that wait for
 	// room for 130 s; and then its own room.
 	want := 7*time.Minute + 3000*time.Second + 650*time.Second + 130*time.Second
@@ -108,8 +118,16 @@
 		t.Errorf("%+v, want %v", b, want)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		a := WorkAhead{Older: Load{rapid.Float64Range(0, 1e6).Draw(t, "older"), rapid.Float64Range(0, 1e4).Draw(t, "width")},
-			Own: Load{rapid.Float64Range(0, 1e5).Draw(t, "own"), 4}, TaskCPUs: 1, LongestTask: time.Minute, UsableCPUs: rapid.Float64Range(1, 1000).Draw(t, "cpus")}
+		a := WorkAhead{
+			Older: Load{rapid.Float64Range(0, 1e6).Draw(t, "older"), rapid.Float64Range(0, 1e4).Draw(t, "width")},
+			Own: Load{
+				rapid.Float64Range(0, 1e5).Draw(t, "own"),
+				4,
+			},
+			TaskCPUs:    1,
+			LongestTask: time.Minute,
+			UsableCPUs:  rapid.Float64Range(1, 1000).Draw(t, "cpus"),
+		}
 		x := policy.WaitBound(a)
 		more, less, limited := a, a, a
 		more.Older.CPUSeconds += 500
--- a/internal/controller/api/desk.go
+++ b/internal/controller/api/desk.go
@@ -74,8 +74,26 @@
 
 // NewHandler makes the desk of a new leadership.
 func NewHandler(w Components) *Handler {
-	d := &Handler{platform: w.Platform, options: w.Options, teams: w.Platform.TeamsByName(), logger: w.Logger, responder: w.Responder, outbox: w.Outbox, storage: w.Storage,
-		jobStore: w.JobStore, workers: w.Workers, cloud: w.Cloud, planner: w.Planner, placer: w.Placer, autoscaler: w.Autoscaler, failover: w.Failover, accounting: w.Accounting, failures: w.Failures, zoneTracker: w.Zones, holdsLease: w.HoldsLease}
+	d := &Handler{
+		platform:    w.Platform,
+		options:     w.Options,
+		teams:       w.Platform.TeamsByName(),
+		logger:      w.Logger,
+		responder:   w.Responder,
+		outbox:      w.Outbox,
+		storage:     w.Storage,
+		jobStore:    w.JobStore,
+		workers:     w.Workers,
+		cloud:       w.Cloud,
+		planner:     w.Planner,
+		placer:      w.Placer,
+		autoscaler:  w.Autoscaler,
+		failover:    w.Failover,
+		accounting:  w.Accounting,
+		failures:    w.Failures,
+		zoneTracker: w.Zones,
+		holdsLease:  w.HoldsLease,
+	}
 	d.leaseOutlastsCancel = renewal.Window(d.platform.CancelTimeout, d.workers.Lease()) <= 0
 	// What two seconds' changes hold may wait for a commit.
 	rate := d.platform.StateWriteRate * float64(max(d.platform.MaxValueBytes/typicalRecordBytes, 1))
@@ -86,7 +104,8 @@
 // MethodFor is what a path that a desk serves is asked with, empty if it serves no such path.
 func MethodFor(parts []string) string {
 	switch {
-	case len(parts) == 1 && (parts[0] == "queue" || parts[0] == "account" || parts[0] == "served" || parts[0] == "zones"), len(parts) == 2 && parts[0] == "work":
+	case len(parts) == 1 && (parts[0] == "queue" || parts[0] == "account" || parts[0] == "served" || parts[0] == "zones"),
+		len(parts) == 2 && parts[0] == "work":
 		return "GET"
 	case len(parts) == 1 && parts[0] == "work", len(parts) == 3 && parts[0] == "work" && parts[2] == "withdraw":
 		return "POST"
@@ -170,7 +189,13 @@
 }
 
 // acceptSubmission takes a job that the history does not hold. told has what the history's data have told of jobs that it needs.
-func (d *Handler) acceptSubmission(now time.Time, r *server.Request, spec jobs.Spec, err error, resolved map[string]jobstore.DependencyState) {
+func (d *Handler) acceptSubmission(
+	now time.Time,
+	r *server.Request,
+	spec jobs.Spec,
+	err error,
+	resolved map[string]jobstore.DependencyState,
+) {
 	if d.replyIfSubmitted(now, r, spec.ID) {
 		return // the same submission came again while the history was asked
 	}
--- a/internal/controller/api/explain.go
+++ b/internal/controller/api/explain.go
@@ -25,7 +25,12 @@
 
 // workAhead is what is known of the work that can stand before a job.
 func (d *Handler) workAhead(now time.Time, j *jobs.Job) ageing.WorkAhead {
-	a := ageing.WorkAhead{TeamCPULimit: d.teams[j.Team].CPULimit, TaskCPUs: j.CPUs, LongestTask: d.planner.TaskRunTime(j), StartDelay: d.startDelay(j)}
+	a := ageing.WorkAhead{
+		TeamCPULimit: d.teams[j.Team].CPULimit,
+		TaskCPUs:     j.CPUs,
+		LongestTask:  d.planner.TaskRunTime(j),
+		StartDelay:   d.startDelay(j),
+	}
 	a.Own.Add(j, d.planner.RemainingCPUSeconds(j, now))
 	for _, o := range d.jobStore.Unfinished {
 		if o == j || o.IsService || !o.IsSchedulable() {
@@ -125,8 +130,23 @@
 )
 
 func newQueuedJob(now time.Time, j *jobs.Job, rank string) QueuedJob {
-	return QueuedJob{ID: j.ID, Team: j.Team, Class: j.Class, Rank: rank, WaitingTasks: j.WaitingTasks(), RunningTasks: j.RunningTasks(), DoneTasks: j.DoneTasks,
-		AgeSeconds: now.Sub(j.SubmittedAt).Round(time.Second).Seconds(), FirstStartBoundSeconds: j.FirstStartBound.Seconds(), LastStartBoundSeconds: j.LastStartBound.Seconds(), MissedStartBound: j.MissedStartBound}
+	return QueuedJob{
+		ID:           j.ID,
+		Team:         j.Team,
+		Class:        j.Class,
+		Rank:         rank,
+		WaitingTasks: j.WaitingTasks(),
+		RunningTasks: j.RunningTasks(),
+		DoneTasks:    j.DoneTasks,
+		AgeSeconds: now.Sub(
+			j.SubmittedAt,
+		).Round(
+			time.Second,
+		).Seconds(),
+		FirstStartBoundSeconds: j.FirstStartBound.Seconds(),
+		LastStartBoundSeconds:  j.LastStartBound.Seconds(),
+		MissedStartBound:       j.MissedStartBound,
+	}
 }
 
 // serveQueue lists the jobs that wait, by team and class if these are named; with all=1 those too of which
@@ -172,13 +192,17 @@
 func (d *Handler) serveExplanation(now time.Time, r *server.Request, id string) {
 	if e, ok := d.accounting.FinishedAccount(id); ok {
 		// Also if it is sealed by now: what ended under this leader is known without a look back.
-		d.responder.Respond(r, 200, Explanation{QueuedJob: QueuedJob{ID: id, Team: e.Team, Class: e.Class}, State: finalResponse(id, jobstore.FinalState{Done: e.IsDone}, false).State,
-			Reasons: []string{"it is over"}, TimeShares: newTimeShares(&e.Breakdown)}, 0)
+		d.responder.Respond(r, 200, Explanation{
+			QueuedJob: QueuedJob{ID: id, Team: e.Team, Class: e.Class}, State: finalResponse(id, jobstore.FinalState{Done: e.IsDone}, false).State,
+			Reasons: []string{"it is over"}, TimeShares: newTimeShares(&e.Breakdown),
+		}, 0)
 		return
 	}
 	if f, ok := d.jobStore.FinalState(id); ok {
-		d.responder.Respond(r, 200, Explanation{QueuedJob: QueuedJob{ID: id}, State: finalResponse(id, f, false).State,
-			Reasons: []string{"it is over, under an earlier leader"}}, 0)
+		d.responder.Respond(r, 200, Explanation{
+			QueuedJob: QueuedJob{ID: id}, State: finalResponse(id, f, false).State,
+			Reasons: []string{"it is over, under an earlier leader"},
+		}, 0)
 		return
 	}
 	j := d.jobStore.Find(id)
@@ -238,13 +262,20 @@
 		return
 	case j.UnmetDependencies > 0:
 		open := d.jobStore.DependencyGraph().Unmet(j)
-		x.addReason("it waits for %d other jobs that have to be done first: %s", len(open), strings.Join(open[:min(len(open), maxJobsAhead)], ", "))
+		x.addReason(
+			"it waits for %d other jobs that have to be done first: %s",
+			len(open),
+			strings.Join(open[:min(len(open), maxJobsAhead)], ", "),
+		)
 		before, _ := d.jobStore.DependencyGraph().CriticalPath(j, d.planner.TaskRunTime)
 		x.addReason("by the longest way through them that takes %.0f s at least", before.Seconds())
 		x.addRemedy("the end of those jobs; if one of them is cancelled, so is this one")
 		return
 	case j.CrashLooping:
-		x.addReason("its tasks have failed on %d machines and on none of them has one completed: it looks as if it was submitted with a mistake", max(d.failures.FailedMachineCount(j.ID), 2))
+		x.addReason(
+			"its tasks have failed on %d machines and on none of them has one completed: it looks as if it was submitted with a mistake",
+			max(d.failures.FailedMachineCount(j.ID), 2),
+		)
 		x.addReason("one task is tried at a time; the next in %.0f s", max(j.NotBefore.Sub(now), 0).Seconds())
 		x.addRemedy("a task that completes: then all are started again")
 		x.addRemedy("its cancellation, and a submission without the mistake")
@@ -296,7 +327,14 @@
 		x.addReason("no machine that is up may run it%s", describeConstraints(j))
 		x.addRemedy("a machine of a type, zone and kind that the job allows")
 	case room == 0:
-		x.addReason("%d machines may run it, and none has room for one more task (%g CPUs, %g cards, %g GB)%s", may, j.CPUs, j.GPUs, j.MemoryGB, describeConstraints(j))
+		x.addReason(
+			"%d machines may run it, and none has room for one more task (%g CPUs, %g cards, %g GB)%s",
+			may,
+			j.CPUs,
+			j.GPUs,
+			j.MemoryGB,
+			describeConstraints(j),
+		)
 		if x.Position > 1 {
 			x.addReason("%d jobs with %.0f CPU seconds of work get room before it", x.Position-1, x.CPUSecondsAhead)
 		}
@@ -316,8 +354,12 @@
 	if deaf > 0 {
 		x.addReason("%d machines report and seem to hear nothing of us: they start nothing, and are given back if they answer no question", deaf)
 	}
-	if bound := d.options.StartBound; bound > 0 && !j.IsService && !j.IsGang && j.DoneTasks+len(j.ActiveAttempts) == 0 && now.Sub(j.EligibleSince()) < bound {
-		x.addRemedy("waiting: if nothing of it has begun in %.0f s, some of its tasks go before others", (bound - now.Sub(j.EligibleSince())).Seconds())
+	if bound := d.options.StartBound; bound > 0 && !j.IsService && !j.IsGang && j.DoneTasks+len(j.ActiveAttempts) == 0 &&
+		now.Sub(j.EligibleSince()) < bound {
+		x.addRemedy(
+			"waiting: if nothing of it has begun in %.0f s, some of its tasks go before others",
+			(bound - now.Sub(j.EligibleSince())).Seconds(),
+		)
 	}
 	if zones > 0 {
 		x.addReason("%d machines with room are in zones where it may have no more tasks", zones)
--- a/internal/controller/api/needs.go
+++ b/internal/controller/api/needs.go
@@ -14,7 +14,12 @@
 
 // checkDependencies looks at the jobs that a submission names: those that it is to wait for, and whether one of them is cancelled. Not ok:
 // it is answered, or will be once the history's data have told of one of them.
-func (d *Handler) checkDependencies(now time.Time, r *server.Request, spec jobs.Spec, resolved map[string]jobstore.DependencyState) (missing []string, void, ok bool) {
+func (d *Handler) checkDependencies(
+	now time.Time,
+	r *server.Request,
+	spec jobs.Spec,
+	resolved map[string]jobstore.DependencyState,
+) (missing []string, void, ok bool) {
 	for _, id := range spec.Dependencies {
 		need := d.jobStore.DependencyState(id)
 		if t, known := resolved[id]; known && need == jobstore.DependencyArchived {
@@ -44,7 +49,13 @@
 }
 
 // lookUpDependency asks the history's data of a job that a submission names, and goes on with it then.
-func (d *Handler) lookUpDependency(now time.Time, r *server.Request, spec jobs.Spec, id string, resolved map[string]jobstore.DependencyState) {
+func (d *Handler) lookUpDependency(
+	now time.Time,
+	r *server.Request,
+	spec jobs.Spec,
+	id string,
+	resolved map[string]jobstore.DependencyState,
+) {
 	d.jobStore.Archive().Resolve(now, d.outbox, id, func(now time.Time, f archive.FinalState, known bool, err error) {
 		if !d.holdsLease() || err != nil {
 			d.responder.RespondError(r, 503, dependencyUndecided, archiveRetryDelay)
--- a/internal/controller/api/query.go
+++ b/internal/controller/api/query.go
@@ -45,7 +45,12 @@
 	if _, cause, ok := d.accounting.Account(now, j); ok {
 		because = cause.String()
 	}
-	d.responder.Respond(r, 200, jobResponse{WaitReason: because, ID: id, State: j.StateName(), Label: labelOf(j.Guaranteed), Done: &j.DoneTasks, Running: &running}, 0)
+	d.responder.Respond(
+		r,
+		200,
+		jobResponse{WaitReason: because, ID: id, State: j.StateName(), Label: labelOf(j.Guaranteed), Done: &j.DoneTasks, Running: &running},
+		0,
+	)
 }
 
 // refuseUndecided refuses to say anything of a job whose state cannot be told now; false if it can.
--- a/internal/controller/api/zones.go
+++ b/internal/controller/api/zones.go
@@ -26,8 +26,10 @@
 func (d *Handler) serveZones(now time.Time, r *server.Request) {
 	a := Zones{Zones: []ZoneStatus{}}
 	for _, v := range d.zoneTracker.Views() {
-		a.Zones = append(a.Zones, ZoneStatus{v.Name, v.State.String(), now.Sub(v.Since).Round(time.Second).Seconds(),
-			now.Sub(v.LastHeartbeat).Round(100 * time.Millisecond).Seconds(), v.Machines, v.Overdue, v.Outages})
+		a.Zones = append(a.Zones, ZoneStatus{
+			v.Name, v.State.String(), now.Sub(v.Since).Round(time.Second).Seconds(),
+			now.Sub(v.LastHeartbeat).Round(100 * time.Millisecond).Seconds(), v.Machines, v.Overdue, v.Outages,
+		})
 	}
 	d.responder.Respond(r, 200, a, 0)
 }
--- a/internal/controller/archive/history.go
+++ b/internal/controller/archive/history.go
@@ -102,7 +102,8 @@
 }
 
 func indexPrefix(run uint64) string { return fmt.Sprintf("%s%08d/", storage.ArchiveIndexPrefix, run) }
-func dataPrefix(run uint64) string  { return fmt.Sprintf("%s%08d/", storage.ArchiveDataPrefix, run) }
+
+func dataPrefix(run uint64) string { return fmt.Sprintf("%s%08d/", storage.ArchiveDataPrefix, run) }
 
 func indexKey(run uint64, part int) string { return fmt.Sprintf("%s%05d", indexPrefix(run), part) }
 func dataKey(run uint64, part int) string  { return fmt.Sprintf("%s%05d", dataPrefix(run), part) }
@@ -115,9 +116,11 @@
 // New reads the history that the ledger has loaded. An error means that it cannot be told
 // which jobs there were: then nobody may be answered.
 func New(store *storage.Store, options Options, log *slog.Logger) (*Store, error) {
-	k := &Store{options: options, storage: store, log: log, partWaiters: map[string][]func(time.Time, string, int){}, cachedParts: map[string]string{},
+	k := &Store{
+		options: options, storage: store, log: log, partWaiters: map[string][]func(time.Time, string, int){}, cachedParts: map[string]string{},
 		writeLimiter: client.NewRateLimiter(options.WriteRate, time.Duration(float64(options.TxnOps+1)/options.WriteRate*float64(time.Second))),
-		readLimiter:  client.NewRateLimiter(options.ReadRate, time.Second)}
+		readLimiter:  client.NewRateLimiter(options.ReadRate, time.Second),
+	}
 	index := store.TakeArchiveIndex()
 	for _, name := range store.ArchiveHeadNames() {
 		if name == nextNumberEntry {
@@ -158,7 +161,11 @@
 	// have left parts of others.
 	unfinished := map[uint64]bool{k.nextNumber: true}
 	for key := range index {
-		number, err := strconv.ParseUint(strings.TrimLeft(strings.Split(strings.TrimPrefix(key, storage.ArchiveIndexPrefix), "/")[0], "0"), 10, 64)
+		number, err := strconv.ParseUint(
+			strings.TrimLeft(strings.Split(strings.TrimPrefix(key, storage.ArchiveIndexPrefix), "/")[0], "0"),
+			10,
+			64,
+		)
 		if err == nil && !slices.ContainsFunc(k.garbage, func(g *garbageSegment) bool { return g.number == number }) {
 			unfinished[number] = true
 		}
@@ -243,7 +250,14 @@
 	})
 }
 
-func (k *Store) resolveKey(now time.Time, box *client.Outbox, id string, key uint64, tried map[uint64]bool, done func(time.Time, FinalState, bool, error)) {
+func (k *Store) resolveKey(
+	now time.Time,
+	box *client.Outbox,
+	id string,
+	key uint64,
+	tried map[uint64]bool,
+	done func(time.Time, FinalState, bool, error),
+) {
 	i := slices.IndexFunc(k.segments, func(segment *Segment) bool { return !tried[segment.Number] && segment.ids.Contains(key) })
 	if i < 0 {
 		done(now, FinalState{}, false, nil)
--- a/internal/controller/archive/keeper.go
+++ b/internal/controller/archive/keeper.go
@@ -38,7 +38,12 @@
 }
 
 // listAllParts reads all parts below a prefix.
-func (k *Store) listAllParts(box *client.Outbox, prefix, from string, collected []storage.ArchivePart, done func(now time.Time, parts []storage.ArchivePart, ok bool)) {
+func (k *Store) listAllParts(
+	box *client.Outbox,
+	prefix, from string,
+	collected []storage.ArchivePart,
+	done func(now time.Time, parts []storage.ArchivePart, ok bool),
+) {
 	k.storage.ListArchiveParts(box, prefix, from, func(now time.Time, parts []storage.ArchivePart, more, ok bool) {
 		collected = append(collected, parts...)
 		if ok && more && len(parts) > 0 {
@@ -191,16 +196,22 @@
 		}
 		k.readLimiter.Take(1)
 		k.callInFlight = true
-		k.listAllParts(box, dataPrefix(build.sources[len(build.sourceData)].Number), "", nil, func(now time.Time, parts []storage.ArchivePart, ok bool) {
-			if !k.recordCallResult(now, ok) {
-				return
-			}
-			texts := make([]string, 0, len(parts))
-			for _, p := range parts {
-				texts = append(texts, p.Text)
-			}
-			build.sourceData = append(build.sourceData, texts)
-		})
+		k.listAllParts(
+			box,
+			dataPrefix(build.sources[len(build.sourceData)].Number),
+			"",
+			nil,
+			func(now time.Time, parts []storage.ArchivePart, ok bool) {
+				if !k.recordCallResult(now, ok) {
+					return
+				}
+				texts := make([]string, 0, len(parts))
+				for _, p := range parts {
+					texts = append(texts, p.Text)
+				}
+				build.sourceData = append(build.sourceData, texts)
+			},
+		)
 	default:
 		k.advanceCompaction(now)
 	}
--- a/internal/controller/archive/model_test.go
+++ b/internal/controller/archive/model_test.go
@@ -4,17 +4,18 @@
 	"fmt"
 	"hash/fnv"
 	"log/slog"
+	"net/http"
 	"strings"
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"gullrudder/internal/controller/archive"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/simulator"
 	"gullrudder/internal/wire/client"
+
+	"pgregory.net/rapid"
 )
 
 const leaderKey = "leader"
@@ -41,28 +42,36 @@
 // becomeLeader begins a leadership: the leader's key gets a new mark, and the ledger is read.
 func becomeLeader(t fataler, cluster *simulator.World, now time.Time, leaderNumber uint64, rate float64) *leadership {
 	t.Helper()
-	put := cluster.State.Exchange(client.Call{Method: "POST", Path: "/commit", Body: map[string]any{"guards": []any{},
-		"apply": []any{map[string]any{"write": leaderKey, "value": map[string]any{"n": leaderNumber}}}}})
+	put := cluster.State.Exchange(client.Call{Method: "POST", Path: "/commit", Body: map[string]any{
+		"guards": []any{},
+		"apply":  []any{map[string]any{"write": leaderKey, "value": map[string]any{"n": leaderNumber}}},
+	}})
 	if put.Status != 200 {
 		t.Fatalf("the leader's key: %d", put.Status)
 	}
 	r := &leadership{cluster: cluster, now: now, finished: map[string]archive.FinalState{}}
 	log := slog.New(slog.DiscardHandler)
-	r.storage = storage.New(storage.Options{LeaderKey: leaderKey, ValueBytes: 1024, TxnOps: 8, WriteRate: 7 * rate}, cluster.State.Revision(), log)
+	r.storage = storage.New(
+		storage.Options{LeaderKey: leaderKey, ValueBytes: 1024, TxnOps: 8, WriteRate: 7 * rate},
+		cluster.State.Revision(),
+		log,
+	)
 	r.storage.Load(&r.box)
 	r.forEachCall(func(c client.Call) { c.Done(r.now, cluster.State.Exchange(c)) })
 	if !r.storage.IsLoaded() {
 		t.Fatalf("the ledger is not loaded")
 	}
 	var err error
-	r.archive, err = archive.New(r.storage, archive.Options{ValueBytes: 1024, TxnOps: 8, WriteRate: rate, ReadRate: 1000, MinSegmentJobs: 3, CompactionFanIn: 2,
+	r.archive, err = archive.New(r.storage, archive.Options{
+		ValueBytes: 1024, TxnOps: 8, WriteRate: rate, ReadRate: 1000, MinSegmentJobs: 3, CompactionFanIn: 2,
 		CanArchive: func(_ time.Time, id string) bool { _, ok := r.finished[id]; return ok },
 		FinalState: func(id string) (archive.FinalState, bool) { f, ok := r.finished[id]; return f, ok },
 		OnArchived: func(ids []string) {
 			for _, id := range ids {
 				delete(r.finished, id)
 			}
-		}}, log)
+		},
+	}, log)
 	if err != nil {
 		t.Fatalf("the history: %v", err)
 	}
@@ -213,7 +222,7 @@
 					cluster.State.Exchange(c)
 					c.Done(leader.now, client.Result{})
 				case 3:
-					if c.Method == "POST" {
+					if c.Method == http.MethodPost {
 						late = append(late, c)
 					}
 					c.Done(leader.now, client.Result{})
@@ -226,7 +235,10 @@
 			}
 			id := drawID(t, first, second)
 			want, over := model[id]
-			if result := leader.archive.LookupIndex(id); result == archive.Done && (want.Cancelled || !over && attempted[id].Cancelled) || result == archive.Cancelled && over && !want.Cancelled {
+			if result := leader.archive.LookupIndex(
+				id,
+			); result == archive.Done && (want.Cancelled || !over && attempted[id].Cancelled) ||
+				result == archive.Cancelled && over && !want.Cancelled {
 				t.Fatalf("%s: the index says %v, want %+v", id, result, want)
 			}
 			f, found, ok := leader.lookUp(id)
--- a/internal/controller/archive/older_test.go
+++ b/internal/controller/archive/older_test.go
@@ -1,9 +1,9 @@
 package archive_test
 
 import (
-	"github.com/vmihailenco/msgpack/v5"
-
 	"gullrudder/internal/wire/codec"
+
+	"github.com/vmihailenco/msgpack/v5"
 )
 
 // readPagesAsOlderVersion reads pages as the version before the history did.
--- a/internal/controller/archive/run.go
+++ b/internal/controller/archive/run.go
@@ -101,7 +101,10 @@
 }
 
 func newSegmentBuilder(number uint64, level, maxPartBytes int) *segmentBuilder {
-	return &segmentBuilder{maxPartBytes: maxPartBytes, segment: &Segment{Number: number, Level: level, ids: roaring64.New(), cancelled: roaring64.New()}}
+	return &segmentBuilder{
+		maxPartBytes: maxPartBytes,
+		segment:      &Segment{Number: number, Level: level, ids: roaring64.New(), cancelled: roaring64.New()},
+	}
 }
 
 func (b *segmentBuilder) add(key uint64, payload []byte, jobs int) {
@@ -253,7 +256,9 @@
 		raw = raw[size:]
 	}
 	if len(index) != record.IndexParts || len(segment.partStarts) != record.DataParts {
-		return fail(fmt.Errorf("%d and %d parts, the head says %d and %d", len(index), len(segment.partStarts), record.IndexParts, record.DataParts))
+		return fail(
+			fmt.Errorf("%d and %d parts, the head says %d and %d", len(index), len(segment.partStarts), record.IndexParts, record.DataParts),
+		)
 	}
 	return segment, nil
 }
--- a/internal/controller/autoscaler/dearer.go
+++ b/internal/controller/autoscaler/dearer.go
@@ -122,7 +122,12 @@
 	if o.kind.Spot {
 		price = o.machineType.SpotHourlyPrice
 	}
-	return candidateKind{cpus: o.machineType.CPUs, costPerSecond: price / 3600, bootSeconds: d.cloud.ExpectedBootTime(o.machineType).Seconds(), maxCount: most}
+	return candidateKind{
+		cpus:          o.machineType.CPUs,
+		costPerSecond: price / 3600,
+		bootSeconds:   d.cloud.ExpectedBootTime(o.machineType).Seconds(),
+		maxCount:      most,
+	}
 }
 
 // expensiveMachines lists the machines of dear kinds that are up, the emptiest first: those in use that
@@ -225,7 +230,14 @@
 		if seen++; seen%every != 0 {
 			continue
 		}
-		q := queuedJob{class: e.Job.Class, age: now.Sub(e.Job.EligibleSince()), taskDuration: e.TaskRunTime, deadline: e.Job.TimeToDeadline(), workAhead: ahead, weight: float64(every)}
+		q := queuedJob{
+			class:        e.Job.Class,
+			age:          now.Sub(e.Job.EligibleSince()),
+			taskDuration: e.TaskRunTime,
+			deadline:     e.Job.TimeToDeadline(),
+			workAhead:    ahead,
+			weight:       float64(every),
+		}
 		if limit := d.teams[e.Job.Team].CPULimit; limit > 0 {
 			q.quotaDelay = teams[e.Job.Team] / limit
 		}
--- a/internal/controller/autoscaler/desk.go
+++ b/internal/controller/autoscaler/desk.go
@@ -67,7 +67,10 @@
 		if m == nil && !h.Deleting && h.State != cloud.StateFailed && !d.zones.IsUnavailable(h.Kind.Zone) {
 			awaited[h.Kind.Type] = append(awaited[h.Kind.Type], now.Sub(h.RequestedAt))
 		}
-		d.instances = append(d.instances, trackedInstance{id, h, d.cloud.MachineTypes[h.Kind.Type], m, m != nil && d.workers.IsLeaseExpired(now, m)})
+		d.instances = append(
+			d.instances,
+			trackedInstance{id, h, d.cloud.MachineTypes[h.Kind.Type], m, m != nil && d.workers.IsLeaseExpired(now, m)},
+		)
 	}
 	for _, list := range awaited {
 		slices.SortFunc(list, func(a, b time.Duration) int { return cmp.Compare(b, a) })
@@ -94,9 +97,25 @@
 
 // New makes the desk of a new leadership.
 func New(w Components) *Scaler {
-	d := &Scaler{platform: w.Platform, options: w.Options, teams: w.Platform.TeamsByName(), log: w.Log, outbox: w.Outbox, fencingToken: w.FencingToken, electedAt: w.ElectedAt,
-		isFirstLeader: w.IsFirstLeader, cloud: w.Cloud, workers: w.Workers, planner: w.Planner, placer: w.Placer, stragglers: w.Stragglers, zones: w.Zones, objectives: objectivesOf(w.Platform.Objectives),
-		arrivals: map[[2]string]*arrivalFlow{}, historyUpdated: w.ElectedAt}
+	d := &Scaler{
+		platform:       w.Platform,
+		options:        w.Options,
+		teams:          w.Platform.TeamsByName(),
+		log:            w.Log,
+		outbox:         w.Outbox,
+		fencingToken:   w.FencingToken,
+		electedAt:      w.ElectedAt,
+		isFirstLeader:  w.IsFirstLeader,
+		cloud:          w.Cloud,
+		workers:        w.Workers,
+		planner:        w.Planner,
+		placer:         w.Placer,
+		stragglers:     w.Stragglers,
+		zones:          w.Zones,
+		objectives:     objectivesOf(w.Platform.Objectives),
+		arrivals:       map[[2]string]*arrivalFlow{},
+		historyUpdated: w.ElectedAt,
+	}
 	d.history = make([]objectiveRecord, len(d.objectives))
 	return d
 }
@@ -139,7 +158,11 @@
 		// A machine is paid for while it boots: spread over the time it is likely to serve.
 		size *= expectedService.Seconds() / (expectedService + d.cloud.ExpectedBootTime(t)).Seconds()
 		for _, z := range t.Zones {
-			list = append(list, offering{cloud.InstanceKindOf(t, z, false), t, t.HourlyPrice / size}, offering{cloud.InstanceKindOf(t, z, true), t, t.SpotHourlyPrice / size})
+			list = append(
+				list,
+				offering{cloud.InstanceKindOf(t, z, false), t, t.HourlyPrice / size},
+				offering{cloud.InstanceKindOf(t, z, true), t, t.SpotHourlyPrice / size},
+			)
 		}
 	}
 	sort.Slice(list, func(a, b int) bool {
@@ -163,7 +186,8 @@
 	d.terminateUnneeded(now, wants)
 	// What an earlier leader has rented last is not listed yet; only where the ledger
 	// holds nothing at all is there no earlier leader.
-	if len(d.cloud.MachineTypes) == 0 || !d.isFirstLeader() && (d.cloud.CompletedLists == 0 || now.Sub(d.electedAt) < d.platform.CloudListLag) {
+	if len(d.cloud.MachineTypes) == 0 ||
+		!d.isFirstLeader() && (d.cloud.CompletedLists == 0 || now.Sub(d.electedAt) < d.platform.CloudListLag) {
 		return
 	}
 	opts := d.offerings()
--- a/internal/controller/autoscaler/desk_test.go
+++ b/internal/controller/autoscaler/desk_test.go
@@ -31,16 +31,51 @@
 func newFixture(now time.Time) *fixture {
 	log := slog.New(slog.DiscardHandler)
 	opt := config.DefaultOptions()
-	cfg := &config.Platform{Name: "n", HeartbeatInterval: 4 * time.Second, WorkerLeaseDuration: 20 * time.Second, CPUQuota: 0.2, MaxConnections: 1000, CloudRequestRate: 2,
-		Teams: []config.Team{{Name: "t", GuaranteedCPUs: 500, CPULimit: 1e6}}}
+	cfg := &config.Platform{
+		Name:                "n",
+		HeartbeatInterval:   4 * time.Second,
+		WorkerLeaseDuration: 20 * time.Second,
+		CPUQuota:            0.2,
+		MaxConnections:      1000,
+		CloudRequestRate:    2,
+		Teams:               []config.Team{{Name: "t", GuaranteedCPUs: 500, CPULimit: 1e6}},
+	}
 	r := &fixture{jobs: map[string]*jobs.Job{}, outbox: &client.Outbox{}}
-	f, planner, cloudClient := worker.NewRegistry(worker.LeaseExpiry(cfg.WorkerLeaseDuration), log), admission.New(opt, cfg), cloud.New(1, 2, time.Second, log)
-	cloudClient.MachineTypes = map[string]*cloud.MachineType{"small": {Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}, HourlyPrice: 1, SpotHourlyPrice: 0.3, BootSeconds: 40},
-		"large": {Name: "large", CPUs: 16, MemoryGB: 64, Zones: []string{"a", "b"}, HourlyPrice: 4, SpotHourlyPrice: 1, BootSeconds: 30}}
-	placer := placement.New(placement.Components{Platform: cfg, FencingToken: 1, Jobs: r.jobs, Workers: f, Planner: planner,
-		Capacity: func(now time.Time) admission.Capacity { return r.ExpectedCapacity(now) }, Outbox: r.outbox, Log: log})
-	r.Scaler = New(Components{Platform: cfg, Options: &opt, FencingToken: 1, ElectedAt: now, IsFirstLeader: func() bool { return true }, Cloud: cloudClient, Workers: f,
-		Planner: planner, Placer: placer, Stragglers: straggler.NewDetector(cfg.HeartbeatInterval), Zones: zones.New(cfg.HeartbeatInterval, now, log), Outbox: r.outbox, Log: log})
+	f, planner, cloudClient := worker.NewRegistry(
+		worker.LeaseExpiry(cfg.WorkerLeaseDuration),
+		log,
+	), admission.New(
+		opt,
+		cfg,
+	), cloud.New(
+		1,
+		2,
+		time.Second,
+		log,
+	)
+	cloudClient.MachineTypes = map[string]*cloud.MachineType{
+		"small": {Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}, HourlyPrice: 1, SpotHourlyPrice: 0.3, BootSeconds: 40},
+		"large": {Name: "large", CPUs: 16, MemoryGB: 64, Zones: []string{"a", "b"}, HourlyPrice: 4, SpotHourlyPrice: 1, BootSeconds: 30},
+	}
+	placer := placement.New(placement.Components{
+		Platform: cfg, FencingToken: 1, Jobs: r.jobs, Workers: f, Planner: planner,
+		Capacity: func(now time.Time) admission.Capacity { return r.ExpectedCapacity(now) }, Outbox: r.outbox, Log: log,
+	})
+	r.Scaler = New(Components{
+		Platform:      cfg,
+		Options:       &opt,
+		FencingToken:  1,
+		ElectedAt:     now,
+		IsFirstLeader: func() bool { return true },
+		Cloud:         cloudClient,
+		Workers:       f,
+		Planner:       planner,
+		Placer:        placer,
+		Stragglers:    straggler.NewDetector(cfg.HeartbeatInterval),
+		Zones:         zones.New(cfg.HeartbeatInterval, now, log),
+		Outbox:        r.outbox,
+		Log:           log,
+	})
 	return r
 }
 
@@ -65,8 +100,10 @@
 }
 
 func (r *fixture) addJob(now time.Time, i, tasks int, cpus float64) *jobs.Job {
-	j := jobs.New(jobs.Spec{ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "t", Tasks: tasks, CPUs: cpus, MemoryGB: cpus, AllowsSpot: i%3 > 0,
-		SpreadAcrossZones: i%4 == 1, RunTimeEstimate: 30 * time.Second, Deadline: time.Duration(i%2) * time.Minute}, now)
+	j := jobs.New(jobs.Spec{
+		ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "t", Tasks: tasks, CPUs: cpus, MemoryGB: cpus, AllowsSpot: i%3 > 0,
+		SpreadAcrossZones: i%4 == 1, RunTimeEstimate: 30 * time.Second, Deadline: time.Duration(i%2) * time.Minute,
+	}, now)
 	j.State, j.Guaranteed = jobs.Accepted, i%2 == 1
 	r.jobs[j.ID] = j
 	r.placer.InvalidateOrder()
@@ -89,7 +126,10 @@
 			m := n.addMachine(now, len(all), "large", "a", true)
 			for range tasks {
 				t := j.TakeNextTask()
-				n.workers.Assign(m, &jobs.Attempt{Task: jobs.TaskID{JobID: j.ID, Index: t}, Number: uint64(t + 1), MachineID: m.ID, Zone: m.Zone, Job: j, AssignedAt: now})
+				n.workers.Assign(
+					m,
+					&jobs.Attempt{Task: jobs.TaskID{JobID: j.ID, Index: t}, Number: uint64(t + 1), MachineID: m.ID, Zone: m.Zone, Job: j, AssignedAt: now},
+				)
 			}
 			all = append(all, m)
 		}
@@ -118,7 +158,10 @@
 		m := n.workers.Machines[drained[0]]
 		r := worker.Heartbeat{Machine: m.ID, Type: "large", Zone: "a", Spot: true, Incarnation: 1, Sequence: m.Sequence + 1, FencingToken: 1}
 		for _, a := range m.Attempts {
-			r.Tasks = append(r.Tasks, worker.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: worker.StateExited, Reason: "halted", CheckpointSaved: true})
+			r.Tasks = append(
+				r.Tasks,
+				worker.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: worker.StateExited, Reason: "halted", CheckpointSaved: true},
+			)
 		}
 		for _, e := range n.workers.Reconcile(now, m, &r, true, func(id string) *jobs.Job { return n.jobs[id] }) {
 			e.Attempt.Job.Requeue(e.Attempt.Task.Index)
@@ -155,7 +198,12 @@
 	d := newFixture(now)
 	for i := range 6 {
 		id := fmt.Sprintf("vm-%06d", i)
-		d.cloud.Instances[id] = &cloud.Instance{ID: id, Kind: cloud.InstanceKind{Type: "large", Zone: "a", Spot: true}, RequestedAt: now.Add(-time.Minute), State: cloud.StateRunning}
+		d.cloud.Instances[id] = &cloud.Instance{
+			ID:          id,
+			Kind:        cloud.InstanceKind{Type: "large", Zone: "a", Spot: true},
+			RequestedAt: now.Add(-time.Minute),
+			State:       cloud.StateRunning,
+		}
 		m := d.workers.GetOrAdd(id)
 		m.Registered, m.LeaseRenewedAt, m.LastContactAt = true, now, now // when the leadership began
 	}
@@ -208,8 +256,11 @@
 	for _, size := range [...]int{250, 1000, 5000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			n, now := newLoadedFixture(size, size)
-			n.objectives = objectivesOf([]config.Objective{{Kind: "finished", Class: "c", TimeLimit: 2 * time.Minute, TargetShare: 0.9},
-				{Kind: "finished", Class: "c", TimeLimit: 4 * time.Minute, TargetShare: 0.99}, {Kind: "wait", Class: "c", TimeLimit: time.Minute, TargetShare: 0.9}})
+			n.objectives = objectivesOf([]config.Objective{
+				{Kind: "finished", Class: "c", TimeLimit: 2 * time.Minute, TargetShare: 0.9},
+				{Kind: "finished", Class: "c", TimeLimit: 4 * time.Minute, TargetShare: 0.99},
+				{Kind: "wait", Class: "c", TimeLimit: time.Minute, TargetShare: 0.9},
+			})
 			n.history = make([]objectiveRecord, len(n.objectives))
 			for b.Loop() {
 				n.scale(now)
--- a/internal/controller/autoscaler/room.go
+++ b/internal/controller/autoscaler/room.go
@@ -21,7 +21,8 @@
 	held := map[cloud.InstanceKind]int{}
 	for id, h := range d.cloud.Instances {
 		m := d.workers.Machines[id]
-		if t := d.cloud.MachineTypes[h.Kind.Type]; t != nil && !h.Deleting && !d.zones.IsUnavailable(h.Kind.Zone) && (m == nil || !d.workers.IsLeaseExpired(now, m)) {
+		if t := d.cloud.MachineTypes[h.Kind.Type]; t != nil && !h.Deleting && !d.zones.IsUnavailable(h.Kind.Zone) &&
+			(m == nil || !d.workers.IsLeaseExpired(now, m)) {
 			r.CPUs += t.CPUs
 			held[h.Kind]++
 		}
--- a/internal/controller/autoscaler/worth_test.go
+++ b/internal/controller/autoscaler/worth_test.go
@@ -7,23 +7,27 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"gullrudder/internal/config"
 	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/zones"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
+
+	"pgregory.net/rapid"
 )
 
 // randomForecast is a queue of a few classes on a fleet that is too small, or is not.
 func randomForecast(t *rapid.T) *objectiveForecast {
-	o := &objectiveForecast{costWeight: rapid.Float64Range(0, 2).Draw(t, "thrift"), spendRate: rapid.Float64Range(0, 0.1).Draw(t, "spend"),
-		arrivingWork: rapid.Float64Range(0, 200).Draw(t, "load")}
+	o := &objectiveForecast{
+		costWeight: rapid.Float64Range(0, 2).Draw(t, "thrift"), spendRate: rapid.Float64Range(0, 0.1).Draw(t, "spend"),
+		arrivingWork: rapid.Float64Range(0, 200).Draw(t, "load"),
+	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "steps") {
-		o.objectives = append(o.objectives, objective{class: []string{"a", "b"}[i%2], isStart: i%3 == 0, within: time.Duration(rapid.IntRange(20, 300).Draw(t, "within")) * time.Second,
-			allowedMissShare: rapid.Float64Range(0.001, 0.3).Draw(t, "spare")})
+		o.objectives = append(o.objectives, objective{
+			class: []string{"a", "b"}[i%2], isStart: i%3 == 0, within: time.Duration(rapid.IntRange(20, 300).Draw(t, "within")) * time.Second,
+			allowedMissShare: rapid.Float64Range(0.001, 0.3).Draw(t, "spare"),
+		})
 		n := rapid.Float64Range(0, 50).Draw(t, "past")
 		o.history = append(o.history, objectiveRecord{n, n * rapid.Float64Range(0, 1).Draw(t, "missed")})
 	}
@@ -33,10 +37,20 @@
 	for i := range rapid.IntRange(0, 15).Draw(t, "jobs") {
 		work := rapid.Float64Range(1, 3000).Draw(t, "work")
 		o.backlog += work
-		o.queue = append(o.queue, queuedJob{class: []string{"a", "b"}[i%2], age: time.Duration(rapid.IntRange(0, 100).Draw(t, "age")) * time.Second,
-			taskDuration: 20 * time.Second, workAhead: o.backlog, weight: 1, quotaDelay: rapid.Float64Range(0, 100).Draw(t, "bound")})
+		o.queue = append(o.queue, queuedJob{
+			class: []string{"a", "b"}[i%2], age: time.Duration(rapid.IntRange(0, 100).Draw(t, "age")) * time.Second,
+			taskDuration: 20 * time.Second, workAhead: o.backlog, weight: 1, quotaDelay: rapid.Float64Range(0, 100).Draw(t, "bound"),
+		})
 	}
-	o.arrivals = append(o.arrivals, expectedArrival{class: "a", rate: rapid.Float64Range(0, 1).Draw(t, "rate"), taskDuration: 20 * time.Second, position: rapid.Float64Range(0, 1).Draw(t, "place")})
+	o.arrivals = append(
+		o.arrivals,
+		expectedArrival{
+			class:        "a",
+			rate:         rapid.Float64Range(0, 1).Draw(t, "rate"),
+			taskDuration: 20 * time.Second,
+			position:     rapid.Float64Range(0, 1).Draw(t, "place"),
+		},
+	)
 	return o
 }
 
@@ -97,7 +111,10 @@
 	chosen, possible, worst := 0.0, 0.0, 0.0
 	rapid.Check(t, func(t *rapid.T) {
 		o := randomForecast(t)
-		offers := []candidateKind{{cpus: 8, costPerSecond: 0.0002, bootSeconds: 40, maxCount: 5}, {cpus: 32, costPerSecond: 0.0007, bootSeconds: 35, maxCount: 3}}
+		offers := []candidateKind{
+			{cpus: 8, costPerSecond: 0.0002, bootSeconds: 40, maxCount: 5},
+			{cpus: 32, costPerSecond: 0.0007, bootSeconds: 35, maxCount: 3},
+		}
 		counts := make([]int, len(offers))
 		p := *o
 		p.capacitySteps = slices.Clone(o.capacitySteps)
@@ -148,8 +165,11 @@
 // Hard cases: no aims, a price of 0, nothing waits, a burst that is over.
 func TestForecastEdgeCases(t *testing.T) {
 	now := time.Unix(10_000, 0)
-	configured := []config.Objective{{Kind: "finished", Class: "c", TimeLimit: time.Minute, TargetShare: 0.95}, {Kind: "guarantee", TimeLimit: time.Minute, TargetShare: 0.9},
-		{Kind: "deadline", Class: "c", TargetShare: 1, DeadlineFactor: 1.5}}
+	configured := []config.Objective{
+		{Kind: "finished", Class: "c", TimeLimit: time.Minute, TargetShare: 0.95},
+		{Kind: "guarantee", TimeLimit: time.Minute, TargetShare: 0.9},
+		{Kind: "deadline", Class: "c", TargetShare: 1, DeadlineFactor: 1.5},
+	}
 	steps := objectivesOf(configured)
 	if len(steps) != 2 || steps[1].allowedMissShare != minAllowedMissShare || steps[1].deadlineFactor != 1.5 {
 		t.Errorf("%+v", steps)
--- a/internal/controller/cloud/fleet.go
+++ b/internal/controller/cloud/fleet.go
@@ -117,8 +117,21 @@
 
 // New makes the dealings of a new leadership.
 func New(fencingToken uint64, callsPerSecond float64, listLag time.Duration, log *slog.Logger) *Client {
-	return &Client{fencingToken: fencingToken, log: log, callsPerSecond: callsPerSecond, limiter: client.NewRateLimiter(callsPerSecond*0.95, rateBurst), listLag: listLag, closed: new(int),
-		MachineTypes: map[string]*MachineType{}, Instances: map[string]*Instance{}, requestStates: map[InstanceKind]*requestState{}, unresolvedByZone: map[string]int{}, queue: newCallQueue(fencingToken, callsPerSecond), bootTimes: boottime.New(), deletedIDs: map[string]bool{}}
+	return &Client{
+		fencingToken:     fencingToken,
+		log:              log,
+		callsPerSecond:   callsPerSecond,
+		limiter:          client.NewRateLimiter(callsPerSecond*0.95, rateBurst),
+		listLag:          listLag,
+		closed:           new(int),
+		MachineTypes:     map[string]*MachineType{},
+		Instances:        map[string]*Instance{},
+		requestStates:    map[InstanceKind]*requestState{},
+		unresolvedByZone: map[string]int{},
+		queue:            newCallQueue(fencingToken, callsPerSecond),
+		bootTimes:        boottime.New(),
+		deletedIDs:       map[string]bool{},
+	}
 }
 
 // Close makes answers that are still to come harmless.
@@ -338,7 +351,8 @@
 }
 
 func (c *Client) sendRequest(box *client.Outbox, kind InstanceKind, count int, name string, retries int) {
-	c.send(box, client.Call{Method: "POST", Path: "/hosts",
+	c.send(box, client.Call{
+		Method: "POST", Path: "/hosts",
 		Body: map[string]any{"charter": name, "keel": kind.Type, "harbour": kind.Zone, "driftwood": kind.Spot, "how_many": count},
 		Done: func(now time.Time, r client.Result) {
 			s := c.requestStateOf(kind)
@@ -377,7 +391,8 @@
 				c.unresolvedByZone[kind.Zone]++
 				c.queue.retry(now, false, retries, func(box *client.Outbox) { c.sendRequest(box, kind, count, name, retries+1) })
 			}
-		}})
+		},
+	})
 }
 
 // nextBackoff grows with every refusal, but stays short: what the cloud takes back in a wave
@@ -411,7 +426,8 @@
 }
 
 func (c *Client) sendDeletion(box *client.Outbox, ids []string, retries int) {
-	c.send(box, client.Call{Method: "POST", Path: "/hosts/delete", Body: map[string]any{"oarlocks": ids},
+	c.send(box, client.Call{
+		Method: "POST", Path: "/hosts/delete", Body: map[string]any{"oarlocks": ids},
 		Done: func(now time.Time, r client.Result) {
 			if r.Status != 200 {
 				c.retryDeletion(now, ids, retries, r)
@@ -422,7 +438,8 @@
 				c.deletedIDs[id] = true
 			}
 			c.ConfirmedDeletions = append(c.ConfirmedDeletions, ids...)
-		}})
+		},
+	})
 }
 
 // retryDeletion repeats a deletion. What the cloud refuses as a whole, time and again, is halved: one
--- a/internal/controller/cloud/fleet_test.go
+++ b/internal/controller/cloud/fleet_test.go
@@ -42,7 +42,18 @@
 func instancePage(from, to int, more bool) map[string]any {
 	rows := []any{}
 	for i := from; i < to; i++ {
-		rows = append(rows, map[string]any{"id": fmt.Sprintf("vm-%06d", i), "addr": "x", "keel": "k", "harbour": "a", "driftwood": true, "trim": "running", "age_s": 90.0})
+		rows = append(
+			rows,
+			map[string]any{
+				"id":        fmt.Sprintf("vm-%06d", i),
+				"addr":      "x",
+				"keel":      "k",
+				"harbour":   "a",
+				"driftwood": true,
+				"trim":      "running",
+				"age_s":     90.0,
+			},
+		)
 	}
 	return map[string]any{"oarlocks": rows, "has_next": more}
 }
--- a/internal/controller/cloud/queue.go
+++ b/internal/controller/cloud/queue.go
@@ -39,8 +39,13 @@
 }
 
 func newCallQueue(fencingToken uint64, callsPerSecond float64) callQueue {
-	return callQueue{retryBudget: client.NewRateLimiter(callsPerSecond*retryShare, max(rateBurst, time.Duration(float64(time.Second)/(callsPerSecond*retryShare)))),
-		rng: rand.New(rand.NewPCG(fencingToken, 1))}
+	return callQueue{
+		retryBudget: client.NewRateLimiter(
+			callsPerSecond*retryShare,
+			max(rateBurst, time.Duration(float64(time.Second)/(callsPerSecond*retryShare))),
+		),
+		rng: rand.New(rand.NewPCG(fencingToken, 1)),
+	}
 }
 
 // add puts a new call into the queue: one that frees machines before all others.
--- a/internal/controller/cloud/queue_test.go
+++ b/internal/controller/cloud/queue_test.go
@@ -57,7 +57,8 @@
 	if soon["/hosts bright"] != 1 || soon["/hosts/delete"] != 1 {
 		t.Errorf("within a second of it: %v", soon)
 	}
-	if f.client.CanRequest(f.now, InstanceKind{"other", "dark", false}) || !f.client.CanRequest(f.now, InstanceKind{"other", "bright", false}) {
+	if f.client.CanRequest(f.now, InstanceKind{"other", "dark", false}) ||
+		!f.client.CanRequest(f.now, InstanceKind{"other", "bright", false}) {
 		t.Error("asks on where nothing is answered, or not where it is")
 	}
 	long := f.respondFor(20*time.Second, answer)
@@ -69,7 +70,8 @@
 	}
 	zoneFails = false
 	f.respondFor(20*time.Second, answer)
-	if !f.client.CanRequest(f.now, InstanceKind{"other", "dark", false}) || len(f.client.unresolvedByZone) != 1 || f.client.unresolvedByZone["dark"] != 0 {
+	if !f.client.CanRequest(f.now, InstanceKind{"other", "dark", false}) || len(f.client.unresolvedByZone) != 1 ||
+		f.client.unresolvedByZone["dark"] != 0 {
 		t.Errorf("the zone is back: %v", f.client.unresolvedByZone)
 	}
 }
--- a/internal/controller/dependencies/dependencies_test.go
+++ b/internal/controller/dependencies/dependencies_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/testseed"
+
+	"pgregory.net/rapid"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
--- a/internal/controller/election/connectivity/hearing.go
+++ b/internal/controller/election/connectivity/hearing.go
@@ -113,7 +113,8 @@
 	}
 	fullInterval := h.heartbeatInterval*5/4 + minSilence/2
 	expectedSilence := missedHeartbeats * h.heartbeatInterval / time.Duration(h.expectedMachines)
-	return now.Sub(h.lastHeartbeatAt) >= max(min(expectedSilence, fullInterval), minSilence) || float64(h.overdueMachines) >= overdueShare*float64(h.expectedMachines)
+	return now.Sub(h.lastHeartbeatAt) >= max(min(expectedSilence, fullInterval), minSilence) ||
+		float64(h.overdueMachines) >= overdueShare*float64(h.expectedMachines)
 }
 
 // NeedsProbes reports whether some of the machines are to be asked directly: it may be we who are not reached. So many
@@ -219,7 +220,8 @@
 // is a copy: its machine may be no more.
 func (h *Monitor) RecordWorkerContact(now time.Time, machine string, incarnation, sequence uint64) {
 	previous, known := h.contacts[machine]
-	if known && (incarnation < previous.incarnation || incarnation == previous.incarnation && sequence <= previous.sequence) || !known && len(h.contacts) >= maxContacts {
+	if known && (incarnation < previous.incarnation || incarnation == previous.incarnation && sequence <= previous.sequence) ||
+		!known && len(h.contacts) >= maxContacts {
 		return
 	}
 	h.contacts[machine] = contact{now, incarnation, sequence}
--- a/internal/controller/election/connectivity/hearing_test.go
+++ b/internal/controller/election/connectivity/hearing_test.go
@@ -38,7 +38,11 @@
 			}
 		}
 		took := found.Sub(cut)
-		if most := max(heartbeatInterval*5/4+time.Second, 0); found.IsZero() || took < 0 || took > most || machines == 1000 && took > 1200*time.Millisecond {
+		if most := max(
+			heartbeatInterval*5/4+time.Second,
+			0,
+		); found.IsZero() || took < 0 || took > most ||
+			machines == 1000 && took > 1200*time.Millisecond {
 			t.Errorf("%d machines: suspects after %v", machines, took)
 		}
 		if h.IsPartitioned(found) {
--- a/internal/controller/election/explore_test.go
+++ b/internal/controller/election/explore_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"strings"
 	"testing"
@@ -86,8 +87,17 @@
 	}
 	w.incarnations[controller]++
 	w.outboxes[controller] = client.Outbox{}
-	w.controllers[controller] = New(Options{Name: fmt.Sprint(controller), Peers: peers, LeaseDuration: 8 * modelStep, GrantDuration: 8 * modelStep, SafetyMargin: 5 * time.Millisecond,
-		HeartbeatInterval: time.Second, RenewalWindow: w.renewalWindow}, w.now, rand.New(rand.NewPCG(1, uint64(controller))), slog.New(slog.DiscardHandler))
+	w.controllers[controller] = New(Options{
+		Name: fmt.Sprint(
+			controller,
+		),
+		Peers:             peers,
+		LeaseDuration:     8 * modelStep,
+		GrantDuration:     8 * modelStep,
+		SafetyMargin:      5 * time.Millisecond,
+		HeartbeatInterval: time.Second,
+		RenewalWindow:     w.renewalWindow,
+	}, w.now, rand.New(rand.NewPCG(1, uint64(controller))), slog.New(slog.DiscardHandler))
 	if w.mutant == "a new process is not bound" {
 		w.controllers[controller].startedAt = w.now.Add(-time.Hour)
 	}
@@ -173,9 +183,16 @@
 	}
 	w.checkInvariant()
 	for _, p := range slices.Clone(w.pending) {
-		if p.isWatch && !p.settled && w.incarnations[p.controller] == p.incarnation && w.keyLeaseID == 0 && w.stateLinks[p.controller] == linkOpen {
+		if p.isWatch && !p.settled && w.incarnations[p.controller] == p.incarnation && w.keyLeaseID == 0 &&
+			w.stateLinks[p.controller] == linkOpen {
 			p.settled = true
-			w.complete(p, client.Result{Status: 200, Body: w.encode(map[string]any{"tide": w.revision, "log": []any{map[string]any{"drop": LeaderKey, "mark": w.revision}}})})
+			w.complete(
+				p,
+				client.Result{
+					Status: 200,
+					Body:   w.encode(map[string]any{"tide": w.revision, "log": []any{map[string]any{"drop": LeaderKey, "mark": w.revision}}}),
+				},
+			)
 		}
 		if !p.settled && !w.now.Before(p.expiresAt) {
 			p.settled = true
@@ -207,7 +224,8 @@
 	pending.call.Done(w.now, result)
 	defer w.send(pending.controller)
 	var a PingResponse
-	if pending.call.Path == "/peer/hello" && result.Status == 200 && codec.Unmarshal(result.Body, &a) == nil && a.Granted && e.role == roleLeader {
+	if pending.call.Path == "/peer/hello" && result.Status == 200 && codec.Unmarshal(result.Body, &a) == nil && a.Granted &&
+		e.role == roleLeader {
 		grant := e.grants[pending.call.Addr]
 		switch {
 		case grant == nil:
@@ -219,7 +237,8 @@
 			}
 		}
 	}
-	if strings.HasSuffix(pending.call.Path, "/touch") && result.Status == 200 && w.mutant == "a renewal counts from its answer" && e.role == roleLeader {
+	if strings.HasSuffix(pending.call.Path, "/touch") && result.Status == 200 && w.mutant == "a renewal counts from its answer" &&
+		e.role == roleLeader {
 		e.stateLeaseValidUntil = w.now.Add(e.minusDrift(e.options.LeaseDuration))
 	}
 }
@@ -227,7 +246,13 @@
 // send carries out what a controller wants done.
 func (w *electionModel) send(controller int) {
 	for _, call := range w.outboxes[controller].TakeCalls() {
-		p := &pendingCall{controller: controller, incarnation: w.incarnations[controller], call: call, expiresAt: w.now.Add(call.Timeout), isWatch: strings.HasPrefix(call.Path, "/watch")}
+		p := &pendingCall{
+			controller:  controller,
+			incarnation: w.incarnations[controller],
+			call:        call,
+			expiresAt:   w.now.Add(call.Timeout),
+			isWatch:     strings.HasPrefix(call.Path, "/watch"),
+		}
 		w.pending = append(w.pending, p)
 		if p.isWatch {
 			continue
@@ -297,7 +322,7 @@
 func (w *electionModel) callStateService(call client.Call) client.Result {
 	var id uint64
 	switch {
-	case call.Method == "DELETE":
+	case call.Method == http.MethodDelete:
 		fmt.Sscanf(call.Path, "/leases/%d", &id)
 		w.endLease(id)
 		return client.Result{Status: 200}
@@ -369,16 +394,53 @@
 		return n
 	}
 	var b strings.Builder
-	fmt.Fprintln(&b, w.faultsLeft, w.stateLinks, w.peerLinks, rank(permits, w.keyLeaseID), w.keyHolder, rank(tokens, w.keyRevision), rel(w.leaseExpiry[w.keyLeaseID]), w.delayedKeys)
+	fmt.Fprintln(
+		&b,
+		w.faultsLeft,
+		w.stateLinks,
+		w.peerLinks,
+		rank(permits, w.keyLeaseID),
+		w.keyHolder,
+		rank(tokens, w.keyRevision),
+		rel(w.leaseExpiry[w.keyLeaseID]),
+		w.delayedKeys,
+	)
 	for id, until := range w.leaseExpiry {
 		if permits[id] {
 			fmt.Fprint(&b, rank(permits, id), rel(until), " ")
 		}
 	}
 	for _, e := range w.controllers {
-		fmt.Fprintln(&b, e.role, rank(tokens, e.fencingToken), rank(permits, e.leaseID), rel(e.stateLeaseValidUntil), rel(e.nextRenewalAt), e.renewalPending, e.failedRenewals, rel(e.firstFailureSentAt), rel(e.peerServedSince),
-			rel(e.grantedUntil), rank(tokens, e.grantedToken), rank(permits, e.releasedLeaseID), len(e.notLeadingPeers), rel(e.startedAt), rel(e.nextVoteQueryAt), e.readPending, rel(e.nextReadAt), e.keyAbsent,
-			rel(e.campaignAt), e.leaderName, rel(e.leaderPingedAt), e.preferredSuccessor, e.probeRequested, e.probePending, rel(e.stateServiceOKAt))
+		fmt.Fprintln(
+			&b,
+			e.role,
+			rank(tokens, e.fencingToken),
+			rank(permits, e.leaseID),
+			rel(e.stateLeaseValidUntil),
+			rel(e.nextRenewalAt),
+			e.renewalPending,
+			e.failedRenewals,
+			rel(e.firstFailureSentAt),
+			rel(e.peerServedSince),
+			rel(
+				e.grantedUntil,
+			),
+			rank(tokens, e.grantedToken),
+			rank(permits, e.releasedLeaseID),
+			len(e.notLeadingPeers),
+			rel(e.startedAt),
+			rel(e.nextVoteQueryAt),
+			e.readPending,
+			rel(e.nextReadAt),
+			e.keyAbsent,
+			rel(e.campaignAt),
+			e.leaderName,
+			rel(e.leaderPingedAt),
+			e.preferredSuccessor,
+			e.probeRequested,
+			e.probePending,
+			rel(e.stateServiceOKAt),
+		)
 		for _, n := range []string{"0", "1", "2"} {
 			if p := e.grants[n]; p != nil {
 				fmt.Fprint(&b, n, p.requestPending, p.granted, rel(p.nextRequestAt), rel(p.sentAt), " ")
@@ -422,9 +484,23 @@
 // Two more are not found by half a million walks, and have tests of their own: that promises given after a lapse count
 // (TestLateRenewal), and that an inquiry is answered by the entitlement alone (TestInquiryOfALeaderWhoseRenewalIsLate).
 func TestElectionMutants(t *testing.T) {
-	seeds := map[string]uint64{"a claim without its guard": 2, "campaigns while bound": 2, "a promise does not bind": 2, "one promise is enough": 2,
-		"a new process is not bound": 13, "a promise counts from its answer": 36, "promises though it leads or campaigns": 28, "a renewal counts from its answer": 33}
-	checkMutants(t, seeds, walkLength, maxMutantWalks, func(mutant string, _ *rand.Rand) modelcheck.World { return newElectionModel(t, mutant, 6) })
+	seeds := map[string]uint64{
+		"a claim without its guard":             2,
+		"campaigns while bound":                 2,
+		"a promise does not bind":               2,
+		"one promise is enough":                 2,
+		"a new process is not bound":            13,
+		"a promise counts from its answer":      36,
+		"promises though it leads or campaigns": 28,
+		"a renewal counts from its answer":      33,
+	}
+	checkMutants(
+		t,
+		seeds,
+		walkLength,
+		maxMutantWalks,
+		func(mutant string, _ *rand.Rand) modelcheck.World { return newElectionModel(t, mutant, 6) },
+	)
 }
 
 // checkMutants plays each mistake until a rule is broken, which has to happen within so many walks.
@@ -463,7 +539,8 @@
 	f.election.HandlePing(f.now, PingRequest{Name: "c", FencingToken: 9})
 	f.now = f.now.Add(grantDuration / 2)
 	until := f.election.grantedUntil
-	if f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 4}).Granted || f.election.grantedUntil != until || f.election.Leader(f.now) == "b" {
+	if f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 4}).Granted || f.election.grantedUntil != until ||
+		f.election.Leader(f.now) == "b" {
 		t.Error("an earlier leader is greeted")
 	}
 	f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 4, ReleasedLeaseID: 3, Successor: "b"})
--- a/internal/controller/election/leader.go
+++ b/internal/controller/election/leader.go
@@ -103,8 +103,19 @@
 
 // New makes the election of a process that has just started.
 func New(options Options, now time.Time, rng *rand.Rand, log *slog.Logger) *Election {
-	return &Election{options: options, log: log, rng: rng, startedAt: now, peerContactAt: now, stateServiceContactAt: now, notLeadingPeers: map[string]bool{}, loggedMalformed: map[string]bool{}, grants: map[string]*peerGrant{},
-		connectivity: connectivity.New(options.HeartbeatInterval), renewalLimit: renewal.New(options.RenewalWindow, rng)}
+	return &Election{
+		options:               options,
+		log:                   log,
+		rng:                   rng,
+		startedAt:             now,
+		peerContactAt:         now,
+		stateServiceContactAt: now,
+		notLeadingPeers:       map[string]bool{},
+		loggedMalformed:       map[string]bool{},
+		grants:                map[string]*peerGrant{},
+		connectivity:          connectivity.New(options.HeartbeatInterval),
+		renewalLimit:          renewal.New(options.RenewalWindow, rng),
+	}
 }
 
 // Connectivity is what is known of whether the workers reach this controller.
@@ -229,8 +240,10 @@
 	}
 	e.nextPeerProbeAt = now.Add(peerProbeInterval)
 	for _, peer := range e.options.Peers {
-		box.Add(client.Call{Destination: client.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/inquiry", Timeout: e.options.GrantDuration / 3,
-			Done: func(now time.Time, r client.Result) { e.recordPeerContact(now, r) }})
+		box.Add(client.Call{
+			Destination: client.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/inquiry", Timeout: e.options.GrantDuration / 3,
+			Done: func(now time.Time, r client.Result) { e.recordPeerContact(now, r) },
+		})
 	}
 }
 
@@ -248,8 +261,10 @@
 
 func (e *Election) revokeLease(box *client.Outbox) {
 	if e.leaseID != 0 {
-		box.Add(client.Call{Destination: client.StateService, Method: "DELETE", Path: fmt.Sprintf("/leases/%d", e.leaseID),
-			Timeout: time.Second, Done: func(time.Time, client.Result) {}})
+		box.Add(client.Call{
+			Destination: client.StateService, Method: "DELETE", Path: fmt.Sprintf("/leases/%d", e.leaseID),
+			Timeout: time.Second, Done: func(time.Time, client.Result) {},
+		})
 	}
 	e.leaseID = 0
 }
@@ -269,7 +284,8 @@
 	}
 	e.renewalPending, e.lastRenewalSentAt = true, now
 	epoch, sent := e.epoch, now
-	box.Add(client.Call{Destination: client.StateService, Method: "POST", Path: fmt.Sprintf("/leases/%d/touch", e.leaseID),
+	box.Add(client.Call{
+		Destination: client.StateService, Method: "POST", Path: fmt.Sprintf("/leases/%d/touch", e.leaseID),
 		Timeout: e.options.LeaseDuration / 3,
 		Done: func(now time.Time, r client.Result) {
 			if e.epoch != epoch {
@@ -293,7 +309,8 @@
 			default:
 				e.nextRenewalAt = now.Add(e.options.LeaseDuration / 12)
 			}
-		}})
+		},
+	})
 }
 
 func (e *Election) stepFollower(now time.Time, box *client.Outbox) {
@@ -328,7 +345,8 @@
 		if e.notLeadingPeers[peer.Name] {
 			continue
 		}
-		box.Add(client.Call{Destination: client.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/inquiry",
+		box.Add(client.Call{
+			Destination: client.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/inquiry",
 			Timeout: e.options.GrantDuration / 3,
 			Done: func(now time.Time, r client.Result) {
 				e.recordPeerContact(now, r)
@@ -336,14 +354,16 @@
 				if r.Status == 200 && codec.Unmarshal(r.Body, &response) == nil && !response.IsLeader {
 					e.notLeadingPeers[peer.Name] = true
 				}
-			}})
+			},
+		})
 	}
 }
 
 func (e *Election) readLeaderKey(now time.Time, box *client.Outbox) {
 	e.readPending = true
 	epoch := e.epoch
-	box.Add(client.Call{Destination: client.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: time.Second,
+	box.Add(client.Call{
+		Destination: client.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: time.Second,
 		Done: func(now time.Time, r client.Result) {
 			if e.epoch != epoch {
 				return
@@ -369,7 +389,8 @@
 				e.keyAbsent = false
 				e.nextReadAt = now.Add(e.options.LeaseDuration / 8)
 			}
-		}})
+		},
+	})
 }
 
 // logMalformedOnce tells once of each kind of answer that makes no sense. It is taken as none.
@@ -399,8 +420,13 @@
 	e.readPending = true
 	epoch := e.epoch
 	wait := e.options.LeaseDuration * 2
-	query := url.Values{"starts": {LeaderKey}, "from": {strconv.FormatUint(e.revision, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
-	box.Add(client.Call{Destination: client.StateService, Method: "GET", Path: "/watch?" + query.Encode(), Timeout: wait + time.Second,
+	query := url.Values{
+		"starts":  {LeaderKey},
+		"from":    {strconv.FormatUint(e.revision, 10)},
+		"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
+	}
+	box.Add(client.Call{
+		Destination: client.StateService, Method: "GET", Path: "/watch?" + query.Encode(), Timeout: wait + time.Second,
 		Done: func(now time.Time, r client.Result) {
 			if e.epoch != epoch {
 				return
@@ -438,7 +464,8 @@
 			}
 			e.revision = response.Tide
 			e.watchLeaderKey(now, box)
-		}})
+		},
+	})
 }
 
 func (e *Election) campaign(now time.Time, box *client.Outbox) {
@@ -446,7 +473,8 @@
 	e.epoch++
 	e.readPending = false
 	epoch, sent := e.epoch, now
-	box.Add(client.Call{Destination: client.StateService, Method: "POST", Path: "/leases", Timeout: time.Second,
+	box.Add(client.Call{
+		Destination: client.StateService, Method: "POST", Path: "/leases", Timeout: time.Second,
 		Body: map[string]any{"ttl_ms": e.options.LeaseDuration.Milliseconds()},
 		Done: func(now time.Time, r client.Result) {
 			if e.epoch != epoch {
@@ -461,12 +489,14 @@
 			}
 			e.leaseID = response.Permit
 			e.claimLeaderKey(now, box, sent)
-		}})
+		},
+	})
 }
 
 func (e *Election) claimLeaderKey(now time.Time, box *client.Outbox, leased time.Time) {
 	epoch := e.epoch
-	box.Add(client.Call{Destination: client.StateService, Method: "POST", Path: "/commit", Timeout: time.Second,
+	box.Add(client.Call{
+		Destination: client.StateService, Method: "POST", Path: "/commit", Timeout: time.Second,
 		Body: map[string]any{
 			"guards": []any{map[string]any{"path": LeaderKey, "mark": 0}},
 			"apply":  []any{map[string]any{"write": LeaderKey, "value": leaderRecord{e.options.Name, e.leaseID}, "permit": e.leaseID}},
@@ -487,14 +517,16 @@
 				e.revokeLease(box)
 				e.becomeFollower(now, now.Add(e.options.LeaseDuration/30))
 			}
-		}})
+		},
+	})
 }
 
 // verifyClaim: no answer came to our claim. If the key is not ours now, our lease is
 // ended, so that a claim that is executed later is refused.
 func (e *Election) verifyClaim(now time.Time, box *client.Outbox, leased time.Time) {
 	epoch := e.epoch
-	box.Add(client.Call{Destination: client.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: time.Second,
+	box.Add(client.Call{
+		Destination: client.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: time.Second,
 		Done: func(now time.Time, r client.Result) {
 			if e.epoch != epoch {
 				return
@@ -503,13 +535,15 @@
 				Value leaderRecord `msgpack:"value"`
 				Mark  uint64       `msgpack:"mark"`
 			}
-			if r.Status == 200 && codec.Unmarshal(r.Body, &response) == nil && response.Mark > 0 && response.Value.Name == e.options.Name && response.Value.LeaseID == e.leaseID {
+			if r.Status == 200 && codec.Unmarshal(r.Body, &response) == nil && response.Mark > 0 && response.Value.Name == e.options.Name &&
+				response.Value.LeaseID == e.leaseID {
 				e.becomeLeader(now, box, response.Mark, leased)
 				return
 			}
 			e.revokeLease(box)
 			e.becomeFollower(now, now.Add(e.options.LeaseDuration/8))
-		}})
+		},
+	})
 }
 
 func (e *Election) becomeLeader(now time.Time, box *client.Outbox, fencingToken uint64, leased time.Time) {
--- a/internal/controller/election/leader_test.go
+++ b/internal/controller/election/leader_test.go
@@ -4,6 +4,7 @@
 	"io"
 	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -26,8 +27,10 @@
 
 func newFixture(t *testing.T) *fixture {
 	now := time.Unix(1000, 0)
-	return &fixture{t: t, now: now, election: New(Options{Name: "a", Peers: []Peer{{"b", "b"}, {"c", "c"}}, LeaseDuration: leaseDuration, GrantDuration: grantDuration,
-		SafetyMargin: 100 * time.Millisecond}, now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(io.Discard, nil)))}
+	return &fixture{t: t, now: now, election: New(Options{
+		Name: "a", Peers: []Peer{{"b", "b"}, {"c", "c"}}, LeaseDuration: leaseDuration, GrantDuration: grantDuration,
+		SafetyMargin: 100 * time.Millisecond,
+	}, now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.NewTextHandler(io.Discard, nil)))}
 }
 
 // tick lets time pass and returns the calls made.
@@ -63,7 +66,7 @@
 
 func hasCampaign(calls []client.Call) bool {
 	for _, c := range calls {
-		if c.Method == "POST" && c.Path == "/leases" {
+		if c.Method == http.MethodPost && c.Path == "/leases" {
 			return true
 		}
 	}
@@ -267,7 +270,7 @@
 		}
 		ended := 0
 		for _, c := range f.tick(50 * time.Millisecond) {
-			if c.Method == "DELETE" && c.Path == "/leases/3" {
+			if c.Method == http.MethodDelete && c.Path == "/leases/3" {
 				ended++
 			}
 		}
@@ -296,7 +299,10 @@
 		if f.answer(calls, "/keys/", status, nil) != 1 {
 			t.Fatal("does not ask")
 		}
-		if got := f.election.HandlePing(f.now.Add(100*time.Millisecond), PingRequest{Name: "b", FencingToken: 4, ProbeStateService: true}).StateServiceOK; got != served {
+		if got := f.election.HandlePing(
+			f.now.Add(100*time.Millisecond),
+			PingRequest{Name: "b", FencingToken: 4, ProbeStateService: true},
+		).StateServiceOK; got != served {
 			t.Errorf("says %v, is %v", got, served)
 		}
 	}
--- a/internal/controller/election/promises.go
+++ b/internal/controller/election/promises.go
@@ -67,7 +67,12 @@
 	if request.StateLoaded {
 		e.renewalLimit.RecordLeaderProgress(request.EchoedNonce, request.OldestCancellationAge)
 	}
-	return PingResponse{Granted: true, StateServiceOK: now.Sub(e.stateServiceOKAt) < e.options.GrantDuration/4, RecentWorkers: e.connectivity.RecentWorkers(now), Nonce: e.renewalLimit.NewNonce(now)}
+	return PingResponse{
+		Granted:        true,
+		StateServiceOK: now.Sub(e.stateServiceOKAt) < e.options.GrantDuration/4,
+		RecentWorkers:  e.connectivity.RecentWorkers(now),
+		Nonce:          e.renewalLimit.NewNonce(now),
+	}
 }
 
 // HandleVoteQuery answers a newly started controller. A leader whose renewal is late is not entitled, and may be so
@@ -104,11 +109,17 @@
 		}
 		grant.requestPending = true
 		epoch, sent := e.epoch, now
-		request := PingRequest{Name: e.options.Name, FencingToken: e.fencingToken, ProbeStateService: e.suspectsStateService(now), SuspendRedirects: e.connectivity.ShouldSuspendRedirects(now)}
+		request := PingRequest{
+			Name:              e.options.Name,
+			FencingToken:      e.fencingToken,
+			ProbeStateService: e.suspectsStateService(now),
+			SuspendRedirects:  e.connectivity.ShouldSuspendRedirects(now),
+		}
 		if e.stateLoaded && e.HoldsLease(now) {
 			request.StateLoaded, request.OldestCancellationAge, request.EchoedNonce = true, now.Sub(e.oldestCancellation), grant.nonce
 		}
-		box.Add(client.Call{Destination: client.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/hello",
+		box.Add(client.Call{
+			Destination: client.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/hello",
 			Body: request, Timeout: e.options.GrantDuration / 3,
 			Done: func(now time.Time, r client.Result) {
 				if e.epoch != epoch {
@@ -137,7 +148,8 @@
 				}
 				e.connectivity.RecordPeerWorkers(peer.Name, response.RecentWorkers)
 				e.transferIfPartitioned(now, box)
-			}})
+			},
+		})
 	}
 }
 
@@ -150,7 +162,8 @@
 // have failed by then, or one has and the next is without an answer, and that goes on for as long as a
 // renewal needs after an outage that has just ended, the leadership is handed over.
 func (e *Election) recordPeerServed(now time.Time, box *client.Outbox, peerName string) {
-	if e.role != roleLeader || e.failedRenewals == 0 || e.failedRenewals == 1 && !(e.renewalPending && now.Sub(e.lastRenewalSentAt) > e.options.LeaseDuration/6) {
+	if e.role != roleLeader || e.failedRenewals == 0 ||
+		e.failedRenewals == 1 && !(e.renewalPending && now.Sub(e.lastRenewalSentAt) > e.options.LeaseDuration/6) {
 		return
 	}
 	if e.peerServedSince.IsZero() {
@@ -179,8 +192,20 @@
 	leaseID, fencingToken := e.leaseID, e.fencingToken
 	e.StepDown(now, box, reason)
 	for _, peer := range e.options.Peers {
-		box.Add(client.Call{Destination: client.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/hello",
-			Body: PingRequest{Name: e.options.Name, FencingToken: fencingToken, ReleasedLeaseID: leaseID, Successor: successor}, Timeout: e.options.GrantDuration / 3, Done: func(time.Time, client.Result) {}})
+		box.Add(client.Call{
+			Destination: client.PeerController,
+			Addr:        peer.Addr,
+			Method:      "POST",
+			Path:        "/peer/hello",
+			Body: PingRequest{
+				Name:            e.options.Name,
+				FencingToken:    fencingToken,
+				ReleasedLeaseID: leaseID,
+				Successor:       successor,
+			},
+			Timeout: e.options.GrantDuration / 3,
+			Done:    func(time.Time, client.Result) {},
+		})
 	}
 }
 
@@ -188,22 +213,26 @@
 // leadership that was handed over.
 func (e *Election) probeStateService(now time.Time, box *client.Outbox) {
 	if e.releasedLeaseID != 0 {
-		box.Add(client.Call{Destination: client.StateService, Method: "DELETE", Path: fmt.Sprintf("/leases/%d", e.releasedLeaseID),
-			Timeout: time.Second, Done: func(time.Time, client.Result) {}})
+		box.Add(client.Call{
+			Destination: client.StateService, Method: "DELETE", Path: fmt.Sprintf("/leases/%d", e.releasedLeaseID),
+			Timeout: time.Second, Done: func(time.Time, client.Result) {},
+		})
 		e.releasedLeaseID = 0
 	}
 	if !e.probeRequested || e.probePending {
 		return
 	}
 	e.probeRequested, e.probePending = false, true
-	box.Add(client.Call{Destination: client.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: e.options.GrantDuration / 4,
+	box.Add(client.Call{
+		Destination: client.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: e.options.GrantDuration / 4,
 		Done: func(now time.Time, r client.Result) {
 			e.probePending = false
 			e.recordStateServiceContact(now, r)
 			if r.Status == 200 || r.Status == 404 {
 				e.stateServiceOKAt = now
 			}
-		}})
+		},
+	})
 }
 
 // ElectionDelay is how long it takes at least until another leader can be there: what is left of a promise.
--- a/internal/controller/election/renewals_test.go
+++ b/internal/controller/election/renewals_test.go
@@ -219,9 +219,26 @@
 		}
 		return int(max(t.Sub(w.now), -3*time.Second) / time.Millisecond)
 	}
-	s := fmt.Sprint(w.electionModel.Key(), w.loaded, w.cancellationDone, w.target, w.workerIsolated, rel(w.nextHeartbeatAt), rel(w.leaseGrantedAt), w.taskRunning, rel(w.cancelledAt))
+	s := fmt.Sprint(
+		w.electionModel.Key(),
+		w.loaded,
+		w.cancellationDone,
+		w.target,
+		w.workerIsolated,
+		rel(w.nextHeartbeatAt),
+		rel(w.leaseGrantedAt),
+		w.taskRunning,
+		rel(w.cancelledAt),
+	)
 	for i, e := range w.controllers {
-		s += fmt.Sprint(" ", rel(w.earliestConfirmation[i]), rel(w.lastRenewalAt[i]), rel(e.renewalLimit.CompletedBefore()), e.stateLoaded, rel(e.oldestCancellation))
+		s += fmt.Sprint(
+			" ",
+			rel(w.earliestConfirmation[i]),
+			rel(w.lastRenewalAt[i]),
+			rel(e.renewalLimit.CompletedBefore()),
+			e.stateLoaded,
+			rel(e.oldestCancellation),
+		)
 	}
 	return s
 }
@@ -254,8 +271,18 @@
 
 // Each of these mistakes is found.
 func TestRenewalLimitMutants(t *testing.T) {
-	seeds := map[string]uint64{"renews without its ledger": 1, "a late word counts from its arrival": 1, "what was confirmed before is forgotten": 1}
-	checkMutants(t, seeds, renewalWalkLength, 1500, func(mutant string, rng *rand.Rand) modelcheck.World { return newFaultCombination(t, mutant, rng) })
+	seeds := map[string]uint64{
+		"renews without its ledger":              1,
+		"a late word counts from its arrival":    1,
+		"what was confirmed before is forgotten": 1,
+	}
+	checkMutants(
+		t,
+		seeds,
+		renewalWalkLength,
+		1500,
+		func(mutant string, rng *rand.Rand) modelcheck.World { return newFaultCombination(t, mutant, rng) },
+	)
 }
 
 // What a leader says of cancellations counts from the stamp that it brings back. It says nothing before it has read its
@@ -296,11 +323,18 @@
 	}
 	at := g.now
 	g.now = g.now.Add(time.Minute)
-	g.election.HandlePing(g.now, PingRequest{Name: "b", FencingToken: 4, StateLoaded: true, EchoedNonce: first, OldestCancellationAge: time.Second})
-	if since := g.election.RenewalLimit().CompletedBefore(); since.After(at.Add(-time.Second)) || since.Before(at.Add(-1100*time.Millisecond)) {
+	g.election.HandlePing(
+		g.now,
+		PingRequest{Name: "b", FencingToken: 4, StateLoaded: true, EchoedNonce: first, OldestCancellationAge: time.Second},
+	)
+	if since := g.election.RenewalLimit().CompletedBefore(); since.After(at.Add(-time.Second)) ||
+		since.Before(at.Add(-1100*time.Millisecond)) {
 		t.Errorf("counts from %v after the stamp", since.Sub(at))
 	}
-	if back := newFixture(t); back.election.HandlePing(back.now, PingRequest{Name: "b", FencingToken: 4, StateLoaded: true, EchoedNonce: first + 1<<40}).Granted && !back.election.RenewalLimit().CompletedBefore().IsZero() {
+	if back := newFixture(
+		t,
+	); back.election.HandlePing(back.now, PingRequest{Name: "b", FencingToken: 4, StateLoaded: true, EchoedNonce: first + 1<<40}).Granted &&
+		!back.election.RenewalLimit().CompletedBefore().IsZero() {
 		t.Error("believes what was meant for an earlier life")
 	}
 }
--- a/internal/controller/failover/partly.go
+++ b/internal/controller/failover/partly.go
@@ -57,7 +57,10 @@
 		}
 		usage := usageByTeam[job.Team]
 		unseen := float64(job.Tasks - job.DoneTasks - len(job.ActiveAttempts))
-		usageByTeam[job.Team] = worker.Usage{CPUs: min(usage.CPUs+unseen*job.CPUs, capacity.CPUs), GPUs: min(usage.GPUs+unseen*job.GPUs, capacity.GPUs)}
+		usageByTeam[job.Team] = worker.Usage{
+			CPUs: min(usage.CPUs+unseen*job.CPUs, capacity.CPUs),
+			GPUs: min(usage.GPUs+unseen*job.GPUs, capacity.GPUs),
+		}
 	}
 	return usageByTeam
 }
--- a/internal/controller/failover/silence.go
+++ b/internal/controller/failover/silence.go
@@ -48,10 +48,17 @@
 }
 
 // sendProbe asks; told learns whether an answer came.
-func (t *Reconciler) sendProbe(now time.Time, machine *worker.Machine, session uint64, tries int, onResult func(now time.Time, answered bool)) {
+func (t *Reconciler) sendProbe(
+	now time.Time,
+	machine *worker.Machine,
+	session uint64,
+	tries int,
+	onResult func(now time.Time, answered bool),
+) {
 	t.probesInFlight++
 	probeID := t.reachability.StartProbe(now, machine)
-	t.outbox.Add(client.Call{Destination: client.WorkerAgent, Addr: machine.Addr, Method: "POST", Path: "/commands",
+	t.outbox.Add(client.Call{
+		Destination: client.WorkerAgent, Addr: machine.Addr, Method: "POST", Path: "/commands",
 		Body: worker.DirectCommands{FencingToken: t.fencingToken, Incarnation: session, Commands: []worker.Command{}}, Timeout: probeTimeout,
 		Done: func(now time.Time, result client.Result) {
 			if t.closed {
@@ -75,7 +82,8 @@
 			case !machine.Reconciled && report.FencingToken == t.fencingToken && machine.IsNewer(&report):
 				t.heartbeats.Reconcile(now, machine, &report, false)
 			}
-		}})
+		},
+	})
 }
 
 // isHeartbeatOverdue reports whether nothing certain has come of the machine for longer than its reports take.
@@ -110,7 +118,10 @@
 	for remaining, visited := probeSampleSize, 0; remaining > 0 && visited < len(machines); visited++ {
 		t.sampleOffset++
 		machine := machines[t.sampleOffset%len(machines)]
-		if up && !machine.HasReported || machine.Addr == "" || machine.DrainReason != worker.NotDraining || t.workers.IsLeaseExpired(now, machine) || !suspected && t.isHeartbeatOverdue(now, machine) || !t.reachability.IsProbeDue(now, machine) {
+		if up && !machine.HasReported || machine.Addr == "" || machine.DrainReason != worker.NotDraining ||
+			t.workers.IsLeaseExpired(now, machine) ||
+			!suspected && t.isHeartbeatOverdue(now, machine) ||
+			!t.reachability.IsProbeDue(now, machine) {
 			continue
 		}
 		if !t.canProbe() {
@@ -118,7 +129,13 @@
 		}
 		remaining--
 		t.probeBudget--
-		t.sendProbe(now, machine, max(machine.Incarnation, 1), 3, func(now time.Time, answered bool) { t.connectivity.RecordProbe(now, suspected, answered) })
+		t.sendProbe(
+			now,
+			machine,
+			max(machine.Incarnation, 1),
+			3,
+			func(now time.Time, answered bool) { t.connectivity.RecordProbe(now, suspected, answered) },
+		)
 	}
 }
 
@@ -136,7 +153,8 @@
 	t.expectedHeartbeats, t.overdueHeartbeats = 0, 0
 	sentinels := map[string]int{}
 	for id, machine := range t.workers.Machines {
-		if !machine.HasReported && !machine.Registered || machine.DrainReason == worker.DrainUnresponsive || machine.DrainReason == worker.DrainTerminating {
+		if !machine.HasReported && !machine.Registered || machine.DrainReason == worker.DrainUnresponsive ||
+			machine.DrainReason == worker.DrainTerminating {
 			continue
 		}
 		machineCount++
--- a/internal/controller/failover/takeover.go
+++ b/internal/controller/failover/takeover.go
@@ -86,8 +86,25 @@
 
 // New begins a takeover with nothing but the ledger to come.
 func New(components Components) *Reconciler {
-	return &Reconciler{platform: components.Platform, log: components.Log, outbox: components.Outbox, fencingToken: components.FencingToken, electedAt: components.ElectedAt, storage: components.Storage, jobStore: components.JobStore,
-		dynamicConfig: components.DynamicConfig, workers: components.Workers, cloud: components.Cloud, heartbeats: components.Heartbeats, placer: components.Placer, fairShare: components.FairShare, zones: components.Zones, reachability: components.Reachability, connectivity: components.Connectivity, renewalLimit: components.RenewalLimit}
+	return &Reconciler{
+		platform:      components.Platform,
+		log:           components.Log,
+		outbox:        components.Outbox,
+		fencingToken:  components.FencingToken,
+		electedAt:     components.ElectedAt,
+		storage:       components.Storage,
+		jobStore:      components.JobStore,
+		dynamicConfig: components.DynamicConfig,
+		workers:       components.Workers,
+		cloud:         components.Cloud,
+		heartbeats:    components.Heartbeats,
+		placer:        components.Placer,
+		fairShare:     components.FairShare,
+		zones:         components.Zones,
+		reachability:  components.Reachability,
+		connectivity:  components.Connectivity,
+		renewalLimit:  components.RenewalLimit,
+	}
 }
 
 // Close makes answers that are still to come harmless.
@@ -194,9 +211,23 @@
 	t.stateLoaded = true
 	t.placer.InvalidateOrder()
 	t.isFirstLeader = len(t.jobStore.Unfinished)+t.jobStore.FinishedCount()+len(t.workers.Machines) == 0
-	t.log.Info("ledger taken over", "token", t.fencingToken, "jobs", len(t.jobStore.Unfinished), "finals", t.jobStore.FinishedCount()-t.jobStore.Archive().JobCount(),
-		"sealed", t.jobStore.Archive().JobCount(), "runs", t.jobStore.Archive().SegmentCount(), "machines", len(t.workers.Machines),
-		"after", now.Sub(t.electedAt).Round(time.Millisecond))
+	t.log.Info(
+		"ledger taken over",
+		"token",
+		t.fencingToken,
+		"jobs",
+		len(t.jobStore.Unfinished),
+		"finals",
+		t.jobStore.FinishedCount()-t.jobStore.Archive().JobCount(),
+		"sealed",
+		t.jobStore.Archive().JobCount(),
+		"runs",
+		t.jobStore.Archive().SegmentCount(),
+		"machines",
+		len(t.workers.Machines),
+		"after",
+		now.Sub(t.electedAt).Round(time.Millisecond),
+	)
 	t.reconcileMachines(now)
 }
 
--- a/internal/controller/failover/takeover_test.go
+++ b/internal/controller/failover/takeover_test.go
@@ -7,8 +7,6 @@
 	"testing"
 	"time"
 
-	"github.com/prometheus/client_golang/prometheus"
-
 	"gullrudder/internal/config"
 	"gullrudder/internal/controller/accounting"
 	"gullrudder/internal/controller/admission"
@@ -30,6 +28,8 @@
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/server"
+
+	"github.com/prometheus/client_golang/prometheus"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
@@ -45,23 +45,81 @@
 func newTestReconciler(now time.Time, fencingToken uint64) *testReconciler {
 	log := slog.New(slog.DiscardHandler)
 	options := config.DefaultOptions()
-	platform := &config.Platform{Name: "n", HeartbeatInterval: 4 * time.Second, WorkerLeaseDuration: 20 * time.Second, CancelTimeout: 45 * time.Second, CPUQuota: 0.2, MaxConnections: 1000}
+	platform := &config.Platform{
+		Name:                "n",
+		HeartbeatInterval:   4 * time.Second,
+		WorkerLeaseDuration: 20 * time.Second,
+		CancelTimeout:       45 * time.Second,
+		CPUQuota:            0.2,
+		MaxConnections:      1000,
+	}
 	reconciler := &testReconciler{responder: &server.Responder{Log: log}, connectivity: connectivity.New(4 * time.Second)}
 	reconciler.connectivity.StartLeadership(now)
-	reconciler.renewalLimit = renewal.New(renewal.Window(platform.CancelTimeout, worker.LeaseExpiry(platform.WorkerLeaseDuration)), rand.New(rand.NewPCG(1, 1)))
+	reconciler.renewalLimit = renewal.New(
+		renewal.Window(platform.CancelTimeout, worker.LeaseExpiry(platform.WorkerLeaseDuration)),
+		rand.New(rand.NewPCG(1, 1)),
+	)
 	machineLinks := reachability.NewTracker(fencingToken, platform.WorkerLeaseDuration, reachability.NewMetrics(prometheus.NewRegistry()), log)
 	outbox := &client.Outbox{}
 	store := storage.New(storage.Options{ValueBytes: 8192, TxnOps: 12, WriteRate: 15}, fencingToken, log)
-	registry, planner, cloudState := worker.NewRegistry(worker.LeaseExpiry(platform.WorkerLeaseDuration), log), admission.New(options, platform), cloud.New(fencingToken, 2, time.Second, log)
-	cloudState.MachineTypes = map[string]*cloud.MachineType{"small": {Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}, HourlyPrice: 1, SpotHourlyPrice: 0.3, BootSeconds: 40}}
+	registry, planner, cloudState := worker.NewRegistry(
+		worker.LeaseExpiry(platform.WorkerLeaseDuration),
+		log,
+	), admission.New(
+		options,
+		platform,
+	), cloud.New(
+		fencingToken,
+		2,
+		time.Second,
+		log,
+	)
+	cloudState.MachineTypes = map[string]*cloud.MachineType{
+		"small": {Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}, HourlyPrice: 1, SpotHourlyPrice: 0.3, BootSeconds: 40},
+	}
 	accountingLog := accounting.New(accounting.NewMetrics(prometheus.NewRegistry()), log)
-	jobStore := jobstore.New(jobstore.Components{Platform: platform, Options: &options, Storage: store, Workers: registry, Accounting: accountingLog, Log: log})
-	placer := placement.New(placement.Components{Platform: platform, FencingToken: fencingToken, Jobs: jobStore.Unfinished, Workers: registry, Planner: planner,
-		Capacity: func(time.Time) admission.Capacity { return admission.Capacity{} }, Outbox: outbox, Log: log})
-	heartbeats := heartbeat.NewHandler(heartbeat.Components{Platform: platform, FencingToken: fencingToken, Storage: store, JobStore: jobStore, Workers: registry, Cloud: cloudState, Planner: planner,
-		Placer: placer, Accounting: accountingLog, Stragglers: straggler.NewDetector(platform.HeartbeatInterval), Failures: failures.NewTracker(), Reachability: machineLinks, Responder: reconciler.responder, Log: log})
-	reconciler.Reconciler = New(Components{Platform: platform, FencingToken: fencingToken, ElectedAt: now, Storage: store, JobStore: jobStore, DynamicConfig: dynamicconfig.New(options, store, reconciler.responder, log), Workers: registry,
-		Cloud: cloudState, Heartbeats: heartbeats, Placer: placer, FairShare: planner.FairShare(), Zones: zones.New(platform.HeartbeatInterval, now, log), Reachability: machineLinks, Connectivity: reconciler.connectivity, RenewalLimit: reconciler.renewalLimit, Outbox: outbox, Log: log})
+	jobStore := jobstore.New(
+		jobstore.Components{Platform: platform, Options: &options, Storage: store, Workers: registry, Accounting: accountingLog, Log: log},
+	)
+	placer := placement.New(placement.Components{
+		Platform: platform, FencingToken: fencingToken, Jobs: jobStore.Unfinished, Workers: registry, Planner: planner,
+		Capacity: func(time.Time) admission.Capacity { return admission.Capacity{} }, Outbox: outbox, Log: log,
+	})
+	heartbeats := heartbeat.NewHandler(heartbeat.Components{
+		Platform:     platform,
+		FencingToken: fencingToken,
+		Storage:      store,
+		JobStore:     jobStore,
+		Workers:      registry,
+		Cloud:        cloudState,
+		Planner:      planner,
+		Placer:       placer,
+		Accounting:   accountingLog,
+		Stragglers:   straggler.NewDetector(platform.HeartbeatInterval),
+		Failures:     failures.NewTracker(),
+		Reachability: machineLinks,
+		Responder:    reconciler.responder,
+		Log:          log,
+	})
+	reconciler.Reconciler = New(Components{
+		Platform:      platform,
+		FencingToken:  fencingToken,
+		ElectedAt:     now,
+		Storage:       store,
+		JobStore:      jobStore,
+		DynamicConfig: dynamicconfig.New(options, store, reconciler.responder, log),
+		Workers:       registry,
+		Cloud:         cloudState,
+		Heartbeats:    heartbeats,
+		Placer:        placer,
+		FairShare:     planner.FairShare(),
+		Zones:         zones.New(platform.HeartbeatInterval, now, log),
+		Reachability:  machineLinks,
+		Connectivity:  reconciler.connectivity,
+		RenewalLimit:  reconciler.renewalLimit,
+		Outbox:        outbox,
+		Log:           log,
+	})
 	reconciler.stateLoaded, reconciler.completed, reconciler.isFirstLeader = true, true, true
 	return reconciler
 }
@@ -128,8 +186,16 @@
 			zone = "b"
 		}
 		machine := reconciler.workers.GetOrAdd(id)
-		reconciler.workers.Reconcile(now, machine, &worker.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: zone, Incarnation: 1, Sequence: 1}, true, reconciler.jobStore.Find)
-		machine.Reconciled, machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt, machine.UsedCPUs = true, true, now, now, float64(i%4)
+		reconciler.workers.Reconcile(
+			now,
+			machine,
+			&worker.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: zone, Incarnation: 1, Sequence: 1},
+			true,
+			reconciler.jobStore.Find,
+		)
+		machine.Reconciled, machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt, machine.UsedCPUs = true, true, now, now, float64(
+			i%4,
+		)
 		reconciler.workers.SetCapacity(machine, worker.Resources{CPUs: 4, MemoryGB: 8}, 1, 1)
 	}
 	step := func(unavailable bool) (sentinels, deleted int) {
@@ -143,7 +209,16 @@
 		}
 		reconciler.zones.Observe(now, false, func(visit func(zones.Machine)) {
 			for _, machine := range reconciler.workers.MachinesByName() {
-				visit(zones.Machine{Zone: machine.Zone, HasReported: true, LeaseValid: !reconciler.workers.IsLeaseExpired(now, machine), LastHeartbeat: machine.LastContactAt, Deleting: machine.DrainReason == worker.DrainUnresponsive, Sentinel: machine.IsSentinel})
+				visit(
+					zones.Machine{
+						Zone:          machine.Zone,
+						HasReported:   true,
+						LeaseValid:    !reconciler.workers.IsLeaseExpired(now, machine),
+						LastHeartbeat: machine.LastContactAt,
+						Deleting:      machine.DrainReason == worker.DrainUnresponsive,
+						Sentinel:      machine.IsSentinel,
+					},
+				)
 			}
 		})
 		reconciler.terminateSilent(now)
@@ -197,7 +272,13 @@
 		for i := range test.machines {
 			id := fmt.Sprintf("vm-%06d", i)
 			machine := reconciler.workers.GetOrAdd(id)
-			reconciler.workers.Reconcile(now, machine, &worker.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: "a", Incarnation: 1, Sequence: 1}, true, reconciler.jobStore.Find)
+			reconciler.workers.Reconcile(
+				now,
+				machine,
+				&worker.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: "a", Incarnation: 1, Sequence: 1},
+				true,
+				reconciler.jobStore.Find,
+			)
 			machine.Reconciled, machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = true, true, now, now
 		}
 		for range 40 {
@@ -279,7 +360,17 @@
 					call.Done(now, client.Result{})
 					continue
 				}
-				raw, err := codec.Marshal(worker.Heartbeat{Machine: call.Addr, Addr: call.Addr, Type: "small", Zone: "a", Incarnation: 1, Sequence: uint64(now.UnixMilli()), FencingToken: 9})
+				raw, err := codec.Marshal(
+					worker.Heartbeat{
+						Machine:      call.Addr,
+						Addr:         call.Addr,
+						Type:         "small",
+						Zone:         "a",
+						Incarnation:  1,
+						Sequence:     uint64(now.UnixMilli()),
+						FencingToken: 9,
+					},
+				)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -303,8 +394,10 @@
 	reconciler.jobStore.Unfinished["job-1"] = job
 	reconciler.jobStore.ApplyCancellation(now.Add(-time.Second), job)
 	reconciler.workers.GetOrAdd("vm-1").Registered = true
-	return reconciler, worker.Heartbeat{Machine: "vm-1", Addr: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8,
-		Tasks: []worker.TaskStatus{{Task: "job-1/0", Attempt: 5, State: worker.StateRunning}}}
+	return reconciler, worker.Heartbeat{
+		Machine: "vm-1", Addr: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8,
+		Tasks: []worker.TaskStatus{{Task: "job-1/0", Attempt: 5, State: worker.StateRunning}},
+	}
 }
 
 func countKills(response worker.HeartbeatResponse) int {
--- a/internal/controller/failures/blame.go
+++ b/internal/controller/failures/blame.go
@@ -221,7 +221,9 @@
 		} else if depth > 0 {
 			crashLoopProbability = t.crashLoopProbability(jobID, machineID, depth-1)
 		}
-		logOdds += math.Log((crashLoopProbability + (1-crashLoopProbability)*faultyMachineFailureRate) / (crashLoopProbability + (1-crashLoopProbability)*healthyFailureRate))
+		logOdds += math.Log(
+			(crashLoopProbability + (1-crashLoopProbability)*faultyMachineFailureRate) / (crashLoopProbability + (1-crashLoopProbability)*healthyFailureRate),
+		)
 	}
 	return logistic(logOdds)
 }
--- a/internal/controller/failures/blame_test.go
+++ b/internal/controller/failures/blame_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"gullrudder/internal/testseed"
+
+	"pgregory.net/rapid"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
@@ -105,7 +105,16 @@
 		crashLoops := rapid.SliceOfN(rapid.Bool(), attribution.jobs, attribution.jobs).Draw(t, "mistaken")
 		health := rapid.SliceOfN(rapid.IntRange(0, 3), attribution.machines, attribution.machines).Draw(t, "sick")
 		tracker, now := NewTracker(), time.Unix(1000, 0)
-		attribution.failed, attribution.hasCompleted, attribution.completions = make([][]bool, attribution.jobs), make([]bool, attribution.jobs), make([]int, attribution.machines)
+		attribution.failed, attribution.hasCompleted, attribution.completions = make(
+			[][]bool,
+			attribution.jobs,
+		), make(
+			[]bool,
+			attribution.jobs,
+		), make(
+			[]int,
+			attribution.machines,
+		)
 		for j := range attribution.jobs {
 			attribution.failed[j] = make([]bool, attribution.machines)
 			attribution.hasCompleted[j] = !crashLoops[j] && rapid.Bool().Draw(t, "has completed")
--- a/internal/controller/fairshare/floor.go
+++ b/internal/controller/fairshare/floor.go
@@ -125,7 +125,14 @@
 
 // New makes the book of a new leadership.
 func New(policy Policy) *Allocator {
-	return &Allocator{policy: policy, served: map[Group]*decayingCount{}, recentSizes: map[string][]jobSize{}, largestFrom: map[string]jobSize{}, allocated: map[*jobs.Job]bool{}, lastStatus: map[Group]GroupStatus{}}
+	return &Allocator{
+		policy:      policy,
+		served:      map[Group]*decayingCount{},
+		recentSizes: map[string][]jobSize{},
+		largestFrom: map[string]jobSize{},
+		allocated:   map[*jobs.Job]bool{},
+		lastStatus:  map[Group]GroupStatus{},
+	}
 }
 
 // SetPolicy takes other terms.
@@ -231,7 +238,11 @@
 	b.updateThresholds(live)
 	list := slices.Clone(overdue)
 	slices.SortFunc(list, func(x, y OverdueJob) int {
-		return cmp.Or(cmp.Compare(x.RemainingCPUSeconds, y.RemainingCPUSeconds), x.Job.EligibleSince().Compare(y.Job.EligibleSince()), cmp.Compare(x.Job.ID, y.Job.ID))
+		return cmp.Or(
+			cmp.Compare(x.RemainingCPUSeconds, y.RemainingCPUSeconds),
+			x.Job.EligibleSince().Compare(y.Job.EligibleSince()),
+			cmp.Compare(x.Job.ID, y.Job.ID),
+		)
 	})
 	states := map[Group]*groupState{}
 	usedCPUs := 0.0
@@ -298,7 +309,8 @@
 			if least == nil || s.servedShare() < least.servedShare() {
 				least = s
 			}
-			if s.usedCPUs < maxShareOfOneGroup*b.cpuShareLimit(s.servedShare(), s.minServedShare)*totalCPUs && (modest == nil || s.servedShare() < modest.servedShare()) {
+			if s.usedCPUs < maxShareOfOneGroup*b.cpuShareLimit(s.servedShare(), s.minServedShare)*totalCPUs &&
+				(modest == nil || s.servedShare() < modest.servedShare()) {
 				modest = s
 			}
 		}
--- a/internal/controller/fairshare/floor_test.go
+++ b/internal/controller/fairshare/floor_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/testseed"
+
+	"pgregory.net/rapid"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
@@ -21,7 +21,10 @@
 }
 
 func overdueJob(id int, class, team string, tasks int, cpus float64) *jobs.Job {
-	job := jobs.New(jobs.Spec{ID: fmt.Sprintf("job-%d", id), Class: class, Team: team, Tasks: tasks, CPUs: cpus, MemoryGB: 1, RunTimeEstimate: time.Minute}, time.Unix(1000, 0))
+	job := jobs.New(
+		jobs.Spec{ID: fmt.Sprintf("job-%d", id), Class: class, Team: team, Tasks: tasks, CPUs: cpus, MemoryGB: 1, RunTimeEstimate: time.Minute},
+		time.Unix(1000, 0),
+	)
 	job.State = jobs.Accepted
 	return job
 }
@@ -81,8 +84,13 @@
 		}
 		var overdue []OverdueJob
 		for i := range rapid.IntRange(1, 9).Draw(t, "jobs") {
-			overdue = append(overdue, overdueJobOf(overdueJob(i, fmt.Sprint("c", rapid.IntRange(0, 2).Draw(t, "class")), fmt.Sprint("t", rapid.IntRange(0, 1).Draw(t, "team")),
-				rapid.IntRange(1, 6).Draw(t, "tasks"), float64(rapid.IntRange(1, 2).Draw(t, "cpus")))))
+			overdue = append(
+				overdue,
+				overdueJobOf(
+					overdueJob(i, fmt.Sprint("c", rapid.IntRange(0, 2).Draw(t, "class")), fmt.Sprint("t", rapid.IntRange(0, 1).Draw(t, "team")),
+						rapid.IntRange(1, 6).Draw(t, "tasks"), float64(rapid.IntRange(1, 2).Draw(t, "cpus"))),
+				),
+			)
 		}
 		const cpus = 60
 		allocations := b.Allocate(now, overdue, nil, cpus)
@@ -133,7 +141,12 @@
 		every       int // seconds
 		came, done  int
 	}
-	kinds := []*kind{{"flood", "a", 50, 1, 1, 0, 0}, {"large", "b", 10, 4, 80, 0, 0}, {"small", "b", 4, 1, 10, 0, 0}, {"lone", "c", 300, 0.25, 100_000, 0, 0}}
+	kinds := []*kind{
+		{"flood", "a", 50, 1, 1, 0, 0},
+		{"large", "b", 10, 4, 80, 0, 0},
+		{"small", "b", 4, 1, 10, 0, 0},
+		{"lone", "c", 300, 0.25, 100_000, 0, 0},
+	}
 	const cpus = 600
 	live := map[*jobs.Job]*kind{}
 	ends := map[*jobs.Job]time.Time{}
@@ -301,7 +314,10 @@
 		j := overdueJob(i, "guest", "guests", 55, 8)
 		j.RunTimeEstimate = time.Duration(4+i) * time.Minute
 		live = append(live, j)
-		overdue = append(overdue, OverdueJob{Job: j, RemainingCPUSeconds: 55 * 8 * j.RunTimeEstimate.Seconds(), StartableTasks: 55, IsUnserved: true})
+		overdue = append(
+			overdue,
+			OverdueJob{Job: j, RemainingCPUSeconds: 55 * 8 * j.RunTimeEstimate.Seconds(), StartableTasks: 55, IsUnserved: true},
+		)
 	}
 	allocations := b.Allocate(now, overdue, live, 3300)
 	for i, j := range live {
--- a/internal/controller/heartbeat/answer.go
+++ b/internal/controller/heartbeat/answer.go
@@ -16,7 +16,8 @@
 	batch := h.pending
 	h.pending = nil
 	for _, pending := range batch {
-		if pending.freshness == reachability.Fresh && pending.machine.Registering && canStart && now.Sub(pending.receivedAt) < maxRegistrationWait {
+		if pending.freshness == reachability.Fresh && pending.machine.Registering && canStart &&
+			now.Sub(pending.receivedAt) < maxRegistrationWait {
 			// Its place on the roster is being written; with that it gets tasks at once.
 			h.pending = append(h.pending, pending)
 			continue
@@ -37,7 +38,9 @@
 			response.Commands = append(response.Commands, h.commandsFor(now, pending.machine, pending.heartbeat)...)
 			if h.reachability.IsNewest(pending.machine, pending.heartbeat) {
 				if canStart && h.reachability.IsReachable(pending.machine) {
-					response.Commands = append(response.Commands, h.placer.StartTasks(now, pending.machine, maxCommandsPerResponse-len(response.Commands))...)
+					response.Commands = append(
+						response.Commands,
+						h.placer.StartTasks(now, pending.machine, maxCommandsPerResponse-len(response.Commands))...)
 				}
 				h.reachability.RecordAcknowledged(pending.machine)
 			}
@@ -52,7 +55,10 @@
 func (h *Handler) killCancelled(heartbeat *worker.Heartbeat) []worker.Command {
 	commands := []worker.Command{}
 	for _, status := range heartbeat.Tasks {
-		if key, err := jobs.ParseTaskID(status.Task); err == nil && status.State != worker.StateExited && len(commands) < maxCommandsPerResponse && h.jobStore.IsTaskCancelled(key) {
+		if key, err := jobs.ParseTaskID(
+			status.Task,
+		); err == nil && status.State != worker.StateExited && len(commands) < maxCommandsPerResponse &&
+			h.jobStore.IsTaskCancelled(key) {
 			commands = append(commands, worker.Kill(status.Task, status.Attempt, 0))
 		}
 	}
@@ -63,7 +69,8 @@
 // told that it is cancelled that another lease would keep it for too long.
 func (h *Handler) ignoresKills(now time.Time, machine *worker.Machine) bool {
 	for _, attempt := range machine.Attempts {
-		if job := attempt.Job; job != nil && job.State == jobs.Cancelled && attempt.KillsSent >= 2 && !job.CancelConfirmedAt.IsZero() && now.Sub(job.CancelConfirmedAt) >= h.cancelWindow {
+		if job := attempt.Job; job != nil && job.State == jobs.Cancelled && attempt.KillsSent >= 2 && !job.CancelConfirmedAt.IsZero() &&
+			now.Sub(job.CancelConfirmedAt) >= h.cancelWindow {
 			return true
 		}
 	}
--- a/internal/controller/heartbeat/clerk.go
+++ b/internal/controller/heartbeat/clerk.go
@@ -83,9 +83,23 @@
 
 // NewHandler makes the clerk of a new leadership.
 func NewHandler(components Components) *Handler {
-	return &Handler{platform: components.Platform, log: components.Log, responder: components.Responder, fencingToken: components.FencingToken, storage: components.Storage, jobStore: components.JobStore, workers: components.Workers, cloud: components.Cloud,
-		planner: components.Planner, placer: components.Placer, accounting: components.Accounting, stragglers: components.Stragglers, failures: components.Failures, reachability: components.Reachability,
-		cancelWindow: renewal.Window(components.Platform.CancelTimeout, components.Workers.Lease())}
+	return &Handler{
+		platform:     components.Platform,
+		log:          components.Log,
+		responder:    components.Responder,
+		fencingToken: components.FencingToken,
+		storage:      components.Storage,
+		jobStore:     components.JobStore,
+		workers:      components.Workers,
+		cloud:        components.Cloud,
+		planner:      components.Planner,
+		placer:       components.Placer,
+		accounting:   components.Accounting,
+		stragglers:   components.Stragglers,
+		failures:     components.Failures,
+		reachability: components.Reachability,
+		cancelWindow: renewal.Window(components.Platform.CancelTimeout, components.Workers.Lease()),
+	}
 }
 
 // RejectPending refuses the reports that still wait for an answer.
@@ -103,7 +117,11 @@
 // (built) nothing in it is believed. It says whether the machine lived just now: a copy does not tell.
 func (h *Handler) HandleHeartbeat(now time.Time, request *server.Request, stateLoaded bool) (isAlive bool) {
 	var heartbeat worker.Heartbeat
-	if err := codec.Unmarshal(request.Body, &heartbeat); err != nil || heartbeat.Machine == "" || len(heartbeat.Machine) > worker.MaxNameBytes || heartbeat.Incarnation == 0 {
+	if err := codec.Unmarshal(
+		request.Body,
+		&heartbeat,
+	); err != nil || heartbeat.Machine == "" || len(heartbeat.Machine) > worker.MaxNameBytes ||
+		heartbeat.Incarnation == 0 {
 		h.responder.RespondError(request, 400, "no report", 0)
 		return false
 	}
@@ -134,7 +152,12 @@
 
 // register writes down that the machine may hold tasks, before it gets any.
 func (h *Handler) register(now time.Time, machine *worker.Machine, heartbeat *worker.Heartbeat) {
-	h.cloud.ObserveHeartbeat(now, heartbeat.Machine, heartbeat.Addr, cloud.InstanceKind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot})
+	h.cloud.ObserveHeartbeat(
+		now,
+		heartbeat.Machine,
+		heartbeat.Addr,
+		cloud.InstanceKind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot},
+	)
 	if machineType := h.cloud.MachineTypes[heartbeat.Type]; machineType != nil && machine.CPUs+machine.MemoryGB+machine.GPUs == 0 {
 		h.workers.SetCapacity(machine, placement.TypeResources(machineType), machineType.ImageCacheGB, machineType.FetchGBPerSecond)
 	}
@@ -197,7 +220,12 @@
 			}
 			if !attempt.RunningSince.IsZero() && !job.ResumedTasks[attempt.Task.Index] {
 				if job.CompletedRuns > 0 {
-					h.stragglers.RecordRun(machine.ID, now.Sub(attempt.RunningSince), job.CompletedRunTime/time.Duration(job.CompletedRuns), job.CompletedRuns)
+					h.stragglers.RecordRun(
+						machine.ID,
+						now.Sub(attempt.RunningSince),
+						job.CompletedRunTime/time.Duration(job.CompletedRuns),
+						job.CompletedRuns,
+					)
 				}
 				h.planner.ObserveRunTime(job, now.Sub(attempt.RunningSince))
 			}
--- a/internal/controller/heartbeat/failed.go
+++ b/internal/controller/heartbeat/failed.go
@@ -72,7 +72,19 @@
 			stopped++
 		}
 	}
-	h.log.Info("a job fails wherever it is tried", "job", job.ID, "team", job.Team, "class", job.Class, "machines", h.failures.FailedMachineCount(job.ID), "stopped", stopped)
+	h.log.Info(
+		"a job fails wherever it is tried",
+		"job",
+		job.ID,
+		"team",
+		job.Team,
+		"class",
+		job.Class,
+		"machines",
+		h.failures.FailedMachineCount(job.ID),
+		"stopped",
+		stopped,
+	)
 	h.jobStore.SaveRecord(now, job)
 	h.placer.InvalidateOrder()
 }
--- a/internal/controller/jobs/jobs.go
+++ b/internal/controller/jobs/jobs.go
@@ -113,7 +113,8 @@
 		return false
 	}
 	return j != nil && !a.IsOrphan && !a.IsUnsent && a.StopSentAt.IsZero() && !a.RunningSince.IsZero() && !j.IsGang && !j.IsService && !j.Guaranteed &&
-		j.CheckpointInterval > 0 && now.Sub(a.RunningSince) >= j.CheckpointDuration
+		j.CheckpointInterval > 0 &&
+		now.Sub(a.RunningSince) >= j.CheckpointDuration
 }
 
 // Job is an accepted job, or one that is about to be.
@@ -160,8 +161,10 @@
 // New makes a job that is not accepted yet.
 func New(s Spec, submitted time.Time) *Job {
 	words := (s.Tasks + 63) / 64
-	return &Job{Spec: s, SubmittedAt: submitted, doneBits: make([]uint64, words), durableBits: make([]uint64, words),
-		ActiveAttempts: map[int]*Attempt{}, attemptsByZone: map[string]int{}, ResumedTasks: map[int]bool{}}
+	return &Job{
+		Spec: s, SubmittedAt: submitted, doneBits: make([]uint64, words), durableBits: make([]uint64, words),
+		ActiveAttempts: map[int]*Attempt{}, attemptsByZone: map[string]int{}, ResumedTasks: map[int]bool{},
+	}
 }
 
 // AddAttempt makes the attempt the active one of its task.
--- a/internal/controller/jobs/jobs_test.go
+++ b/internal/controller/jobs/jobs_test.go
@@ -9,16 +9,18 @@
 	"testing"
 	"time"
 
+	"gullrudder/internal/wire/codec"
+
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
-
-	"gullrudder/internal/wire/codec"
 )
 
 func submission() map[string]any {
-	return map[string]any{"id": "job-000412", "berth": "train", "crew": "vision", "rig": "array", "heading": "high", "strokes": 16,
+	return map[string]any{
+		"id": "job-000412", "berth": "train", "crew": "vision", "rig": "array", "heading": "high", "strokes": 16,
 		"cpus": 8.0, "cards": 1.0, "mem_gb": 64.0, "hull": "img-07", "image_gb": 6.2, "keels": []string{"g8"}, "harbour": nil,
-		"one_zone": true, "spread": false, "driftwood": true, "voyage_s": 240.0, "mooring_s": 30.0, "tieup_s": 4.0, "landfall_s": 900.0}
+		"one_zone": true, "spread": false, "driftwood": true, "voyage_s": 240.0, "mooring_s": 30.0, "tieup_s": 4.0, "landfall_s": 900.0,
+	}
 }
 
 func parse(t *testing.T, m any) (Spec, error) {
@@ -33,9 +35,11 @@
 	m := submission()
 	m["cpus"], m["strokes"] = 8, 16.0 // a whole number for an amount, and the reverse
 	got, err := parse(t, m)
-	want := Spec{ID: "job-000412", Class: "train", Team: "vision", Priority: High, Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64,
+	want := Spec{
+		ID: "job-000412", Class: "train", Team: "vision", Priority: High, Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64,
 		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, SingleZone: true, AllowsSpot: true, RunTimeEstimate: 4 * time.Minute,
-		CheckpointInterval: 30 * time.Second, CheckpointDuration: 4 * time.Second, Deadline: 15 * time.Minute}
+		CheckpointInterval: 30 * time.Second, CheckpointDuration: 4 * time.Second, Deadline: 15 * time.Minute,
+	}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
 		t.Errorf("%v\n%s", err, diff)
 	}
@@ -95,9 +99,11 @@
 // chunks, and never outgrows what was reserved.
 func TestRecordRebuildsTheJob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Spec{ID: "job-1", Class: "c", Team: "t", Tasks: rapid.SampledFrom([]int{1, 63, 64, 65, 352, 2048, 2049, 9000}).Draw(t, "tasks"),
+		s := Spec{
+			ID: "job-1", Class: "c", Team: "t", Tasks: rapid.SampledFrom([]int{1, 63, 64, 65, 352, 2048, 2049, 9000}).Draw(t, "tasks"),
 			CPUs: 1, MemoryGB: 2, Image: "i", RunTimeEstimate: time.Second, Zone: "a", MachineTypes: []string{"x"}, Deadline: time.Minute,
-			Dependencies: rapid.SampledFrom([][]string{nil, {"job-7"}, {"job-8", "job-20260000000009"}}).Draw(t, "needs")}
+			Dependencies: rapid.SampledFrom([][]string{nil, {"job-7"}, {"job-8", "job-20260000000009"}}).Draw(t, "needs"),
+		}
 		j := New(s, time.UnixMilli(123456))
 		j.State, j.Guaranteed = Accepted, rapid.Bool().Draw(t, "label")
 		chunks := map[string]Chunk{}
@@ -134,7 +140,11 @@
 				t.Fatal(err)
 			}
 		}
-		if diff := cmp.Diff(j.Spec, got.Spec); diff != "" || got.Guaranteed != j.Guaranteed || !got.SubmittedAt.Equal(j.SubmittedAt) || !got.ReadyAt.Equal(j.ReadyAt) {
+		if diff := cmp.Diff(
+			j.Spec,
+			got.Spec,
+		); diff != "" || got.Guaranteed != j.Guaranteed || !got.SubmittedAt.Equal(j.SubmittedAt) ||
+			!got.ReadyAt.Equal(j.ReadyAt) {
 			t.Fatalf("%s", diff)
 		}
 		for i := range s.Tasks {
--- a/internal/controller/jobs/record.go
+++ b/internal/controller/jobs/record.go
@@ -61,11 +61,37 @@
 
 // Record is the job's present record.
 func (j *Job) Record() Record {
-	r := Record{State: recordAccepted, Tasks: j.Tasks, Guaranteed: j.Guaranteed, SubmittedMs: j.SubmittedAt.UnixMilli(),
-		Class: j.Class, Team: j.Team, IsService: j.IsService, IsGang: j.IsGang, Priority: int(j.Priority), CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB,
-		Image: j.Image, ImageGB: j.ImageGB, MachineTypes: j.MachineTypes, Zone: j.Zone, SingleZone: j.SingleZone, SpreadAcrossZones: j.SpreadAcrossZones, AllowsSpot: j.AllowsSpot,
-		EstimateSeconds: j.RunTimeEstimate.Seconds(), CheckpointSeconds: j.CheckpointInterval.Seconds(), CheckpointDurationSeconds: j.CheckpointDuration.Seconds(), DeadlineSeconds: j.Deadline.Seconds(),
-		FirstStartBoundSeconds: int64(j.FirstStartBound / time.Second), LastStartBoundSeconds: int64(j.LastStartBound / time.Second), CrashLooping: j.CrashLooping, Needs: j.Dependencies}
+	r := Record{
+		State:                     recordAccepted,
+		Tasks:                     j.Tasks,
+		Guaranteed:                j.Guaranteed,
+		SubmittedMs:               j.SubmittedAt.UnixMilli(),
+		Class:                     j.Class,
+		Team:                      j.Team,
+		IsService:                 j.IsService,
+		IsGang:                    j.IsGang,
+		Priority:                  int(j.Priority),
+		CPUs:                      j.CPUs,
+		GPUs:                      j.GPUs,
+		MemoryGB:                  j.MemoryGB,
+		Image:                     j.Image,
+		ImageGB:                   j.ImageGB,
+		MachineTypes:              j.MachineTypes,
+		Zone:                      j.Zone,
+		SingleZone:                j.SingleZone,
+		SpreadAcrossZones:         j.SpreadAcrossZones,
+		AllowsSpot:                j.AllowsSpot,
+		EstimateSeconds:           j.RunTimeEstimate.Seconds(),
+		CheckpointSeconds:         j.CheckpointInterval.Seconds(),
+		CheckpointDurationSeconds: j.CheckpointDuration.Seconds(),
+		DeadlineSeconds:           j.Deadline.Seconds(),
+		FirstStartBoundSeconds: int64(
+			j.FirstStartBound / time.Second,
+		),
+		LastStartBoundSeconds: int64(j.LastStartBound / time.Second),
+		CrashLooping:          j.CrashLooping,
+		Needs:                 j.Dependencies,
+	}
 	if !j.ReadyAt.IsZero() {
 		r.Ready = j.ReadyAt.UnixMilli()
 	}
@@ -145,10 +171,30 @@
 
 // FromRecord rebuilds a job.
 func FromRecord(id string, r Record) (*Job, error) {
-	s := Spec{ID: id, Class: r.Class, Team: r.Team, IsService: r.IsService, IsGang: r.IsGang, Priority: Priority(r.Priority), Tasks: r.Tasks,
-		CPUs: r.CPUs, GPUs: r.GPUs, MemoryGB: r.MemoryGB, Image: r.Image, ImageGB: r.ImageGB, MachineTypes: r.MachineTypes, Zone: r.Zone,
-		SingleZone: r.SingleZone, SpreadAcrossZones: r.SpreadAcrossZones, AllowsSpot: r.AllowsSpot, RunTimeEstimate: fromSeconds(r.EstimateSeconds), CheckpointInterval: fromSeconds(r.CheckpointSeconds),
-		CheckpointDuration: fromSeconds(r.CheckpointDurationSeconds), Deadline: fromSeconds(r.DeadlineSeconds), Dependencies: r.Needs}
+	s := Spec{
+		ID:                 id,
+		Class:              r.Class,
+		Team:               r.Team,
+		IsService:          r.IsService,
+		IsGang:             r.IsGang,
+		Priority:           Priority(r.Priority),
+		Tasks:              r.Tasks,
+		CPUs:               r.CPUs,
+		GPUs:               r.GPUs,
+		MemoryGB:           r.MemoryGB,
+		Image:              r.Image,
+		ImageGB:            r.ImageGB,
+		MachineTypes:       r.MachineTypes,
+		Zone:               r.Zone,
+		SingleZone:         r.SingleZone,
+		SpreadAcrossZones:  r.SpreadAcrossZones,
+		AllowsSpot:         r.AllowsSpot,
+		RunTimeEstimate:    fromSeconds(r.EstimateSeconds),
+		CheckpointInterval: fromSeconds(r.CheckpointSeconds),
+		CheckpointDuration: fromSeconds(r.CheckpointDurationSeconds),
+		Deadline:           fromSeconds(r.DeadlineSeconds),
+		Dependencies:       r.Needs,
+	}
 	if r.Tasks < 1 || r.Tasks > MaxTasks {
 		return nil, fmt.Errorf("job %s: %d tasks in the ledger", id, r.Tasks)
 	}
@@ -157,7 +203,11 @@
 	if r.Ready > 0 {
 		j.ReadyAt = time.UnixMilli(r.Ready)
 	}
-	j.FirstStartBound, j.LastStartBound = time.Duration(r.FirstStartBoundSeconds)*time.Second, time.Duration(r.LastStartBoundSeconds)*time.Second
+	j.FirstStartBound, j.LastStartBound = time.Duration(
+		r.FirstStartBoundSeconds,
+	)*time.Second, time.Duration(
+		r.LastStartBoundSeconds,
+	)*time.Second
 	switch r.State {
 	case recordAccepted:
 		j.State = Accepted
--- a/internal/controller/jobs/submit.go
+++ b/internal/controller/jobs/submit.go
@@ -116,11 +116,22 @@
 	}
 	f := &fieldReader{values: m}
 	s := Spec{
-		ID: f.readText("id"), Class: f.readText("berth"), Team: f.readText("crew"),
-		CPUs: f.readAmount("cpus"), GPUs: f.readAmount("cards"), MemoryGB: f.readAmount("mem_gb"),
-		Image: f.readText("hull"), ImageGB: f.readAmount("image_gb"),
-		SingleZone: f.readFlag("one_zone"), SpreadAcrossZones: f.readFlag("spread"), AllowsSpot: f.readFlag("driftwood"),
-		RunTimeEstimate: f.readDuration("voyage_s"), CheckpointInterval: f.readDuration("mooring_s"), CheckpointDuration: f.readDuration("tieup_s"),
+		ID:                f.readText("id"),
+		Class:             f.readText("berth"),
+		Team:              f.readText("crew"),
+		CPUs:              f.readAmount("cpus"),
+		GPUs:              f.readAmount("cards"),
+		MemoryGB:          f.readAmount("mem_gb"),
+		Image:             f.readText("hull"),
+		ImageGB:           f.readAmount("image_gb"),
+		SingleZone:        f.readFlag("one_zone"),
+		SpreadAcrossZones: f.readFlag("spread"),
+		AllowsSpot:        f.readFlag("driftwood"),
+		RunTimeEstimate: f.readDuration(
+			"voyage_s",
+		),
+		CheckpointInterval: f.readDuration("mooring_s"),
+		CheckpointDuration: f.readDuration("tieup_s"),
 	}
 	if !ValidID(s.ID) {
 		f.reject("id", "not of the form job-000412")
--- a/internal/controller/jobs/upgrade_test.go
+++ b/internal/controller/jobs/upgrade_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"github.com/google/go-cmp/cmp"
-
 	"gullrudder/internal/wire/codec"
+
+	"github.com/google/go-cmp/cmp"
 )
 
 // productionRecord is the form of a record that the version in production decodes and writes.
@@ -57,9 +57,26 @@
 
 // What the version in production has stored is read, and rewritten without a field that it does not know: it may lead again.
 func TestRecordsOfProduction(t *testing.T) {
-	want := Spec{ID: "job-000412", Class: "train", Team: "vision", Priority: High, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
-		ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SingleZone: true, AllowsSpot: true, RunTimeEstimate: 4 * time.Minute, CheckpointInterval: 30 * time.Second,
-		CheckpointDuration: 4 * time.Second, Deadline: 15 * time.Minute}
+	want := Spec{
+		ID:                 "job-000412",
+		Class:              "train",
+		Team:               "vision",
+		Priority:           High,
+		Tasks:              70,
+		CPUs:               8,
+		GPUs:               1,
+		MemoryGB:           64,
+		Image:              "img-07",
+		ImageGB:            6.2,
+		MachineTypes:       []string{"g8"},
+		Zone:               "a",
+		SingleZone:         true,
+		AllowsSpot:         true,
+		RunTimeEstimate:    4 * time.Minute,
+		CheckpointInterval: 30 * time.Second,
+		CheckpointDuration: 4 * time.Second,
+		Deadline:           15 * time.Minute,
+	}
 	for name, state := range map[string]State{"accepted": Accepted, "cancelling": Cancelled} {
 		var rec Record
 		fixture(t, name, &rec)
@@ -67,8 +84,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(want, j.Spec); diff != "" || j.State != state || j.DoneTasks != 2 || !j.IsTaskDurable(69) || !j.Guaranteed || !j.CrashLooping ||
-			j.FirstStartBound != 40*time.Second || j.LastStartBound != 90*time.Second || j.SubmittedAt.UnixMilli() != 1_700_000_000_123 {
+		if diff := cmp.Diff(
+			want,
+			j.Spec,
+		); diff != "" || j.State != state || j.DoneTasks != 2 || !j.IsTaskDurable(69) || !j.Guaranteed || !j.CrashLooping ||
+			j.FirstStartBound != 40*time.Second || j.LastStartBound != 90*time.Second ||
+			j.SubmittedAt.UnixMilli() != 1_700_000_000_123 {
 			t.Errorf("%s: %s\n%+v", name, diff, j)
 		}
 		if state != Accepted {
--- a/internal/controller/jobstore/book.go
+++ b/internal/controller/jobstore/book.go
@@ -64,8 +64,21 @@
 
 // New makes an empty book.
 func New(w Components) *Store {
-	b := &Store{platform: w.Platform, options: w.Options, log: w.Log, storage: w.Storage, workers: w.Workers, accounting: w.Accounting, onOrderChange: func() {}, onDone: func(time.Time, *jobs.Job) {},
-		onWaiting: func(*jobs.Job) {}, onReady: func(time.Time, *jobs.Job) {}, Unfinished: map[string]*jobs.Job{}, finished: map[string]FinalState{}, stopping: map[*jobs.Job]bool{}}
+	b := &Store{
+		platform:      w.Platform,
+		options:       w.Options,
+		log:           w.Log,
+		storage:       w.Storage,
+		workers:       w.Workers,
+		accounting:    w.Accounting,
+		onOrderChange: func() {},
+		onDone:        func(time.Time, *jobs.Job) {},
+		onWaiting:     func(*jobs.Job) {},
+		onReady:       func(time.Time, *jobs.Job) {},
+		Unfinished:    map[string]*jobs.Job{},
+		finished:      map[string]FinalState{},
+		stopping:      map[*jobs.Job]bool{},
+	}
 	b.graph = dependencies.New(b.Find)
 	return b
 }
@@ -300,8 +313,12 @@
 // were, nobody is answered: an accepted job must not be called unknown.
 func (b *Store) OpenArchive() bool {
 	opened, err := archive.New(b.storage, archive.Options{
-		ValueBytes: b.platform.MaxValueBytes, TxnOps: b.platform.MaxTransactionOps, WriteRate: b.platform.StateWriteRate * archiveShare, ReadRate: b.platform.StateRequestRate * archiveShare,
-		MinSegmentJobs: b.options.MinSegmentJobs, CompactionFanIn: b.options.CompactionFanIn,
+		ValueBytes:      b.platform.MaxValueBytes,
+		TxnOps:          b.platform.MaxTransactionOps,
+		WriteRate:       b.platform.StateWriteRate * archiveShare,
+		ReadRate:        b.platform.StateRequestRate * archiveShare,
+		MinSegmentJobs:  b.options.MinSegmentJobs,
+		CompactionFanIn: b.options.CompactionFanIn,
 		CanArchive: func(now time.Time, id string) bool {
 			f, ok := b.finished[id]
 			return ok && now.Sub(f.finishedAt) >= b.options.ArchiveDelay
@@ -328,7 +345,8 @@
 // checkStartBounds tells of jobs that have waited longer than was stated.
 func (b *Store) checkStartBounds(now time.Time) {
 	for _, j := range b.Unfinished {
-		if j.FirstStartBound > 0 && !j.MissedStartBound && j.IsSchedulable() && j.DoneTasks+len(j.ActiveAttempts) == 0 && now.Sub(j.EligibleSince()) > j.FirstStartBound {
+		if j.FirstStartBound > 0 && !j.MissedStartBound && j.IsSchedulable() && j.DoneTasks+len(j.ActiveAttempts) == 0 &&
+			now.Sub(j.EligibleSince()) > j.FirstStartBound {
 			j.MissedStartBound = true
 			b.missedStartBounds++
 			b.log.Error("a job waits longer than was stated", "job", j.ID, "team", j.Team, "class", j.Class,
