--- a/internal/controller/ageing/standing.go
+++ b/internal/controller/ageing/ageing.go
@@ -5,7 +5,7 @@
 // The rule. A job that has waited past the age bound is aged. Of all aged jobs the oldest go
 // before everything else, until tasks of aged jobs hold the share of the fleet. Nothing that is
 // accepted later ever comes before a job in that row, so the work that can stand before it is
-// known when it is accepted: docs/design/standing.md has the bound and its proof.
+// known when it is accepted: docs/design/ageing.md has the bound and its proof.
 package ageing
 
 import (
@@ -112,7 +112,7 @@
 // before it at the rate of the share, where each task may also wait for room as long as the
 // longest task takes to leave it, then that long for its own room. It holds while so many CPUs
 // are up, no task takes longer than its estimate by more than the error that is set, and nothing
-// of the work before it is lost; docs/design/standing.md says what it becomes otherwise.
+// of the work before it is lost; docs/design/ageing.md says what it becomes otherwise.
 func (t Policy) WaitBound(ahead WorkAhead) WaitBound {
 	if t.Share <= 0 || ahead.UsableCPUs <= 0 {
 		return WaitBound{}
--- a/internal/controller/fairshare/floor.go
+++ b/internal/controller/fairshare/fairshare.go
@@ -8,7 +8,7 @@
 // day many are late and done soon after): a small one always, so that what was missed is not missed without
 // end, and a larger one while a class or a team has been served less than the least share of its jobs.
 // Of both goes next whoever would otherwise be served least, and of that class or team the job with the
-// least work left. docs/design/floor.md has the ways that were weighed, and what breaks it.
+// least work left. docs/design/fairshare.md has the ways that were weighed, and what breaks it.
 package fairshare
 
 import (
