--- a/internal/controller/placement/fixture_test.go
+++ b/internal/controller/placement/fixture_test.go
@@ -20,90 +20,87 @@
 
 var machineTypes = map[string]*cloud.MachineType{
 	"small": {
-		Name:             "small",
-		CPUs:             4,
-		MemoryGB:         8,
-		Zones:            []string{"a"},
-		HourlyPrice:      1,
-		SpotHourlyPrice:  0.3,
-		BootSeconds:      40,
-		ImageCacheGB:     40,
-		FetchGBPerSecond: 0.25,
+		Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}, HourlyPrice: 1, SpotHourlyPrice: 0.3,
+		BootSeconds: 40, ImageCacheGB: 40, FetchGBPerSecond: 0.25,
 	},
 	"large": {
-		Name:             "large",
-		CPUs:             16,
-		MemoryGB:         64,
-		Zones:            []string{"a", "b"},
-		HourlyPrice:      4,
-		SpotHourlyPrice:  1,
-		BootSeconds:      30,
-		ImageCacheGB:     40,
-		FetchGBPerSecond: 0.25,
+		Name: "large", CPUs: 16, MemoryGB: 64, Zones: []string{"a", "b"}, HourlyPrice: 4, SpotHourlyPrice: 1,
+		BootSeconds: 30, ImageCacheGB: 40, FetchGBPerSecond: 0.25,
 	},
 }
 
-// newTestPlacer is a placer with a fleet of machines and jobs of its own.
-func newTestPlacer(now time.Time) *Placer {
-	log := slog.New(slog.DiscardHandler)
-	cfg := &config.Platform{
+// fixture is a placer with machines and jobs of its own, and the time.
+type fixture struct {
+	*Placer
+	now time.Time
+}
+
+func newFixture() *fixture {
+	log, options := slog.New(slog.DiscardHandler), config.DefaultOptions()
+	platform := &config.Platform{
 		Name: "n", HeartbeatInterval: 4 * time.Second, WorkerLeaseDuration: 20 * time.Second, CPUQuota: 0.2, MaxConnections: 1000,
 		Teams: []config.Team{{Name: "t", GuaranteedCPUs: 500, CPULimit: 1e6}},
 	}
-	f := worker.NewRegistry(worker.LeaseExpiry(cfg.WorkerLeaseDuration), log)
-	return New(Components{
-		Platform: cfg, FencingToken: 1, Jobs: map[string]*jobs.Job{}, Workers: f, Ranker: queue.NewRanker(config.DefaultOptions(), cfg, queue.NewComponents(config.DefaultOptions())),
-		Capacity: func(time.Time) admission.Capacity {
-			r := admission.Capacity{MachineCPUs: 16}
-			for _, m := range f.Machines {
-				r.CPUs += m.CPUs
-			}
-			return r
-		}, Outbox: &client.Outbox{}, Log: log,
-	})
+	workers := worker.NewRegistry(worker.LeaseExpiry(platform.WorkerLeaseDuration), log)
+	capacity := func(time.Time) admission.Capacity {
+		capacity := admission.Capacity{MachineCPUs: 16}
+		for _, machine := range workers.Machines {
+			capacity.CPUs += machine.CPUs
+		}
+		return capacity
+	}
+	return &fixture{now: time.Unix(10_000, 0), Placer: New(Components{
+		Platform:     platform,
+		FencingToken: 1,
+		Jobs:         map[string]*jobs.Job{},
+		Workers:      workers,
+		Ranker:       queue.NewRanker(options, platform, queue.NewComponents(options)),
+		Capacity:     capacity,
+		Outbox:       &client.Outbox{},
+		Log:          log,
+	})}
 }
 
-func (p *Placer) addMachine(now time.Time, i int, machineType, zone string, spot bool) *worker.Machine {
-	machine := p.workers.GetOrAdd(fmt.Sprintf("vm-%06d", i))
-	p.observeHeartbeat(now, machine, machineType, zone, spot)
+// addMachine adds an empty machine that has just sent a heartbeat.
+func (f *fixture) addMachine(number int, machineType, zone string, spot bool) *worker.Machine {
+	machine := f.workers.GetOrAdd(fmt.Sprintf("vm-%06d", number))
+	machine.Type, machine.Zone, machine.Spot = machineType, zone, spot
+	f.observeHeartbeat(machine)
 	t := machineTypes[machineType]
-	p.workers.SetCapacity(machine, TypeResources(t), t.ImageCacheGB, t.FetchGBPerSecond)
+	f.workers.SetCapacity(machine, TypeResources(t), t.ImageCacheGB, t.FetchGBPerSecond)
 	machine.Reconciled, machine.Registered = true, true
 	return machine
 }
 
-// observeHeartbeat takes in a report that has exactly what is on the machine, all of it running.
-func (p *Placer) observeHeartbeat(now time.Time, machine *worker.Machine, machineType, zone string, spot bool) {
+// observeHeartbeat observes a heartbeat with exactly the tasks that the machine has, all of them running.
+func (f *fixture) observeHeartbeat(machine *worker.Machine) {
 	heartbeat := &worker.Heartbeat{
-		Machine:     machine.ID,
-		Type:        machineType,
-		Zone:        zone,
-		Spot:        spot,
-		Incarnation: 1,
-		Sequence:    machine.Sequence + 1,
+		Machine: machine.ID, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Incarnation: 1, Sequence: machine.Sequence + 1,
 	}
-	for _, a := range machine.Attempts {
-		heartbeat.Tasks = append(heartbeat.Tasks, worker.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: worker.StateRunning})
+	for _, attempt := range machine.Attempts {
+		status := worker.TaskStatus{Task: attempt.Task.String(), Attempt: attempt.Number, State: worker.StateRunning}
+		heartbeat.Tasks = append(heartbeat.Tasks, status)
 	}
-	p.workers.Reconcile(now, machine, heartbeat, true, func(id string) *jobs.Job { return p.jobs[id] })
-	machine.LeaseRenewedAt, machine.LastContactAt = now, now
+	f.workers.Reconcile(f.now, machine, heartbeat, true, func(id string) *jobs.Job { return f.jobs[id] })
+	machine.LeaseRenewedAt, machine.LastContactAt = f.now, f.now
 }
 
-// clearMachine takes all tasks off a machine; they are started again.
-func (p *Placer) clearMachine(machine *worker.Machine) {
-	for _, e := range p.workers.ReleaseAll(machine) {
-		e.Attempt.Job.Requeue(e.Attempt.Task.Index)
+// clearMachine takes all tasks off a machine; they are to be started again.
+func (f *fixture) clearMachine(machine *worker.Machine) {
+	for _, ended := range f.workers.ReleaseAll(machine) {
+		ended.Attempt.Job.Requeue(ended.Attempt.Task.Index)
 	}
-	p.InvalidateOrder()
+	f.InvalidateOrder()
 }
 
-func (p *Placer) addJob(now time.Time, i, tasks int, cpus float64) *jobs.Job {
+// addJob adds an accepted job, whose number decides on its deadline and its constraints.
+func (f *fixture) addJob(number, tasks int, cpus float64) *jobs.Job {
 	job := jobs.New(jobs.Spec{
-		ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "t", Tasks: tasks, CPUs: cpus, MemoryGB: cpus, AllowsSpot: i%3 > 0,
-		SpreadAcrossZones: i%4 == 1, RunTimeEstimate: 30 * time.Second, Deadline: time.Duration(i%2) * time.Minute,
-	}, now)
-	job.State, job.Guaranteed = jobs.Accepted, i%2 == 1
-	p.jobs[job.ID] = job
-	p.InvalidateOrder()
+		ID: fmt.Sprintf("job-%06d", number), Class: "c", Team: "t", Tasks: tasks, CPUs: cpus, MemoryGB: cpus, AllowsSpot: number%3 > 0,
+		SpreadAcrossZones: number%4 == 1, RunTimeEstimate: 30 * time.Second, Deadline: time.Duration(number%2) * time.Minute,
+	}, f.now)
+	job.State, job.Guaranteed = jobs.Accepted, number%2 == 1
+	f.jobs[job.ID] = job
+	f.InvalidateOrder()
 	return job
 }
--- a/internal/controller/placement/gangs.go
+++ b/internal/controller/placement/gangs.go
@@ -1,23 +1,41 @@
 package placement
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/logkeys"
 )
 
-// gangCompletionTimeout is how long a gang may be in part on its machines before it is stopped to
-// be started anew as a whole.
-const gangCompletionTimeout = 15 * time.Second
+const (
+	// gangCompletionTimeout is how long a gang may run in part before it is stopped, to be started again as a whole.
+	gangCompletionTimeout = 15 * time.Second
+	// gangStartSlack is how long after two heartbeat intervals a start that was not sent is taken back.
+	gangStartSlack = time.Second
+)
+
+// gangPart is the tasks of a gang that one machine runs.
+type gangPart struct {
+	machine *worker.Machine
+	tasks   int
+}
 
-// scheduleGangs books places for gangs: all tasks at once or none. The starts go out with the
-// machines' next reports; until then the places count as taken.
+// gangZone is the machines of a zone that can run tasks of a gang.
+type gangZone struct {
+	name     string
+	machines []*worker.Machine
+	tasks    int // that fit on them
+}
+
+// scheduleGangs places gangs: all tasks at once or none. The starts are sent with the responses to the machines' next
+// heartbeats; until then they use the machines' resources.
 func (p *Placer) scheduleGangs(now time.Time) {
 	p.refreshOrder(now)
-	for _, entry := range p.order {
-		job := entry.Job
+	for i := range p.order.entries {
+		job := p.order.entries[i].Job
 		if !job.IsGang || !job.IsSchedulable() || now.Before(job.NotBefore) {
 			continue
 		}
@@ -25,15 +43,20 @@
 			p.placeGang(now, job)
 			continue
 		}
-		p.stopPartialGang(now, job)
+		stopPartialGang(now, job)
 	}
-	// What waits to be sent to a machine that is silent, or for a job that must not
-	// start any more, is taken back: it never left.
+	p.withdrawGangStarts(now)
+}
+
+// withdrawGangStarts takes back the starts for silent or draining machines and for jobs that must not start any more. They
+// were never sent.
+func (p *Placer) withdrawGangStarts(now time.Time) {
+	maxWait := 2*p.platform.HeartbeatInterval + gangStartSlack
 	for attempt, machine := range p.pendingGangStarts {
 		switch {
-		case machine.Attempts[attempt.Task] != attempt:
-			delete(p.pendingGangStarts, attempt) // its machine is gone
-		case machine.DrainReason != worker.NotDraining || !attempt.Job.IsSchedulable() || now.Sub(attempt.AssignedAt) > 2*p.platform.HeartbeatInterval+time.Second:
+		case machine.Attempts[attempt.Task] != attempt: // the machine was released meanwhile
+			delete(p.pendingGangStarts, attempt)
+		case machine.DrainReason != worker.NotDraining || !attempt.Job.IsSchedulable() || now.Sub(attempt.AssignedAt) > maxWait:
 			delete(p.pendingGangStarts, attempt)
 			p.workers.Unassign(machine, attempt)
 			attempt.Job.Requeue(attempt.Task.Index)
@@ -41,8 +64,8 @@
 	}
 }
 
-// stopPartialGang stops what is left of a gang of which a part has been missing for too long.
-func (p *Placer) stopPartialGang(now time.Time, job *jobs.Job) {
+// stopPartialGang stops the tasks of a gang of which others have been missing for too long.
+func stopPartialGang(now time.Time, job *jobs.Job) {
 	if job.WaitingTasks() == 0 {
 		return
 	}
@@ -53,70 +76,74 @@
 	}
 }
 
-// placeGang lays all tasks of a gang on as few machines as can be.
+// placeGang assigns all tasks of a gang to as few machines as possible, if there are enough.
 func (p *Placer) placeGang(now time.Time, job *jobs.Job) {
-	want := job.WaitingTasks()
-	if want == 0 || TasksAllowedByQuota(job, p.teams[job.Team], p.workers.TeamUsage(job.Team)) < want {
+	tasks := job.WaitingTasks()
+	if tasks == 0 || p.StartableTasksOf(job) < tasks {
 		return
 	}
-	byZone := map[string][]*worker.Machine{}
-	var zones []string
-	for _, m := range p.workers.MachinesByName() {
-		if m.Reconciled && m.Registered && IsEligible(job, m) && now.Sub(m.LastContactAt) < 2*p.platform.HeartbeatInterval &&
-			m.TasksThatFit(job) > 0 {
-			if byZone[m.Zone] == nil {
-				zones = append(zones, m.Zone)
-			}
-			byZone[m.Zone] = append(byZone[m.Zone], m)
-		}
+	parts := p.partsOfGang(now, job, tasks)
+	if parts == nil {
+		return
 	}
-	zoneCapacity := func(list []*worker.Machine) int {
-		room := 0
-		for _, m := range list {
-			room += m.TasksThatFit(job)
+	p.log.Debug("gang placed", logkeys.Job, job.ID, logkeys.Count, tasks, logkeys.Machines, len(parts))
+	// The workers bring the tasks of a gang together by their common attempt number.
+	number := p.nextAttemptNumber()
+	for _, part := range parts {
+		for range part.tasks {
+			task := job.TakeNextTask()
+			if task < 0 {
+				return
+			}
+			attempt := p.newAttempt(now, part.machine, job, task, number)
+			attempt.IsUnsent = true
+			p.pendingGangStarts[attempt] = part.machine
 		}
-		return room
-	}
-	sort.SliceStable(zones, func(a, b int) bool { return zoneCapacity(byZone[zones[a]]) > zoneCapacity(byZone[zones[b]]) })
-	type share struct {
-		m     *worker.Machine
-		count int
 	}
-	var shares []share
-	left := want
-	for _, z := range zones {
-		list := byZone[z]
-		if job.SingleZone && zoneCapacity(list) < want {
+}
+
+// partsOfGang distributes the tasks to machines, those first on which the most tasks fit; nil if not all of them fit.
+func (p *Placer) partsOfGang(now time.Time, job *jobs.Job, tasks int) []gangPart {
+	var parts []gangPart
+	left := tasks
+	for _, zone := range p.gangZones(now, job) {
+		if job.SingleZone && zone.tasks < tasks {
 			continue
 		}
-		sort.SliceStable(list, func(a, b int) bool { return list[a].TasksThatFit(job) > list[b].TasksThatFit(job) })
-		allowed := min(left, TasksAllowedInZone(job, z))
-		for _, m := range list {
-			if c := min(m.TasksThatFit(job), allowed); c > 0 {
-				shares = append(shares, share{m, c})
-				allowed -= c
-				left -= c
+		slices.SortStableFunc(zone.machines, func(a, b *worker.Machine) int {
+			return cmp.Compare(b.TasksThatFit(job), a.TasksThatFit(job))
+		})
+		allowed := min(left, TasksAllowedInZone(job, zone.name))
+		for _, machine := range zone.machines {
+			if count := min(machine.TasksThatFit(job), allowed); count > 0 {
+				parts = append(parts, gangPart{machine, count})
+				allowed -= count
+				left -= count
 			}
 		}
 		if left == 0 {
-			break
+			return parts
 		}
 	}
-	if left > 0 {
-		return
-	}
-	p.log.Debug("gang booked", "job", job.ID, "tasks", want, "machines", len(shares))
-	// The workers bring the tasks of a gang together by their attempt number.
-	number := p.nextAttemptNumber()
-	for _, s := range shares {
-		for range s.count {
-			t := job.TakeNextTask()
-			if t < 0 {
-				return
-			}
-			a := p.newAttempt(now, s.m, job, t, number)
-			a.IsUnsent = true
-			p.pendingGangStarts[a] = s.m
+	return nil
+}
+
+// gangZones lists the machines on which tasks of the gang fit, by zone, those zones first in which the most tasks fit.
+func (p *Placer) gangZones(now time.Time, job *jobs.Job) []gangZone {
+	var zones []gangZone
+	for _, machine := range p.workers.MachinesByName() {
+		tasks := machine.TasksThatFit(job)
+		if !machine.Reconciled || !machine.Registered || !p.heartbeatIsRecent(now, machine) || tasks == 0 || !IsEligible(job, machine) {
+			continue
+		}
+		i := slices.IndexFunc(zones, func(zone gangZone) bool { return zone.name == machine.Zone })
+		if i < 0 {
+			i = len(zones)
+			zones = append(zones, gangZone{name: machine.Zone})
 		}
+		zones[i].machines = append(zones[i].machines, machine)
+		zones[i].tasks += tasks
 	}
+	slices.SortStableFunc(zones, func(a, b gangZone) int { return cmp.Compare(b.tasks, a.tasks) })
+	return zones
 }
--- /dev/null
+++ b/internal/controller/placement/placement.go
@@ -0,0 +1,127 @@
+// Package placement decides on which machine a task runs: the rules for machine types, zones and instance kinds, the teams'
+// quotas, and the bin packing. Its Placer owns the present order of the queue, the reservations of machines for jobs, and
+// the placed gangs whose starts are not sent yet. It never requests or terminates instances and never writes to storage.
+//
+// Design note: docs/design/queue.md.
+package placement
+
+import (
+	"log/slog"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/controller/admission"
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/queue"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/client"
+)
+
+const (
+	// maxOrderAge is after how long the order is made anew even if nothing is known to have changed.
+	maxOrderAge = 500 * time.Millisecond
+	// gangInterval is the time between two attempts to place waiting gangs.
+	gangInterval = 200 * time.Millisecond
+	// preemptionInterval is the time between two searches for jobs that need preemption.
+	preemptionInterval = 500 * time.Millisecond
+	// resourceTolerance absorbs rounding errors where resources are compared.
+	resourceTolerance = 1e-6
+)
+
+// Placer decides where tasks start. A leader makes it at its election. It is not safe for concurrent use. Starts leave it
+// as commands for the response to a machine's heartbeat.
+type Placer struct {
+	platform     *config.Platform
+	teams        map[string]config.Team
+	log          *slog.Logger
+	outbox       *client.Outbox
+	fencingToken uint64
+	jobs         map[string]*jobs.Job // of the job store, read only
+	workers      *worker.Registry
+	ranker       *queue.Ranker
+	capacity     func(time.Time) admission.Capacity
+
+	attemptCounter    uint64
+	order             jobOrder
+	reservations      reservations
+	shapeChecks       []shapeCheck                      // by shape, for the machine whose starts are chosen
+	pendingGangStarts map[*jobs.Attempt]*worker.Machine // to be sent with the machines' next heartbeat responses
+	unseenUsage       UnseenUsage                       // nil if every job may start
+
+	nextPreemption     time.Time
+	nextGangScheduling time.Time
+}
+
+// Components are the parts of the controller that a Placer works with.
+type Components struct {
+	Platform     *config.Platform
+	FencingToken uint64
+	Jobs         map[string]*jobs.Job // all unfinished jobs
+	Workers      *worker.Registry
+	Ranker       *queue.Ranker
+	Capacity     func(time.Time) admission.Capacity // expected capacity of the cluster
+	Outbox       *client.Outbox
+	Log          *slog.Logger
+}
+
+// New makes the placer of a new leadership.
+func New(components Components) *Placer {
+	return &Placer{
+		platform:          components.Platform,
+		teams:             components.Platform.TeamsByName(),
+		log:               components.Log,
+		outbox:            components.Outbox,
+		fencingToken:      components.FencingToken,
+		jobs:              components.Jobs,
+		workers:           components.Workers,
+		ranker:            components.Ranker,
+		capacity:          components.Capacity,
+		order:             newJobOrder(),
+		reservations:      newReservations(),
+		pendingGangStarts: map[*jobs.Attempt]*worker.Machine{},
+	}
+}
+
+// Tick does what is due besides the responses to heartbeats: it places gangs, and preempts tasks for guaranteed jobs.
+// canPlace is false until the failover is completed; nothing is placed before.
+func (p *Placer) Tick(now time.Time, canPlace bool) {
+	if now.Sub(p.order.madeAt) > maxOrderAge {
+		p.order.isStale = true
+	}
+	if !canPlace {
+		return
+	}
+	if !now.Before(p.nextGangScheduling) {
+		p.nextGangScheduling = now.Add(gangInterval)
+		p.scheduleGangs(now)
+	}
+	if !now.Before(p.nextPreemption) {
+		p.nextPreemption = now.Add(preemptionInterval)
+		p.preempt(now)
+	}
+}
+
+// heartbeatIsRecent reports whether the machine was heard within two heartbeat intervals.
+func (p *Placer) heartbeatIsRecent(now time.Time, machine *worker.Machine) bool {
+	return now.Sub(machine.LastContactAt) < 2*p.platform.HeartbeatInterval
+}
+
+// nextAttemptNumber returns a new attempt number. It derives from the fencing token, so that no other leader ever uses it.
+func (p *Placer) nextAttemptNumber() uint64 {
+	p.attemptCounter++
+	return p.fencingToken<<24 | p.attemptCounter
+}
+
+// newAttempt assigns a new attempt of the task to the machine.
+func (p *Placer) newAttempt(now time.Time, machine *worker.Machine, job *jobs.Job, task int, number uint64) *jobs.Attempt {
+	attempt := &jobs.Attempt{
+		Task:       jobs.TaskID{JobID: job.ID, Index: task},
+		Number:     number,
+		MachineID:  machine.ID,
+		Zone:       machine.Zone,
+		Job:        job,
+		AssignedAt: now,
+	}
+	p.workers.Assign(machine, attempt)
+	return attempt
+}
--- /dev/null
+++ b/internal/controller/placement/placement_test.go
@@ -0,0 +1,174 @@
+package placement
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/worker"
+)
+
+// Of two jobs of one rank the one whose image is on the machine starts first, until the other has waited for a machine
+// with its image as long as fetching would take.
+func TestJobWithImageOnMachineStartsFirst(t *testing.T) {
+	f := newFixture()
+	machine := f.addMachine(1, "small", "a", false)
+	without, with := f.addJob(0, 2, 4), f.addJob(2, 20, 4)
+	without.Image, without.ImageGB, with.Image, with.ImageGB = "without", 1, "with", 1 // fetched in 4 s
+	machine.ImageCache.RecordUse("with", 1)
+	firstStarted := func() string {
+		commands := f.StartTasks(f.now, machine, 1)
+		if len(commands) != 1 {
+			t.Fatalf("%d starts", len(commands))
+		}
+		f.clearMachine(machine)
+		jobID, _, _ := strings.Cut(commands[0].Task, "/")
+		return jobID
+	}
+	f.refreshOrder(f.now)
+	if candidates := f.order.candidates; candidates[0].Job != without || candidates[0].Rank != candidates[1].Rank {
+		t.Fatal("the jobs are not in the order that the test is about")
+	}
+	if got := firstStarted(); got != with.ID {
+		t.Errorf("%s starts first", got)
+	}
+	if f.now = f.now.Add(4 * time.Second); firstStarted() != without.ID {
+		t.Error("a job is passed over for longer than fetching its image takes")
+	}
+}
+
+// What is remembered of a shape is what a walk over the machines finds for the job itself.
+func TestShapeFitsMatchWalk(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		f := newFixture()
+		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
+			machine := f.addMachine(i, []string{"small", "large"}[i%2], []string{"a", "b"}[i%3/2], i%4 == 0)
+			if rapid.Bool().Draw(t, "used") {
+				f.StartTasks(f.now, machine, rapid.IntRange(0, 9).Draw(t, "starts"))
+			}
+		}
+		free, fits := f.machinesByFreeCPUs(), newShapeFits(12)
+		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
+			job := f.addJob(i, rapid.IntRange(1, 40).Draw(t, "tasks"), rapid.SampledFrom([]float64{0, 1, 3}).Draw(t, "cpus"))
+			job.AllowsSpot, job.Zone = rapid.Bool().Draw(t, "spot"), rapid.SampledFrom([]string{"", "a"}).Draw(t, "zone")
+			if rapid.IntRange(0, 3).Draw(t, "failed") == 0 {
+				free[0].FailedJobs[job.ID] = true
+				job.FailureCount = 1
+			}
+			wanted := rapid.IntRange(1, job.Tasks).Draw(t, "want")
+			got, want := fits.fittingTasks(job, f.order.shapeNumber(job), free, wanted), countFittingTasks(job, free, wanted)
+			if got != want {
+				t.Fatalf("%d tasks of %s fit, a walk finds %d of %d", got, job.ID, want, wanted)
+			}
+		}
+	})
+}
+
+// tasksOnFullerByWalk is what tasksOnFuller finds, by a walk over all machines.
+func (f *fixture) tasksOnFullerByWalk(job *jobs.Job, machine *worker.Machine) int {
+	tasks := 0
+	for _, other := range f.workers.Machines {
+		if other != machine && other.HasReported && other.Reconciled && other.Registered &&
+			f.now.Sub(other.LastContactAt) < 2*f.platform.HeartbeatInterval && !f.now.Before(other.StartsNotBefore) &&
+			IsFuller(other, machine) && IsEligible(job, other) &&
+			(other.ReservedFor == nil || other.ReservedFor == job) {
+			tasks += min(other.TasksThatFit(job), TasksAllowedInZone(job, other.Zone))
+		}
+	}
+	return min(tasks, job.WaitingTasks())
+}
+
+// What is kept up to date with each change is what a walk finds: the utilization buckets of the machines, and a job's
+// running tasks, their remaining work and their zones.
+func TestIndexesMatchWalks(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		f := newFixture()
+		machines, list := f.drawCluster(t)
+		for range rapid.IntRange(1, 40).Draw(t, "steps") {
+			f.now = f.now.Add(time.Second)
+			machine := rapid.SampledFrom(machines).Draw(t, "machine")
+			job := rapid.SampledFrom(list).Draw(t, "job")
+			f.drawChange(t, machine)
+			got, want := f.tasksOnFuller(f.now, job, machine, job.WaitingTasks(), 1<<30), f.tasksOnFullerByWalk(job, machine)
+			if got != want {
+				t.Fatalf("%d tasks of %s fit on machines fuller than %s, want %d", got, job.ID, machine.ID, want)
+			}
+			checkJobCounters(t, f.now, job)
+			f.checkShapes(t, machine)
+		}
+	})
+}
+
+// drawCluster draws machines in two zones, and jobs.
+func (f *fixture) drawCluster(t *rapid.T) ([]*worker.Machine, []*jobs.Job) {
+	var machines []*worker.Machine
+	var list []*jobs.Job
+	for i := range rapid.IntRange(2, 12).Draw(t, "machines") {
+		machineType := "small"
+		if rapid.Bool().Draw(t, "large") {
+			machineType = "large"
+		}
+		machines = append(machines, f.addMachine(i, machineType, []string{"a", "b"}[i%2], i%3 == 0))
+	}
+	for i := range rapid.IntRange(1, 5).Draw(t, "jobs") {
+		tasks := rapid.IntRange(1, 30).Draw(t, "tasks")
+		list = append(list, f.addJob(i, tasks, rapid.SampledFrom([]float64{0.5, 1, 3, 4}).Draw(t, "cpus")))
+	}
+	return machines, list
+}
+
+// drawChange draws a change of one machine, or of the order.
+func (f *fixture) drawChange(t *rapid.T, machine *worker.Machine) {
+	switch rapid.IntRange(0, 4).Draw(t, "what") {
+	case 0, 1:
+		for _, command := range f.StartTasks(f.now, machine, 5) {
+			if command.Operation != "start" {
+				t.Fatalf("%v instead of a start", command)
+			}
+		}
+	case 2:
+		f.observeHeartbeat(machine)
+	case 3:
+		f.clearMachine(machine)
+	case 4:
+		f.InvalidateOrder()
+	}
+}
+
+// checkShapes compares what is known of the candidates by their shapes with walks for each of them.
+func (f *fixture) checkShapes(t *rapid.T, machine *worker.Machine) {
+	f.refreshOrder(f.now)
+	f.resetShapeChecks()
+	for i := range f.order.candidates {
+		entry := &f.order.candidates[i]
+		job := entry.Job
+		if got, want := f.rejects(machine, entry), machine.TasksThatFit(job) == 0 || !KindAllowed(job, MachineKind(machine)); got != want {
+			t.Fatalf("%s rejects %s: %v", machine.ID, job.ID, got)
+		}
+		if got, want := f.tasksLeftToFuller(f.now, entry, machine), f.tasksOnFullerByWalk(job, machine); got != want {
+			t.Fatalf("by its shape %d tasks of %s fit on machines fuller than %s, want %d", got, job.ID, machine.ID, want)
+		}
+	}
+}
+
+func checkJobCounters(t *rapid.T, now time.Time, job *jobs.Job) {
+	const taskRunTime = time.Hour
+	running, ran, byZone := 0, time.Duration(0), map[string]int{}
+	for _, attempt := range job.ActiveAttempts {
+		byZone[attempt.Zone]++
+		if !attempt.RunningSince.IsZero() {
+			running++
+			ran += now.Sub(attempt.RunningSince)
+		}
+	}
+	got, want := job.RemainingWork(taskRunTime, now), time.Duration(job.Tasks-job.DoneTasks)*taskRunTime-ran
+	if got != want || job.RunningTasks() != running {
+		t.Fatalf("%s: %v remain of %d running, want %v of %d", job.ID, got, job.RunningTasks(), want, running)
+	}
+	if inZone, _ := job.AttemptsInZone("a"); job.SpreadAcrossZones && inZone != byZone["a"] {
+		t.Fatalf("%s: %d in the zone, want %d", job.ID, inZone, byZone["a"])
+	}
+}
--- a/internal/controller/placement/preempt.go
+++ b/internal/controller/placement/preempt.go
@@ -1,125 +1,132 @@
 package placement
 
 import (
+	"cmp"
 	"slices"
-	"sort"
 	"time"
 
 	"gullrudder/internal/controller/admission"
+	"gullrudder/internal/controller/estimate"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/queue"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/logkeys"
 )
 
-// victim is a running task that may be stopped for another job.
+// preemptionSlack is how long before the latest possible start, besides two heartbeats, preemption begins.
+const preemptionSlack = 5 * time.Second
+
+// victim is a running task that may be preempted.
 type victim struct {
 	machine *worker.Machine
 	attempt *jobs.Attempt
 }
 
-// freeableMachine is a machine that has free room or where room is about to come free.
+// freeableMachine is a machine with free resources, or with tasks that are being stopped.
 type freeableMachine struct {
 	machine      *worker.Machine
-	stoppingCPUs float64 // CPUs of what is being stopped
+	stoppingCPUs float64 // of the tasks that are being stopped
+}
+
+// preemptionSurvey is where resources are free or about to be, and which tasks may be preempted, the newest first.
+type preemptionSurvey struct {
+	freeable []freeableMachine
+	victims  []victim
 }
 
-// preempt stops best-effort tasks where a guaranteed job would otherwise miss its
-// deadline. For a team's guarantee the protocol would allow it too; that was tried and
-// gained nothing, since stopping and saving take as long as waiting. Only tasks that save
-// are stopped; the room is held for the job that it was made for.
+// preempt stops best-effort tasks where a guaranteed job would otherwise miss its deadline. The protocol allows it for a
+// team's guaranteed quota too; that was tried and gained nothing, since stopping with a checkpoint takes as long as
+// waiting. Only tasks with checkpoints are stopped, and their machines are reserved for the job.
 func (p *Placer) preempt(now time.Time) {
 	p.refreshOrder(now)
-	var victims []victim
-	var freeable []freeableMachine
-	surveyed := false
-	for _, e := range p.candidates {
-		job := e.Job
-		if !e.Planned || !isUrgent(now, e.Entry, p.platform.HeartbeatInterval) {
+	var survey *preemptionSurvey
+	for i := range p.order.candidates {
+		entry := &p.order.candidates[i].Entry
+		if !entry.Planned || !isUrgent(now, entry, p.platform.HeartbeatInterval) {
 			continue
 		}
-		want := p.StartableTasksOf(job)
-		if want == 0 {
+		tasks := p.StartableTasksOf(entry.Job)
+		if tasks == 0 {
 			continue
 		}
-		if !surveyed {
-			surveyed = true
-			freeable, victims = p.findPreemptable(now)
+		if survey == nil {
+			survey = p.surveyPreemption(now)
 		}
-		for _, o := range freeable {
-			if want <= 0 {
-				break
-			}
-			if IsEligible(job, o.machine) {
-				want -= o.machine.TasksThatFit(job)
-				if job.CPUs > 0 {
-					want -= int(o.stoppingCPUs / job.CPUs)
-				}
-			}
-		}
-		if want > 0 {
-			p.preemptFor(now, job, want, victims)
+		if tasks = survey.tasksWithoutMachine(entry.Job, tasks); tasks > 0 {
+			p.preemptFor(now, entry.Job, tasks, survey.victims)
 		}
 	}
 }
 
-// isUrgent reports whether waiting for room that comes free by itself would be too late.
-func isUrgent(now time.Time, entry queue.Entry, reportEvery time.Duration) bool {
-	return admission.DueAt(entry.Job).Sub(now) < entry.TaskRunTime+2*reportEvery+5*time.Second
+// isUrgent reports whether the job would be late if it waited until resources become free by themselves.
+func isUrgent(now time.Time, entry *queue.Entry, heartbeatInterval time.Duration) bool {
+	return admission.DueAt(entry.Job).Sub(now) < entry.TaskRunTime+2*heartbeatInterval+preemptionSlack
 }
 
-// findPreemptable walks the machines once for all jobs that need room: where it is or is about
-// to be, and what may be stopped, the newest first.
-func (p *Placer) findPreemptable(now time.Time) ([]freeableMachine, []victim) {
-	var freeable []freeableMachine
-	var victims []victim
+// surveyPreemption walks the machines once for all jobs that need preemption.
+func (p *Placer) surveyPreemption(now time.Time) *preemptionSurvey {
+	survey := &preemptionSurvey{}
 	for _, machine := range p.workers.Machines {
-		if !machine.Reconciled {
-			continue
+		if machine.Reconciled {
+			survey.add(now, machine, now.Sub(machine.LastContactAt) <= 2*p.platform.HeartbeatInterval)
 		}
-		heardRecently := now.Sub(machine.LastContactAt) <= 2*p.platform.HeartbeatInterval
-		o := freeableMachine{machine: machine}
-		for _, a := range machine.Attempts {
-			switch {
-			case !a.StopSentAt.IsZero() && a.Job != nil:
-				o.stoppingCPUs += a.Job.CPUs
-			case heardRecently && a.CanBePreempted(now):
-				victims = append(victims, victim{machine, a})
-			}
-		}
-		if o.stoppingCPUs > 0 || machine.UtilizationBucket() < worker.BucketCount {
-			freeable = append(freeable, o)
+	}
+	slices.SortFunc(survey.freeable, func(a, b freeableMachine) int { return compareIDs(a.machine, b.machine) })
+	slices.SortFunc(survey.victims, func(a, b victim) int {
+		return cmp.Or(b.attempt.AssignedAt.Compare(a.attempt.AssignedAt), cmp.Compare(b.attempt.Number, a.attempt.Number))
+	})
+	return survey
+}
+
+// add adds a machine and its tasks; those of a machine that was not heard recently are not preempted.
+func (s *preemptionSurvey) add(now time.Time, machine *worker.Machine, heardRecently bool) {
+	freeable := freeableMachine{machine: machine}
+	for _, attempt := range machine.Attempts {
+		switch {
+		case !attempt.StopSentAt.IsZero() && attempt.Job != nil:
+			freeable.stoppingCPUs += attempt.Job.CPUs
+		case heardRecently && attempt.CanBePreempted(now):
+			s.victims = append(s.victims, victim{machine, attempt})
 		}
 	}
-	slices.SortFunc(freeable, func(x, y freeableMachine) int { return compareIDs(x.machine, y.machine) })
-	sort.Slice(victims, func(x, y int) bool {
-		a, b := victims[x].attempt, victims[y].attempt
-		if !a.AssignedAt.Equal(b.AssignedAt) {
-			return a.AssignedAt.After(b.AssignedAt)
+	if freeable.stoppingCPUs > 0 || machine.UtilizationBucket() < worker.BucketCount {
+		s.freeable = append(s.freeable, freeable)
+	}
+}
+
+// tasksWithoutMachine is how many of the job's tasks fit neither on free resources nor on those about to become free.
+func (s *preemptionSurvey) tasksWithoutMachine(job *jobs.Job, tasks int) int {
+	for _, freeable := range s.freeable {
+		if tasks <= 0 {
+			break
 		}
-		return a.Number > b.Number
-	})
-	return freeable, victims
+		if !IsEligible(job, freeable.machine) {
+			continue
+		}
+		tasks -= freeable.machine.TasksThatFit(job)
+		if job.CPUs > 0 {
+			tasks -= int(freeable.stoppingCPUs / job.CPUs)
+		}
+	}
+	return tasks
 }
 
-// preemptFor stops the newest of the tasks that may be stopped for the job.
-func (p *Placer) preemptFor(now time.Time, job *jobs.Job, want int, victims []victim) {
-	for _, v := range victims {
-		if want <= 0 {
+// preemptFor stops the newest of the victims until the job's tasks have machines.
+func (p *Placer) preemptFor(now time.Time, job *jobs.Job, tasks int, victims []victim) {
+	for _, victim := range victims {
+		if tasks <= 0 {
 			return
 		}
-		if !v.attempt.StopSentAt.IsZero() || v.attempt.Job.EffectivePriority() >= job.EffectivePriority() || !IsEligible(job, v.machine) ||
-			TasksAllowedInZone(job, v.machine.Zone) == 0 {
+		attempt, machine := victim.attempt, victim.machine
+		if !attempt.StopSentAt.IsZero() || attempt.Job.EffectivePriority() >= job.EffectivePriority() ||
+			!IsEligible(job, machine) || TasksAllowedInZone(job, machine.Zone) == 0 {
 			continue
 		}
-		v.attempt.StopSentAt = now
-		want -= max(int(v.attempt.Job.CPUs/max(job.CPUs, 0.1)), 1)
-		p.reserveMachine(v.machine, job)
-		p.log.Info("stopping a task for another job", "task", v.attempt.Task, "machine", v.machine.ID, "for", job.ID)
-		worker.SendCommands(
-			p.outbox,
-			p.fencingToken,
-			v.machine,
-			[]worker.Command{worker.Kill(v.attempt.Task.String(), v.attempt.Number, v.attempt.Job.CheckpointDuration.Seconds())},
-		)
+		attempt.StopSentAt = now
+		tasks -= max(int(attempt.Job.CPUs/estimate.CountedCPUs(job)), 1)
+		p.reservations.reserve(machine, job)
+		p.log.Info("task preempted", logkeys.Task, attempt.Task, logkeys.Machine, machine.ID, logkeys.Job, job.ID)
+		kill := worker.Kill(attempt.Task.String(), attempt.Number, attempt.Job.CheckpointDuration.Seconds())
+		worker.SendCommands(p.outbox, p.fencingToken, machine, []worker.Command{kill})
 	}
 }
--- a/internal/controller/placement/shapes.go
+++ b/internal/controller/placement/shapes.go
@@ -2,75 +2,81 @@
 
 import (
 	"math"
-	"time"
+	"strings"
 
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/queue"
 	"gullrudder/internal/controller/worker"
 )
 
-// candidate is a job of the order that has tasks to start, with the number of its shape. A queue of
-// thousands has a few shapes only: what is found for one on a machine holds for the others. Without
-// it each report of a machine with room that nobody may take walked the machines for every job, which
-// was the first limit at 5,000 machines.
-type candidate struct {
-	queue.Entry
-	shapeNumber int
+// shape is everything of a job that decides on which machines its tasks fit, as long as none of them has failed.
+type shape struct {
+	cpus, gpus, memoryGB float64
+	zone, machineTypes   string
+	allowsSpot           bool
 }
 
-// shapeCheck is what is known of a shape on the machine whose starts are chosen.
-type shapeCheck struct {
-	isRejected    bool // it has no room for any task of it, or may not have one
-	isFullerKnown bool
-	fullerTasks   int // tasks that machines that are fuller have room for, once known
+func shapeOf(job *jobs.Job) shape {
+	return shape{job.CPUs, job.GPUs, job.MemoryGB, job.Zone, strings.Join(job.MachineTypes, " "), job.AllowsSpot}
 }
 
-// shapeNumber numbers the shape of a job of the order.
-func (p *Placer) shapeNumber(job *jobs.Job) int {
-	key := shapeOf(job)
-	number, ok := p.shapes[key]
-	if !ok {
-		number = len(p.shapes)
-		p.shapes[key] = number
-	}
-	return number
+// probeOf returns a copy of the job that stands for all jobs of its shape, however many tasks they have.
+func probeOf(job *jobs.Job) *jobs.Job {
+	probe := *job
+	probe.Tasks = jobs.MaxTasks
+	return &probe
 }
 
-// resetShapeChecks forgets what was known of another machine.
-func (p *Placer) resetShapeChecks() {
-	if cap(p.shapeChecks) < len(p.shapes) {
-		p.shapeChecks = make([]shapeCheck, len(p.shapes))
-	}
-	p.shapeChecks = p.shapeChecks[:len(p.shapes)]
-	clear(p.shapeChecks)
+// shapeFits is, by the number of a shape, what is known of its tasks on the free machines, so that not every job of the
+// queue walks the machines anew.
+type shapeFits []shapeFit
+
+type shapeFit struct {
+	isCounted   bool
+	tasks       int  // that fit on the free machines
+	isExhausted bool // no free machine is left that could be reserved
 }
 
-// forgetFuller is told that the machine has got tasks: fewer others are fuller now, and what was refused
-// is refused still.
-func (p *Placer) forgetFuller() {
-	for i := range p.shapeChecks {
-		p.shapeChecks[i].isFullerKnown = false
-	}
+func newShapeFits(shapes int) shapeFits { return make(shapeFits, shapes) }
+
+// isExhausted reports that no machine was found to reserve for a job of the same shape. The free machines only become
+// fewer, so none is found for this job either.
+func (f shapeFits) isExhausted(job *jobs.Job, number int) bool {
+	return job.FailureCount == 0 && f[number].isExhausted
 }
 
-// rejects reports that no task of the job may start on the machine for lack of room or by its kind.
-func (p *Placer) rejects(machine *worker.Machine, entry *candidate) bool {
-	check := &p.shapeChecks[entry.shapeNumber]
-	check.isRejected = check.isRejected || machine.TasksThatFit(entry.Job) == 0 || !KindAllowed(entry.Job, MachineKind(machine))
-	return check.isRejected
+// recordReservation records how many machines were reserved for a job, and how many are no longer free.
+func (f shapeFits) recordReservation(job *jobs.Job, number, reserved, removed int) {
+	for i := range f {
+		f[i].isCounted = f[i].isCounted && removed == 0
+	}
+	if reserved == 0 && job.FailureCount == 0 {
+		f[number].isExhausted = true
+	}
 }
 
-// tasksLeftToFuller is how many of the job's waiting tasks are left to fuller machines.
-func (p *Placer) tasksLeftToFuller(now time.Time, entry *candidate, machine *worker.Machine) int {
-	job := entry.Job
-	if job.SingleZone || job.SpreadAcrossZones || job.FailureCount > 0 || p.reservingJobs[job] {
-		return p.tasksOnFuller(now, job, machine, job.WaitingTasks(), maxMachinesExamined) // not as others of its shape
+// fittingTasks is the number of the job's tasks, up to maxTasks, that fit on the free machines, which are sorted by their
+// free CPUs.
+func (f shapeFits) fittingTasks(job *jobs.Job, number int, free []*worker.Machine, maxTasks int) int {
+	if job.FailureCount > 0 {
+		return countFittingTasks(job, free, maxTasks) // machines on which it failed don't count for this job alone
+	}
+	fit := &f[number]
+	if !fit.isCounted {
+		fit.isCounted, fit.tasks = true, countFittingTasks(probeOf(job), free, math.MaxInt)
 	}
-	check := &p.shapeChecks[entry.shapeNumber]
-	if !check.isFullerKnown {
-		probe := *job
-		probe.Tasks = jobs.MaxTasks // as others of the shape may have
-		check.isFullerKnown, check.fullerTasks = true, p.tasksOnFuller(now, &probe, machine, math.MaxInt, maxMachinesExamined)
+	return min(fit.tasks, maxTasks)
+}
+
+// countFittingTasks walks the free machines for fittingTasks.
+func countFittingTasks(job *jobs.Job, free []*worker.Machine, maxTasks int) int {
+	tasks := 0
+	for _, machine := range free {
+		if tasks >= maxTasks || job.CPUs > 0 && machine.CPUs-machine.UsedCPUs < job.CPUs-resourceTolerance {
+			break // the remaining machines have fewer free CPUs
+		}
+		if IsEligible(job, machine) {
+			tasks += machine.TasksThatFit(job)
+		}
 	}
-	return min(check.fullerTasks, job.WaitingTasks())
+	return min(tasks, maxTasks)
 }
--- a/internal/controller/placement/start_tasks.go
+++ b/internal/controller/placement/start_tasks.go
@@ -1,6 +1,7 @@
 package placement
 
 import (
+	"math"
 	"time"
 
 	"gullrudder/internal/controller/ageing"
@@ -8,101 +9,144 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// StartTasks picks what the machine starts now.
+// maxMachinesExamined bounds the fuller machines that are examined for one job in one heartbeat: the cost of a heartbeat
+// must not grow with the cluster. Packing loses little by it: where so many fuller machines have no resources for the job,
+// there are few free resources at all.
+const maxMachinesExamined = 64
+
+// shapeCheck is what is known of the tasks of one shape on the machine whose starts are chosen.
+type shapeCheck struct {
+	isRejected    bool // none of them fits, or the machine's kind is not allowed
+	isFullerKnown bool
+	tasksOnFuller int // that fit on fuller machines, if it is known
+}
+
+// startBatch is the starts that are chosen for a machine's heartbeat response.
+type startBatch struct {
+	now         time.Time
+	machine     *worker.Machine
+	maxCommands int
+	commands    []worker.Command
+}
+
+// StartTasks chooses up to maxStarts tasks that the machine starts now and returns the commands for its heartbeat response.
 func (p *Placer) StartTasks(now time.Time, machine *worker.Machine, maxStarts int) []worker.Command {
-	if !machine.Reconciled || !machine.Registered || machine.DrainReason != worker.NotDraining || machine.CPUs+machine.MemoryGB == 0 ||
-		now.Before(machine.StartsNotBefore) {
+	if !machine.Reconciled || !machine.Registered || machine.DrainReason != worker.NotDraining ||
+		machine.CPUs+machine.MemoryGB == 0 || now.Before(machine.StartsNotBefore) {
 		return nil
 	}
 	p.refreshOrder(now)
-	commands := p.gangStarts(now, machine, maxStarts)
+	batch := &startBatch{now: now, machine: machine, maxCommands: maxStarts, commands: p.gangStarts(now, machine, maxStarts)}
 	p.resetShapeChecks()
-	full := func() bool {
-		return len(commands) >= maxStarts || machine.CPUs-machine.UsedCPUs < p.smallestTaskCPUs-1e-6
+	for rest := p.order.candidates; len(rest) > 0 && !p.isFull(batch); {
+		count := countSameRank(rest)
+		p.startSameRank(batch, rest[:count])
+		rest = rest[count:]
 	}
-	for rest := p.candidates; len(rest) > 0 && !full(); {
-		sameRank := 1
-		for sameRank < len(rest) && rest[sameRank].Rank == rest[0].Rank {
-			sameRank++
-		}
-		// Among jobs of one rank those go first whose image is here.
-		for _, withImage := range [...]bool{true, false} {
-			for i := range rest[:sameRank] {
-				if full() {
-					break
-				}
-				entry := &rest[i]
-				if p.rejects(machine, entry) {
-					continue // before anything is looked up: most of a long queue
-				}
-				if p.isImageNear(now, entry.Job, machine) == withImage {
-					before := len(commands)
-					if commands = p.startTasksOf(now, machine, entry, commands, maxStarts); len(commands) > before {
-						p.forgetFuller()
-					}
-				} else if withImage && entry.Job.PassedOverSince.IsZero() {
-					entry.Job.PassedOverSince = now
-				}
+	if len(batch.commands) > 0 {
+		machine.IdleSince = now
+	}
+	return batch.commands
+}
+
+// isFull reports whether no further start is possible: the commands are enough, or not even the smallest task fits.
+func (p *Placer) isFull(batch *startBatch) bool {
+	machine := batch.machine
+	return len(batch.commands) >= batch.maxCommands || machine.CPUs-machine.UsedCPUs < p.order.smallestTaskCPUs-resourceTolerance
+}
+
+// countSameRank is how many candidates have the rank of the first one.
+func countSameRank(candidates []candidate) int {
+	count := 1
+	for count < len(candidates) && candidates[count].Rank == candidates[0].Rank {
+		count++
+	}
+	return count
+}
+
+// startSameRank starts tasks of candidates of one rank: first of those whose image is on the machine, then of the others.
+func (p *Placer) startSameRank(batch *startBatch, candidates []candidate) {
+	for _, withImage := range [...]bool{true, false} {
+		for i := range candidates {
+			if p.isFull(batch) {
+				return
+			}
+			entry := &candidates[i]
+			if p.rejects(batch.machine, entry) {
+				continue // most of a long queue
+			}
+			if prefersMachine(batch.now, entry.Job, batch.machine) == withImage {
+				p.startTasksOf(batch, entry)
+			} else if withImage && entry.Job.PassedOverSince.IsZero() {
+				entry.Job.PassedOverSince = batch.now
 			}
 		}
-		rest = rest[sameRank:]
-	}
-	if len(commands) > 0 {
-		machine.IdleSince = now
 	}
-	return commands
 }
 
-// isImageNear reports whether the job's tasks lose nothing by starting on the machine: their image
-// is there, or they have waited for such a machine as long as fetching takes.
-func (p *Placer) isImageNear(now time.Time, job *jobs.Job, machine *worker.Machine) bool {
+// prefersMachine reports whether the job's tasks lose nothing by starting on the machine: it has their image, or they have
+// waited for a machine that has it as long as fetching takes.
+func prefersMachine(now time.Time, job *jobs.Job, machine *worker.Machine) bool {
 	return machine.ImageCache.Has(job.Image) ||
 		!job.PassedOverSince.IsZero() && now.Sub(job.PassedOverSince) >= machine.ImageCache.FetchTime(job.ImageGB)
 }
 
-// startTasksOf starts as many tasks of one job on the machine as there is room for.
-func (p *Placer) startTasksOf(
-	now time.Time,
-	machine *worker.Machine,
-	entry *candidate,
-	commands []worker.Command,
-	maxStarts int,
-) []worker.Command {
-	job := entry.Job
-	count := min(machine.TasksThatFit(job), job.WaitingTasks(), maxStarts-len(commands))
-	if count <= 0 || !job.IsSchedulable() || !p.canStart(job) || now.Before(job.NotBefore) || !IsEligible(job, machine) {
-		return commands
+// startTasksOf starts as many tasks of one job as fit on the machine and are allowed.
+func (p *Placer) startTasksOf(batch *startBatch, entry *candidate) {
+	job, started := entry.Job, len(batch.commands)
+	for range p.tasksToStart(batch, entry) {
+		task := job.TakeNextTask()
+		if task < 0 {
+			break
+		}
+		attempt := p.newAttempt(batch.now, batch.machine, job, task, p.nextAttemptNumber())
+		batch.commands = append(batch.commands, worker.Start(attempt.Task.String(), attempt.Number))
+		job.PassedOverSince = time.Time{}
+	}
+	if len(batch.commands) > started {
+		p.forgetFuller()
 	}
-	if reservedFor := machine.ReservedFor; reservedFor != nil && reservedFor != job &&
-		(!entry.MayReserve || p.agedFirst[reservedFor] && !(entry.IsAgedFirst() && ageing.IsOlder(job, reservedFor))) {
-		// What is held for the oldest is not taken bit by bit by those that are planned.
-		return commands
+}
+
+// tasksToStart is the number of the job's tasks that the machine starts now; 0 or less: none.
+func (p *Placer) tasksToStart(batch *startBatch, entry *candidate) int {
+	job, machine := entry.Job, batch.machine
+	count := min(machine.TasksThatFit(job), job.WaitingTasks(), batch.maxCommands-len(batch.commands))
+	if count <= 0 || !job.IsSchedulable() || !p.canStart(job) || batch.now.Before(job.NotBefore) || !IsEligible(job, machine) {
+		return 0
+	}
+	if !p.mayUseReserved(machine, entry) {
+		return 0
 	}
 	if entry.MaxTasks > 0 {
-		count = min(count, entry.MaxTasks-len(job.ActiveAttempts)) // of a beginning, until the next order
+		count = min(count, entry.MaxTasks-len(job.ActiveAttempts)) // until the next order
 	}
 	count = min(count, TasksAllowedInZone(job, machine.Zone), p.tasksAllowedByQuota(job))
 	if count > 0 {
-		count = min(count, job.WaitingTasks()-p.tasksLeftToFuller(now, entry, machine))
+		count = min(count, job.WaitingTasks()-p.tasksLeftToFuller(batch.now, entry, machine))
 	}
-	for ; count > 0; count-- {
-		task := job.TakeNextTask()
-		if task < 0 {
-			break
-		}
-		attempt := p.newAttempt(now, machine, job, task, p.nextAttemptNumber())
-		commands = append(commands, worker.Start(attempt.Task.String(), attempt.Number))
-		job.PassedOverSince = time.Time{}
+	return count
+}
+
+// mayUseReserved reports whether the job may start on the machine in spite of a reservation for another job. Jobs that may
+// reserve machines themselves may, but only an older aged job may use what is reserved for one that is served first.
+func (p *Placer) mayUseReserved(machine *worker.Machine, entry *candidate) bool {
+	reservedFor := machine.ReservedFor
+	if reservedFor == nil || reservedFor == entry.Job {
+		return true
 	}
-	return commands
+	if !entry.MayReserve {
+		return false
+	}
+	return !p.order.agedFirst[reservedFor] || entry.IsAgedFirst() && ageing.IsOlder(entry.Job, reservedFor)
 }
 
-// gangStarts are the starts of gangs that have waited for the machine's report.
+// gangStarts are the starts of placed gangs that were waiting for the machine's heartbeat.
 func (p *Placer) gangStarts(now time.Time, machine *worker.Machine, maxStarts int) []worker.Command {
-	var commands []worker.Command
 	if len(p.pendingGangStarts) == 0 {
 		return nil
 	}
+	var commands []worker.Command
 	for _, attempt := range machine.Attempts {
 		if attempt.IsUnsent && !attempt.IsOrphan && attempt.Job.IsSchedulable() && len(commands) < maxStarts {
 			attempt.IsUnsent, attempt.AssignedAt = false, now
@@ -113,51 +157,69 @@
 	return commands
 }
 
-// nextAttemptNumber is a new attempt number. It derives from the token, so no other leader ever
-// uses it.
-func (p *Placer) nextAttemptNumber() uint64 {
-	p.attemptCounter++
-	return p.fencingToken<<24 | p.attemptCounter
+// resetShapeChecks forgets what was known of another machine.
+func (p *Placer) resetShapeChecks() {
+	shapes := len(p.order.shapes)
+	if cap(p.shapeChecks) < shapes {
+		p.shapeChecks = make([]shapeCheck, shapes)
+	}
+	p.shapeChecks = p.shapeChecks[:shapes]
+	clear(p.shapeChecks)
 }
 
-// newAttempt records a new attempt on the machine.
-func (p *Placer) newAttempt(now time.Time, machine *worker.Machine, job *jobs.Job, task int, number uint64) *jobs.Attempt {
-	attempt := &jobs.Attempt{
-		Task:       jobs.TaskID{JobID: job.ID, Index: task},
-		Number:     number,
-		MachineID:  machine.ID,
-		Zone:       machine.Zone,
-		Job:        job,
-		AssignedAt: now,
+// forgetFuller takes into account that the machine has got tasks: fewer other machines are fuller now. What was rejected
+// is still rejected.
+func (p *Placer) forgetFuller() {
+	for i := range p.shapeChecks {
+		p.shapeChecks[i].isFullerKnown = false
 	}
-	p.workers.Assign(machine, attempt)
-	return attempt
 }
 
-// maxMachinesExamined bounds the machines that are looked at for one job of one report: the cost of
-// a report must not grow with the fleet. Packing loses little by it: where so many fuller
-// machines have no room for the job, there is little room at all.
-const maxMachinesExamined = 64
+// rejects reports whether no task of the job may start on the machine for lack of resources or by the machine's kind.
+func (p *Placer) rejects(machine *worker.Machine, entry *candidate) bool {
+	check := &p.shapeChecks[entry.shapeNumber]
+	check.isRejected = check.isRejected || machine.TasksThatFit(entry.Job) == 0 || !KindAllowed(entry.Job, MachineKind(machine))
+	return check.isRejected
+}
 
-// tasksOnFuller is how many tasks of the job fit on machines that are fuller than m and report
-// soon: those are left to them. More than it wants are not counted.
-func (p *Placer) tasksOnFuller(now time.Time, job *jobs.Job, machine *worker.Machine, want, maxMachines int) int {
+// tasksLeftToFuller is how many of the job's waiting tasks are left to fuller machines.
+func (p *Placer) tasksLeftToFuller(now time.Time, entry *candidate, machine *worker.Machine) int {
+	job := entry.Job
+	if job.SingleZone || job.SpreadAcrossZones || job.FailureCount > 0 || p.reservations.jobs[job] {
+		// The job may differ from others of its shape.
+		return p.tasksOnFuller(now, job, machine, job.WaitingTasks(), maxMachinesExamined)
+	}
+	check := &p.shapeChecks[entry.shapeNumber]
+	if !check.isFullerKnown {
+		check.isFullerKnown, check.tasksOnFuller = true, p.tasksOnFuller(now, probeOf(job), machine, math.MaxInt, maxMachinesExamined)
+	}
+	return min(check.tasksOnFuller, job.WaitingTasks())
+}
+
+// tasksOnFuller is the number of the job's tasks, up to maxTasks, that fit on fuller machines that send a heartbeat soon;
+// those tasks are left to them.
+func (p *Placer) tasksOnFuller(now time.Time, job *jobs.Job, machine *worker.Machine, maxTasks, maxMachines int) int {
 	tasks := 0
-	highestLevel := worker.BucketCount
+	highest := worker.BucketCount
 	if job.CPUs > 0 {
-		highestLevel-- // on the last level no CPU is free
+		highest-- // in the last bucket no CPU is free
 	}
-	for level := highestLevel; level >= machine.UtilizationBucket(); level-- {
-		for _, other := range p.workers.MachinesInBucket(level) {
-			if maxMachines--; maxMachines < 0 || tasks >= want {
-				return min(tasks, want)
+	own := machine.UtilizationBucket()
+	for bucket := highest; bucket >= own; bucket-- {
+		for _, other := range p.workers.MachinesInBucket(bucket) {
+			if maxMachines--; maxMachines < 0 || tasks >= maxTasks {
+				return min(tasks, maxTasks)
 			}
-			if other != machine && other.Reconciled && other.Registered && now.Sub(other.LastContactAt) < 2*p.platform.HeartbeatInterval && !now.Before(other.StartsNotBefore) &&
-				(level > machine.UtilizationBucket() || IsFuller(other, machine)) && IsEligible(job, other) &&
-				(other.ReservedFor == nil || other.ReservedFor == job) {
+			if other != machine && (bucket > own || IsFuller(other, machine)) && p.takesTasksSoon(now, job, other) {
 				tasks += min(other.TasksThatFit(job), TasksAllowedInZone(job, other.Zone))
 			}
 		}
 	}
-	return min(tasks, want)
+	return min(tasks, maxTasks)
+}
+
+// takesTasksSoon reports whether the machine may start tasks of the job with its next heartbeat.
+func (p *Placer) takesTasksSoon(now time.Time, job *jobs.Job, machine *worker.Machine) bool {
+	return machine.Reconciled && machine.Registered && p.heartbeatIsRecent(now, machine) && !now.Before(machine.StartsNotBefore) &&
+		(machine.ReservedFor == nil || machine.ReservedFor == job) && IsEligible(job, machine)
 }
--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -25,6 +25,7 @@
 // Keys of what happened.
 const (
 	Count    = "count"    // how many the message is about
+	Machines = "machines" // number of machines
 	Duration = "duration" // a span of time
 	Err      = "err"      // an error
 	Path     = "path"     // path of a request or a file
