--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -1,5 +1,5 @@
 // Package admission decides which deadline jobs are guaranteed (feasible plan, §3.3.2). A Planner owns the submissions of
-// the last submit lease, by which it limits each team; everything else it computes anew from the jobs. It never orders
+// the last submission window, by which it limits each team; everything else it computes anew from the jobs. It never orders
 // jobs and never starts or stops a task.
 //
 // Design note: docs/design/queue.md.
@@ -19,7 +19,7 @@
 	options           config.Options
 	estimator         *estimate.Estimator
 	fairShare         *fairshare.Allocator
-	recentSubmissions []submission // of the last submit lease
+	recentSubmissions []submission // of the last submission window
 }
 
 // submission is what one submitted job counts against its team's share.
@@ -74,7 +74,7 @@
 }
 
 // recordSubmission counts the job against its team's share and returns the CPUs that the team submitted within the last
-// submit lease.
+// submission window.
 func (p *Planner) recordSubmission(now time.Time, job *jobs.Job) float64 {
 	cpus := float64(job.Tasks) * job.CPUs
 	teamCPUs := cpus
--- /dev/null
+++ b/internal/controller/placement/gangs_test.go
@@ -0,0 +1,101 @@
+package placement
+
+import (
+	"testing"
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+)
+
+// addGang adds a gang of tasks with the given CPUs each.
+func (f *fixture) addGang(tasks int, cpus float64) *jobs.Job {
+	job := f.addJob(0, tasks, cpus)
+	job.IsGang, job.AllowsSpot = true, true
+	return job
+}
+
+// A gang is placed with all its tasks on the fewest machines, or not at all; its starts have one attempt number and are
+// sent with the machines' heartbeat responses.
+func TestGangIsPlacedAsAWhole(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		tasks    int
+		machines []string // types
+		want     []int    // tasks by machine
+	}{
+		{"on the largest machine", 4, []string{"small", "large", "small"}, []int{0, 4, 0}},
+		{"on two machines", 5, []string{"small", "large", "small"}, []int{1, 4, 0}},
+		{"on all machines", 6, []string{"small", "large", "small"}, []int{1, 4, 1}},
+		{"not enough machines", 7, []string{"small", "large", "small"}, []int{0, 0, 0}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture()
+			for i, machineType := range c.machines {
+				f.addMachine(i, machineType, "a", false)
+			}
+			f.addGang(c.tasks, 4)
+			f.Tick(f.now, true)
+			numbers := map[uint64]bool{}
+			for i, machine := range f.workers.MachinesByName() {
+				commands := f.StartTasks(f.now, machine, 300)
+				if len(commands) != c.want[i] {
+					t.Errorf("%d starts on %s, want %d", len(commands), machine.ID, c.want[i])
+				}
+				for _, command := range commands {
+					numbers[command.Attempt] = true
+				}
+			}
+			if len(numbers) > 1 {
+				t.Errorf("%d attempt numbers in one gang", len(numbers))
+			}
+			if len(f.pendingGangStarts) != 0 {
+				t.Errorf("%d starts were not sent", len(f.pendingGangStarts))
+			}
+		})
+	}
+}
+
+// The starts for a machine that stays silent are taken back, and the gang waits as a whole again.
+func TestGangStartsAreWithdrawn(t *testing.T) {
+	f := newFixture()
+	machine := f.addMachine(0, "large", "a", false)
+	job := f.addGang(4, 4)
+	f.Tick(f.now, true)
+	if len(machine.Attempts) != 4 || job.WaitingTasks() != 0 {
+		t.Fatalf("%d tasks are placed, %d wait", len(machine.Attempts), job.WaitingTasks())
+	}
+	f.now = f.now.Add(2*f.platform.HeartbeatInterval + gangStartSlack + time.Millisecond)
+	f.Tick(f.now, true)
+	if len(machine.Attempts) != 0 || job.WaitingTasks() != 4 || len(f.pendingGangStarts) != 0 {
+		t.Errorf("%d tasks are on the machine, %d wait, %d starts are pending", len(machine.Attempts), job.WaitingTasks(), len(f.pendingGangStarts))
+	}
+}
+
+// A gang that has run in part for too long is stopped.
+func TestPartialGangIsStopped(t *testing.T) {
+	f := newFixture()
+	machine := f.addMachine(0, "large", "a", false)
+	job := f.addGang(4, 4)
+	f.Tick(f.now, true)
+	f.StartTasks(f.now, machine, 300)
+	for _, attempt := range job.ActiveAttempts {
+		f.workers.Unassign(machine, attempt)
+		job.Requeue(attempt.Task.Index)
+		break
+	}
+	for _, c := range []struct {
+		after time.Duration
+		want  int
+	}{{gangCompletionTimeout, 0}, {gangCompletionTimeout + time.Millisecond, 3}} {
+		stopped := 0
+		stopPartialGang(f.now.Add(c.after), job)
+		for _, attempt := range job.ActiveAttempts {
+			if !attempt.StopSentAt.IsZero() {
+				stopped++
+			}
+		}
+		if stopped != c.want {
+			t.Errorf("after %v %d tasks are stopped, want %d", c.after, stopped, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/placement/preempt_test.go
@@ -0,0 +1,67 @@
+package placement
+
+import (
+	"testing"
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/worker"
+)
+
+// preemptionFixture is a machine full of best-effort tasks that have run for a minute, and a guaranteed job of two tasks
+// with the given time to its deadline.
+func preemptionFixture(checkpointInterval, deadline time.Duration) (*fixture, *worker.Machine, *jobs.Job) {
+	f := newFixture()
+	machine := f.addMachine(0, "large", "a", false)
+	bestEffort := f.addJob(0, 16, 1)
+	bestEffort.CheckpointInterval, bestEffort.ImageGB = checkpointInterval, 1
+	f.StartTasks(f.now, machine, 300)
+	for range 16 {
+		f.now = f.now.Add(f.platform.HeartbeatInterval)
+		f.observeHeartbeat(machine)
+	}
+	guaranteed := f.addJob(1, 2, 1)
+	guaranteed.Priority, guaranteed.Deadline, guaranteed.SpreadAcrossZones = jobs.High, deadline, false
+	return f, machine, guaranteed
+}
+
+func countStopped(machine *worker.Machine) int {
+	stopped := 0
+	for _, attempt := range machine.Attempts {
+		if !attempt.StopSentAt.IsZero() {
+			stopped++
+		}
+	}
+	return stopped
+}
+
+// Tasks with checkpoints are preempted for a guaranteed job that would miss its deadline if it waited, no more than it
+// needs, and their machine is reserved for it.
+func TestPreemption(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		checkpoint time.Duration
+		deadline   time.Duration
+		want       int
+	}{
+		{"urgent", 10 * time.Second, 40 * time.Second, 2},
+		{"not urgent yet", 10 * time.Second, 50 * time.Second, 0},
+		{"no checkpoints", 0, 40 * time.Second, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f, machine, guaranteed := preemptionFixture(c.checkpoint, c.deadline)
+			f.preempt(f.now)
+			stopped := countStopped(machine)
+			if stopped != c.want {
+				t.Errorf("%d tasks are stopped, want %d", stopped, c.want)
+			}
+			if c.want > 0 && machine.ReservedFor != guaranteed {
+				t.Error("the machine is not reserved for the job")
+			}
+			f.preempt(f.now)
+			if got := countStopped(machine); got != stopped {
+				t.Errorf("%d more tasks are stopped while the first are stopping", got-stopped)
+			}
+		})
+	}
+}
--- a/internal/controller/queue/facts.go
+++ b/internal/controller/queue/facts.go
@@ -11,7 +11,7 @@
 // facts are what the rules know of all jobs together.
 type facts struct {
 	now           time.Time
-	fleetCPUs     float64 // at least 1
+	clusterCPUs   float64 // at least 1
 	planned       map[*jobs.Job]bool
 	withinQuota   map[*jobs.Job]bool
 	agedFirst     map[*jobs.Job]bool
@@ -27,14 +27,14 @@
 	age                 time.Duration
 	taskRunTime         time.Duration
 	remainingCPUSeconds float64
-	remainingSeconds    float64 // on the whole fleet
+	remainingSeconds    float64 // on the whole cluster
 }
 
 // collect computes the facts of one order.
 func (r *Ranker) collect(now time.Time, live []*jobs.Job, capacity admission.Capacity) *facts {
 	f := &facts{
 		now:           now,
-		fleetCPUs:     max(capacity.CPUs, 1),
+		clusterCPUs:   max(capacity.CPUs, 1),
 		planned:       r.planner.Feasible(now, live, capacity),
 		withinQuota:   r.jobsWithinQuota(live),
 		limitBound:    r.limitBoundTeams(now, live, capacity),
@@ -51,5 +51,5 @@
 	c.age = c.now.Sub(job.EligibleSince())
 	c.taskRunTime = r.estimator.TaskRunTime(job)
 	c.remainingCPUSeconds = r.estimator.RemainingCPUSeconds(job, c.now)
-	c.remainingSeconds = c.remainingCPUSeconds / c.fleetCPUs
+	c.remainingSeconds = c.remainingCPUSeconds / c.clusterCPUs
 }
--- a/internal/controller/queue/initial_tasks.go
+++ b/internal/controller/queue/initial_tasks.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// initialTasksShare is the share of the fleet for the initial tasks of all jobs that await their first start.
+	// initialTasksShare is the share of the cluster for the initial tasks of all jobs that await their first start.
 	initialTasksShare = 0.05
 	// maxInitialTasks bounds the initial tasks of one array, of which they are a hundredth.
 	maxInitialTasks = 8
--- a/internal/controller/queue/legacy_order_test.go
+++ b/internal/controller/queue/legacy_order_test.go
@@ -45,7 +45,7 @@
 // legacyFacts are what the former order knew of all jobs together.
 type legacyFacts struct {
 	now           time.Time
-	fleetCPUs     float64
+	clusterCPUs   float64
 	planned       map[*jobs.Job]bool
 	withinQuota   map[*jobs.Job]bool
 	limitBound    map[string]bool
@@ -62,7 +62,7 @@
 			guaranteed = append(guaranteed, job)
 		}
 	}
-	f := legacyFacts{now: now, fleetCPUs: max(capacity.CPUs, 1), planned: map[*jobs.Job]bool{}}
+	f := legacyFacts{now: now, clusterCPUs: max(capacity.CPUs, 1), planned: map[*jobs.Job]bool{}}
 	p.planGuaranteed(now, guaranteed, capacity, f.planned)
 	f.withinQuota = p.jobsWithinQuota(live)
 	f.limitBound = p.limitBoundTeams(now, live, capacity)
@@ -93,7 +93,7 @@
 	entry.Planned, entry.WithinQuota = f.planned[job], f.withinQuota[job]
 	age := f.now.Sub(job.EligibleSince())
 	startObjective := legacyFirstObjectiveAfter(p.startObjectives[job.Class], age)
-	remainingTime := entry.RemainingCPUSeconds / f.fleetCPUs
+	remainingTime := entry.RemainingCPUSeconds / f.clusterCPUs
 	switch {
 	case job.CrashLooping:
 		// It is tried now and then, and takes nobody's place for that.
--- a/internal/controller/queue/queue_test.go
+++ b/internal/controller/queue/queue_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// A team is limit-bound if its work waits for its quota, not for the fleet. Without the comparison with the fleet the
+// A team is limit-bound if its work waits for its quota, not for the cluster. Without the comparison with the cluster the
 // score of the earlier, smaller varga fell from 0.80 to 0.78 on three seeds.
 func TestLimitBoundTeams(t *testing.T) {
 	now := time.Unix(10_000, 0)
@@ -56,7 +56,7 @@
 		want bool
 	}{
 		{"more machines than it may use", []*jobs.Job{limited, other}, 40, true},
-		{"a fleet that takes longer for all", []*jobs.Job{limited, other}, 10, false},
+		{"a cluster that takes longer for all", []*jobs.Job{limited, other}, 10, false},
 		{"less than a minute of work", []*jobs.Job{small}, 40, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 }
 
 // A job of which nothing was started within the bound gets initial tasks ahead of the planned jobs, the oldest first, as
-// far as the share of the fleet goes.
+// far as the share of the cluster goes.
 func TestInitialTasksForJobsAwaitingStart(t *testing.T) {
 	now := time.Unix(100_000, 0)
 	startBound := config.DefaultOptions().StartBound
--- a/internal/controller/queue/quota.go
+++ b/internal/controller/queue/quota.go
@@ -17,8 +17,8 @@
 	resourceTolerance = 1e-6
 )
 
-// limitBoundTeams returns the teams whose work is delayed by their quota rather than by the fleet: at its quota it lasts
-// long, and longer than the fleet needs for the work of all teams. Such a team can never make up for what it does not
+// limitBoundTeams returns the teams whose work is delayed by their quota rather than by the cluster: at its quota it lasts
+// long, and longer than the cluster needs for the work of all teams. Such a team can never make up for what it does not
 // use of its quota now, however many machines are added.
 func (r *Ranker) limitBoundTeams(now time.Time, live []*jobs.Job, capacity admission.Capacity) map[string]bool {
 	workByTeam, totalWork := map[string]float64{}, 0.0
--- a/internal/controller/queue/rules.go
+++ b/internal/controller/queue/rules.go
@@ -184,7 +184,7 @@
 	return position{rank: RankBestEffort, sortKey: c.agedRemainingSeconds(r.ageBound)}
 }
 
-// agedRemainingSeconds is the job's remaining time on the whole fleet, less a second for each age bound that it has
+// agedRemainingSeconds is the job's remaining time on the whole cluster, less a second for each age bound that it has
 // waited.
 func (c *candidate) agedRemainingSeconds(ageBound time.Duration) float64 {
 	return c.remainingSeconds - c.age.Seconds()/ageBound.Seconds()
--- a/internal/controller/queue/rules_test.go
+++ b/internal/controller/queue/rules_test.go
@@ -18,7 +18,7 @@
 	{Kind: "guarantee", TimeLimit: 30 * time.Second},
 })
 
-// testCandidate is a job of 200 tasks, 10 s old, with 1600 CPU seconds left on a fleet of 100 CPUs.
+// testCandidate is a job of 200 tasks, 10 s old, with 1600 CPU seconds left on a cluster of 100 CPUs.
 func testCandidate(change func(c *candidate)) *candidate {
 	now := time.Unix(10_000, 0)
 	job := jobs.New(
@@ -27,7 +27,7 @@
 	)
 	c := &candidate{
 		facts: &facts{
-			now: now, fleetCPUs: 100, planned: map[*jobs.Job]bool{}, withinQuota: map[*jobs.Job]bool{}, agedFirst: map[*jobs.Job]bool{},
+			now: now, clusterCPUs: 100, planned: map[*jobs.Job]bool{}, withinQuota: map[*jobs.Job]bool{}, agedFirst: map[*jobs.Job]bool{},
 			awaitingStart: map[*jobs.Job]bool{}, limitBound: map[string]bool{}, overdue: map[*jobs.Job]fairshare.Reason{},
 		},
 		job: job, age: 10 * time.Second, taskRunTime: 8 * time.Second, remainingCPUSeconds: 1600, remainingSeconds: 16,
