--- a/internal/controller/fairshare/fairshare_test.go
+++ b/internal/controller/fairshare/fairshare_test.go
@@ -19,10 +19,10 @@
 }
 
 // newJob is an accepted job with tasks of a minute.
-func newJob(id int, class, team string, tasks int, cpus float64) *jobs.Job {
+func newJob(number int, class, team string, tasks int, cpus float64) *jobs.Job {
 	job := jobs.New(
 		jobs.Spec{
-			ID:              fmt.Sprintf("job-%d", id),
+			ID:              fmt.Sprintf("job-%d", number),
 			Class:           class,
 			Team:            team,
 			Tasks:           tasks,
--- a/internal/controller/placement/gangs_test.go
+++ b/internal/controller/placement/gangs_test.go
@@ -1,6 +1,7 @@
 package placement
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -14,6 +15,19 @@
 	return job
 }
 
+// startGangs lets all machines send a heartbeat, and returns the starts by machine and the attempt numbers.
+func (f *fixture) startGangs() (starts []int, numbers map[uint64]bool) {
+	numbers = map[uint64]bool{}
+	for _, machine := range f.workers.MachinesByName() {
+		commands := f.StartTasks(f.now, machine, 300)
+		starts = append(starts, len(commands))
+		for _, command := range commands {
+			numbers[command.Attempt] = true
+		}
+	}
+	return starts, numbers
+}
+
 // A gang is placed with all its tasks on the fewest machines, or not at all; its starts have one attempt number and are
 // sent with the machines' heartbeat responses.
 func TestGangIsPlacedAsAWhole(t *testing.T) {
@@ -35,15 +49,9 @@
 			}
 			f.addGang(c.tasks, 4)
 			f.Tick(f.now, true)
-			numbers := map[uint64]bool{}
-			for i, machine := range f.workers.MachinesByName() {
-				commands := f.StartTasks(f.now, machine, 300)
-				if len(commands) != c.want[i] {
-					t.Errorf("%d starts on %s, want %d", len(commands), machine.ID, c.want[i])
-				}
-				for _, command := range commands {
-					numbers[command.Attempt] = true
-				}
+			starts, numbers := f.startGangs()
+			if !slices.Equal(starts, c.want) {
+				t.Errorf("starts by machine %v, want %v", starts, c.want)
 			}
 			if len(numbers) > 1 {
 				t.Errorf("%d attempt numbers in one gang", len(numbers))
@@ -66,8 +74,11 @@
 	}
 	f.now = f.now.Add(2*f.platform.HeartbeatInterval + gangStartSlack + time.Millisecond)
 	f.Tick(f.now, true)
-	if len(machine.Attempts) != 0 || job.WaitingTasks() != 4 || len(f.pendingGangStarts) != 0 {
-		t.Errorf("%d tasks are on the machine, %d wait, %d starts are pending", len(machine.Attempts), job.WaitingTasks(), len(f.pendingGangStarts))
+	if len(machine.Attempts) != 0 || job.WaitingTasks() != 4 {
+		t.Errorf("%d tasks are on the machine, %d wait", len(machine.Attempts), job.WaitingTasks())
+	}
+	if len(f.pendingGangStarts) != 0 {
+		t.Errorf("%d starts are pending", len(f.pendingGangStarts))
 	}
 }
 
--- a/internal/controller/queue/legacy_order_test.go
+++ b/internal/controller/queue/legacy_order_test.go
@@ -88,34 +88,34 @@
 }
 
 // entry ranks one job, by the switch that the rules replaced.
-func (p *legacyPlanner) entry(f *legacyFacts, job *jobs.Job) legacyEntry {
-	entry := legacyEntry{Job: job, TaskRunTime: p.TaskRunTime(job), RemainingCPUSeconds: p.RemainingCPUSeconds(job, f.now)}
-	entry.Planned, entry.WithinQuota = f.planned[job], f.withinQuota[job]
-	age := f.now.Sub(job.EligibleSince())
+func (p *legacyPlanner) entry(facts *legacyFacts, job *jobs.Job) legacyEntry {
+	entry := legacyEntry{Job: job, TaskRunTime: p.TaskRunTime(job), RemainingCPUSeconds: p.RemainingCPUSeconds(job, facts.now)}
+	entry.Planned, entry.WithinQuota = facts.planned[job], facts.withinQuota[job]
+	age := facts.now.Sub(job.EligibleSince())
 	startObjective := legacyFirstObjectiveAfter(p.startObjectives[job.Class], age)
-	remainingTime := entry.RemainingCPUSeconds / f.clusterCPUs
+	remainingTime := entry.RemainingCPUSeconds / facts.clusterCPUs
 	switch {
 	case job.CrashLooping:
 		// It is tried now and then, and takes nobody's place for that.
 		entry.Rank, entry.sortKey = legacyRankCrashLooping, remainingTime
-	case f.agedFirst[job]:
+	case facts.agedFirst[job]:
 		entry.Rank, entry.sortKey, entry.MayReserve, entry.AgedFirst = legacyRankAgedFirst, -age.Seconds(), true, true
 	case job.IsService:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankService, -float64(job.Priority), true
-	case f.awaitingStart[job]:
+	case facts.awaitingStart[job]:
 		entry.Rank, entry.sortKey, entry.MayReserve, entry.MaxTasks = legacyRankInitialTasks, -age.Seconds(), true, legacyInitialTaskCount(
 			job,
 		)
-	case f.allocations[job] == fairshare.BelowMinShare:
+	case facts.allocations[job] == fairshare.BelowMinShare:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankBelowShare, remainingTime, true
 	case entry.Planned:
-		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankPlanned, admission.DueAt(job).Sub(f.now).Seconds(), true
+		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankPlanned, admission.DueAt(job).Sub(facts.now).Seconds(), true
 	case entry.WithinQuota && age < p.guaranteeObjective:
 		// It can still start in the time that the guarantee is aimed at.
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankQuotaInTime, entry.RemainingCPUSeconds, true
 	case entry.WithinQuota:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankQuotaOverdue, -age.Seconds(), true
-	case f.allocations[job] == fairshare.Overdue:
+	case facts.allocations[job] == fairshare.Overdue:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankOverdue, remainingTime, true
 	case age > p.options.AgeBound:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankAged, -age.Seconds(), true
@@ -124,7 +124,7 @@
 	case startObjective > 0 && age > startObjective*2/3:
 		// Two thirds of the time in which its tasks are to start are gone.
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankAged, (startObjective - age).Seconds(), true
-	case f.limitBound[job.Team]:
+	case facts.limitBound[job.Team]:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankLimitBound, remainingTime-age.Seconds()/p.options.AgeBound.Seconds(), true
 	default:
 		// Ageing within the bound: waiting makes the remaining time count less.
--- a/internal/controller/queue/model_test.go
+++ b/internal/controller/queue/model_test.go
@@ -211,33 +211,33 @@
 	RemainingCPUSeconds, SortKey   float64
 }
 
-func describeEntry(e *Entry) comparedEntry {
+func describeEntry(entry *Entry) comparedEntry {
 	return comparedEntry{
-		e.Job.ID,
-		int(e.Rank),
-		e.Rank.Reason(),
-		e.MayReserve,
-		e.Planned,
-		e.IsAgedFirst(),
-		e.MaxTasks,
-		e.TaskRunTime,
-		e.RemainingCPUSeconds,
-		e.sortKey,
+		entry.Job.ID,
+		int(entry.Rank),
+		entry.Rank.Reason(),
+		entry.MayReserve,
+		entry.Planned,
+		entry.IsAgedFirst(),
+		entry.MaxTasks,
+		entry.TaskRunTime,
+		entry.RemainingCPUSeconds,
+		entry.sortKey,
 	}
 }
 
-func describeLegacyEntry(e *legacyEntry) comparedEntry {
+func describeLegacyEntry(entry *legacyEntry) comparedEntry {
 	return comparedEntry{
-		e.Job.ID,
-		e.Rank,
-		e.RankReason(),
-		e.MayReserve,
-		e.Planned,
-		e.AgedFirst,
-		e.MaxTasks,
-		e.TaskRunTime,
-		e.RemainingCPUSeconds,
-		e.sortKey,
+		entry.Job.ID,
+		entry.Rank,
+		entry.RankReason(),
+		entry.MayReserve,
+		entry.Planned,
+		entry.AgedFirst,
+		entry.MaxTasks,
+		entry.TaskRunTime,
+		entry.RemainingCPUSeconds,
+		entry.sortKey,
 	}
 }
 
