--- a/internal/controller/jobs/parse.go
+++ b/internal/controller/jobs/parse.go
@@ -1,91 +1,119 @@
 package jobs
 
 import (
-	"fmt"
 	"math"
 	"slices"
-	"time"
 
 	"gullrudder/internal/wire/codec"
 )
 
-// ValidationError is why a submission is not taken.
-type ValidationError struct {
-	Status int
-	Reason string
-}
-
-func (r *ValidationError) Error() string { return r.Reason }
-
-func invalid(format string, args ...any) error {
-	return &ValidationError{400, fmt.Sprintf(format, args...)}
-}
+// maxMachineTypes is how many machine types a submission may allow by name.
+const maxMachineTypes = 100
 
-// MaxTasks is the most tasks that a job may have.
-const MaxTasks = 100_000
-
-const maxDuration = 365 * 24 * time.Hour
-
-type fieldReader struct {
-	values map[string]any
-	err    error
+// ParseSpec reads a submission, a MessagePack map (wire protocol, "POST /work"). The error is a *ValidationError with status 400
+// that names the first invalid field. The Spec then has what could be read, its ID above all.
+func ParseSpec(body []byte) (Spec, error) {
+	values, err := codec.UnmarshalMap(body)
+	if err != nil {
+		return Spec{}, invalid("%v", err)
+	}
+	fields := &fieldReader{values: values}
+	spec := Spec{
+		ID: fields.readText("id"), Class: fields.readText("berth"), Team: fields.readText("crew"),
+		CPUs: fields.readAmount("cpus"), GPUs: fields.readAmount("cards"), MemoryGB: fields.readAmount("mem_gb"),
+		Image: fields.readText("hull"), ImageGB: fields.readAmount("image_gb"),
+		SingleZone: fields.readFlag("one_zone"), SpreadAcrossZones: fields.readFlag("spread"), AllowsSpot: fields.readFlag("driftwood"),
+		RunTimeEstimate:    fields.readDuration("voyage_s"),
+		CheckpointInterval: fields.readDuration("mooring_s"), CheckpointDuration: fields.readDuration("tieup_s"),
+	}
+	if !ValidID(spec.ID) {
+		fields.reject("id", "not of the form job-000412")
+	}
+	spec.Tasks = fields.readTaskCount("strokes")
+	if spec.CPUs == 0 && spec.GPUs == 0 && spec.MemoryGB == 0 {
+		fields.reject("cpus", "a task that takes nothing")
+	}
+	spec.IsService, spec.IsGang = fields.readShape("rig")
+	spec.Priority = fields.readPriority("heading")
+	fields.readOptional(&spec)
+	if !spec.IsService && spec.RunTimeEstimate == 0 {
+		fields.reject("voyage_s", "zero for an array")
+	}
+	return spec, fields.err
 }
 
-func (f *fieldReader) reject(name, why string) {
-	if f.err == nil {
-		f.err = invalid("field %s: %s", name, why)
+// readOptional reads the fields that may be missing or null.
+func (f *fieldReader) readOptional(spec *Spec) {
+	if !f.isNull("harbour") {
+		spec.Zone = f.readText("harbour")
+	}
+	if !f.isNull("keels") {
+		spec.MachineTypes = f.readMachineTypes("keels")
+	}
+	if !f.isNull("tows") {
+		spec.Dependencies = f.readDependencies("tows")
+	}
+	if !f.isNull("landfall_s") {
+		if spec.Deadline = f.readDuration("landfall_s"); spec.Deadline == 0 {
+			f.reject("landfall_s", "zero")
+		}
 	}
 }
 
-func (f *fieldReader) readText(name string) string {
-	s, ok := f.values[name].(string)
-	if !ok || s == "" || len(s) > 200 {
-		f.reject(name, "not a text of 1 to 200 bytes")
+func (f *fieldReader) readTaskCount(name string) int {
+	count := f.readAmount(name)
+	if count != math.Trunc(count) || count < 1 || count > MaxTasks {
+		f.reject(name, "not a whole number from 1 to 100000")
 	}
-	return s
+	return int(count)
 }
 
-func (f *fieldReader) readFlag(name string) bool {
-	b, ok := f.values[name].(bool)
-	if !ok {
-		f.reject(name, "not true or false")
+func (f *fieldReader) readShape(name string) (isService, isGang bool) {
+	switch f.readText(name) {
+	case "array":
+		return false, false
+	case "service":
+		return true, false
+	case "ensemble":
+		// Not in the wire protocol, but the platform's own check submits it.
+		return false, true
 	}
-	return b
+	f.reject(name, "not array, service or ensemble")
+	return false, false
 }
 
-func (f *fieldReader) readAmount(name string) float64 {
-	var v float64
-	switch x := f.values[name].(type) {
-	case float64:
-		v = x
-	case int64:
-		v = float64(x)
-	case uint64:
-		v = float64(x)
-	default:
-		f.reject(name, "not a number")
-		return 0
-	}
-	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 || v > 1e12 {
-		f.reject(name, "not a finite amount")
-		return 0
-	}
-	return v
+func (f *fieldReader) readPriority(name string) Priority {
+	switch f.readText(name) {
+	case "critical":
+		return Production
+	case "high":
+		return High
+	case "standard":
+		return Normal
+	case "best_effort":
+		return Low
+	}
+	f.reject(name, "unknown")
+	return Low
 }
 
-func (f *fieldReader) readDuration(name string) time.Duration {
-	v := f.readAmount(name)
-	if v > maxDuration.Seconds() {
-		f.reject(name, "longer than a year")
-		return 0
+func (f *fieldReader) readMachineTypes(name string) []string {
+	list, ok := f.values[name].([]any)
+	if !ok || len(list) == 0 || len(list) > maxMachineTypes {
+		f.reject(name, "not a list of 1 to 100 types")
+	}
+	var types []string
+	for _, value := range list {
+		machineType, ok := value.(string)
+		if !ok || machineType == "" {
+			f.reject(name, "a type is not a text")
+		}
+		types = append(types, machineType)
 	}
-	return time.Duration(v * float64(time.Second))
+	return types
 }
 
-// maxDependencies is how many jobs a submission may name.
-const maxDependencies = 64
-
-// readDependencies reads a list of job ids; one that is named twice counts once.
+// readDependencies reads a list of job IDs. One that is named twice counts once.
 func (f *fieldReader) readDependencies(name string) []string {
 	list, ok := f.values[name].([]any)
 	if !ok || len(list) > maxDependencies {
@@ -93,8 +121,8 @@
 		return nil
 	}
 	var ids []string
-	for _, v := range list {
-		id, ok := v.(string)
+	for _, value := range list {
+		id, ok := value.(string)
 		if !ok || !ValidID(id) {
 			f.reject(name, "a job not of the form job-000412")
 			return nil
@@ -105,93 +133,3 @@
 	}
 	return ids
 }
-
-func (f *fieldReader) isNull(name string) bool { return f.values[name] == nil }
-
-// ParseSpec reads a submission. A refusal for its form has status 400.
-func ParseSpec(body []byte) (Spec, error) {
-	m, err := codec.UnmarshalMap(body)
-	if err != nil {
-		return Spec{}, invalid("%v", err)
-	}
-	f := &fieldReader{values: m}
-	s := Spec{
-		ID:                f.readText("id"),
-		Class:             f.readText("berth"),
-		Team:              f.readText("crew"),
-		CPUs:              f.readAmount("cpus"),
-		GPUs:              f.readAmount("cards"),
-		MemoryGB:          f.readAmount("mem_gb"),
-		Image:             f.readText("hull"),
-		ImageGB:           f.readAmount("image_gb"),
-		SingleZone:        f.readFlag("one_zone"),
-		SpreadAcrossZones: f.readFlag("spread"),
-		AllowsSpot:        f.readFlag("driftwood"),
-		RunTimeEstimate: f.readDuration(
-			"voyage_s",
-		),
-		CheckpointInterval: f.readDuration("mooring_s"),
-		CheckpointDuration: f.readDuration("tieup_s"),
-	}
-	if !ValidID(s.ID) {
-		f.reject("id", "not of the form job-000412")
-	}
-	n := f.readAmount("strokes")
-	if n != math.Trunc(n) || n < 1 || n > MaxTasks {
-		f.reject("strokes", "not a whole number from 1 to 100000")
-	}
-	s.Tasks = int(n)
-	if s.CPUs == 0 && s.GPUs == 0 && s.MemoryGB == 0 {
-		f.reject("cpus", "a task that takes nothing")
-	}
-	switch f.readText("rig") {
-	case "array":
-	case "service":
-		s.IsService = true
-	case "ensemble":
-		// Not on the protocol's page, but the platform's own check submits it.
-		s.IsGang = true
-	default:
-		f.reject("rig", "not array, service or ensemble")
-	}
-	switch f.readText("heading") {
-	case "critical":
-		s.Priority = Production
-	case "high":
-		s.Priority = High
-	case "standard":
-		s.Priority = Normal
-	case "best_effort":
-		s.Priority = Low
-	default:
-		f.reject("heading", "unknown")
-	}
-	if !f.isNull("harbour") {
-		s.Zone = f.readText("harbour")
-	}
-	if !f.isNull("keels") {
-		list, ok := f.values["keels"].([]any)
-		if !ok || len(list) == 0 || len(list) > 100 {
-			f.reject("keels", "not a list of 1 to 100 types")
-		}
-		for _, v := range list {
-			t, ok := v.(string)
-			if !ok || t == "" {
-				f.reject("keels", "a type is not a text")
-			}
-			s.MachineTypes = append(s.MachineTypes, t)
-		}
-	}
-	if !f.isNull("tows") {
-		s.Dependencies = f.readDependencies("tows")
-	}
-	if !f.isNull("landfall_s") {
-		if s.Deadline = f.readDuration("landfall_s"); s.Deadline == 0 {
-			f.reject("landfall_s", "zero")
-		}
-	}
-	if !s.IsService && s.RunTimeEstimate == 0 {
-		f.reject("voyage_s", "zero for an array")
-	}
-	return s, f.err
-}
