--- a/internal/controller/accounting/tracker.go
+++ b/internal/controller/accounting/tracker.go
@@ -164,8 +164,8 @@
 	return a.breakdown.encode()
 }
 
-// MarkTaskLost says that a task of the job has to be run again, and to what its attempt was lost.
-func (l *Tracker) MarkTaskLost(j *jobs.Job, task int, to WaitReason) {
+// RecordTaskLost says that a task of the job has to be run again, and to what its attempt was lost.
+func (l *Tracker) RecordTaskLost(j *jobs.Job, task int, to WaitReason) {
 	a := l.accounts[j]
 	if a == nil {
 		return
@@ -176,8 +176,8 @@
 	a.lostTasks[task] = to
 }
 
-// MarkTaskDone says that a task is done.
-func (l *Tracker) MarkTaskDone(j *jobs.Job, task int) {
+// RecordTaskDone says that a task is done.
+func (l *Tracker) RecordTaskDone(j *jobs.Job, task int) {
 	if a := l.accounts[j]; a != nil {
 		delete(a.lostTasks, task)
 	}
--- a/internal/controller/accounting/tracker_test.go
+++ b/internal/controller/accounting/tracker_test.go
@@ -115,15 +115,19 @@
 	step(AwaitingHeartbeat, func() { r.Queue = nil; r.Teams["t"] = config.Team{}; m = r.machine(2); a = r.start(m, j) })
 	step(AwaitingHeartbeat, func() { b = r.start(m, j) })
 	step(FetchingImage, func() { a.LastSeenReconcile, b.LastSeenReconcile = 1, 1 })
-	step(FetchingImage, func() { j.MarkRunning(a, r.now) })
-	step(Running, func() { j.MarkRunning(b, r.now) })
-	step(Running, func() { j.MarkTaskDone(a.Task.Index); j.RemoveAttempt(a); l.MarkTaskDone(j, a.Task.Index) })
-	step(MachineLost, func() { r.Workers.ReleaseAll(m); j.Requeue(b.Task.Index); l.MarkTaskLost(j, b.Task.Index, MachineLost) })
+	step(FetchingImage, func() { j.RecordRunning(a, r.now) })
+	step(Running, func() { j.RecordRunning(b, r.now) })
+	step(Running, func() { j.RecordTaskDone(a.Task.Index); j.RemoveAttempt(a); l.RecordTaskDone(j, a.Task.Index) })
+	step(MachineLost, func() {
+		r.Workers.ReleaseAll(m)
+		j.Requeue(b.Task.Index)
+		l.RecordTaskLost(j, b.Task.Index, MachineLost)
+	})
 	step(MachineLost, func() { b = r.start(m, j) })
 	step(NotDurable, func() {
-		j.MarkRunning(b, r.now)
-		j.MarkTaskDone(b.Task.Index)
-		l.MarkTaskDone(j, b.Task.Index)
+		j.RecordRunning(b, r.now)
+		j.RecordTaskDone(b.Task.Index)
+		l.RecordTaskDone(j, b.Task.Index)
 		j.IsFinishing = true
 	})
 	step(StateUnavailable, func() { r.StorageHealthy = false })
@@ -186,12 +190,12 @@
 			case 3:
 				if j.WaitingTasks() > 0 && m.TasksThatFit(j) > 0 {
 					a := r.start(m, j)
-					j.MarkRunning(a, r.now)
+					j.RecordRunning(a, r.now)
 				}
 			case 4:
 				for _, e := range r.Workers.ReleaseAll(m) {
 					e.Attempt.Job.Requeue(e.Attempt.Task.Index)
-					l.MarkTaskLost(e.Attempt.Job, e.Attempt.Task.Index, Preempted)
+					l.RecordTaskLost(e.Attempt.Job, e.Attempt.Task.Index, Preempted)
 				}
 			case 5:
 				if _, over := ended[j.ID]; !over {
--- a/internal/controller/dependencies/graph.go
+++ b/internal/controller/dependencies/graph.go
@@ -43,8 +43,8 @@
 	j.UnmetDependencies = len(g.unmet[j])
 }
 
-// MarkDone takes in that a job is done, durably, and gives back those that wait for nothing any more.
-func (g *Graph) MarkDone(now time.Time, id string) []*jobs.Job {
+// RecordDone takes in that a job is done, durably, and gives back those that wait for nothing any more.
+func (g *Graph) RecordDone(now time.Time, id string) []*jobs.Job {
 	var free []*jobs.Job
 	for j := range g.dependents[id] {
 		delete(g.unmet[j], id)
--- a/internal/controller/dependencies/graph_test.go
+++ b/internal/controller/dependencies/graph_test.go
@@ -102,7 +102,7 @@
 				}
 				delete(live, j.ID)
 				p.done[j.ID] = true
-				if got := g.MarkDone(start.Add(time.Minute), j.ID); !slices.Equal(got, want) {
+				if got := g.RecordDone(start.Add(time.Minute), j.ID); !slices.Equal(got, want) {
 					t.Fatalf("%d are let go, %d should be", len(got), len(want))
 				}
 			default: // one is cancelled, and takes along all that need it
@@ -160,7 +160,7 @@
 		}
 	}
 	// Its time for all else counts from the end of what it needs, its deadline from the submission.
-	g.MarkDone(start.Add(50*time.Second), "job-1")
+	g.RecordDone(start.Add(50*time.Second), "job-1")
 	if b.TimeToDeadline() != 38*time.Second || b.EligibleSince() != start.Add(50*time.Second) {
 		t.Errorf("%v after %v", b.TimeToDeadline(), b.EligibleSince())
 	}
--- a/internal/controller/heartbeat/clerk.go
+++ b/internal/controller/heartbeat/clerk.go
@@ -229,9 +229,9 @@
 				}
 				h.planner.ObserveRunTime(job, now.Sub(attempt.RunningSince))
 			}
-			h.accounting.MarkTaskDone(job, attempt.Task.Index)
+			h.accounting.RecordTaskDone(job, attempt.Task.Index)
 			h.recordCompletion(now, machine, job)
-			if job.MarkTaskDone(attempt.Task.Index) {
+			if job.RecordTaskDone(attempt.Task.Index) {
 				h.jobStore.FinishIfDone(now, job)
 			}
 			continue
@@ -243,7 +243,7 @@
 			job.NotBefore = now.Add(2 * time.Second)
 			h.log.Info("start refused", "task", attempt.Task, "machine", machine.ID, "why", ended.Reason)
 		}
-		h.accounting.MarkTaskLost(job, attempt.Task.Index, lossCause(ended))
+		h.accounting.RecordTaskLost(job, attempt.Task.Index, lossCause(ended))
 		if ended.CheckpointSaved {
 			job.ResumedTasks[attempt.Task.Index] = true
 		}
--- a/internal/controller/jobs/chunk.go
+++ b/internal/controller/jobs/chunk.go
@@ -51,7 +51,7 @@
 }
 
 // TakeUnsaved returns the done tasks that no commit has taken yet, and the chunks to write for them, by entry name. There are no
-// chunks if the job's record holds the results. The caller commits them and then calls MarkDurable.
+// chunks if the job's record holds the results. The caller commits them and then calls RecordDurable.
 func (j *Job) TakeUnsaved() (tasks []int, chunks map[string]Chunk) {
 	tasks, j.unsavedTasks = j.unsavedTasks, nil
 	if !j.hasChunks() || len(tasks) == 0 {
--- a/internal/controller/jobs/production_test.go
+++ b/internal/controller/jobs/production_test.go
@@ -126,7 +126,7 @@
 }
 
 // Records have only fields that the version in production knows, by the same names and types, and those of dependencies.
-func TestProductionKnowsTheFields(t *testing.T) {
+func TestRecordHasProductionFieldsOnly(t *testing.T) {
 	known := map[string]reflect.Type{}
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[productionRecord]()) {
 		known[field.Tag.Get("msgpack")] = field.Type
--- a/internal/controller/jobs/progress.go
+++ b/internal/controller/jobs/progress.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// MarkRunning records that the attempt was first seen running now. Later calls change nothing.
-func (j *Job) MarkRunning(attempt *Attempt, now time.Time) {
+// RecordRunning records that the attempt was first seen running now. Later calls change nothing.
+func (j *Job) RecordRunning(attempt *Attempt, now time.Time) {
 	if !attempt.RunningSince.IsZero() {
 		return
 	}
@@ -85,8 +85,8 @@
 // IsTaskDurable reports whether the completion of a task is in the state service.
 func (j *Job) IsTaskDurable(task int) bool { return j.State == Done || j.durableBits.has(task) }
 
-// MarkTaskDone records that a task has completed. It returns false if that was known.
-func (j *Job) MarkTaskDone(task int) bool {
+// RecordTaskDone records that a task has completed. It returns false if that was known.
+func (j *Job) RecordTaskDone(task int) bool {
 	if j.IsTaskDone(task) {
 		return false
 	}
@@ -96,8 +96,8 @@
 	return true
 }
 
-// MarkDurable records that the completion of these tasks is in the state service.
-func (j *Job) MarkDurable(tasks []int) {
+// RecordDurable records that the completion of these tasks is in the state service.
+func (j *Job) RecordDurable(tasks []int) {
 	for _, task := range tasks {
 		j.durableBits.set(task)
 	}
--- a/internal/controller/jobs/record.go
+++ b/internal/controller/jobs/record.go
@@ -136,11 +136,11 @@
 func base64Bytes(bytes int) int { return bytes * 4 / 3 }
 
 // FromRecord rebuilds a job from its record. The results of jobs with chunks are added by RestoreChunk.
-func FromRecord(id string, record Record) (*Job, error) {
+func FromRecord(jobID string, record Record) (*Job, error) {
 	if record.Tasks < 1 || record.Tasks > MaxTasks {
-		return nil, fmt.Errorf("job %s: %d tasks in its record", id, record.Tasks)
+		return nil, fmt.Errorf("job %s: %d tasks in its record", jobID, record.Tasks)
 	}
-	job := New(record.spec(id), time.UnixMilli(record.SubmittedMs))
+	job := New(record.spec(jobID), time.UnixMilli(record.SubmittedMs))
 	job.Guaranteed, job.CrashLooping = record.Guaranteed, record.CrashLooping
 	if record.ReadyMs > 0 {
 		job.ReadyAt = time.UnixMilli(record.ReadyMs)
@@ -155,14 +155,14 @@
 	case recordCancelled:
 		job.State = Cancelled
 	default:
-		return nil, fmt.Errorf("job %s: state %q in its record", id, record.State)
+		return nil, fmt.Errorf("job %s: state %q in its record", jobID, record.State)
 	}
 	return job, job.restoreBits(job.doneBits, record.DoneBits)
 }
 
-func (r *Record) spec(id string) Spec {
+func (r *Record) spec(jobID string) Spec {
 	return Spec{
-		ID:                 id,
+		ID:                 jobID,
 		Class:              r.Class,
 		Team:               r.Team,
 		IsService:          r.IsService,
--- a/internal/controller/jobs/record_test.go
+++ b/internal/controller/jobs/record_test.go
@@ -52,7 +52,7 @@
 		maps.Copy(stored, chunks)
 	}
 	for range rapid.IntRange(0, 60).Draw(t, "count") {
-		job.MarkTaskDone(rapid.IntRange(0, job.Tasks-1).Draw(t, "task"))
+		job.RecordTaskDone(rapid.IntRange(0, job.Tasks-1).Draw(t, "task"))
 		if rapid.Bool().Draw(t, "save") {
 			save()
 		}
--- a/internal/controller/jobstore/book.go
+++ b/internal/controller/jobstore/book.go
@@ -251,7 +251,7 @@
 				return
 			}
 			if left--; left == 0 {
-				j.MarkDurable(tasks)
+				j.RecordDurable(tasks)
 			}
 		}
 		if chunks == nil {
--- a/internal/controller/jobstore/needs.go
+++ b/internal/controller/jobstore/needs.go
@@ -112,7 +112,7 @@
 
 // releaseDependents lets those start that have waited for a job which is done now, durably.
 func (b *Store) releaseDependents(now time.Time, id string) {
-	for _, j := range b.graph.MarkDone(now, id) {
+	for _, j := range b.graph.RecordDone(now, id) {
 		if j.State != jobs.Accepted {
 			continue // its acceptance is on its way
 		}
--- a/internal/controller/past_test.go
+++ b/internal/controller/past_test.go
@@ -129,7 +129,7 @@
 		controller.leadership.jobStore.Add(job)
 		job.State = jobs.Accepted
 		for task := range job.Tasks {
-			job.MarkTaskDone(task)
+			job.RecordTaskDone(task)
 		}
 		if i%2 == 1 {
 			job.State = jobs.Cancelled // with nothing left of it on any machine
--- a/internal/controller/worker/workers.go
+++ b/internal/controller/worker/workers.go
@@ -314,7 +314,7 @@
 		attempt.LastSeenReconcile = r.reconcileCount
 		switch {
 		case status.State == StateRunning && attempt.Job != nil:
-			attempt.Job.MarkRunning(attempt, now)
+			attempt.Job.RecordRunning(attempt, now)
 		case status.State == StateCheckpointing:
 			attempt.IsCheckpointing = true
 		}
