--- a/internal/controller/dependencies/graph.go
+++ b/internal/controller/dependencies/graph.go
@@ -1,7 +1,10 @@
-// Package dependencies knows which jobs wait for which: whose needs are missing, who is let go when a job is done, whom a
-// cancelled job takes along, and by when a job has to be done for those that need it. Its Graph owns the waiting of a
-// leadership and is made anew from the ledger at each takeover. It decides; it writes, sends and starts nothing, and it never
-// calls a need met: it is told so once that is durable. Work goes by the edges that are touched, never by all jobs.
+// Package dependencies has the graph of which unfinished job depends on which: what a job still waits for, which jobs become
+// ready when one is done, which are cancelled together with one, and by when a job has to be done for those that depend on it.
+// A Graph belongs to one leadership; it is rebuilt from storage at each failover.
+//
+// The package writes, sends and starts nothing, and it never decides that a dependency is met: the caller reports that once it is
+// durable. The cost of an operation grows with the edges it follows, not with the number of jobs. Design note:
+// docs/design/dependencies.md.
 //
 // There are no cycles: a job names only jobs that were accepted before it.
 package dependencies
@@ -14,149 +17,163 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// Graph is who waits for whom.
+// TaskRunTime estimates how long a task of the job runs.
+type TaskRunTime func(job *jobs.Job) time.Duration
+
+// Graph is the graph of unmet dependencies. Its edges stand twice, by either end:
+// dependents[id] has job exactly if unmet[job] has id. The UnmetDependencies of a job is the number of its edges.
 type Graph struct {
-	findJob    func(id string) *jobs.Job     // an unfinished job
-	dependents map[string]map[*jobs.Job]bool // by a need that is not done, those that wait for it
-	unmet      map[*jobs.Job]map[string]bool // by a job that waits, its needs that are not done
+	findJob    func(id string) *jobs.Job     // an unfinished job; nil if there is none of that ID
+	dependents map[string]map[*jobs.Job]bool // jobs that wait for an unfinished job, by its ID
+	unmet      map[*jobs.Job]map[string]bool // IDs of the unfinished jobs that a job waits for
 }
 
-// New makes an empty graph.
-func New(find func(id string) *jobs.Job) *Graph {
-	return &Graph{findJob: find, dependents: map[string]map[*jobs.Job]bool{}, unmet: map[*jobs.Job]map[string]bool{}}
+// New returns an empty graph. findJob returns an unfinished job by its ID, or nil.
+func New(findJob func(id string) *jobs.Job) *Graph {
+	return &Graph{findJob: findJob, dependents: map[string]map[*jobs.Job]bool{}, unmet: map[*jobs.Job]map[string]bool{}}
 }
 
-// Add lets a job wait for these needs, none of which is known to be done.
-func (g *Graph) Add(j *jobs.Job, missing []string) {
-	for _, id := range missing {
-		if g.unmet[j] == nil {
-			g.unmet[j] = map[string]bool{}
-		}
-		if !g.unmet[j][id] {
-			g.unmet[j][id] = true
-			if g.dependents[id] == nil {
-				g.dependents[id] = map[*jobs.Job]bool{}
-			}
-			g.dependents[id][j] = true
+// Add makes a job wait for the given jobs, none of which is known to be done.
+func (g *Graph) Add(job *jobs.Job, unmet []string) {
+	for _, id := range unmet {
+		g.addEdge(job, id)
+	}
+	job.UnmetDependencies = len(g.unmet[job])
+}
+
+func (g *Graph) addEdge(job *jobs.Job, id string) {
+	if g.unmet[job] == nil {
+		g.unmet[job] = map[string]bool{}
+	}
+	if g.dependents[id] == nil {
+		g.dependents[id] = map[*jobs.Job]bool{}
+	}
+	g.unmet[job][id] = true
+	g.dependents[id][job] = true
+}
+
+// RecordDone records that a job is done durably. It returns the jobs that wait for nothing any more, by ID, and sets their
+// ReadyAt.
+func (g *Graph) RecordDone(now time.Time, jobID string) []*jobs.Job {
+	var ready []*jobs.Job
+	for job := range g.dependents[jobID] {
+		delete(g.unmet[job], jobID)
+		job.UnmetDependencies = len(g.unmet[job])
+		if job.UnmetDependencies == 0 {
+			delete(g.unmet, job)
+			job.ReadyAt = now
+			ready = append(ready, job)
 		}
 	}
-	j.UnmetDependencies = len(g.unmet[j])
+	delete(g.dependents, jobID)
+	return sortByID(ready)
 }
 
-// RecordDone takes in that a job is done, durably, and gives back those that wait for nothing any more.
-func (g *Graph) RecordDone(now time.Time, id string) []*jobs.Job {
-	var free []*jobs.Job
-	for j := range g.dependents[id] {
-		delete(g.unmet[j], id)
-		if j.UnmetDependencies = len(g.unmet[j]); j.UnmetDependencies == 0 {
-			delete(g.unmet, j)
-			j.ReadyAt = now
-			free = append(free, j)
+// Remove takes a cancelled job out of the graph: it waits for nothing any more. The jobs that wait for it stay, under its ID.
+func (g *Graph) Remove(job *jobs.Job) {
+	for id := range g.unmet[job] {
+		delete(g.dependents[id], job)
+		if len(g.dependents[id]) == 0 {
+			delete(g.dependents, id)
 		}
 	}
-	delete(g.dependents, id)
-	return sortByID(free)
+	delete(g.unmet, job)
 }
 
-// Dependents lists all jobs that need this one, directly or through others.
-func (g *Graph) Dependents(id string) []*jobs.Job {
-	seen := map[*jobs.Job]bool{}
+// Dependents returns all jobs that depend on this one, directly or through others, by ID.
+func (g *Graph) Dependents(jobID string) []*jobs.Job {
+	found := map[*jobs.Job]bool{}
 	var list []*jobs.Job
-	for next := []string{id}; len(next) > 0; next = next[1:] {
-		for j := range g.dependents[next[0]] {
-			if !seen[j] {
-				seen[j] = true
-				list = append(list, j)
-				next = append(next, j.ID)
+	for queue := []string{jobID}; len(queue) > 0; queue = queue[1:] {
+		for job := range g.dependents[queue[0]] {
+			if !found[job] {
+				found[job] = true
+				list = append(list, job)
+				queue = append(queue, job.ID)
 			}
 		}
 	}
 	return sortByID(list)
 }
 
-// Unmet lists the needs of a job that are not done.
-func (g *Graph) Unmet(j *jobs.Job) []string {
-	list := make([]string, 0, len(g.unmet[j]))
-	for id := range g.unmet[j] {
-		list = append(list, id)
+// Unmet returns the IDs of the jobs that a job waits for directly, in order.
+func (g *Graph) Unmet(job *jobs.Job) []string {
+	ids := make([]string, 0, len(g.unmet[job]))
+	for id := range g.unmet[job] {
+		ids = append(ids, id)
 	}
-	slices.Sort(list)
-	return list
-}
-
-// Remove takes a job out that waits no more, since it is cancelled. What waits for it stays with its name.
-func (g *Graph) Remove(j *jobs.Job) {
-	for id := range g.unmet[j] {
-		delete(g.dependents[id], j)
-		if len(g.dependents[id]) == 0 {
-			delete(g.dependents, id)
-		}
-	}
-	delete(g.unmet, j)
+	slices.Sort(ids)
+	return ids
 }
 
-// ancestors lists the unfinished jobs that a job needs, directly or through others, those that need nothing last.
-func (g *Graph) ancestors(j *jobs.Job) []*jobs.Job {
-	seen := map[*jobs.Job]bool{}
+// ancestors returns the unfinished jobs that a job depends on, directly or through others. Each stands before those that it
+// depends on itself.
+func (g *Graph) ancestors(job *jobs.Job) []*jobs.Job {
+	found := map[*jobs.Job]bool{}
 	var list []*jobs.Job
-	var walk func(j *jobs.Job)
-	walk = func(j *jobs.Job) {
-		for _, id := range g.Unmet(j) {
-			if x := g.findJob(id); x != nil && !seen[x] {
-				seen[x] = true
-				walk(x)
-				list = append(list, x)
+	var visit func(job *jobs.Job)
+	visit = func(job *jobs.Job) {
+		for _, id := range g.Unmet(job) {
+			if dependency := g.findJob(id); dependency != nil && !found[dependency] {
+				found[dependency] = true
+				visit(dependency)
+				list = append(list, dependency)
 			}
 		}
 	}
-	walk(j)
+	visit(job)
 	slices.Reverse(list)
 	return list
 }
 
-// CriticalPath is how long what a job needs takes at least, by the longest way through it, and the jobs on all ways.
-func (g *Graph) CriticalPath(j *jobs.Job, perTask func(*jobs.Job) time.Duration) (time.Duration, []*jobs.Job) {
-	list := g.ancestors(j)
-	ends := map[*jobs.Job]time.Duration{}
-	end := func(j *jobs.Job) time.Duration {
-		longest := time.Duration(0)
-		for id := range g.unmet[j] {
-			if x := g.findJob(id); x != nil {
-				longest = max(longest, ends[x])
+// CriticalPath returns how long all that a job depends on takes at least: the longest sum of run times along any chain of
+// dependencies. It also returns the jobs on all chains.
+func (g *Graph) CriticalPath(job *jobs.Job, runTime TaskRunTime) (time.Duration, []*jobs.Job) {
+	ancestors := g.ancestors(job)
+	finish := map[*jobs.Job]time.Duration{}
+	earliestStart := func(job *jobs.Job) time.Duration {
+		latest := time.Duration(0)
+		for id := range g.unmet[job] {
+			if dependency := g.findJob(id); dependency != nil {
+				latest = max(latest, finish[dependency])
 			}
 		}
-		return longest
+		return latest
 	}
-	for _, x := range slices.Backward(list) { // needs before those that need them
-		ends[x] = end(x) + perTask(x)
+	for _, ancestor := range slices.Backward(ancestors) { // dependencies before their dependents
+		finish[ancestor] = earliestStart(ancestor) + runTime(ancestor)
 	}
-	return end(j), list
+	return earliestStart(job), ancestors
 }
 
-// PropagateDeadline has all that a job with a deadline needs inherit it: each is due so much earlier as those after it take, and has the
-// priority of the most urgent that needs it. guaranteed: their terms are held as its own are.
-func (g *Graph) PropagateDeadline(j *jobs.Job, perTask func(*jobs.Job) time.Duration, settle time.Duration, guaranteed bool) {
-	list := append([]*jobs.Job{j}, g.ancestors(j)...)
-	for _, x := range list {
-		due, ok := x.DueAt()
-		for id := range g.unmet[x] {
-			need := g.findJob(id)
-			if need == nil {
-				continue
-			}
-			need.InheritedPriority = max(need.InheritedPriority, x.EffectivePriority())
-			if !ok {
+// PropagateDeadline lets all that a job depends on inherit its deadline and its priority. Each job is due early enough that what
+// depends on it can run before its own deadline; startDelay is added for each, for the time between the end of one job and the
+// start of the next. With guaranteed, the jobs that inherit a deadline are treated as guaranteed too.
+func (g *Graph) PropagateDeadline(job *jobs.Job, runTime TaskRunTime, startDelay time.Duration, guaranteed bool) {
+	dependents := append([]*jobs.Job{job}, g.ancestors(job)...)
+	for _, dependent := range dependents { // dependents before their dependencies
+		due, hasDeadline := dependent.DueAt()
+		latestFinish := due.Add(-runTime(dependent) - startDelay)
+		for id := range g.unmet[dependent] {
+			dependency := g.findJob(id)
+			if dependency == nil {
 				continue
 			}
-			by := due.Add(-perTask(x) - settle)
-			if was, has := need.DueAt(); !has || by.Before(was) {
-				need.InheritedDeadline = by
+			dependency.InheritedPriority = max(dependency.InheritedPriority, dependent.EffectivePriority())
+			if hasDeadline {
+				inheritDeadline(dependency, latestFinish, guaranteed)
 			}
-			need.RequiredByGuaranteed = need.RequiredByGuaranteed || guaranteed
 		}
 	}
 }
 
+func inheritDeadline(job *jobs.Job, deadline time.Time, guaranteed bool) {
+	if due, has := job.DueAt(); !has || deadline.Before(due) {
+		job.InheritedDeadline = deadline
+	}
+	job.RequiredByGuaranteed = job.RequiredByGuaranteed || guaranteed
+}
+
 func sortByID(list []*jobs.Job) []*jobs.Job {
 	slices.SortFunc(list, func(a, b *jobs.Job) int { return cmp.Compare(a.ID, b.ID) })
 	return list
--- a/internal/controller/dependencies/graph_test.go
+++ b/internal/controller/dependencies/graph_test.go
@@ -16,152 +16,196 @@
 
 var start = time.Unix(1000, 0)
 
-func job(id string, needs ...string) *jobs.Job {
-	j := jobs.New(jobs.Spec{ID: id, Tasks: 1, CPUs: 1, RunTimeEstimate: 10 * time.Second, Dependencies: needs}, start)
-	j.State = jobs.Accepted
-	return j
+func newJob(id string, dependencies ...string) *jobs.Job {
+	spec := jobs.Spec{ID: id, Tasks: 1, CPUs: 1, RunTimeEstimate: 10 * time.Second, Dependencies: dependencies}
+	job := jobs.New(spec, start)
+	job.State = jobs.Accepted
+	return job
 }
 
-// plain walks all jobs for each question.
-type plain struct {
-	jobs []*jobs.Job
+func estimatedRunTime(job *jobs.Job) time.Duration { return job.RunTimeEstimate }
+
+// plainModel answers each question by walking over all jobs.
+type plainModel struct {
+	jobs []*jobs.Job // of those that were not cancelled, in the order of their submission
 	done map[string]bool
 }
 
-func (p *plain) open(j *jobs.Job) (list []string) {
-	for _, id := range j.Dependencies {
-		if !p.done[id] {
-			list = append(list, id)
+func (m *plainModel) find(id string) *jobs.Job {
+	for _, job := range m.jobs {
+		if job.ID == id {
+			return job
 		}
 	}
-	slices.Sort(list)
-	return list
+	return nil
+}
+
+func (m *plainModel) unmet(job *jobs.Job) (ids []string) {
+	for _, id := range job.Dependencies {
+		if !m.done[id] {
+			ids = append(ids, id)
+		}
+	}
+	slices.Sort(ids)
+	return ids
 }
 
-func (p *plain) needs(j *jobs.Job, id string) bool {
-	for _, x := range p.open(j) {
-		if x == id {
+func (m *plainModel) dependsOn(job *jobs.Job, id string) bool {
+	for _, unmet := range m.unmet(job) {
+		if unmet == id {
 			return true
 		}
-		for _, o := range p.jobs {
-			if o.ID == x && p.needs(o, id) {
-				return true
-			}
+		if dependency := m.find(unmet); dependency != nil && m.dependsOn(dependency, id) {
+			return true
 		}
 	}
 	return false
 }
 
-// path is the longest way by trying all ways.
-func (p *plain) path(j *jobs.Job) time.Duration {
+func (m *plainModel) jobsWhere(holds func(job *jobs.Job) bool) (list []*jobs.Job) {
+	for _, job := range m.jobs {
+		if holds(job) {
+			list = append(list, job)
+		}
+	}
+	return list
+}
+
+// criticalPath tries all chains.
+func (m *plainModel) criticalPath(job *jobs.Job) time.Duration {
 	longest := time.Duration(0)
-	for _, id := range p.open(j) {
-		for _, o := range p.jobs {
-			if o.ID == id {
-				longest = max(longest, p.path(o)+o.RunTimeEstimate)
-			}
+	for _, id := range m.unmet(job) {
+		if dependency := m.find(id); dependency != nil {
+			longest = max(longest, m.criticalPath(dependency)+dependency.RunTimeEstimate)
 		}
 	}
 	return longest
 }
 
-// The graph agrees with plain walks on random graphs, as jobs are done, cancelled with all that need them, and asked for.
-func TestGraphAsPlainWalks(t *testing.T) {
+// graphTest compares a graph with the plain model.
+type graphTest struct {
+	model      *plainModel
+	unfinished map[string]*jobs.Job
+	graph      *Graph
+}
+
+func newGraphTest() *graphTest {
+	test := &graphTest{model: &plainModel{done: map[string]bool{}}, unfinished: map[string]*jobs.Job{}}
+	test.graph = New(func(id string) *jobs.Job { return test.unfinished[id] })
+	return test
+}
+
+func (g *graphTest) drawJob(t *rapid.T, label string) *jobs.Job {
+	return g.model.jobs[rapid.IntRange(0, len(g.model.jobs)-1).Draw(t, label)]
+}
+
+func (g *graphTest) submit(t *rapid.T, jobID string) {
+	var dependencies []string
+	for range rapid.IntRange(0, 3).Draw(t, "needs") {
+		if len(g.model.jobs) == 0 {
+			continue
+		}
+		dependency := g.drawJob(t, "need").ID
+		if (g.model.done[dependency] || g.unfinished[dependency] != nil) && !slices.Contains(dependencies, dependency) {
+			dependencies = append(dependencies, dependency)
+		}
+	}
+	job := newJob(jobID, dependencies...)
+	job.RunTimeEstimate = time.Duration(rapid.IntRange(1, 9).Draw(t, "estimate")) * time.Second
+	g.graph.Add(job, g.model.unmet(job))
+	g.model.jobs, g.unfinished[job.ID] = append(g.model.jobs, job), job
+}
+
+// finish completes a job that waits for nothing.
+func (g *graphTest) finish(t *rapid.T) {
+	job := g.drawJob(t, "done")
+	if g.unfinished[job.ID] == nil || len(g.model.unmet(job)) > 0 {
+		return
+	}
+	want := g.model.jobsWhere(func(other *jobs.Job) bool { return slices.Equal(g.model.unmet(other), []string{job.ID}) })
+	delete(g.unfinished, job.ID)
+	g.model.done[job.ID] = true
+	if got := g.graph.RecordDone(start.Add(time.Minute), job.ID); !slices.Equal(got, want) {
+		t.Fatalf("%d jobs become ready, want %d", len(got), len(want))
+	}
+}
+
+// cancel removes a job and all that depend on it.
+func (g *graphTest) cancel(t *rapid.T) {
+	job := g.drawJob(t, "cancelled")
+	if g.unfinished[job.ID] == nil {
+		return
+	}
+	want := g.model.jobsWhere(func(other *jobs.Job) bool { return g.model.dependsOn(other, job.ID) })
+	got := g.graph.Dependents(job.ID)
+	if !slices.Equal(got, want) {
+		t.Fatalf("%d dependents, want %d", len(got), len(want))
+	}
+	for _, cancelled := range append(got, job) {
+		g.graph.Remove(cancelled)
+		delete(g.unfinished, cancelled.ID)
+		g.model.jobs = slices.DeleteFunc(g.model.jobs, func(other *jobs.Job) bool { return other == cancelled })
+	}
+}
+
+func (g *graphTest) check(t *rapid.T) {
+	for _, job := range g.model.jobs {
+		if g.unfinished[job.ID] == nil {
+			continue
+		}
+		unmet := g.model.unmet(job)
+		if !slices.Equal(g.graph.Unmet(job), unmet) || job.UnmetDependencies != len(unmet) || job.IsSchedulable() != (len(unmet) == 0) {
+			t.Fatalf("%s waits for %v (%d), want %v", job.ID, g.graph.Unmet(job), job.UnmetDependencies, unmet)
+		}
+		if got, _ := g.graph.CriticalPath(job, estimatedRunTime); got != g.model.criticalPath(job) {
+			t.Fatalf("the critical path of %s takes %v, want %v", job.ID, got, g.model.criticalPath(job))
+		}
+	}
+}
+
+// The graph agrees with the plain model on random graphs, as jobs are submitted, done, and cancelled with all that depend on them.
+func TestGraphAgainstPlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &plain{done: map[string]bool{}}
-		live := map[string]*jobs.Job{}
-		g := New(func(id string) *jobs.Job { return live[id] })
-		perTask := func(j *jobs.Job) time.Duration { return j.RunTimeEstimate }
+		test := newGraphTest()
 		for i := range rapid.IntRange(1, 40).Draw(t, "moves") {
-			switch what := rapid.IntRange(0, 4).Draw(t, "what"); {
-			case what < 3:
-				var needs []string
-				for range rapid.IntRange(0, 3).Draw(t, "needs") {
-					if len(p.jobs) > 0 {
-						id := p.jobs[rapid.IntRange(0, len(p.jobs)-1).Draw(t, "need")].ID
-						if (p.done[id] || live[id] != nil) && !slices.Contains(needs, id) {
-							needs = append(needs, id)
-						}
-					}
-				}
-				j := job(fmt.Sprintf("job-%03d", i), needs...)
-				j.RunTimeEstimate = time.Duration(rapid.IntRange(1, 9).Draw(t, "estimate")) * time.Second
-				g.Add(j, p.open(j))
-				p.jobs, live[j.ID] = append(p.jobs, j), j
-			case len(p.jobs) == 0:
-			case what == 3: // one that waits for nothing is done
-				j := p.jobs[rapid.IntRange(0, len(p.jobs)-1).Draw(t, "done")]
-				if live[j.ID] == nil || len(p.open(j)) > 0 {
-					continue
-				}
-				var want []*jobs.Job
-				for _, o := range p.jobs {
-					if slices.Equal(p.open(o), []string{j.ID}) {
-						want = append(want, o)
-					}
-				}
-				delete(live, j.ID)
-				p.done[j.ID] = true
-				if got := g.RecordDone(start.Add(time.Minute), j.ID); !slices.Equal(got, want) {
-					t.Fatalf("%d are let go, %d should be", len(got), len(want))
-				}
-			default: // one is cancelled, and takes along all that need it
-				j := p.jobs[rapid.IntRange(0, len(p.jobs)-1).Draw(t, "cancelled")]
-				if live[j.ID] == nil {
-					continue
-				}
-				var want []*jobs.Job
-				for _, o := range p.jobs {
-					if p.needs(o, j.ID) {
-						want = append(want, o)
-					}
-				}
-				got := g.Dependents(j.ID)
-				if !slices.Equal(got, want) {
-					t.Fatalf("%d are taken along, %d should be", len(got), len(want))
-				}
-				for _, o := range append(got, j) {
-					g.Remove(o)
-					delete(live, o.ID)
-					p.jobs = slices.DeleteFunc(p.jobs, func(x *jobs.Job) bool { return x == o })
-				}
-			}
-			for _, j := range p.jobs {
-				if live[j.ID] == nil {
-					continue
-				}
-				if open := p.open(j); !slices.Equal(g.Unmet(j), open) || j.UnmetDependencies != len(open) || j.IsSchedulable() != (len(open) == 0) {
-					t.Fatalf("%s waits for %v (%d), not %v", j.ID, g.Unmet(j), j.UnmetDependencies, open)
-				}
-				if got, _ := g.CriticalPath(j, perTask); got != p.path(j) {
-					t.Fatalf("the longest way to %s takes %v, not %v", j.ID, got, p.path(j))
-				}
+			switch action := rapid.IntRange(0, 4).Draw(t, "what"); {
+			case action < 3:
+				test.submit(t, fmt.Sprintf("job-%03d", i))
+			case len(test.model.jobs) == 0:
+			case action == 3:
+				test.finish(t)
+			default:
+				test.cancel(t)
 			}
+			test.check(t)
 		}
 	})
 }
 
-// A deadline and a priority flow backwards through a diamond: each job is due by when the longest way after it has to begin.
-func TestDeadlineFlowsBackwards(t *testing.T) {
-	a, b, c, d := job("job-1"), job("job-2", "job-1"), job("job-3", "job-1"), job("job-4", "job-2", "job-3")
-	b.RunTimeEstimate, d.Deadline, d.Priority = 30*time.Second, 100*time.Second, jobs.High
-	live := map[string]*jobs.Job{"job-1": a, "job-2": b, "job-3": c, "job-4": d}
-	g := New(func(id string) *jobs.Job { return live[id] })
-	for _, j := range []*jobs.Job{b, c, d} {
-		g.Add(j, j.Dependencies)
+// A deadline and a priority flow backwards through a diamond: each job is due when the longest chain after it has to start.
+func TestPropagateDeadline(t *testing.T) {
+	root, slow, fast, last := newJob("job-1"), newJob("job-2", "job-1"), newJob("job-3", "job-1"), newJob("job-4", "job-2", "job-3")
+	slow.RunTimeEstimate, last.Deadline, last.Priority = 30*time.Second, 100*time.Second, jobs.High
+	unfinished := map[string]*jobs.Job{"job-1": root, "job-2": slow, "job-3": fast, "job-4": last}
+	graph := New(func(id string) *jobs.Job { return unfinished[id] })
+	for _, job := range []*jobs.Job{slow, fast, last} {
+		graph.Add(job, job.Dependencies)
+	}
+	graph.PropagateDeadline(last, estimatedRunTime, 2*time.Second, true)
+	dueAfter := map[*jobs.Job]time.Duration{
+		root: 56 * time.Second, slow: 88 * time.Second, fast: 88 * time.Second, last: 100 * time.Second,
 	}
-	g.PropagateDeadline(d, func(j *jobs.Job) time.Duration { return j.RunTimeEstimate }, 2*time.Second, true)
-	for j, want := range map[*jobs.Job]time.Duration{a: 56 * time.Second, b: 88 * time.Second, c: 88 * time.Second, d: 100 * time.Second} {
-		if due, ok := j.DueAt(); !ok || due.Sub(start) != want {
-			t.Errorf("%s is due after %v, not %v", j.ID, due.Sub(start), want)
+	for job, want := range dueAfter {
+		if due, ok := job.DueAt(); !ok || due.Sub(start) != want {
+			t.Errorf("%s is due after %v, want %v", job.ID, due.Sub(start), want)
 		}
-		if j != d && (!j.RequiredByGuaranteed || j.InheritedPriority != jobs.High) {
-			t.Errorf("%s: pulled %v, urgency %v", j.ID, j.RequiredByGuaranteed, j.InheritedPriority)
+		if job != last && (!job.RequiredByGuaranteed || job.InheritedPriority != jobs.High) {
+			t.Errorf("%s: required by guaranteed %v, inherited priority %v", job.ID, job.RequiredByGuaranteed, job.InheritedPriority)
 		}
 	}
-	// Its time for all else counts from the end of what it needs, its deadline from the submission.
-	g.RecordDone(start.Add(50*time.Second), "job-1")
-	if b.TimeToDeadline() != 38*time.Second || b.EligibleSince() != start.Add(50*time.Second) {
-		t.Errorf("%v after %v", b.TimeToDeadline(), b.EligibleSince())
+	// All times but the deadline count from the end of the last dependency.
+	graph.RecordDone(start.Add(50*time.Second), "job-1")
+	if slow.TimeToDeadline() != 38*time.Second || slow.EligibleSince() != start.Add(50*time.Second) {
+		t.Errorf("%v after %v", slow.TimeToDeadline(), slow.EligibleSince())
 	}
 }
