--- a/internal/controller/dynamicconfig/record_test.go
+++ b/internal/controller/dynamicconfig/record_test.go
@@ -1,32 +1,29 @@
 package dynamicconfig
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 )
 
-// However many changes there are and whoever made them, the entry stays within what is reserved for
-// it in its page, and the newest change is kept.
-func TestRecordOfChangesIsBounded(t *testing.T) {
-	for _, room := range []int{maxRecordBytes, 1900} { // 1900: pages of a state service of 2 KiB
-		bounded(t, room)
+// However many changes there are and whoever made them, the record stays within the bytes reserved for it in its page, and the
+// newest change is kept.
+func TestRecordSizeIsBounded(t *testing.T) {
+	const bytesOfSmallPage = 1900 // with a state service whose values hold 2 KiB
+	for _, maxBytes := range []int{maxRecordBytes, bytesOfSmallPage} {
+		t.Run(fmt.Sprint(maxBytes), func(t *testing.T) { checkRecordSize(t, maxBytes) })
 	}
 }
 
-func bounded(t *testing.T, room int) {
+func checkRecordSize(t *testing.T, maxBytes int) {
 	t.Helper()
-	e := &record{Text: strings.Repeat("x", maxTextBytes)}
+	kept := &record{Text: strings.Repeat("x", maxTextBytes)}
 	for i := range 40 {
-		e.addChange(
-			Change{
-				Version: i + 1,
-				Author:  strings.Repeat("w", maxAuthorBytes),
-				Details: []string{strings.Repeat("c", 40), strings.Repeat("d", 40*(i%7))},
-			},
-			room,
-		)
-		if size := e.size(); size > room || len(e.Changes) == 0 || e.Changes[0].Version != i+1 || len(e.Changes) > maxChanges {
-			t.Fatalf("after %d changes: %d bytes, %d kept", i+1, size, len(e.Changes))
+		details := []string{strings.Repeat("c", 40), strings.Repeat("d", 40*(i%7))}
+		kept.addChange(Change{Version: i + 1, Author: strings.Repeat("w", maxAuthorBytes), Details: details}, maxBytes)
+		size := kept.size()
+		if size > maxBytes || len(kept.Changes) == 0 || kept.Changes[0].Version != i+1 || len(kept.Changes) > maxChanges {
+			t.Fatalf("after %d changes: %d bytes, %d kept", i+1, size, len(kept.Changes))
 		}
 	}
 }
--- a/internal/controller/dynamicconfig/store.go
+++ b/internal/controller/dynamicconfig/store.go
@@ -1,190 +1,189 @@
-// Package dynamicconfig keeps the operators' options that count: the controller's own file, or what was
-// applied while the controllers ran, which the ledger keeps. It owns them and their record of
-// changes; everybody else only reads them.
+// Package dynamicconfig has the operators' options that are in effect: those of the controller's own file, or those that were
+// applied while the controllers run, which the state service keeps. Its Store owns the options and the record of their changes; a
+// leadership makes one and other packages only read it.
+//
+// The package never changes the options of the election (leader lease and grant), which all controllers have to have from their
+// start. Design note: docs/operations/controllers.md describes each option.
 package dynamicconfig
 
 import (
+	"errors"
 	"log/slog"
-	"math"
+	"net/http"
 	"strings"
 	"time"
 
 	"gullrudder/internal/config"
 	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/server"
 )
 
-// Store are a leader's.
-type Store struct {
-	fileOptions  config.Options // the controller's own
-	current      config.Options // those that count
-	applied      *record        // those that were applied, with their record
-	isCommitting bool           // others are on their way into the ledger
-	logger       *slog.Logger
-	responder    *server.Responder
-	storage      *storage.Store
-	onChange     func(config.Options)
-}
-
-// New makes the settings of a new leadership.
-func New(file config.Options, led *storage.Store, out *server.Responder, log *slog.Logger) *Store {
-	return &Store{fileOptions: file, current: file, logger: log, responder: out, storage: led, onChange: func(config.Options) {}}
-}
-
-// Options are those that count. They change in place.
-func (s *Store) Options() *config.Options { return &s.current }
-
-// OnChange names who is to know of other options.
-func (s *Store) OnChange(f func(config.Options)) { s.onChange = f }
-
-// Settings that were applied while the controllers run are an entry of the ledger: whoever leads
-// has the same, and a restart changes nothing. Without one, each controller's own file counts.
+// EntryKey names the stored entry of the applied options. Every leader reads the same one, so that a restart changes nothing. If
+// there is none, each controller's own file is in effect.
 const EntryKey = "s:options"
 
 const (
-	// maxTextBytes bounds the text that is kept, mostChanges the record of who changed what.
-	maxTextBytes   = 1 << 10
-	maxChanges     = 12
-	maxAuthorBytes = 60
-	// maxRecordBytes is what the entry may come to need at most; a page of the state service may hold less.
-	maxRecordBytes = 3000
+	// busyRetryAfter is when an operator is told to try again while another change is being committed.
+	busyRetryAfter = time.Second
+	// unsavedRetryAfter is when an operator is told to try again if it is not known whether the change was committed.
+	unsavedRetryAfter = 2 * time.Second
 )
 
-type record struct {
-	Text    string   `msgpack:"x" json:"x"`
-	Version int      `msgpack:"v" json:"v"`
-	Changes []Change `msgpack:"c" json:"c"`
-}
+// Errors that operators see.
+var (
+	errMalformedRequest = errors.New("settings have a text of at most 1 KiB, and the name of who changes them")
+	errElectionOptions  = errors.New("leader-lease and promise are read when a controller starts, from its own file")
+)
 
-func (e *record) size() int {
-	raw, err := codec.Marshal(e)
-	if err != nil {
-		return math.MaxInt
-	}
-	return codec.JSONSize(raw)
+// Store has the options of a leadership.
+type Store struct {
+	fileOptions  config.Options // of the controller's own file
+	current      config.Options // in effect
+	applied      *record        // what the state service keeps; nil: nothing was applied
+	isCommitting bool           // a change is being committed; there is no second one until it is durable
+	logger       *slog.Logger
+	responder    *server.Responder
+	storage      *storage.Store
+	onChange     func(config.Options)
 }
 
-// addChange puts a change first; the oldest go once there are too many, or no room is left for them.
-func (e *record) addChange(c Change, room int) {
-	e.Changes = append([]Change{c}, e.Changes...)
-	e.Changes = e.Changes[:min(len(e.Changes), maxChanges)]
-	for len(e.Changes) > 1 && e.size() > room {
-		e.Changes = e.Changes[:len(e.Changes)-1]
+// New returns the options of a new leadership, those of the file until Restore is called.
+func New(fileOptions config.Options, stored *storage.Store, responder *server.Responder, logger *slog.Logger) *Store {
+	return &Store{
+		fileOptions: fileOptions, current: fileOptions, logger: logger, responder: responder, storage: stored,
+		onChange: func(config.Options) {},
 	}
 }
 
-// Change is one line of the record: who changed what, and when.
-type Change struct {
-	Version   int      `msgpack:"v" json:"version"`
-	AppliedAt int64    `msgpack:"t" json:"at"` // seconds since 1970
-	Author    string   `msgpack:"w" json:"who"`
-	Details   []string `msgpack:"c" json:"what"`
-}
+// Options returns the options in effect. They change in place.
+func (s *Store) Options() *config.Options { return &s.current }
 
-// View is what `gullrudder settings` shows. Version 0: the controllers' own files.
-type View struct {
-	Version int                  `msgpack:"version" json:"version"`
-	Values  []config.OptionValue `msgpack:"values" json:"values"`
-	Changes []Change             `msgpack:"changes" json:"changes"`
-}
+// OnChange sets the function that is called with the new options when others take effect. There is one such function.
+func (s *Store) OnChange(changed func(config.Options)) { s.onChange = changed }
 
-// ChangeRequest asks for other settings.
-type ChangeRequest struct {
-	Author string `msgpack:"who"`
-	Text   string `msgpack:"text"`
+// ServeView answers a request for the options and the record of changes.
+func (s *Store) ServeView(_ time.Time, request *server.Request) {
+	s.responder.Respond(request, http.StatusOK, s.View(), 0)
 }
 
-func (s *Store) ServeView(_ time.Time, r *server.Request) { s.responder.Respond(r, 200, s.View(), 0) }
-
+// View returns the options in effect and the record of changes.
 func (s *Store) View() View {
-	v := View{Values: s.current.Values(), Changes: []Change{}}
-	if e := s.applied; e != nil {
-		v.Version, v.Changes = e.Version, e.Changes
+	view := View{Values: s.current.Values(), Changes: []Change{}}
+	if s.applied != nil {
+		view.Version, view.Changes = s.applied.Version, s.applied.Changes
 	}
-	return v
+	return view
 }
 
-// recordReserve is what the entry may come to need of its page, which it never leaves.
-func (s *Store) recordReserve() int { return min(maxRecordBytes, s.storage.MaxEntryBytes(EntryKey)) }
-
-// ServeChange takes other settings, all or none. They count once they are durable.
-func (s *Store) ServeChange(now time.Time, r *server.Request) {
-	var a ChangeRequest
-	if err := codec.Unmarshal(r.Body, &a); err != nil || len(a.Text) > maxTextBytes || a.Author == "" || len(a.Author) > maxAuthorBytes {
-		s.responder.RespondError(r, 400, "settings have a text of at most 1 KiB, and the name of who changes them", 0)
-		return
-	}
-	opt, err := config.ParseOptions([]byte(a.Text))
+// ServeChange answers a request for other options. It applies all of them or none. They take effect once they are durable.
+func (s *Store) ServeChange(now time.Time, request *server.Request) {
+	change, options, err := s.parseChange(request.Body)
 	if err != nil {
-		s.responder.RespondError(r, 400, err.Error(), 0)
+		s.responder.RespondError(request, http.StatusBadRequest, err.Error(), 0)
 		return
 	}
-	if opt.LeaderLeaseDuration != s.fileOptions.LeaderLeaseDuration || opt.GrantDuration != s.fileOptions.GrantDuration {
-		// Every controller relies on the others' having the same, from its start.
-		s.responder.RespondError(r, 400, "leader-lease and promise are read when a controller starts, from its own file", 0)
-		return
-	}
-	changes := s.current.DescribeChanges(opt)
-	if len(changes) == 0 {
-		s.responder.Respond(r, 200, s.View(), 0)
+	details := s.current.DescribeChanges(options)
+	if len(details) == 0 {
+		s.ServeView(now, request)
 		return
 	}
 	if s.isCommitting || !s.storage.IsHealthy() {
-		s.responder.RespondError(r, 503, "the state service does not take changes, or others are being saved", time.Second)
+		s.responder.RespondError(request, http.StatusServiceUnavailable,
+			"the state service does not take changes, or others are being saved", busyRetryAfter)
 		return
 	}
-	e := &record{Text: a.Text, Version: 1}
-	if was := s.applied; was != nil {
-		e.Version, e.Changes = was.Version+1, was.Changes
+	next := s.nextRecord(now, change, details)
+	if err := s.commit(now, request, next, options); err != nil {
+		s.responder.RespondError(request, http.StatusBadRequest, "too large to be kept: "+err.Error(), 0)
+	}
+}
+
+func (s *Store) parseChange(body []byte) (ChangeRequest, config.Options, error) {
+	var change ChangeRequest
+	err := codec.Unmarshal(body, &change)
+	if err != nil || len(change.Text) > maxTextBytes || change.Author == "" || len(change.Author) > maxAuthorBytes {
+		return ChangeRequest{}, config.Options{}, errMalformedRequest
+	}
+	options, err := config.ParseOptions([]byte(change.Text))
+	if err != nil {
+		return ChangeRequest{}, config.Options{}, err
+	}
+	if options.LeaderLeaseDuration != s.fileOptions.LeaderLeaseDuration || options.GrantDuration != s.fileOptions.GrantDuration {
+		return ChangeRequest{}, config.Options{}, errElectionOptions
+	}
+	return change, options, nil
+}
+
+// nextRecord returns the record with a change added.
+func (s *Store) nextRecord(now time.Time, change ChangeRequest, details []string) *record {
+	next := &record{Text: change.Text, Version: 1}
+	if s.applied != nil {
+		next.Version, next.Changes = s.applied.Version+1, s.applied.Changes
 	}
-	e.addChange(Change{Version: e.Version, AppliedAt: now.Unix(), Author: a.Author, Details: changes}, s.recordReserve())
+	line := Change{Version: next.Version, AppliedAt: now.Unix(), Author: change.Author, Details: details}
+	next.addChange(line, s.reservedBytes())
+	return next
+}
+
+// commit stores a record. The request is answered once the outcome is known or in doubt; a commit in doubt may still become
+// durable later, and the options take effect then.
+func (s *Store) commit(now time.Time, request *server.Request, next *record, options config.Options) error {
 	s.isCommitting = true
 	answered := false
-	err = s.storage.Set(now, EntryKey, e, s.recordReserve(), true, func(now time.Time, ok bool) {
-		if ok {
+	err := s.storage.Set(now, EntryKey, next, s.reservedBytes(), true, func(_ time.Time, isDurable bool) {
+		if isDurable {
 			s.isCommitting = false
-			s.applied = e
-			s.activate(opt)
-			s.logger.Info("settings applied", "version", e.Version, "who", a.Author, "what", strings.Join(changes, ", "))
+			s.applied = next
+			s.activate(options)
+			s.logApplied(next)
 		}
 		if answered {
 			return
 		}
 		answered = true
-		if ok {
-			s.responder.Respond(r, 200, s.View(), 0)
+		if isDurable {
+			s.responder.Respond(request, http.StatusOK, s.View(), 0)
 		} else {
-			s.responder.RespondError(r, 503, "not saved yet", 2*time.Second)
+			s.responder.RespondError(request, http.StatusServiceUnavailable, "not saved yet", unsavedRetryAfter)
 		}
 	})
 	if err != nil {
 		s.isCommitting = false
-		s.responder.RespondError(r, 400, "too large to be kept: "+err.Error(), 0)
 	}
+	return err
 }
 
-// activate takes other options. The election's stay as they are.
-func (s *Store) activate(opt config.Options) {
-	opt.LeaderLeaseDuration, opt.GrantDuration = s.fileOptions.LeaderLeaseDuration, s.fileOptions.GrantDuration
-	s.current = opt
-	s.onChange(opt)
+func (s *Store) logApplied(applied *record) {
+	newest := applied.Changes[0]
+	s.logger.Info("settings applied", "version", newest.Version, "author", newest.Author, "changes", strings.Join(newest.Details, ", "))
 }
 
-// Restore reads the ledger's entry at a takeover. One that this version cannot read is
-// left as it is: the controller's own file counts.
+// activate puts other options into effect, except for those of the election.
+func (s *Store) activate(options config.Options) {
+	options.LeaderLeaseDuration, options.GrantDuration = s.fileOptions.LeaderLeaseDuration, s.fileOptions.GrantDuration
+	s.current = options
+	s.onChange(options)
+}
+
+// reservedBytes is the most JSON bytes that the record may need. They are reserved in its page, which it never leaves.
+func (s *Store) reservedBytes() int { return min(maxRecordBytes, s.storage.MaxEntryBytes(EntryKey)) }
+
+// Restore reads the stored entry when a leader loads its state. An entry that this version cannot read stays as it is, and the
+// controller's own file is in effect.
 func (s *Store) Restore(decode func(any) error) {
-	var e record
-	err := decode(&e)
-	var opt config.Options
+	var stored record
+	err := decode(&stored)
+	var options config.Options
 	if err == nil {
-		opt, err = config.ParseOptions([]byte(e.Text))
+		options, err = config.ParseOptions([]byte(stored.Text))
 	}
 	if err != nil {
-		s.logger.Error("the settings in the ledger cannot be read", "error", err)
+		s.logger.Error("stored settings unreadable", logkeys.Err, err)
 		return
 	}
-	s.applied = &e
-	s.storage.Reserve(EntryKey, s.recordReserve())
-	s.activate(opt)
+	s.applied = &stored
+	s.storage.Reserve(EntryKey, s.reservedBytes())
+	s.activate(options)
 }
