--- /dev/null
+++ b/internal/controller/accounting/breakdown_test.go
@@ -0,0 +1,34 @@
+package accounting
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// What is stored of an account is what was counted. If there are more reasons than are stored, the total stays the same.
+func TestBreakdownRoundTrip(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var want Breakdown
+		for range rapid.IntRange(0, WaitReasonCount).Draw(t, "causes") {
+			want[rapid.IntRange(0, WaitReasonCount-1).Draw(t, "cause")] = int64(rapid.IntRange(0, 1<<40).Draw(t, "ms"))
+		}
+		got, err := parseBreakdown(want.encode())
+		if err != nil || got.Total() != want.Total() {
+			t.Fatalf("%v came back as %v: %v", want, got, err)
+		}
+		for reason := range got {
+			if got[reason] != want[reason] && got[reason] != 0 && WaitReason(reason) != EarlierLeader {
+				t.Fatalf("%v came back as %v", want, got)
+			}
+		}
+	})
+}
+
+func TestParseBreakdownRejectsInvalidText(t *testing.T) {
+	for _, text := range []string{"?", "AA", "//8B"} {
+		if _, err := parseBreakdown(text); err == nil {
+			t.Errorf("%q is accepted", text)
+		}
+	}
+}
--- a/internal/controller/accounting/metrics.go
+++ b/internal/controller/accounting/metrics.go
@@ -1,48 +1,51 @@
 package accounting
 
 import (
-	"gullrudder/internal/controller/jobs"
-
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are the accounts of ended jobs as counters, over all leaderships of a controller.
+const (
+	metricNamespace = "gullrudder"
+	stateDone       = "done"
+	stateCancelled  = "cancelled"
+)
+
+// Metrics are the accounts of ended jobs as Prometheus counters, over all leaderships of a controller.
 type Metrics struct {
 	jobSeconds *prometheus.CounterVec
 	jobsEnded  *prometheus.CounterVec
 	openJobs   prometheus.Gauge
 }
 
-// NewMetrics makes the counters and registers them.
+// NewMetrics makes the counters and registers them. It panics if they are registered already.
 func NewMetrics(registry *prometheus.Registry) *Metrics {
-	m := &Metrics{
+	metrics := &Metrics{
 		jobSeconds: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Namespace: "gullrudder", Name: "job_seconds_total",
+			Namespace: metricNamespace, Name: "job_seconds_total",
 			Help: "Time from submission to the final state of jobs that ended while this controller led, by what kept them.",
-		},
-			[]string{"team", "class", "cause"}),
+		}, []string{"team", "class", "cause"}),
 		jobsEnded: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Namespace: "gullrudder", Name: "jobs_ended_total",
+			Namespace: metricNamespace, Name: "jobs_ended_total",
 			Help: "Jobs that ended while this controller led.",
 		}, []string{"team", "class", "state"}),
 		openJobs: prometheus.NewGauge(prometheus.GaugeOpts{
-			Namespace: "gullrudder", Name: "jobs_open",
+			Namespace: metricNamespace, Name: "jobs_open",
 			Help: "Jobs that are not finished, as the leader knows them.",
 		}),
 	}
-	registry.MustRegister(m.jobSeconds, m.jobsEnded, m.openJobs)
-	return m
+	registry.MustRegister(metrics.jobSeconds, metrics.jobsEnded, metrics.openJobs)
+	return metrics
 }
 
-func (m *Metrics) recordEnded(j *jobs.Job, s *Breakdown) {
-	state := "cancelled"
-	if j.State == jobs.Done {
-		state = "done"
+func (m *Metrics) recordEnded(finished *FinishedAccount) {
+	state := stateCancelled
+	if finished.IsDone {
+		state = stateDone
 	}
-	m.jobsEnded.WithLabelValues(j.Team, j.Class, state).Inc()
-	for c, ms := range s {
+	m.jobsEnded.WithLabelValues(finished.Team, finished.Class, state).Inc()
+	for reason, ms := range finished.Breakdown {
 		if ms > 0 {
-			m.jobSeconds.WithLabelValues(j.Team, j.Class, WaitReason(c).String()).Add(float64(ms) / 1000)
+			m.jobSeconds.WithLabelValues(finished.Team, finished.Class, WaitReason(reason).String()).Add(float64(ms) / 1000)
 		}
 	}
 }
--- a/internal/controller/accounting/sample.go
+++ b/internal/controller/accounting/sample.go
@@ -1,7 +1,6 @@
 package accounting
 
 import (
-	"strings"
 	"time"
 
 	"gullrudder/internal/config"
@@ -12,172 +11,133 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// ClusterState is what a look sees of the other slices.
+// ClusterState is what a sample looks at. Nothing of it is changed.
 type ClusterState struct {
-	FailoverCompleted bool // a takeover is complete
+	FailoverCompleted bool // the leader may place tasks
 	StorageHealthy    bool // the state service takes changes
 	Teams             map[string]config.Team
 	Workers           *worker.Registry
 	Cloud             *cloud.Client
-	Queue             []admission.Entry // in which jobs get room
+	Queue             []admission.Entry // the waiting jobs, in the order in which they get resources
 }
 
-// sample is one look: what it found for a shape of job holds for all that have it.
+// sample is one look at the cluster.
 type sample struct {
 	ClusterState
-	upMachines   []*worker.Machine
+	machines     []*worker.Machine // that report
+	bootingKinds []cloud.InstanceKind
+	freeCPUs     float64               // available and not reserved
+	reservedCPUs float64               // available and reserved
+	cpusAhead    map[*jobs.Job]float64 // CPUs of the tasks that wait before a job in the queue
 	byShape      map[resourceShape]availability
-	bootingKinds []cloud.InstanceKind  // of machines that are rented and not up
-	freeCPUs     float64               // CPUs that are free, and not held
-	reservedCPUs float64               // free and held
-	cpusAhead    map[*jobs.Job]float64 // CPUs that wait before a job in the order
 }
 
-// resourceShape is what decides which machines a job may use and what of them it needs.
-type resourceShape struct {
-	cpus, gpus, memoryGB float64
-	zone, machineTypes   string
-	allowsSpot           bool
-}
-
-// availability is what a shape finds.
-type availability struct {
-	hasUsable, hasBooting      bool
-	hasFree, hasFreeOrReserved bool
-	reservedFor                map[*jobs.Job]bool // for whom the room is held
+func newSample(state ClusterState) *sample {
+	s := &sample{ClusterState: state, machines: state.Workers.ReportingMachines(), byShape: map[resourceShape]availability{}}
+	s.sumAvailableCPUs()
+	s.sumCPUsAhead()
+	s.findBootingKinds()
+	return s
 }
 
-func newSample(v ClusterState) *sample {
-	s := &sample{
-		ClusterState: v,
-		upMachines:   v.Workers.ReportingMachines(),
-		byShape:      map[resourceShape]availability{},
-		cpusAhead:    map[*jobs.Job]float64{},
-	}
-	for _, m := range s.upMachines {
+func (s *sample) sumAvailableCPUs() {
+	for _, machine := range s.machines {
 		switch {
-		case m.DrainReason != worker.NotDraining:
-		case m.ReservedFor == nil:
-			s.freeCPUs += m.CPUs - m.UsedCPUs
+		case machine.DrainReason != worker.NotDraining:
+		case machine.ReservedFor == nil:
+			s.freeCPUs += machine.CPUs - machine.UsedCPUs
 		default:
-			s.reservedCPUs += m.CPUs - m.UsedCPUs
+			s.reservedCPUs += machine.CPUs - machine.UsedCPUs
 		}
 	}
+}
+
+func (s *sample) sumCPUsAhead() {
+	s.cpusAhead = map[*jobs.Job]float64{}
 	ahead := 0.0
-	for i := range v.Queue {
-		j := v.Queue[i].Job
-		s.cpusAhead[j] = ahead
-		ahead += float64(j.WaitingTasks()) * j.CPUs
+	for i := range s.Queue {
+		job := s.Queue[i].Job
+		s.cpusAhead[job] = ahead
+		ahead += float64(job.WaitingTasks()) * job.CPUs
 	}
-	kinds := map[cloud.InstanceKind]bool{}
-	for id, h := range v.Cloud.Instances {
-		if m := v.Workers.Machines[id]; !h.Deleting && h.State != cloud.StateFailed && m == nil && !kinds[h.Kind] {
-			kinds[h.Kind] = true
-			s.bootingKinds = append(s.bootingKinds, h.Kind)
-		}
-	}
-	return s
 }
 
-func (s *sample) availabilityFor(j *jobs.Job) availability {
-	k := resourceShape{j.CPUs, j.GPUs, j.MemoryGB, j.Zone, strings.Join(j.MachineTypes, " "), j.AllowsSpot}
-	if r, ok := s.byShape[k]; ok && j.FailureCount == 0 {
-		return r
-	}
-	r := availability{reservedFor: map[*jobs.Job]bool{}}
-	for _, m := range s.upMachines {
-		if !placement.IsEligible(j, m) || m.TasksThatFitWhenEmpty(j) == 0 {
-			continue
-		}
-		r.hasUsable = true
-		if m.TasksThatFit(j) == 0 {
+// findBootingKinds lists the kinds of the instances whose workers have not reported yet.
+func (s *sample) findBootingKinds() {
+	found := map[cloud.InstanceKind]bool{}
+	for id, instance := range s.Cloud.Instances {
+		hasWorker := s.Workers.Machines[id] != nil
+		if hasWorker || instance.Deleting || instance.State == cloud.StateFailed || found[instance.Kind] {
 			continue
 		}
-		r.hasFreeOrReserved = true
-		if m.ReservedFor == nil {
-			r.hasFree = true
-			break
-		}
-		r.reservedFor[m.ReservedFor] = true
-	}
-	for _, kind := range s.bootingKinds {
-		t := s.Cloud.MachineTypes[kind.Type]
-		r.hasBooting = r.hasBooting || t != nil && placement.KindAllowed(j, kind) && placement.FitsType(j, t)
-	}
-	if j.FailureCount == 0 {
-		s.byShape[k] = r
+		found[instance.Kind] = true
+		s.bootingKinds = append(s.bootingKinds, instance.Kind)
 	}
-	return r
 }
 
-// reasonFor says what keeps the job from being done now: of its unfinished tasks the one that is
-// furthest from being done counts. A task that only waits for a loss to be made good counts to it
-// once all that is left was lost.
-func (s *sample) reasonFor(now time.Time, j *jobs.Job, a *account) WaitReason {
-	away := func(c WaitReason) WaitReason {
-		if !s.StorageHealthy {
-			return StateUnavailable
-		}
-		return c
-	}
+// reasonFor returns what keeps the job from being done now. The unfinished task that is furthest from being done decides; tasks
+// that run again after a loss count as lost once that applies to all unfinished ones.
+func (s *sample) reasonFor(now time.Time, job *jobs.Job, account *account) WaitReason {
 	switch {
-	case j.State == jobs.Pending:
-		return away(NotAccepted)
-	case j.IsFinishing || j.IsCancelling || j.State != jobs.Accepted || j.DoneTasks >= j.Tasks:
-		return away(NotDurable)
-	case j.UnmetDependencies > 0:
+	case job.State == jobs.Pending:
+		return s.unlessStateUnavailable(NotAccepted)
+	case job.IsFinishing || job.IsCancelling || job.State != jobs.Accepted || job.DoneTasks >= job.Tasks:
+		return s.unlessStateUnavailable(NotDurable)
+	case job.UnmetDependencies > 0:
 		return AwaitingDependencies
 	case !s.FailoverCompleted:
 		return NoLeader
-	}
-	if j.CrashLooping {
+	case job.CrashLooping:
 		return CrashLooping
 	}
-	if left := j.Tasks - j.DoneTasks; len(a.lostTasks) >= left {
-		worst := WaitReason(-1)
-		for _, c := range a.lostTasks {
-			if worst < 0 || c < worst {
-				worst = c
-			}
-		}
-		return worst
-	}
-	if j.WaitingTasks() > 0 {
-		return s.waitReason(now, j)
+	if lost, ok := account.lossReason(job.Tasks - job.DoneTasks); ok {
+		return lost
 	}
-	if j.RunningTasks() < len(j.ActiveAttempts) {
-		return startingReason(now, j)
+	switch {
+	case job.WaitingTasks() > 0:
+		return s.queueReason(now, job)
+	case job.RunningTasks() < len(job.ActiveAttempts):
+		return startReason(job)
 	}
 	return Running
 }
 
-func (s *sample) waitReason(now time.Time, j *jobs.Job) WaitReason {
-	if now.Before(j.NotBefore) {
+// unlessStateUnavailable returns the reason of a job that waits for a commit.
+func (s *sample) unlessStateUnavailable(reason WaitReason) WaitReason {
+	if !s.StorageHealthy {
+		return StateUnavailable
+	}
+	return reason
+}
+
+// queueReason returns why tasks of a job wait for a machine.
+func (s *sample) queueReason(now time.Time, job *jobs.Job) WaitReason {
+	if now.Before(job.NotBefore) {
 		return AttemptFailed
 	}
-	if placement.TasksAllowedByQuota(j, s.Teams[j.Team], s.Workers.TeamUsage(j.Team)) == 0 {
+	if placement.TasksAllowedByQuota(job, s.Teams[job.Team], s.Workers.TeamUsage(job.Team)) == 0 {
 		return TeamQuota
 	}
-	r := s.availabilityFor(j)
-	ahead := s.cpusAhead[j]
+	available := s.availabilityFor(job)
+	ahead := s.cpusAhead[job]
 	switch {
-	case r.hasFree && ahead < s.freeCPUs, r.hasFreeOrReserved && r.reservedFor[j]:
+	case available.hasFree && ahead < s.freeCPUs, available.hasFreeOrReserved && available.reservedFor[job]:
 		return AwaitingHeartbeat
-	case r.hasFreeOrReserved && ahead < s.freeCPUs+s.reservedCPUs:
+	case available.hasFreeOrReserved && ahead < s.freeCPUs+s.reservedCPUs:
 		return Reserved
-	case r.hasUsable:
+	case available.hasUsable:
 		return Queued
-	case r.hasBooting:
+	case available.hasBooting:
 		return MachineBooting
 	}
-	return NoMachineRented
+	return NoUsableMachine
 }
 
-// startingReason is for jobs all of whose tasks have a machine and not all run: until the worker has
-// reported a task, its start is on its way.
-func startingReason(now time.Time, j *jobs.Job) WaitReason {
-	for _, a := range j.ActiveAttempts {
-		if a.RunningSince.IsZero() && a.LastSeenReconcile == 0 {
+// startReason returns why a job of which every unfinished task has a machine does not run. Until the worker has reported a task,
+// its start command is on its way.
+func startReason(job *jobs.Job) WaitReason {
+	for _, attempt := range job.ActiveAttempts {
+		if attempt.RunningSince.IsZero() && attempt.LastSeenReconcile == 0 {
 			return AwaitingHeartbeat
 		}
 	}
--- a/internal/controller/accounting/tracker_test.go
+++ b/internal/controller/accounting/tracker_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"log/slog"
 	"testing"
 	"time"
 
@@ -10,297 +9,273 @@
 	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/worker"
-	"gullrudder/internal/testseed"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"pgregory.net/rapid"
 )
 
-func TestMain(m *testing.M) { testseed.Main(m) }
-
-func newLog() *Tracker {
-	l, _ := newLogAndFigures()
-	return l
+// reasonTest takes a job of two tasks through all wait reasons, one after the other.
+type reasonTest struct {
+	*cluster
+	t          *testing.T
+	tracker    *Tracker
+	job, other *jobs.Job
+	want       Breakdown
 }
 
-func newLogAndFigures() (*Tracker, *prometheus.Registry) {
-	registry := prometheus.NewRegistry()
-	return New(NewMetrics(registry), slog.New(slog.DiscardHandler)), registry
+// expect changes the cluster and expects the reason from then on for a step of 1.5 s.
+func (r *reasonTest) expect(reason WaitReason, change func()) {
+	r.t.Helper()
+	change()
+	r.tracker.Sample(r.now, r.ClusterState)
+	if _, got, _ := r.tracker.Account(r.now, r.job); got != reason {
+		r.t.Errorf("%v, want %v", got, reason)
+	}
+	r.want[reason] += 1500
+	r.now = r.now.Add(1500 * time.Millisecond)
 }
 
-func newJob(i, tasks int, at time.Time) *jobs.Job {
-	j := jobs.New(jobs.Spec{ID: fmt.Sprintf("job-%06d", i), Team: "t", Class: "c", Tasks: tasks, CPUs: 1, MemoryGB: 1, AllowsSpot: true}, at)
-	j.State = jobs.Accepted
-	return j
+// Each reason is brought about on one job; the account sums to the job's time.
+func TestEachWaitReason(t *testing.T) {
+	tracker, registry := newTrackerWithMetrics()
+	r := &reasonTest{cluster: newCluster(), t: t, tracker: tracker}
+	r.job, r.other = newJob(1, 2, r.now), newJob(2, 9, r.now)
+	r.job.State = jobs.Pending
+	tracker.Open(r.job)
+	r.waitForMachines()
+	first, second, machine := r.startTasks()
+	r.finishTasks(first, second, machine)
+	r.loseLease()
+	r.job.State = jobs.Done
+	tracker.Finish(r.now, r.job)
+	r.checkAccount()
+	checkMetrics(t, registry, r.want.Total())
 }
 
-// site is a fleet of one kind of machine.
-type site struct {
-	ClusterState
-	now time.Time
+func (r *reasonTest) waitForMachines() {
+	var machine *worker.Machine
+	r.expect(NotAccepted, func() {})
+	r.expect(StateUnavailable, func() { r.StorageHealthy = false })
+	r.expect(NoLeader, func() { r.StorageHealthy, r.FailoverCompleted, r.job.State = true, false, jobs.Accepted })
+	r.expect(NoUsableMachine, func() { r.FailoverCompleted = true })
+	r.expect(MachineBooting, func() { r.Cloud.ObserveHeartbeat(r.now, "vm-1", "", cloud.InstanceKind{Type: "small", Zone: "a"}) })
+	r.expect(AwaitingHeartbeat, func() { machine = r.addMachine(1) })
+	r.expect(Reserved, func() { machine.ReservedFor = r.other })
+	r.expect(Queued, func() {
+		machine.ReservedFor = nil
+		r.startTask(machine, r.other)
+		r.startTask(machine, r.other)
+	})
+	r.expect(Queued, func() {
+		r.addMachine(3)
+		r.Queue = []admission.Entry{{Job: r.other}, {Job: r.job}}
+	})
+	r.expect(TeamQuota, func() { r.Teams["t"] = config.Team{Name: "t", CPULimit: 2} })
 }
 
-func newSite() *site {
-	log := slog.New(slog.DiscardHandler)
-	r := &site{now: time.Unix(10_000, 0), ClusterState: ClusterState{
-		FailoverCompleted: true, StorageHealthy: true, Teams: map[string]config.Team{"t": {Name: "t", CPULimit: 100}},
-		Workers: worker.NewRegistry(time.Minute, log), Cloud: cloud.New(1, 2, time.Second, log),
-	}}
-	r.Cloud.MachineTypes = map[string]*cloud.MachineType{"small": {Name: "small", CPUs: 2, MemoryGB: 8, Zones: []string{"a"}}}
-	return r
+func (r *reasonTest) startTasks() (first, second *jobs.Attempt, machine *worker.Machine) {
+	r.expect(AwaitingHeartbeat, func() {
+		r.Queue = nil
+		r.Teams["t"] = config.Team{}
+		machine = r.addMachine(2)
+		first = r.startTask(machine, r.job)
+	})
+	r.expect(AwaitingHeartbeat, func() { second = r.startTask(machine, r.job) })
+	r.expect(FetchingImage, func() { first.LastSeenReconcile, second.LastSeenReconcile = 1, 1 })
+	r.expect(FetchingImage, func() { r.job.RecordRunning(first, r.now) })
+	r.expect(Running, func() { r.job.RecordRunning(second, r.now) })
+	return first, second, machine
 }
 
-func (r *site) machine(i int) *worker.Machine {
-	m := r.Workers.GetOrAdd(fmt.Sprintf("vm-%d", i))
-	r.Workers.Reconcile(
-		r.now,
-		m,
-		&worker.Heartbeat{Machine: m.ID, Type: "small", Zone: "a", Incarnation: 1, Sequence: m.Sequence + 1},
-		true,
-		func(string) *jobs.Job { return nil },
-	)
-	r.Workers.SetCapacity(m, placement.TypeResources(r.Cloud.MachineTypes["small"]), 0, 0)
-	return m
+// finishTasks completes the first task; the second one is lost, and completes when it has run again.
+func (r *reasonTest) finishTasks(first, second *jobs.Attempt, machine *worker.Machine) {
+	r.expect(Running, func() {
+		r.job.RecordTaskDone(first.Task.Index)
+		r.job.RemoveAttempt(first)
+		r.tracker.RecordTaskDone(r.job, first.Task.Index)
+	})
+	r.expect(MachineLost, func() {
+		r.Workers.ReleaseAll(machine)
+		r.job.Requeue(second.Task.Index)
+		r.tracker.RecordTaskLost(r.job, second.Task.Index, MachineLost)
+	})
+	r.expect(MachineLost, func() { second = r.startTask(machine, r.job) })
+	r.expect(NotDurable, func() {
+		r.job.RecordRunning(second, r.now)
+		r.job.RecordTaskDone(second.Task.Index)
+		r.tracker.RecordTaskDone(r.job, second.Task.Index)
+		r.job.IsFinishing = true
+	})
+	r.expect(StateUnavailable, func() { r.StorageHealthy = false })
 }
 
-func (r *site) start(m *worker.Machine, j *jobs.Job) *jobs.Attempt {
-	t := j.TakeNextTask()
-	a := &jobs.Attempt{
-		Task:       jobs.TaskID{JobID: j.ID, Index: t},
-		Number:     uint64(t + 1),
-		MachineID:  m.ID,
-		Zone:       m.Zone,
-		Job:        j,
-		AssignedAt: r.now,
-	}
-	r.Workers.Assign(m, a)
-	return a
+func (r *reasonTest) loseLease() {
+	r.tracker.LeaseLost(r.now)
+	r.want[NoLeader] += 700
+	r.now = r.now.Add(700 * time.Millisecond)
+	r.tracker.Sample(r.now, r.ClusterState)
 }
 
-// Each cause, brought about one after the other on one job; the account sums to its time.
-func TestEachCause(t *testing.T) {
-	r := newSite()
-	l, registry := newLogAndFigures()
-	j, other := newJob(1, 2, r.now), newJob(2, 9, r.now)
-	j.State = jobs.Pending
-	l.Open(j)
-	var want Breakdown
-	step := func(cause WaitReason, before func()) {
-		t.Helper()
-		before()
-		l.Sample(r.now, r.ClusterState)
-		if _, got, _ := l.Account(r.now, j); got != cause {
-			t.Errorf("%v instead of %v", got, cause)
-		}
-		want[cause] += 1500
-		r.now = r.now.Add(1500 * time.Millisecond)
+func (r *reasonTest) checkAccount() {
+	r.t.Helper()
+	finished, ok := r.tracker.FinishedAccount(r.job.ID)
+	if !ok || finished.Breakdown != r.want || finished.Breakdown.Total() != r.now.Sub(r.job.SubmittedAt).Milliseconds() {
+		r.t.Errorf("%+v, want %v", finished, r.want)
 	}
-	var m *worker.Machine
-	var a, b *jobs.Attempt
-	step(NotAccepted, func() {})
-	step(StateUnavailable, func() { r.StorageHealthy = false })
-	step(NoLeader, func() { r.StorageHealthy, r.FailoverCompleted, j.State = true, false, jobs.Accepted })
-	step(NoMachineRented, func() { r.FailoverCompleted = true })
-	step(MachineBooting, func() { r.Cloud.ObserveHeartbeat(r.now, "vm-1", "", cloud.InstanceKind{Type: "small", Zone: "a"}) })
-	step(AwaitingHeartbeat, func() { m = r.machine(1) })
-	step(Reserved, func() { m.ReservedFor = other })
-	step(Queued, func() { m.ReservedFor = nil; r.start(m, other); r.start(m, other) })
-	step(Queued, func() {
-		m = r.machine(3)
-		r.Queue = []admission.Entry{{Job: other}, {Job: j}}
-	})
-	step(TeamQuota, func() { r.Teams["t"] = config.Team{Name: "t", CPULimit: 2} })
-	step(AwaitingHeartbeat, func() { r.Queue = nil; r.Teams["t"] = config.Team{}; m = r.machine(2); a = r.start(m, j) })
-	step(AwaitingHeartbeat, func() { b = r.start(m, j) })
-	step(FetchingImage, func() { a.LastSeenReconcile, b.LastSeenReconcile = 1, 1 })
-	step(FetchingImage, func() { j.RecordRunning(a, r.now) })
-	step(Running, func() { j.RecordRunning(b, r.now) })
-	step(Running, func() { j.RecordTaskDone(a.Task.Index); j.RemoveAttempt(a); l.RecordTaskDone(j, a.Task.Index) })
-	step(MachineLost, func() {
-		r.Workers.ReleaseAll(m)
-		j.Requeue(b.Task.Index)
-		l.RecordTaskLost(j, b.Task.Index, MachineLost)
-	})
-	step(MachineLost, func() { b = r.start(m, j) })
-	step(NotDurable, func() {
-		j.RecordRunning(b, r.now)
-		j.RecordTaskDone(b.Task.Index)
-		l.RecordTaskDone(j, b.Task.Index)
-		j.IsFinishing = true
-	})
-	step(StateUnavailable, func() { r.StorageHealthy = false })
-	l.LeaseLost(r.now)
-	want[NoLeader] += 700
-	r.now = r.now.Add(700 * time.Millisecond)
-	l.Sample(r.now, r.ClusterState)
-	j.State = jobs.Done
-	l.Finish(r.now, j)
-	e, ok := l.FinishedAccount(j.ID)
-	if !ok || e.Breakdown != want || e.Breakdown.Total() != r.now.Sub(j.SubmittedAt).Milliseconds() {
-		t.Errorf("%+v, want %v", e, want)
+	all := r.tracker.Totals("t", "", time.Time{})
+	if len(all) != 1 || all[0].JobCount != 1 || all[0].Breakdown != r.want {
+		r.t.Errorf("%+v", all)
+	}
+	if other := r.tracker.Totals("t", "x", time.Time{}); len(other) > 0 {
+		r.t.Errorf("another class has %+v", other)
 	}
+}
+
+func checkMetrics(t *testing.T, registry *prometheus.Registry, wantMs int64) {
+	t.Helper()
 	families, err := registry.Gather()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range families {
+	for _, family := range families {
 		sum := 0.0
-		for _, m := range f.GetMetric() {
-			sum += m.GetCounter().GetValue()
+		for _, metric := range family.GetMetric() {
+			sum += metric.GetCounter().GetValue()
 		}
-		if f.GetName() == "gullrudder_job_seconds_total" && int64(sum*1000+0.5) != want.Total() ||
-			f.GetName() == "gullrudder_jobs_ended_total" && sum != 1 {
-			t.Errorf("%s sums to %g", f.GetName(), sum)
+		if family.GetName() == "gullrudder_job_seconds_total" && int64(sum*1000+0.5) != wantMs ||
+			family.GetName() == "gullrudder_jobs_ended_total" && sum != 1 {
+			t.Errorf("%s sums to %g", family.GetName(), sum)
 		}
 	}
-	if all := l.Totals(
-		"t",
-		"",
-		time.Time{},
-	); len(all) != 1 || all[0].JobCount != 1 || all[0].Breakdown != want ||
-		len(l.Totals("t", "x", time.Time{})) > 0 {
-		t.Errorf("%+v", all)
-	}
 }
 
-// Whatever happens in whatever order, over several leaders and clocks that differ, an account sums
-// to the job's time exactly, and so do the sums by class.
+// sumTest takes jobs through random events under several leaders.
+type sumTest struct {
+	*cluster
+	tracker *Tracker
+	machine *worker.Machine
+	jobs    []*jobs.Job
+	endedMs map[string]int64 // by job ID: the time from its submission to its end
+}
+
+// Whatever happens in whatever order, over several leaders and clocks that differ, an account sums to the job's time exactly, and
+// so do the totals by class.
 func TestAccountsSumExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r, l := newSite(), newLog()
-		m := r.machine(1)
-		list := []*jobs.Job{}
+		s := &sumTest{cluster: newCluster(), tracker: newTracker(), endedMs: map[string]int64{}}
+		s.machine = s.addMachine(1)
 		for i := range rapid.IntRange(1, 4).Draw(t, "jobs") {
-			list = append(list, newJob(i, 3, r.now))
-			l.Open(list[i])
+			job := newJob(i, 3, s.now)
+			s.jobs = append(s.jobs, job)
+			s.tracker.Open(job)
 		}
-		ended := map[string]int64{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			r.now = r.now.Add(time.Duration(rapid.IntRange(0, 9_000_000).Draw(t, "us")) * time.Microsecond)
-			j := rapid.SampledFrom(list).Draw(t, "job")
-			switch rapid.IntRange(0, 6).Draw(t, "what") {
-			case 0:
-				l.Sample(r.now, r.ClusterState)
-			case 1:
-				l.LeaseLost(r.now)
-			case 2:
-				r.FailoverCompleted, r.StorageHealthy = rapid.Bool().Draw(t, "placing"), rapid.Bool().Draw(t, "healthy")
-			case 3:
-				if j.WaitingTasks() > 0 && m.TasksThatFit(j) > 0 {
-					a := r.start(m, j)
-					j.RecordRunning(a, r.now)
-				}
-			case 4:
-				for _, e := range r.Workers.ReleaseAll(m) {
-					e.Attempt.Job.Requeue(e.Attempt.Task.Index)
-					l.RecordTaskLost(e.Attempt.Job, e.Attempt.Task.Index, Preempted)
-				}
-			case 5:
-				if _, over := ended[j.ID]; !over {
-					j.State = jobs.Done
-					l.Finish(r.now, j)
-					ended[j.ID] = msSinceSubmission(j, r.now)
-				}
-			case 6: // another leader, whose clock is a little behind or ahead
-				next := newLog()
-				skew := time.Duration(rapid.IntRange(-500, 500).Draw(t, "skew")) * time.Millisecond
-				for _, j := range list {
-					if _, over := ended[j.ID]; over {
-						continue
-					}
-					kept := l.EncodedAccount(j)
-					if len(kept) > MaxEncodedBytes || len(kept)+12 > jobs.MaxTimeAccountBytes {
-						t.Fatalf("%d bytes are kept", len(kept))
-					}
-					next.Restore(j, kept, r.now.Add(skew))
-				}
-				for _, e := range l.finished {
-					next.keepFinished(e)
-				}
-				next.totals, l = l.totals, next
-				r.now = r.now.Add(max(skew, 0))
-			}
-		}
-		sum := int64(0)
-		for id, ms := range ended {
-			e, ok := l.FinishedAccount(id)
-			// A clock that went back by a change of leader takes nothing back.
-			if !ok || e.Breakdown.Total() < ms || e.Breakdown.Total() > ms+500 {
-				t.Fatalf("%s: %d ms are accounted for, want %d", id, e.Breakdown.Total(), ms)
-			}
-			sum += e.Breakdown.Total()
-		}
-		for _, a := range l.Totals("", "", time.Time{}) {
-			sum -= a.Breakdown.Total()
-		}
-		if sum != 0 {
-			t.Fatalf("the sums by class differ by %d ms", sum)
+			s.now = s.now.Add(time.Duration(rapid.IntRange(0, 9_000_000).Draw(t, "us")) * time.Microsecond)
+			s.step(t, rapid.SampledFrom(s.jobs).Draw(t, "job"))
 		}
+		s.check(t)
 	})
 }
 
-// What the ledger keeps is what was counted; where there are more causes than are kept, the sum
-// stays. What cannot be read is an error.
-func TestKeptAccounts(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		var s Breakdown
-		for range rapid.IntRange(0, WaitReasonCount).Draw(t, "causes") {
-			s[rapid.IntRange(0, WaitReasonCount-1).Draw(t, "cause")] = int64(rapid.IntRange(0, 1<<40).Draw(t, "ms"))
+func (s *sumTest) step(t *rapid.T, job *jobs.Job) {
+	switch rapid.IntRange(0, 6).Draw(t, "what") {
+	case 0:
+		s.tracker.Sample(s.now, s.ClusterState)
+	case 1:
+		s.tracker.LeaseLost(s.now)
+	case 2:
+		s.FailoverCompleted, s.StorageHealthy = rapid.Bool().Draw(t, "placing"), rapid.Bool().Draw(t, "healthy")
+	case 3:
+		if job.WaitingTasks() > 0 && s.machine.TasksThatFit(job) > 0 {
+			job.RecordRunning(s.startTask(s.machine, job), s.now)
 		}
-		got, err := parseBreakdown(s.encode())
-		if err != nil || got.Total() != s.Total() {
-			t.Fatalf("%v came back as %v: %v", s, got, err)
-		}
-		for c := range got {
-			if got[c] != s[c] && got[c] != 0 && WaitReason(c) != EarlierLeader {
-				t.Fatalf("%v came back as %v", s, got)
-			}
+	case 4:
+		s.preemptAll()
+	case 5:
+		s.finish(job)
+	case 6:
+		s.changeLeader(t)
+	}
+}
+
+func (s *sumTest) preemptAll() {
+	for _, ended := range s.Workers.ReleaseAll(s.machine) {
+		job, task := ended.Attempt.Job, ended.Attempt.Task.Index
+		job.Requeue(task)
+		s.tracker.RecordTaskLost(job, task, Preempted)
+	}
+}
+
+func (s *sumTest) finish(job *jobs.Job) {
+	if s.hasEnded(job) {
+		return
+	}
+	job.State = jobs.Done
+	s.tracker.Finish(s.now, job)
+	s.endedMs[job.ID] = msSinceSubmission(job, s.now)
+}
+
+func (s *sumTest) hasEnded(job *jobs.Job) bool {
+	_, ended := s.endedMs[job.ID]
+	return ended
+}
+
+// changeLeader goes on with another leader, whose clock is a little behind or ahead. The finished accounts are kept for check.
+func (s *sumTest) changeLeader(t *rapid.T) {
+	const fieldBytes = 12 // of the name and the quotes in a job's record
+	next := newTracker()
+	skew := time.Duration(rapid.IntRange(-500, 500).Draw(t, "skew")) * time.Millisecond
+	for _, job := range s.jobs {
+		if s.hasEnded(job) {
+			continue
 		}
-	})
-	for _, text := range []string{"?", "AA", "//8B"} {
-		if _, err := parseBreakdown(text); err == nil {
-			t.Errorf("%q can be read", text)
+		encoded := s.tracker.EncodedAccount(job)
+		if len(encoded) > MaxEncodedBytes || len(encoded)+fieldBytes > jobs.MaxTimeAccountBytes {
+			t.Fatalf("%d bytes are stored", len(encoded))
 		}
+		next.Restore(job, encoded, s.now.Add(skew))
 	}
+	next.finished, next.totals = s.tracker.finished, s.tracker.totals
+	s.tracker = next
+	s.now = s.now.Add(max(skew, 0))
 }
 
-// The accounts that are kept of finished jobs are the last ones.
-func TestFinishedAccountsAreBounded(t *testing.T) {
-	l, now := newLog(), time.Unix(10_000, 0)
-	for i := range maxFinishedAccounts + 50 {
-		j := newJob(i, 1, now)
-		l.Open(j)
-		now = now.Add(time.Second)
-		l.Finish(now, j)
+func (s *sumTest) check(t *rapid.T) {
+	const maxClockErrorMs = 500
+	sum := int64(0)
+	for id, ms := range s.endedMs {
+		finished, ok := s.tracker.FinishedAccount(id)
+		// A new leader's clock that is behind takes nothing back.
+		if !ok || finished.Breakdown.Total() < ms || finished.Breakdown.Total() > ms+maxClockErrorMs {
+			t.Fatalf("%s: %d ms are accounted for, want %d", id, finished.Breakdown.Total(), ms)
+		}
+		sum += finished.Breakdown.Total()
 	}
-	_, first := l.FinishedAccount("job-000049")
-	_, last := l.FinishedAccount(fmt.Sprintf("job-%06d", maxFinishedAccounts+49))
-	if len(l.finished) != maxFinishedAccounts || len(l.slotByJob) != maxFinishedAccounts || first || !last {
-		t.Errorf("%d are kept, the 50th %v, the last %v", len(l.slotByJob), first, last)
+	for _, total := range s.tracker.Totals("", "", time.Time{}) {
+		sum -= total.Breakdown.Total()
 	}
-	if got := l.Totals("", "", now.Add(-9500*time.Millisecond)); len(got) != 1 || got[0].JobCount != 10 {
-		t.Errorf("of the last 9.5 s: %+v", got)
+	if sum != 0 {
+		t.Fatalf("the totals by class differ by %d ms", sum)
 	}
 }
 
-// BenchmarkLook is a look at as many jobs as machines, all of which are full.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkSample samples as many jobs as machines, all of which are full.
+func BenchmarkSample(b *testing.B) {
 	for _, size := range []int{250, 1000, 5000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			r, l := newSite(), newLog()
+			c, tracker := newCluster(), newTracker()
 			for i := range size {
-				j := newJob(i, 3, r.now)
-				j.CPUs, j.MemoryGB = 1, 1+float64(i%20)/100
-				m := r.machine(i)
-				r.start(m, j)
-				r.start(m, j)
-				l.Open(j)
+				job := newJob(i, 3, c.now)
+				job.CPUs, job.MemoryGB = 1, 1+float64(i%20)/100
+				machine := c.addMachine(i)
+				c.startTask(machine, job)
+				c.startTask(machine, job)
+				tracker.Open(job)
 			}
 			for b.Loop() {
-				r.now = r.now.Add(time.Second)
-				l.Sample(r.now, r.ClusterState)
+				c.now = c.now.Add(time.Second)
+				tracker.Sample(c.now, c.ClusterState)
 			}
 		})
 	}
