--- a/internal/controller/api/accounts.go
+++ b/internal/controller/api/accounts.go
@@ -1,66 +1,67 @@
 package api
 
 import (
+	"errors"
+	"fmt"
+	"net/http"
 	"net/url"
 	"strconv"
-	"strings"
 	"time"
 
 	"gullrudder/internal/controller/accounting"
 	"gullrudder/internal/wire/server"
 )
 
-// TimeShare is the time that was counted to one cause.
-type TimeShare struct {
-	Reason       string `msgpack:"cause" json:"cause"`
-	Milliseconds int64  `msgpack:"ms" json:"ms"`
-}
-
-// ClassAccount is where the time of a team's finished jobs of a class went.
-type ClassAccount struct {
-	Team         string      `msgpack:"team" json:"team"`
-	Class        string      `msgpack:"class" json:"class"`
-	JobCount     int         `msgpack:"jobs" json:"jobs"`
-	Milliseconds int64       `msgpack:"ms" json:"ms"` // the sum of the shares
-	Shares       []TimeShare `msgpack:"shares" json:"shares"`
-}
+// maxSinceSeconds bounds how far back accounts are asked for, so that the time can be calculated.
+const maxSinceSeconds = 1e9
 
-// Accounts is what `gullrudder account` shows.
-type Accounts struct {
-	Accounts []ClassAccount `msgpack:"accounts" json:"accounts"`
-	OpenJobs int            `msgpack:"open" json:"open"` // jobs that are not finished, and not counted
-}
+var errSinceOutOfRange = errors.New("since_s is negative or too large")
 
-func newTimeShares(s *accounting.Breakdown) []TimeShare {
-	list := []TimeShare{}
-	for c, ms := range s {
+// newTimeShares lists the reasons to which any time was counted.
+func newTimeShares(breakdown *accounting.Breakdown) []TimeShare {
+	shares := []TimeShare{}
+	for reason, ms := range breakdown {
 		if ms > 0 {
-			list = append(list, TimeShare{accounting.WaitReason(c).String(), ms})
+			shares = append(shares, TimeShare{accounting.WaitReason(reason).String(), ms})
 		}
 	}
-	return list
+	return shares
 }
 
-// serveAccounts tells where the time of finished jobs went, by team and class.
-func (d *Handler) serveAccounts(now time.Time, r *server.Request) {
-	_, raw, _ := strings.Cut(r.Target, "?")
-	q, err := url.ParseQuery(raw)
-	since := time.Time{}
-	if s := q.Get("since_s"); err == nil && s != "" {
-		var ago float64
-		if ago, err = strconv.ParseFloat(s, 64); err == nil && ago >= 0 && ago < 1e9 {
-			since = now.Add(-time.Duration(ago * float64(time.Second)))
-		} else {
-			err = strconv.ErrRange
-		}
+// serveAccounts answers where the time of finished jobs went, by team and class. since_s limits it to jobs that ended so many
+// seconds ago or later.
+func (v *viewHandler) serveAccounts(now time.Time, request *server.Request) {
+	query, err := parseQuery(request)
+	var since time.Time
+	if err == nil {
+		since, err = parseSince(now, query)
 	}
 	if err != nil {
-		d.responder.RespondError(r, 400, "since_s is a number of seconds, team and class are names", 0)
+		v.responder.RespondError(request, http.StatusBadRequest, "since_s is a number of seconds, team and class are names", 0)
 		return
 	}
-	a := Accounts{Accounts: []ClassAccount{}, OpenJobs: d.accounting.OpenCount()}
-	for _, t := range d.accounting.Totals(q.Get("team"), q.Get("class"), since) {
-		a.Accounts = append(a.Accounts, ClassAccount{t.Team, t.Class, t.JobCount, t.Breakdown.Total(), newTimeShares(&t.Breakdown)})
+	accounts := Accounts{Accounts: []ClassAccount{}, OpenJobs: v.accounting.OpenCount()}
+	for _, total := range v.accounting.Totals(query.Get("team"), query.Get("class"), since) {
+		accounts.Accounts = append(accounts.Accounts, ClassAccount{
+			Team: total.Team, Class: total.Class, JobCount: total.JobCount,
+			Milliseconds: total.Breakdown.Total(), Shares: newTimeShares(&total.Breakdown),
+		})
+	}
+	v.responder.Respond(request, http.StatusOK, accounts, 0)
+}
+
+// parseSince returns the time that since_s names, zero if there is none.
+func parseSince(now time.Time, query url.Values) (time.Time, error) {
+	text := query.Get("since_s")
+	if text == "" {
+		return time.Time{}, nil
+	}
+	seconds, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		return time.Time{}, fmt.Errorf("since_s: %w", err)
+	}
+	if !(seconds >= 0 && seconds < maxSinceSeconds) { // also if it is no number
+		return time.Time{}, errSinceOutOfRange
 	}
-	d.responder.Respond(r, 200, a, 0)
+	return now.Add(-time.Duration(seconds * float64(time.Second))), nil
 }
--- /dev/null
+++ b/internal/controller/api/archived.go
@@ -0,0 +1,81 @@
+package api
+
+import (
+	"net/http"
+	"time"
+
+	"gullrudder/internal/controller/archive"
+	"gullrudder/internal/controller/jobstore"
+	"gullrudder/internal/logkeys"
+	"gullrudder/internal/wire/server"
+)
+
+// archivedRequest is a request for a job that may be in the archive.
+type archivedRequest struct {
+	request    *server.Request
+	jobID      string
+	withCounts bool                // the answer has the numbers of tasks
+	ifAbsent   func(now time.Time) // answers if the archive has been read and does not have the job
+}
+
+// serveArchived answers for a job that is neither unfinished nor recently finished: from the archive, or with 404. If the job was
+// submitted while the archive was read, serve answers as usual.
+func (h *jobHandler) serveArchived(
+	now time.Time, request *server.Request, jobID string, withCounts bool, serve func(time.Time, *server.Request, string),
+) {
+	ifAbsent := func(now time.Time) {
+		if _, isFinished := h.jobStore.FinalState(jobID); isFinished || h.jobStore.Find(jobID) != nil {
+			serve(now, request, jobID)
+			return
+		}
+		h.responder.RespondError(request, http.StatusNotFound, "no such job", 0)
+	}
+	if !h.respondFromArchive(now, archivedRequest{request, jobID, withCounts, ifAbsent}) {
+		ifAbsent(now)
+	}
+}
+
+// respondFromArchive answers for an archived job. It returns false if the archive's index does not have the job: then it has not
+// answered, and does not call ifAbsent. If the index is not enough, it reads the archive's data and answers then.
+func (h *jobHandler) respondFromArchive(now time.Time, archived archivedRequest) bool {
+	indexed := h.jobStore.Archive().LookupIndex(archived.jobID)
+	switch {
+	case indexed == archive.Absent:
+		return false
+	case indexed == archive.Cancelled:
+		h.respondFinal(archived, jobstore.FinalState{}, archived.withCounts)
+		return true
+	case indexed == archive.Done && !archived.withCounts:
+		h.respondFinal(archived, jobstore.FinalState{Done: true}, false)
+		return true
+	}
+	h.jobStore.Archive().Resolve(now, h.outbox, archived.jobID, func(now time.Time, final archive.FinalState, found bool, err error) {
+		switch {
+		case !h.holdsLease():
+			h.responder.RespondError(archived.request, http.StatusServiceUnavailable, "no leader at present", retryDelay)
+		case found:
+			h.respondFinal(archived, jobstore.FinalState{Done: !final.Cancelled, Tasks: final.Tasks}, archived.withCounts)
+		case err == nil && indexed == archive.Undetermined:
+			archived.ifAbsent(now)
+		case indexed == archive.Done && h.jobStore.Archive().IsUnreachable(now):
+			// The job's state is certain; only the numbers of tasks, which are for display, are missing.
+			h.respondFinal(archived, jobstore.FinalState{Done: true}, false)
+		default:
+			h.refuseArchived(archived, err)
+		}
+	})
+	return true
+}
+
+func (h *jobHandler) respondFinal(archived archivedRequest, final jobstore.FinalState, withCounts bool) {
+	h.responder.Respond(archived.request, http.StatusOK, finalResponse(archived.jobID, final, withCounts), 0)
+}
+
+func (h *jobHandler) refuseArchived(archived archivedRequest, err error) {
+	if err != nil {
+		h.logger.Info("archived job lookup failed", logkeys.Job, archived.jobID, logkeys.Err, err)
+	}
+	h.responder.RespondError(
+		archived.request, http.StatusServiceUnavailable, "finished jobs cannot be looked up now", archiveRetryDelay,
+	)
+}
--- /dev/null
+++ b/internal/controller/api/cancel.go
@@ -0,0 +1,71 @@
+package api
+
+import (
+	"net/http"
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/logkeys"
+	"gullrudder/internal/wire/server"
+)
+
+// serveCancellation cancels a job. The user is answered once the cancellation is durable.
+func (h *jobHandler) serveCancellation(now time.Time, request *server.Request, jobID string) {
+	if final, ok := h.jobStore.FinalState(jobID); ok {
+		h.responder.Respond(request, http.StatusOK, finalResponse(jobID, final, false), 0)
+		return
+	}
+	job := h.jobStore.Find(jobID)
+	switch {
+	case job == nil:
+		h.serveArchived(now, request, jobID, false, h.serveCancellation)
+	case job.State == jobs.Pending:
+		h.responder.RespondError(request, http.StatusServiceUnavailable, textNotSaved, retryDelay)
+	case h.hasUnconfirmedTasks(job):
+		h.responder.RespondError(request, http.StatusServiceUnavailable, textTasksStillRunning, retryDelay)
+	case job.State == jobs.Cancelled:
+		h.responder.Respond(request, http.StatusOK, jobResponse{ID: jobID, State: stateCancelled}, 0)
+	case job.IsFinishing || job.IsCancelling:
+		// The commit that is under way decides; the user asks again.
+		h.responder.RespondError(request, http.StatusServiceUnavailable, textNotSaved, retryDelay)
+	case !h.storage.IsHealthy():
+		// The cancellation is written once the state service takes changes; the user asks again.
+		h.commitCancellation(now, job, nil)
+		h.responder.RespondError(request, http.StatusServiceUnavailable, textNotSaved, retryDelay)
+	default:
+		h.commitCancellation(now, job, request)
+	}
+}
+
+// commitCancellation stores the cancellation. From now on no task of the job starts. request is answered once the outcome is known
+// or in doubt; nil: nobody waits for it.
+func (h *jobHandler) commitCancellation(now time.Time, job *jobs.Job, request *server.Request) {
+	job.IsCancelling = true
+	h.placer.InvalidateOrder()
+	record := job.Record()
+	record.State = jobs.NewFinalRecord(jobs.Cancelled, 0).State
+	err := h.storage.Set(now, job.ID, record, job.MaxRecordBytes(), true, func(now time.Time, isDurable bool) {
+		if isDurable && job.State == jobs.Accepted {
+			h.jobStore.ApplyCancellation(now, job)
+			h.logger.Info("job cancelled", logkeys.Job, job.ID)
+		}
+		if request != nil {
+			h.respondCancelled(request, job, isDurable)
+			request = nil
+		}
+	})
+	if err != nil {
+		h.logger.Error("cancellation not saved", logkeys.Job, job.ID, logkeys.Err, err)
+	}
+}
+
+func (h *jobHandler) respondCancelled(request *server.Request, job *jobs.Job, isDurable bool) {
+	switch {
+	case !isDurable:
+		h.responder.RespondError(request, http.StatusServiceUnavailable, textNotSaved, retryDelay)
+	case h.hasUnconfirmedTasks(job):
+		h.responder.RespondError(request, http.StatusServiceUnavailable, textTasksStillRunning, retryDelay)
+	default:
+		h.responder.Respond(request, http.StatusOK, jobResponse{ID: job.ID, State: stateCancelled}, 0)
+	}
+}
--- a/internal/controller/api/dependencies.go
+++ b/internal/controller/api/dependencies.go
@@ -2,86 +2,80 @@
 
 import (
 	"maps"
+	"net/http"
 	"time"
 
 	"gullrudder/internal/controller/archive"
-	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/jobstore"
 	"gullrudder/internal/wire/server"
 )
 
-const dependencyUndecided = "it cannot be told yet what became of a job that it needs"
+// dependencyCheck is what is known of the jobs that a submission names.
+type dependencyCheck struct {
+	unmet        []string // IDs of those that are not done
+	hasCancelled bool     // one of them is cancelled
+}
 
-// checkDependencies looks at the jobs that a submission names: those that it is to wait for, and whether one of them is cancelled. Not ok:
-// it is answered, or will be once the history's data have told of one of them.
-func (d *Handler) checkDependencies(
-	now time.Time,
-	r *server.Request,
-	spec jobs.Spec,
-	resolved map[string]jobstore.DependencyState,
-) (missing []string, void, ok bool) {
-	for _, id := range spec.Dependencies {
-		need := d.jobStore.DependencyState(id)
-		if t, known := resolved[id]; known && need == jobstore.DependencyArchived {
-			need = t
+// checkDependencies looks at the jobs that a submission names. It returns false if it has refused the submission, or has to read the
+// archive first; in that case the submission is served again when that is done.
+func (h *submissionHandler) checkDependencies(now time.Time, submitted jobSubmission) (dependencyCheck, bool) {
+	var check dependencyCheck
+	for _, id := range submitted.spec.Dependencies {
+		state := h.jobStore.DependencyState(id)
+		if lookedUp, ok := submitted.archivedStates[id]; ok && state == jobstore.DependencyArchived {
+			state = lookedUp
 		}
-		switch need {
+		switch state {
 		case jobstore.DependencyMet:
 		case jobstore.DependencyCancelled:
-			void = true
+			check.hasCancelled = true
 		case jobstore.DependencyOpen:
-			missing = append(missing, id)
-		case jobstore.DependencyUndecided:
-			d.responder.RespondError(r, 503, dependencyUndecided, retryDelay)
-			return nil, false, false
-		case jobstore.DependencyService:
-			d.responder.RespondError(r, 422, "needs "+id+", a service, which is never done", 0)
-			return nil, false, false
+			check.unmet = append(check.unmet, id)
 		case jobstore.DependencyArchived:
-			d.lookUpDependency(now, r, spec, id, resolved)
-			return nil, false, false
+			h.lookUpDependency(now, submitted, id)
+			return dependencyCheck{}, false
 		default:
-			d.responder.RespondError(r, 422, "needs "+id+", which was never accepted", 0)
-			return nil, false, false
+			h.refuseDependency(submitted.request, id, state)
+			return dependencyCheck{}, false
 		}
 	}
-	return missing, void, true
+	return check, true
+}
+
+func (h *submissionHandler) refuseDependency(request *server.Request, jobID string, state jobstore.DependencyState) {
+	switch state {
+	case jobstore.DependencyUndecided:
+		h.responder.RespondError(request, http.StatusServiceUnavailable, textDependencyUndecided, retryDelay)
+	case jobstore.DependencyService:
+		h.responder.RespondError(request, http.StatusUnprocessableEntity, "needs "+jobID+", a service, which is never done", 0)
+	default:
+		h.responder.RespondError(request, http.StatusUnprocessableEntity, "needs "+jobID+", which was never accepted", 0)
+	}
 }
 
-// lookUpDependency asks the history's data of a job that a submission names, and goes on with it then.
-func (d *Handler) lookUpDependency(
-	now time.Time,
-	r *server.Request,
-	spec jobs.Spec,
-	id string,
-	resolved map[string]jobstore.DependencyState,
-) {
-	d.jobStore.Archive().Resolve(now, d.outbox, id, func(now time.Time, f archive.FinalState, known bool, err error) {
-		if !d.holdsLease() || err != nil {
-			d.responder.RespondError(r, 503, dependencyUndecided, archiveRetryDelay)
+// lookUpDependency reads from the archive's data what became of a job that a submission names, and then serves the submission again.
+func (h *submissionHandler) lookUpDependency(now time.Time, submitted jobSubmission, jobID string) {
+	h.jobStore.Archive().Resolve(now, h.outbox, jobID, func(now time.Time, final archive.FinalState, found bool, err error) {
+		if !h.holdsLease() || err != nil {
+			h.responder.RespondError(submitted.request, http.StatusServiceUnavailable, textDependencyUndecided, archiveRetryDelay)
 			return
 		}
-		next := maps.Clone(resolved)
-		if next == nil {
-			next = map[string]jobstore.DependencyState{}
-		}
-		switch {
-		case !known:
-			next[id] = jobstore.DependencyNeverAccepted
-		case f.Cancelled:
-			next[id] = jobstore.DependencyCancelled
-		default:
-			next[id] = jobstore.DependencyMet
+		looked := maps.Clone(submitted.archivedStates)
+		if looked == nil {
+			looked = map[string]jobstore.DependencyState{}
 		}
-		d.acceptSubmission(now, r, spec, nil, next)
+		looked[jobID] = archivedDependencyState(final, found)
+		submitted.archivedStates = looked
+		h.serveNew(now, submitted)
 	})
 }
 
-// markAccepted takes in that a job's acceptance is durable; void: it needs one that is cancelled, and so is it.
-func (d *Handler) markAccepted(now time.Time, j *jobs.Job, void bool) {
-	if void {
-		d.jobStore.RetireCancelled(now, j)
-		return
+func archivedDependencyState(final archive.FinalState, found bool) jobstore.DependencyState {
+	switch {
+	case !found:
+		return jobstore.DependencyNeverAccepted
+	case final.Cancelled:
+		return jobstore.DependencyCancelled
 	}
-	d.jobStore.ApplyAcceptance(now, j)
+	return jobstore.DependencyMet
 }
--- a/internal/controller/api/golden_bytes_test.go
+++ b/internal/controller/api/golden_bytes_test.go
@@ -9,9 +9,7 @@
 func TestGoldenBytes(t *testing.T) {
 	count := 3
 	waiting := QueuedJob{
-		ID:                     "job-000412",
-		Team:                   "vision",
-		Class:                  "train",
+		ID: "job-000412", Team: "vision", Class: "train",
 		Rank:                   "high",
 		WaitingTasks:           4,
 		RunningTasks:           5,
--- /dev/null
+++ b/internal/controller/api/submission.go
@@ -0,0 +1,210 @@
+package api
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/controller/admission"
+	"gullrudder/internal/controller/autoscaler"
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/estimate"
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/jobstore"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/submission"
+	"gullrudder/internal/logkeys"
+	"gullrudder/internal/wire/server"
+)
+
+// unsavedRetryDelay is when a user is told to submit again while the state service takes no changes.
+const unsavedRetryDelay = 2 * retryDelay
+
+// submissionHandler accepts jobs.
+type submissionHandler struct {
+	*jobHandler
+	teams      map[string]config.Team
+	cloud      *cloud.Client
+	planner    *admission.Planner
+	estimator  *estimate.Estimator
+	autoscaler *autoscaler.Scaler
+	bounds     *startBounds
+	limiter    *submission.Limiter // bounds the submissions that are not durable yet
+}
+
+// jobSubmission is a submission that is being served.
+type jobSubmission struct {
+	request        *server.Request
+	spec           jobs.Spec
+	invalid        error                               // why the spec is not valid, nil if it is
+	archivedStates map[string]jobstore.DependencyState // of dependencies that were looked up in the archive's data, by job ID
+}
+
+// serveSubmission accepts or refuses a job. The same submission may come again at any time: it is answered with the job's state,
+// whatever else the request says.
+func (h *submissionHandler) serveSubmission(now time.Time, request *server.Request) {
+	spec, err := jobs.ParseSpec(request.Body)
+	submitted := jobSubmission{request: request, spec: spec, invalid: err}
+	if jobs.ValidID(spec.ID) {
+		ifAbsent := func(now time.Time) { h.serveNew(now, submitted) }
+		if h.respondIfKnown(request, spec.ID) || h.respondFromArchive(now, archivedRequest{request, spec.ID, false, ifAbsent}) {
+			return
+		}
+	}
+	h.serveNew(now, submitted)
+}
+
+// respondIfKnown answers the repetition of a submission whose job is not archived. It returns false if there is no such job.
+func (h *submissionHandler) respondIfKnown(request *server.Request, jobID string) bool {
+	if final, ok := h.jobStore.FinalState(jobID); ok {
+		h.responder.Respond(request, http.StatusOK, finalResponse(jobID, final, false), 0)
+		return true
+	}
+	job := h.jobStore.Find(jobID)
+	if job == nil {
+		return false
+	}
+	if !h.refuseUndecided(request, job) {
+		h.responder.Respond(request, http.StatusOK, acceptedResponse(job), 0)
+	}
+	return true
+}
+
+// serveNew accepts or refuses a job that is not in the archive.
+func (h *submissionHandler) serveNew(now time.Time, submitted jobSubmission) {
+	request := submitted.request
+	if h.respondIfKnown(request, submitted.spec.ID) {
+		return // the same submission came again while the archive was read
+	}
+	job, ok := h.validate(now, submitted)
+	if !ok {
+		return
+	}
+	dependencies, ok := h.checkDependencies(now, submitted)
+	if !ok {
+		return
+	}
+	if accepted, retryAfter := h.limiter.Acquire(now, job.Team, job.ID); !accepted {
+		h.responder.RespondError(request, http.StatusTooManyRequests,
+			"too many submissions at once; there is a place for this one after the time given", retryAfter)
+		return
+	}
+	record := jobs.NewFinalRecord(jobs.Cancelled, job.Tasks)
+	if !dependencies.hasCancelled {
+		h.plan(now, job, dependencies.unmet)
+		record = job.Record()
+	}
+	pending := &pendingSubmission{request: request, job: job, isCancelled: dependencies.hasCancelled, holdsSlot: true}
+	err := h.storage.Set(now, job.ID, record, job.MaxRecordBytes(), true, func(now time.Time, isDurable bool) {
+		h.finishCommit(now, pending, isDurable)
+	})
+	if err != nil {
+		h.limiter.Release(job.Team)
+		h.jobStore.DependencyGraph().Remove(job)
+		h.responder.RespondError(request, http.StatusBadRequest, "too large to be kept", 0)
+		return
+	}
+	h.jobStore.Add(job)
+}
+
+// validate returns the submitted job. If it is not valid, can never run, or cannot be decided on now, it refuses the submission and
+// returns false.
+func (h *submissionHandler) validate(now time.Time, submitted jobSubmission) (*jobs.Job, bool) {
+	request := submitted.request
+	var invalid *jobs.ValidationError
+	if errors.As(submitted.invalid, &invalid) {
+		h.responder.RespondError(request, invalid.Status, invalid.Reason, 0)
+		return nil, false
+	}
+	if len(h.cloud.MachineTypes) == 0 {
+		h.responder.RespondError(request, http.StatusServiceUnavailable, "the machine types are not known yet", retryDelay)
+		return nil, false
+	}
+	job := jobs.New(submitted.spec, now)
+	if reason := h.unsatisfiableReason(job); reason != "" {
+		h.logger.Info("job refused", logkeys.Job, job.ID, logkeys.Reason, reason)
+		h.responder.RespondError(request, http.StatusUnprocessableEntity, reason, 0)
+		return nil, false
+	}
+	if !h.storage.IsHealthy() {
+		h.responder.RespondError(request, http.StatusServiceUnavailable, "the state service does not take changes", unsavedRetryDelay)
+		return nil, false
+	}
+	return job, true
+}
+
+// unsatisfiableReason returns why a job can never run, empty if it can.
+func (h *submissionHandler) unsatisfiableReason(job *jobs.Job) string {
+	team, ok := h.teams[job.Team]
+	if len(h.teams) > 0 && !ok {
+		return "unknown team"
+	}
+	if placement.ExceedsQuota(job, team) {
+		return "needs more than its team's limit"
+	}
+	for _, machineType := range h.cloud.MachineTypes {
+		for _, zone := range machineType.Zones {
+			kind := cloud.InstanceKindOf(machineType, zone, false)
+			if placement.FitsType(job, machineType) && placement.KindAllowed(job, kind) {
+				return ""
+			}
+		}
+	}
+	return "a task fits no allowed machine type"
+}
+
+// plan decides what the job is promised. Its dependencies are put into the graph first, since they belong to the plan.
+func (h *submissionHandler) plan(now time.Time, job *jobs.Job, unmet []string) {
+	h.jobStore.WaitForDependencies(now, job, unmet)
+	runTime, dependencies := h.jobStore.DependencyGraph().CriticalPath(job, h.estimator.TaskRunTime)
+	job.Guaranteed = h.planner.Admit(now, admission.Request{
+		Job: job, Live: h.jobStore.StartableJobs(), Capacity: h.autoscaler.ExpectedCapacity(now),
+		Dependencies: dependencies, DependencyRunTime: runTime,
+	})
+	if len(unmet) == 0 {
+		h.bounds.set(now, job)
+	}
+}
+
+// pendingSubmission is a job whose acceptance is being committed.
+type pendingSubmission struct {
+	request     *server.Request
+	job         *jobs.Job
+	isCancelled bool // it depends on a cancelled job, and so is accepted as cancelled
+	holdsSlot   bool // the limiter still counts it
+	isAnswered  bool
+}
+
+// finishCommit is called when the acceptance is durable, or when its outcome is in doubt; in that case it may be called again.
+func (h *submissionHandler) finishCommit(now time.Time, pending *pendingSubmission, isDurable bool) {
+	job := pending.job
+	if pending.holdsSlot {
+		pending.holdsSlot = false
+		h.limiter.Release(job.Team)
+	}
+	if isDurable && job.State == jobs.Pending {
+		h.accept(now, job, pending.isCancelled)
+	}
+	if pending.isAnswered {
+		return
+	}
+	pending.isAnswered = true
+	if isDurable {
+		h.responder.Respond(pending.request, http.StatusCreated, acceptedResponse(job), 0)
+	} else {
+		h.responder.RespondError(pending.request, http.StatusServiceUnavailable, textNotSaved, unsavedRetryDelay)
+	}
+}
+
+// accept takes in that the acceptance is durable.
+func (h *submissionHandler) accept(now time.Time, job *jobs.Job, isCancelled bool) {
+	job.State, job.AcceptedByThisLeader = jobs.Accepted, true
+	if isCancelled {
+		h.jobStore.RetireCancelled(now, job)
+	} else {
+		h.jobStore.ApplyAcceptance(now, job)
+	}
+	h.logger.Info("job accepted",
+		logkeys.Job, job.ID, logkeys.Class, job.Class, "tasks", job.Tasks, "label", labelOf(job.Guaranteed))
+}
