--- a/internal/controller/api/handler.go
+++ b/internal/controller/api/handler.go
@@ -4,7 +4,7 @@
 //
 // The package confirms nothing that is not durable, and changes no state but jobs: it creates and cancels them through storage and
 // the job store. It starts no task and sends nothing to workers or to the cloud. Everything runs on the controller's one goroutine.
-// Design notes: docs/design/dependencies.md, docs/design/accounting.md, docs/design/standing.md.
+// Design notes: docs/design/dependencies.md, docs/design/accounting.md, docs/design/ageing.md.
 package api
 
 import (
