--- a/internal/controller/queue/benchmark_test.go
+++ b/internal/controller/queue/benchmark_test.go
@@ -55,7 +55,7 @@
 		for task := range random.IntN(min(spec.Tasks, 3)) {
 			attempt := &jobs.Attempt{Task: jobs.TaskID{JobID: spec.ID, Index: task}, Job: job}
 			job.AddAttempt(attempt)
-			job.MarkRunning(attempt, now.Add(-time.Duration(random.IntN(60))*time.Second))
+			job.RecordRunning(attempt, now.Add(-time.Duration(random.IntN(60))*time.Second))
 		}
 		queue = append(queue, job)
 	}
--- a/internal/controller/queue/model_test.go
+++ b/internal/controller/queue/model_test.go
@@ -140,7 +140,7 @@
 			ran := c.now.Sub(attempt.RunningSince)
 			for _, job := range both {
 				job.RemoveAttempt(job.ActiveAttempts[task])
-				job.MarkTaskDone(task)
+				job.RecordTaskDone(task)
 			}
 			c.components.Estimator.ObserveRunTime(both[0], ran)
 			c.legacy.ObserveRunTime(both[1], ran)
@@ -167,7 +167,7 @@
 	}
 	attempt := &jobs.Attempt{Task: jobs.TaskID{JobID: job.ID, Index: task}, Job: job}
 	job.AddAttempt(attempt)
-	job.MarkRunning(attempt, now)
+	job.RecordRunning(attempt, now)
 }
 
 func remove(list []*jobs.Job, i int) []*jobs.Job {
