--- /dev/null
+++ b/internal/controller/election/connectivity/contacts.go
@@ -0,0 +1,49 @@
+package connectivity
+
+import "time"
+
+const (
+	// contactWindow is for how long a contact counts as recent: a worker tries every controller within that time.
+	contactWindow = 10 * time.Second
+	// sequenceRetention is for how long the numbers of a contact are kept, to recognize duplicates of its heartbeats.
+	sequenceRetention = 2 * time.Minute
+	// maxContacts bounds the contacts that are kept.
+	maxContacts = 20_000
+)
+
+// contact is the newest heartbeat of a worker that came to this controller though it does not lead.
+type contact struct {
+	at                    time.Time
+	incarnation, sequence uint64
+}
+
+// isNewerThan reports whether the heartbeat was sent after the other one.
+func (c contact) isNewerThan(other contact) bool {
+	return c.incarnation > other.incarnation || c.incarnation == other.incarnation && c.sequence > other.sequence
+}
+
+// contactTable holds the newest contact of each worker, by the name of its machine.
+type contactTable map[string]contact
+
+// record takes a contact unless it is a duplicate of an earlier one. New machines are not taken once the table is full.
+func (t contactTable) record(machine string, newest contact) {
+	previous, known := t[machine]
+	if known && !newest.isNewerThan(previous) || !known && len(t) >= maxContacts {
+		return
+	}
+	t[machine] = newest
+}
+
+// countRecent counts the recent contacts and drops those whose numbers need not be kept any more.
+func (t contactTable) countRecent(now time.Time) int {
+	count := 0
+	for machine, last := range t {
+		switch age := now.Sub(last.at); {
+		case age > sequenceRetention:
+			delete(t, machine)
+		case age <= contactWindow:
+			count++
+		}
+	}
+	return count
+}
--- a/internal/controller/election/connectivity/monitor.go
+++ b/internal/controller/election/connectivity/monitor.go
@@ -1,242 +1,195 @@
-// Package connectivity tells a leader whom no worker reaches from workers that are gone. Its Hearing owns
-// when the last report came and who came to which controller; a process has one, whether it leads or
-// not. It hands nothing over: the election asks it whether to, and to whom.
+// Package connectivity tells a leader that workers cannot reach from workers that are gone.
 //
-// A leader that is cut off from the workers alone keeps its key, and every worker that asks another
-// controller is sent back to it. So all leases ended with all that ran, after a third of the machines
-// a tick had been deleted as silent (docs/incidents: both recorded days of the operations sites).
-// That the leader hears nobody is half of the evidence; that others hear the workers is the rest.
+// A leader that is cut off from the workers alone keeps its key, and every worker that contacts another controller is
+// redirected to it. All their leases then expire with all that runs on them, after a third of the machines at a time
+// were deleted as unresponsive (docs/incidents: both recorded days of the operations sites). That the leader receives
+// no heartbeats is half of the evidence; that the workers contact other controllers is the other half.
+//
+// The package owns one Monitor for each process, which belongs to the election whether the controller leads or not:
+// when the last heartbeat came, which machines answered probes, and which workers contacted which controller. It
+// never sends anything and never transfers a leadership: the election asks whether to, and to whom.
+// Design note: docs/design/connectivity.md.
 package connectivity
 
 import "time"
 
 const (
-	// reports that are missing in a row, of all machines together, before silence is ours and not chance:
-	// at the mean rate they come, none comes by chance in so long once in a hundred thousand times.
+	// missedHeartbeats is how many mean intervals between the heartbeats of all machines together have to pass before
+	// silence is taken for a partition: by chance, that happens once in a hundred thousand times.
 	missedHeartbeats = 12
-	// minSilence is the shortest silence that counts: a burst of work or of the network may hold
-	// everything up for that long.
+	// minSilence is the shortest silence that counts: a burst of work or of the network may delay everything as long.
 	minSilence = time.Second
-	// pauseThreshold is a gap between two ticks that shows that this process stood still.
+	// pauseThreshold is the time between two calls of Tick that shows that this process was paused.
 	pauseThreshold = 300 * time.Millisecond
-	// redirectSuspension is how long a follower believes that the leader hears nobody, from when it was told.
-	redirectSuspension = 2 * time.Second
-	// contactWindow is for how long a caller counts: a worker tries every controller within that.
-	contactWindow = 10 * time.Second
-	// sequenceRetention is for how long a caller's numbers are kept, to tell copies of its reports.
-	sequenceRetention = 2 * time.Minute
-	// maxContacts bounds what is kept of callers.
-	maxContacts = 20_000
-	// minPeerShare is which part of the machines that are expected has to call elsewhere, and fewCallers
-	// how many at least. Of fewer machines nothing can be told.
+	// minPeerShare is the share of the expected machines that has to contact another controller, and minWorkers the
+	// least number. Fewer machines than that are no evidence.
 	minPeerShare = 0.125
 	minWorkers   = 3
-	// overdueShare is which part of the machines may be overdue before the leader takes the silence for its own,
-	// though some are heard: those that have booted since, say. Half of a site may be lost with a zone.
+	// overdueShare is the share of the machines whose heartbeats may be overdue before the leader suspects a
+	// partition though it receives some: of machines that have booted since, say. A zone may take half of a site along.
 	overdueShare = 2.0 / 3
-	// probeWindow is for how long an answer to a question, or the want of one, tells of the link; mostAsked bounds
-	// what is kept of them.
-	probeWindow = 3 * time.Second
-	maxProbes   = 256
-	// campaignDeferral is how long who was not heard leaves the next leadership to others.
+	// redirectSuspension is how long a follower keeps workers from a leader after its last ping that asked for it.
+	redirectSuspension = 2 * time.Second
+	// campaignDeferral is how long a controller that workers did not reach leaves the next leadership to others.
 	campaignDeferral = 30 * time.Second
 )
 
-// Monitor is what a controller knows of being reached by workers.
+// Monitor is what a controller knows of the connections between workers and controllers. It is not safe for
+// concurrent use.
 type Monitor struct {
-	heartbeatInterval time.Duration // between two reports of a worker
+	heartbeatInterval time.Duration // of a worker
 
-	lastHeartbeatAt  time.Time // when a report came last
+	// As leader.
+	lastHeartbeatAt  time.Time
 	lastTickAt       time.Time
-	expectedMachines int            // machines whose reports should come
-	overdueMachines  int            // of these, those whose reports are missing for longer than they ever take
-	workersByPeer    map[string]int // by the other controllers, workers that came to them instead
-	transferredAt    time.Time      // when a leadership of ours ended for that
-	probes           []probe        // of late
+	expectedMachines int            // machines whose heartbeats should come
+	overdueMachines  int            // of these, those whose heartbeats are overdue
+	workersByPeer    map[string]int // recent workers of the other controllers, by their names
+	probes           probeHistory
+	transferredAt    time.Time // when a leadership was last transferred because of a partition
 
-	redirectsSuspendedUntil time.Time // as a follower: until when the leader is known to hear nobody
-	contacts                map[string]contact
+	// As follower.
+	redirectsSuspendedUntil time.Time
+	contacts                contactTable
 }
 
-// contact is a worker that came to this controller though it does not lead.
-type contact struct {
-	at                    time.Time
-	incarnation, sequence uint64
-}
-
-// probe is what became of one that was put to a machine directly.
-type probe struct {
-	at               time.Time
-	heartbeatOverdue bool // its reports were missing
-	answered         bool
-}
-
-// New makes the hearing of a process. every is how often a worker reports.
+// New returns the monitor of a process. Every worker sends a heartbeat each heartbeatInterval.
 func New(heartbeatInterval time.Duration) *Monitor {
-	return &Monitor{heartbeatInterval: heartbeatInterval, workersByPeer: map[string]int{}, contacts: map[string]contact{}}
+	return &Monitor{heartbeatInterval: heartbeatInterval, workersByPeer: map[string]int{}, contacts: contactTable{}}
 }
 
-// StartLeadership is a new leadership: nobody can have reported to it yet.
-func (h *Monitor) StartLeadership(now time.Time) {
-	h.lastHeartbeatAt, h.lastTickAt, h.expectedMachines, h.overdueMachines = now, now, 0, 0
-	clear(h.workersByPeer)
-	h.redirectsSuspendedUntil = time.Time{}
-	clear(h.contacts)
-	h.probes = nil
+// StartLeadership forgets what was known of an earlier leadership: nobody can have contacted this one yet.
+func (m *Monitor) StartLeadership(now time.Time) {
+	m.lastHeartbeatAt, m.lastTickAt = now, now
+	m.expectedMachines, m.overdueMachines = 0, 0
+	clear(m.workersByPeer)
+	m.probes = nil
+	m.redirectsSuspendedUntil = time.Time{}
+	clear(m.contacts)
 }
 
-// RecordHeartbeat is a report that has come to the leader.
-func (h *Monitor) RecordHeartbeat(now time.Time) { h.lastHeartbeatAt = now }
+// RecordHeartbeat records that a new heartbeat has reached this leader.
+func (m *Monitor) RecordHeartbeat(now time.Time) { m.lastHeartbeatAt = now }
 
-// Tick takes in how many machines the leader expects reports of, and how many of these are overdue. A time in which this process stood
-// still is not a silence of others.
-func (h *Monitor) Tick(now time.Time, expected, overdue int) {
-	if gap := now.Sub(h.lastTickAt); gap > pauseThreshold {
-		h.lastHeartbeatAt = h.lastHeartbeatAt.Add(gap)
+// Tick records how many machines the leader expects heartbeats of, and how many of these are overdue. A time in which
+// this process was paused does not count as silence.
+func (m *Monitor) Tick(now time.Time, expectedMachines, overdueMachines int) {
+	if gap := now.Sub(m.lastTickAt); gap > pauseThreshold {
+		m.lastHeartbeatAt = m.lastHeartbeatAt.Add(gap)
 	}
-	h.lastTickAt, h.expectedMachines, h.overdueMachines = now, expected, overdue
+	m.lastTickAt, m.expectedMachines, m.overdueMachines = now, expectedMachines, overdueMachines
 }
 
-// RecordProbe takes in whether a machine answered a question of ours. missed: its reports were missing then.
-func (h *Monitor) RecordProbe(now time.Time, heartbeatOverdue, answered bool) {
-	h.probes = append(h.probes, probe{now, heartbeatOverdue, answered})
-	for len(h.probes) > maxProbes || now.Sub(h.probes[0].at) > probeWindow {
-		h.probes = h.probes[1:]
-	}
+// RecordProbe records whether a machine answered a probe, and whether its heartbeat was overdue at that time.
+func (m *Monitor) RecordProbe(now time.Time, heartbeatOverdue, answered bool) {
+	m.probes.add(probe{now, heartbeatOverdue, answered})
 }
 
-// SuspectsPartition reports whether the leader hears none of its machines, for so long that it is no chance, and at
-// most for as long as every one of them should have reported; or so few that the others cannot all be lost.
-func (h *Monitor) SuspectsPartition(now time.Time) bool {
-	if h.expectedMachines < minWorkers {
-		return false // one lost report, and the worker asks elsewhere: no reason to hand over
+// SuspectsPartition reports whether the leader receives no heartbeats for longer than by chance, at most for as long
+// as every machine should have sent one; or from so few machines that the others cannot all be lost.
+func (m *Monitor) SuspectsPartition(now time.Time) bool {
+	if m.expectedMachines < minWorkers {
+		return false // after one lost heartbeat a worker contacts another controller: no reason to transfer
 	}
-	fullInterval := h.heartbeatInterval*5/4 + minSilence/2
-	expectedSilence := missedHeartbeats * h.heartbeatInterval / time.Duration(h.expectedMachines)
-	return now.Sub(h.lastHeartbeatAt) >= max(min(expectedSilence, fullInterval), minSilence) ||
-		float64(h.overdueMachines) >= overdueShare*float64(h.expectedMachines)
+	overdue := float64(m.overdueMachines) >= overdueShare*float64(m.expectedMachines)
+	return now.Sub(m.lastHeartbeatAt) >= m.suspiciousSilence() || overdue
 }
 
-// NeedsProbes reports whether some of the machines are to be asked directly: it may be we who are not reached. So many
-// that call elsewhere do not hear what we answer.
-func (h *Monitor) NeedsProbes(now time.Time) bool {
-	return h.SuspectsPartition(now) || h.manyWorkersAtPeer()
+// suspiciousSilence returns for how long no heartbeat may come before a partition is suspected. The more machines
+// there are, the shorter it is.
+func (m *Monitor) suspiciousSilence() time.Duration {
+	everyMachine := m.heartbeatInterval*5/4 + minSilence/2
+	improbable := missedHeartbeats * m.heartbeatInterval / time.Duration(m.expectedMachines)
+	return max(min(improbable, everyMachine), minSilence)
 }
 
-// ShouldSuspendRedirects reports whether workers had better not be sent here for now: the silence is not explained yet.
-func (h *Monitor) ShouldSuspendRedirects(now time.Time) bool {
-	answered, unanswered := h.countProbes(now, func(probe) bool { return true })
-	return h.SuspectsPartition(now) && 4*answered <= unanswered || h.IsPartitioned(now)
+// NeedsProbes reports whether some machines should be probed directly, since this leader may be the one that is not
+// reached. Workers that contact another controller do not receive this leader's responses.
+func (m *Monitor) NeedsProbes(now time.Time) bool {
+	return m.SuspectsPartition(now) || m.manyWorkersAtPeer()
 }
 
-// IsPartitioned reports whether the leader is cut off from the workers, in one direction at least: machines that are asked
-// directly do not answer, those whose reports are missing if it hears too little, those that do report if
-// many call elsewhere. Without the questions a new leader took the time in which the workers waited for
-// the one before for a failure of its own, and handed over a sound leadership (docs/incidents: inc-1518, inc-98a2).
-func (h *Monitor) IsPartitioned(now time.Time) bool {
-	return h.SuspectsPartition(now) && h.probesUnanswered(now, true) || h.manyWorkersAtPeer() && h.probesUnanswered(now, false)
+// ShouldSuspendRedirects reports whether workers should not be redirected to this leader for now: the silence is not
+// explained yet.
+func (m *Monitor) ShouldSuspendRedirects(now time.Time) bool {
+	anyProbe := func(probe) bool { return true }
+	return m.SuspectsPartition(now) && m.probes.mostlyUnanswered(now, anyProbe) || m.IsPartitioned(now)
 }
 
-// manyWorkersAtPeer reports whether many workers call another controller.
-func (h *Monitor) manyWorkersAtPeer() bool {
-	_, most := h.busiestPeer()
-	return h.expectedMachines >= minWorkers && most >= h.requiredWorkers()
+// IsPartitioned reports whether this leader is cut off from the workers in one direction at least: machines that are
+// probed do not answer. Those with overdue heartbeats count if it receives too few, the others if many workers
+// contact a peer. Without probes a new leader took the time in which the workers waited for the one before for a
+// failure of its own, and transferred a sound leadership (docs/incidents: inc-1518, inc-98a2).
+func (m *Monitor) IsPartitioned(now time.Time) bool {
+	return m.SuspectsPartition(now) && m.probes.prove(now, true) || m.manyWorkersAtPeer() && m.probes.prove(now, false)
 }
 
-// probesUnanswered reports whether the questions of late to machines whose reports were missing, or were not, found no answers.
-func (h *Monitor) probesUnanswered(now time.Time, heartbeatOverdue bool) bool {
-	answered, unanswered := h.countProbes(now, func(q probe) bool { return q.heartbeatOverdue == heartbeatOverdue })
-	return unanswered >= minWorkers && 4*answered <= unanswered
-}
+// RecordPeerWorkers records how many workers contacted a peer recently.
+func (m *Monitor) RecordPeerWorkers(peer string, workers int) { m.workersByPeer[peer] = workers }
 
-// countProbes counts the questions of late that were answered, and those that were not.
-func (h *Monitor) countProbes(now time.Time, matches func(probe) bool) (answered, unanswered int) {
-	for _, q := range h.probes {
-		switch {
-		case now.Sub(q.at) > probeWindow || !matches(q):
-		case q.answered:
-			answered++
-		default:
-			unanswered++
-		}
-	}
-	return answered, unanswered
-}
-
-// RecordPeerWorkers takes in how many workers came to another controller of late.
-func (h *Monitor) RecordPeerWorkers(peer string, workers int) { h.workersByPeer[peer] = workers }
-
-// Successor is the controller that the workers reach while the leader hears nobody; empty: there is no
-// such controller, or nothing to hand over.
-func (h *Monitor) Successor(now time.Time) string {
-	if !h.IsPartitioned(now) {
+// Successor returns the controller that most workers reach while this leader is partitioned from them. It is empty if
+// there is none, or if this leader is not partitioned.
+func (m *Monitor) Successor(now time.Time) string {
+	if !m.IsPartitioned(now) {
 		return ""
 	}
-	best, most := h.busiestPeer()
-	if most < h.requiredWorkers() {
+	peer, workers := m.busiestPeer()
+	if workers < m.requiredWorkers() {
 		return ""
 	}
-	return best
+	return peer
+}
+
+// manyWorkersAtPeer reports whether many workers contact another controller.
+func (m *Monitor) manyWorkersAtPeer() bool {
+	_, workers := m.busiestPeer()
+	return m.expectedMachines >= minWorkers && workers >= m.requiredWorkers()
 }
 
-// requiredWorkers is how many workers have to call elsewhere.
-func (h *Monitor) requiredWorkers() int {
-	return max(minWorkers, int(minPeerShare*float64(h.expectedMachines)))
+// requiredWorkers returns how many workers have to contact a peer before that is evidence.
+func (m *Monitor) requiredWorkers() int {
+	return max(minWorkers, int(minPeerShare*float64(m.expectedMachines)))
 }
 
-// busiestPeer is the controller to which the most workers came of late, and how many.
-func (h *Monitor) busiestPeer() (best string, most int) {
-	for peer, n := range h.workersByPeer {
-		if n > most || n == most && peer < best {
-			best, most = peer, n
+// busiestPeer returns the peer that most workers contacted recently, the first by name of several, and their number.
+func (m *Monitor) busiestPeer() (busiest string, most int) {
+	for peer, workers := range m.workersByPeer {
+		if workers > most || workers == most && peer < busiest {
+			busiest, most = peer, workers
 		}
 	}
-	return best, most
+	return busiest, most
 }
 
-// RecordTransfer records that a leadership was handed over for want of hearing.
-func (h *Monitor) RecordTransfer(now time.Time) { h.transferredAt = now }
+// RecordTransfer records that a leadership was transferred because of a partition.
+func (m *Monitor) RecordTransfer(now time.Time) { m.transferredAt = now }
 
-// ShouldDeferCampaign reports whether this controller was not heard lately and had better leave the leadership to others.
-func (h *Monitor) ShouldDeferCampaign(now time.Time) bool {
-	return !h.transferredAt.IsZero() && now.Sub(h.transferredAt) < campaignDeferral
+// ShouldDeferCampaign reports whether workers did not reach this controller recently, so that it should leave the
+// leadership to others.
+func (m *Monitor) ShouldDeferCampaign(now time.Time) bool {
+	return !m.transferredAt.IsZero() && now.Sub(m.transferredAt) < campaignDeferral
 }
 
-// RecordLeaderStatus takes in what the leader says of itself. A leader that hears again is named again.
-func (h *Monitor) RecordLeaderStatus(now time.Time, suspendRedirects bool) {
+// RecordLeaderStatus records whether the leader asked in its last ping not to redirect workers to it.
+func (m *Monitor) RecordLeaderStatus(now time.Time, suspendRedirects bool) {
 	if !suspendRedirects {
-		h.redirectsSuspendedUntil = time.Time{}
+		m.redirectsSuspendedUntil = time.Time{}
 		return
 	}
-	h.redirectsSuspendedUntil = now.Add(redirectSuspension)
+	m.redirectsSuspendedUntil = now.Add(redirectSuspension)
 }
 
-// RedirectsSuspended reports whether workers are not to be sent to the leader: it would not hear them.
-func (h *Monitor) RedirectsSuspended(now time.Time) bool {
-	return now.Before(h.redirectsSuspendedUntil)
+// RedirectsSuspended reports whether workers are not to be redirected to the leader: their heartbeats would not reach
+// it.
+func (m *Monitor) RedirectsSuspended(now time.Time) bool {
+	return now.Before(m.redirectsSuspendedUntil)
 }
 
-// RecordWorkerContact is a worker's report to a controller that does not lead. One that is not newer than those that came before
-// is a copy: its machine may be no more.
-func (h *Monitor) RecordWorkerContact(now time.Time, machine string, incarnation, sequence uint64) {
-	previous, known := h.contacts[machine]
-	if known && (incarnation < previous.incarnation || incarnation == previous.incarnation && sequence <= previous.sequence) ||
-		!known && len(h.contacts) >= maxContacts {
-		return
-	}
-	h.contacts[machine] = contact{now, incarnation, sequence}
-}
-
-// RecentWorkers is how many workers have called here of late.
-func (h *Monitor) RecentWorkers(now time.Time) int {
-	count := 0
-	for machine, c := range h.contacts {
-		switch since := now.Sub(c.at); {
-		case since > sequenceRetention:
-			delete(h.contacts, machine)
-		case since <= contactWindow:
-			count++
-		}
-	}
-	return count
+// RecordWorkerContact records a heartbeat that came to this controller though it does not lead. One that is not newer
+// than those before is a duplicate: its machine may be gone.
+func (m *Monitor) RecordWorkerContact(now time.Time, machine string, incarnation, sequence uint64) {
+	m.contacts.record(machine, contact{now, incarnation, sequence})
 }
+
+// RecentWorkers returns how many workers contacted this controller recently.
+func (m *Monitor) RecentWorkers(now time.Time) int { return m.contacts.countRecent(now) }
--- a/internal/controller/election/connectivity/monitor_test.go
+++ b/internal/controller/election/connectivity/monitor_test.go
@@ -9,182 +9,226 @@
 
 const heartbeatInterval = 4 * time.Second
 
-// A leader of a thousand machines knows within a second that none reaches it, one of three within the
-// time in which all should have reported; a leader that is heard is never deaf, whatever the jitter.
+// newLeaderMonitor returns the monitor of a leader that expects heartbeats of so many machines.
+func newLeaderMonitor(now time.Time, machines, overdue int) *Monitor {
+	m := New(heartbeatInterval)
+	m.StartLeadership(now)
+	m.Tick(now, machines, overdue)
+	return m
+}
+
+// TestPartitionDetection checks that a leader of a thousand machines suspects within a second or so that none reaches
+// it, and one of three within the time in which all should have sent a heartbeat. A leader that receives heartbeats
+// never does, whatever their jitter.
 func TestPartitionDetection(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	for _, machines := range []int{3, 40, 1000} {
-		h := New(heartbeatInterval)
-		now := time.Unix(1000, 0)
-		h.StartLeadership(now)
-		next := make([]time.Time, machines)
-		for i := range next {
-			next[i] = now.Add(time.Duration(rng.Int64N(int64(heartbeatInterval))))
-		}
-		cut := now.Add(10 * time.Minute)
-		found := time.Time{}
-		for ; now.Before(cut.Add(time.Minute)) && found.IsZero(); now = now.Add(50 * time.Millisecond) {
-			for i, at := range next {
-				if at.Before(now) {
-					next[i] = at.Add(heartbeatInterval*3/4 + time.Duration(rng.Int64N(int64(heartbeatInterval/2))))
-					if now.Before(cut) {
-						h.RecordHeartbeat(now)
-					}
-				}
+	for _, test := range []struct {
+		machines int
+		limit    time.Duration
+	}{
+		{3, heartbeatInterval*5/4 + time.Second},
+		{40, heartbeatInterval*5/4 + time.Second},
+		{1000, 1200 * time.Millisecond},
+	} {
+		t.Run(fmt.Sprint(test.machines, " machines"), func(t *testing.T) {
+			m := New(heartbeatInterval)
+			startedAt := time.Unix(1000, 0)
+			cutAt := startedAt.Add(10 * time.Minute)
+			suspectedAt, ok := simulateCut(m, test.machines, startedAt, cutAt, rng)
+			if took := suspectedAt.Sub(cutAt); !ok || took < 0 || took > test.limit {
+				t.Errorf("suspects a partition after %v", took)
 			}
-			h.Tick(now, machines, 0)
-			if h.SuspectsPartition(now) {
-				found = now
+			if m.IsPartitioned(suspectedAt) {
+				t.Error("partitioned before any machine was probed")
+			}
+			for range 3 {
+				m.RecordProbe(suspectedAt, true, false)
+			}
+			if !m.IsPartitioned(suspectedAt) || m.IsPartitioned(suspectedAt.Add(probeWindow+1)) {
+				t.Error("not partitioned though no probe was answered, or for ever")
+			}
+			if m.RecordProbe(suspectedAt, true, true); m.IsPartitioned(suspectedAt) {
+				t.Error("partitioned though a probe was answered")
+			}
+		})
+	}
+}
+
+// simulateCut lets machines send heartbeats with jitter, which reach the leader until cutAt. It returns when the leader
+// first suspects a partition; ok is false if it does not within a minute of the cut.
+func simulateCut(monitor *Monitor, machines int, startedAt, cutAt time.Time, rng *rand.Rand) (suspectedAt time.Time, ok bool) {
+	monitor.StartLeadership(startedAt)
+	next := make([]time.Time, machines)
+	for i := range next {
+		next[i] = startedAt.Add(time.Duration(rng.Int64N(int64(heartbeatInterval))))
+	}
+	for now := startedAt; now.Before(cutAt.Add(time.Minute)); now = now.Add(50 * time.Millisecond) {
+		for i, at := range next {
+			if !at.Before(now) {
+				continue
+			}
+			next[i] = at.Add(heartbeatInterval*3/4 + time.Duration(rng.Int64N(int64(heartbeatInterval/2))))
+			if now.Before(cutAt) {
+				monitor.RecordHeartbeat(now)
 			}
 		}
-		took := found.Sub(cut)
-		if most := max(
-			heartbeatInterval*5/4+time.Second,
-			0,
-		); found.IsZero() || took < 0 || took > most ||
-			machines == 1000 && took > 1200*time.Millisecond {
-			t.Errorf("%d machines: suspects after %v", machines, took)
-		}
-		if h.IsPartitioned(found) {
-			t.Error("deaf before any machine was asked")
-		}
-		for range 3 {
-			h.RecordProbe(found, true, false)
-		}
-		if !h.IsPartitioned(found) || h.IsPartitioned(found.Add(probeWindow+1)) {
-			t.Error("not deaf though nobody answers, or for ever")
-		}
-		if h.RecordProbe(found, true, true); h.IsPartitioned(found) {
-			t.Error("deaf though a machine answered")
+		if monitor.Tick(now, machines, 0); monitor.SuspectsPartition(now) {
+			return now, true
 		}
 	}
+	return time.Time{}, false
 }
 
-// Machines that have booted since are heard, and most are not: it is the leader still. Half of a site is
-// rather a zone.
+// TestOverdueShare checks that a leader suspects a partition if most machines are overdue, though those that have
+// booted since send heartbeats. Half of a site is rather a zone.
 func TestOverdueShare(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
+		name              string
 		machines, overdue int
 		want              bool
-	}{{30, 20, true}, {30, 19, false}, {30, 15, false}, {3, 2, true}, {2, 2, false}, {4, 2, false}} {
-		h, now := New(heartbeatInterval), time.Unix(1000, 0)
-		h.StartLeadership(now)
-		h.Tick(now, c.machines, c.overdue)
-		h.RecordHeartbeat(now)
-		if got := h.SuspectsPartition(now); got != c.want {
-			t.Errorf("%+v: suspects %v", c, got)
-		}
+	}{
+		{"two thirds of a site", 30, 20, true},
+		{"just under two thirds", 30, 19, false},
+		{"half of a site", 30, 15, false},
+		{"two thirds of three", 3, 2, true},
+		{"too few machines", 2, 2, false},
+		{"half of four", 4, 2, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			now := time.Unix(1000, 0)
+			m := newLeaderMonitor(now, test.machines, test.overdue)
+			m.RecordHeartbeat(now)
+			if got := m.SuspectsPartition(now); got != test.want {
+				t.Errorf("suspects a partition: %v, want %v", got, test.want)
+			}
+		})
 	}
 }
 
-// Machines that report and do not answer hear nothing of us; that many of them call elsewhere is the second
-// kind of evidence. Neither alone hands a leadership over.
+// TestAsymmetricPartition checks a leader that receives heartbeats and whose responses are lost: machines do not answer
+// probes, and many of them contact another controller. Neither alone is enough for a transfer.
 func TestAsymmetricPartition(t *testing.T) {
-	for _, c := range []struct {
-		callers, answer, silent int
-		want                    bool
-	}{{60, 0, 8, true}, {60, 2, 8, true}, {60, 3, 8, false}, {40, 0, 8, false}, {60, 0, 2, false}} {
-		h, now := New(heartbeatInterval), time.Unix(1000, 0)
-		h.StartLeadership(now)
-		h.Tick(now, 400, 0)
-		h.RecordHeartbeat(now)
-		h.RecordPeerWorkers("b", c.callers)
-		for range c.answer {
-			h.RecordProbe(now, false, true)
-		}
-		for range c.silent {
-			h.RecordProbe(now, false, false)
-			h.RecordProbe(now, true, false) // the dead ones tell nothing here
-		}
-		if got := h.IsPartitioned(now); got != c.want {
-			t.Errorf("%+v: deaf %v", c, got)
-		}
+	for _, test := range []struct {
+		name                          string
+		workers, answered, unanswered int // workers at the peer, probes
+		want                          bool
+	}{
+		{"no probe answered", 60, 0, 8, true},
+		{"a fifth of the probes answered", 60, 2, 8, true},
+		{"more probes answered", 60, 3, 8, false},
+		{"few workers at the peer", 40, 0, 8, false},
+		{"too few probes", 60, 0, 2, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			now := time.Unix(1000, 0)
+			m := newLeaderMonitor(now, 400, 0)
+			m.RecordHeartbeat(now)
+			m.RecordPeerWorkers("b", test.workers)
+			for range test.answered {
+				m.RecordProbe(now, false, true)
+			}
+			for range test.unanswered {
+				m.RecordProbe(now, false, false)
+				m.RecordProbe(now, true, false) // of machines with overdue heartbeats: no evidence here
+			}
+			if got := m.IsPartitioned(now); got != test.want {
+				t.Errorf("partitioned: %v, want %v", got, test.want)
+			}
+		})
 	}
 }
 
-// A process that stood still has heard nobody in that time, and nobody is to blame for it.
+// TestPauseIsNotSilence checks that a process does not suspect a partition for a time in which it was paused.
 func TestPauseIsNotSilence(t *testing.T) {
-	h, now := New(heartbeatInterval), time.Unix(1000, 0)
-	h.StartLeadership(now)
-	h.Tick(now, 100, 0)
+	now := time.Unix(1000, 0)
+	m := newLeaderMonitor(now, 100, 0)
 	now = now.Add(20 * time.Second)
-	h.Tick(now, 100, 0)
-	if h.SuspectsPartition(now) {
-		t.Error("suspects for a time in which it stood still")
+	m.Tick(now, 100, 0)
+	if m.SuspectsPartition(now) {
+		t.Error("suspects a partition after a pause")
 	}
 }
 
+// TestSuccessor checks to whom a leader that no worker reaches transfers its leadership.
 func TestSuccessor(t *testing.T) {
-	for _, c := range []struct {
-		machines, a, b int
-		want           string
+	for _, test := range []struct {
+		name                         string
+		machines, workersA, workersB int
+		want                         string
 	}{
-		{400, 49, 10, ""}, // an eighth have to call elsewhere
-		{400, 50, 10, "a"},
-		{400, 10, 90, "b"},
-		{4, 2, 0, ""}, // three of a few
-		{4, 3, 0, "a"},
-		{2, 0, 2, ""}, // a lost report each is enough for that
-		{0, 9, 9, ""}, // nobody is expected: nothing is missing
+		{"less than an eighth at a peer", 400, 49, 10, ""},
+		{"an eighth at peer a", 400, 50, 10, "a"},
+		{"more at peer b", 400, 10, 90, "b"},
+		{"two of four", 4, 2, 0, ""},
+		{"three of four", 4, 3, 0, "a"},
+		{"two machines, a lost heartbeat each", 2, 0, 2, ""},
+		{"no machine expected", 0, 9, 9, ""},
 	} {
-		h, now := New(heartbeatInterval), time.Unix(1000, 0)
-		h.StartLeadership(now)
-		h.Tick(now, c.machines, 0)
-		h.RecordPeerWorkers("a", c.a)
-		h.RecordPeerWorkers("b", c.b)
-		if got := h.Successor(now); got != "" {
-			t.Errorf("%+v: handed to %q while the silence is short", c, got)
-		}
-		for range 200 {
-			now = now.Add(50 * time.Millisecond)
-			h.Tick(now, c.machines, 0)
-			h.RecordProbe(now, true, false)
-		}
-		if got := h.Successor(now); got != c.want {
-			t.Errorf("%+v: handed to %q", c, got)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			now := time.Unix(1000, 0)
+			m := newLeaderMonitor(now, test.machines, 0)
+			m.RecordPeerWorkers("a", test.workersA)
+			m.RecordPeerWorkers("b", test.workersB)
+			if got := m.Successor(now); got != "" {
+				t.Errorf("successor %q while the silence is short", got)
+			}
+			for range 200 {
+				now = now.Add(50 * time.Millisecond)
+				m.Tick(now, test.machines, 0)
+				m.RecordProbe(now, true, false)
+			}
+			if got := m.Successor(now); got != test.want {
+				t.Errorf("successor %q, want %q", got, test.want)
+			}
+		})
 	}
 }
 
-// A follower counts the workers that came of late, and does not send them to a leader that says that it hears
-// none, until it hears again.
+// TestRecentWorkers checks that a follower counts the workers that contacted it recently.
 func TestRecentWorkers(t *testing.T) {
-	h, now := New(heartbeatInterval), time.Unix(1000, 0)
+	m, now := New(heartbeatInterval), time.Unix(1000, 0)
 	for i := range 7 {
-		h.RecordWorkerContact(now, fmt.Sprint("vm-", i), 1, 1)
-		h.RecordWorkerContact(now.Add(time.Second), fmt.Sprint("vm-", i), 1, 2)
+		machine := fmt.Sprint("vm-", i)
+		m.RecordWorkerContact(now, machine, 1, 1)
+		m.RecordWorkerContact(now.Add(time.Second), machine, 1, 2)
 	}
-	if n := h.RecentWorkers(now.Add(time.Second)); n != 7 || h.RedirectsSuspended(now) {
-		t.Errorf("%d of 7 callers", n)
+	if n := m.RecentWorkers(now.Add(time.Second)); n != 7 || m.RedirectsSuspended(now) {
+		t.Errorf("%d recent workers, want 7; redirects suspended: %v", n, m.RedirectsSuspended(now))
 	}
-	if n := h.RecentWorkers(now.Add(time.Second + contactWindow + 1)); n != 0 {
-		t.Errorf("%d callers are remembered for ever", n)
+	if n := m.RecentWorkers(now.Add(time.Second + contactWindow + 1)); n != 0 {
+		t.Errorf("%d workers are recent for ever", n)
 	}
-	h.RecordLeaderStatus(now, true)
-	if !h.RedirectsSuspended(now) || h.RedirectsSuspended(now.Add(redirectSuspension)) {
-		t.Error("a leader that is deaf is named, or one that is silent itself not named for ever")
+}
+
+// TestRedirectsSuspended checks that a follower redirects no workers to a leader that asks for that, until it asks no
+// more or has been silent itself.
+func TestRedirectsSuspended(t *testing.T) {
+	m, now := New(heartbeatInterval), time.Unix(1000, 0)
+	m.RecordLeaderStatus(now, true)
+	if !m.RedirectsSuspended(now) || m.RedirectsSuspended(now.Add(redirectSuspension)) {
+		t.Error("redirects to a leader that asked not to, or suspends redirects for ever")
 	}
-	h.RecordLeaderStatus(now, false)
-	if h.RedirectsSuspended(now) {
-		t.Error("a leader that hears again is not named")
+	m.RecordLeaderStatus(now, false)
+	if m.RedirectsSuspended(now) {
+		t.Error("redirects are suspended though the leader receives heartbeats again")
 	}
 }
 
-// Copies of reports that a controller has had are no callers, however late they come.
+// TestDuplicateHeartbeatsNotCounted checks that duplicates of earlier heartbeats are no contacts, however late they come.
 func TestDuplicateHeartbeatsNotCounted(t *testing.T) {
-	h, now := New(time.Second), time.Unix(1000, 0)
+	m, now := New(time.Second), time.Unix(1000, 0)
 	for i := range 5 {
-		h.RecordWorkerContact(now, fmt.Sprint("vm-", i), 2, 7)
+		m.RecordWorkerContact(now, fmt.Sprint("vm-", i), 2, 7)
 	}
-	if n := h.RecentWorkers(now); n != 5 {
-		t.Fatalf("%d callers", n)
+	if n := m.RecentWorkers(now); n != 5 {
+		t.Fatalf("%d recent workers, want 5", n)
 	}
 	now = now.Add(time.Minute)
-	h.RecordWorkerContact(now, "vm-0", 2, 7)
-	h.RecordWorkerContact(now, "vm-1", 1, 90)
-	h.RecordWorkerContact(now, "vm-2", 2, 8)
-	h.RecordWorkerContact(now, "vm-3", 3, 1)
-	if n := h.RecentWorkers(now); n != 2 {
-		t.Errorf("%d callers, of which two are copies", n)
+	m.RecordWorkerContact(now, "vm-0", 2, 7)  // duplicate
+	m.RecordWorkerContact(now, "vm-1", 1, 90) // earlier incarnation
+	m.RecordWorkerContact(now, "vm-2", 2, 8)
+	m.RecordWorkerContact(now, "vm-3", 3, 1)
+	if n := m.RecentWorkers(now); n != 2 {
+		t.Errorf("%d recent workers, want 2", n)
 	}
 }
