--- a/internal/controller/election/renewal/limit.go
+++ b/internal/controller/election/renewal/limit.go
@@ -1,14 +1,17 @@
-// Package renewal says until when a controller that leads and has not read its ledger may renew workers' leases.
-// Its Horizon belongs to the election, one for a process, whether it leads or not. It sends nothing: what it tells
-// and what it hears goes with the election's greetings.
+// Package renewal decides until when a leader that has not loaded its state may renew the leases of workers.
 //
-// Whoever answers a report with 200 keeps alive what runs there. A leader that has won the key and could not read
-// the ledger before the state service went away knows of no cancellation, and may live on promises for as long as
-// the outage lasts: it kept tasks alive whose cancellation the leader before it had confirmed, for longer than
-// users are told (docs/design/meetings.md). So it renews only while the leases still end in time for the earliest
-// confirmation that it may have missed. How early that can be it has from the leader before: every greeting of one that has
-// read its ledger says how old the oldest cancellation is whose tasks may still be there. A greeting may come minutes
-// late, so it counts from when we made the stamp that it brings back, and not from when it came.
+// Answering a heartbeat with status 200 keeps alive what runs on the worker. A leader that has won the key and lost
+// the state service before it loaded the state knows of no cancellation, and may live on grants of its peers for as
+// long as the outage lasts. It would keep tasks alive whose cancellation an earlier leader has confirmed, for longer
+// than users are told (docs/design/meetings.md). So it renews leases only as long as they still expire in time for
+// the earliest confirmation that it may have missed.
+//
+// How early that can be it knows from the leader before: every ping of a leader that has loaded its state tells the
+// age of the oldest cancellation whose tasks may still run. A ping may be delayed by minutes, so that age counts from
+// when this controller issued the nonce that the ping brings back, not from when the ping arrived.
+//
+// The package owns one Limit for each process, which belongs to the election whether the controller leads or not. It
+// never sends anything: nonces and ages travel with the election's pings. Design note: docs/design/election.md.
 package renewal
 
 import (
@@ -16,79 +19,87 @@
 	"time"
 )
 
-// maxNonces is how many stamps are kept: those of the greetings of some seconds.
+// maxNonces bounds the nonces that are kept: those of the pings of a few seconds.
 const maxNonces = 16
 
+// driftDivisor bounds the drift of two clocks against each other, as a fraction of the duration they count.
+const driftDivisor = 500
+
+// nonce is one that was issued to a leader, and when.
 type nonce struct {
 	value    uint64
 	issuedAt time.Time
 }
 
-// Limit is what a controller knows of cancellations that others may have confirmed.
+// Limit is what a controller knows of the cancellations that other controllers may have confirmed. It is not safe for
+// concurrent use.
 type Limit struct {
-	window          time.Duration // how long after a confirmation a lease may still be renewed that does not know of it
+	window          time.Duration // see Window
 	lastNonce       uint64
-	issued          []nonce
-	completedBefore time.Time // what was confirmed before this is carried out everywhere, for certain; zero: nothing is known
+	issued          []nonce   // the oldest first
+	completedBefore time.Time // see CompletedBefore
 }
 
-// Window is how long after a cancellation was confirmed a lease may be renewed by who does not know of it: within the
-// time that users are told, less the longest that a worker's tasks outlive a 200. Both clocks may drift. It is
-// negative if the settings leave no such time.
+// Window returns for how long after the confirmation of a cancellation a controller that does not know of it may
+// still renew a lease: the time in which a cancelled task has to end, less maxLeaseAge, the longest that a task
+// outlives the renewal of its lease. It allows for the drift of both clocks. It is negative if the settings leave no
+// such time.
 func Window(cancelTimeout, maxLeaseAge time.Duration) time.Duration {
-	return cancelTimeout - cancelTimeout/500 - maxLeaseAge
+	return cancelTimeout - cancelTimeout/driftDivisor - maxLeaseAge
 }
 
-// New makes the horizon of a process that has just started: it knows nothing. Stamps begin anywhere, so that those of an earlier life
-// of this process are not taken for its own.
+// New returns the limit of a process that has just started and knows nothing. Its nonces begin at a random value, so
+// that those of an earlier process of this controller are not taken for its own.
 func New(window time.Duration, rng *rand.Rand) *Limit {
 	return &Limit{window: window, lastNonce: rng.Uint64() | 1}
 }
 
-// NewNonce makes a number that goes with an answer to a leader; its next greeting brings it back.
-func (h *Limit) NewNonce(now time.Time) uint64 {
-	h.lastNonce++
-	if h.lastNonce == 0 {
-		h.lastNonce++
+// NewNonce issues a nonce for a response to a leader, whose next ping brings it back. It is never 0.
+func (l *Limit) NewNonce(now time.Time) uint64 {
+	l.lastNonce++
+	if l.lastNonce == 0 {
+		l.lastNonce++
 	}
-	h.issued = append(h.issued, nonce{h.lastNonce, now})
-	if len(h.issued) > maxNonces {
-		h.issued = h.issued[1:]
+	l.issued = append(l.issued, nonce{l.lastNonce, now})
+	if len(l.issued) > maxNonces {
+		l.issued = l.issued[1:]
 	}
-	return h.lastNonce
+	return l.lastNonce
 }
 
-// RecordLeaderProgress takes in the word of a leader that has read its ledger and was entitled when it said so: what was confirmed longer
-// than age before that is carried out. The word was given after the stamp was made that it brings back; one
-// without a stamp of ours may be as old as any and tells nothing.
-func (h *Limit) RecordLeaderProgress(echoedNonce uint64, oldestCancellationAge time.Duration) {
+// RecordLeaderProgress takes what a leader that has loaded its state, and held its lease, said in a ping: every
+// cancellation confirmed longer than oldestCancellationAge before is completed. The ping was made after the nonce was
+// issued that it brings back. One without a nonce of this process may be of any age and says nothing.
+func (l *Limit) RecordLeaderProgress(echoedNonce uint64, oldestCancellationAge time.Duration) {
 	if echoedNonce == 0 || oldestCancellationAge < 0 {
 		return
 	}
-	for _, issued := range h.issued {
+	for _, issued := range l.issued {
 		if issued.value == echoedNonce {
-			h.advance(issued.issuedAt.Add(-oldestCancellationAge - oldestCancellationAge/500))
+			l.advance(issued.issuedAt.Add(-oldestCancellationAge - oldestCancellationAge/driftDivisor))
 		}
 	}
 }
 
-// RecordLoaded takes in that this controller leads and has read its ledger: it knows of every confirmation, and all before
-// oldest are carried out.
-func (h *Limit) RecordLoaded(oldestCancellation time.Time) { h.advance(oldestCancellation) }
+// RecordLoaded records that this controller leads and has loaded its state: it knows of every confirmation, and all
+// before oldestCancellation are completed.
+func (l *Limit) RecordLoaded(oldestCancellation time.Time) { l.advance(oldestCancellation) }
 
-func (h *Limit) advance(completedBefore time.Time) {
-	if completedBefore.After(h.completedBefore) {
-		h.completedBefore = completedBefore
+func (l *Limit) advance(completedBefore time.Time) {
+	if completedBefore.After(l.completedBefore) {
+		l.completedBefore = completedBefore
 	}
 }
 
-// CompletedBefore is the time before which everything that was confirmed is carried out; zero: nothing is known.
-func (h *Limit) CompletedBefore() time.Time { return h.completedBefore }
+// CompletedBefore returns the time before which every confirmed cancellation is certainly completed everywhere. It is
+// zero if nothing is known.
+func (l *Limit) CompletedBefore() time.Time { return l.completedBefore }
 
-// RenewUntil is until when leases may be renewed without the ledger: not at all if nothing is known.
-func (h *Limit) RenewUntil() time.Time {
-	if h.completedBefore.IsZero() || h.window <= 0 {
+// RenewUntil returns until when leases may be renewed before the state is loaded. It is zero if nothing is known, or
+// if the settings leave no time: then no lease may be renewed.
+func (l *Limit) RenewUntil() time.Time {
+	if l.completedBefore.IsZero() || l.window <= 0 {
 		return time.Time{}
 	}
-	return h.completedBefore.Add(h.window)
+	return l.completedBefore.Add(l.window)
 }
--- /dev/null
+++ b/internal/controller/election/renewal/limit_test.go
@@ -0,0 +1,66 @@
+package renewal
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+const window = 20 * time.Second
+
+func newLimit() *Limit { return New(window, rand.New(rand.NewPCG(1, 1))) }
+
+// TestRenewUntil checks until when leases may be renewed, by what is known of completed cancellations.
+func TestRenewUntil(t *testing.T) {
+	now := time.Unix(1000, 0)
+	for _, test := range []struct {
+		name   string
+		record func(*Limit)
+		want   time.Time
+	}{
+		{"nothing known", func(*Limit) {}, time.Time{}},
+		{"loaded", func(l *Limit) { l.RecordLoaded(now) }, now.Add(window)},
+		{"never earlier than known", func(l *Limit) { l.RecordLoaded(now); l.RecordLoaded(now.Add(-time.Minute)) }, now.Add(window)},
+		{
+			"age counts from the nonce, with drift",
+			func(l *Limit) { l.RecordLeaderProgress(l.NewNonce(now), 5*time.Second) },
+			now.Add(-5*time.Second - 10*time.Millisecond).Add(window),
+		},
+		{"ping without a nonce", func(l *Limit) { l.RecordLeaderProgress(0, time.Second) }, time.Time{}},
+		{"nonce of another process", func(l *Limit) { l.RecordLeaderProgress(l.NewNonce(now)+1, time.Second) }, time.Time{}},
+		{"negative age", func(l *Limit) { l.RecordLeaderProgress(l.NewNonce(now), -time.Second) }, time.Time{}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			l := newLimit()
+			test.record(l)
+			if got := l.RenewUntil(); !got.Equal(test.want) {
+				t.Errorf("renew until %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+// TestNegativeWindow checks that no lease may be renewed if the settings leave no time.
+func TestNegativeWindow(t *testing.T) {
+	l := New(Window(10*time.Second, 20*time.Second), rand.New(rand.NewPCG(1, 1)))
+	l.RecordLoaded(time.Unix(1000, 0))
+	if !l.RenewUntil().IsZero() {
+		t.Error("leases may be renewed though a cancelled task would outlive its time")
+	}
+}
+
+// TestNonces checks that nonces are never 0, also when they wrap around, and that only the newest are remembered.
+func TestNonces(t *testing.T) {
+	l := newLimit()
+	l.lastNonce = ^uint64(0)
+	first := l.NewNonce(time.Unix(1000, 0))
+	if first == 0 {
+		t.Error("nonce 0")
+	}
+	for range maxNonces {
+		l.NewNonce(time.Unix(2000, 0))
+	}
+	if l.RecordLeaderProgress(first, 0); !l.CompletedBefore().IsZero() {
+		t.Error("remembers too many nonces")
+	}
+}
