--- /dev/null
+++ b/internal/controller/election/given_grant.go
@@ -0,0 +1,57 @@
+package election
+
+import "time"
+
+// givenGrant is a follower's leader-lease grant: its undertaking not to campaign. What is known of the leader that
+// requested it goes with it.
+type givenGrant struct {
+	until        time.Time // this controller neither campaigns nor acts before
+	fencingToken uint64    // the highest that a grant was given to
+	leaderName   string
+	pingedAt     time.Time // when the leader's last ping came
+}
+
+// give extends the grant to the sender of the request, which came at now.
+func (g *givenGrant) give(now, until time.Time, request PingRequest) {
+	g.leaderName, g.pingedAt = request.Name, now
+	if until.After(g.until) {
+		g.until = until
+	}
+	g.fencingToken = max(g.fencingToken, request.FencingToken)
+}
+
+// HandlePing returns the response to the ping of a peer that leads, or whose leadership was transferred. Pings may
+// come late and more than once.
+func (e *Election) HandlePing(now time.Time, request PingRequest) PingResponse {
+	e.contact.peerAt = now
+	if request.ReleasedLeaseID != 0 {
+		e.acceptTransfer(now, request)
+		return PingResponse{}
+	}
+	if request.FencingToken < e.follower.grant.fencingToken {
+		return PingResponse{} // a late ping of a leadership that is over: nobody waits for the response
+	}
+	if e.role != roleFollower || e.follower.key.absent {
+		// This controller campaigns, leads, or knows from a working state service that the key is absent: the sender
+		// has lost its lease, and no grant may extend its leadership.
+		return PingResponse{StateServiceOK: e.role == roleFollower}
+	}
+	e.follower.grant.give(now, now.Add(e.options.boundDuration(e.options.GrantDuration)), request)
+	e.follower.stateProbe.requested = e.follower.stateProbe.requested || request.ProbeStateService
+	e.connectivity.RecordLeaderStatus(now, request.SuspendRedirects)
+	if request.StateLoaded {
+		e.renewalLimit.RecordLeaderProgress(request.EchoedNonce, request.OldestCancellationAge)
+	}
+	return PingResponse{
+		Granted:        true,
+		StateServiceOK: now.Sub(e.follower.stateProbe.succeededAt) < e.options.stateProbeTimeout(),
+		RecentWorkers:  e.connectivity.RecentWorkers(now),
+		Nonce:          e.renewalLimit.NewNonce(now),
+	}
+}
+
+// isBoundByGrant reports whether this controller may not campaign: because of a grant that it has given, or of one
+// that an earlier process of it may have given shortly before this one started.
+func (e *Election) isBoundByGrant(now time.Time) bool {
+	return now.Before(e.follower.grant.until) || e.isBoundByRestart(now)
+}
--- /dev/null
+++ b/internal/controller/election/held_grants.go
@@ -0,0 +1,99 @@
+package election
+
+import (
+	"net/http"
+	"time"
+
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
+)
+
+// heldGrant is what a leader knows of one peer's leader-lease grant: the peer's undertaking not to campaign.
+type heldGrant struct {
+	requestPending bool
+	nextRequestAt  time.Time
+	granted        bool
+	sentAt         time.Time // when the request was sent that the grant answers; the grant counts from then
+	nonce          uint64    // of the peer's last response
+}
+
+// grantsValidUntil returns when the first of the grants expires; ok is false unless every peer has given one.
+func (e *Election) grantsValidUntil() (earliest time.Time, ok bool) {
+	for _, peer := range e.options.Peers {
+		grant := e.leader.grants[peer.Name]
+		if grant == nil || !grant.granted {
+			return time.Time{}, false
+		}
+		end := grant.sentAt.Add(e.options.reliedDuration(e.options.GrantDuration))
+		if earliest.IsZero() || end.Before(earliest) {
+			earliest = end
+		}
+	}
+	return earliest, len(e.options.Peers) > 0
+}
+
+// requestGrants pings each peer whose grant is due for renewal.
+func (e *Election) requestGrants(now time.Time, outbox *client.Outbox) {
+	for _, peer := range e.options.Peers {
+		grant := e.leader.grants[peer.Name]
+		if grant == nil {
+			grant = &heldGrant{}
+			e.leader.grants[peer.Name] = grant
+		}
+		if grant.requestPending || now.Before(grant.nextRequestAt) {
+			continue
+		}
+		sentAt := now
+		grant.requestPending = true
+		outbox.Add(client.Call{
+			Destination: client.PeerController, Addr: peer.Addr, Method: http.MethodPost, Path: "/peer/hello",
+			Body: e.pingRequest(now, grant), Timeout: e.options.peerTimeout(),
+			Done: e.inEpoch(func(now time.Time, result client.Result) {
+				grant.requestPending = false
+				e.contact.recordPeer(now, result)
+				grant.nextRequestAt = sentAt.Add(e.pingInterval(now))
+				var response PingResponse
+				if result.Status != http.StatusOK || codec.Unmarshal(result.Body, &response) != nil {
+					// The peer may still be bound by its last grant, and this leader relies on it until it expires.
+					return
+				}
+				e.recordPingResponse(now, grant, sentAt, response)
+				e.considerTransfer(now, outbox, peer.Name, response)
+			}),
+		})
+	}
+}
+
+// pingInterval returns the time between two pings of a peer.
+func (e *Election) pingInterval(now time.Time) time.Duration {
+	if e.suspectsStateService(now) {
+		return e.options.suspectPingInterval()
+	}
+	return e.options.pingInterval()
+}
+
+// pingRequest returns the leader's message to the peer whose grant this is.
+func (e *Election) pingRequest(now time.Time, grant *heldGrant) PingRequest {
+	request := PingRequest{
+		Name:              e.options.Name,
+		FencingToken:      e.leader.fencingToken,
+		ProbeStateService: e.suspectsStateService(now),
+		SuspendRedirects:  e.connectivity.ShouldSuspendRedirects(now),
+	}
+	if e.leader.stateLoaded && e.HoldsLease(now) {
+		request.StateLoaded = true
+		request.OldestCancellationAge = now.Sub(e.leader.oldestCancellation)
+		request.EchoedNonce = grant.nonce
+	}
+	return request
+}
+
+// recordPingResponse takes the peer's grant, if it gave one, to a ping that was sent at sentAt.
+func (e *Election) recordPingResponse(now time.Time, grant *heldGrant, sentAt time.Time, response PingResponse) {
+	// Once the leader lease has expired, only the state service can tell that nobody has led since: the peers may
+	// have given grants to a later leader among them.
+	if response.Granted && e.HoldsLease(now) {
+		grant.granted, grant.sentAt = true, sentAt
+	}
+	grant.nonce = response.Nonce
+}
--- /dev/null
+++ b/internal/controller/election/leader_key.go
@@ -0,0 +1,112 @@
+package election
+
+import (
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"gullrudder/internal/logkeys"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
+)
+
+// Paths of the state service.
+const (
+	leaderKeyPath = "/keys/" + LeaderKey
+	watchPath     = "/watch"
+)
+
+// keyState is what a follower knows of the leader's key.
+type keyState struct {
+	readPending bool // a read or a watch is under way
+	nextReadAt  time.Time
+	absent      bool   // the state service said that the key is absent
+	revision    uint64 // from which the key is watched
+}
+
+// readLeaderKey reads the leader's key. If it exists, it is watched from then on.
+func (e *Election) readLeaderKey(outbox *client.Outbox) {
+	e.follower.key.readPending = true
+	outbox.Add(client.Call{
+		Destination: client.StateService, Method: http.MethodGet, Path: leaderKeyPath, Timeout: stateCallTimeout,
+		Done: e.inEpoch(func(now time.Time, result client.Result) { e.completeRead(now, outbox, result) }),
+	})
+}
+
+func (e *Election) completeRead(now time.Time, outbox *client.Outbox, result client.Result) {
+	key := &e.follower.key
+	key.readPending = false
+	e.contact.recordStateService(now, result)
+	var response keyResponse
+	switch {
+	case result.Status == http.StatusOK && codec.Unmarshal(result.Body, &response) == nil && response.ModRevision > 0:
+		key.absent, key.revision = false, response.ModRevision
+		e.watchLeaderKey(outbox)
+	case result.Status == http.StatusNotFound && codec.Unmarshal(result.Body, &response) == nil:
+		e.recordKeyAbsent(now)
+		key.nextReadAt = now.Add(e.options.absentReadInterval())
+	default:
+		if result.Status == http.StatusOK || result.Status == http.StatusNotFound {
+			e.logMalformedOnce(leaderKeyPath)
+		}
+		key.absent = false
+		key.nextReadAt = now.Add(e.options.readRetryInterval())
+	}
+}
+
+// watchLeaderKey waits for changes of the leader's key.
+func (e *Election) watchLeaderKey(outbox *client.Outbox) {
+	e.follower.key.readPending = true
+	wait := e.options.watchDuration()
+	query := url.Values{
+		"starts":  {LeaderKey},
+		"from":    {strconv.FormatUint(e.follower.key.revision, 10)},
+		"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
+	}
+	outbox.Add(client.Call{
+		Destination: client.StateService, Method: http.MethodGet, Path: watchPath + "?" + query.Encode(), Timeout: wait + stateCallTimeout,
+		Done: e.inEpoch(func(now time.Time, result client.Result) { e.completeWatch(now, outbox, result) }),
+	})
+}
+
+func (e *Election) completeWatch(now time.Time, outbox *client.Outbox, result client.Result) {
+	key := &e.follower.key
+	key.readPending = false
+	e.contact.recordStateService(now, result)
+	var response watchResponse
+	if result.Status != http.StatusOK || codec.Unmarshal(result.Body, &response) != nil || response.Revision < key.revision {
+		// Changes up to a lower revision are older than what was read: they say nothing about the key now.
+		if result.Status == http.StatusOK {
+			e.logMalformedOnce(watchPath)
+		}
+		key.nextReadAt = now.Add(e.options.readRetryInterval())
+		return
+	}
+	if response.deletesLeaderKey() {
+		e.recordKeyAbsent(now)
+		key.nextReadAt = now.Add(e.options.absentReadInterval())
+		return
+	}
+	key.revision = response.Revision
+	e.watchLeaderKey(outbox)
+}
+
+// recordKeyAbsent records that nobody leads, and decides when to campaign.
+func (e *Election) recordKeyAbsent(now time.Time) {
+	if e.follower.key.absent {
+		return
+	}
+	e.follower.key.absent = true
+	e.follower.candidacy.campaignAt = now.Add(e.campaignDelay(now))
+	e.follower.candidacy.preferredSuccessor = ""
+}
+
+// logMalformedOnce logs, once for each path, that a response was malformed. It is treated as no response.
+func (e *Election) logMalformedOnce(path string) {
+	if e.loggedMalformed[path] {
+		return
+	}
+	e.loggedMalformed[path] = true
+	e.log.Error("malformed state service response ignored", logkeys.Path, path)
+}
--- /dev/null
+++ b/internal/controller/election/lease.go
@@ -0,0 +1,107 @@
+package election
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"gullrudder/internal/wire/client"
+)
+
+// stateLease is the lease of the state service that the leader's key is bound to.
+type stateLease struct {
+	id         uint64 // 0: none is held
+	validUntil time.Time
+
+	renewalPending bool
+	nextRenewalAt  time.Time
+	renewalSentAt  time.Time // of the last renewal
+
+	failedRenewals     int       // in a row
+	firstFailureSentAt time.Time // when the first of them was sent
+}
+
+// resetRenewal forgets the renewals of an earlier leadership.
+func (l *stateLease) resetRenewal() {
+	l.renewalPending = false
+	l.failedRenewals = 0
+}
+
+// isRenewalSlow reports whether the pending renewal has been without a response for longer than limit.
+func (l *stateLease) isRenewalSlow(now time.Time, limit time.Duration) bool {
+	return l.renewalPending && now.Sub(l.renewalSentAt) > limit
+}
+
+// recordFailure counts a renewal, sent at sentAt, that did not succeed.
+func (l *stateLease) recordFailure(sentAt time.Time) {
+	l.failedRenewals++
+	if l.failedRenewals == 1 {
+		l.firstFailureSentAt = sentAt
+	}
+}
+
+// renewLease renews the leader's lease when that is due.
+func (e *Election) renewLease(now time.Time, outbox *client.Outbox) {
+	lease := &e.lease
+	if lease.renewalPending || now.Before(lease.nextRenewalAt) {
+		return
+	}
+	sentAt := now
+	lease.renewalPending, lease.renewalSentAt = true, sentAt
+	outbox.Add(client.Call{
+		Destination: client.StateService, Method: http.MethodPost, Path: fmt.Sprintf("/leases/%d/touch", lease.id),
+		Timeout: e.options.renewalTimeout(),
+		Done: e.inEpoch(func(now time.Time, result client.Result) {
+			e.completeRenewal(now, outbox, sentAt, result)
+		}),
+	})
+}
+
+// completeRenewal takes the result of a renewal. A lease that was renewed counts from when the renewal was sent.
+func (e *Election) completeRenewal(now time.Time, outbox *client.Outbox, sentAt time.Time, result client.Result) {
+	lease := &e.lease
+	lease.renewalPending = false
+	e.contact.recordStateService(now, result)
+	switch result.Status {
+	case http.StatusOK:
+		lease.failedRenewals = 0
+		e.leader.peerServedSince = time.Time{}
+		lease.validUntil = sentAt.Add(e.options.reliedDuration(e.options.LeaseDuration))
+		lease.nextRenewalAt = sentAt.Add(e.options.renewalInterval())
+	case http.StatusNotFound:
+		lease.id = 0
+		e.StepDown(now, outbox, "lease expired at the state service")
+	default:
+		lease.recordFailure(sentAt)
+		lease.nextRenewalAt = now.Add(e.options.renewalRetryInterval())
+	}
+}
+
+// suspectsStateService reports whether renewals fail or the pending one is slow.
+func (e *Election) suspectsStateService(now time.Time) bool {
+	return e.lease.failedRenewals > 0 || e.isRenewalSlow(now)
+}
+
+// isRenewalSlow reports whether the state service has not answered the pending renewal in its usual time.
+func (e *Election) isRenewalSlow(now time.Time) bool {
+	return e.lease.isRenewalSlow(now, e.options.slowRenewalThreshold())
+}
+
+// revokeLease ends the lease that this controller holds, if any.
+func (e *Election) revokeLease(outbox *client.Outbox) {
+	if e.lease.id != 0 {
+		outbox.Add(revocation(e.lease.id))
+	}
+	e.lease.id = 0
+}
+
+// revocation is the call that ends a lease. Its result does not matter: without it the lease expires.
+func revocation(leaseID uint64) client.Call {
+	return client.Call{
+		Destination: client.StateService, Method: http.MethodDelete, Path: fmt.Sprintf("/leases/%d", leaseID),
+		Timeout: stateCallTimeout, Done: ignoreResult,
+	}
+}
+
+// ignoreResult is the Done function of a call whose result does not matter.
+func ignoreResult(time.Time, client.Result) {}
--- /dev/null
+++ b/internal/controller/election/model_key_test.go
@@ -0,0 +1,108 @@
+package election
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+)
+
+// stateKey writes a state of the model in such a way that two states with the same future have the same key: times
+// count from now, and tokens and leases by their order.
+type stateKey struct {
+	text           strings.Builder
+	now            time.Time
+	tokens, leases []uint64 // in order, without duplicates
+}
+
+// zeroTime stands for the zero time in a key.
+const zeroTime = -99
+
+// add writes values to the key.
+func (k *stateKey) add(values ...any) { fmt.Fprintln(&k.text, values...) }
+
+// offset returns how far t is from now in milliseconds, within the times that make a difference.
+func (k *stateKey) offset(t time.Time) int {
+	if t.IsZero() {
+		return zeroTime
+	}
+	return int(min(max(t.Sub(k.now), -2*time.Second), 5*time.Second) / time.Millisecond)
+}
+
+// rank returns how many values of the ordered list are lower.
+func rank(list []uint64, value uint64) int {
+	position, _ := slices.BinarySearch(list, value)
+	return position
+}
+
+// Key returns everything that the future of the model depends on.
+func (w *electionModel) Key() string {
+	k := &stateKey{now: w.now, tokens: []uint64{w.service.modRevision}, leases: []uint64{w.service.holder.LeaseID}}
+	for _, e := range w.controllers {
+		k.tokens = append(k.tokens, e.leader.fencingToken, e.follower.grant.fencingToken)
+		k.leases = append(k.leases, e.lease.id, e.follower.releasedLeaseID)
+	}
+	slices.Sort(k.tokens)
+	slices.Sort(k.leases)
+	k.tokens, k.leases = slices.Compact(k.tokens), slices.Compact(k.leases)
+
+	k.add(w.faultsLeft, w.stateLinks, w.peerLinks)
+	for _, message := range w.delayed {
+		k.add(message.key)
+	}
+	k.addService(&w.service)
+	for _, e := range w.controllers {
+		k.addRole(e)
+		k.addFollower(&e.follower)
+		k.addGrants(e)
+	}
+	k.addPending(w)
+	return k.text.String()
+}
+
+func (k *stateKey) addService(s *modelStateService) {
+	id := s.holder.LeaseID
+	k.add(rank(k.leases, id), s.holder.Name, rank(k.tokens, s.modRevision), k.offset(s.leaseExpiry[id]))
+	for _, id := range k.leases {
+		if expiry, ok := s.leaseExpiry[id]; ok {
+			k.add(rank(k.leases, id), k.offset(expiry))
+		}
+	}
+}
+
+func (k *stateKey) addRole(e *Election) {
+	lease := &e.lease
+	k.add(e.role, rank(k.tokens, e.leader.fencingToken), k.offset(e.leader.peerServedSince))
+	k.add(rank(k.leases, lease.id), k.offset(lease.validUntil), k.offset(lease.nextRenewalAt),
+		lease.renewalPending, lease.failedRenewals, k.offset(lease.firstFailureSentAt))
+}
+
+func (k *stateKey) addFollower(f *followerState) {
+	k.add(k.offset(f.grant.until), rank(k.tokens, f.grant.fencingToken), f.grant.leaderName, k.offset(f.grant.pingedAt))
+	k.add(len(f.restart.notLeading), k.offset(f.restart.startedAt), k.offset(f.restart.nextVoteQueryAt))
+	k.add(f.key.readPending, k.offset(f.key.nextReadAt), f.key.absent)
+	k.add(k.offset(f.candidacy.campaignAt), f.candidacy.preferredSuccessor, rank(k.leases, f.releasedLeaseID))
+	k.add(f.stateProbe.requested, f.stateProbe.pending, k.offset(f.stateProbe.succeededAt))
+}
+
+func (k *stateKey) addGrants(e *Election) {
+	for _, name := range []string{"0", "1", "2"} {
+		if grant := e.leader.grants[name]; grant != nil {
+			k.add(name, grant.requestPending, grant.granted, k.offset(grant.nextRequestAt), k.offset(grant.sentAt))
+		}
+		k.add(e.follower.restart.notLeading[name])
+	}
+}
+
+func (k *stateKey) addPending(w *electionModel) {
+	var list []string
+	for _, p := range w.pending {
+		if !p.settled && w.incarnations[p.controller] == p.incarnation {
+			path, _, _ := strings.Cut(p.call.Path, "?")
+			list = append(list, fmt.Sprint(p.controller, path, p.call.Addr, k.offset(p.expiresAt)))
+		}
+	}
+	slices.SortFunc(list, cmp.Compare[string])
+	k.add(list)
+}
--- /dev/null
+++ b/internal/controller/election/renewal_limit_test.go
@@ -0,0 +1,110 @@
+package election
+
+import (
+	"math/rand/v2"
+	"net/http"
+	"testing"
+	"time"
+
+	"gullrudder/internal/simulator/modelcheck"
+	"gullrudder/internal/wire/client"
+)
+
+const renewalWalkLength = 90
+
+// TestRenewalLimitSchedules checks that no schedule of dropped and delayed messages, restarts, outages of the state
+// service and a cancellation keeps a cancelled task running for longer than its user is told, though leaders that have
+// not loaded their state renew leases meanwhile.
+func TestRenewalLimitSchedules(t *testing.T) {
+	var models []*renewalModel
+	rng := rand.New(rand.NewPCG(2, 1))
+	newModel := func() modelcheck.World {
+		w := newFaultCombination(t, "", rng)
+		models = append(models, w)
+		return w
+	}
+	r := modelcheck.Walks(newModel, renewalWalkLength, 150, rng)
+	if r.Broken != "" {
+		t.Errorf("%s after %q", r.Broken, r.Schedule)
+	}
+	cancelled, renewals, refusals := 0, 0, 0
+	for _, w := range models {
+		if !w.cancelledAt.IsZero() {
+			cancelled++
+		}
+		renewals += w.unloadedRenewals
+		refusals += w.unloadedRefusals
+	}
+	t.Logf("%d states, %d of %d cancelled, %d renewals before loading, %d refused", r.States, cancelled, len(models), renewals, refusals)
+	if cancelled < 100 || renewals == 0 || refusals == 0 {
+		t.Error("too few cancellations, renewals or refusals to prove anything")
+	}
+}
+
+// TestRenewalLimitMutants checks that each mistake is found by some schedule.
+func TestRenewalLimitMutants(t *testing.T) {
+	seeds := map[mutant]uint64{renewalBeforeLoading: 1, ageCountsFromArrival: 1, forgetsEarlierConfirmation: 1}
+	checkMutants(t, seeds, renewalWalkLength, 1500, func(mutant mutant, rng *rand.Rand) modelcheck.World {
+		return newFaultCombination(t, mutant, rng)
+	})
+}
+
+// TestCancellationAgeInPings checks that a leader tells the age of the oldest cancellation only once it has loaded its
+// state, and only while it can tell when every cancellation was confirmed.
+func TestCancellationAgeInPings(t *testing.T) {
+	f := newFixture(t)
+	f.elect()
+	if f.pingPeerB(); f.pingPeerB().StateLoaded {
+		t.Error("tells an age before it has loaded its state")
+	}
+	f.election.SetOldestCancellation(f.now, f.now.Add(-3*time.Second), true)
+	if ping := f.pingPeerB(); !ping.StateLoaded || ping.EchoedNonce != 77 || ping.OldestCancellationAge != 3*time.Second+grantDuration/4 {
+		t.Errorf("%+v", ping)
+	}
+	f.election.SetOldestCancellation(f.now, time.Time{}, false)
+	if f.pingPeerB().StateLoaded {
+		t.Error("tells an age of cancellations of which nobody can tell when they were confirmed")
+	}
+}
+
+// pingPeerB lets a quarter of a grant pass, answers every call, and returns the leader's ping to peer b.
+func (f *fixture) pingPeerB() (ping PingRequest) {
+	f.t.Helper()
+	for _, call := range f.tick(grantDuration / 4) {
+		switch {
+		case call.Path == "/peer/hello" && call.Addr == "b":
+			ping = call.Body.(PingRequest)
+			call.Done(f.now, success(f.t, PingResponse{Granted: true, Nonce: 77}))
+		case call.Path == "/peer/hello":
+			call.Done(f.now, success(f.t, PingResponse{Granted: true}))
+		case call.Path == "/leases/3/touch":
+			f.answer([]client.Call{call}, "/leases", http.StatusOK, nil)
+		}
+	}
+	return ping
+}
+
+// TestCancellationAgeCountsFromNonce checks that the age in a ping counts from when the nonce was issued that the ping
+// brings back, and that a process believes no ping that was meant for an earlier one.
+func TestCancellationAgeCountsFromNonce(t *testing.T) {
+	f := newFixture(t)
+	nonce := f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 4, StateLoaded: true, EchoedNonce: 5}).Nonce
+	if !f.election.RenewalLimit().CompletedBefore().IsZero() {
+		t.Error("believes a ping without a nonce of its own")
+	}
+	issuedAt := f.now
+	f.now = f.now.Add(time.Minute)
+	ping := PingRequest{Name: "b", FencingToken: 4, StateLoaded: true, EchoedNonce: nonce, OldestCancellationAge: time.Second}
+	f.election.HandlePing(f.now, ping)
+	completedBefore := f.election.RenewalLimit().CompletedBefore()
+	if completedBefore.After(issuedAt.Add(-time.Second)) || completedBefore.Before(issuedAt.Add(-1100*time.Millisecond)) {
+		t.Errorf("counts from %v after the nonce", completedBefore.Sub(issuedAt))
+	}
+
+	restarted := newFixture(t)
+	ping = PingRequest{Name: "b", FencingToken: 4, StateLoaded: true, EchoedNonce: nonce + 1<<40}
+	granted := restarted.election.HandlePing(restarted.now, ping).Granted
+	if granted && !restarted.election.RenewalLimit().CompletedBefore().IsZero() {
+		t.Error("believes a ping that was meant for an earlier process")
+	}
+}
--- /dev/null
+++ b/internal/controller/election/state_messages.go
@@ -0,0 +1,82 @@
+package election
+
+// The messages exchanged with the state service. Tags are its names (docs/glossary.md).
+
+// leaderRecord is the value of the leader's key.
+type leaderRecord struct {
+	Name    string `msgpack:"name"`
+	LeaseID uint64 `msgpack:"permit"`
+}
+
+// keyResponse is the response to a read of the leader's key. An absent key has only a Revision.
+type keyResponse struct {
+	Value       leaderRecord `msgpack:"value"`
+	ModRevision uint64       `msgpack:"mark"`
+	Revision    uint64       `msgpack:"tide"`
+}
+
+// watchResponse lists what has happened to the leader's key up to a revision.
+type watchResponse struct {
+	Revision uint64      `msgpack:"tide"`
+	Changes  []keyChange `msgpack:"log"`
+}
+
+// keyChange names the key that was written, or the one that was deleted.
+type keyChange struct {
+	Written string `msgpack:"write"`
+	Deleted string `msgpack:"drop"`
+}
+
+// deletesLeaderKey reports whether the leader's key is absent after the changes.
+func (r watchResponse) deletesLeaderKey() bool {
+	deleted := false
+	for _, change := range r.Changes {
+		if change.Deleted == LeaderKey {
+			deleted = true
+		}
+		if change.Written == LeaderKey {
+			deleted = false
+		}
+	}
+	return deleted
+}
+
+// createLeaseRequest asks for a lease.
+type createLeaseRequest struct {
+	TTLMillis int64 `msgpack:"ttl_ms"`
+}
+
+type createLeaseResponse struct {
+	LeaseID uint64 `msgpack:"permit"`
+}
+
+// commitRequest is a compare-and-swap transaction.
+type commitRequest struct {
+	Preconditions []precondition `msgpack:"guards"`
+	Writes        []keyWrite     `msgpack:"apply"`
+}
+
+// precondition requires a key to have a revision; 0: to be absent.
+type precondition struct {
+	Key         string `msgpack:"path"`
+	ModRevision int    `msgpack:"mark"` // encodes 0 in one byte, as it always was
+}
+
+// keyWrite writes a key that is deleted when the lease ends.
+type keyWrite struct {
+	Key     string       `msgpack:"write"`
+	Value   leaderRecord `msgpack:"value"`
+	LeaseID uint64       `msgpack:"permit"`
+}
+
+type commitResponse struct {
+	Revision uint64 `msgpack:"tide"`
+}
+
+// claimRequest creates the leader's key, bound to the lease, if it is absent.
+func claimRequest(record leaderRecord) commitRequest {
+	return commitRequest{
+		Preconditions: []precondition{{Key: LeaderKey, ModRevision: 0}},
+		Writes:        []keyWrite{{Key: LeaderKey, Value: record, LeaseID: record.LeaseID}},
+	}
+}
