--- a/internal/controller/election/election.go
+++ b/internal/controller/election/election.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// Tick makes the calls that are due. The owner calls it several times within the shortest interval of Options.
+// Tick makes the calls that are due. The owner calls it at each of its ticks, whatever the role.
 func (e *Election) Tick(now time.Time, outbox *client.Outbox) {
 	// A late renewal may still find the lease alive. Then nobody else has led, and what this leader knows still
 	// holds. So it keeps its leadership for one more lease duration, without acting.
--- a/internal/controller/election/state_machine.go
+++ b/internal/controller/election/state_machine.go
@@ -16,8 +16,8 @@
 	roleLeader
 )
 
-// leaderState is what a controller keeps of its own leadership. becomeLeader and becomeFollower reset it, except for
-// the fencing token and the time of election.
+// leaderState is what a controller keeps of its own leadership. becomeFollower clears it, except for the fencing token
+// and the time of election, which stay until the next one.
 type leaderState struct {
 	fencingToken uint64
 	electedAt    time.Time
--- a/internal/controller/election/timing.go
+++ b/internal/controller/election/timing.go
@@ -8,7 +8,7 @@
 // stateCallTimeout limits a call to the state service that has no fraction of its own.
 const stateCallTimeout = time.Second
 
-// renewalInterval is the time between two renewals of the lease. Two in a row may fail before it expires.
+// renewalInterval is the time between two renewals of the lease while they succeed.
 func (o *Options) renewalInterval() time.Duration { return o.LeaseDuration / 4 }
 
 // renewalTimeout is when a renewal without a response has failed.
