--- a/internal/controller/election/messages.go
+++ b/internal/controller/election/messages.go
@@ -2,6 +2,12 @@
 
 import "time"
 
+// Paths of the peer link.
+const (
+	pingPath      = "/peer/hello"
+	voteQueryPath = "/peer/inquiry"
+)
+
 // PingRequest is what the leader sends to each peer: it asks for a leader-lease grant. A former leader sends it to
 // tell that its leadership was transferred.
 type PingRequest struct {
