--- a/internal/controller/archive/store.go
+++ b/internal/controller/archive/store.go
@@ -178,21 +178,21 @@
 }
 
 // SetThresholds takes other values for how many jobs are worth a run, and how many runs are merged.
-func (k *Store) SetThresholds(minSegmentJobs, compactionFanIn int) {
-	k.options.MinSegmentJobs, k.options.CompactionFanIn = minSegmentJobs, compactionFanIn
+func (s *Store) SetThresholds(minSegmentJobs, compactionFanIn int) {
+	s.options.MinSegmentJobs, s.options.CompactionFanIn = minSegmentJobs, compactionFanIn
 }
 
 // JobCount counts the jobs of all runs.
-func (k *Store) JobCount() int {
+func (s *Store) JobCount() int {
 	n := 0
-	for _, r := range k.segments {
+	for _, r := range s.segments {
 		n += r.JobCount
 	}
 	return n
 }
 
 // SegmentCount counts the runs.
-func (k *Store) SegmentCount() int { return len(k.segments) }
+func (s *Store) SegmentCount() int { return len(s.segments) }
 
 // IndexResult is what the index alone says of a job.
 type IndexResult int
@@ -206,12 +206,12 @@
 )
 
 // LookupIndex asks the index.
-func (k *Store) LookupIndex(id string) IndexResult {
+func (s *Store) LookupIndex(id string) IndexResult {
 	key, ok := keyOf(id)
 	if !ok {
 		return Absent
 	}
-	for _, r := range k.segments {
+	for _, r := range s.segments {
 		if !r.ids.Contains(key) {
 			continue
 		}
@@ -227,14 +227,14 @@
 }
 
 // IsUnreachable reports that the data could not be read for a while.
-func (k *Store) IsUnreachable(now time.Time) bool {
-	return !k.readsFailingSince.IsZero() && now.Sub(k.readsFailingSince) > unreachableAfter
+func (s *Store) IsUnreachable(now time.Time) bool {
+	return !s.readsFailingSince.IsZero() && now.Sub(s.readsFailingSince) > unreachableAfter
 }
 
 // Resolve asks the data. then is called exactly once, perhaps at once: known is true if the
 // job is in a run; an error means that it cannot be told now.
-func (k *Store) Resolve(now time.Time, box *client.Outbox, id string, done func(now time.Time, state FinalState, found bool, err error)) {
-	if k.lookupsInFlight >= maxLookups {
+func (s *Store) Resolve(now time.Time, box *client.Outbox, id string, done func(now time.Time, state FinalState, found bool, err error)) {
+	if s.lookupsInFlight >= maxLookups {
 		done(now, FinalState{}, false, ErrBusy)
 		return
 	}
@@ -243,14 +243,14 @@
 		done(now, FinalState{}, false, nil)
 		return
 	}
-	k.lookupsInFlight++
-	k.resolveKey(now, box, id, key, map[uint64]bool{}, func(now time.Time, state FinalState, found bool, err error) {
-		k.lookupsInFlight--
+	s.lookupsInFlight++
+	s.resolveKey(now, box, id, key, map[uint64]bool{}, func(now time.Time, state FinalState, found bool, err error) {
+		s.lookupsInFlight--
 		done(now, state, found, err)
 	})
 }
 
-func (k *Store) resolveKey(
+func (s *Store) resolveKey(
 	now time.Time,
 	box *client.Outbox,
 	id string,
@@ -258,20 +258,20 @@
 	tried map[uint64]bool,
 	done func(time.Time, FinalState, bool, error),
 ) {
-	i := slices.IndexFunc(k.segments, func(segment *Segment) bool { return !tried[segment.Number] && segment.ids.Contains(key) })
+	i := slices.IndexFunc(s.segments, func(segment *Segment) bool { return !tried[segment.Number] && segment.ids.Contains(key) })
 	if i < 0 {
 		done(now, FinalState{}, false, nil)
 		return
 	}
-	segment := k.segments[i]
+	segment := s.segments[i]
 	part, place := segment.locate(segment.rank(key))
 	name := dataKey(segment.Number, part)
-	k.readPart(now, box, name, func(now time.Time, text string, status int) {
+	s.readPart(now, box, name, func(now time.Time, text string, status int) {
 		switch {
-		case status == 404 && !slices.Contains(k.segments, segment):
+		case status == 404 && !slices.Contains(s.segments, segment):
 			// It has been merged into another run, and its parts are gone.
 			tried[segment.Number] = true
-			k.resolveKey(now, box, id, key, tried, done)
+			s.resolveKey(now, box, id, key, tried, done)
 			return
 		case status != 200:
 			done(now, FinalState{}, false, fmt.Errorf("%s cannot be read: status %d", name, status))
@@ -279,54 +279,54 @@
 		}
 		state, found, err := findJob(text, place, key, id)
 		if err != nil {
-			k.log.Error("a part of the history cannot be read", "key", name, "error", err)
+			s.log.Error("a part of the history cannot be read", "key", name, "error", err)
 		}
 		if err != nil || found {
 			done(now, state, found, err)
 			return
 		}
 		tried[segment.Number] = true
-		k.resolveKey(now, box, id, key, tried, done)
+		s.resolveKey(now, box, id, key, tried, done)
 	})
 }
 
 // readPart reads a part of the data; questions for the same part share one request.
-func (k *Store) readPart(now time.Time, box *client.Outbox, name string, done func(now time.Time, text string, status int)) {
-	if text, ok := k.cachedParts[name]; ok {
+func (s *Store) readPart(now time.Time, box *client.Outbox, name string, done func(now time.Time, text string, status int)) {
+	if text, ok := s.cachedParts[name]; ok {
 		done(now, text, 200)
 		return
 	}
-	waiting, open := k.partWaiters[name]
-	if !open && k.readLimiter.Available(now) < 1 {
+	waiting, open := s.partWaiters[name]
+	if !open && s.readLimiter.Available(now) < 1 {
 		done(now, "", 429)
 		return
 	}
-	k.partWaiters[name] = append(waiting, done)
+	s.partWaiters[name] = append(waiting, done)
 	if open {
 		return
 	}
-	k.readLimiter.Take(1)
-	k.storage.ReadArchivePart(box, name, readTimeout, func(now time.Time, text string, status int) {
+	s.readLimiter.Take(1)
+	s.storage.ReadArchivePart(box, name, readTimeout, func(now time.Time, text string, status int) {
 		switch {
 		case status == 200:
-			k.readsFailingSince = time.Time{}
-			k.cachePart(name, text)
-		case status != 404 && k.readsFailingSince.IsZero():
-			k.readsFailingSince = now
+			s.readsFailingSince = time.Time{}
+			s.cachePart(name, text)
+		case status != 404 && s.readsFailingSince.IsZero():
+			s.readsFailingSince = now
 		}
-		waiting := k.partWaiters[name]
-		delete(k.partWaiters, name)
+		waiting := s.partWaiters[name]
+		delete(s.partWaiters, name)
 		for _, w := range waiting {
 			w(now, text, status)
 		}
 	})
 }
 
-func (k *Store) cachePart(name, text string) {
-	if len(k.cacheOrder) >= maxCachedParts {
-		delete(k.cachedParts, k.cacheOrder[0])
-		k.cacheOrder = append(k.cacheOrder[:0], k.cacheOrder[1:]...)
+func (s *Store) cachePart(name, text string) {
+	if len(s.cacheOrder) >= maxCachedParts {
+		delete(s.cachedParts, s.cacheOrder[0])
+		s.cacheOrder = append(s.cacheOrder[:0], s.cacheOrder[1:]...)
 	}
-	k.cachedParts[name] = text
-	k.cacheOrder = append(k.cacheOrder, name)
+	s.cachedParts[name] = text
+	s.cacheOrder = append(s.cacheOrder, name)
 }
--- a/internal/controller/storage/archive.go
+++ b/internal/controller/storage/archive.go
@@ -58,7 +58,7 @@
 // 512 KiB.
 const maxListedKeys = 60
 
-func (l *Store) listKeys(
+func (s *Store) listKeys(
 	box *client.Outbox,
 	prefix, from string,
 	after, timeout time.Duration,
@@ -68,7 +68,7 @@
 	if from != "" {
 		query.Set("from", from)
 	}
-	l.call(box, client.Call{
+	s.call(box, client.Call{
 		Method: "GET", Path: "/keys?" + query.Encode(), Delay: after, Timeout: timeout,
 		Done: func(now time.Time, r client.Result) {
 			var a struct {
@@ -77,9 +77,9 @@
 			}
 			if r.Status == 200 {
 				if err := codec.Unmarshal(r.Body, &a); err != nil {
-					if !l.loggedUnreadable {
-						l.loggedUnreadable = true
-						l.log.Error("a list of the state service cannot be read, and is asked for again", "prefix", prefix, "error", err)
+					if !s.loggedUnreadable {
+						s.loggedUnreadable = true
+						s.log.Error("a list of the state service cannot be read, and is asked for again", "prefix", prefix, "error", err)
 					}
 					r.Status = 0
 				}
@@ -89,30 +89,30 @@
 	})
 }
 
-func (l *Store) installArchiveKey(row keyValue) error {
+func (s *Store) installArchiveKey(row keyValue) error {
 	if row.Key == ArchiveHeadKey {
 		var value pageValue
 		if err := msgpack.Unmarshal(row.Value, &value); err != nil {
 			return err
 		}
-		l.archiveHead.modRevision = row.ModRevision
-		l.addEntries(l.archiveHead, value)
+		s.archiveHead.modRevision = row.ModRevision
+		s.addEntries(s.archiveHead, value)
 		return nil
 	}
 	var value archivePartValue
 	if err := msgpack.Unmarshal(row.Value, &value); err != nil {
 		return err
 	}
-	l.archiveIndex[row.Key] = value.Text
+	s.archiveIndex[row.Key] = value.Text
 	return nil
 }
 
 func pageKey(n int) string { return fmt.Sprintf("%s%06d", PagePrefix, n) }
 
 // ArchiveHeadNames lists the entries of the history's head.
-func (l *Store) ArchiveHeadNames() []string {
-	names := make([]string, 0, len(l.archiveHead.entries))
-	for name := range l.archiveHead.entries {
+func (s *Store) ArchiveHeadNames() []string {
+	names := make([]string, 0, len(s.archiveHead.entries))
+	for name := range s.archiveHead.entries {
 		names = append(names, name)
 	}
 	sort.Strings(names)
@@ -120,8 +120,8 @@
 }
 
 // ArchiveHeadEntry reads an entry of the history's head.
-func (l *Store) ArchiveHeadEntry(name string, v any) error {
-	e := l.archiveHead.entries[name]
+func (s *Store) ArchiveHeadEntry(name string, v any) error {
+	e := s.archiveHead.entries[name]
 	if e == nil {
 		return fmt.Errorf("the history's head has no entry %q", name)
 	}
@@ -132,15 +132,15 @@
 }
 
 // TakeArchiveIndex gives the parts of the index that were loaded, by key, and lets go of them.
-func (l *Store) TakeArchiveIndex() map[string]string {
-	index := l.archiveIndex
-	l.archiveIndex = nil
+func (s *Store) TakeArchiveIndex() map[string]string {
+	index := s.archiveIndex
+	s.archiveIndex = nil
 	return index
 }
 
 // ReadArchivePart reads one part of the history.
-func (l *Store) ReadArchivePart(box *client.Outbox, key string, timeout time.Duration, done func(now time.Time, text string, status int)) {
-	l.call(box, client.Call{Method: "GET", Path: "/keys/" + key, Timeout: timeout, Done: func(now time.Time, r client.Result) {
+func (s *Store) ReadArchivePart(box *client.Outbox, key string, timeout time.Duration, done func(now time.Time, text string, status int)) {
+	s.call(box, client.Call{Method: "GET", Path: "/keys/" + key, Timeout: timeout, Done: func(now time.Time, r client.Result) {
 		var a struct {
 			Value archivePartValue `msgpack:"value"`
 		}
@@ -152,8 +152,8 @@
 }
 
 // ListArchiveParts reads the parts below a prefix, as many as one answer holds.
-func (l *Store) ListArchiveParts(box *client.Outbox, prefix, from string, done func(now time.Time, parts []ArchivePart, more, ok bool)) {
-	l.listKeys(box, prefix, from, 0, 2*time.Second, func(now time.Time, rows []keyValue, more bool, status int) {
+func (s *Store) ListArchiveParts(box *client.Outbox, prefix, from string, done func(now time.Time, parts []ArchivePart, more, ok bool)) {
+	s.listKeys(box, prefix, from, 0, 2*time.Second, func(now time.Time, rows []keyValue, more bool, status int) {
 		var parts []ArchivePart
 		for _, r := range rows {
 			var v archivePartValue
@@ -167,8 +167,8 @@
 }
 
 // SetFinished says that an entry belongs to a finished job: it may leave for the history.
-func (l *Store) SetFinished(name string) {
-	if e := l.entries[name]; e != nil && !e.finished {
+func (s *Store) SetFinished(name string) {
+	if e := s.entries[name]; e != nil && !e.finished {
 		e.finished = true
 		e.page.finishedSize += e.size
 	}
@@ -176,18 +176,18 @@
 
 // SpareWrites is how many changes may be made by what nobody waits for: half of the budget stays
 // with what somebody does.
-func (l *Store) SpareWrites(now time.Time) int {
-	return max(l.writeLimiter.Available(now)-int(l.options.WriteRate/2), 0)
+func (s *Store) SpareWrites(now time.Time) int {
+	return max(s.writeLimiter.Available(now)-int(s.options.WriteRate/2), 0)
 }
 
 // ArchivableEntries lists finished jobs of the few pages that hold the most of them, as many pages as
 // one transaction can write beside the head.
-func (l *Store) ArchivableEntries(ready func(name string) bool) []string {
+func (s *Store) ArchivableEntries(ready func(name string) bool) []string {
 	var pages []*page
-	if l.hasStaleCopies() {
+	if s.hasStaleCopies() {
 		return nil
 	}
-	for _, p := range l.pages {
+	for _, p := range s.pages {
 		if p.finishedSize > 0 {
 			pages = append(pages, p)
 		}
@@ -199,9 +199,9 @@
 		return pages[i].key < pages[j].key
 	})
 	var names []string
-	bytes, count := l.options.ValueBytes, 0
+	bytes, count := s.options.ValueBytes, 0
 	for _, p := range pages {
-		if bytes+p.size > MaxTxnBytes || count+2 >= l.options.TxnOps {
+		if bytes+p.size > MaxTxnBytes || count+2 >= s.options.TxnOps {
 			break
 		}
 		before := len(names)
@@ -255,34 +255,34 @@
 
 // applyMove makes the move in memory too, once it is durable and not before: if its commit is not
 // executed, the pages have to be written as they were.
-func (l *Store) applyMove(now time.Time, move *entryMove) {
+func (s *Store) applyMove(now time.Time, move *entryMove) {
 	if move.source != nil {
-		l.applySplit(now, move)
+		s.applySplit(now, move)
 		return
 	}
 	for name := range move.removed {
-		if e := l.entries[name]; e != nil {
-			l.removeEntry(name, e)
+		if e := s.entries[name]; e != nil {
+			s.removeEntry(name, e)
 		}
 	}
 	for name, raw := range move.headChanges {
-		if e := l.archiveHead.entries[name]; e != nil {
-			l.archiveHead.size -= e.size
-			delete(l.archiveHead.entries, name)
+		if e := s.archiveHead.entries[name]; e != nil {
+			s.archiveHead.size -= e.size
+			delete(s.archiveHead.entries, name)
 		}
 		if raw != nil {
-			e := &entry{raw: raw, size: codec.JSONSize(raw) + len(name) + entryFrame, page: l.archiveHead}
-			l.archiveHead.entries[name] = e
-			l.archiveHead.size += e.size
+			e := &entry{raw: raw, size: codec.JSONSize(raw) + len(name) + entryFrame, page: s.archiveHead}
+			s.archiveHead.entries[name] = e
+			s.archiveHead.size += e.size
 		}
 	}
 }
 
-func (l *Store) pagesHolding(names []string) []*page {
+func (s *Store) pagesHolding(names []string) []*page {
 	var pages []*page
 	seen := map[*page]bool{}
 	for _, name := range names {
-		if e := l.entries[name]; e != nil && !seen[e.page] {
+		if e := s.entries[name]; e != nil && !seen[e.page] {
 			seen[e.page] = true
 			pages = append(pages, e.page)
 		}
@@ -292,13 +292,13 @@
 }
 
 // CommitArchiveCost is how many changes a Move of these entries makes.
-func (l *Store) CommitArchiveCost(names []string) int { return len(l.pagesHolding(names)) + 1 }
+func (s *Store) CommitArchiveCost(names []string) int { return len(s.pagesHolding(names)) + 1 }
 
 // CommitArchive takes entries out of their pages and changes the history's head, in one commit. It goes
 // with the next one that has room for it beside what somebody waits for, or by itself if nobody
 // does. then is called once the outcome is certain, with true if the commit was executed. There
 // is one at a time.
-func (l *Store) CommitArchive(removed []string, headChanges map[string]any, done func(now time.Time, ok bool)) error {
+func (s *Store) CommitArchive(removed []string, headChanges map[string]any, done func(now time.Time, ok bool)) error {
 	move := &entryMove{removed: map[string]bool{}, headChanges: map[string]msgpack.RawMessage{}, done: done}
 	for _, name := range removed {
 		move.removed[name] = true
@@ -314,16 +314,16 @@
 		}
 		move.headChanges[name] = raw
 	}
-	move.pages = append(l.pagesHolding(removed), l.archiveHead)
-	l.pendingMove = move
+	move.pages = append(s.pagesHolding(removed), s.archiveHead)
+	s.pendingMove = move
 	return nil
 }
 
 // joinPendingMove adds the move that waits to the pages of a commit, if there is room for it and budget
 // that nobody else needs.
-func (l *Store) joinPendingMove(now time.Time, chosen []*page) ([]*page, *entryMove) {
-	move := l.pendingMove
-	if move == nil || !l.IsHealthy() {
+func (s *Store) joinPendingMove(now time.Time, chosen []*page) ([]*page, *entryMove) {
+	move := s.pendingMove
+	if move == nil || !s.IsHealthy() {
 		return chosen, nil
 	}
 	all := slices.Clone(chosen)
@@ -336,13 +336,13 @@
 	for _, p := range all {
 		bytes += p.size
 	}
-	if l.archiveHead.modRevision == 0 {
+	if s.archiveHead.modRevision == 0 {
 		writes++ // the mark of the format
 	}
-	if writes > l.options.TxnOps || bytes > MaxTxnBytes || len(all) > len(chosen) && l.SpareWrites(now) < writes {
+	if writes > s.options.TxnOps || bytes > MaxTxnBytes || len(all) > len(chosen) && s.SpareWrites(now) < writes {
 		return chosen, nil
 	}
-	l.pendingMove = nil
+	s.pendingMove = nil
 	return all, move
 }
 
@@ -350,25 +350,25 @@
 // touches none of them; the leader's key is guarded as in all commits, and no part may be there
 // yet. After an unknown outcome the first part is read back. It speaks for all of them, so the
 // parts of a try have to be the same as those of the try before, if that one failed.
-func (l *Store) CreateArchiveParts(box *client.Outbox, parts []ArchivePart, done func(now time.Time, ok bool)) {
-	guards := []any{map[string]any{"path": l.options.LeaderKey, "mark": l.fencingToken}}
+func (s *Store) CreateArchiveParts(box *client.Outbox, parts []ArchivePart, done func(now time.Time, ok bool)) {
+	guards := []any{map[string]any{"path": s.options.LeaderKey, "mark": s.fencingToken}}
 	var apply []any
 	for _, p := range parts {
 		guards = append(guards, map[string]any{"path": p.Key, "mark": 0})
 		apply = append(apply, map[string]any{"write": p.Key, "value": archivePartValue{p.Text}})
 	}
-	l.sendArchiveCommit(box, guards, apply, func(now time.Time, r client.Result) {
+	s.sendArchiveCommit(box, guards, apply, func(now time.Time, r client.Result) {
 		if r.Status == 200 || !r.IsUncertain() && r.Status != 409 {
 			done(now, r.Status == 200)
 			return
 		}
 		refused := r.Status == 409
-		l.ReadArchivePart(box, parts[0].Key, time.Second, func(now time.Time, text string, status int) {
+		s.ReadArchivePart(box, parts[0].Key, time.Second, func(now time.Time, text string, status int) {
 			switch {
 			case status == 200 && text == parts[0].Text:
 				done(now, true) // an earlier try was executed late
 			case refused && (status == 200 || status == 404):
-				l.commitFenced(len(parts))
+				s.commitFenced(len(parts))
 			default:
 				done(now, false)
 			}
@@ -378,19 +378,19 @@
 
 // DeleteArchiveParts removes parts that were read, and only as they were read: a Discard that is executed late
 // finds other marks. If it fails, they have to be read again.
-func (l *Store) DeleteArchiveParts(box *client.Outbox, parts []ArchivePart, done func(now time.Time, ok bool)) {
-	guards := []any{map[string]any{"path": l.options.LeaderKey, "mark": l.fencingToken}}
+func (s *Store) DeleteArchiveParts(box *client.Outbox, parts []ArchivePart, done func(now time.Time, ok bool)) {
+	guards := []any{map[string]any{"path": s.options.LeaderKey, "mark": s.fencingToken}}
 	var apply []any
 	for _, p := range parts {
 		guards = append(guards, map[string]any{"path": p.Key, "mark": p.ModRevision})
 		apply = append(apply, map[string]any{"drop": p.Key})
 	}
-	l.sendArchiveCommit(box, guards, apply, func(now time.Time, r client.Result) { done(now, r.Status == 200) })
+	s.sendArchiveCommit(box, guards, apply, func(now time.Time, r client.Result) { done(now, r.Status == 200) })
 }
 
-func (l *Store) sendArchiveCommit(box *client.Outbox, guards, apply []any, done func(now time.Time, r client.Result)) {
-	l.writeLimiter.Take(len(apply))
-	l.call(box, client.Call{
+func (s *Store) sendArchiveCommit(box *client.Outbox, guards, apply []any, done func(now time.Time, r client.Result)) {
+	s.writeLimiter.Take(len(apply))
+	s.call(box, client.Call{
 		Method: "POST", Path: "/commit", Timeout: 1500 * time.Millisecond,
 		Body: map[string]any{"guards": guards, "apply": apply}, Done: done,
 	})
--- a/internal/controller/storage/commit.go
+++ b/internal/controller/storage/commit.go
@@ -12,37 +12,37 @@
 
 // One commit is in flight at a time. What became of one that nobody answered is read back before anything else is sent.
 
-func (l *Store) sendCommit(now time.Time, box *client.Outbox, pages []*page, move *entryMove) {
-	l.sequence++
-	txn := &transaction{sequence: l.sequence, pages: pages, move: move, guarded: pages}
-	guards := []any{map[string]any{"path": l.options.LeaderKey, "mark": l.fencingToken}}
+func (s *Store) sendCommit(now time.Time, box *client.Outbox, pages []*page, move *entryMove) {
+	s.sequence++
+	txn := &transaction{sequence: s.sequence, pages: pages, move: move, guarded: pages}
+	guards := []any{map[string]any{"path": s.options.LeaderKey, "mark": s.fencingToken}}
 	var apply []any
 	for _, p := range pages {
 		guards = append(guards, map[string]any{"path": p.key, "mark": p.modRevision})
-		value := pageValue{Sequence: txn.sequence, Leader: l.fencingToken, Entries: make(map[string]msgpack.RawMessage, len(p.entries))}
+		value := pageValue{Sequence: txn.sequence, Leader: s.fencingToken, Entries: make(map[string]msgpack.RawMessage, len(p.entries))}
 		for name, e := range p.entries {
 			value.Entries[name] = e.raw
 		}
 		if move != nil {
-			move.applyTo(p, p == l.archiveHead, value.Entries, l.entries)
+			move.applyTo(p, p == s.archiveHead, value.Entries, s.entries)
 		}
 		apply = append(apply, map[string]any{"write": p.key, "value": value})
 		txn.waiters = append(txn.waiters, p.waiters)
-		txn.wasDirty = append(txn.wasDirty, l.dirtyPages[p])
+		txn.wasDirty = append(txn.wasDirty, s.dirtyPages[p])
 		p.urgent, p.waiters = false, nil
-		delete(l.dirtyPages, p)
+		delete(s.dirtyPages, p)
 	}
 	if move != nil && move.source != nil && !slices.Contains(pages, move.source) {
 		// Copies are made of what is there: an earlier try that is executed late changes that.
 		guards = append(guards, map[string]any{"path": move.source.key, "mark": move.source.modRevision})
 		txn.guarded = append(slices.Clone(pages), move.source)
 	}
-	if move != nil && move.source == nil && l.archiveHead.modRevision == 0 {
+	if move != nil && move.source == nil && s.archiveHead.modRevision == 0 {
 		guards = append(guards, map[string]any{"path": formatKey, "mark": 0})
 		apply = append(apply, map[string]any{"write": formatKey, "value": formatVersion})
 	}
-	l.inFlight = txn
-	l.call(box, client.Call{
+	s.inFlight = txn
+	s.call(box, client.Call{
 		Method: "POST", Path: "/commit", Timeout: 1500 * time.Millisecond,
 		Body: map[string]any{"guards": guards, "apply": apply},
 		Done: func(now time.Time, r client.Result) {
@@ -50,41 +50,41 @@
 				Tide uint64 `msgpack:"tide"`
 			}
 			switch {
-			case r.Status == 200 && codec.Unmarshal(r.Body, &a) == nil && a.Tide > l.fencingToken:
-				l.commitSucceeded(now, a.Tide)
+			case r.Status == 200 && codec.Unmarshal(r.Body, &a) == nil && a.Tide > s.fencingToken:
+				s.commitSucceeded(now, a.Tide)
 			case r.IsUncertain() || r.Status == 200:
-				l.notifyUncertain(now)
-				l.readBack(now, box, 0, 0)
+				s.notifyUncertain(now)
+				s.readBack(now, box, 0, 0)
 			case r.Status == 409:
 				var c struct {
 					Failed []string `msgpack:"failed"`
 				}
-				if codec.Unmarshal(r.Body, &c) != nil || slices.Contains(c.Failed, l.options.LeaderKey) {
-					l.commitFenced(len(txn.pages))
+				if codec.Unmarshal(r.Body, &c) != nil || slices.Contains(c.Failed, s.options.LeaderKey) {
+					s.commitFenced(len(txn.pages))
 					return
 				}
-				l.notifyUncertain(now)
-				l.resolveConflict(now, box, 0)
+				s.notifyUncertain(now)
+				s.resolveConflict(now, box, 0)
 			case r.Status == 400:
-				l.handleMalformed(txn.pages)
-				l.requeue(now, r.RetryAfter)
+				s.handleMalformed(txn.pages)
+				s.requeue(now, r.RetryAfter)
 			default:
-				l.log.Info("a commit was not executed", "status", r.Status)
-				l.requeue(now, r.RetryAfter)
+				s.log.Info("a commit was not executed", "status", r.Status)
+				s.requeue(now, r.RetryAfter)
 			}
 		},
 	})
 }
 
-func (l *Store) commitSucceeded(now time.Time, modRevision uint64) {
-	txn := l.inFlight
-	l.inFlight = nil
-	l.failingSince, l.retryDelay = time.Time{}, 0
+func (s *Store) commitSucceeded(now time.Time, modRevision uint64) {
+	txn := s.inFlight
+	s.inFlight = nil
+	s.failingSince, s.retryDelay = time.Time{}, 0
 	for _, p := range txn.pages {
 		p.modRevision, p.hasStaleCopies = modRevision, false
 	}
 	if txn.move != nil {
-		l.applyMove(now, txn.move)
+		s.applyMove(now, txn.move)
 	}
 	for _, ws := range txn.waiters {
 		for _, w := range ws {
@@ -96,51 +96,51 @@
 	}
 }
 
-func (l *Store) commitFenced(writes int) {
-	l.log.Error("a commit was refused by its guards", "token", l.fencingToken, "writes", writes)
-	l.fenced = true
+func (s *Store) commitFenced(writes int) {
+	s.log.Error("a commit was refused by its guards", "token", s.fencingToken, "writes", writes)
+	s.fenced = true
 }
 
 // resolveConflict finds out whose write has come before a commit that the guard of a page refused: if the leader's key is as it was,
 // our own, an earlier try that was given up and carried out late. Then the pages are read back like after an unknown outcome.
-func (l *Store) resolveConflict(now time.Time, box *client.Outbox, after time.Duration) {
-	l.call(box, client.Call{
-		Method: "GET", Path: "/keys/" + l.options.LeaderKey, Delay: after, Timeout: time.Second,
+func (s *Store) resolveConflict(now time.Time, box *client.Outbox, after time.Duration) {
+	s.call(box, client.Call{
+		Method: "GET", Path: "/keys/" + s.options.LeaderKey, Delay: after, Timeout: time.Second,
 		Done: func(now time.Time, r client.Result) {
 			var a struct {
 				Mark uint64 `msgpack:"mark"`
 			}
 			switch {
-			case r.Status == 200 && codec.Unmarshal(r.Body, &a) == nil && a.Mark == l.fencingToken:
-				l.readBack(now, box, 0, 0)
+			case r.Status == 200 && codec.Unmarshal(r.Body, &a) == nil && a.Mark == s.fencingToken:
+				s.readBack(now, box, 0, 0)
 			case r.Status == 200 && a.Mark > 0, r.Status == 404:
-				l.commitFenced(len(l.inFlight.pages))
+				s.commitFenced(len(s.inFlight.pages))
 			default:
-				l.resolveConflict(now, box, l.nextRetryDelay())
+				s.resolveConflict(now, box, s.nextRetryDelay())
 			}
 		},
 	})
 }
 
 // nextRetryDelay is how long to wait after one more call that came to nothing.
-func (l *Store) nextRetryDelay() time.Duration {
-	l.retryDelay = min(max(2*l.retryDelay, 100*time.Millisecond), time.Second)
-	return l.retryDelay
+func (s *Store) nextRetryDelay() time.Duration {
+	s.retryDelay = min(max(2*s.retryDelay, 100*time.Millisecond), time.Second)
+	return s.retryDelay
 }
 
 // notifyUncertain tells the waiters that their change is not certain yet: those of the commit, and those whose changes wait behind
 // it. Until it is read back nothing else is sent, and in an outage users who had come a moment before it waited
 // for its whole length.
-func (l *Store) notifyUncertain(now time.Time) {
-	if l.failingSince.IsZero() {
-		l.failingSince = now
+func (s *Store) notifyUncertain(now time.Time) {
+	if s.failingSince.IsZero() {
+		s.failingSince = now
 	}
-	for _, ws := range l.inFlight.waiters {
+	for _, ws := range s.inFlight.waiters {
 		for _, w := range ws {
 			w(now, false)
 		}
 	}
-	for p := range l.dirtyPages {
+	for p := range s.dirtyPages {
 		for _, w := range p.waiters {
 			w(now, false)
 		}
@@ -148,18 +148,18 @@
 }
 
 // requeue puts the pages of the commit back.
-func (l *Store) requeue(now time.Time, after time.Duration) {
-	l.notifyUncertain(now)
-	txn := l.inFlight
-	l.inFlight = nil
-	l.retryAt = now.Add(min(max(l.nextRetryDelay(), after), 2*time.Second))
+func (s *Store) requeue(now time.Time, after time.Duration) {
+	s.notifyUncertain(now)
+	txn := s.inFlight
+	s.inFlight = nil
+	s.retryAt = now.Add(min(max(s.nextRetryDelay(), after), 2*time.Second))
 	for i, p := range txn.pages {
 		p.waiters = append(txn.waiters[i], p.waiters...)
 		if !txn.wasDirty[i] {
 			continue // it was written only for what was to leave it
 		}
-		if !l.dirtyPages[p] {
-			l.dirtyPages[p], p.dirtySince = true, now
+		if !s.dirtyPages[p] {
+			s.dirtyPages[p], p.dirtySince = true, now
 		}
 		p.urgent = true
 	}
@@ -173,10 +173,10 @@
 // marks and may be the one that was executed. mark is the revision at which the attempt
 // was found to be executed: it may be executed between the reading of two pages, so one
 // page that shows it speaks for all.
-func (l *Store) readBack(now time.Time, box *client.Outbox, index int, after time.Duration) {
-	txn := l.inFlight
+func (s *Store) readBack(now time.Time, box *client.Outbox, index int, after time.Duration) {
+	txn := s.inFlight
 	checked := txn.guarded[index]
-	l.call(box, client.Call{
+	s.call(box, client.Call{
 		Method: "GET", Path: "/keys/" + checked.key, Delay: after, Timeout: time.Second,
 		Done: func(now time.Time, r client.Result) {
 			var a struct {
@@ -185,29 +185,29 @@
 			}
 			switch {
 			case r.Status == 200 && codec.Unmarshal(r.Body, &a) == nil && a.Mark > 0:
-				if a.Value.Sequence == txn.sequence && a.Value.Leader == l.fencingToken {
-					l.commitSucceeded(now, a.Mark)
+				if a.Value.Sequence == txn.sequence && a.Value.Leader == s.fencingToken {
+					s.commitSucceeded(now, a.Mark)
 					return
 				}
-				if a.Mark != checked.modRevision && l.hasUncertainMove {
+				if a.Mark != checked.modRevision && s.hasUncertainMove {
 					// It may be a move that was executed, and that memory knows nothing of:
 					// what has left a page would be written into it again.
-					l.commitFenced(len(txn.pages))
+					s.commitFenced(len(txn.pages))
 					return
 				}
 				checked.modRevision = a.Mark
 			case r.Status == 404:
 				checked.modRevision = 0
 			default:
-				l.readBack(now, box, index, l.nextRetryDelay())
+				s.readBack(now, box, index, s.nextRetryDelay())
 				return
 			}
 			if index+1 < len(txn.guarded) {
-				l.readBack(now, box, index+1, 0)
+				s.readBack(now, box, index+1, 0)
 				return
 			}
-			l.hasUncertainMove = l.hasUncertainMove || txn.move != nil
-			l.requeue(now, 0)
+			s.hasUncertainMove = s.hasUncertainMove || txn.move != nil
+			s.requeue(now, 0)
 		},
 	})
 }
--- a/internal/controller/storage/split.go
+++ b/internal/controller/storage/split.go
@@ -18,7 +18,7 @@
 // the higher number counts, and no finished job leaves its page, which would bring its shadow back to life.
 
 // isOversized reports whether the page is larger than pages are to be.
-func (l *Store) isOversized(p *page) bool { return p.size > l.options.ValueBytes }
+func (s *Store) isOversized(p *page) bool { return p.size > s.options.ValueBytes }
 
 // encodedSize is how many JSON bytes the page has on the wire now; its size counts what its entries may grow to.
 func (p *page) encodedSize() int {
@@ -30,13 +30,13 @@
 }
 
 // isUnwritable reports that the page cannot be written as it is: the state service takes no values of that size any more.
-func (l *Store) isUnwritable(p *page) bool {
-	return l.limitsLowered && l.isOversized(p) && p.encodedSize() > l.options.ValueBytes
+func (s *Store) isUnwritable(p *page) bool {
+	return s.limitsLowered && s.isOversized(p) && p.encodedSize() > s.options.ValueBytes
 }
 
 // hasStaleCopies reports whether some page holds stale copies of entries.
-func (l *Store) hasStaleCopies() bool {
-	for _, p := range l.pages {
+func (s *Store) hasStaleCopies() bool {
+	for _, p := range s.pages {
 		if p.hasStaleCopies {
 			return true
 		}
@@ -46,36 +46,36 @@
 
 // nextSplit is the next transaction that makes a page smaller, nil if none is due or the budget does not allow it. What somebody
 // waits for goes first for a while.
-func (l *Store) nextSplit(now time.Time) *entryMove {
+func (s *Store) nextSplit(now time.Time) *entryMove {
 	var worst *page
-	for _, p := range l.pages {
-		if l.isOversized(p) && !p.unsplittable && (worst == nil || p.size > worst.size || p.size == worst.size && p.key < worst.key) {
+	for _, p := range s.pages {
+		if s.isOversized(p) && !p.unsplittable && (worst == nil || p.size > worst.size || p.size == worst.size && p.key < worst.key) {
 			worst = p
 		}
 	}
 	if worst == nil {
-		l.splitDueSince = time.Time{}
+		s.splitDueSince = time.Time{}
 		return nil
 	}
-	if l.splitDueSince.IsZero() {
-		l.splitDueSince = now
+	if s.splitDueSince.IsZero() {
+		s.splitDueSince = now
 	}
-	move, next := l.planSplit(worst)
+	move, next := s.planSplit(worst)
 	if len(move.removed) == 0 {
 		worst.unsplittable = true
-		l.log.Error("an entry is larger than the state service is to take", "page", worst.key, "bytes", worst.size, "limit", l.options.ValueBytes)
+		s.log.Error("an entry is larger than the state service is to take", "page", worst.key, "bytes", worst.size, "limit", s.options.ValueBytes)
 		return nil
 	}
-	if l.SpareWrites(now) < len(move.pages) && (now.Sub(l.splitDueSince) < 2*time.Second || l.writeLimiter.Available(now) < len(move.pages)) {
+	if s.SpareWrites(now) < len(move.pages) && (now.Sub(s.splitDueSince) < 2*time.Second || s.writeLimiter.Available(now) < len(move.pages)) {
 		return nil
 	}
-	l.nextPageNumber, l.splitDueSince = next, time.Time{}
+	s.nextPageNumber, s.splitDueSince = next, time.Time{}
 	return move
 }
 
 // planSplit picks the entries that leave a page, and the new pages that they go to, as many as one transaction can write. next is the
 // number of the page after those.
-func (l *Store) planSplit(source *page) (move *entryMove, next int) {
+func (s *Store) planSplit(source *page) (move *entryMove, next int) {
 	var targets []*page
 	names := make([]string, 0, len(source.entries))
 	for name := range source.entries {
@@ -84,21 +84,21 @@
 	sort.Strings(names)
 	move, next = &entryMove{removed: map[string]bool{}, source: source, targets: map[*page][]string{}, done: func(_ time.Time, ok bool) {
 		if !ok {
-			l.uncertainPage = &page{key: targets[len(targets)-1].key, entries: map[string]*entry{}, size: pageFrame}
+			s.uncertainPage = &page{key: targets[len(targets)-1].key, entries: map[string]*entry{}, size: pageFrame}
 		}
-	}}, l.nextPageNumber
-	most := l.options.TxnOps - 1
-	if l.limitsLowered {
-		most = l.options.TxnOps // the page itself may be too large to be written beside them
+	}}, s.nextPageNumber
+	most := s.options.TxnOps - 1
+	if s.limitsLowered {
+		most = s.options.TxnOps // the page itself may be too large to be written beside them
 	}
 	left, rest := source.size, source.encodedSize()
 	var current *page
 	for _, name := range names {
 		e := source.entries[name]
-		if left <= l.options.ValueBytes || e.size+pageFrame > l.options.ValueBytes {
+		if left <= s.options.ValueBytes || e.size+pageFrame > s.options.ValueBytes {
 			continue
 		}
-		if current == nil || current.size+e.size > l.options.ValueBytes {
+		if current == nil || current.size+e.size > s.options.ValueBytes {
 			if len(targets) == max(most, 1) {
 				break
 			}
@@ -115,7 +115,7 @@
 	for _, target := range targets {
 		target.size = pageFrame // counted anew when its entries arrive
 	}
-	if rest <= l.options.ValueBytes && len(targets) < l.options.TxnOps || !l.limitsLowered {
+	if rest <= s.options.ValueBytes && len(targets) < s.options.TxnOps || !s.limitsLowered {
 		targets = append([]*page{source}, targets...)
 	}
 	move.pages = targets
@@ -125,23 +125,23 @@
 // invalidateUncertainSplit writes a new page of a split that may be carried out yet, empty: that one guards it to be new. It has to be certain
 // before anything else is written. Carried out later, after a next try with other pages or a change of the page that was to be split, it
 // would leave copies that nobody knows of, and they would bring jobs back that had ended or been sealed since.
-func (l *Store) invalidateUncertainSplit(now time.Time, box *client.Outbox) {
-	if l.writeLimiter.Available(now) < 1 {
+func (s *Store) invalidateUncertainSplit(now time.Time, box *client.Outbox) {
+	if s.writeLimiter.Available(now) < 1 {
 		return
 	}
-	empty := l.uncertainPage
+	empty := s.uncertainPage
 	empty.waiters = []func(time.Time, bool){func(_ time.Time, ok bool) {
 		if ok {
-			l.pages[empty.key], l.uncertainPage = empty, nil
+			s.pages[empty.key], s.uncertainPage = empty, nil
 		}
 	}}
-	l.writeLimiter.Take(1)
-	l.sendCommit(now, box, []*page{empty}, nil)
+	s.writeLimiter.Take(1)
+	s.sendCommit(now, box, []*page{empty}, nil)
 }
 
 // applySplit makes a split in memory too, once it is durable. What has changed on the page meanwhile is to be written on the page
 // where it is now, and who waits for it waits for all of them.
-func (l *Store) applySplit(now time.Time, move *entryMove) {
+func (s *Store) applySplit(now time.Time, move *entryMove) {
 	source := move.source
 	all := []*page{source}
 	for _, target := range move.pages {
@@ -149,11 +149,11 @@
 			continue
 		}
 		all = append(all, target)
-		l.pages[target.key] = target
+		s.pages[target.key] = target
 		for _, name := range move.targets[target] {
 			e := source.entries[name]
 			if e == nil {
-				l.setDirty(now, target, false, nil) // it was dropped meanwhile
+				s.setDirty(now, target, false, nil) // it was dropped meanwhile
 				continue
 			}
 			delete(source.entries, name)
@@ -168,13 +168,13 @@
 	}
 	if !slices.Contains(move.pages, source) {
 		source.hasStaleCopies = true
-		l.setDirty(now, source, true, nil)
+		s.setDirty(now, source, true, nil)
 	}
-	if l.dirtyPages[source] {
+	if s.dirtyPages[source] {
 		waiters := source.waiters
 		source.waiters = nil
 		for _, target := range all {
-			l.setDirty(now, target, source.urgent, nil)
+			s.setDirty(now, target, source.urgent, nil)
 		}
 		for _, w := range waiters {
 			notifyWhenAllDurable(all, w)
@@ -200,22 +200,22 @@
 
 // handleMalformed takes in that the state service has refused a commit as malformed: it takes no values of that size any more, or
 // not so many changes at once. Nothing is sent again as it was.
-func (l *Store) handleMalformed(pages []*page) {
-	if slices.ContainsFunc(pages, func(p *page) bool { return p.encodedSize() > l.options.ValueBytes }) {
-		if !l.limitsLowered {
-			l.log.Error("the state service takes no values of the old size any more: the pages are split", "limit", l.options.ValueBytes)
+func (s *Store) handleMalformed(pages []*page) {
+	if slices.ContainsFunc(pages, func(p *page) bool { return p.encodedSize() > s.options.ValueBytes }) {
+		if !s.limitsLowered {
+			s.log.Error("the state service takes no values of the old size any more: the pages are split", "limit", s.options.ValueBytes)
 		}
-		l.limitsLowered = true
+		s.limitsLowered = true
 		return
 	}
-	if l.options.TxnOps > 1 {
-		l.options.TxnOps = max(l.options.TxnOps/2, 1)
-		l.log.Error(
+	if s.options.TxnOps > 1 {
+		s.options.TxnOps = max(s.options.TxnOps/2, 1)
+		s.log.Error(
 			"the state service calls a commit malformed: fewer changes are made at once",
 			"pages",
 			len(pages),
 			"at most",
-			l.options.TxnOps,
+			s.options.TxnOps,
 		)
 		return
 	}
@@ -223,5 +223,5 @@
 	for _, p := range pages {
 		keys = append(keys, p.key)
 	}
-	l.log.Error("the state service calls a commit malformed", "pages", strings.Join(keys, " "))
+	s.log.Error("the state service calls a commit malformed", "pages", strings.Join(keys, " "))
 }
--- a/internal/controller/storage/store.go
+++ b/internal/controller/storage/store.go
@@ -112,16 +112,16 @@
 }
 
 // Close makes answers that are still to come harmless.
-func (l *Store) Close() { *l.closed = 1 }
+func (s *Store) Close() { *s.closed = 1 }
 
 // IsLoaded reports whether all pages have been read.
-func (l *Store) IsLoaded() bool { return l.loaded }
+func (s *Store) IsLoaded() bool { return s.loaded }
 
 // IsFenced reports that somebody else has written, so that this leadership is over.
-func (l *Store) IsFenced() bool { return l.fenced }
+func (s *Store) IsFenced() bool { return s.fenced }
 
 // IsHealthy is false while commits do not get through.
-func (l *Store) IsHealthy() bool { return l.failingSince.IsZero() }
+func (s *Store) IsHealthy() bool { return s.failingSince.IsZero() }
 
 // pageValue is a page as it is kept. Leader and Seq name the commit that wrote it: a number alone is used again by the next
 // leader, which counts on from what it has read.
@@ -132,40 +132,40 @@
 }
 
 // Load reads all pages, and the index of the history beside them.
-func (l *Store) Load(box *client.Outbox) {
-	l.pendingLists = 2
-	l.loadKeys(box, PagePrefix, "", 0, l.installPage)
-	l.loadKeys(box, archivePrefix, "", 0, l.installArchiveKey)
+func (s *Store) Load(box *client.Outbox) {
+	s.pendingLists = 2
+	s.loadKeys(box, PagePrefix, "", 0, s.installPage)
+	s.loadKeys(box, archivePrefix, "", 0, s.installArchiveKey)
 }
 
-func (l *Store) loadKeys(box *client.Outbox, prefix, from string, after time.Duration, install func(keyValue) error) {
-	l.listKeys(box, prefix, from, after, 2*time.Second, func(now time.Time, rows []keyValue, more bool, status int) {
+func (s *Store) loadKeys(box *client.Outbox, prefix, from string, after time.Duration, install func(keyValue) error) {
+	s.listKeys(box, prefix, from, after, 2*time.Second, func(now time.Time, rows []keyValue, more bool, status int) {
 		if status != 200 {
-			l.loadKeys(box, prefix, from, 200*time.Millisecond, install)
+			s.loadKeys(box, prefix, from, 200*time.Millisecond, install)
 			return
 		}
 		for _, row := range rows {
 			if err := install(row); err != nil {
 				// Without it nobody could tell what there is: nothing is answered.
-				if !l.loggedUnreadable {
-					l.loggedUnreadable = true
-					l.log.Error("the ledger cannot be read, and is read again until it can", "key", row.Key, "error", err)
+				if !s.loggedUnreadable {
+					s.loggedUnreadable = true
+					s.log.Error("the ledger cannot be read, and is read again until it can", "key", row.Key, "error", err)
 				}
-				l.loadKeys(box, prefix, from, time.Second, install)
+				s.loadKeys(box, prefix, from, time.Second, install)
 				return
 			}
 			from = row.Key
 		}
 		if more && len(rows) > 0 {
-			l.loadKeys(box, prefix, from, 0, install)
+			s.loadKeys(box, prefix, from, 0, install)
 			return
 		}
-		l.pendingLists--
-		l.loaded = l.pendingLists == 0
+		s.pendingLists--
+		s.loaded = s.pendingLists == 0
 	})
 }
 
-func (l *Store) installPage(row keyValue) error {
+func (s *Store) installPage(row keyValue) error {
 	if row.ModRevision == 0 {
 		return fmt.Errorf("key %s comes without its mark", row.Key)
 	}
@@ -176,41 +176,41 @@
 	if err := msgpack.Unmarshal(row.Value, &value); err != nil {
 		return err
 	}
-	l.addPage(row.Key, row.ModRevision, value)
+	s.addPage(row.Key, row.ModRevision, value)
 	return nil
 }
 
-func (l *Store) addPage(key string, modRevision uint64, value pageValue) {
+func (s *Store) addPage(key string, modRevision uint64, value pageValue) {
 	newPage := &page{key: key, modRevision: modRevision, entries: map[string]*entry{}, size: pageFrame}
-	l.pages[key] = newPage
+	s.pages[key] = newPage
 	var number int
-	if _, err := fmt.Sscanf(key, PagePrefix+"%d", &number); err == nil && number >= l.nextPageNumber {
-		l.nextPageNumber = number + 1
+	if _, err := fmt.Sscanf(key, PagePrefix+"%d", &number); err == nil && number >= s.nextPageNumber {
+		s.nextPageNumber = number + 1
 	}
-	l.addEntries(newPage, value)
+	s.addEntries(newPage, value)
 	for name, e := range newPage.entries {
-		if older := l.entries[name]; older != nil {
+		if older := s.entries[name]; older != nil {
 			// The pages come in the order of their numbers: an earlier leader has copied it here.
 			delete(older.page.entries, name)
 			older.page.size -= older.size
-			older.page.hasStaleCopies, l.dirtyPages[older.page] = true, true
+			older.page.hasStaleCopies, s.dirtyPages[older.page] = true, true
 		}
-		l.entries[name] = e
+		s.entries[name] = e
 	}
 }
 
-func (l *Store) addEntries(target *page, value pageValue) {
+func (s *Store) addEntries(target *page, value pageValue) {
 	for name, raw := range value.Entries {
 		e := &entry{raw: raw, size: codec.JSONSize(raw) + len(name) + entryFrame, page: target}
 		target.entries[name] = e
 		target.size += e.size
 	}
-	l.sequence = max(l.sequence, value.Sequence)
+	s.sequence = max(s.sequence, value.Sequence)
 }
 
 // call sends a state call whose answer is dropped once the leadership is over.
-func (l *Store) call(box *client.Outbox, request client.Call) {
-	done, epoch := request.Done, l.closed
+func (s *Store) call(box *client.Outbox, request client.Call) {
+	done, epoch := request.Done, s.closed
 	request.Destination = client.StateService
 	request.Done = func(now time.Time, r client.Result) {
 		if *epoch == 0 {
@@ -221,28 +221,28 @@
 }
 
 // ForEach calls f with every entry.
-func (l *Store) ForEach(f func(name string, decode func(any) error)) {
-	names := make([]string, 0, len(l.entries))
-	for name := range l.entries {
+func (s *Store) ForEach(f func(name string, decode func(any) error)) {
+	names := make([]string, 0, len(s.entries))
+	for name := range s.entries {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		e := l.entries[name]
+		e := s.entries[name]
 		f(name, func(v any) error { return msgpack.Unmarshal(e.raw, v) })
 	}
 }
 
 // MaxEntryBytes is the most JSON bytes that the value of an entry may have, with a page to itself.
-func (l *Store) MaxEntryBytes(name string) int {
-	return l.options.ValueBytes - pageFrame - len(name) - entryFrame
+func (s *Store) MaxEntryBytes(name string) int {
+	return s.options.ValueBytes - pageFrame - len(name) - entryFrame
 }
 
 // Set changes an entry. reserve is the most JSON bytes its value may come to need while
 // it lives, 0 if it is what the value needs now; the entry never leaves its page. then, if given, is called with true once
 // the change is durable, or with false if that has become doubtful; in that case the
 // change stays and goes on to be written.
-func (l *Store) Set(now time.Time, name string, value any, reserve int, urgent bool, done func(now time.Time, ok bool)) error {
+func (s *Store) Set(now time.Time, name string, value any, reserve int, urgent bool, done func(now time.Time, ok bool)) error {
 	raw, err := codec.Marshal(value)
 	if err != nil {
 		return fmt.Errorf("entry %s: %w", name, err)
@@ -255,29 +255,29 @@
 		reserve = len(text)
 	}
 	size := reserve + len(name) + entryFrame
-	e := l.entries[name]
+	e := s.entries[name]
 	if e == nil {
-		target := l.choosePage(size)
+		target := s.choosePage(size)
 		if target == nil {
 			return fmt.Errorf("entry %s: %d bytes are more than a page holds", name, size)
 		}
 		e = &entry{page: target}
-		l.entries[name] = e
+		s.entries[name] = e
 		target.entries[name] = e
 	}
-	if size > e.size && e.page.size+size-e.size > l.options.ValueBytes {
+	if size > e.size && e.page.size+size-e.size > s.options.ValueBytes {
 		return fmt.Errorf("entry %s: grows to %d bytes, more than its page holds", name, size)
 	}
 	e.page.size += size - e.size
 	e.raw, e.size = raw, size
-	l.setDirty(now, e.page, urgent, done)
+	s.setDirty(now, e.page, urgent, done)
 	return nil
 }
 
 // Reserve makes sure that an entry that was loaded has its room: what is read back says
 // only how large it is, not how large it may come to be.
-func (l *Store) Reserve(name string, reserve int) {
-	e := l.entries[name]
+func (s *Store) Reserve(name string, reserve int) {
+	e := s.entries[name]
 	if e == nil {
 		return
 	}
@@ -288,17 +288,17 @@
 }
 
 // Delete removes an entry.
-func (l *Store) Delete(now time.Time, name string) {
-	e := l.entries[name]
+func (s *Store) Delete(now time.Time, name string) {
+	e := s.entries[name]
 	if e == nil {
 		return
 	}
-	l.removeEntry(name, e)
-	l.setDirty(now, e.page, false, nil)
+	s.removeEntry(name, e)
+	s.setDirty(now, e.page, false, nil)
 }
 
-func (l *Store) removeEntry(name string, e *entry) {
-	delete(l.entries, name)
+func (s *Store) removeEntry(name string, e *entry) {
+	delete(s.entries, name)
 	delete(e.page.entries, name)
 	e.page.size -= e.size
 	if e.finished {
@@ -306,9 +306,9 @@
 	}
 }
 
-func (l *Store) setDirty(now time.Time, dirtied *page, urgent bool, done func(time.Time, bool)) {
-	if !l.dirtyPages[dirtied] {
-		l.dirtyPages[dirtied], dirtied.dirtySince, dirtied.urgent = true, now, false
+func (s *Store) setDirty(now time.Time, dirtied *page, urgent bool, done func(time.Time, bool)) {
+	if !s.dirtyPages[dirtied] {
+		s.dirtyPages[dirtied], dirtied.dirtySince, dirtied.urgent = true, now, false
 	}
 	dirtied.urgent = dirtied.urgent || urgent
 	if done != nil {
@@ -318,13 +318,13 @@
 
 // choosePage finds a page for a new entry: a page that is to be written anyway if there is
 // one, else the fullest that has room, else a new one.
-func (l *Store) choosePage(size int) *page {
-	if size+pageFrame > l.options.ValueBytes {
+func (s *Store) choosePage(size int) *page {
+	if size+pageFrame > s.options.ValueBytes {
 		return nil
 	}
 	var best *page
 	better := func(a, b *page) bool {
-		da, db := l.dirtyPages[a], l.dirtyPages[b]
+		da, db := s.dirtyPages[a], s.dirtyPages[b]
 		if (da && a.urgent) != (db && b.urgent) {
 			return da && a.urgent
 		}
@@ -336,40 +336,40 @@
 		}
 		return a.key < b.key
 	}
-	for _, p := range l.pages {
-		if p.size+size <= l.options.ValueBytes && (best == nil || better(p, best)) {
+	for _, p := range s.pages {
+		if p.size+size <= s.options.ValueBytes && (best == nil || better(p, best)) {
 			best = p
 		}
 	}
 	if best == nil {
-		best = &page{key: pageKey(l.nextPageNumber), entries: map[string]*entry{}, size: pageFrame}
-		l.nextPageNumber++
-		l.pages[best.key] = best
+		best = &page{key: pageKey(s.nextPageNumber), entries: map[string]*entry{}, size: pageFrame}
+		s.nextPageNumber++
+		s.pages[best.key] = best
 	}
 	return best
 }
 
 // Flush sends the next commit if one is due.
-func (l *Store) Flush(now time.Time, box *client.Outbox) {
-	if !l.loaded || l.fenced || l.inFlight != nil || now.Before(l.retryAt) {
+func (s *Store) Flush(now time.Time, box *client.Outbox) {
+	if !s.loaded || s.fenced || s.inFlight != nil || now.Before(s.retryAt) {
 		return
 	}
 	var due []*page
-	for p := range l.dirtyPages {
-		if !l.isUnwritable(p) {
+	for p := range s.dirtyPages {
+		if !s.isUnwritable(p) {
 			due = append(due, p)
 		}
 	}
-	if l.uncertainPage != nil {
-		l.invalidateUncertainSplit(now, box)
+	if s.uncertainPage != nil {
+		s.invalidateUncertainSplit(now, box)
 		return
 	}
-	if m := l.nextSplit(now); m != nil {
-		l.writeLimiter.Take(len(m.pages))
-		l.sendCommit(now, box, m.pages, m)
+	if m := s.nextSplit(now); m != nil {
+		s.writeLimiter.Take(len(m.pages))
+		s.sendCommit(now, box, m.pages, m)
 		return
 	}
-	if len(due) == 0 && l.pendingMove == nil {
+	if len(due) == 0 && s.pendingMove == nil {
 		return
 	}
 	sort.Slice(due, func(i, j int) bool {
@@ -381,27 +381,27 @@
 		}
 		return due[i].key < due[j].key
 	})
-	budget := l.writeLimiter.Available(now)
+	budget := s.writeLimiter.Available(now)
 	var chosen []*page
 	bytes := 0
 	for _, p := range due {
 		// What nobody waits for leaves half of the budget to what somebody does.
-		if !p.urgent && (now.Sub(p.dirtySince) < l.options.BatchDelay || float64(budget-len(chosen)) < l.options.WriteRate/2) {
+		if !p.urgent && (now.Sub(p.dirtySince) < s.options.BatchDelay || float64(budget-len(chosen)) < s.options.WriteRate/2) {
 			continue
 		}
-		if len(chosen) >= min(budget, l.options.TxnOps) || len(chosen) > 0 && bytes+p.size > MaxTxnBytes {
+		if len(chosen) >= min(budget, s.options.TxnOps) || len(chosen) > 0 && bytes+p.size > MaxTxnBytes {
 			break
 		}
 		chosen = append(chosen, p)
 		bytes += p.size
 	}
-	pages, m := l.joinPendingMove(now, chosen)
+	pages, m := s.joinPendingMove(now, chosen)
 	if len(pages) == 0 {
 		return
 	}
-	l.writeLimiter.Take(len(pages))
-	if m != nil && l.archiveHead.modRevision == 0 {
-		l.writeLimiter.Take(1) // the mark of the format
+	s.writeLimiter.Take(len(pages))
+	if m != nil && s.archiveHead.modRevision == 0 {
+		s.writeLimiter.Take(1) // the mark of the format
 	}
-	l.sendCommit(now, box, pages, m)
+	s.sendCommit(now, box, pages, m)
 }
