--- a/internal/controller/archive/build.go
+++ b/internal/controller/archive/build.go
@@ -5,142 +5,86 @@
 	"time"
 
 	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/client"
 )
 
-// Tick does the next bit of what is due, one call at a time.
-func (s *Store) Tick(now time.Time, box *client.Outbox) {
-	if s.callInFlight || now.Before(s.retryAt) {
-		return
-	}
-	switch {
-	case s.building != nil:
-		s.advanceBuild(now, box)
-	case len(s.garbage) > 0:
-		s.collectGarbage(now, box)
-	case s.beginCompaction():
-	case s.beginArchiving(now):
-	case len(s.collected) > 0:
-		s.removeCollectedFromHead(now)
-	}
-}
-
-// recordCallResult books the answer to a call: whatever failed is tried again, ever more slowly.
-func (s *Store) recordCallResult(now time.Time, ok bool) bool {
-	s.callInFlight = false
-	if ok {
-		s.retryDelay = 0
-		return true
-	}
-	s.retryDelay = min(max(2*s.retryDelay, 200*time.Millisecond), 10*time.Second)
-	s.retryAt = now.Add(s.retryDelay)
-	return false
-}
-
-// listAllParts reads all parts below a prefix.
-func (s *Store) listAllParts(
-	box *client.Outbox,
-	prefix, from string,
-	collected []storage.ArchivePart,
-	done func(now time.Time, parts []storage.ArchivePart, ok bool),
-) {
-	s.storage.ListArchiveParts(box, prefix, from, func(now time.Time, parts []storage.ArchivePart, more, ok bool) {
-		collected = append(collected, parts...)
-		if ok && more && len(parts) > 0 {
-			s.listAllParts(box, prefix, parts[len(parts)-1].Key, collected, done)
-			return
-		}
-		done(now, collected, ok)
-	})
-}
+const (
+	// scanInterval is how often the pages are searched for finished jobs.
+	scanInterval = time.Second
+	// maxCompactedJobs is how many jobs a compacted segment may hold as long as the head has space for segments. Larger ones are
+	// not compacted again, which bounds what a compaction has to write.
+	maxCompactedJobs = 1 << 17
+	// compactionKeysPerStep is how many keys a compaction takes in one step: about half a millisecond.
+	compactionKeysPerStep = 2000
+	// compactionRetryDelay is how long to wait after a compaction that failed because a segment cannot be read.
+	compactionRetryDelay = time.Minute
+
+	headReserve    = 256 // JSON bytes of the head that are not for segments
+	headEntryBytes = 64  // JSON bytes that an entry of the head takes at most
+)
 
-// availableWrites is how many changes may be made now: a tenth of all at most, and none that somebody
-// waits for has to stand behind.
-func (s *Store) availableWrites(now time.Time) int {
-	return min(s.writeLimiter.Available(now), s.storage.SpareWrites(now), s.options.TxnOps)
+// segmentBuild is the segment under construction. Its parts count for nothing until the head names the segment, in the same commit in
+// which the jobs leave their pages or the compacted segments leave the head.
+type segmentBuild struct {
+	jobIDs         []string   // jobs that are archived, none for a compaction
+	sources        []*Segment // segments that are compacted
+	sourceData     [][]string // their data, as far as it has been read
+	compaction     *compaction
+	segment        *Segment // the result, once it is known
+	unwrittenParts []storage.ArchivePart
+	attemptedParts int // how many of them went out together in a try that failed
 }
 
-// collectGarbage removes a run's parts: they are listed with their marks, dropped as they were listed,
-// and listed again until there are none. The ledger's guards keep away what an earlier leader
-// has sent, and the marks what this one has.
-func (s *Store) collectGarbage(now time.Time, box *client.Outbox) {
-	target := s.garbage[0]
-	if len(target.parts) == 0 {
-		s.callInFlight = true
-		s.listGarbageParts(box, target, indexPrefix(target.number), func(now time.Time) {
-			s.callInFlight = true
-			s.listGarbageParts(box, target, dataPrefix(target.number), func(time.Time) {
-				if target.inHead {
-					s.collected = append(s.collected, target.number)
-				}
-				s.garbage = s.garbage[1:]
-			})
-		})
-		return
+// complete records the result with the texts of its data and its index, in the order in which they are written.
+func (b *segmentBuild) complete(result builtSegment) {
+	b.segment = result.segment
+	for i, text := range result.data {
+		b.unwrittenParts = append(b.unwrittenParts, storage.ArchivePart{Key: dataKey(b.segment.Number, i), Text: text})
 	}
-	n := min(s.availableWrites(now), len(target.parts))
-	if n < 1 {
-		return
+	for i, text := range result.index {
+		b.unwrittenParts = append(b.unwrittenParts, storage.ArchivePart{Key: indexKey(b.segment.Number, i), Text: text})
 	}
-	s.writeLimiter.Take(n)
-	s.callInFlight = true
-	s.storage.DeleteArchiveParts(box, target.parts[:n], func(now time.Time, ok bool) {
-		if s.recordCallResult(now, ok) {
-			target.parts = target.parts[n:]
-		} else {
-			target.parts = nil
-		}
-	})
 }
 
-func (s *Store) listGarbageParts(box *client.Outbox, target *garbageSegment, prefix string, none func(now time.Time)) {
-	s.storage.ListArchiveParts(box, prefix, "", func(now time.Time, parts []storage.ArchivePart, _, ok bool) {
-		if !s.recordCallResult(now, ok) {
-			return
-		}
-		if target.parts = parts; len(parts) == 0 {
-			none(now)
-		}
-	})
-}
+func (s *Store) maxPartBytes() int { return s.options.ValueBytes - partOverhead }
 
-// maxSegments is how many entries of runs the head may have and still take those that a merge
-// adds for a while.
+// maxSegments is how many segments the head may name and still take those that a compaction adds for a while.
 func (s *Store) maxSegments() int {
-	return max((s.options.ValueBytes-256)/64-s.options.CompactionFanIn-2, s.options.CompactionFanIn+2)
+	return max((s.options.ValueBytes-headReserve)/headEntryBytes-s.options.CompactionFanIn-2, s.options.CompactionFanIn+2)
 }
 
-// beginCompaction picks runs of one level, the oldest first.
+// beginCompaction picks segments of one level, the oldest first. It reports whether there is something to compact.
 func (s *Store) beginCompaction() bool {
 	byLevel := map[int][]*Segment{}
 	levels := 0
-	for _, r := range s.segments {
-		byLevel[r.Level] = append(byLevel[r.Level], r)
-		levels = max(levels, r.Level+1)
+	for _, segment := range s.segments {
+		byLevel[segment.Level] = append(byLevel[segment.Level], segment)
+		levels = max(levels, segment.Level+1)
 	}
 	for level := range levels {
-		list := byLevel[level]
-		if len(list) < s.options.CompactionFanIn {
+		sources := byLevel[level]
+		if len(sources) < s.options.CompactionFanIn {
 			continue
 		}
-		list = list[:s.options.CompactionFanIn]
+		sources = sources[:s.options.CompactionFanIn]
 		jobs := 0
-		for _, r := range list {
-			jobs += r.JobCount
+		for _, segment := range sources {
+			jobs += segment.JobCount
 		}
 		if jobs > maxCompactedJobs && len(s.segments) < s.maxSegments()/2 {
 			continue
 		}
-		s.log.Info("merging", "runs", len(list), "jobs", jobs, "into", s.nextNumber)
-		s.building = &segmentBuild{sources: slices.Clone(list)}
+		s.log.Info("compaction started", logkeys.Segment, s.nextNumber, logkeys.Level, level+1, logkeys.Count, jobs)
+		s.building = &segmentBuild{sources: slices.Clone(sources)}
 		return true
 	}
 	return false
 }
 
-// beginArchiving picks finished jobs that have been so for a while.
+// beginArchiving picks jobs that have been finished for a while. It reports whether there are enough.
 func (s *Store) beginArchiving(now time.Time) bool {
-	if now.Before(s.nextScanAt) || len(s.segments)+len(s.collected) >= s.maxSegments() {
+	if now.Before(s.nextScanAt) || len(s.segments)+len(s.garbage.collected) >= s.maxSegments() {
 		return false
 	}
 	s.nextScanAt = now.Add(scanInterval)
@@ -151,181 +95,158 @@
 	if len(jobIDs) < s.options.MinSegmentJobs {
 		return false
 	}
-	entries := make([]FinishedJob, 0, len(jobIDs))
+	jobs := make([]FinishedJob, 0, len(jobIDs))
 	for _, id := range jobIDs {
-		f, ok := s.options.FinalState(id)
+		state, ok := s.options.FinalState(id)
 		if !ok {
-			s.log.Error("a job that is to be sealed is not final", "job", id)
+			s.log.Error("job to be archived is not finished", logkeys.Job, id)
 			return false
 		}
-		entries = append(entries, FinishedJob{id, f})
+		jobs = append(jobs, FinishedJob{id, state})
 	}
-	segment, data, index, err := buildSegment(s.nextNumber, entries, s.options.ValueBytes-partOverhead)
+	result, err := buildSegment(s.nextNumber, jobs, s.maxPartBytes())
 	if err != nil {
-		s.log.Error("finished jobs cannot be sealed", "error", err)
+		s.log.Error("archiving failed", logkeys.Segment, s.nextNumber, logkeys.Err, err)
 		return false
 	}
-	s.log.Info("sealing", "jobs", len(jobIDs), "run", s.nextNumber)
+	s.log.Info("archiving started", logkeys.Segment, s.nextNumber, logkeys.Count, len(jobIDs))
 	s.building = &segmentBuild{jobIDs: jobIDs}
-	s.building.setSegment(segment, data, index)
+	s.building.complete(result)
 	return true
 }
 
-func (w *segmentBuild) setSegment(segment *Segment, data, index []string) {
-	w.segment = segment
-	for i, text := range data {
-		w.unwrittenParts = append(w.unwrittenParts, storage.ArchivePart{Key: dataKey(segment.Number, i), Text: text})
-	}
-	for i, text := range index {
-		w.unwrittenParts = append(w.unwrittenParts, storage.ArchivePart{Key: indexKey(segment.Number, i), Text: text})
-	}
-}
-
-// advanceBuild takes the run under construction a step further: the data of the runs that are
-// merged, the merge, the new parts, and last the commit that makes them count.
-func (s *Store) advanceBuild(now time.Time, box *client.Outbox) {
+// advanceBuild takes the segment under construction a step further: the data of the segments that are compacted, the compaction, the
+// new parts, and last the commit that makes them count.
+func (s *Store) advanceBuild(now time.Time, outbox *client.Outbox) {
 	build := s.building
 	switch {
 	case build.segment != nil && len(build.unwrittenParts) > 0:
-		s.writeParts(now, box)
+		s.writeParts(now, outbox)
 	case build.segment != nil:
 		s.commitSegment(now)
 	case len(build.sourceData) < len(build.sources):
-		if s.readLimiter.Available(now) < 1 {
-			return
-		}
-		s.readLimiter.Take(1)
-		s.callInFlight = true
-		s.listAllParts(
-			box,
-			dataPrefix(build.sources[len(build.sourceData)].Number),
-			"",
-			nil,
-			func(now time.Time, parts []storage.ArchivePart, ok bool) {
-				if !s.recordCallResult(now, ok) {
-					return
-				}
-				texts := make([]string, 0, len(parts))
-				for _, p := range parts {
-					texts = append(texts, p.Text)
-				}
-				build.sourceData = append(build.sourceData, texts)
-			},
-		)
+		s.readSource(now, outbox)
 	default:
 		s.advanceCompaction(now)
 	}
 }
 
-func (s *Store) advanceCompaction(now time.Time) {
-	build := s.building
-	fail := func(err error) {
-		// Nothing is lost: the runs stay as they are.
-		s.log.Error("runs cannot be merged", "error", err)
-		s.building, s.retryAt = nil, now.Add(time.Minute)
+// readSource reads the data of the next segment that is compacted.
+func (s *Store) readSource(now time.Time, outbox *client.Outbox) {
+	if s.calls.readLimiter.Available(now) < 1 {
+		return
 	}
-	if build.compaction == nil {
-		level := 0
-		build.compaction = &compaction{}
-		for i, segment := range build.sources {
-			reader, err := newSegmentReader(segment, build.sourceData[i])
-			if err != nil {
-				fail(err)
-				return
-			}
-			build.compaction.sources = append(build.compaction.sources, reader)
-			level = max(level, segment.Level+1)
+	s.calls.readLimiter.Take(1)
+	s.calls.inFlight = true
+	build := s.building
+	prefix := dataPrefix(build.sources[len(build.sourceData)].Number)
+	s.listAllTexts(outbox, prefix, "", []string{}, func(now time.Time, texts []string, ok bool) {
+		if s.calls.end(now, ok) {
+			build.sourceData = append(build.sourceData, texts)
 		}
-		build.compaction.builder = newSegmentBuilder(s.nextNumber, level, s.options.ValueBytes-partOverhead)
-	}
-	done, err := build.compaction.step(compactionKeysPerStep)
+	})
+}
+
+// listAllTexts appends the texts of all parts below a prefix to texts, from a key on.
+func (s *Store) listAllTexts(
+	outbox *client.Outbox, prefix, from string, texts []string, done func(now time.Time, texts []string, ok bool),
+) {
+	s.storage.ListArchiveParts(outbox, prefix, from, func(now time.Time, list storage.ArchivePartList, ok bool) {
+		for _, part := range list.Parts {
+			texts = append(texts, part.Text)
+		}
+		if ok && list.HasMore && len(list.Parts) > 0 {
+			s.listAllTexts(outbox, prefix, list.Parts[len(list.Parts)-1].Key, texts, done)
+			return
+		}
+		done(now, texts, ok)
+	})
+}
+
+// advanceCompaction merges the next keys. If it fails nothing is lost: the segments stay as they are.
+func (s *Store) advanceCompaction(now time.Time) {
+	result, done, err := s.stepCompaction()
 	if err != nil {
-		fail(err)
+		s.log.Error("compaction failed", logkeys.Segment, s.nextNumber, logkeys.Err, err)
+		s.building, s.calls.retryAt = nil, now.Add(compactionRetryDelay)
 		return
 	}
-	if !done {
-		return
+	if done {
+		s.building.compaction, s.building.sourceData = nil, nil
+		s.building.complete(result)
 	}
-	segment, data, index, err := build.compaction.builder.finish()
-	if err != nil {
-		fail(err)
-		return
+}
+
+func (s *Store) stepCompaction() (result builtSegment, done bool, err error) {
+	build := s.building
+	if build.compaction == nil {
+		if build.compaction, err = newCompaction(s.nextNumber, build.sources, build.sourceData, s.maxPartBytes()); err != nil {
+			return builtSegment{}, false, err
+		}
 	}
-	build.compaction, build.sourceData = nil, nil
-	build.setSegment(segment, data, index)
+	if done, err = build.compaction.step(compactionKeysPerStep); err != nil || !done {
+		return builtSegment{}, false, err
+	}
+	result, err = build.compaction.builder.finish()
+	return result, err == nil, err
 }
 
-func (s *Store) writeParts(now time.Time, box *client.Outbox) {
+// writeParts writes as many parts as one transaction and the budget allow. A try that failed may still be executed, so the next one is
+// the same.
+func (s *Store) writeParts(now time.Time, outbox *client.Outbox) {
 	build := s.building
-	n, bytes, spare := 0, 0, s.availableWrites(now)
-	for most := min(spare, len(build.unwrittenParts)); n < most && bytes+len(build.unwrittenParts[n].Text) < storage.MaxTxnBytes; n++ {
-		bytes += len(build.unwrittenParts[n].Text) + partOverhead
+	n, bytes, available := 0, 0, s.availableWrites(now)
+	for most := min(available, len(build.unwrittenParts)); n < most; n++ {
+		text := build.unwrittenParts[n].Text
+		if bytes+len(text) >= storage.MaxTxnBytes {
+			break
+		}
+		bytes += len(text) + partOverhead
 	}
 	if build.attemptedParts > 0 {
-		n = build.attemptedParts // a failed try may be executed yet: the next one is the same
+		n = build.attemptedParts
 	}
-	if n == 0 || n > spare {
+	if n == 0 || n > available {
 		return
 	}
-	s.writeLimiter.Take(n)
-	s.callInFlight = true
+	s.calls.writeLimiter.Take(n)
+	s.calls.inFlight = true
 	build.attemptedParts = n
-	s.storage.CreateArchiveParts(box, build.unwrittenParts[:n], func(now time.Time, ok bool) {
-		if s.recordCallResult(now, ok) {
+	s.storage.CreateArchiveParts(outbox, build.unwrittenParts[:n], func(now time.Time, ok bool) {
+		if s.calls.end(now, ok) {
 			build.unwrittenParts, build.attemptedParts = build.unwrittenParts[n:], 0
 		}
 	})
 }
 
-// commitSegment makes the run count: in one transaction the head names it and the jobs leave their
-// pages, or the runs that were merged leave the head.
+// commitSegment makes the segment count: in one transaction the head names it and the jobs leave their pages, or the segments that
+// were compacted leave the head.
 func (s *Store) commitSegment(now time.Time) {
 	build := s.building
-	head := map[string]any{segmentEntry(build.segment.Number): build.segment.record(), nextNumberEntry: s.nextNumber + 1}
-	for _, r := range build.sources {
-		head[segmentEntry(r.Number)] = nil
-		head[garbageEntry(r.Number)] = r.record()
+	changes := []storage.HeadChange{
+		{Name: segmentEntry(build.segment.Number), Value: build.segment.record()},
+		{Name: nextNumberEntry, Value: s.nextNumber + 1},
 	}
-	s.commitHead(now, build.jobIDs, head, func(now time.Time) {
-		s.segments = append(slices.DeleteFunc(s.segments, func(r *Segment) bool { return slices.Contains(build.sources, r) }), build.segment)
-		s.nextNumber++
-		s.building = nil
-		for _, r := range build.sources {
-			s.garbage = append(s.garbage, &garbageSegment{number: r.Number, inHead: true})
-		}
-		if len(build.jobIDs) > 0 {
-			s.options.OnArchived(build.jobIDs)
-		}
-		s.log.Info("sealed", "run", build.segment.Number, "level", build.segment.Level, "jobs", build.segment.JobCount, "runs", len(s.segments))
-	})
+	for _, source := range build.sources {
+		changes = append(changes,
+			storage.HeadChange{Name: segmentEntry(source.Number)},
+			storage.HeadChange{Name: garbageEntry(source.Number), Value: source.record()})
+	}
+	s.commitHead(now, build.jobIDs, changes, func() { s.endBuild(build) })
 }
 
-// removeCollectedFromHead takes garbage that is gone out of the head.
-func (s *Store) removeCollectedFromHead(now time.Time) { s.commitHead(now, nil, map[string]any{}, nil) }
-
-// commitHead has a commit of the head made, once the budget allows it.
-func (s *Store) commitHead(now time.Time, jobIDs []string, head map[string]any, done func(now time.Time)) {
-	collected := len(s.collected)
-	for _, n := range s.collected {
-		head[garbageEntry(n)] = nil
-	}
-	cost := s.storage.CommitArchiveCost(jobIDs)
-	if s.writeLimiter.Available(now) < cost {
-		return
+// endBuild records that a segment counts.
+func (s *Store) endBuild(build *segmentBuild) {
+	isSource := func(segment *Segment) bool { return slices.Contains(build.sources, segment) }
+	s.segments = append(slices.DeleteFunc(s.segments, isSource), build.segment)
+	s.nextNumber++
+	s.building = nil
+	for _, source := range build.sources {
+		s.garbage.segments = append(s.garbage.segments, &garbageSegment{number: source.Number, inHead: true})
 	}
-	s.writeLimiter.Take(cost)
-	s.callInFlight = true
-	err := s.storage.CommitArchive(jobIDs, head, func(now time.Time, ok bool) {
-		if !s.recordCallResult(now, ok) {
-			return
-		}
-		s.collected = s.collected[collected:]
-		if done != nil {
-			done(now)
-		}
-	})
-	if err != nil {
-		s.log.Error("the history's head cannot be written", "error", err)
-		s.recordCallResult(now, false)
+	if len(build.jobIDs) > 0 {
+		s.options.OnArchived(build.jobIDs)
 	}
+	s.log.Info("segment committed",
+		logkeys.Segment, build.segment.Number, logkeys.Level, build.segment.Level, logkeys.Count, build.segment.JobCount)
 }
--- a/internal/controller/archive/compaction.go
+++ b/internal/controller/archive/compaction.go
@@ -8,87 +8,139 @@
 	"github.com/RoaringBitmap/roaring/v2/roaring64"
 )
 
-// segmentReader walks one run that is merged.
+// segmentReader reads the keys of one segment in order, with their payloads.
 type segmentReader struct {
 	segment   *Segment
 	ids       roaring64.IntPeekable64
 	parts     []string
-	remaining []byte
-	nextPart  int // part of the data to be opened next
+	remaining []byte // of the part that is read
+	nextPart  int
 	rank      uint64
 }
 
-func newSegmentReader(r *Segment, data []string) (*segmentReader, error) {
-	if len(data) != len(r.partStarts) {
-		return nil, fmt.Errorf("run %d: %d parts of %d", r.Number, len(data), len(r.partStarts))
+func newSegmentReader(segment *Segment, parts []string) (*segmentReader, error) {
+	if len(parts) != len(segment.partStarts) {
+		return nil, fmt.Errorf("segment %d: %d parts of %d", segment.Number, len(parts), len(segment.partStarts))
 	}
-	return &segmentReader{segment: r, ids: r.ids.Iterator(), parts: data}, nil
+	return &segmentReader{segment: segment, ids: segment.ids.Iterator(), parts: parts}, nil
 }
 
-// next gives the next key and its payload.
-func (s *segmentReader) next() (key uint64, first []byte, err error) {
-	if s.nextPart < len(s.parts) && s.segment.partStarts[s.nextPart] == s.rank {
-		if s.remaining, err = base64.RawStdEncoding.DecodeString(s.parts[s.nextPart]); err != nil {
-			return 0, nil, fmt.Errorf("run %d: %w", s.segment.Number, err)
+// isAt reports whether the next key is this one.
+func (r *segmentReader) isAt(key uint64) bool { return r.ids.HasNext() && r.ids.PeekNext() == key }
+
+// next returns the payload of the next key.
+func (r *segmentReader) next() (payload []byte, err error) {
+	if r.nextPart < len(r.parts) && r.segment.partStarts[r.nextPart] == r.rank {
+		if r.remaining, err = base64.RawStdEncoding.DecodeString(r.parts[r.nextPart]); err != nil {
+			return nil, fmt.Errorf("segment %d: %w", r.segment.Number, err)
 		}
-		s.nextPart++
+		r.nextPart++
 	}
-	key = s.ids.Next()
-	s.rank++
-	if first, s.remaining, err = splitPayload(s.remaining, key >= hashedKeyBit); err != nil {
-		return 0, nil, fmt.Errorf("run %d, key %d: %w", s.segment.Number, key, err)
+	key := r.ids.Next()
+	r.rank++
+	if payload, r.remaining, err = splitPayload(r.remaining, key >= hashedKeyBit); err != nil {
+		return nil, fmt.Errorf("segment %d, key %d: %w", r.segment.Number, key, err)
 	}
-	return key, first, nil
+	return payload, nil
 }
 
-// compaction is a merge under way. It goes on a bounded number of keys at a time, since the owner
-// has other things to do.
+// compaction merges segments into one of the next level. It takes a bounded number of keys at a time, since the owner loop has other
+// things to do.
 type compaction struct {
 	sources []*segmentReader
 	builder *segmentBuilder
 }
 
-// step takes up to so many keys; done is true once all are taken.
-func (m *compaction) step(keys int) (done bool, err error) {
-	for range keys {
-		least, found := uint64(0), false
-		for _, s := range m.sources {
-			if s.ids.HasNext() {
-				if k := s.ids.PeekNext(); !found || k < least {
-					least, found = k, true
-				}
-			}
+func newCompaction(number uint64, segments []*Segment, data [][]string, maxPartBytes int) (*compaction, error) {
+	c := &compaction{}
+	level := 0
+	for i, segment := range segments {
+		reader, err := newSegmentReader(segment, data[i])
+		if err != nil {
+			return nil, err
 		}
-		if !found {
+		c.sources = append(c.sources, reader)
+		level = max(level, segment.Level+1)
+	}
+	c.builder = newSegmentBuilder(number, level, maxPartBytes)
+	return c, nil
+}
+
+// step merges up to so many keys; done is true once all are merged.
+func (c *compaction) step(keys int) (done bool, err error) {
+	for range keys {
+		key, ok := c.leastKey()
+		if !ok {
 			return true, nil
 		}
-		var all []byte
-		jobs := uint64(0)
-		for _, s := range m.sources {
-			if !s.ids.HasNext() || s.ids.PeekNext() != least {
-				continue
-			}
-			_, p, err := s.next()
-			if err != nil {
-				return false, err
-			}
-			if least < hashedKeyBit {
-				if jobs > 0 {
-					return false, fmt.Errorf("key %d is in run %d and in another", least, s.segment.Number)
-				}
-				all, jobs = p, 1
-				continue
-			}
-			n, rest, err := readUvarint(p)
-			if err != nil {
-				return false, err
-			}
-			all, jobs = append(all, rest...), jobs+n
-		}
-		if least >= hashedKeyBit {
-			all = append(binary.AppendUvarint(nil, jobs), all...)
+		if err := c.mergeKey(key); err != nil {
+			return false, err
 		}
-		m.builder.add(least, all, int(jobs))
 	}
 	return false, nil
 }
+
+// leastKey is the least key that has not been merged.
+func (c *compaction) leastKey() (least uint64, ok bool) {
+	for _, source := range c.sources {
+		if !source.ids.HasNext() {
+			continue
+		}
+		if key := source.ids.PeekNext(); !ok || key < least {
+			least, ok = key, true
+		}
+	}
+	return least, ok
+}
+
+func (c *compaction) mergeKey(key uint64) error {
+	merge := c.mergeExact
+	if key >= hashedKeyBit {
+		merge = c.mergeHashed
+	}
+	payload, jobs, err := merge(key)
+	if err != nil {
+		return err
+	}
+	c.builder.add(key, payload, jobs)
+	return nil
+}
+
+// mergeExact takes the payload of a key that stands for one job. Only one segment may hold it.
+func (c *compaction) mergeExact(key uint64) (payload []byte, jobs int, err error) {
+	for _, source := range c.sources {
+		if !source.isAt(key) {
+			continue
+		}
+		next, err := source.next()
+		if err != nil {
+			return nil, 0, err
+		}
+		if jobs > 0 {
+			return nil, 0, fmt.Errorf("key %d is in segment %d and in another", key, source.segment.Number)
+		}
+		payload, jobs = next, 1
+	}
+	return payload, jobs, nil
+}
+
+// mergeHashed joins the payloads of a key that stands for all jobs whose IDs have this hash.
+func (c *compaction) mergeHashed(key uint64) (payload []byte, jobs int, err error) {
+	var all []byte
+	var count uint64
+	for _, source := range c.sources {
+		if !source.isAt(key) {
+			continue
+		}
+		next, err := source.next()
+		if err != nil {
+			return nil, 0, err
+		}
+		n, rest, err := readUvarint(next)
+		if err != nil {
+			return nil, 0, err
+		}
+		all, count = append(all, rest...), count+n
+	}
+	return append(binary.AppendUvarint(nil, count), all...), int(count), nil
+}
--- /dev/null
+++ b/internal/controller/archive/encoding.go
@@ -0,0 +1,214 @@
+package archive
+
+import (
+	"encoding/base64"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"strings"
+
+	"github.com/RoaringBitmap/roaring/v2/roaring64"
+)
+
+// The encoding of a segment, before base64:
+//
+//	index    number of data parts, the ranks at which they begin as differences, the keys, the keys of cancelled jobs;
+//	         the last two are roaring bitmaps with their size before them
+//	data     the payloads of the keys in order, cut into parts between two keys
+//	payload  of an exact key: the job's final state
+//	         of a hashed key: how many jobs share it, and for each the length of its digits, the digits, its final state
+//
+// All numbers are varints, but for the length of the digits, which is one byte.
+
+// cancelledBit is the bit of an encoded final state that says whether the job was cancelled; the task count is above it.
+const cancelledBit = 1
+
+// errTruncated reports that an encoded segment ends early.
+var errTruncated = errors.New("truncated")
+
+// IndexError reports that a segment's index cannot be encoded or decoded.
+type IndexError struct {
+	Segment uint64 // number
+	Err     error
+}
+
+func (e *IndexError) Error() string { return fmt.Sprintf("index of segment %d: %v", e.Segment, e.Err) }
+
+func (e *IndexError) Unwrap() error { return e.Err }
+
+func encodeIndex(segment *Segment) ([]byte, error) {
+	raw := binary.AppendUvarint(nil, uint64(len(segment.partStarts)))
+	before := uint64(0)
+	for _, start := range segment.partStarts {
+		raw = binary.AppendUvarint(raw, start-before)
+		before = start
+	}
+	for _, bitmap := range []*roaring64.Bitmap{segment.ids, segment.cancelled} {
+		bytes, err := bitmap.ToBytes()
+		if err != nil {
+			return nil, fmt.Errorf("encode bitmap: %w", err)
+		}
+		raw = binary.AppendUvarint(raw, uint64(len(bytes)))
+		raw = append(raw, bytes...)
+	}
+	return raw, nil
+}
+
+// parseSegment decodes a segment's index. The error is an IndexError.
+func parseSegment(number uint64, record SegmentRecord, index []string) (*Segment, error) {
+	segment := &Segment{Number: number, Level: record.Level, JobCount: record.JobCount, indexParts: len(index)}
+	if err := segment.decodeIndex(strings.Join(index, "")); err != nil {
+		return nil, &IndexError{Segment: number, Err: err}
+	}
+	if len(index) != record.IndexParts || len(segment.partStarts) != record.DataParts {
+		err := fmt.Errorf("%d and %d parts, the head says %d and %d",
+			len(index), len(segment.partStarts), record.IndexParts, record.DataParts)
+		return nil, &IndexError{Segment: number, Err: err}
+	}
+	return segment, nil
+}
+
+func (s *Segment) decodeIndex(text string) error {
+	raw, err := base64.RawStdEncoding.DecodeString(text)
+	if err != nil {
+		return fmt.Errorf("decode base64: %w", err)
+	}
+	parts, raw, err := readUvarint(raw)
+	if err != nil || parts > uint64(len(raw)) {
+		return errTruncated
+	}
+	start := uint64(0)
+	for range parts {
+		var difference uint64
+		if difference, raw, err = readUvarint(raw); err != nil {
+			return err
+		}
+		start += difference
+		s.partStarts = append(s.partStarts, start)
+	}
+	if s.ids, raw, err = readBitmap(raw); err != nil {
+		return err
+	}
+	s.cancelled, _, err = readBitmap(raw)
+	return err
+}
+
+func readBitmap(raw []byte) (bitmap *roaring64.Bitmap, rest []byte, err error) {
+	size, raw, err := readUvarint(raw)
+	if err != nil || size > uint64(len(raw)) {
+		return nil, nil, errTruncated
+	}
+	bitmap = roaring64.New()
+	if err := bitmap.UnmarshalBinary(raw[:size]); err != nil {
+		return nil, nil, fmt.Errorf("decode bitmap: %w", err)
+	}
+	return bitmap, raw[size:], nil
+}
+
+func readUvarint(raw []byte) (value uint64, rest []byte, err error) {
+	value, n := binary.Uvarint(raw)
+	if n <= 0 {
+		return 0, nil, errTruncated
+	}
+	return value, raw[n:], nil
+}
+
+// encodePayload encodes the jobs that share a key.
+func encodePayload(key uint64, jobs []FinishedJob) []byte {
+	if key < hashedKeyBit {
+		return appendFinalState(nil, jobs[0].FinalState)
+	}
+	raw := binary.AppendUvarint(nil, uint64(len(jobs)))
+	for _, job := range jobs {
+		digits := strings.TrimPrefix(job.ID, jobIDPrefix)
+		raw = append(raw, byte(len(digits)))
+		raw = append(raw, digits...)
+		raw = appendFinalState(raw, job.FinalState)
+	}
+	return raw
+}
+
+func appendFinalState(raw []byte, state FinalState) []byte {
+	value := uint64(state.Tasks) << 1
+	if state.Cancelled {
+		value |= cancelledBit
+	}
+	return binary.AppendUvarint(raw, value)
+}
+
+func readFinalState(raw []byte) (state FinalState, rest []byte, err error) {
+	value, rest, err := readUvarint(raw)
+	return FinalState{Cancelled: value&cancelledBit != 0, Tasks: int(value >> 1)}, rest, err
+}
+
+// readDigits reads the digits of a hashed ID.
+func readDigits(raw []byte) (digits, rest []byte, err error) {
+	if len(raw) == 0 || len(raw) < 1+int(raw[0]) {
+		return nil, nil, errTruncated
+	}
+	end := 1 + int(raw[0])
+	return raw[1:end], raw[end:], nil
+}
+
+// readJobCount reads how many jobs the payload of a key has.
+func readJobCount(raw []byte, hashed bool) (count uint64, rest []byte, err error) {
+	if !hashed {
+		return 1, raw, nil
+	}
+	return readUvarint(raw)
+}
+
+// splitPayload takes the payload of one key off the front of a part.
+func splitPayload(raw []byte, hashed bool) (payload, rest []byte, err error) {
+	count, rest, err := readJobCount(raw, hashed)
+	if err != nil {
+		return nil, nil, err
+	}
+	for range count {
+		if hashed {
+			if _, rest, err = readDigits(rest); err != nil {
+				return nil, nil, err
+			}
+		}
+		if _, rest, err = readFinalState(rest); err != nil {
+			return nil, nil, err
+		}
+	}
+	return raw[:len(raw)-len(rest)], rest, nil
+}
+
+// findJob reads one job from a part of the data: place is how many keys of the part come before the job's key. found is false if the
+// key's jobs are others.
+func findJob(text string, place int, key uint64, id string) (state FinalState, found bool, err error) {
+	raw, err := base64.RawStdEncoding.DecodeString(text)
+	if err != nil {
+		return FinalState{}, false, fmt.Errorf("decode base64: %w", err)
+	}
+	hashed := key >= hashedKeyBit
+	for range place {
+		if _, raw, err = splitPayload(raw, hashed); err != nil {
+			return FinalState{}, false, err
+		}
+	}
+	count, raw, err := readJobCount(raw, hashed)
+	if err != nil {
+		return FinalState{}, false, err
+	}
+	for range count {
+		isJob := true
+		if hashed {
+			var digits []byte
+			if digits, raw, err = readDigits(raw); err != nil {
+				return FinalState{}, false, err
+			}
+			isJob = string(digits) == strings.TrimPrefix(id, jobIDPrefix)
+		}
+		if state, raw, err = readFinalState(raw); err != nil {
+			return FinalState{}, false, err
+		}
+		if isJob {
+			return state, true, nil
+		}
+	}
+	return FinalState{}, false, nil
+}
--- a/internal/controller/archive/model_test.go
+++ b/internal/controller/archive/model_test.go
@@ -88,8 +88,8 @@
 
 // guardsLeader: nothing is written but under the leader's mark.
 func guardsLeader(c client.Call) bool {
-	for _, g := range c.Body.(map[string]any)["guards"].([]any) {
-		if g.(map[string]any)["path"] == leaderKey {
+	for _, precondition := range c.Body.(storage.CommitRequest).Preconditions {
+		if precondition.Key == leaderKey {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/controller/archive/tick.go
@@ -0,0 +1,86 @@
+package archive
+
+import (
+	"time"
+
+	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/logkeys"
+	"gullrudder/internal/wire/client"
+)
+
+const (
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 10 * time.Second
+)
+
+// backgroundCalls limits the calls of the background work: one at a time, at a share of the state service's limits.
+type backgroundCalls struct {
+	inFlight     bool
+	retryAt      time.Time
+	retryDelay   time.Duration
+	writeLimiter *client.RateLimiter
+	readLimiter  *client.RateLimiter
+}
+
+// end records the result of a call. A call that failed is made again, after a delay that doubles.
+func (c *backgroundCalls) end(now time.Time, ok bool) bool {
+	c.inFlight = false
+	if ok {
+		c.retryDelay = 0
+		return true
+	}
+	c.retryDelay = min(max(2*c.retryDelay, minRetryDelay), maxRetryDelay)
+	c.retryAt = now.Add(c.retryDelay)
+	return false
+}
+
+// Tick does the next step of the background work, at most one call at a time.
+func (s *Store) Tick(now time.Time, outbox *client.Outbox) {
+	if s.calls.inFlight || now.Before(s.calls.retryAt) {
+		return
+	}
+	switch {
+	case s.building != nil:
+		s.advanceBuild(now, outbox)
+	case len(s.garbage.segments) > 0:
+		s.collectGarbage(now, outbox)
+	case s.beginCompaction():
+	case s.beginArchiving(now):
+	case len(s.garbage.collected) > 0:
+		s.commitHead(now, nil, nil, nil)
+	}
+}
+
+// availableWrites is how many changes may be made now: the archive's share at most, and none that somebody else's change would have
+// to wait for.
+func (s *Store) availableWrites(now time.Time) int {
+	return min(s.calls.writeLimiter.Available(now), s.storage.SpareWrites(now), s.options.TxnOps)
+}
+
+// commitHead has the archive's head changed and jobs taken off their pages in one commit, once the budget allows it. Garbage that was
+// collected leaves the head with it. done, unless nil, is called once the commit was executed.
+func (s *Store) commitHead(now time.Time, jobIDs []string, changes []storage.HeadChange, done func()) {
+	collected := len(s.garbage.collected)
+	for _, number := range s.garbage.collected {
+		changes = append(changes, storage.HeadChange{Name: garbageEntry(number)})
+	}
+	cost := s.storage.CommitArchiveCost(jobIDs)
+	if s.calls.writeLimiter.Available(now) < cost {
+		return
+	}
+	s.calls.writeLimiter.Take(cost)
+	s.calls.inFlight = true
+	err := s.storage.CommitArchive(jobIDs, changes, func(now time.Time, ok bool) {
+		if !s.calls.end(now, ok) {
+			return
+		}
+		s.garbage.collected = s.garbage.collected[collected:]
+		if done != nil {
+			done()
+		}
+	})
+	if err != nil {
+		s.log.Error("archive head not written", logkeys.Err, err)
+		s.calls.end(now, false)
+	}
+}
--- a/internal/controller/past_test.go
+++ b/internal/controller/past_test.go
@@ -9,6 +9,7 @@
 	"gullrudder/internal/config"
 	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/server"
@@ -30,9 +31,9 @@
 		return client.Result{Status: 503}
 	case call.Path == "/commit":
 		service.revision++
-		for _, action := range call.Body.(map[string]any)["apply"].([]any) {
-			if key, ok := action.(map[string]any)["write"].(string); ok {
-				service.values[key], service.modRevisions[key] = action.(map[string]any)["value"], service.revision
+		for _, change := range call.Body.(storage.CommitRequest).Changes {
+			if change.Write != "" {
+				service.values[change.Write], service.modRevisions[change.Write] = change.Value, service.revision
 			}
 		}
 		body = map[string]uint64{"tide": service.revision}
--- a/internal/controller/storage/commit.go
+++ b/internal/controller/storage/commit.go
@@ -1,165 +1,199 @@
 package storage
 
 import (
+	"net/http"
 	"slices"
 	"time"
 
+	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
+)
+
+const (
+	commitPath  = "/commit"
+	keyPath     = "/keys/"
+	readTimeout = time.Second
+	// commitTimeout is longer than readTimeout: the state service syncs its disk before it answers a commit.
+	commitTimeout = 1500 * time.Millisecond
 
-	"github.com/vmihailenco/msgpack/v5"
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = time.Second
+	// maxRequeueDelay bounds the wait that the state service may ask for after a commit that was not executed.
+	maxRequeueDelay = 2 * time.Second
 )
 
-// One commit is in flight at a time. What became of one that nobody answered is read back before anything else is sent.
+// commitState is what becomes of the commits.
+//
+// One commit is in flight at a time. If nobody answers it, it may be executed at any later time, so its outcome is read back before
+// anything else is written.
+type commitState struct {
+	sequence     uint64 // of the last commit
+	inFlight     *transaction
+	retryAt      time.Time
+	retryDelay   time.Duration
+	failingSince time.Time // zero while commits get through
+}
+
+// transaction is a commit in flight.
+type transaction struct {
+	sequence uint64
+	pages    []*page // pages that it writes
+	wasDirty []bool  // which of them had unsaved changes
+	waiters  [][]DoneFunc
+	move     *entryMove // entries that move in the same commit, or nil
+	guarded  []*page    // pages whose revision it requires
+}
 
-func (s *Store) sendCommit(now time.Time, box *client.Outbox, pages []*page, move *entryMove) {
-	s.sequence++
-	txn := &transaction{sequence: s.sequence, pages: pages, move: move, guarded: pages}
-	guards := []any{map[string]any{"path": s.options.LeaderKey, "mark": s.fencingToken}}
-	var apply []any
+// sendCommit writes pages as they are now, and as a move leaves them if there is one.
+func (s *Store) sendCommit(outbox *client.Outbox, pages []*page, move *entryMove) {
+	s.commits.sequence++
+	txn := &transaction{sequence: s.commits.sequence, pages: pages, move: move, guarded: pages}
+	request := CommitRequest{Preconditions: []Precondition{s.requireLeadership()}}
 	for _, p := range pages {
-		guards = append(guards, map[string]any{"path": p.key, "mark": p.modRevision})
-		value := pageValue{Sequence: txn.sequence, Leader: s.fencingToken, Entries: make(map[string]msgpack.RawMessage, len(p.entries))}
-		for name, e := range p.entries {
-			value.Entries[name] = e.raw
-		}
+		request.Preconditions = append(request.Preconditions, Precondition{Key: p.key, ModRevision: p.modRevision})
+		value := p.value(s.fencingToken, txn.sequence)
 		if move != nil {
-			move.applyTo(p, p == s.archiveHead, value.Entries, s.entries)
+			move.applyTo(p, p == s.archive.head, value.Entries, s.pages.entries)
 		}
-		apply = append(apply, map[string]any{"write": p.key, "value": value})
+		request.Changes = append(request.Changes, Change{Write: p.key, Value: value})
 		txn.waiters = append(txn.waiters, p.waiters)
-		txn.wasDirty = append(txn.wasDirty, s.dirtyPages[p])
+		txn.wasDirty = append(txn.wasDirty, s.pages.dirty[p])
 		p.urgent, p.waiters = false, nil
-		delete(s.dirtyPages, p)
+		delete(s.pages.dirty, p)
 	}
 	if move != nil && move.source != nil && !slices.Contains(pages, move.source) {
-		// Copies are made of what is there: an earlier try that is executed late changes that.
-		guards = append(guards, map[string]any{"path": move.source.key, "mark": move.source.modRevision})
+		// The page that is copied has to be as it is known here: an earlier commit that is executed late would change it.
+		source := Precondition{Key: move.source.key, ModRevision: move.source.modRevision}
+		request.Preconditions = append(request.Preconditions, source)
 		txn.guarded = append(slices.Clone(pages), move.source)
 	}
-	if move != nil && move.source == nil && s.archiveHead.modRevision == 0 {
-		guards = append(guards, map[string]any{"path": formatKey, "mark": 0})
-		apply = append(apply, map[string]any{"write": formatKey, "value": formatVersion})
-	}
-	s.inFlight = txn
-	s.call(box, client.Call{
-		Method: "POST", Path: "/commit", Timeout: 1500 * time.Millisecond,
-		Body: map[string]any{"guards": guards, "apply": apply},
-		Done: func(now time.Time, r client.Result) {
-			var a struct {
-				Tide uint64 `msgpack:"tide"`
-			}
-			switch {
-			case r.Status == 200 && codec.Unmarshal(r.Body, &a) == nil && a.Tide > s.fencingToken:
-				s.commitSucceeded(now, a.Tide)
-			case r.IsUncertain() || r.Status == 200:
-				s.notifyUncertain(now)
-				s.readBack(now, box, 0, 0)
-			case r.Status == 409:
-				var c struct {
-					Failed []string `msgpack:"failed"`
-				}
-				if codec.Unmarshal(r.Body, &c) != nil || slices.Contains(c.Failed, s.options.LeaderKey) {
-					s.commitFenced(len(txn.pages))
-					return
-				}
-				s.notifyUncertain(now)
-				s.resolveConflict(now, box, 0)
-			case r.Status == 400:
-				s.handleMalformed(txn.pages)
-				s.requeue(now, r.RetryAfter)
-			default:
-				s.log.Info("a commit was not executed", "status", r.Status)
-				s.requeue(now, r.RetryAfter)
-			}
-		},
+	if move != nil && move.source == nil && s.archive.head.modRevision == 0 {
+		request.Preconditions = append(request.Preconditions, requireAbsent(formatKey))
+		request.Changes = append(request.Changes, Change{Write: formatKey, Value: formatVersion})
+	}
+	s.commits.inFlight = txn
+	s.send(outbox, client.Call{
+		Method: http.MethodPost, Path: commitPath, Timeout: commitTimeout, Body: request,
+		Done: func(now time.Time, r client.Result) { s.handleCommitResult(now, outbox, r) },
 	})
 }
 
-func (s *Store) commitSucceeded(now time.Time, modRevision uint64) {
-	txn := s.inFlight
-	s.inFlight = nil
-	s.failingSince, s.retryDelay = time.Time{}, 0
+// requireLeadership requires that no other leader was elected since.
+func (s *Store) requireLeadership() Precondition {
+	return Precondition{Key: s.options.LeaderKey, ModRevision: s.fencingToken}
+}
+
+func (s *Store) handleCommitResult(now time.Time, outbox *client.Outbox, r client.Result) {
+	txn := s.commits.inFlight
+	var executed commitResponse
+	switch {
+	case r.Status == http.StatusOK && codec.Unmarshal(r.Body, &executed) == nil && executed.Revision > s.fencingToken:
+		s.commitSucceeded(now, executed.Revision)
+	case r.IsUncertain() || r.Status == http.StatusOK:
+		s.notifyUncertain(now)
+		s.readBack(outbox, 0, 0)
+	case r.Status == http.StatusConflict:
+		var conflict commitConflict
+		if codec.Unmarshal(r.Body, &conflict) != nil || slices.Contains(conflict.FailedKeys, s.options.LeaderKey) {
+			s.commitFenced(len(txn.pages))
+			return
+		}
+		s.notifyUncertain(now)
+		s.resolveConflict(outbox, 0)
+	case r.Status == http.StatusBadRequest:
+		s.handleMalformed(txn.pages)
+		s.requeue(now, r.RetryAfter)
+	default:
+		s.log.Info("commit not executed", logkeys.Status, r.Status)
+		s.requeue(now, r.RetryAfter)
+	}
+}
+
+// commitSucceeded records that the commit in flight was executed at a revision.
+func (s *Store) commitSucceeded(now time.Time, revision uint64) {
+	txn := s.commits.inFlight
+	s.commits.inFlight = nil
+	s.commits.failingSince, s.commits.retryDelay = time.Time{}, 0
 	for _, p := range txn.pages {
-		p.modRevision, p.hasStaleCopies = modRevision, false
+		p.modRevision, p.hasStaleCopies = revision, false
 	}
 	if txn.move != nil {
 		s.applyMove(now, txn.move)
 	}
-	for _, ws := range txn.waiters {
-		for _, w := range ws {
-			w(now, true)
-		}
+	for _, waiters := range txn.waiters {
+		notify(now, waiters, true)
 	}
 	if txn.move != nil {
 		txn.move.done(now, true)
 	}
 }
 
+func notify(now time.Time, waiters []DoneFunc, ok bool) {
+	for _, done := range waiters {
+		done(now, ok)
+	}
+}
+
+// commitFenced ends the leadership: another leader has written.
 func (s *Store) commitFenced(writes int) {
-	s.log.Error("a commit was refused by its guards", "token", s.fencingToken, "writes", writes)
+	s.log.Error("commit rejected by its preconditions", logkeys.FencingToken, s.fencingToken, logkeys.Count, writes)
 	s.fenced = true
 }
 
-// resolveConflict finds out whose write has come before a commit that the guard of a page refused: if the leader's key is as it was,
-// our own, an earlier try that was given up and carried out late. Then the pages are read back like after an unknown outcome.
-func (s *Store) resolveConflict(now time.Time, box *client.Outbox, after time.Duration) {
-	s.call(box, client.Call{
-		Method: "GET", Path: "/keys/" + s.options.LeaderKey, Delay: after, Timeout: time.Second,
-		Done: func(now time.Time, r client.Result) {
-			var a struct {
-				Mark uint64 `msgpack:"mark"`
-			}
+// resolveConflict finds out whose write came before a commit that was refused because a page has changed. If the leader's key is
+// unchanged, it was an earlier commit of this leader that was given up and executed late. Then the pages are read back as after an
+// uncertain outcome.
+func (s *Store) resolveConflict(outbox *client.Outbox, delay time.Duration) {
+	s.send(outbox, client.Call{
+		Method: http.MethodGet, Path: keyPath + s.options.LeaderKey, Delay: delay, Timeout: readTimeout,
+		Done: func(_ time.Time, r client.Result) {
+			var leader leaderKeyResponse
 			switch {
-			case r.Status == 200 && codec.Unmarshal(r.Body, &a) == nil && a.Mark == s.fencingToken:
-				s.readBack(now, box, 0, 0)
-			case r.Status == 200 && a.Mark > 0, r.Status == 404:
-				s.commitFenced(len(s.inFlight.pages))
+			case r.Status == http.StatusOK && codec.Unmarshal(r.Body, &leader) == nil && leader.ModRevision == s.fencingToken:
+				s.readBack(outbox, 0, 0)
+			case r.Status == http.StatusOK && leader.ModRevision > 0, r.Status == http.StatusNotFound:
+				s.commitFenced(len(s.commits.inFlight.pages))
 			default:
-				s.resolveConflict(now, box, s.nextRetryDelay())
+				s.resolveConflict(outbox, s.nextRetryDelay())
 			}
 		},
 	})
 }
 
-// nextRetryDelay is how long to wait after one more call that came to nothing.
+// nextRetryDelay is how long to wait after one more call that failed.
 func (s *Store) nextRetryDelay() time.Duration {
-	s.retryDelay = min(max(2*s.retryDelay, 100*time.Millisecond), time.Second)
-	return s.retryDelay
+	s.commits.retryDelay = min(max(2*s.commits.retryDelay, minRetryDelay), maxRetryDelay)
+	return s.commits.retryDelay
 }
 
-// notifyUncertain tells the waiters that their change is not certain yet: those of the commit, and those whose changes wait behind
-// it. Until it is read back nothing else is sent, and in an outage users who had come a moment before it waited
-// for its whole length.
+// notifyUncertain tells the waiters that their change is not certain yet: those of the commit in flight, and those whose changes
+// come after it. Nothing else is sent until the commit has been read back, so in an outage they would wait for all of its length.
 func (s *Store) notifyUncertain(now time.Time) {
-	if s.failingSince.IsZero() {
-		s.failingSince = now
+	if s.commits.failingSince.IsZero() {
+		s.commits.failingSince = now
 	}
-	for _, ws := range s.inFlight.waiters {
-		for _, w := range ws {
-			w(now, false)
-		}
+	for _, waiters := range s.commits.inFlight.waiters {
+		notify(now, waiters, false)
 	}
-	for p := range s.dirtyPages {
-		for _, w := range p.waiters {
-			w(now, false)
-		}
+	for p := range s.pages.dirty {
+		notify(now, p.waiters, false)
 	}
 }
 
-// requeue puts the pages of the commit back.
-func (s *Store) requeue(now time.Time, after time.Duration) {
+// requeue gives up the commit in flight, which was not executed, and has its pages written again.
+func (s *Store) requeue(now time.Time, retryAfter time.Duration) {
 	s.notifyUncertain(now)
-	txn := s.inFlight
-	s.inFlight = nil
-	s.retryAt = now.Add(min(max(s.nextRetryDelay(), after), 2*time.Second))
+	txn := s.commits.inFlight
+	s.commits.inFlight = nil
+	s.commits.retryAt = now.Add(min(max(s.nextRetryDelay(), retryAfter), maxRequeueDelay))
 	for i, p := range txn.pages {
 		p.waiters = append(txn.waiters[i], p.waiters...)
 		if !txn.wasDirty[i] {
-			continue // it was written only for what was to leave it
+			continue // it was written only because entries were to leave it
 		}
-		if !s.dirtyPages[p] {
-			s.dirtyPages[p], p.dirtySince = true, now
+		if !s.pages.dirty[p] {
+			s.pages.dirty[p], p.dirtySince = true, now
 		}
 		p.urgent = true
 	}
@@ -168,46 +202,45 @@
 	}
 }
 
-// readBack finds out what became of a commit that nobody answered. Each attempt has a
-// number of its own, since an earlier one that was held up on the way guards the same
-// marks and may be the one that was executed. mark is the revision at which the attempt
-// was found to be executed: it may be executed between the reading of two pages, so one
-// page that shows it speaks for all.
-func (s *Store) readBack(now time.Time, box *client.Outbox, index int, after time.Duration) {
-	txn := s.inFlight
-	checked := txn.guarded[index]
-	s.call(box, client.Call{
-		Method: "GET", Path: "/keys/" + checked.key, Delay: after, Timeout: time.Second,
-		Done: func(now time.Time, r client.Result) {
-			var a struct {
-				Value pageValue `msgpack:"value"`
-				Mark  uint64    `msgpack:"mark"`
-			}
-			switch {
-			case r.Status == 200 && codec.Unmarshal(r.Body, &a) == nil && a.Mark > 0:
-				if a.Value.Sequence == txn.sequence && a.Value.Leader == s.fencingToken {
-					s.commitSucceeded(now, a.Mark)
-					return
-				}
-				if a.Mark != checked.modRevision && s.hasUncertainMove {
-					// It may be a move that was executed, and that memory knows nothing of:
-					// what has left a page would be written into it again.
-					s.commitFenced(len(txn.pages))
-					return
-				}
-				checked.modRevision = a.Mark
-			case r.Status == 404:
-				checked.modRevision = 0
-			default:
-				s.readBack(now, box, index, s.nextRetryDelay())
-				return
-			}
-			if index+1 < len(txn.guarded) {
-				s.readBack(now, box, index+1, 0)
-				return
-			}
-			s.hasUncertainMove = s.hasUncertainMove || txn.move != nil
-			s.requeue(now, 0)
-		},
+// readBack finds out what became of a commit that nobody answered: it reads the pages that the commit requires, from index on.
+//
+// Each try has a sequence number of its own. An earlier try that was held up on its way requires the same revisions, so it may be
+// the one that was executed. The commit may be executed between the reads of two pages, so one page that shows it speaks for all.
+func (s *Store) readBack(outbox *client.Outbox, index int, delay time.Duration) {
+	checked := s.commits.inFlight.guarded[index]
+	s.send(outbox, client.Call{
+		Method: http.MethodGet, Path: keyPath + checked.key, Delay: delay, Timeout: readTimeout,
+		Done: func(now time.Time, r client.Result) { s.handleReadBack(now, outbox, index, r) },
 	})
 }
+
+func (s *Store) handleReadBack(now time.Time, outbox *client.Outbox, index int, r client.Result) {
+	txn := s.commits.inFlight
+	checked := txn.guarded[index]
+	var stored pageResponse
+	switch {
+	case r.Status == http.StatusOK && codec.Unmarshal(r.Body, &stored) == nil && stored.ModRevision > 0:
+		if stored.Value.Sequence == txn.sequence && stored.Value.Leader == s.fencingToken {
+			s.commitSucceeded(now, stored.ModRevision)
+			return
+		}
+		if stored.ModRevision != checked.modRevision && s.archive.hasUncertainMove {
+			// An earlier move may have been executed that memory does not know of. Writing this page again would bring back the
+			// entries that have left it.
+			s.commitFenced(len(txn.pages))
+			return
+		}
+		checked.modRevision = stored.ModRevision
+	case r.Status == http.StatusNotFound:
+		checked.modRevision = 0
+	default:
+		s.readBack(outbox, index, s.nextRetryDelay())
+		return
+	}
+	if index+1 < len(txn.guarded) {
+		s.readBack(outbox, index+1, 0)
+		return
+	}
+	s.archive.hasUncertainMove = s.archive.hasUncertainMove || txn.move != nil
+	s.requeue(now, 0)
+}
--- a/internal/controller/storage/commit_test.go
+++ b/internal/controller/storage/commit_test.go
@@ -186,7 +186,7 @@
 	if err := next.store.Set(next.now, "job-4", value{1}, 250, true, nil); err != nil {
 		t.Fatal(err)
 	}
-	if next.store.entries["job-4"].page == next.store.entries["job-1"].page {
+	if next.store.pages.entries["job-4"].page == next.store.pages.entries["job-1"].page {
 		t.Error("a new entry was put into room that is reserved")
 	}
 }
@@ -199,7 +199,7 @@
 			t.Fatal(err)
 		}
 	}
-	for _, p := range f.store.pages {
+	for _, p := range f.store.pages.byKey {
 		if p.size > 1024 {
 			t.Errorf("page %s: %d bytes", p.key, p.size)
 		}
@@ -250,8 +250,8 @@
 		t.Error("durable by a page without its mark")
 	}
 	f.singleCall().Done(f.now, f.response(200, map[string]any{"value": pageValue{Sequence: 1, Leader: 7}, "mark": 12}))
-	if !done || f.store.pages[PagePrefix+"000000"].modRevision != 12 {
-		t.Errorf("done %v, mark %d", done, f.store.pages[PagePrefix+"000000"].modRevision)
+	if !done || f.store.pages.byKey[PagePrefix+"000000"].modRevision != 12 {
+		t.Errorf("done %v, mark %d", done, f.store.pages.byKey[PagePrefix+"000000"].modRevision)
 	}
 	raw, err := codec.Marshal(pageValue{Sequence: 1})
 	if err != nil {
@@ -304,7 +304,7 @@
 	f.flush().Done(f.now, client.Result{})
 	f.singleCall().Done(
 		f.now,
-		f.response(200, map[string]any{"value": pageValue{Sequence: f.store.inFlight.sequence, Leader: 11}, "mark": 12}),
+		f.response(200, map[string]any{"value": pageValue{Sequence: f.store.commits.inFlight.sequence, Leader: 11}, "mark": 12}),
 	)
 	if slices.Contains(notifications, true) {
 		t.Fatal("told that it is durable by another leader's commit")
--- /dev/null
+++ b/internal/controller/storage/load.go
@@ -0,0 +1,146 @@
+package storage
+
+import (
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"gullrudder/internal/logkeys"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+const (
+	// maxListedKeys is how many keys are asked for at a time. The state service cuts a response off at 512 KiB.
+	maxListedKeys = 60
+
+	listTimeout         = 2 * time.Second
+	listRetryDelay      = 200 * time.Millisecond // after a list that failed
+	unreadableListDelay = time.Second            // after a list with a value that cannot be read
+)
+
+// loadProgress is how far the pages have been read.
+type loadProgress struct {
+	pendingLists     int // lists that have not been read to their end
+	completed        bool
+	loggedUnreadable bool // a value that cannot be read has been logged
+}
+
+// list is a list of keys that is read part by part.
+type list struct {
+	prefix  string
+	from    string // key after which the next part begins
+	delay   time.Duration
+	timeout time.Duration
+}
+
+// Load reads all pages and the archive's head and index. IsLoaded reports when that has been done; failures are retried until then.
+func (s *Store) Load(outbox *client.Outbox) {
+	s.loading.pendingLists = 2
+	s.load(outbox, list{prefix: PagePrefix, timeout: listTimeout}, s.installPage)
+	s.load(outbox, list{prefix: archivePrefix, timeout: listTimeout}, s.installArchiveKey)
+}
+
+func (s *Store) load(outbox *client.Outbox, request list, install func(keyValue) error) {
+	s.listKeys(outbox, request, func(_ time.Time, response listResponse, status int) {
+		request.delay = 0
+		if status != http.StatusOK {
+			request.delay = listRetryDelay
+			s.load(outbox, request, install)
+			return
+		}
+		for _, row := range response.Keys {
+			if err := install(row); err != nil {
+				// Without this value it cannot be told which jobs there are, so no request is answered until it can be read.
+				s.logUnreadable("state unreadable", row.Key, err)
+				request.delay = unreadableListDelay
+				s.load(outbox, request, install)
+				return
+			}
+			request.from = row.Key
+		}
+		if response.HasMore && len(response.Keys) > 0 {
+			s.load(outbox, request, install)
+			return
+		}
+		s.loading.pendingLists--
+		s.loading.completed = s.loading.pendingLists == 0
+	})
+}
+
+// logUnreadable logs the first value that cannot be read. It is read again until it can.
+func (s *Store) logUnreadable(message, key string, err error) {
+	if s.loading.loggedUnreadable {
+		return
+	}
+	s.loading.loggedUnreadable = true
+	s.log.Error(message, logkeys.Key, key, logkeys.Err, err)
+}
+
+// listKeys reads one part of a list. status is 0 if there was no response, or none that can be read.
+func (s *Store) listKeys(outbox *client.Outbox, request list, done func(now time.Time, response listResponse, status int)) {
+	query := url.Values{"starts": {request.prefix}, "most": {strconv.Itoa(maxListedKeys)}}
+	if request.from != "" {
+		query.Set("from", request.from)
+	}
+	s.send(outbox, client.Call{
+		Method: http.MethodGet, Path: "/keys?" + query.Encode(), Delay: request.delay, Timeout: request.timeout,
+		Done: func(now time.Time, r client.Result) {
+			var response listResponse
+			if r.Status == http.StatusOK {
+				if err := codec.Unmarshal(r.Body, &response); err != nil {
+					s.logUnreadable("key list unreadable", request.prefix, err)
+					r.Status = 0
+				}
+			}
+			done(now, response, r.Status)
+		},
+	})
+}
+
+func (s *Store) installPage(row keyValue) error {
+	if row.ModRevision == 0 {
+		return fmt.Errorf("key %s has no revision", row.Key)
+	}
+	if row.Key == formatKey {
+		return checkFormat(row.Value)
+	}
+	var value pageValue
+	if err := msgpack.Unmarshal(row.Value, &value); err != nil {
+		return fmt.Errorf("decode page: %w", err)
+	}
+	s.addPage(row.Key, row.ModRevision, value)
+	return nil
+}
+
+func (s *Store) addPage(key string, modRevision uint64, value pageValue) {
+	s.pages.addStored(key, modRevision, value)
+	s.commits.sequence = max(s.commits.sequence, value.Sequence)
+}
+
+func (s *Store) installArchiveKey(row keyValue) error {
+	if row.Key == ArchiveHeadKey {
+		return s.installArchiveHead(row)
+	}
+	var value archivePartValue
+	if err := msgpack.Unmarshal(row.Value, &value); err != nil {
+		return fmt.Errorf("decode part of the archive's index: %w", err)
+	}
+	s.archive.index[row.Key] = value.Text
+	return nil
+}
+
+func (s *Store) installArchiveHead(row keyValue) error {
+	var value pageValue
+	if err := msgpack.Unmarshal(row.Value, &value); err != nil {
+		return fmt.Errorf("decode the archive's head: %w", err)
+	}
+	s.archive.head.modRevision = row.ModRevision
+	s.archive.head.addStored(value)
+	s.commits.sequence = max(s.commits.sequence, value.Sequence)
+	return nil
+}
--- a/internal/controller/storage/split.go
+++ b/internal/controller/storage/split.go
@@ -1,189 +1,188 @@
 package storage
 
 import (
+	"maps"
 	"slices"
-	"sort"
 	"strings"
 	"time"
 
+	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/client"
-	"gullrudder/internal/wire/codec"
 )
 
-// Pages that are larger than the limits that are to come. A version before wrote them, or this one before the limits were named.
-// They are split as soon as they are read: in one transaction entries leave a page for new ones, so that each entry is in one
-// place at any time and either version can read what there is. Once the state service has refused a value for its size, a
-// page can be so large that not even its rest may be written; then its entries are copied first, a few pages at a time, and the
-// page is written last, without them. Until then it holds stale copies, its shadows: of two entries of one name that on the page with
-// the higher number counts, and no finished job leaves its page, which would bring its shadow back to life.
+// maxSplitDelay is how long a split waits for writes that somebody waits for.
+const maxSplitDelay = 2 * time.Second
 
-// isOversized reports whether the page is larger than pages are to be.
-func (s *Store) isOversized(p *page) bool { return p.size > s.options.ValueBytes }
-
-// encodedSize is how many JSON bytes the page has on the wire now; its size counts what its entries may grow to.
-func (p *page) encodedSize() int {
-	n := pageFrame
-	for name, e := range p.entries {
-		n += codec.JSONSize(e.raw) + len(name) + entryFrame
-	}
-	return n
+// splitState is what becomes of pages that are larger than a value may be, or may be soon: an earlier version wrote them, or this
+// one before the lower limits were configured.
+//
+// They are split as soon as they have been read. In one transaction entries leave a page for new ones, so each entry is on one page
+// at any time and both versions read all of them. Once the state service refuses a value for its size, a page can be so large that
+// not even its rest may be written. Then its entries are copied first, some pages at a time, and the page is written last, without
+// them. Until then the stored page has stale copies: of two entries with one name, that on the page with the higher number counts,
+// and no finished job leaves its page for the archive, since its stale copy would then count again.
+type splitState struct {
+	dueSince      time.Time // since when a page has to be split
+	limitsLowered bool      // the state service refuses values of the old size
+	uncertainPage *page     // a new page of a split that failed, or may still be executed
 }
 
-// isUnwritable reports that the page cannot be written as it is: the state service takes no values of that size any more.
+// isUnwritable reports whether a page cannot be written as it is, because the state service refuses values of its size.
 func (s *Store) isUnwritable(p *page) bool {
-	return s.limitsLowered && s.isOversized(p) && p.encodedSize() > s.options.ValueBytes
-}
-
-// hasStaleCopies reports whether some page holds stale copies of entries.
-func (s *Store) hasStaleCopies() bool {
-	for _, p := range s.pages {
-		if p.hasStaleCopies {
-			return true
-		}
-	}
-	return false
+	return s.splits.limitsLowered && s.pages.isOversized(p) && p.encodedSize() > s.options.ValueBytes
 }
 
-// nextSplit is the next transaction that makes a page smaller, nil if none is due or the budget does not allow it. What somebody
-// waits for goes first for a while.
+// nextSplit is the next transaction that makes a page smaller, nil if none is due or the budget does not allow it. Writes that
+// somebody waits for go first, for up to maxSplitDelay.
 func (s *Store) nextSplit(now time.Time) *entryMove {
-	var worst *page
-	for _, p := range s.pages {
-		if s.isOversized(p) && !p.unsplittable && (worst == nil || p.size > worst.size || p.size == worst.size && p.key < worst.key) {
-			worst = p
-		}
-	}
-	if worst == nil {
-		s.splitDueSince = time.Time{}
+	largest := s.pages.largestOversized()
+	if largest == nil {
+		s.splits.dueSince = time.Time{}
 		return nil
 	}
-	if s.splitDueSince.IsZero() {
-		s.splitDueSince = now
+	if s.splits.dueSince.IsZero() {
+		s.splits.dueSince = now
 	}
-	move, next := s.planSplit(worst)
-	if len(move.removed) == 0 {
-		worst.unsplittable = true
-		s.log.Error("an entry is larger than the state service is to take", "page", worst.key, "bytes", worst.size, "limit", s.options.ValueBytes)
+	plan := s.planSplit(largest)
+	if len(plan.move.removed) == 0 {
+		largest.unsplittable = true
+		s.log.Error("entry larger than value limit",
+			logkeys.Key, largest.key, logkeys.Bytes, largest.size, logkeys.Limit, s.options.ValueBytes)
 		return nil
 	}
-	if s.SpareWrites(now) < len(move.pages) && (now.Sub(s.splitDueSince) < 2*time.Second || s.writeLimiter.Available(now) < len(move.pages)) {
+	writes := len(plan.move.pages)
+	waits := now.Sub(s.splits.dueSince) < maxSplitDelay
+	if s.SpareWrites(now) < writes && (waits || s.writeLimiter.Available(now) < writes) {
 		return nil
 	}
-	s.nextPageNumber, s.splitDueSince = next, time.Time{}
-	return move
+	s.pages.nextNumber, s.splits.dueSince = plan.nextNumber, time.Time{}
+	return plan.move
 }
 
-// planSplit picks the entries that leave a page, and the new pages that they go to, as many as one transaction can write. next is the
-// number of the page after those.
-func (s *Store) planSplit(source *page) (move *entryMove, next int) {
-	var targets []*page
-	names := make([]string, 0, len(source.entries))
-	for name := range source.entries {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	move, next = &entryMove{removed: map[string]bool{}, source: source, targets: map[*page][]string{}, done: func(_ time.Time, ok bool) {
-		if !ok {
-			s.uncertainPage = &page{key: targets[len(targets)-1].key, entries: map[string]*entry{}, size: pageFrame}
+// splitPlan is a split that is being put together.
+type splitPlan struct {
+	move       *entryMove
+	targets    []*page
+	nextNumber int // of the page after the new ones
+	remaining  int // JSON bytes left on the page, with what is reserved
+	encoded    int // of those, JSON bytes that are stored
+}
+
+// add moves an entry to the last target, or to a new one if it does not fit. It returns false if there may be no more targets.
+func (p *splitPlan) add(name string, e *entry, maxPageBytes, maxTargets int) bool {
+	if len(p.targets) == 0 || p.targets[len(p.targets)-1].size+e.size > maxPageBytes {
+		if len(p.targets) == maxTargets {
+			return false
 		}
-	}}, s.nextPageNumber
-	most := s.options.TxnOps - 1
-	if s.limitsLowered {
-		most = s.options.TxnOps // the page itself may be too large to be written beside them
-	}
-	left, rest := source.size, source.encodedSize()
-	var current *page
-	for _, name := range names {
+		p.targets = append(p.targets, newPage(pageKey(p.nextNumber)))
+		p.nextNumber++
+	}
+	target := p.targets[len(p.targets)-1]
+	target.size += e.size
+	p.remaining -= e.size
+	p.encoded -= entrySize(name, e.raw)
+	p.move.removed[name] = true
+	p.move.targets[target] = append(p.move.targets[target], name)
+	return true
+}
+
+// planSplit picks the entries that leave a page, and the new pages that they go to, as many as one transaction can write.
+func (s *Store) planSplit(source *page) *splitPlan {
+	plan := &splitPlan{
+		move:       &entryMove{removed: map[string]bool{}, source: source, targets: map[*page][]string{}},
+		nextNumber: s.pages.nextNumber,
+		remaining:  source.size,
+		encoded:    source.encodedSize(),
+	}
+	maxTargets := s.options.TxnOps - 1
+	if s.splits.limitsLowered {
+		maxTargets = s.options.TxnOps // the page itself may be too large to be written beside them
+	}
+	for _, name := range slices.Sorted(maps.Keys(source.entries)) {
 		e := source.entries[name]
-		if left <= s.options.ValueBytes || e.size+pageFrame > s.options.ValueBytes {
+		if plan.remaining <= s.options.ValueBytes || e.size+pageOverhead > s.options.ValueBytes {
 			continue
 		}
-		if current == nil || current.size+e.size > s.options.ValueBytes {
-			if len(targets) == max(most, 1) {
-				break
-			}
-			current = &page{key: pageKey(next), entries: map[string]*entry{}, size: pageFrame}
-			next++
-			targets = append(targets, current)
+		if !plan.add(name, e, s.options.ValueBytes, max(maxTargets, 1)) {
+			break
 		}
-		current.size += e.size
-		left -= e.size
-		rest -= codec.JSONSize(e.raw) + len(name) + entryFrame
-		move.removed[name] = true
-		move.targets[current] = append(move.targets[current], name)
 	}
-	for _, target := range targets {
-		target.size = pageFrame // counted anew when its entries arrive
+	for _, target := range plan.targets {
+		target.size = pageOverhead // counted again when the entries move
 	}
-	if rest <= s.options.ValueBytes && len(targets) < s.options.TxnOps || !s.limitsLowered {
-		targets = append([]*page{source}, targets...)
+	plan.move.pages = plan.targets
+	if plan.encoded <= s.options.ValueBytes && len(plan.targets) < s.options.TxnOps || !s.splits.limitsLowered {
+		plan.move.pages = append([]*page{source}, plan.targets...)
 	}
-	move.pages = targets
-	return move, next
+	plan.move.done = func(_ time.Time, ok bool) {
+		if !ok {
+			written := plan.move.pages
+			s.splits.uncertainPage = newPage(written[len(written)-1].key)
+		}
+	}
+	return plan
 }
 
-// invalidateUncertainSplit writes a new page of a split that may be carried out yet, empty: that one guards it to be new. It has to be certain
-// before anything else is written. Carried out later, after a next try with other pages or a change of the page that was to be split, it
-// would leave copies that nobody knows of, and they would bring jobs back that had ended or been sealed since.
-func (s *Store) invalidateUncertainSplit(now time.Time, box *client.Outbox) {
+// invalidateUncertainSplit writes a new page of a split that may still be executed, without entries: the split requires that page not
+// to exist. This has to be certain before anything else is written. If the split was executed after a next try with other pages, or
+// after a change of the page that was to be split, it would leave copies that nobody knows of, and they would bring back jobs that
+// had ended or been archived since.
+func (s *Store) invalidateUncertainSplit(now time.Time, outbox *client.Outbox) {
 	if s.writeLimiter.Available(now) < 1 {
 		return
 	}
-	empty := s.uncertainPage
-	empty.waiters = []func(time.Time, bool){func(_ time.Time, ok bool) {
+	empty := s.splits.uncertainPage
+	empty.waiters = []DoneFunc{func(_ time.Time, ok bool) {
 		if ok {
-			s.pages[empty.key], s.uncertainPage = empty, nil
+			s.pages.byKey[empty.key], s.splits.uncertainPage = empty, nil
 		}
 	}}
 	s.writeLimiter.Take(1)
-	s.sendCommit(now, box, []*page{empty}, nil)
+	s.sendCommit(outbox, []*page{empty}, nil)
 }
 
-// applySplit makes a split in memory too, once it is durable. What has changed on the page meanwhile is to be written on the page
-// where it is now, and who waits for it waits for all of them.
+// applySplit makes a split in memory, once it is durable. What has changed on the page meanwhile is to be written to the pages that
+// its entries are on now, and its waiters wait for all of them.
 func (s *Store) applySplit(now time.Time, move *entryMove) {
 	source := move.source
 	all := []*page{source}
 	for _, target := range move.pages {
-		if target == source {
-			continue
-		}
-		all = append(all, target)
-		s.pages[target.key] = target
-		for _, name := range move.targets[target] {
-			e := source.entries[name]
-			if e == nil {
-				s.setDirty(now, target, false, nil) // it was dropped meanwhile
-				continue
-			}
-			delete(source.entries, name)
-			source.size -= e.size
-			target.entries[name], e.page = e, target
-			target.size += e.size
-			if e.finished {
-				source.finishedSize -= e.size
-				target.finishedSize += e.size
-			}
+		if target != source {
+			all = append(all, target)
+			s.moveToTarget(now, move, target)
 		}
 	}
 	if !slices.Contains(move.pages, source) {
 		source.hasStaleCopies = true
-		s.setDirty(now, source, true, nil)
+		s.pages.setDirty(now, source, true, nil)
 	}
-	if s.dirtyPages[source] {
-		waiters := source.waiters
-		source.waiters = nil
-		for _, target := range all {
-			s.setDirty(now, target, source.urgent, nil)
-		}
-		for _, w := range waiters {
-			notifyWhenAllDurable(all, w)
+	if !s.pages.dirty[source] {
+		return
+	}
+	waiters := source.waiters
+	source.waiters = nil
+	for _, changed := range all {
+		s.pages.setDirty(now, changed, source.urgent, nil)
+	}
+	for _, done := range waiters {
+		notifyWhenAllDurable(all, done)
+	}
+}
+
+// moveToTarget moves entries to a new page of a split.
+func (s *Store) moveToTarget(now time.Time, move *entryMove, target *page) {
+	s.pages.byKey[target.key] = target
+	for _, name := range move.targets[target] {
+		if move.source.entries[name] == nil {
+			s.pages.setDirty(now, target, false, nil) // it was deleted meanwhile
+			continue
 		}
+		move.source.moveEntry(name, target)
 	}
 }
 
-// notifyWhenAllDurable has somebody told once all pages are durable.
-func notifyWhenAllDurable(pages []*page, done func(time.Time, bool)) {
+// notifyWhenAllDurable calls done once all pages are durable, and whenever one of them has become uncertain.
+func notifyWhenAllDurable(pages []*page, done DoneFunc) {
 	durable := map[*page]bool{}
 	for _, p := range pages {
 		p.waiters = append(p.waiters, func(now time.Time, ok bool) {
@@ -198,30 +197,25 @@
 	}
 }
 
-// handleMalformed takes in that the state service has refused a commit as malformed: it takes no values of that size any more, or
+// handleMalformed takes note that the state service has refused a commit as malformed: it takes no values of that size any more, or
 // not so many changes at once. Nothing is sent again as it was.
 func (s *Store) handleMalformed(pages []*page) {
 	if slices.ContainsFunc(pages, func(p *page) bool { return p.encodedSize() > s.options.ValueBytes }) {
-		if !s.limitsLowered {
-			s.log.Error("the state service takes no values of the old size any more: the pages are split", "limit", s.options.ValueBytes)
+		if !s.splits.limitsLowered {
+			s.log.Error("value limit lowered, splitting pages", logkeys.Limit, s.options.ValueBytes)
 		}
-		s.limitsLowered = true
+		s.splits.limitsLowered = true
 		return
 	}
 	if s.options.TxnOps > 1 {
 		s.options.TxnOps = max(s.options.TxnOps/2, 1)
-		s.log.Error(
-			"the state service calls a commit malformed: fewer changes are made at once",
-			"pages",
-			len(pages),
-			"at most",
-			s.options.TxnOps,
-		)
+		s.log.Error("commit rejected as malformed, transaction limit lowered",
+			logkeys.Count, len(pages), logkeys.Limit, s.options.TxnOps)
 		return
 	}
 	keys := make([]string, 0, len(pages))
 	for _, p := range pages {
 		keys = append(keys, p.key)
 	}
-	s.log.Error("the state service calls a commit malformed", "pages", strings.Join(keys, " "))
+	s.log.Error("commit rejected as malformed", logkeys.Key, strings.Join(keys, " "))
 }
--- a/internal/controller/storage/split_test.go
+++ b/internal/controller/storage/split_test.go
@@ -295,7 +295,7 @@
 	}
 	service.valueBytes, service.maxOps = 1024, 4
 	store = service.newLeader(t, now, &box, 1024, 4)
-	for i := 0; i < 10 && !store.limitsLowered; i++ {
+	for i := 0; i < 10 && !store.splits.limitsLowered; i++ {
 		step(false) // refused for its size
 	}
 	for i := 0; i < 10 && held == nil; i++ {
@@ -304,8 +304,8 @@
 	if held == nil {
 		t.Fatal("no copy was sent")
 	}
-	pages := len(store.pages)
-	for i := 0; i < 30 && len(store.pages) < pages+3; i++ { // it is read back, ruled out, and tried again
+	pages := len(store.pages.byKey)
+	for i := 0; i < 30 && len(store.pages.byKey) < pages+3; i++ { // it is read back, ruled out, and tried again
 		step(false)
 	}
 	if status, _ := service.commit(*held); status != 409 {
--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -22,6 +22,14 @@
 	LeaseID      = "lease_id"      // lease of the state service
 )
 
+// Keys of stored state.
+const (
+	Bytes   = "bytes"   // size in bytes
+	Level   = "level"   // how often the jobs of an archive segment have been compacted
+	Limit   = "limit"   // the limit that applies
+	Segment = "segment" // number of an archive segment
+)
+
 // Keys of what happened.
 const (
 	Count    = "count"    // how many the message is about
