--- a/internal/controller/jobstore/dependencies.go
+++ b/internal/controller/jobstore/dependencies.go
@@ -8,46 +8,54 @@
 	"gullrudder/internal/controller/archive"
 	"gullrudder/internal/controller/dependencies"
 	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/client"
 )
 
-// DependencyState is what is known of a job that another one needs.
+// resolveInterval is how often the archive is asked again for dependencies that its index cannot tell of.
+const resolveInterval = 500 * time.Millisecond
+
+// DependencyState is what is known of a job that another one depends on.
 type DependencyState int
 
-// Needs.
+// States of a dependency.
 const (
 	DependencyNeverAccepted DependencyState = iota
 	DependencyOpen                          // accepted, and neither done nor cancelled
 	DependencyMet                           // done, durably
 	DependencyCancelled                     // cancelled, durably
-	DependencyUndecided                     // its acceptance or cancellation is on its way into the ledger
-	DependencyService                       // a service: it is never done
-	DependencyArchived                      // in the history, perhaps; its data have to tell
+	DependencyUndecided                     // its acceptance or cancellation is being written
+	DependencyService                       // a service, which is never done
+	DependencyArchived                      // perhaps in the archive; its data have to tell
 )
 
-// DependencyState tells what has become of a job that is needed. Only what is durable counts: in the ledger's pages, of this leader or an
-// earlier one, or in the history.
+// dependencyState is which jobs wait for others.
+type dependencyState struct {
+	graph         *dependencies.Graph
+	unresolved    []*unresolvedDependency
+	nextResolveAt time.Time
+}
+
+// unresolvedDependency is a dependency that only the archive's data can tell of.
+type unresolvedDependency struct {
+	job        *jobs.Job
+	dependency string // ID of the job that it depends on, empty once that has been resolved
+	resolving  bool
+}
+
+// DependencyState returns what has become of a job that another one depends on. Only what is durable counts: in the pages, written by
+// this leader or an earlier one, or in the archive.
 func (s *Store) DependencyState(id string) DependencyState {
-	if f, ok := s.finished[id]; ok {
-		if f.Done {
+	if state, ok := s.finished[id]; ok {
+		if state.Done {
 			return DependencyMet
 		}
 		return DependencyCancelled
 	}
-	if j := s.Unfinished[id]; j != nil {
-		switch {
-		case j.State == jobs.Done:
-			return DependencyMet
-		case j.State == jobs.Cancelled:
-			return DependencyCancelled
-		case j.State == jobs.Pending || j.IsCancelling || j.HasUndecidedDependency:
-			return DependencyUndecided
-		case j.IsService:
-			return DependencyService
-		}
-		return DependencyOpen
+	if job := s.Unfinished[id]; job != nil {
+		return unfinishedDependencyState(job)
 	}
-	switch s.archive.LookupIndex(id) {
+	switch s.archive.store.LookupIndex(id) {
 	case archive.Done:
 		return DependencyMet
 	case archive.Cancelled:
@@ -58,28 +66,38 @@
 	return DependencyNeverAccepted
 }
 
+func unfinishedDependencyState(job *jobs.Job) DependencyState {
+	switch {
+	case job.State == jobs.Done:
+		return DependencyMet
+	case job.State == jobs.Cancelled:
+		return DependencyCancelled
+	case job.State == jobs.Pending || job.IsCancelling || job.HasUndecidedDependency:
+		return DependencyUndecided
+	case job.IsService:
+		return DependencyService
+	}
+	return DependencyOpen
+}
+
 // WaitingJobs lists the accepted jobs that wait for others, the oldest first.
 func (s *Store) WaitingJobs() []*jobs.Job {
-	var list []*jobs.Job
-	for _, j := range s.Unfinished {
-		if j.UnmetDependencies > 0 && j.State == jobs.Accepted && !j.IsCancelling {
-			list = append(list, j)
+	var waiting []*jobs.Job
+	for _, job := range s.Unfinished {
+		if job.UnmetDependencies > 0 && job.State == jobs.Accepted && !job.IsCancelling {
+			waiting = append(waiting, job)
 		}
 	}
-	slices.SortFunc(list, func(x, y *jobs.Job) int {
-		return cmp.Or(x.SubmittedAt.Compare(y.SubmittedAt), cmp.Compare(x.ID, y.ID))
+	slices.SortFunc(waiting, func(a, b *jobs.Job) int {
+		return cmp.Or(a.SubmittedAt.Compare(b.SubmittedAt), cmp.Compare(a.ID, b.ID))
 	})
-	return list
+	return waiting
 }
 
-// DependencyGraph is who waits for whom. It is for looking only.
-func (s *Store) DependencyGraph() *dependencies.Graph { return s.graph }
-
-// OnWaiting names who is to know of an accepted job that waits for others, and OnFree of one that waits for none, or for none any more.
-func (s *Store) OnWaiting(f func(j *jobs.Job))              { s.onWaiting = f }
-func (s *Store) OnReady(f func(now time.Time, j *jobs.Job)) { s.onReady = f }
+// DependencyGraph is which job waits for which. Other packages only read it.
+func (s *Store) DependencyGraph() *dependencies.Graph { return s.dependencies.graph }
 
-// WaitForDependencies lets a job that is about to be accepted wait for the needs that are not done.
+// WaitForDependencies has a job that is about to be accepted wait for its dependencies that are not done.
 func (s *Store) WaitForDependencies(now time.Time, job *jobs.Job, missing []string) {
 	if len(job.Dependencies) == 0 {
 		return
@@ -88,152 +106,159 @@
 		job.ReadyAt = now
 		return
 	}
-	s.graph.Add(job, missing)
+	s.dependencies.graph.Add(job, missing)
 }
 
-// ApplyAcceptance takes in that a job's acceptance is durable. What became of its needs meanwhile counts from now on: one that was
-// cancelled takes it along, and when the last was done is written down.
+// ApplyAcceptance records that a job's acceptance is durable. What became of its dependencies meanwhile counts from now on: if one was
+// cancelled the job is cancelled with it, and if the last was done the time of that is written.
 func (s *Store) ApplyAcceptance(now time.Time, job *jobs.Job) {
-	for _, id := range s.graph.Unmet(job) {
+	for _, id := range s.dependencies.graph.Unmet(job) {
 		if s.DependencyState(id) == DependencyCancelled {
 			s.cancelDependents(now, s.withDependents(job))
 			return
 		}
 	}
 	if job.UnmetDependencies > 0 {
-		s.onWaiting(job) // by now it is known whether it is guaranteed
+		s.observers.waiting(job) // by now it is known whether the job is guaranteed
 		return
 	}
 	if job.ReadyAt.After(job.SubmittedAt) {
 		s.SaveRecord(now, job)
 	}
-	s.onReady(now, job)
+	s.observers.ready(now, job)
 }
 
-// releaseDependents lets those start that have waited for a job which is done now, durably.
+// releaseDependents makes the jobs ready that have waited for a job which is done now, durably.
 func (s *Store) releaseDependents(now time.Time, id string) {
-	for _, j := range s.graph.MarkDone(now, id) {
-		if j.State != jobs.Accepted {
-			continue // its acceptance is on its way
+	for _, job := range s.dependencies.graph.MarkDone(now, id) {
+		if job.State != jobs.Accepted {
+			continue // its acceptance is being written
 		}
-		s.SaveRecord(now, j)
-		s.onReady(now, j)
-		s.log.Info("all that a job needs is done", "job", j.ID, "after", now.Sub(j.SubmittedAt).Round(time.Millisecond))
+		s.SaveRecord(now, job)
+		s.observers.ready(now, job)
+		s.log.Info("dependencies completed",
+			logkeys.Job, job.ID, logkeys.Duration, now.Sub(job.SubmittedAt).Round(time.Millisecond))
 	}
 }
 
-// withDependents is a job and all that need it.
+// withDependents is a job and all that depend on it.
 func (s *Store) withDependents(job *jobs.Job) []*jobs.Job {
-	return append([]*jobs.Job{job}, s.graph.Dependents(job.ID)...)
+	return append([]*jobs.Job{job}, s.dependencies.graph.Dependents(job.ID)...)
 }
 
-// cancelDependents cancels jobs that need one which is cancelled in the ledger, directly or through others. None of them has a task
-// anywhere, since what they need was never done. With that one record their fate is fixed: every leader reads the same out of
-// it. Their own records are written when there is time.
+// cancelDependents cancels jobs that depend, directly or through others, on one whose cancellation is durable. None of them has a task
+// on any machine, since their dependencies were never done. That one record fixes their fate, since every leader reads the same out of
+// it. Their own records are written later.
 func (s *Store) cancelDependents(now time.Time, dependents []*jobs.Job) {
 	if len(dependents) == 0 {
 		return
 	}
 	for _, dependent := range dependents {
 		if dependent.State != jobs.Accepted {
-			continue // its acceptance is on its way; with it it learns of this
+			continue // its acceptance is being written; ApplyAcceptance will cancel it
 		}
 		dependent.State, dependent.CancelConfirmedAt, dependent.HasUndecidedDependency = jobs.Cancelled, now, false
-		s.graph.Remove(dependent)
+		s.dependencies.graph.Remove(dependent)
 		s.accounting.Finish(now, dependent)
-		s.log.Info("job cancelled with one that it needs", "job", dependent.ID)
+		s.log.Info("job cancelled with a dependency", logkeys.Job, dependent.ID)
 	}
-	s.onOrderChange()
+	s.observers.orderChanged()
 }
 
-// unresolvedDependency is a need that the history's data have to tell of.
-type unresolvedDependency struct {
-	job        *jobs.Job
-	dependency string
-	resolving  bool
-}
-
-// restoreDependencies lets the jobs of an earlier leader wait again for what is not done, once all are read.
+// restoreDependencies has the jobs of an earlier leader wait again for what is not done, once all have been restored.
 func (s *Store) restoreDependencies(now time.Time) {
 	var cancelled []*jobs.Job
-	for _, j := range s.Unfinished {
-		if len(j.Dependencies) == 0 || j.State != jobs.Accepted || !j.ReadyAt.IsZero() {
-			continue // it waits for nothing, or that was over before
+	for _, job := range s.Unfinished {
+		if len(job.Dependencies) == 0 || job.State != jobs.Accepted || !job.ReadyAt.IsZero() {
+			continue // it waits for nothing, or does not wait any more
 		}
-		var missing []string
-		for _, id := range j.Dependencies {
-			switch s.DependencyState(id) {
-			case DependencyMet:
-				continue
-			case DependencyCancelled:
-				cancelled = append(cancelled, j)
-			case DependencyArchived:
-				j.HasUndecidedDependency = true
-				s.unresolved = append(s.unresolved, &unresolvedDependency{job: j, dependency: id})
-			case DependencyNeverAccepted:
-				s.log.Error("a job needs one that nobody knows: it waits", "job", j.ID, "needs", id)
-			}
-			missing = append(missing, id)
+		missing, hasCancelled := s.unmetDependencies(job)
+		if hasCancelled {
+			cancelled = append(cancelled, job)
 		}
 		if len(missing) > 0 {
-			s.graph.Add(j, missing)
+			s.dependencies.graph.Add(job, missing)
 		} else {
-			j.ReadyAt = now // done under the leader before, which could not write that down any more
+			job.ReadyAt = now // done under the previous leader, which ended before it wrote that
 		}
 	}
-	for _, j := range cancelled {
-		s.cancelDependents(now, s.withDependents(j))
+	for _, job := range cancelled {
+		s.cancelDependents(now, s.withDependents(job))
 	}
-	for _, j := range s.Unfinished {
-		if j.UnmetDependencies > 0 && j.State == jobs.Accepted {
-			s.onWaiting(j)
+	for _, job := range s.Unfinished {
+		if job.UnmetDependencies > 0 && job.State == jobs.Accepted {
+			s.observers.waiting(job)
+		}
+	}
+}
+
+// unmetDependencies lists the dependencies of a restored job that are not done, and reports whether one is cancelled. What only the
+// archive's data can tell is asked for.
+func (s *Store) unmetDependencies(job *jobs.Job) (missing []string, hasCancelled bool) {
+	for _, id := range job.Dependencies {
+		switch s.DependencyState(id) {
+		case DependencyMet:
+			continue
+		case DependencyCancelled:
+			hasCancelled = true
+		case DependencyArchived:
+			job.HasUndecidedDependency = true
+			s.dependencies.unresolved = append(s.dependencies.unresolved, &unresolvedDependency{job: job, dependency: id})
+		case DependencyNeverAccepted:
+			s.log.Error("dependency unknown", logkeys.Job, job.ID, logkeys.Dependency, id)
 		}
+		missing = append(missing, id)
 	}
+	return missing, hasCancelled
 }
 
-// resolveDependencies asks the history's data what became of needs that its index cannot tell of. Until then nobody is told anything of the jobs
-// that need them: an earlier leader may have called them cancelled.
-func (s *Store) resolveDependencies(now time.Time, box *client.Outbox) {
-	if len(s.unresolved) == 0 || now.Before(s.nextResolveAt) {
+// resolveDependencies asks the archive's data for dependencies that its index cannot tell of. Until then no request about the jobs that
+// depend on them is answered: an earlier leader may have said that they are cancelled.
+func (s *Store) resolveDependencies(now time.Time, outbox *client.Outbox) {
+	if len(s.dependencies.unresolved) == 0 || now.Before(s.dependencies.nextResolveAt) {
 		return
 	}
-	s.nextResolveAt = now.Add(500 * time.Millisecond)
-	for _, u := range s.unresolved {
-		if u.resolving {
+	s.dependencies.nextResolveAt = now.Add(resolveInterval)
+	for _, unresolved := range s.dependencies.unresolved {
+		if unresolved.resolving {
 			continue
 		}
-		u.resolving = true
-		s.archive.Resolve(now, box, u.dependency, func(now time.Time, state archive.FinalState, known bool, err error) {
-			u.resolving = false
-			switch {
-			case err != nil:
-				return // asked again
-			case known && state.Cancelled:
-				s.cancelDependents(now, s.withDependents(u.job))
-			case known:
-				s.releaseDependents(now, u.dependency)
-			default:
-				s.log.Error("a job needs one that nobody knows: it waits", "job", u.job.ID, "needs", u.dependency)
-			}
-			u.dependency = ""
-		})
-	}
-	left := s.unresolved[:0]
-	for _, u := range s.unresolved {
+		unresolved.resolving = true
+		s.archive.store.Resolve(now, outbox, unresolved.dependency,
+			func(now time.Time, state archive.FinalState, found bool, err error) {
+				unresolved.resolving = false
+				if err == nil {
+					s.resolveDependency(now, unresolved, state, found)
+				}
+			})
+	}
+	s.forgetResolved()
+}
+
+// resolveDependency records what the archive's data say of a dependency.
+func (s *Store) resolveDependency(now time.Time, resolved *unresolvedDependency, state archive.FinalState, found bool) {
+	switch {
+	case found && state.Cancelled:
+		s.cancelDependents(now, s.withDependents(resolved.job))
+	case found:
+		s.releaseDependents(now, resolved.dependency)
+	default:
+		s.log.Error("dependency unknown", logkeys.Job, resolved.job.ID, logkeys.Dependency, resolved.dependency)
+	}
+	resolved.dependency = ""
+}
+
+// forgetResolved drops the dependencies that have been resolved. A job stays undecided as long as one of its own has not been.
+func (s *Store) forgetResolved() {
+	unresolved := s.dependencies.unresolved[:0]
+	for _, u := range s.dependencies.unresolved {
 		u.job.HasUndecidedDependency = false
 		if u.dependency != "" {
-			left = append(left, u)
+			unresolved = append(unresolved, u)
 		}
 	}
-	s.unresolved = left
-	for _, u := range left {
+	s.dependencies.unresolved = unresolved
+	for _, u := range unresolved {
 		u.job.HasUndecidedDependency = u.job.State == jobs.Accepted
 	}
 }
-
-// RetireCancelled takes in a job that was accepted though one that it needs was cancelled before: it is kept as cancelled.
-func (s *Store) RetireCancelled(now time.Time, job *jobs.Job) {
-	job.State, job.CancelConfirmedAt = jobs.Cancelled, now
-	s.accounting.Finish(now, job)
-	s.retire(now, job)
-}
--- /dev/null
+++ b/internal/controller/jobstore/restore.go
@@ -0,0 +1,63 @@
+package jobstore
+
+import (
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/logkeys"
+)
+
+// RestoreJob restores a job from its record at a failover. leaderSince is when the leadership began. confirmedAt is the earliest time
+// at which a cancellation can have been confirmed that has not been carried out, zero if it cannot be told.
+func (s *Store) RestoreJob(now, leaderSince, confirmedAt time.Time, name string, decode func(any) error) {
+	var record jobs.Record
+	if err := decode(&record); err != nil {
+		s.log.Error("job record unreadable", logkeys.Job, name, logkeys.Err, err)
+		return
+	}
+	job, err := jobs.FromRecord(name, record)
+	if err != nil {
+		s.log.Error("job not restored", logkeys.Job, name, logkeys.Err, err)
+		return
+	}
+	if job.State == jobs.Done || job.State == jobs.Cancelled && record.CPUs+record.MemoryGB+record.GPUs == 0 {
+		// Only the final state is left of it.
+		s.finished[name] = FinalState{Done: job.State == jobs.Done, Tasks: job.Tasks, finishedAt: now}
+		s.storage.SetFinished(name)
+		return
+	}
+	s.Unfinished[name] = job
+	if job.State == jobs.Cancelled {
+		job.CancelConfirmedAt = confirmedAt
+		s.stopping[job] = true
+	}
+	if job.State == jobs.Accepted {
+		s.accounting.Restore(job, record.TimeAccount, leaderSince)
+	}
+}
+
+// RestoreChunk restores the results of some tasks of a large array. It comes after all jobs have been restored.
+func (s *Store) RestoreChunk(now time.Time, name, id string, chunk int, results jobs.Chunk) {
+	job := s.Unfinished[id]
+	if job == nil {
+		// An earlier leader ended after the job was done and before its chunks were deleted.
+		s.storage.Delete(now, name)
+		return
+	}
+	if err := job.RestoreChunk(chunk, results); err != nil {
+		s.log.Error("task results not restored", logkeys.Job, id, logkeys.Err, err)
+	}
+}
+
+// FinishRestore restores the dependencies, reserves the space that the jobs may come to need in their pages, and finishes those whose
+// tasks are all done. It comes after all jobs and chunks have been restored.
+func (s *Store) FinishRestore(now time.Time) {
+	s.restoreDependencies(now)
+	for _, job := range s.Unfinished {
+		s.storage.Reserve(job.ID, job.MaxRecordBytes())
+		for chunk := range job.ChunkCount() {
+			s.storage.Reserve(job.ChunkName(chunk), jobs.MaxChunkBytes)
+		}
+		s.FinishIfDone(now, job)
+	}
+}
--- /dev/null
+++ b/internal/controller/jobstore/save.go
@@ -0,0 +1,183 @@
+package jobstore
+
+import (
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/logkeys"
+)
+
+// saveInterval is how often results of tasks are written. Nobody waits for them, so they are gathered.
+const saveInterval = time.Second
+
+// saveState is when results are written next, and what is counted meanwhile.
+type saveState struct {
+	nextAt            time.Time
+	missedStartBounds int
+}
+
+// MissedStartBounds is how many jobs have waited for their first task longer than was promised at their acceptance.
+func (s *Store) MissedStartBounds() int { return s.saving.missedStartBounds }
+
+// Save writes what is due, once a saveInterval. placing says that it is known of every machine what runs on it: only then may a
+// cancelled job be forgotten.
+func (s *Store) Save(now time.Time, placing bool) {
+	if now.Before(s.saving.nextAt) {
+		return
+	}
+	s.saving.nextAt = now.Add(saveInterval)
+	s.saveJobs(now, placing)
+	s.checkStartBounds(now)
+}
+
+// saveJobs writes results of tasks, and retires cancelled jobs whose tasks have all ended.
+func (s *Store) saveJobs(now time.Time, placing bool) {
+	var running map[*jobs.Job]bool
+	for _, job := range s.Unfinished {
+		switch {
+		case job.State == jobs.Cancelled && len(job.ActiveAttempts) == 0 && placing:
+			if running == nil {
+				running = s.jobsWithAttempts()
+			}
+			if !running[job] {
+				s.retireStopped(now, job)
+			}
+		case !isWritable(job) || !job.HasUnsaved():
+		default:
+			s.saveResults(now, job)
+		}
+	}
+}
+
+// isWritable reports whether the record of a job may be written as it is: no other state of it is being written.
+func isWritable(job *jobs.Job) bool {
+	return !job.IsFinishing && !job.IsCancelling && job.State == jobs.Accepted
+}
+
+// retireStopped retires a cancelled job whose tasks have all ended.
+func (s *Store) retireStopped(now time.Time, job *jobs.Job) {
+	if err := s.storage.Set(now, job.ID, jobs.NewFinalRecord(jobs.Cancelled, job.Tasks), 0, false, nil); err != nil {
+		s.log.Error("final record not written", logkeys.Job, job.ID, logkeys.Err, err)
+	}
+	s.retire(now, job)
+}
+
+// saveResults writes the results of a job's tasks: into its record, or into chunks if the job is a large array.
+func (s *Store) saveResults(now time.Time, job *jobs.Job) {
+	tasks, chunks := job.TakeUnsaved()
+	var err error
+	unwritten := max(len(chunks), 1)
+	done := func(_ time.Time, ok bool) {
+		if !ok {
+			return
+		}
+		if unwritten--; unwritten == 0 {
+			job.MarkDurable(tasks)
+		}
+	}
+	if chunks == nil {
+		err = s.writeRecord(now, job, done)
+	}
+	for name, chunk := range chunks {
+		if setErr := s.storage.Set(now, name, chunk, jobs.MaxChunkBytes, false, done); setErr != nil {
+			err = setErr
+		}
+	}
+	if err != nil {
+		s.log.Error("task results not written", logkeys.Job, job.ID, logkeys.Err, err)
+	}
+}
+
+// jobsWithAttempts is the set of jobs of which an attempt is still on some machine.
+func (s *Store) jobsWithAttempts() map[*jobs.Job]bool {
+	set := map[*jobs.Job]bool{}
+	for _, machine := range s.workers.Machines {
+		for _, attempt := range machine.Attempts {
+			if attempt.Job != nil {
+				set[attempt.Job] = true
+			}
+		}
+	}
+	return set
+}
+
+// SaveRecord writes a job as it is now, with the next commit. It is for changes other than results of tasks.
+func (s *Store) SaveRecord(now time.Time, job *jobs.Job) {
+	if !isWritable(job) {
+		return
+	}
+	if err := s.writeRecord(now, job, nil); err != nil {
+		s.log.Error("job record not written", logkeys.Job, job.ID, logkeys.Err, err)
+	}
+}
+
+// writeRecord sets the job's record as it is now, for the next commit.
+func (s *Store) writeRecord(now time.Time, job *jobs.Job, done func(time.Time, bool)) error {
+	record := job.Record()
+	record.TimeAccount = s.accounting.EncodedAccount(job)
+	return s.storage.Set(now, job.ID, record, job.MaxRecordBytes(), false, done)
+}
+
+// IsResultDurable reports whether the worker may forget that a task has completed.
+func (s *Store) IsResultDurable(task jobs.TaskID) bool {
+	job := s.Unfinished[task.JobID]
+	if job == nil || job.State == jobs.Cancelled || task.Index >= job.Tasks {
+		return true
+	}
+	return job.IsTaskDurable(task.Index)
+}
+
+// FinishIfDone writes that a job is done once all its tasks are.
+func (s *Store) FinishIfDone(now time.Time, job *jobs.Job) {
+	if job.IsService || job.DoneTasks < job.Tasks || !isWritable(job) {
+		return
+	}
+	job.IsFinishing = true
+	err := s.storage.Set(now, job.ID, jobs.NewFinalRecord(jobs.Done, job.Tasks), 0, true, func(now time.Time, ok bool) {
+		if ok && job.State != jobs.Done {
+			s.applyDone(now, job)
+		}
+	})
+	if err != nil {
+		s.log.Error("final record not written", logkeys.Job, job.ID, logkeys.Err, err)
+	}
+}
+
+// applyDone records that it is durable that a job is done.
+func (s *Store) applyDone(now time.Time, job *jobs.Job) {
+	job.State = jobs.Done
+	s.accounting.Finish(now, job)
+	s.observers.done(now, job)
+	s.retire(now, job)
+	s.releaseDependents(now, job.ID)
+	s.log.Info("job done", logkeys.Job, job.ID, logkeys.Duration, now.Sub(job.SubmittedAt).Round(time.Millisecond))
+}
+
+// retire keeps only the final state of a finished job.
+func (s *Store) retire(now time.Time, job *jobs.Job) {
+	s.finished[job.ID] = FinalState{Done: job.State == jobs.Done, Tasks: job.Tasks, finishedAt: now}
+	s.storage.SetFinished(job.ID)
+	delete(s.Unfinished, job.ID)
+	delete(s.stopping, job)
+	for chunk := range job.ChunkCount() {
+		s.storage.Delete(now, job.ChunkName(chunk))
+	}
+	s.observers.orderChanged()
+}
+
+// checkStartBounds logs and counts jobs that have waited for their first task longer than was promised.
+func (s *Store) checkStartBounds(now time.Time) {
+	for _, job := range s.Unfinished {
+		if job.FirstStartBound <= 0 || job.MissedStartBound || !job.IsSchedulable() || job.DoneTasks+len(job.ActiveAttempts) > 0 {
+			continue
+		}
+		waited := now.Sub(job.EligibleSince())
+		if waited <= job.FirstStartBound {
+			continue
+		}
+		job.MissedStartBound = true
+		s.saving.missedStartBounds++
+		s.log.Error("start bound missed", logkeys.Job, job.ID, logkeys.Team, job.Team, logkeys.Class, job.Class,
+			logkeys.Duration, waited.Round(time.Second), logkeys.Limit, job.FirstStartBound, logkeys.Count, len(s.workers.Machines))
+	}
+}
--- a/internal/controller/jobstore/store.go
+++ b/internal/controller/jobstore/store.go
@@ -1,6 +1,9 @@
-// Package jobstore keeps the jobs of a leadership: the unfinished ones, the finished ones that are in
-// the ledger's live pages, and the history of all others. It owns what is written down of them. It
-// does not decide where or when anything runs.
+// Package jobstore keeps the jobs of a leadership: the unfinished ones, the finished ones that are still in the pages of package
+// storage, and the archive of all others. It owns the records of jobs and the graph of their dependencies, and it is the only writer
+// of both. It does not decide where or when a task runs, and it sends nothing to workers or users.
+//
+// A Store is made at the election and dropped whole when the leadership ends. The design is in docs/design/archive.md and
+// docs/design/dependencies.md.
 package jobstore
 
 import (
@@ -9,7 +12,6 @@
 
 	"gullrudder/internal/config"
 	"gullrudder/internal/controller/accounting"
-	"gullrudder/internal/controller/archive"
 	"gullrudder/internal/controller/dependencies"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/storage"
@@ -17,42 +19,14 @@
 	"gullrudder/internal/wire/client"
 )
 
-// archiveShare is the part of the state service's limits that the history may use.
-const archiveShare = 0.1
-
-// FinalState is a finished job that is not sealed yet.
+// FinalState is a finished job that has not been archived yet.
 type FinalState struct {
-	Done       bool
-	Tasks      int
-	finishedAt time.Time // when this leader learnt of it
-}
-
-// Store is what a leader knows of all jobs.
-type Store struct {
-	platform      *config.Platform
-	options       *config.Options
-	log           *slog.Logger
-	storage       *storage.Store
-	workers       *worker.Registry
-	accounting    *accounting.Tracker
-	onOrderChange func() // the order of the jobs is not what it was
-	onDone        func(time.Time, *jobs.Job)
-	onWaiting     func(*jobs.Job)            // a job begins to wait for others
-	onReady       func(time.Time, *jobs.Job) // a job waits for no other any more
-
-	Unfinished        map[string]*jobs.Job  // unfinished; for looking only
-	finished          map[string]FinalState // finished jobs that are in the live pages
-	archive           *archive.Store        // all others
-	graph             *dependencies.Graph   // who waits for whom
-	unresolved        []*unresolvedDependency
-	nextResolveAt     time.Time
-	stopping          map[*jobs.Job]bool // cancelled jobs whose tasks may still be there
-	archiveUnreadable bool               // the history cannot be read: nobody is answered
-	missedStartBounds int                // bounds on waiting that were missed
-	nextSaveAt        time.Time
+	Done       bool // false: cancelled
+	Tasks      int  // how many the job had
+	finishedAt time.Time
 }
 
-// Components is what a book sees of its neighbours.
+// Components are the components of the leadership that a Store uses.
 type Components struct {
 	Platform   *config.Platform
 	Options    *config.Options
@@ -62,349 +36,100 @@
 	Log        *slog.Logger
 }
 
-// New makes an empty book.
-func New(w Components) *Store {
-	b := &Store{
-		platform:      w.Platform,
-		options:       w.Options,
-		log:           w.Log,
-		storage:       w.Storage,
-		workers:       w.Workers,
-		accounting:    w.Accounting,
-		onOrderChange: func() {},
-		onDone:        func(time.Time, *jobs.Job) {},
-		onWaiting:     func(*jobs.Job) {},
-		onReady:       func(time.Time, *jobs.Job) {},
-		Unfinished:    map[string]*jobs.Job{},
-		finished:      map[string]FinalState{},
-		stopping:      map[*jobs.Job]bool{},
-	}
-	b.graph = dependencies.New(b.Find)
-	return b
+// observers are told of changes. The functions are never nil.
+type observers struct {
+	orderChanged func()
+	done         func(now time.Time, job *jobs.Job)
+	waiting      func(job *jobs.Job)
+	ready        func(now time.Time, job *jobs.Job)
 }
 
-// OnOrderChange names who is to know when the order of the jobs is not what it was.
-func (s *Store) OnOrderChange(f func()) { s.onOrderChange = f }
-
-// OnDone names who is to know of a job that is done.
-func (s *Store) OnDone(f func(now time.Time, j *jobs.Job)) { s.onDone = f }
-
-// Find is an unfinished job, or nil.
-func (s *Store) Find(id string) *jobs.Job { return s.Unfinished[id] }
-
-// Add takes a job whose acceptance is on its way into the ledger.
-func (s *Store) Add(job *jobs.Job) {
-	s.Unfinished[job.ID] = job
-	s.accounting.Open(job)
-}
-
-// ApplyCancellation takes in that a job's cancellation is durable.
-func (s *Store) ApplyCancellation(now time.Time, job *jobs.Job) {
-	job.State, job.CancelConfirmedAt = jobs.Cancelled, now
-	s.stopping[job] = true
-	s.accounting.Finish(now, job)
-	s.graph.Remove(job)
-	s.cancelDependents(now, s.graph.Dependents(job.ID))
-}
-
-// CancellationsCompletedBefore is the time before which every cancellation that was confirmed is carried out: now if all are. Not known: an
-// earlier leader has confirmed one, and nobody can tell when.
-func (s *Store) CancellationsCompletedBefore(now time.Time) (oldest time.Time, known bool) {
-	oldest = now
-	for j := range s.stopping {
-		if j.CancelConfirmedAt.IsZero() {
-			return time.Time{}, false
-		}
-		if j.CancelConfirmedAt.Before(oldest) {
-			oldest = j.CancelConfirmedAt
-		}
-	}
-	return oldest, true
-}
-
-// IsStopping reports whether tasks of a cancelled job may still be there.
-func (s *Store) IsStopping(j *jobs.Job) bool { return s.stopping[j] }
-
-// IsTaskCancelled reports whether a task is of a job that is cancelled, or about to be: it is to end, whatever else is known.
-func (s *Store) IsTaskCancelled(task jobs.TaskID) bool {
-	if job := s.Unfinished[task.JobID]; job != nil {
-		return job.IsCancelling || job.State == jobs.Cancelled
-	}
-	if f, ok := s.finished[task.JobID]; ok {
-		return !f.Done
+// Store is what a leader knows of all jobs. It belongs to the controller's owner loop and is not safe for concurrent use.
+type Store struct {
+	platform   *config.Platform
+	options    *config.Options
+	log        *slog.Logger
+	storage    *storage.Store
+	workers    *worker.Registry
+	accounting *accounting.Tracker
+	observers  observers
+
+	// Unfinished are the jobs that are neither done nor completely cancelled, by ID. Other packages only read it.
+	Unfinished map[string]*jobs.Job
+
+	finished     map[string]FinalState // jobs in the pages, by ID
+	stopping     map[*jobs.Job]bool    // cancelled jobs whose tasks may still run
+	archive      archiveState
+	dependencies dependencyState
+	saving       saveState
+}
+
+// New returns the store of a new leadership, which is empty.
+func New(components Components) *Store {
+	s := &Store{
+		platform:   components.Platform,
+		options:    components.Options,
+		log:        components.Log,
+		storage:    components.Storage,
+		workers:    components.Workers,
+		accounting: components.Accounting,
+		observers: observers{
+			orderChanged: func() {},
+			done:         func(time.Time, *jobs.Job) {},
+			waiting:      func(*jobs.Job) {},
+			ready:        func(time.Time, *jobs.Job) {},
+		},
+		Unfinished: map[string]*jobs.Job{},
+		finished:   map[string]FinalState{},
+		stopping:   map[*jobs.Job]bool{},
 	}
-	return s.archive.LookupIndex(task.JobID) == archive.Cancelled
+	s.dependencies.graph = dependencies.New(s.Find)
+	return s
 }
 
-// FinalState is a finished job that is in the live pages.
-func (s *Store) FinalState(id string) (FinalState, bool) {
-	f, ok := s.finished[id]
-	return f, ok
-}
+// OnOrderChange sets who is told when jobs have left the queue.
+func (s *Store) OnOrderChange(f func()) { s.observers.orderChanged = f }
 
-// Archive is the record of all other finished jobs.
-func (s *Store) Archive() *archive.Store { return s.archive }
+// OnDone sets who is told of a job that is done, durably.
+func (s *Store) OnDone(f func(now time.Time, job *jobs.Job)) { s.observers.done = f }
 
-// FinishedCount is the number of finished jobs.
-func (s *Store) FinishedCount() int { return len(s.finished) + s.archive.JobCount() }
+// OnWaiting sets who is told of an accepted job that waits for others.
+func (s *Store) OnWaiting(f func(job *jobs.Job)) { s.observers.waiting = f }
 
-// MissedStartBounds is how many bounds on waiting were missed.
-func (s *Store) MissedStartBounds() int { return s.missedStartBounds }
+// OnReady sets who is told of an accepted job that waits for no other, or for none any more.
+func (s *Store) OnReady(f func(now time.Time, job *jobs.Job)) { s.observers.ready = f }
 
-// IsArchiveUnreadable reports that the history cannot be read, so that nobody can be answered.
-func (s *Store) IsArchiveUnreadable() bool { return s.archiveUnreadable }
+// Find returns an unfinished job, or nil.
+func (s *Store) Find(id string) *jobs.Job { return s.Unfinished[id] }
 
-// SetOptions takes other options for the history.
-func (s *Store) SetOptions(opt config.Options) {
-	if s.archive != nil {
-		s.archive.SetThresholds(opt.MinSegmentJobs, opt.CompactionFanIn)
-	}
+// FinalState returns a finished job that has not been archived.
+func (s *Store) FinalState(id string) (FinalState, bool) {
+	state, ok := s.finished[id]
+	return state, ok
 }
 
-// StartableJobs lists the unfinished jobs whose tasks may be started, those that are being saved included.
+// FinishedCount is the number of finished jobs, archived ones included.
+func (s *Store) FinishedCount() int { return len(s.finished) + s.archive.store.JobCount() }
+
+// StartableJobs lists the unfinished jobs whose tasks may be started, and those whose acceptance is being written.
 func (s *Store) StartableJobs() []*jobs.Job {
 	list := make([]*jobs.Job, 0, len(s.Unfinished))
-	for _, j := range s.Unfinished {
-		if j.IsSchedulable() || j.State == jobs.Pending && !j.IsCancelling && j.UnmetDependencies == 0 {
-			list = append(list, j)
+	for _, job := range s.Unfinished {
+		if job.IsSchedulable() || job.State == jobs.Pending && !job.IsCancelling && job.UnmetDependencies == 0 {
+			list = append(list, job)
 		}
 	}
 	return list
 }
 
-// Tick does what is due. Results are saved once a second; cancelled jobs are let go of only once
-// it is known of every machine what runs on it.
-func (s *Store) Tick(now time.Time, box *client.Outbox) {
-	s.archive.Tick(now, box)
-	s.resolveDependencies(now, box)
-}
-
-// Save brings what is due into the ledger.
-func (s *Store) Save(now time.Time, placing bool) {
-	if now.Before(s.nextSaveAt) {
-		return
-	}
-	s.nextSaveAt = now.Add(time.Second)
-	s.saveResults(now, placing)
-	s.checkStartBounds(now)
-}
-
-// FinishIfDone writes down that a job is done once all its tasks are.
-func (s *Store) FinishIfDone(now time.Time, job *jobs.Job) {
-	if job.IsService || job.DoneTasks < job.Tasks || job.IsFinishing || job.IsCancelling || job.State != jobs.Accepted {
-		return
-	}
-	job.IsFinishing = true
-	err := s.storage.Set(now, job.ID, jobs.NewFinalRecord(jobs.Done, job.Tasks), 0, true, func(now time.Time, ok bool) {
-		if !ok || job.State == jobs.Done {
-			return
-		}
-		job.State = jobs.Done
-		s.accounting.Finish(now, job)
-		s.onDone(now, job)
-		s.retire(now, job)
-		s.releaseDependents(now, job.ID)
-		s.log.Info("job done", "job", job.ID, "after", now.Sub(job.SubmittedAt).Round(time.Millisecond))
-	})
-	if err != nil {
-		s.log.Error("a result cannot be saved", "job", job.ID, "error", err)
-	}
-}
-
-// retire keeps nothing of a finished job but its state.
-func (s *Store) retire(now time.Time, job *jobs.Job) {
-	s.finished[job.ID] = FinalState{Done: job.State == jobs.Done, Tasks: job.Tasks, finishedAt: now}
-	s.storage.SetFinished(job.ID)
-	delete(s.Unfinished, job.ID)
-	delete(s.stopping, job)
-	for c := range job.ChunkCount() {
-		s.storage.Delete(now, job.ChunkName(c))
-	}
-	s.onOrderChange()
-}
-
-// saveResults brings results of tasks into the ledger and lets go of cancelled jobs whose tasks
-// are all gone.
-func (s *Store) saveResults(now time.Time, placing bool) {
-	var present map[*jobs.Job]bool
-	for _, j := range s.Unfinished {
-		if j.State == jobs.Cancelled && len(j.ActiveAttempts) == 0 && placing {
-			if present == nil {
-				present = s.jobsWithAttempts()
-			}
-			if !present[j] {
-				if err := s.storage.Set(now, j.ID, jobs.NewFinalRecord(jobs.Cancelled, j.Tasks), 0, false, nil); err != nil {
-					s.log.Error("a cancelled job cannot be shrunk", "job", j.ID, "error", err)
-				}
-				s.retire(now, j)
-			}
-			continue
-		}
-		if j.IsFinishing || j.IsCancelling || j.State != jobs.Accepted || !j.HasUnsaved() {
-			continue
-		}
-		tasks, chunks := j.TakeUnsaved()
-		var err error
-		left := max(len(chunks), 1)
-		durable := func(_ time.Time, ok bool) {
-			if !ok {
-				return
-			}
-			if left--; left == 0 {
-				j.MarkDurable(tasks)
-			}
-		}
-		if chunks == nil {
-			err = s.writeRecord(now, j, durable)
-		}
-		for name, c := range chunks {
-			if e := s.storage.Set(now, name, c, jobs.MaxChunkBytes, false, durable); e != nil {
-				err = e
-			}
-		}
-		if err != nil {
-			s.log.Error("results cannot be saved", "job", j.ID, "error", err)
-		}
-	}
-}
-
-// jobsWithAttempts marks the jobs of which an attempt is still on some machine.
-func (s *Store) jobsWithAttempts() map[*jobs.Job]bool {
-	set := map[*jobs.Job]bool{}
-	for _, m := range s.workers.Machines {
-		for _, a := range m.Attempts {
-			if a.Job != nil {
-				set[a.Job] = true
-			}
-		}
-	}
-	return set
-}
-
-// SaveRecord writes a job down as it is now, with the next commit: what is known of it has changed, and no
-// result of it is to be saved.
-func (s *Store) SaveRecord(now time.Time, job *jobs.Job) {
-	if job.IsFinishing || job.IsCancelling || job.State != jobs.Accepted {
-		return
-	}
-	if err := s.writeRecord(now, job, nil); err != nil {
-		s.log.Error("a job cannot be noted", "job", job.ID, "error", err)
-	}
-}
-
-// writeRecord sets the job's record as it is now, for the next commit.
-func (s *Store) writeRecord(now time.Time, job *jobs.Job, done func(time.Time, bool)) error {
-	record := job.Record()
-	record.TimeAccount = s.accounting.EncodedAccount(job)
-	return s.storage.Set(now, job.ID, record, job.MaxRecordBytes(), false, done)
-}
-
-// IsResultDurable reports whether the result of a task that exited with done need not be kept
-// by its worker any more.
-func (s *Store) IsResultDurable(task jobs.TaskID) bool {
-	job := s.Unfinished[task.JobID]
-	if job == nil || job.State == jobs.Cancelled || task.Index >= job.Tasks {
-		return true
-	}
-	return job.IsTaskDurable(task.Index)
-}
-
-// OpenArchive makes the keeper of the finished jobs. While it cannot tell which jobs there
-// were, nobody is answered: an accepted job must not be called unknown.
-func (s *Store) OpenArchive() bool {
-	opened, err := archive.New(s.storage, archive.Options{
-		ValueBytes:      s.platform.MaxValueBytes,
-		TxnOps:          s.platform.MaxTransactionOps,
-		WriteRate:       s.platform.StateWriteRate * archiveShare,
-		ReadRate:        s.platform.StateRequestRate * archiveShare,
-		MinSegmentJobs:  s.options.MinSegmentJobs,
-		CompactionFanIn: s.options.CompactionFanIn,
-		CanArchive: func(now time.Time, id string) bool {
-			f, ok := s.finished[id]
-			return ok && now.Sub(f.finishedAt) >= s.options.ArchiveDelay
-		},
-		FinalState: func(id string) (archive.FinalState, bool) {
-			f, ok := s.finished[id]
-			return archive.FinalState{Cancelled: !f.Done, Tasks: f.Tasks}, ok
-		},
-		OnArchived: func(ids []string) {
-			for _, id := range ids {
-				delete(s.finished, id)
-			}
-		},
-	}, s.log)
-	if err != nil {
-		s.archiveUnreadable = true
-		s.log.Error("the history of finished jobs cannot be read: nothing is answered", "error", err)
-		return false
-	}
-	s.archive = opened
-	return true
-}
-
-// checkStartBounds tells of jobs that have waited longer than was stated.
-func (s *Store) checkStartBounds(now time.Time) {
-	for _, j := range s.Unfinished {
-		if j.FirstStartBound > 0 && !j.MissedStartBound && j.IsSchedulable() && j.DoneTasks+len(j.ActiveAttempts) == 0 &&
-			now.Sub(j.EligibleSince()) > j.FirstStartBound {
-			j.MissedStartBound = true
-			s.missedStartBounds++
-			s.log.Error("a job waits longer than was stated", "job", j.ID, "team", j.Team, "class", j.Class,
-				"waits", now.Sub(j.EligibleSince()).Round(time.Second), "stated", j.FirstStartBound, "machines", len(s.workers.Machines))
-		}
-	}
-}
-
-// RestoreJob takes in an entry of the ledger at a takeover; since is when the leadership began, and told the earliest that a
-// cancellation can have been confirmed that is not carried out yet, zero if nobody can tell.
-func (s *Store) RestoreJob(now, leaderSince, confirmedAt time.Time, name string, decode func(any) error) {
-	var record jobs.Record
-	if err := decode(&record); err != nil {
-		s.log.Error("a job cannot be read", "job", name, "error", err)
-		return
-	}
-	job, err := jobs.FromRecord(name, record)
-	if err != nil {
-		s.log.Error("a job cannot be rebuilt", "job", name, "error", err)
-		return
-	}
-	if job.State == jobs.Done || job.State == jobs.Cancelled && record.CPUs+record.MemoryGB+record.GPUs == 0 {
-		s.finished[name] = FinalState{Done: job.State == jobs.Done, Tasks: job.Tasks, finishedAt: now}
-		s.storage.SetFinished(name)
-		return
-	}
-	s.Unfinished[name] = job
-	if job.State == jobs.Cancelled {
-		job.CancelConfirmedAt = confirmedAt
-		s.stopping[job] = true
-	}
-	if job.State == jobs.Accepted {
-		s.accounting.Restore(job, record.TimeAccount, leaderSince)
-	}
-}
-
-// RestoreChunk takes in the results of some tasks of a large array, after all jobs.
-func (s *Store) RestoreChunk(now time.Time, name, id string, chunk int, results jobs.Chunk) {
-	job := s.Unfinished[id]
-	if job == nil {
-		// An earlier leader ended after the job did and before its chunks were dropped.
-		s.storage.Delete(now, name)
-		return
-	}
-	if err := job.RestoreChunk(chunk, results); err != nil {
-		s.log.Error("task results cannot be restored", "job", id, "error", err)
-	}
+// Add adds a job whose acceptance is being written.
+func (s *Store) Add(job *jobs.Job) {
+	s.Unfinished[job.ID] = job
+	s.accounting.Open(job)
 }
 
-// FinishRestore reserves what the jobs may come to need of their pages, and writes down those that are
-// done.
-func (s *Store) FinishRestore(now time.Time) {
-	s.restoreDependencies(now)
-	for _, j := range s.Unfinished {
-		s.storage.Reserve(j.ID, j.MaxRecordBytes())
-		for c := range j.ChunkCount() {
-			s.storage.Reserve(j.ChunkName(c), jobs.MaxChunkBytes)
-		}
-		s.FinishIfDone(now, j)
-	}
+// Tick does the next step of archiving, and asks for what is not known of dependencies.
+func (s *Store) Tick(now time.Time, outbox *client.Outbox) {
+	s.archive.store.Tick(now, outbox)
+	s.resolveDependencies(now, outbox)
 }
--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -24,10 +24,11 @@
 
 // Keys of stored state.
 const (
-	Bytes   = "bytes"   // size in bytes
-	Level   = "level"   // how often the jobs of an archive segment have been compacted
-	Limit   = "limit"   // the limit that applies
-	Segment = "segment" // number of an archive segment
+	Bytes      = "bytes"      // size in bytes
+	Dependency = "dependency" // ID of a job that another one depends on
+	Level      = "level"      // how often the jobs of an archive segment have been compacted
+	Limit      = "limit"      // the limit that applies
+	Segment    = "segment"    // number of an archive segment
 )
 
 // Keys of what happened.
