--- /dev/null
+++ b/internal/controller/archive/build_test.go
@@ -0,0 +1,82 @@
+package archive_test
+
+import (
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"gullrudder/internal/controller/archive"
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/simulator"
+	"gullrudder/internal/wire/client"
+)
+
+// Writes that somebody waits for go first: while they fill the transactions, nothing is archived.
+func TestArchivingWaitsForUserWrites(t *testing.T) {
+	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
+	leader := becomeLeader(t, cluster, time.Unix(5000, 0), 1, 1000)
+	for i := range 10 {
+		leader.finish(t, fmt.Sprintf("job-%06d", i), archive.FinalState{Tasks: 1}, func() {})
+	}
+	round := func(urgent int) {
+		for i := range urgent { // each has a page of its own
+			if err := leader.storage.Set(leader.now, fmt.Sprintf("job-2%05d", i), jobs.NewFinalRecord(jobs.Done, 1), 800, true, nil); err != nil {
+				t.Fatal(err)
+			}
+		}
+		leader.tick()
+		leader.executeAll()
+	}
+	for range 30 {
+		round(8)
+	}
+	if n := leader.archive.SegmentCount(); n > 0 {
+		t.Errorf("%d segments were written ahead of submissions", n)
+	}
+	for range 3 {
+		round(2)
+	}
+	if leader.archive.SegmentCount() == 0 {
+		t.Error("nothing was archived beside a few submissions")
+	}
+}
+
+// A write of several parts that nobody answered is tried again unchanged: what was executed late may be less than what could be written
+// by now, and its first part speaks for all.
+func TestFailedWriteIsRetriedUnchanged(t *testing.T) {
+	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
+	leader := becomeLeader(t, cluster, time.Unix(5000, 0), 1, 3)
+	for i := range 120 {
+		leader.finish(t, fmt.Sprintf("job-%032d", i), archive.FinalState{Tasks: i}, func() {})
+	}
+	var held *client.Call
+	tries := 0
+	for range 1200 {
+		leader.tickAfter(100 * time.Millisecond) // so that the budget is small at first, and larger later
+		for _, c := range leader.outbox.TakeCalls() {
+			if c.Path == "/commit" && strings.Contains(fmt.Sprint(c.Body), "results/00000001/00000") && tries < 2 {
+				if tries++; tries == 1 {
+					held = &c
+					c.Done(leader.now, client.Result{})
+					leader.now = leader.now.Add(3 * time.Second)
+					continue
+				}
+				cluster.State.Exchange(*held) // now it is there
+			}
+			c.Done(leader.now, cluster.State.Exchange(c))
+		}
+		leader.executeAll()
+	}
+	if leader.archive.JobCount() != 120 || tries < 2 {
+		t.Fatalf("%d of 120 jobs are archived, %d tries", leader.archive.JobCount(), tries)
+	}
+	leader = becomeLeader(t, cluster, leader.now, 2, 3)
+	for i := range 120 {
+		id := fmt.Sprintf("job-%032d", i)
+		if f, found, ok := leader.lookUp(id); !ok || !found || f.Tasks != i {
+			t.Fatalf("%s: %+v, found %v (%v)", id, f, found, ok)
+		}
+	}
+}
--- a/internal/controller/archive/encoding.go
+++ b/internal/controller/archive/encoding.go
@@ -32,8 +32,10 @@
 	Err     error
 }
 
+// Error names the segment.
 func (e *IndexError) Error() string { return fmt.Sprintf("index of segment %d: %v", e.Segment, e.Err) }
 
+// Unwrap returns why the index cannot be encoded or decoded.
 func (e *IndexError) Unwrap() error { return e.Err }
 
 func encodeIndex(segment *Segment) ([]byte, error) {
--- /dev/null
+++ b/internal/controller/archive/leadership_test.go
@@ -0,0 +1,152 @@
+package archive_test
+
+import (
+	"fmt"
+	"hash/fnv"
+	"log/slog"
+	"time"
+
+	"gullrudder/internal/controller/archive"
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/simulator"
+	"gullrudder/internal/wire/client"
+)
+
+const leaderKey = "leader"
+
+// leadership is what a leader does around the storage and the archive, and nothing else.
+type leadership struct {
+	cluster  *simulator.World
+	storage  *storage.Store
+	archive  *archive.Store
+	finished map[string]archive.FinalState
+	outbox   client.Outbox
+	now      time.Time
+}
+
+// executeAll has the state service execute all calls, and those that follow from them.
+func (r *leadership) executeAll() {
+	for calls := r.outbox.TakeCalls(); len(calls) > 0; calls = r.outbox.TakeCalls() {
+		for _, call := range calls {
+			call.Done(r.now, r.cluster.State.Exchange(call))
+		}
+	}
+}
+
+// becomeLeader begins a leadership: the leader's key gets a new revision, and all pages are read.
+func becomeLeader(t fataler, cluster *simulator.World, now time.Time, leaderNumber uint64, rate float64) *leadership {
+	t.Helper()
+	put := cluster.State.Exchange(client.Call{Method: "POST", Path: "/commit", Body: map[string]any{
+		"guards": []any{},
+		"apply":  []any{map[string]any{"write": leaderKey, "value": map[string]any{"n": leaderNumber}}},
+	}})
+	if put.Status != 200 {
+		t.Fatalf("the leader's key: %d", put.Status)
+	}
+	r := &leadership{cluster: cluster, now: now, finished: map[string]archive.FinalState{}}
+	log := slog.New(slog.DiscardHandler)
+	r.storage = storage.New(
+		storage.Options{LeaderKey: leaderKey, ValueBytes: 1024, TxnOps: 8, WriteRate: 7 * rate},
+		cluster.State.Revision(),
+		log,
+	)
+	r.storage.Load(&r.outbox)
+	r.executeAll()
+	if !r.storage.IsLoaded() {
+		t.Fatalf("the storage is not loaded")
+	}
+	var err error
+	r.archive, err = archive.New(r.storage, archive.Options{
+		ValueBytes: 1024, TxnOps: 8, WriteRate: rate, ReadRate: 1000, MinSegmentJobs: 3, CompactionFanIn: 2,
+		CanArchive: func(_ time.Time, id string) bool { _, ok := r.finished[id]; return ok },
+		FinalState: func(id string) (archive.FinalState, bool) { f, ok := r.finished[id]; return f, ok },
+		OnArchived: func(ids []string) {
+			for _, id := range ids {
+				delete(r.finished, id)
+			}
+		},
+	}, log)
+	if err != nil {
+		t.Fatalf("the archive: %v", err)
+	}
+	r.storage.ForEach(func(name string, decode func(any) error) {
+		var rec jobs.Record
+		if err := decode(&rec); err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		r.finished[name] = archive.FinalState{Cancelled: rec.State == "c", Tasks: rec.Tasks}
+		r.storage.SetFinished(name)
+	})
+	return r
+}
+
+// requiresLeaderKey reports whether a commit is refused once another leader was elected.
+func requiresLeaderKey(c client.Call) bool {
+	for _, precondition := range c.Body.(storage.CommitRequest).Preconditions {
+		if precondition.Key == leaderKey {
+			return true
+		}
+	}
+	return false
+}
+
+type fataler interface {
+	Helper()
+	Fatalf(format string, args ...any)
+}
+
+func (r *leadership) finish(t fataler, id string, finalState archive.FinalState, durable func()) {
+	state := jobs.Done
+	if finalState.Cancelled {
+		state = jobs.Cancelled
+	}
+	err := r.storage.Set(r.now, id, jobs.NewFinalRecord(state, finalState.Tasks), 0, true, func(_ time.Time, ok bool) {
+		if ok {
+			r.finished[id] = finalState
+			r.storage.SetFinished(id)
+			durable()
+		}
+	})
+	if err != nil {
+		t.Fatalf("%s: %v", id, err)
+	}
+}
+
+func (r *leadership) tick() { r.tickAfter(1100 * time.Millisecond) }
+
+func (r *leadership) tickAfter(d time.Duration) {
+	r.now = r.now.Add(d)
+	r.archive.Tick(r.now, &r.outbox)
+	r.storage.Flush(r.now, &r.outbox)
+}
+
+// lookUp is what a user who asks for the job learns; ok is false if it cannot be told now.
+func (r *leadership) lookUp(id string) (finalState archive.FinalState, found, ok bool) {
+	if finalState, there := r.finished[id]; there {
+		return finalState, true, true
+	}
+	if r.archive.LookupIndex(id) == archive.Absent {
+		return finalState, false, true
+	}
+	r.archive.Resolve(r.now, &r.outbox, id, func(_ time.Time, got archive.FinalState, there bool, err error) {
+		finalState, found, ok = got, there, err == nil
+	})
+	r.executeAll()
+	return finalState, found, ok
+}
+
+// collidingIDs returns two IDs that the index cannot tell apart.
+func collidingIDs() (string, string) {
+	seen := map[uint32]string{}
+	for i := 0; ; i++ {
+		digits := fmt.Sprintf("%014d", i)
+		h := fnv.New32a()
+		h.Write([]byte(digits))
+		hash := h.Sum32() >> 4
+		if other, ok := seen[hash]; ok {
+			return "job-" + other, "job-" + digits
+		}
+		seen[hash] = digits
+	}
+}
--- a/internal/controller/archive/lookup.go
+++ b/internal/controller/archive/lookup.go
@@ -31,6 +31,7 @@
 	Status int // of the response, 0 if there was none that can be read
 }
 
+// Error names the key and the status.
 func (e *ReadError) Error() string {
 	return fmt.Sprintf("%s cannot be read: status %d", e.Key, e.Status)
 }
--- a/internal/controller/archive/older_version_test.go
+++ b/internal/controller/archive/older_version_test.go
@@ -1,12 +1,20 @@
 package archive_test
 
 import (
+	"fmt"
+	"log/slog"
+	"testing"
+	"time"
+
+	"gullrudder/internal/controller/archive"
+	"gullrudder/internal/simulator"
+	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
 
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// readPagesAsOlderVersion reads pages as the version before the history did.
+// readPagesAsOlderVersion reads pages as the last version without an archive did.
 func readPagesAsOlderVersion(body []byte) error {
 	var a struct {
 		Entries []struct {
@@ -15,9 +23,30 @@
 				Seq     uint64                        `msgpack:"n"`
 				Entries map[string]msgpack.RawMessage `msgpack:"e"`
 			} `msgpack:"value"`
-			Mark uint64 `msgpack:"mark"`
+			ModRevision uint64 `msgpack:"mark"`
 		} `msgpack:"entries"`
 		More bool `msgpack:"has_next"`
 	}
 	return codec.Unmarshal(body, &a)
 }
+
+// A version without an archive must not lead: it would call archived jobs unknown. It reads all values below page/ as maps, and answers
+// no request until it has.
+func TestOlderVersionCannotLoadPages(t *testing.T) {
+	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
+	leader := becomeLeader(t, cluster, time.Unix(5000, 0), 1, 1000)
+	for i := range 10 {
+		leader.finish(t, fmt.Sprintf("job-%06d", i), archive.FinalState{Tasks: 1}, func() {})
+	}
+	for range 20 {
+		leader.tick()
+		leader.executeAll()
+	}
+	if leader.archive.SegmentCount() == 0 {
+		t.Fatal("nothing was archived")
+	}
+	raw := cluster.State.Exchange(client.Call{Method: "GET", Path: "/keys?starts=page/&most=60"})
+	if err := readPagesAsOlderVersion(raw.Body); err == nil {
+		t.Error("an older version reads the pages")
+	}
+}
--- a/internal/controller/archive/store.go
+++ b/internal/controller/archive/store.go
@@ -27,12 +27,12 @@
 // Names of the entries of the archive's head.
 const (
 	nextNumberEntry = "next"
-	segmentMark     = 'r' // first letter of an entry that names a segment
-	garbageMark     = 'g' // first letter of an entry that names a segment whose parts are to be deleted
+	segmentLetter   = 'r' // begins an entry that names a segment
+	garbageLetter   = 'g' // begins an entry that names a segment whose parts are to be deleted
 )
 
-func segmentEntry(number uint64) string { return fmt.Sprintf("%c%08d", segmentMark, number) }
-func garbageEntry(number uint64) string { return fmt.Sprintf("%c%08d", garbageMark, number) }
+func segmentEntry(number uint64) string { return fmt.Sprintf("%c%08d", segmentLetter, number) }
+func garbageEntry(number uint64) string { return fmt.Sprintf("%c%08d", garbageLetter, number) }
 
 func indexPrefix(segment uint64) string {
 	return fmt.Sprintf("%s%08d/", storage.ArchiveIndexPrefix, segment)
@@ -121,7 +121,7 @@
 	if err != nil {
 		return fmt.Errorf("entry %q of the archive head: %w", name, err)
 	}
-	if name[0] == garbageMark {
+	if name[0] == garbageLetter {
 		s.garbage.segments = append(s.garbage.segments, &garbageSegment{number: number, inHead: true})
 		return nil
 	}
@@ -149,6 +149,7 @@
 	Key     string // of the part
 }
 
+// Error names the segment and the part.
 func (e *MissingPartError) Error() string {
 	return fmt.Sprintf("segment %d: part %s is missing", e.Segment, e.Key)
 }
--- a/internal/controller/storage/commit.go
+++ b/internal/controller/storage/commit.go
@@ -84,29 +84,29 @@
 	return Precondition{Key: s.options.LeaderKey, ModRevision: s.fencingToken}
 }
 
-func (s *Store) handleCommitResult(now time.Time, outbox *client.Outbox, r client.Result) {
+func (s *Store) handleCommitResult(now time.Time, outbox *client.Outbox, result client.Result) {
 	txn := s.commits.inFlight
 	var executed commitResponse
 	switch {
-	case r.Status == http.StatusOK && codec.Unmarshal(r.Body, &executed) == nil && executed.Revision > s.fencingToken:
+	case result.Status == http.StatusOK && codec.Unmarshal(result.Body, &executed) == nil && executed.Revision > s.fencingToken:
 		s.commitSucceeded(now, executed.Revision)
-	case r.IsUncertain() || r.Status == http.StatusOK:
+	case result.IsUncertain() || result.Status == http.StatusOK:
 		s.notifyUncertain(now)
 		s.readBack(outbox, 0, 0)
-	case r.Status == http.StatusConflict:
+	case result.Status == http.StatusConflict:
 		var conflict commitConflict
-		if codec.Unmarshal(r.Body, &conflict) != nil || slices.Contains(conflict.FailedKeys, s.options.LeaderKey) {
+		if codec.Unmarshal(result.Body, &conflict) != nil || slices.Contains(conflict.FailedKeys, s.options.LeaderKey) {
 			s.commitFenced(len(txn.pages))
 			return
 		}
 		s.notifyUncertain(now)
 		s.resolveConflict(outbox, 0)
-	case r.Status == http.StatusBadRequest:
+	case result.Status == http.StatusBadRequest:
 		s.handleMalformed(txn.pages)
-		s.requeue(now, r.RetryAfter)
+		s.requeue(now, result.RetryAfter)
 	default:
-		s.log.Info("commit not executed", logkeys.Status, r.Status)
-		s.requeue(now, r.RetryAfter)
+		s.log.Info("commit not executed", logkeys.Status, result.Status)
+		s.requeue(now, result.RetryAfter)
 	}
 }
 
@@ -214,12 +214,12 @@
 	})
 }
 
-func (s *Store) handleReadBack(now time.Time, outbox *client.Outbox, index int, r client.Result) {
+func (s *Store) handleReadBack(now time.Time, outbox *client.Outbox, index int, result client.Result) {
 	txn := s.commits.inFlight
 	checked := txn.guarded[index]
 	var stored pageResponse
 	switch {
-	case r.Status == http.StatusOK && codec.Unmarshal(r.Body, &stored) == nil && stored.ModRevision > 0:
+	case result.Status == http.StatusOK && codec.Unmarshal(result.Body, &stored) == nil && stored.ModRevision > 0:
 		if stored.Value.Sequence == txn.sequence && stored.Value.Leader == s.fencingToken {
 			s.commitSucceeded(now, stored.ModRevision)
 			return
@@ -231,7 +231,7 @@
 			return
 		}
 		checked.modRevision = stored.ModRevision
-	case r.Status == http.StatusNotFound:
+	case result.Status == http.StatusNotFound:
 		checked.modRevision = 0
 	default:
 		s.readBack(outbox, index, s.nextRetryDelay())
--- a/internal/controller/storage/commit_test.go
+++ b/internal/controller/storage/commit_test.go
@@ -18,18 +18,21 @@
 	N int `msgpack:"n" json:"n"`
 }
 
+// fixture is a store whose calls the test answers by hand.
 type fixture struct {
-	t     *testing.T
-	store *Store
-	box   client.Outbox
-	now   time.Time
+	t      *testing.T
+	store  *Store
+	outbox client.Outbox
+	now    time.Time
 }
 
+// newLoadedFixture returns a store without entries that has read everything.
 func newLoadedFixture(t *testing.T) *fixture {
+	t.Helper()
 	f := &fixture{t: t, now: time.Unix(1000, 0), store: New(Options{LeaderKey: "leader", ValueBytes: 1024, TxnOps: 4, WriteRate: 50},
 		7, slog.New(slog.NewTextHandler(io.Discard, nil)))}
-	f.store.Load(&f.box)
-	for _, c := range f.box.TakeCalls() {
+	f.store.Load(&f.outbox)
+	for _, c := range f.outbox.TakeCalls() {
 		c.Done(f.now, f.response(200, map[string]any{"entries": []any{}, "has_next": false, "tide": 7}))
 	}
 	return f
@@ -45,7 +48,7 @@
 
 func (f *fixture) singleCall() client.Call {
 	f.t.Helper()
-	calls := f.box.TakeCalls()
+	calls := f.outbox.TakeCalls()
 	if len(calls) != 1 {
 		f.t.Fatalf("%d calls, want one", len(calls))
 	}
@@ -55,10 +58,11 @@
 func (f *fixture) flush() client.Call {
 	f.t.Helper()
 	f.now = f.now.Add(2 * time.Second)
-	f.store.Flush(f.now, &f.box)
+	f.store.Flush(f.now, &f.outbox)
 	return f.singleCall()
 }
 
+// commitBody is what the state service reads of a commit.
 type commitBody struct {
 	Guards []struct {
 		Path string `msgpack:"path"`
@@ -90,15 +94,15 @@
 	return out
 }
 
-func (f *fixture) set(name string, n int, then func(time.Time, bool)) {
+func (f *fixture) set(name string, n int, done func(time.Time, bool)) {
 	f.t.Helper()
-	if err := f.store.Set(f.now, name, value{n}, 0, true, then); err != nil {
+	if err := f.store.Set(f.now, name, value{n}, 0, true, done); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// Every commit guards the leader's key and the mark of every page that it writes, so that
-// one that is executed after another leader's, or twice, changes nothing.
+// Every commit requires the revision of the leader's key and of every page that it writes, so that one that is executed after another
+// leader's, or twice, changes nothing.
 func TestCommitGuardsLeaderAndPages(t *testing.T) {
 	f := newLoadedFixture(t)
 	for round, modRevision := range []uint64{0, 20, 21} {
@@ -121,8 +125,8 @@
 	}
 }
 
-// After an unknown outcome the page is read back. If an earlier attempt with less in it
-// was executed, the change that came with the later one is not durable yet.
+// After an uncertain outcome the page is read back. If an earlier try with fewer entries was executed, the change that came with the
+// later one is not durable yet.
 func TestReadBackDistinguishesAttempts(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
@@ -155,7 +159,7 @@
 	}
 }
 
-// A refusal by the guards means that somebody else leads.
+// A commit that is refused because the leader's key has changed means that there is another leader.
 func TestLeaderKeyConflictFencesStore(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, func(_ time.Time, ok bool) {
@@ -169,51 +173,8 @@
 	}
 }
 
-// After a takeover entries still have the room to grow that was reserved for them.
-func TestReservedSpaceSurvivesFailover(t *testing.T) {
-	f := newLoadedFixture(t)
-	for _, name := range []string{"job-1", "job-2", "job-3"} {
-		if err := f.store.Set(f.now, name, value{1}, 250, true, nil); err != nil {
-			t.Fatal(err)
-		}
-	}
-	got := f.decodeCommit(f.flush())
-	next := newLoadedFixture(t)
-	next.store.addPage(got.Apply[0].Write, 8, got.Apply[0].Value)
-	for _, name := range []string{"job-1", "job-2", "job-3"} {
-		next.store.Reserve(name, 250)
-	}
-	if err := next.store.Set(next.now, "job-4", value{1}, 250, true, nil); err != nil {
-		t.Fatal(err)
-	}
-	if next.store.pages.entries["job-4"].page == next.store.pages.entries["job-1"].page {
-		t.Error("a new entry was put into room that is reserved")
-	}
-}
-
-// Entries never leave their page, and no page outgrows what a value may hold.
-func TestPagesStayWithinSizeLimit(t *testing.T) {
-	f := newLoadedFixture(t)
-	for i := range 40 {
-		if err := f.store.Set(f.now, "job-"+string(rune('a'+i)), value{i}, 100, true, nil); err != nil {
-			t.Fatal(err)
-		}
-	}
-	for _, p := range f.store.pages.byKey {
-		if p.size > 1024 {
-			t.Errorf("page %s: %d bytes", p.key, p.size)
-		}
-	}
-	if err := f.store.Set(f.now, "job-zz", value{1}, 2000, true, nil); err == nil {
-		t.Error("an entry larger than a page is taken")
-	}
-	if err := f.store.Set(f.now, "job-a", value{1}, 2000, true, nil); err == nil {
-		t.Error("an entry may outgrow its page")
-	}
-}
-
-// While the outcome of a commit is not known nothing else is sent: who waits for a change behind it is told so at once, and
-// again when it is durable.
+// While the outcome of a commit is uncertain nothing else is sent: who waits for a change behind it is told so at once, and again when
+// it is durable.
 func TestWaitersBehindUncertainCommitAreNotified(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
@@ -231,8 +192,8 @@
 	}
 }
 
-// A tide that falls and a mark that is missing are no answers: the commit is read back, and the page read again, rather than guarded
-// by what cannot be.
+// A revision below the fencing token and a page without a revision are no answers: the commit is read back, and the page read again,
+// rather than required at a revision that it cannot have.
 func TestInvalidResponsesAreRejected(t *testing.T) {
 	f := newLoadedFixture(t)
 	done := false
@@ -262,8 +223,8 @@
 	}
 }
 
-// A write that creates a page is carried out late, after the page was written, and again after newer ones: it is refused by its
-// guards each time, since pages are never dropped and a mark never is 0 again.
+// A commit that creates a page is executed late, after the page was written, and again after newer commits: its preconditions refuse it
+// each time, since pages are never deleted and a page's revision is never 0 again.
 func TestLatePageCreationIsRefused(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
@@ -295,8 +256,8 @@
 	}
 }
 
-// The next leader counts on from what it has read: its first commit has the number of the one that this leader's was when it
-// lost its answer. It is not taken for that, and nobody is told that it is durable.
+// The next leader counts on from what it has read, so its first commit has the sequence number of this leader's commit whose answer was
+// lost. It is not taken for that commit, and no waiter is told that it is durable.
 func TestCommitOfAnotherLeaderIsNotOwn(t *testing.T) {
 	f := newLoadedFixture(t)
 	var notifications []bool
@@ -315,8 +276,8 @@
 	}
 }
 
-// A try that was given up, read back as not carried out, and carried out a moment later makes the next one fail by its guards. The
-// leader's key tells that it was our own: the leadership goes on, and what is kept in the end is what is known.
+// A commit that was given up, read back as not executed, and executed a moment later makes the next one fail by its preconditions. The
+// leader's key tells that it was the leader's own: the leadership goes on, and what is stored in the end is what the leader knows.
 func TestOwnLateCommitDoesNotFence(t *testing.T) {
 	f := newLoadedFixture(t)
 	done := false
--- a/internal/controller/storage/load_test.go
+++ b/internal/controller/storage/load_test.go
@@ -20,9 +20,9 @@
 	valueBytes = 8192
 )
 
-// populate is a state service with a ledger of so many finished jobs, written by the ledger and
-// the keeper themselves, and 2,000 live jobs.
+// populate returns a cluster whose state service holds so many finished jobs and the unfinished ones, written by the stores themselves.
 func populate(b *testing.B, count int, id func(i int) string) *simulator.World {
+	b.Helper()
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
 	now := time.Unix(1000, 0)
 	var box client.Outbox
@@ -48,7 +48,7 @@
 	}
 	for i := range count {
 		name := id(i)
-		err := store.Set(now, name, jobs.NewFinalRecord(jobs.Done, 100), 0, true, func(_ time.Time, ok bool) {
+		err := store.Set(now, name, jobs.NewFinalRecord(jobs.Done, 100), 0, true, func(time.Time, bool) {
 			finished[name] = archive.FinalState{Tasks: 100}
 			store.SetFinished(name)
 		})
@@ -73,6 +73,7 @@
 	now time.Time,
 	box *client.Outbox,
 ) (*storage.Store, *archive.Store, map[string]archive.FinalState) {
+	b.Helper()
 	log := slog.New(slog.DiscardHandler)
 	put := cluster.State.Exchange(
 		client.Call{Method: "POST", Path: "/commit", Body: map[string]any{"apply": []any{map[string]any{"write": "leader", "value": 1}}}},
@@ -110,10 +111,51 @@
 	}
 }
 
-// BenchmarkLoad is a takeover's reading of a ledger with 2,000 live jobs and so many finished
-// ones: the answers of the state service are there, and what is measured is what the leader
-// does with them. Ids are spread over ten times as many numbers, and in the last case over all
-// of 14 digits.
+// recordedLoad is the loading of a populated state service. The first time its responses are recorded, then they are replayed, so that
+// only the work of the leader is measured.
+type recordedLoad struct {
+	b         *testing.B
+	cluster   *simulator.World // nil once the responses have been recorded
+	responses []client.Result
+}
+
+func (r *recordedLoad) load() (*storage.Store, *archive.Store) {
+	r.b.Helper()
+	var outbox client.Outbox
+	log := slog.New(slog.DiscardHandler)
+	store := storage.New(storage.Options{LeaderKey: "leader", ValueBytes: valueBytes, TxnOps: 8, WriteRate: 1e6}, 1, log)
+	store.Load(&outbox)
+	at := 0
+	for calls := outbox.TakeCalls(); len(calls) > 0; calls = outbox.TakeCalls() {
+		for _, call := range calls {
+			if r.cluster != nil {
+				r.responses = append(r.responses, r.cluster.State.Exchange(call))
+			}
+			call.Done(time.Unix(2000, 0), r.responses[at])
+			at++
+		}
+	}
+	options := archive.Options{ValueBytes: valueBytes, TxnOps: 8, WriteRate: 1, ReadRate: 1, CompactionFanIn: 8}
+	archiveStore, err := archive.New(store, options, log)
+	if err != nil {
+		r.b.Fatal(err)
+	}
+	return store, archiveStore
+}
+
+// heapOf is how many bytes of the heap the result of load holds.
+func heapOf(load func() (*storage.Store, *archive.Store)) (store *storage.Store, archiveStore *archive.Store, held int64) {
+	var before, after runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&before)
+	store, archiveStore = load()
+	runtime.GC()
+	runtime.ReadMemStats(&after)
+	return store, archiveStore, int64(after.HeapAlloc) - int64(before.HeapAlloc)
+}
+
+// BenchmarkLoad is what a leader does at a failover with the responses of the state service, which holds 2,000 unfinished jobs and so
+// many finished ones. IDs are spread over ten times as many numbers, and in the last case over all of 14 digits.
 func BenchmarkLoad(b *testing.B) {
 	spread := func(n int) func(int) string {
 		perm := rand.New(rand.NewPCG(1, 2)).Perm(10 * n)
@@ -125,68 +167,38 @@
 		name     string
 		finished int
 		id       func(int) string
-	}{{"1000", 1000, spread(1000)}, {"100000", 100_000, spread(100_000)}, {"1000000", 1_000_000, spread(1_000_000)}, {"1000000 of 14 digits", 1_000_000, anywhere}} {
-		b.Run(testCase.name, func(b *testing.B) {
-			cluster := populate(b, testCase.finished, testCase.id)
-			var answers []client.Result
-			replay := false
-			at := 0
-			load := func() (*storage.Store, *archive.Store) {
-				var box client.Outbox
-				store := storage.New(
-					storage.Options{LeaderKey: "leader", ValueBytes: valueBytes, TxnOps: 8, WriteRate: 1e6},
-					1,
-					slog.New(slog.DiscardHandler),
-				)
-				store.Load(&box)
-				at = 0
-				for calls := box.TakeCalls(); len(calls) > 0; calls = box.TakeCalls() {
-					for _, call := range calls {
-						if !replay {
-							answers = append(answers, cluster.State.Exchange(call))
-						}
-						call.Done(time.Unix(2000, 0), answers[at])
-						at++
-					}
-				}
-				archiveStore, err := archive.New(
-					store,
-					archive.Options{ValueBytes: valueBytes, TxnOps: 8, WriteRate: 1, ReadRate: 1, CompactionFanIn: 8},
-					slog.New(slog.DiscardHandler),
-				)
-				if err != nil {
-					b.Fatal(err)
-				}
-				return store, archiveStore
-			}
-			load()
-			replay = true
-			cluster = nil
-			var before, after runtime.MemStats
-			runtime.GC()
-			runtime.ReadMemStats(&before)
-			store, archiveStore := load()
-			runtime.GC()
-			runtime.ReadMemStats(&after)
-			heap := float64(int64(after.HeapAlloc)-int64(before.HeapAlloc)) / (1 << 20)
-			archived, segments := archiveStore.JobCount(), archiveStore.SegmentCount()
-			left := 0
-			store.ForEach(func(string, func(any) error) { left++ })
-			if archived+left < testCase.finished*99/100+liveJobs {
-				b.Fatalf("%d sealed and %d in pages", archived, left)
-			}
-			bytes := 0
-			for _, a := range answers {
-				bytes += len(a.Body)
-			}
-			for b.Loop() {
-				load()
-			}
-			b.ReportMetric(float64(len(answers)), "requests")
-			b.ReportMetric(float64(bytes)/1e6, "MB-read")
-			b.ReportMetric(heap, "MB-held")
-			b.ReportMetric(float64(segments), "runs")
-			b.ReportMetric(float64(left-liveJobs), "unsealed")
-		})
+	}{
+		{"1000", 1000, spread(1000)},
+		{"100000", 100_000, spread(100_000)},
+		{"1000000", 1_000_000, spread(1_000_000)},
+		{"1000000 of 14 digits", 1_000_000, anywhere},
+	} {
+		b.Run(testCase.name, func(b *testing.B) { benchmarkLoad(b, testCase.finished, testCase.id) })
+	}
+}
+
+func benchmarkLoad(b *testing.B, finished int, id func(int) string) {
+	b.Helper()
+	recorded := &recordedLoad{b: b, cluster: populate(b, finished, id)}
+	recorded.load()
+	recorded.cluster = nil
+	store, archiveStore, held := heapOf(recorded.load)
+	archived, segments := archiveStore.JobCount(), archiveStore.SegmentCount()
+	left := 0
+	store.ForEach(func(string, func(any) error) { left++ })
+	if archived+left < finished*99/100+liveJobs {
+		b.Fatalf("%d archived and %d in pages", archived, left)
+	}
+	bytes := 0
+	for _, response := range recorded.responses {
+		bytes += len(response.Body)
+	}
+	for b.Loop() {
+		recorded.load()
 	}
+	b.ReportMetric(float64(len(recorded.responses)), "requests")
+	b.ReportMetric(float64(bytes)/1e6, "MB-read")
+	b.ReportMetric(float64(held)/(1<<20), "MB-held")
+	b.ReportMetric(float64(segments), "runs")
+	b.ReportMetric(float64(left-liveJobs), "unsealed")
 }
--- a/internal/controller/storage/messages.go
+++ b/internal/controller/storage/messages.go
@@ -35,10 +35,12 @@
 	Err   error  // why it cannot be decoded, if so
 }
 
+// Error says which format was found.
 func (e *FormatError) Error() string {
 	return fmt.Sprintf("state was written by a newer version: format %q, this version reads %q", e.Found, formatVersion)
 }
 
+// Unwrap returns why the format cannot be decoded, or nil.
 func (e *FormatError) Unwrap() error { return e.Err }
 
 func checkFormat(raw msgpack.RawMessage) error {
@@ -65,8 +67,8 @@
 
 // Precondition is what a commit requires of one key.
 type Precondition struct {
-	Key         string
-	ModRevision uint64 // revision of the key's last write, 0 if it must not exist
+	Key         string `msgpack:"path"`
+	ModRevision uint64 `msgpack:"mark"` // revision of the key's last write, 0 if it must not exist
 
 	// compactZero: a key that a commit creates beside the pages is required by the short encoding of 0, as in all versions so far.
 	compactZero bool
--- /dev/null
+++ b/internal/controller/storage/page_test.go
@@ -0,0 +1,46 @@
+package storage
+
+import "testing"
+
+// After a failover entries still have the space to grow that was reserved for them.
+func TestReservedSpaceSurvivesFailover(t *testing.T) {
+	f := newLoadedFixture(t)
+	for _, name := range []string{"job-1", "job-2", "job-3"} {
+		if err := f.store.Set(f.now, name, value{1}, 250, true, nil); err != nil {
+			t.Fatal(err)
+		}
+	}
+	got := f.decodeCommit(f.flush())
+	next := newLoadedFixture(t)
+	next.store.addPage(got.Apply[0].Write, 8, got.Apply[0].Value)
+	for _, name := range []string{"job-1", "job-2", "job-3"} {
+		next.store.Reserve(name, 250)
+	}
+	if err := next.store.Set(next.now, "job-4", value{1}, 250, true, nil); err != nil {
+		t.Fatal(err)
+	}
+	if next.store.pages.entries["job-4"].page == next.store.pages.entries["job-1"].page {
+		t.Error("a new entry was put into space that is reserved")
+	}
+}
+
+// Entries never leave their page, and no page outgrows what a value may hold.
+func TestPagesStayWithinSizeLimit(t *testing.T) {
+	f := newLoadedFixture(t)
+	for i := range 40 {
+		if err := f.store.Set(f.now, "job-"+string(rune('a'+i)), value{i}, 100, true, nil); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for _, p := range f.store.pages.byKey {
+		if p.size > 1024 {
+			t.Errorf("page %s: %d bytes", p.key, p.size)
+		}
+	}
+	if err := f.store.Set(f.now, "job-zz", value{1}, 2000, true, nil); err == nil {
+		t.Error("an entry larger than a page is taken")
+	}
+	if err := f.store.Set(f.now, "job-a", value{1}, 2000, true, nil); err == nil {
+		t.Error("an entry may outgrow its page")
+	}
+}
--- a/internal/controller/storage/split_test.go
+++ b/internal/controller/storage/split_test.go
@@ -1,320 +1,268 @@
 package storage
 
 import (
-	"encoding/json"
 	"fmt"
-	"log/slog"
-	"maps"
 	"net/http"
-	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"gullrudder/internal/wire/client"
-	"gullrudder/internal/wire/codec"
 
-	"github.com/vmihailenco/msgpack/v5"
 	"pgregory.net/rapid"
 )
 
-// modelStore is a state service without anything but guards and limits.
-type modelStore struct {
-	revision       uint64
-	pages          map[string]pageValue
-	modRevisions   map[string]uint64
-	leaderRevision uint64
-	valueBytes     int
-	maxOps         int
+// splitSchedule is one drawn course of lost, late and executed commits, new leaders, and limits that are lowered in between.
+type splitSchedule struct {
+	t       *rapid.T
+	service *modelStore
+	now     time.Time
+	outbox  client.Outbox
+	store   *Store
+	durable map[string]int // least number of each entry that was called durable
+	latest  map[string]int
+	late    []commitBody // commits that may be executed later
+	lowered bool         // the limits have been lowered
+	copied  int          // how often an entry was seen on two pages
 }
 
-func (s *modelStore) commit(c commitBody) (int, any) {
-	if len(c.Apply) > s.maxOps {
-		return 400, nil
+// changeLeader has a new leader read all pages: what was durable is there.
+func (s *splitSchedule) changeLeader(valueBytes, txnOps int) {
+	s.t.Helper()
+	s.store = s.service.newLeader(s.t, s.now, &s.outbox, valueBytes, txnOps)
+	entries, _ := s.service.readEntries(s.t)
+	s.checkDurable(entries)
+	for name := range entries {
+		s.store.Reserve(name, 150)
 	}
-	for _, a := range c.Apply {
-		if jsonSize(a.Value) > s.valueBytes {
-			return 400, nil
+}
+
+func (s *splitSchedule) checkDurable(entries map[string]int) {
+	s.t.Helper()
+	for name, n := range s.durable {
+		if entries[name] < n {
+			s.t.Fatalf("%s is %d, and %d was durable", name, entries[name], n)
 		}
 	}
-	for _, g := range c.Guards {
-		modRevision := s.modRevisions[g.Path]
-		if g.Path == "leader" {
-			modRevision = s.leaderRevision
-		}
-		if modRevision != g.Mark {
-			return 409, map[string]any{"failed": []string{g.Path}, "tide": s.revision}
+}
+
+func (s *splitSchedule) set(name string) {
+	s.t.Helper()
+	s.latest[name]++
+	n := s.latest[name]
+	room := strings.Repeat("x", rapid.IntRange(0, 110).Draw(s.t, "room"))
+	err := s.store.Set(s.now, name, padded{n, room}, 150, true, func(_ time.Time, ok bool) {
+		if ok {
+			s.durable[name] = max(s.durable[name], n)
 		}
+	})
+	if err != nil {
+		s.t.Fatal(err)
 	}
-	s.revision++
-	for _, a := range c.Apply {
-		s.pages[a.Write], s.modRevisions[a.Write] = a.Value, s.revision
+}
+
+// step lets some time pass and carries out what the store sends. If lossy, commits may be lost.
+func (s *splitSchedule) step(lossy bool) {
+	s.t.Helper()
+	s.now = s.now.Add(time.Duration(100+rapid.IntRange(0, 900).Draw(s.t, "ms")) * time.Millisecond)
+	s.store.Flush(s.now, &s.outbox)
+	for _, call := range s.outbox.TakeCalls() {
+		fate := 0
+		if lossy && call.Method == http.MethodPost {
+			fate = rapid.IntRange(0, 5).Draw(s.t, "fate")
+		}
+		switch fate {
+		case 1: // executed, and the answer is lost
+			s.service.serve(s.t, call)
+			call.Done(s.now, client.Result{})
+		case 2: // neither
+			call.Done(s.now, client.Result{})
+		case 3: // executed later
+			s.late = append(s.late, decodeCommitCall(s.t, call))
+			call.Done(s.now, client.Result{})
+		default:
+			call.Done(s.now, s.service.serve(s.t, call))
+		}
 	}
-	return 200, map[string]any{"tide": s.revision}
 }
 
-// jsonSize is the JSON size of a page as the service counts it.
-func jsonSize(v pageValue) int {
-	plain := map[string]any{"n": v.Sequence, "l": v.Leader}
-	entries := map[string]any{}
-	for name, raw := range v.Entries {
-		var x any
-		if msgpack.Unmarshal(raw, &x) != nil {
-			return 1 << 30
+// fill sets entries under the old limits.
+func (s *splitSchedule) fill(names int) {
+	s.t.Helper()
+	for i := range names {
+		s.set(fmt.Sprintf("job-%04d", i))
+		if i%10 == 9 {
+			s.step(false)
 		}
-		entries[name] = x
 	}
-	plain["e"] = entries
-	text, err := json.Marshal(plain)
-	if err != nil {
-		return 1 << 30
+	for range 20 {
+		s.step(false)
 	}
-	return len(text)
 }
 
-// readEntries is what a leader reads: pages in the order of their keys, and of two entries of a name the last.
-func (s *modelStore) readEntries(t fataler) (entries map[string]int, twice bool) {
-	entries = map[string]int{}
-	for _, key := range slices.Sorted(maps.Keys(s.pages)) {
-		for name, raw := range s.pages[key].Entries {
-			var v padded
-			if err := msgpack.Unmarshal(raw, &v); err != nil {
-				t.Fatal(err)
-			}
-			_, before := entries[name]
-			twice = twice || before
-			entries[name] = v.N
+// act does one drawn thing.
+func (s *splitSchedule) act(names int) {
+	s.t.Helper()
+	switch rapid.IntRange(0, 9).Draw(s.t, "what") {
+	case 0:
+		if !s.lowered {
+			s.lowered = true
+			s.service.lowerLimits()
+		}
+	case 1:
+		s.changeLeader(newValueBytes, newTxnOps)
+	case 2:
+		if len(s.late) > 0 {
+			s.service.commit(s.late[0])
+			s.late = s.late[1:]
 		}
+	case 3, 4, 5:
+		s.set(fmt.Sprintf("job-%04d", rapid.IntRange(0, names+5).Draw(s.t, "name")))
+	default:
+		s.step(true)
 	}
-	return entries, twice
+	s.replaceFencedLeader()
 }
 
-// newLeader is the ledger of a new leader, which has read all.
-func (s *modelStore) newLeader(t fataler, now time.Time, box *client.Outbox, valueBytes, ops int) *Store {
-	box.TakeCalls()
-	s.revision++
-	s.leaderRevision = s.revision
-	l := New(Options{LeaderKey: "leader", ValueBytes: valueBytes, TxnOps: ops, WriteRate: 50}, s.leaderRevision, slog.New(slog.DiscardHandler))
-	l.Load(box)
-	for _, c := range box.TakeCalls() {
-		c.Done(now, s.serve(t, c))
+// replaceFencedLeader has another leader read all pages if the outcome of a lost commit could not be told.
+func (s *splitSchedule) replaceFencedLeader() {
+	s.t.Helper()
+	if s.store.IsFenced() {
+		s.changeLeader(newValueBytes, newTxnOps)
 	}
-	return l
 }
 
-func (s *modelStore) serve(t fataler, c client.Call) client.Result {
-	status, body := 404, any(map[string]any{"tide": s.revision})
-	path := strings.TrimPrefix(c.Path, "/keys/")
-	switch {
-	case c.Method == http.MethodPost:
-		status, body = s.commit(decodeCommitCall(t, c))
-	case strings.Contains(c.Path, "starts=page"):
-		var rows []any
-		for _, key := range slices.Sorted(maps.Keys(s.pages)) {
-			rows = append(rows, map[string]any{"path": key, "value": s.pages[key], "mark": s.modRevisions[key]})
-		}
-		status, body = 200, map[string]any{"entries": rows, "has_next": false}
-	case strings.HasPrefix(c.Path, "/keys?"):
-		status, body = 200, map[string]any{"entries": []any{}, "has_next": false}
-	case path == "leader":
-		status, body = 200, map[string]any{"path": path, "value": "n", "mark": s.leaderRevision}
-	case s.modRevisions[path] > 0:
-		status, body = 200, map[string]any{"path": path, "value": s.pages[path], "mark": s.modRevisions[path]}
+// checkCopies: until the limits are lowered each entry is on one page.
+func (s *splitSchedule) checkCopies() {
+	s.t.Helper()
+	_, twice := s.service.readEntries(s.t)
+	if twice && !s.lowered {
+		s.t.Fatal("an entry is on two pages though the limits have not been lowered")
 	}
-	raw, err := codec.Marshal(body)
-	if err != nil {
-		t.Fatal(err)
+	if twice {
+		s.copied++
 	}
-	return client.Result{Status: status, Body: raw}
 }
 
-// padded is a value that takes some room.
-type padded struct {
-	N    int    `msgpack:"n" json:"n"`
-	Room string `msgpack:"r" json:"r"`
+// checkEnd: in the end all pages are within the limits, and each entry is on one of them.
+func (s *splitSchedule) checkEnd() {
+	s.t.Helper()
+	for key, value := range s.service.pages {
+		if n := jsonSize(value); n > newValueBytes {
+			s.t.Fatalf("%s has %d bytes in the end", key, n)
+		}
+	}
+	entries, twice := s.service.readEntries(s.t)
+	if twice {
+		s.t.Fatal("an entry is on two pages in the end")
+	}
+	s.checkDurable(entries)
 }
 
-// Pages of an earlier version are larger than the limits that are to come. They are split, whatever answers are lost, when the limits
-// fall in between and when leaders end: nothing that was durable is lost or becomes older, until the fall each entry is on one
+// Pages of an earlier version are larger than the limits that will apply. They are split, whatever answers are lost, when the limits
+// are lowered in between and when leaders end: nothing that was durable is lost or becomes older, until then each entry is on one
 // page, and in the end all pages are within the limits.
 func TestPagesAreSplitForLowerLimits(t *testing.T) {
-	fell, copied := 0, 0
+	lowered, copied := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		service := &modelStore{pages: map[string]pageValue{}, modRevisions: map[string]uint64{}, valueBytes: 8192, maxOps: 8, revision: 5}
-		now := time.Unix(1000, 0)
-		durable, latest := map[string]int{}, map[string]int{}
-		var box client.Outbox
-		var store *Store
-		changeLeader := func(valueBytes, ops int) {
-			store = service.newLeader(t, now, &box, valueBytes, ops)
-			entries, _ := service.readEntries(t)
-			for name, n := range durable {
-				if entries[name] < n {
-					t.Fatalf("%s is %d, and %d was durable", name, entries[name], n)
-				}
-			}
-			for name := range entries {
-				store.Reserve(name, 150)
-			}
+		s := &splitSchedule{
+			t: t, service: newModelStore(), now: time.Unix(1000, 0), durable: map[string]int{}, latest: map[string]int{},
 		}
-		set := func(name string) {
-			latest[name]++
-			n := latest[name]
-			room := strings.Repeat("x", rapid.IntRange(0, 110).Draw(t, "room"))
-			err := store.Set(now, name, padded{n, room}, 150, true, func(_ time.Time, ok bool) {
-				if ok {
-					durable[name] = max(durable[name], n)
-				}
-			})
-			if err != nil {
-				t.Fatal(err)
-			}
-		}
-		var late []commitBody
-		step := func(lossy bool) {
-			now = now.Add(time.Duration(100+rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
-			store.Flush(now, &box)
-			for _, c := range box.TakeCalls() {
-				fate := 0
-				if lossy && c.Method == http.MethodPost {
-					fate = rapid.IntRange(0, 5).Draw(t, "fate")
-				}
-				switch fate {
-				case 1: // executed, and the answer is lost
-					service.serve(t, c)
-					c.Done(now, client.Result{})
-				case 2: // neither
-					c.Done(now, client.Result{})
-				case 3: // executed later
-					late = append(late, decodeCommitCall(t, c))
-					c.Done(now, client.Result{})
-				default:
-					c.Done(now, service.serve(t, c))
-				}
-			}
-		}
-		changeLeader(8192, 8)
+		s.changeLeader(oldValueBytes, oldTxnOps)
 		names := rapid.IntRange(20, 120).Draw(t, "names")
-		for i := range names {
-			set(fmt.Sprintf("job-%04d", i))
-			if i%10 == 9 {
-				step(false)
-			}
-		}
-		for range 20 {
-			step(false)
-		}
-		fallen := false
-		changeLeader(1024, 4)
+		s.fill(names)
+		s.changeLeader(newValueBytes, newTxnOps)
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
-			case 0:
-				if !fallen {
-					fallen, service.valueBytes, service.maxOps = true, 1024, 4
-					fell++
-				}
-			case 1:
-				changeLeader(1024, 4)
-			case 2:
-				if len(late) > 0 {
-					service.commit(late[0])
-					late = late[1:]
-				}
-			case 3, 4, 5:
-				set(fmt.Sprintf("job-%04d", rapid.IntRange(0, names+5).Draw(t, "name")))
-			default:
-				step(true)
-			}
-			if store.IsFenced() { // an answer was lost that cannot be told of: another leader reads anew
-				changeLeader(1024, 4)
-			}
-			_, twice := service.readEntries(t)
-			if twice && !fallen {
-				t.Fatal("an entry is on two pages though the limits have not fallen")
-			}
-			if twice {
-				copied++
-			}
-		}
-		service.valueBytes, service.maxOps = 1024, 4
-		for range 200 {
-			if store.IsFenced() {
-				changeLeader(1024, 4)
-			}
-			step(false)
+			s.act(names)
+			s.checkCopies()
 		}
-		changeLeader(1024, 4)
-		for key, v := range service.pages {
-			if n := jsonSize(v); n > 1024 {
-				t.Fatalf("%s has %d bytes in the end", key, n)
-			}
-		}
-		entries, twice := service.readEntries(t)
-		if twice {
-			t.Fatal("an entry is on two pages in the end")
+		if s.lowered {
+			lowered++
 		}
-		for name, n := range durable {
-			if entries[name] < n {
-				t.Fatalf("%s is %d in the end, and %d was durable", name, entries[name], n)
-			}
+		copied += s.copied
+		s.service.lowerLimits()
+		for range 200 {
+			s.replaceFencedLeader()
+			s.step(false)
 		}
+		s.changeLeader(newValueBytes, newTxnOps)
+		s.checkEnd()
 	})
-	if fell == 0 || copied == 0 {
-		t.Errorf("the limits fell %d times, copies were seen %d times", fell, copied)
+	if lowered == 0 || copied == 0 {
+		t.Errorf("the limits were lowered %d times, copies were seen %d times", lowered, copied)
 	}
 }
 
-// A copy that nobody answered is carried out late, after the next try: it changes nothing.
-func TestLateCopyIsRefused(t *testing.T) {
-	service := &modelStore{pages: map[string]pageValue{}, modRevisions: map[string]uint64{}, valueBytes: 8192, maxOps: 8, revision: 5}
-	now := time.Unix(1000, 0)
-	var box client.Outbox
-	store := service.newLeader(t, now, &box, 8192, 8)
-	for i := range 60 {
-		if err := store.Set(now, fmt.Sprintf("job-%04d", i), padded{i, strings.Repeat("x", 100)}, 150, true, nil); err != nil {
-			t.Fatal(err)
-		}
-	}
-	var held *commitBody
-	step := func(hold bool) {
-		now = now.Add(time.Second)
-		store.Flush(now, &box)
-		for _, c := range box.TakeCalls() {
-			if hold && c.Method == http.MethodPost && held == nil {
-				if parsed := decodeCommitCall(t, c); len(parsed.Apply) > 1 {
-					held = &parsed
-					c.Done(now, client.Result{})
-					continue
-				}
+// lateCopy is a store whose first copy of entries to new pages is held back.
+type lateCopy struct {
+	t       *testing.T
+	service *modelStore
+	now     time.Time
+	outbox  client.Outbox
+	store   *Store
+	held    *commitBody
+}
+
+// step carries out what the store sends. If hold, the first commit of several pages is held and not answered.
+func (l *lateCopy) step(hold bool) {
+	l.t.Helper()
+	l.now = l.now.Add(time.Second)
+	l.store.Flush(l.now, &l.outbox)
+	for _, call := range l.outbox.TakeCalls() {
+		if hold && call.Method == http.MethodPost && l.held == nil {
+			if parsed := decodeCommitCall(l.t, call); len(parsed.Apply) > 1 {
+				l.held = &parsed
+				call.Done(l.now, client.Result{})
+				continue
 			}
-			c.Done(now, service.serve(t, c))
 		}
+		call.Done(l.now, l.service.serve(l.t, call))
 	}
-	for range 10 {
-		step(false)
+}
+
+func (l *lateCopy) steps(n int) {
+	l.t.Helper()
+	for range n {
+		l.step(false)
 	}
-	service.valueBytes, service.maxOps = 1024, 4
-	store = service.newLeader(t, now, &box, 1024, 4)
-	for i := 0; i < 10 && !store.splits.limitsLowered; i++ {
-		step(false) // refused for its size
+}
+
+// holdCopy lowers the limits and steps until a copy has been held.
+func (l *lateCopy) holdCopy() {
+	l.t.Helper()
+	l.service.lowerLimits()
+	l.store = l.service.newLeader(l.t, l.now, &l.outbox, newValueBytes, newTxnOps)
+	for i := 0; i < 10 && !l.store.splits.limitsLowered; i++ {
+		l.step(false) // refused for its size
 	}
-	for i := 0; i < 10 && held == nil; i++ {
-		step(true)
+	for i := 0; i < 10 && l.held == nil; i++ {
+		l.step(true)
 	}
-	if held == nil {
-		t.Fatal("no copy was sent")
+	if l.held == nil {
+		l.t.Fatal("no copy was sent")
 	}
-	pages := len(store.pages.byKey)
-	for i := 0; i < 30 && len(store.pages.byKey) < pages+3; i++ { // it is read back, ruled out, and tried again
-		step(false)
+}
+
+// A copy that nobody answered is executed late, after the next try: it changes nothing.
+func TestLateCopyIsRefused(t *testing.T) {
+	l := &lateCopy{t: t, service: newModelStore(), now: time.Unix(1000, 0)}
+	l.store = l.service.newLeader(t, l.now, &l.outbox, oldValueBytes, oldTxnOps)
+	for i := range 60 {
+		if err := l.store.Set(l.now, fmt.Sprintf("job-%04d", i), padded{i, strings.Repeat("x", 100)}, 150, true, nil); err != nil {
+			t.Fatal(err)
+		}
 	}
-	if status, _ := service.commit(*held); status != 409 {
-		t.Errorf("carried out late it gets %d", status)
+	l.steps(10)
+	l.holdCopy()
+	pages := len(l.store.pages.byKey)
+	for i := 0; i < 30 && len(l.store.pages.byKey) < pages+3; i++ { // it is read back, invalidated, and tried again
+		l.step(false)
 	}
-	for range 30 {
-		step(false)
+	if status, _ := l.service.commit(*l.held); status != http.StatusConflict {
+		t.Errorf("executed late it gets %d", status)
 	}
-	if entries, twice := service.readEntries(t); twice || len(entries) != 60 {
+	l.steps(30)
+	if entries, twice := l.service.readEntries(t); twice || len(entries) != 60 {
 		t.Errorf("%d entries in the end, some twice: %v", len(entries), twice)
 	}
 }
--- a/internal/controller/storage/store.go
+++ b/internal/controller/storage/store.go
@@ -113,6 +113,7 @@
 	OnPage bool // the entry has a page already, which it would outgrow
 }
 
+// Error says how large the entry would be.
 func (e *EntryTooLargeError) Error() string {
 	if e.OnPage {
 		return fmt.Sprintf("entry %s: grows to %d bytes, more than its page holds", e.Name, e.Bytes)
