--- a/internal/controller/past_test.go
+++ b/internal/controller/past_test.go
@@ -31,7 +31,7 @@
 		return client.Result{Status: 503}
 	case call.Path == "/commit":
 		service.revision++
-		for _, change := range call.Body.(storage.CommitRequest).Changes {
+		for _, change := range call.Body.(storage.CommitRequest).Operations {
 			if change.Write != "" {
 				service.values[change.Write], service.modRevisions[change.Write] = change.Value, service.revision
 			}
--- a/internal/controller/storage/archive.go
+++ b/internal/controller/storage/archive.go
@@ -201,7 +201,7 @@
 	request := CommitRequest{Preconditions: []Precondition{s.requireLeadership()}}
 	for _, part := range parts {
 		request.Preconditions = append(request.Preconditions, requireAbsent(part.Key))
-		request.Changes = append(request.Changes, Change{Write: part.Key, Value: archivePartValue{part.Text}})
+		request.Operations = append(request.Operations, Operation{Write: part.Key, Value: archivePartValue{part.Text}})
 	}
 	s.sendArchiveCommit(outbox, request, func(now time.Time, r client.Result) {
 		if r.Status == http.StatusOK || !r.IsUncertain() && r.Status != http.StatusConflict {
@@ -234,12 +234,12 @@
 	request := CommitRequest{Preconditions: []Precondition{s.requireLeadership()}}
 	for _, part := range parts {
 		request.Preconditions = append(request.Preconditions, Precondition{Key: part.Key, ModRevision: part.ModRevision})
-		request.Changes = append(request.Changes, Change{Delete: part.Key})
+		request.Operations = append(request.Operations, Operation{Delete: part.Key})
 	}
 	s.sendArchiveCommit(outbox, request, func(now time.Time, r client.Result) { done(now, r.Status == http.StatusOK) })
 }
 
 func (s *Store) sendArchiveCommit(outbox *client.Outbox, request CommitRequest, done func(now time.Time, r client.Result)) {
-	s.writeLimiter.Take(len(request.Changes))
+	s.writeLimiter.Take(len(request.Operations))
 	s.send(outbox, client.Call{Method: http.MethodPost, Path: commitPath, Timeout: commitTimeout, Body: request, Done: done})
 }
--- a/internal/controller/storage/commit.go
+++ b/internal/controller/storage/commit.go
@@ -56,7 +56,7 @@
 		if move != nil {
 			move.applyTo(p, p == s.archive.head, value.Entries, s.pages.entries)
 		}
-		request.Changes = append(request.Changes, Change{Write: p.key, Value: value})
+		request.Operations = append(request.Operations, Operation{Write: p.key, Value: value})
 		txn.waiters = append(txn.waiters, p.waiters)
 		txn.wasDirty = append(txn.wasDirty, s.pages.dirty[p])
 		p.urgent, p.waiters = false, nil
@@ -70,7 +70,7 @@
 	}
 	if move != nil && move.source == nil && s.archive.head.modRevision == 0 {
 		request.Preconditions = append(request.Preconditions, requireAbsent(formatKey))
-		request.Changes = append(request.Changes, Change{Write: formatKey, Value: formatVersion})
+		request.Operations = append(request.Operations, Operation{Write: formatKey, Value: formatVersion})
 	}
 	s.commits.inFlight = txn
 	s.send(outbox, client.Call{
--- a/internal/controller/storage/messages.go
+++ b/internal/controller/storage/messages.go
@@ -99,17 +99,17 @@
 // requireAbsent requires that a key beside the pages does not exist.
 func requireAbsent(key string) Precondition { return Precondition{Key: key, compactZero: true} }
 
-// Change is one write or one deletion of a commit.
-type Change struct {
+// Operation is one write or one deletion of a commit.
+type Operation struct {
 	Write  string `msgpack:"write,omitempty"` // key that gets Value
 	Value  any    `msgpack:"value,omitempty"`
 	Delete string `msgpack:"drop,omitempty"` // key that is deleted
 }
 
-// CommitRequest is the body of POST /commit: the state service makes all changes at once if all preconditions hold, else none.
+// CommitRequest is the body of POST /commit: the state service makes all operations at once if all preconditions hold, else none.
 type CommitRequest struct {
 	Preconditions []Precondition `msgpack:"guards"`
-	Changes       []Change       `msgpack:"apply"`
+	Operations    []Operation    `msgpack:"apply"`
 }
 
 // commitResponse is the answer to a commit that was executed.
--- a/internal/controller/storage/store.go
+++ b/internal/controller/storage/store.go
@@ -5,7 +5,7 @@
 // A Store is one leadership's copy of the pages, made at the election and dropped whole when the leadership ends. It also writes the
 // keys of package archive, by the same rules. It never decides what an entry means, and it never answers a user.
 //
-// The design is in docs/design/archive.md and docs/design/state.md; the limits of the state service are in docs/design/upgrade.md.
+// The design is in docs/design/storage.md, that of splits in docs/design/upgrade.md.
 package storage
 
 import (
