--- /dev/null
+++ b/internal/controller/jobstore/store_test.go
@@ -0,0 +1,172 @@
+package jobstore
+
+import (
+	"log/slog"
+	"testing"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/controller/accounting"
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/controller/worker"
+
+	"github.com/prometheus/client_golang/prometheus"
+)
+
+var now = time.Unix(1000, 0)
+
+// newTestStore returns a store with an archive without jobs.
+func newTestStore(t *testing.T) *Store {
+	t.Helper()
+	log := slog.New(slog.DiscardHandler)
+	platform := &config.Platform{MaxValueBytes: 8192, MaxTransactionOps: 8, StateWriteRate: 15, StateRequestRate: 100}
+	store := New(Components{
+		Platform:   platform,
+		Options:    &config.Options{},
+		Storage:    storage.New(storage.Options{ValueBytes: 8192, TxnOps: 8, WriteRate: 15}, 7, log),
+		Workers:    worker.NewRegistry(time.Minute, log),
+		Accounting: accounting.New(accounting.NewMetrics(prometheus.NewRegistry()), log),
+		Log:        log,
+	})
+	if !store.OpenArchive() {
+		t.Fatal("the archive cannot be read")
+	}
+	return store
+}
+
+// addJob adds a job of one task in a state.
+func addJob(store *Store, id string, state jobs.State, dependencies ...string) *jobs.Job {
+	job := jobs.New(jobs.Spec{Tasks: 1, Dependencies: dependencies}, now)
+	job.ID, job.State = id, state
+	store.Add(job)
+	return job
+}
+
+func TestDependencyState(t *testing.T) {
+	store := newTestStore(t)
+	store.finished["job-1"] = FinalState{Done: true, Tasks: 1}
+	store.finished["job-2"] = FinalState{Tasks: 1}
+	addJob(store, "job-3", jobs.Accepted)
+	addJob(store, "job-4", jobs.Pending)
+	addJob(store, "job-5", jobs.Accepted).IsCancelling = true
+	addJob(store, "job-6", jobs.Accepted).HasUndecidedDependency = true
+	addJob(store, "job-7", jobs.Accepted).IsService = true
+	addJob(store, "job-8", jobs.Done)
+	addJob(store, "job-9", jobs.Cancelled)
+	for _, test := range []struct {
+		name string
+		id   string
+		want DependencyState
+	}{
+		{"done", "job-1", DependencyMet},
+		{"cancelled", "job-2", DependencyCancelled},
+		{"accepted", "job-3", DependencyOpen},
+		{"acceptance being written", "job-4", DependencyUndecided},
+		{"cancellation being written", "job-5", DependencyUndecided},
+		{"undecided itself", "job-6", DependencyUndecided},
+		{"service", "job-7", DependencyService},
+		{"done, not retired", "job-8", DependencyMet},
+		{"cancelled, tasks stopping", "job-9", DependencyCancelled},
+		{"unknown", "job-10", DependencyNeverAccepted},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := store.DependencyState(test.id); got != test.want {
+				t.Errorf("state %d, want %d", got, test.want)
+			}
+		})
+	}
+}
+
+// A durable cancellation cancels all jobs that depend on the job, directly or through others, and no other job.
+func TestCancellationCancelsDependents(t *testing.T) {
+	store := newTestStore(t)
+	first := addJob(store, "job-1", jobs.Accepted)
+	second := addJob(store, "job-2", jobs.Accepted, "job-1")
+	third := addJob(store, "job-3", jobs.Accepted, "job-2")
+	other := addJob(store, "job-4", jobs.Accepted)
+	store.WaitForDependencies(now, second, []string{"job-1"})
+	store.WaitForDependencies(now, third, []string{"job-2"})
+	changes := 0
+	store.OnOrderChange(func() { changes++ })
+	store.ApplyCancellation(now, first)
+	for _, job := range []*jobs.Job{first, second, third} {
+		if job.State != jobs.Cancelled || !job.CancelConfirmedAt.Equal(now) {
+			t.Errorf("%s: state %d, confirmed at %v", job.ID, job.State, job.CancelConfirmedAt)
+		}
+	}
+	if other.State != jobs.Accepted {
+		t.Errorf("%s: state %d", other.ID, other.State)
+	}
+	if changes == 0 {
+		t.Error("the order of the queue was not invalidated")
+	}
+}
+
+// A cancellation is carried out once the job is retired; one that an earlier leader confirmed has no known time.
+func TestCancellationsCompletedBefore(t *testing.T) {
+	store := newTestStore(t)
+	if got, known := store.CancellationsCompletedBefore(now); !known || !got.Equal(now) {
+		t.Errorf("without cancellations: %v, %v", got, known)
+	}
+	job := addJob(store, "job-1", jobs.Accepted)
+	store.ApplyCancellation(now.Add(-time.Minute), job)
+	if got, known := store.CancellationsCompletedBefore(now); !known || !got.Equal(now.Add(-time.Minute)) || !store.IsStopping(job) {
+		t.Errorf("while it is stopping: %v, %v", got, known)
+	}
+	store.Save(now, false)
+	if store.Find("job-1") == nil {
+		t.Error("retired before it is known of every machine what runs on it")
+	}
+	store.Save(now.Add(saveInterval), true)
+	if got, known := store.CancellationsCompletedBefore(now); !known || !got.Equal(now) || store.Find("job-1") != nil {
+		t.Errorf("once it is retired: %v, %v", got, known)
+	}
+	if state, ok := store.FinalState("job-1"); !ok || state.Done {
+		t.Errorf("final state %+v, %v", state, ok)
+	}
+	restored := addJob(store, "job-2", jobs.Cancelled)
+	store.stopping[restored] = true
+	if _, known := store.CancellationsCompletedBefore(now); known {
+		t.Error("a cancellation of an earlier leader has a known time")
+	}
+}
+
+// A final record is restored as a final state, any other as an unfinished job.
+func TestRestoreJob(t *testing.T) {
+	accepted := jobs.New(jobs.Spec{Tasks: 3, CPUs: 2}, now).Record()
+	cancelled := accepted
+	cancelled.State = jobs.NewFinalRecord(jobs.Cancelled, 3).State
+	for _, test := range []struct {
+		name     string
+		record   jobs.Record
+		final    bool
+		done     bool
+		stopping bool
+	}{
+		{name: "done", record: jobs.NewFinalRecord(jobs.Done, 3), final: true, done: true},
+		{name: "cancelled and retired", record: jobs.NewFinalRecord(jobs.Cancelled, 3), final: true},
+		{name: "cancelled, tasks may still run", record: cancelled, stopping: true},
+		{name: "accepted", record: accepted},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			store := newTestStore(t)
+			confirmedAt := now.Add(-time.Minute)
+			store.RestoreJob(now, now, confirmedAt, "job-1", func(v any) error {
+				*v.(*jobs.Record) = test.record
+				return nil
+			})
+			state, final := store.FinalState("job-1")
+			if final != test.final || state.Done != test.done || final && state.Tasks != 3 {
+				t.Errorf("final state %+v, %v", state, final)
+			}
+			job := store.Find("job-1")
+			if (job == nil) != test.final {
+				t.Fatalf("unfinished job %v", job)
+			}
+			if test.stopping && (!store.IsStopping(job) || !job.CancelConfirmedAt.Equal(confirmedAt)) {
+				t.Errorf("stopping %v, confirmed at %v", store.IsStopping(job), job.CancelConfirmedAt)
+			}
+		})
+	}
+}
