--- a/internal/controller/archive/encoding.go
+++ b/internal/controller/archive/encoding.go
@@ -181,7 +181,7 @@
 
 // findJob reads one job from a part of the data: place is how many keys of the part come before the job's key. found is false if the
 // key's jobs are others.
-func findJob(text string, place int, key uint64, id string) (state FinalState, found bool, err error) {
+func findJob(text string, place int, key uint64, jobID string) (state FinalState, found bool, err error) {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
 		return FinalState{}, false, fmt.Errorf("decode base64: %w", err)
@@ -203,7 +203,7 @@
 			if digits, raw, err = readDigits(raw); err != nil {
 				return FinalState{}, false, err
 			}
-			isJob = string(digits) == strings.TrimPrefix(id, jobIDPrefix)
+			isJob = string(digits) == strings.TrimPrefix(jobID, jobIDPrefix)
 		}
 		if state, raw, err = readFinalState(raw); err != nil {
 			return FinalState{}, false, err
--- a/internal/controller/archive/lookup.go
+++ b/internal/controller/archive/lookup.go
@@ -48,8 +48,8 @@
 )
 
 // LookupIndex looks a job up in the index.
-func (s *Store) LookupIndex(id string) IndexResult {
-	key, ok := keyOf(id)
+func (s *Store) LookupIndex(jobID string) IndexResult {
+	key, ok := keyOf(jobID)
 	if !ok {
 		return Absent
 	}
@@ -77,19 +77,19 @@
 
 // Resolve looks a job up in the data. done is called exactly once, perhaps before Resolve returns.
 func (s *Store) Resolve(
-	now time.Time, outbox *client.Outbox, id string, done func(now time.Time, state FinalState, found bool, err error),
+	now time.Time, outbox *client.Outbox, jobID string, done func(now time.Time, state FinalState, found bool, err error),
 ) {
 	if s.reader.lookups >= maxLookups {
 		done(now, FinalState{}, false, ErrBusy)
 		return
 	}
-	key, ok := keyOf(id)
+	key, ok := keyOf(jobID)
 	if !ok {
 		done(now, FinalState{}, false, nil)
 		return
 	}
 	s.reader.lookups++
-	l := &lookup{store: s, outbox: outbox, id: id, key: key, tried: map[uint64]bool{}}
+	l := &lookup{store: s, outbox: outbox, id: jobID, key: key, tried: map[uint64]bool{}}
 	l.done = func(now time.Time, state FinalState, found bool, err error) {
 		s.reader.lookups--
 		done(now, state, found, err)
--- a/internal/controller/jobstore/dependencies.go
+++ b/internal/controller/jobstore/dependencies.go
@@ -45,17 +45,17 @@
 
 // DependencyState returns what has become of a job that another one depends on. Only what is durable counts: in the pages, written by
 // this leader or an earlier one, or in the archive.
-func (s *Store) DependencyState(id string) DependencyState {
-	if state, ok := s.finished[id]; ok {
+func (s *Store) DependencyState(jobID string) DependencyState {
+	if state, ok := s.finished[jobID]; ok {
 		if state.Done {
 			return DependencyMet
 		}
 		return DependencyCancelled
 	}
-	if job := s.Unfinished[id]; job != nil {
+	if job := s.Unfinished[jobID]; job != nil {
 		return unfinishedDependencyState(job)
 	}
-	switch s.archive.store.LookupIndex(id) {
+	switch s.archive.store.LookupIndex(jobID) {
 	case archive.Done:
 		return DependencyMet
 	case archive.Cancelled:
--- a/internal/controller/jobstore/restore.go
+++ b/internal/controller/jobstore/restore.go
@@ -37,15 +37,15 @@
 }
 
 // RestoreChunk restores the results of some tasks of a large array. It comes after all jobs have been restored.
-func (s *Store) RestoreChunk(now time.Time, name, id string, chunk int, results jobs.Chunk) {
-	job := s.Unfinished[id]
+func (s *Store) RestoreChunk(now time.Time, name, jobID string, chunk int, results jobs.Chunk) {
+	job := s.Unfinished[jobID]
 	if job == nil {
 		// An earlier leader ended after the job was done and before its chunks were deleted.
 		s.storage.Delete(now, name)
 		return
 	}
 	if err := job.RestoreChunk(chunk, results); err != nil {
-		s.log.Error("task results not restored", logkeys.Job, id, logkeys.Err, err)
+		s.log.Error("task results not restored", logkeys.Job, jobID, logkeys.Err, err)
 	}
 }
 
--- a/internal/controller/storage/split.go
+++ b/internal/controller/storage/split.go
@@ -69,8 +69,8 @@
 }
 
 // add moves an entry to the last target, or to a new one if it does not fit. It returns false if there may be no more targets.
-func (p *splitPlan) add(name string, e *entry, maxPageBytes, maxTargets int) bool {
-	if len(p.targets) == 0 || p.targets[len(p.targets)-1].size+e.size > maxPageBytes {
+func (p *splitPlan) add(name string, moved *entry, maxPageBytes, maxTargets int) bool {
+	if len(p.targets) == 0 || p.targets[len(p.targets)-1].size+moved.size > maxPageBytes {
 		if len(p.targets) == maxTargets {
 			return false
 		}
@@ -78,9 +78,9 @@
 		p.nextNumber++
 	}
 	target := p.targets[len(p.targets)-1]
-	target.size += e.size
-	p.remaining -= e.size
-	p.encoded -= entrySize(name, e.raw)
+	target.size += moved.size
+	p.remaining -= moved.size
+	p.encoded -= entrySize(name, moved.raw)
 	p.move.removed[name] = true
 	p.move.targets[target] = append(p.move.targets[target], name)
 	return true
