--- /dev/null
+++ b/internal/controller/failover/lease_renewal_test.go
@@ -0,0 +1,58 @@
+package failover
+
+import (
+	"testing"
+	"time"
+)
+
+// A heartbeat that is answered but not believed, since its worker has not seen the fencing token yet, is answered with kills
+// of the tasks of cancelled jobs: a 200 without them would keep these tasks for another lease.
+func TestUnprovenHeartbeatIsAnsweredWithKillsOfCancelledTasks(t *testing.T) {
+	now := time.Unix(10_000, 0)
+	reconciler, report := newReconcilerWithCancelledJob(t, now)
+	if response := reconciler.sendHeartbeat(t, now, report); countKills(response) != 1 {
+		t.Errorf("commands %v", response.Commands)
+	}
+}
+
+// A machine on which a cancelled task goes on after two kill commands gets no lease that would keep the task for longer than
+// its user was promised.
+func TestMachineThatIgnoresKillsGetsNoLease(t *testing.T) {
+	now := time.Unix(10_000, 0)
+	reconciler, report := newReconcilerWithCancelledJob(t, now)
+	report.FencingToken = 9
+	for _, age := range []time.Duration{0, 5 * time.Second, testRenewalWindow() - 3*time.Second} {
+		report.Sequence++
+		if response := reconciler.sendHeartbeat(t, now.Add(age), report); countKills(response) != 1 {
+			t.Fatalf("after %v: commands %v", age, response.Commands)
+		}
+	}
+	report.Sequence++
+	replies := reconciler.exchangeHeartbeat(now.Add(testRenewalWindow()-time.Second), marshal(t, report))
+	if len(replies) != 1 || replies[0].Status != 503 {
+		t.Errorf("%+v", replies)
+	}
+}
+
+// Before the state is loaded a lease is renewed only if what the earlier leader has said proves that it expires in time.
+func TestNoLeaseIsRenewedBeforeStateIsLoaded(t *testing.T) {
+	now := time.Unix(10_000, 0)
+	reconciler := newTestReconciler(now, 9)
+	if reconciler.progress.stateLoaded = false; reconciler.CanRenewLeases(now) {
+		t.Error("renews though nothing is known")
+	}
+	reconciler.renewalLimit.RecordLeaderProgress(reconciler.renewalLimit.NewNonce(now), 3*time.Second)
+	for after, want := range map[time.Duration]bool{
+		0: true,
+		testRenewalWindow() - 3100*time.Millisecond: true,
+		testRenewalWindow() - 3*time.Second:         false,
+		time.Minute:                                 false,
+	} {
+		if got := reconciler.CanRenewLeases(now.Add(after)); got != want {
+			t.Errorf("after %v: %v, want %v", after, got, want)
+		}
+	}
+	if reconciler.progress.stateLoaded = true; !reconciler.CanRenewLeases(now.Add(time.Minute)) {
+		t.Error("does not renew though the state is loaded")
+	}
+}
--- a/internal/controller/failover/partial_start.go
+++ b/internal/controller/failover/partial_start.go
@@ -7,51 +7,60 @@
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/logkeys"
 )
 
 const (
-	// partialStartDelay is how long a takeover may take before anything starts in spite of the machines that are missing. Most
-	// are complete by then, and all jobs start in their order.
+	// partialStartDelay is the age of a leadership before anything starts in spite of unreconciled machines. Most failovers
+	// are completed by then, and all jobs start in the order of the queue.
 	partialStartDelay = 2 * time.Second
-	// unseenUsageInterval is how often it is seen anew what may run out of sight. It only becomes less: what has started since is
-	// on machines that are accounted for.
+	// unseenUsageInterval is the time between two computations of the unseen usage. An older figure is safe, since the usage
+	// only falls: whatever starts meanwhile starts on reconciled machines.
 	unseenUsageInterval = time.Second
 )
 
-// CanStartTasks reports whether tasks may start: all of them, or while machines are missing those of jobs whose acceptance this
-// leader itself has committed. Leaders that ended every 37 s while half of the machines were away for a lease placed
-// nothing for two thirds of the time.
-func (t *Reconciler) CanStartTasks() bool { return t.completed || t.partialStart }
+// partialStart is the exception that lets some jobs start before the failover is completed.
+type partialStart struct {
+	active     bool      // machines are unreconciled, and jobs accepted by this leader start
+	nextUpdate time.Time // when the unseen usage is computed next
+}
+
+// CanStartTasks reports whether tasks may start. Before the failover is completed these are only tasks of jobs whose
+// acceptance this leader itself committed, so that no earlier leader can have started them. Without this exception,
+// leaders that ended every 37 s, with half of the machines unreachable for a lease each time, placed nothing for two thirds
+// of the time.
+func (r *Reconciler) CanStartTasks() bool { return r.progress.completed || r.partialStart.active }
 
-// updatePartialStart lets jobs that no earlier leader can have started go ahead of the machines that are missing.
-func (t *Reconciler) updatePartialStart(now time.Time) {
-	if len(t.unreconciled) == 0 {
-		t.partialStart = false
-		t.placer.SetPartialStart(nil)
+// updatePartialStart tells the placer of the unseen usage, which it takes off the quotas, or that there is none any more.
+func (r *Reconciler) updatePartialStart(now time.Time) {
+	if len(r.unreconciled) == 0 {
+		r.partialStart.active = false
+		r.placer.SetPartialStart(nil)
 		return
 	}
-	if now.Sub(t.electedAt) < partialStartDelay || now.Before(t.nextUnseenUsage) {
+	if now.Sub(r.electedAt) < partialStartDelay || now.Before(r.partialStart.nextUpdate) {
 		return
 	}
-	t.nextUnseenUsage = now.Add(unseenUsageInterval)
-	t.placer.SetPartialStart(t.unseenUsage())
-	if !t.partialStart {
-		t.partialStart = true
-		t.placer.InvalidateOrder()
-		t.log.Info("jobs of this leader begin to start", "token", t.fencingToken, "missing", len(t.unreconciled))
+	r.partialStart.nextUpdate = now.Add(unseenUsageInterval)
+	r.placer.SetPartialStart(r.unseenUsage())
+	if !r.partialStart.active {
+		r.partialStart.active = true
+		r.placer.InvalidateOrder()
+		r.log.Info("partial start began", logkeys.FencingToken, r.fencingToken, logkeys.Count, len(r.unreconciled))
 	}
 }
 
-// unseenUsage is what each team's tasks may use at most on the machines that are missing: no more than its tasks that are neither
-// done nor seen on a machine, and no more than those machines have. Cancelled jobs count like all others until they are gone.
-func (t *Reconciler) unseenUsage() placement.UnseenUsage {
+// unseenUsage is an upper bound of what each team's tasks may use on the unreconciled machines: at most its tasks that are
+// neither done nor seen on a machine, and at most what those machines have. Cancelled jobs count like others until their
+// tasks are gone.
+func (r *Reconciler) unseenUsage() placement.UnseenUsage {
 	capacity := worker.Usage{}
-	for _, machine := range t.unreconciled {
-		cpus, gpus := t.maxCapacity(machine)
+	for _, machine := range r.unreconciled {
+		cpus, gpus := r.maxCapacity(machine)
 		capacity.CPUs, capacity.GPUs = capacity.CPUs+cpus, capacity.GPUs+gpus
 	}
 	usageByTeam := placement.UnseenUsage{}
-	for _, job := range t.jobStore.Unfinished {
+	for _, job := range r.stores.Jobs.Unfinished {
 		if job.AcceptedByThisLeader || job.State == jobs.Pending || job.UnmetDependencies > 0 {
 			continue
 		}
@@ -65,21 +74,22 @@
 	return usageByTeam
 }
 
-// maxCapacity is what a machine has at most, as far as it is known.
-func (t *Reconciler) maxCapacity(machine *worker.Machine) (cpus, gpus float64) {
+// maxCapacity is the largest capacity that a machine can have by what is known: its own, that of its machine type, or the
+// largest of all types. Without any machine type there is no bound.
+func (r *Reconciler) maxCapacity(machine *worker.Machine) (cpus, gpus float64) {
 	if machine.CPUs+machine.MemoryGB > 0 {
 		return machine.CPUs, machine.GPUs
 	}
-	if instance := t.cloud.Instances[machine.ID]; instance != nil {
-		if instanceType := t.cloud.MachineTypes[instance.Kind.Type]; instanceType != nil {
-			return instanceType.CPUs, instanceType.GPUs
+	if instance := r.cloud.Instances[machine.ID]; instance != nil {
+		if machineType := r.cloud.MachineTypes[instance.Kind.Type]; machineType != nil {
+			return machineType.CPUs, machineType.GPUs
 		}
 	}
-	if len(t.cloud.MachineTypes) == 0 {
+	if len(r.cloud.MachineTypes) == 0 {
 		return math.Inf(1), math.Inf(1)
 	}
-	for _, instanceType := range t.cloud.MachineTypes {
-		cpus, gpus = max(cpus, instanceType.CPUs), max(gpus, instanceType.GPUs)
+	for _, machineType := range r.cloud.MachineTypes {
+		cpus, gpus = max(cpus, machineType.CPUs), max(gpus, machineType.GPUs)
 	}
 	return cpus, gpus
 }
--- /dev/null
+++ b/internal/controller/failover/probe_sample.go
@@ -0,0 +1,77 @@
+package failover
+
+import (
+	"slices"
+	"time"
+
+	"gullrudder/internal/controller/election/connectivity"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/controller/worker/reachability"
+)
+
+const (
+	// probeSampleSize is how many machines a sample probes.
+	probeSampleSize = 4
+	// probeSampleInterval is the time between two samples.
+	probeSampleInterval = probeTimeout / 2
+)
+
+// sampler probes a few machines, others each time, while missing heartbeats may be the fault of this controller's own link:
+// the answers tell package connectivity which side is unreachable.
+type sampler struct {
+	heartbeatInterval time.Duration
+	workers           *worker.Registry
+	reachability      *reachability.Tracker
+	connectivity      *connectivity.Monitor
+	prober            *prober
+
+	offset     int // position of the last machine that was looked at
+	nextSample time.Time
+}
+
+func newSampler(machines Machines, heartbeatInterval time.Duration, prober *prober) *sampler {
+	return &sampler{
+		heartbeatInterval: heartbeatInterval,
+		workers:           machines.Workers,
+		reachability:      machines.Reachability,
+		connectivity:      machines.Connectivity,
+		prober:            prober,
+	}
+}
+
+// probeSample probes the next few machines if connectivity asks for it. Only machines that have sent a heartbeat to this
+// leadership count, if there are any: a failover goes on probing machines that no longer exist, and a leader that has lost
+// a zone would take itself for unreachable. If the only evidence is that workers contact other controllers, the machines
+// whose heartbeats are in time are probed.
+func (s *sampler) probeSample(now time.Time) {
+	if now.Before(s.nextSample) || !s.connectivity.NeedsProbes(now) {
+		return
+	}
+	s.nextSample = now.Add(probeSampleInterval)
+	suspected := s.connectivity.SuspectsPartition(now)
+	machines := s.workers.MachinesByName()
+	anyReported := slices.ContainsFunc(machines, func(machine *worker.Machine) bool { return machine.HasReported })
+	for remaining, visited := probeSampleSize, 0; remaining > 0 && visited < len(machines); visited++ {
+		s.offset++
+		machine := machines[s.offset%len(machines)]
+		if anyReported && !machine.HasReported || !s.isCandidate(now, machine, suspected) {
+			continue
+		}
+		if !s.prober.canProbe() {
+			return
+		}
+		remaining--
+		s.prober.send(now, machine, func(now time.Time, answered bool) { s.connectivity.RecordProbe(now, suspected, answered) })
+	}
+}
+
+// isCandidate reports whether a probe of the machine says anything about the link.
+func (s *sampler) isCandidate(now time.Time, machine *worker.Machine, suspected bool) bool {
+	if machine.Addr == "" || machine.DrainReason != worker.NotDraining || s.workers.IsLeaseExpired(now, machine) {
+		return false
+	}
+	if !suspected && isHeartbeatOverdue(now, machine, s.heartbeatInterval) {
+		return false
+	}
+	return s.reachability.IsProbeDue(now, machine)
+}
--- /dev/null
+++ b/internal/controller/failover/setup_test.go
@@ -0,0 +1,238 @@
+package failover
+
+import (
+	"log/slog"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/controller/accounting"
+	"gullrudder/internal/controller/admission"
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/dynamicconfig"
+	"gullrudder/internal/controller/election/connectivity"
+	"gullrudder/internal/controller/election/renewal"
+	"gullrudder/internal/controller/failures"
+	"gullrudder/internal/controller/heartbeat"
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/jobstore"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/controller/straggler"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/controller/worker/reachability"
+	"gullrudder/internal/controller/zones"
+	"gullrudder/internal/testseed"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/server"
+
+	"github.com/prometheus/client_golang/prometheus"
+)
+
+func TestMain(m *testing.M) { testseed.Main(m) }
+
+const (
+	testHeartbeatInterval = 4 * time.Second
+	testWorkerLease       = 20 * time.Second
+	testCancelTimeout     = 45 * time.Second
+)
+
+// testRenewalWindow is how long after a cancellation a lease may be renewed.
+func testRenewalWindow() time.Duration {
+	return renewal.Window(testCancelTimeout, worker.LeaseExpiry(testWorkerLease))
+}
+
+// testReconciler is a reconciler with the components around it, whose state is loaded and whose failover is completed.
+type testReconciler struct {
+	*Reconciler
+	jobs         *jobstore.Store
+	heartbeats   *heartbeat.Handler
+	responder    *server.Responder
+	outbox       *client.Outbox
+	connectivity *connectivity.Monitor
+	zones        *zones.Tracker
+}
+
+func newTestReconciler(now time.Time, fencingToken uint64) *testReconciler {
+	log := slog.New(slog.DiscardHandler)
+	options := config.DefaultOptions()
+	platform := &config.Platform{
+		Name:                "n",
+		HeartbeatInterval:   testHeartbeatInterval,
+		WorkerLeaseDuration: testWorkerLease,
+		CancelTimeout:       testCancelTimeout,
+		CPUQuota:            0.2,
+		MaxConnections:      1000,
+	}
+	responder := &server.Responder{Log: log}
+	store := storage.New(storage.Options{ValueBytes: 8192, TxnOps: 12, WriteRate: 15}, fencingToken, log)
+	planner := admission.New(options, platform)
+	components := Components{
+		Platform:     platform,
+		FencingToken: fencingToken,
+		ElectedAt:    now,
+		Stores: Stores{
+			Storage:       store,
+			DynamicConfig: dynamicconfig.New(options, store, responder, log),
+			FairShare:     planner.FairShare(),
+		},
+		Machines:     newTestMachines(now, platform, fencingToken, log),
+		RenewalLimit: renewal.New(testRenewalWindow(), rand.New(rand.NewPCG(1, 1))),
+		Outbox:       &client.Outbox{},
+		Log:          log,
+	}
+	tracker := accounting.New(accounting.NewMetrics(prometheus.NewRegistry()), log)
+	components.Stores.Jobs = jobstore.New(jobstore.Components{
+		Platform: platform, Options: &options, Storage: store, Workers: components.Machines.Workers, Accounting: tracker, Log: log,
+	})
+	components.Placer = newTestPlacer(components, planner)
+	components.Heartbeats = newTestHeartbeats(components, planner, tracker, responder)
+	reconciler := &testReconciler{
+		Reconciler:   New(components),
+		jobs:         components.Stores.Jobs,
+		heartbeats:   components.Heartbeats,
+		responder:    responder,
+		outbox:       components.Outbox,
+		connectivity: components.Machines.Connectivity,
+		zones:        components.Machines.Zones,
+	}
+	reconciler.progress = progress{stateLoaded: true, completed: true, isFirstLeader: true}
+	return reconciler
+}
+
+func newTestMachines(now time.Time, platform *config.Platform, fencingToken uint64, log *slog.Logger) Machines {
+	cloudClient := cloud.New(fencingToken, 2, time.Second, log)
+	cloudClient.MachineTypes = map[string]*cloud.MachineType{
+		"small": {Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}, HourlyPrice: 1, SpotHourlyPrice: 0.3, BootSeconds: 40},
+	}
+	monitor := connectivity.New(platform.HeartbeatInterval)
+	monitor.StartLeadership(now)
+	metrics := reachability.NewMetrics(prometheus.NewRegistry())
+	return Machines{
+		Workers:      worker.NewRegistry(worker.LeaseExpiry(platform.WorkerLeaseDuration), log),
+		Cloud:        cloudClient,
+		Zones:        zones.New(platform.HeartbeatInterval, now, log),
+		Reachability: reachability.NewTracker(fencingToken, platform.WorkerLeaseDuration, metrics, log),
+		Connectivity: monitor,
+	}
+}
+
+func newTestPlacer(components Components, planner *admission.Planner) *placement.Placer {
+	return placement.New(placement.Components{
+		Platform: components.Platform, FencingToken: components.FencingToken, Jobs: components.Stores.Jobs.Unfinished,
+		Workers: components.Machines.Workers, Planner: planner,
+		Capacity: func(time.Time) admission.Capacity { return admission.Capacity{} }, Outbox: components.Outbox, Log: components.Log,
+	})
+}
+
+func newTestHeartbeats(
+	components Components,
+	planner *admission.Planner,
+	tracker *accounting.Tracker,
+	responder *server.Responder,
+) *heartbeat.Handler {
+	return heartbeat.NewHandler(heartbeat.Components{
+		Platform:     components.Platform,
+		FencingToken: components.FencingToken,
+		Storage:      components.Stores.Storage,
+		JobStore:     components.Stores.Jobs,
+		Workers:      components.Machines.Workers,
+		Cloud:        components.Machines.Cloud,
+		Planner:      planner,
+		Placer:       components.Placer,
+		Accounting:   tracker,
+		Stragglers:   straggler.NewDetector(components.Platform.HeartbeatInterval),
+		Failures:     failures.NewTracker(),
+		Reachability: components.Machines.Reachability,
+		Responder:    responder,
+		Log:          components.Log,
+	})
+}
+
+// addMachine adds a machine that the worker registry has heard of at the given time, reconciled and registered.
+func (k *testReconciler) addMachine(now time.Time, id, zone string) *worker.Machine {
+	machine := k.workers.GetOrAdd(id)
+	report := worker.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: zone, Incarnation: 1, Sequence: 1}
+	k.workers.Reconcile(now, machine, &report, true, k.jobs.Find)
+	machine.Reconciled, machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = true, true, now, now
+	return machine
+}
+
+// addUnreconciled adds a machine that an earlier leader registered.
+func (k *testReconciler) addUnreconciled(now time.Time, id string) *worker.Machine {
+	machine := k.workers.GetOrAdd(id)
+	machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = true, now, now
+	k.unreconciled = append(k.unreconciled, machine)
+	return machine
+}
+
+// checkUnresponsive looks at all machines with a large probe budget; no probe is answered.
+func (k *testReconciler) checkUnresponsive(now time.Time) {
+	k.prober.refillBudget(50 * time.Millisecond)
+	k.prober.budget = 100
+	k.unresponsive.check(now, k.Completed())
+	for _, call := range k.outbox.TakeCalls() {
+		call.Done(now, client.Result{})
+	}
+}
+
+// exchangeHeartbeat delivers the body of a heartbeat and returns the responses.
+func (k *testReconciler) exchangeHeartbeat(now time.Time, body []byte) []server.Response {
+	k.heartbeats.HandleHeartbeat(now, &server.Request{Method: "POST", Target: "/v1/report", Body: body}, true)
+	k.heartbeats.SendResponses(now, k.Completed())
+	return k.responder.TakeResponses()
+}
+
+// sendHeartbeat delivers a heartbeat, which must be answered with 200, and returns the response.
+func (k *testReconciler) sendHeartbeat(t *testing.T, now time.Time, report worker.Heartbeat) worker.HeartbeatResponse {
+	t.Helper()
+	replies := k.exchangeHeartbeat(now, marshal(t, report))
+	if len(replies) != 1 || replies[0].Status != 200 {
+		t.Fatalf("%+v", replies)
+	}
+	var response worker.HeartbeatResponse
+	if err := codec.Unmarshal(replies[0].Body, &response); err != nil {
+		t.Fatal(err)
+	}
+	return response
+}
+
+func marshal(t *testing.T, message any) []byte {
+	t.Helper()
+	body, err := codec.Marshal(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return body
+}
+
+// newReconcilerWithCancelledJob returns a reconciler that knows a job with one task, cancelled a second ago, and a heartbeat
+// of a machine on which that task runs.
+func newReconcilerWithCancelledJob(t *testing.T, now time.Time) (reconciler *testReconciler, report worker.Heartbeat) {
+	t.Helper()
+	reconciler = newTestReconciler(now, 9)
+	if !reconciler.jobs.OpenArchive() {
+		t.Fatal("the archive cannot be opened")
+	}
+	job := jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, MemoryGB: 1}, now)
+	reconciler.jobs.Unfinished["job-1"] = job
+	reconciler.jobs.ApplyCancellation(now.Add(-time.Second), job)
+	reconciler.workers.GetOrAdd("vm-1").Registered = true
+	return reconciler, worker.Heartbeat{
+		Machine: "vm-1", Addr: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8,
+		Tasks: []worker.TaskStatus{{Task: "job-1/0", Attempt: 5, State: worker.StateRunning}},
+	}
+}
+
+// countKills counts the commands that end attempt 5 of job-1's task at once.
+func countKills(response worker.HeartbeatResponse) int {
+	count := 0
+	for _, command := range response.Commands {
+		if command.Operation == "kill" && command.Task == "job-1/0" && command.Attempt == 5 && *command.GraceSeconds == 0 {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/controller/failover/unresponsive_test.go
@@ -0,0 +1,152 @@
+package failover
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/controller/zones"
+)
+
+// Of an unavailable zone a few of the machines are kept, those on which the least runs; nothing is placed on these, and they
+// are terminated like others once the zone is available again.
+func TestSentinelsAreKeptInAnUnavailableZone(t *testing.T) {
+	now := time.Unix(10_000, 0)
+	reconciler := newTestReconciler(now, 1)
+	const machines, silent = 90, 20
+	for i := range machines {
+		zone := "a"
+		if i < silent {
+			zone = "b"
+		}
+		machine := reconciler.addMachine(now, fmt.Sprintf("vm-%06d", i), zone)
+		machine.UsedCPUs = float64(i % 4)
+		reconciler.workers.SetCapacity(machine, worker.Resources{CPUs: 4, MemoryGB: 8}, 1, 1)
+	}
+	step := func(zoneUnavailable bool) (sentinels, terminated int) {
+		now = now.Add(500 * time.Millisecond)
+		for _, machine := range reconciler.workers.MachinesByName() {
+			if machine.Zone == "a" || !zoneUnavailable && machine.DrainReason == worker.NotDraining && !machine.IsSentinel {
+				machine.LeaseRenewedAt, machine.LastContactAt = now, now
+			}
+		}
+		reconciler.observeZones(now)
+		reconciler.checkUnresponsive(now)
+		return reconciler.countSentinels(t, now)
+	}
+	sentinels, terminated := 0, 0
+	for range 30 {
+		sentinels, terminated = step(true)
+	}
+	if sentinels != silent/10 || terminated != silent-silent/10 {
+		t.Fatalf("of %d silent machines %d are sentinels, %d terminated", silent, sentinels, terminated)
+	}
+	for _, machine := range reconciler.workers.MachinesByName() { // one sentinel is heard of again, the other is not
+		if machine.IsSentinel {
+			machine.LeaseRenewedAt, machine.LastContactAt = now, now
+			break
+		}
+	}
+	for range 30 {
+		sentinels, _ = step(false)
+	}
+	if sentinels != 0 {
+		t.Errorf("%d machines are sentinels though their zone is available", sentinels)
+	}
+}
+
+// observeZones shows all machines to the zone tracker.
+func (k *testReconciler) observeZones(now time.Time) {
+	k.zones.Observe(now, false, func(visit func(zones.Machine)) {
+		for _, machine := range k.workers.MachinesByName() {
+			visit(zones.Machine{
+				Zone:          machine.Zone,
+				HasReported:   true,
+				LeaseValid:    !k.workers.IsLeaseExpired(now, machine),
+				LastHeartbeat: machine.LastContactAt,
+				Deleting:      machine.DrainReason == worker.DrainUnresponsive,
+				Sentinel:      machine.IsSentinel,
+			})
+		}
+	})
+}
+
+// countSentinels counts the sentinels, on which no task may be placed, and the machines that are being terminated.
+func (k *testReconciler) countSentinels(t *testing.T, now time.Time) (sentinels, terminated int) {
+	t.Helper()
+	for _, machine := range k.workers.MachinesByName() {
+		if machine.IsSentinel {
+			sentinels++
+			if placement.IsEligible(jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, AllowsSpot: true}, now), machine) {
+				t.Errorf("a task may be placed on the sentinel %s", machine.ID)
+			}
+		}
+		if machine.DrainReason == worker.DrainUnresponsive {
+			terminated++
+		}
+	}
+	return sentinels, terminated
+}
+
+// A machine is terminated after two probes without an answer, unless more than a third of all machines are unresponsive, or
+// no heartbeat at all reaches this controller: on two recorded days a third of the machines went after the other.
+func TestSilentMachinesAreTerminated(t *testing.T) {
+	for name, test := range map[string]struct {
+		machines, silent, terminated int
+		noHeartbeats                 bool
+	}{
+		"one of nine":                   {machines: 9, silent: 1, terminated: 1},
+		"a third":                       {machines: 9, silent: 3, terminated: 3},
+		"more than a third":             {machines: 9, silent: 4, terminated: 0},
+		"a third, no heartbeats arrive": {machines: 9, silent: 3, terminated: 0, noHeartbeats: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			now := time.Unix(10_000, 0)
+			reconciler := newTestReconciler(now, 1)
+			for i := range test.machines {
+				reconciler.addMachine(now, fmt.Sprintf("vm-%06d", i), "a")
+			}
+			for range 40 {
+				now = now.Add(500 * time.Millisecond)
+				reconciler.renewMachines(now, test.silent)
+				if !test.noHeartbeats {
+					reconciler.connectivity.RecordHeartbeat(now)
+				}
+				reconciler.connectivity.Tick(now.Add(-250*time.Millisecond), test.machines, 0) // a longer gap would be a pause of this process
+				reconciler.connectivity.Tick(now, test.machines, 0)
+				reconciler.checkUnresponsive(now)
+			}
+			if terminated := reconciler.countTerminated(t, test.silent); terminated != test.terminated {
+				t.Errorf("%d of %d silent: %d terminated, want %d", test.silent, test.machines, terminated, test.terminated)
+			}
+		})
+	}
+}
+
+// countTerminated counts the machines that are being terminated, which must be among the first so many, the silent ones.
+func (k *testReconciler) countTerminated(t *testing.T, silent int) int {
+	t.Helper()
+	terminated := 0
+	for i, machine := range k.workers.MachinesByName() {
+		if machine.DrainReason != worker.DrainUnresponsive {
+			continue
+		}
+		terminated++
+		if i >= silent {
+			t.Errorf("%s is terminated though it sends heartbeats", machine.ID)
+		}
+	}
+	return terminated
+}
+
+// renewMachines renews all machines but the first so many, which are silent.
+func (k *testReconciler) renewMachines(now time.Time, silent int) {
+	for i, machine := range k.workers.MachinesByName() {
+		if i >= silent {
+			machine.LeaseRenewedAt, machine.LastContactAt = now, now
+		}
+	}
+}
