--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -125,7 +125,7 @@
 	})
 	for {
 		err := httpServer.Run()
-		rt.log.Error("server stopped", logkeys.Err, err)
+		rt.log.Error("server stopped and is restarted", logkeys.Err, err)
 		time.Sleep(serverRestartDelay)
 	}
 }
