--- a/internal/controller/worker/reachability/reach.go
+++ b/internal/controller/worker/reachability/tracker.go
@@ -5,7 +5,7 @@
 // A report may come twice, and late; it proves that its machine lived when it was made. What is certainly fresh
 // is an answer on a connection of our own, made after the question was sent. And a machine that is heard may
 // hear nothing: what it was told to start never appears, its sessions end though it was answered, a question
-// finds no answer. docs/design/reach.md has the ways that were weighed, and what breaks it.
+// finds no answer. docs/design/reachability.md has the ways that were weighed, and what breaks it.
 package reachability
 
 import (
