--- a/internal/controller/straggler/detector_test.go
+++ b/internal/controller/straggler/detector_test.go
@@ -12,8 +12,8 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// Of 400 machines ten take twice as long. Tasks of a job differ by half, and owners' estimates do not
-// count. The slow ones are found within forty tasks each, and hardly any other is taken for one.
+// Ten of 400 machines take twice as long, the run times of a job's tasks vary by half, and owners' estimates play no part.
+// All slow machines are found within forty tasks each, with at most two false positives.
 func TestFindsSlowMachines(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	detector := NewDetector(time.Second)
@@ -21,68 +21,80 @@
 	found, falsePositives := map[int]int{}, map[int]bool{}
 	for round := range 40 {
 		mean := time.Duration(20+rng.IntN(200)) * time.Second
-		for m := range machines {
-			ran := time.Duration(float64(mean) * math.Exp(rng.NormFloat64()*0.4))
-			if m < slow {
-				ran *= 2
+		for machine := range machines {
+			runTime := time.Duration(float64(mean) * math.Exp(rng.NormFloat64()*0.4))
+			if machine < slow {
+				runTime *= 2
 			}
-			name := fmt.Sprint(m)
-			detector.RecordRun(name, ran, mean, 50)
+			name := fmt.Sprint(machine)
+			detector.RecordRun(name, runTime, mean, 50)
 			switch {
 			case !detector.IsSlow(name):
-			case m < slow && found[m] == 0:
-				found[m] = round + 1
-			case m >= slow:
-				falsePositives[m] = true
+			case machine < slow && found[machine] == 0:
+				found[machine] = round + 1
+			case machine >= slow:
+				falsePositives[machine] = true
 			}
 		}
 	}
 	if len(found) != slow || len(falsePositives) > 2 {
-		t.Errorf("%d of %d slow machines found, %d others", len(found), slow, len(falsePositives))
+		t.Errorf("%d of %d slow machines found, %d false positives", len(found), slow, len(falsePositives))
 	}
 }
 
-// A machine that was slow and is not any more is used again; and what is slow everywhere is no
-// machine's fault.
-func TestMachineRecovers(t *testing.T) {
-	detector := NewDetector(time.Second)
-	rng := rand.New(rand.NewPCG(3, 4))
-	run := func(tasks int, times float64) {
-		for range tasks {
-			for m := range 20 {
-				k := 1.0
-				if m == 0 {
-					k = times
-				}
-				detector.RecordRun(fmt.Sprint(m), time.Duration(k*float64(time.Minute)*math.Exp(rng.NormFloat64()*0.2)), time.Minute, 10)
+// recordRuns records so many tasks on each of 20 machines, of which the first takes slowdown times as long.
+func recordRuns(detector *Detector, rng *rand.Rand, tasks int, slowdown float64) {
+	for range tasks {
+		for machine := range 20 {
+			factor := 1.0
+			if machine == 0 {
+				factor = slowdown
 			}
+			runTime := time.Duration(factor * float64(time.Minute) * math.Exp(rng.NormFloat64()*0.2))
+			detector.RecordRun(fmt.Sprint(machine), runTime, time.Minute, 10)
 		}
 	}
-	run(20, 3)
+}
+
+// A slow machine that recovers is used again.
+func TestMachineRecovers(t *testing.T) {
+	detector := NewDetector(time.Second)
+	rng := rand.New(rand.NewPCG(3, 4))
+	recordRuns(detector, rng, 20, 3)
 	if !detector.IsSlow("0") || detector.Slowdown("0") < 2 {
-		t.Fatalf("a machine that takes three times as long is not found: %.2f times", detector.Slowdown("0"))
+		t.Fatalf("a machine that takes three times as long is not found: slowdown %.2f", detector.Slowdown("0"))
 	}
-	run(200, 1)
+	recordRuns(detector, rng, 200, 1)
 	if detector.IsSlow("0") {
-		t.Error("slow for ever")
+		t.Error("the machine has recovered and is still called slow")
 	}
-	all := NewDetector(time.Second)
+}
+
+// If tasks take longer on all machines, none of them is at fault.
+func TestNoMachineIsSlowIfAllAre(t *testing.T) {
+	detector := NewDetector(time.Second)
 	for range 30 {
-		for m := range 10 {
-			all.RecordRun(fmt.Sprint(m), 5*time.Minute, time.Minute, 10)
+		for machine := range 10 {
+			detector.RecordRun(fmt.Sprint(machine), 5*time.Minute, time.Minute, 10)
 		}
 	}
-	for m := range 10 {
-		if all.IsSlow(fmt.Sprint(m)) {
-			t.Error("all are slow, so none is")
+	for machine := range 10 {
+		if detector.IsSlow(fmt.Sprint(machine)) {
+			t.Errorf("machine %d is called slow though all take as long", machine)
 		}
 	}
-	few := NewDetector(10 * time.Second)
+}
+
+// Run times that the resolution cannot tell apart, and jobs with too few completed tasks, are no evidence.
+func TestNoMachineIsSlowWithoutEvidence(t *testing.T) {
+	detector := NewDetector(10 * time.Second)
 	for range 50 {
-		few.RecordRun("m", time.Minute, 15*time.Second, 10) // no longer than what reports tell apart
-		few.RecordRun("n", time.Hour, time.Minute, 2)       // nothing to compare with
+		detector.RecordRun("below resolution", time.Minute, 15*time.Second, 10)
+		detector.RecordRun("too few tasks", time.Hour, time.Minute, 2)
 	}
-	if few.IsSlow("m") || few.IsSlow("n") {
-		t.Error("called slow without evidence")
+	for _, machine := range []string{"below resolution", "too few tasks"} {
+		if detector.IsSlow(machine) {
+			t.Errorf("%s: called slow without evidence", machine)
+		}
 	}
 }
