--- a/internal/controller/failures/tracker.go
+++ b/internal/controller/failures/tracker.go
@@ -1,10 +1,8 @@
-// Package failures tells a job that was submitted with a mistake, and fails wherever it is tried, from a
-// machine on which whatever is tried fails. Its Book owns which jobs have failed on which machines, and
-// when a job that is taken for mistaken is tried again. It stops and starts nothing: the clerk asks it
-// for each failure.
-//
-// Before, a machine on which two jobs had failed was given back, and on a day with mistaken jobs that
-// was five machines that were well, while a job of 667 tasks failed all of them twice.
+// Package failures attributes task failures: it tells a crash-looping job, which fails on whatever machine it is tried, from a
+// faulty machine, on which whatever is tried fails. A Tracker owns which jobs failed on which machines and the retry budget of
+// the crash-looping jobs. It is made at each election and kept in memory; the verdict on a job is part of the job's record and
+// is restored by the next leader. The package stops and starts nothing: the heartbeat handler asks it about each failure.
+// docs/design/failure-attribution.md has the model and its limits.
 package failures
 
 import (
@@ -14,102 +12,131 @@
 	"time"
 )
 
-// What is taken to hold before anything has failed, and how much a failure says. The exact posterior of
-// small cases, which the tests compute, uses the same.
+// The probabilistic model. The tests compute the exact posterior of small cases with the same figures.
 const (
-	crashLoopPrior           = 0.02  // of all jobs, those that fail everywhere
-	faultPrior               = 0.005 // of all machines, those that are faulty
-	faultyMachineFailureRate = 0.7   // how likely a job's tasks fail on a faulty machine
-	healthyFailureRate       = 0.003 // how likely they fail though both are well
-	// maxCompletions is how many completions speak for a machine at most: one that has turned faulty is not
-	// protected by a long life.
+	// crashLoopPrior is the share of all jobs that fail on every machine.
+	crashLoopPrior = 0.02
+	// faultPrior is the share of all machines that are faulty.
+	faultPrior = 0.005
+	// faultyMachineFailureRate is the probability that a job's tasks fail on a faulty machine.
+	faultyMachineFailureRate = 0.7
+	// healthyFailureRate is the probability that they fail although neither job nor machine is at fault.
+	healthyFailureRate = 0.003
+	// maxCompletions bounds how many completed tasks speak for a machine, so that one that turns faulty is not protected by
+	// a long history.
 	maxCompletions = 3
-	// crashLoopThreshold and sureOfMachine are how certain a verdict has to be. A job's costs it all but one of its
-	// tasks at a time, and one completed task ends it; a machine's costs the machine.
+	// crashLoopThreshold is the probability above which a job is called crash-looping. The verdict reduces the job to one
+	// task at a time, and one completed task revokes it.
 	crashLoopThreshold = 0.95
-	faultThreshold     = 0.8
-	// crashLoopCertainty is how likely a job is mistaken that was found to be.
+	// faultThreshold is the probability above which a machine is called faulty. The verdict costs the machine.
+	faultThreshold = 0.8
+	// crashLoopCertainty is the probability that a job with the verdict is crash-looping.
 	crashLoopCertainty = 0.995
-	// minFailures machines on which a job has failed for a verdict.
+	// minFailures is how many different machines, or jobs, must have failed before there is a verdict.
 	minFailures = 2
-	// maxDepth is how far evidence is followed from job to machine to job, wide how many neighbours count,
-	// the newest: a failure must not cost more the more of them there are.
-	maxDepth, maxNeighbours = 3, 8
-	// retention is after how long without a failure a job or a machine is forgotten.
+)
+
+// Bounds of the evidence, so that the cost of a failure does not grow with their number.
+const (
+	// maxDepth is how many steps evidence is followed from job to machine to job.
+	maxDepth = 3
+	// maxNeighbours is how many neighbours count at each step, the newest.
+	maxNeighbours = 8
+	// maxStoredNeighbours is how many are kept, so that enough are left when some are excluded or forgotten.
+	maxStoredNeighbours = 4 * maxNeighbours
+	// retention is how long a job or a machine is kept after its last failure.
 	retention = 10 * time.Minute
+	// pruneInterval is how often those past their retention are dropped.
+	pruneInterval = retention / 10
 )
 
-// Retries of jobs that are taken for mistaken.
+// Retries of crash-looping jobs. A retry takes capacity that another job could use, so all such jobs share one budget.
 const (
+	// firstRetryDelay is the delay before the first retry; it doubles with each one.
 	firstRetryDelay = 2 * time.Second
-	maxRetryDelay   = time.Minute
-	// A retry takes a place that another job could have: all of them share a budget that refills.
-	retryRefillInterval = 500 * time.Millisecond // for one retry
-	maxStoredRetries    = 6                      // retries at most
+	// maxRetryDelay is the delay after maxDoublings retries.
+	maxRetryDelay = time.Minute
+	maxDoublings  = 5
+	// retryRefillInterval is the time in which the budget grows by one retry.
+	retryRefillInterval = 500 * time.Millisecond
+	// maxStoredRetries bounds the budget.
+	maxStoredRetries = 6
 )
 
+// job is what is known of a job of which a task has failed.
 type job struct {
-	failedOn       []string // on which it has failed, the newest last
-	hasCompleted   bool     // a task of it has completed: it is not mistaken
+	failedOn       []string // IDs of the machines on which it failed, the newest last
+	hasCompleted   bool     // a task has completed, so the job is not crash-looping
 	lastFailureAt  time.Time
-	retries        int // since it is taken for mistaken
+	retries        int // since the verdict
 	isCrashLooping bool
 }
 
+// machine is what is known of a machine on which a task has failed.
 type machine struct {
-	failedJobs    []string // that have failed on it, the newest last
-	completions   int      // completions since the last of these
+	failedJobs    []string // IDs of the jobs that failed on it, the newest last
+	completions   int      // tasks completed since the last failure, maxCompletions at most
 	lastFailureAt time.Time
 }
 
-// Tracker keeps what has failed where.
+// Tracker keeps which jobs failed on which machines, and the verdicts drawn from that.
 type Tracker struct {
-	jobs        map[string]*job
-	machines    map[string]*machine
-	retryBudget float64
+	jobs        map[string]*job     // by job ID
+	machines    map[string]*machine // by machine ID
+	retryBudget float64             // negative: retries that are scheduled ahead of the refill
 	refilledAt  time.Time
 	prunedAt    time.Time
 }
 
-// NewTracker makes the book of a new leadership.
+// NewTracker returns the Tracker of a new leader, which knows of no failure.
 func NewTracker() *Tracker {
 	return &Tracker{jobs: map[string]*job{}, machines: map[string]*machine{}, retryBudget: maxStoredRetries}
 }
 
+// appendNewest moves name to the end of names, or appends it, and drops the oldest beyond maxStoredNeighbours.
 func appendNewest(names []string, name string) []string {
 	if i := slices.Index(names, name); i >= 0 {
 		names = slices.Delete(names, i, i+1)
 	}
 	names = append(names, name)
-	return names[max(len(names)-4*maxNeighbours, 0):]
+	return names[max(len(names)-maxStoredNeighbours, 0):]
 }
 
-// RecordFailure takes in that a task of the job has failed on the machine. done is how many tasks of the job have
-// completed so far.
+// RecordFailure records that a task of the job failed on the machine, and decides whether the job is crash-looping. completed
+// is how many tasks of the job have completed so far.
 func (t *Tracker) RecordFailure(now time.Time, jobID, machineID string, completed int) {
 	t.prune(now)
+	j, m := t.getOrAddJob(jobID), t.getOrAddMachine(machineID)
+	if completed > 0 {
+		j.hasCompleted, j.isCrashLooping = true, false
+	}
+	j.failedOn, j.lastFailureAt = appendNewest(j.failedOn, machineID), now
+	m.failedJobs, m.lastFailureAt, m.completions = appendNewest(m.failedJobs, jobID), now, 0
+	if !j.hasCompleted && len(j.failedOn) >= minFailures && t.crashLoopProbability(jobID, "", maxDepth) > crashLoopThreshold {
+		j.isCrashLooping = true
+	}
+}
+
+func (t *Tracker) getOrAddJob(jobID string) *job {
 	j := t.jobs[jobID]
 	if j == nil {
 		j = &job{}
 		t.jobs[jobID] = j
 	}
+	return j
+}
+
+func (t *Tracker) getOrAddMachine(machineID string) *machine {
 	m := t.machines[machineID]
 	if m == nil {
 		m = &machine{}
 		t.machines[machineID] = m
 	}
-	if completed > 0 {
-		j.hasCompleted, j.isCrashLooping = true, false
-	}
-	j.failedOn, j.lastFailureAt = appendNewest(j.failedOn, machineID), now
-	m.failedJobs, m.lastFailureAt, m.completions = appendNewest(m.failedJobs, jobID), now, 0
-	if !j.hasCompleted && len(j.failedOn) >= minFailures && t.crashLoopProbability(jobID, "", maxDepth) > crashLoopThreshold {
-		j.isCrashLooping = true
-	}
+	return m
 }
 
-// RecordCompletion takes in that a task of the job has completed on the machine: the job is not mistaken, whatever
-// was thought of it.
+// RecordCompletion records that a task of the job completed on the machine. It proves that the job is not crash-looping and
+// speaks for the machine.
 func (t *Tracker) RecordCompletion(jobID, machineID string) {
 	if j := t.jobs[jobID]; j != nil {
 		j.hasCompleted, j.isCrashLooping = true, false
@@ -119,17 +146,17 @@
 	}
 }
 
-// RestoreCrashLooping takes over a verdict of an earlier leader.
+// RestoreCrashLooping restores the verdict of an earlier leader on a job.
 func (t *Tracker) RestoreCrashLooping(now time.Time, jobID string) {
 	t.jobs[jobID] = &job{isCrashLooping: true, lastFailureAt: now}
 }
 
-// IsCrashLooping reports whether the job is taken for one that fails everywhere.
+// IsCrashLooping reports whether the job is called crash-looping: it fails on every machine.
 func (t *Tracker) IsCrashLooping(jobID string) bool {
 	return t.jobs[jobID] != nil && t.jobs[jobID].isCrashLooping
 }
 
-// FailedMachineCount is on how many machines the job has failed, as far as is remembered.
+// FailedMachineCount returns on how many machines the job has failed, as far as they are kept.
 func (t *Tracker) FailedMachineCount(jobID string) int {
 	if j := t.jobs[jobID]; j != nil {
 		return len(j.failedOn)
@@ -137,42 +164,47 @@
 	return 0
 }
 
-// IsFaulty reports whether the machine is taken for faulty: different jobs have failed on it that do well
-// elsewhere, or of which nothing else is known.
+// IsFaulty reports whether the machine is called faulty: different jobs have failed on it that complete elsewhere, or of which
+// nothing else is known.
 func (t *Tracker) IsFaulty(machineID string) bool {
 	m := t.machines[machineID]
 	return m != nil && len(m.failedJobs) >= minFailures && t.faultProbability(machineID, "", maxDepth) > faultThreshold
 }
 
-// ForgetMachine forgets a machine.
+// ForgetMachine drops what is known of a machine, which has been deleted.
 func (t *Tracker) ForgetMachine(machineID string) { delete(t.machines, machineID) }
 
-// ScheduleRetry is when a job that is taken for mistaken may be tried again: later each time, and no more often
-// than the budget of all such jobs allows.
+// ScheduleRetry returns when a crash-looping job may be tried again, and counts that retry. The delay doubles with each retry
+// of the job, and it is extended if the shared budget is exhausted.
 func (t *Tracker) ScheduleRetry(now time.Time, jobID string) time.Time {
 	j := t.jobs[jobID]
 	if j == nil {
 		return now
 	}
 	delay := maxRetryDelay
-	if j.retries < 5 {
+	if j.retries < maxDoublings {
 		delay = firstRetryDelay << j.retries
 	}
 	j.retries++
+	return now.Add(max(delay, t.reserveRetry(now)))
+}
+
+// reserveRetry takes one retry from the shared budget and returns the delay until the budget covers it, after those that were
+// reserved before.
+func (t *Tracker) reserveRetry(now time.Time) time.Duration {
 	t.retryBudget = min(t.retryBudget+now.Sub(t.refilledAt).Seconds()/retryRefillInterval.Seconds(), maxStoredRetries)
 	t.refilledAt = now
 	t.retryBudget--
-	if t.retryBudget < 0 { // the places that are given out already come first
-		delay = max(delay, time.Duration(-t.retryBudget*float64(retryRefillInterval)))
-	}
-	return now.Add(delay)
+	return time.Duration(max(-t.retryBudget, 0) * float64(retryRefillInterval))
 }
 
+// logit returns the log odds of a probability.
 func logit(p float64) float64 { return math.Log(p / (1 - p)) }
 
+// logistic returns the probability of log odds.
 func logistic(logOdds float64) float64 { return 1 / (1 + math.Exp(-logOdds)) }
 
-// newestExcept are the neighbours that count, without one.
+// newestExcept returns the newest maxNeighbours names without the excluded one, the newest first.
 func newestExcept(names []string, excluded string) []string {
 	kept := make([]string, 0, maxNeighbours)
 	for i := len(names) - 1; i >= 0 && len(kept) < maxNeighbours; i-- {
@@ -183,8 +215,8 @@
 	return kept
 }
 
-// crashLoopProbability is how likely the job is mistaken, by all machines that it failed on but one. What is known of each
-// machine from other jobs counts: to fail on a faulty one says nothing of the job.
+// crashLoopProbability returns the probability that the job is crash-looping, by the machines that it failed on other than the
+// excluded one. Each machine is weighed by what other jobs say of it: to fail on a faulty machine says nothing about the job.
 func (t *Tracker) crashLoopProbability(jobID, excludedMachine string, depth int) float64 {
 	j := t.jobs[jobID]
 	if j == nil {
@@ -194,7 +226,7 @@
 	case j.hasCompleted:
 		return 0
 	case j.isCrashLooping:
-		return crashLoopCertainty // what it was found by may have been an earlier leader's, or be forgotten
+		return crashLoopCertainty // the evidence may have been an earlier leader's, or be dropped by now
 	}
 	logOdds := logit(crashLoopPrior)
 	for _, machineID := range newestExcept(j.failedOn, excludedMachine) {
@@ -207,7 +239,8 @@
 	return logistic(logOdds)
 }
 
-// faultProbability is how likely the machine is faulty, by all jobs that failed on it but one.
+// faultProbability returns the probability that the machine is faulty, by the jobs that failed on it other than the excluded
+// one.
 func (t *Tracker) faultProbability(machineID, excludedJob string, depth int) float64 {
 	m := t.machines[machineID]
 	if m == nil {
@@ -221,16 +254,16 @@
 		} else if depth > 0 {
 			crashLoopProbability = t.crashLoopProbability(jobID, machineID, depth-1)
 		}
-		logOdds += math.Log(
-			(crashLoopProbability + (1-crashLoopProbability)*faultyMachineFailureRate) / (crashLoopProbability + (1-crashLoopProbability)*healthyFailureRate),
-		)
+		ifFaulty := crashLoopProbability + (1-crashLoopProbability)*faultyMachineFailureRate
+		ifHealthy := crashLoopProbability + (1-crashLoopProbability)*healthyFailureRate
+		logOdds += math.Log(ifFaulty / ifHealthy)
 	}
 	return logistic(logOdds)
 }
 
-// prune forgets what has not failed for long.
+// prune drops jobs and machines without a failure within the retention.
 func (t *Tracker) prune(now time.Time) {
-	if now.Sub(t.prunedAt) < retention/10 {
+	if now.Sub(t.prunedAt) < pruneInterval {
 		return
 	}
 	t.prunedAt = now
@@ -238,5 +271,5 @@
 	maps.DeleteFunc(t.machines, func(_ string, m *machine) bool { return now.Sub(m.lastFailureAt) > retention })
 }
 
-// ForgetJob forgets a job that is over.
+// ForgetJob drops what is known of a job that has ended.
 func (t *Tracker) ForgetJob(jobID string) { delete(t.jobs, jobID) }
--- a/internal/controller/failures/tracker_test.go
+++ b/internal/controller/failures/tracker_test.go
@@ -15,71 +15,138 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// attributionCase is a small case: which job was tried on which machine, and what came of it.
+// attributionCase is a small case: which job failed on which machine, and what completed.
 type attributionCase struct {
 	jobs, machines int
 	failed         [][]bool // by job and machine
-	hasCompleted   []bool   // a task of the job has completed
-	completions    []int    // by machine, after its last failure
+	hasCompleted   []bool   // by job: a task of it has completed
+	completions    []int    // by machine: tasks completed after its last failure
 }
 
-// exactPosterior is the posterior by trying every assignment of mistakes and faults.
-func (w *attributionCase) exactPosterior() (crashLooping, faulty []float64) {
-	crashLooping, faulty = make([]float64, w.jobs), make([]float64, w.machines)
+// assignment says of each job whether it is crash-looping, and after these of each machine whether it is faulty, one bit each.
+type assignment int
+
+func (a assignment) isSet(bit int) bool { return a>>bit&1 == 1 }
+
+// exactPosterior computes the posterior of each job and machine by enumerating all assignments.
+func (c *attributionCase) exactPosterior() (crashLooping, faulty []float64) {
+	posterior := make([]float64, c.jobs+c.machines)
 	total := 0.0
-	for code := range 1 << (w.jobs + w.machines) {
-		p := 1.0
-		isSet := func(i int) bool { return code>>i&1 == 1 }
-		for j := range w.jobs {
-			switch {
-			case isSet(j) && w.hasCompleted[j]:
-				p = 0
-			case isSet(j):
-				p *= crashLoopPrior
-			default:
-				p *= 1 - crashLoopPrior
-			}
-			for m := range w.machines {
-				if !w.failed[j][m] || isSet(j) {
-					continue
-				}
-				if isSet(w.jobs + m) {
-					p *= faultyMachineFailureRate
-				} else {
-					p *= healthyFailureRate
-				}
+	for code := range 1 << len(posterior) {
+		likelihood := c.likelihood(assignment(code))
+		total += likelihood
+		for bit := range posterior {
+			if assignment(code).isSet(bit) {
+				posterior[bit] += likelihood
 			}
 		}
-		for m := range w.machines {
-			k := float64(min(w.completions[m], maxCompletions))
-			if isSet(w.jobs + m) {
-				p *= faultPrior * math.Pow(1-faultyMachineFailureRate, k)
-			} else {
-				p *= (1 - faultPrior) * math.Pow(1-healthyFailureRate, k)
-			}
+	}
+	for bit := range posterior {
+		posterior[bit] /= total
+	}
+	return posterior[:c.jobs], posterior[c.jobs:]
+}
+
+// likelihood is the joint probability of an assignment and of what was observed.
+func (c *attributionCase) likelihood(a assignment) float64 {
+	p := 1.0
+	for j := range c.jobs {
+		p *= c.jobLikelihood(a, j)
+	}
+	for m := range c.machines {
+		completions := float64(min(c.completions[m], maxCompletions))
+		if a.isSet(c.jobs + m) {
+			p *= faultPrior * math.Pow(1-faultyMachineFailureRate, completions)
+		} else {
+			p *= (1 - faultPrior) * math.Pow(1-healthyFailureRate, completions)
 		}
-		total += p
-		for j := range w.jobs {
-			if isSet(j) {
-				crashLooping[j] += p
-			}
+	}
+	return p
+}
+
+func (c *attributionCase) jobLikelihood(a assignment, j int) float64 {
+	if a.isSet(j) {
+		if c.hasCompleted[j] {
+			return 0
+		}
+		return crashLoopPrior
+	}
+	p := 1 - crashLoopPrior
+	for m, failed := range c.failed[j] {
+		switch {
+		case !failed:
+		case a.isSet(c.jobs + m):
+			p *= faultyMachineFailureRate
+		default:
+			p *= healthyFailureRate
 		}
-		for m := range w.machines {
-			if isSet(w.jobs + m) {
-				faulty[m] += p
+	}
+	return p
+}
+
+func jobName(j int) string     { return fmt.Sprint("job-", j) }
+func machineName(m int) string { return fmt.Sprint("vm-", m) }
+
+// drawCase draws a case and tells the tracker of it.
+func drawCase(t *rapid.T, tracker *Tracker) *attributionCase {
+	c := &attributionCase{jobs: rapid.IntRange(1, 4).Draw(t, "jobs"), machines: rapid.IntRange(1, 5).Draw(t, "machines")}
+	crashLoops := rapid.SliceOfN(rapid.Bool(), c.jobs, c.jobs).Draw(t, "crash loops")
+	health := rapid.SliceOfN(rapid.IntRange(0, 3), c.machines, c.machines).Draw(t, "health") // 0: faulty
+	c.failed, c.hasCompleted, c.completions = make([][]bool, c.jobs), make([]bool, c.jobs), make([]int, c.machines)
+	for j := range c.jobs {
+		c.failed[j] = make([]bool, c.machines)
+		c.hasCompleted[j] = !crashLoops[j] && rapid.Bool().Draw(t, "has completed")
+	}
+	for j := range c.jobs {
+		for m := range c.machines {
+			if fails := crashLoops[j] || health[m] == 0; fails && rapid.IntRange(0, 3).Draw(t, "tried") > 0 {
+				c.recordFailure(tracker, j, m)
 			}
 		}
 	}
-	for j := range crashLooping {
-		crashLooping[j] /= total
+	for m := range c.machines {
+		if health[m] > 0 {
+			c.recordCompletions(tracker, m, rapid.IntRange(0, 5).Draw(t, "completions"))
+		}
 	}
-	for m := range faulty {
-		faulty[m] /= total
+	return c
+}
+
+func (c *attributionCase) recordFailure(tracker *Tracker, j, m int) {
+	c.failed[j][m] = true
+	completed := 0
+	if c.hasCompleted[j] {
+		completed = 1
+	}
+	tracker.RecordFailure(time.Unix(1000, 0), jobName(j), machineName(m), completed)
+}
+
+func (c *attributionCase) recordCompletions(tracker *Tracker, m, completions int) {
+	for range completions {
+		tracker.RecordCompletion("another", machineName(m))
+	}
+	if tracker.machines[machineName(m)] != nil { // else nothing has failed there, and nothing is kept
+		c.completions[m] = completions
 	}
-	return crashLooping, faulty
 }
 
-// verdicts lists the jobs that are taken for mistaken and the machines that are taken for faulty, by name.
+// recomputeVerdicts decides about every job by all that is known in the end. A verdict from an earlier state of knowledge
+// stays until a task completes, and may have been right then.
+func recomputeVerdicts(tracker *Tracker) {
+	for _, j := range tracker.jobs {
+		j.isCrashLooping = false
+	}
+	found := map[*job]bool{}
+	for jobID, j := range tracker.jobs {
+		found[j] = !j.hasCompleted && len(j.failedOn) >= minFailures &&
+			tracker.crashLoopProbability(jobID, "", maxDepth) > crashLoopThreshold
+	}
+	for j, isCrashLooping := range found {
+		j.isCrashLooping = isCrashLooping
+	}
+}
+
+// verdicts lists the jobs that are called crash-looping and the machines that are called faulty, by name.
 func (t *Tracker) verdicts() (crashLooping, faulty []string) {
 	for jobID, j := range t.jobs {
 		if j.isCrashLooping {
@@ -96,93 +163,50 @@
 	return crashLooping, faulty
 }
 
-// On small cases every verdict is one that the exact posterior supports, and what is nearly certain
-// is found.
-func TestVerdictsMatchExactPosterior(t *testing.T) {
-	verdicts, missed, certain := 0, 0, 0
-	rapid.Check(t, func(t *rapid.T) {
-		attribution := &attributionCase{jobs: rapid.IntRange(1, 4).Draw(t, "jobs"), machines: rapid.IntRange(1, 5).Draw(t, "machines")}
-		crashLoops := rapid.SliceOfN(rapid.Bool(), attribution.jobs, attribution.jobs).Draw(t, "mistaken")
-		health := rapid.SliceOfN(rapid.IntRange(0, 3), attribution.machines, attribution.machines).Draw(t, "sick")
-		tracker, now := NewTracker(), time.Unix(1000, 0)
-		attribution.failed, attribution.hasCompleted, attribution.completions = make(
-			[][]bool,
-			attribution.jobs,
-		), make(
-			[]bool,
-			attribution.jobs,
-		), make(
-			[]int,
-			attribution.machines,
-		)
-		for j := range attribution.jobs {
-			attribution.failed[j] = make([]bool, attribution.machines)
-			attribution.hasCompleted[j] = !crashLoops[j] && rapid.Bool().Draw(t, "has completed")
-		}
-		for j := range attribution.jobs {
-			for m := range attribution.machines {
-				if fails := crashLoops[j] || health[m] == 0; fails && rapid.IntRange(0, 3).Draw(t, "tried") > 0 {
-					attribution.failed[j][m] = true
-					done := 0
-					if attribution.hasCompleted[j] {
-						done = 1
-					}
-					tracker.RecordFailure(now, fmt.Sprint("job-", j), fmt.Sprint("vm-", m), done)
-				}
-			}
-		}
-		for m := range attribution.machines {
-			if health[m] > 0 {
-				attribution.completions[m] = rapid.IntRange(0, 5).Draw(t, "completions")
-				for range attribution.completions[m] {
-					tracker.RecordCompletion("another", fmt.Sprint("vm-", m))
-				}
-				if tracker.machines[fmt.Sprint("vm-", m)] == nil {
-					attribution.completions[m] = 0 // nothing has failed there: nothing is remembered
-				}
-			}
-		}
-		// All verdicts anew, by all that is known in the end: one that was found on the way stays until a
-		// task completes, and may have been right by what was known then.
-		for _, x := range tracker.jobs {
-			x.isCrashLooping = false
-		}
-		found := map[*job]bool{}
-		for id, x := range tracker.jobs {
-			found[x] = !x.hasCompleted && len(x.failedOn) >= minFailures && tracker.crashLoopProbability(id, "", maxDepth) > crashLoopThreshold
+// verdictCounts counts over all cases.
+type verdictCounts struct{ crashLooping, certain, missed int }
+
+// compare checks the tracker's verdicts against the exact posterior of the case.
+func (n *verdictCounts) compare(t *rapid.T, tracker *Tracker, attribution *attributionCase) {
+	crashLooping, faulty := attribution.exactPosterior()
+	for j, p := range crashLooping {
+		got := tracker.IsCrashLooping(jobName(j))
+		if got {
+			n.crashLooping++
 		}
-		for x, isCrashLooping := range found {
-			x.isCrashLooping = isCrashLooping
+		if got && p < 0.8 {
+			t.Errorf("job %d is called crash-looping, which has a probability of %.3f", j, p)
 		}
-		crashLooping, faulty := attribution.exactPosterior()
-		for j, p := range crashLooping {
-			got := tracker.IsCrashLooping(fmt.Sprint("job-", j))
-			if got {
-				verdicts++
-			}
-			if got && p < 0.8 {
-				t.Errorf("job %d is called mistaken, which is %.3f likely", j, p)
-			}
-			if p > 0.999 {
-				certain++
-				if !got && len(tracker.jobs[fmt.Sprint("job-", j)].failedOn) >= minFailures {
-					missed++
-				}
+		if p > 0.999 {
+			n.certain++
+			if !got && len(tracker.jobs[jobName(j)].failedOn) >= minFailures {
+				n.missed++
 			}
 		}
-		for m, p := range faulty {
-			if tracker.IsFaulty(fmt.Sprint("vm-", m)) && p < 0.5 {
-				t.Errorf("machine %d is called faulty, which is %.3f likely", m, p)
-			}
+	}
+	for m, p := range faulty {
+		if tracker.IsFaulty(machineName(m)) && p < 0.5 {
+			t.Errorf("machine %d is called faulty, which has a probability of %.3f", m, p)
 		}
+	}
+}
+
+// On small cases every verdict is supported by the exact posterior, and what is nearly certain is found.
+func TestVerdictsMatchExactPosterior(t *testing.T) {
+	var counts verdictCounts
+	rapid.Check(t, func(t *rapid.T) {
+		tracker := NewTracker()
+		attribution := drawCase(t, tracker)
+		recomputeVerdicts(tracker)
+		counts.compare(t, tracker, attribution)
 	})
-	if verdicts < 20 || certain == 0 || missed*20 > certain {
-		t.Errorf("%d verdicts; of %d certain mistakes %d are not found", verdicts, certain, missed)
+	if counts.crashLooping < 20 || counts.certain == 0 || counts.missed*20 > counts.certain {
+		t.Errorf("%d verdicts; of %d certain crash loops %d are not found", counts.crashLooping, counts.certain, counts.missed)
 	}
 }
 
-// Ten machines, of which two fail everything, and two mistaken jobs among ten, at the same time: each is
-// found, and nothing else. Each job is tried on machines that it has not failed on.
+// Two of ten machines fail every task while two of ten jobs crash on every machine: these are found and nothing else. Each job
+// is tried on machines that it has not failed on.
 func TestCrashLoopingJobsAndFaultyMachinesTogether(t *testing.T) {
 	tracker, now := NewTracker(), time.Unix(1000, 0)
 	done := map[int]int{}
@@ -204,11 +228,11 @@
 	}
 	crashLooping, faulty := tracker.verdicts()
 	if fmt.Sprint(crashLooping) != "[job-0 job-1]" || fmt.Sprint(faulty) != "[vm-0 vm-1]" {
-		t.Errorf("mistaken %v, faulty %v", crashLooping, faulty)
+		t.Errorf("crash-looping %v, faulty %v", crashLooping, faulty)
 	}
 }
 
-// What the recorded day had: two mistaken jobs fail on the same machine, which is well.
+// Two crash-looping jobs that fail on the same machines do not make these faulty.
 func TestCrashLoopingJobsDoNotMakeMachineFaulty(t *testing.T) {
 	tracker, now := NewTracker(), time.Unix(1000, 0)
 	for i := range 6 {
@@ -216,15 +240,15 @@
 		tracker.RecordFailure(now, "job-2", fmt.Sprint("vm-", i), 0)
 	}
 	if crashLooping, faulty := tracker.verdicts(); len(crashLooping) != 2 || len(faulty) != 0 {
-		t.Errorf("mistaken %v, faulty %v", crashLooping, faulty)
+		t.Errorf("crash-looping %v, faulty %v", crashLooping, faulty)
 	}
 	tracker.RecordCompletion("job-1", "vm-9")
 	if tracker.IsCrashLooping("job-1") {
-		t.Error("a job that has completed a task is still called mistaken")
+		t.Error("a job that has completed a task is still called crash-looping")
 	}
 }
 
-// A faulty machine that gets only the mistaken job is not found by it, and need not be.
+// A faulty machine is not found while only a crash-looping job fails on it; it is once others do.
 func TestFaultyMachineWithOnlyCrashLoopingJob(t *testing.T) {
 	tracker, now := NewTracker(), time.Unix(1000, 0)
 	for i := range 4 {
@@ -232,16 +256,16 @@
 	}
 	tracker.RecordFailure(now, "job-1", "sick", 0)
 	if tracker.IsFaulty("sick") {
-		t.Error("called faulty by one job")
+		t.Error("called faulty by the evidence of one job")
 	}
 	tracker.RecordFailure(now, "job-2", "sick", 5)
 	tracker.RecordFailure(now, "job-3", "sick", 7)
 	if !tracker.IsFaulty("sick") || tracker.IsFaulty("vm-0") {
-		t.Error("not found once others fail there")
+		t.Error("want only the machine on which other jobs fail to be faulty")
 	}
 }
 
-// Retries come later each time and share a budget, whatever the number of mistaken jobs.
+// Retries are delayed longer each time and share a budget, whatever the number of crash-looping jobs.
 func TestRetriesShareBudget(t *testing.T) {
 	tracker, now := NewTracker(), time.Unix(1000, 0)
 	const jobs = 200
@@ -260,13 +284,13 @@
 			}
 		}
 	}
-	// All are tried once as they are found; then the budget counts.
+	// Each is tried once at first; from then on the budget bounds the retries.
 	if most := jobs + maxStoredRetries + int(2*time.Minute/retryRefillInterval); tried > most || tried < jobs+60 {
-		t.Errorf("%d tries of %d jobs in two minutes, at most %d", tried, jobs, most)
+		t.Errorf("%d tries of %d jobs in two minutes, want at most %d", tried, jobs, most)
 	}
 }
 
-// The book holds what has failed of late, and costs the same however much that is.
+// The tracker keeps recent failures only, and a bounded number of neighbours.
 func TestTrackerIsBounded(t *testing.T) {
 	tracker, now := NewTracker(), time.Unix(1000, 0)
 	for i := range 5000 {
@@ -274,12 +298,12 @@
 		tracker.RecordFailure(now, fmt.Sprint("job-x", i), "vm-0", 1)
 		now = now.Add(time.Second)
 	}
-	if n := len(tracker.jobs) + len(tracker.machines); n > 2000 || len(tracker.machines["vm-0"].failedJobs) > 4*maxNeighbours {
-		t.Errorf("%d jobs and machines are remembered", n)
+	if n := len(tracker.jobs) + len(tracker.machines); n > 2000 || len(tracker.machines["vm-0"].failedJobs) > maxStoredNeighbours {
+		t.Errorf("%d jobs and machines are kept", n)
 	}
 	tracker.ForgetJob("job-1")
 	tracker.ForgetMachine("vm-0")
 	if tracker.FailedMachineCount("job-1") != 0 || tracker.IsFaulty("vm-0") {
-		t.Error("what is over is remembered")
+		t.Error("what was dropped is still kept")
 	}
 }
