--- a/internal/controller/failures/tracker_test.go
+++ b/internal/controller/failures/tracker_test.go
@@ -48,14 +48,14 @@
 }
 
 // likelihood is the joint probability of an assignment and of what was observed.
-func (c *attributionCase) likelihood(a assignment) float64 {
+func (c *attributionCase) likelihood(assigned assignment) float64 {
 	p := 1.0
 	for j := range c.jobs {
-		p *= c.jobLikelihood(a, j)
+		p *= c.jobLikelihood(assigned, j)
 	}
 	for m := range c.machines {
 		completions := float64(min(c.completions[m], maxCompletions))
-		if a.isSet(c.jobs + m) {
+		if assigned.isSet(c.jobs + m) {
 			p *= faultPrior * math.Pow(1-faultyMachineFailureRate, completions)
 		} else {
 			p *= (1 - faultPrior) * math.Pow(1-healthyFailureRate, completions)
@@ -64,18 +64,18 @@
 	return p
 }
 
-func (c *attributionCase) jobLikelihood(a assignment, j int) float64 {
-	if a.isSet(j) {
-		if c.hasCompleted[j] {
+func (c *attributionCase) jobLikelihood(assigned assignment, job int) float64 {
+	if assigned.isSet(job) {
+		if c.hasCompleted[job] {
 			return 0
 		}
 		return crashLoopPrior
 	}
 	p := 1 - crashLoopPrior
-	for m, failed := range c.failed[j] {
+	for m, failed := range c.failed[job] {
 		switch {
 		case !failed:
-		case a.isSet(c.jobs + m):
+		case assigned.isSet(c.jobs + m):
 			p *= faultyMachineFailureRate
 		default:
 			p *= healthyFailureRate
