--- a/internal/controller/accounting/timeline_test.go
+++ b/internal/controller/accounting/timeline_test.go
@@ -13,6 +13,7 @@
 	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/testseed"
+	"gullrudder/internal/wire/workerapi"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"pgregory.net/rapid"
@@ -57,7 +58,7 @@
 	r.Workers.Reconcile(
 		r.now,
 		m,
-		&worker.Heartbeat{Machine: m.ID, Type: "small", Zone: "a", Incarnation: 1, Sequence: m.Sequence + 1},
+		&workerapi.Heartbeat{Machine: m.ID, Type: "small", Zone: "a", Incarnation: 1, Sequence: m.Sequence + 1},
 		true,
 		func(string) *jobs.Job { return nil },
 	)
--- a/internal/controller/autoscaler/desk_test.go
+++ b/internal/controller/autoscaler/desk_test.go
@@ -17,6 +17,7 @@
 	"gullrudder/internal/controller/zones"
 	"gullrudder/internal/testseed"
 	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/workerapi"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
@@ -91,9 +92,9 @@
 
 // sendHeartbeat takes in a report that has exactly what is on the machine, all of it running.
 func (r *fixture) sendHeartbeat(now time.Time, m *worker.Machine, typ, zone string, spot bool) {
-	rep := &worker.Heartbeat{Machine: m.ID, Type: typ, Zone: zone, Spot: spot, Incarnation: 1, Sequence: m.Sequence + 1}
+	rep := &workerapi.Heartbeat{Machine: m.ID, Type: typ, Zone: zone, Spot: spot, Incarnation: 1, Sequence: m.Sequence + 1}
 	for _, a := range m.Attempts {
-		rep.Tasks = append(rep.Tasks, worker.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: worker.StateRunning})
+		rep.Tasks = append(rep.Tasks, workerapi.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: workerapi.StateRunning})
 	}
 	r.workers.Reconcile(now, m, rep, true, func(id string) *jobs.Job { return r.jobs[id] })
 	m.LeaseRenewedAt, m.LastContactAt = now, now
@@ -156,11 +157,11 @@
 			continue
 		}
 		m := n.workers.Machines[drained[0]]
-		r := worker.Heartbeat{Machine: m.ID, Type: "large", Zone: "a", Spot: true, Incarnation: 1, Sequence: m.Sequence + 1, FencingToken: 1}
+		r := workerapi.Heartbeat{Machine: m.ID, Type: "large", Zone: "a", Spot: true, Incarnation: 1, Sequence: m.Sequence + 1, FencingToken: 1}
 		for _, a := range m.Attempts {
 			r.Tasks = append(
 				r.Tasks,
-				worker.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: worker.StateExited, Reason: "halted", CheckpointSaved: true},
+				workerapi.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: workerapi.StateExited, Reason: "halted", CheckpointSaved: true},
 			)
 		}
 		for _, e := range n.workers.Reconcile(now, m, &r, true, func(id string) *jobs.Job { return n.jobs[id] }) {
--- a/internal/controller/autoscaler/thin.go
+++ b/internal/controller/autoscaler/thin.go
@@ -7,6 +7,7 @@
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/workerapi"
 )
 
 const (
@@ -118,10 +119,10 @@
 func (d *Scaler) drain(now time.Time, m *worker.Machine) {
 	m.DrainReason = worker.DrainConsolidated
 	d.log.Info("emptying a machine", "machine", m.ID, "tasks", len(m.Attempts))
-	var list []worker.Command
+	var list []workerapi.Command
 	for _, a := range m.Attempts {
 		a.StopSentAt = now
-		list = append(list, worker.Kill(a.Task.String(), a.Number, a.Job.CheckpointDuration.Seconds()))
+		list = append(list, workerapi.Kill(a.Task.String(), a.Number, a.Job.CheckpointDuration.Seconds()))
 	}
 	worker.SendCommands(d.outbox, d.fencingToken, m, list)
 }
--- a/internal/controller/failover/silence.go
+++ b/internal/controller/failover/silence.go
@@ -9,6 +9,7 @@
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/workerapi"
 )
 
 const (
@@ -59,13 +60,13 @@
 	probeID := t.reachability.StartProbe(now, machine)
 	t.outbox.Add(client.Call{
 		Destination: client.WorkerAgent, Addr: machine.Addr, Method: "POST", Path: "/commands",
-		Body: worker.DirectCommands{FencingToken: t.fencingToken, Incarnation: session, Commands: []worker.Command{}}, Timeout: probeTimeout,
+		Body: workerapi.DirectCommands{FencingToken: t.fencingToken, Incarnation: session, Commands: []workerapi.Command{}}, Timeout: probeTimeout,
 		Done: func(now time.Time, result client.Result) {
 			if t.closed {
 				return
 			}
 			t.probesInFlight--
-			var report worker.Heartbeat
+			var report workerapi.Heartbeat
 			if result.Status != 200 && result.Status != 409 || codec.Unmarshal(result.Body, &report) != nil || report.Machine != machine.ID {
 				t.reachability.ProbeFailed(now, machine)
 				onResult(now, false)
--- a/internal/controller/failover/takeover_test.go
+++ b/internal/controller/failover/takeover_test.go
@@ -28,6 +28,7 @@
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/server"
+	"gullrudder/internal/wire/workerapi"
 
 	"github.com/prometheus/client_golang/prometheus"
 )
@@ -131,7 +132,7 @@
 }
 
 // sendHeartbeat brings a report and gives back what the machine is told.
-func (k *testReconciler) sendHeartbeat(t *testing.T, now time.Time, report worker.Heartbeat) worker.HeartbeatResponse {
+func (k *testReconciler) sendHeartbeat(t *testing.T, now time.Time, report workerapi.Heartbeat) workerapi.HeartbeatResponse {
 	t.Helper()
 	raw, err := codec.Marshal(report)
 	if err != nil {
@@ -141,7 +142,7 @@
 	if len(replies) != 1 || replies[0].Status != 200 {
 		t.Fatalf("%+v", replies)
 	}
-	var response worker.HeartbeatResponse
+	var response workerapi.HeartbeatResponse
 	if err := codec.Unmarshal(replies[0].Body, &response); err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +158,7 @@
 	machine := reconciler.workers.GetOrAdd("vm-1")
 	machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = true, now, now
 	reconciler.unreconciled, reconciler.completed = []*worker.Machine{machine}, false
-	report := worker.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8}
+	report := workerapi.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8}
 	if response := reconciler.sendHeartbeat(t, now, report); response.FencingToken != 9 || machine.Reconciled {
 		t.Errorf("token %d, accounted for %v by a report under an older token", response.FencingToken, machine.Reconciled)
 	}
@@ -189,7 +190,7 @@
 		reconciler.workers.Reconcile(
 			now,
 			machine,
-			&worker.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: zone, Incarnation: 1, Sequence: 1},
+			&workerapi.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: zone, Incarnation: 1, Sequence: 1},
 			true,
 			reconciler.jobStore.Find,
 		)
@@ -275,7 +276,7 @@
 			reconciler.workers.Reconcile(
 				now,
 				machine,
-				&worker.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: "a", Incarnation: 1, Sequence: 1},
+				&workerapi.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: "a", Incarnation: 1, Sequence: 1},
 				true,
 				reconciler.jobStore.Find,
 			)
@@ -361,7 +362,7 @@
 					continue
 				}
 				raw, err := codec.Marshal(
-					worker.Heartbeat{
+					workerapi.Heartbeat{
 						Machine:      call.Addr,
 						Addr:         call.Addr,
 						Type:         "small",
@@ -385,7 +386,7 @@
 }
 
 // newReconcilerWithCancelledJob is a takeover that knows a job with one task, cancelled a second ago.
-func newReconcilerWithCancelledJob(t *testing.T, now time.Time) (reconciler *testReconciler, report worker.Heartbeat) {
+func newReconcilerWithCancelledJob(t *testing.T, now time.Time) (reconciler *testReconciler, report workerapi.Heartbeat) {
 	reconciler = newTestReconciler(now, 9)
 	if !reconciler.jobStore.OpenArchive() {
 		t.Fatal("no history")
@@ -394,13 +395,13 @@
 	reconciler.jobStore.Unfinished["job-1"] = job
 	reconciler.jobStore.ApplyCancellation(now.Add(-time.Second), job)
 	reconciler.workers.GetOrAdd("vm-1").Registered = true
-	return reconciler, worker.Heartbeat{
+	return reconciler, workerapi.Heartbeat{
 		Machine: "vm-1", Addr: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8,
-		Tasks: []worker.TaskStatus{{Task: "job-1/0", Attempt: 5, State: worker.StateRunning}},
+		Tasks: []workerapi.TaskStatus{{Task: "job-1/0", Attempt: 5, State: workerapi.StateRunning}},
 	}
 }
 
-func countKills(response worker.HeartbeatResponse) int {
+func countKills(response workerapi.HeartbeatResponse) int {
 	count := 0
 	for _, command := range response.Commands {
 		if command.Operation == "kill" && command.Task == "job-1/0" && command.Attempt == 5 && *command.GraceSeconds == 0 {
--- a/internal/controller/heartbeat/handler.go
+++ b/internal/controller/heartbeat/handler.go
@@ -22,6 +22,7 @@
 	"gullrudder/internal/controller/worker/reachability"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/server"
+	"gullrudder/internal/wire/workerapi"
 )
 
 // MachineKeyPrefix marks the ledger's entries for machines that may hold tasks.
@@ -36,7 +37,7 @@
 type pendingHeartbeat struct {
 	request    *server.Request
 	machine    *worker.Machine
-	heartbeat  *worker.Heartbeat
+	heartbeat  *workerapi.Heartbeat
 	freshness  reachability.Freshness
 	receivedAt time.Time
 
@@ -116,11 +117,11 @@
 // HandleHeartbeat takes in a report; its answer goes out at the end of the step. Before the ledger is read
 // (built) nothing in it is believed. It says whether the machine lived just now: a copy does not tell.
 func (h *Handler) HandleHeartbeat(now time.Time, request *server.Request, stateLoaded bool) (isAlive bool) {
-	var heartbeat worker.Heartbeat
+	var heartbeat workerapi.Heartbeat
 	if err := codec.Unmarshal(
 		request.Body,
 		&heartbeat,
-	); err != nil || heartbeat.Machine == "" || len(heartbeat.Machine) > worker.MaxNameBytes ||
+	); err != nil || heartbeat.Machine == "" || len(heartbeat.Machine) > workerapi.MaxNameBytes ||
 		heartbeat.Incarnation == 0 {
 		h.responder.RespondError(request, 400, "no report", 0)
 		return false
@@ -151,7 +152,7 @@
 }
 
 // register writes down that the machine may hold tasks, before it gets any.
-func (h *Handler) register(now time.Time, machine *worker.Machine, heartbeat *worker.Heartbeat) {
+func (h *Handler) register(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) {
 	h.cloud.ObserveHeartbeat(
 		now,
 		heartbeat.Machine,
@@ -180,7 +181,7 @@
 }
 
 // Reconcile takes in what is on a machine; whole is false for the answer to a direct command.
-func (h *Handler) Reconcile(now time.Time, machine *worker.Machine, heartbeat *worker.Heartbeat, complete bool) {
+func (h *Handler) Reconcile(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat, complete bool) {
 	ended := h.workers.Reconcile(now, machine, heartbeat, complete, h.jobStore.Find)
 	h.reachability.RecordEnded(now, machine, ended)
 	h.HandleEnded(now, machine, ended)
@@ -193,7 +194,7 @@
 // lossCause is the cause that the account of a job gives for an attempt that did not get done.
 func lossCause(ended worker.EndedAttempt) accounting.WaitReason {
 	switch {
-	case !ended.Attempt.StopSentAt.IsZero() || ended.Reason == worker.ReasonStopped:
+	case !ended.Attempt.StopSentAt.IsZero() || ended.Reason == workerapi.ReasonStopped:
 		return accounting.Preempted
 	case ended.Reason == worker.ReasonLost:
 		return accounting.MachineLost
@@ -210,11 +211,11 @@
 			continue
 		}
 		h.placer.InvalidateOrder()
-		if ended.Reason != worker.ReasonDone {
+		if ended.Reason != workerapi.ReasonDone {
 			h.log.Debug("attempt ended", "task", attempt.Task, "attempt", attempt.Number, "machine", machine.ID, "why", ended.Reason)
 		}
 		switch ended.Reason {
-		case worker.ReasonDone:
+		case workerapi.ReasonDone:
 			if job.IsService {
 				break // a replica runs until its job is cancelled: it is started again
 			}
@@ -235,11 +236,11 @@
 				h.jobStore.FinishIfDone(now, job)
 			}
 			continue
-		case worker.ReasonError:
+		case workerapi.ReasonError:
 			h.recordFailure(now, machine, job)
-		case worker.ReasonNoCapacity:
+		case workerapi.ReasonNoCapacity:
 			machine.StartsNotBefore = now.Add(2 * time.Second)
-		case worker.ReasonInUse, worker.ReasonNotFound:
+		case workerapi.ReasonInUse, workerapi.ReasonNotFound:
 			job.NotBefore = now.Add(2 * time.Second)
 			h.log.Info("start refused", "task", attempt.Task, "machine", machine.ID, "why", ended.Reason)
 		}
--- a/internal/controller/heartbeat/response.go
+++ b/internal/controller/heartbeat/response.go
@@ -6,6 +6,7 @@
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/controller/worker/reachability"
+	"gullrudder/internal/wire/workerapi"
 )
 
 // maxRegistrationWait is how long a new machine's report may wait for its place on the roster.
@@ -23,7 +24,7 @@
 			continue
 		}
 		// The same machine may have reported twice; only its newest report gets starts.
-		response := worker.HeartbeatResponse{FencingToken: h.fencingToken, Commands: []worker.Command{}}
+		response := workerapi.HeartbeatResponse{FencingToken: h.fencingToken, Commands: []workerapi.Command{}}
 		switch {
 		case pending.freshness != reachability.Fresh && pending.stateLoaded:
 			response.Commands = h.killCancelled(pending.heartbeat)
@@ -52,14 +53,14 @@
 
 // killCancelled ends the tasks of cancelled jobs in a report that is not believed: whether it is old or not, they are to
 // end, and a 200 without that would keep them for another lease.
-func (h *Handler) killCancelled(heartbeat *worker.Heartbeat) []worker.Command {
-	commands := []worker.Command{}
+func (h *Handler) killCancelled(heartbeat *workerapi.Heartbeat) []workerapi.Command {
+	commands := []workerapi.Command{}
 	for _, status := range heartbeat.Tasks {
 		if key, err := jobs.ParseTaskID(
 			status.Task,
-		); err == nil && status.State != worker.StateExited && len(commands) < maxCommandsPerResponse &&
+		); err == nil && status.State != workerapi.StateExited && len(commands) < maxCommandsPerResponse &&
 			h.jobStore.IsTaskCancelled(key) {
-			commands = append(commands, worker.Kill(status.Task, status.Attempt, 0))
+			commands = append(commands, workerapi.Kill(status.Task, status.Attempt, 0))
 		}
 	}
 	return commands
@@ -78,15 +79,15 @@
 }
 
 // commandsFor lists what the machine is told besides starts.
-func (h *Handler) commandsFor(now time.Time, machine *worker.Machine, heartbeat *worker.Heartbeat) []worker.Command {
-	var commands []worker.Command
+func (h *Handler) commandsFor(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) []workerapi.Command {
+	var commands []workerapi.Command
 	for _, status := range heartbeat.Tasks {
-		if status.State != worker.StateExited || len(commands) >= maxCommandsPerResponse {
+		if status.State != workerapi.StateExited || len(commands) >= maxCommandsPerResponse {
 			continue
 		}
 		key, err := jobs.ParseTaskID(status.Task)
-		if err != nil || status.Reason != worker.ReasonDone || h.jobStore.IsResultDurable(key) {
-			commands = append(commands, worker.Forget(status.Task, status.Attempt))
+		if err != nil || status.Reason != workerapi.ReasonDone || h.jobStore.IsResultDurable(key) {
+			commands = append(commands, workerapi.Forget(status.Task, status.Attempt))
 		}
 	}
 	for _, attempt := range machine.Attempts {
@@ -100,9 +101,9 @@
 		switch {
 		case attempt.IsOrphan || job == nil || job.IsCancelling || job.State == jobs.Cancelled:
 			attempt.KillsSent++
-			commands = append(commands, worker.Kill(attempt.Task.String(), attempt.Number, 0))
+			commands = append(commands, workerapi.Kill(attempt.Task.String(), attempt.Number, 0))
 		case !attempt.StopSentAt.IsZero() && !attempt.IsCheckpointing:
-			commands = append(commands, worker.Kill(attempt.Task.String(), attempt.Number, job.CheckpointDuration.Seconds()))
+			commands = append(commands, workerapi.Kill(attempt.Task.String(), attempt.Number, job.CheckpointDuration.Seconds()))
 		}
 	}
 	return commands
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -33,6 +33,7 @@
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/server"
+	"gullrudder/internal/wire/workerapi"
 
 	"github.com/prometheus/client_golang/prometheus"
 )
@@ -226,14 +227,14 @@
 	connectivity := n.election.Connectivity()
 	if !n.holdsLease {
 		// That the worker came here is what the leader has to know.
-		if caller, ok := worker.DecodeHeartbeatID(request.Body); ok {
+		if caller, ok := workerapi.DecodeHeartbeatID(request.Body); ok {
 			connectivity.RecordWorkerContact(now, caller.Machine, caller.Incarnation, caller.Sequence)
 		}
 		redirectTo := n.election.Leader(now)
 		if connectivity.RedirectsSuspended(now) {
 			redirectTo = "" // the leader would not hear it
 		}
-		n.responder.Respond(request, 421, worker.Redirect{Leader: redirectTo}, 0)
+		n.responder.Respond(request, 421, workerapi.Redirect{Leader: redirectTo}, 0)
 		return
 	}
 	if !n.leadership.failover.CanRenewLeases(now) {
--- a/internal/controller/placement/preempt.go
+++ b/internal/controller/placement/preempt.go
@@ -8,6 +8,7 @@
 	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/workerapi"
 )
 
 // victim is a running task that may be stopped for another job.
@@ -118,7 +119,7 @@
 			p.outbox,
 			p.fencingToken,
 			v.machine,
-			[]worker.Command{worker.Kill(v.attempt.Task.String(), v.attempt.Number, v.attempt.Job.CheckpointDuration.Seconds())},
+			[]workerapi.Command{workerapi.Kill(v.attempt.Task.String(), v.attempt.Number, v.attempt.Job.CheckpointDuration.Seconds())},
 		)
 	}
 }
--- a/internal/controller/placement/starts.go
+++ b/internal/controller/placement/starts.go
@@ -6,10 +6,11 @@
 	"gullrudder/internal/controller/ageing"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/workerapi"
 )
 
 // StartTasks picks what the machine starts now.
-func (p *Placer) StartTasks(now time.Time, machine *worker.Machine, maxStarts int) []worker.Command {
+func (p *Placer) StartTasks(now time.Time, machine *worker.Machine, maxStarts int) []workerapi.Command {
 	if !machine.Reconciled || !machine.Registered || machine.DrainReason != worker.NotDraining || machine.CPUs+machine.MemoryGB == 0 ||
 		now.Before(machine.StartsNotBefore) {
 		return nil
@@ -65,9 +66,9 @@
 	now time.Time,
 	machine *worker.Machine,
 	entry *candidate,
-	commands []worker.Command,
+	commands []workerapi.Command,
 	maxStarts int,
-) []worker.Command {
+) []workerapi.Command {
 	job := entry.Job
 	count := min(machine.TasksThatFit(job), job.WaitingTasks(), maxStarts-len(commands))
 	if count <= 0 || !job.IsSchedulable() || !p.canStart(job) || now.Before(job.NotBefore) || !IsEligible(job, machine) {
@@ -91,15 +92,15 @@
 			break
 		}
 		attempt := p.newAttempt(now, machine, job, task, p.nextAttemptNumber())
-		commands = append(commands, worker.Start(attempt.Task.String(), attempt.Number))
+		commands = append(commands, workerapi.Start(attempt.Task.String(), attempt.Number))
 		job.PassedOverSince = time.Time{}
 	}
 	return commands
 }
 
 // gangStarts are the starts of gangs that have waited for the machine's report.
-func (p *Placer) gangStarts(now time.Time, machine *worker.Machine, maxStarts int) []worker.Command {
-	var commands []worker.Command
+func (p *Placer) gangStarts(now time.Time, machine *worker.Machine, maxStarts int) []workerapi.Command {
+	var commands []workerapi.Command
 	if len(p.pendingGangStarts) == 0 {
 		return nil
 	}
@@ -107,7 +108,7 @@
 		if attempt.IsUnsent && !attempt.IsOrphan && attempt.Job.IsSchedulable() && len(commands) < maxStarts {
 			attempt.IsUnsent, attempt.AssignedAt = false, now
 			delete(p.pendingGangStarts, attempt)
-			commands = append(commands, worker.Start(attempt.Task.String(), attempt.Number))
+			commands = append(commands, workerapi.Start(attempt.Task.String(), attempt.Number))
 		}
 	}
 	return commands
--- a/internal/controller/placement/world_test.go
+++ b/internal/controller/placement/world_test.go
@@ -13,6 +13,7 @@
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/testseed"
 	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/workerapi"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
@@ -73,7 +74,7 @@
 
 // observeHeartbeat takes in a report that has exactly what is on the machine, all of it running.
 func (p *Placer) observeHeartbeat(now time.Time, machine *worker.Machine, machineType, zone string, spot bool) {
-	heartbeat := &worker.Heartbeat{
+	heartbeat := &workerapi.Heartbeat{
 		Machine:     machine.ID,
 		Type:        machineType,
 		Zone:        zone,
@@ -82,7 +83,7 @@
 		Sequence:    machine.Sequence + 1,
 	}
 	for _, a := range machine.Attempts {
-		heartbeat.Tasks = append(heartbeat.Tasks, worker.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: worker.StateRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, workerapi.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: workerapi.StateRunning})
 	}
 	p.workers.Reconcile(now, machine, heartbeat, true, func(id string) *jobs.Job { return p.jobs[id] })
 	machine.LeaseRenewedAt, machine.LastContactAt = now, now
--- a/internal/controller/worker/image_cache.go
+++ b/internal/controller/worker/image_cache.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// ImageCache is what is known of the images that a machine has: those of the tasks that were
-// started on it, the most recently used ones as far as its cache holds them.
+// ImageCache is the leader's estimate of which images a machine has: those of the attempts that were assigned to it, the most
+// recently used as far as the machine's cache holds them.
 type ImageCache struct {
-	SizeGB, FetchRate float64
-	images            map[string]cachedImage
-	useCount          uint64
-	usedGB            float64
+	SizeGB    float64
+	FetchRate float64 // GB/s
+
+	images   map[string]cachedImage // by name
+	useCount uint64
+	usedGB   float64
 }
 
 type cachedImage struct {
 	sizeGB  float64
-	lastUse uint64
+	lastUse uint64 // useCount at its last use
 }
 
 // Has reports whether a task with this image starts without fetching it.
@@ -22,7 +24,7 @@
 	return ok
 }
 
-// RecordUse records that a task with this image is on the machine.
+// RecordUse records that a task with this image is on the machine, and evicts what no longer fits.
 func (c *ImageCache) RecordUse(image string, sizeGB float64) {
 	if c.images == nil {
 		c.images = map[string]cachedImage{}
@@ -34,18 +36,22 @@
 	c.images[image] = cachedImage{sizeGB, c.useCount}
 	c.usedGB += sizeGB
 	for c.usedGB > c.SizeGB && len(c.images) > 1 {
-		oldest, last := "", c.useCount+1
-		for name, i := range c.images {
-			if i.lastUse < last {
-				oldest, last = name, i.lastUse
-			}
+		c.evictOldest()
+	}
+}
+
+func (c *ImageCache) evictOldest() {
+	oldest, lastUse := "", c.useCount+1
+	for name, image := range c.images {
+		if image.lastUse < lastUse {
+			oldest, lastUse = name, image.lastUse
 		}
-		c.usedGB -= c.images[oldest].sizeGB
-		delete(c.images, oldest)
 	}
+	c.usedGB -= c.images[oldest].sizeGB
+	delete(c.images, oldest)
 }
 
-// FetchTime is how long fetching an image of this size takes, if nothing else is fetched.
+// FetchTime returns how long fetching an image of this size takes if nothing else is fetched. It is 0 if the rate is unknown.
 func (c *ImageCache) FetchTime(sizeGB float64) time.Duration {
 	if c.FetchRate <= 0 {
 		return 0
--- a/internal/controller/worker/image_cache_test.go
+++ b/internal/controller/worker/image_cache_test.go
@@ -12,26 +12,34 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// The store keeps the most recently used images that fit, like a plain list of them.
+// imageModel is the plain model of a cache of 10 GB: image numbers, the newest last. An image is as many GB large as its number.
+type imageModel []int
+
+func (m imageModel) use(image int) imageModel {
+	m = append(slices.DeleteFunc(m, func(other int) bool { return other == image }), image)
+	sum := 0
+	for _, other := range m {
+		sum += other
+	}
+	for sum > 10 {
+		sum -= m[0]
+		m = m[1:]
+	}
+	return m
+}
+
+// The cache holds the most recently used images that fit, as a plain list of them does.
 func TestImageCacheKeepsMostRecentlyUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cache := ImageCache{SizeGB: 10}
-		var model []int // image number, the newest last; it is as many GB large
+		var model imageModel
 		for range rapid.IntRange(1, 30).Draw(t, "uses") {
-			n := rapid.IntRange(1, 6).Draw(t, "image")
-			cache.RecordUse(fmt.Sprint(n), float64(n))
-			model = append(slices.DeleteFunc(model, func(o int) bool { return o == n }), n)
-			sum := 0
-			for _, o := range model {
-				sum += o
-			}
-			for sum > 10 {
-				sum -= model[0]
-				model = model[1:]
-			}
-			for o := 1; o <= 6; o++ {
-				if cache.Has(fmt.Sprint(o)) != slices.Contains(model, o) {
-					t.Fatalf("image %d: %v, want %v", o, model, cache.Has(fmt.Sprint(o)))
+			image := rapid.IntRange(1, 6).Draw(t, "image")
+			cache.RecordUse(fmt.Sprint(image), float64(image))
+			model = model.use(image)
+			for other := 1; other <= 6; other++ {
+				if got, want := cache.Has(fmt.Sprint(other)), slices.Contains(model, other); got != want {
+					t.Fatalf("image %d: cached %v, want %v", other, got, want)
 				}
 			}
 		}
--- /dev/null
+++ b/internal/controller/worker/reachability/freshness.go
@@ -0,0 +1,112 @@
+package reachability
+
+import (
+	"time"
+
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/workerapi"
+)
+
+// Freshness is what a heartbeat proves about its machine.
+type Freshness int
+
+// The degrees of freshness. A heartbeat must get a 200 unless it is Stale, and is believed only if it is Fresh.
+const (
+	Stale      Freshness = iota // a duplicate, or older than what is known, or of a process that has ended since: it gets no 200
+	Superseded                  // by the machine's answer to a probe: it gets a 200
+	Unverified                  // it may be of any age: it gets a 200, by which the machine learns the fencing token
+	Fresh                       // newer than all that is known of the machine
+)
+
+// Classify says what a heartbeat proves. It must be called once for each heartbeat, before anything else is made of it.
+func (t *Tracker) Classify(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) Freshness {
+	freshness := t.classify(now, machine, heartbeat)
+	t.metrics.countHeartbeat(freshness)
+	return freshness
+}
+
+func (t *Tracker) classify(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) Freshness {
+	link := t.linkOf(machine)
+	switch {
+	case !machine.HasReported && heartbeat.FencingToken != t.fencingToken:
+		return link.classifyUnverified()
+	case !machine.HasReported:
+	case t.showsCountersReset(machine, link, heartbeat):
+		t.recordCountersReset(now, machine, link)
+		return Stale
+	case !machine.IsNewer(heartbeat) && link.isSuperseded(now, machine, heartbeat):
+		return Superseded
+	case !machine.IsNewer(heartbeat):
+		return Stale
+	}
+	t.recordFresh(now, machine, link, heartbeat)
+	return Fresh
+}
+
+// showsCountersReset reports whether the heartbeat shows that the machine's worker has lost its counters. A worker never forgets
+// a fencing token that it has seen, so one that reports a lower token has restarted. From then on its heartbeats cannot be told
+// from late ones of before until its incarnation is a higher one. They get no 200, so that its lease expires and a new
+// incarnation begins.
+func (t *Tracker) showsCountersReset(machine *worker.Machine, link *linkState, heartbeat *workerapi.Heartbeat) bool {
+	return link.countersReset && heartbeat.Incarnation <= machine.Incarnation ||
+		machine.IsNewer(heartbeat) && heartbeat.FencingToken < t.fencingToken
+}
+
+// classifyUnverified classifies a heartbeat without the leader's token, of a machine that has not reported to this leader. It may
+// be from before the election, and its machine may be gone. The response tells a machine that is there the token, and it reports
+// that at once. If neither responses nor probes reach the machine, it gets no more 200: its lease would be renewed forever, and
+// the failover would wait for its expiry forever.
+func (l *linkState) classifyUnverified() Freshness {
+	if l.unansweredProbes >= maxUnansweredProbes && l.ineffectiveResponses >= maxIneffectiveResponses {
+		return Stale
+	}
+	l.ineffectiveResponses++
+	return Unverified
+}
+
+// isSuperseded reports whether a heartbeat that is not newer than the last one accepted was overtaken by the machine's answer to
+// a probe, which counted as a newer heartbeat. Its sender still waits for the response.
+func (l *linkState) isSuperseded(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) bool {
+	isNewerOnLink := heartbeat.Incarnation > l.incarnation ||
+		heartbeat.Incarnation == l.incarnation && heartbeat.Sequence > l.sequence
+	return heartbeat.Incarnation == machine.Incarnation && isNewerOnLink && now.Sub(l.lastProbeAnswerAt) < workerResponseTimeout
+}
+
+// recordFresh takes in a fresh heartbeat, and what it shows of the way to the machine.
+func (t *Tracker) recordFresh(now time.Time, machine *worker.Machine, link *linkState, heartbeat *workerapi.Heartbeat) {
+	isSameIncarnation := heartbeat.Incarnation == link.incarnation
+	switch {
+	case !isSameIncarnation && t.lostLeaseDespiteResponses(now, machine, link):
+		t.suspect(now, machine, link, IncarnationEnded)
+		t.RequestProbe(machine)
+	case link.suspicion == Unconfirmed && heartbeat.FencingToken == t.fencingToken:
+		link.confirmReachable(machine)
+	case link.suspicion != NotSuspected && isSameIncarnation && link.isPrompt(now):
+		link.confirmReachable(machine)
+	case link.suspicion != NotSuspected:
+		t.RequestProbe(machine)
+	}
+	link.incarnation, link.sequence = heartbeat.Incarnation, heartbeat.Sequence
+	link.lastHeartbeatAt, link.acknowledged = now, false
+	link.countersReset = false
+	machine.LastContactAt = now
+	machine.IsUnreachable = link.suspicion != NotSuspected && link.unansweredProbes > 0
+}
+
+// lostLeaseDespiteResponses reports whether a new incarnation of the machine shows that its lease expired although it was sent a
+// 200 that should have renewed it.
+func (t *Tracker) lostLeaseDespiteResponses(now time.Time, machine *worker.Machine, link *linkState) bool {
+	return machine.HasReported && link.incarnation != 0 && now.Sub(machine.LeaseRenewedAt) < t.lease*4/5 && !link.countersReset
+}
+
+// isPrompt reports whether a heartbeat that arrives now follows the last one so soon that the worker must have received the
+// response to that, and whether that one arrived after the suspicion arose.
+func (l *linkState) isPrompt(now time.Time) bool {
+	return l.acknowledged && now.Sub(l.lastHeartbeatAt) < promptInterval && l.lastHeartbeatAt.After(l.since)
+}
+
+// IsNewest reports whether this is the newest heartbeat of its machine: starts go in the response to that one only.
+func (t *Tracker) IsNewest(machine *worker.Machine, heartbeat *workerapi.Heartbeat) bool {
+	link := t.linkOf(machine)
+	return heartbeat.Incarnation == link.incarnation && heartbeat.Sequence == link.sequence
+}
--- a/internal/controller/worker/reachability/metrics.go
+++ b/internal/controller/worker/reachability/metrics.go
@@ -2,14 +2,20 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics count what links have shown, over all leaderships of a controller.
+// Values of the label outcome of gullrudder_worker_questions_total.
+const (
+	probeAnswered    = "answered"
+	probeNotAnswered = "not answered"
+)
+
+// Metrics counts heartbeats, probes and suspicions over all terms of a controller as the leader.
 type Metrics struct {
-	heartbeats *prometheus.CounterVec
-	probes     *prometheus.CounterVec
-	suspicions *prometheus.CounterVec
+	heartbeats *prometheus.CounterVec // by Freshness
+	probes     *prometheus.CounterVec // by outcome
+	suspicions *prometheus.CounterVec // by Suspicion
 }
 
-// NewMetrics makes the counters and registers them.
+// NewMetrics makes the counters and registers them. It panics if they are registered already.
 func NewMetrics(registry *prometheus.Registry) *Metrics {
 	counter := func(name, help, label string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "gullrudder", Name: name, Help: help}, []string{label})
@@ -24,5 +30,6 @@
 }
 
 func (m *Metrics) countHeartbeat(freshness Freshness) {
-	m.heartbeats.WithLabelValues([...]string{"copy", "overtaken", "unproven", "new"}[freshness]).Inc()
+	verdict := [...]string{Stale: "copy", Superseded: "overtaken", Unverified: "unproven", Fresh: "new"}[freshness]
+	m.heartbeats.WithLabelValues(verdict).Inc()
 }
--- /dev/null
+++ b/internal/controller/worker/reachability/probe.go
@@ -0,0 +1,71 @@
+package reachability
+
+import (
+	"time"
+
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/workerapi"
+)
+
+// Probe is a direct request to a machine's own address, with the counters that were known when it was sent.
+type Probe struct{ incarnation, sequence uint64 }
+
+// TakeProbeRequests returns the machines that should be probed as soon as possible, and clears the list. A machine may be in it
+// more than once.
+func (t *Tracker) TakeProbeRequests() []*worker.Machine {
+	machines := t.probeRequests
+	t.probeRequests = nil
+	return machines
+}
+
+// RequestProbe has a machine probed as soon as possible.
+func (t *Tracker) RequestProbe(machine *worker.Machine) {
+	t.probeRequests = append(t.probeRequests, machine)
+}
+
+// IsProbeDue reports whether the machine may be probed now: it has had time to answer the last probe.
+func (t *Tracker) IsProbeDue(now time.Time, machine *worker.Machine) bool {
+	link := t.linkOf(machine)
+	return link.lastProbeAt.IsZero() || now.Sub(link.lastProbeAt) >= probeInterval
+}
+
+// StartProbe records that a probe is sent to the machine. The caller passes the Probe to ProbeAnswered, or calls ProbeFailed.
+func (t *Tracker) StartProbe(now time.Time, machine *worker.Machine) Probe {
+	t.linkOf(machine).lastProbeAt = now
+	return Probe{machine.Incarnation, machine.Sequence}
+}
+
+// ProbeAnswered takes in a machine's answer to a probe: the machine receives what the leader sends, and the heartbeat in the
+// answer is certainly newer than what was known when the probe was sent. If its counters say otherwise, the worker has lost them:
+// countersReset is true, and all that ran on the machine before is gone.
+func (t *Tracker) ProbeAnswered(
+	now time.Time, machine *worker.Machine, probe Probe, heartbeat *workerapi.Heartbeat,
+) (countersReset bool) {
+	link := t.linkOf(machine)
+	machine.LastContactAt, link.lastProbeAnswerAt = now, now
+	t.metrics.probes.WithLabelValues(probeAnswered).Inc()
+	link.unansweredProbes = 0
+	if machine.HasReported && !probe.isBefore(heartbeat) {
+		t.recordCountersReset(now, machine, link)
+		return true
+	}
+	if heartbeat.FencingToken == t.fencingToken {
+		link.confirmReachable(machine)
+	}
+	return false
+}
+
+// isBefore reports whether the heartbeat's counters are higher than those known when the probe was sent.
+func (p Probe) isBefore(heartbeat *workerapi.Heartbeat) bool {
+	return heartbeat.Incarnation > p.incarnation || heartbeat.Incarnation == p.incarnation && heartbeat.Sequence > p.sequence
+}
+
+// ProbeFailed records that a machine did not answer a probe.
+func (t *Tracker) ProbeFailed(now time.Time, machine *worker.Machine) {
+	link := t.linkOf(machine)
+	t.metrics.probes.WithLabelValues(probeNotAnswered).Inc()
+	link.unansweredProbes++
+	if link.suspicion != Unconfirmed {
+		t.suspect(now, machine, link, ProbeUnanswered)
+	}
+}
--- /dev/null
+++ b/internal/controller/worker/reachability/suspicion.go
@@ -0,0 +1,91 @@
+package reachability
+
+import (
+	"time"
+
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/logkeys"
+)
+
+// Suspicion is why a machine may not receive what the leader sends. While there is one the machine gets no starts.
+type Suspicion int
+
+// The suspicions.
+const (
+	NotSuspected     Suspicion = iota
+	Unconfirmed                // nothing has shown yet that it receives anything
+	StartsLost                 // an attempt that it was sent to start did not appear in its next heartbeat
+	IncarnationEnded           // its lease expired although its heartbeats got a 200
+	ProbeUnanswered
+)
+
+// String returns the suspicion as the label of a metric has it.
+func (s Suspicion) String() string {
+	return [...]string{
+		NotSuspected:     "none",
+		Unconfirmed:      "not proven yet",
+		StartsLost:       "starts do not appear",
+		IncarnationEnded: "its session ended though it was answered",
+		ProbeUnanswered:  "a question was not answered",
+	}[s]
+}
+
+// RecordAcknowledged records that the machine's newest heartbeat gets a 200.
+func (t *Tracker) RecordAcknowledged(machine *worker.Machine) { t.linkOf(machine).acknowledged = true }
+
+// RecordEnded takes in the attempts that a heartbeat of the machine has shown to be gone. If one of them was sent to be started
+// and never appeared, the response with the start was lost.
+func (t *Tracker) RecordEnded(now time.Time, machine *worker.Machine, endedAttempts []worker.EndedAttempt) {
+	for _, ended := range endedAttempts {
+		wasNeverSeen := ended.Attempt.LastSeenReconcile == 0 && !ended.Attempt.IsUnsent
+		if ended.Reason == worker.ReasonLost && wasNeverSeen {
+			t.suspect(now, machine, t.linkOf(machine), StartsLost)
+			t.RequestProbe(machine)
+			return
+		}
+	}
+}
+
+func (t *Tracker) suspect(now time.Time, machine *worker.Machine, link *linkState, suspicion Suspicion) {
+	if link.suspicion == NotSuspected || link.suspicion == Unconfirmed {
+		link.since = now
+		t.metrics.suspicions.WithLabelValues(suspicion.String()).Inc()
+		t.log.Debug("machine suspected unreachable", logkeys.Machine, machine.ID, logkeys.Reason, suspicion.String())
+	}
+	link.suspicion = suspicion
+}
+
+func (l *linkState) confirmReachable(machine *worker.Machine) {
+	l.suspicion, l.unansweredProbes, l.ineffectiveResponses = NotSuspected, 0, 0
+	machine.IsUnreachable = l.countersReset
+}
+
+// recordCountersReset takes in that the machine's worker has lost its counters. What ran there is gone once the answer to a probe
+// shows so, or the lease has expired.
+func (t *Tracker) recordCountersReset(now time.Time, machine *worker.Machine, link *linkState) {
+	if !link.countersReset {
+		link.countersReset, link.since = true, now
+		t.log.Info("worker counters reset", logkeys.Machine, machine.ID, logkeys.Incarnation, machine.Incarnation)
+		t.RequestProbe(machine)
+	}
+	machine.IsUnreachable = true
+}
+
+// IsReachable reports whether there is evidence that the machine receives what the leader sends. If not, it must get no starts.
+func (t *Tracker) IsReachable(machine *worker.Machine) bool {
+	link := t.linkOf(machine)
+	return link.suspicion == NotSuspected && !link.countersReset
+}
+
+// IsSuspected reports whether there is evidence that the machine may not receive what the leader sends.
+func (t *Tracker) IsSuspected(machine *worker.Machine) bool {
+	link := t.links[machine.ID]
+	return link != nil && (link.suspicion > Unconfirmed || link.countersReset)
+}
+
+// IsUnresponsive reports whether the machine is better terminated: it answers no probes, or lost its counters so long ago that its
+// incarnations, which have to end one by one, do not reach those of before.
+func (t *Tracker) IsUnresponsive(now time.Time, machine *worker.Machine) bool {
+	link := t.links[machine.ID]
+	return link != nil && (link.unansweredProbes >= maxUnansweredProbes || link.countersReset && now.Sub(link.since) > 2*t.lease)
+}
--- a/internal/controller/worker/reachability/tracker_test.go
+++ b/internal/controller/worker/reachability/tracker_test.go
@@ -1,16 +1,16 @@
 package reachability
 
 import (
-	"fmt"
 	"log/slog"
+	"slices"
 	"testing"
 	"time"
 
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/workerapi"
 
 	"github.com/prometheus/client_golang/prometheus"
-	"pgregory.net/rapid"
 )
 
 const (
@@ -22,170 +22,98 @@
 	return NewTracker(testFencingToken, testLease, NewMetrics(prometheus.NewRegistry()), slog.New(slog.DiscardHandler))
 }
 
-func findNoJob(string) *jobs.Job { return nil }
-
-// workerModel is the plain model of a machine: what it has sent, and what it has heard.
-type workerModel struct {
-	incarnation, sequence, fencingToken uint64
-	processNumber                       int
-	sentHeartbeats                      []sentHeartbeat
+func newTestRegistry() *worker.Registry {
+	return worker.NewRegistry(testLease, slog.New(slog.DiscardHandler))
 }
 
-type sentHeartbeat struct {
-	heartbeat     worker.Heartbeat
-	processNumber int
-	sentAt        time.Time
+func newTestMachine(isRegistered bool) *worker.Machine {
+	machine := &worker.Machine{ID: "vm-1", Attempts: map[jobs.TaskID]*jobs.Attempt{}}
+	machine.Registered = isRegistered
+	return machine
 }
 
-func (w *workerModel) sendHeartbeat(now time.Time) sentHeartbeat {
-	w.sequence++
-	s := sentHeartbeat{
-		worker.Heartbeat{Machine: "vm-1", Addr: "vm-1", Incarnation: w.incarnation, Sequence: w.sequence, FencingToken: w.fencingToken},
-		w.processNumber,
-		now,
-	}
-	w.sentHeartbeats = append(w.sentHeartbeats, s)
-	return s
-}
+func findNoJob(string) *jobs.Job { return nil }
 
-// Whatever is lost, late or repeated, and however often the machine begins anew: what is taken for new was made
-// after all that was taken for new before; a copy of what was taken in is never new; and a machine of which
-// nothing that it was told has arrived since the leadership began gets no starts.
-func TestStaleHeartbeatIsNeverFresh(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		tracker, now := newTestTracker(), time.Unix(1000, 0)
-		model := &workerModel{incarnation: 1}
-		machine := &worker.Machine{ID: "vm-1", Registered: rapid.Bool().Draw(t, "rostered"), Attempts: map[jobs.TaskID]*jobs.Attempt{}}
-		registry := worker.NewRegistry(testLease, slog.New(slog.DiscardHandler))
-		newestSentAt, hasReceivedAnything := time.Time{}, false
-		classifiedFresh := map[int]bool{}
-		for step := range rapid.IntRange(5, 60).Draw(t, "steps") {
-			now = now.Add(time.Duration(rapid.IntRange(100, 3000).Draw(t, "ms")) * time.Millisecond)
-			switch kind := rapid.IntRange(0, 9).Draw(t, "kind"); {
-			case kind == 9: // it begins anew
-				model.processNumber++
-				model.fencingToken, model.sequence, model.incarnation = 0, 0, 1
-				if rapid.Bool().Draw(t, "counts") {
-					model.incarnation = machine.Incarnation + 1
-				}
-			case kind == 8: // its lease ends
-				model.incarnation++
-				model.sequence = 0
-			case kind >= 6: // it is asked, and its answer comes or not
-				probe := tracker.StartProbe(now, machine)
-				if rapid.Bool().Draw(t, "lost") {
-					tracker.ProbeFailed(now, machine)
-					continue
-				}
-				model.fencingToken, hasReceivedAnything = testFencingToken, true
-				s := model.sendHeartbeat(now)
-				countersReset := tracker.ProbeAnswered(now, machine, probe, &s.heartbeat)
-				if countersReset && machine.HasReported && newestSentAt.After(s.sentAt) {
-					t.Fatalf("step %d: counts anew by an old answer", step)
-				}
-				if !countersReset && s.heartbeat.FencingToken == testFencingToken && machine.IsNewer(&s.heartbeat) && !machine.HasReported {
-					registry.Reconcile(now, machine, &s.heartbeat, false, findNoJob)
-					machine.Reconciled, newestSentAt = true, s.sentAt
-				}
-			default: // a report comes: its newest, or one of before
-				at := rapid.IntRange(0, 2*len(model.sentHeartbeats)).Draw(t, "which")
-				if at >= len(model.sentHeartbeats) {
-					at = len(model.sentHeartbeats)
-					model.sendHeartbeat(now)
-				}
-				s := model.sentHeartbeats[at]
-				freshness := tracker.Classify(now, machine, &s.heartbeat)
-				switch {
-				case freshness == Fresh && classifiedFresh[at]:
-					t.Fatalf("step %d: the same report is new twice", step)
-				case freshness == Fresh && s.processNumber == model.processNumber && s.sentAt.Before(newestSentAt) && model.processNumber == 0:
-					t.Fatalf("step %d: a report of %v is new after one of %v", step, s.sentAt, newestSentAt)
-				case freshness == Fresh:
-					classifiedFresh[at] = true
-					registry.Reconcile(now, machine, &s.heartbeat, true, findNoJob)
-					machine.Reconciled, newestSentAt = true, s.sentAt
-				}
-				if freshness != Stale && s.processNumber == model.processNumber && s.heartbeat.Incarnation == model.incarnation &&
-					rapid.Bool().Draw(t, "heard") {
-					machine.LeaseRenewedAt = now
-					model.fencingToken, hasReceivedAnything = testFencingToken, true
-					if freshness == Fresh {
-						tracker.RecordAcknowledged(machine)
-					}
-				}
-			}
-			if tracker.IsReachable(machine) && !hasReceivedAnything {
-				t.Fatalf("step %d: gets starts though nothing has reached it", step)
-			}
-		}
-	})
+func newHeartbeat(incarnation, sequence, fencingToken uint64) workerapi.Heartbeat {
+	return workerapi.Heartbeat{Machine: "vm-1", Incarnation: incarnation, Sequence: sequence, FencingToken: fencingToken}
 }
 
-// What was seen of each kind, step by step.
+// The freshness of heartbeats in the order of their arrival.
 func TestClassify(t *testing.T) {
 	now := time.Unix(1000, 0)
-	classify := func(tracker *Tracker, machine *worker.Machine, r worker.Heartbeat) Freshness {
-		freshness := tracker.Classify(now, machine, &r)
-		if freshness == Fresh {
-			worker.NewRegistry(testLease, slog.New(slog.DiscardHandler)).Reconcile(now, machine, &r, true, findNoJob)
-			machine.Reconciled = true
-		}
-		return freshness
-	}
-	newHeartbeat := func(incarnation, sequence, fencingToken uint64) worker.Heartbeat {
-		return worker.Heartbeat{Machine: "vm-1", Incarnation: incarnation, Sequence: sequence, FencingToken: fencingToken}
-	}
 	for name, c := range map[string]struct {
-		reports []worker.Heartbeat
-		want    string
+		heartbeats []workerapi.Heartbeat
+		want       []Freshness
 	}{
-		"in order, then copies in any order":        {[]worker.Heartbeat{newHeartbeat(1, 1, testFencingToken), newHeartbeat(1, 2, testFencingToken), newHeartbeat(1, 1, testFencingToken), newHeartbeat(1, 2, testFencingToken), newHeartbeat(1, 3, testFencingToken)}, "[3 3 0 0 3]"},
-		"under an older token it may be of any age": {[]worker.Heartbeat{newHeartbeat(4, 9, testFencingToken-1), newHeartbeat(4, 10, testFencingToken)}, "[2 3]"},
-		"a new session":                        {[]worker.Heartbeat{newHeartbeat(1, 8, testFencingToken), newHeartbeat(2, 1, testFencingToken), newHeartbeat(1, 9, testFencingToken)}, "[3 3 0]"},
-		"it begins anew, and its session ends": {[]worker.Heartbeat{newHeartbeat(1, 3, testFencingToken), newHeartbeat(1, 1, 0), newHeartbeat(1, 4, 0), newHeartbeat(1, 5, testFencingToken), newHeartbeat(2, 1, testFencingToken)}, "[3 0 0 0 3]"},
+		"in order, then duplicates in any order": {
+			[]workerapi.Heartbeat{
+				newHeartbeat(1, 1, testFencingToken), newHeartbeat(1, 2, testFencingToken),
+				newHeartbeat(1, 1, testFencingToken), newHeartbeat(1, 2, testFencingToken), newHeartbeat(1, 3, testFencingToken),
+			},
+			[]Freshness{Fresh, Fresh, Stale, Stale, Fresh},
+		},
+		"with an older fencing token it may be of any age": {
+			[]workerapi.Heartbeat{newHeartbeat(4, 9, testFencingToken-1), newHeartbeat(4, 10, testFencingToken)},
+			[]Freshness{Unverified, Fresh},
+		},
+		"a new incarnation": {
+			[]workerapi.Heartbeat{
+				newHeartbeat(1, 8, testFencingToken), newHeartbeat(2, 1, testFencingToken), newHeartbeat(1, 9, testFencingToken),
+			},
+			[]Freshness{Fresh, Fresh, Stale},
+		},
+		"counters are reset, and the incarnation ends": {
+			[]workerapi.Heartbeat{
+				newHeartbeat(1, 3, testFencingToken), newHeartbeat(1, 1, 0), newHeartbeat(1, 4, 0),
+				newHeartbeat(1, 5, testFencingToken), newHeartbeat(2, 1, testFencingToken),
+			},
+			[]Freshness{Fresh, Stale, Stale, Stale, Fresh},
+		},
 	} {
-		tracker, machine := newTestTracker(), &worker.Machine{ID: "vm-1", Registered: true, Attempts: map[jobs.TaskID]*jobs.Attempt{}}
-		var got []Freshness
-		for _, r := range c.reports {
-			got = append(got, classify(tracker, machine, r))
-		}
-		if s := fmt.Sprint(got); s != c.want {
-			t.Errorf("%s: %s, want %s", name, s, c.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			tracker, machine := newTestTracker(), newTestMachine(true)
+			var got []Freshness
+			for _, heartbeat := range c.heartbeats {
+				freshness := tracker.Classify(now, machine, &heartbeat)
+				if freshness == Fresh {
+					newTestRegistry().Reconcile(now, machine, &heartbeat, true, findNoJob)
+					machine.Reconciled = true
+				}
+				got = append(got, freshness)
+			}
+			if !slices.Equal(got, c.want) {
+				t.Errorf("%v, want %v", got, c.want)
+			}
+		})
 	}
 }
 
-// A machine that is heard and hears nothing: its starts do not appear, it gets no more, and after two questions
-// without an answer it counts as silent, however punctual its reports are. If it answers again it goes on.
+// A machine whose heartbeats arrive and that receives nothing: its starts do not appear, it gets no more, and after two
+// unanswered probes it counts as unresponsive, however punctual its heartbeats are. Once it answers a probe it gets starts again.
 func TestReportingMachineMayBeUnreachable(t *testing.T) {
 	tracker, now := newTestTracker(), time.Unix(1000, 0)
-	machine := &worker.Machine{ID: "vm-1", Registered: true, Attempts: map[jobs.TaskID]*jobs.Attempt{}}
-	registry := worker.NewRegistry(testLease, slog.New(slog.DiscardHandler))
+	machine, registry := newTestMachine(true), newTestRegistry()
 	sequence := uint64(0)
-	sendHeartbeat := func() Freshness {
+	sendHeartbeat := func() {
 		sequence++
-		now = now.Add(5 * time.Second) // a worker that got no answer comes back after five seconds
-		heartbeat := worker.Heartbeat{Machine: machine.ID, Incarnation: 1, Sequence: sequence, FencingToken: testFencingToken}
-		freshness := tracker.Classify(now, machine, &heartbeat)
-		if freshness == Fresh {
+		now = now.Add(5 * time.Second) // a worker without a response comes back after five seconds
+		heartbeat := newHeartbeat(1, sequence, testFencingToken)
+		if tracker.Classify(now, machine, &heartbeat) == Fresh {
 			tracker.RecordEnded(now, machine, registry.Reconcile(now, machine, &heartbeat, true, findNoJob))
 			machine.Reconciled = true
 			tracker.RecordAcknowledged(machine)
 		}
-		return freshness
 	}
 	sendHeartbeat()
 	if !tracker.IsReachable(machine) {
-		t.Fatal("no starts though it has seen our token")
+		t.Fatal("gets no starts although it has reported the fencing token")
 	}
 	job := jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1}, now)
 	registry.Assign(machine, &jobs.Attempt{Task: jobs.TaskID{JobID: "job-1"}, Number: 1, MachineID: machine.ID, Job: job, AssignedAt: now})
 	sendHeartbeat()
-	if suspicion := tracker.linkOf(
-		machine,
-	).suspicion; tracker.IsReachable(machine) || suspicion != StartsLost ||
-		len(tracker.TakeProbeRequests()) == 0 {
-		t.Errorf("doubt %v, and it gets starts %v", suspicion, tracker.IsReachable(machine))
+	suspicion := tracker.linkOf(machine).suspicion
+	if tracker.IsReachable(machine) || suspicion != StartsLost || len(tracker.TakeProbeRequests()) == 0 {
+		t.Errorf("suspicion %v, gets starts: %v", suspicion, tracker.IsReachable(machine))
 	}
 	for range 2 {
 		tracker.StartProbe(now, machine)
@@ -193,17 +121,13 @@
 		sendHeartbeat()
 	}
 	if !tracker.IsUnresponsive(now, machine) || !machine.IsUnreachable {
-		t.Error("reports, and hears nothing: not known")
+		t.Error("reports and receives nothing, and does not count as unresponsive")
 	}
 	probe := tracker.StartProbe(now, machine)
 	sequence++
-	tracker.ProbeAnswered(
-		now,
-		machine,
-		probe,
-		&worker.Heartbeat{Machine: machine.ID, Incarnation: 1, Sequence: sequence, FencingToken: testFencingToken},
-	)
+	answer := newHeartbeat(1, sequence, testFencingToken)
+	tracker.ProbeAnswered(now, machine, probe, &answer)
 	if tracker.IsUnresponsive(now, machine) || machine.IsUnreachable || !tracker.IsReachable(machine) {
-		t.Error("it answers, and gets no starts")
+		t.Error("answers a probe, and gets no starts")
 	}
 }
--- /dev/null
+++ b/internal/controller/worker/reconcile.go
@@ -0,0 +1,153 @@
+package worker
+
+import (
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/logkeys"
+	"gullrudder/internal/wire/workerapi"
+)
+
+// ReasonLost is the reason of an attempt that is gone although its worker never reported its exit. It is not sent.
+const ReasonLost workerapi.ExitReason = "lost"
+
+// maxReclaimNotice bounds the time that a reclaim notice may state.
+const maxReclaimNotice = time.Hour
+
+// JobLookup returns the job with an ID, or nil if there is none that is unfinished.
+type JobLookup func(id string) *jobs.Job
+
+// EndedAttempt is an attempt that is known to be gone.
+type EndedAttempt struct {
+	Attempt         *jobs.Attempt
+	Reason          workerapi.ExitReason // as reported, or ReasonLost
+	CheckpointSaved bool
+}
+
+// Reconcile updates the machine by a heartbeat that is newer than all before (Machine.IsNewer), and returns the attempts that it
+// shows to be gone. complete is false for the answer to direct commands: the worker may have made it before it received the
+// starts in a response that is still on its way, so an attempt that it lacks may yet begin.
+func (r *Registry) Reconcile(
+	now time.Time, machine *Machine, heartbeat *workerapi.Heartbeat, complete bool, findJob JobLookup,
+) []EndedAttempt {
+	isNewIncarnation := heartbeat.Incarnation != machine.Incarnation
+	r.recordHeartbeat(now, machine, heartbeat)
+	r.reconcileCount++
+	var ended []EndedAttempt
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		task, err := jobs.ParseTaskID(status.Task)
+		if err != nil {
+			r.log.Info("heartbeat with an invalid task ID", logkeys.Machine, machine.ID, logkeys.Task, status.Task)
+			continue
+		}
+		if status.State == workerapi.StateExited {
+			ended = append(ended, r.reconcileExited(machine, task, status, findJob)...)
+		} else {
+			ended = append(ended, r.reconcileActive(now, machine, task, status, findJob)...)
+		}
+	}
+	if complete || isNewIncarnation {
+		ended = append(ended, r.releaseMissing(machine)...)
+	}
+	if len(machine.Attempts) > 0 {
+		machine.IdleSince = now
+	}
+	return ended
+}
+
+// recordHeartbeat takes in what a heartbeat says of the machine itself.
+func (r *Registry) recordHeartbeat(now time.Time, machine *Machine, heartbeat *workerapi.Heartbeat) {
+	if !machine.HasReported {
+		machine.HasReported = true
+		machine.IdleSince = now
+		r.updateBucket(machine)
+	}
+	machine.Incarnation, machine.Sequence = heartbeat.Incarnation, heartbeat.Sequence
+	machine.Addr, machine.Type, machine.Zone, machine.Spot = heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
+	if heartbeat.ReclaimInSeconds != nil {
+		r.recordReclaimNotice(now, machine, *heartbeat.ReclaimInSeconds)
+	}
+}
+
+func (r *Registry) recordReclaimNotice(now time.Time, machine *Machine, seconds float64) {
+	remaining := time.Duration(max(min(seconds, maxReclaimNotice.Seconds()), 0) * float64(time.Second))
+	if machine.ReclaimAt.IsZero() {
+		r.log.Info("reclaim notice received", logkeys.Machine, machine.ID, logkeys.Duration, remaining)
+	}
+	machine.ReclaimAt = now.Add(remaining)
+	if machine.DrainReason == NotDraining {
+		machine.DrainReason = DrainReclaimed
+	}
+}
+
+// reconcileExited takes in the status of an attempt that has exited.
+func (r *Registry) reconcileExited(machine *Machine, task jobs.TaskID, status *workerapi.TaskStatus, findJob JobLookup) []EndedAttempt {
+	attempt := machine.Attempts[task]
+	if attempt != nil && attempt.Number == status.Attempt {
+		r.release(machine, attempt)
+		return []EndedAttempt{{attempt, status.Reason, status.CheckpointSaved}}
+	}
+	if status.Reason != workerapi.ReasonDone {
+		return nil
+	}
+	// An attempt that the leader does not know, such as one that an earlier leader started: its result counts all the same.
+	unknown := &jobs.Attempt{Task: task, Number: status.Attempt, MachineID: machine.ID, Zone: machine.Zone, Job: findJob(task.JobID)}
+	return []EndedAttempt{{unknown, workerapi.ReasonDone, false}}
+}
+
+// reconcileActive takes in the status of an attempt that has not exited. If the leader knows another attempt of the task on this
+// machine, that one is gone.
+func (r *Registry) reconcileActive(
+	now time.Time, machine *Machine, task jobs.TaskID, status *workerapi.TaskStatus, findJob JobLookup,
+) []EndedAttempt {
+	var ended []EndedAttempt
+	attempt := machine.Attempts[task]
+	if attempt == nil || attempt.Number != status.Attempt {
+		if attempt != nil {
+			ended = append(ended, r.releaseLost(machine, attempt))
+		}
+		attempt = r.adopt(now, machine, task, status.Attempt, findJob(task.JobID))
+	}
+	attempt.LastSeenReconcile = r.reconcileCount
+	switch {
+	case status.State == workerapi.StateRunning && attempt.Job != nil:
+		attempt.Job.MarkRunning(attempt, now)
+	case status.State == workerapi.StateCheckpointing:
+		attempt.IsCheckpointing = true
+	}
+	return ended
+}
+
+// releaseMissing releases the attempts that the heartbeat just taken in lacks, except those whose start was not sent yet.
+func (r *Registry) releaseMissing(machine *Machine) []EndedAttempt {
+	var ended []EndedAttempt
+	for _, attempt := range machine.Attempts {
+		if attempt.LastSeenReconcile != r.reconcileCount && !attempt.IsUnsent {
+			ended = append(ended, r.releaseLost(machine, attempt))
+		}
+	}
+	return ended
+}
+
+func (r *Registry) releaseLost(machine *Machine, attempt *jobs.Attempt) EndedAttempt {
+	r.release(machine, attempt)
+	return EndedAttempt{attempt, ReasonLost, false}
+}
+
+// adopt records an attempt that a worker reports and the leader does not know. It is an orphan unless its task may run here:
+// an orphan is to be stopped, and takes its resources until it is gone.
+func (r *Registry) adopt(now time.Time, machine *Machine, task jobs.TaskID, number uint64, job *jobs.Job) *jobs.Attempt {
+	attempt := &jobs.Attempt{Task: task, Number: number, MachineID: machine.ID, Zone: machine.Zone, Job: job, AssignedAt: now}
+	attempt.IsOrphan = job == nil || !mayRun(job, task.Index)
+	if job != nil && task.Index >= job.Tasks {
+		attempt.Job = nil
+	}
+	r.Assign(machine, attempt)
+	return attempt
+}
+
+// mayRun reports whether a task of the job may have an attempt, and has none.
+func mayRun(job *jobs.Job, index int) bool {
+	return index < job.Tasks && job.IsSchedulable() && !job.IsTaskDone(index) && job.ActiveAttempts[index] == nil
+}
--- /dev/null
+++ b/internal/controller/worker/reconcile_test.go
@@ -0,0 +1,91 @@
+package worker
+
+import (
+	"log/slog"
+	"testing"
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/wire/workerapi"
+)
+
+// reconcileTest is a registry with one machine and one job of four tasks.
+type reconcileTest struct {
+	registry *Registry
+	machine  *Machine
+	job      *jobs.Job
+	now      time.Time
+}
+
+func newReconcileTest() *reconcileTest {
+	registry := NewRegistry(10*time.Second, slog.New(slog.DiscardHandler))
+	job := jobs.New(jobs.Spec{ID: "job-1", Team: "t", Tasks: 4, CPUs: 1, MemoryGB: 1}, time.Unix(0, 0))
+	job.State = jobs.Accepted
+	machine := registry.GetOrAdd("vm-1")
+	machine.CPUs, machine.MemoryGB = 8, 8
+	return &reconcileTest{registry, machine, job, time.Unix(100, 0)}
+}
+
+// reconcile gives the registry a heartbeat, if it is newer than those before.
+func (c *reconcileTest) reconcile(machine *Machine, complete bool, heartbeat workerapi.Heartbeat) []EndedAttempt {
+	heartbeat.Machine = machine.ID
+	if !machine.IsNewer(&heartbeat) {
+		return nil
+	}
+	return c.registry.Reconcile(c.now, machine, &heartbeat, complete, func(string) *jobs.Job { return c.job })
+}
+
+// An attempt is lost only when a newer heartbeat lacks it: not by an older one, one of an earlier incarnation, or the answer to
+// direct commands, which may have been made before the start that is still on its way.
+func TestAttemptIsLostOnlyByNewerCompleteHeartbeat(t *testing.T) {
+	c := newReconcileTest()
+	c.reconcile(c.machine, true, workerapi.Heartbeat{Incarnation: 2, Sequence: 5})
+	attempt := &jobs.Attempt{Task: jobs.TaskID{JobID: "job-1", Index: 0}, Number: 9, MachineID: c.machine.ID, Job: c.job}
+	c.registry.Assign(c.machine, attempt)
+	for _, step := range []struct {
+		name                  string
+		complete              bool
+		incarnation, sequence uint64
+		lost                  int
+	}{
+		{"same heartbeat again", true, 2, 5, 0},
+		{"older heartbeat", true, 2, 4, 0},
+		{"earlier incarnation", true, 1, 99, 0},
+		{"answer to direct commands", false, 2, 6, 0},
+		{"newer heartbeat", true, 2, 7, 1},
+	} {
+		heartbeat := workerapi.Heartbeat{Incarnation: step.incarnation, Sequence: step.sequence}
+		if ended := c.reconcile(c.machine, step.complete, heartbeat); len(ended) != step.lost {
+			t.Errorf("%s: %d lost, want %d", step.name, len(ended), step.lost)
+		}
+		if counted := c.registry.TeamUsage("t").CPUs == 1; counted != (step.lost == 0) {
+			t.Errorf("%s: attempt counted for its team: %v", step.name, counted)
+		}
+	}
+}
+
+// An attempt that a worker reports and that may not run here takes its resources until it is gone.
+func TestOrphansTakeResources(t *testing.T) {
+	c := newReconcileTest()
+	c.reconcile(c.machine, true, workerapi.Heartbeat{
+		Incarnation: 1, Sequence: 1, Tasks: []workerapi.TaskStatus{{Task: "job-1/2", Attempt: 3, State: workerapi.StateRunning}},
+	})
+	if c.registry.TeamUsage("t").CPUs != 1 || c.job.ActiveAttempts[2] == nil {
+		t.Fatal("a running task was not adopted")
+	}
+	other := c.registry.GetOrAdd("vm-2")
+	other.CPUs, other.MemoryGB = 8, 8
+	c.reconcile(other, true, workerapi.Heartbeat{Incarnation: 1, Sequence: 1, Tasks: []workerapi.TaskStatus{
+		{Task: "job-1/2", Attempt: 4, State: workerapi.StateRunning},
+		{Task: "job-1/77", Attempt: 4, State: workerapi.StateRunning},
+		{Task: "nonsense", Attempt: 1, State: workerapi.StateRunning},
+	}})
+	for _, attempt := range other.Attempts {
+		if !attempt.IsOrphan {
+			t.Errorf("%v is not an orphan", attempt.Task)
+		}
+	}
+	if c.registry.TeamUsage("t").CPUs != 2 {
+		t.Errorf("the team is counted with %g CPUs, want 2", c.registry.TeamUsage("t").CPUs)
+	}
+}
--- /dev/null
+++ b/internal/controller/worker/utilization.go
@@ -0,0 +1,49 @@
+package worker
+
+import "slices"
+
+// BucketCount is the number of groups into which reporting machines are divided by the share of their CPUs that is taken.
+// Machines in the last one have no CPU available. The placer looks through buckets, so that its work for one heartbeat does not
+// grow with the number of machines.
+const BucketCount = 17
+
+// MachinesInBucket returns the machines in a bucket, from 1 (emptiest) to BucketCount, in no particular order. The caller must
+// not change the slice, nor keep it.
+func (r *Registry) MachinesInBucket(bucket int) []*Machine { return r.buckets[bucket] }
+
+// ReportingMachines returns the machines that have reported and whose capacity is known, the emptiest buckets first.
+func (r *Registry) ReportingMachines() []*Machine { return slices.Concat(r.buckets[1:]...) }
+
+// UtilizationBucket returns the bucket of a machine, 0 if it is in none.
+func (m *Machine) UtilizationBucket() int { return m.bucket }
+
+// bucketFor returns the bucket in which the machine belongs.
+func bucketFor(machine *Machine) int {
+	switch {
+	case !machine.HasReported || machine.CPUs+machine.MemoryGB == 0:
+		return 0
+	case machine.CPUs-machine.UsedCPUs < resourceEpsilon:
+		return BucketCount
+	}
+	return 1 + min(int(max(machine.UsedCPUs, 0)/machine.CPUs*(BucketCount-1)), BucketCount-2)
+}
+
+// updateBucket moves a machine into the bucket where it belongs, in constant time: the last machine of the old bucket takes its
+// position there.
+func (r *Registry) updateBucket(machine *Machine) {
+	bucket := bucketFor(machine)
+	if bucket == machine.bucket {
+		return
+	}
+	if machine.bucket > 0 {
+		members := r.buckets[machine.bucket]
+		last := members[len(members)-1]
+		members[machine.bucketIndex], last.bucketIndex = last, machine.bucketIndex
+		r.buckets[machine.bucket] = members[:len(members)-1]
+	}
+	machine.bucket = bucket
+	if bucket > 0 {
+		machine.bucketIndex = len(r.buckets[bucket])
+		r.buckets[bucket] = append(r.buckets[bucket], machine)
+	}
+}
--- a/internal/simulator/account_test.go
+++ b/internal/simulator/account_test.go
@@ -7,8 +7,8 @@
 	"gullrudder/internal/controller/accounting"
 	"gullrudder/internal/controller/api"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/workerapi"
 )
 
 // phase is what the world sees of a job: a plain walk over its tasks and the machines.
@@ -41,11 +41,11 @@
 		if j.done[task] {
 			continue
 		}
-		key, state := (jobs.TaskID{JobID: j.spec.ID, Index: task}).String(), ""
+		key, state := (jobs.TaskID{JobID: j.spec.ID, Index: task}).String(), workerapi.TaskState("")
 		for _, m := range w.Cloud.running() {
-			if t := m.tasks[key]; t != nil && t.state == worker.StateExited && t.why != worker.ReasonDone {
+			if t := m.tasks[key]; t != nil && t.state == workerapi.StateExited && t.why != workerapi.ReasonDone {
 				r.failed[task] = true
-			} else if t != nil && t.state != worker.StateExited {
+			} else if t != nil && t.state != workerapi.StateExited {
 				state = t.state
 			}
 		}
@@ -55,7 +55,7 @@
 		switch {
 		case state == "":
 			p = waiting
-		case state == worker.StateFetching && p == running:
+		case state == workerapi.StateFetching && p == running:
 			p = fetching
 		}
 	}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -8,8 +8,8 @@
 
 	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/workerapi"
 )
 
 // Cloud rents machines; each has a worker.
@@ -59,8 +59,8 @@
 type onMachine struct {
 	key     jobs.TaskID
 	attempt uint64
-	state   string
-	why     string
+	state   workerapi.TaskState
+	why     workerapi.ExitReason
 	saved   bool
 	run     int // outdates events of an earlier life
 }
@@ -243,7 +243,7 @@
 	}
 	m.whenAwake(func() {
 		m.checkLease()
-		var d worker.DirectCommands
+		var d workerapi.DirectCommands
 		if codec.Unmarshal(body, &d) != nil {
 			answer(400, nil)
 			return
@@ -337,10 +337,10 @@
 	})
 }
 
-func (m *machine) report() worker.Heartbeat {
-	r := worker.Heartbeat{
+func (m *machine) report() workerapi.Heartbeat {
+	r := workerapi.Heartbeat{
 		Machine: m.id, Addr: m.id, Type: m.flavor.Name, Zone: m.zone, Spot: m.spot,
-		Incarnation: m.session, Sequence: m.seq, FencingToken: m.token, Tasks: []worker.TaskStatus{},
+		Incarnation: m.session, Sequence: m.seq, FencingToken: m.token, Tasks: []workerapi.TaskStatus{},
 	}
 	if !m.notice.IsZero() {
 		left := m.notice.Sub(m.w.Now).Seconds()
@@ -350,7 +350,7 @@
 		t := m.tasks[n]
 		r.Tasks = append(
 			r.Tasks,
-			worker.TaskStatus{Task: t.key.String(), Attempt: t.attempt, State: t.state, Reason: t.why, CheckpointSaved: t.saved},
+			workerapi.TaskStatus{Task: t.key.String(), Attempt: t.attempt, State: t.state, Reason: t.why, CheckpointSaved: t.saved},
 		)
 	}
 	return r
@@ -421,7 +421,7 @@
 		return
 	}
 	if status == 421 {
-		var e worker.Redirect
+		var e workerapi.Redirect
 		if codec.Unmarshal(raw, &e) == nil {
 			for i := range m.w.Opt.Nodes {
 				if nodeName(i) == e.Leader && i != m.target {
@@ -432,7 +432,7 @@
 			}
 		}
 	}
-	var a worker.HeartbeatResponse
+	var a workerapi.HeartbeatResponse
 	if status != 200 || codec.Unmarshal(raw, &a) != nil {
 		next()
 		return
@@ -450,7 +450,7 @@
 	m.execute(a.Commands)
 }
 
-func (m *machine) execute(list []worker.Command) {
+func (m *machine) execute(list []workerapi.Command) {
 	for _, c := range list {
 		key, err := jobs.ParseTaskID(c.Task)
 		if err != nil {
@@ -462,19 +462,19 @@
 		case "start":
 			m.begin(key, c)
 		case "kill":
-			if t == nil || t.attempt != c.Attempt || t.state == worker.StateExited {
+			if t == nil || t.attempt != c.Attempt || t.state == workerapi.StateExited {
 				continue
 			}
 			m.w.model.stopped(t)
-			saves := m.w.model.saves(key) && c.GraceSeconds != nil && *c.GraceSeconds >= 1 && t.state == worker.StateRunning
+			saves := m.w.model.saves(key) && c.GraceSeconds != nil && *c.GraceSeconds >= 1 && t.state == workerapi.StateRunning
 			if saves {
-				t.state = worker.StateCheckpointing
+				t.state = workerapi.StateCheckpointing
 				m.later(t, time.Second, func() { m.exit(t, "halted", true) })
 			} else {
 				m.exit(t, "halted", false)
 			}
 		case "forget":
-			if t != nil && t.attempt == c.Attempt && t.state == worker.StateExited {
+			if t != nil && t.attempt == c.Attempt && t.state == workerapi.StateExited {
 				m.w.model.forgotten(t)
 				delete(m.tasks, c.Task)
 			}
@@ -482,26 +482,26 @@
 	}
 }
 
-func (m *machine) begin(key jobs.TaskID, c worker.Command) {
+func (m *machine) begin(key jobs.TaskID, c workerapi.Command) {
 	if t := m.tasks[c.Task]; t != nil {
 		if t.attempt == c.Attempt {
 			return
 		}
-		if t.state != worker.StateExited {
+		if t.state != workerapi.StateExited {
 			m.w.breakRule("in_use: %s on %s", c.Task, m.id)
 			return
 		}
 	}
-	t := &onMachine{key: key, attempt: c.Attempt, state: worker.StateFetching}
+	t := &onMachine{key: key, attempt: c.Attempt, state: workerapi.StateFetching}
 	m.tasks[c.Task] = t
 	m.w.model.began(m, t)
 	if m.w.Rng.IntN(60) == 0 {
-		m.exit(t, worker.ReasonNoCapacity, false)
+		m.exit(t, workerapi.ReasonNoCapacity, false)
 		return
 	}
 	m.soon()
 	m.later(t, time.Duration(200+m.w.Rng.IntN(1500))*time.Millisecond, func() {
-		t.state = worker.StateRunning
+		t.state = workerapi.StateRunning
 		m.w.model.on(m, t)
 		m.soon()
 		fails, run := m.w.model.fails(key) || m.faulty, m.w.model.runTime(key)
@@ -510,10 +510,10 @@
 		}
 		m.later(t, run, func() {
 			if fails || !m.w.Opt.Sound && m.w.Rng.IntN(50) == 0 {
-				m.exit(t, worker.ReasonError, false)
+				m.exit(t, workerapi.ReasonError, false)
 				return
 			}
-			m.exit(t, worker.ReasonDone, false)
+			m.exit(t, workerapi.ReasonDone, false)
 		})
 	})
 }
@@ -525,22 +525,22 @@
 	m.w.At(d, func() {
 		m.whenAwake(func() {
 			m.checkLease()
-			if m.tasks[t.key.String()] == t && t.run == run && t.state != worker.StateExited {
+			if m.tasks[t.key.String()] == t && t.run == run && t.state != workerapi.StateExited {
 				do()
 			}
 		})
 	})
 }
 
-func (m *machine) exit(t *onMachine, why string, saved bool) {
-	if t.state != worker.StateFetching {
+func (m *machine) exit(t *onMachine, why workerapi.ExitReason, saved bool) {
+	if t.state != workerapi.StateFetching {
 		m.w.model.off(m, t)
 	}
-	t.state, t.why, t.saved = worker.StateExited, why, saved
-	if why == worker.ReasonError {
+	t.state, t.why, t.saved = workerapi.StateExited, why, saved
+	if why == workerapi.ReasonError {
 		m.failed[t.key.JobID] = true
 	}
-	if why == worker.ReasonDone {
+	if why == workerapi.ReasonDone {
 		m.w.model.taskDone(t.key)
 	}
 	m.soon()
--- a/internal/simulator/emulator/worker.go
+++ b/internal/simulator/emulator/worker.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/http1"
+	"gullrudder/internal/wire/workerapi"
 )
 
 func cutQuery(target string) (path, query string, ok bool) { return strings.Cut(target, "?") }
@@ -38,8 +38,8 @@
 type task struct {
 	key     jobs.TaskID
 	attempt uint64
-	state   string
-	why     string
+	state   workerapi.TaskState
+	why     workerapi.ExitReason
 }
 
 func newWorker(c *Cloud, id string, spot bool, rng *rand.Rand) (*emulatedWorker, error) {
@@ -83,14 +83,14 @@
 	}
 }
 
-func (w *emulatedWorker) report() worker.Heartbeat {
+func (w *emulatedWorker) report() workerapi.Heartbeat {
 	w.seq++
-	r := worker.Heartbeat{
+	r := workerapi.Heartbeat{
 		Machine: w.id, Addr: w.front.addr(), Type: w.cloud.flavor.Name, Zone: "a", Spot: w.spot, Incarnation: w.session, Sequence: w.seq,
-		FencingToken: w.token, Tasks: []worker.TaskStatus{},
+		FencingToken: w.token, Tasks: []workerapi.TaskStatus{},
 	}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, worker.TaskStatus{Task: t.key.String(), Attempt: t.attempt, State: t.state, Reason: t.why})
+		r.Tasks = append(r.Tasks, workerapi.TaskStatus{Task: t.key.String(), Attempt: t.attempt, State: t.state, Reason: t.why})
 	}
 	return r
 }
@@ -121,7 +121,7 @@
 		case err == nil && msg.Status == 200:
 			w.take(msg.Body, rep.Incarnation, sent)
 		case err == nil && msg.Status == 421:
-			var e worker.Redirect
+			var e workerapi.Redirect
 			next := -1
 			if codec.Unmarshal(msg.Body, &e) == nil {
 				next = slices.Index(names, e.Leader)
@@ -158,7 +158,7 @@
 }
 
 func (w *emulatedWorker) take(body []byte, session uint64, sent time.Time) {
-	var a worker.HeartbeatResponse
+	var a workerapi.HeartbeatResponse
 	if codec.Unmarshal(body, &a) != nil {
 		return
 	}
@@ -183,7 +183,7 @@
 	if m.Target == "/status" {
 		return 200, w.report()
 	}
-	var d worker.DirectCommands
+	var d workerapi.DirectCommands
 	if codec.Unmarshal(m.Body, &d) != nil {
 		return 400, nil
 	}
@@ -195,7 +195,7 @@
 	return 200, w.report()
 }
 
-func (w *emulatedWorker) execute(list []worker.Command) {
+func (w *emulatedWorker) execute(list []workerapi.Command) {
 	for _, c := range list {
 		key, err := jobs.ParseTaskID(c.Task)
 		if err != nil {
@@ -205,21 +205,21 @@
 		t := w.tasks[c.Task]
 		switch {
 		case c.Operation == "start" && (t == nil || t.attempt != c.Attempt):
-			if t != nil && t.state != worker.StateExited {
+			if t != nil && t.state != workerapi.StateExited {
 				w.cloud.History.broke("%s is started on %s, which has it", c.Task, w.id)
 				continue
 			}
-			t = &task{key: key, attempt: c.Attempt, state: worker.StateRunning}
+			t = &task{key: key, attempt: c.Attempt, state: workerapi.StateRunning}
 			w.tasks[c.Task] = t
 			w.cloud.History.on(key, c.Attempt, w.id)
 			w.changed()
 			time.AfterFunc(time.Millisecond*time.Duration(10+w.rng.IntN(int(w.cloud.opt.TaskTime.Milliseconds()))), func() { w.finish(t) })
-		case c.Operation == "kill" && t != nil && t.attempt == c.Attempt && t.state != worker.StateExited:
-			t.state, t.why = worker.StateExited, "halted"
+		case c.Operation == "kill" && t != nil && t.attempt == c.Attempt && t.state != workerapi.StateExited:
+			t.state, t.why = workerapi.StateExited, "halted"
 			w.cloud.History.off(key, w.id)
 			w.changed()
-		case c.Operation == "forget" && t != nil && t.attempt == c.Attempt && t.state == worker.StateExited:
-			if t.why == worker.ReasonDone {
+		case c.Operation == "forget" && t != nil && t.attempt == c.Attempt && t.state == workerapi.StateExited:
+			if t.why == workerapi.ReasonDone {
 				w.cloud.History.forgotten(key)
 			}
 			delete(w.tasks, c.Task)
@@ -230,10 +230,10 @@
 func (w *emulatedWorker) finish(t *task) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.gone || w.tasks[t.key.String()] != t || t.state != worker.StateRunning {
+	if w.gone || w.tasks[t.key.String()] != t || t.state != workerapi.StateRunning {
 		return
 	}
-	t.state, t.why = worker.StateExited, worker.ReasonDone
+	t.state, t.why = workerapi.StateExited, workerapi.ReasonDone
 	w.cloud.History.finished(t.key)
 	w.cloud.History.off(t.key, w.id)
 	w.changed()
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/workerapi"
 
 	"pgregory.net/rapid"
 )
@@ -86,9 +86,9 @@
 	}
 	stale := func() {
 		for _, m := range w.Cloud.running() {
-			raw, err := codec.Marshal(worker.Heartbeat{
+			raw, err := codec.Marshal(workerapi.Heartbeat{
 				Machine: m.id, Addr: m.id, Type: m.flavor.Name, Zone: m.zone, Spot: m.spot,
-				Incarnation: 1, Sequence: 1, Tasks: []worker.TaskStatus{},
+				Incarnation: 1, Sequence: 1, Tasks: []workerapi.TaskStatus{},
 			})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/simulator/troubles_test.go
+++ b/internal/simulator/troubles_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/workerapi"
 )
 
 // site is a world of a dozen machines that are all at work, and the index of its leader.
@@ -150,9 +150,9 @@
 func TestACopyMakesNoMachine(t *testing.T) {
 	t.Parallel()
 	w, leader := site(t, 1)
-	raw, err := codec.Marshal(worker.Heartbeat{
+	raw, err := codec.Marshal(workerapi.Heartbeat{
 		Machine: "vm-900000", Addr: "vm-900000", Type: "small", Zone: "a", Incarnation: 1, Sequence: 3,
-		FencingToken: w.State.mark(), Tasks: []worker.TaskStatus{},
+		FencingToken: w.State.mark(), Tasks: []workerapi.TaskStatus{},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/worker/golden_bytes_test.go
+++ b/internal/wire/workerapi/golden_bytes_test.go
@@ -1,4 +1,4 @@
-package worker
+package workerapi
 
 import (
 	"testing"
--- /dev/null
+++ b/internal/wire/workerapi/messages.go
@@ -0,0 +1,129 @@
+// Package workerapi has the messages between controllers and workers: the heartbeat, its response, and the commands that are
+// sent to a worker's own address. Controller and worker agent both import it, so that they agree without importing one another.
+// It holds no state and sends nothing; the struct tags are the names on the wire. docs/design/reachability.md says what a
+// heartbeat proves about its machine.
+package workerapi
+
+import "gullrudder/internal/wire/codec"
+
+// MaxNameBytes bounds the length of a machine's name.
+const MaxNameBytes = 100
+
+// Heartbeat is what a worker sends to the leader at an interval, and answers to commands at its own address. Incarnation and
+// Sequence order the heartbeats of one worker: the sequence number counts within an incarnation, and a worker begins a new
+// incarnation when its lease has expired.
+type Heartbeat struct {
+	Machine      string `msgpack:"oarlock"`
+	Addr         string `msgpack:"addr"`
+	Type         string `msgpack:"keel"` // of the machine, as the cloud offers it
+	Zone         string `msgpack:"harbour"`
+	Spot         bool   `msgpack:"driftwood"`
+	Incarnation  uint64 `msgpack:"watch"`
+	Sequence     uint64 `msgpack:"knot"`
+	FencingToken uint64 `msgpack:"helm"` // the highest that the worker has seen
+	// ReclaimInSeconds is when the cloud reclaims the machine; nil if no notice was given.
+	ReclaimInSeconds *float64     `msgpack:"recall_s"`
+	Tasks            []TaskStatus `msgpack:"strokes"`
+}
+
+// TaskStatus is the state of one attempt on the machine. An attempt that has exited stays in the heartbeats until the leader
+// sends Forget.
+type TaskStatus struct {
+	Task            string     `msgpack:"stroke"` // task ID: job ID and index
+	Attempt         uint64     `msgpack:"launch"`
+	State           TaskState  `msgpack:"trim"`
+	Reason          ExitReason `msgpack:"wake,omitempty"`  // set if State is StateExited
+	CheckpointSaved bool       `msgpack:"saved,omitempty"` // it was stopped and saved a checkpoint before it exited
+}
+
+// TaskState is the state of an attempt on its machine.
+type TaskState string
+
+// The states of an attempt.
+const (
+	StateFetching      TaskState = "fetching" // its image, or its description
+	StateRunning       TaskState = "running"
+	StateCheckpointing TaskState = "flushing" // it was told to stop and saves a checkpoint
+	StateExited        TaskState = "exited"
+)
+
+// ExitReason is why an attempt exited.
+type ExitReason string
+
+// The reasons that a worker gives.
+const (
+	ReasonDone       ExitReason = "done"
+	ReasonStopped    ExitReason = "halted" // it was told to
+	ReasonError      ExitReason = "error"
+	ReasonNoCapacity ExitReason = "no_room" // it was refused: the machine lacks the resources
+	ReasonInUse      ExitReason = "in_use"  // it was refused: another attempt of the task has not exited
+	ReasonNotFound   ExitReason = "no_such" // it was refused: no such task
+)
+
+// Operation is what a command does.
+type Operation string
+
+// The operations of commands.
+const (
+	OperationStart  Operation = "start"
+	OperationKill   Operation = "kill"
+	OperationForget Operation = "forget"
+)
+
+// Command tells a worker what to do with one attempt.
+type Command struct {
+	Operation    Operation `msgpack:"call"`
+	Task         string    `msgpack:"stroke"`
+	Attempt      uint64    `msgpack:"launch"`
+	GraceSeconds *float64  `msgpack:"ease_s,omitempty"` // of a kill: the time to save a checkpoint
+}
+
+// Start returns the command to start an attempt. It may be sent in a heartbeat response only.
+func Start(task string, attempt uint64) Command {
+	return Command{Operation: OperationStart, Task: task, Attempt: attempt}
+}
+
+// Kill returns the command to stop an attempt after the given time to save a checkpoint, or at once if that is 0.
+func Kill(task string, attempt uint64, graceSeconds float64) Command {
+	return Command{Operation: OperationKill, Task: task, Attempt: attempt, GraceSeconds: &graceSeconds}
+}
+
+// Forget returns the command to leave an exited attempt out of later heartbeats.
+func Forget(task string, attempt uint64) Command {
+	return Command{Operation: OperationForget, Task: task, Attempt: attempt}
+}
+
+// HeartbeatResponse is the body of the leader's 200 to a heartbeat.
+type HeartbeatResponse struct {
+	FencingToken uint64    `msgpack:"helm"`
+	Commands     []Command `msgpack:"calls"`
+}
+
+// DirectCommands is the body of a request to a worker's own address. The worker answers with a heartbeat. Without commands it
+// is a probe.
+type DirectCommands struct {
+	FencingToken uint64    `msgpack:"helm"`
+	Incarnation  uint64    `msgpack:"watch"` // the worker refuses the commands in any other incarnation
+	Commands     []Command `msgpack:"calls"`
+}
+
+// Redirect is the body of a 421 to a heartbeat. Leader is the name of the controller that handles heartbeats, empty if the
+// sender knows none.
+type Redirect struct {
+	Leader string `msgpack:"flagship,omitempty"`
+}
+
+// HeartbeatID identifies a heartbeat: its sender and its place in the sender's order.
+type HeartbeatID struct {
+	Machine     string `msgpack:"oarlock"`
+	Incarnation uint64 `msgpack:"watch"`
+	Sequence    uint64 `msgpack:"knot"`
+}
+
+// DecodeHeartbeatID decodes the identity of a heartbeat without its tasks. ok is false if body is no heartbeat.
+func DecodeHeartbeatID(body []byte) (id HeartbeatID, ok bool) {
+	if codec.Unmarshal(body, &id) != nil || id.Machine == "" || len(id.Machine) > MaxNameBytes {
+		return HeartbeatID{}, false
+	}
+	return id, true
+}
