--- a/internal/site/agent/golden_bytes_test.go
+++ b/internal/site/agent/golden_bytes_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"gullrudder/internal/goldenbytes"
+	"gullrudder/internal/wire/workerapi"
 )
 
 func TestGoldenBytes(t *testing.T) {
@@ -14,14 +15,17 @@
 		Env: map[string]string{"KEY": "value"}, Dir: "/work", Retries: 2, Save: 30,
 	}
 	goldenbytes.Check(t,
-		goldenbytes.MessagePack("report", Report{
-			Machine: "vm-1", Addr: "10.0.0.1:7000", Type: "small", Zone: "a", Spot: true, Session: session,
-			Seq: 300, Token: token, Notice: &seconds,
-			Tasks: []TaskReport{{Task: "job-000412/3", Attempt: 1 << 33, State: exited, Why: whyDone, Saved: true}},
+		goldenbytes.MessagePack("report", workerapi.Heartbeat{
+			Machine: "vm-1", Addr: "10.0.0.1:7000", Type: "small", Zone: "a", Spot: true, Incarnation: session,
+			Sequence: 300, FencingToken: token, ReclaimInSeconds: &seconds,
+			Tasks: []workerapi.TaskStatus{{
+				Task: "job-000412/3", Attempt: 1 << 33, State: workerapi.StateExited, Reason: workerapi.ReasonDone, CheckpointSaved: true,
+			}},
 		}),
-		goldenbytes.MessagePack("answer", answer{
-			Token: &token, Session: &session,
-			Commands: []Command{{Op: "stop", Task: "job-000412/3", Attempt: 1 << 33, Grace: &seconds}}, Leader: "10.0.0.2:80",
+		goldenbytes.MessagePack("answer", controllerMessage{
+			FencingToken: &token, Incarnation: &session,
+			Commands: []workerapi.Command{{Operation: "stop", Task: "job-000412/3", Attempt: 1 << 33, GraceSeconds: &seconds}},
+			Leader:   "10.0.0.2:80",
 		}),
 		goldenbytes.MessagePack("description", description), goldenbytes.JSON("description", description),
 		goldenbytes.MessagePack("greeting", Greeting{
--- a/internal/site/agent/messages.go
+++ b/internal/site/agent/messages.go
@@ -3,62 +3,21 @@
 // Runtime owns the processes, the files and the connections. It never decides which task runs.
 package agent
 
-import "time"
-
-// Report is what a worker sends to a controller, and answers to direct commands.
-type Report struct {
-	Machine string       `msgpack:"oarlock"`
-	Addr    string       `msgpack:"addr"`
-	Type    string       `msgpack:"keel"`
-	Zone    string       `msgpack:"harbour"`
-	Spot    bool         `msgpack:"driftwood"`
-	Session uint64       `msgpack:"watch"`
-	Seq     uint64       `msgpack:"knot"`
-	Token   uint64       `msgpack:"helm"`
-	Notice  *float64     `msgpack:"recall_s"`
-	Tasks   []TaskReport `msgpack:"strokes"`
-}
-
-// TaskReport is one task on the machine.
-type TaskReport struct {
-	Task    string `msgpack:"stroke"`
-	Attempt uint64 `msgpack:"launch"`
-	State   string `msgpack:"trim"`
-	Why     string `msgpack:"wake,omitempty"`
-	Saved   bool   `msgpack:"saved,omitempty"`
-}
+import (
+	"time"
 
-// Command is one order of a controller.
-type Command struct {
-	Op      string   `msgpack:"call"`
-	Task    string   `msgpack:"stroke"`
-	Attempt uint64   `msgpack:"launch"`
-	Grace   *float64 `msgpack:"ease_s"`
-}
+	"gullrudder/internal/wire/workerapi"
+)
 
-// answer is a controller's response to a report, or the body of direct commands.
-type answer struct {
-	Token    *uint64   `msgpack:"helm"`
-	Session  *uint64   `msgpack:"watch"`
-	Commands []Command `msgpack:"calls"`
-	Leader   string    `msgpack:"flagship"`
+// controllerMessage is a controller's response to a heartbeat (workerapi.HeartbeatResponse, or workerapi.Redirect), or the body of
+// direct commands (workerapi.DirectCommands). Pointers tell a field that is missing from one that is 0.
+type controllerMessage struct {
+	FencingToken *uint64             `msgpack:"helm"`
+	Incarnation  *uint64             `msgpack:"watch"`
+	Commands     []workerapi.Command `msgpack:"calls"`
+	Leader       string              `msgpack:"flagship"`
 }
 
-// States of a task, and why it exited.
-const (
-	fetching = "fetching"
-	running  = "running"
-	saving   = "flushing"
-	exited   = "exited"
-
-	whyDone   = "done"
-	whyHalted = "halted"
-	whyError  = "error"
-	whyNoRoom = "no_room"
-	whyInUse  = "in_use"
-	whyNoSuch = "no_such"
-)
-
 // Description is what a job's tasks run, as its user uploaded it.
 type Description struct {
 	Job     string            `msgpack:"id" json:"id"`
@@ -137,13 +96,13 @@
 type Reply struct {
 	Ref    any
 	Status int
-	Body   Report
+	Body   workerapi.Heartbeat
 }
 
 // Sending is a report on its way to a controller.
 type Sending struct {
 	To   string
-	Body Report
+	Body workerapi.Heartbeat
 }
 
 // Launch is a task to be described, or started.
--- a/internal/site/agent/state.go
+++ b/internal/site/agent/state.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/workerapi"
 )
 
 // Options of a worker.
@@ -65,8 +66,8 @@
 
 type task struct {
 	key
-	state    string
-	why      string
+	state    workerapi.TaskState
+	why      workerapi.ExitReason
 	saved    bool
 	desc     *Description // nil: not known yet
 	stopping bool         // it is being ended at once
@@ -87,7 +88,7 @@
 func (s *State) Busy() int {
 	n := 0
 	for _, t := range s.tasks {
-		if t.state != exited {
+		if t.state != workerapi.StateExited {
 			n++
 		}
 	}
@@ -166,18 +167,21 @@
 	}
 }
 
-func (s *State) compose() Report {
+func (s *State) compose() workerapi.Heartbeat {
 	s.seq++
-	r := Report{
-		Machine: s.machine, Addr: s.opt.Addr, Type: s.opt.Type, Zone: s.opt.Zone, Session: s.session, Seq: s.seq, Token: s.token,
-		Tasks: make([]TaskReport, 0, len(s.tasks)),
+	r := workerapi.Heartbeat{
+		Machine: s.machine, Addr: s.opt.Addr, Type: s.opt.Type, Zone: s.opt.Zone,
+		Incarnation: s.session, Sequence: s.seq, FencingToken: s.token,
+		Tasks: make([]workerapi.TaskStatus, 0, len(s.tasks)),
 	}
 	if s.notice {
 		left := noticeLeft
-		r.Notice = &left
+		r.ReclaimInSeconds = &left
 	}
 	for _, t := range s.sorted() {
-		r.Tasks = append(r.Tasks, TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.why, Saved: t.saved})
+		r.Tasks = append(r.Tasks, workerapi.TaskStatus{
+			Task: t.name, Attempt: t.attempt, State: t.state, Reason: t.why, CheckpointSaved: t.saved,
+		})
 	}
 	return r
 }
@@ -194,14 +198,15 @@
 func (s *State) answered(now time.Time, a Answered, e *Effects) {
 	s.flying = false
 	s.nextAt = s.sent.Add(s.opt.Report)
-	var got answer
+	var got controllerMessage
 	readable := a.Status != 0 && codec.Unmarshal(a.Body, &got) == nil
 	switch {
 	case a.Status == 200:
-		if !readable || got.Token == nil || *got.Token < s.token || s.clearing || s.flown != s.session || now.Sub(s.sent) > patience {
+		isOutdated := s.clearing || s.flown != s.session || now.Sub(s.sent) > patience
+		if !readable || got.FencingToken == nil || *got.FencingToken < s.token || isOutdated {
 			return // dropped: it neither commands nor renews the lease
 		}
-		s.raise(now, *got.Token)
+		s.raise(now, *got.FencingToken)
 		s.granted = s.sent
 		s.execute(now, got.Commands, e)
 	case a.Status == 421 && readable && slices.Contains(s.names, got.Leader) && got.Leader != s.names[s.at]:
@@ -230,34 +235,34 @@
 		reply(200)
 		return
 	}
-	var got answer
-	if codec.Unmarshal(d.Body, &got) != nil || got.Token == nil || got.Session == nil {
+	var got controllerMessage
+	if codec.Unmarshal(d.Body, &got) != nil || got.FencingToken == nil || got.Incarnation == nil {
 		reply(400)
 		return
 	}
-	if s.machine == "" || s.clearing || *got.Token < s.token || *got.Session != s.session {
+	if s.machine == "" || s.clearing || *got.FencingToken < s.token || *got.Incarnation != s.session {
 		reply(409)
 		return
 	}
-	s.raise(now, *got.Token)
+	s.raise(now, *got.FencingToken)
 	s.execute(now, got.Commands, e)
 	reply(200)
 }
 
-func (s *State) execute(now time.Time, list []Command, e *Effects) {
+func (s *State) execute(now time.Time, list []workerapi.Command, e *Effects) {
 	for _, c := range list {
 		t := s.tasks[key{c.Task, c.Attempt}]
-		switch c.Op {
-		case "start":
+		switch c.Operation {
+		case workerapi.OperationStart:
 			if t == nil {
 				s.start(c)
 			}
-		case "kill":
+		case workerapi.OperationKill:
 			if t != nil {
-				s.kill(t, c.Grace, e)
+				s.kill(t, c.GraceSeconds, e)
 			}
-		case "forget":
-			if t != nil && t.state == exited {
+		case workerapi.OperationForget:
+			if t != nil && t.state == workerapi.StateExited {
 				delete(s.tasks, t.key)
 			}
 		}
@@ -265,19 +270,19 @@
 }
 
 // start takes in an attempt of which nothing is here, or refuses it.
-func (s *State) start(c Command) {
+func (s *State) start(c workerapi.Command) {
 	s.changed = true
-	t := &task{key: key{c.Task, c.Attempt}, state: fetching}
+	t := &task{key: key{c.Task, c.Attempt}, state: workerapi.StateFetching}
 	job, _, ok := strings.Cut(c.Task, "/")
 	switch {
 	case !ok || job == "":
-		t.state, t.why = exited, whyNoSuch
+		t.state, t.why = workerapi.StateExited, workerapi.ReasonNotFound
 	case len(s.tasks) >= mostTasks:
-		t.state, t.why = exited, whyNoRoom
+		t.state, t.why = workerapi.StateExited, workerapi.ReasonNoCapacity
 	default:
 		for _, o := range s.tasks {
-			if o.name == c.Task && o.state != exited {
-				t.state, t.why = exited, whyInUse
+			if o.name == c.Task && o.state != workerapi.StateExited {
+				t.state, t.why = workerapi.StateExited, workerapi.ReasonInUse
 			}
 		}
 	}
@@ -292,7 +297,7 @@
 
 func (s *State) describe(now time.Time, e *Effects) {
 	for _, t := range s.sorted() {
-		if t.state == fetching && t.desc == nil && !t.asked && !now.Before(t.askAt) {
+		if t.state == workerapi.StateFetching && t.desc == nil && !t.asked && !now.Before(t.askAt) {
 			t.asked = true
 			e.Describe = append(e.Describe, Launch{Task: t.name, Attempt: t.attempt})
 		}
@@ -301,25 +306,25 @@
 
 func (s *State) described(now time.Time, d Described, e *Effects) {
 	t := s.tasks[key{d.Task, d.Attempt}]
-	if t == nil || t.state != fetching || t.desc != nil {
+	if t == nil || t.state != workerapi.StateFetching || t.desc != nil {
 		return
 	}
 	t.asked = false
-	exit := func(why string) { t.state, t.why, s.changed = exited, why, true }
+	exit := func(why workerapi.ExitReason) { t.state, t.why, s.changed = workerapi.StateExited, why, true }
 	var desc Description
 	switch {
 	case d.Done:
-		exit(whyDone)
+		exit(workerapi.ReasonDone)
 	case d.Status == 404:
-		exit(whyNoSuch)
+		exit(workerapi.ReasonNotFound)
 	case d.Status != 200:
 		t.askAt = now.Add(describeAgain)
 	case codec.Unmarshal(d.Body, &desc) != nil || len(desc.Command) == 0 || !inJob(d.Task, desc):
-		exit(whyNoSuch)
+		exit(workerapi.ReasonNotFound)
 	case !s.fits(t, desc):
-		exit(whyNoRoom)
+		exit(workerapi.ReasonNoCapacity)
 	default:
-		t.desc, t.state = &desc, running
+		t.desc, t.state = &desc, workerapi.StateRunning
 		s.changed = true
 		e.Launch = append(e.Launch, Launch{t.name, t.attempt, &desc})
 	}
@@ -343,7 +348,7 @@
 func (s *State) fits(t *task, d Description) bool {
 	cpus, mem := d.CPUs, d.MemGB
 	for _, o := range s.tasks {
-		if o != t && o.desc != nil && o.state != exited {
+		if o != t && o.desc != nil && o.state != workerapi.StateExited {
 			cpus += o.desc.CPUs
 			mem += o.desc.MemGB
 		}
@@ -355,15 +360,15 @@
 // when nothing of it is left.
 func (s *State) kill(t *task, grace *float64, e *Effects) {
 	switch t.state {
-	case fetching:
-		t.state, t.why, s.changed = exited, whyHalted, true
-	case running, saving:
-		save := grace != nil && t.state == running && !t.stopping && t.desc.Save > 0 && *grace >= t.desc.Save
+	case workerapi.StateFetching:
+		t.state, t.why, s.changed = workerapi.StateExited, workerapi.ReasonStopped, true
+	case workerapi.StateRunning, workerapi.StateCheckpointing:
+		save := grace != nil && t.state == workerapi.StateRunning && !t.stopping && t.desc.Save > 0 && *grace >= t.desc.Save
 		switch {
 		case save:
-			t.state, s.changed = saving, true
+			t.state, s.changed = workerapi.StateCheckpointing, true
 			e.Stop = append(e.Stop, Stop{t.name, t.attempt, time.Duration(*grace * float64(time.Second))})
-		case t.state == saving && grace != nil && *grace > 0, t.stopping:
+		case t.state == workerapi.StateCheckpointing && grace != nil && *grace > 0, t.stopping:
 			return // it is being stopped already
 		default:
 			t.stopping = true
@@ -374,18 +379,18 @@
 
 func (s *State) ended(d Ended) {
 	t := s.tasks[key{d.Task, d.Attempt}]
-	if t == nil || t.state == exited {
+	if t == nil || t.state == workerapi.StateExited {
 		return
 	}
 	s.changed = true
-	saved := t.state == saving && d.Saved
-	t.state = exited
+	saved := t.state == workerapi.StateCheckpointing && d.Saved
+	t.state = workerapi.StateExited
 	switch {
 	case d.Halted:
-		t.why, t.saved = whyHalted, saved
+		t.why, t.saved = workerapi.ReasonStopped, saved
 	case d.Failed:
-		t.why = whyError
+		t.why = workerapi.ReasonError
 	default:
-		t.why = whyDone
+		t.why = workerapi.ReasonDone
 	}
 }
