--- a/internal/controller/heartbeat/expiry.go
+++ b/internal/controller/heartbeat/expiry.go
@@ -2,31 +2,37 @@
 
 import (
 	"time"
+
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/logkeys"
 )
 
-// ExpireLeases takes the tasks of workers whose lease has ended for gone. A machine of which nothing has shown that
-// it is there any more is let go of: all that came of it may have been a copy of what an earlier leader heard.
+// ExpireLeases takes in which workers' leases have expired: no task is left on their machines. A machine that was never proved
+// to exist is dropped, as all that came from it may have been duplicates of what an earlier leader received.
 func (h *Handler) ExpireLeases(now time.Time) {
 	for _, machine := range h.workers.Machines {
-		if !h.workers.IsLeaseExpired(now, machine) {
-			continue
-		}
-		if !machine.HasReported && !machine.Registered && !machine.Registering {
-			h.workers.Remove(machine)
-			h.reachability.Forget(machine.ID)
-			continue
-		}
-		if len(machine.Attempts) > 0 {
-			h.log.Info("a worker's lease has ended", "machine", machine.ID, "tasks", len(machine.Attempts))
-			h.HandleEnded(now, machine, h.workers.ReleaseAll(machine))
-		}
-		if machine.Registered {
-			machine.Registered = false
-			h.storage.Delete(now, MachineKeyPrefix+machine.ID)
+		if h.workers.IsLeaseExpired(now, machine) {
+			h.expireLease(now, machine)
 		}
 	}
 }
 
+func (h *Handler) expireLease(now time.Time, machine *worker.Machine) {
+	if !machine.HasReported && !machine.Registered && !machine.Registering {
+		h.workers.Remove(machine)
+		h.reachability.Forget(machine.ID)
+		return
+	}
+	if len(machine.Attempts) > 0 {
+		h.log.Info("lease expired", logkeys.Machine, machine.ID, logkeys.Count, len(machine.Attempts))
+		h.HandleEnded(now, machine, h.workers.ReleaseAll(machine))
+	}
+	if machine.Registered {
+		machine.Registered = false
+		h.storage.Delete(now, MachineKeyPrefix+machine.ID)
+	}
+}
+
 // RemoveDeleted takes in the machines whose deletion the cloud has confirmed.
 func (h *Handler) RemoveDeleted(now time.Time) {
 	deleted := h.cloud.ConfirmedDeletions
@@ -38,8 +44,8 @@
 		}
 		h.HandleEnded(now, machine, h.workers.ReleaseAll(machine))
 		h.workers.Remove(machine)
-		h.stragglers.Forget(machine.ID)
-		h.failures.ForgetMachine(machine.ID)
+		h.observers.stragglers.Forget(machine.ID)
+		h.observers.failures.ForgetMachine(machine.ID)
 		h.reachability.Forget(machine.ID)
 		h.storage.Delete(now, MachineKeyPrefix+id)
 	}
--- a/internal/controller/heartbeat/failure.go
+++ b/internal/controller/heartbeat/failure.go
@@ -5,36 +5,38 @@
 
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/logkeys"
 )
 
 const (
-	// maxAvoidedMachines is on how many machines a job may have failed before it is tried on all of them again: a
-	// small site has no others.
+	// maxAvoidedMachines is on how many machines a job may have failed before it is tried on all of them again, as a small site
+	// has no others.
 	maxAvoidedMachines = 3
-	// maxRetryDelay is how long a job that fails and has completed nothing waits at most between two tries.
+	// maxRetryDelay bounds the delay between two tries of a job that fails and has completed nothing.
 	maxRetryDelay = time.Minute
 )
 
-// recordFailure takes in that a task has ended with an error. The job avoids the machine; whether the machine
-// is faulty or the job was submitted with a mistake is for the book of blame.
+// recordFailure takes in that a task has ended with an error. The job avoids the machine from now on. Whether the job is
+// crash-looping or the machine is faulty is decided by the failure tracker.
 func (h *Handler) recordFailure(now time.Time, machine *worker.Machine, job *jobs.Job) {
 	job.FailureCount++
-	h.log.Info("task failed", "job", job.ID, "machine", machine.ID, "errors", job.FailureCount)
-	if job.CrashLooping && !h.failures.IsCrashLooping(job.ID) {
-		h.failures.RestoreCrashLooping(now, job.ID) // an earlier leader found it
+	h.log.Info("task failed", logkeys.Job, job.ID, logkeys.Machine, machine.ID, logkeys.Count, job.FailureCount)
+	tracker := h.observers.failures
+	if job.CrashLooping && !tracker.IsCrashLooping(job.ID) {
+		tracker.RestoreCrashLooping(now, job.ID) // the verdict of an earlier leader
 	}
-	h.failures.RecordFailure(now, job.ID, machine.ID, job.DoneTasks)
+	tracker.RecordFailure(now, job.ID, machine.ID, job.DoneTasks)
 	h.avoidMachine(now, machine, job)
-	if !job.IsGang && !job.IsService && h.failures.IsCrashLooping(job.ID) {
+	if !job.IsGang && !job.IsService && tracker.IsCrashLooping(job.ID) {
 		h.throttleCrashLooping(now, job)
 	}
-	if h.failures.IsFaulty(machine.ID) && machine.DrainReason == worker.NotDraining {
+	if tracker.IsFaulty(machine.ID) && machine.DrainReason == worker.NotDraining {
 		machine.DrainReason = worker.DrainFaulty
-		h.log.Info("machine quarantined", "machine", machine.ID)
+		h.log.Info("machine quarantined", logkeys.Machine, machine.ID)
 	}
 }
 
-// avoidMachine keeps the job off the machine, until it has failed on so many that all are tried again, later.
+// avoidMachine keeps the job off the machine, until it has failed on so many machines that all are tried again after a delay.
 func (h *Handler) avoidMachine(now time.Time, machine *worker.Machine, job *jobs.Job) {
 	machine.FailedJobs[job.ID] = true
 	if job.FailedMachines == nil {
@@ -44,9 +46,9 @@
 	if len(job.FailedMachines) < maxAvoidedMachines {
 		return
 	}
-	job.NotBefore = now.Add(2 * time.Second)
+	job.NotBefore = now.Add(retryDelay)
 	if job.DoneTasks == 0 {
-		job.NotBefore = now.Add(min(time.Duration(job.FailureCount)*2*time.Second, maxRetryDelay))
+		job.NotBefore = now.Add(min(time.Duration(job.FailureCount)*retryDelay, maxRetryDelay))
 	}
 	for id := range job.FailedMachines {
 		if other := h.workers.Machines[id]; other != nil {
@@ -56,11 +58,11 @@
 	job.FailedMachines = nil
 }
 
-// throttleCrashLooping has one task of the job tried at a time, and that seldom. What of it runs is stopped: it would
-// fail as well, and takes the room of others until then. The verdict is kept, so that the next leader
-// does not start all of its tasks once more.
+// throttleCrashLooping has one task of a crash-looping job tried at a time, with growing delays. Its other attempts are stopped:
+// they would fail as well, and take the resources of others until then. The verdict is part of the job's record, so that the next
+// leader does not start all of its tasks again.
 func (h *Handler) throttleCrashLooping(now time.Time, job *jobs.Job) {
-	job.NotBefore = h.failures.ScheduleRetry(now, job.ID)
+	job.NotBefore = h.observers.failures.ScheduleRetry(now, job.ID)
 	if job.CrashLooping {
 		return
 	}
@@ -72,34 +74,23 @@
 			stopped++
 		}
 	}
-	h.log.Info(
-		"a job fails wherever it is tried",
-		"job",
-		job.ID,
-		"team",
-		job.Team,
-		"class",
-		job.Class,
-		"machines",
-		h.failures.FailedMachineCount(job.ID),
-		"stopped",
-		stopped,
-	)
+	h.log.Info("job crash-looping", logkeys.Job, job.ID, logkeys.Team, job.Team, logkeys.Class, job.Class,
+		"failed_machines", h.observers.failures.FailedMachineCount(job.ID), "stopped_attempts", stopped)
 	h.jobStore.SaveRecord(now, job)
 	h.placer.InvalidateOrder()
 }
 
-// recordCompletion takes in that a task of the job has completed on the machine, which speaks for both.
+// recordCompletion takes in that a task of the job has completed on the machine, which is evidence for both.
 func (h *Handler) recordCompletion(now time.Time, machine *worker.Machine, job *jobs.Job) {
-	h.failures.RecordCompletion(job.ID, machine.ID)
+	h.observers.failures.RecordCompletion(job.ID, machine.ID)
 	if !job.CrashLooping {
 		return
 	}
 	job.CrashLooping, job.NotBefore = false, time.Time{}
-	h.log.Info("a job that failed wherever it was tried has completed a task", "job", job.ID, "machine", machine.ID)
+	h.log.Info("crash-looping job recovered", logkeys.Job, job.ID, logkeys.Machine, machine.ID)
 	h.jobStore.SaveRecord(now, job)
 	h.placer.InvalidateOrder()
 }
 
-// ForgetJob takes in that a job is over.
-func (h *Handler) ForgetJob(job *jobs.Job) { h.failures.ForgetJob(job.ID) }
+// ForgetJob drops what is kept of a job that has ended.
+func (h *Handler) ForgetJob(job *jobs.Job) { h.observers.failures.ForgetJob(job.ID) }
--- a/internal/controller/heartbeat/handler.go
+++ b/internal/controller/heartbeat/handler.go
@@ -1,11 +1,15 @@
-// Package heartbeat takes in what the machines report and answers them: attempts that have ended,
-// machines that failed, what a machine is told to stop, forget and start. Its Clerk owns the
-// reports that wait for their answers, and the roster of machines that may hold tasks. What
-// starts is place's choice, and what is done is the book's.
+// Package heartbeat handles the heartbeats of workers. A Handler reconciles what the leader believes with what a heartbeat
+// reports, and responds with what the machine is to stop, forget and start. It owns the heartbeats that wait for their response
+// and the records of registered machines in the state service. It is made at each election.
+//
+// Starts go in heartbeat responses only, and what starts is the placer's decision. The Handler believes a heartbeat only if the
+// reachability tracker calls it fresh, and never takes an attempt for gone except by the worker registry's rule
+// (docs/design/reachability.md, docs/design/failure-attribution.md).
 package heartbeat
 
 import (
 	"log/slog"
+	"net/http"
 	"time"
 
 	"gullrudder/internal/config"
@@ -20,51 +24,16 @@
 	"gullrudder/internal/controller/straggler"
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/controller/worker/reachability"
+	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/server"
 	"gullrudder/internal/wire/workerapi"
 )
 
-// MachineKeyPrefix marks the ledger's entries for machines that may hold tasks.
-const MachineKeyPrefix = "m:"
+// maxMachines bounds the machines that the leader keeps, whatever names appear in heartbeats.
+const maxMachines = 20000
 
-// MachineRecord is what the ledger keeps of such a machine.
-type MachineRecord struct {
-	Addr string `msgpack:"a" json:"a"`
-}
-
-// pendingHeartbeat is a report that waits for its answer.
-type pendingHeartbeat struct {
-	request    *server.Request
-	machine    *worker.Machine
-	heartbeat  *workerapi.Heartbeat
-	freshness  reachability.Freshness
-	receivedAt time.Time
-
-	stateLoaded bool // the ledger was read when it came
-}
-
-// Handler is a leader's dealings with reports.
-type Handler struct {
-	platform     *config.Platform
-	log          *slog.Logger
-	responder    *server.Responder
-	fencingToken uint64
-	storage      *storage.Store
-	jobStore     *jobstore.Store
-	workers      *worker.Registry
-	cloud        *cloud.Client
-	planner      *admission.Planner
-	placer       *placement.Placer
-	accounting   *accounting.Tracker
-	stragglers   *straggler.Detector
-	failures     *failures.Tracker
-	reachability *reachability.Tracker
-	cancelWindow time.Duration // how long after a cancellation a lease that is given still ends in time
-	pending      []pendingHeartbeat
-}
-
-// Components is what a clerk sees of its neighbours.
+// Components are the parts of a leader that a Handler works with.
 type Components struct {
 	Platform     *config.Platform
 	FencingToken uint64
@@ -82,172 +51,117 @@
 	Log          *slog.Logger
 }
 
-// NewHandler makes the clerk of a new leadership.
-func NewHandler(components Components) *Handler {
-	return &Handler{
-		platform:     components.Platform,
-		log:          components.Log,
-		responder:    components.Responder,
-		fencingToken: components.FencingToken,
-		storage:      components.Storage,
-		jobStore:     components.JobStore,
-		workers:      components.Workers,
-		cloud:        components.Cloud,
-		planner:      components.Planner,
-		placer:       components.Placer,
-		accounting:   components.Accounting,
-		stragglers:   components.Stragglers,
-		failures:     components.Failures,
-		reachability: components.Reachability,
-		cancelWindow: renewal.Window(components.Platform.CancelTimeout, components.Workers.Lease()),
-	}
+// Handler handles the heartbeats of one leader's term. Only the owner's loop may call it.
+type Handler struct {
+	log               *slog.Logger
+	responder         *server.Responder
+	fencingToken      uint64
+	heartbeatInterval time.Duration
+	cancelWindow      time.Duration // how long after a confirmed cancellation a renewed lease still expires within the promised time
+
+	storage      *storage.Store
+	jobStore     *jobstore.Store
+	workers      *worker.Registry
+	cloud        *cloud.Client
+	placer       *placement.Placer
+	reachability *reachability.Tracker
+	observers    observers
+
+	pending []pendingHeartbeat
 }
 
-// RejectPending refuses the reports that still wait for an answer.
-func (h *Handler) RejectPending() {
-	for _, pending := range h.pending {
-		h.responder.Respond(pending.request, 503, nil, 0)
-	}
-	h.pending = nil
+// observers learn from attempts that have ended.
+type observers struct {
+	accounting *accounting.Tracker
+	planner    *admission.Planner
+	stragglers *straggler.Detector
+	failures   *failures.Tracker
 }
 
-// maxCommandsPerResponse bounds the commands of one answer, so that it stays below 64 KiB.
-const maxCommandsPerResponse = 300
+// pendingHeartbeat is a heartbeat that waits for its response.
+type pendingHeartbeat struct {
+	request     *server.Request
+	machine     *worker.Machine
+	heartbeat   *workerapi.Heartbeat
+	freshness   reachability.Freshness
+	receivedAt  time.Time
+	stateLoaded bool // the persistent state was loaded when it was received
+}
+
+// NewHandler returns the Handler of a new leader.
+func NewHandler(components Components) *Handler {
+	return &Handler{
+		log:               components.Log,
+		responder:         components.Responder,
+		fencingToken:      components.FencingToken,
+		heartbeatInterval: components.Platform.HeartbeatInterval,
+		cancelWindow:      renewal.Window(components.Platform.CancelTimeout, components.Workers.Lease()),
+		storage:           components.Storage,
+		jobStore:          components.JobStore,
+		workers:           components.Workers,
+		cloud:             components.Cloud,
+		placer:            components.Placer,
+		reachability:      components.Reachability,
+		observers: observers{
+			accounting: components.Accounting,
+			planner:    components.Planner,
+			stragglers: components.Stragglers,
+			failures:   components.Failures,
+		},
+	}
+}
 
-// HandleHeartbeat takes in a report; its answer goes out at the end of the step. Before the ledger is read
-// (built) nothing in it is believed. It says whether the machine lived just now: a copy does not tell.
+// HandleHeartbeat takes in a heartbeat, to which SendResponses responds at the end of the step. Nothing in it is believed before
+// the persistent state is loaded. isAlive reports whether the heartbeat proves that its machine lived just now, which a duplicate
+// does not.
 func (h *Handler) HandleHeartbeat(now time.Time, request *server.Request, stateLoaded bool) (isAlive bool) {
-	var heartbeat workerapi.Heartbeat
-	if err := codec.Unmarshal(
-		request.Body,
-		&heartbeat,
-	); err != nil || heartbeat.Machine == "" || len(heartbeat.Machine) > workerapi.MaxNameBytes ||
-		heartbeat.Incarnation == 0 {
-		h.responder.RespondError(request, 400, "no report", 0)
+	heartbeat, ok := decodeHeartbeat(request.Body)
+	if !ok {
+		h.responder.RespondError(request, http.StatusBadRequest, "no report", 0)
 		return false
 	}
-	if heartbeat.FencingToken > h.fencingToken || h.cloud.IsDeleted(heartbeat.Machine) || len(h.workers.Machines) > 20000 {
-		h.responder.RespondError(request, 503, "not now", 0)
+	if heartbeat.FencingToken > h.fencingToken || h.cloud.IsDeleted(heartbeat.Machine) || len(h.workers.Machines) > maxMachines {
+		h.responder.RespondError(request, http.StatusServiceUnavailable, "not now", 0)
 		return false
 	}
 	machine := h.workers.GetOrAdd(heartbeat.Machine)
 	freshness := reachability.Unverified
 	if stateLoaded {
-		freshness = h.reachability.Classify(now, machine, &heartbeat)
+		freshness = h.reachability.Classify(now, machine, heartbeat)
 	}
 	if freshness == reachability.Stale {
-		// With a 200 a machine that is no more would keep its tasks for as long as copies of its reports come.
-		h.responder.RespondError(request, 503, "an older report", 0)
+		// With a 200 a machine that is gone would keep its tasks for as long as duplicates of its heartbeats arrive.
+		h.responder.RespondError(request, http.StatusServiceUnavailable, "an older report", 0)
 		return false
 	}
 	machine.LeaseRenewedAt = now
 	if freshness == reachability.Fresh {
-		// Only a worker that has seen our token is believed: what an earlier leader still sends it has no
-		// effect any more, and the report was made after that.
-		h.Reconcile(now, machine, &heartbeat, true)
-		h.register(now, machine, &heartbeat)
+		// The worker has seen this leader's fencing token: commands of an earlier leader no longer have an effect there, and
+		// the heartbeat was sent after that.
+		h.Reconcile(now, machine, heartbeat, true)
+		h.register(now, machine, heartbeat)
 	}
-	h.pending = append(h.pending, pendingHeartbeat{request, machine, &heartbeat, freshness, now, stateLoaded})
+	h.pending = append(h.pending, pendingHeartbeat{request, machine, heartbeat, freshness, now, stateLoaded})
 	return freshness == reachability.Fresh
 }
 
-// register writes down that the machine may hold tasks, before it gets any.
-func (h *Handler) register(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) {
-	h.cloud.ObserveHeartbeat(
-		now,
-		heartbeat.Machine,
-		heartbeat.Addr,
-		cloud.InstanceKind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot},
-	)
-	if machineType := h.cloud.MachineTypes[heartbeat.Type]; machineType != nil && machine.CPUs+machine.MemoryGB+machine.GPUs == 0 {
-		h.workers.SetCapacity(machine, placement.TypeResources(machineType), machineType.ImageCacheGB, machineType.FetchGBPerSecond)
-	}
-	if machine.Registered || machine.Registering {
-		return
-	}
-	machine.Registering = true
-	if machine.Addr == "" {
-		machine.Addr = heartbeat.Addr
-	}
-	err := h.storage.Set(now, MachineKeyPrefix+machine.ID, MachineRecord{Addr: heartbeat.Addr}, 0, true, func(_ time.Time, ok bool) {
-		if ok && h.workers.Machines[machine.ID] == machine {
-			machine.Registered, machine.Registering = true, false
-		}
-	})
-	if err != nil {
-		h.log.Error("a machine cannot be enrolled", "machine", machine.ID, "error", err)
-		machine.Registering = false
+func decodeHeartbeat(body []byte) (heartbeat *workerapi.Heartbeat, ok bool) {
+	heartbeat = &workerapi.Heartbeat{}
+	if codec.Unmarshal(body, heartbeat) != nil {
+		return nil, false
 	}
+	isNamed := heartbeat.Machine != "" && len(heartbeat.Machine) <= workerapi.MaxNameBytes
+	return heartbeat, isNamed && heartbeat.Incarnation != 0
 }
 
-// Reconcile takes in what is on a machine; whole is false for the answer to a direct command.
+// Reconcile takes in what is on a machine by a heartbeat that is newer than all before. complete is false for the answer to
+// direct commands (see worker.Registry.Reconcile).
 func (h *Handler) Reconcile(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat, complete bool) {
 	ended := h.workers.Reconcile(now, machine, heartbeat, complete, h.jobStore.Find)
 	h.reachability.RecordEnded(now, machine, ended)
 	h.HandleEnded(now, machine, ended)
 	if !machine.Reconciled {
 		machine.Reconciled = true
-		h.log.Debug("machine accounted for", "machine", machine.ID, "tasks", len(machine.Attempts))
-	}
-}
-
-// lossCause is the cause that the account of a job gives for an attempt that did not get done.
-func lossCause(ended worker.EndedAttempt) accounting.WaitReason {
-	switch {
-	case !ended.Attempt.StopSentAt.IsZero() || ended.Reason == workerapi.ReasonStopped:
-		return accounting.Preempted
-	case ended.Reason == worker.ReasonLost:
-		return accounting.MachineLost
-	}
-	return accounting.AttemptFailed
-}
-
-// HandleEnded takes in the attempts that are known to be gone.
-func (h *Handler) HandleEnded(now time.Time, machine *worker.Machine, endedAttempts []worker.EndedAttempt) {
-	for _, ended := range endedAttempts {
-		attempt := ended.Attempt
-		job := attempt.Job
-		if job == nil || attempt.Task.Index >= job.Tasks {
-			continue
-		}
-		h.placer.InvalidateOrder()
-		if ended.Reason != workerapi.ReasonDone {
-			h.log.Debug("attempt ended", "task", attempt.Task, "attempt", attempt.Number, "machine", machine.ID, "why", ended.Reason)
-		}
-		switch ended.Reason {
-		case workerapi.ReasonDone:
-			if job.IsService {
-				break // a replica runs until its job is cancelled: it is started again
-			}
-			if !attempt.RunningSince.IsZero() && !job.ResumedTasks[attempt.Task.Index] {
-				if job.CompletedRuns > 0 {
-					h.stragglers.RecordRun(
-						machine.ID,
-						now.Sub(attempt.RunningSince),
-						job.CompletedRunTime/time.Duration(job.CompletedRuns),
-						job.CompletedRuns,
-					)
-				}
-				h.planner.ObserveRunTime(job, now.Sub(attempt.RunningSince))
-			}
-			h.accounting.MarkTaskDone(job, attempt.Task.Index)
-			h.recordCompletion(now, machine, job)
-			if job.MarkTaskDone(attempt.Task.Index) {
-				h.jobStore.FinishIfDone(now, job)
-			}
-			continue
-		case workerapi.ReasonError:
-			h.recordFailure(now, machine, job)
-		case workerapi.ReasonNoCapacity:
-			machine.StartsNotBefore = now.Add(2 * time.Second)
-		case workerapi.ReasonInUse, workerapi.ReasonNotFound:
-			job.NotBefore = now.Add(2 * time.Second)
-			h.log.Info("start refused", "task", attempt.Task, "machine", machine.ID, "why", ended.Reason)
-		}
-		h.accounting.MarkTaskLost(job, attempt.Task.Index, lossCause(ended))
-		if ended.CheckpointSaved {
-			job.ResumedTasks[attempt.Task.Index] = true
-		}
-		job.Requeue(attempt.Task.Index)
+		h.log.Debug("machine reconciled", logkeys.Machine, machine.ID, logkeys.Count, len(machine.Attempts))
 	}
 }
--- /dev/null
+++ b/internal/controller/heartbeat/registration.go
@@ -0,0 +1,47 @@
+package heartbeat
+
+import (
+	"time"
+
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/logkeys"
+	"gullrudder/internal/wire/workerapi"
+)
+
+// MachineKeyPrefix is the prefix of the keys of MachineRecords in the state service; the machine's ID follows.
+const MachineKeyPrefix = "m:"
+
+// MachineRecord is the record that a machine may hold tasks. It is written before the first start is sent to the machine, so that
+// the next leader knows which machines it has to reconcile.
+type MachineRecord struct {
+	Addr string `msgpack:"a" json:"a"`
+}
+
+// register records a machine that has reported: its instance, its capacity, and in the state service that it may hold tasks.
+func (h *Handler) register(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) {
+	kind := cloud.InstanceKind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}
+	h.cloud.ObserveHeartbeat(now, heartbeat.Machine, heartbeat.Addr, kind)
+	isCapacityUnknown := machine.CPUs+machine.MemoryGB+machine.GPUs == 0
+	if machineType := h.cloud.MachineTypes[heartbeat.Type]; machineType != nil && isCapacityUnknown {
+		h.workers.SetCapacity(machine, placement.TypeResources(machineType), machineType.ImageCacheGB, machineType.FetchGBPerSecond)
+	}
+	if machine.Registered || machine.Registering {
+		return
+	}
+	machine.Registering = true
+	if machine.Addr == "" {
+		machine.Addr = heartbeat.Addr
+	}
+	record := MachineRecord{Addr: heartbeat.Addr}
+	err := h.storage.Set(now, MachineKeyPrefix+machine.ID, record, 0, true, func(_ time.Time, ok bool) {
+		if ok && h.workers.Machines[machine.ID] == machine {
+			machine.Registered, machine.Registering = true, false
+		}
+	})
+	if err != nil {
+		h.log.Error("machine registration failed", logkeys.Machine, machine.ID, logkeys.Err, err)
+		machine.Registering = false
+	}
+}
--- a/internal/controller/heartbeat/response.go
+++ b/internal/controller/heartbeat/response.go
@@ -1,104 +1,149 @@
 package heartbeat
 
 import (
+	"net/http"
 	"time"
 
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/controller/worker/reachability"
+	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/workerapi"
 )
 
-// maxRegistrationWait is how long a new machine's report may wait for its place on the roster.
-const maxRegistrationWait = 700 * time.Millisecond
+const (
+	// maxRegistrationWait is how long a new machine's heartbeat may wait until the machine is registered.
+	maxRegistrationWait = 700 * time.Millisecond
+	// maxCommandsPerResponse bounds the commands of one response, whose body must stay below 64 KiB.
+	maxCommandsPerResponse = 300
+	// minKillsSent is how many responses must have told a machine to kill a task before it counts as ignoring them: one may
+	// still be on its way.
+	minKillsSent = 2
+	// reclaimSlack and reclaimHeartbeats are the time before a reclaim, beside that for the checkpoint, at which a task is told
+	// to save one.
+	reclaimSlack      = time.Second
+	reclaimHeartbeats = 3
+)
 
-// SendResponses answers the reports of this batch; what starts where is decided now, if anything may start.
+// SendResponses responds to the heartbeats of this batch. What starts on their machines is decided now; canStart is whether
+// anything may.
 func (h *Handler) SendResponses(now time.Time, canStart bool) {
 	batch := h.pending
 	h.pending = nil
 	for _, pending := range batch {
-		if pending.freshness == reachability.Fresh && pending.machine.Registering && canStart &&
-			now.Sub(pending.receivedAt) < maxRegistrationWait {
-			// Its place on the roster is being written; with that it gets tasks at once.
+		if canStart && pending.awaitsRegistration(now) {
 			h.pending = append(h.pending, pending)
 			continue
 		}
-		// The same machine may have reported twice; only its newest report gets starts.
-		response := workerapi.HeartbeatResponse{FencingToken: h.fencingToken, Commands: []workerapi.Command{}}
-		switch {
-		case pending.freshness != reachability.Fresh && pending.stateLoaded:
-			response.Commands = h.killCancelled(pending.heartbeat)
-		case pending.freshness == reachability.Fresh:
-			if h.ignoresKills(now, pending.machine) {
-				// Its lease is what ends them in time.
-				h.log.Info("a machine does not end what was cancelled: it gets no more leases", "machine", pending.machine.ID)
-				h.responder.RespondError(pending.request, 503, "tasks of cancelled jobs are still there", 0)
-				continue
-			}
-			h.checkpointBeforeReclaim(now, pending.machine)
-			response.Commands = append(response.Commands, h.commandsFor(now, pending.machine, pending.heartbeat)...)
-			if h.reachability.IsNewest(pending.machine, pending.heartbeat) {
-				if canStart && h.reachability.IsReachable(pending.machine) {
-					response.Commands = append(
-						response.Commands,
-						h.placer.StartTasks(now, pending.machine, maxCommandsPerResponse-len(response.Commands))...)
-				}
-				h.reachability.RecordAcknowledged(pending.machine)
-			}
+		h.respond(now, pending, canStart)
+	}
+}
+
+// RejectPending refuses the heartbeats that still wait for a response.
+func (h *Handler) RejectPending() {
+	for _, pending := range h.pending {
+		h.responder.Respond(pending.request, http.StatusServiceUnavailable, nil, 0)
+	}
+	h.pending = nil
+}
+
+// awaitsRegistration reports whether the response should wait: once its machine is registered it can have starts.
+func (p pendingHeartbeat) awaitsRegistration(now time.Time) bool {
+	return p.freshness == reachability.Fresh && p.machine.Registering && now.Sub(p.receivedAt) < maxRegistrationWait
+}
+
+// respond sends the response to a heartbeat, which renews the worker's lease unless the machine ignores commands to kill.
+func (h *Handler) respond(now time.Time, pending pendingHeartbeat, canStart bool) {
+	commands := []workerapi.Command{}
+	switch {
+	case pending.freshness == reachability.Fresh:
+		if h.ignoresKills(now, pending.machine) {
+			// Only the end of its lease stops the tasks within the time that was promised.
+			h.log.Info("lease renewal refused", logkeys.Machine, pending.machine.ID, logkeys.Reason, "cancelled tasks still running")
+			h.responder.RespondError(pending.request, http.StatusServiceUnavailable, "tasks of cancelled jobs are still there", 0)
+			return
 		}
-		pending.machine.LeaseRenewedAt = now
-		h.responder.Respond(pending.request, 200, response, 0)
+		commands = h.commandsFor(now, pending, canStart)
+	case pending.stateLoaded:
+		commands = h.killCancelled(pending.heartbeat)
+	}
+	pending.machine.LeaseRenewedAt = now
+	response := workerapi.HeartbeatResponse{FencingToken: h.fencingToken, Commands: commands}
+	h.responder.Respond(pending.request, http.StatusOK, response, 0)
+}
+
+// commandsFor returns the commands in the response to a fresh heartbeat. If a machine has several heartbeats in the batch, only
+// the newest gets starts.
+func (h *Handler) commandsFor(now time.Time, pending pendingHeartbeat, canStart bool) []workerapi.Command {
+	machine, heartbeat := pending.machine, pending.heartbeat
+	checkpointBeforeReclaim(now, machine, reclaimHeartbeats*h.heartbeatInterval+reclaimSlack)
+	commands := appendKills(h.forgetExited(heartbeat), machine)
+	if !h.reachability.IsNewest(machine, heartbeat) {
+		return commands
 	}
+	if canStart && h.reachability.IsReachable(machine) {
+		commands = append(commands, h.placer.StartTasks(now, machine, maxCommandsPerResponse-len(commands))...)
+	}
+	h.reachability.RecordAcknowledged(machine)
+	return commands
 }
 
-// killCancelled ends the tasks of cancelled jobs in a report that is not believed: whether it is old or not, they are to
-// end, and a 200 without that would keep them for another lease.
+// killCancelled returns the commands that kill the tasks of cancelled jobs in a heartbeat that is not believed. Whatever its age
+// they are to end, and a 200 without that would keep them for another lease.
 func (h *Handler) killCancelled(heartbeat *workerapi.Heartbeat) []workerapi.Command {
 	commands := []workerapi.Command{}
 	for _, status := range heartbeat.Tasks {
-		if key, err := jobs.ParseTaskID(
-			status.Task,
-		); err == nil && status.State != workerapi.StateExited && len(commands) < maxCommandsPerResponse &&
-			h.jobStore.IsTaskCancelled(key) {
+		if len(commands) >= maxCommandsPerResponse {
+			break
+		}
+		task, err := jobs.ParseTaskID(status.Task)
+		if err == nil && status.State != workerapi.StateExited && h.jobStore.IsTaskCancelled(task) {
 			commands = append(commands, workerapi.Kill(status.Task, status.Attempt, 0))
 		}
 	}
 	return commands
 }
 
-// ignoresKills reports whether a task that a machine was told twice to end at once is still there so long after its user was
-// told that it is cancelled that another lease would keep it for too long.
+// ignoresKills reports whether a task of a cancelled job is still on the machine, although the machine was told to kill it, so
+// long after the cancellation was confirmed that another lease would keep it beyond the promised time.
 func (h *Handler) ignoresKills(now time.Time, machine *worker.Machine) bool {
 	for _, attempt := range machine.Attempts {
-		if job := attempt.Job; job != nil && job.State == jobs.Cancelled && attempt.KillsSent >= 2 && !job.CancelConfirmedAt.IsZero() &&
-			now.Sub(job.CancelConfirmedAt) >= h.cancelWindow {
+		job := attempt.Job
+		if job == nil || job.State != jobs.Cancelled || attempt.KillsSent < minKillsSent || job.CancelConfirmedAt.IsZero() {
+			continue
+		}
+		if now.Sub(job.CancelConfirmedAt) >= h.cancelWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// commandsFor lists what the machine is told besides starts.
-func (h *Handler) commandsFor(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) []workerapi.Command {
-	var commands []workerapi.Command
+// forgetExited returns the commands to forget the exited attempts in a heartbeat. One that is done must not be forgotten before
+// its result is durable.
+func (h *Handler) forgetExited(heartbeat *workerapi.Heartbeat) []workerapi.Command {
+	commands := []workerapi.Command{}
 	for _, status := range heartbeat.Tasks {
 		if status.State != workerapi.StateExited || len(commands) >= maxCommandsPerResponse {
 			continue
 		}
-		key, err := jobs.ParseTaskID(status.Task)
-		if err != nil || status.Reason != workerapi.ReasonDone || h.jobStore.IsResultDurable(key) {
+		task, err := jobs.ParseTaskID(status.Task)
+		if err != nil || status.Reason != workerapi.ReasonDone || h.jobStore.IsResultDurable(task) {
 			commands = append(commands, workerapi.Forget(status.Task, status.Attempt))
 		}
 	}
+	return commands
+}
+
+// appendKills appends the commands to kill what may not run on the machine, and to stop what is to be preempted.
+func appendKills(commands []workerapi.Command, machine *worker.Machine) []workerapi.Command {
 	for _, attempt := range machine.Attempts {
 		if len(commands) >= maxCommandsPerResponse {
 			break
 		}
 		job := attempt.Job
-		if attempt.IsUnsent {
-			continue
-		}
 		switch {
+		case attempt.IsUnsent:
 		case attempt.IsOrphan || job == nil || job.IsCancelling || job.State == jobs.Cancelled:
 			attempt.KillsSent++
 			commands = append(commands, workerapi.Kill(attempt.Task.String(), attempt.Number, 0))
@@ -109,15 +154,16 @@
 	return commands
 }
 
-// checkpointBeforeReclaim has the tasks that can save do so in time before the cloud takes the
-// machine.
-func (h *Handler) checkpointBeforeReclaim(now time.Time, machine *worker.Machine) {
+// checkpointBeforeReclaim has the tasks that can save a checkpoint do so before the cloud reclaims the machine. leadTime is the
+// time that they get beside the duration of the checkpoint.
+func checkpointBeforeReclaim(now time.Time, machine *worker.Machine, leadTime time.Duration) {
 	if machine.ReclaimAt.IsZero() {
 		return
 	}
 	for _, attempt := range machine.Attempts {
-		if job := attempt.Job; job != nil && job.CheckpointInterval > 0 && attempt.StopSentAt.IsZero() && !attempt.RunningSince.IsZero() &&
-			machine.ReclaimAt.Sub(now) < job.CheckpointDuration+3*h.platform.HeartbeatInterval+time.Second {
+		job := attempt.Job
+		canStop := job != nil && job.CheckpointInterval > 0 && attempt.StopSentAt.IsZero() && !attempt.RunningSince.IsZero()
+		if canStop && machine.ReclaimAt.Sub(now) < job.CheckpointDuration+leadTime {
 			attempt.StopSentAt = now
 		}
 	}
