--- a/internal/controller/straggler/detector.go
+++ b/internal/controller/straggler/detector.go
@@ -1,7 +1,7 @@
 // Package straggler detects machines that are slow although they send heartbeats. A Detector compares the run time of each
 // completed task with the mean of the same job's earlier tasks, and keeps one running mean of these ratios per machine and one
 // for all machines. It is made at each election and kept in memory only. It never drains or terminates a machine: it answers
-// whether one is slow, and the autoscaler acts on that (docs/design/rental.md).
+// whether one is slow, and the autoscaler acts on that (docs/design/autoscaler.md).
 package straggler
 
 import (
