--- a/cmd/gullrudder/site.go
+++ b/cmd/gullrudder/site.go
@@ -298,8 +298,8 @@
 			}
 			report, lease := h.Spans()
 			r, err := agent.NewRuntime(agent.Options{
-				Addr: h.Worker, Type: fmt.Sprintf("own-%g-%g", h.CPUs, h.MemGB), Zone: h.Zone, CPUs: h.CPUs, MemGB: h.MemGB,
-				Controllers: controllers, Report: report, Lease: lease,
+				Addr: h.Worker, Type: fmt.Sprintf("own-%g-%g", h.CPUs, h.MemGB), Zone: h.Zone, CPUs: h.CPUs, MemoryGB: h.MemGB,
+				Controllers: controllers, HeartbeatInterval: report, LeaseDuration: lease,
 			},
 				agent.Place{Dir: h.Dir("worker"), Name: "worker", Pool: h.Pool, As: as, Free: h.KeepFreeMB << 20}, log)
 			if err != nil {
--- a/internal/site/agent/golden_bytes_test.go
+++ b/internal/site/agent/golden_bytes_test.go
@@ -10,9 +10,9 @@
 
 func TestGoldenBytes(t *testing.T) {
 	seconds, token, session := 29.5, uint64(70_000), uint64(1<<40)
-	description := Description{
-		Job: "job-000412", Tasks: 4, CPUs: 1.5, MemGB: 2.5, Command: []string{"/bin/run", "{task}"},
-		Env: map[string]string{"KEY": "value"}, Dir: "/work", Retries: 2, Save: 30,
+	description := Spec{
+		JobID: "job-000412", Tasks: 4, CPUs: 1.5, MemoryGB: 2.5, Command: []string{"/bin/run", "{task}"},
+		Env: map[string]string{"KEY": "value"}, WorkingDir: "/work", Retries: 2, CheckpointSeconds: 30,
 	}
 	goldenbytes.Check(t,
 		goldenbytes.MessagePack("report", workerapi.Heartbeat{
--- /dev/null
+++ b/internal/site/agent/heartbeat.go
@@ -0,0 +1,100 @@
+package agent
+
+import (
+	"net/http"
+	"slices"
+	"time"
+
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/workerapi"
+)
+
+const (
+	// minHeartbeatInterval is the least time between two heartbeats.
+	minHeartbeatInterval = 500 * time.Millisecond
+	// responseTimeout is how long the worker waits for the response to a heartbeat.
+	responseTimeout = 4 * time.Second
+	// nextControllerDelay is how long the worker waits before it tries another controller.
+	nextControllerDelay = time.Second
+	// drainNoticeSeconds is the time that a machine to be drained reports to have left.
+	drainNoticeSeconds = 3600.0
+)
+
+// nextHeartbeat returns a heartbeat with the next sequence number.
+func (s *State) nextHeartbeat() workerapi.Heartbeat {
+	s.sequence++
+	heartbeat := workerapi.Heartbeat{
+		Machine: s.machine, Addr: s.options.Addr, Type: s.options.Type, Zone: s.options.Zone,
+		Incarnation: s.incarnation, Sequence: s.sequence, FencingToken: s.fencingToken,
+		Tasks: make([]workerapi.TaskStatus, 0, len(s.tasks)),
+	}
+	if s.hasDrainNotice {
+		remaining := drainNoticeSeconds
+		heartbeat.ReclaimInSeconds = &remaining
+	}
+	for _, t := range s.sortedTasks() {
+		heartbeat.Tasks = append(heartbeat.Tasks, workerapi.TaskStatus{
+			Task: t.task, Attempt: t.number, State: t.state, Reason: t.reason, CheckpointSaved: t.checkpointSaved,
+		})
+	}
+	return heartbeat
+}
+
+// sendHeartbeat sends a heartbeat if one is due: at the interval, or when something has changed, and one at a time.
+func (s *State) sendHeartbeat(now time.Time, effects *Effects) {
+	isDue := s.hasChanged || !now.Before(s.nextHeartbeatAt)
+	if s.isAwaitingResponse || len(s.controllers) == 0 || now.Sub(s.sentAt) < minHeartbeatInterval || !isDue {
+		return
+	}
+	s.isAwaitingResponse, s.hasChanged = true, false
+	s.sentAt, s.sentIncarnation = now, s.incarnation
+	effects.Heartbeat = &OutgoingHeartbeat{s.options.Controllers[s.controllers[s.current]], s.nextHeartbeat()}
+}
+
+// handleAnswered takes in the outcome of the heartbeat that was sent last. After a redirect, or without a usable response, the next
+// one goes to another controller.
+func (s *State) handleAnswered(now time.Time, answered Answered, effects *Effects) {
+	s.isAwaitingResponse = false
+	s.nextHeartbeatAt = s.sentAt.Add(s.options.HeartbeatInterval)
+	var message controllerMessage
+	isReadable := answered.Status != 0 && codec.Unmarshal(answered.Body, &message) == nil
+	switch {
+	case answered.Status == http.StatusOK:
+		if isReadable {
+			s.handleResponse(now, &message, effects)
+		}
+	case answered.Status == http.StatusMisdirectedRequest && isReadable && s.isOtherController(message.Leader):
+		s.current = slices.Index(s.controllers, message.Leader)
+		s.nextHeartbeatAt = now
+	default:
+		s.current = (s.current + 1) % len(s.controllers)
+		s.nextHeartbeatAt = now.Add(nextControllerDelay)
+		s.hasChanged = false
+	}
+}
+
+// handleResponse renews the lease, counted from when the heartbeat was sent, and executes the commands. A response with a lower
+// fencing token, of another incarnation, or too late does neither.
+func (s *State) handleResponse(now time.Time, message *controllerMessage, effects *Effects) {
+	isOutdated := s.isClearing || s.sentIncarnation != s.incarnation || now.Sub(s.sentAt) > responseTimeout
+	if message.FencingToken == nil || *message.FencingToken < s.fencingToken || isOutdated {
+		return
+	}
+	s.raiseFencingToken(now, *message.FencingToken)
+	s.leaseRenewedAt = s.sentAt
+	s.execute(message.Commands, effects)
+}
+
+func (s *State) isOtherController(name string) bool {
+	return slices.Contains(s.controllers, name) && name != s.controllers[s.current]
+}
+
+// raiseFencingToken takes in a fencing token. A higher one counts as a change, at most once in half of the lease.
+func (s *State) raiseFencingToken(now time.Time, fencingToken uint64) {
+	if fencingToken > s.fencingToken {
+		s.fencingToken = fencingToken
+		if now.Sub(s.tokenRaisedAt) > s.options.LeaseDuration/2 {
+			s.tokenRaisedAt, s.hasChanged = now, true
+		}
+	}
+}
--- a/internal/site/agent/messages.go
+++ b/internal/site/agent/messages.go
@@ -1,6 +1,6 @@
-// Package agent is the worker of a real machine: it reports to the controllers and runs tasks as
-// processes. Its State owns the lease, the session, the token and the tasks, and is a pure step; its
-// Runtime owns the processes, the files and the connections. It never decides which task runs.
+// Package agent is the worker on a real machine: it sends heartbeats to the leader and runs tasks as processes. Its State owns the
+// machine's assignment, the lease, the fencing token and the attempts, and is a pure step; its Runtime owns the processes, the files
+// and the connections. It never decides which task runs. docs/design/appliance.md describes a site.
 package agent
 
 import (
@@ -18,101 +18,104 @@
 	Leader       string              `msgpack:"flagship"`
 }
 
-// Description is what a job's tasks run, as its user uploaded it.
-type Description struct {
-	Job     string            `msgpack:"id" json:"id"`
-	Tasks   int               `msgpack:"tasks" json:"tasks"`
-	CPUs    float64           `msgpack:"cpus" json:"cpus"`
-	MemGB   float64           `msgpack:"mem_gb" json:"mem_gb"`
-	Command []string          `msgpack:"command" json:"command"` // {task} stands for the task's number
-	Env     map[string]string `msgpack:"env,omitempty" json:"env,omitempty"`
-	Dir     string            `msgpack:"workdir,omitempty" json:"workdir,omitempty"` // empty: a directory of the attempt's own
-	Retries int               `msgpack:"retries,omitempty" json:"retries,omitempty"` // on the spot, after an exit that is not 0
-	Save    float64           `msgpack:"save_s,omitempty" json:"save_s,omitempty"`   // seconds that a stopped task needs to save; 0: it cannot
+// Spec is what the tasks of a job run, as its user uploaded it.
+type Spec struct {
+	JobID    string            `msgpack:"id" json:"id"`
+	Tasks    int               `msgpack:"tasks" json:"tasks"`
+	CPUs     float64           `msgpack:"cpus" json:"cpus"` // of each task
+	MemoryGB float64           `msgpack:"mem_gb" json:"mem_gb"`
+	Command  []string          `msgpack:"command" json:"command"` // {task} stands for the task's index
+	Env      map[string]string `msgpack:"env,omitempty" json:"env,omitempty"`
+	// WorkingDir is empty for a directory of the attempt's own.
+	WorkingDir string `msgpack:"workdir,omitempty" json:"workdir,omitempty"`
+	// Retries is how often a task that exits with a status other than 0 is run again before that is reported.
+	Retries int `msgpack:"retries,omitempty" json:"retries,omitempty"`
+	// CheckpointSeconds is the time that a stopped task needs to save a checkpoint; 0: it cannot.
+	CheckpointSeconds float64 `msgpack:"save_s,omitempty" json:"save_s,omitempty"`
 }
 
-// Input is what the State is told: exactly one field is set, or none for the mere passing of time.
+// Input is an event for the State. Exactly one field is set.
 type Input struct {
-	Assigned  *Assigned
-	Answered  *Answered
-	Direct    *Direct
-	Described *Described
-	Ended     *Ended
-	Cleared   *Cleared
+	Assigned     *Assigned
+	Answered     *Answered
+	Direct       *Direct
+	Described    *Described
+	Ended        *Ended
+	TasksRemoved *TasksRemoved
 }
 
-// Assigned says which machine this is at present: empty for none. Notice says that it is to be emptied.
+// Assigned says which machine this worker is.
 type Assigned struct {
-	Machine string
-	Notice  bool
-	Serial  uint64
+	Machine        string // empty: none
+	HasDrainNotice bool   // the machine is to be drained
+	Serial         uint64 // of the assignment, from the machine pool
 }
 
-// Answered is what came of a report. Status 0: nothing did.
+// Answered is the outcome of a heartbeat. Status is the HTTP status, 0 if there was no response.
 type Answered struct {
 	Status int
 	Body   []byte
 }
 
-// Direct is a request at the worker's own address.
+// Direct is a request to the worker's own address.
 type Direct struct {
-	Ref      any
-	Commands bool // not a mere look
-	Body     []byte
+	Handle      any  // the Runtime's own; the Reply has the same
+	HasCommands bool // false: only the status is asked for
+	Body        []byte
 }
 
-// Described is a job's description. Status 0: it could not be asked for.
+// Described is the outcome of a request for a job's Spec. Status is the HTTP status, 0 if there was no response.
 type Described struct {
 	Task    string
 	Attempt uint64
 	Status  int
 	Body    []byte
-	Done    bool // the task's result is kept here already
+	IsDone  bool // the task's result is stored here already, so that it need not run
 }
 
-// Ended is the end of a task, when nothing of it is left on the machine and its result is kept.
+// Ended says that an attempt has exited: nothing of it is left on the machine, and its result is stored.
 type Ended struct {
-	Task    string
-	Attempt uint64
-	Failed  bool // it could not be run, or its result not be kept: the machine's fault
-	Halted  bool // it was stopped before its result was there
-	Saved   bool // it ended by itself within the time that it had to save
+	Task            string
+	Attempt         uint64
+	Failed          bool // it could not be run, or its result not be stored: the machine's fault
+	Stopped         bool // it was stopped before it had a result
+	CheckpointSaved bool // it exited by itself within the time that it had to save a checkpoint
 }
 
-// Cleared says that nothing is left of the tasks of a session.
-type Cleared struct{ Epoch uint64 }
+// TasksRemoved says that nothing is left of the tasks that Effects.ClearEpoch was to end.
+type TasksRemoved struct{ Epoch uint64 }
 
-// Effects are what a step wants done.
+// Effects are what the Runtime has to do after a step, in the order of the fields.
 type Effects struct {
-	Replies  []Reply
-	Report   *Sending
-	Describe []Launch
-	Launch   []Launch
-	Stop     []Stop
-	Clear    *uint64 // everything is to be ended, for this epoch
+	Replies      []Reply
+	Stops        []Stop
+	Launches     []Launch
+	ClearEpoch   *uint64 // end all tasks, then report TasksRemoved with this epoch
+	SpecRequests []Launch
+	Heartbeat    *OutgoingHeartbeat
 }
 
-// Reply answers a request at the worker's own address.
+// Reply answers a request to the worker's own address.
 type Reply struct {
-	Ref    any
+	Handle any
 	Status int
 	Body   workerapi.Heartbeat
 }
 
-// Sending is a report on its way to a controller.
-type Sending struct {
+// OutgoingHeartbeat is a heartbeat to be sent to a controller's address.
+type OutgoingHeartbeat struct {
 	To   string
 	Body workerapi.Heartbeat
 }
 
-// Launch is a task to be described, or started.
+// Launch is an attempt to be started, or without a Spec one whose Spec is to be requested.
 type Launch struct {
-	Task        string
-	Attempt     uint64
-	Description *Description
+	Task    string
+	Attempt uint64
+	Spec    *Spec
 }
 
-// Stop ends a task: with a signal and some time to save, or at once.
+// Stop ends an attempt: with a signal and some time to save a checkpoint, or at once if Grace is 0.
 type Stop struct {
 	Task    string
 	Attempt uint64
--- a/internal/site/agent/runner.go
+++ b/internal/site/agent/runner.go
@@ -45,14 +45,14 @@
 	ended   func(e Ended, failed bool) // failed: the pool is to be told of its result
 
 	mu    sync.Mutex
-	procs map[key]*taskProcess
+	procs map[attemptKey]*taskProcess
 	sweep chan *taskProcess
 }
 
 // taskProcess is a task's, from its launch until nothing of it is left.
 type taskProcess struct {
-	key
-	desc    *Description
+	attemptKey
+	desc    *Spec
 	group   int
 	stopped bool // it was told to stop
 	killed  bool
@@ -61,7 +61,7 @@
 
 // newRunner ends what an earlier process of this worker has left, and makes a new one.
 func newRunner(dir string, as *syscall.Credential, log *slog.Logger, ended func(e Ended, failed bool)) (*Runner, error) {
-	r := &Runner{dir: dir, as: as, log: log, ended: ended, procs: map[key]*taskProcess{}, sweep: make(chan *taskProcess, 1024)}
+	r := &Runner{dir: dir, as: as, log: log, ended: ended, procs: map[attemptKey]*taskProcess{}, sweep: make(chan *taskProcess, 1024)}
 	for _, sub := range []string{"running", "work", "save"} {
 		if err := os.MkdirAll(filepath.Join(dir, sub), 0o755); err != nil {
 			return nil, fmt.Errorf("worker's directory: %w", err)
@@ -108,17 +108,17 @@
 	return nil
 }
 
-func (k key) file() string {
-	return strings.ReplaceAll(k.name, "/", ".") + "." + strconv.FormatUint(k.attempt, 10)
+func (k attemptKey) file() string {
+	return strings.ReplaceAll(k.task, "/", ".") + "." + strconv.FormatUint(k.number, 10)
 }
 
-func (k key) mark() string { return fmt.Sprintf("GULLRUDDER_ATTEMPT=%s#%d", k.name, k.attempt) }
+func (k attemptKey) mark() string { return fmt.Sprintf("GULLRUDDER_ATTEMPT=%s#%d", k.task, k.number) }
 
 // Launch starts a task; what becomes of it is told through ended.
 func (r *Runner) Launch(l Launch) {
-	p := &taskProcess{key: key{l.Task, l.Attempt}, desc: l.Description, gone: make(chan struct{})}
+	p := &taskProcess{attemptKey: attemptKey{l.Task, l.Attempt}, desc: l.Spec, gone: make(chan struct{})}
 	r.mu.Lock()
-	r.procs[p.key] = p
+	r.procs[p.attemptKey] = p
 	r.mu.Unlock()
 	go r.run(p)
 }
@@ -135,26 +135,26 @@
 	}
 	r.sweep <- p
 	<-p.gone
-	e := Ended{Task: p.name, Attempt: p.attempt}
+	e := Ended{Task: p.task, Attempt: p.number}
 	r.mu.Lock()
 	stopped, killed := p.stopped, p.killed
-	delete(r.procs, p.key)
+	delete(r.procs, p.attemptKey)
 	r.mu.Unlock()
 	switch {
 	case err == nil && stopped && (!killed || res.Exit > 128 || p.group == 0):
 		// What ends by itself in the time that it had has saved: it goes on from there another time.
-		e.Halted, e.Saved = true, !killed
+		e.Stopped, e.CheckpointSaved = true, !killed
 	case err == nil:
 		err = r.results.keep(res)
 	}
 	if err != nil {
-		r.log.Error("a task could not be run, or its result not be kept", "task", p.name, "attempt", p.attempt, "error", err)
+		r.log.Error("a task could not be run, or its result not be kept", "task", p.task, "attempt", p.number, "error", err)
 		e.Failed = true
 	}
 	if err := os.Remove(filepath.Join(r.dir, "running", p.file())); err != nil && !errors.Is(err, os.ErrNotExist) {
-		r.log.Error("a record of a task stays", "task", p.name, "error", err)
+		r.log.Error("a record of a task stays", "task", p.task, "error", err)
 	}
-	r.ended(e, !e.Halted && !e.Failed && res.Exit != 0)
+	r.ended(e, !e.Stopped && !e.Failed && res.Exit != 0)
 }
 
 func (r *Runner) wasStopped(p *taskProcess) bool {
@@ -165,9 +165,9 @@
 
 // once runs the command. An error is this machine's fault; the user's are in the result.
 func (r *Runner) once(p *taskProcess) (Result, error) {
-	job, num, _ := strings.Cut(p.name, "/")
-	res := Result{Task: p.name, Attempt: p.attempt, Began: time.Now()}
-	home := filepath.Join(r.dir, "work", job, num+"."+strconv.FormatUint(p.attempt, 10))
+	job, num, _ := strings.Cut(p.task, "/")
+	res := Result{Task: p.task, Attempt: p.number, Began: time.Now()}
+	home := filepath.Join(r.dir, "work", job, num+"."+strconv.FormatUint(p.number, 10))
 	save := filepath.Join(r.dir, "save", job, num)
 	for _, dir := range []string{home, save} {
 		if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -196,8 +196,8 @@
 	cmd := exec.Command(args[0], args[1:]...)
 	cmd.Stdout, cmd.Stderr = out, errs
 	cmd.Dir = home
-	if p.desc.Dir != "" {
-		cmd.Dir = strings.ReplaceAll(p.desc.Dir, "{task}", num)
+	if p.desc.WorkingDir != "" {
+		cmd.Dir = strings.ReplaceAll(p.desc.WorkingDir, "{task}", num)
 	}
 	cmd.Env = []string{
 		r.mark, p.mark(), "GULLRUDDER_JOB=" + job, "GULLRUDDER_TASK=" + num, "GULLRUDDER_SAVE=" + save,
@@ -243,7 +243,7 @@
 	p.group = cmd.Process.Pid
 	id, err := process.Identify(p.group)
 	if err != nil {
-		r.log.Debug("a task ended at once", "task", p.name)
+		r.log.Debug("a task ended at once", "task", p.task)
 		return nil
 	}
 	raw, err := json.Marshal(id)
@@ -251,19 +251,19 @@
 		err = os.WriteFile(filepath.Join(r.dir, "running", p.file()), raw, 0o600)
 	}
 	if err != nil { // its mark is there still
-		r.log.Error("a task runs without a record", "task", p.name, "error", err)
+		r.log.Error("a task runs without a record", "task", p.task, "error", err)
 	}
 	limits := map[int]uint64{unix.RLIMIT_CORE: 0, unix.RLIMIT_NOFILE: mostFiles, unix.RLIMIT_FSIZE: mostOutput}
-	if p.desc.MemGB > 0 {
-		limits[unix.RLIMIT_DATA] = uint64(p.desc.MemGB * (1 << 30))
+	if p.desc.MemoryGB > 0 {
+		limits[unix.RLIMIT_DATA] = uint64(p.desc.MemoryGB * (1 << 30))
 	}
 	for which, most := range limits {
 		if err := unix.Prlimit(p.group, which, &unix.Rlimit{Cur: most, Max: most}, nil); err != nil && !errors.Is(err, unix.ESRCH) {
-			r.log.Error("a limit of a task is not set", "task", p.name, "limit", which, "error", err)
+			r.log.Error("a limit of a task is not set", "task", p.task, "limit", which, "error", err)
 		}
 	}
 	if err := unix.Setpriority(unix.PRIO_PROCESS, p.group, nice); err != nil && !errors.Is(err, unix.ESRCH) {
-		r.log.Debug("a task is not set back", "task", p.name, "error", err)
+		r.log.Debug("a task is not set back", "task", p.task, "error", err)
 	}
 	return nil
 }
@@ -271,7 +271,7 @@
 // Stop has a task save and end, or ends it at once.
 func (r *Runner) Stop(s Stop) {
 	r.mu.Lock()
-	p := r.procs[key{s.Task, s.Attempt}]
+	p := r.procs[attemptKey{s.Task, s.Attempt}]
 	if p == nil {
 		r.mu.Unlock()
 		return
@@ -290,7 +290,7 @@
 	r.signal(group, syscall.SIGTERM)
 	time.AfterFunc(s.Grace, func() {
 		r.mu.Lock()
-		still := r.procs[p.key] == p
+		still := r.procs[p.attemptKey] == p
 		p.killed = p.killed || still
 		r.mu.Unlock()
 		if still {
--- a/internal/site/agent/runner_test.go
+++ b/internal/site/agent/runner_test.go
@@ -29,7 +29,7 @@
 	return s
 }
 
-func (s *shop) launch(task, script string, d Description) {
+func (s *shop) launch(task, script string, d Spec) {
 	d.Command = []string{"sh", "-c", script}
 	s.r.Launch(Launch{task, 1, &d})
 }
@@ -52,28 +52,28 @@
 	number := 0
 	for name, c := range map[string]struct {
 		script string
-		desc   Description
+		desc   Spec
 		stop   func(task, ready string)
 		want   Ended
 		kept   int // the exit that is kept; -1: none
 		reason string
 	}{
-		"done":     {"exit 0", Description{}, nil, Ended{}, 0, ""},
-		"fails":    {"echo {task} oops >&2; exit 3", Description{Retries: 2}, nil, Ended{}, 3, "exit status 3"},
-		"signal":   {"kill -SEGV $$", Description{}, nil, Ended{}, 128 + int(syscall.SIGSEGV), "segmentation fault"},
-		"no place": {"exit 0", Description{Dir: dir + "/none"}, nil, Ended{}, 127, "no such file"},
-		"killed": {": > READY; sleep 300", Description{}, func(task, ready string) {
+		"done":     {"exit 0", Spec{}, nil, Ended{}, 0, ""},
+		"fails":    {"echo {task} oops >&2; exit 3", Spec{Retries: 2}, nil, Ended{}, 3, "exit status 3"},
+		"signal":   {"kill -SEGV $$", Spec{}, nil, Ended{}, 128 + int(syscall.SIGSEGV), "segmentation fault"},
+		"no place": {"exit 0", Spec{WorkingDir: dir + "/none"}, nil, Ended{}, 127, "no such file"},
+		"killed": {": > READY; sleep 300", Spec{}, func(task, ready string) {
 			s.running(ready)
 			s.r.Stop(Stop{task, 1, 0})
-		}, Ended{Halted: true}, -1, ""},
-		"saves": {"trap 'exit 0' TERM; : > READY; while :; do sleep 0.02; done", Description{Save: 1}, func(task, ready string) {
+		}, Ended{Stopped: true}, -1, ""},
+		"saves": {"trap 'exit 0' TERM; : > READY; while :; do sleep 0.02; done", Spec{CheckpointSeconds: 1}, func(task, ready string) {
 			s.running(ready)
 			s.r.Stop(Stop{task, 1, time.Hour})
-		}, Ended{Halted: true, Saved: true}, -1, ""},
-		"does not save in time": {"trap '' TERM; : > READY; while :; do sleep 0.02; done", Description{Save: 1}, func(task, ready string) {
+		}, Ended{Stopped: true, CheckpointSaved: true}, -1, ""},
+		"does not save in time": {"trap '' TERM; : > READY; while :; do sleep 0.02; done", Spec{CheckpointSeconds: 1}, func(task, ready string) {
 			s.running(ready)
 			s.r.Stop(Stop{task, 1, 50 * time.Millisecond})
-		}, Ended{Halted: true}, -1, ""},
+		}, Ended{Stopped: true}, -1, ""},
 	} {
 		number++
 		task := fmt.Sprintf("job-%d/7", number)
@@ -110,8 +110,8 @@
 func TestWhatAnEarlierWorkerLeft(t *testing.T) {
 	dir := t.TempDir()
 	first := newShop(t, dir+"/worker")
-	first.launch("job-1/0", "exec env -i sh -c ': > "+dir+"/a; sleep 300'", Description{})
-	first.launch("job-1/1", "(setsid sleep 300 &); : > "+dir+"/b; sleep 300", Description{})
+	first.launch("job-1/0", "exec env -i sh -c ': > "+dir+"/a; sleep 300'", Spec{})
+	first.launch("job-1/1", "(setsid sleep 300 &); : > "+dir+"/b; sleep 300", Spec{})
 	first.running(dir + "/a")
 	first.running(dir + "/b")
 	if _, err := newRunner(dir+"/worker", nil, slog.New(slog.DiscardHandler), func(Ended, bool) {}); err == nil {
--- a/internal/site/agent/runtime.go
+++ b/internal/site/agent/runtime.go
@@ -150,7 +150,7 @@
 		q.Respond(200, nil, 0)
 	case path == "/status" && q.Method == http.MethodGet, path == "/commands" && q.Method == http.MethodPost:
 		select {
-		case r.queue <- Input{Direct: &Direct{Ref: q, Commands: path == "/commands", Body: q.Body}}:
+		case r.queue <- Input{Direct: &Direct{Handle: q, HasCommands: path == "/commands", Body: q.Body}}:
 		default:
 			q.Respond(503, nil, time.Second)
 		}
@@ -187,28 +187,28 @@
 			r.log.Error("a report cannot be encoded", "error", err)
 			continue
 		}
-		if q, ok := p.Ref.(*http1.Request); ok {
+		if q, ok := p.Handle.(*http1.Request); ok {
 			q.Respond(p.Status, raw, 0)
 		}
 	}
-	for _, s := range e.Stop {
+	for _, s := range e.Stops {
 		r.runner.Stop(s)
 	}
-	for _, l := range e.Launch {
+	for _, l := range e.Launches {
 		r.runner.Launch(l)
 	}
-	if e.Clear != nil {
-		epoch := *e.Clear
+	if e.ClearEpoch != nil {
+		epoch := *e.ClearEpoch
 		go func() {
 			r.runner.Clear()
-			r.queue <- Input{Cleared: &Cleared{epoch}}
+			r.queue <- Input{TasksRemoved: &TasksRemoved{epoch}}
 			r.wake()
 		}()
 	}
-	for _, l := range e.Describe {
+	for _, l := range e.SpecRequests {
 		go func() { r.queue <- Input{Described: r.describe(l, calls)} }()
 	}
-	if s := e.Report; s != nil {
+	if s := e.Heartbeat; s != nil {
 		go func() { r.queue <- Input{Answered: r.send(s, reports)} }()
 	}
 }
@@ -218,7 +218,7 @@
 	d := &Described{Task: l.Task, Attempt: l.Attempt}
 	switch _, err := r.runner.results.get(l.Task); {
 	case err == nil:
-		d.Done = true
+		d.IsDone = true
 		return d
 	case !errors.Is(err, errUnknown):
 		r.log.Error("a result cannot be read", "task", l.Task, "error", err)
@@ -252,13 +252,13 @@
 	return d
 }
 
-func (r *Runtime) send(s *Sending, client *http1.Client) *Answered {
+func (r *Runtime) send(s *OutgoingHeartbeat, client *http1.Client) *Answered {
 	raw, err := codec.Marshal(s.Body)
 	if err != nil {
 		r.log.Error("a report cannot be encoded", "error", err)
 		return &Answered{}
 	}
-	msg, err := client.Do(s.To, "POST", "/v1/report", raw, patience)
+	msg, err := client.Do(s.To, "POST", "/v1/report", raw, responseTimeout)
 	if err != nil {
 		r.log.Debug("a report is not answered", "to", s.To, "error", err)
 		return &Answered{}
@@ -286,8 +286,8 @@
 	name, applied := r.state.Machine()
 	r.mu.Lock()
 	r.seen = Greeting{
-		Name: r.place.Name, Addr: r.opt.Addr, Type: r.opt.Type, Zone: r.opt.Zone, CPUs: r.opt.CPUs, MemGB: r.opt.MemGB,
-		Epoch: r.epoch, Holding: name, Applied: applied, Busy: r.state.Busy(),
+		Name: r.place.Name, Addr: r.opt.Addr, Type: r.opt.Type, Zone: r.opt.Zone, CPUs: r.opt.CPUs, MemGB: r.opt.MemoryGB,
+		Epoch: r.epoch, Holding: name, Applied: applied, Busy: r.state.ActiveTasks(),
 	}
 	r.mu.Unlock()
 }
--- a/internal/site/agent/state_test.go
+++ b/internal/site/agent/state_test.go
@@ -9,53 +9,55 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// bench is a worker's state with what the world around it does.
+// bench is a worker's State with a clock and the tasks that run.
 type bench struct {
 	*testing.T
-	s       *State
+	state   *State
 	now     time.Time
 	last    Effects
 	running map[string]bool
 }
 
-func fresh(t *testing.T) *bench {
+// newBench returns the bench of a worker that is machine vm-1, in its first incarnation.
+func newBench(t *testing.T) *bench {
+	t.Helper()
 	b := &bench{T: t, now: time.Unix(1000, 0), running: map[string]bool{}}
-	b.s = New(Options{
-		Addr: "w:1", Type: "t", Zone: "z", CPUs: 4, MemGB: 8, Controllers: map[string]string{"a": "a:1", "b": "b:1"},
-		Report: 2 * time.Second, Lease: 10 * time.Second,
+	b.state = New(Options{
+		Addr: "w:1", Type: "t", Zone: "z", CPUs: 4, MemoryGB: 8, Controllers: map[string]string{"a": "a:1", "b": "b:1"},
+		HeartbeatInterval: 2 * time.Second, LeaseDuration: 10 * time.Second,
 	})
-	b.do(Input{Assigned: &Assigned{Machine: "vm-1", Serial: 1}})
-	b.clear()
+	b.step(Input{Assigned: &Assigned{Machine: "vm-1", Serial: 1}})
+	b.finishClearing()
 	return b
 }
 
-func (b *bench) do(list ...Input) Effects {
-	b.last = b.s.Step(b.now, list)
-	for _, l := range b.last.Launch {
-		if b.running[l.Task] {
-			b.Fatalf("%s runs twice", l.Task)
+func (b *bench) step(inputs ...Input) Effects {
+	b.last = b.state.Step(b.now, inputs)
+	for _, launch := range b.last.Launches {
+		if b.running[launch.Task] {
+			b.Fatalf("%s runs twice", launch.Task)
 		}
-		b.running[l.Task] = true
+		b.running[launch.Task] = true
 	}
 	return b.last
 }
 
-// clear has whatever the state wants ended be gone.
-func (b *bench) clear() {
+// finishClearing ends the tasks that the last step wanted cleared.
+func (b *bench) finishClearing() {
 	b.Helper()
-	if b.last.Clear == nil {
+	if b.last.ClearEpoch == nil {
 		b.Fatal("nothing is to be cleared")
 	}
 	b.running = map[string]bool{}
-	b.do(Input{Cleared: &Cleared{*b.last.Clear}})
+	b.step(Input{TasksRemoved: &TasksRemoved{*b.last.ClearEpoch}})
 }
 
-func (b *bench) wait(d time.Duration) Effects {
-	b.now = b.now.Add(d)
-	return b.do()
+func (b *bench) advance(duration time.Duration) Effects {
+	b.now = b.now.Add(duration)
+	return b.step()
 }
 
-func (b *bench) pack(v any) []byte {
+func (b *bench) marshal(v any) []byte {
 	raw, err := codec.Marshal(v)
 	if err != nil {
 		b.Fatal(err)
@@ -67,199 +69,240 @@
 	return map[string]any{"call": "start", "stroke": task, "launch": attempt}
 }
 
-func kill(task string, attempt int, ease float64) map[string]any {
-	return map[string]any{"call": "kill", "stroke": task, "launch": attempt, "ease_s": ease}
+// kill is the command to kill the first attempt of a task.
+func kill(task string, graceSeconds float64) map[string]any {
+	return map[string]any{"call": "kill", "stroke": task, "launch": 1, "ease_s": graceSeconds}
 }
 
 func forget(task string, attempt int) map[string]any {
 	return map[string]any{"call": "forget", "stroke": task, "launch": attempt}
 }
 
-// answer answers the report that is on its way.
-func (b *bench) answer(status int, body map[string]any) Effects {
-	return b.do(Input{Answered: &Answered{status, b.pack(body)}})
+// respond responds to the heartbeat that was sent last.
+func (b *bench) respond(status int, body map[string]any) Effects {
+	return b.step(Input{Answered: &Answered{status, b.marshal(body)}})
 }
 
-// direct gives commands at the worker's own address and returns the answer.
-func (b *bench) direct(token, session int, calls ...any) Reply {
-	e := b.do(Input{Direct: &Direct{Commands: true, Body: b.pack(map[string]any{"helm": token, "watch": session, "calls": calls})}})
-	if len(e.Replies) != 1 {
-		b.Fatalf("%d answers", len(e.Replies))
+// sendCommands sends commands to the worker's own address and returns its reply.
+func (b *bench) sendCommands(fencingToken, incarnation int, commands ...any) Reply {
+	body := b.marshal(map[string]any{"helm": fencingToken, "watch": incarnation, "calls": commands})
+	effects := b.step(Input{Direct: &Direct{HasCommands: true, Body: body}})
+	if len(effects.Replies) != 1 {
+		b.Fatalf("%d replies", len(effects.Replies))
 	}
-	return e.Replies[0]
+	return effects.Replies[0]
 }
 
-// describe answers all questions for descriptions.
-func (b *bench) describe(e Effects, d Description) Effects {
-	var list []Input
-	for _, l := range e.Describe {
-		list = append(list, Input{Described: &Described{Task: l.Task, Attempt: l.Attempt, Status: 200, Body: b.pack(d)}})
+// provideSpecs answers all requests for a Spec.
+func (b *bench) provideSpecs(effects Effects, spec Spec) {
+	var inputs []Input
+	for _, request := range effects.SpecRequests {
+		described := &Described{Task: request.Task, Attempt: request.Attempt, Status: 200, Body: b.marshal(spec)}
+		inputs = append(inputs, Input{Described: described})
 	}
-	return b.do(list...)
+	b.step(inputs...)
 }
 
-func (b *bench) shown() string {
-	s := ""
-	for _, t := range b.s.sorted() {
-		s += fmt.Sprintf("%s#%d %s %s;", t.name, t.attempt, t.state, t.why)
+// attempts lists all attempts with their states and reasons.
+func (b *bench) attempts() string {
+	text := ""
+	for _, attempt := range b.state.sortedTasks() {
+		text += fmt.Sprintf("%s#%d %s %s;", attempt.task, attempt.number, attempt.state, attempt.reason)
 	}
-	return s
+	return text
 }
 
-// The protocol's worker: what start, kill and forget do to a task in each state.
-func TestCommands(t *testing.T) {
-	desc := Description{Job: "job-1", Tasks: 9, CPUs: 2, MemGB: 1, Command: []string{"x"}, Save: 3}
-	for name, c := range map[string]struct {
-		calls []any // after job-1/0 #1 runs
-		after func(b *bench)
-		want  string
-	}{
-		"again":                {[]any{start("job-1/0", 1)}, nil, "job-1/0#1 running ;"},
-		"another attempt":      {[]any{start("job-1/0", 2)}, nil, "job-1/0#1 running ;job-1/0#2 exited in_use;"},
-		"refusal forgotten":    {[]any{start("job-1/0", 2), forget("job-1/0", 2)}, nil, "job-1/0#1 running ;"},
+// commandCase is what commands do while attempt 1 of job-1/0 runs.
+type commandCase struct {
+	commands []any
+	after    func(bench *bench) // what happens then
+	want     string             // as bench.attempts lists it
+}
+
+// commandCases returns the cases by name. job-1 has the Spec.
+func commandCases(spec Spec) map[string]commandCase {
+	ended := func(ended Ended) func(*bench) {
+		ended.Task, ended.Attempt = "job-1/0", 1
+		return func(bench *bench) { bench.step(Input{Ended: &ended}) }
+	}
+	described := func(described Described) func(*bench) {
+		described.Attempt = 1
+		return func(bench *bench) { bench.step(Input{Described: &described}) }
+	}
+	specsProvided := func(bench *bench) { bench.provideSpecs(bench.last, spec) }
+	return map[string]commandCase{
+		"again":           {[]any{start("job-1/0", 1)}, nil, "job-1/0#1 running ;"},
+		"another attempt": {[]any{start("job-1/0", 2)}, nil, "job-1/0#1 running ;job-1/0#2 exited in_use;"},
+		"refusal forgotten": {
+			[]any{start("job-1/0", 2), forget("job-1/0", 2)}, nil, "job-1/0#1 running ;",
+		},
 		"forget what runs":     {[]any{forget("job-1/0", 1)}, nil, "job-1/0#1 running ;"},
-		"kill at once":         {[]any{kill("job-1/0", 1, 0)}, nil, "job-1/0#1 running ;"}, // it holds its place until it is gone
-		"kill and gone":        {[]any{kill("job-1/0", 1, 0)}, func(b *bench) { b.do(Input{Ended: &Ended{Task: "job-1/0", Attempt: 1, Halted: true}}) }, "job-1/0#1 exited halted;"},
-		"done before the kill": {[]any{kill("job-1/0", 1, 0)}, func(b *bench) { b.do(Input{Ended: &Ended{Task: "job-1/0", Attempt: 1}}) }, "job-1/0#1 exited done;"},
-		"time to save":         {[]any{kill("job-1/0", 1, 3)}, nil, "job-1/0#1 flushing ;"},
-		"too little time":      {[]any{kill("job-1/0", 1, 2)}, nil, "job-1/0#1 running ;"},
-		"the machine's fault":  {nil, func(b *bench) { b.do(Input{Ended: &Ended{Task: "job-1/0", Attempt: 1, Failed: true}}) }, "job-1/0#1 exited error;"},
-		"no such task":         {[]any{start("job-1/9", 1)}, func(b *bench) { b.describe(b.last, desc) }, "job-1/0#1 running ;job-1/9#1 exited no_such;"},
-		"no room":              {[]any{start("job-1/1", 1), start("job-1/2", 1)}, func(b *bench) { b.describe(b.last, desc) }, "job-1/0#1 running ;job-1/1#1 running ;job-1/2#1 exited no_room;"},
+		"kill at once":         {[]any{kill("job-1/0", 0)}, nil, "job-1/0#1 running ;"}, // it keeps its resources until it has ended
+		"killed and ended":     {[]any{kill("job-1/0", 0)}, ended(Ended{Stopped: true}), "job-1/0#1 exited halted;"},
+		"done before the kill": {[]any{kill("job-1/0", 0)}, ended(Ended{}), "job-1/0#1 exited done;"},
+		"time to save":         {[]any{kill("job-1/0", 3)}, nil, "job-1/0#1 flushing ;"},
+		"too little time":      {[]any{kill("job-1/0", 2)}, nil, "job-1/0#1 running ;"},
+		"the machine's fault":  {nil, ended(Ended{Failed: true}), "job-1/0#1 exited error;"},
+		"no such task": {
+			[]any{start("job-1/9", 1)}, specsProvided, "job-1/0#1 running ;job-1/9#1 exited no_such;",
+		},
+		"no capacity": {
+			[]any{start("job-1/1", 1), start("job-1/2", 1)},
+			specsProvided,
+			"job-1/0#1 running ;job-1/1#1 running ;job-1/2#1 exited no_room;",
+		},
 		"killed before it began": {
-			[]any{start("job-1/1", 1), kill("job-1/1", 1, 0)},
-			func(b *bench) { b.describe(b.last, desc) },
-			"job-1/0#1 running ;job-1/1#1 exited halted;",
+			[]any{start("job-1/1", 1), kill("job-1/1", 0)}, specsProvided, "job-1/0#1 running ;job-1/1#1 exited halted;",
 		},
-		"no word of the job": {[]any{start("job-2/0", 1)}, func(b *bench) {
-			b.do(Input{Described: &Described{Task: "job-2/0", Attempt: 1, Status: 404}})
-		}, "job-1/0#1 running ;job-2/0#1 exited no_such;"},
-		"kept from before": {[]any{start("job-1/1", 1)}, func(b *bench) {
-			b.do(Input{Described: &Described{Task: "job-1/1", Attempt: 1, Done: true}})
-		}, "job-1/0#1 running ;job-1/1#1 exited done;"},
-	} {
-		b := fresh(t)
-		b.wait(time.Second)
-		b.describe(b.answer(200, map[string]any{"helm": 5, "calls": []any{start("job-1/0", 1)}}), desc)
-		if !b.running["job-1/0"] {
-			t.Fatal("the first task does not run")
-		}
-		if r := b.direct(5, 1, c.calls...); r.Status != 200 {
-			t.Fatalf("%s: status %d", name, r.Status)
-		}
-		if c.after != nil {
-			c.after(b)
-		}
-		if got := b.shown(); got != c.want {
-			t.Errorf("%s:\n%s, want\n%s", name, got, c.want)
-		}
+		"no spec of the job": {
+			[]any{start("job-2/0", 1)},
+			described(Described{Task: "job-2/0", Status: 404}),
+			"job-1/0#1 running ;job-2/0#1 exited no_such;",
+		},
+		"result stored before": {
+			[]any{start("job-1/1", 1)},
+			described(Described{Task: "job-1/1", IsDone: true}),
+			"job-1/0#1 running ;job-1/1#1 exited done;",
+		},
+	}
+}
+
+// The protocol's worker: what start, kill and forget do to an attempt in each state.
+func TestCommands(t *testing.T) {
+	spec := Spec{JobID: "job-1", Tasks: 9, CPUs: 2, MemoryGB: 1, Command: []string{"x"}, CheckpointSeconds: 3}
+	for name, c := range commandCases(spec) {
+		t.Run(name, func(t *testing.T) {
+			bench := newBench(t)
+			bench.advance(time.Second)
+			bench.provideSpecs(bench.respond(200, map[string]any{"helm": 5, "calls": []any{start("job-1/0", 1)}}), spec)
+			if !bench.running["job-1/0"] {
+				t.Fatal("the first task does not run")
+			}
+			if r := bench.sendCommands(5, 1, c.commands...); r.Status != 200 {
+				t.Fatalf("status %d", r.Status)
+			}
+			if c.after != nil {
+				c.after(bench)
+			}
+			if got := bench.attempts(); got != c.want {
+				t.Errorf("%s, want %s", got, c.want)
+			}
+		})
 	}
 }
 
-// Who commands: a token that is lower or missing is dropped and does not renew the lease; another
-// session's commands are not executed; direct commands never renew it.
-func TestTokensAndLeases(t *testing.T) {
-	b := fresh(t)
-	b.wait(time.Second)
-	b.answer(200, map[string]any{"helm": 5, "calls": []any{}})
-	for name, d := range map[string]struct{ token, session, want int }{"lower": {4, 1, 409}, "other session": {5, 2, 409}, "equal": {5, 1, 200}, "higher": {6, 1, 200}} {
-		if r := b.direct(d.token, d.session); r.Status != d.want {
-			t.Errorf("%s: status %d", name, r.Status)
+// A response with a lower or without a fencing token is dropped and does not renew the lease; commands for another incarnation are
+// refused; direct commands never renew the lease.
+func TestFencingTokensAndLeases(t *testing.T) {
+	bench := newBench(t)
+	bench.advance(time.Second)
+	bench.respond(200, map[string]any{"helm": 5, "calls": []any{}})
+	for name, c := range map[string]struct{ fencingToken, incarnation, want int }{
+		"lower token":       {4, 1, 409},
+		"other incarnation": {5, 2, 409},
+		"equal token":       {5, 1, 200},
+		"higher token":      {6, 1, 200},
+	} {
+		if r := bench.sendCommands(c.fencingToken, c.incarnation); r.Status != c.want {
+			t.Errorf("%s: status %d, want %d", name, r.Status, c.want)
 		}
-		b.s.token = 5
+		bench.state.fencingToken = 5
 	}
-	if r := b.do(Input{Direct: &Direct{Commands: true, Body: b.pack(map[string]any{"watch": 1})}}).Replies[0]; r.Status != 400 {
-		t.Errorf("no token: %d", r.Status)
+	withoutToken := bench.marshal(map[string]any{"watch": 1})
+	if r := bench.step(Input{Direct: &Direct{HasCommands: true, Body: withoutToken}}).Replies[0]; r.Status != 400 {
+		t.Errorf("no token: status %d", r.Status)
 	}
-	if b.wait(2 * time.Second); !b.s.flying {
-		t.Fatal("no report is due")
+	if bench.advance(2 * time.Second); !bench.state.isAwaitingResponse {
+		t.Fatal("no heartbeat is due")
 	}
-	b.answer(200, map[string]any{"helm": 4, "calls": []any{start("job-1/0", 1)}})
-	b.answer(200, map[string]any{"calls": []any{start("job-1/0", 1)}})
-	if b.shown() != "" {
-		t.Errorf("commands of a lower token: %s", b.shown())
+	bench.respond(200, map[string]any{"helm": 4, "calls": []any{start("job-1/0", 1)}})
+	bench.respond(200, map[string]any{"calls": []any{start("job-1/0", 1)}})
+	if bench.attempts() != "" {
+		t.Errorf("commands of a lower token: %s", bench.attempts())
 	}
-	granted := b.s.granted
-	b.now = granted.Add(8900 * time.Millisecond)
-	if b.do(); b.last.Clear != nil {
-		t.Error("the lease ends early")
+	leaseRenewedAt := bench.state.leaseRenewedAt
+	bench.now = leaseRenewedAt.Add(8900 * time.Millisecond)
+	if bench.step(); bench.last.ClearEpoch != nil {
+		t.Error("the lease expires early")
 	}
-	b.wait(200 * time.Millisecond)
-	if b.last.Clear == nil {
-		t.Fatal("the lease does not end")
+	bench.advance(200 * time.Millisecond)
+	if bench.last.ClearEpoch == nil {
+		t.Fatal("the lease does not expire")
 	}
-	if r := b.direct(9, 1, start("job-1/0", 1)); r.Status != 409 {
-		t.Errorf("commands while everything is being ended: %d", r.Status)
+	if r := bench.sendCommands(9, 1, start("job-1/0", 1)); r.Status != 409 {
+		t.Errorf("commands while all tasks are being ended: status %d", r.Status)
 	}
-	if b.wait(5*time.Second).Report != nil {
-		t.Error("reports before everything has ended")
+	if bench.advance(5*time.Second).Heartbeat != nil {
+		t.Error("sends a heartbeat before all tasks have ended")
 	}
-	b.clear0()
-	if b.s.session != 2 || b.s.Busy() != 0 {
-		t.Errorf("session %d", b.s.session)
+	bench.finishPendingClearing()
+	if bench.state.incarnation != 2 || bench.state.ActiveTasks() != 0 {
+		t.Errorf("incarnation %d", bench.state.incarnation)
 	}
 }
 
-// clear0 finishes a clearing whose effect was some steps ago.
-func (b *bench) clear0() { b.do(Input{Cleared: &Cleared{b.s.epoch}}) }
+// finishPendingClearing finishes a clearing whose effect was some steps ago.
+func (b *bench) finishPendingClearing() {
+	b.step(Input{TasksRemoved: &TasksRemoved{b.state.clearEpoch}})
+}
 
-// After a sleep of the whole machine the lease is over: nothing is executed that came in meanwhile.
-func TestSleptThroughTheLease(t *testing.T) {
-	b := fresh(t)
-	b.wait(time.Second)
-	b.now = b.now.Add(time.Hour)
-	b.answer(200, map[string]any{"helm": 5, "calls": []any{start("job-1/0", 1)}})
-	if b.last.Clear == nil || b.shown() != "" {
-		t.Errorf("after an hour: clear %v, %s", b.last.Clear, b.shown())
+// After a sleep of the whole machine the lease has expired: no command is executed that arrived meanwhile.
+func TestLeaseExpiresDuringSleep(t *testing.T) {
+	bench := newBench(t)
+	bench.advance(time.Second)
+	bench.now = bench.now.Add(time.Hour)
+	bench.respond(200, map[string]any{"helm": 5, "calls": []any{start("job-1/0", 1)}})
+	if bench.last.ClearEpoch == nil || bench.attempts() != "" {
+		t.Errorf("after an hour: clear %v, %s", bench.last.ClearEpoch, bench.attempts())
 	}
 }
 
-// What a worker becomes, it becomes only once nothing is left of what it was.
-func TestAnotherMachine(t *testing.T) {
-	b := fresh(t)
-	b.do(Input{Assigned: &Assigned{Machine: "vm-2", Serial: 2}})
-	if name, applied := b.s.Machine(); name != "vm-1" || applied != 2 {
+// A worker becomes another machine only once all tasks of the former one have ended.
+func TestMachineIsReassignedOnceTasksAreRemoved(t *testing.T) {
+	bench := newBench(t)
+	bench.step(Input{Assigned: &Assigned{Machine: "vm-2", Serial: 2}})
+	if name, applied := bench.state.Machine(); name != "vm-1" || applied != 2 {
 		t.Errorf("%s, %d before it is cleared", name, applied)
 	}
-	b.do(Input{Assigned: &Assigned{Serial: 3}})
-	b.clear0()
-	if name, _ := b.s.Machine(); name != "" {
+	bench.step(Input{Assigned: &Assigned{Serial: 3}})
+	bench.finishPendingClearing()
+	if name, _ := bench.state.Machine(); name != "" {
 		t.Errorf("%s after it was taken away meanwhile", name)
 	}
-	if b.wait(time.Minute).Report != nil {
-		t.Error("reports as no machine")
+	if bench.advance(time.Minute).Heartbeat != nil {
+		t.Error("sends a heartbeat as no machine")
 	}
 }
 
-// A controller that does not answer, or names another, is left; reports never come in quick succession.
-func TestWhereReportsGo(t *testing.T) {
-	b := fresh(t)
-	to := func() string {
-		b.Helper()
+// Without a response, or after a redirect, heartbeats go to another controller, and never in quick succession.
+func TestHeartbeatDestination(t *testing.T) {
+	bench := newBench(t)
+	destination := func() string {
+		bench.Helper()
 		for range 100 {
-			if b.s.flying {
-				return b.s.opt.Controllers[b.s.names[b.s.at]]
+			if bench.state.isAwaitingResponse {
+				return bench.state.options.Controllers[bench.state.controllers[bench.state.current]]
 			}
-			b.wait(50 * time.Millisecond)
+			bench.advance(50 * time.Millisecond)
 		}
 		return "nowhere"
 	}
-	if got := to(); got != "a:1" {
-		t.Fatalf("first to %s", got)
+	if got := destination(); got != "a:1" {
+		t.Fatalf("the first goes to %s", got)
 	}
-	b.answer(421, map[string]any{"flagship": "b"})
-	if got := to(); got != "b:1" {
-		t.Errorf("sent on to %s", got)
+	bench.respond(421, map[string]any{"flagship": "b"})
+	if got := destination(); got != "b:1" {
+		t.Errorf("after a redirect: to %s", got)
 	}
-	sent := b.now
-	b.do(Input{Answered: &Answered{}})
-	if got := to(); got != "a:1" || b.now.Sub(sent) < time.Second {
-		t.Errorf("after no answer to %s, %v later", got, b.now.Sub(sent))
+	sent := bench.now
+	bench.step(Input{Answered: &Answered{}})
+	if got := destination(); got != "a:1" || bench.now.Sub(sent) < time.Second {
+		t.Errorf("without a response: to %s, %v later", got, bench.now.Sub(sent))
 	}
 }
 
-// What a worker tells the pool passes its check, failures too: once these were sent as binary, and from
-// the first failure on the pool refused every greeting.
+// What a worker sends to the machine pool passes its validation, failures too: once these were sent as binary, and from the first
+// failure on the pool refused every message.
 func TestGreetingIsReadable(t *testing.T) {
 	raw, err := json.Marshal(Result{Task: "job-1/0", Exit: 3, Tail: "oops \x00 \xff"})
 	if err != nil {
