--- a/internal/controller/failover/probe.go
+++ b/internal/controller/failover/probe.go
@@ -10,6 +10,7 @@
 	"gullrudder/internal/controller/worker/reachability"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/workerapi"
 )
 
 const (
@@ -108,10 +109,10 @@
 		Addr:        machine.Addr,
 		Method:      http.MethodPost,
 		Path:        "/commands",
-		Body: worker.DirectCommands{
+		Body: workerapi.DirectCommands{
 			FencingToken: p.fencingToken,
 			Incarnation:  options.incarnation,
-			Commands:     []worker.Command{},
+			Commands:     []workerapi.Command{},
 		},
 		Timeout: probeTimeout,
 		Done: func(now time.Time, result client.Result) {
@@ -133,7 +134,7 @@
 	options probeOptions,
 	result client.Result,
 ) {
-	var state worker.Heartbeat
+	var state workerapi.Heartbeat
 	refused := result.Status == http.StatusConflict
 	answered := (result.Status == http.StatusOK || refused) && codec.Unmarshal(result.Body, &state) == nil && state.Machine == machine.ID
 	if !answered {
--- a/internal/controller/placement/fixture_test.go
+++ b/internal/controller/placement/fixture_test.go
@@ -14,6 +14,7 @@
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/testseed"
 	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/workerapi"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
@@ -74,11 +75,11 @@
 
 // observeHeartbeat observes a heartbeat with exactly the tasks that the machine has, all of them running.
 func (f *fixture) observeHeartbeat(machine *worker.Machine) {
-	heartbeat := &worker.Heartbeat{
+	heartbeat := &workerapi.Heartbeat{
 		Machine: machine.ID, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Incarnation: 1, Sequence: machine.Sequence + 1,
 	}
 	for _, attempt := range machine.Attempts {
-		status := worker.TaskStatus{Task: attempt.Task.String(), Attempt: attempt.Number, State: worker.StateRunning}
+		status := workerapi.TaskStatus{Task: attempt.Task.String(), Attempt: attempt.Number, State: workerapi.StateRunning}
 		heartbeat.Tasks = append(heartbeat.Tasks, status)
 	}
 	f.workers.Reconcile(f.now, machine, heartbeat, true, func(id string) *jobs.Job { return f.jobs[id] })
