--- a/internal/controller/autoscaler/scaler.go
+++ b/internal/controller/autoscaler/scaler.go
@@ -250,7 +250,7 @@
 	for _, o := range opts {
 		if asked[o.kind] > 0 {
 			d.zones.RecordRequest(now, o.kind.Zone, asked[o.kind])
-			d.cloud.RequestInstances(now, o.kind, asked[o.kind])
+			d.cloud.RequestInstances(o.kind, asked[o.kind])
 		}
 	}
 }
--- a/internal/controller/autoscaler/terminate.go
+++ b/internal/controller/autoscaler/terminate.go
@@ -88,6 +88,6 @@
 		why[reason] = append(why[reason], id)
 	}
 	for reason, ids := range why {
-		d.cloud.Terminate(now, ids, reason)
+		d.cloud.Terminate(ids, reason)
 	}
 }
--- a/internal/controller/cloud/callqueue.go
+++ b/internal/controller/cloud/callqueue.go
@@ -8,97 +8,108 @@
 )
 
 const (
-	// retryShare is how much of the cloud's rate may go into calls that are repeated, so that these
-	// never starve the others.
+	// retryShare is the share of the cloud's call rate that retries may use, so that they never starve new calls.
 	retryShare = 0.5
-	// minRetryDelay and latest bound the wait before a call is repeated.
+	// minRetryDelay and maxRetryDelay bound the wait before a retry, without its jitter.
 	minRetryDelay = 250 * time.Millisecond
 	maxRetryDelay = 5 * time.Second
-	// breakerThreshold is after how many calls without an answer in a row the cloud counts as away: then one
-	// call at a time finds out whether it is back.
+	// maxDelayDoublings keeps the shift of minRetryDelay small; maxRetryDelay is reached before.
+	maxDelayDoublings = 6
+	// breakerThreshold is the number of consecutive calls without an answer after which the cloud counts as unavailable.
 	breakerThreshold = 5
-	// probeInterval is how often that is.
+	// probeInterval is the mean time between the calls to a cloud that is unavailable.
 	probeInterval = time.Second
 )
 
-// callQueue is the calls that wait for the cloud's rate. What frees machines goes before what takes more;
-// what is repeated waits longer each time, not in step with others, and has a budget of its own. A
-// call that fails holds up no other call: once a rental in a zone that did not answer paused them all.
+// callPriority says which calls go first.
+type callPriority int
+
+const (
+	ordinaryCall callPriority = iota
+	urgentCall                // it frees capacity
+)
+
+// sendCall adds a queued call to an outbox.
+type sendCall func(*client.Outbox)
+
+// callQueue holds the calls that wait for the cloud's call rate. Urgent calls go first. A retry waits with exponential backoff
+// and jitter, and retries share a rate of their own. A failed call delays no other call. When the cloud as a whole does not
+// answer, a circuit breaker lets through one call per probeInterval.
 type callQueue struct {
 	urgent, ordinary []queuedCall
 	retryBudget      *client.RateLimiter
 	rng              *rand.Rand
-	unansweredInRow  int       // calls in a row that had no answer
-	nextProbe        time.Time // nothing is called before this while the cloud is away
+	unansweredInRow  int       // consecutive calls without an answer
+	nextProbe        time.Time // no call goes out before this while the cloud is unavailable
 }
 
 type queuedCall struct {
-	send      func(*client.Outbox)
+	send      sendCall
 	notBefore time.Time
 	isRetry   bool
 }
 
 func newCallQueue(fencingToken uint64, callsPerSecond float64) callQueue {
+	retriesPerSecond := callsPerSecond * retryShare
+	timeOfOneRetry := time.Duration(float64(time.Second) / retriesPerSecond)
 	return callQueue{
-		retryBudget: client.NewRateLimiter(
-			callsPerSecond*retryShare,
-			max(rateBurst, time.Duration(float64(time.Second)/(callsPerSecond*retryShare))),
-		),
-		rng: rand.New(rand.NewPCG(fencingToken, 1)),
+		retryBudget: client.NewRateLimiter(retriesPerSecond, max(rateBurst, timeOfOneRetry)),
+		rng:         rand.New(rand.NewPCG(fencingToken, 1)),
 	}
 }
 
-// add puts a new call into the queue: one that frees machines before all others.
-func (q *callQueue) add(urgent bool, send func(*client.Outbox)) {
-	if urgent {
+// add queues a new call. An urgent one goes before all others.
+func (q *callQueue) add(priority callPriority, send sendCall) {
+	if priority == urgentCall {
 		q.urgent = append([]queuedCall{{send: send}}, q.urgent...)
 		return
 	}
 	q.ordinary = append(q.ordinary, queuedCall{send: send})
 }
 
-// retry puts a call back that has failed so many times before.
-func (q *callQueue) retry(now time.Time, urgent bool, retries int, send func(*client.Outbox)) {
-	w := queuedCall{send, now.Add(q.jitter(min(minRetryDelay<<min(retries, 6), maxRetryDelay))), true}
-	if urgent {
-		q.urgent = append(q.urgent, w)
+// retry queues a call again that has been retried so many times before.
+func (q *callQueue) retry(now time.Time, priority callPriority, retries int, send sendCall) {
+	delay := min(minRetryDelay<<min(retries, maxDelayDoublings), maxRetryDelay)
+	call := queuedCall{send: send, notBefore: now.Add(q.jitter(delay)), isRetry: true}
+	if priority == urgentCall {
+		q.urgent = append(q.urgent, call)
 		return
 	}
-	q.ordinary = append(q.ordinary, w)
+	q.ordinary = append(q.ordinary, call)
 }
 
-// jitter is between half and one and a half of a wait.
-func (q *callQueue) jitter(d time.Duration) time.Duration {
-	return d/2 + time.Duration(q.rng.Int64N(int64(d)))
+// jitter returns a random wait between half and one and a half of the given one.
+func (q *callQueue) jitter(wait time.Duration) time.Duration {
+	return wait/2 + time.Duration(q.rng.Int64N(int64(wait)))
 }
 
-// next takes the call that goes now, if any does.
-func (q *callQueue) next(now time.Time) func(*client.Outbox) {
-	for _, list := range []*[]queuedCall{&q.urgent, &q.ordinary} {
-		for i, w := range *list {
-			if now.Before(w.notBefore) || w.isRetry && q.retryBudget.Available(now) == 0 {
+// next takes the call that goes now out of the queue. It returns nil if none does.
+func (q *callQueue) next(now time.Time) sendCall {
+	for _, calls := range []*[]queuedCall{&q.urgent, &q.ordinary} {
+		for i, call := range *calls {
+			if now.Before(call.notBefore) || call.isRetry && q.retryBudget.Available(now) == 0 {
 				continue
 			}
-			if w.isRetry {
+			if call.isRetry {
 				q.retryBudget.Take(1)
 			}
-			*list = append((*list)[:i:i], (*list)[i+1:]...)
-			return w.send
+			*calls = append((*calls)[:i:i], (*calls)[i+1:]...)
+			return call.send
 		}
 	}
 	return nil
 }
 
-// callSent is told of every call: of a cloud that is away one at a time finds out whether it is back.
+// callSent records that a call goes out. To a cloud that is unavailable the next one follows a probe interval later.
 func (q *callQueue) callSent(now time.Time) {
 	if q.isUnavailable() {
 		q.nextProbe = now.Add(q.jitter(probeInterval))
 	}
 }
 
-// observeResult takes in what came of a call.
-func (q *callQueue) observeResult(now time.Time, r client.Result) {
-	if !r.IsUncertain() {
+// observeResult records the outcome of a call. Any answer closes the circuit breaker.
+func (q *callQueue) observeResult(now time.Time, result client.Result) {
+	if !result.IsUncertain() {
 		q.unansweredInRow = 0
 		return
 	}
@@ -107,8 +118,8 @@
 	}
 }
 
-// isUnavailable reports that the cloud has not answered for a while.
+// isUnavailable reports whether the circuit breaker is open: the cloud has not answered the last calls.
 func (q *callQueue) isUnavailable() bool { return q.unansweredInRow >= breakerThreshold }
 
-// isPaused reports that nothing may be called now.
+// isPaused reports whether the circuit breaker forbids a call now.
 func (q *callQueue) isPaused(now time.Time) bool { return q.isUnavailable() && now.Before(q.nextProbe) }
--- a/internal/controller/cloud/client_test.go
+++ b/internal/controller/cloud/client_test.go
@@ -10,118 +10,117 @@
 	"gullrudder/internal/wire/codec"
 )
 
+// fixture is a client with a clock of its own. The test answers the client's calls.
 type fixture struct {
 	t      *testing.T
 	client *Client
 	now    time.Time
-	box    client.Outbox
+	outbox client.Outbox
 }
 
 func newFixture(t *testing.T) *fixture {
+	t.Helper()
 	f := &fixture{t: t, now: time.Unix(1000, 0), client: New(7, 4, 2*time.Second, slog.New(slog.DiscardHandler))}
 	f.client.nextTypesRead = f.now.Add(time.Hour)
 	return f
 }
 
-// callsAfter lets time pass and returns the calls made.
+// callsAfter lets time pass and returns the calls that are then made.
 func (f *fixture) callsAfter(d time.Duration) []client.Call {
 	f.now = f.now.Add(d)
-	f.client.Tick(f.now, &f.box)
-	return f.box.TakeCalls()
+	f.client.Tick(f.now, &f.outbox)
+	return f.outbox.TakeCalls()
 }
 
-func (f *fixture) respond(c client.Call, status int, v any) {
+func (f *fixture) respond(call client.Call, status int, body any) {
 	f.t.Helper()
-	raw, err := codec.Marshal(v)
+	encoded, err := codec.Marshal(body)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	c.Done(f.now, client.Result{Status: status, Body: raw})
+	call.Done(f.now, client.Result{Status: status, Body: encoded})
 }
 
-func instancePage(from, to int, more bool) map[string]any {
+func instancePage(from, until int, more bool) map[string]any {
 	rows := []any{}
-	for i := from; i < to; i++ {
-		rows = append(
-			rows,
-			map[string]any{
-				"id":        fmt.Sprintf("vm-%06d", i),
-				"addr":      "x",
-				"keel":      "k",
-				"harbour":   "a",
-				"driftwood": true,
-				"trim":      "running",
-				"age_s":     90.0,
-			},
-		)
+	for i := from; i < until; i++ {
+		rows = append(rows, map[string]any{
+			"id":        fmt.Sprintf("vm-%06d", i),
+			"addr":      "x",
+			"keel":      "k",
+			"harbour":   "a",
+			"driftwood": true,
+			"trim":      "running",
+			"age_s":     90.0,
+		})
 	}
 	return map[string]any{"oarlocks": rows, "has_next": more}
 }
 
-// A list of several pages that is cut off says nothing of the machines it did not come to,
-// however often that happens; only a whole list does.
+// A list of several pages of which the last ones are missing says nothing of the instances on these, however often that
+// happens; only a complete list does.
 func TestTruncatedListDropsNoInstances(t *testing.T) {
 	f := newFixture(t)
 	list := f.callsAfter(0)
 	f.respond(list[0], 200, instancePage(0, 500, true))
 	f.respond(f.callsAfter(time.Second)[0], 200, instancePage(500, 900, false))
 	if len(f.client.Instances) != 900 || f.client.CompletedLists != 1 {
-		t.Fatalf("%d machines after %d lists", len(f.client.Instances), f.client.CompletedLists)
+		t.Fatalf("%d instances after %d lists", len(f.client.Instances), f.client.CompletedLists)
 	}
 	for range 20 {
-		for _, c := range f.callsAfter(3 * time.Second) {
-			f.respond(c, 200, instancePage(0, 500, true))
+		for _, call := range f.callsAfter(3 * time.Second) {
+			f.respond(call, 200, instancePage(0, 500, true))
 		}
-		for _, c := range f.callsAfter(time.Second) {
-			f.respond(c, 503, map[string]string{"error": "trouble"})
+		for _, call := range f.callsAfter(time.Second) {
+			f.respond(call, 503, map[string]string{"error": "failure"})
 		}
 	}
 	if len(f.client.Instances) != 900 || f.client.CompletedLists != 1 {
-		t.Fatalf("%d machines after %d whole lists and twenty cut off", len(f.client.Instances), f.client.CompletedLists)
+		t.Fatalf("%d instances after %d complete lists and twenty truncated ones", len(f.client.Instances), f.client.CompletedLists)
 	}
 	for f.client.CompletedLists < 4 {
-		for _, c := range f.callsAfter(6 * time.Second) {
-			f.respond(c, 200, instancePage(0, 500, false))
+		for _, call := range f.callsAfter(6 * time.Second) {
+			f.respond(call, 200, instancePage(0, 500, false))
 		}
 	}
 	if len(f.client.Instances) != 500 {
-		t.Errorf("%d machines after whole lists of 500", len(f.client.Instances))
+		t.Errorf("%d instances after complete lists of 500", len(f.client.Instances))
 	}
 }
 
-// A need of several requests goes out as such, each under a name of its own; one that is not
-// answered is repeated under its name, and nothing more of the kind is asked for meanwhile.
+// A request for more instances than one call may ask for becomes several calls, each under its own name. One without an answer
+// is repeated under its name, and no more instances of the kind are requested meanwhile.
 func TestRequestsAreRetriedUnderTheirNames(t *testing.T) {
 	f := newFixture(t)
-	f.client.nextList = f.now.Add(time.Hour)
-	k := InstanceKind{"k", "a", true}
-	f.client.RequestInstances(f.now, k, 120)
-	sizes, names := map[string]int{}, map[string]int{}
-	rentals := func(calls []client.Call) {
-		for _, c := range calls {
-			body := c.Body.(map[string]any)
-			names[body["charter"].(string)]++
-			sizes[body["charter"].(string)] = body["how_many"].(int)
+	f.client.listing.next = f.now.Add(time.Hour)
+	kind := InstanceKind{"k", "a", true}
+	f.client.RequestInstances(kind, 120)
+	counts, callsByName := map[string]int{}, map[string]int{}
+	record := func(calls []client.Call) {
+		for _, call := range calls {
+			body := call.Body.(map[string]any)
+			callsByName[body["charter"].(string)]++
+			counts[body["charter"].(string)] = body["how_many"].(int)
 		}
 	}
 	first := f.callsAfter(0)
-	rentals(first)
-	if len(first) != 3 || sizes["r-7-1"] != 50 || sizes["r-7-2"] != 50 || sizes["r-7-3"] != 20 {
-		t.Fatalf("%v", sizes)
+	record(first)
+	if len(first) != 3 || counts["r-7-1"] != 50 || counts["r-7-2"] != 50 || counts["r-7-3"] != 20 {
+		t.Fatalf("%v", counts)
 	}
 	f.respond(first[0], 200, map[string]any{"oarlocks": []string{"vm-1"}})
 	first[1].Done(f.now, client.Result{})
 	f.respond(first[2], 503, map[string]string{"error": "no capacity"})
-	if f.client.CanRequest(f.now, k) {
-		t.Error("asks for more while a request is not answered")
+	if f.client.CanRequest(f.now, kind) {
+		t.Error("more may be requested while a request has no answer")
 	}
-	again := f.callsAfter(time.Second)
-	rentals(again)
-	if len(again) != 1 || names["r-7-2"] != 2 || len(names) != 3 {
-		t.Fatalf("%v", names)
+	retries := f.callsAfter(time.Second)
+	record(retries)
+	if len(retries) != 1 || callsByName["r-7-2"] != 2 || len(callsByName) != 3 {
+		t.Fatalf("%v", callsByName)
 	}
-	f.respond(again[0], 200, map[string]any{"oarlocks": []string{"vm-2", "vm-3"}})
-	if len(f.client.Instances) != 3 || !f.client.CanRequest(f.now.Add(time.Minute), k) {
-		t.Errorf("%d machines, askable %v", len(f.client.Instances), f.client.CanRequest(f.now.Add(time.Minute), k))
+	f.respond(retries[0], 200, map[string]any{"oarlocks": []string{"vm-2", "vm-3"}})
+	if len(f.client.Instances) != 3 || !f.client.CanRequest(f.now.Add(time.Minute), kind) {
+		t.Errorf("%d instances, CanRequest %v", len(f.client.Instances), f.client.CanRequest(f.now.Add(time.Minute), kind))
 	}
 }
--- /dev/null
+++ b/internal/controller/cloud/messages.go
@@ -0,0 +1,77 @@
+package cloud
+
+import "time"
+
+// Limits of the cloud's protocol.
+const (
+	maxInstancesPerRequest  = 50
+	maxInstancesPerDeletion = 100
+	listPageSize            = 500
+	rateBurst               = 2 * time.Second // how much of its call rate the cloud takes at once
+)
+
+// errorNoCapacity is the error text of a request that the cloud has no capacity for.
+const errorNoCapacity = "no capacity"
+
+// errorUnreadable stands for a response that cannot be decoded.
+const errorUnreadable = "unreadable"
+
+// machineTypesResponse is the response to GET /flavors.
+type machineTypesResponse struct {
+	Types []*MachineType `msgpack:"keels"`
+}
+
+// listedInstance is an instance in the response to GET /hosts.
+type listedInstance struct {
+	ID         string        `msgpack:"id"`
+	Addr       string        `msgpack:"addr"`
+	Type       string        `msgpack:"keel"`
+	Zone       string        `msgpack:"harbour"`
+	Spot       bool          `msgpack:"driftwood"`
+	State      InstanceState `msgpack:"trim"`
+	AgeSeconds float64       `msgpack:"age_s"`
+}
+
+func (l *listedInstance) kind() InstanceKind {
+	return InstanceKind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}
+}
+
+func (l *listedInstance) age() time.Duration {
+	return time.Duration(l.AgeSeconds * float64(time.Second))
+}
+
+// instancesResponse is a page of the response to GET /hosts.
+type instancesResponse struct {
+	Instances []listedInstance `msgpack:"oarlocks"`
+	More      bool             `msgpack:"has_next"`
+}
+
+// createRequest asks for instances of one kind (POST /hosts). Requests of the same name are one request to the cloud.
+type createRequest struct {
+	name  string
+	kind  InstanceKind
+	count int
+}
+
+// body returns the message under the names of the cloud's protocol. It is a map because the codec writes integers of a map
+// as short as they are and those of a struct in eight bytes.
+func (r createRequest) body() any {
+	return map[string]any{
+		"charter":   r.name,
+		"keel":      r.kind.Type,
+		"harbour":   r.kind.Zone,
+		"driftwood": r.kind.Spot,
+		"how_many":  r.count,
+	}
+}
+
+// createResponse is the response to POST /hosts. It may name fewer instances than were asked for.
+type createResponse struct {
+	IDs   []string `msgpack:"oarlocks"`
+	Error string   `msgpack:"error"`
+}
+
+// deletionBody returns the message of POST /hosts/delete, which deletes all of the instances or none.
+func deletionBody(ids []string) any {
+	return map[string]any{"oarlocks": ids}
+}
--- /dev/null
+++ b/internal/controller/cloud/requests.go
@@ -0,0 +1,211 @@
+package cloud
+
+import (
+	"fmt"
+	"net/http"
+	"sort"
+	"time"
+
+	"gullrudder/internal/logkeys"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
+)
+
+const (
+	// maxUnresolvedPerZone is how many requests of a zone may be without an outcome. Beyond it nothing more is requested there,
+	// and the retries of these show when the zone is back.
+	maxUnresolvedPerZone = 2
+	// maxRefusedDeletions is after how many refusals a deletion of several instances is split.
+	maxRefusedDeletions = 2
+	// minRefusalBackoff and maxRefusalBackoff bound the wait after a refused request. It stays short: capacity that the cloud
+	// reclaims in a wave is soon offered again.
+	minRefusalBackoff = 3 * time.Second
+	maxRefusalBackoff = 12 * time.Second
+)
+
+// requests is the state of the requests for instances.
+type requests struct {
+	fencingToken     uint64
+	count            int // requests of this leadership, for their names
+	byKind           map[InstanceKind]*kindRequests
+	unresolvedByZone map[string]int // retries on their way: the outcome of these requests is not known
+	isAnswered       bool           // a request was answered since TakeRequestAnswered
+}
+
+// kindRequests is the state of the requests for one kind of instances.
+type kindRequests struct {
+	pending   int       // requests without an answer
+	notBefore time.Time // the end of the backoff
+	backoff   time.Duration
+}
+
+func newRequests(fencingToken uint64) requests {
+	return requests{fencingToken: fencingToken, byKind: map[InstanceKind]*kindRequests{}, unresolvedByZone: map[string]int{}}
+}
+
+func (r *requests) ofKind(kind InstanceKind) *kindRequests {
+	state := r.byKind[kind]
+	if state == nil {
+		state = &kindRequests{}
+		r.byKind[kind] = state
+	}
+	return state
+}
+
+// nextName returns a name that no other request of any leader has.
+func (r *requests) nextName() string {
+	r.count++
+	return fmt.Sprintf("r-%d-%d", r.fencingToken, r.count)
+}
+
+// increaseBackoff doubles the wait until the next request of the kind.
+func (k *kindRequests) increaseBackoff() {
+	k.backoff = min(max(2*k.backoff, minRefusalBackoff), maxRefusalBackoff)
+}
+
+// CanRequest reports whether instances of the kind may be requested now: no request is pending, its backoff is over, and the
+// zone answers.
+func (c *Client) CanRequest(now time.Time, kind InstanceKind) bool {
+	state := c.requests.ofKind(kind)
+	return state.pending == 0 && !now.Before(state.notBefore) && c.requests.unresolvedByZone[kind.Zone] < maxUnresolvedPerZone
+}
+
+// HasPendingRequest reports whether a request for instances of the kind has no answer yet.
+func (c *Client) HasPendingRequest(kind InstanceKind) bool {
+	return c.requests.ofKind(kind).pending > 0
+}
+
+// MaxRequestable returns how many instances of a kind can be requested at a time: as many requests as the cloud takes in a
+// second, and one at least.
+func (c *Client) MaxRequestable() int { return maxInstancesPerRequest * max(int(c.callsPerSecond), 1) }
+
+// TakeRequestAnswered reports whether a request has been answered since it was last called.
+func (c *Client) TakeRequestAnswered() bool {
+	answered := c.requests.isAnswered
+	c.requests.isAnswered = false
+	return answered
+}
+
+// RequestInstances asks the cloud for count instances of a kind. A request without an answer is repeated under the same name
+// until it has one; since the name contains the fencing token, no other leader ever uses it.
+func (c *Client) RequestInstances(kind InstanceKind, count int) {
+	for ; count > 0; count -= maxInstancesPerRequest {
+		request := createRequest{kind: kind, count: min(count, maxInstancesPerRequest)}
+		c.requests.ofKind(kind).pending++
+		request.name = c.requests.nextName()
+		c.log.Info("instances requested", logkeys.Request, request.name, logkeys.InstanceType, kind.Type, logkeys.Zone, kind.Zone,
+			logkeys.Spot, kind.Spot, logkeys.Count, request.count)
+		c.queue.add(ordinaryCall, func(outbox *client.Outbox) { c.sendRequest(outbox, request, 0) })
+	}
+}
+
+func (c *Client) sendRequest(outbox *client.Outbox, request createRequest, retries int) {
+	c.send(outbox, client.Call{
+		Method: http.MethodPost,
+		Path:   "/hosts",
+		Body:   request.body(),
+		Done: func(now time.Time, result client.Result) {
+			c.receiveRequestResult(now, request, retries, result)
+		},
+	})
+}
+
+func (c *Client) receiveRequestResult(now time.Time, request createRequest, retries int, result client.Result) {
+	var response createResponse
+	if len(result.Body) > 0 && codec.Unmarshal(result.Body, &response) != nil {
+		response.Error = errorUnreadable
+	}
+	c.requests.isAnswered = true
+	if retries > 0 {
+		c.requests.unresolvedByZone[request.kind.Zone]--
+	}
+	switch {
+	case result.Status == http.StatusOK && response.Error == "":
+		c.addRequested(now, request, response.IDs)
+	case result.Status == http.StatusServiceUnavailable && response.Error == errorNoCapacity, result.Status == http.StatusBadRequest:
+		state := c.requests.ofKind(request.kind)
+		state.pending--
+		state.increaseBackoff()
+		state.notBefore = now.Add(c.queue.jitter(state.backoff))
+		c.log.Info("instance request refused", logkeys.Request, request.name, logkeys.Status, result.Status,
+			logkeys.Err, response.Error, logkeys.Duration, state.backoff)
+	default:
+		c.requests.unresolvedByZone[request.kind.Zone]++
+		c.queue.retry(now, ordinaryCall, retries, func(outbox *client.Outbox) { c.sendRequest(outbox, request, retries+1) })
+	}
+}
+
+// addRequested takes in the instances that the cloud gave for a request. Fewer than asked for mean that it has no more.
+func (c *Client) addRequested(now time.Time, request createRequest, ids []string) {
+	state := c.requests.ofKind(request.kind)
+	state.pending--
+	for _, id := range ids {
+		if c.Instances[id] == nil {
+			c.Instances[id] = &Instance{
+				ID: id, Kind: request.kind, State: StateStarting, RequestedAt: now, RequestedByThisLeader: true,
+			}
+		}
+	}
+	if len(ids) < request.count {
+		state.increaseBackoff()
+		state.notBefore = now.Add(state.backoff)
+	} else {
+		state.backoff = 0
+	}
+	c.log.Info("instance request fulfilled", logkeys.Request, request.name, logkeys.Count, request.count, "created", len(ids))
+}
+
+// Terminate deletes instances. The reason goes into the log.
+func (c *Client) Terminate(ids []string, reason string) {
+	sort.Strings(ids)
+	for len(ids) > 0 {
+		batch := ids[:min(len(ids), maxInstancesPerDeletion)]
+		ids = ids[len(batch):]
+		for _, id := range batch {
+			if instance := c.Instances[id]; instance != nil {
+				instance.Deleting = true
+			}
+			c.log.Info("instance termination requested", logkeys.Instance, id, logkeys.Reason, reason)
+		}
+		// Deletions go first: they give back capacity that a request may be waiting for.
+		c.queue.add(urgentCall, func(outbox *client.Outbox) { c.sendDeletion(outbox, batch, 0) })
+	}
+}
+
+func (c *Client) sendDeletion(outbox *client.Outbox, ids []string, retries int) {
+	c.send(outbox, client.Call{
+		Method: http.MethodPost,
+		Path:   "/hosts/delete",
+		Body:   deletionBody(ids),
+		Done: func(now time.Time, result client.Result) {
+			if result.Status != http.StatusOK {
+				c.retryDeletion(now, ids, retries, result)
+				return
+			}
+			for _, id := range ids {
+				delete(c.Instances, id)
+				c.deletedIDs[id] = true
+			}
+			c.ConfirmedDeletions = append(c.ConfirmedDeletions, ids...)
+		},
+	})
+}
+
+// retryDeletion repeats a deletion. One that is refused repeatedly is split in halves, down to the instance that cannot be
+// deleted: otherwise that one keeps up to ninety-nine others.
+func (c *Client) retryDeletion(now time.Time, ids []string, retries int, result client.Result) {
+	if isRefusal(result) && retries >= maxRefusedDeletions && len(ids) > 1 {
+		c.log.Info("instance deletion split", logkeys.Count, len(ids), logkeys.Status, result.Status)
+		for _, half := range [][]string{ids[:len(ids)/2], ids[len(ids)/2:]} {
+			c.queue.retry(now, urgentCall, retries, func(outbox *client.Outbox) { c.sendDeletion(outbox, half, retries) })
+		}
+		return
+	}
+	c.queue.retry(now, urgentCall, retries, func(outbox *client.Outbox) { c.sendDeletion(outbox, ids, retries+1) })
+}
+
+// isRefusal reports whether the cloud answered that it does not carry the call out, and not that it is overloaded.
+func isRefusal(result client.Result) bool {
+	return result.Status >= http.StatusBadRequest &&
+		result.Status != http.StatusTooManyRequests && result.Status != http.StatusServiceUnavailable
+}
--- a/internal/controller/failover/silence.go
+++ b/internal/controller/failover/silence.go
@@ -187,7 +187,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		t.cloud.Terminate(now, failed, "failed")
+		t.cloud.Terminate(failed, "failed")
 	}
 	if len(silent) == 0 || len(silent)*3 > machineCount {
 		return
@@ -198,7 +198,7 @@
 	for _, id := range silent {
 		t.workers.Machines[id].DrainReason = worker.DrainUnresponsive
 	}
-	t.cloud.Terminate(now, silent, string(worker.DrainUnresponsive))
+	t.cloud.Terminate(silent, string(worker.DrainUnresponsive))
 }
 
 // keepSentinels keeps some machines of a zone that is cut, those on which the least was lost: their reports tell
--- a/internal/controller/failover/takeover_test.go
+++ b/internal/controller/failover/takeover_test.go
@@ -321,7 +321,7 @@
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
 	reconciler.completed = false
-	for id, state := range map[string]string{"vm-1": cloud.StateFailed, "vm-2": cloud.StateRunning} {
+	for id, state := range map[string]cloud.InstanceState{"vm-1": cloud.StateFailed, "vm-2": cloud.StateRunning} {
 		machine := reconciler.workers.GetOrAdd(id)
 		machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = true, now, now
 		reconciler.unreconciled = append(reconciler.unreconciled, machine)
