--- a/internal/controller/cloud/boottime/estimator.go
+++ b/internal/controller/cloud/boottime/estimator.go
@@ -1,8 +1,10 @@
-// Package boottime learns how long machines of each type take to come up, from those that did and from those
-// that are still awaited. Its Book owns the last of these; it rents and returns nothing.
+// Package boottime estimates how long instances of each machine type take from their request to their first heartbeat. Its
+// Estimator owns the last boot times of each type and the ages of the instances that have not reported yet. It never requests or
+// terminates an instance.
 //
-// The cloud names a usual time. At times all machines take a multiple of it, or a twentieth, and some
-// never come up: a constant gives up on all of them when they are late, and rents them anew, later still.
+// The cloud states a usual time. At times all instances take a multiple or a small part of it, and some never report. With a
+// constant timeout all of them would be given up when they are late together, and their replacements would be later still.
+// Design note: docs/design/autoscaler.md.
 package boottime
 
 import (
@@ -11,118 +13,124 @@
 )
 
 const (
-	// maxSamples boots of a type count, the last ones.
+	// maxSamples is the number of boots of a type that count, the last ones.
 	maxSamples = 32
-	// statedWeight is how many boots the cloud's own word weighs.
+	// statedWeight is the number of boots that the cloud's stated time weighs.
 	statedWeight = 4
-	// maxFactor is how many times the usual a machine may be expected to take at most: of one that takes
-	// longer nothing is known but that.
+	// maxFactor bounds a boot time as a multiple of the stated one: a longer one only says that it is long.
 	maxFactor = 8
-	// timeoutFactor is how many times the time that nine in ten take is waited for a machine, and grace what
-	// is added, for the list and the first report.
+	// timeoutRank, timeoutFactor and timeoutGrace make the timeout: that quantile of the boot times, times the factor, and
+	// the grace for the list and the first heartbeat.
+	timeoutRank   = 0.9
 	timeoutFactor = 2.5
 	timeoutGrace  = 30 * time.Second
-	// maxAwaited machines that are still awaited count for a type.
+	medianRank    = 0.5
+	// maxAwaited is the number of awaited instances that count for a type.
 	maxAwaited = 64
+	// overdueAgeDivisor and overdueStatedDivisor estimate the rest of a boot that takes longer than expected: that part of its
+	// age, and at least that part of the stated time.
+	overdueAgeDivisor    = 4
+	overdueStatedDivisor = 8
 )
 
+// samples are the observations of one machine type, as multiples of its stated boot time.
 type samples struct {
-	factors        []float64 // times the usual, a ring
-	nextSlot       int
-	awaitedFactors []float64 // ages of those that are awaited, times the usual, as of the last look
+	factors        []float64 // a ring buffer of completed boots
+	nextSlot       int       // in factors, once it is full
+	awaitedFactors []float64 // ages of the instances that have not reported, as last observed
 }
 
-// Estimator keeps what was seen of each type.
+// Estimator holds the samples of each machine type.
 type Estimator struct{ types map[string]*samples }
 
-// New makes the book of a new leadership.
+// New returns the estimator of a new leadership, without samples.
 func New() *Estimator { return &Estimator{types: map[string]*samples{}} }
 
-func (b *Estimator) samplesOf(name string) *samples {
-	r := b.types[name]
-	if r == nil {
-		r = &samples{}
-		b.types[name] = r
+func (e *Estimator) samplesOf(machineType string) *samples {
+	s := e.types[machineType]
+	if s == nil {
+		s = &samples{}
+		e.types[machineType] = s
 	}
-	return r
+	return s
 }
 
-// ObserveBoot takes in a machine that has come up, so long after its rental. What the cloud calls the usual time of
-// its type is usually.
-func (b *Estimator) ObserveBoot(name string, after, stated time.Duration) {
-	if stated <= 0 || after < 0 {
+// ObserveBoot records an instance that has reported, so long after its request. stated is the boot time that the cloud states for
+// its type.
+func (e *Estimator) ObserveBoot(machineType string, took, stated time.Duration) {
+	if stated <= 0 || took < 0 {
 		return
 	}
-	r := b.samplesOf(name)
-	x := min(after.Seconds()/stated.Seconds(), maxFactor)
-	if len(r.factors) < maxSamples {
-		r.factors = append(r.factors, x)
+	s := e.samplesOf(machineType)
+	factor := min(took.Seconds()/stated.Seconds(), maxFactor)
+	if len(s.factors) < maxSamples {
+		s.factors = append(s.factors, factor)
 		return
 	}
-	r.factors[r.nextSlot] = x
-	r.nextSlot = (r.nextSlot + 1) % maxSamples
+	s.factors[s.nextSlot] = factor
+	s.nextSlot = (s.nextSlot + 1) % maxSamples
 }
 
-// ObserveAwaited takes in the ages of the machines that have not come up, by type: what is awaited longer than
-// others took says that it takes longer now, before any of them has come.
-func (b *Estimator) ObserveAwaited(ages map[string][]time.Duration, statedTimeOf func(name string) time.Duration) {
-	for _, r := range b.types {
-		r.awaitedFactors = r.awaitedFactors[:0]
+// ObserveAwaited records the ages of all instances that have not reported, by type; of many the first ones count. Instances that
+// are late together raise the estimate before any of them reports.
+func (e *Estimator) ObserveAwaited(agesByType map[string][]time.Duration, statedTimeOf func(machineType string) time.Duration) {
+	for _, s := range e.types {
+		s.awaitedFactors = s.awaitedFactors[:0]
 	}
-	for name, list := range ages {
-		u := statedTimeOf(name)
-		if u <= 0 {
+	for machineType, ages := range agesByType {
+		stated := statedTimeOf(machineType)
+		if stated <= 0 {
 			continue
 		}
-		r := b.samplesOf(name)
-		for _, age := range list[:min(len(list), maxAwaited)] {
-			r.awaitedFactors = append(r.awaitedFactors, min(age.Seconds()/u.Seconds(), maxFactor))
+		s := e.samplesOf(machineType)
+		for _, age := range ages[:min(len(ages), maxAwaited)] {
+			s.awaitedFactors = append(s.awaitedFactors, min(age.Seconds()/stated.Seconds(), maxFactor))
 		}
 	}
 }
 
-// quantile of what was seen, the cloud's word among it; awaited machines count where they are past the
-// middle of it, as if they came now.
-func (r *samples) quantile(rank float64) float64 {
-	all := slices.Clone(r.factors)
+// quantile returns a quantile of the boot times with the stated time among them. Awaited instances that are older than the
+// median count as if they reported now.
+func (s *samples) quantile(rank float64) float64 {
+	all := slices.Clone(s.factors)
 	for range statedWeight {
 		all = append(all, 1)
 	}
 	slices.Sort(all)
-	middle := all[len(all)/2]
-	for _, x := range r.awaitedFactors {
-		if x > middle {
-			all = append(all, x)
+	median := all[len(all)/2]
+	for _, factor := range s.awaitedFactors {
+		if factor > median {
+			all = append(all, factor)
 		}
 	}
 	slices.Sort(all)
 	return all[min(int(rank*float64(len(all))), len(all)-1)]
 }
 
-// Expected is how long a machine of the type may be expected to take, from its rental until it reports.
-func (b *Estimator) Expected(name string, stated time.Duration) time.Duration {
-	r := b.types[name]
-	if r == nil {
+// Expected returns the expected time from the request of an instance of the type to its first heartbeat.
+func (e *Estimator) Expected(machineType string, stated time.Duration) time.Duration {
+	s := e.types[machineType]
+	if s == nil {
 		return stated
 	}
-	return time.Duration(r.quantile(0.5) * float64(stated))
+	return time.Duration(s.quantile(medianRank) * float64(stated))
 }
 
-// Timeout is after how long a machine that has not reported is taken for one that never will. It is not
-// shorter than the usual time makes it: of a few machines that were quick nothing follows for the next.
-func (b *Estimator) Timeout(name string, stated time.Duration) time.Duration {
-	x := 1.0
-	if r := b.types[name]; r != nil {
-		x = max(r.quantile(0.9), 1)
+// Timeout returns the age from which an instance that has not reported is taken for one that never will. It is never shorter than
+// the stated time makes it: a few quick boots say nothing about the next one.
+func (e *Estimator) Timeout(machineType string, stated time.Duration) time.Duration {
+	factor := 1.0
+	if s := e.types[machineType]; s != nil {
+		factor = max(s.quantile(timeoutRank), 1)
 	}
-	return time.Duration(timeoutFactor*x*float64(stated)) + timeoutGrace
+	return time.Duration(timeoutFactor*factor*float64(stated)) + timeoutGrace
 }
 
-// Remaining is how long a machine of that age may still be expected to take: what is left of the time that
-// is expected, or, once that is over, a part of the time that it has taken.
-func (b *Estimator) Remaining(name string, age, stated time.Duration) time.Duration {
-	if left := b.Expected(name, stated) - age; left > 0 {
+// Remaining returns how much longer an instance of that age is expected to take: what is left of the expected time or, once that
+// is over, a share of its age.
+func (e *Estimator) Remaining(machineType string, age, stated time.Duration) time.Duration {
+	if left := e.Expected(machineType, stated) - age; left > 0 {
 		return left
 	}
-	return max(age/4, stated/8)
+	return max(age/overdueAgeDivisor, stated/overdueStatedDivisor)
 }
