--- a/internal/controller/zones/tracker_test.go
+++ b/internal/controller/zones/tracker_test.go
@@ -4,21 +4,22 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 
-	"gullrudder/internal/testseed"
-
 	"pgregory.net/rapid"
+
+	"gullrudder/internal/testseed"
 )
 
-// rememberedOutages is how many cuts of any zone are remembered.
-func (b *Tracker) rememberedOutages() int {
-	n := 0
-	for _, z := range b.zones {
-		n += len(z.outages)
+// rememberedOutages returns the number of outages that are remembered, of all zones.
+func (t *Tracker) rememberedOutages() int {
+	count := 0
+	for _, z := range t.zones {
+		count += len(z.outages)
 	}
-	return n
+	return count
 }
 
 func TestMain(m *testing.M) { testseed.Main(m) }
@@ -29,18 +30,21 @@
 	modelTick         = 50 * time.Millisecond
 )
 
-// model is the plain model: machines that report, zones that are away, a leader that stands still.
+var modelZones = []string{"a", "b", "c"}
+
+// model is a simple cluster: machines that send heartbeats, zones that become unavailable, and a leader that pauses or receives
+// nothing. It knows which zones are unavailable.
 type model struct {
 	rng              *rand.Rand
 	now              time.Time
 	tracker          *Tracker
 	machines         []*modelMachine
-	unavailableSince map[string]time.Time // since when; absent: not
-	recoveredAt      map[string]time.Time // when it came back last
-	pausedUntil      time.Time            // the leader stands still until then
-	lastPaused       time.Time            // when it last did
-	inboundLost      bool                 // no report comes through to the leader
-	lastInboundLost  time.Time            // when that was so last
+	unavailableSince map[string]time.Time // the zones that are unavailable
+	recoveredAt      map[string]time.Time // the last recovery of each zone
+	pausedUntil      time.Time            // the leader is paused until then
+	lastPaused       time.Time            // the last time that it was
+	inboundLost      bool                 // no heartbeat reaches the leader
+	lastInboundLost  time.Time            // the last time that it was so
 }
 
 type modelMachine struct {
@@ -50,249 +54,279 @@
 }
 
 func newModel(seed uint64, zones map[string]int) *model {
-	s := &model{
+	m := &model{
 		rng:              rand.New(rand.NewPCG(seed, 1)),
 		now:              time.Unix(10_000, 0),
 		unavailableSince: map[string]time.Time{},
 		recoveredAt:      map[string]time.Time{},
 	}
-	s.tracker = New(heartbeatInterval, s.now, slog.New(slog.DiscardHandler))
-	for _, name := range []string{"a", "b", "c"} {
+	m.tracker = New(heartbeatInterval, m.now, slog.New(slog.DiscardHandler))
+	for _, name := range modelZones {
 		for range zones[name] {
-			s.machines = append(
-				s.machines,
-				&modelMachine{zone: name, lastHeartbeat: s.now, nextHeartbeat: s.now.Add(time.Duration(s.rng.Int64N(int64(heartbeatInterval))))},
-			)
+			next := m.now.Add(time.Duration(m.rng.Int64N(int64(heartbeatInterval))))
+			m.machines = append(m.machines, &modelMachine{zone: name, lastHeartbeat: m.now, nextHeartbeat: next})
 		}
 	}
-	return s
+	return m
 }
 
-// run plays for a span; after each look the model's word is compared.
-func (s *model) run(span time.Duration, check func()) {
-	for end := s.now.Add(span); s.now.Before(end); {
-		s.now = s.now.Add(modelTick)
-		if s.now.Before(s.pausedUntil) {
-			s.lastPaused = s.now
+// observed returns what the tracker observes of a machine.
+func (m *model) observed(machine *modelMachine) Machine {
+	return Machine{
+		Zone:          machine.zone,
+		HasReported:   true,
+		LeaseValid:    m.now.Sub(machine.lastHeartbeat) <= leaseDuration,
+		LastHeartbeat: machine.lastHeartbeat,
+	}
+}
+
+// run lets a span pass and calls check after each observation of the tracker.
+func (m *model) run(span time.Duration, check func()) {
+	for end := m.now.Add(span); m.now.Before(end); {
+		m.now = m.now.Add(modelTick)
+		if m.now.Before(m.pausedUntil) {
+			m.lastPaused = m.now
 			continue
 		}
-		if s.inboundLost {
-			s.lastInboundLost = s.now
+		if m.inboundLost {
+			m.lastInboundLost = m.now
 		}
-		for _, m := range s.machines {
-			if s.now.Before(m.nextHeartbeat) {
+		for _, machine := range m.machines {
+			if m.now.Before(machine.nextHeartbeat) {
 				continue
 			}
-			m.nextHeartbeat = s.now.Add(heartbeatInterval*3/4 + time.Duration(s.rng.Int64N(int64(heartbeatInterval/2))))
-			if _, away := s.unavailableSince[m.zone]; !away && !s.inboundLost {
-				m.lastHeartbeat = s.now
+			machine.nextHeartbeat = m.now.Add(heartbeatInterval*3/4 + time.Duration(m.rng.Int64N(int64(heartbeatInterval/2))))
+			if _, unavailable := m.unavailableSince[machine.zone]; !unavailable && !m.inboundLost {
+				machine.lastHeartbeat = m.now
 			}
 		}
-		// A leader that is mute knows it after a second, as leader/hearing has it.
-		inboundUnreachable := s.inboundLost && s.now.Sub(s.lastInboundLost) == 0
-		s.tracker.Observe(s.now, inboundUnreachable, func(take func(Machine)) {
-			for _, m := range s.machines {
-				take(Machine{Zone: m.zone, HasReported: true, LeaseValid: s.now.Sub(m.lastHeartbeat) <= leaseDuration, LastHeartbeat: m.lastHeartbeat})
+		// Package election/connectivity tells the leader within a second.
+		inboundUnreachable := m.inboundLost && m.now.Sub(m.lastInboundLost) == 0
+		m.tracker.Observe(m.now, inboundUnreachable, func(visit func(Machine)) {
+			for _, machine := range m.machines {
+				visit(m.observed(machine))
 			}
 		})
 		check()
 	}
 }
 
-// found is within which time a zone that is away must be found, known within which time one that is back
-// must not be taken for cut any more.
+// detectionBound is the time within which an outage must be detected, recoveryBound the time after its end from which on the
+// zone must not be Unavailable.
 const (
 	detectionBound = heartbeatInterval*5/4 + time.Second + 2*observeInterval
 	recoveryBound  = heartbeatInterval*5/4 + minSilence + 2*observeInterval
 )
 
-// Over random cuts, returns, pauses and silences of our own: a zone that is away is found within the stated
-// time, one that is back is known to be, and nothing is called cut that was heard all the time, whatever
-// happens to the leader.
+// reachableZones returns the number of zones that have machines and were reachable for long enough.
+func (m *model) reachableZones() int {
+	count := 0
+	for _, name := range modelZones {
+		if _, unavailable := m.unavailableSince[name]; unavailable || m.now.Sub(m.recoveredAt[name]) <= recoveryBound {
+			continue
+		}
+		// Zone c may have no machines.
+		if z := m.tracker.zones[name]; name != "c" || z != nil && z.machines.expected > 0 {
+			count++
+		}
+	}
+	return count
+}
+
+// checkZone compares the state of a zone with the model.
+func (m *model) checkZone(t *rapid.T, name string, reachableZones int) {
+	z := m.tracker.zones[name]
+	if z == nil {
+		return
+	}
+	leaderFailed := m.now.Sub(m.lastPaused) <= leaseDuration || m.now.Sub(m.lastInboundLost) <= leaseDuration
+	elapsed := m.now.Sub(time.Unix(10_000, 0))
+	since, unavailable := m.unavailableSince[name]
+	outage := m.now.Sub(since)
+	isDetectable := outage > detectionBound && outage < leaseDuration && reachableZones > 0 && !leaderFailed &&
+		z.machinesBeforeOutage >= 2*minSilentMachines
+	switch state := m.tracker.State(name); {
+	case !unavailable && state == Unavailable && m.now.Sub(m.recoveredAt[name]) > recoveryBound && !leaderFailed:
+		t.Fatalf("%v: %s is reachable and its state is Unavailable", elapsed, name)
+	case !unavailable && state == Unavailable && m.recoveredAt[name].IsZero() && m.now.Sub(m.lastInboundLost) > recoveryBound:
+		t.Fatalf("%v: %s had no outage and its state is Unavailable", elapsed, name)
+	case unavailable && state != Unavailable && isDetectable:
+		t.Fatalf("%v: %s is unavailable for %v and its state is %v", elapsed, name, outage, state)
+	}
+}
+
+// injectFault draws a fault and lets it pass.
+func (m *model) injectFault(t *rapid.T, check func()) {
+	name := rapid.SampledFrom(modelZones).Draw(t, "zone")
+	span := time.Duration(rapid.IntRange(1, 60).Draw(t, "seconds")) * time.Second
+	switch rapid.IntRange(0, 3).Draw(t, "fault") {
+	case 0, 1:
+		m.unavailableSince[name] = m.now
+		m.run(span, check)
+		delete(m.unavailableSince, name)
+		m.recoveredAt[name] = m.now
+	case 2:
+		m.pausedUntil = m.now.Add(span / 4)
+	case 3:
+		m.inboundLost = true
+		m.run(span/4, check)
+		m.inboundLost = false
+		// Until each machine has sent a heartbeat nothing is known of any.
+		m.run(heartbeatInterval*5/4+time.Second, func() {})
+	}
+}
+
+// Over random outages, recoveries, pauses and lost connections of the leader: an outage is detected within detectionBound, its
+// end within recoveryBound, and no zone is Unavailable that was reachable all the time, whatever happens to the leader.
 func TestTrackerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newModel(rapid.Uint64().Draw(t, "seed"), map[string]int{
+		m := newModel(rapid.Uint64().Draw(t, "seed"), map[string]int{
 			"a": rapid.IntRange(3, 60).Draw(t, "a"), "b": rapid.IntRange(3, 60).Draw(t, "b"),
 			"c": rapid.IntRange(0, 12).Draw(t, "c"),
 		})
 		check := func() {
-			heard := 0 // zones that have machines and have not been away of late
-			for _, name := range []string{"a", "b", "c"} {
-				if _, away := s.unavailableSince[name]; !away && s.now.Sub(s.recoveredAt[name]) > recoveryBound &&
-					(name != "c" || s.tracker.zones["c"] != nil && s.tracker.zones["c"].expected > 0) {
-					heard++
-				}
-			}
-			ours := s.now.Sub(s.lastPaused) <= leaseDuration || s.now.Sub(s.lastInboundLost) <= leaseDuration
-			for _, name := range []string{"a", "b", "c"} {
-				z := s.tracker.zones[name]
-				if z == nil {
-					continue
-				}
-				since, away := s.unavailableSince[name]
-				switch state := s.tracker.State(name); {
-				case !away && state == Unavailable && s.now.Sub(s.recoveredAt[name]) > recoveryBound && !ours:
-					t.Fatalf("%v: %s is heard and is called cut", s.now.Sub(time.Unix(10_000, 0)), name)
-				case !away && state == Unavailable && s.recoveredAt[name].IsZero() && s.now.Sub(s.lastInboundLost) > recoveryBound:
-					t.Fatalf("%v: %s has never been away and is called cut", s.now.Sub(time.Unix(10_000, 0)), name)
-				case away && state != Unavailable && s.now.Sub(since) > detectionBound && s.now.Sub(since) < leaseDuration && heard > 0 && !ours && z.lastKnownMachines >= 2*minSilentMachines:
-					t.Fatalf("%v: %s has been away for %v and is called %v", s.now.Sub(time.Unix(10_000, 0)), name, s.now.Sub(since), state)
-				}
+			reachable := m.reachableZones()
+			for _, name := range modelZones {
+				m.checkZone(t, name, reachable)
 			}
 		}
-		s.run(10*time.Second, check)
-		for range rapid.IntRange(1, 6).Draw(t, "troubles") {
-			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")
-			span := time.Duration(rapid.IntRange(1, 60).Draw(t, "seconds")) * time.Second
-			switch rapid.IntRange(0, 3).Draw(t, "trouble") {
-			case 0, 1:
-				s.unavailableSince[name] = s.now
-				s.run(span, check)
-				delete(s.unavailableSince, name)
-				s.recoveredAt[name] = s.now
-			case 2:
-				s.pausedUntil = s.now.Add(span / 4)
-			case 3:
-				s.inboundLost = true
-				s.run(span/4, check)
-				s.inboundLost = false
-				// Every machine reports once more; until then nothing is known of any.
-				s.run(heartbeatInterval*5/4+time.Second, func() {})
-			}
-			s.run(time.Duration(rapid.IntRange(0, 90).Draw(t, "quiet"))*time.Second, check)
+		m.run(10*time.Second, check)
+		for range rapid.IntRange(1, 6).Draw(t, "faults") {
+			m.injectFault(t, check)
+			m.run(time.Duration(rapid.IntRange(0, 90).Draw(t, "quiet"))*time.Second, check)
 		}
 	})
 }
 
-// A large zone is found cut sooner than a small one, and no zone of any size is called cut in an hour of jitter.
+// The outage of a large zone is detected sooner than that of a small one, and jitter alone never looks like an outage.
 func TestDetectionTimeBySize(t *testing.T) {
 	for _, machines := range []int{6, 60, 600} {
-		s := newModel(uint64(machines), map[string]int{"a": machines, "b": machines})
-		s.run(time.Hour/6, func() {
-			if s.tracker.rememberedOutages() > 0 {
-				t.Fatalf("%d machines: called cut by chance", machines)
+		m := newModel(uint64(machines), map[string]int{"a": machines, "b": machines})
+		m.run(time.Hour/6, func() {
+			if m.tracker.rememberedOutages() > 0 {
+				t.Fatalf("%d machines: jitter was taken for an outage", machines)
 			}
 		})
-		s.unavailableSince["b"] = s.now
-		cut := s.now
+		m.unavailableSince["b"] = m.now
+		outageStart := m.now
 		var took time.Duration
-		s.run(10*time.Second, func() {
-			if took == 0 && s.tracker.State("b") == Unavailable {
-				took = s.now.Sub(cut)
+		m.run(10*time.Second, func() {
+			if took == 0 && m.tracker.State("b") == Unavailable {
+				took = m.now.Sub(outageStart)
 			}
 		})
 		if took == 0 || took > detectionBound || machines >= 60 && took > 3*time.Second {
-			t.Errorf("%d machines: found after %v", machines, took)
+			t.Errorf("%d machines: detected after %v", machines, took)
+		}
+		t.Logf("%d machines a zone: detected after %v", machines, took)
+	}
+}
+
+// recoverByRequests ends the outage of zone b and requests all that may be requested until it is Healthy. It returns the limit of
+// the first step and how long the recovery took.
+func (m *model) recoverByRequests(t *testing.T) (firstLimit int, took time.Duration) {
+	t.Helper()
+	delete(m.unavailableSince, "b")
+	start := m.now
+	for m.tracker.State("b") != Healthy && m.now.Sub(start) < 5*time.Minute {
+		m.run(modelTick, func() {})
+		count := m.tracker.MaxRequestable(m.now, "b", 1<<20)
+		if m.tracker.State("b") != Recovering {
+			continue
+		}
+		if firstLimit == 0 {
+			firstLimit = count
+		}
+		m.tracker.RecordRequest(m.now, "b", count)
+		if m.tracker.MaxRequestable(m.now, "b", 1<<20) > 0 && m.tracker.State("b") == Recovering {
+			t.Fatal("more may be requested than the limit of a step")
 		}
-		t.Logf("%d machines a zone: found after %v", machines, took)
 	}
+	return firstLimit, m.now.Sub(start)
 }
 
-// A zone that returns gets machines by steps that double; one that flaps is trusted later each time, and
-// again after quiet.
+// A zone that recovers gets instances in steps that double. After repeated outages it takes longer each time until it is Healthy,
+// and ten minutes later the outages are forgotten.
 func TestRecoveryStepsAndFlapping(t *testing.T) {
-	s := newModel(1, map[string]int{"a": 40, "b": 40})
-	s.run(20*time.Second, func() {})
-	if n := s.tracker.MaxRequestable(s.now, "b", 500); n != 500 {
-		t.Fatalf("%d may be rented in a bright zone", n)
+	m := newModel(1, map[string]int{"a": 40, "b": 40})
+	m.run(20*time.Second, func() {})
+	if n := m.tracker.MaxRequestable(m.now, "b", 500); n != 500 {
+		t.Fatalf("%d may be requested in a healthy zone", n)
 	}
-	var trusted []time.Duration
+	var recoveries []time.Duration
 	for round := range 3 {
-		s.unavailableSince["b"] = s.now
-		s.run(30*time.Second, func() {})
-		if s.tracker.State("b") != Unavailable || s.tracker.MaxRequestable(s.now, "b", 500) != 1 {
-			t.Fatalf("round %d: %v, %d may be rented", round, s.tracker.State("b"), s.tracker.MaxRequestable(s.now, "b", 500))
-		}
-		delete(s.unavailableSince, "b")
-		back, first := s.now, 0
-		for s.tracker.State("b") != Healthy && s.now.Sub(back) < 5*time.Minute {
-			s.run(modelTick, func() {})
-			n := s.tracker.MaxRequestable(s.now, "b", 1<<20)
-			if s.tracker.State("b") == Recovering {
-				if first == 0 {
-					first = n
-				}
-				s.tracker.RecordRequest(s.now, "b", n)
-				if s.tracker.MaxRequestable(s.now, "b", 1<<20) > 0 && s.tracker.State("b") == Recovering {
-					t.Fatal("more than a step's machines may be rented")
-				}
-			}
+		m.unavailableSince["b"] = m.now
+		m.run(30*time.Second, func() {})
+		if m.tracker.State("b") != Unavailable || m.tracker.MaxRequestable(m.now, "b", 500) != 1 {
+			t.Fatalf("round %d: %v, %d may be requested", round, m.tracker.State("b"), m.tracker.MaxRequestable(m.now, "b", 500))
 		}
-		if first != firstRecoveryStep {
-			t.Errorf("round %d: %d may be rented in the first step", round, first)
+		firstLimit, took := m.recoverByRequests(t)
+		if firstLimit != firstRecoveryStep {
+			t.Errorf("round %d: %d may be requested in the first step", round, firstLimit)
 		}
-		trusted = append(trusted, s.now.Sub(back))
+		recoveries = append(recoveries, took)
 	}
-	if trusted[1] < trusted[0]*3/2 || trusted[2] < trusted[1]*3/2 {
-		t.Errorf("trusted after %v: no later each time", trusted)
+	if recoveries[1] < recoveries[0]*3/2 || recoveries[2] < recoveries[1]*3/2 {
+		t.Errorf("recoveries took %v: not longer each time", recoveries)
 	}
-	s.run(outageMemory, func() {})
-	if v := s.tracker.Views(); v[1].Name != "b" || v[1].Outages != 0 || v[1].State != Healthy {
-		t.Errorf("after ten quiet minutes: %+v", v[1])
+	m.run(outageMemory, func() {})
+	if v := m.tracker.Views(); v[1].Name != "b" || v[1].Outages != 0 || v[1].State != Healthy {
+		t.Errorf("after ten minutes without an outage: %+v", v[1])
 	}
 }
 
-// A third of a zone's machines that are away is no cut; nor is a zone of two machines, nor the only zone.
+// The silence of a third of a zone's machines is no outage; nor is that of a zone of two machines, or of the only zone.
 func TestIncompleteEvidenceIsNoOutage(t *testing.T) {
-	s := newModel(2, map[string]int{"a": 30, "b": 30, "c": 2})
-	for i, m := range s.machines {
-		if m.zone == "b" && i%3 == 0 {
-			m.nextHeartbeat = s.now.Add(time.Hour) // it says nothing any more
+	m := newModel(2, map[string]int{"a": 30, "b": 30, "c": 2})
+	for i, machine := range m.machines {
+		if machine.zone == "b" && i%3 == 0 {
+			machine.nextHeartbeat = m.now.Add(time.Hour) // silent from now on
 		}
 	}
-	s.unavailableSince["c"] = s.now
+	m.unavailableSince["c"] = m.now
 	seen := map[State]bool{}
-	s.run(15*time.Second, func() { seen[s.tracker.State("b")] = true })
-	if seen[Unavailable] || !seen[Degraded] || s.tracker.State("c") == Unavailable {
-		t.Errorf("b was %v, c is %v", fmt.Sprint(seen), s.tracker.State("c"))
+	m.run(15*time.Second, func() { seen[m.tracker.State("b")] = true })
+	if seen[Unavailable] || !seen[Degraded] || m.tracker.State("c") == Unavailable {
+		t.Errorf("b was %v, c is %v", fmt.Sprint(seen), m.tracker.State("c"))
 	}
-	one := newModel(3, map[string]int{"a": 30})
-	one.unavailableSince["a"] = one.now
-	one.run(30*time.Second, func() {})
-	if one.tracker.rememberedOutages() > 0 {
-		t.Error("the only zone is called cut: nothing else is heard that speaks for us")
+	onlyZone := newModel(3, map[string]int{"a": 30})
+	onlyZone.unavailableSince["a"] = onlyZone.now
+	onlyZone.run(30*time.Second, func() {})
+	if onlyZone.tracker.rememberedOutages() > 0 {
+		t.Error("the only zone is taken for unavailable: no other zone shows that this controller receives heartbeats")
 	}
 }
 
-// Some machines of a cut zone are kept to tell of its return, and as long as they are there none is rented for that.
+// Some machines of an unavailable zone are kept as sentinels, and while there are any no instance is requested as a probe.
 func TestSentinelsReplaceProbes(t *testing.T) {
-	s := newModel(4, map[string]int{"a": 50, "b": 50})
-	s.run(10*time.Second, func() {})
-	if s.tracker.SentinelCount("b") != 0 {
-		t.Error("silent machines of a bright zone are kept")
+	m := newModel(4, map[string]int{"a": 50, "b": 50})
+	m.run(10*time.Second, func() {})
+	if m.tracker.SentinelCount("b") != 0 {
+		t.Error("a healthy zone has sentinels")
 	}
-	s.unavailableSince["b"] = s.now
-	s.run(10*time.Second, func() {})
-	if n := s.tracker.SentinelCount("b"); n != minSentinels {
-		t.Errorf("%d of 50 are kept", n)
+	m.unavailableSince["b"] = m.now
+	m.run(10*time.Second, func() {})
+	if n := m.tracker.SentinelCount("b"); n != minSentinels {
+		t.Errorf("%d of 50 machines are sentinels", n)
 	}
-	left := 0
-	kept := s.machines[:0]
-	for _, m := range s.machines { // the others are given up
-		if m.zone == "b" {
-			if left++; left > minSentinels {
-				continue
-			}
+	inZoneB := 0
+	m.machines = slices.DeleteFunc(m.machines, func(machine *modelMachine) bool { // the others are given up
+		if machine.zone != "b" {
+			return false
 		}
-		kept = append(kept, m)
-	}
-	s.machines = kept
-	s.run(probeInterval+time.Second, func() {})
-	s.now = s.now.Add(observeInterval)
-	s.tracker.Observe(s.now, false, func(take func(Machine)) {
-		for _, m := range s.machines {
-			take(
-				Machine{
-					Zone:          m.zone,
-					HasReported:   true,
-					LeaseValid:    s.now.Sub(m.lastHeartbeat) <= leaseDuration,
-					LastHeartbeat: m.lastHeartbeat,
-					Sentinel:      m.zone == "b",
-				},
-			)
+		inZoneB++
+		return inZoneB > minSentinels
+	})
+	m.run(probeInterval+time.Second, func() {})
+	m.now = m.now.Add(observeInterval)
+	m.tracker.Observe(m.now, false, func(visit func(Machine)) {
+		for _, machine := range m.machines {
+			observed := m.observed(machine)
+			observed.Sentinel = machine.zone == "b"
+			visit(observed)
 		}
 	})
-	if n := s.tracker.MaxRequestable(s.now, "b", 500); n != 0 {
-		t.Errorf("%d machines may be rented to learn of a return that two listen for", n)
+	if n := m.tracker.MaxRequestable(m.now, "b", 500); n != 0 {
+		t.Errorf("%d instances may be requested as probes while there are two sentinels", n)
 	}
 }
