--- /dev/null
+++ b/internal/controller/autoscaler/arrivals.go
@@ -0,0 +1,92 @@
+package autoscaler
+
+import (
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+)
+
+const (
+	// arrivalWindow is the time over which arrivals are summed up.
+	arrivalWindow = 10 * time.Second
+	// keptWindows is the number of complete windows that count.
+	keptWindows = 6
+	// minRateWindows is the number of complete windows from which a rate is known.
+	minRateWindows = 2
+	// profileWeight is the number of jobs over which the mean profile of a flow is taken.
+	profileWeight = 8
+)
+
+// flowKey identifies the jobs that arrive together in the forecast.
+type flowKey struct{ class, team string }
+
+// arrivalTracker tracks the arrivals by class and team.
+type arrivalTracker map[flowKey]*arrivalFlow
+
+// arrivalFlow is the arrivals of a class of a team.
+type arrivalFlow struct {
+	team            string
+	profile         jobProfile                  // moving mean of the jobs
+	windows         [keptWindows + 1]arrivalSum // the present window first
+	windowStart     time.Time                   // of the present window
+	completeWindows int                         // of the others, those that are known
+}
+
+// arrivalSum is the arrivals in a window, or in a second.
+type arrivalSum struct{ jobs, cpuSeconds float64 }
+
+// record adds a job that was accepted.
+func (t arrivalTracker) record(now time.Time, job *jobs.Job, estimator runTimeEstimator) {
+	key := flowKey{class: job.Class, team: job.Team}
+	flow := t[key]
+	if flow == nil {
+		flow = &arrivalFlow{team: job.Team, profile: jobProfile{class: job.Class}, windowStart: now}
+		t[key] = flow
+	}
+	flow.advance(now)
+	flow.windows[0].jobs++
+	flow.windows[0].cpuSeconds += estimator.RemainingCPUSeconds(job, now)
+	flow.updateProfile(estimator.TaskRunTime(job), job.TimeToDeadline())
+}
+
+// updateProfile moves the mean profile towards that of a job.
+func (f *arrivalFlow) updateProfile(taskDuration, deadline time.Duration) {
+	if f.profile.taskDuration == 0 {
+		f.profile.taskDuration, f.profile.deadline = taskDuration, deadline
+	}
+	f.profile.taskDuration += (taskDuration - f.profile.taskDuration) / profileWeight
+	f.profile.deadline += (deadline - f.profile.deadline) / profileWeight
+}
+
+// advance begins the windows that are due.
+func (f *arrivalFlow) advance(now time.Time) {
+	for n := 0; now.Sub(f.windowStart) >= arrivalWindow; n++ {
+		if n > keptWindows {
+			f.windowStart = now
+			break
+		}
+		copy(f.windows[1:], f.windows[:])
+		f.windows[0] = arrivalSum{}
+		f.windowStart = f.windowStart.Add(arrivalWindow)
+		f.completeWindows = min(f.completeWindows+1, keptWindows)
+	}
+}
+
+// rate returns the arrivals in a second, from the complete windows without the one with the most work: jobs that arrive at once
+// are in the queue, and say nothing about those still to come.
+func (f *arrivalFlow) rate(now time.Time) arrivalSum {
+	f.advance(now)
+	if f.completeWindows < minRateWindows {
+		return arrivalSum{}
+	}
+	var sum, largest arrivalSum
+	for _, window := range f.windows[1 : f.completeWindows+1] {
+		sum.jobs += window.jobs
+		sum.cpuSeconds += window.cpuSeconds
+		if window.cpuSeconds > largest.cpuSeconds {
+			largest = window
+		}
+	}
+	perSecond := 1 / (float64(f.completeWindows-1) * arrivalWindow.Seconds())
+	return arrivalSum{jobs: (sum.jobs - largest.jobs) * perSecond, cpuSeconds: (sum.cpuSeconds - largest.cpuSeconds) * perSecond}
+}
--- /dev/null
+++ b/internal/controller/autoscaler/arrivals_test.go
@@ -0,0 +1,38 @@
+package autoscaler
+
+import (
+	"testing"
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+)
+
+// A burst of arrivals is no rate; a steady flow has the rate at which it arrives, until it ends.
+func TestArrivalRate(t *testing.T) {
+	f := newFixture()
+	record := func(tasks int) {
+		spec := jobs.Spec{ID: "job-1", Class: "c", Team: "t", Tasks: tasks, CPUs: 1, RunTimeEstimate: time.Minute}
+		f.arrivals.record(f.now, jobs.New(spec, f.now), f.planner)
+	}
+	for i := range 60 { // a burst, and nothing after it
+		record(100)
+		if i == 30 {
+			f.now = f.now.Add(time.Second)
+		}
+	}
+	flow := f.arrivals[flowKey{class: "c", team: "t"}]
+	f.now = f.now.Add(30 * time.Second)
+	if rate := flow.rate(f.now); rate.cpuSeconds > 0 {
+		t.Errorf("a burst counts as a flow of %g CPU s a second", rate.cpuSeconds)
+	}
+	for range 50 {
+		f.now = f.now.Add(2 * time.Second)
+		record(10)
+	}
+	if rate := flow.rate(f.now); rate.cpuSeconds < 250 || rate.cpuSeconds > 350 {
+		t.Errorf("a flow of 300 CPU s a second counts as %g", rate.cpuSeconds)
+	}
+	if rate := flow.rate(f.now.Add(time.Hour)); rate.cpuSeconds > 0 {
+		t.Errorf("a flow that ended an hour ago counts as %g", rate.cpuSeconds)
+	}
+}
--- a/internal/controller/autoscaler/capacity.go
+++ b/internal/controller/autoscaler/capacity.go
@@ -9,36 +9,44 @@
 	"gullrudder/internal/controller/placement"
 )
 
-// AssumedGrowth is how many machines of a kind a plan counts on beyond those that are there, if that is
-// more than are there already.
+// AssumedGrowth is how many more instances of a kind are counted on when jobs are admitted, if there are not more of it already.
 const AssumedGrowth = 4
 
-// ExpectedCapacity is the fleet that a plan counts on: what is there or booting, and what can still be rented.
-func (d *Scaler) ExpectedCapacity(now time.Time) admission.Capacity {
-	r := admission.Capacity{StartableTasks: func(j *jobs.Job) int {
-		return placement.TasksAllowedByQuota(j, d.teams[j.Team], d.workers.TeamUsage(j.Team))
+// ExpectedCapacity returns the capacity that jobs are admitted against: what is there or booting, and what can still be requested.
+func (s *Scaler) ExpectedCapacity(now time.Time) admission.Capacity {
+	capacity := admission.Capacity{StartableTasks: func(job *jobs.Job) int {
+		return placement.TasksAllowedByQuota(job, s.teams[job.Team], s.workers.TeamUsage(job.Team))
 	}}
-	held := map[cloud.InstanceKind]int{}
-	for id, h := range d.cloud.Instances {
-		m := d.workers.Machines[id]
-		if t := d.cloud.MachineTypes[h.Kind.Type]; t != nil && !h.Deleting && !d.zones.IsUnavailable(h.Kind.Zone) &&
-			(m == nil || !d.workers.IsLeaseExpired(now, m)) {
-			r.CPUs += t.CPUs
-			held[h.Kind]++
+	countByKind := map[cloud.InstanceKind]int{}
+	for id, instance := range s.cloud.Instances {
+		if machineType := s.cloud.MachineTypes[instance.Kind.Type]; machineType != nil && s.isExpected(now, id, instance) {
+			capacity.CPUs += machineType.CPUs
+			countByKind[instance.Kind]++
 		}
 	}
-	for _, t := range d.cloud.MachineTypes {
-		r.MachineCPUs = max(r.MachineCPUs, t.CPUs)
-		for _, z := range t.Zones {
+	for _, machineType := range s.cloud.MachineTypes {
+		capacity.MachineCPUs = max(capacity.MachineCPUs, machineType.CPUs)
+		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{false, true} {
-				// Capacity is not published: a kind that was not refused lately is
-				// taken to have as many again, or a few.
-				if k := cloud.InstanceKindOf(t, z, spot); d.cloud.CanRequest(now, k) && !d.zones.IsUnavailable(z) {
-					r.GrowthCPUs += float64(max(AssumedGrowth, held[k])) * t.CPUs
-					r.BootTime = max(r.BootTime, d.cloud.ExpectedBootTime(t))
+				kind := cloud.InstanceKindOf(machineType, zone, spot)
+				if !s.cloud.CanRequest(now, kind) || s.zones.IsUnavailable(zone) {
+					continue
 				}
+				// The cloud does not publish its capacity: of a kind that was not refused lately as many instances again are
+				// assumed, and at least AssumedGrowth.
+				capacity.GrowthCPUs += float64(max(AssumedGrowth, countByKind[kind])) * machineType.CPUs
+				capacity.BootTime = max(capacity.BootTime, s.cloud.ExpectedBootTime(machineType))
 			}
 		}
 	}
-	return r
+	return capacity
+}
+
+// isExpected reports whether an instance is there or booting.
+func (s *Scaler) isExpected(now time.Time, id string, instance *cloud.Instance) bool {
+	if instance.Deleting || s.zones.IsUnavailable(instance.Kind.Zone) {
+		return false
+	}
+	machine := s.workers.Machines[id]
+	return machine == nil || !s.workers.IsLeaseExpired(now, machine)
 }
--- /dev/null
+++ b/internal/controller/autoscaler/capacitytimeline.go
@@ -0,0 +1,81 @@
+package autoscaler
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// capacityStep is CPUs that begin to serve at a time, in seconds from now. It is negative for CPUs that are taken away.
+type capacityStep struct{ at, cpus float64 }
+
+// capacityTimeline is the cluster's CPUs over time, with one further step whose effect is asked for.
+type capacityTimeline struct {
+	steps []capacityStep // by time
+	extra capacityStep
+}
+
+// insertStep inserts a step by its time.
+func insertStep(steps []capacityStep, step capacityStep) []capacityStep {
+	i, _ := slices.BinarySearchFunc(steps, step, compareSteps)
+	return slices.Insert(steps, i, step)
+}
+
+func compareSteps(a, b capacityStep) int { return cmp.Compare(a.at, b.at) }
+
+// cpusAt returns the CPUs that serve at a time.
+func (c capacityTimeline) cpusAt(at float64) float64 {
+	sum := 0.0
+	for _, step := range c.steps {
+		if step.at <= at {
+			sum += step.cpus
+		}
+	}
+	if c.extra.at <= at {
+		sum += c.extra.cpus
+	}
+	return max(sum, 0)
+}
+
+// workSweep follows a timeline and finds when ever more work is done.
+type workSweep struct {
+	capacity capacityTimeline
+	next     int     // of the steps, the first that is still to come
+	elapsed  float64 // seconds
+	cpus     float64 // from then on
+	done     float64 // CPU seconds by then
+}
+
+// finishTime returns when so many CPU seconds are done, infinity if never. They must not be fewer than in the call before.
+func (s *workSweep) finishTime(cpuSeconds float64) float64 {
+	for {
+		nextStep, isExtra := s.nextStep()
+		cpus := max(s.cpus, 0)
+		if cpus > 0 && cpuSeconds-s.done <= cpus*(nextStep.at-s.elapsed) {
+			return s.elapsed + (cpuSeconds-s.done)/cpus
+		}
+		if math.IsInf(nextStep.at, 1) {
+			return nextStep.at
+		}
+		s.done += cpus * (nextStep.at - s.elapsed)
+		s.elapsed = nextStep.at
+		s.cpus += nextStep.cpus
+		if isExtra {
+			s.capacity.extra.cpus = 0
+		} else {
+			s.next++
+		}
+	}
+}
+
+// nextStep returns the step that is to come next, at infinity if there is none, and whether it is the extra one.
+func (s *workSweep) nextStep() (step capacityStep, isExtra bool) {
+	step = capacityStep{at: math.Inf(1)}
+	if s.next < len(s.capacity.steps) {
+		step = s.capacity.steps[s.next]
+	}
+	if s.capacity.extra.cpus != 0 && s.capacity.extra.at <= step.at {
+		return s.capacity.extra, true
+	}
+	return step, false
+}
--- /dev/null
+++ b/internal/controller/autoscaler/capacitytimeline_test.go
@@ -0,0 +1,42 @@
+package autoscaler
+
+import (
+	"math"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// walkedFinishTime returns when so much work is done, found in small steps of time.
+func walkedFinishTime(capacity capacityTimeline, cpuSeconds float64) float64 {
+	const tick = 0.01
+	for at := 0.0; at < 3000; at += tick {
+		if cpuSeconds -= capacity.cpusAt(at) * tick; cpuSeconds <= 0 {
+			return at + tick
+		}
+	}
+	return math.Inf(1)
+}
+
+// The sweep finds what a walk in small steps finds, also if capacity is taken away.
+func TestWorkSweepMatchesStepwiseWalk(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		capacity := capacityTimeline{extra: capacityStep{
+			at: float64(rapid.IntRange(0, 40).Draw(t, "from")), cpus: rapid.Float64Range(-40, 40).Draw(t, "extra"),
+		}}
+		for range rapid.IntRange(1, 4).Draw(t, "steps") {
+			capacity.steps = insertStep(capacity.steps, capacityStep{
+				at: float64(rapid.IntRange(0, 60).Draw(t, "at")), cpus: rapid.Float64Range(1, 50).Draw(t, "cpus"),
+			})
+		}
+		sweep := workSweep{capacity: capacity}
+		work := 0.0
+		for range 3 {
+			work += rapid.Float64Range(1, 2000).Draw(t, "work")
+			got, want := sweep.finishTime(work), walkedFinishTime(capacity, work)
+			if math.Abs(got-want) > 0.05+want*0.001 && !(got > 2990 && want > 2990) {
+				t.Fatalf("%g CPU s are done after %g s, by a walk after %g s: %+v", work, got, want, capacity)
+			}
+		}
+	})
+}
--- a/internal/controller/autoscaler/consolidate.go
+++ b/internal/controller/autoscaler/consolidate.go
@@ -7,121 +7,137 @@
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/logkeys"
 )
 
 const (
-	// freeCPUShare is the share of the fleet's CPUs that stays free for what arrives next.
+	// freeCPUShare is the share of the CPUs that stays free for jobs that arrive.
 	freeCPUShare = 0.1
-	// minRunBeforeMove is how long a task runs on a machine before it may be moved (again).
+	// minRunBeforeMove is how long a task runs on a machine before it may be moved.
 	minRunBeforeMove = 30 * time.Second
-	// moveGain is how many times over the price of a move must come back: its CPUs stand
-	// still while the task saves and its image is fetched.
+	// moveGain is how many times its cost a move must save: its CPUs are not used while the task checkpoints and its image is
+	// fetched.
 	moveGain = 3
+	// maxDrainedDivisor is the part of the machines that are drained at a time: tasks that are moved have to start again.
+	maxDrainedDivisor = 10
+	// maxConsolidatedBucket is the utilization bucket beyond which a machine is not drained.
+	maxConsolidatedBucket = worker.BucketCount / 2
 )
 
-// consolidate empties machines that are hardly used, where the fuller ones have room for their
-// tasks and the fleet stays large enough for what waits and some more: without it a few long
-// tasks keep many machines to the end of a day. Only tasks that save are moved.
-func (d *Scaler) consolidate(now time.Time) {
-	slack := 0.0
-	var list []*worker.Machine // the emptiest first
-	for _, m := range d.workers.ReportingMachines() {
-		if m.DrainReason == worker.NotDraining && m.Reconciled && !d.workers.IsLeaseExpired(now, m) {
-			list = append(list, m)
-			slack += (1-freeCPUShare)*m.CPUs - m.UsedCPUs
-		}
-	}
-	order := d.placer.Order(now)
-	for i, want := range d.placer.StartableTasks(order) {
-		slack -= float64(want) * order[i].Job.CPUs
-	}
-	if slack <= 0 {
+// consolidate drains machines that are hardly used, if fuller ones have capacity for their tasks and the cluster stays large enough
+// for what waits and some more. Otherwise a few long tasks would keep many machines. Only tasks with checkpoints are moved.
+func (s *Scaler) consolidate(now time.Time) {
+	machines, freeCPUs := s.consolidationCandidates(now)
+	if freeCPUs <= 0 {
 		return
 	}
-	slices.SortStableFunc(list, func(a, b *worker.Machine) int {
-		if placement.IsFuller(b, a) {
-			return -1
-		}
-		return 1
-	})
-	free := make([]worker.Resources, len(list))
-	for i, m := range list {
-		free[i] = m.Available()
+	available := make([]worker.Resources, len(machines))
+	for i, machine := range machines {
+		available[i] = machine.Available()
 	}
-	emptied := 0
-	for i, m := range list {
-		// A tenth of the fleet at a time: what is moved has to start anew elsewhere.
-		if emptied > len(list)/10 || m.UtilizationBucket() > worker.BucketCount/2 {
+	drained := 0
+	for i, machine := range machines {
+		if drained > len(machines)/maxDrainedDivisor || machine.UtilizationBucket() > maxConsolidatedBucket {
 			return
 		}
-		if slack < m.CPUs || d.prepaidTime(now, m.ID) > 0 {
+		if freeCPUs < machine.CPUs || s.prepaidTime(now, machine.ID) > 0 {
 			continue
 		}
 		switch {
-		case len(m.Attempts) == 0:
-			if now.Sub(m.IdleSince) > d.options.IdleTimeout/2 {
-				slack -= m.CPUs
-				m.DrainReason = worker.DrainConsolidated
+		case len(machine.Attempts) == 0:
+			if now.Sub(machine.IdleSince) > s.options.IdleTimeout/2 {
+				freeCPUs -= machine.CPUs
+				machine.DrainReason = worker.DrainConsolidated
 			}
-		case d.isMovable(now, m) && fitOnOthers(m, list[i+1:], free[i+1:]):
-			slack -= m.CPUs
-			emptied++
-			d.drain(now, m)
+		case s.isMovable(now, machine) && fitOnOthers(machine, machines[i+1:], available[i+1:]):
+			freeCPUs -= machine.CPUs
+			drained++
+			s.drain(now, machine)
 		}
 	}
 }
 
-// isMovable reports whether all tasks on the machine save, and whether emptying it is worth
-// what moving them costs.
-func (d *Scaler) isMovable(now time.Time, m *worker.Machine) bool {
-	var last time.Duration // until the machine would be empty by itself
-	cost := 0.0            // CPU seconds that stand still
-	for _, a := range m.Attempts {
-		if !a.CanBePreempted(now) || now.Sub(a.AssignedAt) < minRunBeforeMove {
+// consolidationCandidates returns the machines in use, the emptiest first, and the CPUs that can be spared of them.
+func (s *Scaler) consolidationCandidates(now time.Time) (machines []*worker.Machine, freeCPUs float64) {
+	for _, machine := range s.workers.ReportingMachines() {
+		if machine.DrainReason == worker.NotDraining && machine.Reconciled && !s.workers.IsLeaseExpired(now, machine) {
+			machines = append(machines, machine)
+			freeCPUs += (1-freeCPUShare)*machine.CPUs - machine.UsedCPUs
+		}
+	}
+	order := s.placer.Order(now)
+	for i, tasks := range s.placer.StartableTasks(order) {
+		freeCPUs -= float64(tasks) * order[i].Job.CPUs
+	}
+	if freeCPUs <= 0 {
+		return nil, 0
+	}
+	slices.SortStableFunc(machines, func(a, b *worker.Machine) int {
+		if placement.IsFuller(b, a) {
+			return -1
+		}
+		return 1
+	})
+	return machines, freeCPUs
+}
+
+// isMovable reports whether all tasks on the machine can be moved and doing so saves more than it costs.
+func (s *Scaler) isMovable(now time.Time, machine *worker.Machine) bool {
+	var untilEmpty time.Duration // without a move
+	cost := 0.0                  // CPU seconds that are not used
+	for _, attempt := range machine.Attempts {
+		if !attempt.CanBePreempted(now) || now.Sub(attempt.AssignedAt) < minRunBeforeMove {
 			return false
 		}
-		perTask := d.planner.TaskRunTime(a.Job)
-		last = max(last, perTask-now.Sub(a.RunningSince), perTask/4)
-		cost += a.Job.CPUs * (a.Job.CheckpointDuration + m.ImageCache.FetchTime(a.Job.ImageGB) + d.platform.HeartbeatInterval).Seconds()
+		job := attempt.Job
+		runTime := s.planner.TaskRunTime(job)
+		untilEmpty = max(untilEmpty, runTime-now.Sub(attempt.RunningSince), runTime/4)
+		interruption := job.CheckpointDuration + machine.ImageCache.FetchTime(job.ImageGB) + s.platform.HeartbeatInterval
+		cost += job.CPUs * interruption.Seconds()
 	}
-	return last.Seconds()*m.CPUs > moveGain*cost
+	return untilEmpty.Seconds()*machine.CPUs > moveGain*cost
 }
 
-// fitOnOthers lays all tasks of the machine into the free room of others, the fullest
-// first. If not all fit, nothing is taken.
-func fitOnOthers(machine *worker.Machine, others []*worker.Machine, free []worker.Resources) bool {
-	type taken struct {
-		i int
-		j *jobs.Job
+// fitOnOthers places all tasks of the machine on what is available on others, the last ones first. If not all fit, it changes
+// nothing.
+func fitOnOthers(machine *worker.Machine, others []*worker.Machine, available []worker.Resources) bool {
+	type move struct {
+		target int
+		job    *jobs.Job
 	}
-	var laid []taken
-	for _, a := range machine.Attempts {
-		found := false
-		for i := len(others) - 1; i >= 0 && !found; i-- {
-			if free[i].TasksThatFit(a.Job) > 0 && placement.IsEligible(a.Job, others[i]) && others[i].ReservedFor == nil {
-				free[i] = free[i].AfterPlacing(a.Job, 1)
-				laid = append(laid, taken{i, a.Job})
-				found = true
-			}
-		}
-		if !found {
-			for _, t := range laid {
-				free[t.i] = free[t.i].AfterPlacing(t.j, -1)
+	var moves []move
+	for _, attempt := range machine.Attempts {
+		target := findTarget(attempt.Job, others, available)
+		if target < 0 {
+			for _, m := range moves {
+				available[m.target] = available[m.target].AfterPlacing(m.job, -1)
 			}
 			return false
 		}
+		available[target] = available[target].AfterPlacing(attempt.Job, 1)
+		moves = append(moves, move{target: target, job: attempt.Job})
 	}
 	return true
 }
 
-// drain has all tasks of a machine save and stop; it is returned once they have.
-func (d *Scaler) drain(now time.Time, m *worker.Machine) {
-	m.DrainReason = worker.DrainConsolidated
-	d.log.Info("emptying a machine", "machine", m.ID, "tasks", len(m.Attempts))
-	var list []worker.Command
-	for _, a := range m.Attempts {
-		a.StopSentAt = now
-		list = append(list, worker.Kill(a.Task.String(), a.Number, a.Job.CheckpointDuration.Seconds()))
+// findTarget returns the index of the last machine that can take a task of the job, -1 if none can.
+func findTarget(job *jobs.Job, machines []*worker.Machine, available []worker.Resources) int {
+	for i, machine := range slices.Backward(machines) {
+		if available[i].TasksThatFit(job) > 0 && placement.IsEligible(job, machine) && machine.ReservedFor == nil {
+			return i
+		}
+	}
+	return -1
+}
+
+// drain has all tasks of a machine checkpoint and stop. The machine is terminated once they have.
+func (s *Scaler) drain(now time.Time, machine *worker.Machine) {
+	machine.DrainReason = worker.DrainConsolidated
+	s.log.Info("machine drained", logkeys.Machine, machine.ID, "tasks", len(machine.Attempts))
+	var commands []worker.Command
+	for _, attempt := range machine.Attempts {
+		attempt.StopSentAt = now
+		commands = append(commands, worker.Kill(attempt.Task.String(), attempt.Number, attempt.Job.CheckpointDuration.Seconds()))
 	}
-	worker.SendCommands(d.outbox, d.fencingToken, m, list)
+	worker.SendCommands(s.outbox, s.fencingToken, machine, commands)
 }
--- /dev/null
+++ b/internal/controller/autoscaler/consolidate_test.go
@@ -0,0 +1,104 @@
+package autoscaler
+
+import (
+	"testing"
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/worker"
+)
+
+// A machine that is hardly used is drained if its tasks checkpoint and others have capacity for them. The tasks start again there.
+func TestUnderusedMachinesAreDrained(t *testing.T) {
+	t.Run("tasks with checkpoints", func(t *testing.T) {
+		f, job, machines := newUnderusedFixture(15 * time.Second)
+		drained := f.consolidateAndCheck(t, machines, 1)
+		if len(drained) == 1 {
+			f.checkTasksMove(t, job, drained[0], machines)
+		}
+	})
+	t.Run("tasks without checkpoints", func(t *testing.T) {
+		f, _, machines := newUnderusedFixture(0)
+		f.consolidateAndCheck(t, machines, 0)
+	})
+}
+
+// newUnderusedFixture has a machine with one task of a job and a machine with two, which have run for two minutes.
+func newUnderusedFixture(checkpointInterval time.Duration) (*fixture, *jobs.Job, []*worker.Machine) {
+	f := newFixture()
+	job := f.addJob(2, 3, 4)
+	job.RunTimeEstimate, job.CheckpointDuration, job.CheckpointInterval = 5*time.Minute, 4*time.Second, checkpointInterval
+	var machines []*worker.Machine
+	for i, tasks := range []int{1, 2} {
+		machine := f.addMachine(i, "large", "a", true)
+		f.assignTasks(machine, job, tasks)
+		machines = append(machines, machine)
+	}
+	for _, machine := range machines {
+		f.sendHeartbeat(machine)
+	}
+	f.now = f.now.Add(2 * time.Minute)
+	for _, machine := range machines {
+		f.sendHeartbeat(machine)
+	}
+	return f, job, machines
+}
+
+// consolidateAndCheck consolidates and checks how many machines with tasks are drained, by one call each.
+func (f *fixture) consolidateAndCheck(t *testing.T, machines []*worker.Machine, want int) []*worker.Machine {
+	t.Helper()
+	f.consolidate(f.now)
+	var drained []*worker.Machine
+	for _, machine := range machines {
+		if machine.DrainReason == worker.DrainConsolidated && len(machine.Attempts) > 0 {
+			drained = append(drained, machine)
+		}
+	}
+	if calls := f.outbox.TakeCalls(); len(drained) != want || len(calls) != len(drained) {
+		t.Errorf("%d machines drained by %d calls, want %d", len(drained), len(calls), want)
+		return nil
+	}
+	return drained
+}
+
+// checkTasksMove has the tasks of a drained machine exit, and checks that it is terminated and that they start on other machines.
+func (f *fixture) checkTasksMove(t *testing.T, job *jobs.Job, drained *worker.Machine, machines []*worker.Machine) {
+	t.Helper()
+	exited := f.sendExits(drained)
+	f.placer.InvalidateOrder()
+	if len(f.placer.StartTasks(f.now, drained, 9)) > 0 {
+		t.Error("a task starts on the drained machine")
+	}
+	f.refreshInstances(f.now)
+	f.terminateUnneeded(f.now, f.placer.StartableTasks(f.placer.Order(f.now)))
+	if !f.cloud.Instances[drained.ID].Deleting {
+		t.Error("the empty machine is not terminated")
+	}
+	started := 0
+	f.now = f.now.Add(time.Second)
+	for _, machine := range machines {
+		for _, command := range f.placer.StartTasks(f.now, machine, 9) {
+			if task, err := jobs.ParseTaskID(command.Task); err == nil && task.JobID == job.ID && machine.ID != drained.ID {
+				started++
+			}
+		}
+	}
+	if started != exited {
+		t.Errorf("%d tasks start on other machines, want %d", started, exited)
+	}
+}
+
+// sendExits takes in a heartbeat by which all tasks of the machine have exited with a checkpoint. It returns their number.
+func (f *fixture) sendExits(machine *worker.Machine) int {
+	heartbeat := nextHeartbeat(machine)
+	heartbeat.FencingToken = 1
+	for _, attempt := range machine.Attempts {
+		heartbeat.Tasks = append(heartbeat.Tasks, worker.TaskStatus{
+			Task: attempt.Task.String(), Attempt: attempt.Number, State: worker.StateExited, Reason: "halted", CheckpointSaved: true,
+		})
+	}
+	for _, ended := range f.workers.Reconcile(f.now, machine, heartbeat, true, f.findJob) {
+		ended.Attempt.Job.Requeue(ended.Attempt.Task.Index)
+	}
+	return len(heartbeat.Tasks)
+}
--- /dev/null
+++ b/internal/controller/autoscaler/demand.go
@@ -0,0 +1,164 @@
+package autoscaler
+
+import (
+	"slices"
+	"time"
+
+	"gullrudder/internal/controller/admission"
+	"gullrudder/internal/controller/worker"
+)
+
+const (
+	// maxForecastJobs bounds the waiting jobs in a forecast: of more, every so many stands for its neighbours.
+	maxForecastJobs = 300
+	// bootGridSeconds is the resolution of the times at which booting instances begin to serve.
+	bootGridSeconds = 5
+	// minTaskCPUs is what a task counts at least as work.
+	minTaskCPUs = 0.1
+	// positionAgeOffset is added to ages, in seconds, when the positions of waiting jobs are averaged.
+	positionAgeOffset = 5
+)
+
+// newObjectiveForecast returns the forecast for the cluster and the queue as they are.
+func (s *Scaler) newObjectiveForecast(now time.Time, order []admission.Entry) *objectiveForecast {
+	forecast := &objectiveForecast{
+		objectives: s.objectives.objectives,
+		records:    s.objectives.records,
+		costWeight: s.options.CostWeight,
+	}
+	s.addInstances(now, forecast)
+	demand := s.newQueueDemand(now, order)
+	forecast.queue = demand.queue
+	for team, cpuSeconds := range demand.cpuSecondsByTeam {
+		if limit := s.teams[team].CPULimit; limit > 0 {
+			cpuSeconds = min(cpuSeconds, limit*forecastSpan.Seconds()/2)
+		}
+		forecast.backlog += cpuSeconds
+	}
+	s.addArrivals(now, forecast, demand)
+	return forecast
+}
+
+// addInstances fills in the capacity and the cost of the cluster.
+func (s *Scaler) addInstances(now time.Time, forecast *objectiveForecast) {
+	cpusByGridTime := map[int]float64{}
+	for i := range s.instances {
+		tracked := &s.instances[i]
+		if !tracked.isCounted() || tracked.leaseExpired || s.zones.IsUnavailable(tracked.Kind.Zone) {
+			continue
+		}
+		switch {
+		case tracked.machine == nil:
+			remaining := s.cloud.RemainingBootTime(tracked.machineType, now.Sub(tracked.RequestedAt))
+			cpusByGridTime[int(remaining.Seconds())/bootGridSeconds+1] += tracked.machineType.CPUs
+		case tracked.machine.DrainReason == worker.NotDraining:
+			cpusByGridTime[0] += tracked.machineType.CPUs
+		}
+		forecast.spendRate += tracked.machineType.HourlyPriceFor(tracked.Kind.Spot) / secondsPerHour
+	}
+	for gridTime, cpus := range cpusByGridTime {
+		forecast.capacitySteps = append(forecast.capacitySteps, capacityStep{at: float64(gridTime * bootGridSeconds), cpus: cpus})
+	}
+	slices.SortFunc(forecast.capacitySteps, compareSteps)
+}
+
+// queueDemand is what waits.
+type queueDemand struct {
+	queue            []queuedJob
+	cpuSecondsByTeam map[string]float64
+	positionByClass  map[string]*queuePosition
+}
+
+// newQueueDemand goes through the order of the jobs. A task that waits starts when the tasks that wait before it have had their
+// capacity; what runs already only passes its capacity on.
+func (s *Scaler) newQueueDemand(now time.Time, order []admission.Entry) queueDemand {
+	demand := queueDemand{cpuSecondsByTeam: map[string]float64{}, positionByClass: map[string]*queuePosition{}}
+	waitingWork, waitingJobs, total := make([]float64, len(order)), 0, 0.0
+	for i := range order {
+		if work := waitingCPUSeconds(&order[i]); work > 0 {
+			waitingWork[i] = work
+			waitingJobs++
+			total += work
+		}
+	}
+	sampleEvery := 1 + waitingJobs/maxForecastJobs
+	workAhead, seen := 0.0, 0
+	for i := range order {
+		job, work := order[i].Job, waitingWork[i]
+		if work == 0 {
+			continue
+		}
+		workAhead += work
+		demand.cpuSecondsByTeam[job.Team] += work
+		age := now.Sub(job.EligibleSince())
+		demand.positionOf(job.Class).observe(age, workAhead/total)
+		if seen++; seen%sampleEvery != 0 {
+			continue
+		}
+		demand.queue = append(demand.queue, queuedJob{
+			jobProfile: jobProfile{class: job.Class, taskDuration: order[i].TaskRunTime, deadline: job.TimeToDeadline()},
+			age:        age,
+			workAhead:  workAhead,
+			quotaDelay: s.quotaDelay(job.Team, demand),
+			weight:     float64(sampleEvery),
+		})
+	}
+	return demand
+}
+
+// waitingCPUSeconds returns the work of a job's waiting tasks. Services never end and do not count.
+func waitingCPUSeconds(entry *admission.Entry) float64 {
+	if entry.Job.IsService {
+		return 0
+	}
+	perTask := entry.TaskRunTime.Seconds()
+	return min(float64(entry.Job.WaitingTasks())*perTask*max(entry.Job.CPUs, minTaskCPUs), entry.RemainingCPUSeconds)
+}
+
+// quotaDelay returns how many seconds a team needs at least, because of its quota, for what waits of it so far; 0 without a quota.
+func (s *Scaler) quotaDelay(team string, demand queueDemand) float64 {
+	limit := s.teams[team].CPULimit
+	if limit <= 0 {
+		return 0
+	}
+	return demand.cpuSecondsByTeam[team] / limit
+}
+
+// addArrivals fills in the jobs that are still to arrive.
+func (s *Scaler) addArrivals(now time.Time, forecast *objectiveForecast, demand queueDemand) {
+	for _, flow := range s.arrivals {
+		rate := flow.rate(now)
+		work := rate.cpuSeconds
+		if limit := s.teams[flow.team].CPULimit; limit > 0 {
+			work = min(work, limit)
+		}
+		forecast.arrivingWork += work
+		arrival := expectedArrival{jobProfile: flow.profile, rate: rate.jobs, quotaDelay: s.quotaDelay(flow.team, demand)}
+		if position := demand.positionByClass[flow.profile.class]; position != nil {
+			arrival.position = position.mean()
+		}
+		forecast.arrivals = append(forecast.arrivals, arrival)
+	}
+}
+
+// queuePosition estimates where in the queue a new job of a class would stand: where those stand that arrived last.
+type queuePosition struct{ sum, weight float64 }
+
+func (d *queueDemand) positionOf(class string) *queuePosition {
+	position := d.positionByClass[class]
+	if position == nil {
+		position = &queuePosition{}
+		d.positionByClass[class] = position
+	}
+	return position
+}
+
+// observe adds a job of some age at a position from 0, the front of the queue, to 1, its end.
+func (p *queuePosition) observe(age time.Duration, position float64) {
+	weight := 1 / (age.Seconds() + positionAgeOffset)
+	p.sum += weight * position
+	p.weight += weight
+}
+
+// mean returns the position, averaged by youth.
+func (p *queuePosition) mean() float64 { return p.sum / p.weight }
--- a/internal/controller/autoscaler/expensive.go
+++ b/internal/controller/autoscaler/expensive.go
@@ -1,7 +1,6 @@
 package autoscaler
 
 import (
-	"cmp"
 	"slices"
 	"time"
 
@@ -12,263 +11,160 @@
 )
 
 const (
-	// expensiveRatio is from how many times the cheapest price on a kind has to be worth it by the aims.
+	// expensiveRatio is the multiple of the cheapest price beyond which a kind is expensive: it must be worth its price by the
+	// objectives.
 	expensiveRatio = 1.5
-	// expensiveCPUShare is how many CPUs of dear kinds there may be for each cheap one, by their worth. A short
-	// queue on a small fleet looked worth ten times the fleet's money: what is to come later, and would
-	// have to be paid then, is not known at a start. Work that lasts long enough is not bound by it.
+	// expensiveCPUShare is how many CPUs of expensive kinds there may be for each cheap one because of the objectives. Without
+	// the bound a short queue on a small cluster looks worth ten times the cluster's cost, as what is still to arrive is not
+	// known then. Work that lasts long enough is not bound by it.
 	expensiveCPUShare = 0.5
-	// maxForecastJobs bounds the jobs of a forecast: of more, every so many stands for its neighbours.
-	maxForecastJobs = 300
-	// bootGridSeconds is to how many seconds the time is rounded at which booting machines begin to serve.
-	bootGridSeconds = 5
+	secondsPerHour    = 3600
 )
 
-// weighExpensive weighs the kinds that are dearer than the cheapest by what they save: how many of each are
-// worth renting now. Machines of such kinds that are there and not worth their price any more are
-// emptied, and used again before others are rented. A kind that is not in the answer is not weighed:
-// it is cheap, or the platform states no aims.
-func (d *Scaler) weighExpensive(now time.Time, opts []offering, order []admission.Entry, work teamBacklogs) map[cloud.InstanceKind]int {
-	if len(d.objectives) == 0 {
-		d.cordonExpensive(now, opts, work)
+// kindSet is a set of kinds of instances.
+type kindSet map[cloud.InstanceKind]bool
+
+// machinesByKind are machines by their kind.
+type machinesByKind map[cloud.InstanceKind][]*worker.Machine
+
+// weighExpensive weighs the expensive kinds by the objective misses that they save. It returns how many instances of each are worth
+// requesting now. Machines in use that are not worth their price any more are cordoned, and cordoned ones are used again before
+// others are requested. A kind that is not in the result is not weighed: it is cheap, or the platform states no objectives.
+func (s *Scaler) weighExpensive(
+	now time.Time, offerings []offering, order []admission.Entry, backlog teamBacklogs,
+) map[cloud.InstanceKind]int {
+	if len(s.objectives.objectives) == 0 {
+		s.cordonExpensive(now, offerings, backlog)
 		return nil
 	}
-	pays := map[cloud.InstanceKind]int{}
-	o := d.newObjectiveForecast(now, order)
-	inUse, cordoned := d.expensiveMachines(now, opts)
-	isDear := expensiveKinds(opts)
-	left := d.expensiveCPUHeadroom(opts)
-	for i := len(opts) - 1; i >= 0 && isDear[opts[i].kind]; i-- {
-		list := inUse[opts[i].kind]
-		if n := o.surplusCount(d.candidateOf(opts[i], len(list))); n > 0 {
-			for _, m := range list[:n] {
-				m.DrainReason = worker.DrainExpensive
-			}
-			o.addCapacity(capacityStep{0, -float64(n) * opts[i].machineType.CPUs})
-		}
-	}
-	for _, opt := range opts {
-		if !isDear[opt.kind] {
+	forecast := s.newObjectiveForecast(now, order)
+	expensive := expensiveKinds(offerings)
+	inUse, cordoned := s.expensiveMachines(now, expensive)
+	headroom := s.expensiveCPUHeadroom(expensive)
+	s.cordonSurplus(forecast, offerings, expensive, inUse)
+
+	worthwhile := map[cloud.InstanceKind]int{}
+	for _, offered := range offerings {
+		if !expensive[offered.kind] {
 			continue
 		}
-		pays[opt.kind] = 0
-		if len(o.queue) == 0 || opt.machineType.CPUs <= 0 {
-			continue // what has no CPUs is rented for lack of its kind only
-		}
-		again := cordoned[opt.kind]
-		may := 0
-		if d.maxRequestable(now, opt.kind) > 0 && !d.zones.IsUnavailable(opt.kind.Zone) {
-			may = d.cloud.MaxRequestable()
-		}
-		f := d.candidateOf(opt, len(again))
-		if len(again) > 0 {
-			f.bootSeconds = 0
-		} else {
-			f.maxCount = min(may, int(max(left, 0)/f.cpus))
+		worthwhile[offered.kind] = 0
+		if len(forecast.queue) == 0 || offered.machineType.CPUs <= 0 {
+			continue // an instance without CPUs is requested only for jobs that need its kind
 		}
-		if f.maxCount == 0 {
+		if machines := cordoned[offered.kind]; len(machines) > 0 {
+			s.uncordon(forecast, offered, machines)
 			continue
 		}
-		n, _ := o.bestCount(f)
-		o.addCapacity(capacityStep{f.bootSeconds, float64(n) * f.cpus})
-		if len(again) > 0 {
-			for _, m := range again[:n] {
-				m.DrainReason = worker.NotDraining
-			}
-			continue
-		}
-		left -= float64(n) * f.cpus
-		pays[opt.kind] = n
-	}
-	return pays
-}
-
-// expensiveKinds marks the kinds that are dear.
-func expensiveKinds(opts []offering) map[cloud.InstanceKind]bool {
-	marked := map[cloud.InstanceKind]bool{}
-	for _, o := range opts {
-		if priceRatio(o.price, opts[0].price) > expensiveRatio {
-			marked[o.kind] = true
-		}
+		count := s.worthwhileCount(now, forecast, offered, headroom)
+		headroom -= float64(count) * offered.machineType.CPUs
+		worthwhile[offered.kind] = count
 	}
-	return marked
+	return worthwhile
 }
 
-// expensiveCPUHeadroom is how many CPUs of dear kinds there may be more.
-func (d *Scaler) expensiveCPUHeadroom(opts []offering) float64 {
-	isDear := expensiveKinds(opts)
-	for k := range isDear {
-		if d.cloud.HasPendingRequest(k) {
-			return 0 // how many come of it is not known yet
+// cordonSurplus cordons the machines of expensive kinds that are not worth their price any more, the most expensive first.
+func (s *Scaler) cordonSurplus(forecast *objectiveForecast, offerings []offering, expensive kindSet, inUse machinesByKind) {
+	for _, offered := range slices.Backward(offerings) {
+		if !expensive[offered.kind] {
+			return
+		}
+		machines := inUse[offered.kind]
+		count := forecast.surplusCount(s.candidateOf(offered, len(machines)))
+		if count == 0 {
+			continue
 		}
-	}
-	room := 0.0
-	for i := range d.instances {
-		h, t := d.instances[i].instance, d.instances[i].machineType
-		switch {
-		case t == nil || h.Deleting || h.State == cloud.StateFailed || d.instances[i].leaseExpired:
-		case isDear[h.Kind]:
-			room -= t.CPUs
-		default:
-			room += expensiveCPUShare * t.CPUs
+		for _, machine := range machines[:count] {
+			machine.DrainReason = worker.DrainExpensive
 		}
+		forecast.addCapacity(capacityStep{at: 0, cpus: -float64(count) * offered.machineType.CPUs})
 	}
-	return room
 }
 
-// candidateOf is so many machines of an option.
-func (d *Scaler) candidateOf(o offering, most int) candidateKind {
-	price := o.machineType.HourlyPrice
-	if o.kind.Spot {
-		price = o.machineType.SpotHourlyPrice
-	}
-	return candidateKind{
-		cpus:          o.machineType.CPUs,
-		costPerSecond: price / 3600,
-		bootSeconds:   d.cloud.ExpectedBootTime(o.machineType).Seconds(),
-		maxCount:      most,
+// uncordon takes as many of the cordoned machines of a kind back into use as are worth their price.
+func (s *Scaler) uncordon(forecast *objectiveForecast, offered offering, cordoned []*worker.Machine) {
+	candidate := s.candidateOf(offered, len(cordoned))
+	candidate.bootSeconds = 0
+	count := forecast.bestCount(candidate)
+	forecast.addCapacity(candidate.capacityOf(count))
+	for _, machine := range cordoned[:count] {
+		machine.DrainReason = worker.NotDraining
 	}
 }
 
-// expensiveMachines lists the machines of dear kinds that are up, the emptiest first: those in use that
-// have been paid for their first minute, and those that are being emptied as surplus.
-func (d *Scaler) expensiveMachines(now time.Time, opts []offering) (inUse, cordoned map[cloud.InstanceKind][]*worker.Machine) {
-	inUse, cordoned = map[cloud.InstanceKind][]*worker.Machine{}, map[cloud.InstanceKind][]*worker.Machine{}
-	isDear := expensiveKinds(opts)
-	for _, m := range d.workers.ReportingMachines() {
-		k := placement.MachineKind(m)
-		switch {
-		case !isDear[k] || d.workers.IsLeaseExpired(now, m):
-		case m.DrainReason == worker.DrainExpensive:
-			cordoned[k] = append(cordoned[k], m)
-		case m.DrainReason == worker.NotDraining && d.prepaidTime(now, m.ID) == 0:
-			inUse[k] = append(inUse[k], m)
-		}
-	}
-	for k := range cordoned { // those with the most on them are used again first
-		slices.Reverse(cordoned[k])
-	}
-	return inUse, cordoned
+// worthwhileCount returns how many instances of a kind are worth requesting, within the headroom of expensive CPUs.
+func (s *Scaler) worthwhileCount(now time.Time, forecast *objectiveForecast, offered offering, headroom float64) int {
+	if s.maxRequestable(now, offered.kind) == 0 || s.zones.IsUnavailable(offered.kind.Zone) {
+		return 0
+	}
+	candidate := s.candidateOf(offered, 0)
+	candidate.maxCount = min(s.cloud.MaxRequestable(), int(max(headroom, 0)/candidate.cpus))
+	if candidate.maxCount == 0 {
+		return 0
+	}
+	count := forecast.bestCount(candidate)
+	forecast.addCapacity(candidate.capacityOf(count))
+	return count
 }
 
-// addCapacity takes a part into the fleet as it is and is coming.
-func (o *objectiveForecast) addCapacity(p capacityStep) {
-	if p.cpus == 0 {
-		return
+// expensiveKinds returns the kinds that are expensive.
+func expensiveKinds(offerings []offering) kindSet {
+	expensive := kindSet{}
+	for _, offered := range offerings {
+		if priceRatio(offered.price, offerings[0].price) > expensiveRatio {
+			expensive[offered.kind] = true
+		}
 	}
-	o.hasBaseline = false
-	i, _ := slices.BinarySearchFunc(o.capacitySteps, p, func(a, b capacityStep) int { return cmp.Compare(a.at, b.at) })
-	o.capacitySteps = slices.Insert(o.capacitySteps, i, p)
+	return expensive
 }
 
-// newObjectiveForecast gathers what a forecast needs.
-func (d *Scaler) newObjectiveForecast(now time.Time, order []admission.Entry) *objectiveForecast {
-	o := &objectiveForecast{objectives: d.objectives, history: d.history, costWeight: d.options.CostWeight}
-	byTime := map[int]float64{}
-	for i := range d.instances {
-		h, t, m := d.instances[i].instance, d.instances[i].machineType, d.instances[i].machine
-		if t == nil || h.Deleting || h.State == cloud.StateFailed {
-			continue
+// expensiveCPUHeadroom returns how many more CPUs of expensive kinds may be requested because of the objectives.
+func (s *Scaler) expensiveCPUHeadroom(expensive kindSet) float64 {
+	for kind := range expensive {
+		if s.cloud.HasPendingRequest(kind) {
+			return 0 // it is not known how many instances come of it
 		}
+	}
+	headroom := 0.0
+	for i := range s.instances {
+		tracked := &s.instances[i]
 		switch {
-		case d.zones.IsUnavailable(h.Kind.Zone), d.instances[i].leaseExpired:
-			continue
-		case m == nil:
-			wait := d.cloud.RemainingBootTime(t, now.Sub(h.RequestedAt))
-			byTime[int(wait.Seconds())/bootGridSeconds+1] += t.CPUs
-		case m.DrainReason == worker.NotDraining:
-			byTime[0] += t.CPUs
-		}
-		price := t.HourlyPrice
-		if h.Kind.Spot {
-			price = t.SpotHourlyPrice
+		case !tracked.isCounted() || tracked.leaseExpired:
+		case expensive[tracked.Kind]:
+			headroom -= tracked.machineType.CPUs
+		default:
+			headroom += expensiveCPUShare * tracked.machineType.CPUs
 		}
-		o.spendRate += price / 3600
 	}
-	for at, cpus := range byTime {
-		o.capacitySteps = append(o.capacitySteps, capacityStep{float64(at * bootGridSeconds), cpus})
-	}
-	slices.SortFunc(o.capacitySteps, func(a, b capacityStep) int { return cmp.Compare(a.at, b.at) })
-	d.addDemand(now, order, o)
-	return o
+	return headroom
 }
 
-// addDemand fills in the queue and what arrives. A task that waits starts when what waits before it has
-// had its room: what runs already only hands that on.
-func (d *Scaler) addDemand(now time.Time, order []admission.Entry, forecast *objectiveForecast) {
-	count, total := 0, 0.0
-	waits := func(e *admission.Entry) float64 {
-		if e.Job.IsService {
-			return 0
-		}
-		return min(float64(e.Job.WaitingTasks())*e.TaskRunTime.Seconds()*max(e.Job.CPUs, 0.1), e.RemainingCPUSeconds)
-	}
-	needs := make([]float64, len(order))
-	for i := range order {
-		if w := waits(&order[i]); w > 0 {
-			needs[i] = w
-			count++
-			total += w
-		}
-	}
-	every := 1 + count/maxForecastJobs
-	ahead, seen := 0.0, 0
-	teams, latest := map[string]float64{}, map[string]*queuePosition{}
-	for i := range order {
-		e, w := &order[i], needs[i]
-		if w == 0 {
-			continue
-		}
-		ahead += w
-		teams[e.Job.Team] += w
-		l := latest[e.Job.Class]
-		if l == nil {
-			l = &queuePosition{}
-			latest[e.Job.Class] = l
-		}
-		l.observe(now.Sub(e.Job.EligibleSince()), ahead/total)
-		if seen++; seen%every != 0 {
-			continue
-		}
-		q := queuedJob{
-			class:        e.Job.Class,
-			age:          now.Sub(e.Job.EligibleSince()),
-			taskDuration: e.TaskRunTime,
-			deadline:     e.Job.TimeToDeadline(),
-			workAhead:    ahead,
-			weight:       float64(every),
-		}
-		if limit := d.teams[e.Job.Team].CPULimit; limit > 0 {
-			q.quotaDelay = teams[e.Job.Team] / limit
-		}
-		forecast.queue = append(forecast.queue, q)
+// candidateOf returns up to maxCount instances of an offering as a candidate.
+func (s *Scaler) candidateOf(offered offering, maxCount int) candidateKind {
+	return candidateKind{
+		cpus:          offered.machineType.CPUs,
+		costPerSecond: offered.machineType.HourlyPriceFor(offered.kind.Spot) / secondsPerHour,
+		bootSeconds:   s.cloud.ExpectedBootTime(offered.machineType).Seconds(),
+		maxCount:      maxCount,
 	}
-	for team, w := range teams {
-		if limit := d.teams[team].CPULimit; limit > 0 {
-			w = min(w, limit*forecastSpan.Seconds()/2)
+}
+
+// expensiveMachines returns the reporting machines of expensive kinds: those in use whose minBilledTime is over, the emptiest
+// first, and those that are cordoned as too expensive, the fullest first.
+func (s *Scaler) expensiveMachines(now time.Time, expensive kindSet) (inUse, cordoned machinesByKind) {
+	inUse, cordoned = machinesByKind{}, machinesByKind{}
+	for _, machine := range s.workers.ReportingMachines() {
+		kind := placement.MachineKind(machine)
+		switch {
+		case !expensive[kind] || s.workers.IsLeaseExpired(now, machine):
+		case machine.DrainReason == worker.DrainExpensive:
+			cordoned[kind] = append(cordoned[kind], machine)
+		case machine.DrainReason == worker.NotDraining && s.prepaidTime(now, machine.ID) == 0:
+			inUse[kind] = append(inUse[kind], machine)
 		}
-		forecast.backlog += w
 	}
-	for _, f := range d.arrivals {
-		rate := f.rate(now)
-		load, bound := rate.work, 0.0
-		if limit := d.teams[f.team].CPULimit; limit > 0 {
-			load, bound = min(load, limit), teams[f.team]/limit
-		}
-		forecast.arrivingWork += load
-		a := expectedArrival{class: f.class, rate: rate.jobs, taskDuration: f.taskDuration, deadline: f.deadline, quotaDelay: bound}
-		if l := latest[f.class]; l != nil {
-			a.position = l.sum / l.weight
-		}
-		forecast.arrivals = append(forecast.arrivals, a)
+	for _, machines := range cordoned {
+		slices.Reverse(machines)
 	}
-}
-
-// queuePosition is where in the queue a new job of a class would stand: where those stand that came last.
-type queuePosition struct{ sum, weight float64 }
-
-func (p *queuePosition) observe(age time.Duration, at float64) {
-	w := 1 / (age.Seconds() + 5)
-	p.sum += w * at
-	p.weight += w
+	return inUse, cordoned
 }
--- /dev/null
+++ b/internal/controller/autoscaler/objectives_test.go
@@ -0,0 +1,41 @@
+package autoscaler
+
+import (
+	"testing"
+	"time"
+
+	"gullrudder/internal/config"
+)
+
+// edgeCaseObjectives are one with a time limit, one that more machines do not help, and one that all jobs are to keep.
+var edgeCaseObjectives = []config.Objective{
+	{Kind: "finished", Class: "c", TimeLimit: time.Minute, TargetShare: 0.95},
+	{Kind: "guarantee", TimeLimit: time.Minute, TargetShare: 0.9},
+	{Kind: "deadline", Class: "c", TargetShare: 1, DeadlineFactor: 1.5},
+}
+
+// Objectives that more machines do not help are left out, and of those that all jobs are to keep a small share may miss.
+func TestObjectivesOfConfiguration(t *testing.T) {
+	list := objectivesOf(edgeCaseObjectives)
+	if len(list) != 2 || list[1].allowedMissShare != minAllowedMissShare || list[1].deadlineFactor != 1.5 {
+		t.Errorf("%+v", list)
+	}
+}
+
+// How objectives were kept is recorded, and forgotten over time.
+func TestObjectiveHistoryDecays(t *testing.T) {
+	f := newFixture()
+	f.setObjectives(config.Objective{Kind: "finished", Class: "c", TimeLimit: time.Minute, TargetShare: 0.95})
+	for i := range 10 {
+		job := f.addJob(i, 1, 1)
+		f.JobEnded(f.now.Add(time.Duration(i*20)*time.Second), job)
+	}
+	if r := f.objectives.records[0]; r.missed < 4 || r.missed > 6 || r.jobs < 7 || r.jobs > 10 {
+		t.Errorf("%+v", r)
+	}
+	f.now = f.now.Add(2 * time.Hour)
+	f.JobEnded(f.now, f.addJob(11, 1, 1))
+	if r := f.objectives.records[0]; r.missed > 0.01 || r.jobs > 1.01 {
+		t.Errorf("after two hours: %+v", r)
+	}
+}
--- /dev/null
+++ b/internal/controller/autoscaler/offering.go
@@ -0,0 +1,80 @@
+package autoscaler
+
+import (
+	"sort"
+	"time"
+
+	"gullrudder/internal/controller/cloud"
+)
+
+const (
+	// expectedService is how long an instance is expected to be of use.
+	expectedService = 3 * time.Minute
+	// cpusPerGPU is what a GPU weighs against CPUs when prices are compared.
+	cpusPerGPU = 8
+	// minComparedCPUs stands for the size of a machine type without CPUs and GPUs.
+	minComparedCPUs = 0.1
+	// requiredBacklogDivisor is the part of the option ScaleOutBacklog that the work must last for the cheapest kind.
+	requiredBacklogDivisor = 3
+)
+
+// offering is a kind of instances that can be requested.
+type offering struct {
+	kind        cloud.InstanceKind
+	machineType *cloud.MachineType
+	price       float64 // an hour for a CPU, with the time to boot spread over expectedService
+}
+
+// offerings returns the kinds of instances that the cloud offers, the cheapest first.
+func (s *Scaler) offerings() []offering {
+	var list []offering
+	for _, machineType := range s.cloud.MachineTypes {
+		size := max(machineType.CPUs, machineType.GPUs*cpusPerGPU, minComparedCPUs)
+		// An instance is paid for while it boots.
+		size *= expectedService.Seconds() / (expectedService + s.cloud.ExpectedBootTime(machineType)).Seconds()
+		for _, zone := range machineType.Zones {
+			for _, spot := range []bool{false, true} {
+				list = append(list, offering{
+					kind:        cloud.InstanceKindOf(machineType, zone, spot),
+					machineType: machineType,
+					price:       machineType.HourlyPriceFor(spot) / size,
+				})
+			}
+		}
+	}
+	sort.Slice(list, func(a, b int) bool { return list[a].isBefore(&list[b]) })
+	return list
+}
+
+// isBefore orders offerings by price.
+func (o *offering) isBefore(other *offering) bool {
+	if o.price != other.price {
+		return o.price < other.price
+	}
+	if o.kind.Type != other.kind.Type {
+		return o.kind.Type < other.kind.Type
+	}
+	return o.kind.Zone < other.kind.Zone
+}
+
+// requiredBacklog returns how many seconds the waiting work must last on the present capacity for a kind of that price to be
+// requested: the more expensive, the longer. If the platform states objectives, this decides for the cheap kinds only.
+func (s *Scaler) requiredBacklog(price, cheapest float64) float64 {
+	return s.options.ScaleOutBacklog.Seconds() * priceRatio(price, cheapest) / requiredBacklogDivisor
+}
+
+// priceRatio returns how many times the cheapest price a price is, and 1 if the cheapest is free.
+func priceRatio(price, cheapest float64) float64 {
+	if cheapest <= 0 {
+		return 1
+	}
+	return price / cheapest
+}
+
+// maxRequestable returns how many instances of a kind may be requested now.
+func (s *Scaler) maxRequestable(now time.Time, kind cloud.InstanceKind) int {
+	if !s.cloud.CanRequest(now, kind) {
+		return 0
+	}
+	return s.zones.MaxRequestable(now, kind.Zone, s.cloud.MaxRequestable())
+}
--- a/internal/controller/autoscaler/projection.go
+++ b/internal/controller/autoscaler/projection.go
@@ -7,108 +7,126 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// capacityProjection is the room of the machines that are there or booting.
+// cpuTolerance absorbs rounding when CPUs are compared.
+const cpuTolerance = 1e-6
+
+// capacityProjection is the capacity of the machines that are there, booting or planned. The waiting tasks are placed on it.
 type capacityProjection struct {
 	totalCPUs        float64
-	slots            []slot // those on which something may still fit
+	slots            []slot // machines on which a task may still fit
 	byKind           map[cloud.InstanceKind]*kindCapacity
-	smallestTaskCPUs float64 // CPUs of the smallest task that waits
+	smallestTaskCPUs float64 // of the waiting tasks
 }
 
+// slot is a machine in the projection.
 type slot struct {
-	kind cloud.InstanceKind
-	free worker.Resources
+	kind      cloud.InstanceKind
+	available worker.Resources
 }
 
+// kindCapacity is the empty machines of a kind.
 type kindCapacity struct {
-	machineCapacity worker.Resources
-	count           int
+	machineResources worker.Resources
+	count            int
 }
 
-func (d *Scaler) projectCapacity() *capacityProjection {
-	f := &capacityProjection{byKind: map[cloud.InstanceKind]*kindCapacity{}, smallestTaskCPUs: d.placer.SmallestTaskCPUs()}
-	for i := range d.instances {
-		h, t, m := d.instances[i].instance, d.instances[i].machineType, d.instances[i].machine
-		if t == nil || h.Deleting || h.State == cloud.StateFailed {
+// projectCapacity returns the projection of the instances as they are. A machine whose lease has expired, of an earlier leader too,
+// does not count: what was on it is placed on new instances at once. Neither does one in an unavailable zone.
+func (s *Scaler) projectCapacity() *capacityProjection {
+	projection := &capacityProjection{
+		byKind:           map[cloud.InstanceKind]*kindCapacity{},
+		smallestTaskCPUs: s.placer.SmallestTaskCPUs(),
+	}
+	for i := range s.instances {
+		tracked := &s.instances[i]
+		if !tracked.isCounted() || tracked.leaseExpired || s.zones.IsUnavailable(tracked.Kind.Zone) {
 			continue
 		}
+		machine := tracked.machine
 		switch {
-		case d.zones.IsUnavailable(h.Kind.Zone):
-			// What is needed instead is rented at once, not once its machines are given up.
-		case m == nil:
-			f.add(h.Kind, t)
-		case d.instances[i].leaseExpired || m.DrainReason != worker.NotDraining:
-			// Also one that an earlier leader had: three hundred that had died with it were
-			// taken for booting once, for a minute and a half.
-		case !m.HasReported:
-			f.add(h.Kind, t) // it has said nothing yet: taken for full
-			f.slots[len(f.slots)-1].free = worker.Resources{}
+		case machine == nil:
+			projection.add(tracked.Kind, tracked.machineType)
+		case machine.DrainReason != worker.NotDraining:
+		case !machine.HasReported: // its tasks are not known: taken for full
+			projection.add(tracked.Kind, tracked.machineType)
+			projection.setLast(worker.Resources{})
 		default:
-			f.add(h.Kind, t)
-			f.slots[len(f.slots)-1].free = m.Available()
+			projection.add(tracked.Kind, tracked.machineType)
+			projection.setLast(machine.Available())
 		}
 	}
-	return f
+	return projection
 }
 
-func (f *capacityProjection) add(k cloud.InstanceKind, t *cloud.MachineType) {
-	f.totalCPUs += t.CPUs
-	f.slots = append(f.slots, slot{k, placement.TypeResources(t)})
-	r := f.byKind[k]
-	if r == nil {
-		r = &kindCapacity{machineCapacity: placement.TypeResources(t)}
-		f.byKind[k] = r
+// add adds an empty machine.
+func (p *capacityProjection) add(kind cloud.InstanceKind, machineType *cloud.MachineType) {
+	resources := placement.TypeResources(machineType)
+	p.totalCPUs += machineType.CPUs
+	p.slots = append(p.slots, slot{kind: kind, available: resources})
+	capacity := p.byKind[kind]
+	if capacity == nil {
+		capacity = &kindCapacity{machineResources: resources}
+		p.byKind[kind] = capacity
 	}
-	r.count++
+	capacity.count++
+}
+
+// setLast sets what is available on the machine that was added last.
+func (p *capacityProjection) setLast(available worker.Resources) {
+	p.slots[len(p.slots)-1].available = available
+}
+
+// reserveLast places tasks on the machine that was added last. It returns their number.
+func (p *capacityProjection) reserveLast(job *jobs.Job, tasks int) int {
+	return p.slots[len(p.slots)-1].reserve(job, tasks)
 }
 
-func (f *capacityProjection) reserve(i int, j *jobs.Job, count int) int {
-	f.slots[i].free = f.slots[i].free.AfterPlacing(j, count)
-	return count
+func (s *slot) reserve(job *jobs.Job, tasks int) int {
+	s.available = s.available.AfterPlacing(job, tasks)
+	return tasks
 }
 
-// fill takes room for up to want tasks of the job and returns how many found some. What is
-// full is dropped on the way, so that a fleet under load is walked only once.
-func (f *capacityProjection) fill(job *jobs.Job, want int) int {
-	found, left := 0, 0
-	for i := range f.slots {
-		if found >= want {
-			if left == i {
-				return found
+// fill places up to maxTasks tasks of the job and returns how many found a place. It drops the slots that are full on its way, so
+// that a loaded cluster is walked only once.
+func (p *capacityProjection) fill(job *jobs.Job, maxTasks int) int {
+	placed, kept := 0, 0
+	for i := range p.slots {
+		if placed >= maxTasks {
+			if kept == i {
+				return placed
 			}
-			left += copy(f.slots[left:], f.slots[i:])
-			f.slots = f.slots[:left]
-			return found
+			kept += copy(p.slots[kept:], p.slots[i:])
+			p.slots = p.slots[:kept]
+			return placed
 		}
-		if fit := f.slots[i].free.TasksThatFit(job); fit > 0 && placement.KindAllowed(job, f.slots[i].kind) {
-			found += f.reserve(i, job, min(fit, want-found))
+		current := &p.slots[i]
+		if fit := current.available.TasksThatFit(job); fit > 0 && placement.KindAllowed(job, current.kind) {
+			placed += current.reserve(job, min(fit, maxTasks-placed))
 		}
-		if f.slots[i].free.CPUs >= f.smallestTaskCPUs-1e-6 {
-			f.slots[left] = f.slots[i]
-			left++
+		if current.available.CPUs >= p.smallestTaskCPUs-cpuTolerance {
+			p.slots[kept] = *current
+			kept++
 		}
 	}
-	f.slots = f.slots[:left]
-	return found
+	p.slots = p.slots[:kept]
+	return placed
 }
 
-// requiredTasks is how many of its tasks must have a place at the same time for a job ever to
-// get anywhere.
-func requiredTasks(j *jobs.Job) int {
-	if j.IsGang || j.IsService {
-		return j.Tasks
+// requiredTasks returns how many tasks of a job must have a place at the same time for it to make progress.
+func requiredTasks(job *jobs.Job) int {
+	if job.IsGang || job.IsService {
+		return job.Tasks
 	}
 	return 1
 }
 
-// taskCapacity is how many tasks of the job the machines would hold if nothing else ran.
-// However small the work at hand: what has no place at all gets one.
-func (f *capacityProjection) taskCapacity(j *jobs.Job) int {
-	n := 0
-	for k, r := range f.byKind {
-		if placement.KindAllowed(j, k) {
-			n += r.count * r.machineCapacity.TasksThatFit(j)
+// taskCapacity returns how many tasks of the job the machines could hold if nothing else ran.
+func (p *capacityProjection) taskCapacity(job *jobs.Job) int {
+	tasks := 0
+	for kind, capacity := range p.byKind {
+		if placement.KindAllowed(job, kind) {
+			tasks += capacity.count * capacity.machineResources.TasksThatFit(job)
 		}
 	}
-	return n
+	return tasks
 }
--- /dev/null
+++ b/internal/controller/autoscaler/scaleout_test.go
@@ -0,0 +1,206 @@
+package autoscaler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/zones"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
+)
+
+// Machines that were lost with an earlier leader are not taken for capacity, nor for booting. Once their leases have expired
+// instances are requested for what waits, and they are terminated.
+func TestMachinesLostWithPreviousLeaderAreReplaced(t *testing.T) {
+	f := newFixture()
+	for i := range 6 {
+		id := fmt.Sprintf("vm-%06d", i)
+		f.cloud.Instances[id] = &cloud.Instance{
+			ID:          id,
+			Kind:        cloud.InstanceKind{Type: "large", Zone: "a", Spot: true},
+			RequestedAt: f.now.Add(-time.Minute),
+			State:       cloud.StateRunning,
+		}
+		machine := f.workers.GetOrAdd(id)
+		machine.Registered = true
+		f.renewLease(machine) // at the election
+	}
+	f.addJob(2, 96, 1)
+	countRequested := func() int {
+		count := 0
+		for _, call := range f.requestCalls() {
+			count += requestedCount(call)
+		}
+		return count
+	}
+	if f.scale(f.now); countRequested() > 0 {
+		t.Error("instances are requested for work that may still run on machines that are not reconciled")
+	}
+	f.now = f.now.Add(f.workers.Lease() + time.Second)
+	if f.scale(f.now); countRequested() == 0 {
+		t.Error("machines that are lost are taken for capacity")
+	}
+	f.now = f.now.Add(silenceGrace)
+	f.scale(f.now)
+	for id, instance := range f.cloud.Instances {
+		if !instance.Deleting {
+			t.Errorf("%s is not terminated", id)
+		}
+	}
+}
+
+// A queue on a small cluster, shortly after an election, does not request many times the cluster at the expensive price.
+func TestExpensiveInstancesAreBoundByCheapOnes(t *testing.T) {
+	f := newFixture()
+	f.setObjectives(config.Objective{Kind: "finished", Class: "c", TimeLimit: time.Minute, TargetShare: 0.82})
+	for i := range 4 {
+		f.addMachine(i, "large", "a", true)
+	}
+	for i := range 9 {
+		f.addJob(3*i+2, 30, 1)
+	}
+	f.options.CostWeight = 0
+	created := 0
+	for range 30 {
+		f.now = f.now.Add(time.Second)
+		for _, machine := range f.workers.Machines {
+			f.renewLease(machine)
+		}
+		f.scale(f.now)
+		for _, call := range f.requestCalls() {
+			created += f.answerWithoutSpot(t, call, created)
+		}
+	}
+	cpus := 0.0
+	for _, instance := range f.cloud.Instances {
+		if !instance.Kind.Spot {
+			cpus += f.cloud.MachineTypes[instance.Kind.Type].CPUs
+		}
+	}
+	if created == 0 || cpus > 32 {
+		t.Errorf("%d expensive instances with %g CPUs for 64 cheap CPUs", created, cpus)
+	}
+}
+
+// answerWithoutSpot answers a request with the instances that it asks for, but none if these are spot instances. It returns their
+// number; firstID numbers them.
+func (f *fixture) answerWithoutSpot(t *testing.T, call client.Call, firstID int) int {
+	t.Helper()
+	var ids []string
+	if call.Body.(map[string]any)["driftwood"] == false {
+		for i := range requestedCount(call) {
+			ids = append(ids, fmt.Sprintf("vm-9%05d", firstID+i))
+		}
+	}
+	encoded, err := codec.Marshal(map[string]any{"oarlocks": ids})
+	if err != nil {
+		t.Fatal(err)
+	}
+	call.Done(f.now, client.Result{Status: 200, Body: encoded})
+	return len(ids)
+}
+
+// Nothing in an unavailable zone is counted on, booting instances neither. One instance at a time is requested there if no machine
+// is left, and a heartbeat ends the outage.
+func TestUnavailableZonesAreNotCountedOn(t *testing.T) {
+	f := newFixture()
+	for i := range 8 {
+		f.addMachine(i, "large", []string{"a", "b"}[i%2], true)
+	}
+	kindInB := cloud.InstanceKind{Type: "large", Zone: "b", Spot: true}
+	f.passSecond("a", "b")
+	if cpus := f.ExpectedCapacity(f.now).CPUs; cpus != 8*16 || f.projectCapacity().totalCPUs != 8*16 {
+		t.Fatalf("%g CPUs are counted on", cpus)
+	}
+	for range 8 {
+		f.passSecond("a")
+	}
+	requestable := f.maxRequestable(f.now, kindInB)
+	if cpus := f.ExpectedCapacity(f.now).CPUs; cpus != 4*16 || f.projectCapacity().totalCPUs != 4*16 || requestable != 0 {
+		t.Errorf("%g CPUs are counted on, %d instances may be requested, while the zone is unavailable", cpus, requestable)
+	}
+	for _, machine := range f.workers.MachinesByName() { // they are terminated
+		if machine.Zone == "b" {
+			f.workers.Remove(machine)
+			delete(f.cloud.Instances, machine.ID)
+		}
+	}
+	for range 20 {
+		f.passSecond("a")
+	}
+	if n := f.maxRequestable(f.now, kindInB); n != 1 {
+		t.Errorf("%d instances may be requested as a probe", n)
+	}
+	f.zones.RecordRequest(f.now, "b", 1)
+	if f.maxRequestable(f.now, kindInB) != 0 {
+		t.Error("a second probe may be requested at once")
+	}
+	f.addMachine(20, "large", "b", true)
+	f.passSecond("a", "b")
+	if f.ExpectedCapacity(f.now).CPUs != 5*16 || f.maxRequestable(f.now, kindInB) < 2 {
+		t.Error("the zone is still not counted on though a machine reports")
+	}
+}
+
+// passSecond lets a second pass in which the machines of the zones send heartbeats.
+func (f *fixture) passSecond(zoneNames ...string) {
+	f.now = f.now.Add(time.Second)
+	reachable := map[string]bool{}
+	for _, name := range zoneNames {
+		reachable[name] = true
+	}
+	for _, machine := range f.workers.Machines {
+		if reachable[machine.Zone] {
+			f.renewLease(machine)
+		}
+	}
+	f.zones.Observe(f.now, false, func(visit func(zones.Machine)) {
+		for _, machine := range f.workers.Machines {
+			visit(zones.Machine{
+				Zone: machine.Zone, HasReported: true, LeaseValid: !f.workers.IsLeaseExpired(f.now, machine), LastHeartbeat: machine.LastContactAt,
+			})
+		}
+	})
+	f.refreshInstances(f.now)
+}
+
+// newLoadedFixture has machines of which seven in eight are full, and jobs that wait.
+func newLoadedFixture(machines, waiting int) *fixture {
+	f := newFixture()
+	for i := range waiting {
+		f.addJob(i, 100+i%50, 1)
+	}
+	f.addJob(waiting, jobs.MaxTasks, 2)
+	for i := range machines {
+		typeName := "small"
+		if i%4 == 0 {
+			typeName = "large"
+		}
+		machine := f.addMachine(i, typeName, "a", i%2 == 0)
+		if i%8 > 0 {
+			f.placer.StartTasks(f.now, machine, 300)
+		}
+	}
+	return f
+}
+
+// BenchmarkScale is the decision about requests and terminations, with three objectives to weigh.
+func BenchmarkScale(b *testing.B) {
+	for _, size := range [...]int{250, 1000, 5000} {
+		b.Run(fmt.Sprint(size), func(b *testing.B) {
+			f := newLoadedFixture(size, size)
+			f.setObjectives(
+				config.Objective{Kind: "finished", Class: "c", TimeLimit: 2 * time.Minute, TargetShare: 0.9},
+				config.Objective{Kind: "finished", Class: "c", TimeLimit: 4 * time.Minute, TargetShare: 0.99},
+				config.Objective{Kind: "wait", Class: "c", TimeLimit: time.Minute, TargetShare: 0.9},
+			)
+			for b.Loop() {
+				f.scale(f.now)
+			}
+		})
+	}
+}
--- a/internal/controller/autoscaler/stragglers.go
+++ b/internal/controller/autoscaler/stragglers.go
@@ -4,37 +4,43 @@
 	"time"
 
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/logkeys"
 )
 
-// maxCordonedShare is how much of the fleet may be set aside at a time for being slow: more says something of
-// the work, or of the cloud, and not of the machines.
+// maxCordonedShare is the share of the machines that may be cordoned as slow at a time. If more look slow, the cause is rather the
+// work or the cloud than the machines.
 const maxCordonedShare = 0.05
 
-// cordonStragglers has nothing more start on machines that are slow but report: they cost what others do.
-// What runs there goes on; then they are returned, and the work at hand rents others. What costs
-// nothing is kept, however slow: it would be rented again.
-func (d *Scaler) cordonStragglers(now time.Time) {
-	up, aside := 0, 0
+// cordonStragglers cordons slow machines, which cost as much as others: no more tasks start on them, those that run go on, then
+// they are terminated. Machines that cost nothing are kept: their replacements could be as slow.
+func (s *Scaler) cordonStragglers(now time.Time) {
+	reporting, cordoned := 0, 0
 	var slow []*worker.Machine
-	for _, m := range d.workers.MachinesByName() {
-		if !m.HasReported || d.workers.IsLeaseExpired(now, m) {
+	for _, machine := range s.workers.MachinesByName() {
+		if !machine.HasReported || s.workers.IsLeaseExpired(now, machine) {
 			continue
 		}
-		up++
-		t := d.cloud.MachineTypes[m.Type]
+		reporting++
 		switch {
-		case m.DrainReason == worker.DrainSlow:
-			aside++
-		case m.DrainReason == worker.NotDraining && t != nil && t.HourlyPrice > 0 && d.cloud.Instances[m.ID] != nil && d.stragglers.IsSlow(m.ID):
-			slow = append(slow, m)
+		case machine.DrainReason == worker.DrainSlow:
+			cordoned++
+		case machine.DrainReason == worker.NotDraining && s.costsMoney(machine) && s.stragglers.IsSlow(machine.ID):
+			slow = append(slow, machine)
 		}
 	}
-	for _, m := range slow {
-		if float64(aside) >= maxCordonedShare*float64(up) {
+	for _, machine := range slow {
+		if float64(cordoned) >= maxCordonedShare*float64(reporting) {
 			return
 		}
-		aside++
-		m.DrainReason = worker.DrainSlow
-		d.log.Info("a machine is slow", "machine", m.ID, "times", d.stragglers.Slowdown(m.ID), "tasks", len(m.Attempts))
+		cordoned++
+		machine.DrainReason = worker.DrainSlow
+		s.log.Info("slow machine cordoned", logkeys.Machine, machine.ID,
+			"slowdown", s.stragglers.Slowdown(machine.ID), "tasks", len(machine.Attempts))
 	}
 }
+
+// costsMoney reports whether the machine is an instance of the cloud that has a price.
+func (s *Scaler) costsMoney(machine *worker.Machine) bool {
+	machineType := s.cloud.MachineTypes[machine.Type]
+	return machineType != nil && machineType.HourlyPrice > 0 && s.cloud.Instances[machine.ID] != nil
+}
--- /dev/null
+++ b/internal/controller/autoscaler/stragglers_test.go
@@ -0,0 +1,68 @@
+package autoscaler
+
+import (
+	"testing"
+	"time"
+
+	"gullrudder/internal/controller/worker"
+)
+
+// Machines on which tasks take four times as long are cordoned and terminated, but only a small part of the machines at a time,
+// and none that costs nothing.
+func TestStragglersAreTerminated(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		price float64
+		want  int
+	}{
+		{"machines with a price", 1, 2},
+		{"machines that cost nothing", 0, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			f := newFixture()
+			f.cloud.MachineTypes["small"].HourlyPrice = test.price
+			f.addMachinesWithRuns(40, 4)
+			f.cordonStragglers(f.now)
+			cordoned := f.machinesDrainedAs(worker.DrainSlow)
+			if len(cordoned) != test.want {
+				t.Errorf("%v cordoned, want %d", cordoned, test.want)
+			}
+			f.now = f.now.Add(2 * time.Minute)
+			for _, machine := range f.workers.MachinesByName() {
+				f.sendHeartbeat(machine)
+			}
+			f.refreshInstances(f.now)
+			f.terminateUnneeded(f.now, nil)
+			for _, id := range cordoned {
+				if !f.cloud.Instances[id].Deleting {
+					t.Errorf("%s is slow and empty and is not terminated", id)
+				}
+			}
+		})
+	}
+}
+
+// machinesDrainedAs returns the IDs of the machines with a drain reason.
+func (f *fixture) machinesDrainedAs(reason worker.DrainReason) []string {
+	var ids []string
+	for _, machine := range f.workers.MachinesByName() {
+		if machine.DrainReason == reason {
+			ids = append(ids, machine.ID)
+		}
+	}
+	return ids
+}
+
+// addMachinesWithRuns adds machines that have run tasks, the first of them slow ones.
+func (f *fixture) addMachinesWithRuns(count, slow int) {
+	for i := range count {
+		machine := f.addMachine(i, "small", "a", false)
+		for k := range 30 {
+			runTime := time.Minute + time.Duration((i*7+k*13)%20)*time.Second
+			if i < slow {
+				runTime *= 4
+			}
+			f.stragglers.RecordRun(machine.ID, runTime, 70*time.Second, 10)
+		}
+	}
+}
--- a/internal/controller/autoscaler/terminate.go
+++ b/internal/controller/autoscaler/terminate.go
@@ -8,86 +8,122 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// silenceGrace is how long after the end of its lease a silent machine is waited for.
-const silenceGrace = 15 * time.Second
+const (
+	// silenceGrace is how long after the end of its lease a silent machine is waited for.
+	silenceGrace = 15 * time.Second
+	// busyIdleFactor is how many times the option IdleTimeout a machine may be idle while tasks wait that do not fit on it.
+	busyIdleFactor = 3
+)
 
-// minBilledTime is what the cloud charges at least for a machine that is deleted.
-const minBilledTime = time.Minute
+// Reasons for a termination, besides the drain reasons of package worker.
+const (
+	reasonFailed        = "failed"
+	reasonNeverReported = "never up"
+	reasonLost          = "lost"
+	reasonIdle          = "idle"
+)
 
-// prepaidTime is how long a machine has been paid for already beyond now.
-func (d *Scaler) prepaidTime(now time.Time, id string) time.Duration {
-	h := d.cloud.Instances[id]
-	if h == nil {
-		return 0
+// terminateUnneeded terminates instances that are idle, drained, failed, lost, or that never reported. startableTasks are the
+// waiting tasks by job.
+func (s *Scaler) terminateUnneeded(now time.Time, startableTasks []int) {
+	waiting := 0
+	for _, tasks := range startableTasks {
+		waiting += tasks
+	}
+	idsByReason := map[string][]string{}
+	for i := range s.instances {
+		tracked := &s.instances[i]
+		if tracked.Deleting {
+			continue
+		}
+		reason := s.terminationReason(now, tracked, waiting != 0)
+		if reason == "" {
+			continue
+		}
+		machine := tracked.machine
+		if machine != nil && (machine.DrainReason == worker.NotDraining || machine.DrainReason.LeadsToTermination()) {
+			machine.DrainReason = worker.DrainTerminating
+		}
+		idsByReason[reason] = append(idsByReason[reason], tracked.ID)
+	}
+	for reason, ids := range idsByReason {
+		s.cloud.Terminate(ids, reason)
 	}
-	return max(minBilledTime-now.Sub(h.RequestedAt), 0)
 }
 
-// cordonExpensive stops to use the dearer kinds once the cheaper machines that are up would get
-// through the work well before the dearer ones were worth renting.
-func (d *Scaler) cordonExpensive(now time.Time, opts []offering, work teamBacklogs) {
-	up := map[cloud.InstanceKind][]*worker.Machine{}
-	for _, m := range d.workers.Machines {
-		if m.HasReported && (m.DrainReason == worker.NotDraining || m.DrainReason == worker.DrainExpensive) {
-			up[placement.MachineKind(m)] = append(up[placement.MachineKind(m)], m)
+// terminationReason returns why an instance is not needed, and "" if it is.
+func (s *Scaler) terminationReason(now time.Time, tracked *trackedInstance, hasWaitingTasks bool) string {
+	machine := tracked.machine
+	switch {
+	case tracked.State == cloud.StateFailed:
+		return reasonFailed
+	case machine == nil:
+		if s.hasBootTimedOut(now, tracked) {
+			return reasonNeverReported
 		}
-	}
-	cheaper := 0.0
-	for _, o := range opts {
-		worth := d.requiredBacklog(o.price, opts[0].price)
-		spare := o.price > 1.5*opts[0].price && work.completableWithin(worth) < cheaper*worth/2
-		for _, m := range up[o.kind] {
-			cheaper += m.CPUs
-			switch {
-			case spare && m.DrainReason == worker.NotDraining && d.prepaidTime(now, m.ID) == 0:
-				m.DrainReason = worker.DrainExpensive
-			case !spare && m.DrainReason == worker.DrainExpensive:
-				m.DrainReason = worker.NotDraining
-			}
+	case tracked.leaseExpired:
+		if s.isLost(now, tracked) {
+			return reasonLost
 		}
+	case !machine.HasReported: // registered by an earlier leader: its tasks are not known yet
+	case machine.DrainReason.LeadsToTermination() && len(machine.Attempts) == 0:
+		return string(machine.DrainReason)
+	case s.isIdle(now, machine, hasWaitingTasks):
+		return reasonIdle
 	}
+	return ""
 }
 
-// terminateUnneeded returns machines that are idle, faulty, failed, never up or lost.
-func (d *Scaler) terminateUnneeded(now time.Time, wants []int) {
-	why := map[string][]string{}
-	waiting := 0
-	for _, n := range wants {
-		waiting += n
+// hasBootTimedOut reports whether an instance that has not reported is taken for one that never will. Shortly after the election
+// its heartbeats may have gone to the earlier leader.
+func (s *Scaler) hasBootTimedOut(now time.Time, tracked *trackedInstance) bool {
+	return tracked.machineType != nil && now.Sub(tracked.RequestedAt) > s.cloud.BootTimeout(tracked.machineType) &&
+		now.Sub(s.electedAt) > s.workers.Lease()
+}
+
+// isLost reports whether a machine whose lease has expired is given up. Sentinels of an unavailable zone are kept.
+func (s *Scaler) isLost(now time.Time, tracked *trackedInstance) bool {
+	if tracked.machine.IsSentinel && s.zones.IsUnavailable(tracked.Kind.Zone) {
+		return false
 	}
-	for i := range d.instances {
-		id, h, t, m := d.instances[i].id, d.instances[i].instance, d.instances[i].machineType, d.instances[i].machine
-		if h.Deleting {
-			continue
+	return now.Sub(tracked.machine.LeaseRenewedAt) > s.workers.Lease()+silenceGrace
+}
+
+// isIdle reports whether a machine has been without tasks for so long that it is not needed.
+func (s *Scaler) isIdle(now time.Time, machine *worker.Machine, hasWaitingTasks bool) bool {
+	if machine.DrainReason != worker.NotDraining || len(machine.Attempts) > 0 || s.prepaidTime(now, machine.ID) > 0 {
+		return false
+	}
+	timeout := s.options.IdleTimeout
+	if hasWaitingTasks {
+		timeout *= busyIdleFactor
+	}
+	return now.Sub(machine.IdleSince) > timeout
+}
+
+// cordonExpensive cordons machines of expensive kinds once the cheaper ones would get through the work well before the expensive
+// ones were worth requesting, and takes them back into use when that changes. It decides if the platform states no objectives.
+func (s *Scaler) cordonExpensive(now time.Time, offerings []offering, backlog teamBacklogs) {
+	machinesByKind := map[cloud.InstanceKind][]*worker.Machine{}
+	for _, machine := range s.workers.Machines {
+		if machine.HasReported && (machine.DrainReason == worker.NotDraining || machine.DrainReason == worker.DrainExpensive) {
+			kind := placement.MachineKind(machine)
+			machinesByKind[kind] = append(machinesByKind[kind], machine)
 		}
-		reason := ""
-		switch {
-		case h.State == cloud.StateFailed:
-			reason = "failed"
-		case m == nil:
-			if t != nil && now.Sub(h.RequestedAt) > d.cloud.BootTimeout(t) && now.Sub(d.electedAt) > d.workers.Lease() {
-				reason = "never up"
-			}
-		case d.instances[i].leaseExpired:
-			if now.Sub(m.LeaseRenewedAt) > d.workers.Lease()+silenceGrace && !(m.IsSentinel && d.zones.IsUnavailable(h.Kind.Zone)) {
-				reason = "lost"
+	}
+	cheaperCPUs := 0.0
+	for _, offered := range offerings {
+		required := s.requiredBacklog(offered.price, offerings[0].price)
+		isExpensive := offered.price > expensiveRatio*offerings[0].price
+		isSpare := isExpensive && backlog.completableWithin(required) < cheaperCPUs*required/2
+		for _, machine := range machinesByKind[offered.kind] {
+			cheaperCPUs += machine.CPUs
+			switch {
+			case isSpare && machine.DrainReason == worker.NotDraining && s.prepaidTime(now, machine.ID) == 0:
+				machine.DrainReason = worker.DrainExpensive
+			case !isSpare && machine.DrainReason == worker.DrainExpensive:
+				machine.DrainReason = worker.NotDraining
 			}
-		case !m.HasReported: // on the roster of an earlier leader: its tasks are not known yet
-		case m.DrainReason.LeadsToTermination() && len(m.Attempts) == 0:
-			reason = string(m.DrainReason)
-		case m.DrainReason != worker.NotDraining || len(m.Attempts) > 0 || d.prepaidTime(now, id) > 0:
-		case waiting == 0 && now.Sub(m.IdleSince) > d.options.IdleTimeout, now.Sub(m.IdleSince) > 3*d.options.IdleTimeout:
-			reason = "idle"
-		}
-		if reason == "" {
-			continue
 		}
-		if m != nil && (m.DrainReason == worker.NotDraining || m.DrainReason.LeadsToTermination()) {
-			m.DrainReason = worker.DrainTerminating
-		}
-		why[reason] = append(why[reason], id)
-	}
-	for reason, ids := range why {
-		d.cloud.Terminate(ids, reason)
 	}
 }
--- a/internal/controller/cloud/instance.go
+++ b/internal/controller/cloud/instance.go
@@ -21,6 +21,14 @@
 	return time.Duration(t.BootSeconds * float64(time.Second))
 }
 
+// HourlyPriceFor returns the price of an hour of an instance, spot or on demand.
+func (t *MachineType) HourlyPriceFor(spot bool) float64 {
+	if spot {
+		return t.SpotHourlyPrice
+	}
+	return t.HourlyPrice
+}
+
 // InstanceKind is what one request asks for: a machine type in a zone, on demand or spot.
 type InstanceKind struct {
 	Type string // name of the machine type
