--- a/internal/wire/client/outbox.go
+++ b/internal/wire/client/outbox.go
@@ -1,6 +1,6 @@
-// Package client carries what the owner loop wants done outside of it: the slices
-// add calls, the runtime (or the stand-in world of the tests) carries them out and
-// hands each result back to the owner, which then runs the call's Done.
+// Package client carries requests from the owner of a component's state to the outside: the components of a step add calls to an
+// Outbox, the runtime (or a simulated cluster) carries them out, and the owner runs each call's Done with its result. The package
+// does no I/O and owns nothing but the calls of one step and the levels of its rate limiters.
 package client
 
 import "time"
@@ -10,69 +10,45 @@
 
 // The far sides that a controller speaks to.
 const (
-	StateService Destination = iota
-	CloudAPI
-	PeerController
-	WorkerAgent
+	StateService   Destination = iota
+	CloudAPI                   // of the cloud that machines are requested from
+	PeerController             // another controller
+	WorkerAgent                // the worker of a machine
 )
 
-// Result is what came of a call. Status is 0 if no answer came, and then nobody
-// knows whether the request was, or will yet be, executed.
+// Result is what came of a call. A status of 0 means that no response came: it is uncertain whether the request was, or will yet be,
+// executed.
 type Result struct {
 	Status     int
 	Body       []byte
-	RetryAfter time.Duration
-	Err        error
+	RetryAfter time.Duration // as the far side asked; 0: it did not
+	Err        error         // why no response came
 }
 
-// IsUncertain reports whether the outcome of the call is unknown.
+// IsUncertain reports whether it is uncertain that the request was executed.
 func (r Result) IsUncertain() bool { return r.Status == 0 }
 
-// Call is one request. Done runs on the owner loop, exactly once.
+// Call is one request.
 type Call struct {
 	Destination Destination
-	Addr        string
+	Addr        string // host:port, for destinations that have many
 	Method      string
-	Path        string
-	Body        any
-	Delay       time.Duration // wait this long before sending
+	Path        string // with the query
+	Body        any    // encoded in MessagePack; nil: none
+	Delay       time.Duration
 	Timeout     time.Duration
-	Done        func(now time.Time, r Result)
+	Done        func(now time.Time, r Result) // runs on the owner's goroutine, exactly once
 }
 
-// Outbox collects the calls of one step.
+// Outbox collects the calls of one step. It belongs to the goroutine that runs the step.
 type Outbox struct{ calls []Call }
 
-// Add puts a call into the box.
-func (b *Outbox) Add(c Call) { b.calls = append(b.calls, c) }
+// Add adds a call, which is sent after the step.
+func (o *Outbox) Add(c Call) { o.calls = append(o.calls, c) }
 
-// TakeCalls empties the box.
-func (b *Outbox) TakeCalls() []Call {
-	calls := b.calls
-	b.calls = nil
+// TakeCalls returns what has been collected and starts anew.
+func (o *Outbox) TakeCalls() []Call {
+	calls := o.calls
+	o.calls = nil
 	return calls
 }
-
-// RateLimiter is a token bucket.
-type RateLimiter struct {
-	rate, burst, tokens float64
-	updatedAt           time.Time
-}
-
-// NewRateLimiter allows rate units a second, and bursts of that much for so long.
-func NewRateLimiter(rate float64, burst time.Duration) *RateLimiter {
-	capacity := rate * burst.Seconds()
-	return &RateLimiter{rate: rate, burst: capacity, tokens: capacity}
-}
-
-// Available is the number of whole units that may be taken now.
-func (l *RateLimiter) Available(now time.Time) int {
-	if !l.updatedAt.IsZero() && now.After(l.updatedAt) {
-		l.tokens = min(l.burst, l.tokens+now.Sub(l.updatedAt).Seconds()*l.rate)
-	}
-	l.updatedAt = now
-	return int(max(l.tokens, 0))
-}
-
-// Take uses n units; the caller has asked Available before.
-func (l *RateLimiter) Take(n int) { l.tokens -= float64(n) }
--- /dev/null
+++ b/internal/wire/codec/format.go
@@ -0,0 +1,63 @@
+package codec
+
+import (
+	"encoding/binary"
+)
+
+// First bytes of MessagePack values, as https://github.com/msgpack/msgpack/blob/master/spec.md has them. The types that are left
+// out (binary, extensions) are not used here.
+const (
+	positiveFixintMax = 0x7f
+	fixmapMax         = 0x8f
+	fixarrayMax       = 0x9f
+	fixstrMin         = 0xa0
+	fixstrMax         = 0xbf
+	nilCode           = 0xc0
+	falseCode         = 0xc2
+	trueCode          = 0xc3
+	float32Code       = 0xca
+	float64Code       = 0xcb
+	uint8Code         = 0xcc
+	uint16Code        = 0xcd
+	uint32Code        = 0xce
+	uint64Code        = 0xcf
+	int8Code          = 0xd0
+	int16Code         = 0xd1
+	int32Code         = 0xd2
+	int64Code         = 0xd3
+	str8Code          = 0xd9
+	str16Code         = 0xda
+	str32Code         = 0xdb
+	array16Code       = 0xdc
+	array32Code       = 0xdd
+	map16Code         = 0xde
+	map32Code         = 0xdf
+	negativeFixintMin = 0xe0
+)
+
+// Masks of the length in a first byte that holds one.
+const (
+	fixCollectionMask = 0x0f // of a fixmap or fixarray
+	fixstrMask        = 0x1f
+)
+
+// readLength cuts a length of 1, 2 or 4 bytes off the front. Every element of a collection and every byte of a string takes a byte
+// at least, so a length above what is left is refused before anything is allocated for it.
+func readLength(b []byte, width int) (int, []byte, error) {
+	if len(b) < width {
+		return 0, nil, ErrTruncated
+	}
+	var length uint64
+	switch width {
+	case 1:
+		length = uint64(b[0])
+	case 2:
+		length = uint64(binary.BigEndian.Uint16(b))
+	default:
+		length = uint64(binary.BigEndian.Uint32(b))
+	}
+	if length > uint64(len(b)) {
+		return 0, nil, ErrTruncated
+	}
+	return int(length), b[width:], nil
+}
--- /dev/null
+++ b/internal/wire/codec/jsonsize.go
@@ -0,0 +1,116 @@
+package codec
+
+import (
+	"encoding/json"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// notANumberBytes is what a number that JSON does not know (infinite, or none) is counted as.
+const notANumberBytes = 24
+
+// JSONSize is how many bytes a validated value takes as JSON, in which the limits of the state service are counted. It is 0 for what
+// is no value.
+func JSONSize(raw []byte) int {
+	size, _ := jsonValueSize(raw)
+	return size
+}
+
+// jsonValueSize is the size of the value at the front of b, and what follows it.
+func jsonValueSize(b []byte) (size int, rest []byte) {
+	if len(b) == 0 {
+		return 0, nil
+	}
+	code := b[0]
+	switch {
+	case code <= positiveFixintMax:
+		return decimalDigits(uint64(code)), b[1:]
+	case code <= fixmapMax:
+		return jsonMapSize(b[1:], int(code&fixCollectionMask))
+	case code <= fixarrayMax:
+		return jsonArraySize(b[1:], int(code&fixCollectionMask))
+	case code <= fixstrMax:
+		return jsonStringSize(b[1:], int(code&fixstrMask))
+	case code >= negativeFixintMin:
+		return 1 + decimalDigits(uint64(-int64(int8(code)))), b[1:]
+	case code >= str8Code && code <= str32Code:
+		length, rest, err := readLength(b[1:], 1<<(code-str8Code))
+		if err != nil {
+			return 0, nil
+		}
+		return jsonStringSize(rest, length)
+	case code >= array16Code && code <= map32Code:
+		return jsonCollectionSize(code, b[1:])
+	}
+	return jsonScalarSize(b)
+}
+
+// jsonCollectionSize is the size of an array or map whose first byte, which has been cut off, does not hold its length.
+func jsonCollectionSize(code byte, b []byte) (size int, rest []byte) {
+	length, rest, err := readLength(b, 2<<((code-array16Code)&1))
+	switch {
+	case err != nil:
+		return 0, nil
+	case code <= array32Code:
+		return jsonArraySize(rest, length)
+	}
+	return jsonMapSize(rest, length)
+}
+
+// jsonScalarSize is the size of a number, boolean or null, which the JSON encoder itself is asked for.
+func jsonScalarSize(b []byte) (size int, rest []byte) {
+	var value any
+	rest, err := skipValue(b, 0)
+	if err != nil || msgpack.Unmarshal(b[:len(b)-len(rest)], &value) != nil {
+		return 0, nil
+	}
+	text, err := json.Marshal(value)
+	if err != nil {
+		return notANumberBytes, rest
+	}
+	return len(text), rest
+}
+
+func decimalDigits(v uint64) int {
+	digits := 1
+	for ; v >= 10; v /= 10 {
+		digits++
+	}
+	return digits
+}
+
+func jsonStringSize(b []byte, length int) (int, []byte) {
+	if length > len(b) {
+		return 0, nil
+	}
+	for _, c := range b[:length] {
+		if c >= ' ' && c < 0x7f && c != '"' && c != '\\' && c != '<' && c != '>' && c != '&' {
+			continue
+		}
+		if text, err := json.Marshal(string(b[:length])); err == nil {
+			return len(text), b[length:]
+		}
+	}
+	return length + len(`""`), b[length:]
+}
+
+func jsonArraySize(b []byte, items int) (size int, rest []byte) {
+	size = len("[]") + max(items-1, 0)
+	for ; items > 0; items-- {
+		var item int
+		item, b = jsonValueSize(b)
+		size += item
+	}
+	return size, b
+}
+
+func jsonMapSize(b []byte, pairs int) (size int, rest []byte) {
+	size = len("{}") + max(pairs-1, 0)
+	for ; pairs > 0; pairs-- {
+		var key, value int
+		key, b = jsonValueSize(b)
+		value, b = jsonValueSize(b)
+		size += key + len(":") + value
+	}
+	return size, b
+}
--- a/internal/wire/http1/client.go
+++ b/internal/wire/http1/client.go
@@ -1,18 +1,19 @@
 package http1
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"sync"
 	"time"
 )
 
-// Client sends requests and keeps idle connections for the next one.
+// Client sends requests and keeps idle connections for the next one. It may be used by several goroutines.
 type Client struct {
 	maxIdlePerAddr int
 	maxBodyBytes   int
-	openRequests   chan struct{}
-	mu             sync.Mutex
+	openRequests   chan struct{} // a semaphore
+	mu             sync.Mutex    // guards idle
 	idle           map[string][]idleConn
 }
 
@@ -21,11 +22,17 @@
 	idleSince time.Time
 }
 
-// maxIdleTime is how long an idle connection is trusted.
-const maxIdleTime = 20 * time.Second
+const (
+	// maxIdleTime is how long an idle connection is trusted. Servers close theirs after 75 s without a request.
+	maxIdleTime = 20 * time.Second
+	// responseBufferBytes holds most responses without growing.
+	responseBufferBytes = 2 << 10
+)
+
+// ErrTooManyRequests is returned by Do while as many requests are open as the client may have.
+var ErrTooManyRequests = errors.New("too many open requests")
 
-// NewClient bounds the open requests, the idle connections for one address and the
-// size of a response.
+// NewClient bounds the open requests, the idle connections for one address, and the bytes of a response's body.
 func NewClient(maxOpenRequests, maxIdlePerAddr, maxBodyBytes int) *Client {
 	return &Client{
 		maxIdlePerAddr: maxIdlePerAddr,
@@ -35,31 +42,38 @@
 	}
 }
 
-// Do sends one request. An error means that no whole answer came and that nobody knows
-// whether the request was executed. A request is never sent twice.
+// Do sends one request and waits for its response until the timeout. An error means that no whole response came and that it is
+// uncertain whether the request was, or will yet be, executed; only ErrTooManyRequests says for certain that it was not sent. A
+// request is never sent twice.
 func (c *Client) Do(addr, method, target string, body []byte, timeout time.Duration) (*Message, error) {
 	deadline := time.Now().Add(timeout)
 	select {
 	case c.openRequests <- struct{}{}:
 		defer func() { <-c.openRequests }()
 	default:
-		return nil, fmt.Errorf("%s %s: too many open requests", method, addr)
+		return nil, fmt.Errorf("%s %s: %w", method, addr, ErrTooManyRequests)
 	}
 	conn, err := c.takeConn(addr, deadline)
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", method, addr, err)
 	}
-	msg, err := c.roundTrip(conn, addr, method, target, body, deadline)
+	response, err := c.roundTrip(conn, AppendRequest(nil, method, addr, target, body), deadline)
 	if err != nil {
-		conn.Close()
+		discard(conn)
 		return nil, fmt.Errorf("%s %s%s: %w", method, addr, target, err)
 	}
-	if msg.CloseConnection || !c.keepConn(addr, conn) {
-		conn.Close()
+	if response.CloseConnection || !c.keepConn(addr, conn) {
+		discard(conn)
 	}
-	return msg, nil
+	return response, nil
 }
 
+// discard closes a connection that is used for nothing any more. Its error says nothing about a request: the response has come
+// whole, or the request counts as uncertain already.
+func discard(conn net.Conn) { _ = conn.Close() }
+
+// takeConn takes the connection to an address that was idle for the shortest time, or opens one.
+
 func (c *Client) takeConn(addr string, deadline time.Time) (net.Conn, error) {
 	c.mu.Lock()
 	idle := c.idle[addr]
@@ -71,14 +85,15 @@
 			c.mu.Unlock()
 			return last.Conn, nil
 		}
-		last.Close()
+		discard(last)
 	}
 	delete(c.idle, addr)
 	c.mu.Unlock()
-	d := net.Dialer{Deadline: deadline}
-	return d.Dial("tcp4", addr)
+	dialer := net.Dialer{Deadline: deadline}
+	return dialer.Dial("tcp4", addr)
 }
 
+// keepConn keeps a connection for the next request, and reports whether there was room for it.
 func (c *Client) keepConn(addr string, conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,32 +104,36 @@
 	return true
 }
 
-func (c *Client) roundTrip(conn net.Conn, addr, method, target string, body []byte, deadline time.Time) (*Message, error) {
+func (c *Client) roundTrip(conn net.Conn, request []byte, deadline time.Time) (*Message, error) {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return nil, err
 	}
-	if _, err := conn.Write(AppendRequest(nil, method, addr, target, body)); err != nil {
+	if _, err := conn.Write(request); err != nil {
 		return nil, err
 	}
-	buf := make([]byte, 0, 2048)
+	return c.readResponse(conn)
+}
+
+func (c *Client) readResponse(conn net.Conn) (*Message, error) {
+	buffer := make([]byte, 0, responseBufferBytes)
 	for {
-		if len(buf) == cap(buf) {
-			buf = append(buf, 0)[:len(buf)]
+		if len(buffer) == cap(buffer) {
+			buffer = append(buffer, 0)[:len(buffer)]
 		}
-		n, err := conn.Read(buf[len(buf):cap(buf)])
-		buf = buf[:len(buf)+n]
-		msg, used, perr := Parse(buf, true, c.maxBodyBytes)
-		if perr != nil {
-			return nil, perr
+		n, readErr := conn.Read(buffer[len(buffer):cap(buffer)])
+		buffer = buffer[:len(buffer)+n]
+		response, used, err := Parse(buffer, true, c.maxBodyBytes)
+		if err != nil {
+			return nil, err
 		}
-		if msg != nil {
-			if used < len(buf) {
-				msg.CloseConnection = true
+		if response != nil {
+			if used < len(buffer) {
+				response.CloseConnection = true // what follows belongs to no request
 			}
-			return msg, nil
+			return response, nil
 		}
-		if err != nil {
-			return nil, err
+		if readErr != nil {
+			return nil, readErr
 		}
 	}
 }
--- /dev/null
+++ b/internal/wire/http1/message.go
@@ -0,0 +1,108 @@
+// Package http1 is the project's own HTTP/1.1: one strict and bounded parser, an evio server and a client that keeps its
+// connections. It owns connections and buffers, nothing else; it knows no path and no message type, and never sends a request
+// twice. A request or response that breaks the protocol or a bound is refused before its body is looked at.
+package http1
+
+import (
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// Bounds on what a far side may send.
+const (
+	MaxHeadBytes = 8 << 10  // of the request or status line with all headers
+	MaxHeaders   = 64       // header lines
+	MaxBodyBytes = 64 << 10 // of a request; a client bounds its responses itself
+)
+
+const (
+	protocolVersion = "HTTP/1.1"
+	headEnd         = "\r\n\r\n"
+	contentTypeBody = "application/msgpack"
+)
+
+// ProtocolError is a message that breaks the protocol; Status is the status that a server answers it with.
+type ProtocolError struct {
+	Status int
+	Reason string
+}
+
+// Error has the status and the reason.
+func (e *ProtocolError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
+
+func newProtocolError(status int, reason string) error { return &ProtocolError{status, reason} }
+
+// Message is one parsed request or response.
+type Message struct {
+	Method, Target  string        // of a request
+	Status          int           // of a response
+	RetryAfter      time.Duration // of a response; 0: not given
+	CloseConnection bool          // the far side uses the connection for nothing after this
+	Body            []byte
+}
+
+// AppendRequest encodes a request.
+func AppendRequest(out []byte, method, host, target string, body []byte) []byte {
+	out = append(out, method...)
+	out = append(out, ' ')
+	out = append(out, target...)
+	out = append(out, " "+protocolVersion+"\r\nHost: "...)
+	out = append(out, host...)
+	if len(body) > 0 || method == http.MethodPost {
+		out = append(out, "\r\nContent-Type: "+contentTypeBody+"\r\nContent-Length: "...)
+		out = strconv.AppendInt(out, int64(len(body)), 10)
+	}
+	out = append(out, headEnd...)
+	return append(out, body...)
+}
+
+// AppendResponse encodes a response with a MessagePack body; a retryAfter of 0 leaves Retry-After out.
+func AppendResponse(out []byte, status int, body []byte, retryAfter time.Duration, closeConnection bool) []byte {
+	response := Message{Status: status, Body: body, RetryAfter: retryAfter, CloseConnection: closeConnection}
+	return response.appendResponse(out, contentTypeBody)
+}
+
+// AppendTextResponse encodes a response with a body of another content type than the protocol's.
+func AppendTextResponse(out []byte, status int, contentType string, body []byte, closeConnection bool) []byte {
+	response := Message{Status: status, Body: body, CloseConnection: closeConnection}
+	return response.appendResponse(out, contentType)
+}
+
+func (m *Message) appendResponse(out []byte, contentType string) []byte {
+	out = append(out, protocolVersion+" "...)
+	out = strconv.AppendInt(out, int64(m.Status), 10)
+	out = append(out, ' ')
+	out = append(out, statusText(m.Status)...)
+	out = append(out, "\r\nContent-Type: "...)
+	out = append(out, contentType...)
+	out = append(out, "\r\nContent-Length: "...)
+	out = strconv.AppendInt(out, int64(len(m.Body)), 10)
+	if m.RetryAfter > 0 {
+		// Whole seconds, rounded up: nobody comes back too early.
+		out = append(out, "\r\nRetry-After: "...)
+		out = strconv.AppendInt(out, int64((m.RetryAfter+time.Second-1)/time.Second), 10)
+	}
+	if m.CloseConnection {
+		out = append(out, "\r\nConnection: close"...)
+	}
+	out = append(out, headEnd...)
+	return append(out, m.Body...)
+}
+
+// statusText is the reason phrase of a status that one of the protocol's sides answers with.
+func statusText(status int) string {
+	switch status {
+	case http.StatusRequestEntityTooLarge:
+		return "Content Too Large" // as RFC 9110 has it; net/http keeps the older phrase
+	case http.StatusOK, http.StatusCreated, http.StatusBadRequest, http.StatusNotFound, http.StatusMethodNotAllowed,
+		http.StatusRequestTimeout, http.StatusConflict, http.StatusGone, http.StatusMisdirectedRequest,
+		http.StatusTooManyRequests, http.StatusRequestHeaderFieldsTooLarge, http.StatusNotImplemented,
+		http.StatusServiceUnavailable:
+		return http.StatusText(status)
+	case http.StatusUnprocessableEntity:
+		return "Unprocessable Content" // as RFC 9110 has it
+	}
+	return "Status"
+}
--- a/internal/wire/http1/parse.go
+++ b/internal/wire/http1/parse.go
@@ -1,42 +1,23 @@
-// Package http1 is the project's own HTTP/1.1: one strict and bounded codec, an
-// evio server and a client that keeps its connections.
 package http1
 
 import (
 	"bytes"
-	"fmt"
 	"net/http"
 	"strconv"
 	"strings"
 	"time"
 )
 
-// Bounds on what a far side may send.
 const (
-	MaxHeadBytes = 8 << 10
-	MaxHeaders   = 64
-	MaxBodyBytes = 64 << 10
+	// maxContentLengthDigits keeps a declared length within an int before it is compared with a bound.
+	maxContentLengthDigits = 9
+	// maxRetryAfterSeconds is the longest Retry-After that is believed.
+	maxRetryAfterSeconds = 3600
+	// separators end a token of the protocol (RFC 9110, section 5.6.2).
+	separators = "()<>@,;:\\\"/[]?={}"
 )
 
-// ProtocolError is a message that breaks the protocol; Status is what a server answers to it.
-type ProtocolError struct {
-	Status int
-	Reason string
-}
-
-func (f *ProtocolError) Error() string { return fmt.Sprintf("%d: %s", f.Status, f.Reason) }
-
-func newProtocolError(status int, reason string) error { return &ProtocolError{status, reason} }
-
-// Message is one parsed request or response.
-type Message struct {
-	Method, Target  string // of a request
-	Status          int    // of a response
-	RetryAfter      time.Duration
-	CloseConnection bool
-	Body            []byte
-}
-
+// messageHead is what the lines before the body say.
 type messageHead struct {
 	message          Message
 	contentLength    int
@@ -45,48 +26,57 @@
 	keepAlive        bool
 }
 
-// Parse looks for one whole message at the start of buf. It returns nil and 0 while
-// more bytes are needed, otherwise the message and how many bytes it took. The body
-// is a part of buf. limit bounds the body.
+// Parse looks for one whole message at the start of the buffer. It returns nil and 0 while more bytes are needed, otherwise the
+// message and how many bytes it took. The message's body is a part of the buffer. maxBodyBytes bounds the body. Every error is a
+// ProtocolError.
 func Parse(buffer []byte, isResponse bool, maxBodyBytes int) (*Message, int, error) {
-	end := bytes.Index(buffer, []byte("\r\n\r\n"))
+	end := bytes.Index(buffer, []byte(headEnd))
 	if end < 0 {
-		if len(buffer) > MaxHeadBytes {
-			return nil, 0, newProtocolError(431, "head too large")
-		}
-		if i := bytes.IndexByte(buffer, '\n'); i == 0 || i > 0 && buffer[i-1] != '\r' {
-			return nil, 0, newProtocolError(400, "bare line feed")
-		}
-		return nil, 0, nil
+		return nil, 0, checkPartialHead(buffer)
 	}
 	if end > MaxHeadBytes {
-		return nil, 0, newProtocolError(431, "head too large")
+		return nil, 0, newProtocolError(http.StatusRequestHeaderFieldsTooLarge, "head too large")
 	}
-	head, err := parseHead(buffer[:end], isResponse)
+	head, err := parseHead(string(buffer[:end]), isResponse)
 	if err != nil {
 		return nil, 0, err
 	}
 	if head.contentLength > maxBodyBytes {
-		return nil, 0, newProtocolError(413, "body too large")
+		return nil, 0, newProtocolError(http.StatusRequestEntityTooLarge, "body too large")
 	}
-	total := end + 4 + head.contentLength
+	bodyStart := end + len(headEnd)
+	total := bodyStart + head.contentLength
 	if len(buffer) < total {
 		return nil, 0, nil
 	}
-	head.message.Body = buffer[end+4 : total]
+	head.message.Body = buffer[bodyStart:total]
 	return &head.message, total, nil
 }
 
-func parseHead(raw []byte, isResponse bool) (*messageHead, error) {
-	text := string(raw)
+// checkPartialHead refuses the beginning of a head that can become no valid one.
+func checkPartialHead(buffer []byte) error {
+	if len(buffer) > MaxHeadBytes {
+		return newProtocolError(http.StatusRequestHeaderFieldsTooLarge, "head too large")
+	}
+	if i := bytes.IndexByte(buffer, '\n'); i == 0 || i > 0 && buffer[i-1] != '\r' {
+		return newProtocolError(http.StatusBadRequest, "bare line feed")
+	}
+	return nil
+}
+
+func parseHead(text string, isResponse bool) (*messageHead, error) {
 	line, rest, _ := strings.Cut(text, "\r\n")
 	head := &messageHead{}
-	if err := head.parseFirstLine(line, isResponse); err != nil {
+	parseFirstLine := head.parseRequestLine
+	if isResponse {
+		parseFirstLine = head.parseStatusLine
+	}
+	if err := parseFirstLine(line); err != nil {
 		return nil, err
 	}
-	for n := 0; rest != ""; n++ {
-		if n == MaxHeaders {
-			return nil, newProtocolError(431, "too many headers")
+	for count := 0; rest != ""; count++ {
+		if count == MaxHeaders {
+			return nil, newProtocolError(http.StatusRequestHeaderFieldsTooLarge, "too many headers")
 		}
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		if err := head.parseHeader(line); err != nil {
@@ -96,195 +86,130 @@
 	if head.isHTTP10 && !head.keepAlive {
 		head.message.CloseConnection = true
 	}
-	if isResponse && !head.hasContentLength && head.message.Status != 204 && head.message.Status != 304 {
-		return nil, newProtocolError(400, "response without Content-Length")
-	}
-	if !isResponse && !head.hasContentLength && head.message.Method != http.MethodGet && head.message.Method != http.MethodDelete &&
-		head.message.Method != http.MethodHead {
-		head.contentLength = 0
+	if isResponse && !head.hasContentLength && !hasNoBody(head.message.Status) {
+		return nil, newProtocolError(http.StatusBadRequest, "response without Content-Length")
 	}
 	return head, nil
 }
 
-func (h *messageHead) parseFirstLine(line string, isResponse bool) error {
+// hasNoBody reports whether a response of the status never has a body.
+func hasNoBody(status int) bool {
+	return status == http.StatusNoContent || status == http.StatusNotModified
+}
+
+func (h *messageHead) parseStatusLine(line string) error {
 	parts := strings.SplitN(line, " ", 3)
-	if isResponse {
-		if len(parts) < 2 || !h.parseVersion(parts[0]) || len(parts[1]) != 3 {
-			return newProtocolError(400, "bad status line")
-		}
-		code, err := strconv.Atoi(parts[1])
-		if err != nil || code < 100 || code > 599 {
-			return newProtocolError(400, "bad status code")
-		}
-		h.message.Status = code
-		return nil
+	if len(parts) < 2 || !h.parseVersion(parts[0]) || len(parts[1]) != 3 {
+		return newProtocolError(http.StatusBadRequest, "bad status line")
+	}
+	status, err := strconv.Atoi(parts[1])
+	if err != nil || status < 100 || status > 599 {
+		return newProtocolError(http.StatusBadRequest, "bad status code")
+	}
+	h.message.Status = status
+	return nil
+}
+
+func (h *messageHead) parseRequestLine(line string) error {
+	parts := strings.SplitN(line, " ", 3)
+	if len(parts) != 3 {
+		return newProtocolError(http.StatusBadRequest, "bad request line")
 	}
-	if len(parts) != 3 || !isToken(parts[0]) || parts[1] == "" || parts[1][0] != '/' || !h.parseVersion(parts[2]) {
-		return newProtocolError(400, "bad request line")
+	method, target, version := parts[0], parts[1], parts[2]
+	if !isToken(method) || target == "" || target[0] != '/' || !h.parseVersion(version) {
+		return newProtocolError(http.StatusBadRequest, "bad request line")
 	}
-	for i := 0; i < len(parts[1]); i++ {
-		if c := parts[1][i]; c <= ' ' || c >= 0x7f {
-			return newProtocolError(400, "bad request target")
+	for i := 0; i < len(target); i++ {
+		if c := target[i]; c <= ' ' || c >= 0x7f {
+			return newProtocolError(http.StatusBadRequest, "bad request target")
 		}
 	}
-	h.message.Method, h.message.Target = parts[0], parts[1]
+	h.message.Method, h.message.Target = method, target
 	return nil
 }
 
-func (h *messageHead) parseVersion(v string) bool {
-	h.isHTTP10 = v == "HTTP/1.0"
-	return h.isHTTP10 || v == "HTTP/1.1"
+func (h *messageHead) parseVersion(version string) bool {
+	h.isHTTP10 = version == "HTTP/1.0"
+	return h.isHTTP10 || version == protocolVersion
 }
 
 func (h *messageHead) parseHeader(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || !isToken(name) {
-		return newProtocolError(400, "bad header line")
+		return newProtocolError(http.StatusBadRequest, "bad header line")
 	}
 	value = strings.Trim(value, " \t")
 	for i := 0; i < len(value); i++ {
 		if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
-			return newProtocolError(400, "control character in a header")
+			return newProtocolError(http.StatusBadRequest, "control character in a header")
 		}
 	}
 	switch strings.ToLower(name) {
 	case "content-length":
-		n, err := parseContentLength(value)
-		if err != nil {
-			return err
-		}
-		if h.hasContentLength && n != h.contentLength {
-			return newProtocolError(400, "conflicting Content-Length")
-		}
-		h.contentLength, h.hasContentLength = n, true
+		return h.setContentLength(value)
 	case "transfer-encoding":
-		return newProtocolError(501, "transfer coding not supported")
+		return newProtocolError(http.StatusNotImplemented, "transfer coding not supported")
 	case "connection":
-		for _, v := range strings.Split(value, ",") {
-			switch strings.ToLower(strings.TrimSpace(v)) {
-			case "close":
-				h.message.CloseConnection = true
-			case "keep-alive":
-				h.keepAlive = true
-			}
-		}
+		h.setConnection(value)
 	case "retry-after":
-		if s, err := strconv.ParseFloat(value, 64); err == nil && s >= 0 && s < 3600 {
-			h.message.RetryAfter = time.Duration(s * float64(time.Second))
+		if seconds, err := strconv.ParseFloat(value, 64); err == nil && seconds >= 0 && seconds < maxRetryAfterSeconds {
+			h.message.RetryAfter = time.Duration(seconds * float64(time.Second))
 		}
 	}
 	return nil
 }
 
+func (h *messageHead) setContentLength(value string) error {
+	length, err := parseContentLength(value)
+	if err != nil {
+		return err
+	}
+	if h.hasContentLength && length != h.contentLength {
+		return newProtocolError(http.StatusBadRequest, "conflicting Content-Length")
+	}
+	h.contentLength, h.hasContentLength = length, true
+	return nil
+}
+
+func (h *messageHead) setConnection(value string) {
+	for _, option := range strings.Split(value, ",") {
+		switch strings.ToLower(strings.TrimSpace(option)) {
+		case "close":
+			h.message.CloseConnection = true
+		case "keep-alive":
+			h.keepAlive = true
+		}
+	}
+}
+
+// parseContentLength is stricter than strconv.Atoi: digits only, no sign.
 func parseContentLength(value string) (int, error) {
 	if value == "" {
-		return 0, newProtocolError(400, "bad Content-Length")
+		return 0, newProtocolError(http.StatusBadRequest, "bad Content-Length")
 	}
 	for i := 0; i < len(value); i++ {
 		if value[i] < '0' || value[i] > '9' {
-			return 0, newProtocolError(400, "bad Content-Length")
+			return 0, newProtocolError(http.StatusBadRequest, "bad Content-Length")
 		}
 	}
-	if len(value) > 9 {
-		return 0, newProtocolError(413, "body too large")
+	if len(value) > maxContentLengthDigits {
+		return 0, newProtocolError(http.StatusRequestEntityTooLarge, "body too large")
 	}
-	n, err := strconv.Atoi(value)
+	length, err := strconv.Atoi(value)
 	if err != nil {
-		return 0, newProtocolError(400, "bad Content-Length")
+		return 0, newProtocolError(http.StatusBadRequest, "bad Content-Length")
 	}
-	return n, nil
+	return length, nil
 }
 
-func isToken(s string) bool {
-	if s == "" {
+func isToken(text string) bool {
+	if text == "" {
 		return false
 	}
-	for i := 0; i < len(s); i++ {
-		c := s[i]
-		if c <= ' ' || c >= 0x7f || strings.IndexByte("()<>@,;:\\\"/[]?={}", c) >= 0 {
+	for i := 0; i < len(text); i++ {
+		if c := text[i]; c <= ' ' || c >= 0x7f || strings.IndexByte(separators, c) >= 0 {
 			return false
 		}
 	}
 	return true
 }
-
-// AppendRequest encodes a request.
-func AppendRequest(out []byte, method, host, target string, body []byte) []byte {
-	out = append(out, method...)
-	out = append(out, ' ')
-	out = append(out, target...)
-	out = append(out, " HTTP/1.1\r\nHost: "...)
-	out = append(out, host...)
-	if len(body) > 0 || method == "POST" {
-		out = append(out, "\r\nContent-Type: application/msgpack\r\nContent-Length: "...)
-		out = strconv.AppendInt(out, int64(len(body)), 10)
-	}
-	out = append(out, "\r\n\r\n"...)
-	return append(out, body...)
-}
-
-// AppendResponse encodes a response; retry of 0 leaves Retry-After out.
-func AppendResponse(out []byte, status int, body []byte, retryAfter time.Duration, closeConnection bool) []byte {
-	return appendResponse(out, status, "application/msgpack", body, retryAfter, closeConnection)
-}
-
-// AppendTextResponse encodes a response of another kind than the protocols'.
-func AppendTextResponse(out []byte, status int, contentType string, body []byte, closeConnection bool) []byte {
-	return appendResponse(out, status, contentType, body, 0, closeConnection)
-}
-
-func appendResponse(out []byte, status int, contentType string, body []byte, retryAfter time.Duration, closeConnection bool) []byte {
-	out = append(out, "HTTP/1.1 "...)
-	out = strconv.AppendInt(out, int64(status), 10)
-	out = append(out, ' ')
-	out = append(out, statusText(status)...)
-	out = append(out, "\r\nContent-Type: "...)
-	out = append(out, contentType...)
-	out = append(out, "\r\nContent-Length: "...)
-	out = strconv.AppendInt(out, int64(len(body)), 10)
-	if retryAfter > 0 {
-		out = append(out, "\r\nRetry-After: "...)
-		out = strconv.AppendInt(out, int64((retryAfter+time.Second-1)/time.Second), 10)
-	}
-	if closeConnection {
-		out = append(out, "\r\nConnection: close"...)
-	}
-	out = append(out, "\r\n\r\n"...)
-	return append(out, body...)
-}
-
-func statusText(status int) string {
-	switch status {
-	case 200:
-		return "OK"
-	case 201:
-		return "Created"
-	case 400:
-		return "Bad Request"
-	case 404:
-		return "Not Found"
-	case 405:
-		return "Method Not Allowed"
-	case 408:
-		return "Request Timeout"
-	case 409:
-		return "Conflict"
-	case 410:
-		return "Gone"
-	case 413:
-		return "Content Too Large"
-	case 421:
-		return "Misdirected Request"
-	case 422:
-		return "Unprocessable Content"
-	case 429:
-		return "Too Many Requests"
-	case 431:
-		return "Request Header Fields Too Large"
-	case 501:
-		return "Not Implemented"
-	case 503:
-		return "Service Unavailable"
-	}
-	return "Status"
-}
--- a/internal/wire/http1/parse_test.go
+++ b/internal/wire/http1/parse_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"strings"
 	"testing"
 )
@@ -26,15 +27,17 @@
 		"GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxHeaders+1) + "\r\n": 431,
 		"GET /" + strings.Repeat("b", MaxHeadBytes+10):                           431,
 	} {
-		_, _, err := Parse([]byte(text), false, MaxBodyBytes)
-		var protocolErr *ProtocolError
-		got := 0
-		if errors.As(err, &protocolErr) {
-			got = protocolErr.Status
-		}
-		if got != want {
-			t.Errorf("%.60q: %d, want %d (%v)", text, got, want, err)
-		}
+		t.Run(fmt.Sprintf("%.60q", text), func(t *testing.T) {
+			_, _, err := Parse([]byte(text), false, MaxBodyBytes)
+			var protocolErr *ProtocolError
+			got := 0
+			if errors.As(err, &protocolErr) {
+				got = protocolErr.Status
+			}
+			if got != want {
+				t.Errorf("status %d, want %d (%v)", got, want, err)
+			}
+		})
 	}
 }
 
--- a/internal/wire/metrics/metrics.go
+++ b/internal/wire/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves figures in Prometheus' text form. What it serves is a registry, whose
-// figures are safe to read while their owner counts on.
+// Package metrics serves a Prometheus registry over HTTP, in the text format. It owns no metric: each component registers its own,
+// which are safe to read while the component counts on.
 package metrics
 
 import (
@@ -9,38 +9,55 @@
 	"net/http"
 	"time"
 
+	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/http1"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/common/expfmt"
 )
 
-// Serve answers GET /metrics at an address until the listener fails.
+// Bounds of the server: Prometheus needs one connection, people some more.
+const (
+	maxConnections = 16
+	idleTimeout    = 75 * time.Second
+	readTimeout    = 10 * time.Second
+	retryAfter     = time.Second
+)
+
+// Serve answers GET /metrics at an address until the listener fails; it always returns an error.
 func Serve(registry *prometheus.Registry, addr string, log *slog.Logger) error {
 	server := http1.NewServer(http1.ServerOptions{
-		PublicAddr: addr, MaxConnections: 16, IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second,
-		Handler: func(r *http1.Request) {
-			if r.Method != http.MethodGet || r.Target != "/metrics" {
-				r.Respond(404, nil, 0)
-				return
-			}
-			families, err := registry.Gather()
-			var text bytes.Buffer
-			for _, family := range families {
-				if err == nil {
-					_, err = expfmt.MetricFamilyToText(&text, family)
-				}
-			}
-			if err != nil {
-				log.Error("the metrics cannot be written", "error", err)
-				r.Respond(503, nil, time.Second)
-				return
-			}
-			r.RespondText(200, string(expfmt.NewFormat(expfmt.TypeTextPlain)), text.Bytes())
-		},
+		PublicAddr: addr, MaxConnections: maxConnections, IdleTimeout: idleTimeout, ReadTimeout: readTimeout,
+		Handler: func(r *http1.Request) { respond(r, registry, log) },
 	})
-	if err := server.Run(); err != nil {
-		return fmt.Errorf("serve metrics at %s: %w", addr, err)
+	return fmt.Errorf("serve metrics at %s: %w", addr, server.Run())
+}
+
+func respond(r *http1.Request, registry *prometheus.Registry, log *slog.Logger) {
+	if r.Method != http.MethodGet || r.Target != "/metrics" {
+		r.Respond(http.StatusNotFound, nil, 0)
+		return
+	}
+	text, err := encode(registry)
+	if err != nil {
+		log.Error("metrics not encoded", logkeys.Err, err)
+		r.Respond(http.StatusServiceUnavailable, nil, retryAfter)
+		return
+	}
+	r.RespondText(http.StatusOK, string(expfmt.NewFormat(expfmt.TypeTextPlain)), text)
+}
+
+// encode is the registry in the text format, whole or not at all.
+func encode(registry *prometheus.Registry) ([]byte, error) {
+	families, err := registry.Gather()
+	if err != nil {
+		return nil, fmt.Errorf("gather metrics: %w", err)
+	}
+	var text bytes.Buffer
+	for _, family := range families {
+		if _, err := expfmt.MetricFamilyToText(&text, family); err != nil {
+			return nil, fmt.Errorf("encode %s: %w", family.GetName(), err)
+		}
 	}
-	return nil
+	return text.Bytes(), nil
 }
