--- a/internal/config/kvserver.go
+++ b/internal/config/kvserver.go
@@ -9,17 +9,17 @@
 // KVServer are the operators' settings of a state service. docs/operations/state.md describes each.
 type KVServer struct {
 	RequestRate         float64       // requests a second; 0: no limit
-	WriteRate           float64       // puts and deletes a second; 0: no limit
-	MaxValueBytes       int           // JSON bytes of a value
-	MaxTransactionOps   int           // changes of a transaction
+	WriteRate           float64       // writes and deletes a second; 0: no limit
+	MaxValueBytes       int           // JSON bytes
+	MaxTransactionOps   int           // operations of a transaction
 	MaxConnections      int           // open connections
 	MaxWatches          int           // open watches
 	SnapshotMinLogBytes int64         // bytes of log that are worth a snapshot
-	SnapshotLogRatio    float64       // and their share of the last snapshot's size
+	SnapshotLogRatio    float64       // and their ratio to the last snapshot's size
 	DiskRetryInterval   time.Duration // how long after a failure the disk is tried again
 }
 
-// DefaultKVServer is used where the file says nothing.
+// DefaultKVServer are the settings that count where the file says nothing.
 func DefaultKVServer() KVServer {
 	return KVServer{
 		MaxValueBytes: 64 << 10, MaxTransactionOps: 128, MaxConnections: 1024, MaxWatches: 4096,
@@ -27,7 +27,7 @@
 	}
 }
 
-// LoadKVServer reads the operators' file of a state service; no path means the defaults.
+// LoadKVServer reads the operators' file of a state service; no path means the defaults. See ParseKVServer for its errors.
 func LoadKVServer(path string) (KVServer, error) {
 	s := DefaultKVServer()
 	if path == "" {
@@ -40,27 +40,24 @@
 	return ParseKVServer(raw)
 }
 
-// ParseKVServer reads <state><rps>200</rps>…</state>.
+// ParseKVServer reads <state><rps>200</rps>…</state>. A line that is wrong is a LineError.
 func ParseKVServer(raw []byte) (KVServer, error) {
 	s := DefaultKVServer()
+	valueKB, snapshotKB := float64(s.MaxValueBytes)/bytesPerKB, float64(s.SnapshotMinLogBytes)/bytesPerKB
 	err := parseElements(raw, "state", map[string]optionField{
-		"rps":         numberField(0, 1e6, &s.RequestRate),
-		"write-rps":   numberField(0, 1e6, &s.WriteRate),
-		"value-kb":    {1, 64, func() float64 { return float64(s.MaxValueBytes) / 1024 }, func(v float64) { s.MaxValueBytes = int(v * 1024) }},
-		"txn-ops":     countField(1, 1000, &s.MaxTransactionOps),
-		"connections": countField(4, 10_000, &s.MaxConnections),
-		"watches":     countField(1, 100_000, &s.MaxWatches),
-		"snapshot-kb": {
-			1,
-			1 << 20,
-			func() float64 { return float64(s.SnapshotMinLogBytes) / 1024 },
-			func(v float64) { s.SnapshotMinLogBytes = int64(v * 1024) },
-		},
+		"rps":            numberField(0, 1e6, &s.RequestRate),
+		"write-rps":      numberField(0, 1e6, &s.WriteRate),
+		"value-kb":       numberField(1, 64, &valueKB),
+		"txn-ops":        countField(1, 1000, &s.MaxTransactionOps),
+		"connections":    countField(4, 10_000, &s.MaxConnections),
+		"watches":        countField(1, 100_000, &s.MaxWatches),
+		"snapshot-kb":    numberField(1, 1<<20, &snapshotKB),
 		"snapshot-share": numberField(0, 100, &s.SnapshotLogRatio),
 		"retry-after":    durationField(10*time.Millisecond, time.Minute, &s.DiskRetryInterval),
 	})
 	if err != nil {
 		return KVServer{}, err
 	}
+	s.MaxValueBytes, s.SnapshotMinLogBytes = int(valueKB*bytesPerKB), int64(snapshotKB*bytesPerKB)
 	return s, nil
 }
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -1,46 +1,54 @@
 package config
 
 import (
-	"bytes"
-	"encoding/xml"
-	"errors"
 	"fmt"
-	"io"
 	"maps"
 	"os"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 )
 
-// Options are the operators' own settings. docs/operations/controllers.md describes each.
+// Options are the operators' own settings of the controllers. Shares are of the cluster's capacity, 0 to 1, where nothing else is
+// said. docs/operations/controllers.md describes each.
 type Options struct {
-	PlanningInterval    time.Duration // length of a planning step
-	SubmissionWindow    time.Duration // span over which a team's share is counted
-	SubmissionShare     float64       // share of the fleet that a team may submit per lease, best effort beyond it
-	StartBound          time.Duration // a job of which nothing has begun after this begins ahead of others; 0: none does
-	AgeBound            time.Duration // a best-effort job older than this goes before younger ones
-	LatenessStep        time.Duration // lateness that costs a job one payoff step
-	IdleTimeout         time.Duration // an idle machine is returned after this
-	ScaleOutBacklog     time.Duration // work that lasts a third of this justifies a machine of the cheapest kind
-	CostWeight          float64       // how much more money weighs against fewer missed aims
-	LeaderLeaseDuration time.Duration // life of the leader's key without renewal
-	GrantDuration       time.Duration // length of a promise between controllers
-	AgedShare           float64       // share of the fleet that is kept for what has waited past the age bound
-	// EstimateError is how many times its estimate work is taken to need at most, where a
-	// bound on waiting is stated.
-	EstimateError     float64
-	FairShareWindow   time.Duration // over which counts what was done of each class and team
-	MinServedShare    float64       // share of the jobs of each class and team that is to be done
-	FairShareCapacity float64       // share of the fleet that classes and teams below that may have ahead of others
-	OverdueShare      float64       // share of the fleet for jobs that can keep none of their aims any more
-	ArchiveDelay      time.Duration // how long a finished job stays in the live pages
-	MinSegmentJobs    int           // finished jobs that are worth a sealed run
-	CompactionFanIn   int           // sealed runs that are merged into one
+	// PlanningInterval is the time between two admission plans.
+	PlanningInterval time.Duration
+
+	// What a team may submit with a guarantee: SubmissionShare, in times the cluster's capacity, per SubmissionWindow. What is above
+	// it is best effort.
+	SubmissionWindow time.Duration
+	SubmissionShare  float64
+
+	// The order of waiting jobs.
+	StartBound   time.Duration // a job of which nothing has started after this goes before others; 0: none does
+	AgeBound     time.Duration // a best-effort job that is older than this goes before younger ones
+	AgedShare    float64       // reserved for jobs past the age bound
+	LatenessStep time.Duration // lateness that makes a job worth one step less
+	// EstimateError is how many times its estimate a job is taken to need at most, where a bound on waiting is stated.
+	EstimateError float64
+
+	// What is requested from the cloud and terminated there.
+	IdleTimeout     time.Duration // a machine that is idle for this long is terminated
+	ScaleOutBacklog time.Duration // work that lasts a third of this is worth an instance of the cheapest type
+	CostWeight      float64       // how much cost weighs against objectives that are missed
+
+	// Leader election. Read at the start only, and the same on all controllers.
+	LeaderLeaseDuration time.Duration // of the leader's key without renewal
+	GrantDuration       time.Duration // of a leader-lease grant between controllers
+
+	// Fair sharing between classes and teams.
+	FairShareWindow   time.Duration // over which served jobs are counted
+	MinServedShare    float64       // of the jobs of each class and team
+	FairShareCapacity float64       // that classes and teams below the minimum may have before others
+	OverdueShare      float64       // for jobs that can meet none of their objectives any more
+
+	// The archive of finished jobs.
+	ArchiveDelay    time.Duration // how long a finished job stays in the live pages
+	MinSegmentJobs  int           // finished jobs that are worth a segment
+	CompactionFanIn int           // segments that are compacted into one
 }
 
-// DefaultOptions are used where the file says nothing.
+// DefaultOptions are the options that count where the file says nothing.
 func DefaultOptions() Options {
 	return Options{
 		PlanningInterval: 15 * time.Second, SubmissionWindow: 15 * time.Second, SubmissionShare: 4,
@@ -54,7 +62,7 @@
 	}
 }
 
-// LoadOptions reads the operators' file; no path means the defaults.
+// LoadOptions reads the operators' file; no path means the defaults. See ParseOptions for its errors.
 func LoadOptions(path string) (Options, error) {
 	if path == "" {
 		return DefaultOptions(), nil
@@ -66,29 +74,6 @@
 	return ParseOptions(raw)
 }
 
-type optionField struct {
-	low, high float64
-	get       func() float64
-	set       func(v float64)
-}
-
-func durationField(low, high time.Duration, target *time.Duration) optionField {
-	return optionField{
-		low.Seconds(),
-		high.Seconds(),
-		func() float64 { return target.Seconds() },
-		func(v float64) { *target = DurationFromSeconds(v) },
-	}
-}
-
-func numberField(low, high float64, target *float64) optionField {
-	return optionField{low, high, func() float64 { return *target }, func(v float64) { *target = v }}
-}
-
-func countField(low, high int, target *int) optionField {
-	return optionField{float64(low), float64(high), func() float64 { return float64(*target) }, func(v float64) { *target = int(v) }}
-}
-
 // optionFields are the options by the names of their elements.
 func (o *Options) optionFields() map[string]optionField {
 	return map[string]optionField{
@@ -121,29 +106,29 @@
 	Value float64 `msgpack:"value" json:"value"`
 }
 
-// Values lists all options by name.
+// Values lists all options, ordered by name.
 func (o Options) Values() []OptionValue {
 	fields := o.optionFields()
-	var list []OptionValue
+	var values []OptionValue
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
-		list = append(list, OptionValue{name, fields[name].get()})
+		values = append(values, OptionValue{name, fields[name].get()})
 	}
-	return list
+	return values
 }
 
-// DescribeChanges says in words what is another value in the other options.
+// DescribeChanges lists the options that have another value in the other options, each as "name old -> new".
 func (o Options) DescribeChanges(other Options) []string {
-	var list []string
+	var changes []string
 	otherValues := other.Values()
-	for i, v := range o.Values() {
-		if v.Value != otherValues[i].Value {
-			list = append(list, fmt.Sprintf("%s %g -> %g", v.Name, v.Value, otherValues[i].Value))
+	for i, value := range o.Values() {
+		if value.Value != otherValues[i].Value {
+			changes = append(changes, fmt.Sprintf("%s %g -> %g", value.Name, value.Value, otherValues[i].Value))
 		}
 	}
-	return list
+	return changes
 }
 
-// ParseOptions reads <gullrudder><term>15</term>…</gullrudder>.
+// ParseOptions reads <gullrudder><term>15</term>…</gullrudder>. A line that is wrong is a LineError.
 func ParseOptions(raw []byte) (Options, error) {
 	o := DefaultOptions()
 	if err := parseElements(raw, "gullrudder", o.optionFields()); err != nil {
@@ -151,73 +136,3 @@
 	}
 	return o, nil
 }
-
-// parseElements reads a root element with one element for each option. Spans are in seconds or
-// in Go's form (90s, 2m). What is unknown, repeated or out of range is refused with its line.
-func parseElements(raw []byte, rootName string, fields map[string]optionField) error {
-	seen := map[string]bool{}
-	decoder := xml.NewDecoder(bytes.NewReader(raw))
-	depth, name, text, sawRoot := 0, "", "", false
-	for {
-		token, err := decoder.Token()
-		line, _ := decoder.InputPos()
-		if errors.Is(err, io.EOF) {
-			if !sawRoot {
-				return fmt.Errorf("options: line 1: no <%s> element", rootName)
-			}
-			return nil
-		}
-		if err != nil {
-			return fmt.Errorf("options: line %d: %w", line, err)
-		}
-		switch element := token.(type) {
-		case xml.StartElement:
-			depth++
-			if len(element.Attr) > 0 {
-				return fmt.Errorf("options: line %d: attribute %s is unknown", line, element.Attr[0].Name.Local)
-			}
-			if depth == 1 && element.Name.Local == rootName {
-				sawRoot = true
-				continue
-			}
-			name, text = element.Name.Local, ""
-			if _, ok := fields[name]; !ok || depth != 2 {
-				return fmt.Errorf("options: line %d: element <%s> is unknown here", line, name)
-			}
-			if seen[name] {
-				return fmt.Errorf("options: line %d: <%s> is there twice", line, name)
-			}
-			seen[name] = true
-		case xml.CharData:
-			text += string(element)
-			if depth < 2 && strings.TrimSpace(string(element)) != "" {
-				return fmt.Errorf("options: line %d: text outside an element", line)
-			}
-		case xml.EndElement:
-			depth--
-			if depth != 1 {
-				continue
-			}
-			value, err := parseAmount(strings.TrimSpace(text))
-			if err != nil {
-				return fmt.Errorf("options: line %d: <%s>: %w", line, name, err)
-			}
-			field := fields[name]
-			if !(value >= field.low && value <= field.high) {
-				return fmt.Errorf("options: line %d: <%s>: %g is not between %g and %g", line, name, value, field.low, field.high)
-			}
-			field.set(value)
-		}
-	}
-}
-
-func parseAmount(s string) (float64, error) {
-	if v, err := strconv.ParseFloat(s, 64); err == nil {
-		return v, nil
-	}
-	d, err := time.ParseDuration(s)
-	if err != nil {
-		return 0, fmt.Errorf("%q is neither a number nor a span of time", s)
-	}
-	return d.Seconds(), nil
-}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,5 +1,6 @@
-// Package config reads the two settings files: the JSON file that the platform hands
-// over and the operators' own XML file.
+// Package config reads the settings files: the platform's JSON file and the operators' own XML files for controllers and the state
+// service. It checks what it reads and names the field or line that is wrong; it owns no state, keeps no file open, and never changes
+// a setting. docs/operations/controllers.md and docs/operations/state.md describe each setting.
 package config
 
 import (
@@ -15,132 +16,88 @@
 type Peer struct {
 	Name string
 	Zone string
-	Addr string
+	Addr string // host:port of its own address for controllers
 }
 
-// Team owns jobs. A limit of 0 means none, a guarantee of 0 none.
+// Team owns jobs and has quotas, in the units of jobs.Spec. A limit of 0 means none, a guarantee of 0 none.
 type Team struct {
 	Name                     string
 	GuaranteedCPUs, CPULimit float64
 	GuaranteedGPUs, GPULimit float64
 }
 
-// Objective is an aim for starting or finishing the jobs of a class.
+// Objective is the aim that the jobs of a class start or finish in time.
 type Objective struct {
 	Kind           string
 	Class          string
-	TimeLimit      time.Duration
-	TargetShare    float64
-	DeadlineFactor float64 // of its deadline, where that is the aim
+	TimeLimit      time.Duration // since submission
+	TargetShare    float64       // of the jobs that is to keep to it, 0 to 1
+	DeadlineFactor float64       // times the job's deadline, where that is the time limit
 }
 
 // Platform is the checked form of the platform's settings file.
 type Platform struct {
+	// This controller and whom it speaks to. Addresses are host:port.
 	Name, Zone                 string
 	PublicAddr, PeerListenAddr string
 	Peers                      []Peer
 	CloudAddr, StateAddr       string
-	Zones                      []string
-	Teams                      []Team
-	Objectives                 []Objective
-	HeartbeatInterval          time.Duration
-	WorkerLeaseDuration        time.Duration
-	CancelTimeout              time.Duration
-	StateRequestRate           float64
-	StateWriteRate             float64
-	MaxValueBytes              int
-	MaxTransactionOps          int
-	CloudRequestRate           float64
-	CloudListLag               time.Duration
-	CPUQuota                   float64
-	MemoryQuotaMB              float64
-	MaxConnections             int
-	MaxClockError              time.Duration
+
+	// What the cluster is shared by.
+	Zones      []string
+	Teams      []Team
+	Objectives []Objective
+
+	// What workers are told.
+	HeartbeatInterval   time.Duration
+	WorkerLeaseDuration time.Duration
+	CancelTimeout       time.Duration // from a confirmed cancellation until its tasks have ended
+
+	// Limits of the state service. Rates are a second.
+	StateRequestRate  float64
+	StateWriteRate    float64
+	MaxValueBytes     int // JSON bytes
+	MaxTransactionOps int
+
+	// Limits of the cloud.
+	CloudRequestRate float64       // a second
+	CloudListLag     time.Duration // how old a list of instances may be
+
+	// What this process may use.
+	CPUQuota       float64 // CPUs
+	MemoryQuotaMB  float64
+	MaxConnections int
+
+	// MaxClockError is how much the clocks of two machines may differ.
+	MaxClockError time.Duration
 }
 
 // TeamsByName are the teams by their names.
 func (p *Platform) TeamsByName() map[string]Team {
 	teams := map[string]Team{}
-	for _, t := range p.Teams {
-		teams[t.Name] = t
+	for _, team := range p.Teams {
+		teams[team.Name] = team
 	}
 	return teams
 }
 
-type platformFile struct {
-	HostName   string `json:"host_name"`
-	Domain     string `json:"domain"`
-	PublicAddr string `json:"public_addr"`
-	PeerBind   string `json:"peer_bind"`
-	Others     []struct {
-		HostName string `json:"host_name"`
-		Domain   string `json:"domain"`
-		Addr     string `json:"addr"`
-	} `json:"others"`
-	Outside struct {
-		Cloud string `json:"cloud"`
-		State string `json:"state"`
-	} `json:"outside"`
-	Cluster struct {
-		Zones []string `json:"zones"`
-		Teams []struct {
-			Name    string  `json:"name"`
-			CPUs    float64 `json:"cpus"`
-			CPUsMax float64 `json:"cpus_max"`
-			GPUs    float64 `json:"gpus"`
-			GPUsMax float64 `json:"gpus_max"`
-		} `json:"teams"`
-		Objectives []struct {
-			Kind    string  `json:"kind"`
-			Class   string  `json:"class"`
-			WithinS float64 `json:"within_s"`
-			Share   float64 `json:"share"`
-			Times   float64 `json:"times"`
-		} `json:"objectives"`
-		Workers struct {
-			ReportS float64 `json:"report_s"`
-			LeaseS  float64 `json:"lease_s"`
-			CancelS float64 `json:"cancel_s"`
-		} `json:"workers"`
-		State struct {
-			RPS      float64     `json:"rps"`
-			WriteRPS float64     `json:"write_rps"`
-			ValueKB  float64     `json:"value_kb"`
-			TxnOps   int         `json:"txn_ops"`
-			Next     stateLimits `json:"next"`
-		} `json:"state"`
-		Cloud struct {
-			RPS      float64 `json:"rps"`
-			ListLagS float64 `json:"list_lag_s"`
-		} `json:"cloud"`
-		Quota struct {
-			CPU            float64 `json:"cpu"`
-			RAMMB          float64 `json:"ram_mb"`
-			MaxConnections int     `json:"max_connections"`
-		} `json:"quota"`
-		ClockErrorMS float64 `json:"clock_error_ms"`
-	} `json:"cluster"`
+// FieldError is a field of the platform's settings file that is missing or wrong.
+type FieldError struct {
+	Field  string // its path in the file
+	Reason string
 }
 
-// stateLimits are those that the state service is to have later; 0: as now.
-type stateLimits struct {
-	RPS      float64 `json:"rps"`
-	WriteRPS float64 `json:"write_rps"`
-	ValueKB  float64 `json:"value_kb"`
-	TxnOps   int     `json:"txn_ops"`
-}
+// Error names the field.
+func (e *FieldError) Error() string { return fmt.Sprintf("settings: field %s: %s", e.Field, e.Reason) }
 
-func lowerLimit(now, next float64) float64 {
-	if next > 0 {
-		return min(now, next)
-	}
-	return now
+func newFieldError(field, format string, args ...any) error {
+	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// DurationFromSeconds turns a wire amount of seconds into a duration.
+// DurationFromSeconds turns an amount of seconds, as the platform gives them, into a duration.
 func DurationFromSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// LoadPlatform reads and checks the platform's file.
+// LoadPlatform reads and checks the platform's file. See ParsePlatform for its errors.
 func LoadPlatform(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -149,63 +106,36 @@
 	return ParsePlatform(raw)
 }
 
-// ParsePlatform checks the platform's settings. Unknown fields are ignored.
+// ParsePlatform checks the platform's settings. Unknown fields are ignored. A field that is missing or wrong is a FieldError.
 func ParsePlatform(raw []byte) (*Platform, error) {
 	var file platformFile
 	if err := json.Unmarshal(raw, &file); err != nil {
 		var typeErr *json.UnmarshalTypeError
 		if errors.As(err, &typeErr) {
-			return nil, fmt.Errorf("settings: field %s: %s is not a %s", typeErr.Field, typeErr.Value, typeErr.Type)
+			return nil, newFieldError(typeErr.Field, "%s is not a %s", typeErr.Value, typeErr.Type)
 		}
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	cluster := file.Cluster
-	platform := &Platform{
-		Name: file.HostName, Zone: file.Domain, PublicAddr: file.PublicAddr, PeerListenAddr: file.PeerBind,
-		CloudAddr: file.Outside.Cloud, StateAddr: file.Outside.State, Zones: cluster.Zones,
-		HeartbeatInterval: DurationFromSeconds(cluster.Workers.ReportS), WorkerLeaseDuration: DurationFromSeconds(cluster.Workers.LeaseS),
-		CancelTimeout:    DurationFromSeconds(cluster.Workers.CancelS),
-		StateRequestRate: cluster.State.RPS, StateWriteRate: cluster.State.WriteRPS,
-		MaxValueBytes: int(cluster.State.ValueKB * 1024), MaxTransactionOps: cluster.State.TxnOps,
-		CloudRequestRate: cluster.Cloud.RPS, CloudListLag: DurationFromSeconds(cluster.Cloud.ListLagS),
-		CPUQuota: cluster.Quota.CPU, MemoryQuotaMB: cluster.Quota.RAMMB, MaxConnections: cluster.Quota.MaxConnections,
-		MaxClockError: DurationFromSeconds(cluster.ClockErrorMS / 1000),
-	}
-	// What is written from now on keeps to the lower of the limits that are and those that are to come without notice.
-	next := cluster.State.Next
-	platform.StateRequestRate, platform.StateWriteRate = lowerLimit(
-		platform.StateRequestRate,
-		next.RPS,
-	), lowerLimit(
-		platform.StateWriteRate,
-		next.WriteRPS,
-	)
-	platform.MaxValueBytes = int(lowerLimit(float64(platform.MaxValueBytes), next.ValueKB*1024))
-	platform.MaxTransactionOps = int(lowerLimit(float64(platform.MaxTransactionOps), float64(next.TxnOps)))
-	for _, item := range file.Others {
-		platform.Peers = append(platform.Peers, Peer{Name: item.HostName, Zone: item.Domain, Addr: item.Addr})
-	}
-	for _, team := range cluster.Teams {
-		platform.Teams = append(platform.Teams, Team{team.Name, team.CPUs, team.CPUsMax, team.GPUs, team.GPUsMax})
-	}
-	for _, item := range cluster.Objectives {
-		platform.Objectives = append(
-			platform.Objectives,
-			Objective{item.Kind, item.Class, DurationFromSeconds(item.WithinS), item.Share, item.Times},
-		)
-	}
+	platform := file.platform()
 	return platform, platform.validate()
 }
 
+// validate checks the fields in the order of the file and returns the first that is wrong.
 func (p *Platform) validate() error {
-	for _, field := range []struct{ name, value string }{
-		{"host_name", p.Name},
-	} {
-		if field.value == "" {
-			return fmt.Errorf("settings: field %s: missing", field.name)
+	if p.Name == "" {
+		return newFieldError("host_name", "missing")
+	}
+	for _, check := range []func() error{p.validateAddrs, p.validateLimits, p.validateTeams} {
+		if err := check(); err != nil {
+			return err
 		}
 	}
-	addrs := []struct{ name, value string }{
+	return nil
+}
+
+func (p *Platform) validateAddrs() error {
+	type namedAddr struct{ name, addr string }
+	addrs := []namedAddr{
 		{"public_addr", p.PublicAddr},
 		{"peer_bind", p.PeerListenAddr},
 		{"outside.cloud", p.CloudAddr},
@@ -213,18 +143,23 @@
 	}
 	for i, peer := range p.Peers {
 		if peer.Name == "" {
-			return fmt.Errorf("settings: field others[%d].host_name: missing", i)
+			return newFieldError(fmt.Sprintf("others[%d].host_name", i), "missing")
 		}
-		addrs = append(addrs, struct{ name, value string }{fmt.Sprintf("others[%d].addr", i), peer.Addr})
+		addrs = append(addrs, namedAddr{fmt.Sprintf("others[%d].addr", i), peer.Addr})
 	}
-	for _, addr := range addrs {
-		if addr.value == "" {
-			return fmt.Errorf("settings: field %s: missing", addr.name)
+	for _, a := range addrs {
+		if a.addr == "" {
+			return newFieldError(a.name, "missing")
 		}
-		if _, _, err := net.SplitHostPort(addr.value); err != nil {
-			return fmt.Errorf("settings: field %s: %q is not host:port", addr.name, addr.value)
+		if _, _, err := net.SplitHostPort(a.addr); err != nil {
+			return newFieldError(a.name, "%q is not host:port", a.addr)
 		}
 	}
+	return nil
+}
+
+// validateLimits checks the numbers against the least with which a controller can work.
+func (p *Platform) validateLimits() error {
 	for _, limit := range []struct {
 		name       string
 		value, low float64
@@ -234,7 +169,7 @@
 		{"cluster.workers.cancel_s", p.CancelTimeout.Seconds(), 0.001},
 		{"cluster.state.rps", p.StateRequestRate, 1},
 		{"cluster.state.write_rps", p.StateWriteRate, 1},
-		{"cluster.state.value_kb", float64(p.MaxValueBytes) / 1024, 1},
+		{"cluster.state.value_kb", float64(p.MaxValueBytes) / bytesPerKB, 1},
 		{"cluster.state.txn_ops", float64(p.MaxTransactionOps), 1},
 		{"cluster.cloud.rps", p.CloudRequestRate, 0.01},
 		{"cluster.cloud.list_lag_s", p.CloudListLag.Seconds(), 0},
@@ -242,21 +177,26 @@
 		{"cluster.quota.ram_mb", p.MemoryQuotaMB, 16},
 		{"cluster.quota.max_connections", float64(p.MaxConnections), 16},
 	} {
-		if !(limit.value >= limit.low) {
-			return fmt.Errorf("settings: field %s: missing or below %g", limit.name, limit.low)
+		if !(limit.value >= limit.low) { // also where the value is not a number
+			return newFieldError(limit.name, "missing or below %g", limit.low)
 		}
 	}
-	seenTeams := map[string]bool{}
+	return nil
+}
+
+func (p *Platform) validateTeams() error {
+	seen := map[string]bool{}
 	for i, team := range p.Teams {
+		field := fmt.Sprintf("cluster.teams[%d]", i)
 		switch {
 		case team.Name == "":
-			return fmt.Errorf("settings: field cluster.teams[%d].name: missing", i)
-		case seenTeams[team.Name]:
-			return fmt.Errorf("settings: field cluster.teams[%d].name: %q is there twice", i, team.Name)
+			return newFieldError(field+".name", "missing")
+		case seen[team.Name]:
+			return newFieldError(field+".name", "%q is there twice", team.Name)
 		case team.GuaranteedCPUs < 0 || team.CPULimit < 0 || team.GuaranteedGPUs < 0 || team.GPULimit < 0:
-			return fmt.Errorf("settings: field cluster.teams[%d]: an amount is negative", i)
+			return newFieldError(field, "an amount is negative")
 		}
-		seenTeams[team.Name] = true
+		seen[team.Name] = true
 	}
 	return nil
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"strings"
 	"testing"
 	"time"
@@ -17,7 +18,7 @@
 	if err != nil || platform.WorkerLeaseDuration != 10*time.Second || platform.MaxValueBytes != 8192 || platform.Peers[0].Name != "n1" {
 		t.Fatalf("%+v, %v", platform, err)
 	}
-	for name, edit := range map[string][2]string{
+	for field, edit := range map[string][2]string{
 		"host_name":                     {`"host_name":"n0",`, ``},
 		"public_addr":                   {`"10.0.0.1:80"`, `"nowhere"`},
 		"outside.state":                 {`,"state":"10.2.0.1:2"`, ``},
@@ -27,32 +28,16 @@
 		"cluster.teams[0].name":         {`{"name":"t"}`, `{}`},
 		"cluster.quota.max_connections": {`"max_connections":900`, `"max_connections":"many"`},
 	} {
-		text := strings.Replace(validPlatformFile, edit[0], edit[1], 1)
-		if _, err := ParsePlatform([]byte(text)); err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
-		}
-	}
-}
-
-func TestParseOptions(t *testing.T) {
-	options, err := ParseOptions([]byte("<gullrudder>\n <!-- ours -->\n <term>30</term>\n <age-bound>5m</age-bound>\n</gullrudder>"))
-	if err != nil || options.PlanningInterval != 30*time.Second || options.AgeBound != 5*time.Minute ||
-		options.IdleTimeout != DefaultOptions().IdleTimeout {
-		t.Fatalf("%+v, %v", options, err)
-	}
-	for text, line := range map[string]string{
-		"<gullrudder>\n<turm>3</turm></gullrudder>":               "line 2",
-		"<gullrudder>\n\n<term>0</term></gullrudder>":             "line 3",
-		"<gullrudder>\n<term>soon</term></gullrudder>":            "line 2",
-		"<gullrudder><term>3</term>\n<term>4</term></gullrudder>": "line 2",
-		"<other/>":                        "line 1",
-		"<gullrudder>\n<term>3</term>":    "line 2",
-		"<gullrudder x=\"1\"/>":           "line 1",
-		"<gullrudder>\ntext</gullrudder>": "line 2",
-		"":                                "line 1",
-	} {
-		if _, err := ParseOptions([]byte(text)); err == nil || !strings.Contains(err.Error(), line) {
-			t.Errorf("%q: %v, want %s", text, err, line)
-		}
+		t.Run(field, func(t *testing.T) {
+			text := strings.Replace(validPlatformFile, edit[0], edit[1], 1)
+			_, err := ParsePlatform([]byte(text))
+			if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+				t.Fatalf("does not name the field on one line: %v", err)
+			}
+			var fieldErr *FieldError
+			if !errors.As(err, &fieldErr) || fieldErr.Field != field {
+				t.Errorf("not a FieldError of the field: %#v", err)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/config/platformfile.go
@@ -0,0 +1,118 @@
+package config
+
+// platformFile is the platform's settings file as it is written. Its names are the platform's.
+type platformFile struct {
+	HostName   string `json:"host_name"`
+	Domain     string `json:"domain"`
+	PublicAddr string `json:"public_addr"`
+	PeerBind   string `json:"peer_bind"`
+	Others     []struct {
+		HostName string `json:"host_name"`
+		Domain   string `json:"domain"`
+		Addr     string `json:"addr"`
+	} `json:"others"`
+	Outside struct {
+		Cloud string `json:"cloud"`
+		State string `json:"state"`
+	} `json:"outside"`
+	Cluster struct {
+		Zones []string `json:"zones"`
+		Teams []struct {
+			Name    string  `json:"name"`
+			CPUs    float64 `json:"cpus"`
+			CPUsMax float64 `json:"cpus_max"`
+			GPUs    float64 `json:"gpus"`
+			GPUsMax float64 `json:"gpus_max"`
+		} `json:"teams"`
+		Objectives []struct {
+			Kind    string  `json:"kind"`
+			Class   string  `json:"class"`
+			WithinS float64 `json:"within_s"`
+			Share   float64 `json:"share"`
+			Times   float64 `json:"times"`
+		} `json:"objectives"`
+		Workers struct {
+			ReportS float64 `json:"report_s"`
+			LeaseS  float64 `json:"lease_s"`
+			CancelS float64 `json:"cancel_s"`
+		} `json:"workers"`
+		State struct {
+			RPS      float64     `json:"rps"`
+			WriteRPS float64     `json:"write_rps"`
+			ValueKB  float64     `json:"value_kb"`
+			TxnOps   int         `json:"txn_ops"`
+			Next     stateLimits `json:"next"`
+		} `json:"state"`
+		Cloud struct {
+			RPS      float64 `json:"rps"`
+			ListLagS float64 `json:"list_lag_s"`
+		} `json:"cloud"`
+		Quota struct {
+			CPU            float64 `json:"cpu"`
+			RAMMB          float64 `json:"ram_mb"`
+			MaxConnections int     `json:"max_connections"`
+		} `json:"quota"`
+		ClockErrorMS float64 `json:"clock_error_ms"`
+	} `json:"cluster"`
+}
+
+// stateLimits are those that the state service is to have later; 0: as now.
+type stateLimits struct {
+	RPS      float64 `json:"rps"`
+	WriteRPS float64 `json:"write_rps"`
+	ValueKB  float64 `json:"value_kb"`
+	TxnOps   int     `json:"txn_ops"`
+}
+
+// bytesPerKB is how the settings count a KB of a value.
+const bytesPerKB = 1024
+
+// platform is the file in the units of the program, not checked yet.
+func (f *platformFile) platform() *Platform {
+	cluster := &f.Cluster
+	platform := &Platform{
+		Name: f.HostName, Zone: f.Domain, PublicAddr: f.PublicAddr, PeerListenAddr: f.PeerBind,
+		CloudAddr: f.Outside.Cloud, StateAddr: f.Outside.State, Zones: cluster.Zones,
+		HeartbeatInterval:   DurationFromSeconds(cluster.Workers.ReportS),
+		WorkerLeaseDuration: DurationFromSeconds(cluster.Workers.LeaseS),
+		CancelTimeout:       DurationFromSeconds(cluster.Workers.CancelS),
+		CloudRequestRate:    cluster.Cloud.RPS, CloudListLag: DurationFromSeconds(cluster.Cloud.ListLagS),
+		CPUQuota: cluster.Quota.CPU, MemoryQuotaMB: cluster.Quota.RAMMB, MaxConnections: cluster.Quota.MaxConnections,
+		MaxClockError: DurationFromSeconds(cluster.ClockErrorMS / 1000),
+	}
+	f.setStateLimits(platform)
+	for _, other := range f.Others {
+		platform.Peers = append(platform.Peers, Peer{Name: other.HostName, Zone: other.Domain, Addr: other.Addr})
+	}
+	for _, team := range cluster.Teams {
+		platform.Teams = append(platform.Teams, Team{
+			Name: team.Name, GuaranteedCPUs: team.CPUs, CPULimit: team.CPUsMax, GuaranteedGPUs: team.GPUs, GPULimit: team.GPUsMax,
+		})
+	}
+	for _, objective := range cluster.Objectives {
+		platform.Objectives = append(platform.Objectives, Objective{
+			Kind: objective.Kind, Class: objective.Class, TimeLimit: DurationFromSeconds(objective.WithinS),
+			TargetShare: objective.Share, DeadlineFactor: objective.Times,
+		})
+	}
+	return platform
+}
+
+// setStateLimits sets the limits of the state service to the lower of the present ones and those that are announced: they may come
+// into force at any time, and what is written before has to fit then too.
+func (f *platformFile) setStateLimits(platform *Platform) {
+	state, next := &f.Cluster.State, &f.Cluster.State.Next
+	platform.StateRequestRate = lowerLimit(state.RPS, next.RPS)
+	platform.StateWriteRate = lowerLimit(state.WriteRPS, next.WriteRPS)
+	valueBytes := int(state.ValueKB * bytesPerKB)
+	platform.MaxValueBytes = int(lowerLimit(float64(valueBytes), next.ValueKB*bytesPerKB))
+	platform.MaxTransactionOps = int(lowerLimit(float64(state.TxnOps), float64(next.TxnOps)))
+}
+
+// lowerLimit is the lower of the present limit and the announced one; a limit of 0 is not announced.
+func lowerLimit(now, next float64) float64 {
+	if next > 0 {
+		return min(now, next)
+	}
+	return now
+}
