--- a/internal/site/kvserver/messages.go
+++ b/internal/site/kvserver/messages.go
@@ -1,45 +1,39 @@
 package kvserver
 
 import (
-	"time"
+	"gullrudder/internal/wire/server"
 
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Request is a request that came in. Ref is the runtime's own.
-type Request struct {
-	Handle any
-	Method string
-	Target string
-	Body   []byte
-}
+// Request is a request to the store.
+type Request = server.Request
 
-// Response answers a request. What it says is so only once the log holds the changes of its step.
-type Response struct {
-	Handle     any
-	Status     int
-	Body       any
-	RetryAfter time.Duration
-}
+// Response answers a request. What it says is true only once the records of its step are durable.
+type Response = server.ValueResponse
 
-// Effects are what a step has done: the records for the log, the answers that may go out once
-// these last, and what undoes the step if they do not.
+// Effects are what a step has done.
 type Effects struct {
-	Records   []byte
-	Responses []Response
-	undos     []undoFunc
+	Records   []byte     // for the log, before any response goes out
+	Responses []Response // which may go out once the records are durable
+	undos     []undoFunc // take the step back if the records are not made durable
 }
 
+// The messages of the protocol. The names in the tags are its own: path is a key, mark the revision of a key's last change, permit a
+// lease, tide the revision of the store.
+
+// precondition holds if the key was last changed in the revision; 0 stands for a key that is not there.
 type precondition struct {
 	Key         string `msgpack:"path"`
 	ModRevision uint64 `msgpack:"mark"`
 }
 
+// operation writes a key or deletes one.
 type operation struct {
 	WriteKey  string             `msgpack:"write"`
 	DeleteKey string             `msgpack:"drop"`
 	Value     msgpack.RawMessage `msgpack:"value"`
-	LeaseID   uint64             `msgpack:"permit"`
+	LeaseID   uint64             `msgpack:"permit"` // that the written key ends with; 0: none
 }
 
 type transaction struct {
@@ -77,6 +71,7 @@
 	LeaseID uint64 `msgpack:"permit"`
 }
 
+// eventResponse is a change as a watcher sees it: one of the keys is set.
 type eventResponse struct {
 	WrittenKey  string             `msgpack:"write,omitempty"`
 	DeletedKey  string             `msgpack:"drop,omitempty"`
