--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -20,10 +20,12 @@
 	Incarnation  = "incarnation"   // start of a worker process
 	Revision     = "revision"      // revision of the state service
 	LeaseID      = "lease_id"      // lease of the state service
+	Snapshot     = "snapshot"      // snapshot file of the state service
 )
 
 // Keys of what happened.
 const (
+	Bytes    = "bytes"    // a size
 	Count    = "count"    // how many the message is about
 	Duration = "duration" // a span of time
 	Err      = "err"      // an error
--- a/internal/site/kvserver/backup.go
+++ b/internal/site/kvserver/backup.go
@@ -3,71 +3,16 @@
 import (
 	"errors"
 	"fmt"
-	"io/fs"
 	"os"
 	"path/filepath"
-	"time"
 )
 
-// restoreRevisionGap is what a restored store's revisions are ahead of the backup's: more changes than
-// can have been made since. A leader's token is a revision, and no worker obeys a lower one than
-// it has seen.
+// restoreRevisionGap is what a restored store's revisions and lease IDs are ahead of the backup's: more changes than can have been
+// made since. A leader's fencing token is a revision, and no worker obeys a lower one than it has seen.
 const restoreRevisionGap = 1 << 40
 
-// Inspect reads a directory and changes nothing. A store that runs there is not disturbed; what
-// it does meanwhile may make the end of the log look torn.
-func Inspect(path string) (Inspection, error) {
-	dir, err := ReadOnlyDirectory(path)
-	if err != nil {
-		return Inspection{}, err
-	}
-	recovered, err := recoverDirectory(dir)
-	if recovered == nil {
-		return Inspection{}, err
-	}
-	return recovered.inspection, err
-}
-
-// KeyInfo is a key of a store as it is shown.
-type KeyInfo struct {
-	Key         string `json:"key"`
-	ValueBytes  int    `json:"bytes"`
-	ModRevision uint64 `json:"mark"`
-	LeaseID     uint64 `json:"lease,omitempty"`
-}
-
-// Keys lists the keys of a directory.
-func Keys(path string) ([]KeyInfo, error) {
-	recovered, err := recoverWithRetry(path)
-	if err != nil {
-		return nil, err
-	}
-	var keys []KeyInfo
-	recovered.keyspace.tree.Ascend(func(it *item) bool {
-		keys = append(keys, KeyInfo{it.key, it.jsonBytes, it.modRevision, it.leaseID})
-		return true
-	})
-	return keys, nil
-}
-
-// recoverWithRetry examines a directory in which a store may be at work: while it is read, a segment may
-// be deleted because a new snapshot covers it. Then it is read again.
-func recoverWithRetry(path string) (*recovery, error) {
-	dir, err := ReadOnlyDirectory(path)
-	if err != nil {
-		return nil, err
-	}
-	for try := 0; ; try++ {
-		f, err := recoverDirectory(dir)
-		var damage *DamageError
-		if err == nil || try == 5 || !errors.Is(err, fs.ErrNotExist) && !errors.As(err, &damage) {
-			return f, err
-		}
-		time.Sleep(100 * time.Millisecond)
-	}
-}
-
-// Backup writes what a directory holds to a file, as one snapshot. A store may run there.
+// Backup writes what a directory holds to a file, as one snapshot. The file appears only once it is whole and durable. A store may
+// run in the directory.
 func Backup(path, file string) (Inspection, error) {
 	recovered, err := recoverWithRetry(path)
 	if err != nil {
@@ -77,19 +22,10 @@
 	if err != nil {
 		return Inspection{}, err
 	}
-	view := recovered.keyspace.Freeze()
-	view.segment, view.nextFrame = 1, 1
-	writer := &SnapshotWriter{files: dir, view: view}
-	err = writer.writeAll(nil)
-	if err == nil {
-		err = os.Rename(dir.filePath(writer.fileName()), file)
-	}
-	if err == nil {
-		err = (&OSDirectory{path: filepath.Dir(file)}).SyncDir()
-	}
-	dir.Close()
-	if e := os.RemoveAll(dir.path); err == nil {
-		err = e
+	err = writeBackup(dir, recovered.keyspace, file)
+	_ = dir.Close() // the lock of a directory that is removed now
+	if removeErr := os.RemoveAll(dir.path); err == nil {
+		err = removeErr
 	}
 	if err != nil {
 		return Inspection{}, fmt.Errorf("back up %s: %w", path, err)
@@ -97,13 +33,33 @@
 	return recovered.inspection, nil
 }
 
-// Restore makes a directory of a backup. The directory must hold nothing.
+// writeBackup writes a snapshot in a temporary directory and moves it to the file.
+func writeBackup(dir *OSDirectory, k *keyspace, file string) error {
+	writer := &SnapshotWriter{files: dir, view: k.freezeForBackup()}
+	if err := writer.writeAll(nil); err != nil {
+		return err
+	}
+	if err := os.Rename(dir.filePath(writer.fileName()), file); err != nil {
+		return err
+	}
+	return (&OSDirectory{path: filepath.Dir(file)}).SyncDir()
+}
+
+// freezeForBackup is a view behind which the log begins anew.
+func (k *keyspace) freezeForBackup() *View {
+	view := k.Freeze()
+	view.segment, view.nextFrame = 1, 1
+	return view
+}
+
+// Restore makes a directory of a backup. The directory must hold nothing, and is made if it is not there. The store's revisions go
+// on restoreRevisionGap above the backup's.
 func Restore(file, path string) (Inspection, error) {
 	backup, err := os.ReadFile(file)
 	if err != nil {
 		return Inspection{}, fmt.Errorf("restore: %w", err)
 	}
-	data, _, _, err := readSnapshot(file, backup)
+	content, err := readSnapshot(file, backup)
 	if err != nil {
 		return Inspection{}, fmt.Errorf("restore: the backup is not whole: %w", err)
 	}
@@ -111,27 +67,13 @@
 	if err != nil {
 		return Inspection{}, err
 	}
-	defer dir.Close()
-	names, err := dir.List()
-	if err != nil {
+	defer func() { _ = dir.Close() }() // the lock; nothing is written through it
+	if err := checkEmpty(dir); err != nil {
 		return Inspection{}, err
 	}
-	for _, name := range names {
-		if name != lockFileName {
-			return Inspection{}, fmt.Errorf("restore: %s is not empty: it holds %s", path, name)
-		}
-	}
-	data.revision += restoreRevisionGap
-	data.lastLeaseID += restoreRevisionGap
-	view := data.Freeze()
-	view.segment, view.nextFrame = 1, 1
-	// The segment first: a snapshot without the log behind it would be damage.
-	log, err := createSegment(dir, segmentHeader{view.segment, view.nextFrame, view.revision})
-	if err != nil {
-		return Inspection{}, fmt.Errorf("restore: %w", err)
-	}
-	defer log.Close()
-	if err := (&SnapshotWriter{files: dir, view: view}).writeAll(nil); err != nil {
+	content.keyspace.revision += restoreRevisionGap
+	content.keyspace.lastLeaseID += restoreRevisionGap
+	if err := writeRestored(dir, content.keyspace.freezeForBackup()); err != nil {
 		return Inspection{}, fmt.Errorf("restore: %w", err)
 	}
 	recovered, err := recoverDirectory(dir)
@@ -140,3 +82,26 @@
 	}
 	return recovered.inspection, nil
 }
+
+func checkEmpty(dir *OSDirectory) error {
+	names, err := dir.List()
+	if err != nil {
+		return err
+	}
+	for _, name := range names {
+		if name != lockFileName {
+			return fmt.Errorf("restore: %s is not empty: it holds %s", dir.path, name)
+		}
+	}
+	return nil
+}
+
+// writeRestored writes the segment first: a snapshot without the log behind it would be damage.
+func writeRestored(dir *OSDirectory, view *View) error {
+	wal, err := createSegment(dir, segmentHeader{segment: view.segment, firstFrame: view.nextFrame, revision: view.revision})
+	if err != nil {
+		return err
+	}
+	writer := &SnapshotWriter{files: dir, view: view}
+	return errors.Join(writer.writeAll(nil), wal.Close())
+}
--- a/internal/site/kvserver/directory.go
+++ b/internal/site/kvserver/directory.go
@@ -10,36 +10,36 @@
 	"syscall"
 )
 
-// Directory is the directory that a store lives in. What is written counts as kept only after Sync
-// of the file, and a file's name, or its new name, only after SyncDir.
+// Directory is the directory that a store lives in. What is written is durable only after Sync of the file, and a file's name, or
+// its new name, only after SyncDir. The errors are those of package os.
 type Directory interface {
 	Create(name string) (File, error) // a new empty file, in place of an old one
-	Open(name string) (File, error)
-	Read(name string) ([]byte, error)
-	Rename(from, to string) error
-	Remove(name string) error
-	List() ([]string, error)
-	SyncDir() error
+	Open(name string) (File, error)   // to write to
+	Read(name string) ([]byte, error) // the whole file
+	Rename(from, to string) error     // in place of a file that has the name
+	Remove(name string) error         // deletes a file
+	List() ([]string, error)          // the names of the files, in order
+	SyncDir() error                   // makes the names durable
 }
 
 // File is an open file of a store.
 type File interface {
 	io.WriterAt
 	Truncate(size int64) error
-	Sync() error
+	Sync() error // makes the content durable
 	Close() error
 }
 
 // OSDirectory is a directory of the operating system.
 type OSDirectory struct {
 	path string
-	lock *os.File
+	lock *os.File // nil: the directory is only read
 }
 
-// ErrLocked says that another process has the directory.
+// ErrLocked is returned for a directory that another process has.
 var ErrLocked = errors.New("another process has this directory")
 
-// LockDirectory takes a directory, which is made if it is not there, for this process alone.
+// LockDirectory takes a directory, which is made if it is not there, for this process alone, until it is closed.
 func LockDirectory(path string) (*OSDirectory, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("data directory: %w", err)
@@ -49,7 +49,7 @@
 		return nil, fmt.Errorf("data directory: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
+		_ = lock.Close() // nothing was written to it
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, fmt.Errorf("%s: %w", path, ErrLocked)
 		}
@@ -58,7 +58,7 @@
 	return &OSDirectory{path, lock}, nil
 }
 
-// ReadOnlyDirectory is a directory that is only looked at, perhaps while another process has it.
+// ReadOnlyDirectory is a directory that is only read, perhaps while another process has it.
 func ReadOnlyDirectory(path string) (*OSDirectory, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, fmt.Errorf("data directory: %w", err)
@@ -66,7 +66,7 @@
 	return &OSDirectory{path: path}, nil
 }
 
-// Close gives the directory back.
+// Close gives the directory back: another process may lock it.
 func (d *OSDirectory) Close() error {
 	if d.lock == nil {
 		return nil
@@ -76,7 +76,7 @@
 
 func (d *OSDirectory) filePath(name string) string { return filepath.Join(d.path, name) }
 
-// Create makes a new file.
+// Create implements Directory.
 func (d *OSDirectory) Create(name string) (File, error) {
 	f, err := os.OpenFile(d.filePath(name), os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return osFile{f}, nil
 }
 
-// Open opens a file to write to it.
+// Open implements Directory.
 func (d *OSDirectory) Open(name string) (File, error) {
 	f, err := os.OpenFile(d.filePath(name), os.O_RDWR, 0)
 	if err != nil {
@@ -94,18 +94,18 @@
 	return osFile{f}, nil
 }
 
-// Read reads a whole file.
+// Read implements Directory.
 func (d *OSDirectory) Read(name string) ([]byte, error) { return os.ReadFile(d.filePath(name)) }
 
-// Rename gives a file another name, in place of a file that had it.
+// Rename implements Directory.
 func (d *OSDirectory) Rename(from, to string) error {
 	return os.Rename(d.filePath(from), d.filePath(to))
 }
 
-// Remove deletes a file.
+// Remove implements Directory.
 func (d *OSDirectory) Remove(name string) error { return os.Remove(d.filePath(name)) }
 
-// List names the files, in order.
+// List implements Directory.
 func (d *OSDirectory) List() ([]string, error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
@@ -121,19 +121,18 @@
 	return names, nil
 }
 
-// SyncDir makes the names of the files last.
+// SyncDir implements Directory.
 func (d *OSDirectory) SyncDir() error {
 	f, err := os.Open(d.path)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	return f.Sync()
+	return errors.Join(f.Sync(), f.Close())
 }
 
 type osFile struct{ *os.File }
 
-// Sync makes the content last. The file's times need not.
+// Sync makes the content durable. The file's times need not be.
 func (f osFile) Sync() error {
 	for {
 		if err := syscall.Fdatasync(int(f.Fd())); !errors.Is(err, syscall.EINTR) {
--- a/internal/site/kvserver/golden_bytes_test.go
+++ b/internal/site/kvserver/golden_bytes_test.go
@@ -25,11 +25,11 @@
 	view := c.Freeze()
 	view.segment, view.nextFrame = segment, next
 	file := &memoryFile{}
-	snapshot := &SnapshotWriter{view: view, file: file, stage: 1}
-	if err := snapshot.append(append(view.encodeHeader(), appendBlock(nil, snapshot.encodeLeases())...)); err != nil {
+	snapshot := &SnapshotWriter{view: view, file: file, stage: stageBlocks}
+	if err := snapshot.append(append(view.encodeHeader(), encodeBlock(view.encodeLeases())...)); err != nil {
 		return nil, err
 	}
-	for snapshot.stage == 1 {
+	for snapshot.stage == stageBlocks {
 		if err := snapshot.writeBlock(); err != nil {
 			return nil, err
 		}
@@ -119,11 +119,11 @@
 			return appendFrame(nil, number, payload), err
 		}),
 		goldenbytes.Bytes("snapshot", snapshot, func(raw []byte) ([]byte, error) {
-			c, segment, next, err := readSnapshot("snapshot", raw)
+			content, err := readSnapshot("snapshot", raw)
 			if err != nil {
 				return nil, err
 			}
-			return storedSnapshot(c, segment, next)
+			return storedSnapshot(content.keyspace, content.segment, content.nextFrame)
 		}),
 	)
 }
--- a/internal/site/kvserver/keyspace.go
+++ b/internal/site/kvserver/keyspace.go
@@ -1,6 +1,7 @@
 package kvserver
 
 import (
+	"maps"
 	"slices"
 	"sort"
 	"strings"
@@ -11,14 +12,20 @@
 	"github.com/google/btree"
 )
 
-// item is a key with its value. Items are never changed, only replaced: a snapshot may still
-// read them.
+const (
+	// retainedEvents is how many changes are kept for watches at least. What is older is cut off when as many again have come.
+	retainedEvents = 10_000
+	// btreeDegree is that of the tree of keys: a commit copies a path of it while a snapshot reads the rest.
+	btreeDegree = 32
+)
+
+// item is a key with its value. Items are never changed, only replaced: a snapshot may still read them.
 type item struct {
 	key         string
 	value       []byte
-	modRevision uint64
-	leaseID     uint64
-	jsonBytes   int // JSON bytes of the value
+	modRevision uint64 // of its last change
+	leaseID     uint64 // that it ends with; 0: none
+	jsonBytes   int    // of the value
 }
 
 func newItem(key string, value []byte, modRevision, leaseID uint64) *item {
@@ -27,6 +34,7 @@
 
 func keyLess(a, b *item) bool { return a.key < b.key }
 
+// change is a key that is written or deleted.
 type change struct {
 	isDelete bool
 	key      string
@@ -34,7 +42,7 @@
 	leaseID  uint64
 }
 
-// event is a change as watchers see it.
+// event is a change as watches see it.
 type event struct {
 	isDelete    bool
 	key         string
@@ -45,163 +53,157 @@
 type lease struct {
 	id        uint64
 	ttl       time.Duration
-	expiresAt time.Time // not kept: a lease has its full time after a restart
+	expiresAt time.Time // not durable: a lease has its full time after a restart
 	keys      map[string]bool
 }
 
-// retainedEvents is how many changes are kept for watchers.
-const retainedEvents = 10_000
-
-// keyspace is what a store holds.
+// keyspace is what a store holds. Its revision rises with every commit; an item's lease is among the leases or was there once, and
+// a lease's keys are exactly the items that name it.
 type keyspace struct {
 	tree              *btree.BTreeG[*item]
-	leases            map[uint64]*lease
+	leases            map[uint64]*lease // by ID
 	revision          uint64
-	lastLeaseID       uint64 // the last id of a lease
-	events            []event
-	compactedRevision uint64 // changes up to this revision are not among the events
+	lastLeaseID       uint64
+	events            []event // by revision
+	compactedRevision uint64  // changes up to this revision are not among the events
 }
 
-// btreeDegree of the tree: a commit copies a path of it while a snapshot reads the rest.
-const btreeDegree = 32
+// undoFunc takes a change back that was not made durable.
+type undoFunc func(k *keyspace)
 
 func newKeyspace() *keyspace {
 	return &keyspace{tree: btree.NewG(btreeDegree, keyLess), leases: map[uint64]*lease{}}
 }
 
-// undoFunc takes a change back, if what was to keep it has failed.
-type undoFunc func(c *keyspace)
-
-func (c *keyspace) get(key string) *item {
-	it, _ := c.tree.Get(&item{key: key})
+func (k *keyspace) get(key string) *item {
+	it, _ := k.tree.Get(&item{key: key})
 	return it
 }
 
-func (c *keyspace) put(it *item) {
-	old, replaced := c.tree.ReplaceOrInsert(it)
-	if replaced {
-		c.detachFromLease(old)
+func (k *keyspace) put(it *item) {
+	if previous, replaced := k.tree.ReplaceOrInsert(it); replaced {
+		k.detachFromLease(previous)
 	}
-	if l := c.leases[it.leaseID]; l != nil {
+	if l := k.leases[it.leaseID]; l != nil {
 		l.keys[it.key] = true
 	}
 }
 
-func (c *keyspace) remove(key string) *item {
-	old, found := c.tree.Delete(&item{key: key})
+// remove deletes a key and returns what it was, or nil.
+func (k *keyspace) remove(key string) *item {
+	previous, found := k.tree.Delete(&item{key: key})
 	if found {
-		c.detachFromLease(old)
+		k.detachFromLease(previous)
 	}
-	return old
+	return previous
 }
 
-func (c *keyspace) detachFromLease(it *item) {
-	if l := c.leases[it.leaseID]; l != nil {
+func (k *keyspace) detachFromLease(it *item) {
+	if l := k.leases[it.leaseID]; l != nil {
 		delete(l.keys, it.key)
 	}
 }
 
-// restoreItem puts a key back to what it was.
-func (c *keyspace) restoreItem(key string, previous *item) {
+// restoreItem puts a key back to what it was; nil: it was not there.
+func (k *keyspace) restoreItem(key string, previous *item) {
 	if previous == nil {
-		c.remove(key)
+		k.remove(key)
 		return
 	}
-	c.put(previous)
+	k.put(previous)
 }
 
-// apply makes the changes of one commit. Where undos is given, it takes what undoes them.
-func (c *keyspace) apply(revision uint64, changes []change, undos *[]undoFunc) {
-	previousRevision := c.revision
-	c.revision = revision
+// apply makes the changes of one commit. Where undos is given, what undoes them is added to it.
+func (k *keyspace) apply(revision uint64, changes []change, undos *[]undoFunc) {
+	previousRevision := k.revision
+	k.revision = revision
 	if undos != nil {
-		*undos = append(*undos, func(c *keyspace) { c.revision = previousRevision })
-	}
-	for _, ch := range changes {
-		var previous *item
-		if ch.isDelete {
-			if previous = c.remove(ch.key); previous == nil {
-				continue
-			}
-		} else {
-			previous = c.get(ch.key)
-			c.put(newItem(ch.key, ch.value, revision, ch.leaseID))
-		}
-		c.appendEvent(event{isDelete: ch.isDelete, key: ch.key, value: ch.value, modRevision: revision})
-		if undos != nil {
-			key := ch.key
-			*undos = append(*undos, func(c *keyspace) {
-				c.restoreItem(key, previous)
-				c.events = c.events[:max(len(c.events)-1, 0)]
-			})
-		}
+		*undos = append(*undos, func(k *keyspace) { k.revision = previousRevision })
+	}
+	for _, c := range changes {
+		k.applyChange(revision, c, undos)
 	}
 }
 
-func (c *keyspace) appendEvent(e event) {
-	c.events = append(c.events, e)
-	if len(c.events) > 2*retainedEvents {
-		cut := len(c.events) - retainedEvents
-		// A commit's changes have one mark: they are kept or cut off together.
-		c.compactedRevision = c.events[cut-1].modRevision
-		for cut < len(c.events) && c.events[cut].modRevision == c.compactedRevision {
-			cut++
+func (k *keyspace) applyChange(revision uint64, c change, undos *[]undoFunc) {
+	var previous *item
+	if c.isDelete {
+		if previous = k.remove(c.key); previous == nil {
+			return
 		}
-		c.events = slices.Clone(c.events[cut:])
+	} else {
+		previous = k.get(c.key)
+		k.put(newItem(c.key, c.value, revision, c.leaseID))
 	}
+	k.appendEvent(event{isDelete: c.isDelete, key: c.key, value: c.value, modRevision: revision})
+	if undos != nil {
+		*undos = append(*undos, func(k *keyspace) {
+			k.restoreItem(c.key, previous)
+			k.events = k.events[:max(len(k.events)-1, 0)]
+		})
+	}
+}
+
+func (k *keyspace) appendEvent(e event) {
+	k.events = append(k.events, e)
+	if len(k.events) <= 2*retainedEvents {
+		return
+	}
+	cut := len(k.events) - retainedEvents
+	// The changes of a commit have one revision: they are kept or cut off together.
+	k.compactedRevision = k.events[cut-1].modRevision
+	for cut < len(k.events) && k.events[cut].modRevision == k.compactedRevision {
+		cut++
+	}
+	k.events = slices.Clone(k.events[cut:])
 }
 
-func (c *keyspace) addLease(id uint64, ttl time.Duration, now time.Time, undos *[]undoFunc) {
-	previousLeaseID := c.lastLeaseID
-	c.lastLeaseID = max(c.lastLeaseID, id)
-	c.leases[id] = &lease{id: id, ttl: ttl, expiresAt: now.Add(ttl), keys: map[string]bool{}}
+func (k *keyspace) addLease(id uint64, ttl time.Duration, now time.Time, undos *[]undoFunc) {
+	previousLeaseID := k.lastLeaseID
+	k.lastLeaseID = max(k.lastLeaseID, id)
+	k.leases[id] = &lease{id: id, ttl: ttl, expiresAt: now.Add(ttl), keys: map[string]bool{}}
 	if undos != nil {
-		*undos = append(*undos, func(c *keyspace) {
-			delete(c.leases, id)
-			c.lastLeaseID = previousLeaseID
+		*undos = append(*undos, func(k *keyspace) {
+			delete(k.leases, id)
+			k.lastLeaseID = previousLeaseID
 		})
 	}
 }
 
-// removeLease ends a lease and removes its keys under the revision.
-func (c *keyspace) removeLease(id, revision uint64, undos *[]undoFunc) {
-	l := c.leases[id]
+// removeLease ends a lease and deletes its keys in the revision, in the order of the keys.
+func (k *keyspace) removeLease(id, revision uint64, undos *[]undoFunc) {
+	l := k.leases[id]
 	if l == nil {
 		return
 	}
 	if len(l.keys) > 0 {
-		keys := make([]string, 0, len(l.keys))
-		for k := range l.keys {
-			keys = append(keys, k)
-		}
-		sort.Strings(keys)
-		changes := make([]change, 0, len(keys))
-		for _, k := range keys {
-			changes = append(changes, change{isDelete: true, key: k})
+		changes := make([]change, 0, len(l.keys))
+		for _, key := range slices.Sorted(maps.Keys(l.keys)) {
+			changes = append(changes, change{isDelete: true, key: key})
 		}
-		c.apply(revision, changes, undos)
+		k.apply(revision, changes, undos)
 	}
-	delete(c.leases, id)
+	delete(k.leases, id)
 	if undos != nil {
-		// Undone first, so that its keys find it.
-		*undos = append(*undos, func(c *keyspace) { c.leases[id] = l })
+		// The last to be added is the first to be undone, so that the keys find their lease again.
+		*undos = append(*undos, func(k *keyspace) { k.leases[id] = l })
 	}
 }
 
 // undoAll undoes in reverse order.
-func (c *keyspace) undoAll(undos []undoFunc) {
-	for i := len(undos) - 1; i >= 0; i-- {
-		undos[i](c)
+func (k *keyspace) undoAll(undos []undoFunc) {
+	for _, undo := range slices.Backward(undos) {
+		undo(k)
 	}
 }
 
-// eventsSince gives the events of a prefix after a revision; ok is false if they are not all kept.
-func (c *keyspace) eventsSince(revision uint64, prefix string) (found []event, ok bool) {
-	if revision < c.compactedRevision {
+// eventsSince are the events of a prefix after a revision; ok is false if they are not all retained.
+func (k *keyspace) eventsSince(revision uint64, prefix string) (found []event, ok bool) {
+	if revision < k.compactedRevision {
 		return nil, false
 	}
-	i := sort.Search(len(c.events), func(i int) bool { return c.events[i].modRevision > revision })
-	for _, e := range c.events[i:] {
+	first := sort.Search(len(k.events), func(i int) bool { return k.events[i].modRevision > revision })
+	for _, e := range k.events[first:] {
 		if strings.HasPrefix(e.key, prefix) {
 			found = append(found, e)
 		}
--- a/internal/site/kvserver/metrics.go
+++ b/internal/site/kvserver/metrics.go
@@ -1,8 +1,9 @@
 package kvserver
 
 import (
-	"fmt"
 	"log/slog"
+	"net/http"
+	"strconv"
 	"strings"
 	"time"
 
@@ -11,7 +12,16 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are the figures of a store, in Prometheus' text form.
+// Names of the metrics begin with these.
+const (
+	metricNamespace = "gullrudder"
+	metricSubsystem = "state"
+)
+
+// otherKind is the label of what the protocol does not know.
+const otherKind = "other"
+
+// Metrics are the Prometheus metrics of a store. They are safe to read while the server counts on.
 type Metrics struct {
 	registry            *prometheus.Registry
 	requestCount        *prometheus.CounterVec
@@ -30,29 +40,29 @@
 	logBytes            prometheus.Gauge
 }
 
-// NewMetrics makes the figures of one store.
+// NewMetrics makes the metrics of one store, with a registry of their own.
 func NewMetrics() *Metrics {
 	gauge := func(name, help string) prometheus.Gauge {
-		return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "gullrudder", Subsystem: "state", Name: name, Help: help})
+		return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: metricNamespace, Subsystem: metricSubsystem, Name: name, Help: help})
 	}
 	counter := func(name, help string) prometheus.Counter {
-		return prometheus.NewCounter(prometheus.CounterOpts{Namespace: "gullrudder", Subsystem: "state", Name: name, Help: help})
+		return prometheus.NewCounter(prometheus.CounterOpts{Namespace: metricNamespace, Subsystem: metricSubsystem, Name: name, Help: help})
 	}
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
 		requestCount: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Namespace: "gullrudder", Subsystem: "state", Name: "requests_total",
+			Namespace: metricNamespace, Subsystem: metricSubsystem, Name: "requests_total",
 			Help: "Requests answered, by method, kind and status.",
 		}, []string{"method", "kind", "status"}),
 		shedCount:           counter("shed_total", "Requests refused because the queue was full."),
 		failedWriteCount:    counter("failed_writes_total", "Writes or syncs of the log that failed."),
 		failedSnapshotCount: counter("failed_snapshots_total", "Snapshots that failed."),
 		snapshotSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Namespace: "gullrudder", Subsystem: "state", Name: "snapshot_seconds",
+			Namespace: metricNamespace, Subsystem: metricSubsystem, Name: "snapshot_seconds",
 			Help: "Time that a snapshot took.", Buckets: prometheus.ExponentialBuckets(0.001, 4, 10),
 		}),
 		syncSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Namespace: "gullrudder", Subsystem: "state", Name: "sync_seconds",
+			Namespace: metricNamespace, Subsystem: metricSubsystem, Name: "sync_seconds",
 			Help: "Time to write and sync one step's records.", Buckets: prometheus.ExponentialBuckets(0.00005, 2, 16),
 		}),
 		snapshotBytes: gauge("snapshot_bytes", "Size of the last snapshot."),
@@ -65,47 +75,34 @@
 		logBytes:      gauge("log_bytes", "Bytes of log that no snapshot covers."),
 	}
 	m.registry.MustRegister(
-		m.requestCount,
-		m.shedCount,
-		m.failedWriteCount,
-		m.failedSnapshotCount,
-		m.snapshotSeconds,
-		m.syncSeconds,
-		m.snapshotBytes,
-		m.revision,
-		m.keys,
-		m.leases,
-		m.watches,
-		m.queueLength,
-		m.failing,
-		m.logBytes,
+		m.requestCount, m.shedCount, m.failedWriteCount, m.failedSnapshotCount, m.snapshotSeconds, m.syncSeconds, m.snapshotBytes,
+		m.revision, m.keys, m.leases, m.watches, m.queueLength, m.failing, m.logBytes,
 	)
 	return m
 }
 
-func (m *Metrics) observeSync(took time.Duration) { m.syncSeconds.Observe(took.Seconds()) }
+func (m *Metrics) observeSync(duration time.Duration) { m.syncSeconds.Observe(duration.Seconds()) }
 
-func (m *Metrics) observeSnapshot(took time.Duration, bytes int64) {
-	m.snapshotSeconds.Observe(took.Seconds())
+func (m *Metrics) observeSnapshot(duration time.Duration, bytes int64) {
+	m.snapshotSeconds.Observe(duration.Seconds())
 	m.snapshotBytes.Set(float64(bytes))
 }
 
-// countResponse counts an answer. Strangers' paths are one kind, so that they cannot make the
-// figures grow.
+// countResponse counts a response. Unknown paths and methods are one kind each, so that a client cannot add label values.
 func (m *Metrics) countResponse(method, target string, status int) {
 	kind, _, _ := strings.Cut(strings.TrimPrefix(target, "/"), "/")
 	kind, _, _ = strings.Cut(kind, "?")
 	switch kind {
 	case "keys", "commit", "leases", "watch", "ready":
 	default:
-		kind = "other"
+		kind = otherKind
 	}
 	switch method {
-	case "GET", "POST", "DELETE":
+	case http.MethodGet, http.MethodPost, http.MethodDelete:
 	default:
-		method = "other"
+		method = otherKind
 	}
-	m.requestCount.WithLabelValues(method, kind, fmt.Sprint(status)).Inc()
+	m.requestCount.WithLabelValues(method, kind, strconv.Itoa(status)).Inc()
 }
 
 func (m *Metrics) observeState(s *State, queueLength int, logBytes int64) {
@@ -122,7 +119,7 @@
 	m.failing.Set(failing)
 }
 
-// Serve answers GET /metrics at an address until the listener fails.
+// Serve answers GET /metrics at an address until the listener fails; it always returns an error.
 func (m *Metrics) Serve(addr string, log *slog.Logger) error {
 	return metrics.Serve(m.registry, addr, log)
 }
--- a/internal/site/kvserver/record.go
+++ b/internal/site/kvserver/record.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A frame's payload is a row of records: commits, leases that begin and leases that end.
+// The payload of a frame is a row of records: commits, leases that begin and leases that end. Each is a byte for its kind and
+// numbers as varints; a key or value has its length before it. The format is on disk: it is only ever added to.
 const (
 	recordCommit     = 1
 	recordLeaseGrant = 2
@@ -19,7 +20,7 @@
 
 var errRecordTruncated = errors.New("a record ends early")
 
-func appendBytes(out []byte, s []byte) []byte {
+func appendBytes(out, s []byte) []byte {
 	out = binary.AppendUvarint(out, uint64(len(s)))
 	return append(out, s...)
 }
@@ -45,36 +46,37 @@
 	return binary.AppendUvarint(out, uint64(ttl.Milliseconds()))
 }
 
-// appendLeaseEndRecord records the end of a lease; revision is that of the removal of its keys, 0 if it
-// had none.
+// appendLeaseEndRecord records the end of a lease; revision is that of the deletion of its keys, 0 if it had none.
 func appendLeaseEndRecord(out []byte, id, revision uint64) []byte {
 	out = binary.AppendUvarint(append(out, recordLeaseEnd), id)
 	return binary.AppendUvarint(out, revision)
 }
 
+// recordReader reads the fields of records. After the first error all fields are zero.
 type recordReader struct {
 	rest []byte
 	err  error
 }
 
 func (r *recordReader) readUvarint() uint64 {
-	v, n := binary.Uvarint(r.rest)
+	number, n := binary.Uvarint(r.rest)
 	if n <= 0 {
 		r.err, r.rest = errRecordTruncated, nil
 		return 0
 	}
 	r.rest = r.rest[n:]
-	return v
+	return number
 }
 
+// readBytes reads a key or value, which is a part of the payload.
 func (r *recordReader) readBytes() []byte {
-	n := r.readUvarint()
-	if n > uint64(len(r.rest)) {
+	length := r.readUvarint()
+	if length > uint64(len(r.rest)) {
 		r.err, r.rest = errRecordTruncated, nil
 		return nil
 	}
-	s := r.rest[:n]
-	r.rest = r.rest[n:]
+	s := r.rest[:length]
+	r.rest = r.rest[length:]
 	return s
 }
 
@@ -83,47 +85,27 @@
 		r.err = errRecordTruncated
 		return 0
 	}
-	k := r.rest[0]
+	kind := r.rest[0]
 	r.rest = r.rest[1:]
-	return k
+	return kind
+}
+
+func (r *recordReader) readChange() change {
+	c := change{isDelete: r.readKind() == opDelete, key: string(r.readBytes())}
+	if !c.isDelete {
+		c.value = append([]byte(nil), r.readBytes()...)
+		c.leaseID = r.readUvarint()
+	}
+	return c
 }
 
-// replayRecords applies the records of a frame. Revisions only rise: a record that says otherwise is
-// damage that the checksum does not show.
-func (c *keyspace) replayRecords(payload []byte) error {
+// replayRecords applies the records of a frame. A record that is wrong although its checksum is right is an error; what came before
+// it is applied.
+func (k *keyspace) replayRecords(payload []byte) error {
 	r := &recordReader{rest: payload}
 	for len(r.rest) > 0 {
-		switch kind := r.readKind(); kind {
-		case recordCommit:
-			revision := r.readUvarint()
-			count := r.readUvarint()
-			var changes []change
-			for ; count > 0 && r.err == nil; count-- {
-				ch := change{isDelete: r.readKind() == opDelete, key: string(r.readBytes())}
-				if !ch.isDelete {
-					ch.value = append([]byte(nil), r.readBytes()...)
-					ch.leaseID = r.readUvarint()
-				}
-				changes = append(changes, ch)
-			}
-			if r.err == nil && revision <= c.revision {
-				return fmt.Errorf("revision %d after %d", revision, c.revision)
-			}
-			if r.err == nil {
-				c.apply(revision, changes, nil)
-			}
-		case recordLeaseGrant:
-			id, ttl := r.readUvarint(), time.Duration(r.readUvarint())*time.Millisecond
-			if r.err == nil {
-				c.addLease(id, ttl, time.Time{}, nil)
-			}
-		case recordLeaseEnd:
-			id, revision := r.readUvarint(), r.readUvarint()
-			if r.err == nil {
-				c.removeLease(id, revision, nil)
-			}
-		default:
-			return fmt.Errorf("a record of kind %d", kind)
+		if err := k.replayRecord(r); err != nil {
+			return err
 		}
 		if r.err != nil {
 			return r.err
@@ -131,3 +113,40 @@
 	}
 	return nil
 }
+
+func (k *keyspace) replayRecord(r *recordReader) error {
+	switch kind := r.readKind(); kind {
+	case recordCommit:
+		return k.replayCommit(r)
+	case recordLeaseGrant:
+		id, ttl := r.readUvarint(), time.Duration(r.readUvarint())*time.Millisecond
+		if r.err == nil {
+			k.addLease(id, ttl, time.Time{}, nil)
+		}
+	case recordLeaseEnd:
+		id, revision := r.readUvarint(), r.readUvarint()
+		if r.err == nil {
+			k.removeLease(id, revision, nil)
+		}
+	default:
+		return fmt.Errorf("a record of kind %d", kind)
+	}
+	return nil
+}
+
+// replayCommit applies a commit. Revisions only rise: one that does not is damage.
+func (k *keyspace) replayCommit(r *recordReader) error {
+	revision, count := r.readUvarint(), r.readUvarint()
+	var changes []change
+	for ; count > 0 && r.err == nil; count-- {
+		changes = append(changes, r.readChange())
+	}
+	if r.err != nil {
+		return r.err
+	}
+	if revision <= k.revision {
+		return fmt.Errorf("revision %d after %d", revision, k.revision)
+	}
+	k.apply(revision, changes, nil)
+	return nil
+}
--- a/internal/site/kvserver/recovery.go
+++ b/internal/site/kvserver/recovery.go
@@ -4,280 +4,279 @@
 	"errors"
 	"fmt"
 	"io/fs"
+	"math"
 	"slices"
-	"sort"
 	"strings"
 )
 
-// Inspection is what was found in a directory.
-type Inspection struct {
-	Revision            uint64   `json:"revision"`
-	Keys                int      `json:"keys"`
-	Leases              int      `json:"leases"`
-	Snapshot            string   `json:"snapshot,omitempty"`
-	Snapshots           []string `json:"snapshots,omitempty"`
-	Segments            []string `json:"segments,omitempty"`
-	Frames              int      `json:"frames"`
-	LogBytes            int64    `json:"log_bytes"`
-	SnapshotBytes       int64    `json:"snapshot_bytes"`
-	TornBytes           int64    `json:"torn_bytes"`       // at the end: written and never answered
-	SkippedDamage       []string `json:"passed,omitempty"` // what was damaged and not needed
-	UnfinishedSnapshots []string `json:"unused,omitempty"` // of an unfinished snapshot
-}
-
-// DamageError ends a start: something that was answered cannot be read any more.
-type DamageError struct {
-	File   string
-	Offset int64
-	Reason string
-}
-
-func (d *DamageError) Error() string {
-	return fmt.Sprintf("%s at byte %d: %s; nothing was changed. Look with 'gullrudder state inspect', and restore a backup "+
-		"into an empty directory, or the file if a copy of it is whole", d.File, d.Offset, d.Reason)
-}
-
-func newDamageError(file string, offset int, format string, args ...any) error {
-	return &DamageError{file, int64(offset), fmt.Sprintf(format, args...)}
-}
+// noEndFrame is where the frames of the last segment end: nowhere.
+const noEndFrame = math.MaxUint64
 
 // recovery is the state of a directory, and where its log goes on.
 type recovery struct {
 	keyspace    *keyspace
 	inspection  Inspection
-	lastSegment *segmentHeader // the last segment; nil if one has to be made
+	lastSegment *segmentHeader // nil: one has to be made
 	offset      int64          // where its next frame goes
 	nextFrame   uint64         // number of that
 	newSegment  uint64         // number of the segment that has to be made
 }
 
-// recoverDirectory reads a directory and changes nothing.
+// recoverDirectory reads a directory and changes nothing. If it is damaged, what could be read is returned with the error.
 func recoverDirectory(files Directory) (*recovery, error) {
 	names, err := files.List()
 	if err != nil {
 		return nil, fmt.Errorf("list the data directory: %w", err)
 	}
 	var snapshots, segments []uint64
-	recovered := &recovery{}
+	r := &recovery{}
 	for _, name := range names {
-		if n, ok := parseFileNumber(name, snapshotPrefix); ok {
-			snapshots = append(snapshots, n)
-			recovered.inspection.Snapshots = append(recovered.inspection.Snapshots, name)
-		} else if n, ok := parseFileNumber(name, segmentPrefix); ok {
-			segments = append(segments, n)
-			recovered.inspection.Segments = append(recovered.inspection.Segments, name)
-		} else if strings.HasSuffix(name, tempSuffix) {
-			recovered.inspection.UnfinishedSnapshots = append(recovered.inspection.UnfinishedSnapshots, name)
-		} else if name != lockFileName {
+		snapshot, isSnapshot := parseFileNumber(name, snapshotPrefix)
+		segment, isSegment := parseFileNumber(name, segmentPrefix)
+		switch {
+		case isSnapshot:
+			snapshots = append(snapshots, snapshot)
+			r.inspection.Snapshots = append(r.inspection.Snapshots, name)
+		case isSegment:
+			segments = append(segments, segment)
+			r.inspection.Segments = append(r.inspection.Segments, name)
+		case strings.HasSuffix(name, tempSuffix):
+			r.inspection.UnfinishedSnapshots = append(r.inspection.UnfinishedSnapshots, name)
+		case name != lockFileName:
 			return nil, fmt.Errorf("file %q is none of a store's: is this the right directory?", name)
 		}
 	}
 	slices.Sort(segments)
-	sort.Slice(snapshots, func(i, j int) bool { return snapshots[i] > snapshots[j] })
-	return recovered, recovered.load(files, snapshots, segments)
+	slices.Sort(snapshots)
+	slices.Reverse(snapshots)
+	return r, r.load(files, snapshots, segments)
 }
 
-func (f *recovery) load(files Directory, snapshots, segments []uint64) error {
+// load reads the newest snapshot that is whole, and replays the log behind it.
+func (r *recovery) load(files Directory, snapshots, segments []uint64) error {
 	var firstDamage error
-	for _, n := range snapshots {
-		name := snapshotName(n)
+	for _, number := range snapshots {
+		name := snapshotName(number)
 		raw, err := files.Read(name)
 		if err != nil {
 			return fmt.Errorf("read %s: %w", name, err)
 		}
-		data, segment, next, err := readSnapshot(name, raw)
-		if err == nil && segment != n {
-			err = &fileError{name, 8, fmt.Errorf("it is of segment %d", segment)}
+		content, err := readSnapshot(name, raw)
+		if err == nil && content.segment != number {
+			err = &fileError{name, magicBytes, fmt.Errorf("it is of segment %d", content.segment)}
 		}
 		if err != nil {
-			f.inspection.SkippedDamage = append(f.inspection.SkippedDamage, err.Error())
+			r.inspection.SkippedDamage = append(r.inspection.SkippedDamage, err.Error())
 			if firstDamage == nil {
 				firstDamage = err
 			}
 			continue
 		}
-		f.keyspace, f.inspection.Snapshot, f.inspection.SnapshotBytes = data, name, int64(len(raw))
-		if err := f.replaySegments(files, segmentsFrom(segments, segment), segment, next); err != nil {
-			return f.preferDamage(firstDamage, err)
+		r.keyspace, r.inspection.Snapshot, r.inspection.SnapshotBytes = content.keyspace, name, int64(len(raw))
+		if err := r.replayLog(files, segmentsFrom(segments, number), number, content.nextFrame); err != nil {
+			return preferDamage(firstDamage, err)
 		}
 		return nil
 	}
-	f.keyspace = newKeyspace()
+	r.keyspace = newKeyspace()
 	if firstDamage != nil && (len(segments) == 0 || segments[0] != 1) {
-		return f.preferDamage(firstDamage, nil)
+		return preferDamage(firstDamage, nil)
 	}
-	return f.replaySegments(files, segments, 1, 1)
+	return r.replayLog(files, segments, 1, 1)
 }
 
-// preferDamage prefers the damage that made the rest necessary.
-func (f *recovery) preferDamage(first, then error) error {
-	var d *fileError
-	if errors.As(first, &d) {
-		return &DamageError{d.file, d.offset, d.err.Error()}
+// preferDamage prefers the damage of a snapshot to an error that follows from its being skipped.
+func preferDamage(first, then error) error {
+	var damage *fileError
+	if errors.As(first, &damage) {
+		return &DamageError{File: damage.file, Offset: damage.offset, Reason: damage.err.Error()}
 	}
 	return then
 }
 
-func segmentsFrom(segments []uint64, segment uint64) []uint64 {
-	for i, n := range segments {
-		if n >= segment {
+func segmentsFrom(segments []uint64, first uint64) []uint64 {
+	for i, number := range segments {
+		if number >= first {
 			return segments[i:]
 		}
 	}
 	return nil
 }
 
-func (f *recovery) summarize() {
-	f.inspection.Revision, f.inspection.Keys, f.inspection.Leases = f.keyspace.revision, f.keyspace.tree.Len(), len(f.keyspace.leases)
+func (r *recovery) summarize() {
+	r.inspection.Revision, r.inspection.Keys, r.inspection.Leases = r.keyspace.revision, r.keyspace.tree.Len(), len(r.keyspace.leases)
 }
 
-// replaySegments replays the segments from the given one on, whose first frame is known.
-func (f *recovery) replaySegments(files Directory, segments []uint64, segment, nextFrame uint64) error {
-	defer f.summarize()
-	f.nextFrame, f.newSegment = nextFrame, segment
-	if len(segments) == 0 {
-		if f.inspection.Snapshot != "" {
-			return newDamageError(segmentName(segment), 0, "the segment after %s is missing", f.inspection.Snapshot)
+// segmentFile is a segment as it was read.
+type segmentFile struct {
+	name   string
+	raw    []byte
+	header segmentHeader
+	whole  bool // its header is
+}
+
+// replayLog replays the segments from the first one on, whose first frame is known.
+func (r *recovery) replayLog(files Directory, numbers []uint64, first, firstFrame uint64) error {
+	defer r.summarize()
+	r.nextFrame, r.newSegment = firstFrame, first
+	if len(numbers) == 0 {
+		if r.inspection.Snapshot != "" {
+			return newDamageError(segmentName(first), 0, "the segment after %s is missing", r.inspection.Snapshot)
 		}
 		return nil
 	}
-	type piece struct {
-		raw  []byte
-		head segmentHeader
-		ok   bool
+	segments, err := r.readSegments(files, numbers, first)
+	if err != nil {
+		return err
 	}
-	parts := make([]piece, len(segments))
-	for i, n := range segments {
-		if n != segment+uint64(i) {
-			return newDamageError(segmentName(segment+uint64(i)), 0, "the segment is missing")
-		}
-		raw, err := files.Read(segmentName(n))
-		if errors.Is(err, fs.ErrNotExist) {
-			return newDamageError(segmentName(n), 0, "the segment is missing")
+	begun, err := r.withoutUnbegun(segments)
+	if err != nil {
+		return err
+	}
+	for i := range begun {
+		endFrame := uint64(noEndFrame)
+		if i+1 < len(begun) {
+			endFrame = begun[i+1].header.firstFrame
 		}
-		if err != nil {
-			return fmt.Errorf("read %s: %w", segmentName(n), err)
+		if err := r.replaySegment(&begun[i], endFrame); err != nil {
+			return err
 		}
-		p := piece{raw: raw}
-		p.head, p.ok = parseSegmentHeader(raw)
-		p.ok = p.ok && p.head.segment == n
-		parts[i] = p
-		f.inspection.LogBytes += int64(len(raw))
+		header := begun[i].header
+		r.lastSegment, r.newSegment = &header, header.segment+1
 	}
-	// A last segment without a header was being made when everything ended, if there is no
-	// frame in it either.
-	if p := parts[len(parts)-1]; !p.ok {
-		name := segmentName(segments[len(segments)-1])
-		if at, whole := findWholeFrame(p.raw, 0, 0); whole {
-			return newDamageError(name, 0, "the header is damaged, and a whole frame follows at byte %d", at)
-		}
-		f.inspection.TornBytes += int64(len(p.raw))
-		parts = parts[:len(parts)-1]
+	if len(begun) < len(segments) {
+		r.lastSegment = nil // the last one is made anew
+		r.newSegment = numbers[len(numbers)-1]
 	}
-	for i, p := range parts {
-		name := segmentName(segment + uint64(i))
-		if !p.ok {
-			return newDamageError(name, 0, "the header of the segment is damaged")
-		}
-		if p.head.firstFrame != f.nextFrame {
-			return newDamageError(name, 8, "frames %d to %d are missing before it", f.nextFrame, p.head.firstFrame-1)
+	return nil
+}
+
+// readSegments reads the segments, of which none may be missing.
+func (r *recovery) readSegments(files Directory, numbers []uint64, first uint64) ([]segmentFile, error) {
+	segments := make([]segmentFile, 0, len(numbers))
+	for i, number := range numbers {
+		if expected := first + uint64(i); number != expected {
+			return nil, newDamageError(segmentName(expected), 0, "the segment is missing")
 		}
-		until := ^uint64(0)
-		if i+1 < len(parts) {
-			until = parts[i+1].head.firstFrame
+		name := segmentName(number)
+		raw, err := files.Read(name)
+		if errors.Is(err, fs.ErrNotExist) {
+			return nil, newDamageError(name, 0, "the segment is missing")
 		}
-		if err := f.replaySegment(name, p.raw, until); err != nil {
-			return err
+		if err != nil {
+			return nil, fmt.Errorf("read %s: %w", name, err)
 		}
-		head := p.head
-		f.lastSegment, f.newSegment = &head, head.segment+1
+		header, ok := parseSegmentHeader(raw)
+		segments = append(segments, segmentFile{name: name, raw: raw, header: header, whole: ok && header.segment == number})
+		r.inspection.LogBytes += int64(len(raw))
 	}
-	if len(parts) < len(segments) {
-		f.lastSegment = nil // the last one is made anew
-		f.newSegment = segments[len(segments)-1]
+	return segments, nil
+}
+
+// withoutUnbegun leaves a last segment out that has no header: it was being made when everything ended, unless a frame is in it.
+func (r *recovery) withoutUnbegun(segments []segmentFile) ([]segmentFile, error) {
+	last := &segments[len(segments)-1]
+	if last.whole {
+		return segments, nil
 	}
-	return nil
+	if at, found := findWholeFrame(last.raw, 0, 0); found {
+		return nil, newDamageError(last.name, 0, "the header is damaged, and a whole frame follows at byte %d", at)
+	}
+	r.inspection.TornBytes += int64(len(last.raw))
+	return segments[:len(segments)-1], nil
 }
 
 // replaySegment applies a segment's frames up to a number, which belongs to the next segment.
-func (f *recovery) replaySegment(name string, raw []byte, endFrame uint64) error {
+func (r *recovery) replaySegment(segment *segmentFile, endFrame uint64) error {
+	if !segment.whole {
+		return newDamageError(segment.name, 0, "the header of the segment is damaged")
+	}
+	if segment.header.firstFrame != r.nextFrame {
+		return newDamageError(segment.name, magicBytes, "frames %d to %d are missing before it", r.nextFrame, segment.header.firstFrame-1)
+	}
+	raw := segment.raw
 	rest := raw[segmentHeaderBytes:]
-	for f.nextFrame < endFrame {
-		at := len(raw) - len(rest)
+	for r.nextFrame < endFrame {
+		offset := len(raw) - len(rest)
 		number, payload, remaining, ok := cutFrame(rest)
-		if !ok || number != f.nextFrame {
-			if endFrame != ^uint64(0) {
-				return newDamageError(name, at, "frame %d is damaged, and the log goes on behind it", f.nextFrame)
+		if !ok || number != r.nextFrame {
+			if err := r.checkTorn(segment, offset, endFrame); err != nil {
+				return err
 			}
-			if at, whole := findWholeFrame(raw, at+1, f.nextFrame); whole {
-				return newDamageError(name, len(raw)-len(rest), "frame %d is damaged, and a whole one follows at byte %d", f.nextFrame, at)
-			}
-			f.inspection.TornBytes = int64(len(rest))
+			r.inspection.TornBytes = int64(len(rest))
 			break
 		}
-		if err := f.keyspace.replayRecords(payload); err != nil {
-			return newDamageError(name, at, "frame %d cannot be read: %v", number, err)
+		if err := r.keyspace.replayRecords(payload); err != nil {
+			return newDamageError(segment.name, offset, "frame %d cannot be read: %v", number, err)
 		}
-		f.inspection.Frames++
-		f.nextFrame++
+		r.inspection.Frames++
+		r.nextFrame++
 		rest = remaining
 	}
-	f.offset = int64(len(raw) - len(rest))
+	r.offset = int64(len(raw) - len(rest))
+	return nil
+}
+
+// checkTorn tells a torn frame at the end of the log from a damaged one before its end.
+func (r *recovery) checkTorn(segment *segmentFile, offset int, endFrame uint64) error {
+	if endFrame != noEndFrame {
+		return newDamageError(segment.name, offset, "frame %d is damaged, and the log goes on behind it", r.nextFrame)
+	}
+	if at, found := findWholeFrame(segment.raw, offset+1, r.nextFrame); found {
+		return newDamageError(segment.name, offset, "frame %d is damaged, and a whole one follows at byte %d", r.nextFrame, at)
+	}
 	return nil
 }
 
 // findWholeFrame looks for a whole frame of at least the given number, from an offset on.
-func findWholeFrame(raw []byte, from int, minNumber uint64) (at int, ok bool) {
+func findWholeFrame(raw []byte, from int, minNumber uint64) (at int, found bool) {
 	for at = from; at+frameHeaderBytes <= len(raw); at++ {
 		if raw[at] != frameMagic&0xff {
 			continue
 		}
-		if n, _, _, whole := cutFrame(raw[at:]); whole && n >= minNumber {
+		if number, _, _, ok := cutFrame(raw[at:]); ok && number >= minNumber {
 			return at, true
 		}
 	}
 	return 0, false
 }
 
-// openWAL goes on where examine has found the log to end.
-func (f *recovery) openWAL(files Directory) (*WAL, error) {
-	if f.lastSegment == nil {
-		return createSegment(files, segmentHeader{f.newSegment, f.nextFrame, f.keyspace.revision})
+// openWAL goes on where the log was found to end.
+func (r *recovery) openWAL(files Directory) (*WAL, error) {
+	if r.lastSegment == nil {
+		return createSegment(files, segmentHeader{segment: r.newSegment, firstFrame: r.nextFrame, revision: r.keyspace.revision})
 	}
-	name := segmentName(f.lastSegment.segment)
+	name := segmentName(r.lastSegment.segment)
 	file, err := files.Open(name)
 	if err != nil {
 		return nil, fmt.Errorf("open %s: %w", name, err)
 	}
-	wal := &WAL{files: files, file: file, segment: f.lastSegment.segment, nextFrame: f.nextFrame, offset: f.offset}
-	if f.inspection.TornBytes > 0 {
+	if r.inspection.TornBytes > 0 {
 		// What is behind the end was never answered, and is not to be looked at again.
-		err = file.Truncate(f.offset)
+		err = file.Truncate(r.offset)
 	}
 	if err == nil {
-		// What a process that has ended wrote may be in memory only; it is answered from
-		// now on, so it has to last.
+		// What a process that has ended wrote may be in memory only; it is answered from now on, so it has to be durable.
 		err = file.Sync()
 	}
 	if err == nil {
 		err = files.SyncDir()
 	}
 	if err != nil {
-		file.Close()
-		return nil, fmt.Errorf("go on in %s: %w", name, err)
+		return nil, fmt.Errorf("go on in %s: %w", name, errors.Join(err, file.Close()))
 	}
-	return wal, nil
+	return &WAL{files: files, file: file, segment: r.lastSegment.segment, nextFrame: r.nextFrame, offset: r.offset}, nil
 }
 
 // removeLeftovers removes what unfinished snapshots and deletions have left.
-func (f *recovery) removeLeftovers(files Directory) error {
-	for _, name := range f.inspection.UnfinishedSnapshots {
+func (r *recovery) removeLeftovers(files Directory) error {
+	for _, name := range r.inspection.UnfinishedSnapshots {
 		if err := files.Remove(name); err != nil {
 			return fmt.Errorf("remove %s: %w", name, err)
 		}
 	}
-	if n, ok := parseFileNumber(f.inspection.Snapshot, snapshotPrefix); ok {
-		return removeCoveredFiles(files, n)
+	if number, ok := parseFileNumber(r.inspection.Snapshot, snapshotPrefix); ok {
+		return removeCoveredFiles(files, number)
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/site/kvserver/snapshotschedule.go
@@ -0,0 +1,66 @@
+package kvserver
+
+import (
+	"errors"
+	"time"
+
+	"gullrudder/internal/logkeys"
+)
+
+// snapshotRetryIntervals is after how many tries of the disk a snapshot that failed is tried again: it writes far more than a
+// commit, and the log holds everything meanwhile.
+const snapshotRetryIntervals = 10
+
+// snapshotSchedule is what the owner knows of snapshots: one is written at a time.
+type snapshotSchedule struct {
+	isRunning   bool
+	isBeginning bool      // it begins after the records that are on their way
+	nextAt      time.Time // no snapshot before this
+	results     chan snapshotResult
+}
+
+type snapshotResult struct {
+	snapshot *SnapshotWriter
+	err      error
+	duration time.Duration
+}
+
+func (s *snapshotSchedule) canBegin(now time.Time) bool { return !s.isRunning && now.After(s.nextAt) }
+
+// runSnapshot writes a snapshot on a goroutine of its own while the server goes on, and deletes the log that it covers. The crash
+// tests end the process at each of its messages.
+func (s *Server) runSnapshot(snapshot *SnapshotWriter) {
+	startedAt := time.Now()
+	log := s.log.With(logkeys.Snapshot, snapshot.fileName())
+	log.Info("snapshot begins", logkeys.Revision, snapshot.view.revision, logkeys.Count, snapshot.view.tree.Len())
+	err := snapshot.writeAll(func(stage snapshotStage) { log.Info(stageMessages[stage]) })
+	if err != nil {
+		err = errors.Join(err, snapshot.Abort())
+	} else {
+		log.Info("deleting the log that is covered")
+		if err := s.storage.Prune(snapshot); err != nil {
+			log.Error("covered files not removed", logkeys.Err, err)
+		}
+	}
+	s.snapshots.results <- snapshotResult{snapshot, err, time.Since(startedAt)}
+}
+
+func (s *Server) handleSnapshotResult(now time.Time, result snapshotResult) {
+	s.storage.RecordSnapshotDone(result.snapshot, result.err == nil)
+	if result.err != nil {
+		s.deferSnapshot(now, result.err)
+		return
+	}
+	s.snapshots.isRunning = false
+	s.metrics.observeSnapshot(result.duration, result.snapshot.offset)
+	s.log.Info("snapshot completed", logkeys.Snapshot, result.snapshot.fileName(), logkeys.Bytes, result.snapshot.offset,
+		logkeys.Duration, result.duration.Round(time.Millisecond))
+}
+
+// deferSnapshot gives a snapshot up for a while; the log grows on.
+func (s *Server) deferSnapshot(now time.Time, err error) {
+	s.snapshots.isRunning = false
+	s.snapshots.nextAt = now.Add(snapshotRetryIntervals * s.options.DiskRetryInterval)
+	s.metrics.failedSnapshotCount.Inc()
+	s.log.Error("snapshot failed", logkeys.Err, err)
+}
--- a/internal/site/kvserver/storage.go
+++ b/internal/site/kvserver/storage.go
@@ -5,90 +5,96 @@
 	"time"
 
 	"gullrudder/internal/config"
+	"gullrudder/internal/logkeys"
 )
 
-// Storage is the directory of a running store: the log, and when it is worth a snapshot. Keep,
-// Begin and Repair touch the log; the rest are counts. So two goroutines may share it, one for
-// each.
+// Storage is the directory of a running store: the write-ahead log, and when it is worth a snapshot. Append, BeginSnapshot and
+// Repair touch the log and belong to the goroutine that writes; the rest are counts and belong to the owner of the state. Prune
+// belongs to the goroutine that writes the snapshot.
 type Storage struct {
 	files                   Directory
 	wal                     *WAL
 	options                 config.KVServer
-	uncoveredLogBytes       int64 // bytes of log that no snapshot covers
-	pendingSnapshotLogBytes int64 // of the log that the snapshot under way is to cover
-	lastSnapshotBytes       int64 // bytes of the last snapshot
+	uncoveredLogBytes       int64 // of log that no snapshot covers
+	pendingSnapshotLogBytes int64 // of log that the snapshot under way is to cover
+	lastSnapshotBytes       int64 // size of the last snapshot
 }
 
-// Open brings a store back from its directory and makes it ready to go on.
+// Open recovers a store from its directory and makes it ready to go on. A directory that is damaged is a DamageError, and nothing in
+// it is changed.
 func Open(files Directory, options config.KVServer, now time.Time, log *slog.Logger) (*State, *Storage, Inspection, error) {
 	recovered, err := recoverDirectory(files)
 	if err != nil {
 		return nil, nil, Inspection{}, err
 	}
-	for _, damage := range recovered.inspection.SkippedDamage {
-		log.Error("a damaged snapshot is passed over: an older one and the log are whole", "damage", damage)
+	inspection := &recovered.inspection
+	for _, damage := range inspection.SkippedDamage {
+		log.Error("damaged snapshot skipped: an older one and the log are whole", logkeys.Reason, damage)
 	}
-	if recovered.inspection.TornBytes > 0 {
-		log.Error("an unfinished write at the end of the log is cut off; it was never answered", "bytes", recovered.inspection.TornBytes)
+	if inspection.TornBytes > 0 {
+		log.Error("torn frame at the end of the log cut off: it was never answered", logkeys.Bytes, inspection.TornBytes)
 	}
 	wal, err := recovered.openWAL(files)
 	if err != nil {
 		return nil, nil, Inspection{}, err
 	}
 	if err := recovered.removeLeftovers(files); err != nil {
-		log.Error("what a snapshot covers cannot be removed", "error", err)
+		log.Error("covered files not removed", logkeys.Err, err)
 	}
 	storage := &Storage{
-		files:             files,
-		wal:               wal,
-		options:           options,
-		uncoveredLogBytes: recovered.inspection.LogBytes,
-		lastSnapshotBytes: recovered.inspection.SnapshotBytes,
+		files: files, wal: wal, options: options,
+		uncoveredLogBytes: inspection.LogBytes, lastSnapshotBytes: inspection.SnapshotBytes,
 	}
-	return newState(recovered.keyspace, options, now), storage, recovered.inspection, nil
+	return newState(recovered.keyspace, options, now), storage, *inspection, nil
 }
 
 // IsSnapshotDue reports whether the log is worth a snapshot.
-func (d *Storage) IsSnapshotDue() bool {
-	return d.uncoveredLogBytes > max(d.options.SnapshotMinLogBytes, int64(float64(d.lastSnapshotBytes)*d.options.SnapshotLogRatio))
+func (s *Storage) IsSnapshotDue() bool {
+	byRatio := int64(float64(s.lastSnapshotBytes) * s.options.SnapshotLogRatio)
+	return s.uncoveredLogBytes > max(s.options.SnapshotMinLogBytes, byRatio)
 }
 
-// Append brings a step's records into the log. See Log.Append for its errors.
-func (d *Storage) Append(records []byte) error { return d.wal.Append(records) }
+// UncoveredLogBytes is how much log there is that no durable snapshot covers.
+func (s *Storage) UncoveredLogBytes() int64 { return s.uncoveredLogBytes + s.pendingSnapshotLogBytes }
 
-// RecordAppended counts what was.
-func (d *Storage) RecordAppended(bytes int) { d.uncoveredLogBytes += int64(bytes + frameHeaderBytes) }
+// Append makes a step's records durable in the log. See WAL.Append for its errors.
+func (s *Storage) Append(records []byte) error { return s.wal.Append(records) }
+
+// RecordAppended counts records that were appended.
+func (s *Storage) RecordAppended(bytes int) { s.uncoveredLogBytes += int64(bytes + frameHeaderBytes) }
 
 // BeginSnapshot turns to a new segment, so that a snapshot of the view covers all before it.
-func (d *Storage) BeginSnapshot(v *View) (*SnapshotWriter, error) {
-	if err := d.wal.Rotate(v.revision); err != nil {
+func (s *Storage) BeginSnapshot(view *View) (*SnapshotWriter, error) {
+	if err := s.wal.Rotate(view.revision); err != nil {
 		return nil, err
 	}
-	v.segment, v.nextFrame = d.wal.segment, d.wal.nextFrame
-	return &SnapshotWriter{files: d.files, view: v}, nil
+	view.segment, view.nextFrame = s.wal.segment, s.wal.nextFrame
+	return &SnapshotWriter{files: s.files, view: view}, nil
 }
 
 // RecordSnapshotBegun counts what a snapshot is to cover.
-func (d *Storage) RecordSnapshotBegun() {
-	d.pendingSnapshotLogBytes, d.uncoveredLogBytes = d.uncoveredLogBytes, 0
+func (s *Storage) RecordSnapshotBegun() {
+	s.pendingSnapshotLogBytes, s.uncoveredLogBytes = s.uncoveredLogBytes, 0
 }
 
 // RecordSnapshotDone counts what became of a snapshot.
-func (d *Storage) RecordSnapshotDone(s *SnapshotWriter, ok bool) {
+func (s *Storage) RecordSnapshotDone(writer *SnapshotWriter, ok bool) {
 	if ok {
-		d.lastSnapshotBytes = s.offset
+		s.lastSnapshotBytes = writer.offset
 	} else {
-		d.uncoveredLogBytes += d.pendingSnapshotLogBytes
+		s.uncoveredLogBytes += s.pendingSnapshotLogBytes
 	}
-	d.pendingSnapshotLogBytes = 0
+	s.pendingSnapshotLogBytes = 0
 }
 
-// IsBroken reports that nothing is kept until Repair has succeeded.
-func (d *Storage) IsBroken() bool { return d.wal.broken }
+// IsBroken reports that nothing is made durable until Repair has succeeded.
+func (s *Storage) IsBroken() bool { return s.wal.broken }
 
-// Repair goes on in a new segment after a failed sync. The frame whose sync failed does not
-// count any more once that lasts, whether the old segment has kept it or not.
-func (d *Storage) Repair(revision uint64) error { return d.wal.Rotate(revision) }
+// Repair goes on in a new segment after a failed sync. The frame whose sync failed does not count any more once that is durable,
+// whether the old segment has kept it or not.
+func (s *Storage) Repair(revision uint64) error { return s.wal.Rotate(revision) }
 
-// Prune deletes what a snapshot that counts covers.
-func (d *Storage) Prune(s *SnapshotWriter) error { return removeCoveredFiles(d.files, s.view.segment) }
+// Prune deletes what a durable snapshot covers.
+func (s *Storage) Prune(writer *SnapshotWriter) error {
+	return removeCoveredFiles(s.files, writer.view.segment)
+}
--- /dev/null
+++ b/internal/site/kvserver/writer.go
@@ -0,0 +1,173 @@
+package kvserver
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"gullrudder/internal/logkeys"
+	"gullrudder/internal/wire/http1"
+)
+
+// writePipeline is what the owner knows of the writer: one job at a time is on its way.
+type writePipeline struct {
+	pending       []Effects // steps whose records are not on their way yet
+	inFlight      []Effects // steps whose records are being written; nil: none
+	inFlightBytes int       // of these records
+	jobs          chan writeJob
+	results       chan writeResult
+	nextRepairAt  time.Time // no repair before this
+	repairPending bool
+}
+
+// writeJob is a frame to be appended, or a repair of the log.
+type writeJob struct {
+	records  []byte
+	revision uint64
+	view     *View // a snapshot of it is to begin after the frame; nil: none
+	repair   bool
+}
+
+type writeResult struct {
+	err         error
+	duration    time.Duration
+	broken      bool // the log takes nothing until it is repaired
+	repair      bool
+	snapshot    *SnapshotWriter // that is to be written
+	snapshotErr error
+}
+
+// runWriter carries out the jobs. No other goroutine writes to the log.
+func (s *Server) runWriter() {
+	for job := range s.writes.jobs {
+		startedAt := time.Now()
+		result := writeResult{repair: job.repair}
+		if job.repair {
+			result.err = s.storage.Repair(job.revision)
+		} else {
+			result.err = s.storage.Append(job.records)
+		}
+		result.duration = time.Since(startedAt)
+		if result.err == nil && job.view != nil {
+			result.snapshot, result.snapshotErr = s.storage.BeginSnapshot(job.view)
+		}
+		result.broken = s.storage.IsBroken()
+		s.writes.results <- result
+	}
+}
+
+// submitPending hands the steps that have gathered to the writer, or to the sender if they have changed nothing.
+func (s *Server) submitPending(now time.Time) {
+	if s.writes.inFlight != nil {
+		return
+	}
+	if s.state.writesFailing && !s.writes.repairPending && !now.Before(s.writes.nextRepairAt) {
+		s.writes.repairPending = true
+		s.writes.jobs <- writeJob{repair: true, revision: s.state.revision}
+	}
+	var records []byte
+	for _, effects := range s.writes.pending {
+		records = append(records, effects.Records...)
+	}
+	if len(records) == 0 {
+		if len(s.writes.pending) > 0 {
+			s.responses <- s.writes.pending
+		}
+		s.writes.pending = nil
+		return
+	}
+	job := writeJob{records: records, revision: s.state.revision}
+	if s.snapshots.canBegin(now) && s.storage.IsSnapshotDue() {
+		// All that has gathered goes into this frame, so the keyspace is what it will be right after it.
+		s.snapshots.isRunning, s.snapshots.isBeginning = true, true
+		job.view = s.state.Freeze()
+	}
+	s.writes.inFlightBytes = len(records)
+	s.writes.inFlight, s.writes.pending = s.writes.pending, nil
+	s.writes.jobs <- job
+}
+
+// handleWriteResult takes in what became of the job that was on its way.
+func (s *Server) handleWriteResult(now time.Time, result writeResult) {
+	if result.repair {
+		s.handleRepairResult(now, result)
+		return
+	}
+	steps := s.writes.inFlight
+	s.writes.inFlight = nil
+	if result.err == nil {
+		s.storage.RecordAppended(s.writes.inFlightBytes)
+		s.metrics.observeSync(result.duration)
+		s.responses <- steps
+	} else {
+		s.rollBack(steps, result.err)
+	}
+	if result.broken {
+		s.state.SetWritesFailing(now, true)
+		s.writes.nextRepairAt = now.Add(s.options.DiskRetryInterval)
+	}
+	switch {
+	case result.snapshot != nil:
+		s.storage.RecordSnapshotBegun()
+		go s.runSnapshot(result.snapshot)
+	case result.snapshotErr != nil:
+		s.deferSnapshot(now, result.snapshotErr)
+	case result.err != nil && s.snapshots.isBeginning:
+		s.snapshots.isRunning = false // it was to begin after these records
+	}
+	s.snapshots.isBeginning = false
+}
+
+// rollBack undoes the steps whose records were not made durable, and those that came after them. Requests of which it is certain
+// that they are not in the log are refused; for the rest that is uncertain, and their connections end without a response.
+func (s *Server) rollBack(steps []Effects, err error) {
+	s.metrics.failedWriteCount.Inc()
+	s.log.Error("write to the log failed", logkeys.Err, err)
+	s.undo(s.writes.pending)
+	s.undo(steps)
+	s.refuse(s.writes.pending)
+	s.writes.pending = nil
+	if errors.Is(err, ErrNotWritten) {
+		s.refuse(steps)
+	} else {
+		abort(steps)
+	}
+}
+
+func (s *Server) undo(steps []Effects) {
+	for i := len(steps) - 1; i >= 0; i-- {
+		s.state.Undo(steps[i])
+	}
+}
+
+func (s *Server) refuse(steps []Effects) {
+	for _, effects := range steps {
+		for _, response := range effects.Responses {
+			s.sendResponse(Response{
+				Handle: response.Handle, Status: http.StatusServiceUnavailable,
+				Body: errorResponse{notDurable}, RetryAfter: s.options.DiskRetryInterval,
+			})
+		}
+	}
+}
+
+func abort(steps []Effects) {
+	for _, effects := range steps {
+		for _, response := range effects.Responses {
+			if request, ok := response.Handle.(*http1.Request); ok {
+				request.Abort()
+			}
+		}
+	}
+}
+
+func (s *Server) handleRepairResult(now time.Time, result writeResult) {
+	s.writes.repairPending = false
+	if result.err != nil {
+		s.log.Error("log not repaired", logkeys.Err, result.err)
+		s.writes.nextRepairAt = now.Add(s.options.DiskRetryInterval)
+		return
+	}
+	s.log.Info("log repaired: it goes on in a new segment")
+	s.state.SetWritesFailing(now, false)
+}
