--- a/internal/site/kvserver/golden_bytes_test.go
+++ b/internal/site/kvserver/golden_bytes_test.go
@@ -1,6 +1,7 @@
 package kvserver
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -21,8 +22,8 @@
 }
 
 // storedSnapshot is a whole snapshot: its header, its leases, its keys and their number.
-func storedSnapshot(c *keyspace, segment, next uint64) ([]byte, error) {
-	view := c.Freeze()
+func storedSnapshot(keys *keyspace, segment, next uint64) ([]byte, error) {
+	view := keys.Freeze()
 	view.segment, view.nextFrame = segment, next
 	file := &memoryFile{}
 	snapshot := &SnapshotWriter{view: view, file: file, stage: stageBlocks}
@@ -48,18 +49,13 @@
 }
 
 func TestGoldenBytes(t *testing.T) {
+	goldenbytes.Check(t, slices.Concat(messageCases(), inspectionCases(), formatCases(t))...)
+}
+
+func messageCases() []goldenbytes.Case {
 	value := msgpack.RawMessage{0x81, 0xa1, 'a', 0xa4, 'h', 'o', 's', 't'}
 	listed := keyResponse{Key: "page/000001", Value: value, ModRevision: 1 << 33, LeaseID: 300}
-	c := newKeyspace()
-	c.addLease(299, 1500*time.Millisecond, time.Time{}, nil)
-	c.addLease(300, 1500*time.Millisecond, time.Time{}, nil)
-	c.apply(70_000, []change{{key: "a/1", value: []byte{0xa1, 'x'}, leaseID: 300}, {key: "a/2", value: []byte{0x07}}}, nil)
-	snapshot, err := storedSnapshot(c, 5, 900)
-	if err != nil {
-		t.Fatal(err)
-	}
-	goldenbytes.Check(
-		t,
+	return []goldenbytes.Case{
 		goldenbytes.MessagePack("transaction", transaction{
 			Preconditions: []precondition{{Key: "leader", ModRevision: 1 << 33}},
 			Operations:    []operation{{WriteKey: "page/000001", DeleteKey: "page/000002", Value: value, LeaseID: 300}},
@@ -70,42 +66,43 @@
 		goldenbytes.MessagePack("conflict", conflictResponse{FailedKeys: []string{"leader"}, Revision: 1 << 33}),
 		goldenbytes.MessagePack("lease request", leaseRequest{TTLMillis: 1500}),
 		goldenbytes.MessagePack("lease", leaseResponse{LeaseID: 300}),
-		goldenbytes.MessagePack(
-			"watch",
-			watchResponse{
-				Revision: 1 << 33,
-				Events:   []eventResponse{{WrittenKey: "leader", DeletedKey: "page/000002", Value: value, ModRevision: 300}},
-			},
-		),
+		goldenbytes.MessagePack("watch", watchResponse{
+			Revision: 1 << 33,
+			Events:   []eventResponse{{WrittenKey: "leader", DeletedKey: "page/000002", Value: value, ModRevision: 300}},
+		}),
 		goldenbytes.MessagePack("error", errorResponse{Error: "no such lease"}),
+	}
+}
+
+func inspectionCases() []goldenbytes.Case {
+	return []goldenbytes.Case{
 		goldenbytes.JSON("report", Inspection{
-			Revision:  1 << 33,
-			Keys:      3,
-			Leases:    2,
-			Snapshot:  "snapshot-0000000000000001",
-			Snapshots: []string{"a"},
-			Segments: []string{
-				"b",
-			},
-			Frames:              4,
-			LogBytes:            5,
-			SnapshotBytes:       6,
-			TornBytes:           7,
-			SkippedDamage:       []string{"c"},
-			UnfinishedSnapshots: []string{"d"},
+			Revision: 1 << 33, Keys: 3, Leases: 2, Snapshot: "snapshot-0000000000000001", Snapshots: []string{"a"}, Segments: []string{"b"},
+			Frames: 4, LogBytes: 5, SnapshotBytes: 6, TornBytes: 7, SkippedDamage: []string{"c"}, UnfinishedSnapshots: []string{"d"},
 		}),
 		goldenbytes.JSON("key report", KeyInfo{Key: "leader", ValueBytes: 12, ModRevision: 1 << 33, LeaseID: 300}),
-		goldenbytes.Bytes(
-			"segment header",
-			segmentHeader{segment: 5, firstFrame: 900, revision: 70_000}.encode(),
-			func(raw []byte) ([]byte, error) {
-				h, ok := parseSegmentHeader(raw)
-				if !ok {
-					t.Error("the segment's header cannot be read")
-				}
-				return h.encode(), nil
-			},
-		),
+	}
+}
+
+func formatCases(t *testing.T) []goldenbytes.Case {
+	t.Helper()
+	k := newKeyspace()
+	k.addLease(299, 1500*time.Millisecond, time.Time{}, nil)
+	k.addLease(300, 1500*time.Millisecond, time.Time{}, nil)
+	k.apply(70_000, []change{{key: "a/1", value: []byte{0xa1, 'x'}, leaseID: 300}, {key: "a/2", value: []byte{0x07}}}, nil)
+	snapshot, err := storedSnapshot(k, 5, 900)
+	if err != nil {
+		t.Fatal(err)
+	}
+	segment := segmentHeader{segment: 5, firstFrame: 900, revision: 70_000}.encode()
+	return []goldenbytes.Case{
+		goldenbytes.Bytes("segment header", segment, func(raw []byte) ([]byte, error) {
+			header, ok := parseSegmentHeader(raw)
+			if !ok {
+				t.Error("the segment's header cannot be read")
+			}
+			return header.encode(), nil
+		}),
 		goldenbytes.Bytes("frame", appendFrame(nil, 900, storedRecords()), func(raw []byte) ([]byte, error) {
 			number, payload, rest, ok := cutFrame(raw)
 			if !ok || len(rest) != 0 {
@@ -125,5 +122,5 @@
 			}
 			return storedSnapshot(content.keyspace, content.segment, content.nextFrame)
 		}),
-	)
+	}
 }
--- a/internal/site/kvserver/keyspace.go
+++ b/internal/site/kvserver/keyspace.go
@@ -125,20 +125,20 @@
 	}
 }
 
-func (k *keyspace) applyChange(revision uint64, c change, undos *[]undoFunc) {
+func (k *keyspace) applyChange(revision uint64, edit change, undos *[]undoFunc) {
 	var previous *item
-	if c.isDelete {
-		if previous = k.remove(c.key); previous == nil {
+	if edit.isDelete {
+		if previous = k.remove(edit.key); previous == nil {
 			return
 		}
 	} else {
-		previous = k.get(c.key)
-		k.put(newItem(c.key, c.value, revision, c.leaseID))
+		previous = k.get(edit.key)
+		k.put(newItem(edit.key, edit.value, revision, edit.leaseID))
 	}
-	k.appendEvent(event{isDelete: c.isDelete, key: c.key, value: c.value, modRevision: revision})
+	k.appendEvent(event{isDelete: edit.isDelete, key: edit.key, value: edit.value, modRevision: revision})
 	if undos != nil {
 		*undos = append(*undos, func(k *keyspace) {
-			k.restoreItem(c.key, previous)
+			k.restoreItem(edit.key, previous)
 			k.events = k.events[:max(len(k.events)-1, 0)]
 		})
 	}
@@ -171,8 +171,8 @@
 }
 
 // removeLease ends a lease and deletes its keys in the revision, in the order of the keys.
-func (k *keyspace) removeLease(id, revision uint64, undos *[]undoFunc) {
-	l := k.leases[id]
+func (k *keyspace) removeLease(leaseID, revision uint64, undos *[]undoFunc) {
+	l := k.leases[leaseID]
 	if l == nil {
 		return
 	}
@@ -183,10 +183,10 @@
 		}
 		k.apply(revision, changes, undos)
 	}
-	delete(k.leases, id)
+	delete(k.leases, leaseID)
 	if undos != nil {
 		// The last to be added is the first to be undone, so that the keys find their lease again.
-		*undos = append(*undos, func(k *keyspace) { k.leases[id] = l })
+		*undos = append(*undos, func(k *keyspace) { k.leases[leaseID] = l })
 	}
 }
 
--- /dev/null
+++ b/internal/site/kvserver/limits_test.go
@@ -0,0 +1,91 @@
+package kvserver_test
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/site/kvserver"
+)
+
+func writes(keys ...string) commitRequest {
+	var body commitRequest
+	for _, key := range keys {
+		body.Apply = append(body.Apply, operation{WriteKey: key, Value: "v"})
+	}
+	return body
+}
+
+func limitedOptions() config.KVServer {
+	options := config.DefaultKVServer()
+	options.MaxTransactionOps, options.MaxValueBytes, options.MaxWatches = 2, 1024, 1
+	options.RequestRate, options.WriteRate = 100, 10
+	return options
+}
+
+// Requests over a limit or out of form change nothing and say so.
+func TestProtocolLimits(t *testing.T) {
+	now := time.Unix(100, 0)
+	state, _, _ := openEmpty(t, limitedOptions(), now)
+	commit := func(body commitRequest) kvserver.Request { return post(t, "/commit", body) }
+	write := func(key string, value any) kvserver.Request {
+		return commit(commitRequest{Apply: []operation{{WriteKey: key, Value: value}}})
+	}
+	nineGuards := commitRequest{}
+	for i := range 9 {
+		nineGuards.Guards = append(nineGuards.Guards, guard{Key: fmt.Sprint(i)})
+	}
+	for name, test := range map[string]struct {
+		request kvserver.Request
+		status  int
+	}{
+		"three changes":    {commit(writes("a", "b", "c")), http.StatusBadRequest},
+		"nine guards":      {commit(nineGuards), http.StatusBadRequest},
+		"a large value":    {write("a", strings.Repeat("x", 1100)), http.StatusBadRequest},
+		"escapes count":    {write("a", strings.Repeat("\x01", 300)), http.StatusBadRequest},
+		"a space in a key": {commit(writes("a b")), http.StatusBadRequest},
+		"a long key":       {commit(writes(strings.Repeat("k", 201))), http.StatusBadRequest},
+		"no value":         {write("a", nil), http.StatusBadRequest},
+		"write and drop": {
+			commit(commitRequest{Apply: []operation{{WriteKey: "a", DeleteKey: "b", Value: 1}}}), http.StatusBadRequest,
+		},
+		"binary": {kvserver.Request{Method: http.MethodPost, Target: "/commit", Body: []byte{0xc4, 1, 0}}, http.StatusBadRequest},
+		"no such lease": {
+			commit(commitRequest{Guards: []guard{{Key: "a", ModRevision: 7}}, Apply: []operation{{WriteKey: "a", Value: 1, LeaseID: 9}}}),
+			http.StatusBadRequest,
+		},
+		"a short lease":        {post(t, "/leases", leaseRequest{TTLMillis: 99}), http.StatusBadRequest},
+		"a long wait":          {get("/watch?starts=&from=0&wait_ms=60001"), http.StatusBadRequest},
+		"an unknown path":      {get("/other"), http.StatusBadRequest},
+		"an unknown lease":     {post(t, "/leases/5/touch", nil), http.StatusNotFound},
+		"a key that is not":    {get("/keys/a"), http.StatusNotFound},
+		"nothing but a guard":  {commit(commitRequest{Guards: []guard{{Key: "a"}}}), http.StatusOK},
+		"a value of the limit": {write("z", strings.Repeat("x", 1022)), http.StatusOK},
+	} {
+		now = now.Add(time.Second) // the rates allow it
+		t.Run(name, func(t *testing.T) {
+			if response := sendOne(t, state, now, test.request); response.Status != test.status {
+				t.Errorf("%d, want %d: %+v", response.Status, test.status, response.Body)
+			}
+		})
+	}
+}
+
+// Changes and requests above their rates are refused until the next second.
+func TestRateLimits(t *testing.T) {
+	now := time.Unix(100, 0)
+	state, _, _ := openEmpty(t, limitedOptions(), now)
+	statuses := map[int]int{}
+	for range 15 {
+		statuses[sendOne(t, state, now, post(t, "/commit", writes("a"))).Status]++
+	}
+	for range 100 {
+		statuses[sendOne(t, state, now, get("/keys/zz")).Status]++
+	}
+	if statuses[http.StatusOK] != 10 || statuses[http.StatusNotFound] != 85 || statuses[http.StatusTooManyRequests] != 20 {
+		t.Errorf("with 10 changes and 100 requests a second: %v", statuses)
+	}
+}
--- a/internal/site/kvserver/record.go
+++ b/internal/site/kvserver/record.go
@@ -114,18 +114,18 @@
 	return nil
 }
 
-func (k *keyspace) replayRecord(r *recordReader) error {
-	switch kind := r.readKind(); kind {
+func (k *keyspace) replayRecord(reader *recordReader) error {
+	switch kind := reader.readKind(); kind {
 	case recordCommit:
-		return k.replayCommit(r)
+		return k.replayCommit(reader)
 	case recordLeaseGrant:
-		id, ttl := r.readUvarint(), time.Duration(r.readUvarint())*time.Millisecond
-		if r.err == nil {
+		id, ttl := reader.readUvarint(), time.Duration(reader.readUvarint())*time.Millisecond
+		if reader.err == nil {
 			k.addLease(id, ttl, time.Time{}, nil)
 		}
 	case recordLeaseEnd:
-		id, revision := r.readUvarint(), r.readUvarint()
-		if r.err == nil {
+		id, revision := reader.readUvarint(), reader.readUvarint()
+		if reader.err == nil {
 			k.removeLease(id, revision, nil)
 		}
 	default:
@@ -135,14 +135,14 @@
 }
 
 // replayCommit applies a commit. Revisions only rise: one that does not is damage.
-func (k *keyspace) replayCommit(r *recordReader) error {
-	revision, count := r.readUvarint(), r.readUvarint()
+func (k *keyspace) replayCommit(reader *recordReader) error {
+	revision, count := reader.readUvarint(), reader.readUvarint()
 	var changes []change
-	for ; count > 0 && r.err == nil; count-- {
-		changes = append(changes, r.readChange())
+	for ; count > 0 && reader.err == nil; count-- {
+		changes = append(changes, reader.readChange())
 	}
-	if r.err != nil {
-		return r.err
+	if reader.err != nil {
+		return reader.err
 	}
 	if revision <= k.revision {
 		return fmt.Errorf("revision %d after %d", revision, k.revision)
--- a/internal/site/kvserver/server_test.go
+++ b/internal/site/kvserver/server_test.go
@@ -1,9 +1,11 @@
 package kvserver_test
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
 	"net"
+	"net/http"
 	"sync"
 	"testing"
 	"time"
@@ -15,7 +17,7 @@
 	"gullrudder/internal/wire/http1"
 )
 
-// failingDirectory is a directory whose files fail when they are told to.
+// failingDirectory is a directory whose files cannot be made or synced while an error is set.
 type failingDirectory struct {
 	kvserver.Directory
 	mu  sync.Mutex
@@ -59,88 +61,118 @@
 	return f.File.Sync()
 }
 
-// The service over the network, with a disk that fails for a while: what nobody knows of gets no
-// answer, what is not taken gets 503 at once, reads go on, and once the disk works again changes
-// are taken again. Everything that was answered is there when the directory is opened anew.
-func TestServerThroughDiskFailure(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := l.Addr().String()
-	l.Close()
+// testServer is a server on this machine, and a client of it.
+type testServer struct {
+	addr   string
+	path   string
+	files  *failingDirectory
+	client *http1.Client
+}
+
+// startServer starts a server that repairs its log after 20 ms, and takes a snapshot after 4 KiB of log.
+func startServer(t *testing.T) *testServer {
+	t.Helper()
 	path := t.TempDir()
 	dir, err := kvserver.LockDirectory(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	files := &failingDirectory{Directory: dir}
-	opt := config.DefaultKVServer()
-	opt.DiskRetryInterval, opt.SnapshotMinLogBytes, opt.SnapshotLogRatio = 20*time.Millisecond, 4096, 0
+	s := &testServer{addr: freeAddr(t), path: path, files: &failingDirectory{Directory: dir}, client: http1.NewClient(16, 8, 1<<20)}
+	options := config.DefaultKVServer()
+	options.DiskRetryInterval, options.SnapshotMinLogBytes, options.SnapshotLogRatio = 20*time.Millisecond, 4096, 0
 	log := slog.New(slog.DiscardHandler)
-	state, disk, _, err := kvserver.Open(files, opt, time.Now(), log)
+	state, storage, _, err := kvserver.Open(s.files, options, time.Now(), log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() {
-		if err := kvserver.NewServer(state, disk, opt, kvserver.NewMetrics(), log).Serve(addr); err != nil {
+		if err := kvserver.NewServer(state, storage, options, kvserver.NewMetrics(), log).Serve(s.addr); err != nil {
 			t.Log(err)
 		}
 	}()
-	client := http1.NewClient(16, 8, 1<<20)
-	ask := func(r kvserver.Request) (int, error) {
-		m, err := client.Do(addr, r.Method, r.Target, r.Body, 10*time.Second)
-		if err != nil {
-			return 0, err
-		}
-		return m.Status, nil
+	s.waitFor(t, "the start", get("/ready"), http.StatusOK)
+	return s
+}
+
+func freeAddr(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
 	}
-	until := func(what string, r kvserver.Request, status int) {
-		t.Helper()
-		for range 2000 {
-			if got, err := ask(r); err == nil && got == status {
-				return
-			}
-			time.Sleep(5 * time.Millisecond)
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return listener.Addr().String()
+}
+
+// send returns the status of the response; an error means that there was none.
+func (s *testServer) send(request kvserver.Request) (status int, err error) {
+	response, err := s.client.Do(s.addr, request.Method, request.Target, request.Body, 10*time.Second)
+	if err != nil {
+		return 0, err
+	}
+	return response.Status, nil
+}
+
+// waitFor sends a request again and again until it gets the status.
+func (s *testServer) waitFor(t *testing.T, what string, request kvserver.Request, status int) {
+	t.Helper()
+	for range 2000 {
+		if got, err := s.send(request); err == nil && got == status {
+			return
 		}
-		t.Fatalf("%s: never %d", what, status)
+		time.Sleep(5 * time.Millisecond)
 	}
-	until("it starts", get("/ready"), 200)
-	var wait sync.WaitGroup
-	for c := range 8 {
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
+	t.Fatalf("%s: never %d", what, status)
+}
+
+func writeOf(key string) kvserver.Request {
+	return crashtest.Commit(nil, []crashtest.Op{{Key: key, Value: "v"}})
+}
+
+// commitFromClients commits a hundred keys from each of eight clients at once.
+func (s *testServer) commitFromClients(t *testing.T) {
+	t.Helper()
+	var clients sync.WaitGroup
+	for client := range 8 {
+		clients.Go(func() {
 			for i := range 100 {
-				if got, err := ask(
-					crashtest.Commit(nil, []crashtest.Op{{Key: fmt.Sprintf("k/%d/%d", c, i), Value: "value"}}),
-				); err != nil ||
-					got != 200 {
-					t.Errorf("client %d, commit %d: %d, %v", c, i, got, err)
+				request := crashtest.Commit(nil, []crashtest.Op{{Key: fmt.Sprintf("k/%d/%d", client, i), Value: "value"}})
+				if status, err := s.send(request); err != nil || status != http.StatusOK {
+					t.Errorf("client %d, commit %d: %d, %v", client, i, status, err)
 				}
 			}
-		}()
+		})
 	}
-	wait.Wait()
-	files.setError(fmt.Errorf("the disk fails"))
-	if got, err := ask(crashtest.Commit(nil, []crashtest.Op{{Key: "doubt", Value: "v"}})); err == nil {
-		t.Errorf("a commit whose sync failed is answered %d", got)
+	clients.Wait()
+}
+
+// The server over the network, with a disk that fails for a while: what is uncertain gets no response, what is not taken gets 503 at
+// once, reads go on, and once the disk works again changes are taken again. Everything that was answered is there when the directory
+// is opened anew.
+func TestServerThroughDiskFailure(t *testing.T) {
+	s := startServer(t)
+	s.commitFromClients(t)
+	s.files.setError(errors.New("the disk fails"))
+	if status, err := s.send(writeOf("doubt")); err == nil {
+		t.Errorf("a commit whose sync failed is answered %d", status)
 	}
-	until("the next commit", crashtest.Commit(nil, []crashtest.Op{{Key: "refused", Value: "v"}}), 503)
-	if got, err := ask(get("/keys/k/3/7")); err != nil || got != 200 {
-		t.Errorf("a read while the disk fails: %d, %v", got, err)
+	s.waitFor(t, "the next commit", writeOf("refused"), http.StatusServiceUnavailable)
+	if status, err := s.send(get("/keys/k/3/7")); err != nil || status != http.StatusOK {
+		t.Errorf("a read while the disk fails: %d, %v", status, err)
 	}
-	if got, err := ask(get("/keys/doubt")); err != nil || got != 404 {
-		t.Errorf("what was not kept is read: %d, %v", got, err)
+	if status, err := s.send(get("/keys/doubt")); err != nil || status != http.StatusNotFound {
+		t.Errorf("what is not durable is read: %d, %v", status, err)
 	}
-	files.setError(nil)
-	until("a commit once the disk works", crashtest.Commit(nil, []crashtest.Op{{Key: "after", Value: "v"}}), 200)
-	m, err := client.Do(addr, "GET", "/keys?starts=k/&most=1000", nil, 5*time.Second)
-	var a listResponse
-	if err != nil || codec.Unmarshal(m.Body, &a) != nil || len(a.Entries) != 800 {
-		t.Errorf("%d keys, %v", len(a.Entries), err)
+	s.files.setError(nil)
+	s.waitFor(t, "a commit once the disk works", writeOf("after"), http.StatusOK)
+	response, err := s.client.Do(s.addr, http.MethodGet, "/keys?starts=k/&most=1000", nil, 5*time.Second)
+	var list listResponse
+	if err != nil || codec.Unmarshal(response.Body, &list) != nil || len(list.Entries) != 800 {
+		t.Errorf("%d keys, %v", len(list.Entries), err)
 	}
-	keys, err := kvserver.Keys(path)
+	keys, err := kvserver.Keys(s.path)
 	if err != nil || len(keys) != 801 {
 		t.Errorf("%d keys in the directory, want 801: %v", len(keys), err)
 	}
--- a/internal/site/kvserver/snapshotread.go
+++ b/internal/site/kvserver/snapshotread.go
@@ -71,12 +71,12 @@
 }
 
 // readAll reads all blocks into a keyspace: the leases, the keys, the empty block and the number of keys.
-func (r *blockReader) readAll(k *keyspace) error {
+func (r *blockReader) readAll(keys *keyspace) error {
 	leases, err := r.next()
 	if err != nil {
 		return err
 	}
-	if err := k.readLeases(leases); err != nil {
+	if err := keys.readLeases(leases); err != nil {
 		return err
 	}
 	keyCount := uint64(0)
@@ -88,7 +88,7 @@
 		if len(block) == 0 {
 			return r.readEnd(keyCount)
 		}
-		count, err := k.readItems(block)
+		count, err := keys.readItems(block)
 		if err != nil {
 			return err
 		}
--- a/internal/site/kvserver/snapshotschedule.go
+++ b/internal/site/kvserver/snapshotschedule.go
@@ -13,8 +13,8 @@
 
 // snapshotSchedule is what the owner knows of snapshots: one is written at a time.
 type snapshotSchedule struct {
-	isRunning   bool
-	isBeginning bool      // it begins after the records that are on their way
+	isRunning   bool      // from the decision to write it on
+	isScheduled bool      // it begins after the records that are on their way
 	nextAt      time.Time // no snapshot before this
 	results     chan snapshotResult
 }
--- a/internal/site/kvserver/storage_test.go
+++ b/internal/site/kvserver/storage_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
@@ -16,78 +17,72 @@
 	"gullrudder/internal/site/kvserver"
 )
 
-func commitKey(t *testing.T, s *kvserver.State, d *kvserver.Storage, key, value string) {
-	t.Helper()
-	e := s.Step(time.Unix(100, 0), []kvserver.Request{crashtest.Commit(nil, []crashtest.Op{{Key: key, Value: value}})})
-	if err := d.Append(e.Records); err != nil {
-		t.Fatal(err)
-	}
-}
+const (
+	damagedSnapshot = "snapshot-0000000000000002"
+	damagedSegment  = "log-0000000000000002"
+)
 
-func writeSnapshot(t *testing.T, s *kvserver.State, d *kvserver.Storage) {
+// directoryToDamage is a directory with a snapshot of five keys and five frames behind it.
+func directoryToDamage(t *testing.T) *faultydisk.Disk {
 	t.Helper()
-	snap, err := d.BeginSnapshot(s.Freeze())
-	for done := false; err == nil && !done; {
-		done, err = snap.Step()
+	state, storage, files := openEmpty(t, config.DefaultKVServer(), time.Unix(100, 0))
+	for i := range 5 {
+		commitKey(t, state, storage, fmt.Sprintf("a/%d", i), strings.Repeat("x", 50))
 	}
-	if err == nil {
-		err = d.Prune(snap)
+	writeSnapshot(t, state, storage)
+	for i := range 5 {
+		commitKey(t, state, storage, fmt.Sprintf("b/%d", i), strings.Repeat("y", 50))
 	}
-	if err != nil {
-		t.Fatal(err)
+	kept := files.After(faultydisk.Kept)
+	if kept.Size(damagedSnapshot) == 0 || kept.Size(damagedSegment) == 0 {
+		t.Fatal("the files have other names than this test thinks")
 	}
+	return kept
 }
 
-func reopenDirectory(files *faultydisk.Disk) (kvserver.Inspection, error) {
-	_, _, report, err := kvserver.Open(files, config.DefaultKVServer(), time.Unix(200, 0), slog.New(slog.DiscardHandler))
-	return report, err
-}
-
-// A byte that has rotted before answered records ends the start, with file and place, and
-// nothing is overwritten. In the last frame it cannot be told from an unfinished write.
+// A byte that has rotted before answered records ends the start, with file and place, and nothing is overwritten. In the last frame
+// it cannot be told from a torn write.
 func TestOpenReportsDamage(t *testing.T) {
-	build := func() *faultydisk.Disk {
-		s, d, files := openEmpty(t, config.DefaultKVServer(), time.Unix(100, 0))
-		for i := range 5 {
-			commitKey(t, s, d, fmt.Sprintf("a/%d", i), strings.Repeat("x", 50))
-		}
-		writeSnapshot(t, s, d)
-		for i := range 5 {
-			commitKey(t, s, d, fmt.Sprintf("b/%d", i), strings.Repeat("y", 50))
+	taken := 0
+	for _, name := range []string{damagedSnapshot, damagedSegment} {
+		for at := range directoryToDamage(t).Size(name) {
+			if isTakenForTorn(t, name, at) {
+				taken++
+			}
 		}
-		return files.After(faultydisk.Kept)
 	}
-	snap, log := "snapshot-0000000000000002", "log-0000000000000002"
-	if files := build(); files.Size(snap) == 0 || files.Size(log) == 0 {
-		t.Fatal("the files have other names than this test thinks")
+	const segmentHeaderBytes, frames = 36, 5
+	if frameBytes := (directoryToDamage(t).Size(damagedSegment) - segmentHeaderBytes) / frames; taken != frameBytes {
+		t.Errorf("%d bytes are taken for a torn write, the last frame has %d", taken, frameBytes)
 	}
-	torn := 0
-	for _, name := range []string{snap, log} {
-		for at := range build().Size(name) {
-			files := build()
-			files.Rot(name, at)
-			ops := files.Ops
-			report, err := reopenDirectory(files)
-			var d *kvserver.DamageError
-			switch {
-			case errors.As(err, &d):
-				if files.Ops != ops || !strings.Contains(err.Error(), name) {
-					t.Fatalf("%s at %d: %d operations on a damaged directory: %v", name, at, files.Ops-ops, err)
-				}
-			case err != nil:
-				t.Fatalf("%s at %d: %v", name, at, err)
-			case report.TornBytes > 0 && report.Keys == 9 && name == log:
-				torn++
-			default:
-				t.Fatalf("%s: a wrong byte at %d is not seen: %+v", name, at, report)
-			}
+}
+
+// isTakenForTorn damages one byte and reports whether it is taken for a torn write. Otherwise it has to be reported, and nothing may
+// be written.
+func isTakenForTorn(t *testing.T, name string, offset int) bool {
+	t.Helper()
+	files := directoryToDamage(t)
+	files.Rot(name, offset)
+	operations := files.Ops
+	inspection, err := reopenDirectory(files)
+	var damage *kvserver.DamageError
+	switch {
+	case errors.As(err, &damage):
+		if files.Ops != operations || !strings.Contains(err.Error(), name) {
+			t.Fatalf("%s at %d: %d operations on a damaged directory: %v", name, offset, files.Ops-operations, err)
 		}
+		return false
+	case err != nil:
+		t.Fatalf("%s at %d: %v", name, offset, err)
+	case inspection.TornBytes == 0 || inspection.Keys != 9 || name != damagedSegment:
+		t.Fatalf("%s: a wrong byte at %d is not seen: %+v", name, offset, inspection)
 	}
-	if frame := (build().Size(log) - 36) / 5; torn != frame {
-		t.Errorf("%d bytes are taken for an unfinished write, the last frame has %d", torn, frame)
-	}
-	files := build()
-	if err := files.Remove(log); err != nil {
+	return true
+}
+
+func TestOpenReportsMissingSegment(t *testing.T) {
+	files := directoryToDamage(t)
+	if err := files.Remove(damagedSegment); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := reopenDirectory(files); err == nil {
@@ -95,75 +90,75 @@
 	}
 }
 
-// A snapshot that the disk has no room for leaves the service as it was, and a commit that finds
-// no room is not there afterwards, while later ones are.
+// A snapshot that the disk has no room for leaves the store as it was, and a commit that finds no room is not there afterwards, while
+// later ones are.
 func TestFullDiskKeepsState(t *testing.T) {
-	s, d, files := openEmpty(t, config.DefaultKVServer(), time.Unix(100, 0))
-	commitKey(t, s, d, "a", "1")
-	snap, err := d.BeginSnapshot(s.Freeze())
+	now := time.Unix(100, 0)
+	state, storage, files := openEmpty(t, config.DefaultKVServer(), now)
+	commitKey(t, state, storage, "a", "1")
+	writer, err := storage.BeginSnapshot(state.Freeze())
 	if err != nil {
 		t.Fatal(err)
 	}
 	files.FailAt, files.FailFor, files.Fault = files.Ops+1, 3, faultydisk.Short
 	for done := false; err == nil && !done; {
-		done, err = snap.Step()
+		done, err = writer.Step()
 	}
 	if err == nil {
 		t.Fatal("the snapshot was written")
 	}
-	if err := snap.Abort(); err == nil {
+	if err := writer.Abort(); err == nil {
 		t.Error("a file that could not be made is removed")
 	}
-	e := s.Step(time.Unix(100, 0), []kvserver.Request{crashtest.Commit(nil, []crashtest.Op{{Key: "b", Value: "no room"}})})
-	if err := d.Append(e.Records); !errors.Is(err, kvserver.ErrNotWritten) {
+	effects := state.Step(now, []kvserver.Request{crashtest.Commit(nil, []crashtest.Op{{Key: "b", Value: "no room"}})})
+	if err := storage.Append(effects.Records); !errors.Is(err, kvserver.ErrNotWritten) {
 		t.Fatalf("%v", err)
 	}
-	s.Undo(e)
-	if r := sendOne(t, s, time.Unix(100, 0), get("/keys/b")); r.Status != 404 {
-		t.Errorf("what was not kept is read: %d", r.Status)
+	state.Undo(effects)
+	if response := sendOne(t, state, now, get("/keys/b")); response.Status != http.StatusNotFound {
+		t.Errorf("what is not durable is read: %d", response.Status)
 	}
 	files.FailAt = 0
-	commitKey(t, s, d, "c", "2")
-	report, err := reopenDirectory(files.After(faultydisk.Random))
-	if err != nil || report.Keys != 2 || report.Revision != 2 {
-		t.Errorf("%+v, %v", report, err)
+	commitKey(t, state, storage, "c", "2")
+	inspection, err := reopenDirectory(files.After(faultydisk.Random))
+	if err != nil || inspection.Keys != 2 || inspection.Revision != 2 {
+		t.Errorf("%+v, %v", inspection, err)
 	}
 }
 
-// Backups are whole, go into empty directories only, and what is made of them goes on with
-// revisions that were never given out. Two processes do not share a directory.
-func TestBackupAndRestore(t *testing.T) {
-	root := t.TempDir()
-	data, file, again := filepath.Join(root, "data"), filepath.Join(root, "backup"), filepath.Join(root, "again")
-	dir, err := kvserver.LockDirectory(data)
+// A directory belongs to one process.
+func TestDirectoryIsLocked(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "data")
+	dir, err := kvserver.LockDirectory(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := kvserver.LockDirectory(data); !errors.Is(err, kvserver.ErrLocked) {
+	if _, err := kvserver.LockDirectory(path); !errors.Is(err, kvserver.ErrLocked) {
 		t.Errorf("a directory is taken twice: %v", err)
 	}
-	s, d, _, err := kvserver.Open(dir, config.DefaultKVServer(), time.Unix(100, 0), slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
+	if err := dir.Close(); err != nil {
+		t.Error(err)
 	}
-	for i := range 30 {
-		commitKey(t, s, d, fmt.Sprintf("k/%02d", i), "v")
-		if i == 20 {
-			writeSnapshot(t, s, d)
-		}
-	}
-	if r, err := kvserver.Backup(data, file); err != nil || r.Revision != 30 || r.Keys != 30 {
-		t.Fatalf("%+v, %v", r, err)
+}
+
+// Backups are whole, go into empty directories only, and what is made of them goes on with revisions that were never given out.
+func TestBackupAndRestore(t *testing.T) {
+	root := t.TempDir()
+	data, file, restored := filepath.Join(root, "data"), filepath.Join(root, "backup"), filepath.Join(root, "again")
+	fillDirectory(t, data)
+	inspection, err := kvserver.Backup(data, file)
+	if err != nil || inspection.Revision != 30 || inspection.Keys != 30 {
+		t.Fatalf("%+v, %v", inspection, err)
 	}
-	r, err := kvserver.Restore(file, again)
-	if err != nil || r.Keys != 30 || r.Revision <= 1<<32 {
-		t.Fatalf("%+v, %v", r, err)
+	inspection, err = kvserver.Restore(file, restored)
+	if err != nil || inspection.Keys != 30 || inspection.Revision <= 1<<32 {
+		t.Fatalf("%+v, %v", inspection, err)
 	}
-	keys, err := kvserver.Keys(again)
+	keys, err := kvserver.Keys(restored)
 	if err != nil || len(keys) != 30 || keys[29].Key != "k/29" {
 		t.Errorf("%v, %v", keys, err)
 	}
-	if _, err := kvserver.Restore(file, again); err == nil {
+	if _, err := kvserver.Restore(file, restored); err == nil {
 		t.Error("a backup goes over what is there")
 	}
 	raw, err := os.ReadFile(file)
@@ -179,32 +174,21 @@
 	}
 }
 
-// A watch goes on over a restart if the log still has what came after its revision; what a
-// snapshot covers is not kept as changes, and its watcher is told to read the keys again.
-func TestWatchAcrossRestart(t *testing.T) {
-	s, d, files := openEmpty(t, config.DefaultKVServer(), time.Unix(100, 0))
-	for i := range 4 {
-		commitKey(t, s, d, fmt.Sprintf("a/%d", i), "v")
-	}
-	writeSnapshot(t, s, d)
-	commitKey(t, s, d, "a/4", "v")
-	commitKey(t, s, d, "a/5", "v")
-	again, _, _, err := kvserver.Open(files.After(faultydisk.Kept), config.DefaultKVServer(), time.Unix(200, 0), slog.New(slog.DiscardHandler))
+// fillDirectory makes a store of thirty keys, with a snapshot before the last nine, whose process goes on.
+func fillDirectory(t *testing.T, path string) {
+	t.Helper()
+	dir, err := kvserver.LockDirectory(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for from, want := range map[int]int{3: 410, 4: 200, 5: 200} {
-		r := sendOne(t, again, time.Unix(200, 0), get(fmt.Sprintf("/watch?starts=a/&from=%d", from)))
-		if r.Status != want {
-			t.Errorf("from %d: %d, want %d", from, r.Status, want)
-			continue
-		}
-		var w watchResponse
-		if want != 200 {
-			continue
-		}
-		if decode(t, r, &w); len(w.Events) != 6-from || w.Revision != 6 {
-			t.Errorf("from %d: %+v", from, w)
+	state, storage, _, err := kvserver.Open(dir, config.DefaultKVServer(), time.Unix(100, 0), slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range 30 {
+		commitKey(t, state, storage, fmt.Sprintf("k/%02d", i), "v")
+		if i == 20 {
+			writeSnapshot(t, state, storage)
 		}
 	}
 }
--- a/internal/site/kvserver/watches.go
+++ b/internal/site/kvserver/watches.go
@@ -58,20 +58,20 @@
 }
 
 // answerWatch answers a watch if there is something to tell or its time is up, and reports whether it did.
-func (s *State) answerWatch(w *watch) bool {
-	events, areRetained := s.eventsSince(w.fromRevision, w.prefix)
+func (s *State) answerWatch(watcher *watch) bool {
+	events, areRetained := s.eventsSince(watcher.fromRevision, watcher.prefix)
 	if !areRetained {
-		s.respond(w.handle, http.StatusGone, revisionResponse{s.revision})
+		s.respond(watcher.handle, http.StatusGone, revisionResponse{s.revision})
 		return true
 	}
-	if len(events) == 0 && s.now.Before(w.deadline) {
+	if len(events) == 0 && s.now.Before(watcher.deadline) {
 		return false
 	}
 	response := watchResponse{Revision: s.revision, Events: make([]eventResponse, 0, len(events))}
 	for _, e := range events {
 		response.Events = append(response.Events, e.response())
 	}
-	s.respond(w.handle, http.StatusOK, response)
+	s.respond(watcher.handle, http.StatusOK, response)
 	return true
 }
 
--- /dev/null
+++ b/internal/site/kvserver/watches_test.go
@@ -0,0 +1,97 @@
+package kvserver_test
+
+import (
+	"fmt"
+	"log/slog"
+	"net/http"
+	"testing"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/simulator/crashtest"
+	"gullrudder/internal/simulator/faultydisk"
+	"gullrudder/internal/site/kvserver"
+)
+
+// A watch waits until something of its prefix changes, sees nothing twice, and is told when what it asks for is not retained any
+// more.
+func TestWatches(t *testing.T) {
+	now := time.Unix(100, 0)
+	state, _, _ := openEmpty(t, config.DefaultKVServer(), now)
+	commit := func(key string) uint64 {
+		var committed commitResponse
+		decode(t, sendOne(t, state, now, crashtest.Commit(nil, []crashtest.Op{{Key: key, Value: "v"}})), &committed)
+		return committed.Revision
+	}
+	first := commit("a/1")
+	watch := get(fmt.Sprintf("/watch?starts=a/&from=%d&wait_ms=5000", first))
+	watch.Handle = "watcher"
+	if effects := state.Step(now, []kvserver.Request{watch}); len(effects.Responses) != 0 {
+		t.Fatal("answered though nothing has changed")
+	}
+	otherPrefix := crashtest.Commit(nil, []crashtest.Op{{Key: "b", Value: "v"}})
+	if effects := state.Step(now, []kvserver.Request{otherPrefix}); len(effects.Responses) != 1 {
+		t.Fatal("answered for another prefix")
+	}
+	effects := state.Step(now, []kvserver.Request{crashtest.Commit(nil, []crashtest.Op{{Key: "a/2", Value: "v"}, {Key: "a/1"}})})
+	if len(effects.Responses) != 2 || effects.Responses[1].Handle != "watcher" {
+		t.Fatalf("%+v", effects.Responses)
+	}
+	var changes watchResponse
+	decode(t, effects.Responses[1], &changes)
+	if events := changes.Events; len(events) != 2 || events[0].WrittenKey != "a/2" || events[1].DeletedKey != "a/1" ||
+		events[0].ModRevision != events[1].ModRevision {
+		t.Errorf("%+v", changes)
+	}
+	watch = get(fmt.Sprintf("/watch?starts=a/&from=%d&wait_ms=5000", changes.Revision))
+	state.Step(now, []kvserver.Request{watch})
+	if effects := state.Step(now.Add(4*time.Second), nil); len(effects.Responses) != 0 {
+		t.Error("answered before its time is up")
+	}
+	if effects := state.Step(now.Add(5*time.Second), nil); len(effects.Responses) != 1 || effects.Responses[0].Status != http.StatusOK {
+		t.Errorf("not answered when its time is up: %+v", effects.Responses)
+	}
+	for i := range 25_000 {
+		commit(fmt.Sprintf("c/%d", i%7))
+	}
+	recent := get(fmt.Sprintf("/watch?starts=c/&from=%d", state.Revision()-10_000))
+	if response := sendOne(t, state, now, recent); response.Status != http.StatusOK {
+		t.Errorf("the last 10,000 changes are not retained: %d", response.Status)
+	}
+	if response := sendOne(t, state, now, watch); response.Status != http.StatusGone {
+		t.Errorf("a watch from long ago: %d, want 410", response.Status)
+	}
+}
+
+// A watch goes on over a restart if the log still has what came after its revision; what a snapshot covers is not kept as changes,
+// and its watcher is told to read the keys again.
+func TestWatchAcrossRestart(t *testing.T) {
+	state, storage, files := openEmpty(t, config.DefaultKVServer(), time.Unix(100, 0))
+	for i := range 4 {
+		commitKey(t, state, storage, fmt.Sprintf("a/%d", i), "v")
+	}
+	writeSnapshot(t, state, storage)
+	commitKey(t, state, storage, "a/4", "v")
+	commitKey(t, state, storage, "a/5", "v")
+	reopened, _, _, err := kvserver.Open(
+		files.After(faultydisk.Kept), config.DefaultKVServer(), time.Unix(200, 0), slog.New(slog.DiscardHandler),
+	)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for from, status := range map[int]int{3: http.StatusGone, 4: http.StatusOK, 5: http.StatusOK} {
+		t.Run(fmt.Sprintf("from revision %d", from), func(t *testing.T) {
+			response := sendOne(t, reopened, time.Unix(200, 0), get(fmt.Sprintf("/watch?starts=a/&from=%d", from)))
+			if response.Status != status {
+				t.Fatalf("%d, want %d", response.Status, status)
+			}
+			if status != http.StatusOK {
+				return
+			}
+			var changes watchResponse
+			if decode(t, response, &changes); len(changes.Events) != 6-from || changes.Revision != 6 {
+				t.Errorf("%+v", changes)
+			}
+		})
+	}
+}
--- a/internal/site/kvserver/writer.go
+++ b/internal/site/kvserver/writer.go
@@ -79,7 +79,7 @@
 	job := writeJob{records: records, revision: s.state.revision}
 	if s.snapshots.canBegin(now) && s.storage.IsSnapshotDue() {
 		// All that has gathered goes into this frame, so the keyspace is what it will be right after it.
-		s.snapshots.isRunning, s.snapshots.isBeginning = true, true
+		s.snapshots.isRunning, s.snapshots.isScheduled = true, true
 		job.view = s.state.Freeze()
 	}
 	s.writes.inFlightBytes = len(records)
@@ -112,10 +112,10 @@
 		go s.runSnapshot(result.snapshot)
 	case result.snapshotErr != nil:
 		s.deferSnapshot(now, result.snapshotErr)
-	case result.err != nil && s.snapshots.isBeginning:
+	case result.err != nil && s.snapshots.isScheduled:
 		s.snapshots.isRunning = false // it was to begin after these records
 	}
-	s.snapshots.isBeginning = false
+	s.snapshots.isScheduled = false
 }
 
 // rollBack undoes the steps whose records were not made durable, and those that came after them. Requests of which it is certain
