--- a/internal/site/machinepool/messages.go
+++ b/internal/site/machinepool/messages.go
@@ -4,7 +4,11 @@
 // pure step. Its Service writes every change down before it answers. It never starts or stops a task.
 package machinepool
 
-import "time"
+import (
+	"time"
+
+	"gullrudder/internal/wire/server"
+)
 
 // Options of a pool.
 type Options struct {
@@ -12,28 +16,18 @@
 	Price float64 // an hour of a machine
 }
 
-// Request is what comes in: Target has the path and the query.
-type Request struct {
-	Ref    any
-	Method string
-	Target string
-	Body   []byte
-}
+// Request is a request to the pool.
+type Request = server.Request
 
-// Reply answers a request.
-type Reply struct {
-	Ref    any
-	Status int
-	Body   any
-	Retry  time.Duration
-}
+// Response answers a request. It goes out only once the record and the failures of its step are durable.
+type Response = server.ValueResponse
 
-// Effects are what a step wants done: Keep before Replies.
+// Effects are what a step wants done: Keep before Responses.
 type Effects struct {
-	Keep    *Record  // the whole of what is to be remembered, if it has changed
-	Failed  []string // results in JSON, to be kept
-	Replies []Reply
-	Look    []string // addresses of workers that are to ask at once
+	Keep      *Record  // the whole of what is to be remembered, if it has changed
+	Failed    []string // results in JSON, to be kept
+	Responses []Response
+	Look      []string // addresses of workers that are to ask at once
 }
 
 // Record is what a pool remembers.
--- a/internal/site/machinepool/service.go
+++ b/internal/site/machinepool/service.go
@@ -118,7 +118,7 @@
 		}
 	default:
 		select {
-		case s.queue <- Request{r, r.Method, r.Target, r.Body}:
+		case s.queue <- Request{Handle: r, Method: r.Method, Target: r.Target, Body: r.Body}:
 		default:
 			full()
 		}
@@ -203,9 +203,9 @@
 			panic(fmt.Sprintf("pool: %v", err))
 		}
 	}
-	for _, r := range e.Replies {
-		if q, ok := r.Ref.(*http1.Request); ok {
-			s.answer(q, r.Status, r.Body, r.Retry)
+	for _, r := range e.Responses {
+		if q, ok := r.Handle.(*http1.Request); ok {
+			s.answer(q, r.Status, r.Body, r.RetryAfter)
 		}
 	}
 	for _, addr := range e.Look {
--- a/internal/site/machinepool/state.go
+++ b/internal/site/machinepool/state.go
@@ -45,9 +45,9 @@
 
 // deletion is a request that waits for its workers' word.
 type deletion struct {
-	ref any
-	ids []string
-	by  time.Time
+	handle any
+	ids    []string
+	by     time.Time
 }
 
 // New makes the state of a pool from what an earlier process has kept.
@@ -74,17 +74,17 @@
 	return s.effects
 }
 
-func (s *State) reply(ref any, status int, body any) {
-	s.effects.Replies = append(s.effects.Replies, Reply{ref, status, body, 0})
+func (s *State) respond(handle any, status int, body any) {
+	s.effects.Responses = append(s.effects.Responses, Response{Handle: handle, Status: status, Body: body})
 }
 
 func (s *State) serve(now time.Time, r Request) {
 	path, query, _ := strings.Cut(r.Target, "?")
 	switch r.Method + " " + path {
 	case "GET /flavors":
-		s.reply(r.Ref, 200, map[string]any{"keels": s.flavors()})
+		s.respond(r.Handle, 200, map[string]any{"keels": s.flavors()})
 	case "GET /hosts":
-		s.list(now, r.Ref, query)
+		s.list(now, r.Handle, query)
 	case "POST /hosts":
 		s.rent(now, r)
 	case "POST /hosts/delete":
@@ -92,12 +92,12 @@
 	case "POST /site/greet":
 		s.greet(now, r)
 	case "GET /site":
-		s.reply(r.Ref, 200, s.overview(now))
+		s.respond(r.Handle, 200, s.overview(now))
 	case "POST /site/drain", "POST /site/undrain":
 		s.drain(path == "/site/drain")
-		s.reply(r.Ref, 200, s.overview(now))
+		s.respond(r.Handle, 200, s.overview(now))
 	default:
-		s.reply(r.Ref, 404, map[string]string{"error": "no such path"})
+		s.respond(r.Handle, 404, map[string]string{"error": "no such path"})
 	}
 }
 
@@ -126,7 +126,7 @@
 		most, err = strconv.Atoi(num)
 	}
 	if err != nil || most < 1 || most > mostList {
-		s.reply(ref, 400, map[string]string{"error": "malformed"})
+		s.respond(ref, 400, map[string]string{"error": "malformed"})
 		return
 	}
 	rows, more := []host{}, false
@@ -151,7 +151,7 @@
 		}
 		rows = append(rows, h)
 	}
-	s.reply(ref, 200, map[string]any{"oarlocks": rows, "has_next": more})
+	s.respond(ref, 200, map[string]any{"oarlocks": rows, "has_next": more})
 }
 
 // rent hands machines out. A request that was answered with machines gets the same answer again.
@@ -164,11 +164,11 @@
 		Count   int    `msgpack:"how_many"`
 	}
 	if codec.Unmarshal(r.Body, &a) != nil || a.Charter == "" || len(a.Charter) > 200 || a.Count < 1 || a.Count > mostRent {
-		s.reply(r.Ref, 400, map[string]string{"error": "malformed"})
+		s.respond(r.Handle, 400, map[string]string{"error": "malformed"})
 		return
 	}
 	if ids, ok := s.rec.Charters[a.Charter]; ok {
-		s.reply(r.Ref, 200, map[string]any{"oarlocks": ids})
+		s.respond(r.Handle, 200, map[string]any{"oarlocks": ids})
 		return
 	}
 	ids := []string{}
@@ -189,7 +189,7 @@
 		}
 	}
 	if len(ids) == 0 {
-		s.reply(r.Ref, 503, map[string]string{"error": "no capacity"})
+		s.respond(r.Handle, 503, map[string]string{"error": "no capacity"})
 		return
 	}
 	if len(s.rec.Charters) >= mostCharters {
@@ -197,7 +197,7 @@
 	}
 	s.rec.Charters[a.Charter] = ids
 	s.changed = true
-	s.reply(r.Ref, 200, map[string]any{"oarlocks": ids})
+	s.respond(r.Handle, 200, map[string]any{"oarlocks": ids})
 }
 
 // forgetCharters drops those whose machines are all gone. A repetition that comes as late as that
@@ -225,13 +225,13 @@
 		IDs []string `msgpack:"oarlocks"`
 	}
 	if codec.Unmarshal(r.Body, &a) != nil || len(a.IDs) > mostDelete {
-		s.reply(r.Ref, 400, map[string]string{"error": "malformed"})
+		s.respond(r.Handle, 400, map[string]string{"error": "malformed"})
 		return
 	}
 	for _, id := range a.IDs {
 		s.leave(id)
 	}
-	s.deleting = append(s.deleting, &deletion{r.Ref, a.IDs, now.Add(confirmWithin)})
+	s.deleting = append(s.deleting, &deletion{r.Handle, a.IDs, now.Add(confirmWithin)})
 }
 
 // leave takes a machine from its worker, which is told so when it asks next.
@@ -253,9 +253,11 @@
 		left := slices.ContainsFunc(d.ids, func(id string) bool { return s.rec.Machines[id] != nil })
 		switch {
 		case !left:
-			s.reply(d.ref, 200, nil)
+			s.respond(d.handle, 200, nil)
 		case now.After(d.by):
-			s.effects.Replies = append(s.effects.Replies, Reply{d.ref, 503, map[string]string{"error": "a worker has not confirmed"}, time.Second})
+			s.effects.Responses = append(s.effects.Responses, Response{
+				Handle: d.handle, Status: 503, Body: map[string]string{"error": "a worker has not confirmed"}, RetryAfter: time.Second,
+			})
 		default:
 			rest = append(rest, d)
 		}
@@ -267,11 +269,11 @@
 func (s *State) greet(now time.Time, r Request) {
 	var g greeting
 	if codec.Unmarshal(r.Body, &g) != nil || g.Name == "" || g.Addr == "" || g.Type == "" {
-		s.reply(r.Ref, 400, map[string]string{"error": "no greeting"})
+		s.respond(r.Handle, 400, map[string]string{"error": "no greeting"})
 		return
 	}
 	if old := s.workers[g.Name]; old != nil && old.Epoch > g.Epoch {
-		s.reply(r.Ref, 409, map[string]string{"error": "a later process of this worker is there"})
+		s.respond(r.Handle, 409, map[string]string{"error": "a later process of this worker is there"})
 		return
 	}
 	s.workers[g.Name] = &worker{g, now}
@@ -312,7 +314,7 @@
 			c.Machine, c.Notice = id, s.rec.Draining
 		}
 	}
-	s.reply(r.Ref, 200, c)
+	s.respond(r.Handle, 200, c)
 }
 
 func (s *State) drain(on bool) {
--- a/internal/site/machinepool/state_test.go
+++ b/internal/site/machinepool/state_test.go
@@ -32,21 +32,21 @@
 	charges []charge // on their way to it
 }
 
-func (y *yard) ask(method, target string, body any) []Reply {
+func (y *yard) ask(method, target string, body any) []Response {
 	raw, err := codec.Marshal(body)
 	if err != nil {
 		y.t.Fatal(err)
 	}
 	y.next++
-	e := y.s.Step(y.now, []Request{{y.next, method, target, raw}})
+	e := y.s.Step(y.now, []Request{{Handle: y.next, Method: method, Target: target, Body: raw}})
 	y.look(e)
-	return e.Replies
+	return e.Responses
 }
 
 // look checks every deletion that is confirmed: no worker may hold a machine of it, or be about to.
 func (y *yard) look(e Effects) {
-	for _, r := range e.Replies {
-		n, ok := r.Ref.(int)
+	for _, r := range e.Responses {
+		n, ok := r.Handle.(int)
 		ids := y.deletes[n]
 		if !ok || ids == nil {
 			continue
@@ -71,7 +71,7 @@
 		Name: h.name, Addr: h.name + ":1", Type: "t", Zone: "z", CPUs: 4, Epoch: h.epoch,
 		Holding: h.holding, Applied: h.applied,
 	}) {
-		if c, ok := r.Body.(charge); ok && r.Ref == y.next {
+		if c, ok := r.Body.(charge); ok && r.Handle == y.next {
 			h.charges = append(h.charges, c)
 		}
 	}
@@ -102,7 +102,7 @@
 			case 6:
 				name := fmt.Sprint("r-", rapid.IntRange(0, 5).Draw(t, "charter"))
 				for _, r := range y.ask("POST", "/hosts", map[string]any{"charter": name, "keel": "t", "harbour": "z", "driftwood": false, "how_many": 2}) {
-					if r.Ref != y.next || r.Status != 200 {
+					if r.Handle != y.next || r.Status != 200 {
 						continue
 					}
 					ids := r.Body.(map[string]any)["oarlocks"].([]string)
@@ -153,18 +153,18 @@
 func TestCloudInterface(t *testing.T) {
 	s := New(Options{Zone: "z", Price: 1}, Record{})
 	now := time.Unix(1000, 0)
-	ask := func(method, target string, body any) Reply {
+	ask := func(method, target string, body any) Response {
 		t.Helper()
 		raw, err := codec.Marshal(body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, r := range s.Step(now, []Request{{1, method, target, raw}}).Replies {
+		for _, r := range s.Step(now, []Request{{Handle: 1, Method: method, Target: target, Body: raw}}).Responses {
 			return r
 		}
-		return Reply{}
+		return Response{}
 	}
-	rent := func(name, typ, zone string, spot bool, n int) Reply {
+	rent := func(name, typ, zone string, spot bool, n int) Response {
 		return ask("POST", "/hosts", map[string]any{"charter": name, "keel": typ, "harbour": zone, "driftwood": spot, "how_many": n})
 	}
 	if r := rent("r", "t", "z", false, 1); r.Status != 503 {
@@ -174,12 +174,12 @@
 	for i := range 3 {
 		ask("POST", "/site/greet", greeting{Name: fmt.Sprint("w", i), Addr: "a:1", Type: "t", CPUs: 4, Epoch: epoch})
 	}
-	for name, r := range map[string]Reply{"no name": rent("", "t", "z", false, 1), "none": rent("x", "t", "z", false, 0), "many": rent("x", "t", "z", false, 51)} {
+	for name, r := range map[string]Response{"no name": rent("", "t", "z", false, 1), "none": rent("x", "t", "z", false, 0), "many": rent("x", "t", "z", false, 51)} {
 		if r.Status != 400 {
 			t.Errorf("%s: %d", name, r.Status)
 		}
 	}
-	for name, r := range map[string]Reply{"spot": rent("x", "t", "z", true, 1), "zone": rent("x", "t", "y", false, 1), "type": rent("x", "u", "z", false, 1)} {
+	for name, r := range map[string]Response{"spot": rent("x", "t", "z", true, 1), "zone": rent("x", "t", "y", false, 1), "type": rent("x", "u", "z", false, 1)} {
 		if r.Status != 503 {
 			t.Errorf("%s: %d", name, r.Status)
 		}
@@ -202,8 +202,8 @@
 		t.Errorf("answered with %d before the worker has said a word", r.Status)
 	}
 	now = now.Add(time.Minute)
-	if e := s.Step(now, nil); len(e.Replies) != 1 || e.Replies[0].Status != 503 || e.Replies[0].Retry == 0 {
-		t.Errorf("a worker that says nothing: %v", e.Replies)
+	if e := s.Step(now, nil); len(e.Responses) != 1 || e.Responses[0].Status != 503 || e.Responses[0].RetryAfter == 0 {
+		t.Errorf("a worker that says nothing: %v", e.Responses)
 	}
 }
 
@@ -217,20 +217,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s.Step(now, []Request{{1, "POST", "/site/greet", raw}}).Replies[0].Body.(charge)
+		return s.Step(now, []Request{{Handle: 1, Method: "POST", Target: "/site/greet", Body: raw}}).Responses[0].Body.(charge)
 	}
 	greet("", 0, 0)
 	raw, err := codec.Marshal(map[string]any{"charter": "r", "keel": "t", "harbour": "z", "driftwood": false, "how_many": 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Step(now, []Request{{1, "POST", "/hosts", raw}})
+	s.Step(now, []Request{{Handle: 1, Method: "POST", Target: "/hosts", Body: raw}})
 	c := greet("", 0, 0)
 	if c.Machine != "vm-000001" || c.Notice {
 		t.Fatalf("%+v", c)
 	}
 	greet(c.Machine, 3, c.Serial)
-	s.Step(now, []Request{{1, "POST", "/site/drain", nil}})
+	s.Step(now, []Request{{Handle: 1, Method: "POST", Target: "/site/drain", Body: nil}})
 	s = New(s.opt, kept(s.rec))
 	if c = greet("vm-000001", 3, c.Serial); !c.Notice || c.Machine == "" {
 		t.Errorf("with tasks on it: %+v", c)
@@ -245,15 +245,15 @@
 	if o := s.overview(now); !o.Draining || o.Rented != 0 {
 		t.Errorf("%+v", o)
 	}
-	if r := s.Step(now, []Request{{1, "POST", "/hosts", raw}}).Replies[0]; r.Status == 200 && len(s.rec.Machines) > 0 {
+	if r := s.Step(now, []Request{{Handle: 1, Method: "POST", Target: "/hosts", Body: raw}}).Responses[0]; r.Status == 200 && len(s.rec.Machines) > 0 {
 		t.Error("rented while drained")
 	}
-	s.Step(now, []Request{{1, "POST", "/site/undrain", nil}})
+	s.Step(now, []Request{{Handle: 1, Method: "POST", Target: "/site/undrain", Body: nil}})
 	raw2, err := codec.Marshal(map[string]any{"charter": "r2", "keel": "t", "harbour": "z", "driftwood": false, "how_many": 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := s.Step(now, []Request{{1, "POST", "/hosts", raw2}}).Replies[0]; r.Status != 200 {
+	if r := s.Step(now, []Request{{Handle: 1, Method: "POST", Target: "/hosts", Body: raw2}}).Responses[0]; r.Status != 200 {
 		t.Errorf("after undrain: %d", r.Status)
 	}
 }
