--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -14,35 +14,53 @@
 	// PlanningInterval is the time between two admission plans.
 	PlanningInterval time.Duration
 
-	// What a team may submit with a guarantee: SubmissionShare, in times the cluster's capacity, per SubmissionWindow. What is above
-	// it is best effort.
-	SubmissionWindow time.Duration
-	SubmissionShare  float64
+	SubmissionOptions
+	QueueOptions
+	AutoscalerOptions
+	ElectionOptions
+	FairShareOptions
+	ArchiveOptions
+}
+
+// SubmissionOptions are what a team may submit with a guarantee. What is above it is best effort.
+type SubmissionOptions struct {
+	SubmissionWindow time.Duration // over which a team's submissions are counted
+	SubmissionShare  float64       // that a team may submit in the window, in times the cluster's capacity
+}
 
-	// The order of waiting jobs.
+// QueueOptions are the order of waiting jobs.
+type QueueOptions struct {
 	StartBound   time.Duration // a job of which nothing has started after this goes before others; 0: none does
 	AgeBound     time.Duration // a best-effort job that is older than this goes before younger ones
 	AgedShare    float64       // reserved for jobs past the age bound
 	LatenessStep time.Duration // lateness that makes a job worth one step less
 	// EstimateError is how many times its estimate a job is taken to need at most, where a bound on waiting is stated.
 	EstimateError float64
+}
 
-	// What is requested from the cloud and terminated there.
+// AutoscalerOptions are what is requested from the cloud and terminated there.
+type AutoscalerOptions struct {
 	IdleTimeout     time.Duration // a machine that is idle for this long is terminated
 	ScaleOutBacklog time.Duration // work that lasts a third of this is worth an instance of the cheapest type
 	CostWeight      float64       // how much cost weighs against objectives that are missed
+}
 
-	// Leader election. Read at the start only, and the same on all controllers.
+// ElectionOptions are those of the leader election. They are read at the start only, and the same on all controllers.
+type ElectionOptions struct {
 	LeaderLeaseDuration time.Duration // of the leader's key without renewal
 	GrantDuration       time.Duration // of a leader-lease grant between controllers
+}
 
-	// Fair sharing between classes and teams.
+// FairShareOptions are those of fair sharing between classes and teams.
+type FairShareOptions struct {
 	FairShareWindow   time.Duration // over which served jobs are counted
 	MinServedShare    float64       // of the jobs of each class and team
 	FairShareCapacity float64       // that classes and teams below the minimum may have before others
 	OverdueShare      float64       // for jobs that can meet none of their objectives any more
+}
 
-	// The archive of finished jobs.
+// ArchiveOptions are those of the archive of finished jobs.
+type ArchiveOptions struct {
 	ArchiveDelay    time.Duration // how long a finished job stays in the live pages
 	MinSegmentJobs  int           // finished jobs that are worth a segment
 	CompactionFanIn int           // segments that are compacted into one
@@ -51,14 +69,17 @@
 // DefaultOptions are the options that count where the file says nothing.
 func DefaultOptions() Options {
 	return Options{
-		PlanningInterval: 15 * time.Second, SubmissionWindow: 15 * time.Second, SubmissionShare: 4,
-		StartBound: 150 * time.Second, AgeBound: 420 * time.Second, LatenessStep: 30 * time.Second,
-		IdleTimeout: 12 * time.Second, ScaleOutBacklog: 150 * time.Second,
-		CostWeight:          0.4,
-		LeaderLeaseDuration: 1200 * time.Millisecond, GrantDuration: 1200 * time.Millisecond,
-		AgedShare: 0.05, EstimateError: 2,
-		FairShareWindow: 10 * time.Minute, MinServedShare: 0.7, FairShareCapacity: 0.4, OverdueShare: 0.1,
-		ArchiveDelay: time.Minute, MinSegmentJobs: 128, CompactionFanIn: 8,
+		PlanningInterval:  15 * time.Second,
+		SubmissionOptions: SubmissionOptions{SubmissionWindow: 15 * time.Second, SubmissionShare: 4},
+		QueueOptions: QueueOptions{
+			StartBound: 150 * time.Second, AgeBound: 420 * time.Second, AgedShare: 0.05, LatenessStep: 30 * time.Second, EstimateError: 2,
+		},
+		AutoscalerOptions: AutoscalerOptions{IdleTimeout: 12 * time.Second, ScaleOutBacklog: 150 * time.Second, CostWeight: 0.4},
+		ElectionOptions:   ElectionOptions{LeaderLeaseDuration: 1200 * time.Millisecond, GrantDuration: 1200 * time.Millisecond},
+		FairShareOptions: FairShareOptions{
+			FairShareWindow: 10 * time.Minute, MinServedShare: 0.7, FairShareCapacity: 0.4, OverdueShare: 0.1,
+		},
+		ArchiveOptions: ArchiveOptions{ArchiveDelay: time.Minute, MinSegmentJobs: 128, CompactionFanIn: 8},
 	}
 }
 
--- /dev/null
+++ b/internal/wire/client/ratelimiter_test.go
@@ -0,0 +1,35 @@
+package client
+
+import (
+	"testing"
+	"time"
+)
+
+func TestRateLimiter(t *testing.T) {
+	start := time.Unix(100, 0)
+	for name, test := range map[string]struct {
+		taken int           // at the start
+		after time.Duration // since then
+		want  int
+	}{
+		"starts full":                   {taken: 0, after: 0, want: 20},
+		"what is taken is gone":         {taken: 15, after: 0, want: 5},
+		"fills at its rate":             {taken: 20, after: 500 * time.Millisecond, want: 5},
+		"whole units only":              {taken: 20, after: 190 * time.Millisecond, want: 1},
+		"never above its burst":         {taken: 5, after: time.Hour, want: 20},
+		"a debt is paid first":          {taken: 25, after: time.Second, want: 5},
+		"nothing while it is in debt":   {taken: 25, after: 0, want: 0},
+		"a clock set back adds nothing": {taken: 20, after: -time.Hour, want: 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			limiter := NewRateLimiter(10, 2*time.Second)
+			if available := limiter.Available(start); available != 20 {
+				t.Fatalf("%d at the start, want 20", available)
+			}
+			limiter.Take(test.taken)
+			if available := limiter.Available(start.Add(test.after)); available != test.want {
+				t.Errorf("%d, want %d", available, test.want)
+			}
+		})
+	}
+}
--- a/internal/wire/codec/validate_test.go
+++ b/internal/wire/codec/validate_test.go
@@ -2,27 +2,36 @@
 
 import (
 	"bytes"
+	"errors"
 	"testing"
 )
 
 func TestValidateRejectsBodiesThatCostMemory(t *testing.T) {
 	deep := append(bytes.Repeat([]byte{0x91}, 1000), 0xc0)
-	for name, body := range map[string][]byte{
-		"deep nesting":          deep,
-		"huge declared array":   {0xdd, 0xff, 0xff, 0xff, 0xff},
-		"huge declared map":     {0xdf, 0xff, 0xff, 0xff, 0xff},
-		"huge declared string":  {0xdb, 0x7f, 0xff, 0xff, 0xff, 'a'},
-		"binary":                {0xc4, 0x01, 0x00},
-		"key that is no string": {0x81, 0x01, 0x01},
-		"trailing bytes":        {0xc0, 0xc0},
-		"empty":                 {},
+	for name, test := range map[string]struct {
+		body []byte
+		want error
+	}{
+		"deep nesting":          {deep, ErrNestedTooDeeply},
+		"huge declared array":   {[]byte{0xdd, 0xff, 0xff, 0xff, 0xff}, ErrTruncated},
+		"huge declared map":     {[]byte{0xdf, 0xff, 0xff, 0xff, 0xff}, ErrTruncated},
+		"huge declared string":  {[]byte{0xdb, 0x7f, 0xff, 0xff, 0xff, 'a'}, ErrTruncated},
+		"key that is no string": {[]byte{0x81, 0x01, 0x01}, ErrKeyNotString},
+		"trailing bytes":        {[]byte{0xc0, 0xc0}, ErrTrailingBytes},
+		"empty":                 {[]byte{}, ErrTruncated},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if Validate(body) == nil {
-				t.Error("accepted")
+			if err := Validate(test.body); !errors.Is(err, test.want) {
+				t.Errorf("%v, want %v", err, test.want)
 			}
 		})
 	}
+	t.Run("binary", func(t *testing.T) {
+		var unsupported *UnsupportedTypeError
+		if err := Validate([]byte{0xc4, 0x01, 0x00}); !errors.As(err, &unsupported) || unsupported.Code != 0xc4 {
+			t.Errorf("%v, want an unsupported type 0xc4", err)
+		}
+	})
 }
 
 func FuzzUnmarshalMap(f *testing.F) {
