--- a/internal/site/kvserver/recovery.go
+++ b/internal/site/kvserver/recovery.go
@@ -129,22 +129,22 @@
 	if err != nil {
 		return err
 	}
-	begun, err := r.withoutUnbegun(segments)
+	whole, err := r.dropUnfinishedSegment(segments)
 	if err != nil {
 		return err
 	}
-	for i := range begun {
+	for i := range whole {
 		endFrame := uint64(noEndFrame)
-		if i+1 < len(begun) {
-			endFrame = begun[i+1].header.firstFrame
+		if i+1 < len(whole) {
+			endFrame = whole[i+1].header.firstFrame
 		}
-		if err := r.replaySegment(&begun[i], endFrame); err != nil {
+		if err := r.replaySegment(&whole[i], endFrame); err != nil {
 			return err
 		}
-		header := begun[i].header
+		header := whole[i].header
 		r.lastSegment, r.newSegment = &header, header.segment+1
 	}
-	if len(begun) < len(segments) {
+	if len(whole) < len(segments) {
 		r.lastSegment = nil // the last one is made anew
 		r.newSegment = numbers[len(numbers)-1]
 	}
@@ -173,8 +173,8 @@
 	return segments, nil
 }
 
-// withoutUnbegun leaves a last segment out that has no header: it was being made when everything ended, unless a frame is in it.
-func (r *recovery) withoutUnbegun(segments []segmentFile) ([]segmentFile, error) {
+// dropUnfinishedSegment leaves a last segment out that has no header: it was being made when everything ended, unless a frame is in it.
+func (r *recovery) dropUnfinishedSegment(segments []segmentFile) ([]segmentFile, error) {
 	last := &segments[len(segments)-1]
 	if last.whole {
 		return segments, nil
--- a/internal/wire/http1/message.go
+++ b/internal/wire/http1/message.go
@@ -1,6 +1,7 @@
 // Package http1 is the project's own HTTP/1.1: one strict and bounded parser, an evio server and a client that keeps its
 // connections. It owns connections and buffers, nothing else; it knows no path and no message type, and never sends a request
-// twice. A request or response that breaks the protocol or a bound is refused before its body is looked at.
+// twice. A request or response that breaks the protocol or a bound is refused before its body is looked at. Why evio is used, and what
+// is bounded because of it, stands in docs/design.md.
 package http1
 
 import (
