--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -22,11 +22,11 @@
 	Incarnation  = "incarnation"   // start of a worker process
 	Revision     = "revision"      // revision of the state service
 	LeaseID      = "lease_id"      // lease of the state service
+	Snapshot     = "snapshot"      // snapshot file of the state service
 )
 
 // Keys of stored state.
 const (
-	Bytes      = "bytes"      // size in bytes
 	Dependency = "dependency" // ID of a job that another one depends on
 	Level      = "level"      // how often the jobs of an archive segment have been compacted
 	Limit      = "limit"      // the limit that applies
@@ -35,6 +35,7 @@
 
 // Keys of what happened.
 const (
+	Bytes    = "bytes"    // size in bytes
 	Count    = "count"    // how many the message is about
 	Machines = "machines" // number of machines
 	Duration = "duration" // a span of time
