--- a/internal/controller/election/renewal/limit.go
+++ b/internal/controller/election/renewal/limit.go
@@ -3,7 +3,7 @@
 // Answering a heartbeat with status 200 keeps alive what runs on the worker. A leader that has won the key and lost
 // the state service before it loaded the state knows of no cancellation, and may live on grants of its peers for as
 // long as the outage lasts. It would keep tasks alive whose cancellation an earlier leader has confirmed, for longer
-// than users are told (docs/design/meetings.md). So it renews leases only as long as they still expire in time for
+// than users are told (docs/design/fault-combinations.md). So it renews leases only as long as they still expire in time for
 // the earliest confirmation that it may have missed.
 //
 // How early that can be it knows from the leader before: every ping of a leader that has loaded its state tells the
