--- /dev/null
+++ b/internal/controller/admission/admission.go
@@ -0,0 +1,134 @@
+// Package admission decides which deadline jobs are guaranteed (feasible plan, §3.3.2). A Planner owns the submissions of
+// the last submission window, by which it limits each team; everything else it computes anew from the jobs. It never orders
+// jobs and never starts or stops a task.
+//
+// Design note: docs/design/queue.md.
+package admission
+
+import (
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/controller/estimate"
+	"gullrudder/internal/controller/fairshare"
+	"gullrudder/internal/controller/jobs"
+)
+
+// Planner admits deadline jobs and tells which guarantees can still be kept. It is not safe for concurrent use.
+type Planner struct {
+	options           config.Options
+	estimator         *estimate.Estimator
+	fairShare         *fairshare.Allocator
+	recentSubmissions []submission // of the last submission window
+}
+
+// submission is what one submitted job counts against its team's share.
+type submission struct {
+	submittedAt time.Time
+	team        string
+	cpus        float64
+}
+
+// New makes a planner that has seen no submission.
+func New(options config.Options, estimator *estimate.Estimator, fairShare *fairshare.Allocator) *Planner {
+	return &Planner{options: options, estimator: estimator, fairShare: fairShare}
+}
+
+// SetOptions replaces the operators' settings.
+func (p *Planner) SetOptions(options config.Options) { p.options = options }
+
+// Request asks for a guarantee for a job that is about to be accepted.
+type Request struct {
+	Job      *jobs.Job
+	Live     []*jobs.Job // the jobs that may run
+	Capacity Capacity
+	// Dependencies are the unfinished jobs that the job depends on, directly or not.
+	Dependencies []*jobs.Job
+	// DependencyRunTime is the least time that the dependencies take, by their critical path.
+	DependencyRunTime time.Duration
+}
+
+// Admit decides whether a new deadline job is guaranteed: its work fits before its deadline beside the work of all
+// guaranteed jobs, the work of its dependencies fits before it, and its team stays within its share of the cluster.
+// Each call counts against the team's share, whatever the answer.
+func (p *Planner) Admit(now time.Time, request Request) bool {
+	job := request.Job
+	submittedCPUs := p.recordSubmission(now, job)
+	capacity := request.Capacity
+	if job.Deadline <= 0 || job.IsService || submittedCPUs > p.options.SubmissionShare*(capacity.CPUs+capacity.GrowthCPUs) {
+		return false
+	}
+	if request.DependencyRunTime > 0 && now.Add(request.DependencyRunTime+p.estimator.TaskRunTime(job)).After(DueAt(job)) {
+		return false
+	}
+	plan, _ := p.planGuaranteed(now, guaranteedJobs(request.Live), capacity)
+	for _, dependency := range request.Dependencies {
+		if dependency.HasGuarantee() {
+			continue // it is in the plan
+		}
+		if !p.reserve(plan, p.withEarlierDeadline(dependency, job)) {
+			return false
+		}
+	}
+	return p.reserve(plan, job)
+}
+
+// recordSubmission counts the job against its team's share and returns the CPUs that the team submitted within the last
+// submission window.
+func (p *Planner) recordSubmission(now time.Time, job *jobs.Job) float64 {
+	cpus := float64(job.Tasks) * job.CPUs
+	teamCPUs := cpus
+	recent := p.recentSubmissions[:0]
+	for _, earlier := range p.recentSubmissions {
+		if now.Sub(earlier.submittedAt) >= p.options.SubmissionWindow {
+			continue
+		}
+		recent = append(recent, earlier)
+		if earlier.team == job.Team {
+			teamCPUs += earlier.cpus
+		}
+	}
+	recent = append(recent, submission{now, job.Team, cpus})
+	p.recentSubmissions = recent
+	return teamCPUs
+}
+
+// withEarlierDeadline returns a copy of the dependency that is due early enough for a task of the job to follow.
+func (p *Planner) withEarlierDeadline(dependency, job *jobs.Job) *jobs.Job {
+	early := *dependency
+	deadline := DueAt(job).Add(-p.estimator.TaskRunTime(job))
+	if early.InheritedDeadline.IsZero() || deadline.Before(early.InheritedDeadline) {
+		early.InheritedDeadline = deadline
+	}
+	return &early
+}
+
+// Feasible returns the guaranteed jobs whose work still fits before their deadlines, the earliest deadline first. A job
+// whose deadline has passed is none of them.
+func (p *Planner) Feasible(now time.Time, live []*jobs.Job, capacity Capacity) map[*jobs.Job]bool {
+	var inTime []*jobs.Job
+	for _, job := range guaranteedJobs(live) {
+		if !now.After(DueAt(job)) {
+			inTime = append(inTime, job)
+		}
+	}
+	_, feasible := p.planGuaranteed(now, inTime, capacity)
+	return feasible
+}
+
+// guaranteedJobs are the jobs for which capacity is planned.
+func guaranteedJobs(live []*jobs.Job) []*jobs.Job {
+	var guaranteed []*jobs.Job
+	for _, job := range live {
+		if job.HasGuarantee() && !job.CrashLooping {
+			guaranteed = append(guaranteed, job)
+		}
+	}
+	return guaranteed
+}
+
+// DueAt is when a deadline job has to be complete; the zero time if it has no deadline.
+func DueAt(job *jobs.Job) time.Time {
+	due, _ := job.DueAt()
+	return due
+}
--- a/internal/controller/archived_jobs_test.go
+++ b/internal/controller/archived_jobs_test.go
@@ -78,7 +78,7 @@
 		l.jobStore.Add(job)
 		job.State = jobs.Accepted
 		for task := range job.Tasks {
-			job.MarkTaskDone(task)
+			job.RecordTaskDone(task)
 		}
 		if archived.cancelled {
 			job.State = jobs.Cancelled
--- a/internal/controller/dynamic_config_test.go
+++ b/internal/controller/dynamic_config_test.go
@@ -65,8 +65,8 @@
 
 	service.unavailable = false
 	now = applyManyChanges(t, now, operator)
-	if options.AgedShare != 0.39 || controller.leadership.planner.AgeingPolicy().Share != 0.39 {
-		t.Errorf("a share of %g counts, and %g in the plan", options.AgedShare, controller.leadership.planner.AgeingPolicy().Share)
+	if options.AgedShare != 0.39 || controller.leadership.ranker.AgeingPolicy().Share != 0.39 {
+		t.Errorf("a share of %g counts, and %g in the plan", options.AgedShare, controller.leadership.ranker.AgeingPolicy().Share)
 	}
 
 	next := nextLeader(t, now, service)
--- a/internal/controller/failover/setup_test.go
+++ b/internal/controller/failover/setup_test.go
@@ -13,11 +13,13 @@
 	"gullrudder/internal/controller/dynamicconfig"
 	"gullrudder/internal/controller/election/connectivity"
 	"gullrudder/internal/controller/election/renewal"
+	"gullrudder/internal/controller/estimate"
 	"gullrudder/internal/controller/failures"
 	"gullrudder/internal/controller/heartbeat"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/jobstore"
 	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/queue"
 	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/controller/straggler"
 	"gullrudder/internal/controller/worker"
@@ -68,7 +70,7 @@
 	}
 	responder := &server.Responder{Log: log}
 	store := storage.New(storage.Options{ValueBytes: 8192, TxnOps: 12, WriteRate: 15}, fencingToken, log)
-	planner := admission.New(options, platform)
+	queueing := queue.NewComponents(options)
 	components := Components{
 		Platform:     platform,
 		FencingToken: fencingToken,
@@ -76,7 +78,7 @@
 		Stores: Stores{
 			Storage:       store,
 			DynamicConfig: dynamicconfig.New(options, store, responder, log),
-			FairShare:     planner.FairShare(),
+			FairShare:     queueing.FairShare,
 		},
 		Machines:     newTestMachines(now, platform, fencingToken, log),
 		RenewalLimit: renewal.New(testRenewalWindow(), rand.New(rand.NewPCG(1, 1))),
@@ -87,8 +89,8 @@
 	components.Stores.Jobs = jobstore.New(jobstore.Components{
 		Platform: platform, Options: &options, Storage: store, Workers: components.Machines.Workers, Accounting: tracker, Log: log,
 	})
-	components.Placer = newTestPlacer(components, planner)
-	components.Heartbeats = newTestHeartbeats(components, planner, tracker, responder)
+	components.Placer = newTestPlacer(components, queue.NewRanker(options, platform, queueing))
+	components.Heartbeats = newTestHeartbeats(components, queueing.Estimator, tracker, responder)
 	reconciler := &testReconciler{
 		Reconciler:   New(components),
 		jobs:         components.Stores.Jobs,
@@ -119,17 +121,17 @@
 	}
 }
 
-func newTestPlacer(components Components, planner *admission.Planner) *placement.Placer {
+func newTestPlacer(components Components, ranker *queue.Ranker) *placement.Placer {
 	return placement.New(placement.Components{
 		Platform: components.Platform, FencingToken: components.FencingToken, Jobs: components.Stores.Jobs.Unfinished,
-		Workers: components.Machines.Workers, Planner: planner,
+		Workers: components.Machines.Workers, Ranker: ranker,
 		Capacity: func(time.Time) admission.Capacity { return admission.Capacity{} }, Outbox: components.Outbox, Log: components.Log,
 	})
 }
 
 func newTestHeartbeats(
 	components Components,
-	planner *admission.Planner,
+	estimator *estimate.Estimator,
 	tracker *accounting.Tracker,
 	responder *server.Responder,
 ) *heartbeat.Handler {
@@ -140,7 +142,7 @@
 		JobStore:     components.Stores.Jobs,
 		Workers:      components.Machines.Workers,
 		Cloud:        components.Machines.Cloud,
-		Planner:      planner,
+		Estimator:    estimator,
 		Placer:       components.Placer,
 		Accounting:   tracker,
 		Stragglers:   straggler.NewDetector(components.Platform.HeartbeatInterval),
--- /dev/null
+++ b/internal/controller/jobs/parse.go
@@ -0,0 +1,135 @@
+package jobs
+
+import (
+	"math"
+	"slices"
+
+	"gullrudder/internal/wire/codec"
+)
+
+// maxMachineTypes is how many machine types a submission may allow by name.
+const maxMachineTypes = 100
+
+// ParseSpec reads a submission, a MessagePack map (wire protocol, "POST /work"). The error is a *ValidationError with status 400
+// that names the first invalid field. The Spec then has what could be read, its ID above all.
+func ParseSpec(body []byte) (Spec, error) {
+	values, err := codec.UnmarshalMap(body)
+	if err != nil {
+		return Spec{}, invalid("%v", err)
+	}
+	fields := &fieldReader{values: values}
+	spec := Spec{
+		ID: fields.readText("id"), Class: fields.readText("berth"), Team: fields.readText("crew"),
+		CPUs: fields.readAmount("cpus"), GPUs: fields.readAmount("cards"), MemoryGB: fields.readAmount("mem_gb"),
+		Image: fields.readText("hull"), ImageGB: fields.readAmount("image_gb"),
+		SingleZone: fields.readFlag("one_zone"), SpreadAcrossZones: fields.readFlag("spread"), AllowsSpot: fields.readFlag("driftwood"),
+		RunTimeEstimate:    fields.readDuration("voyage_s"),
+		CheckpointInterval: fields.readDuration("mooring_s"), CheckpointDuration: fields.readDuration("tieup_s"),
+	}
+	if !ValidID(spec.ID) {
+		fields.reject("id", "not of the form job-000412")
+	}
+	spec.Tasks = fields.readTaskCount("strokes")
+	if spec.CPUs == 0 && spec.GPUs == 0 && spec.MemoryGB == 0 {
+		fields.reject("cpus", "a task that takes nothing")
+	}
+	spec.IsService, spec.IsGang = fields.readShape("rig")
+	spec.Priority = fields.readPriority("heading")
+	fields.readOptional(&spec)
+	if !spec.IsService && spec.RunTimeEstimate == 0 {
+		fields.reject("voyage_s", "zero for an array")
+	}
+	return spec, fields.err
+}
+
+// readOptional reads the fields that may be missing or null.
+func (f *fieldReader) readOptional(spec *Spec) {
+	if !f.isNull("harbour") {
+		spec.Zone = f.readText("harbour")
+	}
+	if !f.isNull("keels") {
+		spec.MachineTypes = f.readMachineTypes("keels")
+	}
+	if !f.isNull("tows") {
+		spec.Dependencies = f.readDependencies("tows")
+	}
+	if !f.isNull("landfall_s") {
+		if spec.Deadline = f.readDuration("landfall_s"); spec.Deadline == 0 {
+			f.reject("landfall_s", "zero")
+		}
+	}
+}
+
+func (f *fieldReader) readTaskCount(name string) int {
+	count := f.readAmount(name)
+	if count != math.Trunc(count) || count < 1 || count > MaxTasks {
+		f.reject(name, "not a whole number from 1 to 100000")
+	}
+	return int(count)
+}
+
+func (f *fieldReader) readShape(name string) (isService, isGang bool) {
+	switch f.readText(name) {
+	case "array":
+		return false, false
+	case "service":
+		return true, false
+	case "ensemble":
+		// Not in the wire protocol, but the platform's own check submits it.
+		return false, true
+	}
+	f.reject(name, "not array, service or ensemble")
+	return false, false
+}
+
+func (f *fieldReader) readPriority(name string) Priority {
+	switch f.readText(name) {
+	case "critical":
+		return Production
+	case "high":
+		return High
+	case "standard":
+		return Normal
+	case "best_effort":
+		return Low
+	}
+	f.reject(name, "unknown")
+	return Low
+}
+
+func (f *fieldReader) readMachineTypes(name string) []string {
+	list, ok := f.values[name].([]any)
+	if !ok || len(list) == 0 || len(list) > maxMachineTypes {
+		f.reject(name, "not a list of 1 to 100 types")
+	}
+	var types []string
+	for _, value := range list {
+		machineType, ok := value.(string)
+		if !ok || machineType == "" {
+			f.reject(name, "a type is not a text")
+		}
+		types = append(types, machineType)
+	}
+	return types
+}
+
+// readDependencies reads a list of job IDs. One that is named twice counts once.
+func (f *fieldReader) readDependencies(name string) []string {
+	list, ok := f.values[name].([]any)
+	if !ok || len(list) > maxDependencies {
+		f.reject(name, "not a list of at most 64 jobs")
+		return nil
+	}
+	var ids []string
+	for _, value := range list {
+		id, ok := value.(string)
+		if !ok || !ValidID(id) {
+			f.reject(name, "a job not of the form job-000412")
+			return nil
+		}
+		if !slices.Contains(ids, id) {
+			ids = append(ids, id)
+		}
+	}
+	return ids
+}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -11,12 +11,15 @@
 	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/dynamicconfig"
 	"gullrudder/internal/controller/election"
+	"gullrudder/internal/controller/estimate"
 	"gullrudder/internal/controller/failover"
 	"gullrudder/internal/controller/failures"
+	"gullrudder/internal/controller/fairshare"
 	"gullrudder/internal/controller/heartbeat"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/jobstore"
 	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/queue"
 	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/controller/straggler"
 	"gullrudder/internal/controller/worker"
@@ -60,7 +63,10 @@
 
 // scheduling are the components that decide what runs where, and on how many machines.
 type scheduling struct {
+	estimator  *estimate.Estimator
 	planner    *admission.Planner
+	fairShare  *fairshare.Allocator
+	ranker     *queue.Ranker
 	placer     *placement.Placer
 	autoscaler *autoscaler.Scaler
 }
@@ -130,15 +136,16 @@
 	}
 }
 
-// newScheduling makes the planner, the placer and the autoscaler. The last two ask for each other's results.
+// newScheduling makes the components that decide. The placer and the autoscaler ask for each other's results.
 func (c *Controller) newScheduling(now time.Time, leader *leadership) scheduling {
-	planner := admission.New(c.options, c.platform)
+	queueing := queue.NewComponents(c.options)
+	ranker := queue.NewRanker(c.options, c.platform, queueing)
 	placer := placement.New(placement.Components{
 		Platform:     c.platform,
 		FencingToken: leader.fencingToken,
 		Jobs:         leader.jobStore.Unfinished,
 		Workers:      leader.workers,
-		Planner:      planner,
+		Ranker:       ranker,
 		Capacity:     func(now time.Time) admission.Capacity { return leader.autoscaler.ExpectedCapacity(now) },
 		Outbox:       &c.outbox,
 		Log:          c.log,
@@ -151,14 +158,21 @@
 		IsFirstLeader: func() bool { return leader.failover.IsFirstLeader() },
 		Cloud:         leader.cloud,
 		Workers:       leader.workers,
-		Planner:       planner,
+		Estimator:     queueing.Estimator,
 		Placer:        placer,
 		Stragglers:    leader.stragglers,
 		Zones:         leader.zones,
 		Outbox:        &c.outbox,
 		Log:           c.log,
 	})
-	return scheduling{planner: planner, placer: placer, autoscaler: scaler}
+	return scheduling{
+		estimator:  queueing.Estimator,
+		planner:    queueing.Planner,
+		fairShare:  queueing.FairShare,
+		ranker:     ranker,
+		placer:     placer,
+		autoscaler: scaler,
+	}
 }
 
 func (c *Controller) newHeartbeatHandler(leader *leadership) *heartbeat.Handler {
@@ -169,7 +183,7 @@
 		JobStore:     leader.jobStore,
 		Workers:      leader.workers,
 		Cloud:        leader.cloud,
-		Planner:      leader.planner,
+		Estimator:    leader.estimator,
 		Placer:       leader.placer,
 		Accounting:   leader.accounting,
 		Stragglers:   leader.stragglers,
@@ -189,7 +203,7 @@
 			Storage:       leader.storage,
 			Jobs:          leader.jobStore,
 			DynamicConfig: leader.dynamicConfig,
-			FairShare:     leader.planner.FairShare(),
+			FairShare:     leader.fairShare,
 		},
 		Machines: failover.Machines{
 			Workers:      leader.workers,
@@ -215,6 +229,9 @@
 		Workers:    leader.workers,
 		Cloud:      leader.cloud,
 		Planner:    leader.planner,
+		Estimator:  leader.estimator,
+		Ranker:     leader.ranker,
+		FairShare:  leader.fairShare,
 		Placer:     leader.placer,
 		Autoscaler: leader.autoscaler,
 		Failover:   leader.failover,
@@ -233,18 +250,20 @@
 	leader.jobStore.OnOrderChange(leader.placer.InvalidateOrder)
 	leader.jobStore.OnDone(func(now time.Time, job *jobs.Job) {
 		leader.autoscaler.JobEnded(now, job)
-		leader.planner.FairShare().RecordDone(now, job)
+		leader.fairShare.RecordDone(now, job)
 		leader.heartbeats.ForgetJob(job)
 	})
 	leader.jobStore.OnWaiting(func(job *jobs.Job) {
-		leader.jobStore.DependencyGraph().PropagateDeadline(job, leader.planner.TaskRunTime, 2*c.platform.HeartbeatInterval, job.Guaranteed)
+		leader.jobStore.DependencyGraph().PropagateDeadline(job, leader.estimator.TaskRunTime, 2*c.platform.HeartbeatInterval, job.Guaranteed)
 	})
 	leader.jobStore.OnReady(func(now time.Time, job *jobs.Job) {
 		leader.placer.InvalidateOrder()
 		leader.autoscaler.JobAccepted(now, job)
 	})
 	leader.dynamicConfig.OnChange(func(options config.Options) {
+		leader.fairShare.SetPolicy(fairshare.PolicyOf(options))
 		leader.planner.SetOptions(options)
+		leader.ranker.SetOptions(options)
 		leader.jobStore.SetOptions(options)
 		leader.placer.InvalidateOrder()
 	})
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -40,7 +40,7 @@
 	placing := leader.failover.Completed()
 	c.sampleWaitReasons(now, placing)
 	leader.jobStore.Save(now, placing)
-	leader.planner.FairShare().Save(now, leader.storage, c.log)
+	leader.fairShare.Save(now, leader.storage, c.log)
 	leader.placer.Tick(now, placing)
 	if placing {
 		leader.autoscaler.Tick(now)
