--- a/internal/controller/fake_state_service_test.go
+++ b/internal/controller/fake_state_service_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"gullrudder/internal/config"
+	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/server"
@@ -33,7 +34,7 @@
 	}
 	body := any(map[string]any{"entries": []any{}, "has_next": false})
 	if call.Path == "/commit" {
-		service.commit(call.Body)
+		service.commit(call.Body.(storage.CommitRequest))
 		body = map[string]uint64{"tide": service.revision}
 	} else if key, ok := strings.CutPrefix(call.Path, "/keys/"); ok && key != "" {
 		value, ok := service.values[key]
@@ -46,11 +47,11 @@
 }
 
 // commit applies the writes of a transaction. Its preconditions are not checked.
-func (service *fakeStateService) commit(transaction any) {
+func (service *fakeStateService) commit(request storage.CommitRequest) {
 	service.revision++
-	for _, action := range transaction.(map[string]any)["apply"].([]any) {
-		if key, ok := action.(map[string]any)["write"].(string); ok {
-			service.values[key], service.modRevisions[key] = action.(map[string]any)["value"], service.revision
+	for _, operation := range request.Operations {
+		if operation.Write != "" {
+			service.values[operation.Write], service.modRevisions[operation.Write] = operation.Value, service.revision
 		}
 	}
 }
