--- a/internal/controller/election/held_grants.go
+++ b/internal/controller/election/held_grants.go
@@ -46,7 +46,7 @@
 		sentAt := now
 		grant.requestPending = true
 		outbox.Add(client.Call{
-			Destination: client.PeerController, Addr: peer.Addr, Method: http.MethodPost, Path: pingPath,
+			Destination: client.PeerController, Addr: peer.Addr, Method: http.MethodPost, Path: PingPath,
 			Body: e.pingRequest(now, grant), Timeout: e.options.peerTimeout(),
 			Done: e.inEpoch(func(now time.Time, result client.Result) {
 				grant.requestPending = false
--- a/internal/controller/election/messages.go
+++ b/internal/controller/election/messages.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Paths of the peer link.
+// Paths of the peer link, which a controller serves on its peer address.
 const (
-	pingPath      = "/peer/hello"
-	voteQueryPath = "/peer/inquiry"
+	PingPath      = "/peer/hello"
+	VoteQueryPath = "/peer/inquiry"
 )
 
 // PingRequest is what the leader sends to each peer: it asks for a leader-lease grant. A former leader sends it to
--- a/internal/controller/election/restart.go
+++ b/internal/controller/election/restart.go
@@ -49,7 +49,7 @@
 // voteQuery is the call that asks a peer whether it leads.
 func (e *Election) voteQuery(peer Peer, done func(time.Time, client.Result)) client.Call {
 	return client.Call{
-		Destination: client.PeerController, Addr: peer.Addr, Method: http.MethodPost, Path: voteQueryPath,
+		Destination: client.PeerController, Addr: peer.Addr, Method: http.MethodPost, Path: VoteQueryPath,
 		Timeout: e.options.peerTimeout(), Done: done,
 	}
 }
--- a/internal/controller/election/transfer.go
+++ b/internal/controller/election/transfer.go
@@ -59,7 +59,7 @@
 	e.StepDown(now, outbox, reason)
 	for _, peer := range e.options.Peers {
 		outbox.Add(client.Call{
-			Destination: client.PeerController, Addr: peer.Addr, Method: http.MethodPost, Path: pingPath,
+			Destination: client.PeerController, Addr: peer.Addr, Method: http.MethodPost, Path: PingPath,
 			Body: request, Timeout: e.options.peerTimeout(), Done: ignoreResult,
 		})
 	}
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -53,9 +53,9 @@
 			c.serveOrForward(now, request, func() { c.leadership.api.Serve(now, request, segments) })
 		}
 		return endpoint{apiMethod, handle}, true
-	case path == "/peer/hello" && request.FromPeer:
+	case path == election.PingPath && request.FromPeer:
 		return endpoint{http.MethodPost, c.handlePing}, true
-	case path == "/peer/inquiry" && request.FromPeer:
+	case path == election.VoteQueryPath && request.FromPeer:
 		return endpoint{http.MethodPost, c.handleVoteQuery}, true
 	}
 	return endpoint{}, false
