--- a/internal/controller/failover/reconciler_test.go
+++ b/internal/controller/failover/reconciler_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"gullrudder/internal/controller/cloud"
-	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/workerapi"
 )
 
 // A heartbeat made under an older fencing token may be older than starts that an earlier leader has sent since: a
@@ -17,7 +17,7 @@
 	reconciler := newTestReconciler(now, 9)
 	reconciler.progress.completed = false
 	machine := reconciler.addUnreconciled(now, "vm-1")
-	report := worker.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8}
+	report := workerapi.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8}
 	if response := reconciler.sendHeartbeat(t, now, report); response.FencingToken != 9 || machine.Reconciled {
 		t.Errorf("fencing token %d, reconciled %v by a heartbeat under an older token", response.FencingToken, machine.Reconciled)
 	}
@@ -90,7 +90,7 @@
 			call.Done(now, client.Result{})
 			continue
 		}
-		call.Done(now, client.Result{Status: 200, Body: marshal(t, worker.Heartbeat{
+		call.Done(now, client.Result{Status: 200, Body: marshal(t, workerapi.Heartbeat{
 			Machine:      call.Addr,
 			Addr:         call.Addr,
 			Type:         "small",
--- /dev/null
+++ b/internal/controller/failures/tracker_test.go
@@ -0,0 +1,309 @@
+package failures
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+	"time"
+
+	"gullrudder/internal/testseed"
+
+	"pgregory.net/rapid"
+)
+
+func TestMain(m *testing.M) { testseed.Main(m) }
+
+// attributionCase is a small case: which job failed on which machine, and what completed.
+type attributionCase struct {
+	jobs, machines int
+	failed         [][]bool // by job and machine
+	hasCompleted   []bool   // by job: a task of it has completed
+	completions    []int    // by machine: tasks completed after its last failure
+}
+
+// assignment says of each job whether it is crash-looping, and after these of each machine whether it is faulty, one bit each.
+type assignment int
+
+func (a assignment) isSet(bit int) bool { return a>>bit&1 == 1 }
+
+// exactPosterior computes the posterior of each job and machine by enumerating all assignments.
+func (c *attributionCase) exactPosterior() (crashLooping, faulty []float64) {
+	posterior := make([]float64, c.jobs+c.machines)
+	total := 0.0
+	for code := range 1 << len(posterior) {
+		likelihood := c.likelihood(assignment(code))
+		total += likelihood
+		for bit := range posterior {
+			if assignment(code).isSet(bit) {
+				posterior[bit] += likelihood
+			}
+		}
+	}
+	for bit := range posterior {
+		posterior[bit] /= total
+	}
+	return posterior[:c.jobs], posterior[c.jobs:]
+}
+
+// likelihood is the joint probability of an assignment and of what was observed.
+func (c *attributionCase) likelihood(assigned assignment) float64 {
+	p := 1.0
+	for j := range c.jobs {
+		p *= c.jobLikelihood(assigned, j)
+	}
+	for m := range c.machines {
+		completions := float64(min(c.completions[m], maxCompletions))
+		if assigned.isSet(c.jobs + m) {
+			p *= faultPrior * math.Pow(1-faultyMachineFailureRate, completions)
+		} else {
+			p *= (1 - faultPrior) * math.Pow(1-healthyFailureRate, completions)
+		}
+	}
+	return p
+}
+
+func (c *attributionCase) jobLikelihood(assigned assignment, job int) float64 {
+	if assigned.isSet(job) {
+		if c.hasCompleted[job] {
+			return 0
+		}
+		return crashLoopPrior
+	}
+	p := 1 - crashLoopPrior
+	for m, failed := range c.failed[job] {
+		switch {
+		case !failed:
+		case assigned.isSet(c.jobs + m):
+			p *= faultyMachineFailureRate
+		default:
+			p *= healthyFailureRate
+		}
+	}
+	return p
+}
+
+func jobName(j int) string     { return fmt.Sprint("job-", j) }
+func machineName(m int) string { return fmt.Sprint("vm-", m) }
+
+// drawCase draws a case and tells the tracker of it.
+func drawCase(t *rapid.T, tracker *Tracker) *attributionCase {
+	c := &attributionCase{jobs: rapid.IntRange(1, 4).Draw(t, "jobs"), machines: rapid.IntRange(1, 5).Draw(t, "machines")}
+	crashLoops := rapid.SliceOfN(rapid.Bool(), c.jobs, c.jobs).Draw(t, "crash loops")
+	health := rapid.SliceOfN(rapid.IntRange(0, 3), c.machines, c.machines).Draw(t, "health") // 0: faulty
+	c.failed, c.hasCompleted, c.completions = make([][]bool, c.jobs), make([]bool, c.jobs), make([]int, c.machines)
+	for j := range c.jobs {
+		c.failed[j] = make([]bool, c.machines)
+		c.hasCompleted[j] = !crashLoops[j] && rapid.Bool().Draw(t, "has completed")
+	}
+	for j := range c.jobs {
+		for m := range c.machines {
+			if fails := crashLoops[j] || health[m] == 0; fails && rapid.IntRange(0, 3).Draw(t, "tried") > 0 {
+				c.recordFailure(tracker, j, m)
+			}
+		}
+	}
+	for m := range c.machines {
+		if health[m] > 0 {
+			c.recordCompletions(tracker, m, rapid.IntRange(0, 5).Draw(t, "completions"))
+		}
+	}
+	return c
+}
+
+func (c *attributionCase) recordFailure(tracker *Tracker, j, m int) {
+	c.failed[j][m] = true
+	completed := 0
+	if c.hasCompleted[j] {
+		completed = 1
+	}
+	tracker.RecordFailure(time.Unix(1000, 0), jobName(j), machineName(m), completed)
+}
+
+func (c *attributionCase) recordCompletions(tracker *Tracker, m, completions int) {
+	for range completions {
+		tracker.RecordCompletion("another", machineName(m))
+	}
+	if tracker.machines[machineName(m)] != nil { // else nothing has failed there, and nothing is kept
+		c.completions[m] = completions
+	}
+}
+
+// recomputeVerdicts decides about every job by all that is known in the end. A verdict from an earlier state of knowledge
+// stays until a task completes, and may have been right then.
+func recomputeVerdicts(tracker *Tracker) {
+	for _, j := range tracker.jobs {
+		j.isCrashLooping = false
+	}
+	found := map[*job]bool{}
+	for jobID, j := range tracker.jobs {
+		found[j] = !j.hasCompleted && len(j.failedOn) >= minFailures &&
+			tracker.crashLoopProbability(jobID, "", maxDepth) > crashLoopThreshold
+	}
+	for j, isCrashLooping := range found {
+		j.isCrashLooping = isCrashLooping
+	}
+}
+
+// verdicts lists the jobs that are called crash-looping and the machines that are called faulty, by name.
+func (t *Tracker) verdicts() (crashLooping, faulty []string) {
+	for jobID, j := range t.jobs {
+		if j.isCrashLooping {
+			crashLooping = append(crashLooping, jobID)
+		}
+	}
+	for machineID := range t.machines {
+		if t.IsFaulty(machineID) {
+			faulty = append(faulty, machineID)
+		}
+	}
+	slices.SortFunc(crashLooping, cmp.Compare[string])
+	slices.SortFunc(faulty, cmp.Compare[string])
+	return crashLooping, faulty
+}
+
+// verdictCounts counts over all cases.
+type verdictCounts struct{ crashLooping, certain, missed int }
+
+// compare checks the tracker's verdicts against the exact posterior of the case.
+func (n *verdictCounts) compare(t *rapid.T, tracker *Tracker, attribution *attributionCase) {
+	crashLooping, faulty := attribution.exactPosterior()
+	for j, p := range crashLooping {
+		got := tracker.IsCrashLooping(jobName(j))
+		if got {
+			n.crashLooping++
+		}
+		if got && p < 0.8 {
+			t.Errorf("job %d is called crash-looping, which has a probability of %.3f", j, p)
+		}
+		if p > 0.999 {
+			n.certain++
+			if !got && len(tracker.jobs[jobName(j)].failedOn) >= minFailures {
+				n.missed++
+			}
+		}
+	}
+	for m, p := range faulty {
+		if tracker.IsFaulty(machineName(m)) && p < 0.5 {
+			t.Errorf("machine %d is called faulty, which has a probability of %.3f", m, p)
+		}
+	}
+}
+
+// On small cases every verdict is supported by the exact posterior, and what is nearly certain is found.
+func TestVerdictsMatchExactPosterior(t *testing.T) {
+	var counts verdictCounts
+	rapid.Check(t, func(t *rapid.T) {
+		tracker := NewTracker()
+		attribution := drawCase(t, tracker)
+		recomputeVerdicts(tracker)
+		counts.compare(t, tracker, attribution)
+	})
+	if counts.crashLooping < 20 || counts.certain == 0 || counts.missed*20 > counts.certain {
+		t.Errorf("%d verdicts; of %d certain crash loops %d are not found", counts.crashLooping, counts.certain, counts.missed)
+	}
+}
+
+// Two of ten machines fail every task while two of ten jobs crash on every machine: these are found and nothing else. Each job
+// is tried on machines that it has not failed on.
+func TestCrashLoopingJobsAndFaultyMachinesTogether(t *testing.T) {
+	tracker, now := NewTracker(), time.Unix(1000, 0)
+	done := map[int]int{}
+	for round := range 40 {
+		for j := range 10 {
+			m := (j*3 + round) % 10
+			jobID, machineID := fmt.Sprint("job-", j), fmt.Sprint("vm-", m)
+			if tracker.IsFaulty(machineID) || tracker.IsCrashLooping(jobID) {
+				continue
+			}
+			if j < 2 || m < 2 {
+				tracker.RecordFailure(now, jobID, machineID, done[j])
+			} else {
+				done[j]++
+				tracker.RecordCompletion(jobID, machineID)
+			}
+			now = now.Add(100 * time.Millisecond)
+		}
+	}
+	crashLooping, faulty := tracker.verdicts()
+	if fmt.Sprint(crashLooping) != "[job-0 job-1]" || fmt.Sprint(faulty) != "[vm-0 vm-1]" {
+		t.Errorf("crash-looping %v, faulty %v", crashLooping, faulty)
+	}
+}
+
+// Two crash-looping jobs that fail on the same machines do not make these faulty.
+func TestCrashLoopingJobsDoNotMakeMachineFaulty(t *testing.T) {
+	tracker, now := NewTracker(), time.Unix(1000, 0)
+	for i := range 6 {
+		tracker.RecordFailure(now, "job-1", fmt.Sprint("vm-", i), 0)
+		tracker.RecordFailure(now, "job-2", fmt.Sprint("vm-", i), 0)
+	}
+	if crashLooping, faulty := tracker.verdicts(); len(crashLooping) != 2 || len(faulty) != 0 {
+		t.Errorf("crash-looping %v, faulty %v", crashLooping, faulty)
+	}
+	tracker.RecordCompletion("job-1", "vm-9")
+	if tracker.IsCrashLooping("job-1") {
+		t.Error("a job that has completed a task is still called crash-looping")
+	}
+}
+
+// A faulty machine is not found while only a crash-looping job fails on it; it is once others do.
+func TestFaultyMachineWithOnlyCrashLoopingJob(t *testing.T) {
+	tracker, now := NewTracker(), time.Unix(1000, 0)
+	for i := range 4 {
+		tracker.RecordFailure(now, "job-1", fmt.Sprint("vm-", i), 0)
+	}
+	tracker.RecordFailure(now, "job-1", "sick", 0)
+	if tracker.IsFaulty("sick") {
+		t.Error("called faulty by the evidence of one job")
+	}
+	tracker.RecordFailure(now, "job-2", "sick", 5)
+	tracker.RecordFailure(now, "job-3", "sick", 7)
+	if !tracker.IsFaulty("sick") || tracker.IsFaulty("vm-0") {
+		t.Error("want only the machine on which other jobs fail to be faulty")
+	}
+}
+
+// Retries are delayed longer each time and share a budget, whatever the number of crash-looping jobs.
+func TestRetriesShareBudget(t *testing.T) {
+	tracker, now := NewTracker(), time.Unix(1000, 0)
+	const jobs = 200
+	next := map[string]time.Time{}
+	for i := range jobs {
+		jobID := fmt.Sprint("job-", i)
+		tracker.RestoreCrashLooping(now, jobID)
+		next[jobID] = now
+	}
+	tried, end := 0, now.Add(2*time.Minute)
+	for ; now.Before(end); now = now.Add(100 * time.Millisecond) {
+		for jobID, at := range next {
+			if !at.After(now) {
+				tried++
+				next[jobID] = tracker.ScheduleRetry(now, jobID)
+			}
+		}
+	}
+	// Each is tried once at first; from then on the budget bounds the retries.
+	if most := jobs + maxStoredRetries + int(2*time.Minute/retryRefillInterval); tried > most || tried < jobs+60 {
+		t.Errorf("%d tries of %d jobs in two minutes, want at most %d", tried, jobs, most)
+	}
+}
+
+// The tracker keeps recent failures only, and a bounded number of neighbours.
+func TestTrackerIsBounded(t *testing.T) {
+	tracker, now := NewTracker(), time.Unix(1000, 0)
+	for i := range 5000 {
+		tracker.RecordFailure(now, fmt.Sprint("job-", i%7), fmt.Sprint("vm-", i), 0)
+		tracker.RecordFailure(now, fmt.Sprint("job-x", i), "vm-0", 1)
+		now = now.Add(time.Second)
+	}
+	if n := len(tracker.jobs) + len(tracker.machines); n > 2000 || len(tracker.machines["vm-0"].failedJobs) > maxStoredNeighbours {
+		t.Errorf("%d jobs and machines are kept", n)
+	}
+	tracker.ForgetJob("job-1")
+	tracker.ForgetMachine("vm-0")
+	if tracker.FailedMachineCount("job-1") != 0 || tracker.IsFaulty("vm-0") {
+		t.Error("what was dropped is still kept")
+	}
+}
--- /dev/null
+++ b/internal/controller/heartbeat/response.go
@@ -0,0 +1,170 @@
+package heartbeat
+
+import (
+	"net/http"
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/controller/worker/reachability"
+	"gullrudder/internal/logkeys"
+	"gullrudder/internal/wire/workerapi"
+)
+
+const (
+	// maxRegistrationWait is how long a new machine's heartbeat may wait until the machine is registered.
+	maxRegistrationWait = 700 * time.Millisecond
+	// maxCommandsPerResponse bounds the commands of one response, whose body must stay below 64 KiB.
+	maxCommandsPerResponse = 300
+	// minKillsSent is how many responses must have told a machine to kill a task before it counts as ignoring them: one may
+	// still be on its way.
+	minKillsSent = 2
+	// reclaimSlack and reclaimHeartbeats are the time before a reclaim, beside that for the checkpoint, at which a task is told
+	// to save one.
+	reclaimSlack      = time.Second
+	reclaimHeartbeats = 3
+)
+
+// SendResponses responds to the heartbeats of this batch. What starts on their machines is decided now; canStart is whether
+// anything may.
+func (h *Handler) SendResponses(now time.Time, canStart bool) {
+	batch := h.pending
+	h.pending = nil
+	for _, pending := range batch {
+		if canStart && pending.awaitsRegistration(now) {
+			h.pending = append(h.pending, pending)
+			continue
+		}
+		h.respond(now, pending, canStart)
+	}
+}
+
+// RejectPending refuses the heartbeats that still wait for a response.
+func (h *Handler) RejectPending() {
+	for _, pending := range h.pending {
+		h.responder.Respond(pending.request, http.StatusServiceUnavailable, nil, 0)
+	}
+	h.pending = nil
+}
+
+// awaitsRegistration reports whether the response should wait: once its machine is registered it can have starts.
+func (p pendingHeartbeat) awaitsRegistration(now time.Time) bool {
+	return p.freshness == reachability.Fresh && p.machine.Registering && now.Sub(p.receivedAt) < maxRegistrationWait
+}
+
+// respond sends the response to a heartbeat, which renews the worker's lease unless the machine ignores commands to kill.
+func (h *Handler) respond(now time.Time, pending pendingHeartbeat, canStart bool) {
+	commands := []workerapi.Command{}
+	switch {
+	case pending.freshness == reachability.Fresh:
+		if h.ignoresKills(now, pending.machine) {
+			// Only the end of its lease stops the tasks within the time that was promised.
+			h.log.Info("lease renewal refused", logkeys.Machine, pending.machine.ID, logkeys.Reason, "cancelled tasks still running")
+			h.responder.RespondError(pending.request, http.StatusServiceUnavailable, "tasks of cancelled jobs are still there", 0)
+			return
+		}
+		commands = h.commandsFor(now, pending, canStart)
+	case pending.stateLoaded:
+		commands = h.killCancelled(pending.heartbeat)
+	}
+	pending.machine.LeaseRenewedAt = now
+	response := workerapi.HeartbeatResponse{FencingToken: h.fencingToken, Commands: commands}
+	h.responder.Respond(pending.request, http.StatusOK, response, 0)
+}
+
+// commandsFor returns the commands in the response to a fresh heartbeat. If a machine has several heartbeats in the batch, only
+// the newest gets starts.
+func (h *Handler) commandsFor(now time.Time, pending pendingHeartbeat, canStart bool) []workerapi.Command {
+	machine, heartbeat := pending.machine, pending.heartbeat
+	checkpointBeforeReclaim(now, machine, reclaimHeartbeats*h.heartbeatInterval+reclaimSlack)
+	commands := appendKills(h.forgetExited(heartbeat), machine)
+	if !h.reachability.IsNewest(machine, heartbeat) {
+		return commands
+	}
+	if canStart && h.reachability.IsReachable(machine) {
+		commands = append(commands, h.placer.StartTasks(now, machine, maxCommandsPerResponse-len(commands))...)
+	}
+	h.reachability.RecordAcknowledged(machine)
+	return commands
+}
+
+// killCancelled returns the commands that kill the tasks of cancelled jobs in a heartbeat that is not believed. Whatever its age
+// they are to end, and a 200 without that would keep them for another lease.
+func (h *Handler) killCancelled(heartbeat *workerapi.Heartbeat) []workerapi.Command {
+	commands := []workerapi.Command{}
+	for _, status := range heartbeat.Tasks {
+		if len(commands) >= maxCommandsPerResponse {
+			break
+		}
+		task, err := jobs.ParseTaskID(status.Task)
+		if err == nil && status.State != workerapi.StateExited && h.jobStore.IsTaskCancelled(task) {
+			commands = append(commands, workerapi.Kill(status.Task, status.Attempt, 0))
+		}
+	}
+	return commands
+}
+
+// ignoresKills reports whether a task of a cancelled job is still on the machine, although the machine was told to kill it, so
+// long after the cancellation was confirmed that another lease would keep it beyond the promised time.
+func (h *Handler) ignoresKills(now time.Time, machine *worker.Machine) bool {
+	for _, attempt := range machine.Attempts {
+		job := attempt.Job
+		if job == nil || job.State != jobs.Cancelled || attempt.KillsSent < minKillsSent || job.CancelConfirmedAt.IsZero() {
+			continue
+		}
+		if now.Sub(job.CancelConfirmedAt) >= h.cancelWindow {
+			return true
+		}
+	}
+	return false
+}
+
+// forgetExited returns the commands to forget the exited attempts in a heartbeat. One that is done must not be forgotten before
+// its result is durable.
+func (h *Handler) forgetExited(heartbeat *workerapi.Heartbeat) []workerapi.Command {
+	commands := []workerapi.Command{}
+	for _, status := range heartbeat.Tasks {
+		if status.State != workerapi.StateExited || len(commands) >= maxCommandsPerResponse {
+			continue
+		}
+		task, err := jobs.ParseTaskID(status.Task)
+		if err != nil || status.Reason != workerapi.ReasonDone || h.jobStore.IsResultDurable(task) {
+			commands = append(commands, workerapi.Forget(status.Task, status.Attempt))
+		}
+	}
+	return commands
+}
+
+// appendKills appends the commands to kill what may not run on the machine, and to stop what is to be preempted.
+func appendKills(commands []workerapi.Command, machine *worker.Machine) []workerapi.Command {
+	for _, attempt := range machine.Attempts {
+		if len(commands) >= maxCommandsPerResponse {
+			break
+		}
+		job := attempt.Job
+		switch {
+		case attempt.IsUnsent:
+		case attempt.IsOrphan || job == nil || job.IsCancelling || job.State == jobs.Cancelled:
+			attempt.KillsSent++
+			commands = append(commands, workerapi.Kill(attempt.Task.String(), attempt.Number, 0))
+		case !attempt.StopSentAt.IsZero() && !attempt.IsCheckpointing:
+			commands = append(commands, workerapi.Kill(attempt.Task.String(), attempt.Number, job.CheckpointDuration.Seconds()))
+		}
+	}
+	return commands
+}
+
+// checkpointBeforeReclaim has the tasks that can save a checkpoint do so before the cloud reclaims the machine. leadTime is the
+// time that they get beside the duration of the checkpoint.
+func checkpointBeforeReclaim(now time.Time, machine *worker.Machine, leadTime time.Duration) {
+	if machine.ReclaimAt.IsZero() {
+		return
+	}
+	for _, attempt := range machine.Attempts {
+		job := attempt.Job
+		canStop := job != nil && job.CheckpointInterval > 0 && attempt.StopSentAt.IsZero() && !attempt.RunningSince.IsZero()
+		if canStop && machine.ReclaimAt.Sub(now) < job.CheckpointDuration+leadTime {
+			attempt.StopSentAt = now
+		}
+	}
+}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// newScheduling makes the components that decide. The placer and the autoscaler ask for each other's results.
+// newScheduling makes the components of the queue, the placer and the autoscaler. The last two ask for each other's results.
 func (c *Controller) newScheduling(now time.Time, leader *leadership) scheduling {
 	queueing := queue.NewComponents(c.options)
 	ranker := queue.NewRanker(c.options, c.platform, queueing)
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -7,9 +7,9 @@
 
 	"gullrudder/internal/controller/api"
 	"gullrudder/internal/controller/election"
-	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/server"
+	"gullrudder/internal/wire/workerapi"
 )
 
 // endpoint is what serves a path: the method that it takes and the function that answers.
@@ -82,14 +82,14 @@
 // may not be reachable for it; while that is so, no leader is named.
 func (c *Controller) redirectHeartbeat(now time.Time, request *server.Request) {
 	connectivity := c.election.Connectivity()
-	if id, ok := worker.DecodeHeartbeatID(request.Body); ok {
+	if id, ok := workerapi.DecodeHeartbeatID(request.Body); ok {
 		connectivity.RecordWorkerContact(now, id.Machine, id.Incarnation, id.Sequence)
 	}
 	leader := c.election.Leader(now)
 	if connectivity.RedirectsSuspended(now) {
 		leader = ""
 	}
-	c.responder.Respond(request, http.StatusMisdirectedRequest, worker.Redirect{Leader: leader}, 0)
+	c.responder.Respond(request, http.StatusMisdirectedRequest, workerapi.Redirect{Leader: leader}, 0)
 }
 
 // handleConfigView answers with the options in force and the record of their changes.
--- /dev/null
+++ b/internal/controller/worker/reachability/tracker_test.go
@@ -0,0 +1,133 @@
+package reachability
+
+import (
+	"log/slog"
+	"slices"
+	"testing"
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/workerapi"
+
+	"github.com/prometheus/client_golang/prometheus"
+)
+
+const (
+	testFencingToken = 7
+	testLease        = 20 * time.Second
+)
+
+func newTestTracker() *Tracker {
+	return NewTracker(testFencingToken, testLease, NewMetrics(prometheus.NewRegistry()), slog.New(slog.DiscardHandler))
+}
+
+func newTestRegistry() *worker.Registry {
+	return worker.NewRegistry(testLease, slog.New(slog.DiscardHandler))
+}
+
+func newTestMachine(isRegistered bool) *worker.Machine {
+	machine := &worker.Machine{ID: "vm-1", Attempts: map[jobs.TaskID]*jobs.Attempt{}}
+	machine.Registered = isRegistered
+	return machine
+}
+
+func findNoJob(string) *jobs.Job { return nil }
+
+func newHeartbeat(incarnation, sequence, fencingToken uint64) workerapi.Heartbeat {
+	return workerapi.Heartbeat{Machine: "vm-1", Incarnation: incarnation, Sequence: sequence, FencingToken: fencingToken}
+}
+
+// The freshness of heartbeats in the order of their arrival.
+func TestClassify(t *testing.T) {
+	now := time.Unix(1000, 0)
+	for name, c := range map[string]struct {
+		heartbeats []workerapi.Heartbeat
+		want       []Freshness
+	}{
+		"in order, then duplicates in any order": {
+			[]workerapi.Heartbeat{
+				newHeartbeat(1, 1, testFencingToken), newHeartbeat(1, 2, testFencingToken),
+				newHeartbeat(1, 1, testFencingToken), newHeartbeat(1, 2, testFencingToken), newHeartbeat(1, 3, testFencingToken),
+			},
+			[]Freshness{Fresh, Fresh, Stale, Stale, Fresh},
+		},
+		"with an older fencing token it may be of any age": {
+			[]workerapi.Heartbeat{newHeartbeat(4, 9, testFencingToken-1), newHeartbeat(4, 10, testFencingToken)},
+			[]Freshness{Unverified, Fresh},
+		},
+		"a new incarnation": {
+			[]workerapi.Heartbeat{
+				newHeartbeat(1, 8, testFencingToken), newHeartbeat(2, 1, testFencingToken), newHeartbeat(1, 9, testFencingToken),
+			},
+			[]Freshness{Fresh, Fresh, Stale},
+		},
+		"counters are reset, and the incarnation ends": {
+			[]workerapi.Heartbeat{
+				newHeartbeat(1, 3, testFencingToken), newHeartbeat(1, 1, 0), newHeartbeat(1, 4, 0),
+				newHeartbeat(1, 5, testFencingToken), newHeartbeat(2, 1, testFencingToken),
+			},
+			[]Freshness{Fresh, Stale, Stale, Stale, Fresh},
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			tracker, machine := newTestTracker(), newTestMachine(true)
+			var got []Freshness
+			for _, heartbeat := range c.heartbeats {
+				freshness := tracker.Classify(now, machine, &heartbeat)
+				if freshness == Fresh {
+					newTestRegistry().Reconcile(now, machine, &heartbeat, true, findNoJob)
+					machine.Reconciled = true
+				}
+				got = append(got, freshness)
+			}
+			if !slices.Equal(got, c.want) {
+				t.Errorf("%v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// A machine whose heartbeats arrive and that receives nothing: its starts do not appear, it gets no more, and after two
+// unanswered probes it counts as unresponsive, however punctual its heartbeats are. Once it answers a probe it gets starts again.
+func TestReportingMachineMayBeUnreachable(t *testing.T) {
+	tracker, now := newTestTracker(), time.Unix(1000, 0)
+	machine, registry := newTestMachine(true), newTestRegistry()
+	sequence := uint64(0)
+	sendHeartbeat := func() {
+		sequence++
+		now = now.Add(5 * time.Second) // a worker without a response comes back after five seconds
+		heartbeat := newHeartbeat(1, sequence, testFencingToken)
+		if tracker.Classify(now, machine, &heartbeat) == Fresh {
+			tracker.RecordEnded(now, machine, registry.Reconcile(now, machine, &heartbeat, true, findNoJob))
+			machine.Reconciled = true
+			tracker.RecordAcknowledged(machine)
+		}
+	}
+	sendHeartbeat()
+	if !tracker.IsReachable(machine) {
+		t.Fatal("gets no starts although it has reported the fencing token")
+	}
+	job := jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1}, now)
+	registry.Assign(machine, &jobs.Attempt{Task: jobs.TaskID{JobID: "job-1"}, Number: 1, MachineID: machine.ID, Job: job, AssignedAt: now})
+	sendHeartbeat()
+	suspicion := tracker.linkOf(machine).suspicion
+	if tracker.IsReachable(machine) || suspicion != StartsLost || len(tracker.TakeProbeRequests()) == 0 {
+		t.Errorf("suspicion %v, gets starts: %v", suspicion, tracker.IsReachable(machine))
+	}
+	for range 2 {
+		tracker.StartProbe(now, machine)
+		tracker.ProbeFailed(now, machine)
+		sendHeartbeat()
+	}
+	if !tracker.IsUnresponsive(now, machine) || !machine.IsUnreachable {
+		t.Error("reports and receives nothing, and does not count as unresponsive")
+	}
+	probe := tracker.StartProbe(now, machine)
+	sequence++
+	answer := newHeartbeat(1, sequence, testFencingToken)
+	tracker.ProbeAnswered(now, machine, probe, &answer)
+	if tracker.IsUnresponsive(now, machine) || machine.IsUnreachable || !tracker.IsReachable(machine) {
+		t.Error("answers a probe, and gets no starts")
+	}
+}
