--- a/internal/controller/jobstore/dependencies.go
+++ b/internal/controller/jobstore/dependencies.go
@@ -119,13 +119,13 @@
 		}
 	}
 	if job.UnmetDependencies > 0 {
-		s.observers.waiting(job) // by now it is known whether the job is guaranteed
+		s.observer.JobWaiting(job) // by now it is known whether the job is guaranteed
 		return
 	}
 	if job.ReadyAt.After(job.SubmittedAt) {
 		s.SaveRecord(now, job)
 	}
-	s.observers.ready(now, job)
+	s.observer.JobReady(now, job)
 }
 
 // releaseDependents makes the jobs ready that have waited for a job which is done now, durably.
@@ -135,7 +135,7 @@
 			continue // its acceptance is being written
 		}
 		s.SaveRecord(now, job)
-		s.observers.ready(now, job)
+		s.observer.JobReady(now, job)
 		s.log.Info("dependencies completed",
 			logkeys.Job, job.ID, logkeys.Duration, now.Sub(job.SubmittedAt).Round(time.Millisecond))
 	}
@@ -162,7 +162,7 @@
 		s.accounting.Finish(now, dependent)
 		s.log.Info("job cancelled with a dependency", logkeys.Job, dependent.ID)
 	}
-	s.observers.orderChanged()
+	s.observer.OrderChanged()
 }
 
 // restoreDependencies has the jobs of an earlier leader wait again for what is not done, once all have been restored.
@@ -187,7 +187,7 @@
 	}
 	for _, job := range s.Unfinished {
 		if job.UnmetDependencies > 0 && job.State == jobs.Accepted {
-			s.observers.waiting(job)
+			s.observer.JobWaiting(job)
 		}
 	}
 }
--- a/internal/controller/jobstore/save.go
+++ b/internal/controller/jobstore/save.go
@@ -147,7 +147,7 @@
 func (s *Store) applyDone(now time.Time, job *jobs.Job) {
 	job.State = jobs.Done
 	s.accounting.Finish(now, job)
-	s.observers.done(now, job)
+	s.observer.JobDone(now, job)
 	s.retire(now, job)
 	s.releaseDependents(now, job.ID)
 	s.log.Info("job done", logkeys.Job, job.ID, logkeys.Duration, now.Sub(job.SubmittedAt).Round(time.Millisecond))
@@ -162,7 +162,7 @@
 	for chunk := range job.ChunkCount() {
 		s.storage.Delete(now, job.ChunkName(chunk))
 	}
-	s.observers.orderChanged()
+	s.observer.OrderChanged()
 }
 
 // checkStartBounds logs and counts jobs that have waited for their first task longer than was promised.
--- a/internal/controller/jobstore/store.go
+++ b/internal/controller/jobstore/store.go
@@ -36,14 +36,26 @@
 	Log        *slog.Logger
 }
 
-// observers are told of changes. The functions are never nil.
-type observers struct {
-	orderChanged func()
-	done         func(now time.Time, job *jobs.Job)
-	waiting      func(job *jobs.Job)
-	ready        func(now time.Time, job *jobs.Job)
+// Observer is told of changes of jobs, during the call that makes the change.
+type Observer interface {
+	// OrderChanged tells that jobs have left the queue.
+	OrderChanged()
+	// JobDone tells of a job that is done, durably.
+	JobDone(now time.Time, job *jobs.Job)
+	// JobWaiting tells of an accepted job that waits for others.
+	JobWaiting(job *jobs.Job)
+	// JobReady tells of an accepted job that waits for no other, or for none any more.
+	JobReady(now time.Time, job *jobs.Job)
 }
 
+// noObserver is the observer until another is set.
+type noObserver struct{}
+
+func (noObserver) OrderChanged()                 {}
+func (noObserver) JobDone(time.Time, *jobs.Job)  {}
+func (noObserver) JobWaiting(*jobs.Job)          {}
+func (noObserver) JobReady(time.Time, *jobs.Job) {}
+
 // Store is what a leader knows of all jobs. It belongs to the controller's owner loop and is not safe for concurrent use.
 type Store struct {
 	platform   *config.Platform
@@ -52,7 +64,7 @@
 	storage    *storage.Store
 	workers    *worker.Registry
 	accounting *accounting.Tracker
-	observers  observers
+	observer   Observer
 
 	// Unfinished are the jobs that are neither done nor completely cancelled, by ID. Other packages only read it.
 	Unfinished map[string]*jobs.Job
@@ -73,12 +85,7 @@
 		storage:    components.Storage,
 		workers:    components.Workers,
 		accounting: components.Accounting,
-		observers: observers{
-			orderChanged: func() {},
-			done:         func(time.Time, *jobs.Job) {},
-			waiting:      func(*jobs.Job) {},
-			ready:        func(time.Time, *jobs.Job) {},
-		},
+		observer:   noObserver{},
 		Unfinished: map[string]*jobs.Job{},
 		finished:   map[string]FinalState{},
 		stopping:   map[*jobs.Job]bool{},
@@ -87,17 +94,8 @@
 	return s
 }
 
-// OnOrderChange sets who is told when jobs have left the queue.
-func (s *Store) OnOrderChange(f func()) { s.observers.orderChanged = f }
-
-// OnDone sets who is told of a job that is done, durably.
-func (s *Store) OnDone(f func(now time.Time, job *jobs.Job)) { s.observers.done = f }
-
-// OnWaiting sets who is told of an accepted job that waits for others.
-func (s *Store) OnWaiting(f func(job *jobs.Job)) { s.observers.waiting = f }
-
-// OnReady sets who is told of an accepted job that waits for no other, or for none any more.
-func (s *Store) OnReady(f func(now time.Time, job *jobs.Job)) { s.observers.ready = f }
+// SetObserver sets who is told of changes of jobs. It is called once, before the state is restored.
+func (s *Store) SetObserver(observer Observer) { s.observer = observer }
 
 // Find returns an unfinished job, or nil.
 func (s *Store) Find(id string) *jobs.Job { return s.Unfinished[id] }
--- a/internal/controller/jobstore/store_test.go
+++ b/internal/controller/jobstore/store_test.go
@@ -78,6 +78,14 @@
 	}
 }
 
+// orderObserver counts the changes of the queue's order.
+type orderObserver struct {
+	noObserver
+	changes int
+}
+
+func (o *orderObserver) OrderChanged() { o.changes++ }
+
 // A durable cancellation cancels all jobs that depend on the job, directly or through others, and no other job.
 func TestCancellationCancelsDependents(t *testing.T) {
 	store := newTestStore(t)
@@ -87,8 +95,8 @@
 	other := addJob(store, "job-4", jobs.Accepted)
 	store.WaitForDependencies(now, second, []string{"job-1"})
 	store.WaitForDependencies(now, third, []string{"job-2"})
-	changes := 0
-	store.OnOrderChange(func() { changes++ })
+	observer := &orderObserver{}
+	store.SetObserver(observer)
 	store.ApplyCancellation(now, first)
 	for _, job := range []*jobs.Job{first, second, third} {
 		if job.State != jobs.Cancelled || !job.CancelConfirmedAt.Equal(now) {
@@ -98,7 +106,7 @@
 	if other.State != jobs.Accepted {
 		t.Errorf("%s: state %d", other.ID, other.State)
 	}
-	if changes == 0 {
+	if observer.changes == 0 {
 		t.Error("the order of the queue was not invalidated")
 	}
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"gullrudder/internal/config"
 	"gullrudder/internal/controller/accounting"
 	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/api"
@@ -16,7 +15,6 @@
 	"gullrudder/internal/controller/failures"
 	"gullrudder/internal/controller/fairshare"
 	"gullrudder/internal/controller/heartbeat"
-	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/jobstore"
 	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/queue"
@@ -121,7 +119,8 @@
 	leader.heartbeats = c.newHeartbeatHandler(leader)
 	leader.failover = c.newReconciler(now, leader)
 	leader.api = c.newAPIHandler(leader)
-	c.connect(leader)
+	leader.jobStore.SetObserver(jobObserver{leader, c.platform.HeartbeatInterval})
+	leader.dynamicConfig.OnChange(leader.applyOptions)
 	return leader
 }
 
@@ -244,27 +243,3 @@
 		Logger:     c.log,
 	})
 }
-
-// connect tells the components of one another's events. The functions are set once.
-func (c *Controller) connect(leader *leadership) {
-	leader.jobStore.OnOrderChange(leader.placer.InvalidateOrder)
-	leader.jobStore.OnDone(func(now time.Time, job *jobs.Job) {
-		leader.autoscaler.JobEnded(now, job)
-		leader.fairShare.RecordDone(now, job)
-		leader.heartbeats.ForgetJob(job)
-	})
-	leader.jobStore.OnWaiting(func(job *jobs.Job) {
-		leader.jobStore.DependencyGraph().PropagateDeadline(job, leader.estimator.TaskRunTime, 2*c.platform.HeartbeatInterval, job.Guaranteed)
-	})
-	leader.jobStore.OnReady(func(now time.Time, job *jobs.Job) {
-		leader.placer.InvalidateOrder()
-		leader.autoscaler.JobAccepted(now, job)
-	})
-	leader.dynamicConfig.OnChange(func(options config.Options) {
-		leader.fairShare.SetPolicy(fairshare.PolicyOf(options))
-		leader.planner.SetOptions(options)
-		leader.ranker.SetOptions(options)
-		leader.jobStore.SetOptions(options)
-		leader.placer.InvalidateOrder()
-	})
-}
