--- a/internal/controller/failover/unresponsive.go
+++ b/internal/controller/failover/unresponsive.go
@@ -77,7 +77,7 @@
 func (u *unresponsiveMonitor) check(now time.Time, failoverCompleted bool) {
 	found := u.survey(now, failoverCompleted)
 	if len(found.failed) > 0 {
-		u.cloud.Terminate(now, found.failed, "failed")
+		u.cloud.Terminate(found.failed, "failed")
 	}
 	if len(found.unresponsive) == 0 || len(found.unresponsive)*minMachinesPerUnresponsive > found.machines {
 		return
@@ -89,7 +89,7 @@
 	for _, id := range unresponsive {
 		u.workers.Machines[id].DrainReason = worker.DrainUnresponsive
 	}
-	u.cloud.Terminate(now, unresponsive, string(worker.DrainUnresponsive))
+	u.cloud.Terminate(unresponsive, string(worker.DrainUnresponsive))
 }
 
 // survey classifies all machines, counts expected and overdue heartbeats, and probes the machines with overdue ones.
