--- /dev/null
+++ b/internal/controller/ageing/ageing.go
@@ -0,0 +1,79 @@
+// Package ageing bounds how long a job can wait (starvation bound). It tells which jobs have waited so long that a share
+// of the cluster is theirs, and how long a new job can wait at worst. It owns no state: a Policy computes everything
+// from the jobs' own times, which persistent state keeps. It never decides on which machine a task runs.
+//
+// A job that has waited past the age bound is aged. Of all aged jobs the oldest are served before everything else until
+// tasks of aged jobs hold the policy's share of the cluster. No job that is accepted later is ever served before an
+// older aged one, so all work that can be served first is known when a job is accepted.
+//
+// Design note, with the bound and its proof: docs/design/ageing.md.
+package ageing
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/controller/estimate"
+	"gullrudder/internal/controller/jobs"
+)
+
+// Policy holds the operators' settings for aged jobs.
+type Policy struct {
+	AgeBound      time.Duration // a job that has waited longer is aged
+	Share         float64       // of the cluster's CPUs, for the tasks of aged jobs; 0: nothing is served first
+	EstimateError float64       // factor by which a task may exceed its estimated run time
+}
+
+// PolicyOf returns the policy that the operators have set.
+func PolicyOf(options config.Options) Policy {
+	return Policy{AgeBound: options.AgeBound, Share: options.AgedShare, EstimateError: options.EstimateError}
+}
+
+// CompareAge orders jobs by age, the oldest first: by their first acceptance, or by the end of the last dependency.
+func CompareAge(a, b *jobs.Job) int {
+	return cmp.Or(a.EligibleSince().Compare(b.EligibleSince()), cmp.Compare(a.ID, b.ID))
+}
+
+// IsOlder reports whether a is older than b.
+func IsOlder(a, b *jobs.Job) bool { return CompareAge(a, b) < 0 }
+
+// IsAged reports whether a job has waited past the age bound. A service never is: it has no end to wait for.
+func (p Policy) IsAged(now time.Time, job *jobs.Job) bool {
+	return !job.IsService && now.Sub(job.EligibleSince()) > p.AgeBound
+}
+
+// FirstJobs returns the aged jobs that are served before everything else. startableTasks is the number of further tasks
+// of a job that its team's quota allows to run. A job that the quota keeps waiting uses nothing of the share and delays
+// nobody; it is its team's first job as soon as the quota allows it.
+func (p Policy) FirstJobs(now time.Time, live []*jobs.Job, cpus float64, startableTasks func(*jobs.Job) int) map[*jobs.Job]bool {
+	aged, usedCPUs := p.agedJobs(now, live)
+	if p.Share <= 0 || len(aged) == 0 {
+		return nil
+	}
+	slices.SortFunc(aged, CompareAge)
+	first := map[*jobs.Job]bool{}
+	for _, job := range aged {
+		if usedCPUs >= p.Share*cpus {
+			break
+		}
+		first[job] = true
+		usedCPUs += float64(max(startableTasks(job), 0)) * estimate.CountedCPUs(job)
+	}
+	return first
+}
+
+// agedJobs returns the aged jobs with waiting tasks, and the CPUs that the tasks of all aged jobs use.
+func (p Policy) agedJobs(now time.Time, live []*jobs.Job) (waiting []*jobs.Job, usedCPUs float64) {
+	for _, job := range live {
+		if !p.IsAged(now, job) {
+			continue
+		}
+		usedCPUs += float64(len(job.ActiveAttempts)) * estimate.CountedCPUs(job)
+		if job.WaitingTasks() > 0 {
+			waiting = append(waiting, job)
+		}
+	}
+	return waiting, usedCPUs
+}
--- /dev/null
+++ b/internal/controller/api/dependencies.go
@@ -0,0 +1,81 @@
+package api
+
+import (
+	"maps"
+	"net/http"
+	"time"
+
+	"gullrudder/internal/controller/archive"
+	"gullrudder/internal/controller/jobstore"
+	"gullrudder/internal/wire/server"
+)
+
+// dependencyCheck is what is known of the jobs that a submission names.
+type dependencyCheck struct {
+	unmet        []string // IDs of those that are not done
+	hasCancelled bool     // one of them is cancelled
+}
+
+// checkDependencies looks at the jobs that a submission names. It returns false if it has refused the submission, or has to read the
+// archive first; in that case the submission is served again when that is done.
+func (h *submissionHandler) checkDependencies(now time.Time, submitted jobSubmission) (dependencyCheck, bool) {
+	var check dependencyCheck
+	for _, id := range submitted.spec.Dependencies {
+		state := h.jobStore.DependencyState(id)
+		if lookedUp, ok := submitted.archivedStates[id]; ok && state == jobstore.DependencyArchived {
+			state = lookedUp
+		}
+		switch state {
+		case jobstore.DependencyMet:
+		case jobstore.DependencyCancelled:
+			check.hasCancelled = true
+		case jobstore.DependencyOpen:
+			check.unmet = append(check.unmet, id)
+		case jobstore.DependencyArchived:
+			h.lookUpDependency(now, submitted, id)
+			return dependencyCheck{}, false
+		default:
+			h.refuseDependency(submitted.request, id, state)
+			return dependencyCheck{}, false
+		}
+	}
+	return check, true
+}
+
+func (h *submissionHandler) refuseDependency(request *server.Request, jobID string, state jobstore.DependencyState) {
+	switch state {
+	case jobstore.DependencyUndecided:
+		h.responder.RespondError(request, http.StatusServiceUnavailable, textDependencyUndecided, retryDelay)
+	case jobstore.DependencyService:
+		h.responder.RespondError(request, http.StatusUnprocessableEntity, "needs "+jobID+", a service, which is never done", 0)
+	default:
+		h.responder.RespondError(request, http.StatusUnprocessableEntity, "needs "+jobID+", which was never accepted", 0)
+	}
+}
+
+// lookUpDependency reads from the archive's data what became of a job that a submission names, and then serves the submission again.
+func (h *submissionHandler) lookUpDependency(now time.Time, submitted jobSubmission, jobID string) {
+	h.jobStore.Archive().Resolve(now, h.outbox, jobID, func(now time.Time, final archive.FinalState, found bool, err error) {
+		if !h.holdsLease() || err != nil {
+			h.responder.RespondError(submitted.request, http.StatusServiceUnavailable, textDependencyUndecided, archiveRetryDelay)
+			return
+		}
+		looked := maps.Clone(submitted.archivedStates)
+		if looked == nil {
+			looked = map[string]jobstore.DependencyState{}
+		}
+		looked[jobID] = archivedDependencyState(final, found)
+		submitted.archivedStates = looked
+		h.serveNew(now, submitted)
+	})
+}
+
+func archivedDependencyState(final archive.FinalState, found bool) jobstore.DependencyState {
+	switch {
+	case !found:
+		return jobstore.DependencyNeverAccepted
+	case final.Cancelled:
+		return jobstore.DependencyCancelled
+	}
+	return jobstore.DependencyMet
+}
--- /dev/null
+++ b/internal/controller/archive/compaction.go
@@ -0,0 +1,146 @@
+package archive
+
+import (
+	"encoding/base64"
+	"encoding/binary"
+	"fmt"
+
+	"github.com/RoaringBitmap/roaring/v2/roaring64"
+)
+
+// segmentReader reads the keys of one segment in order, with their payloads.
+type segmentReader struct {
+	segment   *Segment
+	ids       roaring64.IntPeekable64
+	parts     []string
+	remaining []byte // of the part that is read
+	nextPart  int
+	rank      uint64
+}
+
+func newSegmentReader(segment *Segment, parts []string) (*segmentReader, error) {
+	if len(parts) != len(segment.partStarts) {
+		return nil, fmt.Errorf("segment %d: %d parts of %d", segment.Number, len(parts), len(segment.partStarts))
+	}
+	return &segmentReader{segment: segment, ids: segment.ids.Iterator(), parts: parts}, nil
+}
+
+// isAt reports whether the next key is this one.
+func (r *segmentReader) isAt(key uint64) bool { return r.ids.HasNext() && r.ids.PeekNext() == key }
+
+// next returns the payload of the next key.
+func (r *segmentReader) next() (payload []byte, err error) {
+	if r.nextPart < len(r.parts) && r.segment.partStarts[r.nextPart] == r.rank {
+		if r.remaining, err = base64.RawStdEncoding.DecodeString(r.parts[r.nextPart]); err != nil {
+			return nil, fmt.Errorf("segment %d: %w", r.segment.Number, err)
+		}
+		r.nextPart++
+	}
+	key := r.ids.Next()
+	r.rank++
+	if payload, r.remaining, err = splitPayload(r.remaining, key >= hashedKeyBit); err != nil {
+		return nil, fmt.Errorf("segment %d, key %d: %w", r.segment.Number, key, err)
+	}
+	return payload, nil
+}
+
+// compaction merges segments into one of the next level. It takes a bounded number of keys at a time, since the owner loop has other
+// things to do.
+type compaction struct {
+	sources []*segmentReader
+	builder *segmentBuilder
+}
+
+func newCompaction(number uint64, segments []*Segment, data [][]string, maxPartBytes int) (*compaction, error) {
+	c := &compaction{}
+	level := 0
+	for i, segment := range segments {
+		reader, err := newSegmentReader(segment, data[i])
+		if err != nil {
+			return nil, err
+		}
+		c.sources = append(c.sources, reader)
+		level = max(level, segment.Level+1)
+	}
+	c.builder = newSegmentBuilder(number, level, maxPartBytes)
+	return c, nil
+}
+
+// step merges up to so many keys; done is true once all are merged.
+func (c *compaction) step(keys int) (done bool, err error) {
+	for range keys {
+		key, ok := c.leastKey()
+		if !ok {
+			return true, nil
+		}
+		if err := c.mergeKey(key); err != nil {
+			return false, err
+		}
+	}
+	return false, nil
+}
+
+// leastKey is the least key that has not been merged.
+func (c *compaction) leastKey() (least uint64, ok bool) {
+	for _, source := range c.sources {
+		if !source.ids.HasNext() {
+			continue
+		}
+		if key := source.ids.PeekNext(); !ok || key < least {
+			least, ok = key, true
+		}
+	}
+	return least, ok
+}
+
+func (c *compaction) mergeKey(key uint64) error {
+	merge := c.mergeExact
+	if key >= hashedKeyBit {
+		merge = c.mergeHashed
+	}
+	payload, jobs, err := merge(key)
+	if err != nil {
+		return err
+	}
+	c.builder.add(key, payload, jobs)
+	return nil
+}
+
+// mergeExact takes the payload of a key that stands for one job. Only one segment may hold it.
+func (c *compaction) mergeExact(key uint64) (payload []byte, jobs int, err error) {
+	for _, source := range c.sources {
+		if !source.isAt(key) {
+			continue
+		}
+		next, err := source.next()
+		if err != nil {
+			return nil, 0, err
+		}
+		if jobs > 0 {
+			return nil, 0, fmt.Errorf("key %d is in segment %d and in another", key, source.segment.Number)
+		}
+		payload, jobs = next, 1
+	}
+	return payload, jobs, nil
+}
+
+// mergeHashed joins the payloads of a key that stands for all jobs whose IDs have this hash.
+func (c *compaction) mergeHashed(key uint64) (payload []byte, jobs int, err error) {
+	var all []byte
+	var count uint64
+	for _, source := range c.sources {
+		if !source.isAt(key) {
+			continue
+		}
+		next, err := source.next()
+		if err != nil {
+			return nil, 0, err
+		}
+		n, rest, err := readUvarint(next)
+		if err != nil {
+			return nil, 0, err
+		}
+		all, count = append(all, rest...), count+n
+	}
+	return append(binary.AppendUvarint(nil, count), all...), int(count), nil
+}
--- a/internal/controller/autoscaler/arrivals.go
+++ b/internal/controller/autoscaler/arrivals.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"gullrudder/internal/controller/estimate"
 	"gullrudder/internal/controller/jobs"
 )
 
@@ -36,7 +37,7 @@
 type arrivalSum struct{ jobs, cpuSeconds float64 }
 
 // record adds a job that was accepted.
-func (t arrivalTracker) record(now time.Time, job *jobs.Job, estimator runTimeEstimator) {
+func (t arrivalTracker) record(now time.Time, job *jobs.Job, estimator *estimate.Estimator) {
 	key := flowKey{class: job.Class, team: job.Team}
 	flow := t[key]
 	if flow == nil {
--- a/internal/controller/autoscaler/arrivals_test.go
+++ b/internal/controller/autoscaler/arrivals_test.go
@@ -12,7 +12,7 @@
 	f := newFixture()
 	record := func(tasks int) {
 		spec := jobs.Spec{ID: "job-1", Class: "c", Team: "t", Tasks: tasks, CPUs: 1, RunTimeEstimate: time.Minute}
-		f.arrivals.record(f.now, jobs.New(spec, f.now), f.planner)
+		f.arrivals.record(f.now, jobs.New(spec, f.now), f.estimator)
 	}
 	for i := range 60 { // a burst, and nothing after it
 		record(100)
--- a/internal/controller/autoscaler/capacity.go
+++ b/internal/controller/autoscaler/capacity.go
@@ -14,7 +14,7 @@
 
 // ExpectedCapacity returns the capacity that jobs are admitted against: what is there or booting, and what can still be requested.
 func (s *Scaler) ExpectedCapacity(now time.Time) admission.Capacity {
-	capacity := admission.Capacity{StartableTasks: func(job *jobs.Job) int {
+	capacity := admission.Capacity{TasksAllowedByQuota: func(job *jobs.Job) int {
 		return placement.TasksAllowedByQuota(job, s.teams[job.Team], s.workers.TeamUsage(job.Team))
 	}}
 	countByKind := map[cloud.InstanceKind]int{}
--- a/internal/controller/autoscaler/consolidate.go
+++ b/internal/controller/autoscaler/consolidate.go
@@ -90,7 +90,7 @@
 			return false
 		}
 		job := attempt.Job
-		runTime := s.planner.TaskRunTime(job)
+		runTime := s.estimator.TaskRunTime(job)
 		untilEmpty = max(untilEmpty, runTime-now.Sub(attempt.RunningSince), runTime/4)
 		interruption := job.CheckpointDuration + machine.ImageCache.FetchTime(job.ImageGB) + s.platform.HeartbeatInterval
 		cost += job.CPUs * interruption.Seconds()
--- a/internal/controller/autoscaler/demand.go
+++ b/internal/controller/autoscaler/demand.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gullrudder/internal/controller/admission"
+	"gullrudder/internal/controller/queue"
 	"gullrudder/internal/controller/worker"
 )
 
@@ -20,7 +20,7 @@
 )
 
 // newObjectiveForecast returns the forecast for the cluster and the queue as they are.
-func (s *Scaler) newObjectiveForecast(now time.Time, order []admission.Entry) *objectiveForecast {
+func (s *Scaler) newObjectiveForecast(now time.Time, order []queue.Entry) *objectiveForecast {
 	forecast := &objectiveForecast{
 		objectives: s.objectives.objectives,
 		records:    s.objectives.records,
@@ -71,7 +71,7 @@
 
 // newQueueDemand goes through the order of the jobs. A task that waits starts when the tasks that wait before it have had their
 // capacity; what runs already only passes its capacity on.
-func (s *Scaler) newQueueDemand(now time.Time, order []admission.Entry) queueDemand {
+func (s *Scaler) newQueueDemand(now time.Time, order []queue.Entry) queueDemand {
 	demand := queueDemand{cpuSecondsByTeam: map[string]float64{}, positionByClass: map[string]*queuePosition{}}
 	waitingWork, waitingJobs, total := make([]float64, len(order)), 0, 0.0
 	for i := range order {
@@ -107,7 +107,7 @@
 }
 
 // waitingCPUSeconds returns the work of a job's waiting tasks. Services never end and do not count.
-func waitingCPUSeconds(entry *admission.Entry) float64 {
+func waitingCPUSeconds(entry *queue.Entry) float64 {
 	if entry.Job.IsService {
 		return 0
 	}
--- a/internal/controller/autoscaler/expensive.go
+++ b/internal/controller/autoscaler/expensive.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/queue"
 	"gullrudder/internal/controller/worker"
 )
 
@@ -31,7 +31,7 @@
 // requesting now. Machines in use that are not worth their price any more are cordoned, and cordoned ones are used again before
 // others are requested. A kind that is not in the result is not weighed: it is cheap, or the platform states no objectives.
 func (s *Scaler) weighExpensive(
-	now time.Time, offerings []offering, order []admission.Entry, backlog teamBacklogs,
+	now time.Time, offerings []offering, order []queue.Entry, backlog teamBacklogs,
 ) map[cloud.InstanceKind]int {
 	if len(s.objectives.objectives) == 0 {
 		s.cordonExpensive(now, offerings, backlog)
--- a/internal/controller/autoscaler/fixture_test.go
+++ b/internal/controller/autoscaler/fixture_test.go
@@ -11,6 +11,7 @@
 	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/queue"
 	"gullrudder/internal/controller/straggler"
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/controller/zones"
@@ -42,14 +43,14 @@
 	}
 	f := &fixture{now: time.Unix(10_000, 0), jobs: map[string]*jobs.Job{}, outbox: &client.Outbox{}}
 	workers := worker.NewRegistry(worker.LeaseExpiry(platform.WorkerLeaseDuration), log)
-	planner := admission.New(options, platform)
+	queueing := queue.NewComponents(options)
 	cloudClient := cloud.New(1, 2, time.Second, log)
 	cloudClient.MachineTypes = map[string]*cloud.MachineType{
 		"small": {Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}, HourlyPrice: 1, SpotHourlyPrice: 0.3, BootSeconds: 40},
 		"large": {Name: "large", CPUs: 16, MemoryGB: 64, Zones: []string{"a", "b"}, HourlyPrice: 4, SpotHourlyPrice: 1, BootSeconds: 30},
 	}
 	placer := placement.New(placement.Components{
-		Platform: platform, FencingToken: 1, Jobs: f.jobs, Workers: workers, Planner: planner,
+		Platform: platform, FencingToken: 1, Jobs: f.jobs, Workers: workers, Ranker: queue.NewRanker(options, platform, queueing),
 		Capacity: func(now time.Time) admission.Capacity { return f.ExpectedCapacity(now) }, Outbox: f.outbox, Log: log,
 	})
 	f.Scaler = New(Components{
@@ -60,7 +61,7 @@
 		IsFirstLeader: func() bool { return true },
 		Cloud:         cloudClient,
 		Workers:       workers,
-		Planner:       planner,
+		Estimator:     queueing.Estimator,
 		Placer:        placer,
 		Stragglers:    straggler.NewDetector(platform.HeartbeatInterval),
 		Zones:         zones.New(platform.HeartbeatInterval, f.now, log),
--- a/internal/controller/autoscaler/objectives.go
+++ b/internal/controller/autoscaler/objectives.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"gullrudder/internal/config"
+	"gullrudder/internal/controller/estimate"
 	"gullrudder/internal/controller/jobs"
 )
 
@@ -94,16 +95,8 @@
 	return objectiveTracker{objectives: objectives, records: make([]objectiveRecord, len(objectives)), updated: now}
 }
 
-// runTimeEstimator estimates the run times of jobs; package admission has it.
-type runTimeEstimator interface {
-	// TaskRunTime returns how long one task of the job runs.
-	TaskRunTime(job *jobs.Job) time.Duration
-	// RemainingCPUSeconds returns the work that the job has left.
-	RemainingCPUSeconds(job *jobs.Job, now time.Time) float64
-}
-
 // recordEnded records whether a job that has ended kept the objectives of its class.
-func (t *objectiveTracker) recordEnded(now time.Time, job *jobs.Job, estimator runTimeEstimator) {
+func (t *objectiveTracker) recordEnded(now time.Time, job *jobs.Job, estimator *estimate.Estimator) {
 	decay := math.Exp(-now.Sub(t.updated).Seconds() / forecastSpan.Seconds())
 	t.updated = now
 	age := now.Sub(job.EligibleSince())
--- a/internal/controller/autoscaler/scaleout.go
+++ b/internal/controller/autoscaler/scaleout.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/queue"
 	"gullrudder/internal/controller/zones"
 )
 
@@ -63,7 +63,7 @@
 	completableWork float64
 }
 
-func (s *Scaler) newScaleOutPlan(now time.Time, offerings []offering, order []admission.Entry) *scaleOutPlan {
+func (s *Scaler) newScaleOutPlan(now time.Time, offerings []offering, order []queue.Entry) *scaleOutPlan {
 	plan := &scaleOutPlan{capacity: s.projectCapacity(), saturatedShapes: map[int]bool{}}
 	backlog := s.backlogByTeam(order)
 	worthwhile := s.weighExpensive(now, offerings, order, backlog)
@@ -168,7 +168,7 @@
 // teamBacklogs is the work at hand by team.
 type teamBacklogs []teamBacklog
 
-func (s *Scaler) backlogByTeam(order []admission.Entry) teamBacklogs {
+func (s *Scaler) backlogByTeam(order []queue.Entry) teamBacklogs {
 	indexOf := map[string]int{}
 	var backlogs teamBacklogs
 	for i := range order {
--- a/internal/controller/autoscaler/scaler.go
+++ b/internal/controller/autoscaler/scaler.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/estimate"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/straggler"
@@ -36,7 +36,7 @@
 	IsFirstLeader func() bool // no leader before this one has stored anything
 	Cloud         *cloud.Client
 	Workers       *worker.Registry
-	Planner       *admission.Planner
+	Estimator     *estimate.Estimator
 	Placer        *placement.Placer
 	Stragglers    *straggler.Detector
 	Zones         *zones.Tracker
@@ -55,7 +55,7 @@
 	isFirstLeader func() bool
 	cloud         *cloud.Client
 	workers       *worker.Registry
-	planner       *admission.Planner
+	estimator     *estimate.Estimator
 	placer        *placement.Placer
 	stragglers    *straggler.Detector
 	zones         *zones.Tracker
@@ -87,7 +87,7 @@
 		isFirstLeader: components.IsFirstLeader,
 		cloud:         components.Cloud,
 		workers:       components.Workers,
-		planner:       components.Planner,
+		estimator:     components.Estimator,
 		placer:        components.Placer,
 		stragglers:    components.Stragglers,
 		zones:         components.Zones,
@@ -113,7 +113,7 @@
 
 // JobAccepted records that a job has arrived, and makes the next decision due soon: instances take long to boot.
 func (s *Scaler) JobAccepted(now time.Time, job *jobs.Job) {
-	s.arrivals.record(now, job, s.planner)
+	s.arrivals.record(now, job, s.estimator)
 	if early := s.schedule.lastScaled.Add(minScaleInterval); early.Before(s.schedule.nextScale) {
 		s.schedule.nextScale = early
 	}
@@ -121,5 +121,5 @@
 
 // JobEnded records whether a job that has ended kept the objectives of its class.
 func (s *Scaler) JobEnded(now time.Time, job *jobs.Job) {
-	s.objectives.recordEnded(now, job, s.planner)
+	s.objectives.recordEnded(now, job, s.estimator)
 }
--- /dev/null
+++ b/internal/controller/election/fixture_test.go
@@ -0,0 +1,101 @@
+package election
+
+import (
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"gullrudder/internal/wire/client"
+)
+
+const (
+	leaseDuration = 2 * time.Second
+	grantDuration = 2 * time.Second
+)
+
+// fixture is the election of controller a, whose peers are b and c. The test answers its calls.
+type fixture struct {
+	t        *testing.T
+	election *Election
+	now      time.Time
+	outbox   client.Outbox
+}
+
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	now := time.Unix(1000, 0)
+	options := Options{
+		Name: "a", Peers: []Peer{{"b", "b"}, {"c", "c"}},
+		LeaseDuration: leaseDuration, GrantDuration: grantDuration, SafetyMargin: 100 * time.Millisecond,
+	}
+	election := New(options, now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	return &fixture{t: t, now: now, election: election}
+}
+
+// tick lets time pass and returns the calls made.
+func (f *fixture) tick(d time.Duration) []client.Call {
+	f.now = f.now.Add(d)
+	f.election.Tick(f.now, &f.outbox)
+	return f.outbox.TakeCalls()
+}
+
+// answer settles the calls whose path begins with prefix and returns how many there were. A response of nil has no body.
+func (f *fixture) answer(calls []client.Call, prefix string, status int, response any) int {
+	f.t.Helper()
+	count := 0
+	for _, call := range calls {
+		if !strings.HasPrefix(call.Path, prefix) {
+			continue
+		}
+		count++
+		var body []byte
+		if response != nil {
+			body = encode(f.t, response)
+		}
+		call.Done(f.now, client.Result{Status: status, Body: body})
+	}
+	return count
+}
+
+// answerKeyAbsent answers reads of the leader's key.
+func (f *fixture) answerKeyAbsent(calls []client.Call) {
+	f.t.Helper()
+	f.answer(calls, "/keys/", http.StatusNotFound, map[string]int{"tide": 5})
+}
+
+// hasCampaign reports whether a lease is requested.
+func hasCampaign(calls []client.Call) bool {
+	for _, call := range calls {
+		if call.Method == http.MethodPost && call.Path == "/leases" {
+			return true
+		}
+	}
+	return false
+}
+
+// campaignWithLease makes the controller a candidate that holds lease 3; no peer leads.
+func (f *fixture) campaignWithLease() {
+	f.t.Helper()
+	calls := f.tick(0)
+	f.answer(calls, "/peer/inquiry", http.StatusOK, VoteQueryResponse{})
+	f.answerKeyAbsent(calls)
+	calls = f.tick(100 * time.Millisecond)
+	if f.answer(calls, "/leases", http.StatusOK, map[string]int{"permit": 3}) != 1 {
+		f.t.Fatal("no campaign")
+	}
+}
+
+// elect makes the controller the leader, with fencing token 6 and lease 3.
+func (f *fixture) elect() {
+	f.t.Helper()
+	f.campaignWithLease()
+	if f.answer(f.outbox.TakeCalls(), "/commit", http.StatusOK, map[string]int{"tide": 6}) != 1 {
+		f.t.Fatal("no claim")
+	}
+	if !f.election.HoldsLease(f.now) || f.election.FencingToken() != 6 {
+		f.t.Fatalf("not elected: fencing token %d", f.election.FencingToken())
+	}
+}
