--- a/internal/controller/autoscaler/consolidate.go
+++ b/internal/controller/autoscaler/consolidate.go
@@ -8,6 +8,7 @@
 	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/logkeys"
+	"gullrudder/internal/wire/workerapi"
 )
 
 const (
@@ -134,10 +135,10 @@
 func (s *Scaler) drain(now time.Time, machine *worker.Machine) {
 	machine.DrainReason = worker.DrainConsolidated
 	s.log.Info("machine drained", logkeys.Machine, machine.ID, "tasks", len(machine.Attempts))
-	var commands []worker.Command
+	var commands []workerapi.Command
 	for _, attempt := range machine.Attempts {
 		attempt.StopSentAt = now
-		commands = append(commands, worker.Kill(attempt.Task.String(), attempt.Number, attempt.Job.CheckpointDuration.Seconds()))
+		commands = append(commands, workerapi.Kill(attempt.Task.String(), attempt.Number, attempt.Job.CheckpointDuration.Seconds()))
 	}
 	worker.SendCommands(s.outbox, s.fencingToken, machine, commands)
 }
--- a/internal/controller/autoscaler/consolidate_test.go
+++ b/internal/controller/autoscaler/consolidate_test.go
@@ -6,6 +6,7 @@
 
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/workerapi"
 )
 
 // A machine that is hardly used is drained if its tasks checkpoint and others have capacity for them. The tasks start again there.
@@ -93,8 +94,8 @@
 	heartbeat := nextHeartbeat(machine)
 	heartbeat.FencingToken = 1
 	for _, attempt := range machine.Attempts {
-		heartbeat.Tasks = append(heartbeat.Tasks, worker.TaskStatus{
-			Task: attempt.Task.String(), Attempt: attempt.Number, State: worker.StateExited, Reason: "halted", CheckpointSaved: true,
+		heartbeat.Tasks = append(heartbeat.Tasks, workerapi.TaskStatus{
+			Task: attempt.Task.String(), Attempt: attempt.Number, State: workerapi.StateExited, Reason: "halted", CheckpointSaved: true,
 		})
 	}
 	for _, ended := range f.workers.Reconcile(f.now, machine, heartbeat, true, f.findJob) {
--- a/internal/controller/autoscaler/fixture_test.go
+++ b/internal/controller/autoscaler/fixture_test.go
@@ -17,6 +17,7 @@
 	"gullrudder/internal/controller/zones"
 	"gullrudder/internal/testseed"
 	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/workerapi"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
@@ -89,8 +90,8 @@
 }
 
 // nextHeartbeat returns a heartbeat of the machine without tasks.
-func nextHeartbeat(machine *worker.Machine) *worker.Heartbeat {
-	return &worker.Heartbeat{
+func nextHeartbeat(machine *worker.Machine) *workerapi.Heartbeat {
+	return &workerapi.Heartbeat{
 		Machine: machine.ID, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Incarnation: 1, Sequence: machine.Sequence + 1,
 	}
 }
@@ -99,8 +100,8 @@
 func (f *fixture) sendHeartbeat(machine *worker.Machine) {
 	heartbeat := nextHeartbeat(machine)
 	for _, attempt := range machine.Attempts {
-		heartbeat.Tasks = append(heartbeat.Tasks, worker.TaskStatus{
-			Task: attempt.Task.String(), Attempt: attempt.Number, State: worker.StateRunning,
+		heartbeat.Tasks = append(heartbeat.Tasks, workerapi.TaskStatus{
+			Task: attempt.Task.String(), Attempt: attempt.Number, State: workerapi.StateRunning,
 		})
 	}
 	f.workers.Reconcile(f.now, machine, heartbeat, true, f.findJob)
--- a/internal/controller/failover/setup_test.go
+++ b/internal/controller/failover/setup_test.go
@@ -29,6 +29,7 @@
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/server"
+	"gullrudder/internal/wire/workerapi"
 
 	"github.com/prometheus/client_golang/prometheus"
 )
@@ -156,7 +157,7 @@
 // addMachine adds a machine that the worker registry has heard of at the given time, reconciled and registered.
 func (k *testReconciler) addMachine(now time.Time, id, zone string) *worker.Machine {
 	machine := k.workers.GetOrAdd(id)
-	report := worker.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: zone, Incarnation: 1, Sequence: 1}
+	report := workerapi.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: zone, Incarnation: 1, Sequence: 1}
 	k.workers.Reconcile(now, machine, &report, true, k.jobs.Find)
 	machine.Reconciled, machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = true, true, now, now
 	return machine
@@ -188,13 +189,13 @@
 }
 
 // sendHeartbeat delivers a heartbeat, which must be answered with 200, and returns the response.
-func (k *testReconciler) sendHeartbeat(t *testing.T, now time.Time, report worker.Heartbeat) worker.HeartbeatResponse {
+func (k *testReconciler) sendHeartbeat(t *testing.T, now time.Time, report workerapi.Heartbeat) workerapi.HeartbeatResponse {
 	t.Helper()
 	replies := k.exchangeHeartbeat(now, marshal(t, report))
 	if len(replies) != 1 || replies[0].Status != 200 {
 		t.Fatalf("%+v", replies)
 	}
-	var response worker.HeartbeatResponse
+	var response workerapi.HeartbeatResponse
 	if err := codec.Unmarshal(replies[0].Body, &response); err != nil {
 		t.Fatal(err)
 	}
@@ -212,7 +213,7 @@
 
 // newReconcilerWithCancelledJob returns a reconciler that knows a job with one task, cancelled a second ago, and a heartbeat
 // of a machine on which that task runs.
-func newReconcilerWithCancelledJob(t *testing.T, now time.Time) (reconciler *testReconciler, report worker.Heartbeat) {
+func newReconcilerWithCancelledJob(t *testing.T, now time.Time) (reconciler *testReconciler, report workerapi.Heartbeat) {
 	t.Helper()
 	reconciler = newTestReconciler(now, 9)
 	if !reconciler.jobs.OpenArchive() {
@@ -222,14 +223,14 @@
 	reconciler.jobs.Unfinished["job-1"] = job
 	reconciler.jobs.ApplyCancellation(now.Add(-time.Second), job)
 	reconciler.workers.GetOrAdd("vm-1").Registered = true
-	return reconciler, worker.Heartbeat{
+	return reconciler, workerapi.Heartbeat{
 		Machine: "vm-1", Addr: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8,
-		Tasks: []worker.TaskStatus{{Task: "job-1/0", Attempt: 5, State: worker.StateRunning}},
+		Tasks: []workerapi.TaskStatus{{Task: "job-1/0", Attempt: 5, State: workerapi.StateRunning}},
 	}
 }
 
 // countKills counts the commands that end attempt 5 of job-1's task at once.
-func countKills(response worker.HeartbeatResponse) int {
+func countKills(response workerapi.HeartbeatResponse) int {
 	count := 0
 	for _, command := range response.Commands {
 		if command.Operation == "kill" && command.Task == "job-1/0" && command.Attempt == 5 && *command.GraceSeconds == 0 {
--- a/internal/controller/placement/start_tasks.go
+++ b/internal/controller/placement/start_tasks.go
@@ -7,6 +7,7 @@
 	"gullrudder/internal/controller/ageing"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/workerapi"
 )
 
 // maxMachinesExamined bounds the fuller machines that are examined for one job in one heartbeat: the cost of a heartbeat
@@ -26,11 +27,11 @@
 	now         time.Time
 	machine     *worker.Machine
 	maxCommands int
-	commands    []worker.Command
+	commands    []workerapi.Command
 }
 
 // StartTasks chooses up to maxStarts tasks that the machine starts now and returns the commands for its heartbeat response.
-func (p *Placer) StartTasks(now time.Time, machine *worker.Machine, maxStarts int) []worker.Command {
+func (p *Placer) StartTasks(now time.Time, machine *worker.Machine, maxStarts int) []workerapi.Command {
 	if !machine.Reconciled || !machine.Registered || machine.DrainReason != worker.NotDraining ||
 		machine.CPUs+machine.MemoryGB == 0 || now.Before(machine.StartsNotBefore) {
 		return nil
@@ -100,7 +101,7 @@
 			break
 		}
 		attempt := p.newAttempt(batch.now, batch.machine, job, task, p.nextAttemptNumber())
-		batch.commands = append(batch.commands, worker.Start(attempt.Task.String(), attempt.Number))
+		batch.commands = append(batch.commands, workerapi.Start(attempt.Task.String(), attempt.Number))
 		job.PassedOverSince = time.Time{}
 	}
 	if len(batch.commands) > started {
@@ -142,16 +143,16 @@
 }
 
 // gangStarts are the starts of placed gangs that were waiting for the machine's heartbeat.
-func (p *Placer) gangStarts(now time.Time, machine *worker.Machine, maxStarts int) []worker.Command {
+func (p *Placer) gangStarts(now time.Time, machine *worker.Machine, maxStarts int) []workerapi.Command {
 	if len(p.pendingGangStarts) == 0 {
 		return nil
 	}
-	var commands []worker.Command
+	var commands []workerapi.Command
 	for _, attempt := range machine.Attempts {
 		if attempt.IsUnsent && !attempt.IsOrphan && attempt.Job.IsSchedulable() && len(commands) < maxStarts {
 			attempt.IsUnsent, attempt.AssignedAt = false, now
 			delete(p.pendingGangStarts, attempt)
-			commands = append(commands, worker.Start(attempt.Task.String(), attempt.Number))
+			commands = append(commands, workerapi.Start(attempt.Task.String(), attempt.Number))
 		}
 	}
 	return commands
--- /dev/null
+++ b/internal/controller/straggler/detector_test.go
@@ -0,0 +1,100 @@
+package straggler
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gullrudder/internal/testseed"
+)
+
+func TestMain(m *testing.M) { testseed.Main(m) }
+
+// Ten of 400 machines take twice as long, the run times of a job's tasks vary by half, and owners' estimates play no part.
+// All slow machines are found within forty tasks each, with at most two false positives.
+func TestFindsSlowMachines(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	detector := NewDetector(time.Second)
+	const machines, slow = 400, 10
+	found, falsePositives := map[int]int{}, map[int]bool{}
+	for round := range 40 {
+		mean := time.Duration(20+rng.IntN(200)) * time.Second
+		for machine := range machines {
+			runTime := time.Duration(float64(mean) * math.Exp(rng.NormFloat64()*0.4))
+			if machine < slow {
+				runTime *= 2
+			}
+			name := fmt.Sprint(machine)
+			detector.RecordRun(name, runTime, mean, 50)
+			switch {
+			case !detector.IsSlow(name):
+			case machine < slow && found[machine] == 0:
+				found[machine] = round + 1
+			case machine >= slow:
+				falsePositives[machine] = true
+			}
+		}
+	}
+	if len(found) != slow || len(falsePositives) > 2 {
+		t.Errorf("%d of %d slow machines found, %d false positives", len(found), slow, len(falsePositives))
+	}
+}
+
+// recordRuns records so many tasks on each of 20 machines, of which the first takes slowdown times as long.
+func recordRuns(detector *Detector, rng *rand.Rand, tasks int, slowdown float64) {
+	for range tasks {
+		for machine := range 20 {
+			factor := 1.0
+			if machine == 0 {
+				factor = slowdown
+			}
+			runTime := time.Duration(factor * float64(time.Minute) * math.Exp(rng.NormFloat64()*0.2))
+			detector.RecordRun(fmt.Sprint(machine), runTime, time.Minute, 10)
+		}
+	}
+}
+
+// A slow machine that recovers is used again.
+func TestMachineRecovers(t *testing.T) {
+	detector := NewDetector(time.Second)
+	rng := rand.New(rand.NewPCG(3, 4))
+	recordRuns(detector, rng, 20, 3)
+	if !detector.IsSlow("0") || detector.Slowdown("0") < 2 {
+		t.Fatalf("a machine that takes three times as long is not found: slowdown %.2f", detector.Slowdown("0"))
+	}
+	recordRuns(detector, rng, 200, 1)
+	if detector.IsSlow("0") {
+		t.Error("the machine has recovered and is still called slow")
+	}
+}
+
+// If tasks take longer on all machines, none of them is at fault.
+func TestNoMachineIsSlowIfAllAre(t *testing.T) {
+	detector := NewDetector(time.Second)
+	for range 30 {
+		for machine := range 10 {
+			detector.RecordRun(fmt.Sprint(machine), 5*time.Minute, time.Minute, 10)
+		}
+	}
+	for machine := range 10 {
+		if detector.IsSlow(fmt.Sprint(machine)) {
+			t.Errorf("machine %d is called slow though all take as long", machine)
+		}
+	}
+}
+
+// Run times that the resolution cannot tell apart, and jobs with too few completed tasks, are no evidence.
+func TestNoMachineIsSlowWithoutEvidence(t *testing.T) {
+	detector := NewDetector(10 * time.Second)
+	for range 50 {
+		detector.RecordRun("below resolution", time.Minute, 15*time.Second, 10)
+		detector.RecordRun("too few tasks", time.Hour, time.Minute, 2)
+	}
+	for _, machine := range []string{"below resolution", "too few tasks"} {
+		if detector.IsSlow(machine) {
+			t.Errorf("%s: called slow without evidence", machine)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/worker/registry.go
@@ -0,0 +1,138 @@
+// Package worker keeps what the leader knows of its workers' machines. A Registry owns the machines, the attempts on them and
+// what each team's attempts take. It is made at each election, and kept in memory only; of a machine that may hold tasks the
+// heartbeat handler keeps a record in the state service. Only the owner's loop may call it.
+//
+// An attempt leaves the Registry only when it is gone for certain: a newer heartbeat lacks it, the deletion of its machine was
+// confirmed, or the worker's lease has expired with its margin. The package decides nothing about what starts, and apart from
+// SendCommands it sends nothing.
+package worker
+
+import (
+	"log/slog"
+	"sort"
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+)
+
+const (
+	// leaseMargin covers what is not measured between the leader's clock and the end of a worker's tasks.
+	leaseMargin = 500 * time.Millisecond
+	// clockDriftShare is the share of a lease, as a divisor, by which the worker's clock may run slow: 0.2 %.
+	clockDriftShare = 500
+)
+
+// LeaseExpiry returns how long after the leader's last 200 a worker's tasks may still run, given the duration of its lease. The
+// worker counts the lease from when it sent the heartbeat, which was before; its clock may run slow.
+func LeaseExpiry(lease time.Duration) time.Duration {
+	return lease + lease/clockDriftShare + leaseMargin
+}
+
+// Registry is all machines that the leader knows. Machines are added by GetOrAdd and removed by Remove only.
+type Registry struct {
+	Machines       map[string]*Machine         // by ID
+	UsageByTeam    map[string]*Usage           // by name of the team
+	buckets        [BucketCount + 1][]*Machine // the reporting machines by utilization; index 0 is not used
+	reconcileCount uint64                      // heartbeats taken in; jobs.Attempt.LastSeenReconcile refers to it
+	lease          time.Duration
+	log            *slog.Logger
+}
+
+// NewRegistry returns an empty Registry. lease is how long a machine's tasks may outlive the last 200 that it was sent, margin
+// included: see LeaseExpiry.
+func NewRegistry(lease time.Duration, log *slog.Logger) *Registry {
+	return &Registry{Machines: map[string]*Machine{}, UsageByTeam: map[string]*Usage{}, lease: lease, log: log}
+}
+
+// Lease returns how long a machine's tasks may outlive the last 200 that it was sent, margin included.
+func (r *Registry) Lease() time.Duration { return r.lease }
+
+// GetOrAdd returns the machine with this ID, which is added if there is none.
+func (r *Registry) GetOrAdd(id string) *Machine {
+	machine := r.Machines[id]
+	if machine == nil {
+		machine = &Machine{ID: id, Attempts: map[jobs.TaskID]*jobs.Attempt{}}
+		machine.FailedJobs = map[string]bool{}
+		r.Machines[id] = machine
+	}
+	return machine
+}
+
+// MachinesByName returns all machines, sorted by ID.
+func (r *Registry) MachinesByName() []*Machine {
+	machines := make([]*Machine, 0, len(r.Machines))
+	for _, machine := range r.Machines {
+		machines = append(machines, machine)
+	}
+	sort.Slice(machines, func(i, j int) bool { return machines[i].ID < machines[j].ID })
+	return machines
+}
+
+// SetCapacity records a machine's resources, the size of its image cache and the rate in GB/s at which it fetches images.
+func (r *Registry) SetCapacity(machine *Machine, capacity Resources, cacheGB, fetchRate float64) {
+	machine.CPUs, machine.GPUs, machine.MemoryGB = capacity.CPUs, capacity.GPUs, capacity.MemoryGB
+	machine.ImageCache.SizeGB, machine.ImageCache.FetchRate = cacheGB, fetchRate
+	r.updateBucket(machine)
+}
+
+// Remove drops a machine that is gone. ReleaseAll must have been called before.
+func (r *Registry) Remove(machine *Machine) {
+	machine.HasReported = false
+	r.updateBucket(machine)
+	delete(r.Machines, machine.ID)
+}
+
+// TeamUsage returns the usage of a team, which the Registry keeps up to date.
+func (r *Registry) TeamUsage(name string) *Usage {
+	usage := r.UsageByTeam[name]
+	if usage == nil {
+		usage = &Usage{}
+		r.UsageByTeam[name] = usage
+	}
+	return usage
+}
+
+// Assign records an attempt on a machine: it takes resources there and of its team's quota until it is released.
+func (r *Registry) Assign(machine *Machine, attempt *jobs.Attempt) {
+	machine.addAttempt(attempt)
+	r.updateBucket(machine)
+	if attempt.Job == nil {
+		return
+	}
+	usage := r.TeamUsage(attempt.Job.Team)
+	usage.CPUs += attempt.Job.CPUs
+	usage.GPUs += attempt.Job.GPUs
+	if !attempt.IsOrphan {
+		attempt.Job.AddAttempt(attempt)
+	}
+}
+
+// Unassign takes back an attempt whose start was never sent.
+func (r *Registry) Unassign(machine *Machine, attempt *jobs.Attempt) { r.release(machine, attempt) }
+
+// ReleaseAll releases all attempts on a machine that is known to hold none, and returns them.
+func (r *Registry) ReleaseAll(machine *Machine) []EndedAttempt {
+	var ended []EndedAttempt
+	for _, attempt := range machine.Attempts {
+		ended = append(ended, r.releaseLost(machine, attempt))
+	}
+	return ended
+}
+
+// release takes an attempt that is gone off its machine and its job.
+func (r *Registry) release(machine *Machine, attempt *jobs.Attempt) {
+	machine.removeAttempt(attempt)
+	r.updateBucket(machine)
+	if attempt.Job == nil {
+		return
+	}
+	usage := r.TeamUsage(attempt.Job.Team)
+	usage.CPUs -= attempt.Job.CPUs
+	usage.GPUs -= attempt.Job.GPUs
+	attempt.Job.RemoveAttempt(attempt)
+}
+
+// IsLeaseExpired reports whether the worker's lease has expired for certain, so that no task is left on the machine.
+func (r *Registry) IsLeaseExpired(now time.Time, machine *Machine) bool {
+	return now.Sub(machine.LeaseRenewedAt) > r.lease
+}
--- a/internal/site/agent/golden_bytes_test.go
+++ b/internal/site/agent/golden_bytes_test.go
@@ -5,23 +5,27 @@
 	"time"
 
 	"gullrudder/internal/goldenbytes"
+	"gullrudder/internal/wire/workerapi"
 )
 
 func TestGoldenBytes(t *testing.T) {
 	seconds, token, session := 29.5, uint64(70_000), uint64(1<<40)
-	description := Description{
-		Job: "job-000412", Tasks: 4, CPUs: 1.5, MemGB: 2.5, Command: []string{"/bin/run", "{task}"},
-		Env: map[string]string{"KEY": "value"}, Dir: "/work", Retries: 2, Save: 30,
+	description := Spec{
+		JobID: "job-000412", Tasks: 4, CPUs: 1.5, MemoryGB: 2.5, Command: []string{"/bin/run", "{task}"},
+		Env: map[string]string{"KEY": "value"}, WorkingDir: "/work", Retries: 2, CheckpointSeconds: 30,
 	}
 	goldenbytes.Check(t,
-		goldenbytes.MessagePack("report", Report{
-			Machine: "vm-1", Addr: "10.0.0.1:7000", Type: "small", Zone: "a", Spot: true, Session: session,
-			Seq: 300, Token: token, Notice: &seconds,
-			Tasks: []TaskReport{{Task: "job-000412/3", Attempt: 1 << 33, State: exited, Why: whyDone, Saved: true}},
+		goldenbytes.MessagePack("report", workerapi.Heartbeat{
+			Machine: "vm-1", Addr: "10.0.0.1:7000", Type: "small", Zone: "a", Spot: true, Incarnation: session,
+			Sequence: 300, FencingToken: token, ReclaimInSeconds: &seconds,
+			Tasks: []workerapi.TaskStatus{{
+				Task: "job-000412/3", Attempt: 1 << 33, State: workerapi.StateExited, Reason: workerapi.ReasonDone, CheckpointSaved: true,
+			}},
 		}),
-		goldenbytes.MessagePack("answer", answer{
-			Token: &token, Session: &session,
-			Commands: []Command{{Op: "stop", Task: "job-000412/3", Attempt: 1 << 33, Grace: &seconds}}, Leader: "10.0.0.2:80",
+		goldenbytes.MessagePack("answer", controllerMessage{
+			FencingToken: &token, Incarnation: &session,
+			Commands: []workerapi.Command{{Operation: "stop", Task: "job-000412/3", Attempt: 1 << 33, GraceSeconds: &seconds}},
+			Leader:   "10.0.0.2:80",
 		}),
 		goldenbytes.MessagePack("description", description), goldenbytes.JSON("description", description),
 		goldenbytes.MessagePack("greeting", Greeting{
