--- a/internal/controller/zones/tracker.go
+++ b/internal/controller/zones/tracker.go
@@ -182,7 +182,7 @@
 		return
 	}
 	t.log.Info("zone state changed", logkeys.Zone, name, logkeys.State, state.String(), "previous_state", z.state.String(),
-		"machines", z.machinesBeforeOutage, "overdue", z.machines.overdue,
+		logkeys.Machines, z.machinesBeforeOutage, "overdue", z.machines.overdue,
 		logkeys.Duration, now.Sub(z.lastHeartbeat).Round(time.Millisecond), "outages", len(z.outages))
 	z.state, z.stateSince = state, now
 }
