--- a/internal/controller/autoscaler/arrivals_test.go
+++ b/internal/controller/autoscaler/arrivals_test.go
@@ -12,27 +12,27 @@
 	f := newFixture()
 	record := func(tasks int) {
 		spec := jobs.Spec{ID: "job-1", Class: "c", Team: "t", Tasks: tasks, CPUs: 1, RunTimeEstimate: time.Minute}
-		f.arrivals.record(f.now, jobs.New(spec, f.now), f.estimator)
+		f.arrivals.record(f.Now, jobs.New(spec, f.Now), f.estimator)
 	}
 	for i := range 60 { // a burst, and nothing after it
 		record(100)
 		if i == 30 {
-			f.now = f.now.Add(time.Second)
+			f.Now = f.Now.Add(time.Second)
 		}
 	}
 	flow := f.arrivals[flowKey{class: "c", team: "t"}]
-	f.now = f.now.Add(30 * time.Second)
-	if rate := flow.rate(f.now); rate.cpuSeconds > 0 {
+	f.Now = f.Now.Add(30 * time.Second)
+	if rate := flow.rate(f.Now); rate.cpuSeconds > 0 {
 		t.Errorf("a burst counts as a flow of %g CPU s a second", rate.cpuSeconds)
 	}
 	for range 50 {
-		f.now = f.now.Add(2 * time.Second)
+		f.Now = f.Now.Add(2 * time.Second)
 		record(10)
 	}
-	if rate := flow.rate(f.now); rate.cpuSeconds < 250 || rate.cpuSeconds > 350 {
+	if rate := flow.rate(f.Now); rate.cpuSeconds < 250 || rate.cpuSeconds > 350 {
 		t.Errorf("a flow of 300 CPU s a second counts as %g", rate.cpuSeconds)
 	}
-	if rate := flow.rate(f.now.Add(time.Hour)); rate.cpuSeconds > 0 {
+	if rate := flow.rate(f.Now.Add(time.Hour)); rate.cpuSeconds > 0 {
 		t.Errorf("a flow that ended an hour ago counts as %g", rate.cpuSeconds)
 	}
 }
--- a/internal/controller/autoscaler/consolidate_test.go
+++ b/internal/controller/autoscaler/consolidate_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"gullrudder/internal/controller/clustertest"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/wire/workerapi"
@@ -36,11 +37,11 @@
 		machines = append(machines, machine)
 	}
 	for _, machine := range machines {
-		f.sendHeartbeat(machine)
+		f.SendHeartbeat(machine)
 	}
-	f.now = f.now.Add(2 * time.Minute)
+	f.Now = f.Now.Add(2 * time.Minute)
 	for _, machine := range machines {
-		f.sendHeartbeat(machine)
+		f.SendHeartbeat(machine)
 	}
 	return f, job, machines
 }
@@ -48,14 +49,14 @@
 // consolidateAndCheck consolidates and checks how many machines with tasks are drained, by one call each.
 func (f *fixture) consolidateAndCheck(t *testing.T, machines []*worker.Machine, want int) []*worker.Machine {
 	t.Helper()
-	f.consolidate(f.now)
+	f.consolidate(f.Now)
 	var drained []*worker.Machine
 	for _, machine := range machines {
 		if machine.DrainReason == worker.DrainConsolidated && len(machine.Attempts) > 0 {
 			drained = append(drained, machine)
 		}
 	}
-	if calls := f.outbox.TakeCalls(); len(drained) != want || len(calls) != len(drained) {
+	if calls := f.Outbox.TakeCalls(); len(drained) != want || len(calls) != len(drained) {
 		t.Errorf("%d machines drained by %d calls, want %d", len(drained), len(calls), want)
 		return nil
 	}
@@ -67,18 +68,18 @@
 	t.Helper()
 	exited := f.sendExits(drained)
 	f.placer.InvalidateOrder()
-	if len(f.placer.StartTasks(f.now, drained, 9)) > 0 {
+	if len(f.placer.StartTasks(f.Now, drained, 9)) > 0 {
 		t.Error("a task starts on the drained machine")
 	}
-	f.refreshInstances(f.now)
-	f.terminateUnneeded(f.now, f.placer.StartableTasks(f.placer.Order(f.now)))
+	f.refreshInstances(f.Now)
+	f.terminateUnneeded(f.Now, f.placer.StartableTasks(f.placer.Order(f.Now)))
 	if !f.cloud.Instances[drained.ID].Deleting {
 		t.Error("the empty machine is not terminated")
 	}
 	started := 0
-	f.now = f.now.Add(time.Second)
+	f.Now = f.Now.Add(time.Second)
 	for _, machine := range machines {
-		for _, command := range f.placer.StartTasks(f.now, machine, 9) {
+		for _, command := range f.placer.StartTasks(f.Now, machine, 9) {
 			if task, err := jobs.ParseTaskID(command.Task); err == nil && task.JobID == job.ID && machine.ID != drained.ID {
 				started++
 			}
@@ -91,14 +92,14 @@
 
 // sendExits takes in a heartbeat by which all tasks of the machine have exited with a checkpoint. It returns their number.
 func (f *fixture) sendExits(machine *worker.Machine) int {
-	heartbeat := nextHeartbeat(machine)
+	heartbeat := clustertest.NextHeartbeat(machine)
 	heartbeat.FencingToken = 1
 	for _, attempt := range machine.Attempts {
 		heartbeat.Tasks = append(heartbeat.Tasks, workerapi.TaskStatus{
 			Task: attempt.Task.String(), Attempt: attempt.Number, State: workerapi.StateExited, Reason: "halted", CheckpointSaved: true,
 		})
 	}
-	for _, ended := range f.workers.Reconcile(f.now, machine, heartbeat, true, f.findJob) {
+	for _, ended := range f.workers.Reconcile(f.Now, machine, heartbeat, true, f.FindJob) {
 		ended.Attempt.Job.Requeue(ended.Attempt.Task.Index)
 	}
 	return len(heartbeat.Tasks)
--- a/internal/controller/autoscaler/fixture_test.go
+++ b/internal/controller/autoscaler/fixture_test.go
@@ -1,14 +1,13 @@
 package autoscaler
 
 import (
-	"fmt"
-	"log/slog"
 	"testing"
 	"time"
 
 	"gullrudder/internal/config"
 	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/clustertest"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/queue"
@@ -17,110 +16,58 @@
 	"gullrudder/internal/controller/zones"
 	"gullrudder/internal/testseed"
 	"gullrudder/internal/wire/client"
-	"gullrudder/internal/wire/workerapi"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// fixture is a Scaler with machines, a cloud, jobs and a clock of its own.
+// fixture is a Scaler with a cloud, on a cluster of its own.
 type fixture struct {
 	*Scaler
-	now    time.Time
-	jobs   map[string]*jobs.Job
-	outbox *client.Outbox
+	*clustertest.Cluster
 }
 
 func newFixture() *fixture {
-	log := slog.New(slog.DiscardHandler)
-	options := config.DefaultOptions()
-	platform := &config.Platform{
-		Name:                "n",
-		HeartbeatInterval:   4 * time.Second,
-		WorkerLeaseDuration: 20 * time.Second,
-		CPUQuota:            0.2,
-		MaxConnections:      1000,
-		CloudRequestRate:    2,
-		Teams:               []config.Team{{Name: "t", GuaranteedCPUs: 500, CPULimit: 1e6}},
-	}
-	f := &fixture{now: time.Unix(10_000, 0), jobs: map[string]*jobs.Job{}, outbox: &client.Outbox{}}
-	workers := worker.NewRegistry(worker.LeaseExpiry(platform.WorkerLeaseDuration), log)
-	queueing := queue.NewComponents(options)
-	cloudClient := cloud.New(1, 2, time.Second, log)
-	cloudClient.MachineTypes = map[string]*cloud.MachineType{
-		"small": {Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}, HourlyPrice: 1, SpotHourlyPrice: 0.3, BootSeconds: 40},
-		"large": {Name: "large", CPUs: 16, MemoryGB: 64, Zones: []string{"a", "b"}, HourlyPrice: 4, SpotHourlyPrice: 1, BootSeconds: 30},
-	}
+	f := &fixture{Cluster: clustertest.New()}
+	queueing := queue.NewComponents(f.Options)
+	cloudClient := cloud.New(1, 2, time.Second, f.Log)
+	cloudClient.MachineTypes = f.MachineTypes
 	placer := placement.New(placement.Components{
-		Platform: platform, FencingToken: 1, Jobs: f.jobs, Workers: workers, Ranker: queue.NewRanker(options, platform, queueing),
-		Capacity: func(now time.Time) admission.Capacity { return f.ExpectedCapacity(now) }, Outbox: f.outbox, Log: log,
+		Platform: f.Platform, FencingToken: 1, Jobs: f.Jobs, Workers: f.Workers,
+		Ranker:   queue.NewRanker(f.Options, f.Platform, queueing),
+		Capacity: func(now time.Time) admission.Capacity { return f.ExpectedCapacity(now) }, Outbox: f.Outbox, Log: f.Log,
 	})
 	f.Scaler = New(Components{
-		Platform:      platform,
-		Options:       &options,
+		Platform:      f.Platform,
+		Options:       &f.Options,
 		FencingToken:  1,
-		ElectedAt:     f.now,
+		ElectedAt:     f.Now,
 		IsFirstLeader: func() bool { return true },
 		Cloud:         cloudClient,
-		Workers:       workers,
+		Workers:       f.Workers,
 		Estimator:     queueing.Estimator,
 		Placer:        placer,
-		Stragglers:    straggler.NewDetector(platform.HeartbeatInterval),
-		Zones:         zones.New(platform.HeartbeatInterval, f.now, log),
-		Outbox:        f.outbox,
-		Log:           log,
+		Stragglers:    straggler.NewDetector(f.Platform.HeartbeatInterval),
+		Zones:         zones.New(f.Platform.HeartbeatInterval, f.Now, f.Log),
+		Outbox:        f.Outbox,
+		Log:           f.Log,
 	})
 	return f
 }
 
 // setObjectives replaces the objectives of the platform.
 func (f *fixture) setObjectives(configured ...config.Objective) {
-	f.objectives = newObjectiveTracker(objectivesOf(configured), f.now)
+	f.objectives = newObjectiveTracker(objectivesOf(configured), f.Now)
 }
 
 // addMachine adds a machine that has sent its first heartbeat.
-func (f *fixture) addMachine(i int, typeName, zone string, spot bool) *worker.Machine {
-	machine := f.workers.GetOrAdd(fmt.Sprintf("vm-%06d", i))
-	machine.Type, machine.Zone, machine.Spot = typeName, zone, spot
-	f.sendHeartbeat(machine)
-	f.cloud.ObserveHeartbeat(f.now, machine.ID, "", placement.MachineKind(machine))
-	machineType := f.cloud.MachineTypes[typeName]
-	f.workers.SetCapacity(machine, placement.TypeResources(machineType), machineType.ImageCacheGB, machineType.FetchGBPerSecond)
-	machine.Reconciled, machine.Registered = true, true
+func (f *fixture) addMachine(number int, typeName, zone string, spot bool) *worker.Machine {
+	machine := f.AddMachine(number, typeName, zone, spot)
+	f.cloud.ObserveHeartbeat(f.Now, machine.ID, "", placement.MachineKind(machine))
 	return machine
 }
 
-// nextHeartbeat returns a heartbeat of the machine without tasks.
-func nextHeartbeat(machine *worker.Machine) *workerapi.Heartbeat {
-	return &workerapi.Heartbeat{
-		Machine: machine.ID, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Incarnation: 1, Sequence: machine.Sequence + 1,
-	}
-}
-
-// sendHeartbeat takes in a heartbeat that has exactly the tasks that are on the machine, all of them running.
-func (f *fixture) sendHeartbeat(machine *worker.Machine) {
-	heartbeat := nextHeartbeat(machine)
-	for _, attempt := range machine.Attempts {
-		heartbeat.Tasks = append(heartbeat.Tasks, workerapi.TaskStatus{
-			Task: attempt.Task.String(), Attempt: attempt.Number, State: workerapi.StateRunning,
-		})
-	}
-	f.workers.Reconcile(f.now, machine, heartbeat, true, f.findJob)
-	f.renewLease(machine)
-}
-
-func (f *fixture) findJob(id string) *jobs.Job { return f.jobs[id] }
-
-func (f *fixture) renewLease(machine *worker.Machine) {
-	machine.LeaseRenewedAt, machine.LastContactAt = f.now, f.now
-}
-
-func (f *fixture) addJob(i, tasks int, cpus float64) *jobs.Job {
-	job := jobs.New(jobs.Spec{
-		ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "t", Tasks: tasks, CPUs: cpus, MemoryGB: cpus, AllowsSpot: i%3 > 0,
-		SpreadAcrossZones: i%4 == 1, RunTimeEstimate: 30 * time.Second, Deadline: time.Duration(i%2) * time.Minute,
-	}, f.now)
-	job.State, job.Guaranteed = jobs.Accepted, i%2 == 1
-	f.jobs[job.ID] = job
+func (f *fixture) addJob(number, tasks int, cpus float64) *jobs.Job {
+	job := f.AddJob(number, tasks, cpus)
 	f.placer.InvalidateOrder()
 	return job
 }
@@ -131,16 +78,16 @@
 		index := job.TakeNextTask()
 		f.workers.Assign(machine, &jobs.Attempt{
 			Task: jobs.TaskID{JobID: job.ID, Index: index}, Number: uint64(index + 1), MachineID: machine.ID, Zone: machine.Zone,
-			Job: job, AssignedAt: f.now,
+			Job: job, AssignedAt: f.Now,
 		})
 	}
 }
 
 // requestCalls lets the cloud client send its calls and returns the requests for instances among them.
 func (f *fixture) requestCalls() []client.Call {
-	f.cloud.Tick(f.now, f.outbox)
+	f.cloud.Tick(f.Now, f.Outbox)
 	var requests []client.Call
-	for _, call := range f.outbox.TakeCalls() {
+	for _, call := range f.Outbox.TakeCalls() {
 		if call.Path == "/hosts" {
 			requests = append(requests, call)
 		}
--- a/internal/controller/autoscaler/objectives_test.go
+++ b/internal/controller/autoscaler/objectives_test.go
@@ -28,13 +28,13 @@
 	f.setObjectives(config.Objective{Kind: "finished", Class: "c", TimeLimit: time.Minute, TargetShare: 0.95})
 	for i := range 10 {
 		job := f.addJob(i, 1, 1)
-		f.JobEnded(f.now.Add(time.Duration(i*20)*time.Second), job)
+		f.JobEnded(f.Now.Add(time.Duration(i*20)*time.Second), job)
 	}
 	if r := f.objectives.records[0]; r.missed < 4 || r.missed > 6 || r.jobs < 7 || r.jobs > 10 {
 		t.Errorf("%+v", r)
 	}
-	f.now = f.now.Add(2 * time.Hour)
-	f.JobEnded(f.now, f.addJob(11, 1, 1))
+	f.Now = f.Now.Add(2 * time.Hour)
+	f.JobEnded(f.Now, f.addJob(11, 1, 1))
 	if r := f.objectives.records[0]; r.missed > 0.01 || r.jobs > 1.01 {
 		t.Errorf("after two hours: %+v", r)
 	}
--- a/internal/controller/autoscaler/scaleout_test.go
+++ b/internal/controller/autoscaler/scaleout_test.go
@@ -22,12 +22,12 @@
 		f.cloud.Instances[id] = &cloud.Instance{
 			ID:          id,
 			Kind:        cloud.InstanceKind{Type: "large", Zone: "a", Spot: true},
-			RequestedAt: f.now.Add(-time.Minute),
+			RequestedAt: f.Now.Add(-time.Minute),
 			State:       cloud.StateRunning,
 		}
 		machine := f.workers.GetOrAdd(id)
 		machine.Registered = true
-		f.renewLease(machine) // at the election
+		f.RenewLease(machine) // at the election
 	}
 	f.addJob(2, 96, 1)
 	countRequested := func() int {
@@ -37,15 +37,15 @@
 		}
 		return count
 	}
-	if f.scale(f.now); countRequested() > 0 {
+	if f.scale(f.Now); countRequested() > 0 {
 		t.Error("instances are requested for work that may still run on machines that are not reconciled")
 	}
-	f.now = f.now.Add(f.workers.Lease() + time.Second)
-	if f.scale(f.now); countRequested() == 0 {
+	f.Now = f.Now.Add(f.workers.Lease() + time.Second)
+	if f.scale(f.Now); countRequested() == 0 {
 		t.Error("machines that are lost are taken for capacity")
 	}
-	f.now = f.now.Add(silenceGrace)
-	f.scale(f.now)
+	f.Now = f.Now.Add(silenceGrace)
+	f.scale(f.Now)
 	for id, instance := range f.cloud.Instances {
 		if !instance.Deleting {
 			t.Errorf("%s is not terminated", id)
@@ -66,11 +66,11 @@
 	f.options.CostWeight = 0
 	created := 0
 	for range 30 {
-		f.now = f.now.Add(time.Second)
+		f.Now = f.Now.Add(time.Second)
 		for _, machine := range f.workers.Machines {
-			f.renewLease(machine)
+			f.RenewLease(machine)
 		}
-		f.scale(f.now)
+		f.scale(f.Now)
 		for _, call := range f.requestCalls() {
 			created += f.answerWithoutSpot(t, call, created)
 		}
@@ -78,7 +78,7 @@
 	cpus := 0.0
 	for _, instance := range f.cloud.Instances {
 		if !instance.Kind.Spot {
-			cpus += f.cloud.MachineTypes[instance.Kind.Type].CPUs
+			cpus += f.MachineTypes[instance.Kind.Type].CPUs
 		}
 	}
 	if created == 0 || cpus > 32 {
@@ -100,7 +100,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	call.Done(f.now, client.Result{Status: 200, Body: encoded})
+	call.Done(f.Now, client.Result{Status: 200, Body: encoded})
 	return len(ids)
 }
 
@@ -113,14 +113,14 @@
 	}
 	kindInB := cloud.InstanceKind{Type: "large", Zone: "b", Spot: true}
 	f.passSecond("a", "b")
-	if cpus := f.ExpectedCapacity(f.now).CPUs; cpus != 8*16 || f.projectCapacity().totalCPUs != 8*16 {
+	if cpus := f.ExpectedCapacity(f.Now).CPUs; cpus != 8*16 || f.projectCapacity().totalCPUs != 8*16 {
 		t.Fatalf("%g CPUs are counted on", cpus)
 	}
 	for range 8 {
 		f.passSecond("a")
 	}
-	requestable := f.maxRequestable(f.now, kindInB)
-	if cpus := f.ExpectedCapacity(f.now).CPUs; cpus != 4*16 || f.projectCapacity().totalCPUs != 4*16 || requestable != 0 {
+	requestable := f.maxRequestable(f.Now, kindInB)
+	if cpus := f.ExpectedCapacity(f.Now).CPUs; cpus != 4*16 || f.projectCapacity().totalCPUs != 4*16 || requestable != 0 {
 		t.Errorf("%g CPUs are counted on, %d instances may be requested, while the zone is unavailable", cpus, requestable)
 	}
 	for _, machine := range f.workers.MachinesByName() { // they are terminated
@@ -132,40 +132,40 @@
 	for range 20 {
 		f.passSecond("a")
 	}
-	if n := f.maxRequestable(f.now, kindInB); n != 1 {
+	if n := f.maxRequestable(f.Now, kindInB); n != 1 {
 		t.Errorf("%d instances may be requested as a probe", n)
 	}
-	f.zones.RecordRequest(f.now, "b", 1)
-	if f.maxRequestable(f.now, kindInB) != 0 {
+	f.zones.RecordRequest(f.Now, "b", 1)
+	if f.maxRequestable(f.Now, kindInB) != 0 {
 		t.Error("a second probe may be requested at once")
 	}
 	f.addMachine(20, "large", "b", true)
 	f.passSecond("a", "b")
-	if f.ExpectedCapacity(f.now).CPUs != 5*16 || f.maxRequestable(f.now, kindInB) < 2 {
+	if f.ExpectedCapacity(f.Now).CPUs != 5*16 || f.maxRequestable(f.Now, kindInB) < 2 {
 		t.Error("the zone is still not counted on though a machine reports")
 	}
 }
 
 // passSecond lets a second pass in which the machines of the zones send heartbeats.
 func (f *fixture) passSecond(zoneNames ...string) {
-	f.now = f.now.Add(time.Second)
+	f.Now = f.Now.Add(time.Second)
 	reachable := map[string]bool{}
 	for _, name := range zoneNames {
 		reachable[name] = true
 	}
 	for _, machine := range f.workers.Machines {
 		if reachable[machine.Zone] {
-			f.renewLease(machine)
+			f.RenewLease(machine)
 		}
 	}
-	f.zones.Observe(f.now, false, func(visit func(zones.Machine)) {
+	f.zones.Observe(f.Now, false, func(visit func(zones.Machine)) {
 		for _, machine := range f.workers.Machines {
 			visit(zones.Machine{
-				Zone: machine.Zone, HasReported: true, LeaseValid: !f.workers.IsLeaseExpired(f.now, machine), LastHeartbeat: machine.LastContactAt,
+				Zone: machine.Zone, HasReported: true, LeaseValid: !f.workers.IsLeaseExpired(f.Now, machine), LastHeartbeat: machine.LastContactAt,
 			})
 		}
 	})
-	f.refreshInstances(f.now)
+	f.refreshInstances(f.Now)
 }
 
 // newLoadedFixture has machines of which seven in eight are full, and jobs that wait.
@@ -182,7 +182,7 @@
 		}
 		machine := f.addMachine(i, typeName, "a", i%2 == 0)
 		if i%8 > 0 {
-			f.placer.StartTasks(f.now, machine, 300)
+			f.placer.StartTasks(f.Now, machine, 300)
 		}
 	}
 	return f
@@ -199,7 +199,7 @@
 				config.Objective{Kind: "wait", Class: "c", TimeLimit: time.Minute, TargetShare: 0.9},
 			)
 			for b.Loop() {
-				f.scale(f.now)
+				f.scale(f.Now)
 			}
 		})
 	}
--- a/internal/controller/autoscaler/stragglers_test.go
+++ b/internal/controller/autoscaler/stragglers_test.go
@@ -20,19 +20,19 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
-			f.cloud.MachineTypes["small"].HourlyPrice = test.price
+			f.MachineTypes["small"].HourlyPrice = test.price
 			f.addMachinesWithRuns(40, 4)
-			f.cordonStragglers(f.now)
+			f.cordonStragglers(f.Now)
 			cordoned := f.machinesDrainedAs(worker.DrainSlow)
 			if len(cordoned) != test.want {
 				t.Errorf("%v cordoned, want %d", cordoned, test.want)
 			}
-			f.now = f.now.Add(2 * time.Minute)
+			f.Now = f.Now.Add(2 * time.Minute)
 			for _, machine := range f.workers.MachinesByName() {
-				f.sendHeartbeat(machine)
+				f.SendHeartbeat(machine)
 			}
-			f.refreshInstances(f.now)
-			f.terminateUnneeded(f.now, nil)
+			f.refreshInstances(f.Now)
+			f.terminateUnneeded(f.Now, nil)
 			for _, id := range cordoned {
 				if !f.cloud.Instances[id].Deleting {
 					t.Errorf("%s is slow and empty and is not terminated", id)
--- a/internal/controller/placement/benchmark_test.go
+++ b/internal/controller/placement/benchmark_test.go
@@ -16,9 +16,9 @@
 	}
 	f.addJob(waitingJobs, jobs.MaxTasks, 2)
 	for i := range machines {
-		machine := f.addMachine(i, map[bool]string{false: "small", true: "large"}[i%4 == 0], "a", i%2 == 0)
+		machine := f.AddMachine(i, map[bool]string{false: "small", true: "large"}[i%4 == 0], "a", i%2 == 0)
 		if i%8 > 0 {
-			f.StartTasks(f.now, machine, 300)
+			f.StartTasks(f.Now, machine, 300)
 		}
 	}
 	return f
@@ -34,7 +34,7 @@
 			f := newLoadedFixture(size, size)
 			machine := f.workers.Machines["vm-000000"]
 			for b.Loop() {
-				f.StartTasks(f.now, machine, 300)
+				f.StartTasks(f.Now, machine, 300)
 				f.clearMachine(machine)
 			}
 		})
@@ -48,7 +48,7 @@
 			f := newLoadedFixture(size, size)
 			for b.Loop() {
 				f.order.isStale, f.order.madeAt = true, time.Time{}
-				f.refreshOrder(f.now)
+				f.refreshOrder(f.Now)
 			}
 		})
 	}
--- a/internal/controller/placement/gangs_test.go
+++ b/internal/controller/placement/gangs_test.go
@@ -19,7 +19,7 @@
 func (f *fixture) startGangs() (starts []int, numbers map[uint64]bool) {
 	numbers = map[uint64]bool{}
 	for _, machine := range f.workers.MachinesByName() {
-		commands := f.StartTasks(f.now, machine, 300)
+		commands := f.StartTasks(f.Now, machine, 300)
 		starts = append(starts, len(commands))
 		for _, command := range commands {
 			numbers[command.Attempt] = true
@@ -45,10 +45,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture()
 			for i, machineType := range c.machines {
-				f.addMachine(i, machineType, "a", false)
+				f.AddMachine(i, machineType, "a", false)
 			}
 			f.addGang(c.tasks, 4)
-			f.Tick(f.now, true)
+			f.Tick(f.Now, true)
 			starts, numbers := f.startGangs()
 			if !slices.Equal(starts, c.want) {
 				t.Errorf("starts by machine %v, want %v", starts, c.want)
@@ -66,14 +66,14 @@
 // The starts for a machine that stays silent are taken back, and the gang waits as a whole again.
 func TestGangStartsAreWithdrawn(t *testing.T) {
 	f := newFixture()
-	machine := f.addMachine(0, "large", "a", false)
+	machine := f.AddMachine(0, "large", "a", false)
 	job := f.addGang(4, 4)
-	f.Tick(f.now, true)
+	f.Tick(f.Now, true)
 	if len(machine.Attempts) != 4 || job.WaitingTasks() != 0 {
 		t.Fatalf("%d tasks are placed, %d wait", len(machine.Attempts), job.WaitingTasks())
 	}
-	f.now = f.now.Add(2*f.platform.HeartbeatInterval + gangStartSlack + time.Millisecond)
-	f.Tick(f.now, true)
+	f.Now = f.Now.Add(2*f.platform.HeartbeatInterval + gangStartSlack + time.Millisecond)
+	f.Tick(f.Now, true)
 	if len(machine.Attempts) != 0 || job.WaitingTasks() != 4 {
 		t.Errorf("%d tasks are on the machine, %d wait", len(machine.Attempts), job.WaitingTasks())
 	}
@@ -85,10 +85,10 @@
 // A gang that has run in part for too long is stopped.
 func TestPartialGangIsStopped(t *testing.T) {
 	f := newFixture()
-	machine := f.addMachine(0, "large", "a", false)
+	machine := f.AddMachine(0, "large", "a", false)
 	job := f.addGang(4, 4)
-	f.Tick(f.now, true)
-	f.StartTasks(f.now, machine, 300)
+	f.Tick(f.Now, true)
+	f.StartTasks(f.Now, machine, 300)
 	for _, attempt := range job.ActiveAttempts {
 		f.workers.Unassign(machine, attempt)
 		job.Requeue(attempt.Task.Index)
@@ -99,7 +99,7 @@
 		want  int
 	}{{gangCompletionTimeout, 0}, {gangCompletionTimeout + time.Millisecond, 3}} {
 		stopped := 0
-		stopPartialGang(f.now.Add(c.after), job)
+		stopPartialGang(f.Now.Add(c.after), job)
 		for _, attempt := range job.ActiveAttempts {
 			if !attempt.StopSentAt.IsZero() {
 				stopped++
--- a/internal/controller/placement/placement_test.go
+++ b/internal/controller/placement/placement_test.go
@@ -15,12 +15,12 @@
 // with its image as long as fetching would take.
 func TestJobWithImageOnMachineStartsFirst(t *testing.T) {
 	f := newFixture()
-	machine := f.addMachine(1, "small", "a", false)
+	machine := f.AddMachine(1, "small", "a", false)
 	without, with := f.addJob(0, 2, 4), f.addJob(2, 20, 4)
 	without.Image, without.ImageGB, with.Image, with.ImageGB = "without", 1, "with", 1 // fetched in 4 s
 	machine.ImageCache.RecordUse("with", 1)
 	firstStarted := func() string {
-		commands := f.StartTasks(f.now, machine, 1)
+		commands := f.StartTasks(f.Now, machine, 1)
 		if len(commands) != 1 {
 			t.Fatalf("%d starts", len(commands))
 		}
@@ -28,14 +28,14 @@
 		jobID, _, _ := strings.Cut(commands[0].Task, "/")
 		return jobID
 	}
-	f.refreshOrder(f.now)
+	f.refreshOrder(f.Now)
 	if candidates := f.order.candidates; candidates[0].Job != without || candidates[0].Rank != candidates[1].Rank {
 		t.Fatal("the jobs are not in the order that the test is about")
 	}
 	if got := firstStarted(); got != with.ID {
 		t.Errorf("%s starts first", got)
 	}
-	if f.now = f.now.Add(4 * time.Second); firstStarted() != without.ID {
+	if f.Now = f.Now.Add(4 * time.Second); firstStarted() != without.ID {
 		t.Error("a job is passed over for longer than fetching its image takes")
 	}
 }
@@ -45,9 +45,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFixture()
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
-			machine := f.addMachine(i, []string{"small", "large"}[i%2], []string{"a", "b"}[i%3/2], i%4 == 0)
+			machine := f.AddMachine(i, []string{"small", "large"}[i%2], []string{"a", "b"}[i%3/2], i%4 == 0)
 			if rapid.Bool().Draw(t, "used") {
-				f.StartTasks(f.now, machine, rapid.IntRange(0, 9).Draw(t, "starts"))
+				f.StartTasks(f.Now, machine, rapid.IntRange(0, 9).Draw(t, "starts"))
 			}
 		}
 		free, fits := f.machinesByFreeCPUs(), newShapeFits(12)
@@ -72,7 +72,7 @@
 	tasks := 0
 	for _, other := range f.workers.Machines {
 		if other != machine && other.HasReported && other.Reconciled && other.Registered &&
-			f.now.Sub(other.LastContactAt) < 2*f.platform.HeartbeatInterval && !f.now.Before(other.StartsNotBefore) &&
+			f.Now.Sub(other.LastContactAt) < 2*f.platform.HeartbeatInterval && !f.Now.Before(other.StartsNotBefore) &&
 			IsFuller(other, machine) && IsEligible(job, other) &&
 			(other.ReservedFor == nil || other.ReservedFor == job) {
 			tasks += min(other.TasksThatFit(job), TasksAllowedInZone(job, other.Zone))
@@ -88,15 +88,15 @@
 		f := newFixture()
 		machines, list := f.drawCluster(t)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			f.now = f.now.Add(time.Second)
+			f.Now = f.Now.Add(time.Second)
 			machine := rapid.SampledFrom(machines).Draw(t, "machine")
 			job := rapid.SampledFrom(list).Draw(t, "job")
 			f.drawChange(t, machine)
-			got, want := f.tasksOnFuller(f.now, job, machine, job.WaitingTasks(), 1<<30), f.tasksOnFullerByWalk(job, machine)
+			got, want := f.tasksOnFuller(f.Now, job, machine, job.WaitingTasks(), 1<<30), f.tasksOnFullerByWalk(job, machine)
 			if got != want {
 				t.Fatalf("%d tasks of %s fit on machines fuller than %s, want %d", got, job.ID, machine.ID, want)
 			}
-			checkJobCounters(t, f.now, job)
+			checkJobCounters(t, f.Now, job)
 			f.checkShapes(t, machine)
 		}
 	})
@@ -111,7 +111,7 @@
 		if rapid.Bool().Draw(t, "large") {
 			machineType = "large"
 		}
-		machines = append(machines, f.addMachine(i, machineType, []string{"a", "b"}[i%2], i%3 == 0))
+		machines = append(machines, f.AddMachine(i, machineType, []string{"a", "b"}[i%2], i%3 == 0))
 	}
 	for i := range rapid.IntRange(1, 5).Draw(t, "jobs") {
 		tasks := rapid.IntRange(1, 30).Draw(t, "tasks")
@@ -124,13 +124,13 @@
 func (f *fixture) drawChange(t *rapid.T, machine *worker.Machine) {
 	switch rapid.IntRange(0, 4).Draw(t, "what") {
 	case 0, 1:
-		for _, command := range f.StartTasks(f.now, machine, 5) {
+		for _, command := range f.StartTasks(f.Now, machine, 5) {
 			if command.Operation != "start" {
 				t.Fatalf("%v instead of a start", command)
 			}
 		}
 	case 2:
-		f.observeHeartbeat(machine)
+		f.SendHeartbeat(machine)
 	case 3:
 		f.clearMachine(machine)
 	case 4:
@@ -140,7 +140,7 @@
 
 // checkShapes compares what is known of the candidates by their shapes with walks for each of them.
 func (f *fixture) checkShapes(t *rapid.T, machine *worker.Machine) {
-	f.refreshOrder(f.now)
+	f.refreshOrder(f.Now)
 	f.resetShapeChecks()
 	for i := range f.order.candidates {
 		entry := &f.order.candidates[i]
@@ -148,7 +148,7 @@
 		if got, want := f.rejects(machine, entry), machine.TasksThatFit(job) == 0 || !KindAllowed(job, MachineKind(machine)); got != want {
 			t.Fatalf("%s rejects %s: %v", machine.ID, job.ID, got)
 		}
-		if got, want := f.tasksLeftToFuller(f.now, entry, machine), f.tasksOnFullerByWalk(job, machine); got != want {
+		if got, want := f.tasksLeftToFuller(f.Now, entry, machine), f.tasksOnFullerByWalk(job, machine); got != want {
 			t.Fatalf("by its shape %d tasks of %s fit on machines fuller than %s, want %d", got, job.ID, machine.ID, want)
 		}
 	}
--- a/internal/controller/placement/preempt_test.go
+++ b/internal/controller/placement/preempt_test.go
@@ -12,13 +12,13 @@
 // with the given time to its deadline.
 func preemptionFixture(checkpointInterval, deadline time.Duration) (*fixture, *worker.Machine, *jobs.Job) {
 	f := newFixture()
-	machine := f.addMachine(0, "large", "a", false)
+	machine := f.AddMachine(0, "large", "a", false)
 	bestEffort := f.addJob(0, 16, 1)
 	bestEffort.CheckpointInterval, bestEffort.ImageGB = checkpointInterval, 1
-	f.StartTasks(f.now, machine, 300)
+	f.StartTasks(f.Now, machine, 300)
 	for range 16 {
-		f.now = f.now.Add(f.platform.HeartbeatInterval)
-		f.observeHeartbeat(machine)
+		f.Now = f.Now.Add(f.platform.HeartbeatInterval)
+		f.SendHeartbeat(machine)
 	}
 	guaranteed := f.addJob(1, 2, 1)
 	guaranteed.Priority, guaranteed.Deadline, guaranteed.SpreadAcrossZones = jobs.High, deadline, false
@@ -50,7 +50,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f, machine, guaranteed := preemptionFixture(c.checkpoint, c.deadline)
-			f.preempt(f.now)
+			f.preempt(f.Now)
 			stopped := countStopped(machine)
 			if stopped != c.want {
 				t.Errorf("%d tasks are stopped, want %d", stopped, c.want)
@@ -58,7 +58,7 @@
 			if c.want > 0 && machine.ReservedFor != guaranteed {
 				t.Error("the machine is not reserved for the job")
 			}
-			f.preempt(f.now)
+			f.preempt(f.Now)
 			if got := countStopped(machine); got != stopped {
 				t.Errorf("%d more tasks are stopped while the first are stopping", got-stopped)
 			}
--- a/internal/controller/placement/reservations_test.go
+++ b/internal/controller/placement/reservations_test.go
@@ -9,24 +9,24 @@
 // becomes free, the job does.
 func TestReservedMachineIsKeptForJob(t *testing.T) {
 	f := newFixture()
-	machine := f.addMachine(0, "small", "a", false)
+	machine := f.AddMachine(0, "small", "a", false)
 	small := f.addJob(0, 100, 1)
 	small.Team, small.ImageGB = "without quota", 1 // it must not reserve machines
-	if commands := f.StartTasks(f.now, machine, 3); len(commands) != 3 {
+	if commands := f.StartTasks(f.Now, machine, 3); len(commands) != 3 {
 		t.Fatalf("%d starts on an empty machine", len(commands))
 	}
 	large := f.addJob(3, 1, 4) // guaranteed
 	large.ImageGB = 1
-	f.now = f.now.Add(time.Second)
-	f.observeHeartbeat(machine)
-	if commands := f.StartTasks(f.now, machine, 300); len(commands) != 0 {
+	f.Now = f.Now.Add(time.Second)
+	f.SendHeartbeat(machine)
+	if commands := f.StartTasks(f.Now, machine, 300); len(commands) != 0 {
 		t.Fatalf("%d starts on a reserved machine", len(commands))
 	}
 	if machine.ReservedFor != large {
 		t.Fatal("the machine is not reserved for the job")
 	}
 	f.clearMachine(machine)
-	commands := f.StartTasks(f.now, machine, 300)
+	commands := f.StartTasks(f.Now, machine, 300)
 	if len(commands) != 1 || len(large.ActiveAttempts) != 1 {
 		t.Errorf("%d starts, %d of the job that the machine is reserved for", len(commands), len(large.ActiveAttempts))
 	}
