--- /dev/null
+++ b/internal/site/kvserver/recovery.go
@@ -0,0 +1,282 @@
+package kvserver
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"math"
+	"slices"
+	"strings"
+)
+
+// noEndFrame is where the frames of the last segment end: nowhere.
+const noEndFrame = math.MaxUint64
+
+// recovery is the state of a directory, and where its log goes on.
+type recovery struct {
+	keyspace    *keyspace
+	inspection  Inspection
+	lastSegment *segmentHeader // nil: one has to be made
+	offset      int64          // where its next frame goes
+	nextFrame   uint64         // number of that
+	newSegment  uint64         // number of the segment that has to be made
+}
+
+// recoverDirectory reads a directory and changes nothing. If it is damaged, what could be read is returned with the error.
+func recoverDirectory(files Directory) (*recovery, error) {
+	names, err := files.List()
+	if err != nil {
+		return nil, fmt.Errorf("list the data directory: %w", err)
+	}
+	var snapshots, segments []uint64
+	r := &recovery{}
+	for _, name := range names {
+		snapshot, isSnapshot := parseFileNumber(name, snapshotPrefix)
+		segment, isSegment := parseFileNumber(name, segmentPrefix)
+		switch {
+		case isSnapshot:
+			snapshots = append(snapshots, snapshot)
+			r.inspection.Snapshots = append(r.inspection.Snapshots, name)
+		case isSegment:
+			segments = append(segments, segment)
+			r.inspection.Segments = append(r.inspection.Segments, name)
+		case strings.HasSuffix(name, tempSuffix):
+			r.inspection.UnfinishedSnapshots = append(r.inspection.UnfinishedSnapshots, name)
+		case name != lockFileName:
+			return nil, fmt.Errorf("file %q is none of a store's: is this the right directory?", name)
+		}
+	}
+	slices.Sort(segments)
+	slices.Sort(snapshots)
+	slices.Reverse(snapshots)
+	return r, r.load(files, snapshots, segments)
+}
+
+// load reads the newest snapshot that is whole, and replays the log behind it.
+func (r *recovery) load(files Directory, snapshots, segments []uint64) error {
+	var firstDamage error
+	for _, number := range snapshots {
+		name := snapshotName(number)
+		raw, err := files.Read(name)
+		if err != nil {
+			return fmt.Errorf("read %s: %w", name, err)
+		}
+		content, err := readSnapshot(name, raw)
+		if err == nil && content.segment != number {
+			err = &fileError{name, magicBytes, fmt.Errorf("it is of segment %d", content.segment)}
+		}
+		if err != nil {
+			r.inspection.SkippedDamage = append(r.inspection.SkippedDamage, err.Error())
+			if firstDamage == nil {
+				firstDamage = err
+			}
+			continue
+		}
+		r.keyspace, r.inspection.Snapshot, r.inspection.SnapshotBytes = content.keyspace, name, int64(len(raw))
+		if err := r.replayLog(files, segmentsFrom(segments, number), number, content.nextFrame); err != nil {
+			return preferDamage(firstDamage, err)
+		}
+		return nil
+	}
+	r.keyspace = newKeyspace()
+	if firstDamage != nil && (len(segments) == 0 || segments[0] != 1) {
+		return preferDamage(firstDamage, nil)
+	}
+	return r.replayLog(files, segments, 1, 1)
+}
+
+// preferDamage prefers the damage of a snapshot to an error that follows from its being skipped.
+func preferDamage(first, then error) error {
+	var damage *fileError
+	if errors.As(first, &damage) {
+		return &DamageError{File: damage.file, Offset: damage.offset, Reason: damage.err.Error()}
+	}
+	return then
+}
+
+func segmentsFrom(segments []uint64, first uint64) []uint64 {
+	for i, number := range segments {
+		if number >= first {
+			return segments[i:]
+		}
+	}
+	return nil
+}
+
+func (r *recovery) summarize() {
+	r.inspection.Revision, r.inspection.Keys, r.inspection.Leases = r.keyspace.revision, r.keyspace.tree.Len(), len(r.keyspace.leases)
+}
+
+// segmentFile is a segment as it was read.
+type segmentFile struct {
+	name   string
+	raw    []byte
+	header segmentHeader
+	whole  bool // its header is
+}
+
+// replayLog replays the segments from the first one on, whose first frame is known.
+func (r *recovery) replayLog(files Directory, numbers []uint64, first, firstFrame uint64) error {
+	defer r.summarize()
+	r.nextFrame, r.newSegment = firstFrame, first
+	if len(numbers) == 0 {
+		if r.inspection.Snapshot != "" {
+			return newDamageError(segmentName(first), 0, "the segment after %s is missing", r.inspection.Snapshot)
+		}
+		return nil
+	}
+	segments, err := r.readSegments(files, numbers, first)
+	if err != nil {
+		return err
+	}
+	whole, err := r.dropUnfinishedSegment(segments)
+	if err != nil {
+		return err
+	}
+	for i := range whole {
+		endFrame := uint64(noEndFrame)
+		if i+1 < len(whole) {
+			endFrame = whole[i+1].header.firstFrame
+		}
+		if err := r.replaySegment(&whole[i], endFrame); err != nil {
+			return err
+		}
+		header := whole[i].header
+		r.lastSegment, r.newSegment = &header, header.segment+1
+	}
+	if len(whole) < len(segments) {
+		r.lastSegment = nil // the last one is made anew
+		r.newSegment = numbers[len(numbers)-1]
+	}
+	return nil
+}
+
+// readSegments reads the segments, of which none may be missing.
+func (r *recovery) readSegments(files Directory, numbers []uint64, first uint64) ([]segmentFile, error) {
+	segments := make([]segmentFile, 0, len(numbers))
+	for i, number := range numbers {
+		if expected := first + uint64(i); number != expected {
+			return nil, newDamageError(segmentName(expected), 0, "the segment is missing")
+		}
+		name := segmentName(number)
+		raw, err := files.Read(name)
+		if errors.Is(err, fs.ErrNotExist) {
+			return nil, newDamageError(name, 0, "the segment is missing")
+		}
+		if err != nil {
+			return nil, fmt.Errorf("read %s: %w", name, err)
+		}
+		header, ok := parseSegmentHeader(raw)
+		segments = append(segments, segmentFile{name: name, raw: raw, header: header, whole: ok && header.segment == number})
+		r.inspection.LogBytes += int64(len(raw))
+	}
+	return segments, nil
+}
+
+// dropUnfinishedSegment leaves a last segment out that has no header: it was being made when everything ended, unless a frame is in it.
+func (r *recovery) dropUnfinishedSegment(segments []segmentFile) ([]segmentFile, error) {
+	last := &segments[len(segments)-1]
+	if last.whole {
+		return segments, nil
+	}
+	if at, found := findWholeFrame(last.raw, 0, 0); found {
+		return nil, newDamageError(last.name, 0, "the header is damaged, and a whole frame follows at byte %d", at)
+	}
+	r.inspection.TornBytes += int64(len(last.raw))
+	return segments[:len(segments)-1], nil
+}
+
+// replaySegment applies a segment's frames up to a number, which belongs to the next segment.
+func (r *recovery) replaySegment(segment *segmentFile, endFrame uint64) error {
+	if !segment.whole {
+		return newDamageError(segment.name, 0, "the header of the segment is damaged")
+	}
+	if segment.header.firstFrame != r.nextFrame {
+		return newDamageError(segment.name, magicBytes, "frames %d to %d are missing before it", r.nextFrame, segment.header.firstFrame-1)
+	}
+	raw := segment.raw
+	rest := raw[segmentHeaderBytes:]
+	for r.nextFrame < endFrame {
+		offset := len(raw) - len(rest)
+		number, payload, remaining, ok := cutFrame(rest)
+		if !ok || number != r.nextFrame {
+			if err := r.checkTorn(segment, offset, endFrame); err != nil {
+				return err
+			}
+			r.inspection.TornBytes = int64(len(rest))
+			break
+		}
+		if err := r.keyspace.replayRecords(payload); err != nil {
+			return newDamageError(segment.name, offset, "frame %d cannot be read: %v", number, err)
+		}
+		r.inspection.Frames++
+		r.nextFrame++
+		rest = remaining
+	}
+	r.offset = int64(len(raw) - len(rest))
+	return nil
+}
+
+// checkTorn tells a torn frame at the end of the log from a damaged one before its end.
+func (r *recovery) checkTorn(segment *segmentFile, offset int, endFrame uint64) error {
+	if endFrame != noEndFrame {
+		return newDamageError(segment.name, offset, "frame %d is damaged, and the log goes on behind it", r.nextFrame)
+	}
+	if at, found := findWholeFrame(segment.raw, offset+1, r.nextFrame); found {
+		return newDamageError(segment.name, offset, "frame %d is damaged, and a whole one follows at byte %d", r.nextFrame, at)
+	}
+	return nil
+}
+
+// findWholeFrame looks for a whole frame of at least the given number, from an offset on.
+func findWholeFrame(raw []byte, from int, minNumber uint64) (at int, found bool) {
+	for at = from; at+frameHeaderBytes <= len(raw); at++ {
+		if raw[at] != frameMagic&0xff {
+			continue
+		}
+		if number, _, _, ok := cutFrame(raw[at:]); ok && number >= minNumber {
+			return at, true
+		}
+	}
+	return 0, false
+}
+
+// openWAL goes on where the log was found to end.
+func (r *recovery) openWAL(files Directory) (*WAL, error) {
+	if r.lastSegment == nil {
+		return createSegment(files, segmentHeader{segment: r.newSegment, firstFrame: r.nextFrame, revision: r.keyspace.revision})
+	}
+	name := segmentName(r.lastSegment.segment)
+	file, err := files.Open(name)
+	if err != nil {
+		return nil, fmt.Errorf("open %s: %w", name, err)
+	}
+	if r.inspection.TornBytes > 0 {
+		// What is behind the end was never answered, and is not to be looked at again.
+		err = file.Truncate(r.offset)
+	}
+	if err == nil {
+		// What a process that has ended wrote may be in memory only; it is answered from now on, so it has to be durable.
+		err = file.Sync()
+	}
+	if err == nil {
+		err = files.SyncDir()
+	}
+	if err != nil {
+		return nil, fmt.Errorf("go on in %s: %w", name, errors.Join(err, file.Close()))
+	}
+	return &WAL{files: files, file: file, segment: r.lastSegment.segment, nextFrame: r.nextFrame, offset: r.offset}, nil
+}
+
+// removeLeftovers removes what unfinished snapshots and deletions have left.
+func (r *recovery) removeLeftovers(files Directory) error {
+	for _, name := range r.inspection.UnfinishedSnapshots {
+		if err := files.Remove(name); err != nil {
+			return fmt.Errorf("remove %s: %w", name, err)
+		}
+	}
+	if number, ok := parseFileNumber(r.inspection.Snapshot, snapshotPrefix); ok {
+		return removeCoveredFiles(files, number)
+	}
+	return nil
+}
