--- /dev/null
+++ b/internal/controller/accounting/sample.go
@@ -0,0 +1,145 @@
+package accounting
+
+import (
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/queue"
+	"gullrudder/internal/controller/worker"
+)
+
+// ClusterState is what a sample looks at. Nothing of it is changed.
+type ClusterState struct {
+	FailoverCompleted bool // the leader may place tasks
+	StorageHealthy    bool // the state service takes changes
+	Teams             map[string]config.Team
+	Workers           *worker.Registry
+	Cloud             *cloud.Client
+	Queue             []queue.Entry // the waiting jobs, in the order in which they get resources
+}
+
+// sample is one look at the cluster.
+type sample struct {
+	ClusterState
+	machines     []*worker.Machine // that report
+	bootingKinds []cloud.InstanceKind
+	freeCPUs     float64               // available and not reserved
+	reservedCPUs float64               // available and reserved
+	cpusAhead    map[*jobs.Job]float64 // CPUs of the tasks that wait before a job in the queue
+	byShape      map[resourceShape]availability
+}
+
+func newSample(state ClusterState) *sample {
+	s := &sample{ClusterState: state, machines: state.Workers.ReportingMachines(), byShape: map[resourceShape]availability{}}
+	s.sumAvailableCPUs()
+	s.sumCPUsAhead()
+	s.findBootingKinds()
+	return s
+}
+
+func (s *sample) sumAvailableCPUs() {
+	for _, machine := range s.machines {
+		switch {
+		case machine.DrainReason != worker.NotDraining:
+		case machine.ReservedFor == nil:
+			s.freeCPUs += machine.CPUs - machine.UsedCPUs
+		default:
+			s.reservedCPUs += machine.CPUs - machine.UsedCPUs
+		}
+	}
+}
+
+func (s *sample) sumCPUsAhead() {
+	s.cpusAhead = map[*jobs.Job]float64{}
+	ahead := 0.0
+	for i := range s.Queue {
+		job := s.Queue[i].Job
+		s.cpusAhead[job] = ahead
+		ahead += float64(job.WaitingTasks()) * job.CPUs
+	}
+}
+
+// findBootingKinds lists the kinds of the instances whose workers have not reported yet.
+func (s *sample) findBootingKinds() {
+	found := map[cloud.InstanceKind]bool{}
+	for id, instance := range s.Cloud.Instances {
+		hasWorker := s.Workers.Machines[id] != nil
+		if hasWorker || instance.Deleting || instance.State == cloud.StateFailed || found[instance.Kind] {
+			continue
+		}
+		found[instance.Kind] = true
+		s.bootingKinds = append(s.bootingKinds, instance.Kind)
+	}
+}
+
+// reasonFor returns what keeps the job from being done now. The unfinished task that is furthest from being done decides; tasks
+// that run again after a loss count as lost once that applies to all unfinished ones.
+func (s *sample) reasonFor(now time.Time, job *jobs.Job, account *account) WaitReason {
+	switch {
+	case job.State == jobs.Pending:
+		return s.unlessStateUnavailable(NotAccepted)
+	case job.IsFinishing || job.IsCancelling || job.State != jobs.Accepted || job.DoneTasks >= job.Tasks:
+		return s.unlessStateUnavailable(NotDurable)
+	case job.UnmetDependencies > 0:
+		return AwaitingDependencies
+	case !s.FailoverCompleted:
+		return NoLeader
+	case job.CrashLooping:
+		return CrashLooping
+	}
+	if lost, ok := account.lossReason(job.Tasks - job.DoneTasks); ok {
+		return lost
+	}
+	switch {
+	case job.WaitingTasks() > 0:
+		return s.queueReason(now, job)
+	case job.RunningTasks() < len(job.ActiveAttempts):
+		return startReason(job)
+	}
+	return Running
+}
+
+// unlessStateUnavailable returns the reason of a job that waits for a commit.
+func (s *sample) unlessStateUnavailable(reason WaitReason) WaitReason {
+	if !s.StorageHealthy {
+		return StateUnavailable
+	}
+	return reason
+}
+
+// queueReason returns why tasks of a job wait for a machine.
+func (s *sample) queueReason(now time.Time, job *jobs.Job) WaitReason {
+	if now.Before(job.NotBefore) {
+		return AttemptFailed
+	}
+	if placement.TasksAllowedByQuota(job, s.Teams[job.Team], s.Workers.TeamUsage(job.Team)) == 0 {
+		return TeamQuota
+	}
+	available := s.availabilityFor(job)
+	ahead := s.cpusAhead[job]
+	switch {
+	case available.hasFree && ahead < s.freeCPUs, available.hasFreeOrReserved && available.reservedFor[job]:
+		return AwaitingHeartbeat
+	case available.hasFreeOrReserved && ahead < s.freeCPUs+s.reservedCPUs:
+		return Reserved
+	case available.hasUsable:
+		return Queued
+	case available.hasBooting:
+		return MachineBooting
+	}
+	return NoUsableMachine
+}
+
+// startReason returns why a job of which every unfinished task has a machine does not run. Until the worker has reported a task,
+// its start command is on its way.
+func startReason(job *jobs.Job) WaitReason {
+	for _, attempt := range job.ActiveAttempts {
+		if attempt.RunningSince.IsZero() && attempt.LastSeenReconcile == 0 {
+			return AwaitingHeartbeat
+		}
+	}
+	return FetchingImage
+}
--- a/internal/controller/autoscaler/desk_test.go
+++ b/internal/controller/autoscaler/desk_test.go
@@ -12,11 +12,13 @@
 	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/queue"
 	"gullrudder/internal/controller/straggler"
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/controller/zones"
 	"gullrudder/internal/testseed"
 	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/workerapi"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
@@ -41,24 +43,15 @@
 		Teams:               []config.Team{{Name: "t", GuaranteedCPUs: 500, CPULimit: 1e6}},
 	}
 	r := &fixture{jobs: map[string]*jobs.Job{}, outbox: &client.Outbox{}}
-	f, planner, cloudClient := worker.NewRegistry(
-		worker.LeaseExpiry(cfg.WorkerLeaseDuration),
-		log,
-	), admission.New(
-		opt,
-		cfg,
-	), cloud.New(
-		1,
-		2,
-		time.Second,
-		log,
-	)
+	f := worker.NewRegistry(worker.LeaseExpiry(cfg.WorkerLeaseDuration), log)
+	queueing := queue.NewComponents(opt)
+	cloudClient := cloud.New(1, 2, time.Second, log)
 	cloudClient.MachineTypes = map[string]*cloud.MachineType{
 		"small": {Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}, HourlyPrice: 1, SpotHourlyPrice: 0.3, BootSeconds: 40},
 		"large": {Name: "large", CPUs: 16, MemoryGB: 64, Zones: []string{"a", "b"}, HourlyPrice: 4, SpotHourlyPrice: 1, BootSeconds: 30},
 	}
 	placer := placement.New(placement.Components{
-		Platform: cfg, FencingToken: 1, Jobs: r.jobs, Workers: f, Planner: planner,
+		Platform: cfg, FencingToken: 1, Jobs: r.jobs, Workers: f, Ranker: queue.NewRanker(opt, cfg, queueing),
 		Capacity: func(now time.Time) admission.Capacity { return r.ExpectedCapacity(now) }, Outbox: r.outbox, Log: log,
 	})
 	r.Scaler = New(Components{
@@ -69,7 +62,7 @@
 		IsFirstLeader: func() bool { return true },
 		Cloud:         cloudClient,
 		Workers:       f,
-		Planner:       planner,
+		Estimator:     queueing.Estimator,
 		Placer:        placer,
 		Stragglers:    straggler.NewDetector(cfg.HeartbeatInterval),
 		Zones:         zones.New(cfg.HeartbeatInterval, now, log),
@@ -91,9 +84,9 @@
 
 // sendHeartbeat takes in a report that has exactly what is on the machine, all of it running.
 func (r *fixture) sendHeartbeat(now time.Time, m *worker.Machine, typ, zone string, spot bool) {
-	rep := &worker.Heartbeat{Machine: m.ID, Type: typ, Zone: zone, Spot: spot, Incarnation: 1, Sequence: m.Sequence + 1}
+	rep := &workerapi.Heartbeat{Machine: m.ID, Type: typ, Zone: zone, Spot: spot, Incarnation: 1, Sequence: m.Sequence + 1}
 	for _, a := range m.Attempts {
-		rep.Tasks = append(rep.Tasks, worker.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: worker.StateRunning})
+		rep.Tasks = append(rep.Tasks, workerapi.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: workerapi.StateRunning})
 	}
 	r.workers.Reconcile(now, m, rep, true, func(id string) *jobs.Job { return r.jobs[id] })
 	m.LeaseRenewedAt, m.LastContactAt = now, now
@@ -156,11 +149,11 @@
 			continue
 		}
 		m := n.workers.Machines[drained[0]]
-		r := worker.Heartbeat{Machine: m.ID, Type: "large", Zone: "a", Spot: true, Incarnation: 1, Sequence: m.Sequence + 1, FencingToken: 1}
+		r := workerapi.Heartbeat{Machine: m.ID, Type: "large", Zone: "a", Spot: true, Incarnation: 1, Sequence: m.Sequence + 1, FencingToken: 1}
 		for _, a := range m.Attempts {
 			r.Tasks = append(
 				r.Tasks,
-				worker.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: worker.StateExited, Reason: "halted", CheckpointSaved: true},
+				workerapi.TaskStatus{Task: a.Task.String(), Attempt: a.Number, State: workerapi.StateExited, Reason: "halted", CheckpointSaved: true},
 			)
 		}
 		for _, e := range n.workers.Reconcile(now, m, &r, true, func(id string) *jobs.Job { return n.jobs[id] }) {
--- a/internal/controller/autoscaler/thin.go
+++ b/internal/controller/autoscaler/thin.go
@@ -7,6 +7,7 @@
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/workerapi"
 )
 
 const (
@@ -80,7 +81,7 @@
 		if !a.CanBePreempted(now) || now.Sub(a.AssignedAt) < minRunBeforeMove {
 			return false
 		}
-		perTask := d.planner.TaskRunTime(a.Job)
+		perTask := d.estimator.TaskRunTime(a.Job)
 		last = max(last, perTask-now.Sub(a.RunningSince), perTask/4)
 		cost += a.Job.CPUs * (a.Job.CheckpointDuration + m.ImageCache.FetchTime(a.Job.ImageGB) + d.platform.HeartbeatInterval).Seconds()
 	}
@@ -118,10 +119,10 @@
 func (d *Scaler) drain(now time.Time, m *worker.Machine) {
 	m.DrainReason = worker.DrainConsolidated
 	d.log.Info("emptying a machine", "machine", m.ID, "tasks", len(m.Attempts))
-	var list []worker.Command
+	var list []workerapi.Command
 	for _, a := range m.Attempts {
 		a.StopSentAt = now
-		list = append(list, worker.Kill(a.Task.String(), a.Number, a.Job.CheckpointDuration.Seconds()))
+		list = append(list, workerapi.Kill(a.Task.String(), a.Number, a.Job.CheckpointDuration.Seconds()))
 	}
 	worker.SendCommands(d.outbox, d.fencingToken, m, list)
 }
--- /dev/null
+++ b/internal/controller/heartbeat/failure.go
@@ -0,0 +1,96 @@
+package heartbeat
+
+import (
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/logkeys"
+)
+
+const (
+	// maxAvoidedMachines is on how many machines a job may have failed before it is tried on all of them again, as a small site
+	// has no others.
+	maxAvoidedMachines = 3
+	// maxRetryDelay bounds the delay between two tries of a job that fails and has completed nothing.
+	maxRetryDelay = time.Minute
+)
+
+// recordFailure takes in that a task has ended with an error. The job avoids the machine from now on. Whether the job is
+// crash-looping or the machine is faulty is decided by the failure tracker.
+func (h *Handler) recordFailure(now time.Time, machine *worker.Machine, job *jobs.Job) {
+	job.FailureCount++
+	h.log.Info("task failed", logkeys.Job, job.ID, logkeys.Machine, machine.ID, logkeys.Count, job.FailureCount)
+	tracker := h.observers.failures
+	if job.CrashLooping && !tracker.IsCrashLooping(job.ID) {
+		tracker.RestoreCrashLooping(now, job.ID) // the verdict of an earlier leader
+	}
+	tracker.RecordFailure(now, job.ID, machine.ID, job.DoneTasks)
+	h.avoidMachine(now, machine, job)
+	if !job.IsGang && !job.IsService && tracker.IsCrashLooping(job.ID) {
+		h.throttleCrashLooping(now, job)
+	}
+	if tracker.IsFaulty(machine.ID) && machine.DrainReason == worker.NotDraining {
+		machine.DrainReason = worker.DrainFaulty
+		h.log.Info("machine quarantined", logkeys.Machine, machine.ID)
+	}
+}
+
+// avoidMachine keeps the job off the machine, until it has failed on so many machines that all are tried again after a delay.
+func (h *Handler) avoidMachine(now time.Time, machine *worker.Machine, job *jobs.Job) {
+	machine.FailedJobs[job.ID] = true
+	if job.FailedMachines == nil {
+		job.FailedMachines = map[string]bool{}
+	}
+	job.FailedMachines[machine.ID] = true
+	if len(job.FailedMachines) < maxAvoidedMachines {
+		return
+	}
+	job.NotBefore = now.Add(retryDelay)
+	if job.DoneTasks == 0 {
+		job.NotBefore = now.Add(min(time.Duration(job.FailureCount)*retryDelay, maxRetryDelay))
+	}
+	for id := range job.FailedMachines {
+		if other := h.workers.Machines[id]; other != nil {
+			delete(other.FailedJobs, job.ID)
+		}
+	}
+	job.FailedMachines = nil
+}
+
+// throttleCrashLooping has one task of a crash-looping job tried at a time, with growing delays. Its other attempts are stopped:
+// they would fail as well, and take the resources of others until then. The verdict is part of the job's record, so that the next
+// leader does not start all of its tasks again.
+func (h *Handler) throttleCrashLooping(now time.Time, job *jobs.Job) {
+	job.NotBefore = h.observers.failures.ScheduleRetry(now, job.ID)
+	if job.CrashLooping {
+		return
+	}
+	job.CrashLooping = true
+	stopped := 0
+	for _, attempt := range job.ActiveAttempts {
+		if !attempt.IsUnsent && attempt.StopSentAt.IsZero() {
+			attempt.StopSentAt = now
+			stopped++
+		}
+	}
+	h.log.Info("job crash-looping", logkeys.Job, job.ID, logkeys.Team, job.Team, logkeys.Class, job.Class,
+		"failed_machines", h.observers.failures.FailedMachineCount(job.ID), "stopped_attempts", stopped)
+	h.jobStore.SaveRecord(now, job)
+	h.placer.InvalidateOrder()
+}
+
+// recordCompletion takes in that a task of the job has completed on the machine, which is evidence for both.
+func (h *Handler) recordCompletion(now time.Time, machine *worker.Machine, job *jobs.Job) {
+	h.observers.failures.RecordCompletion(job.ID, machine.ID)
+	if !job.CrashLooping {
+		return
+	}
+	job.CrashLooping, job.NotBefore = false, time.Time{}
+	h.log.Info("crash-looping job recovered", logkeys.Job, job.ID, logkeys.Machine, machine.ID)
+	h.jobStore.SaveRecord(now, job)
+	h.placer.InvalidateOrder()
+}
+
+// ForgetJob drops what is kept of a job that has ended.
+func (h *Handler) ForgetJob(job *jobs.Job) { h.observers.failures.ForgetJob(job.ID) }
--- a/internal/controller/storage/commit.go
+++ b/internal/controller/storage/commit.go
@@ -1,165 +1,199 @@
 package storage
 
 import (
+	"net/http"
 	"slices"
 	"time"
 
+	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
+)
+
+const (
+	commitPath  = "/commit"
+	keyPath     = "/keys/"
+	readTimeout = time.Second
+	// commitTimeout is longer than readTimeout: the state service syncs its disk before it answers a commit.
+	commitTimeout = 1500 * time.Millisecond
 
-	"github.com/vmihailenco/msgpack/v5"
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = time.Second
+	// maxRequeueDelay bounds the wait that the state service may ask for after a commit that was not executed.
+	maxRequeueDelay = 2 * time.Second
 )
 
-// One commit is in flight at a time. What became of one that nobody answered is read back before anything else is sent.
+// commitState is what becomes of the commits.
+//
+// One commit is in flight at a time. If nobody answers it, it may be executed at any later time, so its outcome is read back before
+// anything else is written.
+type commitState struct {
+	sequence     uint64 // of the last commit
+	inFlight     *transaction
+	retryAt      time.Time
+	retryDelay   time.Duration
+	failingSince time.Time // zero while commits get through
+}
+
+// transaction is a commit in flight.
+type transaction struct {
+	sequence uint64
+	pages    []*page // pages that it writes
+	wasDirty []bool  // which of them had unsaved changes
+	waiters  [][]DoneFunc
+	move     *entryMove // entries that move in the same commit, or nil
+	guarded  []*page    // pages whose revision it requires
+}
 
-func (l *Store) sendCommit(now time.Time, box *client.Outbox, pages []*page, move *entryMove) {
-	l.sequence++
-	txn := &transaction{sequence: l.sequence, pages: pages, move: move, guarded: pages}
-	guards := []any{map[string]any{"path": l.options.LeaderKey, "mark": l.fencingToken}}
-	var apply []any
+// sendCommit writes pages as they are now, and as a move leaves them if there is one.
+func (s *Store) sendCommit(outbox *client.Outbox, pages []*page, move *entryMove) {
+	s.commits.sequence++
+	txn := &transaction{sequence: s.commits.sequence, pages: pages, move: move, guarded: pages}
+	request := CommitRequest{Preconditions: []Precondition{s.requireLeadership()}}
 	for _, p := range pages {
-		guards = append(guards, map[string]any{"path": p.key, "mark": p.modRevision})
-		value := pageValue{Sequence: txn.sequence, Leader: l.fencingToken, Entries: make(map[string]msgpack.RawMessage, len(p.entries))}
-		for name, e := range p.entries {
-			value.Entries[name] = e.raw
-		}
+		request.Preconditions = append(request.Preconditions, Precondition{Key: p.key, ModRevision: p.modRevision})
+		value := p.value(s.fencingToken, txn.sequence)
 		if move != nil {
-			move.applyTo(p, p == l.archiveHead, value.Entries, l.entries)
+			move.applyTo(p, p == s.archive.head, value.Entries, s.pages.entries)
 		}
-		apply = append(apply, map[string]any{"write": p.key, "value": value})
+		request.Operations = append(request.Operations, Operation{Write: p.key, Value: value})
 		txn.waiters = append(txn.waiters, p.waiters)
-		txn.wasDirty = append(txn.wasDirty, l.dirtyPages[p])
+		txn.wasDirty = append(txn.wasDirty, s.pages.dirty[p])
 		p.urgent, p.waiters = false, nil
-		delete(l.dirtyPages, p)
+		delete(s.pages.dirty, p)
 	}
 	if move != nil && move.source != nil && !slices.Contains(pages, move.source) {
-		// Copies are made of what is there: an earlier try that is executed late changes that.
-		guards = append(guards, map[string]any{"path": move.source.key, "mark": move.source.modRevision})
+		// The page that is copied has to be as it is known here: an earlier commit that is executed late would change it.
+		source := Precondition{Key: move.source.key, ModRevision: move.source.modRevision}
+		request.Preconditions = append(request.Preconditions, source)
 		txn.guarded = append(slices.Clone(pages), move.source)
 	}
-	if move != nil && move.source == nil && l.archiveHead.modRevision == 0 {
-		guards = append(guards, map[string]any{"path": formatKey, "mark": 0})
-		apply = append(apply, map[string]any{"write": formatKey, "value": formatVersion})
-	}
-	l.inFlight = txn
-	l.call(box, client.Call{
-		Method: "POST", Path: "/commit", Timeout: 1500 * time.Millisecond,
-		Body: map[string]any{"guards": guards, "apply": apply},
-		Done: func(now time.Time, r client.Result) {
-			var a struct {
-				Tide uint64 `msgpack:"tide"`
-			}
-			switch {
-			case r.Status == 200 && codec.Unmarshal(r.Body, &a) == nil && a.Tide > l.fencingToken:
-				l.commitSucceeded(now, a.Tide)
-			case r.IsUncertain() || r.Status == 200:
-				l.notifyUncertain(now)
-				l.readBack(now, box, 0, 0)
-			case r.Status == 409:
-				var c struct {
-					Failed []string `msgpack:"failed"`
-				}
-				if codec.Unmarshal(r.Body, &c) != nil || slices.Contains(c.Failed, l.options.LeaderKey) {
-					l.commitFenced(len(txn.pages))
-					return
-				}
-				l.notifyUncertain(now)
-				l.resolveConflict(now, box, 0)
-			case r.Status == 400:
-				l.handleMalformed(txn.pages)
-				l.requeue(now, r.RetryAfter)
-			default:
-				l.log.Info("a commit was not executed", "status", r.Status)
-				l.requeue(now, r.RetryAfter)
-			}
-		},
+	if move != nil && move.source == nil && s.archive.head.modRevision == 0 {
+		request.Preconditions = append(request.Preconditions, requireAbsent(formatKey))
+		request.Operations = append(request.Operations, Operation{Write: formatKey, Value: formatVersion})
+	}
+	s.commits.inFlight = txn
+	s.send(outbox, client.Call{
+		Method: http.MethodPost, Path: commitPath, Timeout: commitTimeout, Body: request,
+		Done: func(now time.Time, r client.Result) { s.handleCommitResult(now, outbox, r) },
 	})
 }
 
-func (l *Store) commitSucceeded(now time.Time, modRevision uint64) {
-	txn := l.inFlight
-	l.inFlight = nil
-	l.failingSince, l.retryDelay = time.Time{}, 0
+// requireLeadership requires that no other leader was elected since.
+func (s *Store) requireLeadership() Precondition {
+	return Precondition{Key: s.options.LeaderKey, ModRevision: s.fencingToken}
+}
+
+func (s *Store) handleCommitResult(now time.Time, outbox *client.Outbox, result client.Result) {
+	txn := s.commits.inFlight
+	var executed commitResponse
+	switch {
+	case result.Status == http.StatusOK && codec.Unmarshal(result.Body, &executed) == nil && executed.Revision > s.fencingToken:
+		s.commitSucceeded(now, executed.Revision)
+	case result.IsUncertain() || result.Status == http.StatusOK:
+		s.notifyUncertain(now)
+		s.readBack(outbox, 0, 0)
+	case result.Status == http.StatusConflict:
+		var conflict commitConflict
+		if codec.Unmarshal(result.Body, &conflict) != nil || slices.Contains(conflict.FailedKeys, s.options.LeaderKey) {
+			s.commitFenced(len(txn.pages))
+			return
+		}
+		s.notifyUncertain(now)
+		s.resolveConflict(outbox, 0)
+	case result.Status == http.StatusBadRequest:
+		s.handleMalformed(txn.pages)
+		s.requeue(now, result.RetryAfter)
+	default:
+		s.log.Info("commit not executed", logkeys.Status, result.Status)
+		s.requeue(now, result.RetryAfter)
+	}
+}
+
+// commitSucceeded records that the commit in flight was executed at a revision.
+func (s *Store) commitSucceeded(now time.Time, revision uint64) {
+	txn := s.commits.inFlight
+	s.commits.inFlight = nil
+	s.commits.failingSince, s.commits.retryDelay = time.Time{}, 0
 	for _, p := range txn.pages {
-		p.modRevision, p.hasStaleCopies = modRevision, false
+		p.modRevision, p.hasStaleCopies = revision, false
 	}
 	if txn.move != nil {
-		l.applyMove(now, txn.move)
+		s.applyMove(now, txn.move)
 	}
-	for _, ws := range txn.waiters {
-		for _, w := range ws {
-			w(now, true)
-		}
+	for _, waiters := range txn.waiters {
+		notify(now, waiters, true)
 	}
 	if txn.move != nil {
 		txn.move.done(now, true)
 	}
 }
 
-func (l *Store) commitFenced(writes int) {
-	l.log.Error("a commit was refused by its guards", "token", l.fencingToken, "writes", writes)
-	l.fenced = true
+func notify(now time.Time, waiters []DoneFunc, ok bool) {
+	for _, done := range waiters {
+		done(now, ok)
+	}
 }
 
-// resolveConflict finds out whose write has come before a commit that the guard of a page refused: if the leader's key is as it was,
-// our own, an earlier try that was given up and carried out late. Then the pages are read back like after an unknown outcome.
-func (l *Store) resolveConflict(now time.Time, box *client.Outbox, after time.Duration) {
-	l.call(box, client.Call{
-		Method: "GET", Path: "/keys/" + l.options.LeaderKey, Delay: after, Timeout: time.Second,
-		Done: func(now time.Time, r client.Result) {
-			var a struct {
-				Mark uint64 `msgpack:"mark"`
-			}
+// commitFenced ends the leadership: another leader has written.
+func (s *Store) commitFenced(writes int) {
+	s.log.Error("commit rejected by its preconditions", logkeys.FencingToken, s.fencingToken, logkeys.Count, writes)
+	s.fenced = true
+}
+
+// resolveConflict finds out whose write came before a commit that was refused because a page has changed. If the leader's key is
+// unchanged, it was an earlier commit of this leader that was given up and executed late. Then the pages are read back as after an
+// uncertain outcome.
+func (s *Store) resolveConflict(outbox *client.Outbox, delay time.Duration) {
+	s.send(outbox, client.Call{
+		Method: http.MethodGet, Path: keyPath + s.options.LeaderKey, Delay: delay, Timeout: readTimeout,
+		Done: func(_ time.Time, r client.Result) {
+			var leader leaderKeyResponse
 			switch {
-			case r.Status == 200 && codec.Unmarshal(r.Body, &a) == nil && a.Mark == l.fencingToken:
-				l.readBack(now, box, 0, 0)
-			case r.Status == 200 && a.Mark > 0, r.Status == 404:
-				l.commitFenced(len(l.inFlight.pages))
+			case r.Status == http.StatusOK && codec.Unmarshal(r.Body, &leader) == nil && leader.ModRevision == s.fencingToken:
+				s.readBack(outbox, 0, 0)
+			case r.Status == http.StatusOK && leader.ModRevision > 0, r.Status == http.StatusNotFound:
+				s.commitFenced(len(s.commits.inFlight.pages))
 			default:
-				l.resolveConflict(now, box, l.nextRetryDelay())
+				s.resolveConflict(outbox, s.nextRetryDelay())
 			}
 		},
 	})
 }
 
-// nextRetryDelay is how long to wait after one more call that came to nothing.
-func (l *Store) nextRetryDelay() time.Duration {
-	l.retryDelay = min(max(2*l.retryDelay, 100*time.Millisecond), time.Second)
-	return l.retryDelay
+// nextRetryDelay is how long to wait after one more call that failed.
+func (s *Store) nextRetryDelay() time.Duration {
+	s.commits.retryDelay = min(max(2*s.commits.retryDelay, minRetryDelay), maxRetryDelay)
+	return s.commits.retryDelay
 }
 
-// notifyUncertain tells the waiters that their change is not certain yet: those of the commit, and those whose changes wait behind
-// it. Until it is read back nothing else is sent, and in an outage users who had come a moment before it waited
-// for its whole length.
-func (l *Store) notifyUncertain(now time.Time) {
-	if l.failingSince.IsZero() {
-		l.failingSince = now
+// notifyUncertain tells the waiters that their change is not certain yet: those of the commit in flight, and those whose changes
+// come after it. Nothing else is sent until the commit has been read back, so in an outage they would wait for all of its length.
+func (s *Store) notifyUncertain(now time.Time) {
+	if s.commits.failingSince.IsZero() {
+		s.commits.failingSince = now
 	}
-	for _, ws := range l.inFlight.waiters {
-		for _, w := range ws {
-			w(now, false)
-		}
+	for _, waiters := range s.commits.inFlight.waiters {
+		notify(now, waiters, false)
 	}
-	for p := range l.dirtyPages {
-		for _, w := range p.waiters {
-			w(now, false)
-		}
+	for p := range s.pages.dirty {
+		notify(now, p.waiters, false)
 	}
 }
 
-// requeue puts the pages of the commit back.
-func (l *Store) requeue(now time.Time, after time.Duration) {
-	l.notifyUncertain(now)
-	txn := l.inFlight
-	l.inFlight = nil
-	l.retryAt = now.Add(min(max(l.nextRetryDelay(), after), 2*time.Second))
+// requeue gives up the commit in flight, which was not executed, and has its pages written again.
+func (s *Store) requeue(now time.Time, retryAfter time.Duration) {
+	s.notifyUncertain(now)
+	txn := s.commits.inFlight
+	s.commits.inFlight = nil
+	s.commits.retryAt = now.Add(min(max(s.nextRetryDelay(), retryAfter), maxRequeueDelay))
 	for i, p := range txn.pages {
 		p.waiters = append(txn.waiters[i], p.waiters...)
 		if !txn.wasDirty[i] {
-			continue // it was written only for what was to leave it
+			continue // it was written only because entries were to leave it
 		}
-		if !l.dirtyPages[p] {
-			l.dirtyPages[p], p.dirtySince = true, now
+		if !s.pages.dirty[p] {
+			s.pages.dirty[p], p.dirtySince = true, now
 		}
 		p.urgent = true
 	}
@@ -168,46 +202,45 @@
 	}
 }
 
-// readBack finds out what became of a commit that nobody answered. Each attempt has a
-// number of its own, since an earlier one that was held up on the way guards the same
-// marks and may be the one that was executed. mark is the revision at which the attempt
-// was found to be executed: it may be executed between the reading of two pages, so one
-// page that shows it speaks for all.
-func (l *Store) readBack(now time.Time, box *client.Outbox, index int, after time.Duration) {
-	txn := l.inFlight
-	checked := txn.guarded[index]
-	l.call(box, client.Call{
-		Method: "GET", Path: "/keys/" + checked.key, Delay: after, Timeout: time.Second,
-		Done: func(now time.Time, r client.Result) {
-			var a struct {
-				Value pageValue `msgpack:"value"`
-				Mark  uint64    `msgpack:"mark"`
-			}
-			switch {
-			case r.Status == 200 && codec.Unmarshal(r.Body, &a) == nil && a.Mark > 0:
-				if a.Value.Sequence == txn.sequence && a.Value.Leader == l.fencingToken {
-					l.commitSucceeded(now, a.Mark)
-					return
-				}
-				if a.Mark != checked.modRevision && l.hasUncertainMove {
-					// It may be a move that was executed, and that memory knows nothing of:
-					// what has left a page would be written into it again.
-					l.commitFenced(len(txn.pages))
-					return
-				}
-				checked.modRevision = a.Mark
-			case r.Status == 404:
-				checked.modRevision = 0
-			default:
-				l.readBack(now, box, index, l.nextRetryDelay())
-				return
-			}
-			if index+1 < len(txn.guarded) {
-				l.readBack(now, box, index+1, 0)
-				return
-			}
-			l.hasUncertainMove = l.hasUncertainMove || txn.move != nil
-			l.requeue(now, 0)
-		},
+// readBack finds out what became of a commit that nobody answered: it reads the pages that the commit requires, from index on.
+//
+// Each try has a sequence number of its own. An earlier try that was held up on its way requires the same revisions, so it may be
+// the one that was executed. The commit may be executed between the reads of two pages, so one page that shows it speaks for all.
+func (s *Store) readBack(outbox *client.Outbox, index int, delay time.Duration) {
+	checked := s.commits.inFlight.guarded[index]
+	s.send(outbox, client.Call{
+		Method: http.MethodGet, Path: keyPath + checked.key, Delay: delay, Timeout: readTimeout,
+		Done: func(now time.Time, r client.Result) { s.handleReadBack(now, outbox, index, r) },
 	})
 }
+
+func (s *Store) handleReadBack(now time.Time, outbox *client.Outbox, index int, result client.Result) {
+	txn := s.commits.inFlight
+	checked := txn.guarded[index]
+	var stored pageResponse
+	switch {
+	case result.Status == http.StatusOK && codec.Unmarshal(result.Body, &stored) == nil && stored.ModRevision > 0:
+		if stored.Value.Sequence == txn.sequence && stored.Value.Leader == s.fencingToken {
+			s.commitSucceeded(now, stored.ModRevision)
+			return
+		}
+		if stored.ModRevision != checked.modRevision && s.archive.hasUncertainMove {
+			// An earlier move may have been executed that memory does not know of. Writing this page again would bring back the
+			// entries that have left it.
+			s.commitFenced(len(txn.pages))
+			return
+		}
+		checked.modRevision = stored.ModRevision
+	case result.Status == http.StatusNotFound:
+		checked.modRevision = 0
+	default:
+		s.readBack(outbox, index, s.nextRetryDelay())
+		return
+	}
+	if index+1 < len(txn.guarded) {
+		s.readBack(outbox, index+1, 0)
+		return
+	}
+	s.archive.hasUncertainMove = s.archive.hasUncertainMove || txn.move != nil
+	s.requeue(now, 0)
+}
--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -23,10 +23,19 @@
 	Snapshot     = "snapshot"      // snapshot file of the state service
 )
 
+// Keys of stored state.
+const (
+	Bytes      = "bytes"      // size in bytes
+	Dependency = "dependency" // ID of a job that another one depends on
+	Level      = "level"      // how often the jobs of an archive segment have been compacted
+	Limit      = "limit"      // the limit that applies
+	Segment    = "segment"    // number of an archive segment
+)
+
 // Keys of what happened.
 const (
-	Bytes    = "bytes"    // a size
 	Count    = "count"    // how many the message is about
+	Machines = "machines" // number of machines
 	Duration = "duration" // a span of time
 	Err      = "err"      // an error
 	Path     = "path"     // path of a request or a file
