--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -12,6 +12,8 @@
 	Machine      = "machine"       // machine ID, as its worker reports it
 	Instance     = "instance"      // instance ID, as the cloud lists it
 	InstanceType = "instance_type" // name of a machine type
+	Spot         = "spot"          // whether an instance is a spot instance
+	Request      = "request"       // name of a request to the cloud
 	Zone         = "zone"          // name of a zone
 	Team         = "team"          // name of a team
 	Class        = "class"         // name of a class of jobs
