--- a/cmd/gullrudder/site.go
+++ b/cmd/gullrudder/site.go
@@ -301,7 +301,7 @@
 				Addr: h.Worker, Type: fmt.Sprintf("own-%g-%g", h.CPUs, h.MemGB), Zone: h.Zone, CPUs: h.CPUs, MemoryGB: h.MemGB,
 				Controllers: controllers, HeartbeatInterval: report, LeaseDuration: lease,
 			},
-				agent.Place{Dir: h.Dir("worker"), Name: "worker", Pool: h.Pool, As: as, Free: h.KeepFreeMB << 20}, log)
+				agent.RuntimeOptions{DataDir: h.Dir("worker"), Name: "worker", MachinePoolAddr: h.Pool, Credential: as, MinFreeDisk: h.KeepFreeMB << 20}, log)
 			if err != nil {
 				return &failure{exitUnavailable, err}
 			}
--- a/internal/site/agent/results.go
+++ b/internal/site/agent/results.go
@@ -9,30 +9,38 @@
 	"go.etcd.io/bbolt"
 )
 
-// Result is how a task ended here.
+// Result is how a task ended on this machine. It is shown to the user.
 type Result struct {
-	Task     string    `json:"task"`
-	Attempt  uint64    `json:"attempt"`
-	Exit     int       `json:"exit"`             // 128 and the signal's number where one ended it
-	Reason   string    `json:"reason,omitempty"` // in words, if it is not 0
-	Tail     string    `json:"tail,omitempty"`   // the end of what it wrote to its error output, if it is not 0
-	Began    time.Time `json:"began"`
-	Finished time.Time `json:"finished"`
+	Task       string    `json:"task"`
+	Attempt    uint64    `json:"attempt"`
+	Exit       int       `json:"exit"`             // status; 128 and the number of the signal that ended it
+	Reason     string    `json:"reason,omitempty"` // in words, if Exit is not 0
+	ErrorTail  string    `json:"tail,omitempty"`   // the end of its error output, if Exit is not 0
+	StartedAt  time.Time `json:"began"`
+	FinishedAt time.Time `json:"finished"`
 }
 
-// results keeps what has ended, on disk: a task whose result is kept is not run again, whoever asks.
+// results stores the results of tasks on disk. A task with a stored result is not run again on this machine.
 type results struct{ db *bbolt.DB }
 
-var errUnknown = errors.New("not kept here")
+// errNoResult says that no result of the task is stored.
+var errNoResult = errors.New("no result stored")
 
+// Names of the buckets in the file.
+var (
+	resultsBucket    = []byte("results") // results in JSON, by task ID
+	unreportedBucket = []byte("untold")  // task IDs of failures that the machine pool does not have yet
+)
+
+// openResults opens the file and locks it. It fails after a second if another process holds the lock.
 func openResults(path string) (*results, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
 		return nil, fmt.Errorf("results %s: %w", path, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		for _, name := range []string{"results", "untold"} {
-			if _, err := tx.CreateBucketIfNotExists([]byte(name)); err != nil {
+		for _, name := range [][]byte{resultsBucket, unreportedBucket} {
+			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 				return err
 			}
 		}
@@ -44,57 +52,59 @@
 	return &results{db}, nil
 }
 
-// keep writes a result down; it is there once keep returns. Those of many tasks share one write.
-func (r *results) keep(res Result) error {
+// store stores a result durably. Results that are stored at the same time share one write.
+func (r *results) store(res Result) error {
 	raw, err := json.Marshal(res)
 	if err != nil {
 		return err
 	}
 	return r.db.Batch(func(tx *bbolt.Tx) error {
 		if res.Exit != 0 {
-			if err := tx.Bucket([]byte("untold")).Put([]byte(res.Task), nil); err != nil {
+			if err := tx.Bucket(unreportedBucket).Put([]byte(res.Task), nil); err != nil {
 				return err
 			}
 		}
-		return tx.Bucket([]byte("results")).Put([]byte(res.Task), raw)
+		return tx.Bucket(resultsBucket).Put([]byte(res.Task), raw)
 	})
 }
 
+// get returns the result of a task. The error is errNoResult if none is stored.
 func (r *results) get(task string) (res Result, err error) {
 	err = r.db.View(func(tx *bbolt.Tx) error {
-		raw := tx.Bucket([]byte("results")).Get([]byte(task))
+		raw := tx.Bucket(resultsBucket).Get([]byte(task))
 		if raw == nil {
-			return errUnknown
+			return errNoResult
 		}
 		return json.Unmarshal(raw, &res)
 	})
 	return res, err
 }
 
-// untold lists failures that the pool does not have yet.
-func (r *results) untold(most int) []Result {
-	var list []Result
-	// What cannot be read is not told: it is on this machine's disk still.
+// unreported returns at most limit failures that the machine pool does not have yet.
+func (r *results) unreported(limit int) []Result {
+	var failures []Result
+	// A result that cannot be read is left out; it stays on this machine's disk.
 	_ = r.db.View(func(tx *bbolt.Tx) error {
-		c := tx.Bucket([]byte("untold")).Cursor()
-		for k, _ := c.First(); k != nil && len(list) < most; k, _ = c.Next() {
+		c := tx.Bucket(unreportedBucket).Cursor()
+		for k, _ := c.First(); k != nil && len(failures) < limit; k, _ = c.Next() {
 			var res Result
-			if raw := tx.Bucket([]byte("results")).Get(k); raw != nil && json.Unmarshal(raw, &res) == nil {
-				list = append(list, res)
+			if raw := tx.Bucket(resultsBucket).Get(k); raw != nil && json.Unmarshal(raw, &res) == nil {
+				failures = append(failures, res)
 			}
 		}
 		return nil
 	})
-	return list
+	return failures
 }
 
-func (r *results) told(list []Result) error {
-	if len(list) == 0 {
+// setReported records that the machine pool has these failures.
+func (r *results) setReported(failures []Result) error {
+	if len(failures) == 0 {
 		return nil
 	}
 	return r.db.Update(func(tx *bbolt.Tx) error {
-		for _, res := range list {
-			if err := tx.Bucket([]byte("untold")).Delete([]byte(res.Task)); err != nil {
+		for _, res := range failures {
+			if err := tx.Bucket(unreportedBucket).Delete([]byte(res.Task)); err != nil {
 				return err
 			}
 		}
--- a/internal/site/agent/runner_test.go
+++ b/internal/site/agent/runner_test.go
@@ -13,107 +13,134 @@
 	"gullrudder/internal/site/process"
 )
 
-type shop struct {
+// runnerBench is a Runner with the attempts that have ended.
+type runnerBench struct {
 	*testing.T
-	r    *Runner
-	ends chan Ended
+	runner *Runner
+	ended  chan Ended
 }
 
-func newShop(t *testing.T, dir string) *shop {
-	s := &shop{T: t, ends: make(chan Ended, 16)}
+func newRunnerBench(t *testing.T, dir string) *runnerBench {
+	t.Helper()
+	bench := &runnerBench{T: t, ended: make(chan Ended, 16)}
 	var err error
-	s.r, err = newRunner(dir, nil, slog.New(slog.DiscardHandler), func(e Ended, _ bool) { s.ends <- e })
+	bench.runner, err = newRunner(dir, nil, slog.New(slog.DiscardHandler), func(ended Ended, _ bool) { bench.ended <- ended })
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return bench
 }
 
-func (s *shop) launch(task, script string, d Spec) {
-	d.Command = []string{"sh", "-c", script}
-	s.r.Launch(Launch{task, 1, &d})
+// close closes the file with the results, as the end of the worker's process does.
+func (b *runnerBench) close() {
+	b.Helper()
+	if err := b.runner.results.db.Close(); err != nil {
+		b.Fatal(err)
+	}
+}
+
+func (b *runnerBench) launch(task, script string, spec Spec) {
+	spec.Command = []string{"sh", "-c", script}
+	b.runner.Launch(Launch{task, 1, &spec})
 }
 
-// running waits until a file is there.
-func (s *shop) running(path string) {
+// waitForFile waits until a file exists; the test's own time limit ends it otherwise.
+func (b *runnerBench) waitForFile(path string) {
 	for {
 		if _, err := os.Stat(path); err == nil {
 			return
 		}
-		time.Sleep(5 * time.Millisecond) // the test's own limit ends it otherwise
+		time.Sleep(5 * time.Millisecond)
+	}
+}
+
+// runnerCase is a task, what is done while it runs, and how it ends.
+type runnerCase struct {
+	script     string // READY stands for a file that shows that the task runs
+	spec       Spec
+	stop       *Stop // sent once READY exists; nil: none
+	want       Ended
+	wantExit   int // of the stored result; -1: none is stored
+	wantReason string
+}
+
+func runnerCases(dir string) map[string]runnerCase {
+	const saveOnTerm = "trap 'exit 0' TERM; : > READY; while :; do sleep 0.02; done"
+	const ignoreTerm = "trap '' TERM; : > READY; while :; do sleep 0.02; done"
+	return map[string]runnerCase{
+		"done":   {script: "exit 0"},
+		"fails":  {script: "echo {task} oops >&2; exit 3", spec: Spec{Retries: 2}, wantExit: 3, wantReason: "exit status 3"},
+		"signal": {script: "kill -SEGV $$", wantExit: 128 + int(syscall.SIGSEGV), wantReason: "segmentation fault"},
+		"no place": {
+			script: "exit 0", spec: Spec{WorkingDir: dir + "/none"}, wantExit: 127, wantReason: "no such file",
+		},
+		"killed": {
+			script: ": > READY; sleep 300", stop: &Stop{Grace: 0}, want: Ended{Stopped: true}, wantExit: -1,
+		},
+		"saves": {
+			script: saveOnTerm, spec: Spec{CheckpointSeconds: 1}, stop: &Stop{Grace: time.Hour},
+			want: Ended{Stopped: true, CheckpointSaved: true}, wantExit: -1,
+		},
+		"does not save in time": {
+			script: ignoreTerm, spec: Spec{CheckpointSeconds: 1}, stop: &Stop{Grace: 50 * time.Millisecond},
+			want: Ended{Stopped: true}, wantExit: -1,
+		},
 	}
 }
 
-// How tasks end, and what is kept of it.
-func TestHowTasksEnd(t *testing.T) {
+// check runs the task of a case, and compares how it ends and which result is stored.
+func (c runnerCase) check(t *testing.T, bench *runnerBench, task, ready string) {
+	t.Helper()
+	bench.launch(task, strings.ReplaceAll(c.script, "READY", ready), c.spec)
+	if c.stop != nil {
+		bench.waitForFile(ready)
+		bench.runner.Stop(Stop{task, 1, c.stop.Grace})
+	}
+	c.want.Task, c.want.Attempt = task, 1
+	if got := <-bench.ended; got != c.want {
+		t.Errorf("%+v, want %+v", got, c.want)
+	}
+	result, err := bench.runner.results.get(task)
+	if c.wantExit < 0 {
+		if err == nil {
+			t.Errorf("a result is stored: %+v", result)
+		}
+		return
+	}
+	if err != nil || result.Exit != c.wantExit || !strings.Contains(result.Reason, c.wantReason) {
+		t.Errorf("result %+v, %v, want exit %d, reason %q", result, err, c.wantExit, c.wantReason)
+	}
+	if c.spec.Retries > 0 && result.ErrorTail != "7 oops\n" {
+		t.Errorf("its error output ends with %q", result.ErrorTail)
+	}
+}
+
+// How tasks end, and which result is stored.
+func TestRunnerReportsHowTasksEnd(t *testing.T) {
 	dir := t.TempDir()
-	s := newShop(t, dir+"/worker")
-	defer s.r.results.db.Close()
+	bench := newRunnerBench(t, dir+"/worker")
+	defer bench.close()
 	number := 0
-	for name, c := range map[string]struct {
-		script string
-		desc   Spec
-		stop   func(task, ready string)
-		want   Ended
-		kept   int // the exit that is kept; -1: none
-		reason string
-	}{
-		"done":     {"exit 0", Spec{}, nil, Ended{}, 0, ""},
-		"fails":    {"echo {task} oops >&2; exit 3", Spec{Retries: 2}, nil, Ended{}, 3, "exit status 3"},
-		"signal":   {"kill -SEGV $$", Spec{}, nil, Ended{}, 128 + int(syscall.SIGSEGV), "segmentation fault"},
-		"no place": {"exit 0", Spec{WorkingDir: dir + "/none"}, nil, Ended{}, 127, "no such file"},
-		"killed": {": > READY; sleep 300", Spec{}, func(task, ready string) {
-			s.running(ready)
-			s.r.Stop(Stop{task, 1, 0})
-		}, Ended{Stopped: true}, -1, ""},
-		"saves": {"trap 'exit 0' TERM; : > READY; while :; do sleep 0.02; done", Spec{CheckpointSeconds: 1}, func(task, ready string) {
-			s.running(ready)
-			s.r.Stop(Stop{task, 1, time.Hour})
-		}, Ended{Stopped: true, CheckpointSaved: true}, -1, ""},
-		"does not save in time": {"trap '' TERM; : > READY; while :; do sleep 0.02; done", Spec{CheckpointSeconds: 1}, func(task, ready string) {
-			s.running(ready)
-			s.r.Stop(Stop{task, 1, 50 * time.Millisecond})
-		}, Ended{Stopped: true}, -1, ""},
-	} {
+	for name, c := range runnerCases(dir) {
 		number++
 		task := fmt.Sprintf("job-%d/7", number)
 		ready := filepath.Join(dir, strings.ReplaceAll(name, " ", "-"))
-		s.launch(task, strings.ReplaceAll(c.script, "READY", ready), c.desc)
-		if c.stop != nil {
-			c.stop(task, ready)
-		}
-		c.want.Task, c.want.Attempt = task, 1
-		if got := <-s.ends; got != c.want {
-			t.Errorf("%s: %+v, want %+v", name, got, c.want)
-		}
-		res, err := s.r.results.get(task)
-		if c.kept < 0 {
-			if err == nil {
-				t.Errorf("%s: a result is kept: %+v", name, res)
-			}
-			continue
-		}
-		if err != nil || res.Exit != c.kept || !strings.Contains(res.Reason, c.reason) {
-			t.Errorf("%s: %+v %v", name, res, err)
-		}
-		if name == "fails" && res.Tail != "7 oops\n" {
-			t.Errorf("its error output ends with %q", res.Tail)
-		}
+		t.Run(name, func(t *testing.T) { c.check(t, bench, task, ready) })
 	}
-	if n := len(s.r.results.untold(99)); n != 3 {
-		t.Errorf("%d failures are to be told", n)
+	if n := len(bench.runner.results.unreported(99)); n != 3 {
+		t.Errorf("%d failures are to be reported, want 3", n)
 	}
 }
 
-// A worker that comes after one that was killed ends what that has left, also a task that has cleared its
-// environment, before anything else; and does not while the other is there still.
-func TestWhatAnEarlierWorkerLeft(t *testing.T) {
+// A worker process ends the tasks that a killed one left before anything else, also one that has cleared its environment; and it
+// does not start while the other still runs.
+func TestNewWorkerEndsTasksOfItsPredecessor(t *testing.T) {
 	dir := t.TempDir()
-	first := newShop(t, dir+"/worker")
+	first := newRunnerBench(t, dir+"/worker")
 	first.launch("job-1/0", "exec env -i sh -c ': > "+dir+"/a; sleep 300'", Spec{})
 	first.launch("job-1/1", "(setsid sleep 300 &); : > "+dir+"/b; sleep 300", Spec{})
-	first.running(dir + "/a")
-	first.running(dir + "/b")
+	first.waitForFile(dir + "/a")
+	first.waitForFile(dir + "/b")
 	if _, err := newRunner(dir+"/worker", nil, slog.New(slog.DiscardHandler), func(Ended, bool) {}); err == nil {
 		t.Fatal("two workers have one directory")
 	}
@@ -121,18 +148,16 @@
 	if err != nil || len(records) != 2 {
 		t.Fatal(records, err)
 	}
-	if err := first.r.results.db.Close(); err != nil { // as the end of its process does
-		t.Fatal(err)
-	}
+	first.close()
 	groups := map[int]bool{}
-	first.r.mu.Lock()
-	for _, p := range first.r.procs {
-		groups[p.group] = true
+	first.runner.mu.Lock()
+	for _, child := range first.runner.processes {
+		groups[child.processGroup] = true
 	}
-	first.r.mu.Unlock()
-	second := newShop(t, dir+"/worker")
-	defer second.r.results.db.Close()
-	if left := process.Find(map[string]bool{second.r.mark: true}, groups); len(left) > 0 {
+	first.runner.mu.Unlock()
+	second := newRunnerBench(t, dir+"/worker")
+	defer second.close()
+	if left := process.Find(map[string]bool{second.runner.workerTag: true}, groups); len(left) > 0 {
 		t.Errorf("%v are left", left)
 	}
 }
--- a/internal/site/agent/runtime.go
+++ b/internal/site/agent/runtime.go
@@ -14,6 +14,7 @@
 	"syscall"
 	"time"
 
+	"gullrudder/internal/logkeys"
 	"gullrudder/internal/site/datadir"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/http1"
@@ -21,60 +22,65 @@
 	"golang.org/x/sys/unix"
 )
 
-// Place is where a worker is and whom it works for.
-type Place struct {
-	Dir  string              // of this worker alone
-	Name string              // among the site's workers
-	Pool string              // address of the pool
-	As   *syscall.Credential // whom tasks run as; nil: as the worker does
-	Free uint64              // bytes of disk below which nothing is started
+// RuntimeOptions are the settings of a Runtime beside those of its State.
+type RuntimeOptions struct {
+	DataDir         string              // of this worker alone
+	Name            string              // among the site's workers
+	MachinePoolAddr string              // address of the machine pool
+	Credential      *syscall.Credential // the user that tasks run as; nil: the worker's
+	MinFreeDisk     uint64              // in bytes; with less, nothing is started
 }
 
-// Runtime connects a State with the clock, the network and the processes.
+// Runtime connects a State with the clock, the network and the processes. One goroutine owns the State and steps it; calls and
+// processes run in goroutines of their own and put their outcomes into the queue.
 type Runtime struct {
-	opt    Options
-	place  Place
-	log    *slog.Logger
-	state  *State
-	runner *Runner
-	queue  chan Input
-	look   chan struct{} // the pool is to be asked at once
-	epoch  uint64
-	mu     sync.Mutex
-	seen   Greeting          // what the pool is told next
-	descs  map[string][]byte // of the jobs that were seen last; they never change
+	options         Options
+	runtimeOptions  RuntimeOptions
+	log             *slog.Logger
+	state           *State
+	runner          *Runner
+	queue           chan Input
+	reportRequested chan struct{} // the next report to the machine pool is due at once
+	epoch           uint64
+
+	mu     sync.Mutex        // guards what follows
+	status WorkerReport      // the next report to the machine pool
+	specs  map[string][]byte // encoded, by job ID; they never change
 }
 
-// Greeting is what a worker tells the pool, every so often and whenever it changes.
-type Greeting struct {
+// WorkerReport is what a worker sends to the machine pool, at an interval and whenever it changes.
+type WorkerReport struct {
 	Name     string   `msgpack:"name"`
 	Addr     string   `msgpack:"addr"`
 	Type     string   `msgpack:"type"`
 	Zone     string   `msgpack:"zone"`
 	CPUs     float64  `msgpack:"cpus"`
 	MemGB    float64  `msgpack:"mem_gb"`
-	Epoch    uint64   `msgpack:"epoch"`    // of the process
-	Holding  string   `msgpack:"holding"`  // the machine that it is, or whose tasks may still be there
-	Applied  uint64   `msgpack:"applied"`  // the serial of the last charge that was taken in
-	Busy     int      `msgpack:"busy"`     // tasks
-	FreeDisk uint64   `msgpack:"free"`     // bytes
-	Failures []string `msgpack:"failures"` // results, in JSON: nothing binary is sent anywhere
+	Epoch    uint64   `msgpack:"epoch"`    // start of the worker's process
+	Holding  string   `msgpack:"holding"`  // the machine that it is, or whose tasks may still be on it
+	Applied  uint64   `msgpack:"applied"`  // serial of the newest assignment that was taken in
+	Busy     int      `msgpack:"busy"`     // attempts that have not exited
+	FreeDisk uint64   `msgpack:"free"`     // of disk, in bytes
+	Failures []string `msgpack:"failures"` // results in JSON, as binary values are not allowed
 }
 
-// Charge is the pool's answer: what the worker is to be.
-type Charge struct {
+// MachineAssignment is the machine pool's response: which machine the worker is to be.
+type MachineAssignment struct {
 	Machine string `msgpack:"machine"`
 	Notice  bool   `msgpack:"notice"`
 	Serial  uint64 `msgpack:"serial"`
 }
 
 const (
-	greetEvery   = time.Second
-	tickEvery    = 50 * time.Millisecond
-	mostFailures = 16 // told at a time
-	mostDescs    = 256
+	reportInterval = time.Second
+	reportTimeout  = 2 * time.Second
+	tickInterval   = 50 * time.Millisecond
+	maxFailures    = 16 // in one report
+	maxSpecs       = 256
+	queueSize      = 4096 // inputs for the State
 )
 
+// identity returns the worker's ID in the file, which is made if there is none.
 func identity(path string) (string, error) {
 	if raw, err := os.ReadFile(path); err == nil && len(raw) >= 16 {
 		return strings.TrimSpace(string(raw)), nil
@@ -87,8 +93,8 @@
 	return id, os.WriteFile(path, []byte(id), 0o600)
 }
 
-// clock tells the time since the machine started, sleep included: a lease ends while a machine sleeps,
-// and no change of the time of day moves it.
+// clock returns the time since the machine booted, including sleep: a lease expires while the machine sleeps, and a change of the
+// time of day does not affect it.
 func clock() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -97,36 +103,37 @@
 	return time.Unix(ts.Sec, ts.Nsec)
 }
 
-// NewRuntime ends what an earlier process left and makes the worker.
-func NewRuntime(opt Options, place Place, log *slog.Logger) (*Runtime, error) {
+// NewRuntime ends what an earlier process of the worker left, and returns a Runtime for Run.
+func NewRuntime(options Options, runtimeOptions RuntimeOptions, log *slog.Logger) (*Runtime, error) {
 	r := &Runtime{
-		opt: opt, place: place, log: log, state: New(opt), queue: make(chan Input, 4096), look: make(chan struct{}, 1),
-		epoch: uint64(time.Now().UnixNano()), descs: map[string][]byte{},
+		options: options, runtimeOptions: runtimeOptions, log: log, state: New(options),
+		queue: make(chan Input, queueSize), reportRequested: make(chan struct{}, 1),
+		epoch: uint64(time.Now().UnixNano()), specs: map[string][]byte{},
 	}
-	if err := os.MkdirAll(place.Dir, 0o755); err != nil {
+	if err := os.MkdirAll(runtimeOptions.DataDir, 0o755); err != nil {
 		return nil, fmt.Errorf("worker's directory: %w", err)
 	}
 	var err error
-	r.runner, err = newRunner(place.Dir, place.As, log, func(e Ended, failed bool) {
+	r.runner, err = newRunner(runtimeOptions.DataDir, runtimeOptions.Credential, log, func(e Ended, failed bool) {
 		r.queue <- Input{Ended: &e}
 		if failed {
-			r.wake()
+			r.requestReport()
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	r.publish()
+	r.publishStatus()
 	return r, nil
 }
 
-// Run works until the server's address cannot be had.
+// Run serves the worker's address and returns when that is not possible.
 func (r *Runtime) Run() error {
-	go r.own()
-	go r.greet()
+	go r.runOwner()
+	go r.sendReports()
 	server := http1.NewServer(
 		http1.ServerOptions{
-			PublicAddr:     r.opt.Addr,
+			PublicAddr:     r.options.Addr,
 			MaxConnections: 64,
 			IdleTimeout:    75 * time.Second,
 			ReadTimeout:    10 * time.Second,
@@ -139,28 +146,30 @@
 // Close ends all tasks.
 func (r *Runtime) Close() { r.runner.Clear() }
 
-func (r *Runtime) handle(q *http1.Request) {
-	path, _, _ := strings.Cut(q.Target, "?")
+// handle answers the requests to the worker's own address: the machine pool's, and commands and status for the State.
+func (r *Runtime) handle(request *http1.Request) {
+	path, _, _ := strings.Cut(request.Target, "?")
 	switch {
-	case path == "/site/look" && q.Method == http.MethodPost:
+	case path == "/site/look" && request.Method == http.MethodPost:
 		select {
-		case r.look <- struct{}{}:
-		default: // it is going to be asked anyway
+		case r.reportRequested <- struct{}{}:
+		default: // a report is due already
 		}
-		q.Respond(200, nil, 0)
-	case path == "/status" && q.Method == http.MethodGet, path == "/commands" && q.Method == http.MethodPost:
+		request.Respond(200, nil, 0)
+	case path == "/status" && request.Method == http.MethodGet, path == "/commands" && request.Method == http.MethodPost:
 		select {
-		case r.queue <- Input{Direct: &Direct{Handle: q, HasCommands: path == "/commands", Body: q.Body}}:
+		case r.queue <- Input{Direct: &Direct{Handle: request, HasCommands: path == "/commands", Body: request.Body}}:
 		default:
-			q.Respond(503, nil, time.Second)
+			request.Respond(503, nil, time.Second)
 		}
 	default:
-		q.Respond(404, nil, 0)
+		request.Respond(404, nil, 0)
 	}
 }
 
-func (r *Runtime) own() {
-	ticker := time.NewTicker(tickEvery)
+// runOwner steps the State with what is in the queue, as long as the process runs.
+func (r *Runtime) runOwner() {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	reports := http1.NewClient(4, 1, http1.MaxBodyBytes)
 	calls := http1.NewClient(64, 4, http1.MaxBodyBytes)
@@ -175,151 +184,156 @@
 		for len(batch) < cap(batch) && len(r.queue) > 0 {
 			batch = append(batch, <-r.queue)
 		}
-		r.do(r.state.Step(clock(), batch), reports, calls)
-		r.publish()
+		r.apply(r.state.Step(clock(), batch), reports, calls)
+		r.publishStatus()
 	}
 }
 
-func (r *Runtime) do(e Effects, reports, calls *http1.Client) {
-	for _, p := range e.Replies {
+// apply does what a step wants done. What takes long runs in a goroutine that puts its outcome into the queue.
+func (r *Runtime) apply(effects Effects, reports, calls *http1.Client) {
+	for _, p := range effects.Replies {
 		raw, err := codec.Marshal(p.Body)
 		if err != nil {
-			r.log.Error("a report cannot be encoded", "error", err)
+			r.log.Error("heartbeat encoding failed", logkeys.Err, err)
 			continue
 		}
 		if q, ok := p.Handle.(*http1.Request); ok {
 			q.Respond(p.Status, raw, 0)
 		}
 	}
-	for _, s := range e.Stops {
+	for _, s := range effects.Stops {
 		r.runner.Stop(s)
 	}
-	for _, l := range e.Launches {
+	for _, l := range effects.Launches {
 		r.runner.Launch(l)
 	}
-	if e.ClearEpoch != nil {
-		epoch := *e.ClearEpoch
+	if effects.ClearEpoch != nil {
+		epoch := *effects.ClearEpoch
 		go func() {
 			r.runner.Clear()
 			r.queue <- Input{TasksRemoved: &TasksRemoved{epoch}}
-			r.wake()
+			r.requestReport()
 		}()
 	}
-	for _, l := range e.SpecRequests {
-		go func() { r.queue <- Input{Described: r.describe(l, calls)} }()
+	for _, l := range effects.SpecRequests {
+		go func() { r.queue <- Input{Described: r.fetchSpec(l, calls)} }()
 	}
-	if s := e.Heartbeat; s != nil {
+	if s := effects.Heartbeat; s != nil {
 		go func() { r.queue <- Input{Answered: r.send(s, reports)} }()
 	}
 }
 
-// describe finds what a task runs: nothing, if its result is kept here already.
-func (r *Runtime) describe(l Launch, calls *http1.Client) *Described {
-	d := &Described{Task: l.Task, Attempt: l.Attempt}
-	switch _, err := r.runner.results.get(l.Task); {
+// fetchSpec gets the Spec of an attempt, from memory or from the machine pool. It gets none if the task's result is stored here.
+func (r *Runtime) fetchSpec(launch Launch, calls *http1.Client) *Described {
+	described := &Described{Task: launch.Task, Attempt: launch.Attempt}
+	switch _, err := r.runner.results.get(launch.Task); {
 	case err == nil:
-		d.IsDone = true
-		return d
-	case !errors.Is(err, errUnknown):
-		r.log.Error("a result cannot be read", "task", l.Task, "error", err)
-		return d
+		described.IsDone = true
+		return described
+	case !errors.Is(err, errNoResult):
+		r.log.Error("result not readable", logkeys.Task, launch.Task, logkeys.Err, err)
+		return described
 	}
-	if r.freeDisk() < r.place.Free {
-		return d // asked for again: nothing is started on a full disk
+	if r.freeDisk() < r.runtimeOptions.MinFreeDisk {
+		return described // requested again later: nothing is started on a full disk
 	}
-	job, _, _ := strings.Cut(l.Task, "/")
+	job, _, _ := strings.Cut(launch.Task, "/")
 	r.mu.Lock()
-	d.Body = r.descs[job]
+	described.Body = r.specs[job]
 	r.mu.Unlock()
-	if d.Body != nil {
-		d.Status = 200
-		return d
+	if described.Body != nil {
+		described.Status = 200
+		return described
 	}
-	msg, err := calls.Do(r.place.Pool, "GET", "/descriptions/"+job, nil, 2*time.Second)
+	msg, err := calls.Do(r.runtimeOptions.MachinePoolAddr, "GET", "/descriptions/"+job, nil, reportTimeout)
 	if err != nil {
-		r.log.Debug("no description", "job", job, "error", err)
-		return d
+		r.log.Debug("spec request failed", logkeys.Job, job, logkeys.Err, err)
+		return described
 	}
-	d.Status, d.Body = msg.Status, msg.Body
-	if d.Status == 200 {
+	described.Status, described.Body = msg.Status, msg.Body
+	if described.Status == 200 {
 		r.mu.Lock()
-		if len(r.descs) >= mostDescs {
-			clear(r.descs)
+		if len(r.specs) >= maxSpecs {
+			clear(r.specs)
 		}
-		r.descs[job] = d.Body
+		r.specs[job] = described.Body
 		r.mu.Unlock()
 	}
-	return d
+	return described
 }
 
-func (r *Runtime) send(s *OutgoingHeartbeat, client *http1.Client) *Answered {
-	raw, err := codec.Marshal(s.Body)
+// send sends a heartbeat and waits for its response.
+func (r *Runtime) send(heartbeat *OutgoingHeartbeat, client *http1.Client) *Answered {
+	raw, err := codec.Marshal(heartbeat.Body)
 	if err != nil {
-		r.log.Error("a report cannot be encoded", "error", err)
+		r.log.Error("heartbeat encoding failed", logkeys.Err, err)
 		return &Answered{}
 	}
-	msg, err := client.Do(s.To, "POST", "/v1/report", raw, responseTimeout)
+	msg, err := client.Do(heartbeat.To, "POST", "/v1/report", raw, responseTimeout)
 	if err != nil {
-		r.log.Debug("a report is not answered", "to", s.To, "error", err)
+		r.log.Debug("heartbeat not answered", logkeys.Controller, heartbeat.To, logkeys.Err, err)
 		return &Answered{}
 	}
 	return &Answered{msg.Status, msg.Body}
 }
 
-func (r *Runtime) wake() {
+// requestReport has the next report to the machine pool sent at once.
+func (r *Runtime) requestReport() {
 	select {
-	case r.look <- struct{}{}:
+	case r.reportRequested <- struct{}{}:
 	default:
 	}
 }
 
+// freeDisk returns the free disk space in bytes, 0 if it is unknown.
 func (r *Runtime) freeDisk() uint64 {
-	left, err := datadir.FreeDisk(r.place.Dir)
+	left, err := datadir.FreeDisk(r.runtimeOptions.DataDir)
 	if err != nil {
-		r.log.Error("the disk counts as full", "error", err)
+		r.log.Error("free disk space unknown", logkeys.Err, err)
 	}
 	return left
 }
 
-// publish notes what the pool is told. The owner calls it after each step.
-func (r *Runtime) publish() {
+// publishStatus updates the report to the machine pool. The State's owner calls it after each step.
+func (r *Runtime) publishStatus() {
 	name, applied := r.state.Machine()
 	r.mu.Lock()
-	r.seen = Greeting{
-		Name: r.place.Name, Addr: r.opt.Addr, Type: r.opt.Type, Zone: r.opt.Zone, CPUs: r.opt.CPUs, MemGB: r.opt.MemoryGB,
+	r.status = WorkerReport{
+		Name: r.runtimeOptions.Name, Addr: r.options.Addr, Type: r.options.Type, Zone: r.options.Zone,
+		CPUs: r.options.CPUs, MemGB: r.options.MemoryGB,
 		Epoch: r.epoch, Holding: name, Applied: applied, Busy: r.state.ActiveTasks(),
 	}
 	r.mu.Unlock()
 }
 
-// greet tells the pool what this is, and learns what it is to be. While the pool is away everything
-// stays as it is: the lease is the controllers'.
-func (r *Runtime) greet() {
+// sendReports reports to the machine pool as long as the process runs, and takes in which machine the worker is to be. While the
+// pool is unavailable nothing changes: the lease is the controllers'.
+func (r *Runtime) sendReports() {
 	client := http1.NewClient(1, 1, http1.MaxBodyBytes)
 	for {
 		r.mu.Lock()
-		g := r.seen
+		report := r.status
 		r.mu.Unlock()
-		g.FreeDisk = r.freeDisk()
-		told := r.runner.results.untold(mostFailures)
-		for _, res := range told {
+		report.FreeDisk = r.freeDisk()
+		failures := r.runner.results.unreported(maxFailures)
+		for _, res := range failures {
 			if raw, err := json.Marshal(res); err == nil {
-				g.Failures = append(g.Failures, string(raw))
+				report.Failures = append(report.Failures, string(raw))
 			}
 		}
-		if raw, err := codec.Marshal(g); err == nil {
-			msg, err := client.Do(r.place.Pool, "POST", "/site/greet", raw, 2*time.Second)
-			var c Charge
-			if err == nil && msg.Status == 200 && codec.Unmarshal(msg.Body, &c) == nil {
-				if err := r.runner.results.told(told); err != nil {
-					r.log.Error("failures will be told again", "error", err)
+		if raw, err := codec.Marshal(report); err == nil {
+			msg, err := client.Do(r.runtimeOptions.MachinePoolAddr, "POST", "/site/greet", raw, reportTimeout)
+			var assignment MachineAssignment
+			if err == nil && msg.Status == 200 && codec.Unmarshal(msg.Body, &assignment) == nil {
+				if err := r.runner.results.setReported(failures); err != nil {
+					r.log.Error("failures not marked as reported", logkeys.Err, err)
 				}
-				r.queue <- Input{Assigned: &Assigned{c.Machine, c.Notice, c.Serial}}
+				r.queue <- Input{Assigned: &Assigned{assignment.Machine, assignment.Notice, assignment.Serial}}
 			}
 		}
 		select {
-		case <-r.look:
-		case <-time.After(greetEvery):
+		case <-r.reportRequested:
+		case <-time.After(reportInterval):
 		}
 	}
 }
--- a/internal/site/agent/state_test.go
+++ b/internal/site/agent/state_test.go
@@ -303,12 +303,12 @@
 
 // What a worker sends to the machine pool passes its validation, failures too: once these were sent as binary, and from the first
 // failure on the pool refused every message.
-func TestGreetingIsReadable(t *testing.T) {
-	raw, err := json.Marshal(Result{Task: "job-1/0", Exit: 3, Tail: "oops \x00 \xff"})
+func TestWorkerReportIsValid(t *testing.T) {
+	raw, err := json.Marshal(Result{Task: "job-1/0", Exit: 3, ErrorTail: "oops \x00 \xff"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	body, err := codec.Marshal(Greeting{Name: "w", Failures: []string{string(raw)}})
+	body, err := codec.Marshal(WorkerReport{Name: "w", Failures: []string{string(raw)}})
 	if err != nil {
 		t.Fatal(err)
 	}
