--- /dev/null
+++ b/internal/controller/autoscaler/expensive.go
@@ -0,0 +1,170 @@
+package autoscaler
+
+import (
+	"slices"
+	"time"
+
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/queue"
+	"gullrudder/internal/controller/worker"
+)
+
+const (
+	// expensiveRatio is the multiple of the cheapest price beyond which a kind is expensive: it must be worth its price by the
+	// objectives.
+	expensiveRatio = 1.5
+	// expensiveCPUShare is how many CPUs of expensive kinds there may be for each cheap one because of the objectives. Without
+	// the bound a short queue on a small cluster looks worth ten times the cluster's cost, as what is still to arrive is not
+	// known then. Work that lasts long enough is not bound by it.
+	expensiveCPUShare = 0.5
+	secondsPerHour    = 3600
+)
+
+// kindSet is a set of kinds of instances.
+type kindSet map[cloud.InstanceKind]bool
+
+// machinesByKind are machines by their kind.
+type machinesByKind map[cloud.InstanceKind][]*worker.Machine
+
+// weighExpensive weighs the expensive kinds by the objective misses that they save. It returns how many instances of each are worth
+// requesting now. Machines in use that are not worth their price any more are cordoned, and cordoned ones are used again before
+// others are requested. A kind that is not in the result is not weighed: it is cheap, or the platform states no objectives.
+func (s *Scaler) weighExpensive(
+	now time.Time, offerings []offering, order []queue.Entry, backlog teamBacklogs,
+) map[cloud.InstanceKind]int {
+	if len(s.objectives.objectives) == 0 {
+		s.cordonExpensive(now, offerings, backlog)
+		return nil
+	}
+	forecast := s.newObjectiveForecast(now, order)
+	expensive := expensiveKinds(offerings)
+	inUse, cordoned := s.expensiveMachines(now, expensive)
+	headroom := s.expensiveCPUHeadroom(expensive)
+	s.cordonSurplus(forecast, offerings, expensive, inUse)
+
+	worthwhile := map[cloud.InstanceKind]int{}
+	for _, offered := range offerings {
+		if !expensive[offered.kind] {
+			continue
+		}
+		worthwhile[offered.kind] = 0
+		if len(forecast.queue) == 0 || offered.machineType.CPUs <= 0 {
+			continue // an instance without CPUs is requested only for jobs that need its kind
+		}
+		if machines := cordoned[offered.kind]; len(machines) > 0 {
+			s.uncordon(forecast, offered, machines)
+			continue
+		}
+		count := s.worthwhileCount(now, forecast, offered, headroom)
+		headroom -= float64(count) * offered.machineType.CPUs
+		worthwhile[offered.kind] = count
+	}
+	return worthwhile
+}
+
+// cordonSurplus cordons the machines of expensive kinds that are not worth their price any more, the most expensive first.
+func (s *Scaler) cordonSurplus(forecast *objectiveForecast, offerings []offering, expensive kindSet, inUse machinesByKind) {
+	for _, offered := range slices.Backward(offerings) {
+		if !expensive[offered.kind] {
+			return
+		}
+		machines := inUse[offered.kind]
+		count := forecast.surplusCount(s.candidateOf(offered, len(machines)))
+		if count == 0 {
+			continue
+		}
+		for _, machine := range machines[:count] {
+			machine.DrainReason = worker.DrainExpensive
+		}
+		forecast.addCapacity(capacityStep{at: 0, cpus: -float64(count) * offered.machineType.CPUs})
+	}
+}
+
+// uncordon takes as many of the cordoned machines of a kind back into use as are worth their price.
+func (s *Scaler) uncordon(forecast *objectiveForecast, offered offering, cordoned []*worker.Machine) {
+	candidate := s.candidateOf(offered, len(cordoned))
+	candidate.bootSeconds = 0
+	count := forecast.bestCount(candidate)
+	forecast.addCapacity(candidate.capacityOf(count))
+	for _, machine := range cordoned[:count] {
+		machine.DrainReason = worker.NotDraining
+	}
+}
+
+// worthwhileCount returns how many instances of a kind are worth requesting, within the headroom of expensive CPUs.
+func (s *Scaler) worthwhileCount(now time.Time, forecast *objectiveForecast, offered offering, headroom float64) int {
+	if s.maxRequestable(now, offered.kind) == 0 || s.zones.IsUnavailable(offered.kind.Zone) {
+		return 0
+	}
+	candidate := s.candidateOf(offered, 0)
+	candidate.maxCount = min(s.cloud.MaxRequestable(), int(max(headroom, 0)/candidate.cpus))
+	if candidate.maxCount == 0 {
+		return 0
+	}
+	count := forecast.bestCount(candidate)
+	forecast.addCapacity(candidate.capacityOf(count))
+	return count
+}
+
+// expensiveKinds returns the kinds that are expensive.
+func expensiveKinds(offerings []offering) kindSet {
+	expensive := kindSet{}
+	for _, offered := range offerings {
+		if priceRatio(offered.price, offerings[0].price) > expensiveRatio {
+			expensive[offered.kind] = true
+		}
+	}
+	return expensive
+}
+
+// expensiveCPUHeadroom returns how many more CPUs of expensive kinds may be requested because of the objectives.
+func (s *Scaler) expensiveCPUHeadroom(expensive kindSet) float64 {
+	for kind := range expensive {
+		if s.cloud.HasPendingRequest(kind) {
+			return 0 // it is not known how many instances come of it
+		}
+	}
+	headroom := 0.0
+	for i := range s.instances {
+		tracked := &s.instances[i]
+		switch {
+		case !tracked.isCounted() || tracked.leaseExpired:
+		case expensive[tracked.Kind]:
+			headroom -= tracked.machineType.CPUs
+		default:
+			headroom += expensiveCPUShare * tracked.machineType.CPUs
+		}
+	}
+	return headroom
+}
+
+// candidateOf returns up to maxCount instances of an offering as a candidate.
+func (s *Scaler) candidateOf(offered offering, maxCount int) candidateKind {
+	return candidateKind{
+		cpus:          offered.machineType.CPUs,
+		costPerSecond: offered.machineType.HourlyPriceFor(offered.kind.Spot) / secondsPerHour,
+		bootSeconds:   s.cloud.ExpectedBootTime(offered.machineType).Seconds(),
+		maxCount:      maxCount,
+	}
+}
+
+// expensiveMachines returns the reporting machines of expensive kinds: those in use whose minBilledTime is over, the emptiest
+// first, and those that are cordoned as too expensive, the fullest first.
+func (s *Scaler) expensiveMachines(now time.Time, expensive kindSet) (inUse, cordoned machinesByKind) {
+	inUse, cordoned = machinesByKind{}, machinesByKind{}
+	for _, machine := range s.workers.ReportingMachines() {
+		kind := placement.MachineKind(machine)
+		switch {
+		case !expensive[kind] || s.workers.IsLeaseExpired(now, machine):
+		case machine.DrainReason == worker.DrainExpensive:
+			cordoned[kind] = append(cordoned[kind], machine)
+		case machine.DrainReason == worker.NotDraining && s.prepaidTime(now, machine.ID) == 0:
+			inUse[kind] = append(inUse[kind], machine)
+		}
+	}
+	for _, machines := range cordoned {
+		slices.Reverse(machines)
+	}
+	return inUse, cordoned
+}
--- a/internal/controller/failover/reconciler_test.go
+++ b/internal/controller/failover/reconciler_test.go
@@ -40,7 +40,7 @@
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
 	reconciler.progress.completed = false
-	for id, state := range map[string]string{"vm-1": cloud.StateFailed, "vm-2": cloud.StateRunning} {
+	for id, state := range map[string]cloud.InstanceState{"vm-1": cloud.StateFailed, "vm-2": cloud.StateRunning} {
 		reconciler.addUnreconciled(now, id)
 		reconciler.cloud.Instances[id] = &cloud.Instance{ID: id, State: state, LastListed: now.Add(time.Hour)}
 	}
--- /dev/null
+++ b/internal/site/kvserver/keyspace.go
@@ -0,0 +1,212 @@
+package kvserver
+
+import (
+	"maps"
+	"slices"
+	"sort"
+	"strings"
+	"time"
+
+	"gullrudder/internal/wire/codec"
+
+	"github.com/google/btree"
+)
+
+const (
+	// retainedEvents is how many changes are kept for watches at least. What is older is cut off when as many again have come.
+	retainedEvents = 10_000
+	// btreeDegree is that of the tree of keys: a commit copies a path of it while a snapshot reads the rest.
+	btreeDegree = 32
+)
+
+// item is a key with its value. Items are never changed, only replaced: a snapshot may still read them.
+type item struct {
+	key         string
+	value       []byte
+	modRevision uint64 // of its last change
+	leaseID     uint64 // that it ends with; 0: none
+	jsonBytes   int    // of the value
+}
+
+func newItem(key string, value []byte, modRevision, leaseID uint64) *item {
+	return &item{key: key, value: value, modRevision: modRevision, leaseID: leaseID, jsonBytes: codec.JSONSize(value)}
+}
+
+func keyLess(a, b *item) bool { return a.key < b.key }
+
+// change is a key that is written or deleted.
+type change struct {
+	isDelete bool
+	key      string
+	value    []byte
+	leaseID  uint64
+}
+
+// event is a change as watches see it.
+type event struct {
+	isDelete    bool
+	key         string
+	value       []byte
+	modRevision uint64
+}
+
+type lease struct {
+	id        uint64
+	ttl       time.Duration
+	expiresAt time.Time // not durable: a lease has its full time after a restart
+	keys      map[string]bool
+}
+
+// keyspace is what a store holds. Its revision rises with every commit; an item's lease is among the leases or was there once, and
+// a lease's keys are exactly the items that name it.
+type keyspace struct {
+	tree              *btree.BTreeG[*item]
+	leases            map[uint64]*lease // by ID
+	revision          uint64
+	lastLeaseID       uint64
+	events            []event // by revision
+	compactedRevision uint64  // changes up to this revision are not among the events
+}
+
+// undoFunc takes a change back that was not made durable.
+type undoFunc func(k *keyspace)
+
+func newKeyspace() *keyspace {
+	return &keyspace{tree: btree.NewG(btreeDegree, keyLess), leases: map[uint64]*lease{}}
+}
+
+func (k *keyspace) get(key string) *item {
+	it, _ := k.tree.Get(&item{key: key})
+	return it
+}
+
+func (k *keyspace) put(it *item) {
+	if previous, replaced := k.tree.ReplaceOrInsert(it); replaced {
+		k.detachFromLease(previous)
+	}
+	if l := k.leases[it.leaseID]; l != nil {
+		l.keys[it.key] = true
+	}
+}
+
+// remove deletes a key and returns what it was, or nil.
+func (k *keyspace) remove(key string) *item {
+	previous, found := k.tree.Delete(&item{key: key})
+	if found {
+		k.detachFromLease(previous)
+	}
+	return previous
+}
+
+func (k *keyspace) detachFromLease(it *item) {
+	if l := k.leases[it.leaseID]; l != nil {
+		delete(l.keys, it.key)
+	}
+}
+
+// restoreItem puts a key back to what it was; nil: it was not there.
+func (k *keyspace) restoreItem(key string, previous *item) {
+	if previous == nil {
+		k.remove(key)
+		return
+	}
+	k.put(previous)
+}
+
+// apply makes the changes of one commit. Where undos is given, what undoes them is added to it.
+func (k *keyspace) apply(revision uint64, changes []change, undos *[]undoFunc) {
+	previousRevision := k.revision
+	k.revision = revision
+	if undos != nil {
+		*undos = append(*undos, func(k *keyspace) { k.revision = previousRevision })
+	}
+	for _, c := range changes {
+		k.applyChange(revision, c, undos)
+	}
+}
+
+func (k *keyspace) applyChange(revision uint64, edit change, undos *[]undoFunc) {
+	var previous *item
+	if edit.isDelete {
+		if previous = k.remove(edit.key); previous == nil {
+			return
+		}
+	} else {
+		previous = k.get(edit.key)
+		k.put(newItem(edit.key, edit.value, revision, edit.leaseID))
+	}
+	k.appendEvent(event{isDelete: edit.isDelete, key: edit.key, value: edit.value, modRevision: revision})
+	if undos != nil {
+		*undos = append(*undos, func(k *keyspace) {
+			k.restoreItem(edit.key, previous)
+			k.events = k.events[:max(len(k.events)-1, 0)]
+		})
+	}
+}
+
+func (k *keyspace) appendEvent(e event) {
+	k.events = append(k.events, e)
+	if len(k.events) <= 2*retainedEvents {
+		return
+	}
+	cut := len(k.events) - retainedEvents
+	// The changes of a commit have one revision: they are kept or cut off together.
+	k.compactedRevision = k.events[cut-1].modRevision
+	for cut < len(k.events) && k.events[cut].modRevision == k.compactedRevision {
+		cut++
+	}
+	k.events = slices.Clone(k.events[cut:])
+}
+
+func (k *keyspace) addLease(id uint64, ttl time.Duration, now time.Time, undos *[]undoFunc) {
+	previousLeaseID := k.lastLeaseID
+	k.lastLeaseID = max(k.lastLeaseID, id)
+	k.leases[id] = &lease{id: id, ttl: ttl, expiresAt: now.Add(ttl), keys: map[string]bool{}}
+	if undos != nil {
+		*undos = append(*undos, func(k *keyspace) {
+			delete(k.leases, id)
+			k.lastLeaseID = previousLeaseID
+		})
+	}
+}
+
+// removeLease ends a lease and deletes its keys in the revision, in the order of the keys.
+func (k *keyspace) removeLease(leaseID, revision uint64, undos *[]undoFunc) {
+	l := k.leases[leaseID]
+	if l == nil {
+		return
+	}
+	if len(l.keys) > 0 {
+		changes := make([]change, 0, len(l.keys))
+		for _, key := range slices.Sorted(maps.Keys(l.keys)) {
+			changes = append(changes, change{isDelete: true, key: key})
+		}
+		k.apply(revision, changes, undos)
+	}
+	delete(k.leases, leaseID)
+	if undos != nil {
+		// The last to be added is the first to be undone, so that the keys find their lease again.
+		*undos = append(*undos, func(k *keyspace) { k.leases[leaseID] = l })
+	}
+}
+
+// undoAll undoes in reverse order.
+func (k *keyspace) undoAll(undos []undoFunc) {
+	for _, undo := range slices.Backward(undos) {
+		undo(k)
+	}
+}
+
+// eventsSince are the events of a prefix after a revision; ok is false if they are not all retained.
+func (k *keyspace) eventsSince(revision uint64, prefix string) (found []event, ok bool) {
+	if revision < k.compactedRevision {
+		return nil, false
+	}
+	first := sort.Search(len(k.events), func(i int) bool { return k.events[i].modRevision > revision })
+	for _, e := range k.events[first:] {
+		if strings.HasPrefix(e.key, prefix) {
+			found = append(found, e)
+		}
+	}
+	return found, true
+}
--- /dev/null
+++ b/internal/site/kvserver/storage_test.go
@@ -0,0 +1,194 @@
+package kvserver_test
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/simulator/crashtest"
+	"gullrudder/internal/simulator/faultydisk"
+	"gullrudder/internal/site/kvserver"
+)
+
+const (
+	damagedSnapshot = "snapshot-0000000000000002"
+	damagedSegment  = "log-0000000000000002"
+)
+
+// directoryToDamage is a directory with a snapshot of five keys and five frames behind it.
+func directoryToDamage(t *testing.T) *faultydisk.Disk {
+	t.Helper()
+	state, storage, files := openEmpty(t, config.DefaultKVServer(), time.Unix(100, 0))
+	for i := range 5 {
+		commitKey(t, state, storage, fmt.Sprintf("a/%d", i), strings.Repeat("x", 50))
+	}
+	writeSnapshot(t, state, storage)
+	for i := range 5 {
+		commitKey(t, state, storage, fmt.Sprintf("b/%d", i), strings.Repeat("y", 50))
+	}
+	kept := files.After(faultydisk.Kept)
+	if kept.Size(damagedSnapshot) == 0 || kept.Size(damagedSegment) == 0 {
+		t.Fatal("the files have other names than this test thinks")
+	}
+	return kept
+}
+
+// A byte that has rotted before answered records ends the start, with file and place, and nothing is overwritten. In the last frame
+// it cannot be told from a torn write.
+func TestOpenReportsDamage(t *testing.T) {
+	taken := 0
+	for _, name := range []string{damagedSnapshot, damagedSegment} {
+		for at := range directoryToDamage(t).Size(name) {
+			if isTakenForTorn(t, name, at) {
+				taken++
+			}
+		}
+	}
+	const segmentHeaderBytes, frames = 36, 5
+	if frameBytes := (directoryToDamage(t).Size(damagedSegment) - segmentHeaderBytes) / frames; taken != frameBytes {
+		t.Errorf("%d bytes are taken for a torn write, the last frame has %d", taken, frameBytes)
+	}
+}
+
+// isTakenForTorn damages one byte and reports whether it is taken for a torn write. Otherwise it has to be reported, and nothing may
+// be written.
+func isTakenForTorn(t *testing.T, name string, offset int) bool {
+	t.Helper()
+	files := directoryToDamage(t)
+	files.Rot(name, offset)
+	operations := files.Ops
+	inspection, err := reopenDirectory(files)
+	var damage *kvserver.DamageError
+	switch {
+	case errors.As(err, &damage):
+		if files.Ops != operations || !strings.Contains(err.Error(), name) {
+			t.Fatalf("%s at %d: %d operations on a damaged directory: %v", name, offset, files.Ops-operations, err)
+		}
+		return false
+	case err != nil:
+		t.Fatalf("%s at %d: %v", name, offset, err)
+	case inspection.TornBytes == 0 || inspection.Keys != 9 || name != damagedSegment:
+		t.Fatalf("%s: a wrong byte at %d is not seen: %+v", name, offset, inspection)
+	}
+	return true
+}
+
+func TestOpenReportsMissingSegment(t *testing.T) {
+	files := directoryToDamage(t)
+	if err := files.Remove(damagedSegment); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := reopenDirectory(files); err == nil {
+		t.Error("a segment that is gone is not missed")
+	}
+}
+
+// A snapshot that the disk has no room for leaves the store as it was, and a commit that finds no room is not there afterwards, while
+// later ones are.
+func TestFullDiskKeepsState(t *testing.T) {
+	now := time.Unix(100, 0)
+	state, storage, files := openEmpty(t, config.DefaultKVServer(), now)
+	commitKey(t, state, storage, "a", "1")
+	writer, err := storage.BeginSnapshot(state.Freeze())
+	if err != nil {
+		t.Fatal(err)
+	}
+	files.FailAt, files.FailFor, files.Fault = files.Ops+1, 3, faultydisk.Short
+	for done := false; err == nil && !done; {
+		done, err = writer.Step()
+	}
+	if err == nil {
+		t.Fatal("the snapshot was written")
+	}
+	if err := writer.Abort(); err == nil {
+		t.Error("a file that could not be made is removed")
+	}
+	effects := state.Step(now, []kvserver.Request{crashtest.Commit(nil, []crashtest.Op{{Key: "b", Value: "no room"}})})
+	if err := storage.Append(effects.Records); !errors.Is(err, kvserver.ErrNotWritten) {
+		t.Fatalf("%v", err)
+	}
+	state.Undo(effects)
+	if response := sendOne(t, state, now, get("/keys/b")); response.Status != http.StatusNotFound {
+		t.Errorf("what is not durable is read: %d", response.Status)
+	}
+	files.FailAt = 0
+	commitKey(t, state, storage, "c", "2")
+	inspection, err := reopenDirectory(files.After(faultydisk.Random))
+	if err != nil || inspection.Keys != 2 || inspection.Revision != 2 {
+		t.Errorf("%+v, %v", inspection, err)
+	}
+}
+
+// A directory belongs to one process.
+func TestDirectoryIsLocked(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "data")
+	dir, err := kvserver.LockDirectory(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := kvserver.LockDirectory(path); !errors.Is(err, kvserver.ErrLocked) {
+		t.Errorf("a directory is taken twice: %v", err)
+	}
+	if err := dir.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// Backups are whole, go into empty directories only, and what is made of them goes on with revisions that were never given out.
+func TestBackupAndRestore(t *testing.T) {
+	root := t.TempDir()
+	data, file, restored := filepath.Join(root, "data"), filepath.Join(root, "backup"), filepath.Join(root, "again")
+	fillDirectory(t, data)
+	inspection, err := kvserver.Backup(data, file)
+	if err != nil || inspection.Revision != 30 || inspection.Keys != 30 {
+		t.Fatalf("%+v, %v", inspection, err)
+	}
+	inspection, err = kvserver.Restore(file, restored)
+	if err != nil || inspection.Keys != 30 || inspection.Revision <= 1<<32 {
+		t.Fatalf("%+v, %v", inspection, err)
+	}
+	keys, err := kvserver.Keys(restored)
+	if err != nil || len(keys) != 30 || keys[29].Key != "k/29" {
+		t.Errorf("%v, %v", keys, err)
+	}
+	if _, err := kvserver.Restore(file, restored); err == nil {
+		t.Error("a backup goes over what is there")
+	}
+	raw, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw[len(raw)/2] ^= 1
+	if err := os.WriteFile(file, raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := kvserver.Restore(file, filepath.Join(root, "third")); err == nil {
+		t.Error("a backup that is not whole is restored")
+	}
+}
+
+// fillDirectory makes a store of thirty keys, with a snapshot before the last nine, whose process goes on.
+func fillDirectory(t *testing.T, path string) {
+	t.Helper()
+	dir, err := kvserver.LockDirectory(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	state, storage, _, err := kvserver.Open(dir, config.DefaultKVServer(), time.Unix(100, 0), slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range 30 {
+		commitKey(t, state, storage, fmt.Sprintf("k/%02d", i), "v")
+		if i == 20 {
+			writeSnapshot(t, state, storage)
+		}
+	}
+}
