--- a/internal/controller/jobstore/dependencies.go
+++ b/internal/controller/jobstore/dependencies.go
@@ -130,7 +130,7 @@
 
 // releaseDependents makes the jobs ready that have waited for a job which is done now, durably.
 func (s *Store) releaseDependents(now time.Time, id string) {
-	for _, job := range s.dependencies.graph.MarkDone(now, id) {
+	for _, job := range s.dependencies.graph.RecordDone(now, id) {
 		if job.State != jobs.Accepted {
 			continue // its acceptance is being written
 		}
--- a/internal/controller/jobstore/save.go
+++ b/internal/controller/jobstore/save.go
@@ -72,7 +72,7 @@
 			return
 		}
 		if unwritten--; unwritten == 0 {
-			job.MarkDurable(tasks)
+			job.RecordDurable(tasks)
 		}
 	}
 	if chunks == nil {
