--- /dev/null
+++ b/internal/controller/storage/move_test.go
@@ -0,0 +1,116 @@
+package storage
+
+import (
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// requires returns the revision at which a commit requires a key.
+func requires(call client.Call, key string) (modRevision uint64, ok bool) {
+	for _, precondition := range call.Body.(CommitRequest).Preconditions {
+		if precondition.Key == key {
+			return precondition.ModRevision, true
+		}
+	}
+	return 0, false
+}
+
+// writes returns the entries that a commit writes to a page.
+func writes(call client.Call, key string) (entries map[string]msgpack.RawMessage, ok bool) {
+	for _, operation := range call.Body.(CommitRequest).Operations {
+		if operation.Write == key {
+			return operation.Value.(pageValue).Entries, true
+		}
+	}
+	return nil, false
+}
+
+// A move that nobody answered, and that was not found, may still be executed. If a page shows another commit than the one that was
+// made after it, that page may have lost entries that memory still has: the store is fenced rather than write them again.
+func TestUncertainMoveFencesStore(t *testing.T) {
+	f := newLoadedFixture(t)
+	f.set("job-1", 1, nil)
+	f.flush().Done(f.now, f.response(200, map[string]any{"tide": 20}))
+	var outcomes []bool
+	err := f.store.CommitArchive([]string{"job-1"}, []HeadChange{{Name: "r00000001", Value: 1}},
+		func(_ time.Time, ok bool) { outcomes = append(outcomes, ok) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	move := f.flush()
+	if _, ok := writes(move, ArchiveHeadKey); !ok {
+		t.Fatalf("the archive's head is not written: %+v", move.Body)
+	}
+	move.Done(f.now, client.Result{})
+	page := map[string]any{"value": pageValue{Sequence: 1, Leader: 7}, "mark": 20}
+	f.singleCall().Done(f.now, f.response(200, page))                       // the page is as before
+	f.singleCall().Done(f.now, f.response(404, map[string]any{"tide": 20})) // and there is no head
+	if !slices.Equal(outcomes, []bool{false}) {
+		t.Fatalf("outcomes of the move: %v", outcomes)
+	}
+	f.set("job-1", 2, nil)
+	f.flush().Done(f.now, client.Result{})
+	moved := map[string]any{"value": pageValue{Sequence: 2, Leader: 7}, "mark": 21}
+	f.singleCall().Done(f.now, f.response(200, moved)) // by now the move has been executed
+	if !f.store.IsFenced() {
+		t.Error("the page would be written again as it was before the move")
+	}
+}
+
+// Of two entries with one name that on the page with the higher number counts. The other page is written without its stale copy, and
+// until then no finished job leaves its page.
+func TestStaleCopyIsRemoved(t *testing.T) {
+	f := newLoadedFixture(t)
+	raw := func(n int) msgpack.RawMessage {
+		encoded, err := codec.Marshal(value{n})
+		if err != nil {
+			t.Fatal(err)
+		}
+		return encoded
+	}
+	f.store.addPage(pageKey(0), 8, pageValue{Sequence: 1, Entries: map[string]msgpack.RawMessage{"job-1": raw(1), "job-2": raw(1)}})
+	f.store.addPage(pageKey(1), 9, pageValue{Sequence: 2, Entries: map[string]msgpack.RawMessage{"job-1": raw(2)}})
+	f.store.SetFinished("job-2")
+	if names := f.store.ArchivableEntries(func(string) bool { return true }); len(names) > 0 {
+		t.Errorf("%v leave a page with a stale copy", names)
+	}
+	call := f.flush()
+	entries, ok := writes(call, pageKey(0))
+	if !ok || len(entries) != 1 || entries["job-2"] == nil {
+		t.Fatalf("the page with the stale copy is written as %v, %v", entries, ok)
+	}
+	call.Done(f.now, f.response(200, map[string]any{"tide": 10}))
+	if names := f.store.ArchivableEntries(func(string) bool { return true }); !slices.Equal(names, []string{"job-2"}) {
+		t.Errorf("without stale copies %v may leave", names)
+	}
+}
+
+// A page that is too large to be written is copied to new pages. The copy requires the page as it was read: an earlier commit of it
+// that is executed late would change what is copied.
+func TestCopyRequiresItsSource(t *testing.T) {
+	f := newLoadedFixture(t)
+	entries := map[string]msgpack.RawMessage{}
+	for _, name := range strings.Fields("job-1 job-2 job-3 job-4 job-5 job-6 job-7 job-8") {
+		raw, err := codec.Marshal(padded{1, strings.Repeat("x", 600)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		entries[name] = raw
+	}
+	f.store.addPage(pageKey(0), 8, pageValue{Sequence: 1, Entries: entries})
+	f.store.splits.limitsLowered = true
+	call := f.flush()
+	if _, ok := writes(call, pageKey(0)); ok {
+		t.Fatal("the page is written though its rest is too large")
+	}
+	if modRevision, ok := requires(call, pageKey(0)); !ok || modRevision != 8 {
+		t.Errorf("the source is required at %d, %v", modRevision, ok)
+	}
+}
