--- /dev/null
+++ b/internal/config/platform.go
@@ -0,0 +1,202 @@
+// Package config reads the settings files: the platform's JSON file and the operators' own XML files for controllers and the state
+// service. It checks what it reads and names the field or line that is wrong; it owns no state, keeps no file open, and never changes
+// a setting. docs/operations/controllers.md and docs/operations/state.md describe each setting.
+package config
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"time"
+)
+
+// Peer is another controller.
+type Peer struct {
+	Name string
+	Zone string
+	Addr string // host:port of its own address for controllers
+}
+
+// Team owns jobs and has quotas, in the units of jobs.Spec. A limit of 0 means none, a guarantee of 0 none.
+type Team struct {
+	Name                     string
+	GuaranteedCPUs, CPULimit float64
+	GuaranteedGPUs, GPULimit float64
+}
+
+// Objective is the aim that the jobs of a class start or finish in time.
+type Objective struct {
+	Kind           string
+	Class          string
+	TimeLimit      time.Duration // since submission
+	TargetShare    float64       // of the jobs that is to keep to it, 0 to 1
+	DeadlineFactor float64       // times the job's deadline, where that is the time limit
+}
+
+// Platform is the checked form of the platform's settings file.
+type Platform struct {
+	// This controller and whom it speaks to. Addresses are host:port.
+	Name, Zone                 string
+	PublicAddr, PeerListenAddr string
+	Peers                      []Peer
+	CloudAddr, StateAddr       string
+
+	// What the cluster is shared by.
+	Zones      []string
+	Teams      []Team
+	Objectives []Objective
+
+	// What workers are told.
+	HeartbeatInterval   time.Duration
+	WorkerLeaseDuration time.Duration
+	CancelTimeout       time.Duration // from a confirmed cancellation until its tasks have ended
+
+	// Limits of the state service. Rates are a second.
+	StateRequestRate  float64
+	StateWriteRate    float64
+	MaxValueBytes     int // JSON bytes
+	MaxTransactionOps int
+
+	// Limits of the cloud.
+	CloudRequestRate float64       // a second
+	CloudListLag     time.Duration // how old a list of instances may be
+
+	// What this process may use.
+	CPUQuota       float64 // CPUs
+	MemoryQuotaMB  float64
+	MaxConnections int
+
+	// MaxClockError is how much the clocks of two machines may differ.
+	MaxClockError time.Duration
+}
+
+// TeamsByName are the teams by their names.
+func (p *Platform) TeamsByName() map[string]Team {
+	teams := map[string]Team{}
+	for _, team := range p.Teams {
+		teams[team.Name] = team
+	}
+	return teams
+}
+
+// FieldError is a field of the platform's settings file that is missing or wrong.
+type FieldError struct {
+	Field  string // its path in the file
+	Reason string
+}
+
+// Error names the field.
+func (e *FieldError) Error() string { return fmt.Sprintf("settings: field %s: %s", e.Field, e.Reason) }
+
+func newFieldError(field, format string, args ...any) error {
+	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
+}
+
+// DurationFromSeconds turns an amount of seconds, as the platform gives them, into a duration.
+func DurationFromSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// LoadPlatform reads and checks the platform's file. See ParsePlatform for its errors.
+func LoadPlatform(path string) (*Platform, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	return ParsePlatform(raw)
+}
+
+// ParsePlatform checks the platform's settings. Unknown fields are ignored. A field that is missing or wrong is a FieldError.
+func ParsePlatform(raw []byte) (*Platform, error) {
+	var file platformFile
+	if err := json.Unmarshal(raw, &file); err != nil {
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return nil, newFieldError(typeErr.Field, "%s is not a %s", typeErr.Value, typeErr.Type)
+		}
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	platform := file.platform()
+	return platform, platform.validate()
+}
+
+// validate checks the fields in the order of the file and returns the first that is wrong.
+func (p *Platform) validate() error {
+	if p.Name == "" {
+		return newFieldError("host_name", "missing")
+	}
+	for _, check := range []func() error{p.validateAddrs, p.validateLimits, p.validateTeams} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (p *Platform) validateAddrs() error {
+	type namedAddr struct{ name, addr string }
+	addrs := []namedAddr{
+		{"public_addr", p.PublicAddr},
+		{"peer_bind", p.PeerListenAddr},
+		{"outside.cloud", p.CloudAddr},
+		{"outside.state", p.StateAddr},
+	}
+	for i, peer := range p.Peers {
+		if peer.Name == "" {
+			return newFieldError(fmt.Sprintf("others[%d].host_name", i), "missing")
+		}
+		addrs = append(addrs, namedAddr{fmt.Sprintf("others[%d].addr", i), peer.Addr})
+	}
+	for _, a := range addrs {
+		if a.addr == "" {
+			return newFieldError(a.name, "missing")
+		}
+		if _, _, err := net.SplitHostPort(a.addr); err != nil {
+			return newFieldError(a.name, "%q is not host:port", a.addr)
+		}
+	}
+	return nil
+}
+
+// validateLimits checks the numbers against the least with which a controller can work.
+func (p *Platform) validateLimits() error {
+	for _, limit := range []struct {
+		name       string
+		value, low float64
+	}{
+		{"cluster.workers.report_s", p.HeartbeatInterval.Seconds(), 0.001},
+		{"cluster.workers.lease_s", p.WorkerLeaseDuration.Seconds(), 0.001},
+		{"cluster.workers.cancel_s", p.CancelTimeout.Seconds(), 0.001},
+		{"cluster.state.rps", p.StateRequestRate, 1},
+		{"cluster.state.write_rps", p.StateWriteRate, 1},
+		{"cluster.state.value_kb", float64(p.MaxValueBytes) / bytesPerKB, 1},
+		{"cluster.state.txn_ops", float64(p.MaxTransactionOps), 1},
+		{"cluster.cloud.rps", p.CloudRequestRate, 0.01},
+		{"cluster.cloud.list_lag_s", p.CloudListLag.Seconds(), 0},
+		{"cluster.quota.cpu", p.CPUQuota, 0.01},
+		{"cluster.quota.ram_mb", p.MemoryQuotaMB, 16},
+		{"cluster.quota.max_connections", float64(p.MaxConnections), 16},
+	} {
+		if !(limit.value >= limit.low) { // also where the value is not a number
+			return newFieldError(limit.name, "missing or below %g", limit.low)
+		}
+	}
+	return nil
+}
+
+func (p *Platform) validateTeams() error {
+	seen := map[string]bool{}
+	for i, team := range p.Teams {
+		field := fmt.Sprintf("cluster.teams[%d]", i)
+		switch {
+		case team.Name == "":
+			return newFieldError(field+".name", "missing")
+		case seen[team.Name]:
+			return newFieldError(field+".name", "%q is there twice", team.Name)
+		case team.GuaranteedCPUs < 0 || team.CPULimit < 0 || team.GuaranteedGPUs < 0 || team.GPULimit < 0:
+			return newFieldError(field, "an amount is negative")
+		}
+		seen[team.Name] = true
+	}
+	return nil
+}
--- a/internal/controller/accounting/cluster_test.go
+++ b/internal/controller/accounting/cluster_test.go
@@ -12,6 +12,7 @@
 	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/testseed"
+	"gullrudder/internal/wire/workerapi"
 
 	"github.com/prometheus/client_golang/prometheus"
 )
@@ -54,7 +55,7 @@
 
 func (c *cluster) addMachine(number int) *worker.Machine {
 	machine := c.Workers.GetOrAdd(fmt.Sprintf("vm-%d", number))
-	heartbeat := &worker.Heartbeat{Machine: machine.ID, Type: "small", Zone: "a", Incarnation: 1, Sequence: machine.Sequence + 1}
+	heartbeat := &workerapi.Heartbeat{Machine: machine.ID, Type: "small", Zone: "a", Incarnation: 1, Sequence: machine.Sequence + 1}
 	c.Workers.Reconcile(c.now, machine, heartbeat, true, func(string) *jobs.Job { return nil })
 	c.Workers.SetCapacity(machine, placement.TypeResources(c.Cloud.MachineTypes["small"]), 0, 0)
 	return machine
--- /dev/null
+++ b/internal/controller/heartbeat/expiry.go
@@ -0,0 +1,52 @@
+package heartbeat
+
+import (
+	"time"
+
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/logkeys"
+)
+
+// ExpireLeases takes in which workers' leases have expired: no task is left on their machines. A machine that was never proved
+// to exist is dropped, as all that came from it may have been duplicates of what an earlier leader received.
+func (h *Handler) ExpireLeases(now time.Time) {
+	for _, machine := range h.workers.Machines {
+		if h.workers.IsLeaseExpired(now, machine) {
+			h.expireLease(now, machine)
+		}
+	}
+}
+
+func (h *Handler) expireLease(now time.Time, machine *worker.Machine) {
+	if !machine.HasReported && !machine.Registered && !machine.Registering {
+		h.workers.Remove(machine)
+		h.reachability.Forget(machine.ID)
+		return
+	}
+	if len(machine.Attempts) > 0 {
+		h.log.Info("lease expired", logkeys.Machine, machine.ID, logkeys.Count, len(machine.Attempts))
+		h.HandleEnded(now, machine, h.workers.ReleaseAll(machine))
+	}
+	if machine.Registered {
+		machine.Registered = false
+		h.storage.Delete(now, MachineKeyPrefix+machine.ID)
+	}
+}
+
+// RemoveDeleted takes in the machines whose deletion the cloud has confirmed.
+func (h *Handler) RemoveDeleted(now time.Time) {
+	deleted := h.cloud.ConfirmedDeletions
+	h.cloud.ConfirmedDeletions = nil
+	for _, id := range deleted {
+		machine := h.workers.Machines[id]
+		if machine == nil {
+			continue
+		}
+		h.HandleEnded(now, machine, h.workers.ReleaseAll(machine))
+		h.workers.Remove(machine)
+		h.observers.stragglers.Forget(machine.ID)
+		h.observers.failures.ForgetMachine(machine.ID)
+		h.reachability.Forget(machine.ID)
+		h.storage.Delete(now, MachineKeyPrefix+id)
+	}
+}
--- /dev/null
+++ b/internal/controller/zones/tracker.go
@@ -0,0 +1,212 @@
+// Package zones finds zones that are unavailable, and says what follows for the requests and the machines there. Its Tracker owns
+// the state of each zone. It never requests, terminates or places anything.
+//
+// A zone is Unavailable when none of its heartbeats arrive, for longer than chance explains, while those of other zones do. That
+// no heartbeat arrives from any zone is a failure of this controller's network (package election/connectivity) and no evidence
+// against a zone. Design note, with the alternatives and the limits: docs/design/zones.md.
+package zones
+
+import (
+	"cmp"
+	"log/slog"
+	"maps"
+	"slices"
+	"time"
+
+	"gullrudder/internal/logkeys"
+)
+
+const (
+	// minSilentMachines is the number of machines that must be silent for a zone to be suspected.
+	minSilentMachines = 3
+	// minMissedHeartbeats is the number of consecutive heartbeats, of all machines of the zone together, that are not missing by
+	// chance.
+	minMissedHeartbeats = 12
+	// minSilence is the shortest silence that counts: the network alone may delay everything that long.
+	minSilence = 1500 * time.Millisecond
+	// overdueShare is the share of a zone's machines whose heartbeats must be overdue for the zone to be suspected.
+	overdueShare = 0.25
+	// maxOverdueInOtherZones is the share of overdue machines in the other zones from which on the failure is rather ours.
+	maxOverdueInOtherZones = 0.25
+	// maxDelay is how late a heartbeat may arrive because of the network.
+	maxDelay = 500 * time.Millisecond
+	// pauseThreshold is the gap between two observations that shows that this process was paused.
+	pauseThreshold  = time.Second
+	observeInterval = 250 * time.Millisecond
+	// outageMemory is how long an outage counts against a zone, and maxRememberedOutages how many do.
+	outageMemory         = 10 * time.Minute
+	maxRememberedOutages = 5
+)
+
+// Tracker tracks the state of the zones. It is used on the controller's goroutine only.
+type Tracker struct {
+	heartbeatInterval time.Duration // of each machine
+	startedAt         time.Time
+	log               *slog.Logger
+	zones             map[string]*zone
+	lastObserved      time.Time
+}
+
+// New returns the tracker of a new leadership, which begins now.
+func New(heartbeatInterval time.Duration, now time.Time, log *slog.Logger) *Tracker {
+	return &Tracker{heartbeatInterval: heartbeatInterval, startedAt: now, log: log, zones: map[string]*zone{}, lastObserved: now}
+}
+
+func (t *Tracker) zoneNamed(name string) *zone {
+	z := t.zones[name]
+	if z == nil {
+		z = &zone{lastHeartbeat: t.startedAt, stateSince: t.startedAt}
+		t.zones[name] = z
+	}
+	return z
+}
+
+// overdueAfter returns the age of a machine's last heartbeat from which the next one is overdue: heartbeats are sent with up to a
+// quarter of their interval as jitter.
+func (t *Tracker) overdueAfter() time.Duration { return t.heartbeatInterval*5/4 + maxDelay }
+
+// Observe takes in the machines, at most once in observeInterval. inboundUnreachable says that no heartbeat arrives from any
+// machine; then the zones keep their states.
+func (t *Tracker) Observe(now time.Time, inboundUnreachable bool, forEachMachine func(func(Machine))) {
+	gap := now.Sub(t.lastObserved)
+	if gap < observeInterval {
+		return
+	}
+	t.lastObserved = now
+	for _, z := range t.zones {
+		z.machines = machineCounts{}
+		if gap > pauseThreshold {
+			z.lastHeartbeat = z.lastHeartbeat.Add(gap) // the machines were not silent while this process was paused
+		}
+	}
+	overdueAfter := t.overdueAfter() + max(gap-pauseThreshold, 0)
+	forEachMachine(func(machine Machine) { t.count(now, machine, overdueAfter) })
+	if inboundUnreachable {
+		return
+	}
+	for name, z := range t.zones {
+		t.evaluate(now, name, z)
+	}
+}
+
+// count adds a machine to the counts of its zone.
+func (t *Tracker) count(now time.Time, machine Machine, overdueAfter time.Duration) {
+	z := t.zoneNamed(machine.Zone)
+	if machine.HasReported && machine.LastHeartbeat.After(z.lastHeartbeat) {
+		z.lastHeartbeat = machine.LastHeartbeat
+	}
+	if machine.Deleting {
+		return
+	}
+	if machine.Sentinel {
+		z.machines.sentinels++
+	}
+	if !machine.LeaseValid {
+		return
+	}
+	z.machines.expected++
+	if now.Sub(machine.LastHeartbeat) > overdueAfter {
+		z.machines.overdue++
+	}
+}
+
+// othersReachable reports whether the other zones show that this controller receives heartbeats: one of them is reachable, and
+// few of their machines are overdue. Zones that are Unavailable do not count.
+func (t *Tracker) othersReachable(now time.Time, excluded *zone) bool {
+	expected, overdue, anyReachable := 0, 0, false
+	for _, z := range t.zones {
+		if z == excluded || z.state == Unavailable {
+			continue
+		}
+		expected += z.machines.expected
+		overdue += z.machines.overdue
+		anyReachable = anyReachable || z.machines.expected > 0 && now.Sub(z.lastHeartbeat) <= t.overdueAfter()
+	}
+	if expected == 0 {
+		return anyReachable
+	}
+	return anyReachable && float64(overdue)/float64(expected) < maxOverdueInOtherZones
+}
+
+// isSilent reports whether the zone has been silent for longer than chance explains: for the time of minMissedHeartbeats, but no
+// longer than it takes until all heartbeats are overdue.
+func (t *Tracker) isSilent(now time.Time, z *zone) bool {
+	untilAllOverdue := t.overdueAfter() + maxDelay
+	untilEnoughMissed := minMissedHeartbeats * t.heartbeatInterval / time.Duration(max(z.machines.expected, 1))
+	return now.Sub(z.lastHeartbeat) >= max(min(untilEnoughMissed, untilAllOverdue), minSilence)
+}
+
+// evaluate moves a zone to the state that the evidence asks for.
+func (t *Tracker) evaluate(now time.Time, name string, current *zone) {
+	if current.state != Unavailable {
+		current.machinesBeforeOutage = current.machines.expected
+	}
+	current.outages = slices.DeleteFunc(current.outages, func(at time.Time) bool { return now.Sub(at) > outageMemory })
+	silence := now.Sub(current.lastHeartbeat)
+	manyOverdue := current.manyOverdue()
+	isSuspect := manyOverdue && t.othersReachable(now, current)
+	switch {
+	case current.state == Unavailable:
+		if silence < minSilence {
+			t.setState(now, name, current, Recovering)
+			current.recovery.start(now)
+		}
+	case isSuspect && t.isSilent(now, current) && current.machinesBeforeOutage >= minSilentMachines:
+		current.outages = append(current.outages, now)
+		current.outages = current.outages[max(len(current.outages)-maxRememberedOutages, 0):]
+		current.recovery.lastProbe = now
+		t.setState(now, name, current, Unavailable)
+	case isSuspect && silence > minSilence/2:
+		t.setState(now, name, current, Suspected)
+	case manyOverdue && current.machines.overdue < current.machines.expected:
+		t.setState(now, name, current, Degraded)
+	case current.state == Recovering || len(current.outages) > 0 && current.state != Healthy:
+		t.evaluateRecovery(now, name, current)
+	default:
+		t.setState(now, name, current, Healthy)
+	}
+	current.advanceRecovery(now)
+}
+
+// evaluateRecovery ends the recovery of a zone once it was reachable for long enough.
+func (t *Tracker) evaluateRecovery(now time.Time, name string, z *zone) {
+	if now.Sub(z.stateSince) >= t.recoveryPeriod(z) {
+		t.setState(now, name, z, Healthy)
+	} else if z.state != Recovering {
+		t.setState(now, name, z, Recovering)
+	}
+}
+
+func (t *Tracker) setState(now time.Time, name string, z *zone, state State) {
+	if z.state == state {
+		return
+	}
+	t.log.Info("zone state changed", logkeys.Zone, name, logkeys.State, state.String(), "previous_state", z.state.String(),
+		"machines", z.machinesBeforeOutage, "overdue", z.machines.overdue,
+		logkeys.Duration, now.Sub(z.lastHeartbeat).Round(time.Millisecond), "outages", len(z.outages))
+	z.state, z.stateSince = state, now
+}
+
+// State returns the state of a zone. A zone without machines is Healthy.
+func (t *Tracker) State(name string) State {
+	if z := t.zones[name]; z != nil {
+		return z.state
+	}
+	return Healthy
+}
+
+// IsUnavailable reports whether the machines of the zone are not to be counted on.
+func (t *Tracker) IsUnavailable(name string) bool { return t.State(name) == Unavailable }
+
+// Views returns the zones by name.
+func (t *Tracker) Views() []View {
+	var views []View
+	for _, name := range slices.SortedFunc(maps.Keys(t.zones), cmp.Compare[string]) {
+		z := t.zones[name]
+		views = append(views, View{
+			Name: name, State: z.state, Since: z.stateSince, LastHeartbeat: z.lastHeartbeat,
+			Machines: z.machines.expected, Overdue: z.machines.overdue, Outages: len(z.outages),
+		})
+	}
+	return views
+}
--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -12,6 +12,8 @@
 	Machine      = "machine"       // machine ID, as its worker reports it
 	Instance     = "instance"      // instance ID, as the cloud lists it
 	InstanceType = "instance_type" // name of a machine type
+	Spot         = "spot"          // whether an instance is a spot instance
+	Request      = "request"       // name of a request to the cloud
 	Zone         = "zone"          // name of a zone
 	Team         = "team"          // name of a team
 	Class        = "class"         // name of a class of jobs
@@ -20,11 +22,11 @@
 	Incarnation  = "incarnation"   // start of a worker process
 	Revision     = "revision"      // revision of the state service
 	LeaseID      = "lease_id"      // lease of the state service
+	Snapshot     = "snapshot"      // snapshot file of the state service
 )
 
 // Keys of stored state.
 const (
-	Bytes      = "bytes"      // size in bytes
 	Dependency = "dependency" // ID of a job that another one depends on
 	Level      = "level"      // how often the jobs of an archive segment have been compacted
 	Limit      = "limit"      // the limit that applies
@@ -33,6 +35,7 @@
 
 // Keys of what happened.
 const (
+	Bytes    = "bytes"    // size in bytes
 	Count    = "count"    // how many the message is about
 	Machines = "machines" // number of machines
 	Duration = "duration" // a span of time
--- /dev/null
+++ b/internal/site/kvserver/server_test.go
@@ -0,0 +1,179 @@
+package kvserver_test
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/simulator/crashtest"
+	"gullrudder/internal/site/kvserver"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/http1"
+)
+
+// failingDirectory is a directory whose files cannot be made or synced while an error is set.
+type failingDirectory struct {
+	kvserver.Directory
+	mu  sync.Mutex
+	err error
+}
+
+func (b *failingDirectory) setError(err error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.err = err
+}
+
+func (b *failingDirectory) failing() error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.err
+}
+
+func (b *failingDirectory) Create(name string) (kvserver.File, error) {
+	if err := b.failing(); err != nil {
+		return nil, err
+	}
+	f, err := b.Directory.Create(name)
+	return &failingFile{f, b}, err
+}
+
+func (b *failingDirectory) Open(name string) (kvserver.File, error) {
+	f, err := b.Directory.Open(name)
+	return &failingFile{f, b}, err
+}
+
+type failingFile struct {
+	kvserver.File
+	directory *failingDirectory
+}
+
+func (f *failingFile) Sync() error {
+	if err := f.directory.failing(); err != nil {
+		return err
+	}
+	return f.File.Sync()
+}
+
+// testServer is a server on this machine, and a client of it.
+type testServer struct {
+	addr   string
+	path   string
+	files  *failingDirectory
+	client *http1.Client
+}
+
+// startServer starts a server that repairs its log after 20 ms, and takes a snapshot after 4 KiB of log.
+func startServer(t *testing.T) *testServer {
+	t.Helper()
+	path := t.TempDir()
+	dir, err := kvserver.LockDirectory(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &testServer{addr: freeAddr(t), path: path, files: &failingDirectory{Directory: dir}, client: http1.NewClient(16, 8, 1<<20)}
+	options := config.DefaultKVServer()
+	options.DiskRetryInterval, options.SnapshotMinLogBytes, options.SnapshotLogRatio = 20*time.Millisecond, 4096, 0
+	log := slog.New(slog.DiscardHandler)
+	state, storage, _, err := kvserver.Open(s.files, options, time.Now(), log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	go func() {
+		if err := kvserver.NewServer(state, storage, options, kvserver.NewMetrics(), log).Serve(s.addr); err != nil {
+			t.Log(err)
+		}
+	}()
+	s.waitFor(t, "the start", get("/ready"), http.StatusOK)
+	return s
+}
+
+func freeAddr(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return listener.Addr().String()
+}
+
+// send returns the status of the response; an error means that there was none.
+func (s *testServer) send(request kvserver.Request) (status int, err error) {
+	response, err := s.client.Do(s.addr, request.Method, request.Target, request.Body, 10*time.Second)
+	if err != nil {
+		return 0, err
+	}
+	return response.Status, nil
+}
+
+// waitFor sends a request again and again until it gets the status.
+func (s *testServer) waitFor(t *testing.T, what string, request kvserver.Request, status int) {
+	t.Helper()
+	for range 2000 {
+		if got, err := s.send(request); err == nil && got == status {
+			return
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	t.Fatalf("%s: never %d", what, status)
+}
+
+func writeOf(key string) kvserver.Request {
+	return crashtest.Commit(nil, []crashtest.Op{{Key: key, Value: "v"}})
+}
+
+// commitFromClients commits a hundred keys from each of eight clients at once.
+func (s *testServer) commitFromClients(t *testing.T) {
+	t.Helper()
+	var clients sync.WaitGroup
+	for client := range 8 {
+		clients.Go(func() {
+			for i := range 100 {
+				request := crashtest.Commit(nil, []crashtest.Op{{Key: fmt.Sprintf("k/%d/%d", client, i), Value: "value"}})
+				if status, err := s.send(request); err != nil || status != http.StatusOK {
+					t.Errorf("client %d, commit %d: %d, %v", client, i, status, err)
+				}
+			}
+		})
+	}
+	clients.Wait()
+}
+
+// The server over the network, with a disk that fails for a while: what is uncertain gets no response, what is not taken gets 503 at
+// once, reads go on, and once the disk works again changes are taken again. Everything that was answered is there when the directory
+// is opened anew.
+func TestServerThroughDiskFailure(t *testing.T) {
+	s := startServer(t)
+	s.commitFromClients(t)
+	s.files.setError(errors.New("the disk fails"))
+	if status, err := s.send(writeOf("doubt")); err == nil {
+		t.Errorf("a commit whose sync failed is answered %d", status)
+	}
+	s.waitFor(t, "the next commit", writeOf("refused"), http.StatusServiceUnavailable)
+	if status, err := s.send(get("/keys/k/3/7")); err != nil || status != http.StatusOK {
+		t.Errorf("a read while the disk fails: %d, %v", status, err)
+	}
+	if status, err := s.send(get("/keys/doubt")); err != nil || status != http.StatusNotFound {
+		t.Errorf("what is not durable is read: %d, %v", status, err)
+	}
+	s.files.setError(nil)
+	s.waitFor(t, "a commit once the disk works", writeOf("after"), http.StatusOK)
+	response, err := s.client.Do(s.addr, http.MethodGet, "/keys?starts=k/&most=1000", nil, 5*time.Second)
+	var list listResponse
+	if err != nil || codec.Unmarshal(response.Body, &list) != nil || len(list.Entries) != 800 {
+		t.Errorf("%d keys, %v", len(list.Entries), err)
+	}
+	keys, err := kvserver.Keys(s.path)
+	if err != nil || len(keys) != 801 {
+		t.Errorf("%d keys in the directory, want 801: %v", len(keys), err)
+	}
+}
