--- a/internal/controller/api/cancel.go
+++ b/internal/controller/api/cancel.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/server"
 )
@@ -44,7 +45,7 @@
 	h.placer.InvalidateOrder()
 	record := job.Record()
 	record.State = jobs.NewFinalRecord(jobs.Cancelled, 0).State
-	err := h.storage.Set(now, job.ID, record, job.MaxRecordBytes(), true, func(now time.Time, isDurable bool) {
+	done := func(now time.Time, isDurable bool) {
 		if isDurable && job.State == jobs.Accepted {
 			h.jobStore.ApplyCancellation(now, job)
 			h.logger.Info("job cancelled", logkeys.Job, job.ID)
@@ -53,7 +54,9 @@
 			h.respondCancelled(request, job, isDurable)
 			request = nil
 		}
-	})
+	}
+	options := storage.SetOptions{ReservedBytes: job.MaxRecordBytes(), Urgent: true, Done: done}
+	err := h.storage.Set(now, job.ID, record, options)
 	if err != nil {
 		h.logger.Error("cancellation not saved", logkeys.Job, job.ID, logkeys.Err, err)
 	}
--- a/internal/controller/api/submission.go
+++ b/internal/controller/api/submission.go
@@ -13,6 +13,7 @@
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/jobstore"
 	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/controller/submission"
 	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/server"
@@ -96,9 +97,11 @@
 		record = job.Record()
 	}
 	pending := &pendingSubmission{request: request, job: job, isCancelled: dependencies.hasCancelled, holdsSlot: true}
-	err := h.storage.Set(now, job.ID, record, job.MaxRecordBytes(), true, func(now time.Time, isDurable bool) {
+	done := func(now time.Time, isDurable bool) {
 		h.finishCommit(now, pending, isDurable)
-	})
+	}
+	options := storage.SetOptions{ReservedBytes: job.MaxRecordBytes(), Urgent: true, Done: done}
+	err := h.storage.Set(now, job.ID, record, options)
 	if err != nil {
 		h.limiter.Release(job.Team)
 		h.jobStore.DependencyGraph().Remove(job)
--- a/internal/controller/archive/build_test.go
+++ b/internal/controller/archive/build_test.go
@@ -9,6 +9,7 @@
 
 	"gullrudder/internal/controller/archive"
 	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/simulator"
 	"gullrudder/internal/wire/client"
 )
@@ -22,7 +23,8 @@
 	}
 	round := func(urgent int) {
 		for i := range urgent { // each has a page of its own
-			if err := leader.storage.Set(leader.now, fmt.Sprintf("job-2%05d", i), jobs.NewFinalRecord(jobs.Done, 1), 800, true, nil); err != nil {
+			id, options := fmt.Sprintf("job-2%05d", i), storage.SetOptions{ReservedBytes: 800, Urgent: true}
+			if err := leader.storage.Set(leader.now, id, jobs.NewFinalRecord(jobs.Done, 1), options); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/controller/archive/leadership_test.go
+++ b/internal/controller/archive/leadership_test.go
@@ -101,13 +101,14 @@
 	if finalState.Cancelled {
 		state = jobs.Cancelled
 	}
-	err := r.storage.Set(r.now, id, jobs.NewFinalRecord(state, finalState.Tasks), 0, true, func(_ time.Time, ok bool) {
+	done := func(_ time.Time, ok bool) {
 		if ok {
 			r.finished[id] = finalState
 			r.storage.SetFinished(id)
 			durable()
 		}
-	})
+	}
+	err := r.storage.Set(r.now, id, jobs.NewFinalRecord(state, finalState.Tasks), storage.SetOptions{Urgent: true, Done: done})
 	if err != nil {
 		t.Fatalf("%s: %v", id, err)
 	}
--- a/internal/controller/dynamicconfig/store.go
+++ b/internal/controller/dynamicconfig/store.go
@@ -132,7 +132,7 @@
 func (s *Store) commit(now time.Time, request *server.Request, next *record, options config.Options) error {
 	s.isCommitting = true
 	answered := false
-	err := s.storage.Set(now, EntryKey, next, s.reservedBytes(), true, func(_ time.Time, isDurable bool) {
+	done := func(_ time.Time, isDurable bool) {
 		if isDurable {
 			s.isCommitting = false
 			s.applied = next
@@ -148,7 +148,9 @@
 		} else {
 			s.responder.RespondError(request, http.StatusServiceUnavailable, "not saved yet", unsavedRetryAfter)
 		}
-	})
+	}
+	write := storage.SetOptions{ReservedBytes: s.reservedBytes(), Urgent: true, Done: done}
+	err := s.storage.Set(now, EntryKey, next, write)
 	if err != nil {
 		s.isCommitting = false
 	}
--- a/internal/controller/fairshare/saved_state.go
+++ b/internal/controller/fairshare/saved_state.go
@@ -52,7 +52,7 @@
 	size := entryBytes(store)
 	state := savedState{SavedAt: now.UnixMilli(), Groups: a.groupsToSave(now)}
 	state.Groups = state.Groups[:min(len(state.Groups), maxSavedGroups*size/maxEntryBytes)]
-	if err := store.Set(now, EntryName, state, size, false, nil); err != nil {
+	if err := store.Set(now, EntryName, state, storage.SetOptions{ReservedBytes: size}); err != nil {
 		log.Error("served counts not saved", logkeys.Err, err)
 	}
 }
--- a/internal/controller/heartbeat/registration.go
+++ b/internal/controller/heartbeat/registration.go
@@ -5,6 +5,7 @@
 
 	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/workerapi"
@@ -35,11 +36,11 @@
 		machine.Addr = heartbeat.Addr
 	}
 	record := MachineRecord{Addr: heartbeat.Addr}
-	err := h.storage.Set(now, MachineKeyPrefix+machine.ID, record, 0, true, func(_ time.Time, ok bool) {
+	err := h.storage.Set(now, MachineKeyPrefix+machine.ID, record, storage.SetOptions{Urgent: true, Done: func(_ time.Time, ok bool) {
 		if ok && h.workers.Machines[machine.ID] == machine {
 			machine.Registered, machine.Registering = true, false
 		}
-	})
+	}})
 	if err != nil {
 		h.log.Error("machine registration failed", logkeys.Machine, machine.ID, logkeys.Err, err)
 		machine.Registering = false
--- a/internal/controller/jobstore/save.go
+++ b/internal/controller/jobstore/save.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/logkeys"
 )
 
@@ -56,7 +57,7 @@
 
 // retireStopped retires a cancelled job whose tasks have all ended.
 func (s *Store) retireStopped(now time.Time, job *jobs.Job) {
-	if err := s.storage.Set(now, job.ID, jobs.NewFinalRecord(jobs.Cancelled, job.Tasks), 0, false, nil); err != nil {
+	if err := s.storage.Set(now, job.ID, jobs.NewFinalRecord(jobs.Cancelled, job.Tasks), storage.SetOptions{}); err != nil {
 		s.log.Error("final record not written", logkeys.Job, job.ID, logkeys.Err, err)
 	}
 	s.retire(now, job)
@@ -79,7 +80,7 @@
 		err = s.writeRecord(now, job, done)
 	}
 	for name, chunk := range chunks {
-		if setErr := s.storage.Set(now, name, chunk, jobs.MaxChunkBytes, false, done); setErr != nil {
+		if setErr := s.storage.Set(now, name, chunk, storage.SetOptions{ReservedBytes: jobs.MaxChunkBytes, Done: done}); setErr != nil {
 			err = setErr
 		}
 	}
@@ -115,7 +116,7 @@
 func (s *Store) writeRecord(now time.Time, job *jobs.Job, done func(time.Time, bool)) error {
 	record := job.Record()
 	record.TimeAccount = s.accounting.EncodedAccount(job)
-	return s.storage.Set(now, job.ID, record, job.MaxRecordBytes(), false, done)
+	return s.storage.Set(now, job.ID, record, storage.SetOptions{ReservedBytes: job.MaxRecordBytes(), Done: done})
 }
 
 // IsResultDurable reports whether the worker may forget that a task has completed.
@@ -133,11 +134,12 @@
 		return
 	}
 	job.IsFinishing = true
-	err := s.storage.Set(now, job.ID, jobs.NewFinalRecord(jobs.Done, job.Tasks), 0, true, func(now time.Time, ok bool) {
+	done := func(now time.Time, ok bool) {
 		if ok && job.State != jobs.Done {
 			s.applyDone(now, job)
 		}
-	})
+	}
+	err := s.storage.Set(now, job.ID, jobs.NewFinalRecord(jobs.Done, job.Tasks), storage.SetOptions{Urgent: true, Done: done})
 	if err != nil {
 		s.log.Error("final record not written", logkeys.Job, job.ID, logkeys.Err, err)
 	}
--- a/internal/controller/storage/commit_test.go
+++ b/internal/controller/storage/commit_test.go
@@ -96,7 +96,7 @@
 
 func (f *fixture) set(name string, n int, done func(time.Time, bool)) {
 	f.t.Helper()
-	if err := f.store.Set(f.now, name, value{n}, 0, true, done); err != nil {
+	if err := f.store.Set(f.now, name, value{n}, SetOptions{Urgent: true, Done: done}); err != nil {
 		f.t.Fatal(err)
 	}
 }
--- a/internal/controller/storage/load_test.go
+++ b/internal/controller/storage/load_test.go
@@ -32,7 +32,7 @@
 		MachineTypes: []string{"g8", "c4"}, RunTimeEstimate: 4 * time.Minute, Deadline: 15 * time.Minute,
 	}, now).Record()
 	for i := range liveJobs {
-		if err := store.Set(now, fmt.Sprintf("job-9%08d", i), record, 0, true, nil); err != nil {
+		if err := store.Set(now, fmt.Sprintf("job-9%08d", i), record, storage.SetOptions{Urgent: true}); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -48,10 +48,10 @@
 	}
 	for i := range count {
 		name := id(i)
-		err := store.Set(now, name, jobs.NewFinalRecord(jobs.Done, 100), 0, true, func(time.Time, bool) {
+		err := store.Set(now, name, jobs.NewFinalRecord(jobs.Done, 100), storage.SetOptions{Urgent: true, Done: func(time.Time, bool) {
 			finished[name] = archive.FinalState{Tasks: 100}
 			store.SetFinished(name)
-		})
+		}})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/controller/storage/page_test.go
+++ b/internal/controller/storage/page_test.go
@@ -6,7 +6,7 @@
 func TestReservedSpaceSurvivesFailover(t *testing.T) {
 	f := newLoadedFixture(t)
 	for _, name := range []string{"job-1", "job-2", "job-3"} {
-		if err := f.store.Set(f.now, name, value{1}, 250, true, nil); err != nil {
+		if err := f.store.Set(f.now, name, value{1}, SetOptions{ReservedBytes: 250, Urgent: true}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -16,7 +16,7 @@
 	for _, name := range []string{"job-1", "job-2", "job-3"} {
 		next.store.Reserve(name, 250)
 	}
-	if err := next.store.Set(next.now, "job-4", value{1}, 250, true, nil); err != nil {
+	if err := next.store.Set(next.now, "job-4", value{1}, SetOptions{ReservedBytes: 250, Urgent: true}); err != nil {
 		t.Fatal(err)
 	}
 	if next.store.pages.entries["job-4"].page == next.store.pages.entries["job-1"].page {
@@ -28,7 +28,7 @@
 func TestPagesStayWithinSizeLimit(t *testing.T) {
 	f := newLoadedFixture(t)
 	for i := range 40 {
-		if err := f.store.Set(f.now, "job-"+string(rune('a'+i)), value{i}, 100, true, nil); err != nil {
+		if err := f.store.Set(f.now, "job-"+string(rune('a'+i)), value{i}, SetOptions{ReservedBytes: 100, Urgent: true}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -37,10 +37,10 @@
 			t.Errorf("page %s: %d bytes", p.key, p.size)
 		}
 	}
-	if err := f.store.Set(f.now, "job-zz", value{1}, 2000, true, nil); err == nil {
+	if err := f.store.Set(f.now, "job-zz", value{1}, SetOptions{ReservedBytes: 2000, Urgent: true}); err == nil {
 		t.Error("an entry larger than a page is taken")
 	}
-	if err := f.store.Set(f.now, "job-a", value{1}, 2000, true, nil); err == nil {
+	if err := f.store.Set(f.now, "job-a", value{1}, SetOptions{ReservedBytes: 2000, Urgent: true}); err == nil {
 		t.Error("an entry may outgrow its page")
 	}
 }
--- a/internal/controller/storage/split_test.go
+++ b/internal/controller/storage/split_test.go
@@ -51,11 +51,11 @@
 	s.latest[name]++
 	n := s.latest[name]
 	room := strings.Repeat("x", rapid.IntRange(0, 110).Draw(s.t, "room"))
-	err := s.store.Set(s.now, name, padded{n, room}, 150, true, func(_ time.Time, ok bool) {
+	err := s.store.Set(s.now, name, padded{n, room}, SetOptions{ReservedBytes: 150, Urgent: true, Done: func(_ time.Time, ok bool) {
 		if ok {
 			s.durable[name] = max(s.durable[name], n)
 		}
-	})
+	}})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -248,7 +248,8 @@
 	l := &lateCopy{t: t, service: newModelStore(), now: time.Unix(1000, 0)}
 	l.store = l.service.newLeader(t, l.now, &l.outbox, oldValueBytes, oldTxnOps)
 	for i := range 60 {
-		if err := l.store.Set(l.now, fmt.Sprintf("job-%04d", i), padded{i, strings.Repeat("x", 100)}, 150, true, nil); err != nil {
+		entry, options := padded{i, strings.Repeat("x", 100)}, SetOptions{ReservedBytes: 150, Urgent: true}
+		if err := l.store.Set(l.now, fmt.Sprintf("job-%04d", i), entry, options); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/controller/storage/store.go
+++ b/internal/controller/storage/store.go
@@ -121,12 +121,21 @@
 	return fmt.Sprintf("entry %s: %d bytes are more than a page holds", e.Name, e.Bytes)
 }
 
-// Set changes an entry. reserve is how many JSON bytes its value may come to need while it exists, 0 if it is what the value needs
-// now; the entry never leaves its page because it grows. done, unless nil, is called with true once the change is durable, or with
-// false if that has become uncertain. In that case the change stays, is written again, and done is called again.
-// The error is an EntryTooLargeError or says that the value cannot be encoded; then nothing has changed.
-func (s *Store) Set(now time.Time, name string, value any, reserve int, urgent bool, done func(now time.Time, ok bool)) error {
-	raw, size, err := encodeEntry(name, value, reserve)
+// SetOptions say how an entry is written.
+type SetOptions struct {
+	// ReservedBytes is how many JSON bytes the value may come to need while the entry exists, 0 if it is what the value needs now. The
+	// entry never leaves its page because it grows.
+	ReservedBytes int
+	// Urgent says that somebody waits for the change: it is written with the next commit.
+	Urgent bool
+	// Done, unless nil, is called with true once the change is durable, or with false if that has become uncertain. In that case the
+	// change stays, is written again, and Done is called again.
+	Done DoneFunc
+}
+
+// Set changes an entry. The error is an EntryTooLargeError or says that the value cannot be encoded; then nothing has changed.
+func (s *Store) Set(now time.Time, name string, value any, options SetOptions) error {
+	raw, size, err := encodeEntry(name, value, options.ReservedBytes)
 	if err != nil {
 		return err
 	}
@@ -145,7 +154,7 @@
 	}
 	e.page.grow(e, size)
 	e.raw = raw
-	s.pages.setDirty(now, e.page, urgent, done)
+	s.pages.setDirty(now, e.page, options.Urgent, options.Done)
 	return nil
 }
 
