--- a/cmd/gullrudder/submit.go
+++ b/cmd/gullrudder/submit.go
@@ -53,12 +53,8 @@
 	cmd.Flags().DurationVar(&f.estimate, "estimate", time.Minute, "about how long a task runs")
 	cmd.Flags().DurationVar(&f.save, "save", 0, "what a task needs to save when it is told to stop (SIGTERM); 0: it cannot")
 	cmd.Flags().StringToStringVar(&f.env, "env", nil, "variables of the tasks' environment, NAME=value")
-	cmd.Flags().StringSliceVar(
-		&f.after,
-		"after",
-		nil,
-		"jobs that have to be done before any task of this one starts; if one is cancelled, so is this one",
-	)
+	cmd.Flags().StringSliceVar(&f.after, "after", nil,
+		"jobs that have to be done before any task of this one starts; if one is cancelled, so is this one")
 	cmd.Flags().BoolVar(&f.wait, "wait", false, "wait until the job is over")
 	// What stands after the first word is the command's own: its flags are not ours.
 	cmd.Flags().SetInterspersed(false)
