--- a/internal/controller/archive/leadership_test.go
+++ b/internal/controller/archive/leadership_test.go
@@ -96,21 +96,21 @@
 	Fatalf(format string, args ...any)
 }
 
-func (r *leadership) finish(t fataler, id string, finalState archive.FinalState, durable func()) {
+func (r *leadership) finish(t fataler, jobID string, finalState archive.FinalState, durable func()) {
 	state := jobs.Done
 	if finalState.Cancelled {
 		state = jobs.Cancelled
 	}
 	done := func(_ time.Time, ok bool) {
 		if ok {
-			r.finished[id] = finalState
-			r.storage.SetFinished(id)
+			r.finished[jobID] = finalState
+			r.storage.SetFinished(jobID)
 			durable()
 		}
 	}
-	err := r.storage.Set(r.now, id, jobs.NewFinalRecord(state, finalState.Tasks), storage.SetOptions{Urgent: true, Done: done})
+	err := r.storage.Set(r.now, jobID, jobs.NewFinalRecord(state, finalState.Tasks), storage.SetOptions{Urgent: true, Done: done})
 	if err != nil {
-		t.Fatalf("%s: %v", id, err)
+		t.Fatalf("%s: %v", jobID, err)
 	}
 }
 
--- a/internal/controller/archive/model_test.go
+++ b/internal/controller/archive/model_test.go
@@ -64,7 +64,7 @@
 }
 
 // step does one drawn thing, lets time pass and carries out the calls.
-func (s *archiveSchedule) step(i int) {
+func (s *archiveSchedule) step(index int) {
 	s.t.Helper()
 	switch rapid.IntRange(0, 9).Draw(s.t, "what") {
 	case 0, 1, 2, 3:
@@ -79,7 +79,7 @@
 	case 5:
 		if rapid.IntRange(0, 3).Draw(s.t, "deposed") == 0 {
 			s.leader.storage.Close()
-			s.changeLeader(uint64(i) + 2)
+			s.changeLeader(uint64(index) + 2)
 		}
 	}
 	s.leader.tick()
@@ -87,7 +87,7 @@
 		s.carryOut(call)
 	}
 	if s.leader.storage.IsFenced() {
-		s.changeLeader(uint64(i) + 2)
+		s.changeLeader(uint64(index) + 2)
 	}
 	s.checkLookup(drawID(s.t, s.first, s.second))
 }
@@ -133,19 +133,19 @@
 }
 
 // checkLookup compares what is said of a job with the model.
-func (s *archiveSchedule) checkLookup(id string) {
+func (s *archiveSchedule) checkLookup(jobID string) {
 	s.t.Helper()
-	want, isDurable := s.durable[id]
-	attempted, isAttempted := s.attempted[id]
-	result := s.leader.archive.LookupIndex(id)
+	want, isDurable := s.durable[jobID]
+	attempted, isAttempted := s.attempted[jobID]
+	result := s.leader.archive.LookupIndex(jobID)
 	saysDone := result == archive.Done && (want.Cancelled || !isDurable && attempted.Cancelled)
 	saysCancelled := result == archive.Cancelled && isDurable && !want.Cancelled
 	if saysDone || saysCancelled {
-		s.t.Fatalf("%s: the index says %v, want %+v", id, result, want)
+		s.t.Fatalf("%s: the index says %v, want %+v", jobID, result, want)
 	}
-	state, found, ok := s.leader.lookUp(id)
+	state, found, ok := s.leader.lookUp(jobID)
 	if ok && (found != isDurable && (isDurable || !isAttempted) || isDurable && found && state != want) {
-		s.t.Fatalf("%s: %+v, found %v, want %+v, %v", id, state, found, want, isDurable)
+		s.t.Fatalf("%s: %+v, found %v, want %+v, %v", jobID, state, found, want, isDurable)
 	}
 }
 
--- a/internal/controller/storage/commit_test.go
+++ b/internal/controller/storage/commit_test.go
@@ -65,8 +65,8 @@
 // commitBody is what the state service reads of a commit.
 type commitBody struct {
 	Guards []struct {
-		Path string `msgpack:"path"`
-		Mark uint64 `msgpack:"mark"`
+		Path        string `msgpack:"path"`
+		ModRevision uint64 `msgpack:"mark"`
 	} `msgpack:"guards"`
 	Apply []struct {
 		Write string    `msgpack:"write"`
@@ -111,7 +111,7 @@
 		got := f.decodeCommit(c)
 		guards := map[string]uint64{}
 		for _, g := range got.Guards {
-			guards[g.Path] = g.Mark
+			guards[g.Path] = g.ModRevision
 		}
 		if guards["leader"] != 7 {
 			t.Fatalf("round %d: the leader's key is not guarded by the token: %v", round, got.Guards)
@@ -150,8 +150,8 @@
 	}
 	third := f.flush()
 	got := f.decodeCommit(third)
-	if got.Guards[1].Mark != 9 || len(got.Apply[0].Value.Entries) != 2 {
-		t.Fatalf("the third attempt guards %d and holds %d entries, want 9 and 2", got.Guards[1].Mark, len(got.Apply[0].Value.Entries))
+	if got.Guards[1].ModRevision != 9 || len(got.Apply[0].Value.Entries) != 2 {
+		t.Fatalf("the third attempt guards %d and holds %d entries, want 9 and 2", got.Guards[1].ModRevision, len(got.Apply[0].Value.Entries))
 	}
 	third.Done(f.now, f.response(200, map[string]any{"tide": 10}))
 	if durable != 1 {
@@ -232,7 +232,7 @@
 	modRevisions := map[string]uint64{"leader": 7}
 	executes := func(c commitBody) bool {
 		for _, g := range c.Guards {
-			if modRevisions[g.Path] != g.Mark {
+			if modRevisions[g.Path] != g.ModRevision {
 				return false
 			}
 		}
@@ -294,7 +294,7 @@
 	f.singleCall().Done(f.now, f.response(200, map[string]any{"value": map[string]any{}, "mark": 7}))
 	f.singleCall().Done(f.now, f.response(200, map[string]any{"value": f.decodeCommit(late).Apply[0].Value, "mark": 9}))
 	c := f.flush()
-	if g := f.decodeCommit(c).Guards; f.store.IsFenced() || g[1].Mark != 9 {
+	if g := f.decodeCommit(c).Guards; f.store.IsFenced() || g[1].ModRevision != 9 {
 		t.Fatalf("lost %v, guards %v", f.store.IsFenced(), g)
 	}
 	c.Done(f.now, f.response(200, map[string]any{"tide": 10}))
--- a/internal/controller/storage/load_test.go
+++ b/internal/controller/storage/load_test.go
@@ -21,12 +21,12 @@
 )
 
 // populate returns a cluster whose state service holds so many finished jobs and the unfinished ones, written by the stores themselves.
-func populate(b *testing.B, count int, id func(i int) string) *simulator.World {
+func populate(b *testing.B, count int, newID func(i int) string) *simulator.World {
 	b.Helper()
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
 	now := time.Unix(1000, 0)
-	var box client.Outbox
-	store, archiveStore, finished := openStores(b, cluster, now, &box)
+	var outbox client.Outbox
+	store, archiveStore, finished := openStores(b, cluster, now, &outbox)
 	record := jobs.New(jobs.Spec{
 		Class: "intake-settle", Team: "harvest-records", Tasks: 40, CPUs: 2, MemoryGB: 4, Image: "img-07", ImageGB: 6.2,
 		MachineTypes: []string{"g8", "c4"}, RunTimeEstimate: 4 * time.Minute, Deadline: 15 * time.Minute,
@@ -38,16 +38,16 @@
 	}
 	flush := func() {
 		now = now.Add(1100 * time.Millisecond)
-		archiveStore.Tick(now, &box)
-		store.Flush(now, &box)
-		for calls := box.TakeCalls(); len(calls) > 0; calls = box.TakeCalls() {
+		archiveStore.Tick(now, &outbox)
+		store.Flush(now, &outbox)
+		for calls := outbox.TakeCalls(); len(calls) > 0; calls = outbox.TakeCalls() {
 			for _, c := range calls {
 				c.Done(now, cluster.State.Exchange(c))
 			}
 		}
 	}
 	for i := range count {
-		name := id(i)
+		name := newID(i)
 		err := store.Set(now, name, jobs.NewFinalRecord(jobs.Done, 100), storage.SetOptions{Urgent: true, Done: func(time.Time, bool) {
 			finished[name] = archive.FinalState{Tasks: 100}
 			store.SetFinished(name)
@@ -71,7 +71,7 @@
 	b *testing.B,
 	cluster *simulator.World,
 	now time.Time,
-	box *client.Outbox,
+	outbox *client.Outbox,
 ) (*storage.Store, *archive.Store, map[string]archive.FinalState) {
 	b.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -86,8 +86,8 @@
 		cluster.State.Revision(),
 		log,
 	)
-	store.Load(box)
-	for calls := box.TakeCalls(); len(calls) > 0; calls = box.TakeCalls() {
+	store.Load(outbox)
+	for calls := outbox.TakeCalls(); len(calls) > 0; calls = outbox.TakeCalls() {
 		for _, c := range calls {
 			c.Done(now, cluster.State.Exchange(c))
 		}
@@ -177,9 +177,9 @@
 	}
 }
 
-func benchmarkLoad(b *testing.B, finished int, id func(int) string) {
+func benchmarkLoad(b *testing.B, finished int, newID func(int) string) {
 	b.Helper()
-	recorded := &recordedLoad{b: b, cluster: populate(b, finished, id)}
+	recorded := &recordedLoad{b: b, cluster: populate(b, finished, newID)}
 	recorded.load()
 	recorded.cluster = nil
 	store, archiveStore, held := heapOf(recorded.load)
--- a/internal/controller/storage/model_test.go
+++ b/internal/controller/storage/model_test.go
@@ -25,36 +25,36 @@
 	maxOps         int
 }
 
-func (s *modelStore) commit(c commitBody) (int, any) {
-	if len(c.Apply) > s.maxOps {
+func (s *modelStore) commit(body commitBody) (int, any) {
+	if len(body.Apply) > s.maxOps {
 		return 400, nil
 	}
-	for _, a := range c.Apply {
+	for _, a := range body.Apply {
 		if jsonSize(a.Value) > s.valueBytes {
 			return 400, nil
 		}
 	}
-	for _, g := range c.Guards {
+	for _, g := range body.Guards {
 		modRevision := s.modRevisions[g.Path]
 		if g.Path == "leader" {
 			modRevision = s.leaderRevision
 		}
-		if modRevision != g.Mark {
+		if modRevision != g.ModRevision {
 			return 409, map[string]any{"failed": []string{g.Path}, "tide": s.revision}
 		}
 	}
 	s.revision++
-	for _, a := range c.Apply {
+	for _, a := range body.Apply {
 		s.pages[a.Write], s.modRevisions[a.Write] = a.Value, s.revision
 	}
 	return 200, map[string]any{"tide": s.revision}
 }
 
 // jsonSize is the JSON size of a page as the service counts it.
-func jsonSize(v pageValue) int {
-	plain := map[string]any{"n": v.Sequence, "l": v.Leader}
+func jsonSize(stored pageValue) int {
+	plain := map[string]any{"n": stored.Sequence, "l": stored.Leader}
 	entries := map[string]any{}
-	for name, raw := range v.Entries {
+	for name, raw := range stored.Entries {
 		var x any
 		if msgpack.Unmarshal(raw, &x) != nil {
 			return 1 << 30
@@ -87,31 +87,31 @@
 }
 
 // newLeader is the ledger of a new leader, which has read all.
-func (s *modelStore) newLeader(t fataler, now time.Time, box *client.Outbox, valueBytes, ops int) *Store {
-	box.TakeCalls()
+func (s *modelStore) newLeader(t fataler, now time.Time, outbox *client.Outbox, valueBytes, ops int) *Store {
+	outbox.TakeCalls()
 	s.revision++
 	s.leaderRevision = s.revision
 	l := New(Options{LeaderKey: "leader", ValueBytes: valueBytes, TxnOps: ops, WriteRate: 50}, s.leaderRevision, slog.New(slog.DiscardHandler))
-	l.Load(box)
-	for _, c := range box.TakeCalls() {
+	l.Load(outbox)
+	for _, c := range outbox.TakeCalls() {
 		c.Done(now, s.serve(t, c))
 	}
 	return l
 }
 
-func (s *modelStore) serve(t fataler, c client.Call) client.Result {
+func (s *modelStore) serve(t fataler, call client.Call) client.Result {
 	status, body := 404, any(map[string]any{"tide": s.revision})
-	path := strings.TrimPrefix(c.Path, "/keys/")
+	path := strings.TrimPrefix(call.Path, "/keys/")
 	switch {
-	case c.Method == http.MethodPost:
-		status, body = s.commit(decodeCommitCall(t, c))
-	case strings.Contains(c.Path, "starts=page"):
+	case call.Method == http.MethodPost:
+		status, body = s.commit(decodeCommitCall(t, call))
+	case strings.Contains(call.Path, "starts=page"):
 		var rows []any
 		for _, key := range slices.Sorted(maps.Keys(s.pages)) {
 			rows = append(rows, map[string]any{"path": key, "value": s.pages[key], "mark": s.modRevisions[key]})
 		}
 		status, body = 200, map[string]any{"entries": rows, "has_next": false}
-	case strings.HasPrefix(c.Path, "/keys?"):
+	case strings.HasPrefix(call.Path, "/keys?"):
 		status, body = 200, map[string]any{"entries": []any{}, "has_next": false}
 	case path == "leader":
 		status, body = 200, map[string]any{"path": path, "value": "n", "mark": s.leaderRevision}
