--- a/internal/controller/failover/reconciler.go
+++ b/internal/controller/failover/reconciler.go
@@ -4,7 +4,7 @@
 // Its Reconciler owns the list of machines that are not reconciled yet and the budget of direct probes. After the failover
 // it goes on to probe machines whose heartbeats are overdue, and terminates those that do not answer. It never decides that
 // a task is gone: it waits for a newer heartbeat without the task, for the cloud's confirmation of the deletion, or for the
-// end of the machine's lease. The design is in docs/design/fault-combinations.md and docs/design/reach.md.
+// end of the machine's lease. The design is in docs/design/fault-combinations.md and docs/design/reachability.md.
 package failover
 
 import (
