--- a/internal/controller/cloud/callqueue_test.go
+++ b/internal/controller/cloud/callqueue_test.go
@@ -96,8 +96,8 @@
 		}
 		return 200, nil
 	})
-	if len(f.client.ConfirmedDeletions) != 99 || f.client.IsDeleted("vm-000042") {
-		t.Errorf("%d of 99 are deleted", len(f.client.ConfirmedDeletions))
+	if deleted := f.client.TakeConfirmedDeletions(); len(deleted) != 99 || f.client.IsDeleted("vm-000042") {
+		t.Errorf("%d of 99 are deleted", len(deleted))
 	}
 }
 
--- a/internal/controller/cloud/client.go
+++ b/internal/controller/cloud/client.go
@@ -27,8 +27,6 @@
 	MachineTypes map[string]*MachineType
 	// Instances are the instances that are listed, requested or reporting, by ID.
 	Instances map[string]*Instance
-	// ConfirmedDeletions are the IDs of instances that the cloud has confirmed as deleted, until the owner takes them.
-	ConfirmedDeletions []string
 	// CompletedLists counts the lists that were read to their last page.
 	CompletedLists int
 
@@ -45,6 +43,7 @@
 	isReadingTypes bool
 	listing        listing
 	deletedIDs     map[string]bool // confirmed deletions; lists lag and still show them
+	newDeletions   []string        // confirmed deletions that TakeConfirmedDeletions has not returned yet
 	requests       requests
 }
 
@@ -129,6 +128,13 @@
 // IsDeleted reports whether the cloud has confirmed the deletion of the instance.
 func (c *Client) IsDeleted(id string) bool { return c.deletedIDs[id] }
 
+// TakeConfirmedDeletions returns the IDs of the instances whose deletion the cloud has confirmed since the last call.
+func (c *Client) TakeConfirmedDeletions() []string {
+	deleted := c.newDeletions
+	c.newDeletions = nil
+	return deleted
+}
+
 // ObserveHeartbeat records that the worker of an instance sent a heartbeat. The first one gives a sample of the boot time.
 func (c *Client) ObserveHeartbeat(now time.Time, id, addr string, kind InstanceKind) {
 	instance := c.Instances[id]
--- a/internal/controller/cloud/requests.go
+++ b/internal/controller/cloud/requests.go
@@ -186,7 +186,7 @@
 				delete(c.Instances, id)
 				c.deletedIDs[id] = true
 			}
-			c.ConfirmedDeletions = append(c.ConfirmedDeletions, ids...)
+			c.newDeletions = append(c.newDeletions, ids...)
 		},
 	})
 }
--- a/internal/controller/heartbeat/expiry.go
+++ b/internal/controller/heartbeat/expiry.go
@@ -35,8 +35,7 @@
 
 // RemoveDeleted takes in the machines whose deletion the cloud has confirmed.
 func (h *Handler) RemoveDeleted(now time.Time) {
-	deleted := h.cloud.ConfirmedDeletions
-	h.cloud.ConfirmedDeletions = nil
+	deleted := h.cloud.TakeConfirmedDeletions()
 	for _, id := range deleted {
 		machine := h.workers.Machines[id]
 		if machine == nil {
