--- a/internal/controller/clustertest/cluster.go
+++ b/internal/controller/clustertest/cluster.go
@@ -22,6 +22,8 @@
 	Team  = "t"
 )
 
+const platformName = "n"
+
 // Cluster is machines and jobs at a time that the test sets.
 type Cluster struct {
 	Now          time.Time
@@ -37,7 +39,7 @@
 // New returns a cluster without machines and jobs.
 func New() *Cluster {
 	platform := &config.Platform{
-		Name:                "n",
+		Name:                platformName,
 		HeartbeatInterval:   4 * time.Second,
 		WorkerLeaseDuration: 20 * time.Second,
 		CPUQuota:            0.2,
