--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -12,8 +12,6 @@
 	Machine      = "machine"       // machine ID, as its worker reports it
 	Instance     = "instance"      // instance ID, as the cloud lists it
 	InstanceType = "instance_type" // name of a machine type
-	Spot         = "spot"          // whether an instance is a spot instance
-	Request      = "request"       // name of a request to the cloud
 	Zone         = "zone"          // name of a zone
 	Team         = "team"          // name of a team
 	Class        = "class"         // name of a class of jobs
@@ -27,6 +25,7 @@
 
 // Keys of stored state.
 const (
+	Bytes      = "bytes"      // size in bytes
 	Dependency = "dependency" // ID of a job that another one depends on
 	Level      = "level"      // how often the jobs of an archive segment have been compacted
 	Limit      = "limit"      // the limit that applies
@@ -35,7 +34,6 @@
 
 // Keys of what happened.
 const (
-	Bytes    = "bytes"    // size in bytes
 	Count    = "count"    // how many the message is about
 	Machines = "machines" // number of machines
 	Duration = "duration" // a span of time
