--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -48,28 +48,41 @@
 	Teams      []Team
 	Objectives []Objective
 
-	// What workers are told.
+	WorkerTiming
+	StateLimits
+	CloudLimits
+	ProcessQuota
+
+	// MaxClockError is how much the clocks of two machines may differ.
+	MaxClockError time.Duration
+}
+
+// WorkerTiming is what workers keep to.
+type WorkerTiming struct {
 	HeartbeatInterval   time.Duration
 	WorkerLeaseDuration time.Duration
 	CancelTimeout       time.Duration // from a confirmed cancellation until its tasks have ended
+}
 
-	// Limits of the state service. Rates are a second.
+// StateLimits are those of the state service. Rates are a second.
+type StateLimits struct {
 	StateRequestRate  float64
 	StateWriteRate    float64
 	MaxValueBytes     int // JSON bytes
 	MaxTransactionOps int
+}
 
-	// Limits of the cloud.
+// CloudLimits are those of the cloud.
+type CloudLimits struct {
 	CloudRequestRate float64       // a second
 	CloudListLag     time.Duration // how old a list of instances may be
+}
 
-	// What this process may use.
+// ProcessQuota is what this process may use.
+type ProcessQuota struct {
 	CPUQuota       float64 // CPUs
 	MemoryQuotaMB  float64
 	MaxConnections int
-
-	// MaxClockError is how much the clocks of two machines may differ.
-	MaxClockError time.Duration
 }
 
 // TeamsByName are the teams by their names.
--- a/internal/config/platformfile.go
+++ b/internal/config/platformfile.go
@@ -37,11 +37,11 @@
 			CancelS float64 `json:"cancel_s"`
 		} `json:"workers"`
 		State struct {
-			RPS      float64     `json:"rps"`
-			WriteRPS float64     `json:"write_rps"`
-			ValueKB  float64     `json:"value_kb"`
-			TxnOps   int         `json:"txn_ops"`
-			Next     stateLimits `json:"next"`
+			RPS      float64 `json:"rps"`
+			WriteRPS float64 `json:"write_rps"`
+			ValueKB  float64 `json:"value_kb"`
+			TxnOps   int     `json:"txn_ops"`
+			Next     limits  `json:"next"`
 		} `json:"state"`
 		Cloud struct {
 			RPS      float64 `json:"rps"`
@@ -56,8 +56,8 @@
 	} `json:"cluster"`
 }
 
-// stateLimits are those that the state service is to have later; 0: as now.
-type stateLimits struct {
+// limits are those that the state service is announced to have later; 0: as now.
+type limits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
 	ValueKB  float64 `json:"value_kb"`
@@ -73,14 +73,18 @@
 	platform := &Platform{
 		Name: f.HostName, Zone: f.Domain, PublicAddr: f.PublicAddr, PeerListenAddr: f.PeerBind,
 		CloudAddr: f.Outside.Cloud, StateAddr: f.Outside.State, Zones: cluster.Zones,
-		HeartbeatInterval:   DurationFromSeconds(cluster.Workers.ReportS),
-		WorkerLeaseDuration: DurationFromSeconds(cluster.Workers.LeaseS),
-		CancelTimeout:       DurationFromSeconds(cluster.Workers.CancelS),
-		CloudRequestRate:    cluster.Cloud.RPS, CloudListLag: DurationFromSeconds(cluster.Cloud.ListLagS),
-		CPUQuota: cluster.Quota.CPU, MemoryQuotaMB: cluster.Quota.RAMMB, MaxConnections: cluster.Quota.MaxConnections,
+		WorkerTiming: WorkerTiming{
+			HeartbeatInterval:   DurationFromSeconds(cluster.Workers.ReportS),
+			WorkerLeaseDuration: DurationFromSeconds(cluster.Workers.LeaseS),
+			CancelTimeout:       DurationFromSeconds(cluster.Workers.CancelS),
+		},
+		StateLimits: f.lowestStateLimits(),
+		CloudLimits: CloudLimits{CloudRequestRate: cluster.Cloud.RPS, CloudListLag: DurationFromSeconds(cluster.Cloud.ListLagS)},
+		ProcessQuota: ProcessQuota{
+			CPUQuota: cluster.Quota.CPU, MemoryQuotaMB: cluster.Quota.RAMMB, MaxConnections: cluster.Quota.MaxConnections,
+		},
 		MaxClockError: DurationFromSeconds(cluster.ClockErrorMS / 1000),
 	}
-	f.setStateLimits(platform)
 	for _, other := range f.Others {
 		platform.Peers = append(platform.Peers, Peer{Name: other.HostName, Zone: other.Domain, Addr: other.Addr})
 	}
@@ -98,15 +102,17 @@
 	return platform
 }
 
-// setStateLimits sets the limits of the state service to the lower of the present ones and those that are announced: they may come
-// into force at any time, and what is written before has to fit then too.
-func (f *platformFile) setStateLimits(platform *Platform) {
+// lowestStateLimits are the lower of the present limits of the state service and those that are announced: they may come into force
+// at any time, and what is written before has to fit then too.
+func (f *platformFile) lowestStateLimits() StateLimits {
 	state, next := &f.Cluster.State, &f.Cluster.State.Next
-	platform.StateRequestRate = lowerLimit(state.RPS, next.RPS)
-	platform.StateWriteRate = lowerLimit(state.WriteRPS, next.WriteRPS)
 	valueBytes := int(state.ValueKB * bytesPerKB)
-	platform.MaxValueBytes = int(lowerLimit(float64(valueBytes), next.ValueKB*bytesPerKB))
-	platform.MaxTransactionOps = int(lowerLimit(float64(state.TxnOps), float64(next.TxnOps)))
+	return StateLimits{
+		StateRequestRate:  lowerLimit(state.RPS, next.RPS),
+		StateWriteRate:    lowerLimit(state.WriteRPS, next.WriteRPS),
+		MaxValueBytes:     int(lowerLimit(float64(valueBytes), next.ValueKB*bytesPerKB)),
+		MaxTransactionOps: int(lowerLimit(float64(state.TxnOps), float64(next.TxnOps))),
+	}
 }
 
 // lowerLimit is the lower of the present limit and the announced one; a limit of 0 is not announced.
--- a/internal/controller/clustertest/cluster.go
+++ b/internal/controller/clustertest/cluster.go
@@ -37,13 +37,11 @@
 // New returns a cluster without machines and jobs.
 func New() *Cluster {
 	platform := &config.Platform{
-		Name:                "n",
-		HeartbeatInterval:   4 * time.Second,
-		WorkerLeaseDuration: 20 * time.Second,
-		CPUQuota:            0.2,
-		MaxConnections:      1000,
-		CloudRequestRate:    2,
-		Teams:               []config.Team{{Name: Team, GuaranteedCPUs: 500, CPULimit: 1e6}},
+		Name:         "n",
+		WorkerTiming: config.WorkerTiming{HeartbeatInterval: 4 * time.Second, WorkerLeaseDuration: 20 * time.Second},
+		ProcessQuota: config.ProcessQuota{CPUQuota: 0.2, MaxConnections: 1000},
+		CloudLimits:  config.CloudLimits{CloudRequestRate: 2},
+		Teams:        []config.Team{{Name: Team, GuaranteedCPUs: 500, CPULimit: 1e6}},
 	}
 	log := slog.New(slog.DiscardHandler)
 	return &Cluster{
--- a/internal/controller/failover/setup_test.go
+++ b/internal/controller/failover/setup_test.go
@@ -62,12 +62,13 @@
 	log := slog.New(slog.DiscardHandler)
 	options := config.DefaultOptions()
 	platform := &config.Platform{
-		Name:                "n",
-		HeartbeatInterval:   testHeartbeatInterval,
-		WorkerLeaseDuration: testWorkerLease,
-		CancelTimeout:       testCancelTimeout,
-		CPUQuota:            0.2,
-		MaxConnections:      1000,
+		Name: "n",
+		WorkerTiming: config.WorkerTiming{
+			HeartbeatInterval:   testHeartbeatInterval,
+			WorkerLeaseDuration: testWorkerLease,
+			CancelTimeout:       testCancelTimeout,
+		},
+		ProcessQuota: config.ProcessQuota{CPUQuota: 0.2, MaxConnections: 1000},
 	}
 	responder := &server.Responder{Log: log}
 	store := storage.New(storage.Options{ValueBytes: 8192, TxnOps: 12, WriteRate: 15}, fencingToken, log)
--- a/internal/controller/fake_state_service_test.go
+++ b/internal/controller/fake_state_service_test.go
@@ -92,8 +92,11 @@
 // newTestLeader is a controller at the start of a leadership, before its state is loaded.
 func newTestLeader(now time.Time, options config.Options) *Controller {
 	platform := &config.Platform{
-		Name: "n", HeartbeatInterval: 4 * time.Second, WorkerLeaseDuration: 20 * time.Second, CPUQuota: 0.2, MaxConnections: 1000,
-		StateWriteRate: 1000, StateRequestRate: 200, MaxValueBytes: 4096, MaxTransactionOps: 8, CloudRequestRate: 2,
+		Name:         "n",
+		WorkerTiming: config.WorkerTiming{HeartbeatInterval: 4 * time.Second, WorkerLeaseDuration: 20 * time.Second},
+		ProcessQuota: config.ProcessQuota{CPUQuota: 0.2, MaxConnections: 1000},
+		StateLimits:  config.StateLimits{StateWriteRate: 1000, StateRequestRate: 200, MaxValueBytes: 4096, MaxTransactionOps: 8},
+		CloudLimits:  config.CloudLimits{CloudRequestRate: 2},
 	}
 	controller := New(platform, options, now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	controller.leadership = controller.newLeadership(now, 1)
--- a/internal/controller/forwarding_test.go
+++ b/internal/controller/forwarding_test.go
@@ -17,17 +17,14 @@
 func TestResponseOfAnEarlierLeaderIsNotForwarded(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	platform := &config.Platform{
-		Name:                "a",
-		Peers:               []config.Peer{{Name: "b", Addr: "b"}, {Name: "c", Addr: "c"}},
-		HeartbeatInterval:   time.Second,
-		WorkerLeaseDuration: 10 * time.Second,
-		CancelTimeout:       30 * time.Second,
-		StateWriteRate:      10,
-		StateRequestRate:    100,
-		MaxValueBytes:       4096,
-		MaxTransactionOps:   8,
-		CloudRequestRate:    2,
-		CPUQuota:            1,
+		Name:  "a",
+		Peers: []config.Peer{{Name: "b", Addr: "b"}, {Name: "c", Addr: "c"}},
+		WorkerTiming: config.WorkerTiming{
+			HeartbeatInterval: time.Second, WorkerLeaseDuration: 10 * time.Second, CancelTimeout: 30 * time.Second,
+		},
+		StateLimits:  config.StateLimits{StateWriteRate: 10, StateRequestRate: 100, MaxValueBytes: 4096, MaxTransactionOps: 8},
+		CloudLimits:  config.CloudLimits{CloudRequestRate: 2},
+		ProcessQuota: config.ProcessQuota{CPUQuota: 1},
 	}
 	controller := New(platform, config.DefaultOptions(), now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 	pingFrom := func(name string, fencingToken uint64) {
--- a/internal/controller/jobstore/store_test.go
+++ b/internal/controller/jobstore/store_test.go
@@ -20,7 +20,9 @@
 func newTestStore(t *testing.T) *Store {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
-	platform := &config.Platform{MaxValueBytes: 8192, MaxTransactionOps: 8, StateWriteRate: 15, StateRequestRate: 100}
+	platform := &config.Platform{
+		StateLimits: config.StateLimits{MaxValueBytes: 8192, MaxTransactionOps: 8, StateWriteRate: 15, StateRequestRate: 100},
+	}
 	store := New(Components{
 		Platform:   platform,
 		Options:    &config.Options{},
--- a/internal/controller/routing_test.go
+++ b/internal/controller/routing_test.go
@@ -14,7 +14,10 @@
 // follower that knows no leader.
 func TestRequestsAreRouted(t *testing.T) {
 	now := time.Unix(10_000, 0)
-	platform := &config.Platform{Name: "a", Peers: []config.Peer{{Name: "b", Addr: "b"}}, HeartbeatInterval: time.Second, CPUQuota: 1}
+	platform := &config.Platform{
+		Name: "a", Peers: []config.Peer{{Name: "b", Addr: "b"}},
+		WorkerTiming: config.WorkerTiming{HeartbeatInterval: time.Second}, ProcessQuota: config.ProcessQuota{CPUQuota: 1},
+	}
 	for name, test := range map[string]struct {
 		method, target string
 		fromPeer       bool
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -126,9 +126,12 @@
 	p := &config.Platform{
 		Name: nodeName(i), Zone: "a", PublicAddr: nodeName(i), PeerListenAddr: nodeName(i),
 		Zones: []string{"a", "b"}, Teams: w.Opt.Teams,
-		HeartbeatInterval: w.Opt.ReportEvery, WorkerLeaseDuration: w.Opt.Lease, CancelTimeout: w.Opt.Cancel,
-		StateRequestRate: 200, StateWriteRate: 20, MaxValueBytes: 4096, MaxTransactionOps: 8, CloudRequestRate: 5, CloudListLag: 2 * time.Second,
-		CPUQuota: 1, MemoryQuotaMB: 100, MaxConnections: 1000,
+		WorkerTiming: config.WorkerTiming{
+			HeartbeatInterval: w.Opt.ReportEvery, WorkerLeaseDuration: w.Opt.Lease, CancelTimeout: w.Opt.Cancel,
+		},
+		StateLimits:  config.StateLimits{StateRequestRate: 200, StateWriteRate: 20, MaxValueBytes: 4096, MaxTransactionOps: 8},
+		CloudLimits:  config.CloudLimits{CloudRequestRate: 5, CloudListLag: 2 * time.Second},
+		ProcessQuota: config.ProcessQuota{CPUQuota: 1, MemoryQuotaMB: 100, MaxConnections: 1000},
 	}
 	if w.Opt.Settings != nil {
 		w.Opt.Settings(p)
