--- a/internal/controller/api/handler.go
+++ b/internal/controller/api/handler.go
@@ -39,28 +39,43 @@
 	pendingSeconds = 2
 )
 
-// Components are the parts of a leadership that the handler uses.
-type Components struct {
-	Platform   *config.Platform
-	Options    *config.Options
+// Stores are the parts that keep jobs and their history.
+type Stores struct {
 	Storage    *storage.Store
-	JobStore   *jobstore.Store
+	Jobs       *jobstore.Store
+	Accounting *accounting.Tracker
+}
+
+// Queueing are the parts that decide which job gets resources next.
+type Queueing struct {
+	Planner   *admission.Planner
+	Estimator *estimate.Estimator
+	Ranker    *queue.Ranker
+	FairShare *fairshare.Allocator
+	Placer    *placement.Placer
+}
+
+// Machines are the parts that know workers, instances and zones.
+type Machines struct {
 	Workers    *worker.Registry
 	Cloud      *cloud.Client
-	Planner    *admission.Planner
-	Estimator  *estimate.Estimator
-	Ranker     *queue.Ranker
-	FairShare  *fairshare.Allocator
-	Placer     *placement.Placer
 	Autoscaler *autoscaler.Scaler
 	Failover   *failover.Reconciler
-	Accounting *accounting.Tracker
 	Failures   *failures.Tracker
 	Zones      *zones.Tracker
+}
+
+// Components are the parts of a leadership that the handler uses.
+type Components struct {
+	Platform   *config.Platform
+	Options    *config.Options
 	HoldsLease func() bool // the leader lease is valid, so that this controller may answer
+	Stores     Stores
+	Queueing   Queueing
+	Machines   Machines
 	Responder  *server.Responder
 	Outbox     *client.Outbox
-	Logger     *slog.Logger
+	Log        *slog.Logger
 }
 
 // Handler answers users on behalf of a leader.
@@ -85,19 +100,20 @@
 
 func newJobHandler(c Components) *jobHandler {
 	return &jobHandler{
-		responder: c.Responder, outbox: c.Outbox, logger: c.Logger, holdsLease: c.HoldsLease,
-		storage: c.Storage, jobStore: c.JobStore, placer: c.Placer, accounting: c.Accounting,
-		leaseOutlastsCancel: renewal.Window(c.Platform.CancelTimeout, c.Workers.Lease()) <= 0,
+		responder: c.Responder, outbox: c.Outbox, logger: c.Log, holdsLease: c.HoldsLease,
+		storage: c.Stores.Storage, jobStore: c.Stores.Jobs, placer: c.Queueing.Placer, accounting: c.Stores.Accounting,
+		leaseOutlastsCancel: renewal.Window(c.Platform.CancelTimeout, c.Machines.Workers.Lease()) <= 0,
 	}
 }
 
 func newSubmissionHandler(jobs *jobHandler, c Components, teams map[string]config.Team) *submissionHandler {
 	submissionsPerSecond := c.Platform.StateWriteRate * float64(max(c.Platform.MaxValueBytes/typicalRecordBytes, 1))
 	return &submissionHandler{
-		jobHandler: jobs, teams: teams, cloud: c.Cloud, planner: c.Planner, estimator: c.Estimator, autoscaler: c.Autoscaler,
+		jobHandler: jobs, teams: teams, cloud: c.Machines.Cloud, autoscaler: c.Machines.Autoscaler,
+		planner: c.Queueing.Planner, estimator: c.Queueing.Estimator,
 		bounds: &startBounds{
 			platform: c.Platform, options: c.Options, teams: teams,
-			jobStore: c.JobStore, cloud: c.Cloud, estimator: c.Estimator, ranker: c.Ranker,
+			jobStore: c.Stores.Jobs, cloud: c.Machines.Cloud, estimator: c.Queueing.Estimator, ranker: c.Queueing.Ranker,
 		},
 		limiter: submission.NewLimiter(int(pendingSeconds*submissionsPerSecond), submissionsPerSecond),
 	}
@@ -105,15 +121,15 @@
 
 func newExplanationHandler(jobs *jobHandler, c Components, teams map[string]config.Team) *explanationHandler {
 	return &explanationHandler{
-		jobHandler: jobs, options: c.Options, teams: teams, workers: c.Workers,
-		failover: c.Failover, failures: c.Failures, estimator: c.Estimator, ranker: c.Ranker,
+		jobHandler: jobs, options: c.Options, teams: teams, workers: c.Machines.Workers,
+		failover: c.Machines.Failover, failures: c.Machines.Failures, estimator: c.Queueing.Estimator, ranker: c.Queueing.Ranker,
 	}
 }
 
 func newViewHandler(c Components) *viewHandler {
 	return &viewHandler{
-		responder: c.Responder, options: c.Options, jobStore: c.JobStore, placer: c.Placer,
-		accounting: c.Accounting, fairShare: c.FairShare, zones: c.Zones,
+		responder: c.Responder, options: c.Options, jobStore: c.Stores.Jobs, placer: c.Queueing.Placer,
+		accounting: c.Stores.Accounting, fairShare: c.Queueing.FairShare, zones: c.Machines.Zones,
 	}
 }
 
