--- /dev/null
+++ b/internal/controller/autoscaler/scaler.go
@@ -0,0 +1,125 @@
+// Package autoscaler decides which instances are requested from the cloud and which are terminated. Its Scaler compares the order
+// of the waiting jobs with the capacity that is there or booting: cheap kinds of instances are requested while the waiting work
+// lasts long enough, expensive ones while the objectives that they help to keep are worth their price. It owns the forecast of the
+// platform's objectives, the rates at which jobs arrive, and the times at which it acts next. It never starts, stops or places a
+// task, except to drain a machine that is hardly used; package cloud sends the requests. Design note: docs/design/autoscaler.md.
+package autoscaler
+
+import (
+	"log/slog"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/estimate"
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/straggler"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/controller/zones"
+	"gullrudder/internal/wire/client"
+)
+
+const (
+	scaleInterval = time.Second
+	// minScaleInterval is the least wait between two decisions, when a new job asks for an early one.
+	minScaleInterval      = 300 * time.Millisecond
+	consolidationInterval = 5 * time.Second
+)
+
+// Components are the parts of the leadership that a Scaler works with.
+type Components struct {
+	Platform      *config.Platform
+	Options       *config.Options
+	FencingToken  uint64
+	ElectedAt     time.Time
+	IsFirstLeader func() bool // no leader before this one has stored anything
+	Cloud         *cloud.Client
+	Workers       *worker.Registry
+	Estimator     *estimate.Estimator
+	Placer        *placement.Placer
+	Stragglers    *straggler.Detector
+	Zones         *zones.Tracker
+	Outbox        *client.Outbox
+	Log           *slog.Logger
+}
+
+// Scaler requests and terminates instances for a leader. It is used on the controller's goroutine only.
+type Scaler struct {
+	// What it works with.
+	platform      *config.Platform
+	options       *config.Options
+	teams         map[string]config.Team
+	fencingToken  uint64
+	electedAt     time.Time
+	isFirstLeader func() bool
+	cloud         *cloud.Client
+	workers       *worker.Registry
+	estimator     *estimate.Estimator
+	placer        *placement.Placer
+	stragglers    *straggler.Detector
+	zones         *zones.Tracker
+	outbox        *client.Outbox
+	log           *slog.Logger
+
+	// What it owns.
+	schedule   schedule
+	objectives objectiveTracker
+	arrivals   arrivalTracker
+	instances  []trackedInstance // as of the present decision
+}
+
+// schedule says when the Scaler acts next.
+type schedule struct {
+	lastScaled        time.Time
+	nextScale         time.Time
+	nextConsolidation time.Time
+}
+
+// New returns the Scaler of a new leadership.
+func New(components Components) *Scaler {
+	return &Scaler{
+		platform:      components.Platform,
+		options:       components.Options,
+		teams:         components.Platform.TeamsByName(),
+		fencingToken:  components.FencingToken,
+		electedAt:     components.ElectedAt,
+		isFirstLeader: components.IsFirstLeader,
+		cloud:         components.Cloud,
+		workers:       components.Workers,
+		estimator:     components.Estimator,
+		placer:        components.Placer,
+		stragglers:    components.Stragglers,
+		zones:         components.Zones,
+		outbox:        components.Outbox,
+		log:           components.Log,
+		objectives:    newObjectiveTracker(objectivesOf(components.Platform.Objectives), components.ElectedAt),
+		arrivals:      arrivalTracker{},
+	}
+}
+
+// Tick takes the decisions that are due. An answer of the cloud to a request makes the next one due.
+func (s *Scaler) Tick(now time.Time) {
+	if !now.Before(s.schedule.nextConsolidation) {
+		s.schedule.nextConsolidation = now.Add(consolidationInterval)
+		s.cordonStragglers(now)
+		s.consolidate(now)
+	}
+	if !now.Before(s.schedule.nextScale) || s.cloud.TakeRequestAnswered() {
+		s.schedule.lastScaled, s.schedule.nextScale = now, now.Add(scaleInterval)
+		s.scale(now)
+	}
+}
+
+// JobAccepted records that a job has arrived, and makes the next decision due soon: instances take long to boot.
+func (s *Scaler) JobAccepted(now time.Time, job *jobs.Job) {
+	s.arrivals.record(now, job, s.estimator)
+	if early := s.schedule.lastScaled.Add(minScaleInterval); early.Before(s.schedule.nextScale) {
+		s.schedule.nextScale = early
+	}
+}
+
+// JobEnded records whether a job that has ended kept the objectives of its class.
+func (s *Scaler) JobEnded(now time.Time, job *jobs.Job) {
+	s.objectives.recordEnded(now, job, s.estimator)
+}
--- a/internal/controller/fake_state_service_test.go
+++ b/internal/controller/fake_state_service_test.go
@@ -34,7 +34,7 @@
 	}
 	body := any(map[string]any{"entries": []any{}, "has_next": false})
 	if call.Path == "/commit" {
-		service.commit(call.Body)
+		service.commit(call.Body.(storage.CommitRequest))
 		body = map[string]uint64{"tide": service.revision}
 	} else if key, ok := strings.CutPrefix(call.Path, "/keys/"); ok && key != "" {
 		value, ok := service.values[key]
@@ -47,11 +47,11 @@
 }
 
 // commit applies the writes of a transaction. Its preconditions are not checked.
-func (service *fakeStateService) commit(transaction any) {
+func (service *fakeStateService) commit(request storage.CommitRequest) {
 	service.revision++
-	for _, change := range transaction.(storage.CommitRequest).Operations {
-		if change.Write != "" {
-			service.values[change.Write], service.modRevisions[change.Write] = change.Value, service.revision
+	for _, operation := range request.Operations {
+		if operation.Write != "" {
+			service.values[operation.Write], service.modRevisions[operation.Write] = operation.Value, service.revision
 		}
 	}
 }
--- a/internal/controller/placement/preempt.go
+++ b/internal/controller/placement/preempt.go
@@ -11,6 +11,7 @@
 	"gullrudder/internal/controller/queue"
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/logkeys"
+	"gullrudder/internal/wire/workerapi"
 )
 
 // preemptionSlack is how long before the latest possible start, besides two heartbeats, preemption begins.
@@ -126,7 +127,7 @@
 		tasks -= max(int(attempt.Job.CPUs/estimate.CountedCPUs(job)), 1)
 		p.reservations.reserve(machine, job)
 		p.log.Info("task preempted", logkeys.Task, attempt.Task, logkeys.Machine, machine.ID, logkeys.Job, job.ID)
-		kill := worker.Kill(attempt.Task.String(), attempt.Number, attempt.Job.CheckpointDuration.Seconds())
-		worker.SendCommands(p.outbox, p.fencingToken, machine, []worker.Command{kill})
+		kill := workerapi.Kill(attempt.Task.String(), attempt.Number, attempt.Job.CheckpointDuration.Seconds())
+		worker.SendCommands(p.outbox, p.fencingToken, machine, []workerapi.Command{kill})
 	}
 }
--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -12,6 +12,8 @@
 	Machine      = "machine"       // machine ID, as its worker reports it
 	Instance     = "instance"      // instance ID, as the cloud lists it
 	InstanceType = "instance_type" // name of a machine type
+	Spot         = "spot"          // whether an instance is a spot instance
+	Request      = "request"       // name of a request to the cloud
 	Zone         = "zone"          // name of a zone
 	Team         = "team"          // name of a team
 	Class        = "class"         // name of a class of jobs
@@ -20,6 +22,7 @@
 	Incarnation  = "incarnation"   // start of a worker process
 	Revision     = "revision"      // revision of the state service
 	LeaseID      = "lease_id"      // lease of the state service
+	Snapshot     = "snapshot"      // snapshot file of the state service
 )
 
 // Keys of stored state.
--- /dev/null
+++ b/internal/site/kvserver/server.go
@@ -0,0 +1,140 @@
+package kvserver
+
+import (
+	"log/slog"
+	"net/http"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/logkeys"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/http1"
+)
+
+const (
+	// requestQueueLength bounds the requests that wait for a step; what is above it gets 503 at once.
+	requestQueueLength = 4096
+	// maxBatchRequests bounds a step. While the disk syncs what a step has changed, the next one is worked through: with large steps
+	// one would wait for the other.
+	maxBatchRequests = 16
+	// responseQueueLength is how many groups of steps may wait for their responses to be encoded and sent.
+	responseQueueLength = 256
+	// tickInterval is how often leases and watches are looked at without a request.
+	tickInterval = 20 * time.Millisecond
+	// idleTimeout closes a connection without a request. A watch that waits is a request.
+	idleTimeout = 75 * time.Second
+	// readTimeout closes a connection whose request does not come whole.
+	readTimeout = 10 * time.Second
+)
+
+// Server connects a State with the network, the clock and the disk. Four kinds of goroutines share the work, each with its own
+// state: the owner steps the State, the writer appends to the log, the sender encodes and sends responses, and one writes a
+// snapshot now and then. While the disk syncs one step's records, the next steps gather. Their responses wait, also those of reads:
+// what a read has seen might else be gone after a crash. They run until the process ends.
+type Server struct {
+	state     *State
+	storage   *Storage
+	options   config.KVServer
+	log       *slog.Logger
+	metrics   *Metrics
+	requests  chan Request
+	responses chan []Effects // whose records are durable
+	writes    writePipeline
+	snapshots snapshotSchedule
+}
+
+// NewServer makes the server of a store that was opened.
+func NewServer(state *State, storage *Storage, options config.KVServer, metrics *Metrics, log *slog.Logger) *Server {
+	return &Server{
+		state: state, storage: storage, options: options, log: log, metrics: metrics,
+		requests:  make(chan Request, requestQueueLength),
+		responses: make(chan []Effects, responseQueueLength),
+		writes:    writePipeline{jobs: make(chan writeJob, 1), results: make(chan writeResult, 1)},
+		snapshots: snapshotSchedule{results: make(chan snapshotResult, 1)},
+	}
+}
+
+// Serve runs the server at an address; it returns only if the address cannot be had.
+func (s *Server) Serve(addr string) error {
+	go s.runWriter()
+	go s.runOwner()
+	go s.runSender()
+	server := http1.NewServer(http1.ServerOptions{
+		PublicAddr: addr, MaxConnections: s.options.MaxConnections, IdleTimeout: idleTimeout, ReadTimeout: readTimeout,
+		Handler: s.enqueue,
+	})
+	return server.RunWithRestart(s.log)
+}
+
+// enqueue hands a request to the owner; it runs on the connections' goroutine.
+func (s *Server) enqueue(r *http1.Request) {
+	select {
+	case s.requests <- Request{Handle: r, Method: r.Method, Target: r.Target, Body: r.Body}:
+	default:
+		s.metrics.shedCount.Inc()
+		r.Respond(http.StatusServiceUnavailable, nil, limitRetryAfter)
+	}
+}
+
+// runOwner steps the state through the requests and the results of the other goroutines.
+func (s *Server) runOwner() {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	batch := make([]Request, 0, maxBatchRequests)
+	for {
+		batch = batch[:0]
+		select {
+		case r := <-s.requests:
+			batch = append(batch, r)
+		case result := <-s.writes.results:
+			s.handleWriteResult(time.Now(), result)
+		case result := <-s.snapshots.results:
+			s.handleSnapshotResult(time.Now(), result)
+		case <-ticker.C:
+		}
+		batch = s.fillBatch(batch)
+		now := time.Now()
+		if effects := s.state.Step(now, batch); len(effects.Records) > 0 || len(effects.Responses) > 0 {
+			s.writes.pending = append(s.writes.pending, effects)
+		}
+		s.submitPending(now)
+		s.metrics.observeState(s.state, len(s.requests), s.storage.UncoveredLogBytes())
+	}
+}
+
+// fillBatch adds the requests that wait already, as far as a step takes them.
+func (s *Server) fillBatch(batch []Request) []Request {
+	for len(batch) < maxBatchRequests {
+		select {
+		case r := <-s.requests:
+			batch = append(batch, r)
+		default:
+			return batch
+		}
+	}
+	return batch
+}
+
+// runSender encodes and sends the responses of steps whose records are durable.
+func (s *Server) runSender() {
+	for steps := range s.responses {
+		for _, effects := range steps {
+			for _, response := range effects.Responses {
+				s.sendResponse(response)
+			}
+		}
+	}
+}
+
+func (s *Server) sendResponse(response Response) {
+	status := response.Status
+	body, err := codec.Marshal(response.Body)
+	if err != nil {
+		s.log.Error("response not encoded", logkeys.Status, status, logkeys.Err, err)
+		status, body = http.StatusServiceUnavailable, nil
+	}
+	if request, ok := response.Handle.(*http1.Request); ok {
+		s.metrics.countResponse(request.Method, request.Target, status)
+		request.Respond(status, body, response.RetryAfter)
+	}
+}
--- /dev/null
+++ b/internal/wire/codec/validate_test.go
@@ -0,0 +1,51 @@
+package codec
+
+import (
+	"bytes"
+	"errors"
+	"testing"
+)
+
+func TestValidateRejectsBodiesThatCostMemory(t *testing.T) {
+	deep := append(bytes.Repeat([]byte{0x91}, 1000), 0xc0)
+	for name, test := range map[string]struct {
+		body []byte
+		want error
+	}{
+		"deep nesting":          {deep, ErrNestedTooDeeply},
+		"huge declared array":   {[]byte{0xdd, 0xff, 0xff, 0xff, 0xff}, ErrTruncated},
+		"huge declared map":     {[]byte{0xdf, 0xff, 0xff, 0xff, 0xff}, ErrTruncated},
+		"huge declared string":  {[]byte{0xdb, 0x7f, 0xff, 0xff, 0xff, 'a'}, ErrTruncated},
+		"key that is no string": {[]byte{0x81, 0x01, 0x01}, ErrKeyNotString},
+		"trailing bytes":        {[]byte{0xc0, 0xc0}, ErrTrailingBytes},
+		"empty":                 {[]byte{}, ErrTruncated},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if err := Validate(test.body); !errors.Is(err, test.want) {
+				t.Errorf("%v, want %v", err, test.want)
+			}
+		})
+	}
+	t.Run("binary", func(t *testing.T) {
+		var unsupported *UnsupportedTypeError
+		if err := Validate([]byte{0xc4, 0x01, 0x00}); !errors.As(err, &unsupported) || unsupported.Code != 0xc4 {
+			t.Errorf("%v, want an unsupported type 0xc4", err)
+		}
+	})
+}
+
+func FuzzUnmarshalMap(f *testing.F) {
+	good, err := Marshal(map[string]any{"id": "job-1", "strokes": 3, "keels": []string{"g8"}, "voyage_s": 1.5, "harbour": nil})
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Add(good)
+	f.Add([]byte{0x81, 0xa1, 'a', 0xdc, 0xff, 0xff})
+	f.Add([]byte{0xc1})
+	f.Fuzz(func(t *testing.T, body []byte) {
+		object, err := UnmarshalMap(body)
+		if err == nil && Validate(body) != nil {
+			t.Fatalf("decoded %v from a body that Validate rejects", object)
+		}
+	})
+}
