--- /dev/null
+++ b/internal/controller/api/query_parameters_test.go
@@ -0,0 +1,62 @@
+package api
+
+import (
+	"net/url"
+	"testing"
+	"time"
+)
+
+func TestParseQueueFilter(t *testing.T) {
+	cases := map[string]struct {
+		query string
+		want  queueFilter
+		valid bool
+	}{
+		"nothing":             {"", queueFilter{maxJobs: maxQueuedJobs}, true},
+		"team and class":      {"team=vision&class=train", queueFilter{team: "vision", class: "train", maxJobs: maxQueuedJobs}, true},
+		"also running":        {"all=1", queueFilter{includeRunning: true, maxJobs: maxQueuedJobs}, true},
+		"at most one":         {"most=1", queueFilter{maxJobs: 1}, true},
+		"at most none":        {"most=0", queueFilter{}, false},
+		"more than the bound": {"most=201", queueFilter{}, false},
+		"no number":           {"most=x", queueFilter{}, false},
+	}
+	for name, test := range cases {
+		t.Run(name, func(t *testing.T) {
+			query, err := url.ParseQuery(test.query)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got, valid := parseQueueFilter(query); got != test.want || valid != test.valid {
+				t.Errorf("%+v, %v, want %+v, %v", got, valid, test.want, test.valid)
+			}
+		})
+	}
+}
+
+func TestParseSince(t *testing.T) {
+	now := time.Unix(10_000, 0)
+	cases := map[string]struct {
+		query string
+		want  time.Time
+		valid bool
+	}{
+		"nothing":     {"", time.Time{}, true},
+		"seconds":     {"since_s=90.5", now.Add(-90500 * time.Millisecond), true},
+		"now":         {"since_s=0", now, true},
+		"negative":    {"since_s=-1", time.Time{}, false},
+		"too large":   {"since_s=1e9", time.Time{}, false},
+		"not a value": {"since_s=NaN", time.Time{}, false},
+		"no number":   {"since_s=x", time.Time{}, false},
+	}
+	for name, test := range cases {
+		t.Run(name, func(t *testing.T) {
+			query, err := url.ParseQuery(test.query)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got, err := parseSince(now, query); !got.Equal(test.want) || (err == nil) != test.valid {
+				t.Errorf("%v, %v, want %v", got, err, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/jobs/attempt_test.go
@@ -0,0 +1,46 @@
+package jobs
+
+import (
+	"testing"
+	"time"
+)
+
+// Each condition alone keeps an attempt from being preempted.
+func TestCanBePreempted(t *testing.T) {
+	now := time.Unix(10_000, 0)
+	cases := map[string]struct {
+		change func(job *Job, attempt *Attempt)
+		want   bool
+	}{
+		"checkpoints and has run for long": {func(*Job, *Attempt) {}, true},
+		"job is not known":                 {func(_ *Job, attempt *Attempt) { attempt.Job = nil }, false},
+		"orphan":                           {func(_ *Job, attempt *Attempt) { attempt.IsOrphan = true }, false},
+		"start not sent":                   {func(_ *Job, attempt *Attempt) { attempt.IsUnsent = true }, false},
+		"not running yet":                  {func(_ *Job, attempt *Attempt) { attempt.RunningSince = time.Time{} }, false},
+		"stop sent":                        {func(_ *Job, attempt *Attempt) { attempt.StopSentAt = now }, false},
+		"gang":                             {func(job *Job, _ *Attempt) { job.IsGang = true }, false},
+		"service":                          {func(job *Job, _ *Attempt) { job.IsService = true }, false},
+		"guaranteed":                       {func(job *Job, _ *Attempt) { job.Guaranteed = true }, false},
+		"no checkpoints":                   {func(job *Job, _ *Attempt) { job.CheckpointInterval = 0 }, false},
+		"has run for less than a stop takes": {func(_ *Job, attempt *Attempt) {
+			attempt.RunningSince = now.Add(-3 * time.Second)
+		}, false},
+		"first task has just started": {func(job *Job, attempt *Attempt) {
+			job.DoneTasks, attempt.RunningSince = 0, now.Add(-29*time.Second)
+		}, false},
+		"first task has run for half a minute": {func(job *Job, attempt *Attempt) {
+			job.DoneTasks, attempt.RunningSince = 0, now.Add(-30*time.Second)
+		}, true},
+	}
+	for name, test := range cases {
+		t.Run(name, func(t *testing.T) {
+			job := New(Spec{ID: "job-1", Tasks: 9, CheckpointInterval: time.Minute, CheckpointDuration: 4 * time.Second}, now)
+			job.DoneTasks = 1
+			attempt := &Attempt{Job: job, RunningSince: now.Add(-4 * time.Second)}
+			test.change(job, attempt)
+			if got := attempt.CanBePreempted(now); got != test.want {
+				t.Errorf("%v, want %v", got, test.want)
+			}
+		})
+	}
+}
