--- a/internal/controller/jobstore/store.go
+++ b/internal/controller/jobstore/store.go
@@ -51,9 +51,16 @@
 // noObserver is the observer until another is set.
 type noObserver struct{}
 
-func (noObserver) OrderChanged()                 {}
-func (noObserver) JobDone(time.Time, *jobs.Job)  {}
-func (noObserver) JobWaiting(*jobs.Job)          {}
+// OrderChanged does nothing.
+func (noObserver) OrderChanged() {}
+
+// JobDone does nothing.
+func (noObserver) JobDone(time.Time, *jobs.Job) {}
+
+// JobWaiting does nothing.
+func (noObserver) JobWaiting(*jobs.Job) {}
+
+// JobReady does nothing.
 func (noObserver) JobReady(time.Time, *jobs.Job) {}
 
 // Store is what a leader knows of all jobs. It belongs to the controller's owner loop and is not safe for concurrent use.
