--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -3,7 +3,7 @@
 // its tasks; which job waits for which is set by package dependencies, and failures are set by package heartbeat.
 //
 // The package writes and sends nothing, and decides nothing about where or when a task runs. It has no locks: a Job belongs to
-// the controller's one goroutine that owns the state. Design notes: docs/design/state.md, docs/design/upgrade.md.
+// the controller's one goroutine that owns the state. Design notes: docs/design/storage.md, docs/design/upgrade.md.
 package jobs
 
 import "time"
