--- a/cmd/gullrudder/site.go
+++ b/cmd/gullrudder/site.go
@@ -169,7 +169,7 @@
 			if err := id.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
 				return &failure{exitUnavailable, fmt.Errorf("end process %d: %w", id.PID, err)}
 			}
-			for end := time.Now().Add(time.Minute); id.Alive(); time.Sleep(50 * time.Millisecond) {
+			for end := time.Now().Add(time.Minute); id.IsAlive(); time.Sleep(50 * time.Millisecond) {
 				if time.Now().After(end) {
 					return &failure{exitUnavailable, fmt.Errorf("process %d does not end", id.PID)}
 				}
--- a/internal/site/agent/cleanup.go
+++ b/internal/site/agent/cleanup.go
@@ -25,7 +25,7 @@
 	groups := map[int]bool{}
 	for _, path := range records {
 		var id process.Identity
-		if raw, err := os.ReadFile(path); err == nil && json.Unmarshal(raw, &id) == nil && id.Alive() {
+		if raw, err := os.ReadFile(path); err == nil && json.Unmarshal(raw, &id) == nil && id.IsAlive() {
 			groups[id.PID] = true
 		}
 	}
--- a/internal/site/datadir/home.go
+++ b/internal/site/datadir/home.go
@@ -281,7 +281,7 @@
 	if err != nil || json.Unmarshal(raw, &id) != nil {
 		return id, false
 	}
-	return id, id.Alive()
+	return id, id.IsAlive()
 }
 
 // Supervised leaves word that this process supervises the site.
--- a/internal/site/process/golden_bytes_test.go
+++ b/internal/site/process/golden_bytes_test.go
@@ -7,5 +7,5 @@
 )
 
 func TestGoldenBytes(t *testing.T) {
-	goldenbytes.Check(t, goldenbytes.JSON("identity", Identity{PID: 4711, Began: 70_000, Boot: "0f0e"}))
+	goldenbytes.Check(t, goldenbytes.JSON("identity", Identity{PID: 4711, StartTicks: 70_000, BootID: "0f0e"}))
 }
--- a/internal/site/supervisor/supervisor.go
+++ b/internal/site/supervisor/supervisor.go
@@ -1,9 +1,10 @@
-// Package supervisor runs the processes of a site: each is started again when it ends, ever later if it
-// ends soon, and all are ended in order. It owns the processes and the file that says which they are,
-// so that a successor ends what is left of a supervisor that was killed.
+// Package supervisor runs the processes of a site: each part is restarted when it ends, after a longer delay if it ends soon,
+// and all are ended in order. It owns these processes. A supervisor that starts after one that was killed ends what that one
+// left. It never looks into the parts: whether one works is not its business. The design is in docs/design/appliance.md.
 package supervisor
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
 	"os"
@@ -13,20 +14,25 @@
 	"syscall"
 	"time"
 
+	"gullrudder/internal/logkeys"
 	"gullrudder/internal/site/process"
 )
 
 const (
-	soonest = 200 * time.Millisecond
-	latest  = 10 * time.Second
-	// settled is how long a process has to run for its next end to count as the first.
-	settled = 10 * time.Second
-	// patience is how long a process is given to end by itself.
-	patience = 5 * time.Second
-	// mostLog is the size at which a process's log is set aside; one older log is kept.
-	mostLog = 16 << 20
+	// minRestartDelay is the delay before the first restart; it doubles with each one up to maxRestartDelay.
+	minRestartDelay = 200 * time.Millisecond
+	maxRestartDelay = 10 * time.Second
+	// stableRunTime is how long a process has to run for its next end to count as the first.
+	stableRunTime = 10 * time.Second
+	// stopTimeout is how long a process has to end by itself before it is killed.
+	stopTimeout = 5 * time.Second
+	// maxLogBytes is the size at which a part's log is set aside; one older log is kept.
+	maxLogBytes = 16 << 20
 )
 
+// siteVariable is the environment variable that tags the processes of a site.
+const siteVariable = "GULLRUDDER_SITE"
+
 // Part is one process of the site.
 type Part struct {
 	Name string
@@ -36,112 +42,118 @@
 // Supervisor runs the parts of a site.
 type Supervisor struct {
 	program string
-	dir     string // of the site
-	mark    string
-	parts   []*part
+	dir     string // the site's directory
+	tag     string // in the environment of the parts
+	parts   []*supervisedPart
 	log     *slog.Logger
-	done    sync.WaitGroup
+	running sync.WaitGroup
 }
 
-type part struct {
+// supervisedPart is a part with its process.
+type supervisedPart struct {
 	Part
-	mu    sync.Mutex
+	mu    sync.Mutex // guards cmd, and the decision to start against Stop
 	cmd   *exec.Cmd
-	ended chan struct{} // closed when the part is not started any more
-	stop  chan struct{}
+	ended chan struct{} // closed when the part is not restarted any more
+	stop  chan struct{} // closed when the part is to end
 }
 
-// New makes a supervisor and ends what an earlier one has left.
-func New(program, dir, id string, list []Part, log *slog.Logger) (*Supervisor, error) {
-	s := &Supervisor{program: program, dir: dir, mark: "GULLRUDDER_SITE=" + id, log: log}
-	for _, p := range list {
-		s.parts = append(s.parts, &part{Part: p, ended: make(chan struct{}), stop: make(chan struct{})})
+// New makes a supervisor and ends what an earlier one has left. The parts' logs go to the directory log of dir.
+func New(program, dir, siteID string, parts []Part, log *slog.Logger) (*Supervisor, error) {
+	s := &Supervisor{program: program, dir: dir, tag: siteVariable + "=" + siteID, log: log}
+	for _, part := range parts {
+		s.parts = append(s.parts, &supervisedPart{Part: part, ended: make(chan struct{}), stop: make(chan struct{})})
 	}
 	if err := os.MkdirAll(filepath.Join(dir, "log"), 0o700); err != nil {
 		return nil, fmt.Errorf("logs: %w", err)
 	}
-	// Only the parts carry the mark; tasks have an environment of their own, and are the worker's.
-	if err := process.End(map[string]bool{s.mark: true}, nil, patience); err != nil {
+	// Only the parts carry the tag; tasks have an environment of their own, and belong to the worker.
+	if err := process.End(map[string]bool{s.tag: true}, nil, stopTimeout); err != nil {
 		return nil, fmt.Errorf("parts of an earlier start: %w", err)
 	}
 	return s, nil
 }
 
-// Run starts the parts and returns when Stop has ended them all.
+// Run starts the parts, one goroutine each, and returns when Stop has ended them all.
 func (s *Supervisor) Run() {
-	for _, p := range s.parts {
-		s.done.Add(1)
+	for _, part := range s.parts {
+		s.running.Add(1)
 		go func() {
-			defer s.done.Done()
-			defer close(p.ended)
-			s.keep(p)
+			defer s.running.Done()
+			defer close(part.ended)
+			s.superviseProcess(part)
 		}()
 	}
-	s.done.Wait()
+	s.running.Wait()
 }
 
-// keep runs one part, again and again.
-func (s *Supervisor) keep(p *part) {
-	wait := soonest
+// superviseProcess runs one part, again and again, until it is to end.
+func (s *Supervisor) superviseProcess(part *supervisedPart) {
+	delay := minRestartDelay
 	for {
-		began := time.Now()
-		err := s.once(p)
-		select {
-		case <-p.stop:
+		startedAt := time.Now()
+		err := s.runOnce(part)
+		if part.isStopping() {
 			return
-		default:
 		}
-		if time.Since(began) > settled {
-			wait = soonest
+		runTime := time.Since(startedAt)
+		if runTime > stableRunTime {
+			delay = minRestartDelay
 		}
-		s.log.Error(
-			"a part ended and is started again",
-			"part",
-			p.Name,
-			"after",
-			time.Since(began).Round(time.Millisecond),
-			"error",
-			err,
-			"in",
-			wait,
-		)
+		s.log.Error("part ended and is restarted",
+			"part", part.Name, logkeys.Duration, runTime.Round(time.Millisecond), "restart_delay", delay, logkeys.Err, err)
 		select {
-		case <-p.stop:
+		case <-part.stop:
 			return
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
-		wait = min(2*wait, latest)
+		delay = min(2*delay, maxRestartDelay)
 	}
 }
 
-func (s *Supervisor) once(p *part) error {
-	out, err := openLog(filepath.Join(s.dir, "log", p.Name+".log"))
+// runOnce runs the process of a part until it ends, and returns why it ended. It does nothing if the part is to end.
+func (s *Supervisor) runOnce(part *supervisedPart) (err error) {
+	logFile, err := openLog(filepath.Join(s.dir, "log", part.Name+".log"))
 	if err != nil {
 		return err
 	}
-	defer out.Close()
-	cmd := exec.Command(s.program, p.Args...)
-	cmd.Stdout, cmd.Stderr = out, out
-	cmd.Env = append(os.Environ(), s.mark)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt at the terminal is the supervisor's
+	defer func() { err = errors.Join(err, logFile.Close()) }()
+	cmd := exec.Command(s.program, part.Args...)
+	cmd.Stdout, cmd.Stderr = logFile, logFile
+	cmd.Env = append(os.Environ(), s.tag)
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt at the terminal goes to the supervisor alone
+	if started, err := part.start(cmd); !started || err != nil {
+		return err
+	}
+	return cmd.Wait()
+}
+
+// start starts the process unless the part is to end.
+func (p *supervisedPart) start(cmd *exec.Cmd) (started bool, err error) {
 	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.isStopping() {
+		return false, nil
+	}
+	p.cmd = cmd
+	if err := cmd.Start(); err != nil {
+		return false, fmt.Errorf("start %s: %w", p.Name, err)
+	}
+	return true, nil
+}
+
+func (p *supervisedPart) isStopping() bool {
 	select {
 	case <-p.stop:
-		p.mu.Unlock()
-		return nil
+		return true
 	default:
+		return false
 	}
-	err = cmd.Start()
-	p.cmd = cmd
-	p.mu.Unlock()
-	if err != nil {
-		return fmt.Errorf("start %s: %w", p.Name, err)
-	}
-	return cmd.Wait()
 }
 
+// openLog opens a part's log for appending. A log that has grown too large is set aside first.
 func openLog(path string) (*os.File, error) {
-	if st, err := os.Stat(path); err == nil && st.Size() > mostLog {
+	if info, err := os.Stat(path); err == nil && info.Size() > maxLogBytes {
 		if err := os.Rename(path, path+".old"); err != nil {
 			return nil, err
 		}
@@ -149,39 +161,33 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 }
 
-// Stop ends the parts one after another, the last first: asked to, and after a while for certain.
+// Stop ends the parts one after another, the last first: by SIGTERM, and by SIGKILL after a timeout. It may be called once.
 func (s *Supervisor) Stop() {
 	for i := len(s.parts) - 1; i >= 0; i-- {
-		p := s.parts[i]
-		p.mu.Lock()
-		close(p.stop)
-		cmd := p.cmd
-		p.mu.Unlock()
-		if cmd != nil && cmd.Process != nil {
-			_ = cmd.Process.Signal(syscall.SIGTERM) // it may have ended by itself
-		}
-		select {
-		case <-p.ended:
-			continue
-		case <-time.After(patience):
-		}
-		s.log.Error("a part does not end and is killed", "part", p.Name)
-		if cmd != nil && cmd.Process != nil {
-			_ = cmd.Process.Kill() // as above
-		}
-		<-p.ended
+		s.stopPart(s.parts[i])
 	}
 }
 
-// Parts tells which processes there are, for whoever looks at the site.
-func (s *Supervisor) Parts() map[string]int {
-	list := map[string]int{}
-	for _, p := range s.parts {
-		p.mu.Lock()
-		if p.cmd != nil && p.cmd.Process != nil {
-			list[p.Name] = p.cmd.Process.Pid
-		}
-		p.mu.Unlock()
+func (s *Supervisor) stopPart(part *supervisedPart) {
+	part.mu.Lock()
+	close(part.stop)
+	cmd := part.cmd
+	part.mu.Unlock()
+	signalIfRunning(cmd, syscall.SIGTERM)
+	select {
+	case <-part.ended:
+		return
+	case <-time.After(stopTimeout):
+	}
+	s.log.Error("part killed after stop timeout", "part", part.Name)
+	signalIfRunning(cmd, syscall.SIGKILL)
+	<-part.ended
+}
+
+// signalIfRunning sends a signal to a process that was started. The error is not looked at: the process may have ended by
+// itself.
+func signalIfRunning(cmd *exec.Cmd, signal syscall.Signal) {
+	if cmd != nil && cmd.Process != nil {
+		_ = cmd.Process.Signal(signal)
 	}
-	return list
 }
--- a/internal/site/supervisor/supervisor_test.go
+++ b/internal/site/supervisor/supervisor_test.go
@@ -13,20 +13,20 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// A part that ends is started again; all are ended, the last first, also one that ignores what it is
-// told; and a supervisor that comes after one that was killed ends what is left of it.
-func TestSupervise(t *testing.T) {
+// A part that ends is restarted; all are ended, the last first; and a supervisor that starts after one that was killed ends
+// what that one has left.
+func TestPartsAreRestartedAndEnded(t *testing.T) {
 	dir := t.TempDir()
 	parts := []Part{
 		{"first", []string{"-c", "echo run >> " + dir + "/first; exit 3"}},
 		{"last", []string{"-c", "echo run >> " + dir + "/last; exec sleep 300"}},
 	}
-	s, err := New("/bin/sh", dir, "test-"+t.Name(), parts, slog.New(slog.DiscardHandler))
+	supervisor, err := New("/bin/sh", dir, "test-"+t.Name(), parts, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan struct{})
-	go func() { s.Run(); close(ended) }()
+	go func() { supervisor.Run(); close(ended) }()
 	runs := func(name string) int {
 		raw, err := os.ReadFile(dir + "/" + name)
 		if err != nil {
@@ -37,20 +37,20 @@
 	for runs("first") < 3 || runs("last") < 1 {
 		time.Sleep(10 * time.Millisecond) // the test's own limit ends it otherwise
 	}
-	marks := map[string]bool{s.mark: true}
-	if len(process.Find(marks, nil)) == 0 {
-		t.Error("the parts are not marked")
+	tags := map[string]bool{supervisor.tag: true}
+	if len(process.Find(tags, nil)) == 0 {
+		t.Error("the parts are not tagged")
 	}
 	// Another supervisor of the site, as after a kill of this one, ends them first.
 	if _, err := New("/bin/sh", dir, "test-"+t.Name(), nil, slog.New(slog.DiscardHandler)); err != nil {
 		t.Error(err)
 	}
 	for runs("last") < 2 {
-		time.Sleep(10 * time.Millisecond) // the first supervisor is there still, and starts it again
+		time.Sleep(10 * time.Millisecond) // the first supervisor is there still, and restarts it
 	}
-	s.Stop()
+	supervisor.Stop()
 	<-ended
-	if list := process.Find(marks, nil); len(list) > 0 {
-		t.Errorf("%v are left", list)
+	if pids := process.Find(tags, nil); len(pids) > 0 {
+		t.Errorf("%v are left", pids)
 	}
 }
