--- a/internal/site/process/process.go
+++ b/internal/site/process/process.go
@@ -32,26 +32,26 @@
 	BootID     string `json:"boot"`  // of the machine's boot
 }
 
-// stat is what is read of a process.
-type stat struct {
+// procStat is what is read of a process.
+type procStat struct {
 	parent, group int
-	zombie        bool
+	isZombie      bool
 	startTicks    uint64
 }
 
-func readStat(pid int) (stat, error) {
+func readStat(pid int) (procStat, error) {
 	raw, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
-		return stat{}, fmt.Errorf("process %d: %w", pid, err)
+		return procStat{}, fmt.Errorf("process %d: %w", pid, err)
 	}
 	// The name is in brackets and may hold anything.
 	nameEnd := bytes.LastIndexByte(raw, ')')
 	fields := strings.Fields(string(raw[nameEnd+1:]))
 	if nameEnd < 0 || len(fields) < minStatFields {
-		return stat{}, fmt.Errorf("process %d: its state cannot be read", pid)
+		return procStat{}, fmt.Errorf("process %d: its state cannot be read", pid)
 	}
-	var s stat
-	s.zombie = fields[statState] == "Z" || fields[statState] == "X"
+	var s procStat
+	s.isZombie = fields[statState] == "Z" || fields[statState] == "X"
 	if s.parent, err = strconv.Atoi(fields[statParent]); err != nil {
 		return s, fmt.Errorf("process %d: parent: %w", pid, err)
 	}
@@ -79,10 +79,10 @@
 	return Identity{pid, s.startTicks, BootID()}, err
 }
 
-// IsAlive reports whether this very process is running. A zombie is not.
-func (id Identity) IsAlive() bool {
+// IsRunning reports whether this very process is running. A zombie is not.
+func (id Identity) IsRunning() bool {
 	s, err := readStat(id.PID)
-	return err == nil && !s.zombie && s.startTicks == id.StartTicks && id.BootID == BootID()
+	return err == nil && !s.isZombie && s.startTicks == id.StartTicks && id.BootID == BootID()
 }
 
 // Signal sends a signal to the process if it is this very one, and returns os.ErrProcessDone if it is not running any more.
@@ -92,7 +92,7 @@
 		return err
 	}
 	defer func() { _ = handle.Release() }() // a handle that is not released is only freed later
-	if !id.IsAlive() {
+	if !id.IsRunning() {
 		return os.ErrProcessDone
 	}
 	return handle.Signal(sig)
@@ -139,11 +139,11 @@
 // that does or is, apart from this process.
 func Find(tags map[string]bool, groups map[int]bool) []int {
 	own := os.Getpid()
-	stats := map[int]stat{}
+	stats := map[int]procStat{}
 	found := map[int]bool{}
 	for _, pid := range listPIDs() {
 		s, err := readStat(pid)
-		if err != nil || s.zombie {
+		if err != nil || s.isZombie {
 			continue
 		}
 		stats[pid] = s
@@ -160,7 +160,7 @@
 }
 
 // addDescendants adds the children of found processes, and theirs, apart from this process.
-func addDescendants(found map[int]bool, stats map[int]stat, own int) {
+func addDescendants(found map[int]bool, stats map[int]procStat, own int) {
 	for added := true; added; {
 		added = false
 		for pid, s := range stats {
--- a/internal/site/process/process_test.go
+++ b/internal/site/process/process_test.go
@@ -11,9 +11,9 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// Everything of a tagged process is found and ended: what it forked, what left its group and session, and what has cleared its
-// environment, as long as it descends from a tagged one.
-func TestTaggedProcessesAreEnded(t *testing.T) {
+// Everything of a tagged process is found and ended: what it forked, what left its group and session,
+// and what has cleared its environment, as long as it descends from a tagged one.
+func TestEndFindsAllDescendants(t *testing.T) {
 	tag := "GULLRUDDER_TEST=" + t.Name()
 	ready := t.TempDir() + "/ready"
 	cmd := exec.Command("sh", "-c", "trap '' TERM; sleep 300 & (setsid sleep 300 &); env -i sleep 300 & : > "+ready+"; wait")
@@ -28,8 +28,8 @@
 	if err := End(tags, nil, time.Minute); err != nil {
 		t.Error(err)
 	}
-	if pids := Find(tags, nil); len(pids) > 0 {
-		t.Errorf("%v are left", pids)
+	if list := Find(tags, nil); len(list) > 0 {
+		t.Errorf("%v are left", list)
 	}
 	if cmd.Wait() == nil {
 		t.Error("it ended by itself")
@@ -39,11 +39,11 @@
 // A process ID that was reused is not taken for the process that had it before.
 func TestReusedPIDIsAnotherProcess(t *testing.T) {
 	id, err := Identify(os.Getpid())
-	if err != nil || !id.IsAlive() {
+	if err != nil || !id.IsRunning() {
 		t.Fatal(id, err)
 	}
 	for _, other := range []Identity{{id.PID, id.StartTicks + 1, id.BootID}, {id.PID, id.StartTicks, "another boot"}} {
-		if other.IsAlive() || other.Signal(0) == nil {
+		if other.IsRunning() || other.Signal(0) == nil {
 			t.Errorf("%v is taken for this process", other)
 		}
 	}
--- a/internal/site/supervisor/supervisor.go
+++ b/internal/site/supervisor/supervisor.go
@@ -33,36 +33,36 @@
 // siteVariable is the environment variable that tags the processes of a site.
 const siteVariable = "GULLRUDDER_SITE"
 
-// Part is one process of the site.
-type Part struct {
+// ProcessSpec is one part of the site: a process of the program.
+type ProcessSpec struct {
 	Name string
 	Args []string // of the program
 }
 
 // Supervisor runs the parts of a site.
 type Supervisor struct {
-	program string
-	dir     string // the site's directory
-	tag     string // in the environment of the parts
-	parts   []*supervisedPart
-	log     *slog.Logger
-	running sync.WaitGroup
+	program  string
+	dir      string // the site's directory
+	tag      string // in the environment of the parts
+	children []*child
+	log      *slog.Logger
+	running  sync.WaitGroup
 }
 
-// supervisedPart is a part with its process.
-type supervisedPart struct {
-	Part
-	mu    sync.Mutex // guards cmd, and the decision to start against Stop
-	cmd   *exec.Cmd
-	ended chan struct{} // closed when the part is not restarted any more
-	stop  chan struct{} // closed when the part is to end
+// child is a part with its process.
+type child struct {
+	ProcessSpec
+	mu      sync.Mutex // guards cmd, and the decision to start against Stop
+	cmd     *exec.Cmd
+	exited  chan struct{} // closed when the part is not restarted any more
+	stopped chan struct{} // closed when the part is to end
 }
 
 // New makes a supervisor and ends what an earlier one has left. The parts' logs go to the directory log of dir.
-func New(program, dir, siteID string, parts []Part, log *slog.Logger) (*Supervisor, error) {
+func New(program, dir, siteID string, specs []ProcessSpec, log *slog.Logger) (*Supervisor, error) {
 	s := &Supervisor{program: program, dir: dir, tag: siteVariable + "=" + siteID, log: log}
-	for _, part := range parts {
-		s.parts = append(s.parts, &supervisedPart{Part: part, ended: make(chan struct{}), stop: make(chan struct{})})
+	for _, spec := range specs {
+		s.children = append(s.children, &child{ProcessSpec: spec, exited: make(chan struct{}), stopped: make(chan struct{})})
 	}
 	if err := os.MkdirAll(filepath.Join(dir, "log"), 0o700); err != nil {
 		return nil, fmt.Errorf("logs: %w", err)
@@ -76,19 +76,19 @@
 
 // Run starts the parts, one goroutine each, and returns when Stop has ended them all.
 func (s *Supervisor) Run() {
-	for _, part := range s.parts {
+	for _, part := range s.children {
 		s.running.Add(1)
 		go func() {
 			defer s.running.Done()
-			defer close(part.ended)
-			s.superviseProcess(part)
+			defer close(part.exited)
+			s.runUntilStopped(part)
 		}()
 	}
 	s.running.Wait()
 }
 
-// superviseProcess runs one part, again and again, until it is to end.
-func (s *Supervisor) superviseProcess(part *supervisedPart) {
+// runUntilStopped runs one part, again and again, until it is to end.
+func (s *Supervisor) runUntilStopped(part *child) {
 	delay := minRestartDelay
 	for {
 		startedAt := time.Now()
@@ -103,7 +103,7 @@
 		s.log.Error("part ended and is restarted",
 			"part", part.Name, logkeys.Duration, runTime.Round(time.Millisecond), "restart_delay", delay, logkeys.Err, err)
 		select {
-		case <-part.stop:
+		case <-part.stopped:
 			return
 		case <-time.After(delay):
 		}
@@ -112,7 +112,7 @@
 }
 
 // runOnce runs the process of a part until it ends, and returns why it ended. It does nothing if the part is to end.
-func (s *Supervisor) runOnce(part *supervisedPart) (err error) {
+func (s *Supervisor) runOnce(part *child) (err error) {
 	logFile, err := openLog(filepath.Join(s.dir, "log", part.Name+".log"))
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 }
 
 // start starts the process unless the part is to end.
-func (p *supervisedPart) start(cmd *exec.Cmd) (started bool, err error) {
+func (p *child) start(cmd *exec.Cmd) (started bool, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.isStopping() {
@@ -142,9 +142,9 @@
 	return true, nil
 }
 
-func (p *supervisedPart) isStopping() bool {
+func (p *child) isStopping() bool {
 	select {
-	case <-p.stop:
+	case <-p.stopped:
 		return true
 	default:
 		return false
@@ -163,25 +163,25 @@
 
 // Stop ends the parts one after another, the last first: by SIGTERM, and by SIGKILL after a timeout. It may be called once.
 func (s *Supervisor) Stop() {
-	for i := len(s.parts) - 1; i >= 0; i-- {
-		s.stopPart(s.parts[i])
+	for i := len(s.children) - 1; i >= 0; i-- {
+		s.stopPart(s.children[i])
 	}
 }
 
-func (s *Supervisor) stopPart(part *supervisedPart) {
+func (s *Supervisor) stopPart(part *child) {
 	part.mu.Lock()
-	close(part.stop)
+	close(part.stopped)
 	cmd := part.cmd
 	part.mu.Unlock()
 	signalIfRunning(cmd, syscall.SIGTERM)
 	select {
-	case <-part.ended:
+	case <-part.exited:
 		return
 	case <-time.After(stopTimeout):
 	}
 	s.log.Error("part killed after stop timeout", "part", part.Name)
 	signalIfRunning(cmd, syscall.SIGKILL)
-	<-part.ended
+	<-part.exited
 }
 
 // signalIfRunning sends a signal to a process that was started. The error is not looked at: the process may have ended by
--- a/internal/site/supervisor/supervisor_test.go
+++ b/internal/site/supervisor/supervisor_test.go
@@ -15,18 +15,18 @@
 
 // A part that ends is restarted; all are ended, the last first; and a supervisor that starts after one that was killed ends
 // what that one has left.
-func TestPartsAreRestartedAndEnded(t *testing.T) {
+func TestRestartAndStop(t *testing.T) {
 	dir := t.TempDir()
-	parts := []Part{
+	specs := []ProcessSpec{
 		{"first", []string{"-c", "echo run >> " + dir + "/first; exit 3"}},
 		{"last", []string{"-c", "echo run >> " + dir + "/last; exec sleep 300"}},
 	}
-	supervisor, err := New("/bin/sh", dir, "test-"+t.Name(), parts, slog.New(slog.DiscardHandler))
+	s, err := New("/bin/sh", dir, "test-"+t.Name(), specs, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan struct{})
-	go func() { supervisor.Run(); close(ended) }()
+	stopped := make(chan struct{})
+	go func() { s.Run(); close(stopped) }()
 	runs := func(name string) int {
 		raw, err := os.ReadFile(dir + "/" + name)
 		if err != nil {
@@ -37,7 +37,7 @@
 	for runs("first") < 3 || runs("last") < 1 {
 		time.Sleep(10 * time.Millisecond) // the test's own limit ends it otherwise
 	}
-	tags := map[string]bool{supervisor.tag: true}
+	tags := map[string]bool{s.tag: true}
 	if len(process.Find(tags, nil)) == 0 {
 		t.Error("the parts are not tagged")
 	}
@@ -48,9 +48,9 @@
 	for runs("last") < 2 {
 		time.Sleep(10 * time.Millisecond) // the first supervisor is there still, and restarts it
 	}
-	supervisor.Stop()
-	<-ended
-	if pids := process.Find(tags, nil); len(pids) > 0 {
-		t.Errorf("%v are left", pids)
+	s.Stop()
+	<-stopped
+	if list := process.Find(tags, nil); len(list) > 0 {
+		t.Errorf("%v are left", list)
 	}
 }
