--- a/internal/site/process/process_test.go
+++ b/internal/site/process/process_test.go
@@ -11,8 +11,8 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// Everything of a marked process is found and ended: what it forked, what left its group and session,
-// and what has cleared its environment, as long as it descends from a marked one.
+// Everything of a tagged process is found and ended: what it forked, what left its group and session,
+// and what has cleared its environment, as long as it descends from a tagged one.
 func TestEndFindsAllDescendants(t *testing.T) {
 	tag := "GULLRUDDER_TEST=" + t.Name()
 	ready := t.TempDir() + "/ready"
@@ -36,13 +36,13 @@
 	}
 }
 
-// A number that was given out anew is not taken for the process that had it before.
+// A process ID that was reused is not taken for the process that had it before.
 func TestReusedPIDIsAnotherProcess(t *testing.T) {
 	id, err := Identify(os.Getpid())
 	if err != nil || !id.IsRunning() {
 		t.Fatal(id, err)
 	}
-	for _, other := range []Identity{{id.PID, id.StartTicks + 1, id.BootID}, {id.PID, id.StartTicks, "another start"}} {
+	for _, other := range []Identity{{id.PID, id.StartTicks + 1, id.BootID}, {id.PID, id.StartTicks, "another boot"}} {
 		if other.IsRunning() || other.Signal(0) == nil {
 			t.Errorf("%v is taken for this process", other)
 		}
--- a/internal/site/supervisor/supervisor_test.go
+++ b/internal/site/supervisor/supervisor_test.go
@@ -13,8 +13,8 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// A part that ends is started again; all are ended, the last first, also one that ignores what it is
-// told; and a supervisor that comes after one that was killed ends what is left of it.
+// A part that ends is restarted; all are ended, the last first; and a supervisor that starts after one that was killed ends
+// what that one has left.
 func TestRestartAndStop(t *testing.T) {
 	dir := t.TempDir()
 	specs := []ProcessSpec{
@@ -39,14 +39,14 @@
 	}
 	tags := map[string]bool{s.tag: true}
 	if len(process.Find(tags, nil)) == 0 {
-		t.Error("the parts are not marked")
+		t.Error("the parts are not tagged")
 	}
 	// Another supervisor of the site, as after a kill of this one, ends them first.
 	if _, err := New("/bin/sh", dir, "test-"+t.Name(), nil, slog.New(slog.DiscardHandler)); err != nil {
 		t.Error(err)
 	}
 	for runs("last") < 2 {
-		time.Sleep(10 * time.Millisecond) // the first supervisor is there still, and starts it again
+		time.Sleep(10 * time.Millisecond) // the first supervisor is there still, and restarts it
 	}
 	s.Stop()
 	<-stopped
