--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -127,9 +127,12 @@
 	platform := &config.Platform{
 		Name: controllerName(index), Zone: "a", PublicAddr: controllerName(index), PeerListenAddr: controllerName(index),
 		Zones: []string{"a", "b"}, Teams: w.Options.Teams,
-		HeartbeatInterval: w.Options.HeartbeatInterval, WorkerLeaseDuration: w.Options.WorkerLease, CancelTimeout: w.Options.CancelTimeout,
-		StateRequestRate: 200, StateWriteRate: 20, MaxValueBytes: 4096, MaxTransactionOps: 8, CloudRequestRate: 5, CloudListLag: 2 * time.Second,
-		CPUQuota: 1, MemoryQuotaMB: 100, MaxConnections: 1000,
+		WorkerTiming: config.WorkerTiming{
+			HeartbeatInterval: w.Options.HeartbeatInterval, WorkerLeaseDuration: w.Options.WorkerLease, CancelTimeout: w.Options.CancelTimeout,
+		},
+		StateLimits:  config.StateLimits{StateRequestRate: 200, StateWriteRate: 20, MaxValueBytes: 4096, MaxTransactionOps: 8},
+		CloudLimits:  config.CloudLimits{CloudRequestRate: 5, CloudListLag: 2 * time.Second},
+		ProcessQuota: config.ProcessQuota{CPUQuota: 1, MemoryQuotaMB: 100, MaxConnections: 1000},
 	}
 	if w.Options.AdjustPlatform != nil {
 		w.Options.AdjustPlatform(platform)
