--- a/internal/simulator/accounting_test.go
+++ b/internal/simulator/accounting_test.go
@@ -113,8 +113,7 @@
 // Where the owner says that a job's time went is where the world's own record has it, but for one
 // report and one look at each change; and it sums to the time from acceptance to the end.
 func TestTimeAccountingMatchesSimulation(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(3) {
+	runSeeds(t, 3, func(t *testing.T, seed uint64) {
 		opt := testOptions()
 		opt.LossShare, opt.LateShare = 0, 0
 		sim := New(seed, opt, testLogger())
@@ -124,9 +123,7 @@
 			sim.At(time.Duration(i)*2*time.Second, sim.Users.SubmitRandom)
 		}
 		sim.Run(4 * time.Minute)
-		if len(sim.Violations) > 0 {
-			t.Fatalf("seed %d: %v", seed, sim.Violations)
-		}
+		expectNoViolations(t, sim)
 		checked := 0
 		slack := opt.HeartbeatInterval*5/4 + 1100*time.Millisecond // a report, a look, a message that takes long
 		for id, j := range sim.checker.jobs {
@@ -136,7 +133,7 @@
 			}
 			spent, sum := sim.timeAccount(id)
 			if spent == nil {
-				t.Fatalf("seed %d: no account of %s", seed, id)
+				t.Fatalf("no account of %s", id)
 			}
 			mine := [phaseCount]time.Duration{
 				fetchingImage: spent[accounting.FetchingImage.String()], runningOnMachine: spent[accounting.Running.String()],
@@ -151,8 +148,7 @@
 				}
 				if diff := (mine[p] - r.spent[p]).Abs(); diff > slack*time.Duration(max(r.changes[p], 1)) {
 					t.Errorf(
-						"seed %d: %s: phase %d: %v by the owner, %v by the world, %d changes\n%v",
-						seed,
+						"%s: phase %d: %v by the owner, %v by the world, %d changes\n%v",
 						id,
 						p,
 						mine[p],
@@ -165,17 +161,16 @@
 			checked++
 		}
 		if checked < 10 {
-			t.Errorf("seed %d: only %d jobs were checked", seed, checked)
+			t.Errorf("only %d jobs were checked", checked)
 		}
-	}
+	})
 }
 
 // Over several leaders, machines that die and a state service that is away, an account still sums to
 // the job's time as its record has it, and says how much nobody knows.
 func TestTimeAccountingAcrossFailovers(t *testing.T) {
-	t.Parallel()
 	unknown := 0
-	for seed := range uint64(3) {
+	runSeeds(t, 3, func(t *testing.T, seed uint64) {
 		sim := New(seed, testOptions(), testLogger())
 		for i := range 20 {
 			sim.At(time.Duration(i)*time.Second, func() {
@@ -198,9 +193,7 @@
 		}
 		for range 12 {
 			sim.Run(10 * time.Second)
-			if len(sim.Violations) > 0 {
-				t.Fatalf("seed %d: %v", seed, sim.Violations)
-			}
+			expectNoViolations(t, sim)
 			for id, j := range sim.checker.jobs {
 				rec, ok := sim.State.record(id)
 				if !ok || j.acceptedAt.IsZero() || rec.SubmittedMs == 0 || j.cancelRequested || !j.finishedAt.IsZero() ||
@@ -210,14 +203,14 @@
 				spent, sum := sim.timeAccount(id)
 				age := sim.Now.Sub(time.UnixMilli(rec.SubmittedMs))
 				if len(spent) > 0 && (sum-age).Abs() > 150*time.Millisecond {
-					t.Errorf("seed %d: %s: its account sums to %v, its age is %v: %v", seed, id, sum, age, spent)
+					t.Errorf("%s: its account sums to %v, its age is %v: %v", id, sum, age, spent)
 				}
 				if spent[accounting.EarlierLeader.String()] > 0 {
 					unknown++
 				}
 			}
 		}
-	}
+	})
 	if unknown == 0 {
 		t.Error("no account of a job over several leaders says that something is not known")
 	}
--- a/internal/simulator/ageing_test.go
+++ b/internal/simulator/ageing_test.go
@@ -82,9 +82,7 @@
 					}
 				}
 				sim.Run(450 * time.Second)
-				if len(sim.Violations) > 0 {
-					t.Fatalf("seed %d: %v", seed, sim.Violations)
-				}
+				expectNoViolations(t, sim)
 				for id, bound := range bounds {
 					j := sim.checker.jobs[id]
 					waited := sim.Now.Sub(j.acceptedAt)
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -121,23 +121,31 @@
 	return w
 }
 
+// Names of hosts besides the controllers and machines.
+const (
+	stateHost = "state"
+	cloudHost = "cloud"
+	userHost  = "user"
+)
+
+// controllerName is the name and address of a controller.
 func controllerName(i int) string { return fmt.Sprintf("node-%d", i) }
 
-func (w *Cluster) platformConfig(index int) *config.Platform {
+func (sim *Cluster) platformConfig(index int) *config.Platform {
 	platform := &config.Platform{
 		Name: controllerName(index), Zone: "a", PublicAddr: controllerName(index), PeerListenAddr: controllerName(index),
-		Zones: []string{"a", "b"}, Teams: w.Options.Teams,
+		Zones: []string{"a", "b"}, Teams: sim.Options.Teams,
 		WorkerTiming: config.WorkerTiming{
-			HeartbeatInterval: w.Options.HeartbeatInterval, WorkerLeaseDuration: w.Options.WorkerLease, CancelTimeout: w.Options.CancelTimeout,
+			HeartbeatInterval: sim.Options.HeartbeatInterval, WorkerLeaseDuration: sim.Options.WorkerLease, CancelTimeout: sim.Options.CancelTimeout,
 		},
 		StateLimits:  config.StateLimits{StateRequestRate: 200, StateWriteRate: 20, MaxValueBytes: 4096, MaxTransactionOps: 8},
 		CloudLimits:  config.CloudLimits{CloudRequestRate: 5, CloudListLag: 2 * time.Second},
 		ProcessQuota: config.ProcessQuota{CPUQuota: 1, MemoryQuotaMB: 100, MaxConnections: 1000},
 	}
-	if w.Options.AdjustPlatform != nil {
-		w.Options.AdjustPlatform(platform)
+	if sim.Options.AdjustPlatform != nil {
+		sim.Options.AdjustPlatform(platform)
 	}
-	for j := range w.Options.Controllers {
+	for j := range sim.Options.Controllers {
 		if j != index {
 			platform.Peers = append(platform.Peers, config.Peer{Name: controllerName(j), Addr: controllerName(j)})
 		}
@@ -287,7 +295,7 @@
 		}
 	}
 	sim.At(call.Timeout, func() { settle(client.Result{}) })
-	host := map[client.Destination]string{client.StateService: "state", client.CloudAPI: "cloud"}[call.Destination]
+	host := map[client.Destination]string{client.StateService: stateHost, client.CloudAPI: cloudHost}[call.Destination]
 	if host == "" {
 		host = call.Addr
 	}
--- a/internal/simulator/failures_test.go
+++ b/internal/simulator/failures_test.go
@@ -92,9 +92,7 @@
 				}
 			})
 			sim.Run(5 * time.Minute)
-			if len(sim.Violations) > 0 {
-				t.Fatalf("seed %d: %v", seed, sim.Violations)
-			}
+			expectNoViolations(t, sim)
 			for _, id := range mistaken {
 				// The first wave, what was on its way when it was found, and one at a time since.
 				if n := sim.checker.jobs[id].startCount; n > 90 || n-at70[id] > 20 {
--- a/internal/simulator/faultcombinations_test.go
+++ b/internal/simulator/faultcombinations_test.go
@@ -11,96 +11,78 @@
 // Each test here brings about one of the meetings of two troubles; docs/design/meetings.md has where the code was
 // looked at for each, and the change to the code that turns it red.
 
-// busyCluster is a site like any other here, but its users are told within 20 s after a lease of 8 s.
-func busyCluster(t *testing.T, seed uint64) (sim *Cluster, leader int) {
-	return busyClusterReporting(t, seed, time.Second, 8*time.Second)
-}
-
 // The leader confirms cancellations that no machine hears of, and ends; the next one wins the key and cannot read the
 // ledger, since the state service is away for longer than users are told; it lives on promises, and the workers report
 // to it. The tasks are gone in time all the same.
 func TestCancellationBeforeLeaderThatCannotRead(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(4) {
-		sim, leader := busyCluster(t, seed)
+	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
 		for _, m := range sim.Cloud.runningMachines() {
-			sim.CutLinkOneWay(controllerName(leader), m.id, 3*time.Second)
+			sim.CutLinkOneWay(controllerName(sim.leader), m.id, 3*time.Second)
 		}
 		sim.Run(500 * time.Millisecond)
 		sim.Users.CancelRandom(10)
 		sim.Run(1500 * time.Millisecond)
 		if n := sim.Users.CancelledCount(); n < 5 {
-			t.Fatalf("seed %d: only %d are cancelled", seed, n)
+			t.Fatalf("only %d are cancelled", n)
 		}
 		sim.OnElectionEvent(keyWritten, func(string) { sim.State.Outage(sim.Options.CancelTimeout + 15*time.Second) })
-		sim.Crash(leader, time.Duration(seed)*400*time.Millisecond)
+		sim.Crash(sim.leader, time.Duration(sim.seed)*400*time.Millisecond)
 		sim.watchSingleLeader()
 		sim.Run(40 * time.Second)
 		if len(sim.electionTriggers) > 0 {
-			t.Errorf("seed %d: nobody has won the key", seed)
+			t.Errorf("nobody has won the key")
 		}
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // The same with an outage of a few seconds, and nothing cancelled: what runs is kept.
 func TestLeaderThatCannotReadKeepsTasks(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(3) {
-		sim, leader := busyCluster(t, seed)
+	forEachSeed(t, 3, busyCluster, func(t *testing.T, sim scenario) {
 		ran := sim.checker.TaskStarts
 		sim.OnElectionEvent(keyWritten, func(string) { sim.State.Outage(5 * time.Second) })
-		sim.Crash(leader, 10*time.Second)
+		sim.Crash(sim.leader, 10*time.Second)
 		sim.Run(15 * time.Second)
 		if again := sim.checker.TaskStarts - ran; again > 8 {
-			t.Errorf("seed %d: %d tasks were started again", seed, again)
+			t.Errorf("%d tasks were started again", again)
 		}
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // The users' meeting: the leader alone is refused, the next one confirms cancellations, the state service is away for
 // longer than users are told; the workers report to the old leader meanwhile, for as long as that answers.
 func TestLeaderRefusedThenOutage(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(6) {
-		sim, _ := busyCluster(t, seed)
+	forEachSeed(t, 6, busyCluster, func(t *testing.T, sim scenario) {
 		for round := range 2 {
 			old := sim.LeaderIndex()
 			sim.State.Refuse(controllerName(old), 14*time.Second)
 			for _, m := range sim.Cloud.runningMachines() {
 				for i := range sim.controllers {
-					if i != old && seed%2 == 0 {
+					if i != old && sim.seed%2 == 0 {
 						sim.CutLink(controllerName(i), m.id, 6*time.Second)
 					}
 				}
 			}
-			sim.Run(1500*time.Millisecond + time.Duration(seed)*100*time.Millisecond)
-			if len(sim.Violations) > 0 {
-				t.Fatalf("seed %d: %v", seed, sim.Violations)
-			}
+			sim.Run(1500*time.Millisecond + time.Duration(sim.seed)*100*time.Millisecond)
+			expectNoViolations(t, sim.Cluster)
 			if sim.LeaderIndex() == old {
-				t.Errorf("seed %d: still led by the one that is refused", seed)
+				t.Errorf("still led by the one that is refused")
 			}
 			before := sim.Users.CancelledCount()
 			sim.Users.CancelRandom(5)
 			sim.Run(1500 * time.Millisecond)
 			if sim.Users.CancelledCount() == before && round == 0 {
-				t.Errorf("seed %d: nothing was cancelled", seed)
+				t.Errorf("nothing was cancelled")
 			}
 			sim.State.Outage(sim.Options.CancelTimeout + 10*time.Second)
 			sim.Run(sim.Options.CancelTimeout + 20*time.Second)
 		}
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // Arrays of two and three tasks that end half a minute apart, with a change of leader in between, twice: one is
 // refused alone, one ends. What was done stays done and is counted once, and nothing is called done before all is.
 func TestTasksEndingFarApart(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(4) {
-		sim, leader := busyCluster(t, seed)
+	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
 		for i := range 12 {
 			s := jobs.Spec{
 				ID: fmt.Sprintf("job-2%03d", i), Class: "apart", Team: "none", Tasks: 2 + i%2, CPUs: 0.5, MemoryGB: 0.5, Image: "i", AllowsSpot: true,
@@ -111,7 +93,7 @@
 				sim.checker.jobs[s.ID].taskStagger = 20 * time.Second
 			})
 		}
-		sim.At(9*time.Second+time.Duration(seed)*300*time.Millisecond, func() { sim.State.Refuse(controllerName(leader), 6*time.Second) })
+		sim.At(9*time.Second+time.Duration(sim.seed)*300*time.Millisecond, func() { sim.State.Refuse(controllerName(sim.leader), 6*time.Second) })
 		sim.At(30*time.Second, func() {
 			if l := sim.LeaderIndex(); l >= 0 {
 				sim.Crash(l, 300*time.Millisecond)
@@ -122,47 +104,39 @@
 		for i := range 12 {
 			j := sim.checker.jobs[fmt.Sprintf("job-2%03d", i)]
 			if !j.acceptedAt.IsZero() && j.startCount > 3*j.spec.Tasks {
-				t.Errorf("seed %d: %d starts of %d tasks", seed, j.startCount, j.spec.Tasks)
+				t.Errorf("%d starts of %d tasks", j.startCount, j.spec.Tasks)
 			}
 		}
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // A leader is cut from the state service and the other controllers; workers and users reach it; jobs are cancelled
 // through the next one; and that again, with the old one back within a second in between.
 func TestCancellationThroughNextLeader(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(4) {
-		sim, _ := busyCluster(t, seed)
+	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
 		sim.watchSingleLeader()
 		for range 2 {
 			old := sim.LeaderIndex()
 			sim.IsolateController(old, FromState|FromControllers, 25*time.Second)
 			sim.Run(4 * time.Second)
-			if len(sim.Violations) > 0 {
-				t.Fatalf("seed %d: %v", seed, sim.Violations)
-			}
+			expectNoViolations(t, sim.Cluster)
 			if l := sim.LeaderIndex(); l == old || l < 0 {
-				t.Fatalf("seed %d: node-%d leads", seed, l)
+				t.Fatalf("node-%d leads", l)
 			}
 			sim.Users.CancelRandom(3)
 			sim.Run(3 * time.Second)
-			if seed%2 == 1 {
+			if sim.seed%2 == 1 {
 				sim.Crash(old, 300*time.Millisecond)
 			}
 			sim.Run(30 * time.Second)
 		}
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // What a few machines are told is held up for seconds, or they stand still; the leader ends meanwhile, copies of old
 // reports arrive, jobs are cancelled; the machines then go on.
 func TestDelayedCommands(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(4) {
-		sim, leader := busyCluster(t, seed)
+	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
 		sim.Cloud.DuplicateHeartbeats(30 * time.Second)
 		for i := range 5 {
 			sim.At(time.Duration(i)*6*time.Second, func() { sim.Cloud.DelayMachines(6, time.Duration(3+i)*time.Second) })
@@ -175,166 +149,141 @@
 				}, 4*time.Second)
 			})
 		}
-		sim.At(8*time.Second, func() { sim.Crash(leader, 200*time.Millisecond) })
+		sim.At(8*time.Second, func() { sim.Crash(sim.leader, 200*time.Millisecond) })
 		sim.At(12*time.Second, func() { sim.Users.CancelRandom(4) })
 		sim.Run(50 * time.Second)
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // A leader ends while some machines with long tasks cannot be reached and some do not hear the next leader's answers.
 // It neither doubles their tasks nor keeps all others waiting for them.
 func TestUnreachableLongTasksDuringFailover(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(4) {
-		sim, leader := busyCluster(t, seed)
+	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
 		list := sim.Cloud.runningMachines()
 		for k, m := range list {
 			for i := range sim.controllers {
 				switch {
 				case k%4 == 0:
 					sim.CutLink(controllerName(i), m.id, 20*time.Second)
-				case k%4 == 1 && i != leader:
+				case k%4 == 1 && i != sim.leader:
 					sim.CutLinkOneWay(controllerName(i), m.id, 20*time.Second)
 				}
 			}
 		}
-		sim.Crash(leader, time.Second)
+		sim.Crash(sim.leader, time.Second)
 		began := sim.Now
 		for !sim.isPlacing() && sim.Now.Sub(began) < time.Minute {
 			sim.Run(100 * time.Millisecond)
 		}
 		if took := sim.Now.Sub(began); took > sim.Options.WorkerLease+8*time.Second {
-			t.Errorf("seed %d: placing begins after %v", seed, took)
+			t.Errorf("placing begins after %v", took)
 		}
-		expectAllFinished(t, sim, seed)
-	}
-}
-
-func (sim *Cluster) isPlacing() bool {
-	for i := range sim.controllers {
-		if _, places := sim.leadershipOf(i); places {
-			return true
-		}
-	}
-	return false
+	})
 }
 
 // The state service is slow, near every time that its callers wait, while users submit, cancel and ask and the leader
 // is refused alone, then everybody for longer than users are told. Every answer is final and comes at once.
 func TestSlowStateServiceThenOutage(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(4) {
-		sim, leader := busyCluster(t, seed)
+	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
 		sim.watchSingleLeader()
 		sim.State.SlowDown(40 * time.Second)
 		for i := range 20 {
 			sim.At(time.Duration(i)*time.Second, sim.Users.SubmitRandom)
 		}
 		sim.At(5*time.Second, func() { sim.Users.CancelRandom(4) })
-		sim.At(20*time.Second, func() { sim.State.Refuse(controllerName(leader), 5*time.Second) })
+		sim.At(20*time.Second, func() { sim.State.Refuse(controllerName(sim.leader), 5*time.Second) })
 		sim.At(22*time.Second, func() { sim.Users.CancelRandom(4) })
 		sim.At(24*time.Second, func() { sim.State.Outage(sim.Options.CancelTimeout + 8*time.Second) })
 		sim.Run(70 * time.Second)
 		if sim.Users.slowestAnswer > 5*time.Second {
-			t.Errorf("seed %d: an answer took %v", seed, sim.Users.slowestAnswer)
+			t.Errorf("an answer took %v", sim.Users.slowestAnswer)
 		}
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // Controllers hand over and back within a second each; then all end, and one returns at once, the others later.
 func TestLeadershipHandedBackAndForth(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(4) {
-		sim, _ := busyCluster(t, seed)
+	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
 		sim.watchSingleLeader()
 		mark := sim.State.leaderRevision()
 		sim.State.HandOverLeadership(6, 900*time.Millisecond)
 		sim.At(2*time.Second, func() { sim.Users.CancelRandom(3) })
 		sim.Run(8 * time.Second)
 		if sim.State.leaderRevision() <= mark {
-			t.Errorf("seed %d: nobody else has led", seed)
+			t.Errorf("nobody else has led")
 		}
 		for i := range sim.controllers {
-			sim.Crash(i, time.Duration(100+3000*((i+int(seed))%3))*time.Millisecond)
+			sim.Crash(i, time.Duration(100+3000*((i+int(sim.seed))%3))*time.Millisecond)
 		}
 		sim.Run(20 * time.Second)
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // Half of the transactions get no answer and are carried out after newer ones, those of campaigns too, while leaders
 // end and are refused, short jobs are finished and sealed, and some are cancelled.
 func TestLateTransactions(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(6) {
-		sim, leader := busyCluster(t, seed)
+	forEachSeed(t, 6, busyCluster, func(t *testing.T, sim scenario) {
 		sim.watchSingleLeader()
-		sim.State.DelayTransactions(0.1+0.1*float64(seed), 40*time.Second)
+		sim.State.DelayTransactions(0.1+0.1*float64(sim.seed), 40*time.Second)
 		for i := range 30 {
 			sim.At(time.Duration(i)*1200*time.Millisecond, sim.Users.SubmitRandom)
 		}
-		sim.At(10*time.Second, func() { sim.Crash(leader, 300*time.Millisecond) })
+		sim.At(10*time.Second, func() { sim.Crash(sim.leader, 300*time.Millisecond) })
 		sim.At(14*time.Second, func() { sim.Users.CancelRandom(5) })
 		sim.At(20*time.Second, func() { sim.State.Refuse(sim.State.leaderName(), 4*time.Second) })
 		sim.Run(70 * time.Second)
 		if err := sim.State.CheckLimits(); err != nil {
-			t.Errorf("seed %d: %v", seed, err)
+			t.Errorf("%v", err)
 		}
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // Machines begin to count anew while copies of what they reported before arrive at every controller, the next leader
 // and followers among them.
 func TestHeartbeatsOfEarlierIncarnations(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(4) {
-		sim, leader := busyCluster(t, seed)
+	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
 		sim.Cloud.DuplicateHeartbeats(30 * time.Second)
 		for i := range 6 {
 			sim.At(time.Duration(i)*3*time.Second, func() { sim.Cloud.RestartMachine(300*time.Millisecond, i%2 == 0) })
 		}
-		sim.At(7*time.Second, func() { sim.Crash(leader, 100*time.Millisecond) })
+		sim.At(7*time.Second, func() { sim.Crash(sim.leader, 100*time.Millisecond) })
 		sim.At(14*time.Second, func() { sim.State.Refuse(sim.State.leaderName(), 3*time.Second) })
 		sim.Run(40 * time.Second)
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // Settings by which a lease outlasts what users are told: nothing is called cancelled before its tasks are gone, though no
 // machine hears anything for a while, leaders end, and the state service is away.
 func TestCancelledOnlyAfterTasksStopped(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(3) {
-		opt := testOptions()
-		opt.CancelTimeout = 5 * time.Second
-		sim, leader := busyClusterWith(t, seed, opt)
+	shortCancelTimeout := func(t *testing.T, seed uint64) scenario {
+		t.Helper()
+		options := testOptions()
+		options.CancelTimeout = 5 * time.Second
+		return busyClusterWith(t, seed, options)
+	}
+	forEachSeed(t, 3, shortCancelTimeout, func(t *testing.T, sim scenario) {
 		sim.Cloud.CutInbound(1000, false, 7*time.Second)
 		sim.Run(300 * time.Millisecond)
 		sim.Users.CancelRandom(3)
-		if seed > 0 {
-			sim.At(time.Second, func() { sim.Crash(leader, 300*time.Millisecond) })
+		if sim.seed > 0 {
+			sim.At(time.Second, func() { sim.Crash(sim.leader, 300*time.Millisecond) })
 		}
-		if seed > 1 {
+		if sim.seed > 1 {
 			sim.OnElectionEvent(keyWritten, func(string) { sim.State.Outage(12 * time.Second) })
 		}
 		sim.Run(40 * time.Second)
 		if sim.Users.CancelledCount() == 0 && len(sim.Violations) == 0 {
-			t.Errorf("seed %d: nobody is told of a cancellation", seed)
+			t.Errorf("nobody is told of a cancellation")
 		}
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // Again and again a leader ends while half of the machines stand still for longer than their leases. The takeover waits for
 // their leases and no longer, so that what the other machines can do is done: half of a class of short tasks at least.
 func TestOtherMachinesServeDuringRepeatedFailovers(t *testing.T) {
-	t.Parallel()
 	const every, rounds = 16 * time.Second, 8
-	for seed := range uint64(2) {
-		sim, _ := busyCluster(t, seed)
+	runSeeds(t, 2, func(t *testing.T, seed uint64) {
+		sim := busyCluster(t, seed)
 		for i := range int(every.Seconds()) * rounds {
 			sim.At(time.Duration(i)*time.Second, func() {
 				sim.Users.SubmitJob(jobs.Spec{
@@ -358,15 +307,13 @@
 				}
 			}
 		}
-		if len(sim.Violations) > 0 {
-			t.Fatalf("seed %d: %v", seed, sim.Violations)
-		}
+		expectNoViolations(t, sim.Cluster)
 		if share := float64(
 			placed,
 		) / float64(
 			looks,
 		); share < 0.36 { // of sixteen seconds a lease with its margin, an election and a report are waited for
-			t.Errorf("seed %d: somebody places for %.2f of the time", seed, share)
+			t.Errorf("somebody places for %.2f of the time", share)
 		}
 		served := Served{}
 		for _, id := range sim.Users.jobIDs {
@@ -375,8 +322,8 @@
 			}
 		}
 		if served.Share() < 0.5 {
-			t.Errorf("seed %d: %.2f of the short jobs are done", seed, served.Share())
+			t.Errorf("%.2f of the short jobs are done", served.Share())
 		}
-		t.Logf("seed %d: %.2f of the time, %.2f of the short jobs", seed, float64(placed)/float64(looks), served.Share())
-	}
+		t.Logf("%.2f of the time, %.2f of the short jobs", float64(placed)/float64(looks), served.Share())
+	})
 }
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -29,11 +29,11 @@
 // farSideOf is the group to which a host belongs, as a controller sees it.
 func farSideOf(host string) int {
 	switch {
-	case host == "state":
+	case host == stateHost:
 		return FromState
-	case host == "cloud":
+	case host == cloudHost:
 		return FromCloud
-	case host == "user":
+	case host == userHost:
 		return FromUsers
 	case strings.HasPrefix(host, "vm-"):
 		return FromWorkers
--- a/internal/simulator/largecluster_test.go
+++ b/internal/simulator/largecluster_test.go
@@ -18,8 +18,7 @@
 // At a hundred machines and with pages that fill up, the rules hold through the end of every
 // controller, an outage, and a cut of a quarter of the machines, and all work gets done.
 func TestInvariantsWithHundredMachines(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(2) {
+	runSeeds(t, 2, func(t *testing.T, seed uint64) {
 		sim := New(seed, largeOptions(), testLogger())
 		for i := range 90 {
 			sim.At(time.Duration(i)*700*time.Millisecond, sim.Users.SubmitRandom)
@@ -40,19 +39,17 @@
 		sim.Run(65 * time.Second)
 		most := len(sim.Cloud.runningMachines())
 		sim.Run(200 * time.Second)
-		if len(sim.Violations) > 0 {
-			t.Fatalf("seed %d: %v", seed, sim.Violations)
-		}
+		expectNoViolations(t, sim)
 		if n := sim.Users.UnfinishedCount(); n > 0 || sim.Users.AcceptedCount() < 80 {
-			t.Errorf("seed %d: %d accepted, %d unfinished", seed, sim.Users.AcceptedCount(), n)
+			t.Errorf("%d accepted, %d unfinished", sim.Users.AcceptedCount(), n)
 		}
 		if pages := sim.State.pageCount(); most < 60 || pages < 3 {
-			t.Errorf("seed %d: %d machines and %d pages are not what the test is about", seed, most, pages)
+			t.Errorf("%d machines and %d pages are not what the test is about", most, pages)
 		}
 		if err := sim.State.CheckLimits(); err != nil {
-			t.Errorf("seed %d: %v", seed, err)
+			t.Errorf("%v", err)
 		}
-	}
+	})
 }
 
 // Ten times the submissions at once, and many cancellations: what cannot be taken is refused
@@ -77,9 +74,7 @@
 		t.Errorf("%q led by %d, %q leads by %d", first, token, now, sim.State.leaderRevision())
 	}
 	sim.Run(4 * time.Minute)
-	if len(sim.Violations) > 0 {
-		t.Fatal(sim.Violations)
-	}
+	expectNoViolations(t, sim)
 	if n := sim.Users.UnfinishedCount(); n > 0 || sim.Users.AcceptedCount() != 400 {
 		t.Errorf("%d of 400 accepted, %d unfinished", sim.Users.AcceptedCount(), n)
 	}
--- a/internal/simulator/leaderfailures.go
+++ b/internal/simulator/leaderfailures.go
@@ -27,7 +27,7 @@
 		"it ends":                                    func(l int) { sim.Crash(l, 3*time.Second) },
 		"refused by the state service alone":         func(l int) { sim.State.Refuse(controllerName(l), long) },
 		"cut from the state service":                 func(l int) { apart(l, "state") },
-		"cut from everything":                        func(l int) { apart(l, append(others(l), "state", "user")...) },
+		"cut from everything":                        func(l int) { apart(l, append(others(l), "state", userHost)...) },
 		"cut from the workers":                       fromWorkers,
 		"cut from the other controllers":             func(l int) { apart(l, others(l)...) },
 		"it stands still for 4 s":                    func(l int) { sim.Pause(l, 4*time.Second) },
@@ -77,7 +77,7 @@
 		for i := range sim.controllers {
 			acting, placing := sim.leadershipOf(i)
 			someActs, somePlaces = someActs || acting, somePlaces || placing
-			someAccept = someAccept || acting && !sim.State.isRefusing(controllerName(i)) && !sim.Now.Before(sim.linkCutUntil(controllerName(i), "state"))
+			someAccept = someAccept || acting && !sim.State.isRefusing(controllerName(i)) && !sim.Now.Before(sim.linkCutUntil(controllerName(i), stateHost))
 		}
 		if !someActs {
 			g.WithoutLeader += step
--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -26,14 +26,6 @@
 	return needs
 }
 
-func pipelineCluster(seed uint64) *Cluster {
-	opt := testOptions()
-	opt.LossShare, opt.NoTaskFailures, opt.Teams = 0, true, nil
-	sim := New(seed, opt, testLogger())
-	sim.Run(8 * time.Second)
-	return sim
-}
-
 // finalStates counts those of the jobs whose users know them to be done, and cancelled.
 func (sim *Cluster) finalStates(ids []string) (done, cancelled int) {
 	for _, id := range ids {
@@ -48,9 +40,7 @@
 
 // A chain of twenty runs one after the other though the leader ends or is refused between each two steps.
 func TestDependencyChainAcrossFailovers(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(3) {
-		sim := pipelineCluster(seed)
+	forEachSeed(t, 3, pipelineCluster, func(t *testing.T, sim scenario) {
 		ids := sim.Users.SubmitPipeline("71", dependencyChain(20), 2, 2*time.Second, 2*time.Minute, "none")
 		for i := range 14 {
 			sim.At(time.Duration(5+9*i)*time.Second, func() {
@@ -63,46 +53,40 @@
 		}
 		sim.Run(6 * time.Minute)
 		if done, _ := sim.finalStates(ids); done != len(ids) {
-			t.Errorf("seed %d: %d of %d are done", seed, done, len(ids))
+			t.Errorf("%d of %d are done", done, len(ids))
 		}
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // The root of a fan and of a diamond is cancelled as the state service refuses the leader alone, and is then away for longer than
 // users are told: all that need it are cancelled with it, their needs aside are not touched, and none of them starts.
 func TestRootCancelledDuringOutage(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(4) {
-		sim := pipelineCluster(seed)
+	forEachSeed(t, 4, pipelineCluster, func(t *testing.T, sim scenario) {
 		sim.Users.SubmitPipeline("72", dependencyChain(1), 2, 3*time.Second, time.Minute, "none")
 		all := sim.Users.SubmitPipeline("73", dependencyFan(60), 2, 40*time.Second, 3*time.Minute, "none")
 		diamond := sim.Users.SubmitPipeline("74", [][]int{nil, {0}, {0}, {1, 2}}, 2, 40*time.Second, 3*time.Minute, "none")
 		sim.Run(12 * time.Second)
 		sim.Users.cancel(all[0])
 		sim.Users.cancel(diamond[1])
-		sim.At(time.Duration(seed)*60*time.Millisecond, func() { sim.State.Refuse(sim.State.leaderName(), 6*time.Second) })
+		sim.At(time.Duration(sim.seed)*60*time.Millisecond, func() { sim.State.Refuse(sim.State.leaderName(), 6*time.Second) })
 		sim.At(time.Second, func() { sim.State.Outage(sim.Options.CancelTimeout + 10*time.Second) })
-		if seed == 3 {
+		if sim.seed == 3 {
 			sim.At(2*time.Second, func() { sim.Crash(0, 500*time.Millisecond) })
 		}
 		sim.Run(4 * time.Minute)
 		if _, cancelled := sim.finalStates(all); cancelled != len(all) {
-			t.Errorf("seed %d: %d of %d are cancelled", seed, cancelled, len(all))
+			t.Errorf("%d of %d are cancelled", cancelled, len(all))
 		}
 		if done, cancelled := sim.finalStates(diamond); done != 2 || cancelled != 2 {
-			t.Errorf("seed %d: of the diamond %d are done, %d cancelled", seed, done, cancelled)
+			t.Errorf("of the diamond %d are done, %d cancelled", done, cancelled)
 		}
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // Jobs are submitted that need one which is cancelled, or done, long ago and sealed in the history, under ids that its index knows
 // exactly and such that its data have to tell of; the leader changes before their records are written out.
 func TestDependenciesOnArchivedJobs(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(4) {
-		sim := pipelineCluster(seed)
+	forEachSeed(t, 4, pipelineCluster, func(t *testing.T, sim scenario) {
 		for _, name := range []string{"75", "750000000000"} {
 			sim.Users.SubmitPipeline(name, dependencyChain(1), 1, time.Second, time.Minute, "none")
 			sim.Users.SubmitPipeline(name+"1", dependencyChain(1), 1, 50*time.Second, time.Minute, "none")
@@ -112,7 +96,7 @@
 		sim.Users.cancel("job-75000000000010000")
 		sim.Run(25 * time.Second)
 		if runs, _ := sim.State.archiveSegments(); runs == 0 {
-			t.Errorf("seed %d: nothing is sealed", seed)
+			t.Errorf("nothing is sealed")
 		}
 		var after, void []string
 		for i, name := range []string{"76", "77", "78", "79"} {
@@ -128,50 +112,46 @@
 				void = append(void, "job-"+name)
 			}
 		}
-		sim.At(time.Duration(700+100*seed)*time.Millisecond, func() {
+		sim.At(time.Duration(700+100*sim.seed)*time.Millisecond, func() {
 			if l := sim.LeaderIndex(); l >= 0 {
 				sim.Crash(l, time.Second)
 			}
 		})
 		sim.Run(40 * time.Second)
 		if done, _ := sim.finalStates(after); done != 2 {
-			t.Errorf("seed %d: %d of 2 after done ones are done", seed, done)
+			t.Errorf("%d of 2 after done ones are done", done)
 		}
 		if _, cancelled := sim.finalStates(void); cancelled != 2 {
-			t.Errorf("seed %d: %d of 2 after cancelled ones are cancelled", seed, cancelled)
+			t.Errorf("%d of 2 after cancelled ones are cancelled", cancelled)
 		}
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // A dependant is submitted and its need cancelled at about the same moment, or at the moment of the need's end; one that needs both its
 // cancelled dependant's need and nothing else goes on.
 func TestDependencyCancelledDuringSubmission(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(12) {
-		sim := pipelineCluster(seed)
+	forEachSeed(t, 12, pipelineCluster, func(t *testing.T, sim scenario) {
 		ids := sim.Users.SubmitPipeline("81", dependencyChain(1), 2, 3*time.Second, time.Minute, "none")
 		sim.Run(1500 * time.Millisecond)
 		s := sim.checker.jobs[ids[0]].spec
 		s.ID, s.Dependencies = "job-82", []string{ids[0]}
 		sim.At(time.Duration(sim.Rand.IntN(60))*time.Millisecond, func() { sim.Users.SubmitJob(s, time.Second) })
-		sim.At(time.Duration(sim.Rand.IntN(60))*time.Millisecond+time.Duration(seed%2)*3500*time.Millisecond, func() { sim.Users.cancel(ids[0]) })
-		if seed%3 == 0 {
+		sim.At(time.Duration(sim.Rand.IntN(60))*time.Millisecond+time.Duration(sim.seed%2)*3500*time.Millisecond, func() { sim.Users.cancel(ids[0]) })
+		if sim.seed%3 == 0 {
 			sim.State.DelayTransactions(0.4, 10*time.Second)
 		}
 		sim.Run(2 * time.Minute)
 		done, cancelled := sim.finalStates([]string{ids[0], s.ID})
 		if done != 2 && cancelled != 2 {
-			t.Errorf("seed %d: %d done, %d cancelled", seed, done, cancelled)
+			t.Errorf("%d done, %d cancelled", done, cancelled)
 		}
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
 
 // A submission that names a job that was never accepted, or a service, is refused.
 func TestInvalidDependencies(t *testing.T) {
 	t.Parallel()
-	sim := pipelineCluster(1)
+	sim := pipelineCluster(t, 1)
 	ids := sim.Users.SubmitPipeline("83", dependencyChain(1), 1, time.Second, time.Minute, "none")
 	sim.Run(6 * time.Second)
 	for i, needs := range [][]string{{"job-999"}, {ids[0], "job-8400"}, {"job-84000000000000002"}} {
@@ -184,7 +164,7 @@
 		fields["id"], fields["tows"] = "job-8409", bad
 		sim.Users.mustReject("job-8409", fields, 400)
 	}
-	expectAllFinished(t, sim, 1)
+	expectAllFinished(t, sim.Cluster)
 }
 
 // A thousand jobs need one; it is cancelled, the leader ends while their records are written out, and the limits of the state service fall
@@ -229,9 +209,7 @@
 // Jobs need others of another team, which is at its limit; those wait for it, hold nothing of their own team's limit meanwhile, and run once
 // the others are done. A need runs in a zone that is cut off as it ends.
 func TestDependenciesInTeamAtQuota(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(3) {
-		sim, _ := clusterAtQuota(t, seed)
+	forEachSeed(t, 3, clusterAtQuota, func(t *testing.T, sim scenario) {
 		var ids []string
 		for i := range 4 {
 			need := jobs.Spec{
@@ -257,8 +235,7 @@
 		sim.At(30*time.Second, func() { sim.CutZone("b", []int{sim.LeaderIndex()}, 12*time.Second) })
 		sim.Run(4 * time.Minute)
 		if done, _ := sim.finalStates(ids); done != len(ids) {
-			t.Errorf("seed %d: %d of %d are done", seed, done, len(ids))
+			t.Errorf("%d of %d are done", done, len(ids))
 		}
-		expectAllFinished(t, sim, seed)
-	}
+	})
 }
--- a/internal/simulator/rollingupgrade_test.go
+++ b/internal/simulator/rollingupgrade_test.go
@@ -12,12 +12,8 @@
 // turn and comes back as it was. Then the limits fall, early or late, while leaders change, jobs run, end, are sealed and cancelled.
 // Nothing is lost, and in the end all pages are within them.
 func TestLimitsLoweredAfterRollingUpgrade(t *testing.T) {
-	t.Parallel()
 	refused, before := 0, 0
-	for seed := range uint64(5) {
-		opt := testOptions()
-		opt.NoTaskFailures = true
-		sim := New(seed, opt, testLogger())
+	forEachSeed(t, 5, clusterWithoutTaskFailures, func(t *testing.T, sim scenario) {
 		for i := range 60 {
 			sim.At(time.Duration(i)*time.Second, sim.Users.SubmitRandom)
 			sim.At(4*time.Second+time.Duration(i)*100*time.Millisecond, func() {
@@ -37,7 +33,7 @@
 			})
 		}
 		sim.At(2*time.Second, func() { sim.Crash(order[1], 500*time.Millisecond) })
-		fall := time.Duration(7000+120*seed*seed) * time.Millisecond
+		fall := time.Duration(7000+120*sim.seed*sim.seed) * time.Millisecond
 		sim.At(fall, func() {
 			for _, v := range sim.State.keys {
 				if len(v.value) > 1536 {
@@ -55,12 +51,11 @@
 		sim.Run(3 * time.Minute)
 		for k, v := range sim.State.keys {
 			if len(v.value) > 1536 {
-				t.Errorf("seed %d: %s has %d bytes", seed, k, len(v.value))
+				t.Errorf("%s has %d bytes", k, len(v.value))
 			}
 		}
 		refused += sim.State.oversizedTransactions
-		expectAllFinished(t, sim, seed)
-	}
+	})
 	if before == 0 {
 		t.Error("no page was too large when the limits fell: nothing was tried")
 	}
--- a/internal/simulator/soak_test.go
+++ b/internal/simulator/soak_test.go
@@ -107,9 +107,7 @@
 				})
 			}
 			sim.Run(*soakLength + time.Hour)
-			if len(sim.Violations) > 0 {
-				t.Fatal(sim.Violations)
-			}
+			expectNoViolations(t, sim)
 			byClass := map[string][]float64{}
 			worst := map[string]time.Duration{}
 			beyond, waited := 0, 0
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -132,13 +132,13 @@
 		}
 	}
 	u.sim.At(5*time.Second, func() { settle(0, "") })
-	there, ok := u.sim.messageDelay("user", name)
+	there, ok := u.sim.messageDelay(userHost, name)
 	if !ok {
 		return
 	}
 	u.sim.At(there, func() {
 		u.sim.deliverRequest(name, false, method, path, raw, func(status int, body any) {
-			back, ok := u.sim.messageDelay(name, "user")
+			back, ok := u.sim.messageDelay(name, userHost)
 			if !ok {
 				return
 			}
--- a/internal/simulator/workercut_test.go
+++ b/internal/simulator/workercut_test.go
@@ -48,9 +48,7 @@
 				})
 			}
 			sim.Run(30 * time.Second)
-			if len(sim.Violations) > 0 {
-				t.Fatalf("seed %d: %v", seed, sim.Violations)
-			}
+			expectNoViolations(t, sim)
 			if sim.State.leaderName() == first {
 				t.Errorf("seed %d: %s still leads, whom no worker reaches", seed, first)
 			}
