--- a/internal/controller/storage/load.go
+++ b/internal/controller/storage/load.go
@@ -56,7 +56,7 @@
 		for _, row := range response.Keys {
 			if err := install(row); err != nil {
 				// Without this value it cannot be told which jobs there are, so no request is answered until it can be read.
-				s.logUnreadable("state unreadable", row.Key, err)
+				s.logUnreadable(row.Key, err)
 				request.delay = unreadableListDelay
 				s.load(outbox, request, install)
 				return
@@ -72,13 +72,13 @@
 	})
 }
 
-// logUnreadable logs the first value that cannot be read. It is read again until it can.
-func (s *Store) logUnreadable(message, key string, err error) {
+// logUnreadable logs the first key, or prefix of keys, that cannot be read. It is read again until it can.
+func (s *Store) logUnreadable(key string, err error) {
 	if s.loading.loggedUnreadable {
 		return
 	}
 	s.loading.loggedUnreadable = true
-	s.log.Error(message, logkeys.Key, key, logkeys.Err, err)
+	s.log.Error("state unreadable", logkeys.Key, key, logkeys.Err, err)
 }
 
 // listKeys reads one part of a list. status is 0 if there was no response, or none that can be read.
@@ -93,7 +93,7 @@
 			var response listResponse
 			if r.Status == http.StatusOK {
 				if err := codec.Unmarshal(r.Body, &response); err != nil {
-					s.logUnreadable("key list unreadable", request.prefix, err)
+					s.logUnreadable(request.prefix, fmt.Errorf("decode key list: %w", err))
 					r.Status = 0
 				}
 			}
