--- a/internal/simulator/accounting_test.go
+++ b/internal/simulator/accounting_test.go
@@ -113,104 +113,110 @@
 // Where the owner says that a job's time went is where the world's own record has it, but for one
 // report and one look at each change; and it sums to the time from acceptance to the end.
 func TestTimeAccountingMatchesSimulation(t *testing.T) {
-	runSeeds(t, 3, func(t *testing.T, seed uint64) {
-		opt := testOptions()
-		opt.LossShare, opt.LateShare = 0, 0
-		sim := New(seed, opt, testLogger())
-		records := map[string]*phaseRecord{}
-		sim.recordPhases(records)
-		for i := range 30 {
-			sim.At(time.Duration(i)*2*time.Second, sim.Users.SubmitRandom)
-		}
-		sim.Run(4 * time.Minute)
-		expectNoViolations(t, sim)
-		checked := 0
-		slack := opt.HeartbeatInterval*5/4 + 1100*time.Millisecond // a report, a look, a message that takes long
-		for id, j := range sim.checker.jobs {
-			r := records[id]
-			if j.finishedAt.IsZero() || j.cancelRequested || j.spec.IsService {
-				continue
-			}
-			spent, sum := sim.timeAccount(id)
-			if spent == nil {
-				t.Fatalf("no account of %s", id)
+	t.Parallel()
+	for seed := range uint64(3) {
+		t.Run(seedName(seed), func(t *testing.T) {
+			opt := testOptions()
+			opt.LossShare, opt.LateShare = 0, 0
+			sim := New(seed, opt, testLogger())
+			records := map[string]*phaseRecord{}
+			sim.recordPhases(records)
+			for i := range 30 {
+				sim.At(time.Duration(i)*2*time.Second, sim.Users.SubmitRandom)
 			}
-			mine := [phaseCount]time.Duration{
-				fetchingImage: spent[accounting.FetchingImage.String()], runningOnMachine: spent[accounting.Running.String()],
-				retrying:  spent[accounting.AttemptFailed.String()] + spent[accounting.MachineLost.String()] + spent[accounting.Preempted.String()],
-				completed: spent[accounting.NotDurable.String()],
-			}
-			mine[waitingForMachine] = sum - mine[fetchingImage] - mine[runningOnMachine] - mine[retrying] - mine[completed]
-			for p := range phaseCount {
-				// The world counts until its user was told, the owner until the result was durable.
-				if p == completed {
+			sim.Run(4 * time.Minute)
+			expectNoViolations(t, sim)
+			checked := 0
+			slack := opt.HeartbeatInterval*5/4 + 1100*time.Millisecond // a report, a look, a message that takes long
+			for id, j := range sim.checker.jobs {
+				r := records[id]
+				if j.finishedAt.IsZero() || j.cancelRequested || j.spec.IsService {
 					continue
 				}
-				if diff := (mine[p] - r.spent[p]).Abs(); diff > slack*time.Duration(max(r.changes[p], 1)) {
-					t.Errorf(
-						"%s: phase %d: %v by the owner, %v by the world, %d changes\n%v",
-						id,
-						p,
-						mine[p],
-						r.spent[p],
-						r.changes[p],
-						spent,
-					)
+				spent, sum := sim.timeAccount(id)
+				if spent == nil {
+					t.Fatalf("no account of %s", id)
+				}
+				mine := [phaseCount]time.Duration{
+					fetchingImage: spent[accounting.FetchingImage.String()], runningOnMachine: spent[accounting.Running.String()],
+					retrying:  spent[accounting.AttemptFailed.String()] + spent[accounting.MachineLost.String()] + spent[accounting.Preempted.String()],
+					completed: spent[accounting.NotDurable.String()],
 				}
+				mine[waitingForMachine] = sum - mine[fetchingImage] - mine[runningOnMachine] - mine[retrying] - mine[completed]
+				for p := range phaseCount {
+					// The world counts until its user was told, the owner until the result was durable.
+					if p == completed {
+						continue
+					}
+					if diff := (mine[p] - r.spent[p]).Abs(); diff > slack*time.Duration(max(r.changes[p], 1)) {
+						t.Errorf(
+							"%s: phase %d: %v by the owner, %v by the world, %d changes\n%v",
+							id,
+							p,
+							mine[p],
+							r.spent[p],
+							r.changes[p],
+							spent,
+						)
+					}
+				}
+				checked++
 			}
-			checked++
-		}
-		if checked < 10 {
-			t.Errorf("only %d jobs were checked", checked)
-		}
-	})
+			if checked < 10 {
+				t.Errorf("only %d jobs were checked", checked)
+			}
+		})
+	}
 }
 
 // Over several leaders, machines that die and a state service that is away, an account still sums to
 // the job's time as its record has it, and says how much nobody knows.
 func TestTimeAccountingAcrossFailovers(t *testing.T) {
 	unknown := 0
-	runSeeds(t, 3, func(t *testing.T, seed uint64) {
-		sim := New(seed, testOptions(), testLogger())
-		for i := range 20 {
-			sim.At(time.Duration(i)*time.Second, func() {
-				sim.Users.SubmitRandom()
-				for _, j := range sim.checker.jobs {
-					j.runTime = max(j.runTime, 8*time.Second)
-				}
-			})
-		}
-		sim.At(15*time.Second, sim.Cloud.FailMachine)
-		sim.At(25*time.Second, func() { sim.State.Outage(4 * time.Second) })
-		for _, at := range []time.Duration{20, 35, 45} {
-			sim.At(at*time.Second, func() {
-				for i := range sim.Options.Controllers {
-					if controllerName(i) == sim.State.leaderName() {
-						sim.Crash(i, 3*time.Second)
+	t.Parallel()
+	for seed := range uint64(3) {
+		t.Run(seedName(seed), func(t *testing.T) {
+			sim := New(seed, testOptions(), testLogger())
+			for i := range 20 {
+				sim.At(time.Duration(i)*time.Second, func() {
+					sim.Users.SubmitRandom()
+					for _, j := range sim.checker.jobs {
+						j.runTime = max(j.runTime, 8*time.Second)
+					}
+				})
+			}
+			sim.At(15*time.Second, sim.Cloud.FailMachine)
+			sim.At(25*time.Second, func() { sim.State.Outage(4 * time.Second) })
+			for _, at := range []time.Duration{20, 35, 45} {
+				sim.At(at*time.Second, func() {
+					for i := range sim.Options.Controllers {
+						if controllerName(i) == sim.State.leaderName() {
+							sim.Crash(i, 3*time.Second)
+						}
+					}
+				})
+			}
+			for range 12 {
+				sim.Run(10 * time.Second)
+				expectNoViolations(t, sim)
+				for id, j := range sim.checker.jobs {
+					rec, ok := sim.State.record(id)
+					if !ok || j.acceptedAt.IsZero() || rec.SubmittedMs == 0 || j.cancelRequested || !j.finishedAt.IsZero() ||
+						sim.checker.anyAncestor(id, func(x *observedJob) bool { return x.cancelRequested }) {
+						continue // an account ends with a cancellation, also with that of a job that is needed
+					}
+					spent, sum := sim.timeAccount(id)
+					age := sim.Now.Sub(time.UnixMilli(rec.SubmittedMs))
+					if len(spent) > 0 && (sum-age).Abs() > 150*time.Millisecond {
+						t.Errorf("%s: its account sums to %v, its age is %v: %v", id, sum, age, spent)
+					}
+					if spent[accounting.EarlierLeader.String()] > 0 {
+						unknown++
 					}
-				}
-			})
-		}
-		for range 12 {
-			sim.Run(10 * time.Second)
-			expectNoViolations(t, sim)
-			for id, j := range sim.checker.jobs {
-				rec, ok := sim.State.record(id)
-				if !ok || j.acceptedAt.IsZero() || rec.SubmittedMs == 0 || j.cancelRequested || !j.finishedAt.IsZero() ||
-					sim.checker.anyAncestor(id, func(x *observedJob) bool { return x.cancelRequested }) {
-					continue // an account ends with a cancellation, also with that of a job that is needed
-				}
-				spent, sum := sim.timeAccount(id)
-				age := sim.Now.Sub(time.UnixMilli(rec.SubmittedMs))
-				if len(spent) > 0 && (sum-age).Abs() > 150*time.Millisecond {
-					t.Errorf("%s: its account sums to %v, its age is %v: %v", id, sum, age, spent)
-				}
-				if spent[accounting.EarlierLeader.String()] > 0 {
-					unknown++
 				}
 			}
-		}
-	})
+		})
+	}
 	if unknown == 0 {
 		t.Error("no account of a job over several leaders says that something is not known")
 	}
--- a/internal/simulator/failover_test.go
+++ b/internal/simulator/failover_test.go
@@ -11,7 +11,7 @@
 // A leader ends while half of the machines are away for longer than their leases. Jobs that the next one accepts start on the others
 // before those leases are over; nothing that may run out of sight starts again, and a team at its limit stays within it.
 func TestAcceptedJobsStartDuringFailover(t *testing.T) {
-	forEachSeed(t, 4, clusterAtQuota, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, clusterAtQuota, func(sim scenario) {
 		for _, m := range sim.Cloud.randomMachines(len(sim.Cloud.runningMachines()) / 2) {
 			m.hangsUntil = sim.Now.Add(sim.Options.WorkerLease + 4*time.Second)
 		}
@@ -25,7 +25,7 @@
 			began = sim.Users.countJobs(func(j *observedJob) bool { return j.spec.Class == "short" && !j.firstStartedAt.IsZero() })
 		}
 		if began < 3 {
-			t.Errorf("only %d jobs of the new sim.leader began before all machines were accounted for", began)
+			sim.t.Errorf("only %d jobs of the new sim.leader began before all machines were accounted for", began)
 		}
 	})
 }
@@ -33,7 +33,7 @@
 // A team is at its limit when the leader changes, twice in a row, some of its machines cannot be asked, and jobs of it are cancelled
 // in that spell: what may still run counts, also of the cancelled ones, until it is gone.
 func TestQuotaDuringFailover(t *testing.T) {
-	forEachSeed(t, 4, clusterAtQuota, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, clusterAtQuota, func(sim scenario) {
 		for _, m := range sim.Cloud.randomMachines(len(sim.Cloud.runningMachines()) / 2) {
 			for i := range sim.controllers {
 				sim.CutLink(controllerName(i), m.id, time.Duration(9+sim.seed)*time.Second)
@@ -55,7 +55,7 @@
 // Machines reach no controller, while commands reach them. The tasks of cancelled jobs there are gone in time, through a takeover, and
 // when a machine is back within a second of its lease's end; nothing runs twice.
 func TestOutboundUnreachableMachines(t *testing.T) {
-	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		sim.Cloud.CutOutbound(len(sim.Cloud.runningMachines())/2, sim.Options.WorkerLease+time.Duration(sim.seed)*400*time.Millisecond-600*time.Millisecond)
 		sim.Users.CancelLongest(4, 0)
 		if sim.seed%2 == 0 {
@@ -72,7 +72,7 @@
 // All controllers are away for longer than a lease, just after cancellations: every session is a new one, results that came to
 // an end meanwhile are lost with it and their tasks run again, and there is no flood of machines or starts.
 func TestAllControllersDownPastLease(t *testing.T) {
-	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		sim.Cloud.DuplicateHeartbeats(30 * time.Second)
 		sim.Users.CancelLongest(3, time.Duration(sim.seed)*3*time.Second)
 		sim.Run(400 * time.Millisecond)
@@ -82,22 +82,22 @@
 		}
 		sim.Run(30 * time.Second)
 		if more := len(sim.Cloud.machineIDs) - machines; more > machines/2 {
-			t.Errorf("%d machines more are rented, after %d", more, machines)
+			sim.t.Errorf("%d machines more are rented, after %d", more, machines)
 		}
 		if again := sim.checker.TaskStarts - ran; again > 160 {
-			t.Errorf("%d starts of some 80 tasks", again)
+			sim.t.Errorf("%d starts of some 80 tasks", again)
 		}
 	})
 }
 
 // A report is held up until the next leader has acted, and then arrives there, with what that one has replaced or cancelled.
 func TestHeartbeatDelayedPastFailover(t *testing.T) {
-	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		late := 0
 		for _, m := range sim.Cloud.runningMachines() {
 			old, err := encode(m.heartbeat())
 			if err != nil {
-				t.Fatal(err)
+				sim.t.Fatal(err)
 			}
 			for i := range 12 {
 				sim.At(time.Duration(2000+700*i)*time.Millisecond, func() {
@@ -116,7 +116,7 @@
 		sim.At(3*time.Second, func() { sim.Cloud.RestartMachine(200*time.Millisecond, sim.seed%2 == 0) })
 		sim.Run(15 * time.Second)
 		if late < 20 {
-			t.Errorf("%d late reports", late)
+			sim.t.Errorf("%d late reports", late)
 		}
 	})
 }
@@ -124,7 +124,7 @@
 // Cancellations, questions and repeated submissions meet the end of a job's last task: one final state in every answer, of every
 // controller, also after the job is sealed; without other troubles, and with commits of unknown outcome.
 func TestCancellationAsJobsEnd(t *testing.T) {
-	forEachSeed(t, 6, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 6, busyCluster, func(sim scenario) {
 		sim.Users.CancelAsJobsEnd(1, time.Minute)
 		sim.submitShortJobs("none", "64", 40, 2)
 		if sim.seed%3 == 1 {
@@ -140,14 +140,14 @@
 		sim.Run(70 * time.Second)
 		both := [2]int{sim.Users.CancelledCount(), sim.Users.countJobs(func(j *observedJob) bool { return j.cancelRequested && !j.finishedAt.IsZero() })}
 		if both[0]+both[1] < 20 || both[1] == 0 {
-			t.Errorf("%d cancelled, %d done though their users asked to cancel them", both[0], both[1])
+			sim.t.Errorf("%d cancelled, %d done though their users asked to cancel them", both[0], both[1])
 		}
 	})
 }
 
 // Leaders change ten times in two minutes, some of it inside an outage; then all end, and one returns within a second.
 func TestTenFailoversInTwoMinutes(t *testing.T) {
-	forEachSeed(t, 3, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 3, busyCluster, func(sim scenario) {
 		sim.watchSingleLeader()
 		sim.submitShortJobs("none", "65", 100, 2)
 		led := map[uint64]bool{}
@@ -165,14 +165,14 @@
 		sim.At(50*time.Second, func() { sim.Users.CancelLongest(3, 5*time.Second) })
 		sim.Run(115 * time.Second)
 		if len(led) < 7 {
-			t.Errorf("%d leaders", len(led))
+			sim.t.Errorf("%d leaders", len(led))
 		}
 		for i := range sim.controllers {
 			sim.Crash(i, time.Duration(500+4000*((i+int(sim.seed))%3))*time.Millisecond)
 		}
 		sim.Run(2 * time.Minute)
 		if served := sim.servedOf("short"); served.Share() < 0.9 {
-			t.Errorf("%.2f of the short jobs are done", served.Share())
+			sim.t.Errorf("%.2f of the short jobs are done", served.Share())
 		}
 	})
 }
@@ -180,7 +180,7 @@
 // Jobs bound to one zone, arrays too, lose machines, some of them out of sight and not gone, while the leader ends: no task starts in
 // another zone while one may still be in the first, and all are done in the end.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
-	forEachSeed(t, 4, clusterWithoutTaskFailures, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, clusterWithoutTaskFailures, func(sim scenario) {
 		for i := range 10 {
 			s := jobs.Spec{
 				ID:              fmt.Sprintf("job-7%03d", i),
@@ -223,7 +223,7 @@
 // Jobs are cancelled at the very moment at which the state service refuses the leader alone; their machines hang, and a second later
 // it is away for all for longer than users are told.
 func TestCancellationAsLeaderIsRefused(t *testing.T) {
-	forEachSeed(t, 6, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 6, busyCluster, func(sim scenario) {
 		sim.Users.CancelLongest(5, time.Duration(sim.seed)*3*time.Second)
 		sim.At(time.Duration(sim.seed)*40*time.Millisecond, func() { sim.State.Refuse(controllerName(sim.leader), 12*time.Second) })
 		sim.At(time.Second, func() { sim.State.Outage(sim.Options.CancelTimeout + 12*time.Second) })
@@ -233,7 +233,7 @@
 
 // A zone with workers and a controller is cut off for longer than a lease: the leader is in it, or it is not.
 func TestPartitionedZoneWithController(t *testing.T) {
-	forEachSeed(t, 6, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 6, busyCluster, func(sim scenario) {
 		sim.watchSingleLeader()
 		sim.Users.CancelLongest(2, 0)
 		sim.At(300*time.Millisecond, func() {
@@ -246,7 +246,7 @@
 
 // More work than there is room for, urgent and not, over links that lose and hold up much: every rule, and an end.
 func TestOverloadOverLossyLinks(t *testing.T) {
-	forEachSeed(t, 3, overloadedLossyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 3, overloadedLossyCluster, func(sim scenario) {
 		for i := range 60 {
 			sim.At(time.Duration(i)*700*time.Millisecond, func() {
 				sim.Users.SubmitJob(jobs.Spec{
--- a/internal/simulator/faultcombinations_test.go
+++ b/internal/simulator/faultcombinations_test.go
@@ -15,7 +15,7 @@
 // ledger, since the state service is away for longer than users are told; it lives on promises, and the workers report
 // to it. The tasks are gone in time all the same.
 func TestCancellationBeforeLeaderThatCannotRead(t *testing.T) {
-	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		for _, m := range sim.Cloud.runningMachines() {
 			sim.CutLinkOneWay(controllerName(sim.leader), m.id, 3*time.Second)
 		}
@@ -23,27 +23,27 @@
 		sim.Users.CancelRandom(10)
 		sim.Run(1500 * time.Millisecond)
 		if n := sim.Users.CancelledCount(); n < 5 {
-			t.Fatalf("only %d are cancelled", n)
+			sim.t.Fatalf("only %d are cancelled", n)
 		}
 		sim.OnElectionEvent(keyWritten, func(string) { sim.State.Outage(sim.Options.CancelTimeout + 15*time.Second) })
 		sim.Crash(sim.leader, time.Duration(sim.seed)*400*time.Millisecond)
 		sim.watchSingleLeader()
 		sim.Run(40 * time.Second)
 		if len(sim.electionTriggers) > 0 {
-			t.Errorf("nobody has won the key")
+			sim.t.Errorf("nobody has won the key")
 		}
 	})
 }
 
 // The same with an outage of a few seconds, and nothing cancelled: what runs is kept.
 func TestLeaderThatCannotReadKeepsTasks(t *testing.T) {
-	forEachSeed(t, 3, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 3, busyCluster, func(sim scenario) {
 		ran := sim.checker.TaskStarts
 		sim.OnElectionEvent(keyWritten, func(string) { sim.State.Outage(5 * time.Second) })
 		sim.Crash(sim.leader, 10*time.Second)
 		sim.Run(15 * time.Second)
 		if again := sim.checker.TaskStarts - ran; again > 8 {
-			t.Errorf("%d tasks were started again", again)
+			sim.t.Errorf("%d tasks were started again", again)
 		}
 	})
 }
@@ -51,7 +51,7 @@
 // The users' meeting: the leader alone is refused, the next one confirms cancellations, the state service is away for
 // longer than users are told; the workers report to the old leader meanwhile, for as long as that answers.
 func TestLeaderRefusedThenOutage(t *testing.T) {
-	forEachSeed(t, 6, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 6, busyCluster, func(sim scenario) {
 		for round := range 2 {
 			old := sim.LeaderIndex()
 			sim.State.Refuse(controllerName(old), 14*time.Second)
@@ -63,15 +63,15 @@
 				}
 			}
 			sim.Run(1500*time.Millisecond + time.Duration(sim.seed)*100*time.Millisecond)
-			expectNoViolations(t, sim.Cluster)
+			expectNoViolations(sim.t, sim.Cluster)
 			if sim.LeaderIndex() == old {
-				t.Errorf("still led by the one that is refused")
+				sim.t.Errorf("still led by the one that is refused")
 			}
 			before := sim.Users.CancelledCount()
 			sim.Users.CancelRandom(5)
 			sim.Run(1500 * time.Millisecond)
 			if sim.Users.CancelledCount() == before && round == 0 {
-				t.Errorf("nothing was cancelled")
+				sim.t.Errorf("nothing was cancelled")
 			}
 			sim.State.Outage(sim.Options.CancelTimeout + 10*time.Second)
 			sim.Run(sim.Options.CancelTimeout + 20*time.Second)
@@ -82,7 +82,7 @@
 // Arrays of two and three tasks that end half a minute apart, with a change of leader in between, twice: one is
 // refused alone, one ends. What was done stays done and is counted once, and nothing is called done before all is.
 func TestTasksEndingFarApart(t *testing.T) {
-	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		for i := range 12 {
 			s := jobs.Spec{
 				ID: fmt.Sprintf("job-2%03d", i), Class: "apart", Team: "none", Tasks: 2 + i%2, CPUs: 0.5, MemoryGB: 0.5, Image: "i", AllowsSpot: true,
@@ -104,7 +104,7 @@
 		for i := range 12 {
 			j := sim.checker.jobs[fmt.Sprintf("job-2%03d", i)]
 			if !j.acceptedAt.IsZero() && j.startCount > 3*j.spec.Tasks {
-				t.Errorf("%d starts of %d tasks", j.startCount, j.spec.Tasks)
+				sim.t.Errorf("%d starts of %d tasks", j.startCount, j.spec.Tasks)
 			}
 		}
 	})
@@ -113,15 +113,15 @@
 // A leader is cut from the state service and the other controllers; workers and users reach it; jobs are cancelled
 // through the next one; and that again, with the old one back within a second in between.
 func TestCancellationThroughNextLeader(t *testing.T) {
-	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		sim.watchSingleLeader()
 		for range 2 {
 			old := sim.LeaderIndex()
 			sim.IsolateController(old, FromState|FromControllers, 25*time.Second)
 			sim.Run(4 * time.Second)
-			expectNoViolations(t, sim.Cluster)
+			expectNoViolations(sim.t, sim.Cluster)
 			if l := sim.LeaderIndex(); l == old || l < 0 {
-				t.Fatalf("node-%d leads", l)
+				sim.t.Fatalf("node-%d leads", l)
 			}
 			sim.Users.CancelRandom(3)
 			sim.Run(3 * time.Second)
@@ -136,7 +136,7 @@
 // What a few machines are told is held up for seconds, or they stand still; the leader ends meanwhile, copies of old
 // reports arrive, jobs are cancelled; the machines then go on.
 func TestDelayedCommands(t *testing.T) {
-	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		sim.Cloud.DuplicateHeartbeats(30 * time.Second)
 		for i := range 5 {
 			sim.At(time.Duration(i)*6*time.Second, func() { sim.Cloud.DelayMachines(6, time.Duration(3+i)*time.Second) })
@@ -158,7 +158,7 @@
 // A leader ends while some machines with long tasks cannot be reached and some do not hear the next leader's answers.
 // It neither doubles their tasks nor keeps all others waiting for them.
 func TestUnreachableLongTasksDuringFailover(t *testing.T) {
-	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		list := sim.Cloud.runningMachines()
 		for k, m := range list {
 			for i := range sim.controllers {
@@ -176,7 +176,7 @@
 			sim.Run(100 * time.Millisecond)
 		}
 		if took := sim.Now.Sub(began); took > sim.Options.WorkerLease+8*time.Second {
-			t.Errorf("placing begins after %v", took)
+			sim.t.Errorf("placing begins after %v", took)
 		}
 	})
 }
@@ -184,7 +184,7 @@
 // The state service is slow, near every time that its callers wait, while users submit, cancel and ask and the leader
 // is refused alone, then everybody for longer than users are told. Every answer is final and comes at once.
 func TestSlowStateServiceThenOutage(t *testing.T) {
-	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		sim.watchSingleLeader()
 		sim.State.SlowDown(40 * time.Second)
 		for i := range 20 {
@@ -196,21 +196,21 @@
 		sim.At(24*time.Second, func() { sim.State.Outage(sim.Options.CancelTimeout + 8*time.Second) })
 		sim.Run(70 * time.Second)
 		if sim.Users.slowestAnswer > 5*time.Second {
-			t.Errorf("an answer took %v", sim.Users.slowestAnswer)
+			sim.t.Errorf("an answer took %v", sim.Users.slowestAnswer)
 		}
 	})
 }
 
 // Controllers hand over and back within a second each; then all end, and one returns at once, the others later.
 func TestLeadershipHandedBackAndForth(t *testing.T) {
-	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		sim.watchSingleLeader()
 		mark := sim.State.leaderRevision()
 		sim.State.HandOverLeadership(6, 900*time.Millisecond)
 		sim.At(2*time.Second, func() { sim.Users.CancelRandom(3) })
 		sim.Run(8 * time.Second)
 		if sim.State.leaderRevision() <= mark {
-			t.Errorf("nobody else has led")
+			sim.t.Errorf("nobody else has led")
 		}
 		for i := range sim.controllers {
 			sim.Crash(i, time.Duration(100+3000*((i+int(sim.seed))%3))*time.Millisecond)
@@ -222,7 +222,7 @@
 // Half of the transactions get no answer and are carried out after newer ones, those of campaigns too, while leaders
 // end and are refused, short jobs are finished and sealed, and some are cancelled.
 func TestLateTransactions(t *testing.T) {
-	forEachSeed(t, 6, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 6, busyCluster, func(sim scenario) {
 		sim.watchSingleLeader()
 		sim.State.DelayTransactions(0.1+0.1*float64(sim.seed), 40*time.Second)
 		for i := range 30 {
@@ -233,7 +233,7 @@
 		sim.At(20*time.Second, func() { sim.State.Refuse(sim.State.leaderName(), 4*time.Second) })
 		sim.Run(70 * time.Second)
 		if err := sim.State.CheckLimits(); err != nil {
-			t.Errorf("%v", err)
+			sim.t.Errorf("%v", err)
 		}
 	})
 }
@@ -241,7 +241,7 @@
 // Machines begin to count anew while copies of what they reported before arrive at every controller, the next leader
 // and followers among them.
 func TestHeartbeatsOfEarlierIncarnations(t *testing.T) {
-	forEachSeed(t, 4, busyCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		sim.Cloud.DuplicateHeartbeats(30 * time.Second)
 		for i := range 6 {
 			sim.At(time.Duration(i)*3*time.Second, func() { sim.Cloud.RestartMachine(300*time.Millisecond, i%2 == 0) })
@@ -261,7 +261,7 @@
 		options.CancelTimeout = 5 * time.Second
 		return busyClusterWith(t, seed, options)
 	}
-	forEachSeed(t, 3, shortCancelTimeout, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 3, shortCancelTimeout, func(sim scenario) {
 		sim.Cloud.CutInbound(1000, false, 7*time.Second)
 		sim.Run(300 * time.Millisecond)
 		sim.Users.CancelRandom(3)
@@ -273,7 +273,7 @@
 		}
 		sim.Run(40 * time.Second)
 		if sim.Users.CancelledCount() == 0 && len(sim.Violations) == 0 {
-			t.Errorf("nobody is told of a cancellation")
+			sim.t.Errorf("nobody is told of a cancellation")
 		}
 	})
 }
@@ -282,48 +282,51 @@
 // their leases and no longer, so that what the other machines can do is done: half of a class of short tasks at least.
 func TestOtherMachinesServeDuringRepeatedFailovers(t *testing.T) {
 	const every, rounds = 16 * time.Second, 8
-	runSeeds(t, 2, func(t *testing.T, seed uint64) {
-		sim := busyCluster(t, seed)
-		for i := range int(every.Seconds()) * rounds {
-			sim.At(time.Duration(i)*time.Second, func() {
-				sim.Users.SubmitJob(jobs.Spec{
-					ID: fmt.Sprintf("job-4%03d", i), Class: "short", Team: "none", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", AllowsSpot: true,
-					Priority: jobs.High, RunTimeEstimate: 2 * time.Second,
-				}, 2*time.Second)
-			})
-		}
-		placed, looks := 0, 0
-		for range rounds {
-			for _, m := range sim.Cloud.randomMachines(len(sim.Cloud.runningMachines()) / 2) {
-				m.hangsUntil = sim.Now.Add(sim.Options.WorkerLease + 3*time.Second)
+	t.Parallel()
+	for seed := range uint64(2) {
+		t.Run(seedName(seed), func(t *testing.T) {
+			sim := busyCluster(t, seed)
+			for i := range int(every.Seconds()) * rounds {
+				sim.At(time.Duration(i)*time.Second, func() {
+					sim.Users.SubmitJob(jobs.Spec{
+						ID: fmt.Sprintf("job-4%03d", i), Class: "short", Team: "none", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", AllowsSpot: true,
+						Priority: jobs.High, RunTimeEstimate: 2 * time.Second,
+					}, 2*time.Second)
+				})
 			}
-			if l := sim.LeaderIndex(); l >= 0 {
-				sim.Crash(l, 3*time.Second)
+			placed, looks := 0, 0
+			for range rounds {
+				for _, m := range sim.Cloud.randomMachines(len(sim.Cloud.runningMachines()) / 2) {
+					m.hangsUntil = sim.Now.Add(sim.Options.WorkerLease + 3*time.Second)
+				}
+				if l := sim.LeaderIndex(); l >= 0 {
+					sim.Crash(l, 3*time.Second)
+				}
+				for end := sim.Now.Add(every); sim.Now.Before(end) && len(sim.Violations) == 0; looks++ {
+					sim.Run(100 * time.Millisecond)
+					if sim.isPlacing() {
+						placed++
+					}
+				}
+			}
+			expectNoViolations(t, sim.Cluster)
+			if share := float64(
+				placed,
+			) / float64(
+				looks,
+			); share < 0.36 { // of sixteen seconds a lease with its margin, an election and a report are waited for
+				t.Errorf("somebody places for %.2f of the time", share)
 			}
-			for end := sim.Now.Add(every); sim.Now.Before(end) && len(sim.Violations) == 0; looks++ {
-				sim.Run(100 * time.Millisecond)
-				if sim.isPlacing() {
-					placed++
+			served := Served{}
+			for _, id := range sim.Users.jobIDs {
+				if j := sim.checker.jobs[id]; j.spec.Class == "short" {
+					served = served.with(j)
 				}
 			}
-		}
-		expectNoViolations(t, sim.Cluster)
-		if share := float64(
-			placed,
-		) / float64(
-			looks,
-		); share < 0.36 { // of sixteen seconds a lease with its margin, an election and a report are waited for
-			t.Errorf("somebody places for %.2f of the time", share)
-		}
-		served := Served{}
-		for _, id := range sim.Users.jobIDs {
-			if j := sim.checker.jobs[id]; j.spec.Class == "short" {
-				served = served.with(j)
+			if served.Share() < 0.5 {
+				t.Errorf("%.2f of the short jobs are done", served.Share())
 			}
-		}
-		if served.Share() < 0.5 {
-			t.Errorf("%.2f of the short jobs are done", served.Share())
-		}
-		t.Logf("%.2f of the time, %.2f of the short jobs", float64(placed)/float64(looks), served.Share())
-	})
+			t.Logf("%.2f of the time, %.2f of the short jobs", float64(placed)/float64(looks), served.Share())
+		})
+	}
 }
--- a/internal/simulator/harness_test.go
+++ b/internal/simulator/harness_test.go
@@ -15,6 +15,7 @@
 // scenario is a simulated cluster in the state in which a test begins to inject faults.
 type scenario struct {
 	*Cluster
+	t      *testing.T
 	seed   uint64
 	leader int // index of the controller that leads when the test begins
 }
@@ -24,24 +25,21 @@
 
 // forEachSeed runs a test on scenarios of several seeds, one after the other. After each it runs the cluster on until every accepted
 // job has to be finished, and checks that no rule is broken.
-func forEachSeed(t *testing.T, seeds uint64, setUp scenarioSetUp, play func(t *testing.T, sim scenario)) {
-	t.Helper()
-	runSeeds(t, seeds, func(t *testing.T, seed uint64) {
-		sim := setUp(t, seed)
-		play(t, sim)
-		expectAllFinished(t, sim.Cluster)
-	})
-}
-
-// runSeeds runs a test with several seeds, one after the other, beside other tests.
-func runSeeds(t *testing.T, seeds uint64, play func(t *testing.T, seed uint64)) {
+func forEachSeed(t *testing.T, seeds uint64, setUp scenarioSetUp, play func(sim scenario)) {
 	t.Helper()
 	t.Parallel()
 	for seed := range seeds {
-		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { play(t, seed) })
+		t.Run(seedName(seed), func(t *testing.T) {
+			sim := setUp(t, seed)
+			play(sim)
+			expectAllFinished(t, sim.Cluster)
+		})
 	}
 }
 
+// seedName is the name of the subtest of a seed.
+func seedName(seed uint64) string { return fmt.Sprintf("seed %d", seed) }
+
 // fataler is what *testing.T and *rapid.T have in common.
 type fataler interface {
 	Helper()
@@ -140,7 +138,7 @@
 	if leader < 0 {
 		t.Fatal("there is no leader")
 	}
-	return scenario{sim, seed, leader}
+	return scenario{sim, t, seed, leader}
 }
 
 // clusterAtQuota is a cluster of two teams, one of them at its quota with long tasks.
@@ -167,7 +165,7 @@
 	options.LossShare, options.NoTaskFailures, options.Teams = 0, true, nil
 	sim := New(seed, options, testLogger())
 	sim.Run(8 * time.Second)
-	return scenario{sim, seed, sim.LeaderIndex()}
+	return scenario{sim, t, seed, sim.LeaderIndex()}
 }
 
 // clusterWithoutTaskFailures is a cluster without machines and jobs in which no task fails.
@@ -175,7 +173,7 @@
 	t.Helper()
 	options := testOptions()
 	options.NoTaskFailures = true
-	return scenario{New(seed, options, testLogger()), seed, -1}
+	return scenario{New(seed, options, testLogger()), t, seed, -1}
 }
 
 // overloadedLossyCluster is a small cluster whose links lose 3 % of the messages.
@@ -183,7 +181,7 @@
 	t.Helper()
 	options := testOptions()
 	options.LossShare, options.NoTaskFailures, options.MachinesPerKind = 0.03, true, 2
-	return scenario{New(seed, options, testLogger()), seed, -1}
+	return scenario{New(seed, options, testLogger()), t, seed, -1}
 }
 
 // isPlacing reports whether a controller places tasks.
--- a/internal/simulator/invariants_test.go
+++ b/internal/simulator/invariants_test.go
@@ -11,23 +11,26 @@
 // A day without troubles ends with all work done; without this, a model that finds no
 // broken rule could be one that sees nothing run.
 func TestRunWithoutFaultsCompletesAllJobs(t *testing.T) {
-	runSeeds(t, 3, func(t *testing.T, seed uint64) {
-		sim := New(seed, testOptions(), testLogger())
-		for i := range 25 {
-			sim.At(time.Duration(i)*2*time.Second, sim.Users.SubmitRandom)
-		}
-		sim.Run(4 * time.Minute)
-		expectNoViolations(t, sim)
-		if sim.Users.AcceptedCount() != 25 || sim.Users.UnfinishedCount() != 0 || sim.checker.TaskStarts < 25 {
-			t.Errorf("%d of 25 accepted, %d unfinished, %d starts", sim.Users.AcceptedCount(), sim.Users.UnfinishedCount(), sim.checker.TaskStarts)
-		}
-		if runs, merged := sim.State.archiveSegments(); runs == 0 || !merged {
-			t.Errorf("%d runs, merged: %v", runs, merged)
-		}
-		if err := sim.State.CheckLimits(); err != nil {
-			t.Errorf("%v", err)
-		}
-	})
+	t.Parallel()
+	for seed := range uint64(3) {
+		t.Run(seedName(seed), func(t *testing.T) {
+			sim := New(seed, testOptions(), testLogger())
+			for i := range 25 {
+				sim.At(time.Duration(i)*2*time.Second, sim.Users.SubmitRandom)
+			}
+			sim.Run(4 * time.Minute)
+			expectNoViolations(t, sim)
+			if sim.Users.AcceptedCount() != 25 || sim.Users.UnfinishedCount() != 0 || sim.checker.TaskStarts < 25 {
+				t.Errorf("%d of 25 accepted, %d unfinished, %d starts", sim.Users.AcceptedCount(), sim.Users.UnfinishedCount(), sim.checker.TaskStarts)
+			}
+			if runs, merged := sim.State.archiveSegments(); runs == 0 || !merged {
+				t.Errorf("%d runs, merged: %v", runs, merged)
+			}
+			if err := sim.State.CheckLimits(); err != nil {
+				t.Errorf("%v", err)
+			}
+		})
+	}
 }
 
 // A report that was held up shows a machine without the tasks that an earlier leader has
--- a/internal/simulator/partitions_test.go
+++ b/internal/simulator/partitions_test.go
@@ -13,7 +13,7 @@
 // Reports of three machines arrive, and nothing that they are told; meanwhile one machine dies and the leader ends and
 // is back at once. They are found out and given back, and nothing runs twice.
 func TestInboundUnreachableMachines(t *testing.T) {
-	forEachSeed(t, 3, busyClusterWithSlowHeartbeats, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 3, busyClusterWithSlowHeartbeats, func(sim scenario) {
 		before := len(sim.Cloud.runningMachines())
 		sim.Cloud.CutInbound(3, sim.seed > 0, 3*time.Minute)
 		sim.At(5*time.Second, sim.Cloud.FailMachine)
@@ -28,7 +28,7 @@
 			}
 		}
 		if deaf > 0 {
-			t.Errorf("%d of %d machines hear nothing, and are kept", deaf, before)
+			sim.t.Errorf("%d of %d machines hear nothing, and are kept", deaf, before)
 		}
 	})
 }
@@ -36,12 +36,12 @@
 // The leader's answers reach no machine, and all reports reach it: another one leads soon, since machines that call
 // elsewhere and do not answer its questions are two kinds of evidence.
 func TestOutboundUnreachableLeader(t *testing.T) {
-	forEachSeed(t, 3, busyClusterWithSlowHeartbeats, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 3, busyClusterWithSlowHeartbeats, func(sim scenario) {
 		sim.Cloud.CutInbound(1000, true, 2*time.Minute)
 		sim.At(time.Second, sim.Cloud.FailMachine)
 		sim.Run(15 * time.Second)
 		if sim.State.leaderName() == controllerName(sim.leader) {
-			t.Errorf("%s still leads, whom nobody hears", controllerName(sim.leader))
+			sim.t.Errorf("%s still leads, whom nobody hears", controllerName(sim.leader))
 		}
 	})
 }
@@ -49,7 +49,7 @@
 // A leader that loses the state service and the other controllers, but not its workers, stops with its entitlement,
 // and its workers find the next one before their leases end, though that one is itself back within 0.3 s meanwhile.
 func TestLeaderThatReachesWorkersOnly(t *testing.T) {
-	forEachSeed(t, 4, busyClusterWithLongLease, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, busyClusterWithLongLease, func(sim scenario) {
 		sim.IsolateController(sim.leader, FromState|FromControllers, 40*time.Second)
 		ran, died := sim.checker.TaskStarts, 0
 		sim.At(500*time.Millisecond, func() { sim.Cloud.FailMachine(); died++ })
@@ -62,11 +62,11 @@
 		})
 		sim.Run(2 * time.Second)
 		if acting, _ := sim.leadershipOf(sim.leader); acting {
-			t.Errorf("acts 2 s after it has lost the state service and everybody")
+			sim.t.Errorf("acts 2 s after it has lost the state service and everybody")
 		}
 		sim.Run(18 * time.Second)
 		if again := sim.checker.TaskStarts - ran; again > 30 { // one machine died, with 16 tasks at most
-			t.Errorf("%d tasks were started again", again)
+			sim.t.Errorf("%d tasks were started again", again)
 		}
 	})
 }
@@ -74,7 +74,7 @@
 // Copies of half of the reports come up to four leases late, to any controller, while short tasks start all the time,
 // and machines and the leader end; a machine that died is not kept alive by them, and nothing runs twice.
 func TestDuplicateHeartbeats(t *testing.T) {
-	forEachSeed(t, 3, busyClusterWithLongLease, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 3, busyClusterWithLongLease, func(sim scenario) {
 		for i := range 90 {
 			sim.At(time.Duration(i)*time.Second, func() {
 				sim.Users.SubmitJob(jobs.Spec{
@@ -122,7 +122,7 @@
 	}
 	for event, name := range events {
 		t.Run(name, func(t *testing.T) {
-			forEachSeed(t, 2, busyClusterWithLongLease, func(t *testing.T, sim scenario) {
+			forEachSeed(t, 2, busyClusterWithLongLease, func(sim scenario) {
 				back := time.Duration(1+400*sim.seed) * time.Millisecond
 				for range 3 {
 					sim.CrashAtElectionEvent(event, 20*time.Second, back)
@@ -139,7 +139,7 @@
 				sim.watchSingleLeader()
 				sim.Run(30 * time.Second)
 				if n := len(sim.electionTriggers); n == 3 && event != leadershipReleased {
-					t.Error("no controller came to the event")
+					sim.t.Error("no controller came to the event")
 				}
 			})
 		})
@@ -149,38 +149,41 @@
 // One job that is far larger than the others of its class begins within four minutes although smaller ones keep all
 // room all the time, and half of everything is served.
 func TestLargestJobsStart(t *testing.T) {
-	runSeeds(t, 2, func(t *testing.T, seed uint64) {
-		opt := CapacityLossOptions(testOptions().Tuning)
-		opt.MachinesPerKind = 1
-		sim := New(seed, opt, testLogger())
-		spec := jobs.Spec{
-			Class:           "flood",
-			Team:            "blue",
-			Priority:        jobs.Normal,
-			Tasks:           12,
-			CPUs:            2,
-			MemoryGB:        2,
-			Image:           "f",
-			AllowsSpot:      true,
-			RunTimeEstimate: 15 * time.Second,
-		}
-		for i := range 420 {
-			sim.At(time.Duration(i)*time.Second, func() {
+	t.Parallel()
+	for seed := range uint64(2) {
+		t.Run(seedName(seed), func(t *testing.T) {
+			opt := CapacityLossOptions(testOptions().Tuning)
+			opt.MachinesPerKind = 1
+			sim := New(seed, opt, testLogger())
+			spec := jobs.Spec{
+				Class:           "flood",
+				Team:            "blue",
+				Priority:        jobs.Normal,
+				Tasks:           12,
+				CPUs:            2,
+				MemoryGB:        2,
+				Image:           "f",
+				AllowsSpot:      true,
+				RunTimeEstimate: 15 * time.Second,
+			}
+			for i := range 420 {
+				sim.At(time.Duration(i)*time.Second, func() {
+					s := spec
+					s.ID = fmt.Sprintf("job-%07d", i)
+					sim.Users.SubmitJob(s, 15*time.Second)
+				})
+			}
+			sim.At(20*time.Second, func() {
 				s := spec
-				s.ID = fmt.Sprintf("job-%07d", i)
+				s.ID, s.Tasks = "job-9", 600
 				sim.Users.SubmitJob(s, 15*time.Second)
 			})
-		}
-		sim.At(20*time.Second, func() {
-			s := spec
-			s.ID, s.Tasks = "job-9", 600
-			sim.Users.SubmitJob(s, 15*time.Second)
+			sim.Run(290 * time.Second)
+			expectNoViolations(t, sim)
+			j := sim.checker.jobs["job-9"]
+			if j.firstStartedAt.IsZero() || j.firstStartedAt.Sub(j.submittedAt) > 4*time.Minute {
+				t.Errorf("began %v after it was sent", j.firstStartedAt.Sub(j.submittedAt))
+			}
 		})
-		sim.Run(290 * time.Second)
-		expectNoViolations(t, sim)
-		j := sim.checker.jobs["job-9"]
-		if j.firstStartedAt.IsZero() || j.firstStartedAt.Sub(j.submittedAt) > 4*time.Minute {
-			t.Errorf("began %v after it was sent", j.firstStartedAt.Sub(j.submittedAt))
-		}
-	})
+	}
 }
--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -40,7 +40,7 @@
 
 // A chain of twenty runs one after the other though the leader ends or is refused between each two steps.
 func TestDependencyChainAcrossFailovers(t *testing.T) {
-	forEachSeed(t, 3, pipelineCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 3, pipelineCluster, func(sim scenario) {
 		ids := sim.Users.SubmitPipeline("71", dependencyChain(20), 2, 2*time.Second, 2*time.Minute, "none")
 		for i := range 14 {
 			sim.At(time.Duration(5+9*i)*time.Second, func() {
@@ -53,7 +53,7 @@
 		}
 		sim.Run(6 * time.Minute)
 		if done, _ := sim.finalStates(ids); done != len(ids) {
-			t.Errorf("%d of %d are done", done, len(ids))
+			sim.t.Errorf("%d of %d are done", done, len(ids))
 		}
 	})
 }
@@ -61,7 +61,7 @@
 // The root of a fan and of a diamond is cancelled as the state service refuses the leader alone, and is then away for longer than
 // users are told: all that need it are cancelled with it, their needs aside are not touched, and none of them starts.
 func TestRootCancelledDuringOutage(t *testing.T) {
-	forEachSeed(t, 4, pipelineCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, pipelineCluster, func(sim scenario) {
 		sim.Users.SubmitPipeline("72", dependencyChain(1), 2, 3*time.Second, time.Minute, "none")
 		all := sim.Users.SubmitPipeline("73", dependencyFan(60), 2, 40*time.Second, 3*time.Minute, "none")
 		diamond := sim.Users.SubmitPipeline("74", [][]int{nil, {0}, {0}, {1, 2}}, 2, 40*time.Second, 3*time.Minute, "none")
@@ -75,10 +75,10 @@
 		}
 		sim.Run(4 * time.Minute)
 		if _, cancelled := sim.finalStates(all); cancelled != len(all) {
-			t.Errorf("%d of %d are cancelled", cancelled, len(all))
+			sim.t.Errorf("%d of %d are cancelled", cancelled, len(all))
 		}
 		if done, cancelled := sim.finalStates(diamond); done != 2 || cancelled != 2 {
-			t.Errorf("of the diamond %d are done, %d cancelled", done, cancelled)
+			sim.t.Errorf("of the diamond %d are done, %d cancelled", done, cancelled)
 		}
 	})
 }
@@ -86,7 +86,7 @@
 // Jobs are submitted that need one which is cancelled, or done, long ago and sealed in the history, under ids that its index knows
 // exactly and such that its data have to tell of; the leader changes before their records are written out.
 func TestDependenciesOnArchivedJobs(t *testing.T) {
-	forEachSeed(t, 4, pipelineCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 4, pipelineCluster, func(sim scenario) {
 		for _, name := range []string{"75", "750000000000"} {
 			sim.Users.SubmitPipeline(name, dependencyChain(1), 1, time.Second, time.Minute, "none")
 			sim.Users.SubmitPipeline(name+"1", dependencyChain(1), 1, 50*time.Second, time.Minute, "none")
@@ -96,7 +96,7 @@
 		sim.Users.cancel("job-75000000000010000")
 		sim.Run(25 * time.Second)
 		if runs, _ := sim.State.archiveSegments(); runs == 0 {
-			t.Errorf("nothing is sealed")
+			sim.t.Errorf("nothing is sealed")
 		}
 		var after, void []string
 		for i, name := range []string{"76", "77", "78", "79"} {
@@ -119,10 +119,10 @@
 		})
 		sim.Run(40 * time.Second)
 		if done, _ := sim.finalStates(after); done != 2 {
-			t.Errorf("%d of 2 after done ones are done", done)
+			sim.t.Errorf("%d of 2 after done ones are done", done)
 		}
 		if _, cancelled := sim.finalStates(void); cancelled != 2 {
-			t.Errorf("%d of 2 after cancelled ones are cancelled", cancelled)
+			sim.t.Errorf("%d of 2 after cancelled ones are cancelled", cancelled)
 		}
 	})
 }
@@ -130,7 +130,7 @@
 // A dependant is submitted and its need cancelled at about the same moment, or at the moment of the need's end; one that needs both its
 // cancelled dependant's need and nothing else goes on.
 func TestDependencyCancelledDuringSubmission(t *testing.T) {
-	forEachSeed(t, 12, pipelineCluster, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 12, pipelineCluster, func(sim scenario) {
 		ids := sim.Users.SubmitPipeline("81", dependencyChain(1), 2, 3*time.Second, time.Minute, "none")
 		sim.Run(1500 * time.Millisecond)
 		s := sim.checker.jobs[ids[0]].spec
@@ -143,7 +143,7 @@
 		sim.Run(2 * time.Minute)
 		done, cancelled := sim.finalStates([]string{ids[0], s.ID})
 		if done != 2 && cancelled != 2 {
-			t.Errorf("%d done, %d cancelled", done, cancelled)
+			sim.t.Errorf("%d done, %d cancelled", done, cancelled)
 		}
 	})
 }
@@ -209,7 +209,7 @@
 // Jobs need others of another team, which is at its limit; those wait for it, hold nothing of their own team's limit meanwhile, and run once
 // the others are done. A need runs in a zone that is cut off as it ends.
 func TestDependenciesInTeamAtQuota(t *testing.T) {
-	forEachSeed(t, 3, clusterAtQuota, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 3, clusterAtQuota, func(sim scenario) {
 		var ids []string
 		for i := range 4 {
 			need := jobs.Spec{
@@ -235,7 +235,7 @@
 		sim.At(30*time.Second, func() { sim.CutZone("b", []int{sim.LeaderIndex()}, 12*time.Second) })
 		sim.Run(4 * time.Minute)
 		if done, _ := sim.finalStates(ids); done != len(ids) {
-			t.Errorf("%d of %d are done", done, len(ids))
+			sim.t.Errorf("%d of %d are done", done, len(ids))
 		}
 	})
 }
--- a/internal/simulator/rollingupgrade_test.go
+++ b/internal/simulator/rollingupgrade_test.go
@@ -13,7 +13,7 @@
 // Nothing is lost, and in the end all pages are within them.
 func TestLimitsLoweredAfterRollingUpgrade(t *testing.T) {
 	refused, before := 0, 0
-	forEachSeed(t, 5, clusterWithoutTaskFailures, func(t *testing.T, sim scenario) {
+	forEachSeed(t, 5, clusterWithoutTaskFailures, func(sim scenario) {
 		for i := range 60 {
 			sim.At(time.Duration(i)*time.Second, sim.Users.SubmitRandom)
 			sim.At(4*time.Second+time.Duration(i)*100*time.Millisecond, func() {
@@ -51,7 +51,7 @@
 		sim.Run(3 * time.Minute)
 		for k, v := range sim.State.keys {
 			if len(v.value) > 1536 {
-				t.Errorf("%s has %d bytes", k, len(v.value))
+				sim.t.Errorf("%s has %d bytes", k, len(v.value))
 			}
 		}
 		refused += sim.State.oversizedTransactions
