--- /dev/null
+++ b/internal/simulator/machinefaults.go
@@ -0,0 +1,137 @@
+package simulator
+
+import (
+	"slices"
+	"time"
+)
+
+// ReclaimMachine reclaims a random machine, after the notice or at once.
+func (c *Cloud) ReclaimMachine(notice time.Duration) {
+	list := c.runningMachines()
+	if len(list) == 0 {
+		return
+	}
+	m := list[c.sim.Rand.IntN(len(list))]
+	if notice == 0 {
+		m.terminate()
+		return
+	}
+	m.reclaimAt = c.sim.Now.Add(notice)
+	c.sim.At(notice, m.terminate)
+}
+
+// FailMachine stops a random machine with all tasks on it. The cloud goes on listing it.
+func (c *Cloud) FailMachine() {
+	if list := c.runningMachines(); len(list) > 0 {
+		m := list[c.sim.Rand.IntN(len(list))]
+		m.hasFailed = true
+		m.dropTasks()
+	}
+}
+
+// HangMachine suspends a random machine.
+func (c *Cloud) HangMachine(span time.Duration) {
+	if list := c.runningMachines(); len(list) > 0 {
+		list[c.sim.Rand.IntN(len(list))].hangsUntil = c.sim.Now.Add(span)
+	}
+	c.sim.extendFaults(span)
+}
+
+// CutMachine cuts a random machine off from every controller.
+func (c *Cloud) CutMachine(span time.Duration) {
+	if list := c.runningMachines(); len(list) > 0 {
+		m := list[c.sim.Rand.IntN(len(list))]
+		for i := range c.sim.Options.Controllers {
+			c.sim.CutLink(m.id, controllerName(i), span)
+		}
+	}
+}
+
+// randomMachines draws up to count of the running machines.
+func (c *Cloud) randomMachines(count int) []*machine {
+	list := c.runningMachines()
+	c.sim.Rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+	return list[:min(count, len(list))]
+}
+
+// CutInbound makes up to count machines inbound unreachable: their heartbeats arrive, responses and commands do not reach
+// them. With leaderOnly only the leader's messages are lost.
+func (c *Cloud) CutInbound(count int, leaderOnly bool, span time.Duration) {
+	for _, m := range c.randomMachines(count) {
+		for i := range c.sim.Options.Controllers {
+			if name := controllerName(i); !leaderOnly || name == c.sim.State.leaderName() {
+				c.sim.CutLinkOneWay(name, m.id, span)
+			}
+		}
+	}
+}
+
+// DuplicateHeartbeats delivers half of the heartbeats that are sent during the span once more, up to four leases later, to a random
+// controller.
+func (c *Cloud) DuplicateHeartbeats(span time.Duration) {
+	c.duplicatingUntil = c.sim.Now.Add(span)
+	c.sim.extendFaults(span + 4*c.sim.Options.WorkerLease + time.Second)
+}
+
+// DelayMachines makes up to count machines hang, or cuts off their inbound messages, one after the other, for a span each.
+func (c *Cloud) DelayMachines(count int, span time.Duration) {
+	for k, m := range c.randomMachines(count) {
+		c.sim.At(time.Duration(k)*200*time.Millisecond, func() {
+			if k%2 == 0 {
+				m.hangsUntil = c.sim.Now.Add(span)
+				return
+			}
+			for i := range c.sim.Options.Controllers {
+				c.sim.CutLinkOneWay(controllerName(i), m.id, span)
+			}
+		})
+	}
+	c.sim.extendFaults(span + time.Duration(count)*200*time.Millisecond)
+}
+
+// deliverDuplicate may deliver a heartbeat again while heartbeats are duplicated. The response is dropped.
+func (c *Cloud) deliverDuplicate(raw []byte) {
+	if !c.sim.Now.Before(c.duplicatingUntil) || c.sim.Rand.IntN(2) == 0 {
+		return
+	}
+	late := time.Second + time.Duration(c.sim.Rand.Int64N(int64(4*c.sim.Options.WorkerLease)))
+	host := controllerName(c.sim.Rand.IntN(c.sim.Options.Controllers))
+	c.sim.At(late, func() { c.sim.deliverRequest(host, false, "POST", "/v1/report", raw, func(int, any) {}) })
+}
+
+// RestartMachine kills all tasks of a random machine and boots it again under the same name. Its incarnation goes on from
+// the last one, or begins again at the first.
+func (c *Cloud) RestartMachine(back time.Duration, counts bool) {
+	if list := c.runningMachines(); len(list) > 0 {
+		list[c.sim.Rand.IntN(len(list))].restart(back, counts)
+	}
+	c.sim.extendFaults(back)
+}
+
+// CutOutbound makes up to count machines outbound unreachable: no heartbeat of theirs arrives, direct commands reach them and are answered.
+func (c *Cloud) CutOutbound(count int, span time.Duration) {
+	for _, m := range c.randomMachines(count) {
+		m.outboundCutUntil = c.sim.Now.Add(span)
+	}
+	c.sim.extendFaults(span)
+}
+
+// CutZone cuts a zone with its machines, and the controllers inside it, off from everything outside.
+func (sim *Cluster) CutZone(zone string, inside []int, span time.Duration) {
+	for i := range sim.controllers {
+		in := slices.Contains(inside, i)
+		if in {
+			sim.IsolateController(i, FromState|FromUsers|FromCloud, span)
+		}
+		for j := range sim.controllers {
+			if in != slices.Contains(inside, j) {
+				sim.CutLink(controllerName(i), controllerName(j), span)
+			}
+		}
+		for _, m := range sim.Cloud.runningMachines() {
+			if (m.zone == zone) != in {
+				sim.CutLink(controllerName(i), m.id, span)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulator/statereader.go
@@ -0,0 +1,140 @@
+package simulator
+
+import (
+	"fmt"
+	"strings"
+
+	"gullrudder/internal/controller/archive"
+	"gullrudder/internal/controller/election"
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/wire/client"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// CheckLimits returns an error if a stored value is over the platform's limit.
+func (s *StateService) CheckLimits() error {
+	for k, v := range s.keys {
+		if len(v.value) > 4096 {
+			return fmt.Errorf("key %s holds %d bytes", k, len(v.value))
+		}
+	}
+	return nil
+}
+
+// record finds a job's record in the pages, as a new leader would.
+func (s *StateService) record(jobID string) (rec jobs.Record, ok bool) {
+	raw, ok := s.entry(jobID)
+	return rec, ok && msgpack.Unmarshal(raw, &rec) == nil
+}
+
+// entry finds an entry in the pages of the persistent state.
+func (s *StateService) entry(key string) (raw msgpack.RawMessage, ok bool) {
+	for name, k := range s.keys {
+		if !strings.HasPrefix(name, storage.PagePrefix) {
+			continue
+		}
+		var page struct {
+			Entries map[string]msgpack.RawMessage `msgpack:"e"`
+		}
+		if msgpack.Unmarshal(k.value, &page) == nil && page.Entries[key] != nil {
+			return page.Entries[key], true
+		}
+	}
+	return nil, false
+}
+
+// durableResults returns which tasks of a job have durable results, as a new leader would read them.
+func (s *StateService) durableResults(jobID string) (func(task int) bool, error) {
+	rec, ok := s.record(jobID)
+	if !ok {
+		if s.isArchived(jobID) {
+			return func(int) bool { return true }, nil
+		}
+		return nil, fmt.Errorf("job %s is in no page and not sealed", jobID)
+	}
+	j, err := jobs.FromRecord(jobID, rec)
+	if err != nil {
+		return nil, err
+	}
+	return j.IsTaskDurable, nil
+}
+
+// isArchived reports whether the archive has the job, as a new leader would read it.
+func (s *StateService) isArchived(jobID string) bool {
+	var box client.Outbox
+	l := storage.New(storage.Options{WriteRate: 1}, 0, s.sim.Log)
+	l.Load(&box)
+	for calls := box.TakeCalls(); len(calls) > 0; calls = box.TakeCalls() {
+		for _, c := range calls {
+			c.Done(s.sim.Now, s.Exchange(c))
+		}
+	}
+	k, err := archive.New(l, archive.Options{WriteRate: 1, ReadRate: 1}, s.sim.Log)
+	if err != nil {
+		s.sim.reportViolation(RuleMalformed, "the history cannot be read: %v", err)
+		return false
+	}
+	return k.LookupIndex(jobID) != archive.Absent
+}
+
+// archiveSegments counts the segments that the archive's head names, and reports whether one of them was compacted.
+func (s *StateService) archiveSegments() (count int, merged bool) {
+	if k := s.keys[storage.ArchiveHeadKey]; k != nil {
+		var raw struct {
+			Entries map[string]msgpack.RawMessage `msgpack:"e"`
+		}
+		if msgpack.Unmarshal(k.value, &raw) != nil {
+			return 0, false
+		}
+		for name, r := range raw.Entries {
+			var rec archive.SegmentRecord
+			if name[0] == 'r' && msgpack.Unmarshal(r, &rec) == nil {
+				count++
+				merged = merged || rec.Level > 0
+			}
+		}
+	}
+	return count, merged
+}
+
+// pageCount counts the pages of the persistent state.
+func (s *StateService) pageCount() int { return s.Count(storage.PagePrefix) }
+
+// leaderRevision is the mod revision of the leader's key, which is the fencing token; 0 if there is no leader.
+func (s *StateService) leaderRevision() uint64 {
+	if k := s.keys[election.LeaderKey]; k != nil {
+		return k.modRevision
+	}
+	return 0
+}
+
+// leaderName names the controller that holds the leader's key, empty if none does.
+func (s *StateService) leaderName() string {
+	k := s.keys[election.LeaderKey]
+	if k == nil {
+		return ""
+	}
+	var v struct {
+		Name string `msgpack:"name"`
+	}
+	if msgpack.Unmarshal(k.value, &v) != nil {
+		return ""
+	}
+	return v.Name
+}
+
+// Revision is the revision of the last transaction that changed something.
+func (s *StateService) Revision() uint64 { return s.revision }
+
+// Count counts the keys with a prefix.
+func (s *StateService) Count(prefix string) int {
+	n := 0
+	for k := range s.keys {
+		if strings.HasPrefix(k, prefix) {
+			n++
+		}
+	}
+	return n
+}
--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -1,17 +1,12 @@
 package simulator
 
 import (
-	"fmt"
 	"net/url"
 	"sort"
 	"strconv"
 	"strings"
 	"time"
 
-	"gullrudder/internal/controller/archive"
-	"gullrudder/internal/controller/election"
-	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
 
@@ -59,55 +54,6 @@
 	return &StateService{sim: sim, keys: map[string]*stateKey{}, leases: map[uint64]*stateLease{}, refusedUntil: map[string]time.Time{}}
 }
 
-// Outage answers every request with 503 for a span; afterwards every lease has its full time again.
-func (s *StateService) Outage(span time.Duration) {
-	s.outageUntil = s.sim.Now.Add(span)
-	s.sim.extendFaults(span)
-	for _, l := range s.leases {
-		l.expiresAt = s.outageUntil.Add(l.ttl)
-	}
-	for id := range s.leases {
-		s.sim.At(span+s.leases[id].ttl, func() { s.expire(id) })
-	}
-}
-
-// Refuse answers one controller with 503 for a span.
-func (s *StateService) Refuse(node string, span time.Duration) {
-	s.refusedUntil[node] = s.sim.Now.Add(span)
-	s.sim.extendFaults(span)
-}
-
-// DelayTransactions leaves a share of the transactions without a response for a span; they are executed 2 to 12 s after they were
-// sent, after newer ones.
-func (s *StateService) DelayTransactions(share float64, span time.Duration) {
-	s.lateUntil, s.lateShare = s.sim.Now.Add(span), share
-	s.sim.extendFaults(span + 12*time.Second)
-}
-
-// SlowDown lets every second response take up to 3 s for a span: half of it before the request is executed, half after.
-func (s *StateService) SlowDown(span time.Duration) {
-	s.slowUntil = s.sim.Now.Add(span)
-	s.sim.extendFaults(span + 3*time.Second)
-}
-
-// LowerLimits refuses larger values and transactions from now on; what is stored stays readable.
-func (s *StateService) LowerLimits(values, changes int) {
-	s.maxValueBytes, s.maxOperations = values, changes
-}
-
-// HandOverLeadership refuses the present leader alone for a span, a number of times in a row.
-func (s *StateService) HandOverLeadership(times int, span time.Duration) {
-	for i := range times {
-		s.sim.At(time.Duration(i)*span, func() { s.Refuse(s.leaderName(), span) })
-	}
-}
-
-// RefuseLeaderThenAll refuses the leader alone and then everybody: a combination of two faults.
-func (s *StateService) RefuseLeaderThenAll(alone, span time.Duration) {
-	s.Refuse(s.leaderName(), alone+span)
-	s.sim.At(alone, func() { s.Outage(span) })
-}
-
 func (s *StateService) expire(leaseID uint64) {
 	lease := s.leases[leaseID]
 	if lease == nil || s.sim.Now.Before(lease.expiresAt) {
@@ -358,129 +304,3 @@
 	}
 	s.sim.At(200*time.Millisecond, again)
 }
-
-// CheckLimits returns an error if a stored value is over the platform's limit.
-func (s *StateService) CheckLimits() error {
-	for k, v := range s.keys {
-		if len(v.value) > 4096 {
-			return fmt.Errorf("key %s holds %d bytes", k, len(v.value))
-		}
-	}
-	return nil
-}
-
-// record finds a job's record in the pages, as a new leader would.
-func (s *StateService) record(jobID string) (rec jobs.Record, ok bool) {
-	raw, ok := s.entry(jobID)
-	return rec, ok && msgpack.Unmarshal(raw, &rec) == nil
-}
-
-// entry finds an entry in the pages of the persistent state.
-func (s *StateService) entry(key string) (raw msgpack.RawMessage, ok bool) {
-	for name, k := range s.keys {
-		if !strings.HasPrefix(name, storage.PagePrefix) {
-			continue
-		}
-		var page struct {
-			Entries map[string]msgpack.RawMessage `msgpack:"e"`
-		}
-		if msgpack.Unmarshal(k.value, &page) == nil && page.Entries[key] != nil {
-			return page.Entries[key], true
-		}
-	}
-	return nil, false
-}
-
-// durableResults returns which tasks of a job have durable results, as a new leader would read them.
-func (s *StateService) durableResults(jobID string) (func(task int) bool, error) {
-	rec, ok := s.record(jobID)
-	if !ok {
-		if s.isArchived(jobID) {
-			return func(int) bool { return true }, nil
-		}
-		return nil, fmt.Errorf("job %s is in no page and not sealed", jobID)
-	}
-	j, err := jobs.FromRecord(jobID, rec)
-	if err != nil {
-		return nil, err
-	}
-	return j.IsTaskDurable, nil
-}
-
-// isArchived reports whether the archive has the job, as a new leader would read it.
-func (s *StateService) isArchived(jobID string) bool {
-	var box client.Outbox
-	l := storage.New(storage.Options{WriteRate: 1}, 0, s.sim.Log)
-	l.Load(&box)
-	for calls := box.TakeCalls(); len(calls) > 0; calls = box.TakeCalls() {
-		for _, c := range calls {
-			c.Done(s.sim.Now, s.Exchange(c))
-		}
-	}
-	k, err := archive.New(l, archive.Options{WriteRate: 1, ReadRate: 1}, s.sim.Log)
-	if err != nil {
-		s.sim.reportViolation(RuleMalformed, "the history cannot be read: %v", err)
-		return false
-	}
-	return k.LookupIndex(jobID) != archive.Absent
-}
-
-// archiveSegments counts the segments that the archive's head names, and reports whether one of them was compacted.
-func (s *StateService) archiveSegments() (count int, merged bool) {
-	if k := s.keys[storage.ArchiveHeadKey]; k != nil {
-		var raw struct {
-			Entries map[string]msgpack.RawMessage `msgpack:"e"`
-		}
-		if msgpack.Unmarshal(k.value, &raw) != nil {
-			return 0, false
-		}
-		for name, r := range raw.Entries {
-			var rec archive.SegmentRecord
-			if name[0] == 'r' && msgpack.Unmarshal(r, &rec) == nil {
-				count++
-				merged = merged || rec.Level > 0
-			}
-		}
-	}
-	return count, merged
-}
-
-// pageCount counts the pages of the persistent state.
-func (s *StateService) pageCount() int { return s.Count(storage.PagePrefix) }
-
-// leaderRevision is the mod revision of the leader's key, which is the fencing token; 0 if there is no leader.
-func (s *StateService) leaderRevision() uint64 {
-	if k := s.keys[election.LeaderKey]; k != nil {
-		return k.modRevision
-	}
-	return 0
-}
-
-// leaderName names the controller that holds the leader's key, empty if none does.
-func (s *StateService) leaderName() string {
-	k := s.keys[election.LeaderKey]
-	if k == nil {
-		return ""
-	}
-	var v struct {
-		Name string `msgpack:"name"`
-	}
-	if msgpack.Unmarshal(k.value, &v) != nil {
-		return ""
-	}
-	return v.Name
-}
-
-// Revision is the revision of the last transaction that changed something.
-func (s *StateService) Revision() uint64 { return s.revision }
-
-// Count counts the keys with a prefix.
-func (s *StateService) Count(prefix string) int {
-	n := 0
-	for k := range s.keys {
-		if strings.HasPrefix(k, prefix) {
-			n++
-		}
-	}
-	return n
-}
--- a/internal/simulator/userfaults.go
+++ b/internal/simulator/userfaults.go
@@ -9,34 +9,6 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// CutOutbound makes up to count machines outbound unreachable: no heartbeat of theirs arrives, direct commands reach them and are answered.
-func (c *Cloud) CutOutbound(count int, span time.Duration) {
-	for _, m := range c.randomMachines(count) {
-		m.outboundCutUntil = c.sim.Now.Add(span)
-	}
-	c.sim.extendFaults(span)
-}
-
-// CutZone cuts a zone with its machines, and the controllers inside it, off from everything outside.
-func (sim *Cluster) CutZone(zone string, inside []int, span time.Duration) {
-	for i := range sim.controllers {
-		in := slices.Contains(inside, i)
-		if in {
-			sim.IsolateController(i, FromState|FromUsers|FromCloud, span)
-		}
-		for j := range sim.controllers {
-			if in != slices.Contains(inside, j) {
-				sim.CutLink(controllerName(i), controllerName(j), span)
-			}
-		}
-		for _, m := range sim.Cloud.runningMachines() {
-			if (m.zone == zone) != in {
-				sim.CutLink(controllerName(i), m.id, span)
-			}
-		}
-	}
-}
-
 // CancelAsJobsEnd makes users cancel a share of the jobs whose last task completes within the span, at that moment.
 func (u *Users) CancelAsJobsEnd(share float64, span time.Duration) {
 	u.cancelAtEndShare, u.cancelAtEndUntil = share, u.sim.Now.Add(span)
@@ -147,9 +119,3 @@
 		}
 	})
 }
-
-// allowsJob reports whether tasks of the job may be on the machine at all.
-func (m *machine) allowsJob(spec jobs.Spec) bool {
-	return (len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, m.machineType.Name)) && (spec.Zone == "" || spec.Zone == m.zone) &&
-		(!m.spot || spec.AllowsSpot)
-}
