--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -295,10 +295,7 @@
 		}
 	}
 	sim.At(call.Timeout, func() { settle(client.Result{}) })
-	host := map[client.Destination]string{client.StateService: stateHost, client.CloudAPI: cloudHost}[call.Destination]
-	if host == "" {
-		host = call.Addr
-	}
+	host := hostOf(call)
 	body, err := encode(call.Body)
 	if err != nil {
 		sim.reportViolation(RuleMalformed, "a body cannot be encoded: %v", err)
@@ -308,14 +305,12 @@
 	if !ok {
 		return
 	}
-	moment := electionEventOf(call, body)
+	event := electionEventOf(call, body)
 	answer := func(status int, body any) {
-		switch moment {
-		case keyWritten:
-			if status == 200 {
-				sim.electionEventReached(keyWritten, process.platform.Name)
-			}
-		case grantSent:
+		switch {
+		case event == keyWritten && status == 200:
+			sim.electionEventReached(keyWritten, process.platform.Name)
+		case event == grantSent:
 			sim.electionEventReached(grantSent, call.Addr)
 		}
 		raw, err := encode(body)
@@ -327,21 +322,36 @@
 			sim.At(back, func() { settle(client.Result{Status: status, Body: raw}) })
 		}
 	}
-	if moment == campaignSent || moment == leadershipReleased {
-		sim.electionEventReached(moment, process.platform.Name)
+	if event == campaignSent || event == leadershipReleased {
+		sim.electionEventReached(event, process.platform.Name)
+	}
+	sim.At(there, func() { sim.serveCall(process.platform.Name, call, body, answer) })
+}
+
+// hostOf is the name of the host that a call goes to.
+func hostOf(call client.Call) string {
+	switch call.Destination {
+	case client.StateService:
+		return stateHost
+	case client.CloudAPI:
+		return cloudHost
+	default:
+		return call.Addr
+	}
+}
+
+// serveCall executes a call at its receiver.
+func (sim *Cluster) serveCall(caller string, call client.Call, body []byte, answer func(int, any)) {
+	switch call.Destination {
+	case client.StateService:
+		sim.State.serve(caller, call.Method, call.Path, body, answer)
+	case client.CloudAPI:
+		sim.Cloud.serve(call.Method, call.Path, body, answer)
+	case client.WorkerAgent:
+		sim.Cloud.serveDirect(call.Addr, body, answer)
+	case client.PeerController:
+		sim.deliverRequest(call.Addr, true, call.Method, call.Path, body, answer)
 	}
-	sim.At(there, func() {
-		switch call.Destination {
-		case client.StateService:
-			sim.State.serve(process.platform.Name, call.Method, call.Path, body, answer)
-		case client.CloudAPI:
-			sim.Cloud.serve(call.Method, call.Path, body, answer)
-		case client.WorkerAgent:
-			sim.Cloud.serveDirect(call.Addr, body, answer)
-		case client.PeerController:
-			sim.deliverRequest(call.Addr, true, call.Method, call.Path, body, answer)
-		}
-	})
 }
 
 // deliverRequest delivers a request to a controller. It returns false if no process runs there and the
--- a/internal/simulator/pipelines.go
+++ b/internal/simulator/pipelines.go
@@ -67,54 +67,66 @@
 	Lateness     []time.Duration // lateness of each last job that was done; negative if it met its deadline
 }
 
+// pipelineShape is the dependencies of each job of a pipeline.
+var pipelineShape = [][]int{nil, {0}, {0}, {1, 2}, {0, 3}}
+
 // RunPipelines simulates pipelines of five jobs, some of which are cancelled, while leaders crash and are refused, machines
 // fail, and the state service delays transactions or has an outage.
 func (sim *Cluster) RunPipelines(count int) PipelineResult {
-	var out PipelineResult
-	shape := [][]int{nil, {0}, {0}, {1, 2}, {0, 3}}
-	all := make([][]string, count)
+	pipelines := make([][]string, count)
 	for i := range count {
 		sim.At(time.Duration(i)*2*time.Second, func() {
-			all[i] = sim.Users.SubmitPipeline(fmt.Sprintf("6%03d", i), shape, 2, 6*time.Second, 75*time.Second, "none")
+			pipelines[i] = sim.Users.SubmitPipeline(fmt.Sprintf("6%03d", i), pipelineShape, 2, 6*time.Second, 75*time.Second, "none")
 			if sim.Rand.IntN(6) == 0 {
-				sim.At(time.Duration(2+sim.Rand.IntN(40))*time.Second, func() {
-					if id := all[i][sim.Rand.IntN(len(shape))]; sim.checker.jobs[id] != nil {
-						sim.Users.cancel(id)
-					}
-				})
+				sim.At(time.Duration(2+sim.Rand.IntN(40))*time.Second, func() { sim.cancelOneOf(pipelines[i]) })
 			}
 		})
 	}
 	for i := range count / 4 {
-		sim.At(time.Duration(10+8*i)*time.Second, func() {
-			switch l := sim.LeaderIndex(); sim.Rand.IntN(6) {
-			case 0:
-				sim.State.Outage(6 * time.Second)
-			case 1:
-				sim.State.DelayTransactions(0.3, 6*time.Second)
-			case 2:
-				sim.Cloud.FailMachine()
-			case 3:
-				sim.Cloud.CutOutbound(3, 12*time.Second)
-			default:
-				if l >= 0 && sim.Rand.IntN(2) == 0 {
-					sim.Crash(l, 2*time.Second)
-				} else if l >= 0 {
-					sim.State.Refuse(controllerName(l), 4*time.Second)
-				}
-			}
-		})
+		sim.At(time.Duration(10+8*i)*time.Second, sim.injectPipelineFault)
 	}
 	sim.Run(time.Duration(2*count)*time.Second + 5*time.Minute)
-	for _, ids := range all {
-		out.Played++
-		last := sim.checker.jobs[ids[len(ids)-1]]
+	return sim.pipelineResult(pipelines)
+}
+
+// cancelOneOf cancels a random one of the jobs, if it was submitted.
+func (sim *Cluster) cancelOneOf(jobIDs []string) {
+	if id := jobIDs[sim.Rand.IntN(len(jobIDs))]; sim.checker.jobs[id] != nil {
+		sim.Users.cancel(id)
+	}
+}
+
+// injectPipelineFault injects a random fault.
+func (sim *Cluster) injectPipelineFault() {
+	switch leader := sim.LeaderIndex(); sim.Rand.IntN(6) {
+	case 0:
+		sim.State.Outage(6 * time.Second)
+	case 1:
+		sim.State.DelayTransactions(0.3, 6*time.Second)
+	case 2:
+		sim.Cloud.FailMachine()
+	case 3:
+		sim.Cloud.CutOutbound(3, 12*time.Second)
+	default:
+		if leader >= 0 && sim.Rand.IntN(2) == 0 {
+			sim.Crash(leader, 2*time.Second)
+		} else if leader >= 0 {
+			sim.State.Refuse(controllerName(leader), 4*time.Second)
+		}
+	}
+}
+
+func (sim *Cluster) pipelineResult(pipelines [][]string) PipelineResult {
+	var result PipelineResult
+	for _, jobIDs := range pipelines {
+		result.Played++
+		last := sim.checker.jobs[jobIDs[len(jobIDs)-1]]
 		switch {
 		case last == nil || last.finishedAt.IsZero() && last.cancelledAt.IsZero():
-			out.Lost++
+			result.Lost++
 		case !last.finishedAt.IsZero():
-			out.Lateness = append(out.Lateness, last.finishedAt.Sub(last.submittedAt.Add(last.spec.Deadline)))
+			result.Lateness = append(result.Lateness, last.finishedAt.Sub(last.submittedAt.Add(last.spec.Deadline)))
 		}
 	}
-	return out
+	return result
 }
--- a/internal/simulator/scale.go
+++ b/internal/simulator/scale.go
@@ -21,61 +21,84 @@
 	RecoveredAfter        time.Duration // from the failure until 95 % of the tasks run that the remaining machines can hold
 }
 
+// The load of RunScale.
+const (
+	scaleTasksPerJob    = 40
+	scaleRunTime        = 40 * time.Second
+	scaleCPUsPerMachine = 12 // more CPUs are requested than the fleet has, all the time
+	scaleRounds         = 5  // times that the same amount is submitted
+	scaleRoundInterval  = 45 * time.Second
+	scaleSpread         = 30 * time.Second // a round's jobs arrive within it
+	scaleRampUp         = 75 * time.Second
+	scaleRecoveryLimit  = 2 * time.Minute
+)
+
 // RunScale fills a fleet of a given size, measures a minute of load, and then fails a third of the machines
 // and the leader at the same moment.
 func (sim *Cluster) RunScale(machines int) (ScaleResult, error) {
-	const tasks, run = 40, 40 * time.Second
+	sim.scheduleScaleJobs(machines)
+	sim.Run(scaleRampUp)
+	result := sim.measureMinute()
+	for range result.Machines / 3 {
+		sim.Cloud.FailMachine()
+	}
+	sim.crashActing(8 * time.Second)
+	sim.measureRecovery(&result)
+	if len(sim.Violations) > 0 {
+		return result, fmt.Errorf("a rule is broken: %v", sim.Violations)
+	}
+	return result, nil
+}
+
+func (sim *Cluster) scheduleScaleJobs(machines int) {
+	target := scaleCPUsPerMachine * machines
 	cpus := 0
-	for i := 0; cpus < 12*machines; i++ { // always more than the fleet has
-		s := jobs.Spec{
-			ID: fmt.Sprintf("job-%07d", i), Class: fmt.Sprintf("class-%d", i%5), Team: "t", Priority: jobs.Normal, Tasks: tasks, CPUs: 1,
-			MemoryGB: 1, Image: "img", ImageGB: 1, AllowsSpot: true, RunTimeEstimate: run,
-		}
-		cpus += tasks
-		for again := range 5 {
-			id := s
-			id.ID = fmt.Sprintf("job-%d%06d", again+1, i)
-			sim.At(time.Duration(again)*45*time.Second+time.Duration(i)*30*time.Second*40/time.Duration(12*machines), func() { sim.Users.SubmitJob(id, run) })
+	for i := 0; cpus < target; i++ {
+		cpus += scaleTasksPerJob
+		for round := range scaleRounds {
+			spec := jobs.Spec{
+				ID: fmt.Sprintf("job-%d%06d", round+1, i), Class: fmt.Sprintf("class-%d", i%5), Team: "t", Priority: jobs.Normal,
+				Tasks: scaleTasksPerJob, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, AllowsSpot: true, RunTimeEstimate: scaleRunTime,
+			}
+			at := time.Duration(round)*scaleRoundInterval + time.Duration(i)*scaleSpread*scaleTasksPerJob/time.Duration(target)
+			sim.At(at, func() { sim.Users.SubmitJob(spec, scaleRunTime) })
 		}
 	}
-	sim.Run(75 * time.Second)
+}
+
+// measureMinute runs for a minute and measures the cost of the controllers.
+func (sim *Cluster) measureMinute() ScaleResult {
 	sim.stepDuration, sim.longestStep, sim.stepCount = 0, 0, 0
-	wrote, began := sim.State.revision, sim.Now
+	revision, began := sim.State.revision, sim.Now
 	sim.Run(time.Minute)
-	var mem runtime.MemStats
-	runtime.ReadMemStats(&mem)
-	s := ScaleResult{
-		Machines: len(
-			sim.Cloud.runningMachines(),
-		),
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	return ScaleResult{
+		Machines:        len(sim.Cloud.runningMachines()),
 		Tasks:           sim.runningTasks(),
 		Steps:           sim.stepCount,
 		MeanStep:        sim.stepDuration / time.Duration(max(sim.stepCount, 1)),
 		LongestStep:     sim.longestStep,
 		CPUShare:        sim.stepDuration.Seconds() / sim.Now.Sub(began).Seconds(),
-		WritesPerSecond: float64(sim.State.revision-wrote) / 60,
-		HeapMB:          int(mem.HeapAlloc >> 20),
-	}
-	for range s.Machines / 3 {
-		sim.Cloud.FailMachine()
+		WritesPerSecond: float64(sim.State.revision-revision) / time.Minute.Seconds(),
+		HeapMB:          int(memory.HeapAlloc >> 20),
 	}
-	sim.crashActing(8 * time.Second)
-	left, failed := s.Tasks*2/3, sim.Now
-	for sim.Now.Sub(failed) < 2*time.Minute && (s.PlacingAfter == 0 || s.RecoveredAfter == 0) {
+}
+
+// measureRecovery runs until a leader places tasks and 95 % of what the remaining machines can hold runs again.
+func (sim *Cluster) measureRecovery(result *ScaleResult) {
+	remaining, failedAt := result.Tasks*2/3, sim.Now
+	for sim.Now.Sub(failedAt) < scaleRecoveryLimit && (result.PlacingAfter == 0 || result.RecoveredAfter == 0) {
 		sim.Run(100 * time.Millisecond)
 		for i := range sim.controllers {
-			if _, placing := sim.leadershipOf(i); placing && s.PlacingAfter == 0 {
-				s.PlacingAfter = sim.Now.Sub(failed)
+			if _, placing := sim.leadershipOf(i); placing && result.PlacingAfter == 0 {
+				result.PlacingAfter = sim.Now.Sub(failedAt)
 			}
 		}
-		if s.PlacingAfter > 0 && s.RecoveredAfter == 0 && sim.runningTasks() >= left*95/100 {
-			s.RecoveredAfter = sim.Now.Sub(failed)
+		if result.PlacingAfter > 0 && result.RecoveredAfter == 0 && sim.runningTasks() >= remaining*95/100 {
+			result.RecoveredAfter = sim.Now.Sub(failedAt)
 		}
 	}
-	if len(sim.Violations) > 0 {
-		return s, fmt.Errorf("a rule is broken: %v", sim.Violations)
-	}
-	return s, nil
 }
 
 // runningTasks counts the tasks in state running on running machines.
--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -202,60 +202,91 @@
 	}
 }
 
+// transaction is the body of a commit.
+type transaction struct {
+	Guards []struct {
+		Path        string `msgpack:"path"`
+		ModRevision uint64 `msgpack:"mark"`
+	} `msgpack:"guards"`
+	Apply []struct {
+		Write   string             `msgpack:"write"`
+		Drop    string             `msgpack:"drop"`
+		Value   msgpack.RawMessage `msgpack:"value"`
+		LeaseID uint64             `msgpack:"permit"`
+	} `msgpack:"apply"`
+}
+
+// Limits of a transaction. Controllers must not exceed them.
+const (
+	maxTransactionOperations = 8
+	maxPreconditions         = 4 * maxTransactionOperations
+	maxTransactionBytes      = 64 << 10
+)
+
 func (s *StateService) commit(body []byte, answer func(int, any)) {
-	var t struct {
-		Guards []struct {
-			Path string `msgpack:"path"`
-			Mark uint64 `msgpack:"mark"`
-		} `msgpack:"guards"`
-		Apply []struct {
-			Write string             `msgpack:"write"`
-			Drop  string             `msgpack:"drop"`
-			Value msgpack.RawMessage `msgpack:"value"`
-			Lease uint64             `msgpack:"permit"`
-		} `msgpack:"apply"`
-	}
+	var t transaction
 	if err := codec.Unmarshal(body, &t); err != nil {
 		s.sim.reportViolation(RuleMalformed, "the state service got a malformed transaction: %v", err)
 		return
 	}
-	if len(t.Apply) > 8 || len(t.Guards) > 32 || len(body) > 64<<10 {
-		s.sim.reportViolation(RuleMalformed, "a transaction is over the limits: %d changes, %d conditions, %d bytes", len(t.Apply), len(t.Guards), len(body))
+	if len(t.Apply) > maxTransactionOperations || len(t.Guards) > maxPreconditions || len(body) > maxTransactionBytes {
+		s.sim.reportViolation(RuleMalformed, "a transaction is over the limits: %d operations, %d preconditions, %d bytes",
+			len(t.Apply), len(t.Guards), len(body))
 		return
 	}
-	for _, a := range t.Apply {
-		if s.maxValueBytes > 0 && (len(a.Value) > s.maxValueBytes || len(t.Apply) > s.maxOperations) {
+	if refusal := s.refusal(t); refusal != "" {
+		answer(400, map[string]string{"error": refusal})
+		return
+	}
+	if key, ok := s.failedPrecondition(t); ok {
+		answer(409, map[string]any{"failed": []string{key}, "tide": s.revision})
+		return
+	}
+	s.apply(t)
+	answer(200, map[string]uint64{"tide": s.revision})
+	s.wakeWatches()
+}
+
+// refusal is why a transaction cannot be executed whatever its preconditions, empty if it can.
+func (s *StateService) refusal(t transaction) string {
+	for _, operation := range t.Apply {
+		if s.maxValueBytes > 0 && (len(operation.Value) > s.maxValueBytes || len(t.Apply) > s.maxOperations) {
 			s.oversizedTransactions++
-			answer(400, map[string]string{"error": "too large"})
-			return
+			return "too large"
 		}
-		if a.Lease != 0 && s.leases[a.Lease] == nil {
-			answer(400, map[string]string{"error": "no such lease"})
-			return
+		if operation.LeaseID != 0 && s.leases[operation.LeaseID] == nil {
+			return "no such lease"
 		}
 	}
-	for _, g := range t.Guards {
-		mark := uint64(0)
-		if k := s.keys[g.Path]; k != nil {
-			mark = k.modRevision
+	return ""
+}
+
+// failedPrecondition returns the first key that has another mod revision than the transaction requires.
+func (s *StateService) failedPrecondition(t transaction) (key string, failed bool) {
+	for _, guard := range t.Guards {
+		modRevision := uint64(0)
+		if stored := s.keys[guard.Path]; stored != nil {
+			modRevision = stored.modRevision
 		}
-		if mark != g.Mark {
-			answer(409, map[string]any{"failed": []string{g.Path}, "tide": s.revision})
-			return
+		if modRevision != guard.ModRevision {
+			return guard.Path, true
 		}
 	}
+	return "", false
+}
+
+// apply executes all operations of a transaction at one new revision.
+func (s *StateService) apply(t transaction) {
 	s.revision++
-	for _, a := range t.Apply {
-		if a.Drop != "" {
-			delete(s.keys, a.Drop)
-			s.changeLog = append(s.changeLog, stateChange{Drop: a.Drop, ModRevision: s.revision})
+	for _, operation := range t.Apply {
+		if operation.Drop != "" {
+			delete(s.keys, operation.Drop)
+			s.changeLog = append(s.changeLog, stateChange{Drop: operation.Drop, ModRevision: s.revision})
 			continue
 		}
-		s.keys[a.Write] = &stateKey{a.Value, s.revision, a.Lease}
-		s.changeLog = append(s.changeLog, stateChange{Write: a.Write, Value: a.Value, ModRevision: s.revision})
+		s.keys[operation.Write] = &stateKey{operation.Value, s.revision, operation.LeaseID}
+		s.changeLog = append(s.changeLog, stateChange{Write: operation.Write, Value: operation.Value, ModRevision: s.revision})
 	}
-	answer(200, map[string]uint64{"tide": s.revision})
-	s.wakeWatches()
 }
 
 func (s *StateService) listKeys(query url.Values, answer func(int, any)) {
--- a/internal/simulator/userfaults.go
+++ b/internal/simulator/userfaults.go
@@ -112,7 +112,7 @@
 }
 
 // mustReject submits a job that has to be rejected with the final status, or with one that asks to retry.
-func (u *Users) mustReject(jobID string, fields map[string]any, final int) {
+func (u *Users) mustReject(jobID string, fields Submission, final int) {
 	u.request("POST", "/work", fields, func(status int, _ string, _ time.Time) {
 		if status != 0 && status != 503 && status != 429 && status != final {
 			u.sim.reportViolation(RuleInvalidAccepted, "accepted though it cannot run, or refused wrongly: %s is answered %d, not %d", jobID, status, final)
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -22,13 +22,17 @@
 
 func newUsers(sim *Cluster) *Users { return &Users{sim: sim} }
 
-// SubmissionFields are the fields of a submission as they are sent.
-func SubmissionFields(spec jobs.Spec) map[string]any {
+// Submission is the body of a submission by the names of its fields on the wire. It is a map so that tests can leave fields out and
+// send fields of a wrong type.
+type Submission map[string]any
+
+// SubmissionFields returns the submission of a job.
+func SubmissionFields(spec jobs.Spec) Submission {
 	kind := "array"
 	if spec.IsService {
 		kind = "service"
 	}
-	m := map[string]any{
+	m := Submission{
 		"id": spec.ID, "berth": spec.Class, "crew": spec.Team, "rig": kind,
 		"heading": [...]string{"best_effort", "standard", "high", "critical"}[spec.Priority], "strokes": spec.Tasks,
 		"cpus": spec.CPUs, "cards": spec.GPUs, "mem_gb": spec.MemoryGB, "hull": spec.Image, "image_gb": spec.ImageGB,
@@ -50,17 +54,33 @@
 	return m
 }
 
-// SubmitRandom submits a job with random properties.
+// SubmitRandom submits a job with random properties. Its user may cancel it or submit it again later.
 func (u *Users) SubmitRandom() {
 	r := u.sim.Rand
-	run := time.Duration(1+r.IntN(12)) * time.Second
-	s := jobs.Spec{
-		ID:       fmt.Sprintf("job-%06d", u.nextJob),
-		Class:    fmt.Sprintf("class-%d", r.IntN(3)),
-		Priority: jobs.Priority(r.IntN(4)),
-		Tasks: 1 + r.IntN(
-			cmp.Or(u.sim.Options.MaxTasks, 9),
-		),
+	spec, run := u.randomSpec()
+	u.SubmitJob(spec, run)
+	if r.IntN(5) == 0 || spec.IsService {
+		u.sim.At(time.Duration(r.IntN(40))*time.Second, func() { u.cancel(spec.ID) })
+	}
+	if r.IntN(4) == 0 {
+		u.sim.At(time.Duration(r.IntN(90))*time.Second, func() { u.sendSubmission(spec, u.sim.Now) })
+	}
+}
+
+const (
+	defaultMaxTasks = 9                // of a random job
+	serviceRunTime  = 1000 * time.Hour // longer than any run
+)
+
+// randomSpec draws a job and the run time of its tasks.
+func (u *Users) randomSpec() (spec jobs.Spec, run time.Duration) {
+	r := u.sim.Rand
+	run = time.Duration(1+r.IntN(12)) * time.Second
+	spec = jobs.Spec{
+		ID:              fmt.Sprintf("job-%06d", u.nextJob),
+		Class:           fmt.Sprintf("class-%d", r.IntN(3)),
+		Priority:        jobs.Priority(r.IntN(4)),
+		Tasks:           1 + r.IntN(cmp.Or(u.sim.Options.MaxTasks, defaultMaxTasks)),
 		CPUs:            float64(1 + r.IntN(3)),
 		MemoryGB:        2,
 		Image:           "img",
@@ -71,41 +91,35 @@
 		Team:            "none",
 	}
 	if u.nextJob%3 == 0 { // longer than what the archive's index holds exactly
-		s.ID = fmt.Sprintf("job-%014d", u.nextJob)
+		spec.ID = fmt.Sprintf("job-%014d", u.nextJob)
 	}
 	u.nextJob++
 	if len(u.sim.Options.Teams) > 0 {
-		s.Team = u.sim.Options.Teams[r.IntN(len(u.sim.Options.Teams))].Name
+		spec.Team = u.sim.Options.Teams[r.IntN(len(u.sim.Options.Teams))].Name
 	}
-	if !s.SingleZone && r.IntN(6) == 0 {
-		s.SpreadAcrossZones = true
+	if !spec.SingleZone && r.IntN(6) == 0 {
+		spec.SpreadAcrossZones = true
 	}
-	if r.IntN(8) == 0 && !s.SpreadAcrossZones {
-		s.Zone = "b"
+	if r.IntN(8) == 0 && !spec.SpreadAcrossZones {
+		spec.Zone = "b"
 	}
 	if r.IntN(8) == 0 {
-		s.MachineTypes = []string{"small"}
+		spec.MachineTypes = []string{"small"}
 	}
 	if r.IntN(3) == 0 {
-		s.Deadline = 3*run + 10*time.Second
+		spec.Deadline = 3*run + 10*time.Second
 	}
 	if r.IntN(3) == 0 {
-		s.CheckpointInterval, s.CheckpointDuration = 2*time.Second, time.Second
+		spec.CheckpointInterval, spec.CheckpointDuration = 2*time.Second, time.Second
 	}
 	if r.IntN(12) == 0 {
-		s.IsService, s.Tasks, s.Deadline, s.RunTimeEstimate = true, 1+r.IntN(2), 0, 0
-		run = 1000 * time.Hour
+		spec.IsService, spec.Tasks, spec.Deadline, spec.RunTimeEstimate = true, 1+r.IntN(2), 0, 0
+		run = serviceRunTime
 	}
 	if r.IntN(3) == 0 {
-		s.Dependencies = u.randomDependencies(1 + r.IntN(2))
-	}
-	u.SubmitJob(s, run)
-	if r.IntN(5) == 0 || s.IsService {
-		u.sim.At(time.Duration(r.IntN(40))*time.Second, func() { u.cancel(s.ID) })
-	}
-	if r.IntN(4) == 0 {
-		u.sim.At(time.Duration(r.IntN(90))*time.Second, func() { u.sendSubmission(s, u.sim.Now) })
+		spec.Dependencies = u.randomDependencies(1 + r.IntN(2))
 	}
+	return spec, run
 }
 
 // SubmitJob submits a job whose tasks have the given run time.
