--- a/internal/site/agent/runner_test.go
+++ b/internal/site/agent/runner_test.go
@@ -160,4 +160,9 @@
 	if left := process.Find(map[string]bool{second.runner.workerTag: true}, groups); len(left) > 0 {
 		t.Errorf("%v are left", left)
 	}
+	// The first runner looks for processes with the tags of these attempts until they have ended. A later run of this test has
+	// attempts with the same tags.
+	for range 2 {
+		<-first.ended
+	}
 }
