--- a/cmd/faulttest/commits.go
+++ b/cmd/faulttest/commits.go
@@ -259,7 +259,7 @@
 
 // serveSlowly runs the service in this process, until that ends.
 func serveSlowly(data, options, listen, metrics string, slower time.Duration) error {
-	opt, err := config.LoadKVServer(options)
+	opt, err := config.LoadKVServerOptions(options)
 	if err != nil {
 		return err
 	}
--- a/cmd/gullrudder/state.go
+++ b/cmd/gullrudder/state.go
@@ -27,7 +27,7 @@
 			if data == "" || listen == "" {
 				return &exitError{2, errors.New("state: --data and --listen are required")}
 			}
-			opt, err := config.LoadKVServer(operators)
+			opt, err := config.LoadKVServerOptions(operators)
 			if err != nil {
 				return &exitError{2, err}
 			}
--- a/internal/config/kvserver.go
+++ b/internal/config/kvserver.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// KVServer are the operators' settings of a state service. docs/operations/state.md describes each.
-type KVServer struct {
+// KVServerOptions are the operators' settings of a state service. docs/operations/state.md describes each.
+type KVServerOptions struct {
 	RequestRate         float64       // requests a second; 0: no limit
 	WriteRate           float64       // writes and deletes a second; 0: no limit
 	MaxValueBytes       int           // JSON bytes
@@ -19,30 +19,30 @@
 	DiskRetryInterval   time.Duration // how long after a failure the disk is tried again
 }
 
-// DefaultKVServer are the settings that count where the file says nothing.
-func DefaultKVServer() KVServer {
-	return KVServer{
+// DefaultKVServerOptions are the settings that count where the file says nothing.
+func DefaultKVServerOptions() KVServerOptions {
+	return KVServerOptions{
 		MaxValueBytes: 64 << 10, MaxTransactionOps: 128, MaxConnections: 1024, MaxWatches: 4096,
 		SnapshotMinLogBytes: 1 << 20, SnapshotLogRatio: 0.5, DiskRetryInterval: time.Second,
 	}
 }
 
-// LoadKVServer reads the operators' file of a state service; no path means the defaults. See ParseKVServer for its errors.
-func LoadKVServer(path string) (KVServer, error) {
-	s := DefaultKVServer()
+// LoadKVServerOptions reads the operators' file of a state service; no path means the defaults. See ParseKVServer for its errors.
+func LoadKVServerOptions(path string) (KVServerOptions, error) {
+	s := DefaultKVServerOptions()
 	if path == "" {
 		return s, nil
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return KVServer{}, fmt.Errorf("options: %w", err)
+		return KVServerOptions{}, fmt.Errorf("options: %w", err)
 	}
-	return ParseKVServer(raw)
+	return ParseKVServerOptions(raw)
 }
 
-// ParseKVServer reads <state><rps>200</rps>…</state>. A line that is wrong is a LineError.
-func ParseKVServer(raw []byte) (KVServer, error) {
-	s := DefaultKVServer()
+// ParseKVServerOptions reads <state><rps>200</rps>…</state>. A line that is wrong is a LineError.
+func ParseKVServerOptions(raw []byte) (KVServerOptions, error) {
+	s := DefaultKVServerOptions()
 	valueKB, snapshotKB := float64(s.MaxValueBytes)/bytesPerKB, float64(s.SnapshotMinLogBytes)/bytesPerKB
 	err := parseElements(raw, "state", map[string]optionField{
 		"rps":            numberField(0, 1e6, &s.RequestRate),
@@ -56,7 +56,7 @@
 		"retry-after":    durationField(10*time.Millisecond, time.Minute, &s.DiskRetryInterval),
 	})
 	if err != nil {
-		return KVServer{}, err
+		return KVServerOptions{}, err
 	}
 	s.MaxValueBytes, s.SnapshotMinLogBytes = int(valueKB*bytesPerKB), int64(snapshotKB*bytesPerKB)
 	return s, nil
--- a/internal/simulator/crashtest/play.go
+++ b/internal/simulator/crashtest/play.go
@@ -54,7 +54,7 @@
 	if disk != nil {
 		p.disk = disk
 	}
-	state, log, _, err := kvserver.Open(p.disk, config.DefaultKVServer(), p.now, slog.New(slog.DiscardHandler))
+	state, log, _, err := kvserver.Open(p.disk, config.DefaultKVServerOptions(), p.now, slog.New(slog.DiscardHandler))
 	if errors.Is(err, faultydisk.ErrCrashed) {
 		return false
 	}
--- a/internal/site/kvserver/helpers_test.go
+++ b/internal/site/kvserver/helpers_test.go
@@ -18,7 +18,7 @@
 )
 
 // openEmpty opens a store in an empty directory of a disk that fails when it is told to.
-func openEmpty(t rapid.TB, options config.KVServer, now time.Time) (*kvserver.State, *kvserver.Storage, *faultydisk.Disk) {
+func openEmpty(t rapid.TB, options config.KVServerOptions, now time.Time) (*kvserver.State, *kvserver.Storage, *faultydisk.Disk) {
 	t.Helper()
 	files := faultydisk.New(rand.New(rand.NewPCG(1, 1)))
 	state, storage, _, err := kvserver.Open(files, options, now, slog.New(slog.DiscardHandler))
@@ -91,7 +91,7 @@
 }
 
 func reopenDirectory(files *faultydisk.Disk) (kvserver.Inspection, error) {
-	_, _, inspection, err := kvserver.Open(files, config.DefaultKVServer(), time.Unix(200, 0), slog.New(slog.DiscardHandler))
+	_, _, inspection, err := kvserver.Open(files, config.DefaultKVServerOptions(), time.Unix(200, 0), slog.New(slog.DiscardHandler))
 	return inspection, err
 }
 
--- a/internal/site/kvserver/limits_test.go
+++ b/internal/site/kvserver/limits_test.go
@@ -19,8 +19,8 @@
 	return body
 }
 
-func limitedOptions() config.KVServer {
-	options := config.DefaultKVServer()
+func limitedOptions() config.KVServerOptions {
+	options := config.DefaultKVServerOptions()
 	options.MaxTransactionOps, options.MaxValueBytes, options.MaxWatches = 2, 1024, 1
 	options.RequestRate, options.WriteRate = 100, 10
 	return options
--- a/internal/site/kvserver/model_test.go
+++ b/internal/site/kvserver/model_test.go
@@ -30,7 +30,7 @@
 func TestStateAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
-		state, _, _ := openEmpty(t, config.DefaultKVServer(), now)
+		state, _, _ := openEmpty(t, config.DefaultKVServerOptions(), now)
 		m := &modelTest{now: now, state: state, model: crashtest.NewPlain(), watched: map[string]uint64{}}
 		m.keys = rapid.Custom(func(t *rapid.T) string {
 			return rapid.SampledFrom([]string{"a", "a/b", "a/c", "ab", "b/1", "b/10", "b/2", "ü"}).Draw(t, "key")
--- a/internal/site/kvserver/server.go
+++ b/internal/site/kvserver/server.go
@@ -34,7 +34,7 @@
 type Server struct {
 	state     *State
 	storage   *Storage
-	options   config.KVServer
+	options   config.KVServerOptions
 	log       *slog.Logger
 	metrics   *Metrics
 	requests  chan Request
@@ -44,7 +44,7 @@
 }
 
 // NewServer makes the server of a store that was opened.
-func NewServer(state *State, storage *Storage, options config.KVServer, metrics *Metrics, log *slog.Logger) *Server {
+func NewServer(state *State, storage *Storage, options config.KVServerOptions, metrics *Metrics, log *slog.Logger) *Server {
 	return &Server{
 		state: state, storage: storage, options: options, log: log, metrics: metrics,
 		requests:  make(chan Request, requestQueueLength),
--- a/internal/site/kvserver/server_test.go
+++ b/internal/site/kvserver/server_test.go
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	s := &testServer{addr: freeAddr(t), path: path, files: &failingDirectory{Directory: dir}, client: http1.NewClient(16, 8, 1<<20)}
-	options := config.DefaultKVServer()
+	options := config.DefaultKVServerOptions()
 	options.DiskRetryInterval, options.SnapshotMinLogBytes, options.SnapshotLogRatio = 20*time.Millisecond, 4096, 0
 	log := slog.New(slog.DiscardHandler)
 	state, storage, _, err := kvserver.Open(s.files, options, time.Now(), log)
--- a/internal/site/kvserver/state.go
+++ b/internal/site/kvserver/state.go
@@ -21,7 +21,7 @@
 // State is what the store holds and who waits for it. It belongs to one goroutine.
 type State struct {
 	*keyspace
-	options        config.KVServer
+	options        config.KVServerOptions
 	requestLimiter *client.RateLimiter // nil: no limit
 	writeLimiter   *client.RateLimiter // nil: no limit
 	watches        []*watch
@@ -31,7 +31,7 @@
 }
 
 // newState makes the owner of a keyspace. Leases have their full time from now on.
-func newState(keys *keyspace, options config.KVServer, now time.Time) *State {
+func newState(keys *keyspace, options config.KVServerOptions, now time.Time) *State {
 	s := &State{keyspace: keys, options: options}
 	if options.RequestRate > 0 {
 		s.requestLimiter = client.NewRateLimiter(options.RequestRate, time.Second)
--- a/internal/site/kvserver/storage.go
+++ b/internal/site/kvserver/storage.go
@@ -14,7 +14,7 @@
 type Storage struct {
 	files                   Directory
 	wal                     *WAL
-	options                 config.KVServer
+	options                 config.KVServerOptions
 	uncoveredLogBytes       int64 // of log that no snapshot covers
 	pendingSnapshotLogBytes int64 // of log that the snapshot under way is to cover
 	lastSnapshotBytes       int64 // size of the last snapshot
@@ -22,7 +22,7 @@
 
 // Open recovers a store from its directory and makes it ready to go on. A directory that is damaged is a DamageError, and nothing in
 // it is changed.
-func Open(files Directory, options config.KVServer, now time.Time, log *slog.Logger) (*State, *Storage, Inspection, error) {
+func Open(files Directory, options config.KVServerOptions, now time.Time, log *slog.Logger) (*State, *Storage, Inspection, error) {
 	recovered, err := recoverDirectory(files)
 	if err != nil {
 		return nil, nil, Inspection{}, err
--- a/internal/site/kvserver/storage_test.go
+++ b/internal/site/kvserver/storage_test.go
@@ -25,7 +25,7 @@
 // directoryToDamage is a directory with a snapshot of five keys and five frames behind it.
 func directoryToDamage(t *testing.T) *faultydisk.Disk {
 	t.Helper()
-	state, storage, files := openEmpty(t, config.DefaultKVServer(), time.Unix(100, 0))
+	state, storage, files := openEmpty(t, config.DefaultKVServerOptions(), time.Unix(100, 0))
 	for i := range 5 {
 		commitKey(t, state, storage, fmt.Sprintf("a/%d", i), strings.Repeat("x", 50))
 	}
@@ -94,7 +94,7 @@
 // later ones are.
 func TestFullDiskKeepsState(t *testing.T) {
 	now := time.Unix(100, 0)
-	state, storage, files := openEmpty(t, config.DefaultKVServer(), now)
+	state, storage, files := openEmpty(t, config.DefaultKVServerOptions(), now)
 	commitKey(t, state, storage, "a", "1")
 	writer, err := storage.BeginSnapshot(state.Freeze())
 	if err != nil {
@@ -181,7 +181,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state, storage, _, err := kvserver.Open(dir, config.DefaultKVServer(), time.Unix(100, 0), slog.New(slog.DiscardHandler))
+	state, storage, _, err := kvserver.Open(dir, config.DefaultKVServerOptions(), time.Unix(100, 0), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/site/kvserver/watches_test.go
+++ b/internal/site/kvserver/watches_test.go
@@ -17,7 +17,7 @@
 // more.
 func TestWatches(t *testing.T) {
 	now := time.Unix(100, 0)
-	state, _, _ := openEmpty(t, config.DefaultKVServer(), now)
+	state, _, _ := openEmpty(t, config.DefaultKVServerOptions(), now)
 	commit := func(key string) uint64 {
 		var committed commitResponse
 		decode(t, sendOne(t, state, now, crashtest.Commit(nil, []crashtest.Op{{Key: key, Value: "v"}})), &committed)
@@ -66,7 +66,7 @@
 // A watch goes on over a restart if the log still has what came after its revision; what a snapshot covers is not kept as changes,
 // and its watcher is told to read the keys again.
 func TestWatchAcrossRestart(t *testing.T) {
-	state, storage, files := openEmpty(t, config.DefaultKVServer(), time.Unix(100, 0))
+	state, storage, files := openEmpty(t, config.DefaultKVServerOptions(), time.Unix(100, 0))
 	for i := range 4 {
 		commitKey(t, state, storage, fmt.Sprintf("a/%d", i), "v")
 	}
@@ -74,7 +74,7 @@
 	commitKey(t, state, storage, "a/4", "v")
 	commitKey(t, state, storage, "a/5", "v")
 	reopened, _, _, err := kvserver.Open(
-		files.After(faultydisk.Kept), config.DefaultKVServer(), time.Unix(200, 0), slog.New(slog.DiscardHandler),
+		files.After(faultydisk.Kept), config.DefaultKVServerOptions(), time.Unix(200, 0), slog.New(slog.DiscardHandler),
 	)
 	if err != nil {
 		t.Fatal(err)
