--- a/cmd/gullrudder/served.go
+++ b/cmd/gullrudder/served.go
@@ -14,7 +14,7 @@
 		"DONE counts jobs of the last minutes, what is longer ago counting ever less; LATE are jobs that can keep none of their\n"+
 			"aims any more. Below the least share (floor-least) a class or team has room ahead of others (floor-share).", cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
-			var list api.ServiceShares
+			var list api.ServedShares
 			if err := a.get("/served", &list); err != nil {
 				return err
 			}
@@ -22,7 +22,7 @@
 		})
 }
 
-func servedTable(w io.Writer, list api.ServiceShares) {
+func servedTable(w io.Writer, list api.ServedShares) {
 	fmt.Fprintln(w, "\tNAME\tSERVED\tDONE\tLATE\tWITH ROOM OF THEIR OWN")
 	for _, g := range list.Groups {
 		kind, mark := "class", ""
@@ -35,6 +35,6 @@
 		if g.Share < list.MinShare {
 			mark = "behind"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.0f %%\t%.1f\t%d\t%d\t%s\n", kind, g.Name, 100*g.Share, g.DoneJobs, g.OverdueJobs, g.OverdueReserved, mark)
+		fmt.Fprintf(w, "%s\t%s\t%.0f %%\t%.1f\t%d\t%d\t%s\n", kind, g.Name, 100*g.Share, g.DoneJobs, g.UnservedJobs, g.AllocatedJobs, mark)
 	}
 }
--- a/internal/controller/accounting/tracker.go
+++ b/internal/controller/accounting/tracker.go
@@ -20,7 +20,7 @@
 
 // Tracker has the accounts of a leadership.
 type Tracker struct {
-	logger    *slog.Logger
+	log       *slog.Logger
 	metrics   *Metrics
 	accounts  map[*jobs.Job]*account // of unfinished jobs
 	finished  *finishedAccounts
@@ -30,9 +30,9 @@
 }
 
 // New returns the tracker of a new leadership.
-func New(metrics *Metrics, logger *slog.Logger) *Tracker {
+func New(metrics *Metrics, log *slog.Logger) *Tracker {
 	return &Tracker{
-		logger: logger, metrics: metrics, accounts: map[*jobs.Job]*account{}, finished: newFinishedAccounts(), totals: groupTotals{},
+		log: log, metrics: metrics, accounts: map[*jobs.Job]*account{}, finished: newFinishedAccounts(), totals: groupTotals{},
 	}
 }
 
@@ -44,7 +44,7 @@
 func (t *Tracker) Restore(job *jobs.Job, encoded string, leaderSince time.Time) {
 	restored := &account{reason: EarlierLeader}
 	if breakdown, err := parseBreakdown(encoded); err != nil {
-		t.logger.Error("time account unreadable", logkeys.Job, job.ID, logkeys.Err, err)
+		t.log.Error("time account unreadable", logkeys.Job, job.ID, logkeys.Err, err)
 	} else {
 		restored.breakdown, restored.countedMs = breakdown, breakdown.Total()
 	}
@@ -165,7 +165,7 @@
 		return
 	}
 	for _, total := range t.Totals("", "", time.Time{}) {
-		t.logger.Info("time by wait reason", total.logAttributes()...)
+		t.log.Info("time by wait reason", total.logAttributes()...)
 	}
 }
 
--- a/internal/controller/admission/schedule.go
+++ b/internal/controller/admission/schedule.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxTerms bounds the plan; the time after it counts as one long term.
-	maxTerms = 240
+	// maxIntervals bounds the plan; the time after it counts as one long term.
+	maxIntervals = 240
 	// workTolerance is the amount of work, in CPU seconds, that counts as none.
 	workTolerance = 1e-9
 )
@@ -38,7 +38,7 @@
 // schedule is a plan of equal terms from now on, in which CPUs are reserved for jobs (§3.3.3).
 type schedule struct {
 	now           time.Time
-	term          time.Duration
+	interval      time.Duration
 	capacity      Capacity
 	withheldShare float64   // of the capacity, which is promised to no deadline job
 	reservedCPUs  []float64 // by term
@@ -52,7 +52,7 @@
 	})
 	plan := &schedule{
 		now:           now,
-		term:          p.options.PlanningInterval,
+		interval:      p.options.PlanningInterval,
 		capacity:      capacity,
 		withheldShare: p.options.AgedShare + p.fairShare.ReservedCPUShare(),
 	}
@@ -81,47 +81,47 @@
 	if len(job.ActiveAttempts) == 0 && remaining < taskRunTime {
 		return false
 	}
-	grants, unplaced := s.grants(job, remaining, cpuSeconds)
+	cpusByInterval, unplaced := s.fitIntoIntervals(job, remaining, cpuSeconds)
 	if unplaced > workTolerance {
 		return false
 	}
-	for term, cpus := range grants {
-		s.reservedCPUs[term] += cpus
+	for interval, cpus := range cpusByInterval {
+		s.reservedCPUs[interval] += cpus
 	}
 	return true
 }
 
-// grants returns, by term, the CPUs that the job can get before its deadline, and the CPU seconds that do not fit.
-func (s *schedule) grants(job *jobs.Job, remaining time.Duration, cpuSeconds float64) (grants []float64, unplaced float64) {
+// fitIntoIntervals returns, by term, the CPUs that the job can get before its deadline, and the CPU seconds that do not fit.
+func (s *schedule) fitIntoIntervals(job *jobs.Job, remaining time.Duration, cpuSeconds float64) (cpusByInterval []float64, unplaced float64) {
 	taskCPUs := estimate.CountedCPUs(job)
 	width := RoundUp(float64(job.Tasks-job.DoneTasks)*taskCPUs, s.capacity.MachineCPUs)
-	lastTerm := min(int(remaining/s.term), maxTerms)
-	grants = make([]float64, 0, lastTerm+1)
-	for term := 0; term <= lastTerm && cpuSeconds > workTolerance; term++ {
-		seconds := s.term.Seconds()
-		if term == lastTerm {
+	lastInterval := min(int(remaining/s.interval), maxIntervals)
+	cpusByInterval = make([]float64, 0, lastInterval+1)
+	for interval := 0; interval <= lastInterval && cpuSeconds > workTolerance; interval++ {
+		seconds := s.interval.Seconds()
+		if interval == lastInterval {
 			// The last term counts as far as the deadline reaches into it.
-			seconds = (remaining - time.Duration(lastTerm)*s.term).Seconds()
+			seconds = (remaining - time.Duration(lastInterval)*s.interval).Seconds()
 		}
 		if seconds <= 0 {
 			break
 		}
 		neededTasks := math.Ceil(cpuSeconds/seconds/taskCPUs - workTolerance)
-		cpus := min(width, s.freeCPUs(term), neededTasks*taskCPUs)
-		grants = append(grants, cpus)
+		cpus := min(width, s.freeCPUs(interval), neededTasks*taskCPUs)
+		cpusByInterval = append(cpusByInterval, cpus)
 		cpuSeconds -= cpus * seconds
 	}
-	return grants, cpuSeconds
+	return cpusByInterval, cpuSeconds
 }
 
 // freeCPUs is the capacity of a term that is neither withheld nor reserved.
-func (s *schedule) freeCPUs(term int) float64 {
-	for len(s.reservedCPUs) <= term {
+func (s *schedule) freeCPUs(interval int) float64 {
+	for len(s.reservedCPUs) <= interval {
 		s.reservedCPUs = append(s.reservedCPUs, 0)
 	}
 	cpus := s.capacity.CPUs
-	if time.Duration(term)*s.term >= s.capacity.BootTime {
+	if time.Duration(interval)*s.interval >= s.capacity.BootTime {
 		cpus += s.capacity.GrowthCPUs
 	}
-	return max(cpus*(1-s.withheldShare)-s.reservedCPUs[term], 0)
+	return max(cpus*(1-s.withheldShare)-s.reservedCPUs[interval], 0)
 }
--- a/internal/controller/api/archived.go
+++ b/internal/controller/api/archived.go
@@ -73,7 +73,7 @@
 
 func (h *jobHandler) refuseArchived(archived archivedRequest, err error) {
 	if err != nil {
-		h.logger.Info("archived job lookup failed", logkeys.Job, archived.jobID, logkeys.Err, err)
+		h.log.Info("archived job lookup failed", logkeys.Job, archived.jobID, logkeys.Err, err)
 	}
 	h.responder.RespondError(
 		archived.request, http.StatusServiceUnavailable, "finished jobs cannot be looked up now", archiveRetryDelay,
--- a/internal/controller/api/cancel.go
+++ b/internal/controller/api/cancel.go
@@ -48,7 +48,7 @@
 	done := func(now time.Time, isDurable bool) {
 		if isDurable && job.State == jobs.Accepted {
 			h.jobStore.ApplyCancellation(now, job)
-			h.logger.Info("job cancelled", logkeys.Job, job.ID)
+			h.log.Info("job cancelled", logkeys.Job, job.ID)
 		}
 		if request != nil {
 			h.respondCancelled(request, job, isDurable)
@@ -58,7 +58,7 @@
 	options := storage.SetOptions{ReservedBytes: job.MaxRecordBytes(), Urgent: true, Done: done}
 	err := h.storage.Set(now, job.ID, record, options)
 	if err != nil {
-		h.logger.Error("cancellation not saved", logkeys.Job, job.ID, logkeys.Err, err)
+		h.log.Error("cancellation not saved", logkeys.Job, job.ID, logkeys.Err, err)
 	}
 }
 
--- a/internal/controller/api/golden_bytes_test.go
+++ b/internal/controller/api/golden_bytes_test.go
@@ -29,9 +29,9 @@
 		Accounts: []ClassAccount{{Team: "vision", Class: "train", JobCount: 3, Milliseconds: 70_000, Shares: shares}},
 		OpenJobs: 9,
 	}
-	served := ServiceShares{
-		Groups: []ServiceShare{
-			{IsTeam: true, Name: "vision", DoneJobs: 12.5, OverdueJobs: 2, OverdueReserved: 1, Share: 0.75, IsLargestJobs: true},
+	served := ServedShares{
+		Groups: []ServedShare{
+			{IsTeam: true, Name: "vision", DoneJobs: 12.5, UnservedJobs: 2, AllocatedJobs: 1, Share: 0.75, IsLargestJobs: true},
 		},
 		MinShare: 0.25,
 	}
--- a/internal/controller/api/messages.go
+++ b/internal/controller/api/messages.go
@@ -68,21 +68,21 @@
 	OpenJobs int            `msgpack:"open" json:"open"` // unfinished jobs, which are not counted
 }
 
-// ServiceShare is how a class or a team was served lately.
-type ServiceShare struct {
-	IsTeam          bool    `msgpack:"team" json:"team"` // a team; otherwise a class
-	Name            string  `msgpack:"name" json:"name"`
-	DoneJobs        float64 `msgpack:"done" json:"done"`       // the longer ago, the less they count
-	OverdueJobs     int     `msgpack:"late" json:"late"`       // jobs that can meet none of their objectives any more
-	OverdueReserved int     `msgpack:"owed" json:"owed"`       // of these, jobs with a capacity of their own
-	Share           float64 `msgpack:"share" json:"share"`     // done jobs, of done and overdue ones
-	IsLargestJobs   bool    `msgpack:"largest" json:"largest"` // the group is the largest jobs of the class
+// ServedShare is how a class or a team was served lately.
+type ServedShare struct {
+	IsTeam        bool    `msgpack:"team" json:"team"` // a team; otherwise a class
+	Name          string  `msgpack:"name" json:"name"`
+	DoneJobs      float64 `msgpack:"done" json:"done"`       // the longer ago, the less they count
+	UnservedJobs  int     `msgpack:"late" json:"late"`       // jobs that can meet none of their objectives any more
+	AllocatedJobs int     `msgpack:"owed" json:"owed"`       // of these, jobs with a capacity of their own
+	Share         float64 `msgpack:"share" json:"share"`     // done jobs, of done and overdue ones
+	IsLargestJobs bool    `msgpack:"largest" json:"largest"` // the group is the largest jobs of the class
 }
 
-// ServiceShares is what `gullrudder served` shows, the least served first.
-type ServiceShares struct {
-	Groups   []ServiceShare `msgpack:"groups" json:"groups"`
-	MinShare float64        `msgpack:"least" json:"least"` // below it, a class or team goes ahead of others
+// ServedShares is what `gullrudder served` shows, the least served first.
+type ServedShares struct {
+	Groups   []ServedShare `msgpack:"groups" json:"groups"`
+	MinShare float64       `msgpack:"least" json:"least"` // below it, a class or team goes ahead of others
 }
 
 // ZoneStatus is what is known of a zone. Times are in seconds.
--- a/internal/controller/api/query.go
+++ b/internal/controller/api/query.go
@@ -44,7 +44,7 @@
 type jobHandler struct {
 	responder  *server.Responder
 	outbox     *client.Outbox
-	logger     *slog.Logger
+	log        *slog.Logger
 	holdsLease func() bool
 	storage    *storage.Store
 	jobStore   *jobstore.Store
--- a/internal/controller/api/routes.go
+++ b/internal/controller/api/routes.go
@@ -40,7 +40,7 @@
 		h.views.serveAccounts(now, request)
 	}},
 	{[]string{"served"}, http.MethodGet, func(h *Handler, now time.Time, request *server.Request, _ []string) {
-		h.views.serveServiceShares(now, request)
+		h.views.serveServedShares(now, request)
 	}},
 	{[]string{"zones"}, http.MethodGet, func(h *Handler, now time.Time, request *server.Request, _ []string) {
 		h.views.serveZones(now, request)
--- a/internal/controller/api/submission.go
+++ b/internal/controller/api/submission.go
@@ -126,7 +126,7 @@
 	}
 	job := jobs.New(submitted.spec, now)
 	if reason := h.unsatisfiableReason(job); reason != "" {
-		h.logger.Info("job refused", logkeys.Job, job.ID, logkeys.Reason, reason)
+		h.log.Info("job refused", logkeys.Job, job.ID, logkeys.Reason, reason)
 		h.responder.RespondError(request, http.StatusUnprocessableEntity, reason, 0)
 		return nil, false
 	}
@@ -208,6 +208,6 @@
 	} else {
 		h.jobStore.ApplyAcceptance(now, job)
 	}
-	h.logger.Info("job accepted",
+	h.log.Info("job accepted",
 		logkeys.Job, job.ID, logkeys.Class, job.Class, "tasks", job.Tasks, "label", labelOf(job.Guaranteed))
 }
--- a/internal/controller/autoscaler/instances.go
+++ b/internal/controller/autoscaler/instances.go
@@ -29,11 +29,11 @@
 // instances have been booting.
 func (s *Scaler) refreshInstances(now time.Time) {
 	s.instances = s.instances[:0]
-	awaited := map[string][]time.Duration{}
+	bootingAges := map[string][]time.Duration{}
 	for id, instance := range s.cloud.Instances {
 		machine := s.workers.Machines[id]
 		if machine == nil && !instance.Deleting && instance.State != cloud.StateFailed && !s.zones.IsUnavailable(instance.Kind.Zone) {
-			awaited[instance.Kind.Type] = append(awaited[instance.Kind.Type], now.Sub(instance.RequestedAt))
+			bootingAges[instance.Kind.Type] = append(bootingAges[instance.Kind.Type], now.Sub(instance.RequestedAt))
 		}
 		s.instances = append(s.instances, trackedInstance{
 			Instance:     instance,
@@ -42,10 +42,10 @@
 			leaseExpired: machine != nil && s.workers.IsLeaseExpired(now, machine),
 		})
 	}
-	for _, ages := range awaited {
+	for _, ages := range bootingAges {
 		slices.SortFunc(ages, func(a, b time.Duration) int { return cmp.Compare(b, a) })
 	}
-	s.cloud.ObserveAwaited(awaited)
+	s.cloud.ObserveBooting(bootingAges)
 }
 
 // prepaidTime returns how long an instance has been paid for beyond now, because of minBilledTime.
--- a/internal/controller/cloud/boottime/estimator.go
+++ b/internal/controller/cloud/boottime/estimator.go
@@ -25,8 +25,8 @@
 	timeoutFactor = 2.5
 	timeoutGrace  = 30 * time.Second
 	medianRank    = 0.5
-	// maxAwaited is the number of awaited instances that count for a type.
-	maxAwaited = 64
+	// maxBooting is the number of awaited instances that count for a type.
+	maxBooting = 64
 	// overdueAgeDivisor and overdueStatedDivisor estimate the rest of a boot that takes longer than expected: that part of its
 	// age, and at least that part of the stated time.
 	overdueAgeDivisor    = 4
@@ -37,7 +37,7 @@
 type samples struct {
 	factors        []float64 // a ring buffer of completed boots
 	nextSlot       int       // in factors, once it is full
-	awaitedFactors []float64 // ages of the instances that have not reported, as last observed
+	bootingFactors []float64 // ages of the instances that have not reported, as last observed
 }
 
 // Estimator holds the samples of each machine type.
@@ -71,11 +71,11 @@
 	s.nextSlot = (s.nextSlot + 1) % maxSamples
 }
 
-// ObserveAwaited records the ages of all instances that have not reported, by type; of many the first ones count. Instances that
+// ObserveBooting records the ages of all instances that have not reported, by type; of many the first ones count. Instances that
 // are late together raise the estimate before any of them reports.
-func (e *Estimator) ObserveAwaited(agesByType map[string][]time.Duration, statedTimeOf func(machineType string) time.Duration) {
+func (e *Estimator) ObserveBooting(agesByType map[string][]time.Duration, statedTimeOf func(machineType string) time.Duration) {
 	for _, s := range e.types {
-		s.awaitedFactors = s.awaitedFactors[:0]
+		s.bootingFactors = s.bootingFactors[:0]
 	}
 	for machineType, ages := range agesByType {
 		stated := statedTimeOf(machineType)
@@ -83,8 +83,8 @@
 			continue
 		}
 		s := e.samplesOf(machineType)
-		for _, age := range ages[:min(len(ages), maxAwaited)] {
-			s.awaitedFactors = append(s.awaitedFactors, min(age.Seconds()/stated.Seconds(), maxFactor))
+		for _, age := range ages[:min(len(ages), maxBooting)] {
+			s.bootingFactors = append(s.bootingFactors, min(age.Seconds()/stated.Seconds(), maxFactor))
 		}
 	}
 }
@@ -98,7 +98,7 @@
 	}
 	slices.Sort(all)
 	median := all[len(all)/2]
-	for _, factor := range s.awaitedFactors {
+	for _, factor := range s.bootingFactors {
 		if factor > median {
 			all = append(all, factor)
 		}
--- a/internal/controller/cloud/boottime/estimator_test.go
+++ b/internal/controller/cloud/boottime/estimator_test.go
@@ -52,7 +52,7 @@
 		for i := range ages {
 			ages[i] = age
 		}
-		estimator.ObserveAwaited(map[string][]time.Duration{"small": ages}, func(string) time.Duration { return statedTime })
+		estimator.ObserveBooting(map[string][]time.Duration{"small": ages}, func(string) time.Duration { return statedTime })
 	}
 	await(1, 131*time.Second)
 	if timeout := estimator.Timeout("small", statedTime); timeout > 131*time.Second {
@@ -78,7 +78,7 @@
 	estimator.ObserveBoot("small", -time.Second, statedTime)
 	estimator.ObserveBoot("other", time.Second, 0)
 	ages := map[string][]time.Duration{"small": make([]time.Duration, 5000), "other": {time.Hour}}
-	estimator.ObserveAwaited(ages, func(name string) time.Duration {
+	estimator.ObserveBooting(ages, func(name string) time.Duration {
 		if name == "small" {
 			return statedTime
 		}
@@ -86,7 +86,7 @@
 	})
 	assertBetween(t, "expected", estimator.Expected("small", statedTime), statedTime, maxFactor*statedTime)
 	assertBetween(t, "timeout", estimator.Timeout("small", statedTime), statedTime, maxFactor*5*statedTime/2+timeoutGrace)
-	if n := len(estimator.types["small"].factors) + len(estimator.types["small"].awaitedFactors); n > maxSamples+maxAwaited {
+	if n := len(estimator.types["small"].factors) + len(estimator.types["small"].bootingFactors); n > maxSamples+maxBooting {
 		t.Errorf("%d samples are kept", n)
 	}
 }
--- a/internal/controller/cloud/client.go
+++ b/internal/controller/cloud/client.go
@@ -149,9 +149,9 @@
 	instance.LastListed = now
 }
 
-// ObserveAwaited records the ages of the instances that have not reported yet, by machine type.
-func (c *Client) ObserveAwaited(agesByType map[string][]time.Duration) {
-	c.bootTimes.ObserveAwaited(agesByType, func(name string) time.Duration {
+// ObserveBooting records the ages of the instances that have not reported yet, by machine type.
+func (c *Client) ObserveBooting(agesByType map[string][]time.Duration) {
+	c.bootTimes.ObserveBooting(agesByType, func(name string) time.Duration {
 		if machineType := c.MachineTypes[name]; machineType != nil {
 			return machineType.StatedBootTime()
 		}
--- a/internal/controller/dynamicconfig/store.go
+++ b/internal/controller/dynamicconfig/store.go
@@ -43,16 +43,16 @@
 	current      config.Options // in effect
 	applied      *record        // what the state service keeps; nil: nothing was applied
 	isCommitting bool           // a change is being committed; there is no second one until it is durable
-	logger       *slog.Logger
+	log          *slog.Logger
 	responder    *server.Responder
 	storage      *storage.Store
 	onChange     func(config.Options)
 }
 
 // New returns the options of a new leadership, those of the file until Restore is called.
-func New(fileOptions config.Options, stored *storage.Store, responder *server.Responder, logger *slog.Logger) *Store {
+func New(fileOptions config.Options, stored *storage.Store, responder *server.Responder, log *slog.Logger) *Store {
 	return &Store{
-		fileOptions: fileOptions, current: fileOptions, logger: logger, responder: responder, storage: stored,
+		fileOptions: fileOptions, current: fileOptions, log: log, responder: responder, storage: stored,
 		onChange: func(config.Options) {},
 	}
 }
@@ -159,7 +159,7 @@
 
 func (s *Store) logApplied(applied *record) {
 	newest := applied.Changes[0]
-	s.logger.Info("settings applied", "version", newest.Version, "author", newest.Author, "changes", strings.Join(newest.Details, ", "))
+	s.log.Info("settings applied", "version", newest.Version, "author", newest.Author, "changes", strings.Join(newest.Details, ", "))
 }
 
 // activate puts other options into effect, except for those of the election.
@@ -182,7 +182,7 @@
 		options, err = config.ParseOptions([]byte(stored.Text))
 	}
 	if err != nil {
-		s.logger.Error("stored settings unreadable", logkeys.Err, err)
+		s.log.Error("stored settings unreadable", logkeys.Err, err)
 		return
 	}
 	s.applied = &stored
--- a/internal/controller/fairshare/allocate.go
+++ b/internal/controller/fairshare/allocate.go
@@ -160,7 +160,7 @@
 		if state == nil || n.usedCPUs >= n.shareFor(state)*n.totalCPUs {
 			return
 		}
-		n.grant(state)
+		n.allocateNext(state)
 	}
 }
 
@@ -168,23 +168,23 @@
 // served least, a group that uses half of a share yields to any other group that wants some; but a group below the minimum
 // share never yields to one above it.
 func (n *allocation) next() *groupState {
-	var least, leastOfModest *groupState
+	var least, leastBelowCap *groupState
 	for _, group := range n.groups {
 		state := n.states[group]
 		n.skipAllocated(state)
-		if len(state.waiting) == 0 || n.yieldsToClass(group) {
+		if len(state.waiting) == 0 || n.waitsForClass(group) {
 			continue
 		}
 		if least == nil || state.servedShare() < least.servedShare() {
 			least = state
 		}
-		isModest := state.usedCPUs < maxShareOfOneGroup*n.shareFor(state)*n.totalCPUs
-		if isModest && (leastOfModest == nil || state.servedShare() < leastOfModest.servedShare()) {
-			leastOfModest = state
+		isBelowCap := state.usedCPUs < maxShareOfOneGroup*n.shareFor(state)*n.totalCPUs
+		if isBelowCap && (leastBelowCap == nil || state.servedShare() < leastBelowCap.servedShare()) {
+			leastBelowCap = state
 		}
 	}
-	if leastOfModest != nil && (leastOfModest.isBelowMinShare() || !least.isBelowMinShare()) {
-		return leastOfModest
+	if leastBelowCap != nil && (leastBelowCap.isBelowMinShare() || !least.isBelowMinShare()) {
+		return leastBelowCap
 	}
 	return least
 }
@@ -196,8 +196,8 @@
 	}
 }
 
-// yieldsToClass reports whether a group of largest jobs has to wait for the other jobs of its class.
-func (n *allocation) yieldsToClass(group Group) bool {
+// waitsForClass reports whether a group of largest jobs has to wait for the other jobs of its class.
+func (n *allocation) waitsForClass(group Group) bool {
 	if !group.IsLargest {
 		return false
 	}
@@ -210,8 +210,8 @@
 	return n.allocator.policy.cpuShareFor(state.servedShare(), state.minServedShare)
 }
 
-// grant allocates capacity to the first waiting job of the group.
-func (n *allocation) grant(state *groupState) {
+// allocateNext allocates capacity to the first waiting job of the group.
+func (n *allocation) allocateNext(state *groupState) {
 	candidate := n.overdue[state.waiting[0]]
 	reason := Overdue
 	if state.isBelowMinShare() {
--- a/internal/controller/jobs/parse.go
+++ b/internal/controller/jobs/parse.go
@@ -33,7 +33,7 @@
 	if spec.CPUs == 0 && spec.GPUs == 0 && spec.MemoryGB == 0 {
 		fields.reject("cpus", "a task that takes nothing")
 	}
-	spec.IsService, spec.IsGang = fields.readShape("rig")
+	spec.IsService, spec.IsGang = fields.readJobKind("rig")
 	spec.Priority = fields.readPriority("heading")
 	fields.readOptional(&spec)
 	if !spec.IsService && spec.RunTimeEstimate == 0 {
@@ -68,7 +68,7 @@
 	return int(count)
 }
 
-func (f *fieldReader) readShape(name string) (isService, isGang bool) {
+func (f *fieldReader) readJobKind(name string) (isService, isGang bool) {
 	switch f.readText(name) {
 	case "array":
 		return false, false
@@ -85,7 +85,7 @@
 func (f *fieldReader) readPriority(name string) Priority {
 	switch f.readText(name) {
 	case "critical":
-		return Production
+		return Critical
 	case "high":
 		return High
 	case "standard":
--- a/internal/controller/jobs/spec.go
+++ b/internal/controller/jobs/spec.go
@@ -13,7 +13,7 @@
 	Low Priority = iota
 	Normal
 	High
-	Production
+	Critical
 )
 
 const (
--- a/internal/controller/placement/preempt.go
+++ b/internal/controller/placement/preempt.go
@@ -80,13 +80,13 @@
 }
 
 // add adds a machine and its tasks; those of a machine that was not heard recently are not preempted.
-func (s *preemptionSurvey) add(now time.Time, machine *worker.Machine, heardRecently bool) {
+func (s *preemptionSurvey) add(now time.Time, machine *worker.Machine, isHeartbeatRecent bool) {
 	freeable := freeableMachine{machine: machine}
 	for _, attempt := range machine.Attempts {
 		switch {
 		case !attempt.StopSentAt.IsZero() && attempt.Job != nil:
 			freeable.stoppingCPUs += attempt.Job.CPUs
-		case heardRecently && attempt.CanBePreempted(now):
+		case isHeartbeatRecent && attempt.CanBePreempted(now):
 			s.victims = append(s.victims, victim{machine, attempt})
 		}
 	}
--- a/internal/controller/placement/shapes.go
+++ b/internal/controller/placement/shapes.go
@@ -19,11 +19,11 @@
 	return shape{job.CPUs, job.GPUs, job.MemoryGB, job.Zone, strings.Join(job.MachineTypes, " "), job.AllowsSpot}
 }
 
-// probeOf returns a copy of the job that stands for all jobs of its shape, however many tasks they have.
-func probeOf(job *jobs.Job) *jobs.Job {
-	probe := *job
-	probe.Tasks = jobs.MaxTasks
-	return &probe
+// representativeOf returns a copy of the job that stands for all jobs of its shape, however many tasks they have.
+func representativeOf(job *jobs.Job) *jobs.Job {
+	representative := *job
+	representative.Tasks = jobs.MaxTasks
+	return &representative
 }
 
 // shapeFits is, by the number of a shape, what is known of its tasks on the free machines, so that not every job of the
@@ -62,7 +62,7 @@
 	}
 	fit := &f[number]
 	if !fit.isCounted {
-		fit.isCounted, fit.tasks = true, countFittingTasks(probeOf(job), free, math.MaxInt)
+		fit.isCounted, fit.tasks = true, countFittingTasks(representativeOf(job), free, math.MaxInt)
 	}
 	return min(fit.tasks, maxTasks)
 }
--- a/internal/controller/placement/start_tasks.go
+++ b/internal/controller/placement/start_tasks.go
@@ -17,9 +17,9 @@
 
 // shapeCheck is what is known of the tasks of one shape on the machine whose starts are chosen.
 type shapeCheck struct {
-	isRejected    bool // none of them fits, or the machine's kind is not allowed
-	isFullerKnown bool
-	tasksOnFuller int // that fit on fuller machines, if it is known
+	isRejected      bool // none of them fits, or the machine's kind is not allowed
+	isFullerCounted bool
+	tasksOnFuller   int // that fit on fuller machines, if it is known
 }
 
 // startBatch is the starts that are chosen for a machine's heartbeat response.
@@ -105,7 +105,7 @@
 		job.PassedOverSince = time.Time{}
 	}
 	if len(batch.commands) > started {
-		p.forgetFuller()
+		p.invalidateFullerCounts()
 	}
 }
 
@@ -168,11 +168,11 @@
 	clear(p.shapeChecks)
 }
 
-// forgetFuller takes into account that the machine has got tasks: fewer other machines are fuller now. What was rejected
+// invalidateFullerCounts takes into account that the machine has got tasks: fewer other machines are fuller now. What was rejected
 // is still rejected.
-func (p *Placer) forgetFuller() {
+func (p *Placer) invalidateFullerCounts() {
 	for i := range p.shapeChecks {
-		p.shapeChecks[i].isFullerKnown = false
+		p.shapeChecks[i].isFullerCounted = false
 	}
 }
 
@@ -191,8 +191,8 @@
 		return p.tasksOnFuller(now, job, machine, job.WaitingTasks(), maxMachinesExamined)
 	}
 	check := &p.shapeChecks[entry.shapeNumber]
-	if !check.isFullerKnown {
-		check.isFullerKnown, check.tasksOnFuller = true, p.tasksOnFuller(now, probeOf(job), machine, math.MaxInt, maxMachinesExamined)
+	if !check.isFullerCounted {
+		check.isFullerCounted, check.tasksOnFuller = true, p.tasksOnFuller(now, representativeOf(job), machine, math.MaxInt, maxMachinesExamined)
 	}
 	return min(check.tasksOnFuller, job.WaitingTasks())
 }
--- a/internal/controller/queue/facts.go
+++ b/internal/controller/queue/facts.go
@@ -8,8 +8,8 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// facts are what the rules know of all jobs together.
-type facts struct {
+// orderFacts are what the rules know of all jobs together.
+type orderFacts struct {
 	now           time.Time
 	clusterCPUs   float64 // at least 1
 	planned       map[*jobs.Job]bool
@@ -22,7 +22,7 @@
 
 // candidate is a job that is being ranked.
 type candidate struct {
-	*facts
+	*orderFacts
 	job                 *jobs.Job
 	age                 time.Duration
 	taskRunTime         time.Duration
@@ -30,9 +30,9 @@
 	remainingSeconds    float64 // on the whole cluster
 }
 
-// collect computes the facts of one order.
-func (r *Ranker) collect(now time.Time, live []*jobs.Job, capacity admission.Capacity) *facts {
-	f := &facts{
+// collectFacts computes the facts of one order.
+func (r *Ranker) collectFacts(now time.Time, live []*jobs.Job, capacity admission.Capacity) *orderFacts {
+	f := &orderFacts{
 		now:           now,
 		clusterCPUs:   max(capacity.CPUs, 1),
 		planned:       r.planner.Feasible(now, live, capacity),
@@ -45,8 +45,8 @@
 	return f
 }
 
-// describe makes the candidate that of another job.
-func (r *Ranker) describe(c *candidate, job *jobs.Job) {
+// fillCandidate makes the candidate that of another job.
+func (r *Ranker) fillCandidate(c *candidate, job *jobs.Job) {
 	c.job = job
 	c.age = c.now.Sub(job.EligibleSince())
 	c.taskRunTime = r.estimator.TaskRunTime(job)
--- a/internal/controller/queue/overdue.go
+++ b/internal/controller/queue/overdue.go
@@ -10,20 +10,20 @@
 
 // allocateOverdue returns the overdue jobs that may use the capacity of overdue jobs now. Jobs that are served before
 // them in any case are not among them.
-func (r *Ranker) allocateOverdue(live []*jobs.Job, capacity admission.Capacity, known *facts) map[*jobs.Job]fairshare.Reason {
+func (r *Ranker) allocateOverdue(live []*jobs.Job, capacity admission.Capacity, facts *orderFacts) map[*jobs.Job]fairshare.Reason {
 	var overdue []fairshare.OverdueJob
 	for _, job := range live {
-		if job.IsService || job.CrashLooping || known.planned[job] || known.agedFirst[job] || !r.isOverdue(known.now, job) {
+		if job.IsService || job.CrashLooping || facts.planned[job] || facts.agedFirst[job] || !r.isOverdue(facts.now, job) {
 			continue
 		}
 		overdue = append(overdue, fairshare.OverdueJob{
 			Job:                 job,
-			RemainingCPUSeconds: r.estimator.RemainingCPUSeconds(job, known.now),
+			RemainingCPUSeconds: r.estimator.RemainingCPUSeconds(job, facts.now),
 			StartableTasks:      capacity.StartableTasks(job),
-			IsUnserved:          r.isUnserved(known.now, job),
+			IsUnserved:          r.isUnserved(facts.now, job),
 		})
 	}
-	return r.fairShare.Allocate(known.now, overdue, live, capacity.CPUs)
+	return r.fairShare.Allocate(facts.now, overdue, live, capacity.CPUs)
 }
 
 // isOverdue reports whether the job can meet none of its objectives any more, or has waited too long without any.
--- a/internal/controller/queue/queue.go
+++ b/internal/controller/queue/queue.go
@@ -84,11 +84,11 @@
 
 // Order returns the jobs in the order in which they get capacity. live are all jobs that may run.
 func (r *Ranker) Order(now time.Time, live []*jobs.Job, capacity admission.Capacity) []Entry {
-	facts := r.collect(now, live, capacity)
+	facts := r.collectFacts(now, live, capacity)
 	entries := make([]Entry, 0, len(live))
-	candidate := candidate{facts: facts}
+	candidate := candidate{orderFacts: facts}
 	for _, job := range live {
-		r.describe(&candidate, job)
+		r.fillCandidate(&candidate, job)
 		entries = append(entries, r.rank(&candidate))
 	}
 	slices.SortFunc(entries, compareEntries)
--- a/internal/controller/queue/rules_test.go
+++ b/internal/controller/queue/rules_test.go
@@ -26,7 +26,7 @@
 		now.Add(-10*time.Second),
 	)
 	c := &candidate{
-		facts: &facts{
+		orderFacts: &orderFacts{
 			now: now, clusterCPUs: 100, planned: map[*jobs.Job]bool{}, withinQuota: map[*jobs.Job]bool{}, agedFirst: map[*jobs.Job]bool{},
 			awaitingStart: map[*jobs.Job]bool{}, limitBound: map[string]bool{}, overdue: map[*jobs.Job]fairshare.Reason{},
 		},
--- a/internal/controller/submission/limiter.go
+++ b/internal/controller/submission/limiter.go
@@ -36,9 +36,9 @@
 
 // team is what the limiter knows of one team.
 type team struct {
-	pending     int
-	lastAttempt time.Time
-	tickets     ticketQueue
+	pending        int
+	lastSubmission time.Time
+	tickets        ticketQueue
 }
 
 // NewLimiter allows maxPending submissions at a time, of which saveRate a second are expected to be saved.
@@ -91,7 +91,7 @@
 		t = &team{tickets: newTicketQueue()}
 		l.teams[name] = t
 	}
-	t.lastAttempt = now
+	t.lastSubmission = now
 	return t
 }
 
@@ -108,7 +108,7 @@
 func (l *Limiter) activeTeams(now time.Time) int {
 	active := 0
 	for _, t := range l.teams {
-		if t.pending > 0 || now.Sub(t.lastAttempt) < sharingWindow {
+		if t.pending > 0 || now.Sub(t.lastSubmission) < sharingWindow {
 			active++
 		}
 	}
@@ -123,7 +123,7 @@
 	l.sweptAt = now
 	for name, t := range l.teams {
 		t.tickets.expire(now)
-		if t.pending == 0 && t.tickets.isEmpty() && now.Sub(t.lastAttempt) > ticketLifetime {
+		if t.pending == 0 && t.tickets.isEmpty() && now.Sub(t.lastSubmission) > ticketLifetime {
 			delete(l.teams, name)
 		}
 	}
--- a/internal/simulator/night_test.go
+++ b/internal/simulator/night_test.go
@@ -37,7 +37,7 @@
 // estimates that are wrong by up to the error that bounds allow for.
 func arrivals(w *World, rng *rand.Rand, length time.Duration, tasks int) {
 	classes := []class{
-		{"tender", "red", 0.5, 2, 24, 110 * time.Second, jobs.Production, 6},
+		{"tender", "red", 0.5, 2, 24, 110 * time.Second, jobs.Critical, 6},
 		{"intake", "blue", 0.3, 4, 16, 130 * time.Second, jobs.High, 8},
 		{"archive", "blue", 0.12, 4, 40, 300 * time.Second, jobs.Normal, 0},
 		{"ledger", "red", 0.08, 4, 20, 600 * time.Second, jobs.Low, 0},
--- a/internal/simulator/waiting_test.go
+++ b/internal/simulator/waiting_test.go
@@ -21,7 +21,7 @@
 	w := New(seed, opt, quiet())
 	urgent := func(i int) {
 		w.Users.Send(jobs.Spec{
-			ID: fmt.Sprintf("job-1%05d", i), Class: "urgent", Team: "desk", Priority: jobs.Production, Tasks: 9, CPUs: 1, MemoryGB: 1,
+			ID: fmt.Sprintf("job-1%05d", i), Class: "urgent", Team: "desk", Priority: jobs.Critical, Tasks: 9, CPUs: 1, MemoryGB: 1,
 			Image: "u", ImageGB: 1, AllowsSpot: true, RunTimeEstimate: 12 * time.Second, Deadline: 40 * time.Second,
 		}, 12*time.Second)
 	}
--- a/internal/site/kvserver/frame.go
+++ b/internal/site/kvserver/frame.go
@@ -117,6 +117,6 @@
 }
 
 // headerNumber is the number at a place of the head of a segment or snapshot.
-func headerNumber(b []byte, place int) uint64 {
-	return binary.LittleEndian.Uint64(b[magicBytes+8*place:])
+func headerNumber(b []byte, index int) uint64 {
+	return binary.LittleEndian.Uint64(b[magicBytes+8*index:])
 }
--- a/internal/site/kvserver/inspection.go
+++ b/internal/site/kvserver/inspection.go
@@ -90,11 +90,11 @@
 	if err != nil {
 		return nil, err
 	}
-	for try := 0; ; try++ {
+	for retries := 0; ; retries++ {
 		recovered, err := recoverDirectory(dir)
 		var damage *DamageError
 		mayBeDeletion := errors.Is(err, fs.ErrNotExist) || errors.As(err, &damage)
-		if err == nil || try == inspectRetries || !mayBeDeletion {
+		if err == nil || retries == inspectRetries || !mayBeDeletion {
 			return recovered, err
 		}
 		time.Sleep(inspectRetryDelay)
--- a/internal/site/kvserver/recovery.go
+++ b/internal/site/kvserver/recovery.go
@@ -109,10 +109,10 @@
 
 // segmentFile is a segment as it was read.
 type segmentFile struct {
-	name   string
-	raw    []byte
-	header segmentHeader
-	whole  bool // its header is
+	name           string
+	raw            []byte
+	header         segmentHeader
+	hasValidHeader bool // its header is
 }
 
 // replayLog replays the segments from the first one on, whose first frame is known.
@@ -129,22 +129,22 @@
 	if err != nil {
 		return err
 	}
-	whole, err := r.dropUnfinishedSegment(segments)
+	complete, err := r.dropUnfinishedSegment(segments)
 	if err != nil {
 		return err
 	}
-	for i := range whole {
+	for i := range complete {
 		endFrame := uint64(noEndFrame)
-		if i+1 < len(whole) {
-			endFrame = whole[i+1].header.firstFrame
+		if i+1 < len(complete) {
+			endFrame = complete[i+1].header.firstFrame
 		}
-		if err := r.replaySegment(&whole[i], endFrame); err != nil {
+		if err := r.replaySegment(&complete[i], endFrame); err != nil {
 			return err
 		}
-		header := whole[i].header
+		header := complete[i].header
 		r.lastSegment, r.newSegment = &header, header.segment+1
 	}
-	if len(whole) < len(segments) {
+	if len(complete) < len(segments) {
 		r.lastSegment = nil // the last one is made anew
 		r.newSegment = numbers[len(numbers)-1]
 	}
@@ -167,7 +167,7 @@
 			return nil, fmt.Errorf("read %s: %w", name, err)
 		}
 		header, ok := parseSegmentHeader(raw)
-		segments = append(segments, segmentFile{name: name, raw: raw, header: header, whole: ok && header.segment == number})
+		segments = append(segments, segmentFile{name: name, raw: raw, header: header, hasValidHeader: ok && header.segment == number})
 		r.inspection.LogBytes += int64(len(raw))
 	}
 	return segments, nil
@@ -176,7 +176,7 @@
 // dropUnfinishedSegment leaves a last segment out that has no header: it was being made when everything ended, unless a frame is in it.
 func (r *recovery) dropUnfinishedSegment(segments []segmentFile) ([]segmentFile, error) {
 	last := &segments[len(segments)-1]
-	if last.whole {
+	if last.hasValidHeader {
 		return segments, nil
 	}
 	if at, found := findWholeFrame(last.raw, 0, 0); found {
@@ -188,7 +188,7 @@
 
 // replaySegment applies a segment's frames up to a number, which belongs to the next segment.
 func (r *recovery) replaySegment(segment *segmentFile, endFrame uint64) error {
-	if !segment.whole {
+	if !segment.hasValidHeader {
 		return newDamageError(segment.name, 0, "the header of the segment is damaged")
 	}
 	if segment.header.firstFrame != r.nextFrame {
--- a/internal/site/kvserver/storage.go
+++ b/internal/site/kvserver/storage.go
@@ -88,7 +88,7 @@
 }
 
 // IsBroken reports that nothing is made durable until Repair has succeeded.
-func (s *Storage) IsBroken() bool { return s.wal.broken }
+func (s *Storage) IsBroken() bool { return s.wal.isBroken }
 
 // Repair goes on in a new segment after a failed sync. The frame whose sync failed does not count any more once that is durable,
 // whether the old segment has kept it or not.
--- a/internal/site/kvserver/wal.go
+++ b/internal/site/kvserver/wal.go
@@ -22,7 +22,7 @@
 	segment   uint64
 	nextFrame uint64 // number of the next frame
 	offset    int64  // where it goes
-	broken    bool   // nothing is written to this segment any more
+	isBroken  bool   // nothing is written to this segment any more
 }
 
 // createSegment makes an empty segment that is durable.
@@ -48,7 +48,7 @@
 // Append writes one frame and makes it durable. Its error is ErrNotWritten, after which the log goes on (unless it is ErrLogBroken
 // too), or ErrUncertain, after which it needs a new segment.
 func (l *WAL) Append(payload []byte) error {
-	if l.broken {
+	if l.isBroken {
 		return fmt.Errorf("%w: %w", ErrNotWritten, ErrLogBroken)
 	}
 	frame := appendFrame(make([]byte, 0, frameHeaderBytes+len(payload)), l.nextFrame, payload)
@@ -57,13 +57,13 @@
 			// What came of it is no whole frame, and the next one takes its place.
 			return l.appendError(ErrNotWritten, err)
 		}
-		l.broken = true
+		l.isBroken = true
 		return l.appendError(ErrUncertain, err)
 	}
 	if err := l.file.Sync(); err != nil {
 		// The kernel may have dropped the pages: another sync would report success for nothing. This segment is never written
 		// to again.
-		l.broken = true
+		l.isBroken = true
 		return l.appendError(ErrUncertain, err)
 	}
 	l.offset += int64(len(frame))
@@ -83,7 +83,7 @@
 		// for certain, or nothing is written to the old segment any more.
 		removeErr := l.files.Remove(segmentName(l.segment + 1))
 		if removeErr != nil && !errors.Is(removeErr, fs.ErrNotExist) || l.files.SyncDir() != nil {
-			l.broken = true
+			l.isBroken = true
 		}
 		return err
 	}
--- a/internal/site/kvserver/writer.go
+++ b/internal/site/kvserver/writer.go
@@ -11,13 +11,13 @@
 
 // writePipeline is what the owner knows of the writer: one job at a time is on its way.
 type writePipeline struct {
-	pending       []Effects // steps whose records are not on their way yet
-	inFlight      []Effects // steps whose records are being written; nil: none
-	inFlightBytes int       // of these records
-	jobs          chan writeJob
-	results       chan writeResult
-	nextRepairAt  time.Time // no repair before this
-	repairPending bool
+	pending         []Effects // steps whose records are not on their way yet
+	inFlight        []Effects // steps whose records are being written; nil: none
+	inFlightBytes   int       // of these records
+	jobs            chan writeJob
+	results         chan writeResult
+	nextRepairAt    time.Time // no repair before this
+	isRepairPending bool
 }
 
 // writeJob is a frame to be appended, or a repair of the log.
@@ -25,14 +25,14 @@
 	records  []byte
 	revision uint64
 	view     *View // a snapshot of it is to begin after the frame; nil: none
-	repair   bool
+	isRepair bool
 }
 
 type writeResult struct {
 	err         error
 	duration    time.Duration
-	broken      bool // the log takes nothing until it is repaired
-	repair      bool
+	isBroken    bool // the log takes nothing until it is repaired
+	isRepair    bool
 	snapshot    *SnapshotWriter // that is to be written
 	snapshotErr error
 }
@@ -41,8 +41,8 @@
 func (s *Server) runWriter() {
 	for job := range s.writes.jobs {
 		startedAt := time.Now()
-		result := writeResult{repair: job.repair}
-		if job.repair {
+		result := writeResult{isRepair: job.isRepair}
+		if job.isRepair {
 			result.err = s.storage.Repair(job.revision)
 		} else {
 			result.err = s.storage.Append(job.records)
@@ -51,7 +51,7 @@
 		if result.err == nil && job.view != nil {
 			result.snapshot, result.snapshotErr = s.storage.BeginSnapshot(job.view)
 		}
-		result.broken = s.storage.IsBroken()
+		result.isBroken = s.storage.IsBroken()
 		s.writes.results <- result
 	}
 }
@@ -61,9 +61,9 @@
 	if s.writes.inFlight != nil {
 		return
 	}
-	if s.state.writesFailing && !s.writes.repairPending && !now.Before(s.writes.nextRepairAt) {
-		s.writes.repairPending = true
-		s.writes.jobs <- writeJob{repair: true, revision: s.state.revision}
+	if s.state.writesFailing && !s.writes.isRepairPending && !now.Before(s.writes.nextRepairAt) {
+		s.writes.isRepairPending = true
+		s.writes.jobs <- writeJob{isRepair: true, revision: s.state.revision}
 	}
 	var records []byte
 	for _, effects := range s.writes.pending {
@@ -89,7 +89,7 @@
 
 // handleWriteResult takes in what became of the job that was on its way.
 func (s *Server) handleWriteResult(now time.Time, result writeResult) {
-	if result.repair {
+	if result.isRepair {
 		s.handleRepairResult(now, result)
 		return
 	}
@@ -102,7 +102,7 @@
 	} else {
 		s.rollBack(steps, result.err)
 	}
-	if result.broken {
+	if result.isBroken {
 		s.state.SetWritesFailing(now, true)
 		s.writes.nextRepairAt = now.Add(s.options.DiskRetryInterval)
 	}
@@ -162,7 +162,7 @@
 }
 
 func (s *Server) handleRepairResult(now time.Time, result writeResult) {
-	s.writes.repairPending = false
+	s.writes.isRepairPending = false
 	if result.err != nil {
 		s.log.Error("log not repaired", logkeys.Err, result.err)
 		s.writes.nextRepairAt = now.Add(s.options.DiskRetryInterval)
--- a/internal/wire/http1/client.go
+++ b/internal/wire/http1/client.go
@@ -122,12 +122,12 @@
 		}
 		n, readErr := conn.Read(buffer[len(buffer):cap(buffer)])
 		buffer = buffer[:len(buffer)+n]
-		response, used, err := Parse(buffer, true, c.maxBodyBytes)
+		response, consumedBytes, err := Parse(buffer, true, c.maxBodyBytes)
 		if err != nil {
 			return nil, err
 		}
 		if response != nil {
-			if used < len(buffer) {
+			if consumedBytes < len(buffer) {
 				response.CloseConnection = true // what follows belongs to no request
 			}
 			return response, nil
--- a/internal/wire/http1/server.go
+++ b/internal/wire/http1/server.go
@@ -145,7 +145,7 @@
 
 // takeMessage takes the request out of the buffer, or nothing while it is not whole.
 func (c *conn) takeMessage() (*Message, error) {
-	message, used, err := Parse(c.buffer, false, MaxBodyBytes)
+	message, consumedBytes, err := Parse(c.buffer, false, MaxBodyBytes)
 	if err != nil {
 		c.isClosing = true
 		return nil, err
@@ -153,7 +153,7 @@
 	if message == nil {
 		return nil, nil
 	}
-	if used < len(c.buffer) || message.CloseConnection {
+	if consumedBytes < len(c.buffer) || message.CloseConnection {
 		c.isClosing = true
 	}
 	// The body is the request's own from here on; the buffer starts anew.
