--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -26,9 +26,17 @@
 	GuaranteedGPUs, GPULimit float64
 }
 
-// Objective is the aim that the jobs of a class start or finish in time.
+// Kinds of objectives, as the platform's settings file names them.
+const (
+	ObjectiveStart     = "wait"      // a job starts within TimeLimit
+	ObjectiveFinish    = "finished"  // a job finishes within TimeLimit
+	ObjectiveDeadline  = "deadline"  // a job finishes within DeadlineFactor times its deadline
+	ObjectiveGuarantee = "guarantee" // what a team's guaranteed quota covers starts within TimeLimit
+)
+
+// Objective is the service level objective that the jobs of a class start or finish in time.
 type Objective struct {
-	Kind           string
+	Kind           string // one of the kinds above; others are ignored
 	Class          string
 	TimeLimit      time.Duration // since submission
 	TargetShare    float64       // of the jobs that is to keep to it, 0 to 1
--- a/internal/controller/accounting/availability.go
+++ b/internal/controller/accounting/availability.go
@@ -1,42 +1,26 @@
 package accounting
 
 import (
-	"strings"
-
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/placement"
 )
 
-// resourceShape is what decides which machines a task may use and what it takes of them. Jobs of the same shape share an
-// availability, so that a sample looks at the machines once for each shape and not for each job.
-type resourceShape struct {
-	cpus         float64
-	gpus         float64
-	memoryGB     float64
-	zone         string
-	machineTypes string
-	allowsSpot   bool
-}
-
-func shapeOf(job *jobs.Job) resourceShape {
-	return resourceShape{job.CPUs, job.GPUs, job.MemoryGB, job.Zone, strings.Join(job.MachineTypes, " "), job.AllowsSpot}
-}
-
-// availability is what the machines offer to tasks of a shape.
+// availability is what the machines offer to tasks of a shape. A sample walks the machines once for each shape and not for
+// each job.
 type availability struct {
-	hasUsable         bool               // a machine that reports is large enough
-	hasBooting        bool               // an instance that boots is
+	hasUsable         bool               // a reporting machine is large enough
+	hasBooting        bool               // a booting instance is large enough
 	hasFree           bool               // a machine has resources available that are not reserved
 	hasFreeOrReserved bool               // a machine has resources available
 	reservedFor       map[*jobs.Job]bool // the jobs for which they are reserved
 }
 
 func (s *sample) availabilityFor(job *jobs.Job) availability {
-	// A job with failures avoids machines on which it failed: what it finds is not true of others of its shape.
+	// A job with failures avoids the machines on which it failed, so its availability differs from others of its shape.
 	if job.FailureCount > 0 {
 		return s.findAvailability(job)
 	}
-	shape := shapeOf(job)
+	shape := placement.ShapeOf(job)
 	if known, ok := s.byShape[shape]; ok {
 		return known
 	}
--- a/internal/controller/accounting/sample.go
+++ b/internal/controller/accounting/sample.go
@@ -29,11 +29,11 @@
 	freeCPUs     float64               // available and not reserved
 	reservedCPUs float64               // available and reserved
 	cpusAhead    map[*jobs.Job]float64 // CPUs of the tasks that wait before a job in the queue
-	byShape      map[resourceShape]availability
+	byShape      map[placement.Shape]availability
 }
 
 func newSample(state ClusterState) *sample {
-	s := &sample{ClusterState: state, machines: state.Workers.ReportingMachines(), byShape: map[resourceShape]availability{}}
+	s := &sample{ClusterState: state, machines: state.Workers.ReportingMachines(), byShape: map[placement.Shape]availability{}}
 	s.sumAvailableCPUs()
 	s.sumCPUsAhead()
 	s.findBootingKinds()
--- a/internal/controller/autoscaler/demand.go
+++ b/internal/controller/autoscaler/demand.go
@@ -4,17 +4,16 @@
 	"slices"
 	"time"
 
+	"gullrudder/internal/controller/estimate"
 	"gullrudder/internal/controller/queue"
 	"gullrudder/internal/controller/worker"
 )
 
 const (
-	// maxForecastJobs bounds the waiting jobs in a forecast: of more, every so many stands for its neighbours.
+	// maxForecastJobs bounds the waiting jobs in a forecast: of a longer queue every n-th job is sampled, with weight n.
 	maxForecastJobs = 300
 	// bootGridSeconds is the resolution of the times at which booting instances begin to serve.
 	bootGridSeconds = 5
-	// minTaskCPUs is what a task counts at least as work.
-	minTaskCPUs = 0.1
 	// positionAgeOffset is added to ages, in seconds, when the positions of waiting jobs are averaged.
 	positionAgeOffset = 5
 )
@@ -62,15 +61,15 @@
 	slices.SortFunc(forecast.capacitySteps, compareSteps)
 }
 
-// queueDemand is what waits.
+// queueDemand is the waiting work, by job, team and class.
 type queueDemand struct {
 	queue            []queuedJob
 	cpuSecondsByTeam map[string]float64
 	positionByClass  map[string]*queuePosition
 }
 
-// newQueueDemand goes through the order of the jobs. A task that waits starts when the tasks that wait before it have had their
-// capacity; what runs already only passes its capacity on.
+// newQueueDemand goes through the order of the jobs. A waiting task is taken to start once the work that waits before it is done;
+// running tasks do not count as work ahead, since their capacity is in the forecast already.
 func (s *Scaler) newQueueDemand(now time.Time, order []queue.Entry) queueDemand {
 	demand := queueDemand{cpuSecondsByTeam: map[string]float64{}, positionByClass: map[string]*queuePosition{}}
 	waitingWork, waitingJobs, total := make([]float64, len(order)), 0, 0.0
@@ -112,7 +111,7 @@
 		return 0
 	}
 	perTask := entry.TaskRunTime.Seconds()
-	return min(float64(entry.Job.WaitingTasks())*perTask*max(entry.Job.CPUs, minTaskCPUs), entry.RemainingCPUSeconds)
+	return min(float64(entry.Job.WaitingTasks())*perTask*estimate.CountedCPUs(entry.Job), entry.RemainingCPUSeconds)
 }
 
 // quotaDelay returns how many seconds a team needs at least, because of its quota, for what waits of it so far; 0 without a quota.
@@ -160,5 +159,5 @@
 	p.weight += weight
 }
 
-// mean returns the position, averaged by youth.
+// mean returns the mean position, in which younger jobs weigh more.
 func (p *queuePosition) mean() float64 { return p.sum / p.weight }
--- a/internal/controller/autoscaler/expensive.go
+++ b/internal/controller/autoscaler/expensive.go
@@ -15,8 +15,8 @@
 	// objectives.
 	expensiveRatio = 1.5
 	// expensiveCPUShare is how many CPUs of expensive kinds there may be for each cheap one because of the objectives. Without
-	// the bound a short queue on a small cluster looks worth ten times the cluster's cost, as what is still to arrive is not
-	// known then. Work that lasts long enough is not bound by it.
+	// the bound a short queue on a small cluster looks worth ten times the cluster's cost, since there is no arrival rate yet.
+	// Work that lasts for the required backlog is not bound by it.
 	expensiveCPUShare = 0.5
 	secondsPerHour    = 3600
 )
@@ -122,7 +122,7 @@
 func (s *Scaler) expensiveCPUHeadroom(expensive kindSet) float64 {
 	for kind := range expensive {
 		if s.cloud.HasPendingRequest(kind) {
-			return 0 // it is not known how many instances come of it
+			return 0 // the pending request may still add instances
 		}
 	}
 	headroom := 0.0
@@ -168,3 +168,30 @@
 	}
 	return inUse, cordoned
 }
+
+// cordonExpensive is used if the platform states no objectives. It cordons machines of expensive kinds while the cheaper machines
+// can do the work in half of the time from which the expensive kind would be requested, and uncordons them otherwise.
+func (s *Scaler) cordonExpensive(now time.Time, offerings []offering, backlog teamBacklogs) {
+	reporting := machinesByKind{}
+	for _, machine := range s.workers.Machines {
+		if machine.HasReported && (machine.DrainReason == worker.NotDraining || machine.DrainReason == worker.DrainExpensive) {
+			kind := placement.MachineKind(machine)
+			reporting[kind] = append(reporting[kind], machine)
+		}
+	}
+	cheaperCPUs := 0.0
+	for _, offered := range offerings {
+		required := s.requiredBacklog(offered.price, offerings[0].price)
+		isExpensive := offered.price > expensiveRatio*offerings[0].price
+		isSpare := isExpensive && backlog.completableWithin(required) < cheaperCPUs*required/2
+		for _, machine := range reporting[offered.kind] {
+			cheaperCPUs += machine.CPUs
+			switch {
+			case isSpare && machine.DrainReason == worker.NotDraining && s.prepaidTime(now, machine.ID) == 0:
+				machine.DrainReason = worker.DrainExpensive
+			case !isSpare && machine.DrainReason == worker.DrainExpensive:
+				machine.DrainReason = worker.NotDraining
+			}
+		}
+	}
+}
--- a/internal/controller/autoscaler/objectives.go
+++ b/internal/controller/autoscaler/objectives.go
@@ -9,13 +9,6 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// Kinds of objectives in the platform's configuration that more machines can help to keep.
-const (
-	objectiveWait     = "wait"     // started within a time
-	objectiveFinished = "finished" // finished within a time
-	objectiveDeadline = "deadline" // finished within a multiple of the deadline
-)
-
 const (
 	// minAllowedMissShare stands for the share that may miss an objective which all jobs are to keep.
 	minAllowedMissShare = 0.001
@@ -23,7 +16,7 @@
 	negligibleMissShare = 0.3
 )
 
-// objective is an aim for a class: a share of its jobs starts, or finishes, within a time.
+// objective requires of a class that a share of its jobs starts, or finishes, within a time.
 type objective struct {
 	class            string
 	isStart          bool          // for the start of jobs, not for their end
@@ -38,10 +31,10 @@
 	for _, c := range configured {
 		o := objective{class: c.Class, timeLimit: c.TimeLimit, allowedMissShare: max(1-c.TargetShare, minAllowedMissShare)}
 		switch c.Kind {
-		case objectiveWait:
+		case config.ObjectiveStart:
 			o.isStart = true
-		case objectiveFinished:
-		case objectiveDeadline:
+		case config.ObjectiveFinish:
+		case config.ObjectiveDeadline:
 			o.deadlineFactor = max(c.DeadlineFactor, 1)
 		default:
 			continue
@@ -81,7 +74,7 @@
 	deadline     time.Duration // from its submission, 0 for none
 }
 
-// objectiveRecord is how an objective was kept lately. What is older than forecastSpan counts ever less.
+// objectiveRecord counts the jobs that ended lately and those that missed an objective. Both decay over forecastSpan.
 type objectiveRecord struct{ jobs, missed float64 }
 
 // objectiveTracker holds the objectives and how they were kept.
@@ -111,7 +104,7 @@
 			continue
 		}
 		if objective.isStart {
-			// When each task started is not known here: the last one ran until now.
+			// The tasks' start times are not recorded here: the last task is taken to have run until now.
 			slack += estimator.TaskRunTime(job)
 		}
 		record.jobs++
--- a/internal/controller/autoscaler/scaleout.go
+++ b/internal/controller/autoscaler/scaleout.go
@@ -91,7 +91,8 @@
 type jobDemand struct {
 	job           *jobs.Job
 	unplacedTasks int
-	// missingPlaces is how many tasks have no place even if nothing else ran. However small the work at hand, these are requested.
+	// missingPlaces is the number of required tasks that would not fit even on an otherwise empty cluster. Instances for them are
+	// requested however small the waiting work is.
 	missingPlaces int
 }
 
@@ -107,8 +108,8 @@
 	}
 	demand := jobDemand{job: job, unplacedTasks: unplaced, missingPlaces: requiredTasks(job) - p.capacity.taskCapacity(job)}
 	if job.HasGuarantee() && !job.AllowsSpot {
-		// Most capacity is spot instances, on which the job may not run: how long the work at hand lasts says nothing about when
-		// the job starts. Without this such jobs queue for a single machine past their deadlines.
+		// Most capacity is spot instances, on which the job may not run, so the backlog of the cluster does not show how long the
+		// job waits. Without this such jobs queue for a single machine past their deadlines.
 		demand.missingPlaces = max(demand.missingPlaces, unplaced)
 	}
 	hasRequested := p.addInstancesFor(&demand)
@@ -158,42 +159,3 @@
 		}
 	}
 }
-
-// teamBacklog is the work at hand of a team.
-type teamBacklog struct {
-	cpuSeconds float64
-	cpuLimit   float64 // the team's quota, 0 for none
-}
-
-// teamBacklogs is the work at hand by team.
-type teamBacklogs []teamBacklog
-
-func (s *Scaler) backlogByTeam(order []queue.Entry) teamBacklogs {
-	indexOf := map[string]int{}
-	var backlogs teamBacklogs
-	for i := range order {
-		entry := &order[i]
-		index, found := indexOf[entry.Job.Team]
-		if !found {
-			index = len(backlogs)
-			indexOf[entry.Job.Team] = index
-			backlogs = append(backlogs, teamBacklog{cpuLimit: s.teams[entry.Job.Team].CPULimit})
-		}
-		backlogs[index].cpuSeconds += entry.RemainingCPUSeconds
-	}
-	return backlogs
-}
-
-// completableWithin returns how many CPU seconds of the work could be done in that time on any number of machines: no team exceeds
-// its quota.
-func (b teamBacklogs) completableWithin(seconds float64) float64 {
-	sum := 0.0
-	for _, team := range b {
-		work := team.cpuSeconds
-		if team.cpuLimit > 0 {
-			work = min(work, team.cpuLimit*seconds)
-		}
-		sum += work
-	}
-	return sum
-}
--- a/internal/controller/autoscaler/terminate.go
+++ b/internal/controller/autoscaler/terminate.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"gullrudder/internal/controller/cloud"
-	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/worker"
 )
 
@@ -100,30 +99,3 @@
 	}
 	return now.Sub(machine.IdleSince) > timeout
 }
-
-// cordonExpensive cordons machines of expensive kinds once the cheaper ones would get through the work well before the expensive
-// ones were worth requesting, and takes them back into use when that changes. It decides if the platform states no objectives.
-func (s *Scaler) cordonExpensive(now time.Time, offerings []offering, backlog teamBacklogs) {
-	machinesByKind := map[cloud.InstanceKind][]*worker.Machine{}
-	for _, machine := range s.workers.Machines {
-		if machine.HasReported && (machine.DrainReason == worker.NotDraining || machine.DrainReason == worker.DrainExpensive) {
-			kind := placement.MachineKind(machine)
-			machinesByKind[kind] = append(machinesByKind[kind], machine)
-		}
-	}
-	cheaperCPUs := 0.0
-	for _, offered := range offerings {
-		required := s.requiredBacklog(offered.price, offerings[0].price)
-		isExpensive := offered.price > expensiveRatio*offerings[0].price
-		isSpare := isExpensive && backlog.completableWithin(required) < cheaperCPUs*required/2
-		for _, machine := range machinesByKind[offered.kind] {
-			cheaperCPUs += machine.CPUs
-			switch {
-			case isSpare && machine.DrainReason == worker.NotDraining && s.prepaidTime(now, machine.ID) == 0:
-				machine.DrainReason = worker.DrainExpensive
-			case !isSpare && machine.DrainReason == worker.DrainExpensive:
-				machine.DrainReason = worker.NotDraining
-			}
-		}
-	}
-}
--- a/internal/controller/placement/order.go
+++ b/internal/controller/placement/order.go
@@ -19,8 +19,8 @@
 )
 
 // candidate is a job of the order that has tasks to start, with the number of its shape. A queue of thousands of jobs has
-// a few shapes only, and what is found for one of them on a machine holds for the others. When each heartbeat of a
-// machine with free resources walked the machines for every job, that was the first limit at 5,000 machines.
+// only a few shapes, and all jobs of a shape fit on the same machines, so the machines are walked once for each shape. With
+// a walk for each job, the heartbeats of machines with free resources were the first limit at 5,000 machines.
 type candidate struct {
 	queue.Entry
 	shapeNumber int
@@ -32,17 +32,17 @@
 	madeAt           time.Time
 	isStale          bool        // a job came, went, or has other tasks to start
 	candidates       []candidate // the entries that have tasks to start, without gangs
-	shapes           map[shape]int
+	shapes           map[Shape]int
 	shapeNumbers     []int   // by entry
 	smallestTaskCPUs float64 // of the tasks that wait
 	agedFirst        map[*jobs.Job]bool
 }
 
 func newJobOrder() jobOrder {
-	return jobOrder{shapes: map[shape]int{}, agedFirst: map[*jobs.Job]bool{}}
+	return jobOrder{shapes: map[Shape]int{}, agedFirst: map[*jobs.Job]bool{}}
 }
 
-// InvalidateOrder tells that the order is stale: a job came, went, or has other tasks to start.
+// InvalidateOrder marks the order as stale. It is called when a job came, went, or has other tasks to start.
 func (p *Placer) InvalidateOrder() { p.order.isStale = true }
 
 // Order is the jobs that may run, in the order in which they get capacity. The result must not be changed.
@@ -107,7 +107,7 @@
 
 // shapeNumber returns the number of the job's shape, a new one if the shape is new in this order.
 func (o *jobOrder) shapeNumber(job *jobs.Job) int {
-	key := shapeOf(job)
+	key := ShapeOf(job)
 	number, ok := o.shapes[key]
 	if !ok {
 		number = len(o.shapes)
--- a/internal/controller/placement/shapes.go
+++ b/internal/controller/placement/shapes.go
@@ -8,15 +8,16 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// shape is everything of a job that decides on which machines its tasks fit, as long as none of them has failed.
-type shape struct {
+// Shape is everything of a job that decides on which machines its tasks fit, as long as none of them has failed.
+type Shape struct {
 	cpus, gpus, memoryGB float64
 	zone, machineTypes   string
 	allowsSpot           bool
 }
 
-func shapeOf(job *jobs.Job) shape {
-	return shape{job.CPUs, job.GPUs, job.MemoryGB, job.Zone, strings.Join(job.MachineTypes, " "), job.AllowsSpot}
+// ShapeOf returns the shape of a job.
+func ShapeOf(job *jobs.Job) Shape {
+	return Shape{job.CPUs, job.GPUs, job.MemoryGB, job.Zone, strings.Join(job.MachineTypes, " "), job.AllowsSpot}
 }
 
 // representativeOf returns a copy of the job that stands for all jobs of its shape, however many tasks they have.
--- a/internal/controller/queue/objectives.go
+++ b/internal/controller/queue/objectives.go
@@ -19,11 +19,11 @@
 	o := objectives{start: map[string][]time.Duration{}, finish: map[string][]time.Duration{}}
 	for _, objective := range list {
 		switch objective.Kind {
-		case "wait":
+		case config.ObjectiveStart:
 			o.start[objective.Class] = append(o.start[objective.Class], objective.TimeLimit)
-		case "guarantee":
+		case config.ObjectiveGuarantee:
 			o.guarantee = max(o.guarantee, objective.TimeLimit)
-		case "finished":
+		case config.ObjectiveFinish:
 			o.finish[objective.Class] = append(o.finish[objective.Class], objective.TimeLimit)
 		}
 	}
