--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -23,6 +23,8 @@
 	Revision     = "revision"      // revision of the state service
 	LeaseID      = "lease_id"      // lease of the state service
 	Snapshot     = "snapshot"      // snapshot file of the state service
+	Process      = "process"       // name of a process of a site
+	Worker       = "worker"        // address of a worker
 )
 
 // Keys of stored state.
@@ -44,4 +46,6 @@
 	Reason   = "reason"   // why, in the program's own words
 	State    = "state"    // state entered
 	Status   = "status"   // HTTP status code
+	// RestartDelay is the time until a process is started again.
+	RestartDelay = "restart_delay"
 )
--- a/internal/site/process/process_test.go
+++ b/internal/site/process/process_test.go
@@ -11,8 +11,8 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// Everything of a marked process is found and ended: what it forked, what left its group and session,
-// and what has cleared its environment, as long as it descends from a marked one.
+// All descendants of a tagged process are found and ended: also those that have left its process group and session, and those
+// that have cleared their environment.
 func TestEndFindsAllDescendants(t *testing.T) {
 	tag := "GULLRUDDER_TEST=" + t.Name()
 	ready := t.TempDir() + "/ready"
@@ -23,28 +23,28 @@
 	}
 	tags := map[string]bool{tag: true}
 	for len(Find(tags, nil)) < 4 {
-		time.Sleep(5 * time.Millisecond) // until all four are there; the test's own limit ends it otherwise
+		time.Sleep(5 * time.Millisecond) // until all four run; otherwise the test times out
 	}
 	if err := End(tags, nil, time.Minute); err != nil {
 		t.Error(err)
 	}
-	if list := Find(tags, nil); len(list) > 0 {
-		t.Errorf("%v are left", list)
+	if left := Find(tags, nil); len(left) > 0 {
+		t.Errorf("processes left: %v, want none", left)
 	}
 	if cmd.Wait() == nil {
-		t.Error("it ended by itself")
+		t.Error("the shell exited with status 0, want killed")
 	}
 }
 
-// A number that was given out anew is not taken for the process that had it before.
+// A process with the same PID but another start time or boot is not taken for the identified one.
 func TestReusedPIDIsAnotherProcess(t *testing.T) {
 	id, err := Identify(os.Getpid())
 	if err != nil || !id.IsRunning() {
-		t.Fatal(id, err)
+		t.Fatalf("the test's own process: identity %+v, error %v, want running", id, err)
 	}
-	for _, other := range []Identity{{id.PID, id.StartTicks + 1, id.BootID}, {id.PID, id.StartTicks, "another start"}} {
+	for _, other := range []Identity{{id.PID, id.StartTicks + 1, id.BootID}, {id.PID, id.StartTicks, "another boot"}} {
 		if other.IsRunning() || other.Signal(0) == nil {
-			t.Errorf("%v is taken for this process", other)
+			t.Errorf("%+v is taken for the process %+v", other, id)
 		}
 	}
 }
--- a/internal/site/supervisor/supervisor_test.go
+++ b/internal/site/supervisor/supervisor_test.go
@@ -13,8 +13,8 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// A part that ends is started again; all are ended, the last first, also one that ignores what it is
-// told; and a supervisor that comes after one that was killed ends what is left of it.
+// A process that exits is restarted; Stop stops all; and a supervisor that comes after one that was killed ends the processes
+// that are left of it.
 func TestRestartAndStop(t *testing.T) {
 	dir := t.TempDir()
 	specs := []ProcessSpec{
@@ -35,22 +35,22 @@
 		return strings.Count(string(raw), "run")
 	}
 	for runs("first") < 3 || runs("last") < 1 {
-		time.Sleep(10 * time.Millisecond) // the test's own limit ends it otherwise
+		time.Sleep(10 * time.Millisecond) // otherwise the test times out
 	}
 	tags := map[string]bool{s.tag: true}
 	if len(process.Find(tags, nil)) == 0 {
-		t.Error("the parts are not marked")
+		t.Error("no process with the site's tag found, want those of the supervisor")
 	}
-	// Another supervisor of the site, as after a kill of this one, ends them first.
+	// Another supervisor of the site, as after this one was killed, ends its processes first.
 	if _, err := New("/bin/sh", dir, "test-"+t.Name(), nil, slog.New(slog.DiscardHandler)); err != nil {
 		t.Error(err)
 	}
 	for runs("last") < 2 {
-		time.Sleep(10 * time.Millisecond) // the first supervisor is there still, and starts it again
+		time.Sleep(10 * time.Millisecond) // the first supervisor still runs and restarts it
 	}
 	s.Stop()
 	<-stopped
-	if list := process.Find(tags, nil); len(list) > 0 {
-		t.Errorf("%v are left", list)
+	if left := process.Find(tags, nil); len(left) > 0 {
+		t.Errorf("processes left after Stop: %v, want none", left)
 	}
 }
