--- a/cmd/gullrudder/site.go
+++ b/cmd/gullrudder/site.go
@@ -296,10 +296,9 @@
 			for _, n := range h.Controllers {
 				controllers[n.Name] = n.PublicAddr
 			}
-			report, lease := h.WorkerTiming()
 			r, err := agent.NewRuntime(agent.Options{
 				Addr: h.WorkerAddr, Type: fmt.Sprintf("own-%g-%g", h.CPUs, h.MemoryGB), Zone: h.Zone, CPUs: h.CPUs, MemoryGB: h.MemoryGB,
-				Controllers: controllers, HeartbeatInterval: report, LeaseDuration: lease,
+				Controllers: controllers, HeartbeatInterval: datadir.HeartbeatInterval, LeaseDuration: datadir.WorkerLeaseDuration,
 			},
 				agent.RuntimeOptions{DataDir: h.Path("worker"), Name: "worker", MachinePoolAddr: h.MachinePoolAddr, Credential: as, MinFreeDisk: h.MinFreeDiskMB << 20}, log)
 			if err != nil {
--- a/internal/site/datadir/datadir_test.go
+++ b/internal/site/datadir/datadir_test.go
@@ -6,14 +6,16 @@
 	"testing"
 
 	"gullrudder/internal/config"
+
+	"github.com/google/go-cmp/cmp"
 )
 
-// A site is made once, with settings that the controllers take; a run that was cut off before its last
-// file leaves none; and two supervisors never have it at a time.
+// A site is created once, with settings that the controllers accept; a creation that was interrupted before its last file leaves
+// no site; and two supervisors never hold the lock at a time.
 func TestOpenOrCreate(t *testing.T) {
 	dir := t.TempDir() + "/site"
 	if _, err := Open(dir); !errors.Is(err, ErrNoSite) {
-		t.Fatal(err)
+		t.Fatalf("empty directory: error %v, want ErrNoSite", err)
 	}
 	site, err := OpenOrCreate(dir, CreateOptions{CPUs: 4, MemoryGB: 2, Controllers: 3}, "v")
 	if err != nil {
@@ -25,7 +27,7 @@
 			t.Fatal(err)
 		}
 		if len(p.Peers) != 2 || p.CloudAddr != site.MachinePoolAddr || p.StateAddr != site.StateAddr || p.Name != site.Controllers[i].Name {
-			t.Errorf("%+v", p)
+			t.Errorf("settings of controller %d: %+v, want the addresses and name of the site", i, p)
 		}
 	}
 	if _, err := config.LoadOptions(site.OptionsFile()); err != nil {
@@ -33,20 +35,49 @@
 	}
 	again, err := OpenOrCreate(dir, CreateOptions{CPUs: 9}, "w")
 	if err != nil || again.ID != site.ID || again.CPUs != 4 || again.WorkerAddr != site.WorkerAddr {
-		t.Errorf("made anew: %+v %v", again, err)
+		t.Errorf("second call: %+v, error %v, want the site as it was created", again, err)
 	}
 	lock, err := site.Lock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer lock.Close()
+	t.Cleanup(func() {
+		if err := lock.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	if _, err := again.Lock(); err == nil {
-		t.Error("two have the site")
+		t.Error("locked twice, want an error")
 	}
 	if err := os.Remove(dir + "/site.xml"); err != nil {
 		t.Fatal(err)
 	}
 	if other, err := OpenOrCreate(dir, CreateOptions{}, "v"); err != nil || other.ID == site.ID {
-		t.Errorf("after a run that was cut off: %v", err)
+		t.Errorf("after an interrupted creation: error %v, want a new site", err)
+	}
+}
+
+// The settings of a controller are, byte for byte, those that earlier versions have written.
+func TestControllerConfigBytes(t *testing.T) {
+	site := &Site{
+		Zone: "here", CPUs: 7.5, StateAddr: "127.0.0.1:1", MachinePoolAddr: "127.0.0.1:2", dir: t.TempDir(),
+		Controllers: []Controller{
+			{Name: "controller-1", PublicAddr: "127.0.0.1:4", PeerAddr: "127.0.0.1:5"},
+			{Name: "controller-2", PublicAddr: "127.0.0.1:6", PeerAddr: "127.0.0.1:7"},
+		},
+	}
+	if err := site.writeControllerConfig(0); err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile("testdata/controller-1.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := os.ReadFile(site.ControllerConfig(0))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(string(want), string(got)); diff != "" {
+		t.Errorf("settings of controller-1 (-want +got):\n%s", diff)
 	}
 }
--- a/internal/site/jobspec/store.go
+++ b/internal/site/jobspec/store.go
@@ -1,5 +1,6 @@
-// Package jobspec keeps what jobs run, as their users uploaded it: by job, on disk, never changed.
-// It knows nothing of jobs' states and never reads a description but for its size.
+// Package jobspec stores what the tasks of jobs run, as users uploaded it. It owns one bucket of a database that the machine
+// pool owns: job ID to encoded spec, each written once and never changed. It knows nothing of jobs' states and never decodes a
+// spec. docs/design/appliance.md describes a site.
 package jobspec
 
 import (
@@ -10,22 +11,26 @@
 	"go.etcd.io/bbolt"
 )
 
-// ErrConflict says that the job has another description already.
+// bucketName is the bucket of the specs. Databases of earlier versions have it by this name.
+const bucketName = "descriptions"
+
+// ErrConflict says that a job already has another spec. Its text is part of the response to the user.
 var ErrConflict = errors.New("the job has another description")
 
-// ErrDiskFull says that there is too little room on the disk for more.
+// ErrDiskFull says that there is too little free space on the disk for another spec. Its text is part of the response to the
+// user.
 var ErrDiskFull = errors.New("the disk is nearly full")
 
-// Store keeps descriptions in a database that others use too.
+// Store stores specs. It may be used by several goroutines.
 type Store struct {
 	db      *bbolt.DB
-	hasRoom func() bool // there is enough room on the disk
+	hasRoom func() bool // whether the disk has room for another spec
 }
 
-// New makes a keeper.
+// New returns a store in db, which stays open as long as the store is in use. No spec is added while hasRoom returns false.
 func New(db *bbolt.DB, hasRoom func() bool) (*Store, error) {
 	err := db.Update(func(tx *bbolt.Tx) error {
-		_, err := tx.CreateBucketIfNotExists([]byte("descriptions"))
+		_, err := tx.CreateBucketIfNotExists([]byte(bucketName))
 		return err
 	})
 	if err != nil {
@@ -34,9 +39,10 @@
 	return &Store{db, hasRoom}, nil
 }
 
-// Put keeps a description: it is there once Put returns. The same one may be put again.
-func (k *Store) Put(job string, encoded []byte) error {
-	stored, err := k.Get(job)
+// Put stores the spec of a job. It is durable when Put returns. Putting the same spec again succeeds; another one for the same
+// job gets ErrConflict, and ErrDiskFull is returned if the disk has no room.
+func (s *Store) Put(job string, encoded []byte) error {
+	stored, err := s.Get(job)
 	switch {
 	case err != nil:
 		return err
@@ -44,11 +50,12 @@
 		return nil
 	case stored != nil:
 		return ErrConflict
-	case !k.hasRoom():
+	case !s.hasRoom():
 		return ErrDiskFull
 	}
-	return k.db.Batch(func(tx *bbolt.Tx) error {
-		bucket := tx.Bucket([]byte("descriptions"))
+	return s.db.Batch(func(tx *bbolt.Tx) error {
+		bucket := tx.Bucket([]byte(bucketName))
+		// Another request may have stored one since the check above.
 		if stored := bucket.Get([]byte(job)); stored != nil && !bytes.Equal(stored, encoded) {
 			return ErrConflict
 		}
@@ -56,10 +63,10 @@
 	})
 }
 
-// Get is a job's description: nil if it has none.
-func (k *Store) Get(job string) (encoded []byte, err error) {
-	err = k.db.View(func(tx *bbolt.Tx) error {
-		encoded = bytes.Clone(tx.Bucket([]byte("descriptions")).Get([]byte(job)))
+// Get returns the spec of a job, or nil if it has none.
+func (s *Store) Get(job string) (encoded []byte, err error) {
+	err = s.db.View(func(tx *bbolt.Tx) error {
+		encoded = bytes.Clone(tx.Bucket([]byte(bucketName)).Get([]byte(job)))
 		return nil
 	})
 	return encoded, err
--- a/internal/site/jobspec/store_test.go
+++ b/internal/site/jobspec/store_test.go
@@ -7,8 +7,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// A description is kept once and for all: the same may come again, another is refused; on a full disk
-// new ones are, and what is there is there.
+// A spec is stored once: the same may be put again, another is refused. On a full disk new specs are refused, and those that are
+// stored stay. They survive a restart.
 func TestSpecIsWrittenOnce(t *testing.T) {
 	path := t.TempDir() + "/db"
 	open := func() *bbolt.DB {
@@ -27,7 +27,7 @@
 	put := func(job, raw string, want error) {
 		t.Helper()
 		if err := store.Put(job, []byte(raw)); !errors.Is(err, want) {
-			t.Errorf("%s: %v, want %v", job, err, want)
+			t.Errorf("put %s: error %v, want %v", job, err, want)
 		}
 	}
 	put("job-1", "one", nil)
@@ -40,13 +40,17 @@
 		t.Fatal(err)
 	}
 	db = open()
-	defer db.Close()
+	t.Cleanup(func() {
+		if err := db.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	if store, err = New(db, func() bool { return true }); err != nil {
 		t.Fatal(err)
 	}
 	for job, want := range map[string]string{"job-1": "one", "job-2": ""} {
 		if raw, err := store.Get(job); err != nil || string(raw) != want {
-			t.Errorf("%s: %q %v", job, raw, err)
+			t.Errorf("%s: spec %q, error %v, want %q", job, raw, err, want)
 		}
 	}
 }
