--- a/internal/site/machinepool/golden_bytes_test.go
+++ b/internal/site/machinepool/golden_bytes_test.go
@@ -11,7 +11,9 @@
 	at := time.Unix(1_700_000_000, 123_000_000).UTC()
 	overview := Overview{
 		IsDraining: true, MachineCount: 2, RunningTasks: 3,
-		Workers: []WorkerView{{Name: "worker-1", Machine: "vm-1", CPUs: 8, MemoryGB: 31.5, RunningTasks: 3, FreeDiskMB: 70_000, SilentSeconds: 1.5}},
+		Workers: []WorkerView{{
+			Name: "worker-1", Machine: "vm-1", CPUs: 8, MemoryGB: 31.5, RunningTasks: 3, FreeDiskMB: 70_000, SilentSeconds: 1.5,
+		}},
 	}
 	goldenbytes.Check(
 		t,
--- a/internal/site/machinepool/messages.go
+++ b/internal/site/machinepool/messages.go
@@ -1,7 +1,3 @@
-// Package machinepool offers the machines that a site owns as a cloud: rent is a hand-out to the worker of a
-// machine, and a deletion is confirmed only once that worker has said that nothing is left. Its State
-// owns what is rented, which worker has which machine, and whether the site is being drained; it is a
-// pure step. Its Service writes every change down before it answers. It never starts or stops a task.
 package machinepool
 
 import (
@@ -10,47 +6,50 @@
 	"gullrudder/internal/wire/server"
 )
 
-// Options of a pool.
+// Options of a machine pool.
 type Options struct {
 	Zone        string
-	HourlyPrice float64 // an hour of a machine
+	HourlyPrice float64 // of a machine
 }
 
 // Request is a request to the pool.
 type Request = server.Request
 
-// Response answers a request. It goes out only once the record and the failures of its step are durable.
+// Response answers a request. It is sent only once the record and the failures of its step are durable.
 type Response = server.ValueResponse
 
-// Effects are what a step wants done: Keep before Responses.
+// Effects are what the Service has to do after a step, in the order of the fields.
 type Effects struct {
-	Record          *Record  // the whole of what is to be remembered, if it has changed
-	TaskFailures    []string // results in JSON, to be kept
+	Record          *Record  // to be stored; nil if it has not changed
+	TaskFailures    []string // to be stored; each is a Failure in JSON
 	Responses       []Response
-	WorkersToNotify []string // addresses of workers that are to ask at once
+	WorkersToNotify []string // addresses of workers that have a new assignment to ask for
 }
 
-// Record is what a pool remembers.
+// Record is what a pool stores. It survives a restart of the pool's process.
 type Record struct {
 	LastMachineNumber int                 `json:"counter"`
 	IsDraining        bool                `json:"draining"`
-	Machines          map[string]*Machine `json:"machines"`
-	MachinesByRequest map[string][]string `json:"charters"`
+	Machines          map[string]*Machine `json:"machines"` // by machine ID
+	MachinesByRequest map[string][]string `json:"charters"` // IDs of the machines that a create request was answered with, by its name
 }
 
-// Machine is one that is rented: a worker's, from its hand-out until it is known that nothing is left.
+// Machine is a machine that a controller has requested. It exists from its assignment to a worker until it is certain that none
+// of its tasks is left there.
 type Machine struct {
-	Worker           string    `json:"worker"`
-	WorkerEpoch      uint64    `json:"epoch"` // of the worker's process at the hand-out
-	Type             string    `json:"type"`
-	CreatedAt        time.Time `json:"born"`
-	IsRunning        bool      `json:"up"`     // the worker has taken it
-	HasFailed        bool      `json:"failed"` // the worker's process is another one
-	IsTerminating    bool      `json:"leaving"`
-	releasedAtSerial uint64    // the first charge that took it from its worker; 0: none yet
+	Worker        string    `json:"worker"`
+	WorkerEpoch   uint64    `json:"epoch"` // start of the worker's process at the assignment
+	Type          string    `json:"type"`
+	CreatedAt     time.Time `json:"born"`
+	IsRunning     bool      `json:"up"`     // the worker has accepted the assignment
+	HasFailed     bool      `json:"failed"` // the worker's process has been restarted
+	IsTerminating bool      `json:"leaving"`
+	// releasedAtSerial is the serial of the first assignment without this machine; 0: none yet. It is not stored: a restarted pool
+	// releases the machine again, with a higher serial.
+	releasedAtSerial uint64
 }
 
-// Overview is what the site's people are shown.
+// Overview is the state of the site's machines, as users see it.
 type Overview struct {
 	IsDraining   bool         `msgpack:"draining" json:"draining"`
 	MachineCount int          `msgpack:"rented" json:"rented"`
@@ -58,7 +57,7 @@
 	Workers      []WorkerView `msgpack:"workers" json:"workers"`
 }
 
-// AllWorkersSilentFor reports that no worker with a machine has been heard for so long: what waits for them waits in vain.
+// AllWorkersSilentFor reports whether no worker has reported within the limit. It is true if there is no worker.
 func (o Overview) AllWorkersSilentFor(limit time.Duration) bool {
 	for _, w := range o.Workers {
 		if w.SilentSeconds < limit.Seconds() {
@@ -68,18 +67,32 @@
 	return true
 }
 
-// WorkerView is one worker of the site.
+// WorkerView is one worker of the site, as users see it.
 type WorkerView struct {
 	Name          string  `msgpack:"name" json:"name"`
-	Machine       string  `msgpack:"machine" json:"machine"`
+	Machine       string  `msgpack:"machine" json:"machine"` // empty: none
 	CPUs          float64 `msgpack:"cpus" json:"cpus"`
 	MemoryGB      float64 `msgpack:"mem_gb" json:"mem_gb"`
 	RunningTasks  int     `msgpack:"busy" json:"tasks"`
 	FreeDiskMB    uint64  `msgpack:"free_mb" json:"free_mb"`
-	SilentSeconds float64 `msgpack:"silent_s" json:"silent_s"` // seconds since it was heard
+	SilentSeconds float64 `msgpack:"silent_s" json:"silent_s"` // since its last report
 }
 
-// workerReport and charge are a worker's; see the agent.
+// Failure is a task that exited with a status other than 0, as its worker reports it.
+type Failure struct {
+	Task        string    `json:"task"`
+	ExitCode    int       `json:"exit"`
+	Reason      string    `json:"reason"`
+	ErrorOutput string    `json:"tail"` // end of the task's error output
+	FinishedAt  time.Time `json:"finished"`
+}
+
+// FailureList is the response to GET /site/failures: each entry is a Failure in JSON, the newest first.
+type FailureList struct {
+	EncodedFailures []string `msgpack:"list"`
+}
+
+// workerReport is what a worker reports of itself; see agent.WorkerReport.
 type workerReport struct {
 	Name          string   `msgpack:"name"`
 	Addr          string   `msgpack:"addr"`
@@ -95,22 +108,24 @@
 	Failures      []string `msgpack:"failures"`
 }
 
+// assignment is the response to a worker's report; see agent.MachineAssignment.
 type assignment struct {
-	Machine        string `msgpack:"machine"`
+	Machine        string `msgpack:"machine"` // empty: none
 	HasDrainNotice bool   `msgpack:"notice"`
-	Serial         uint64 `msgpack:"serial"`
+	Serial         uint64 `msgpack:"serial"` // increases with every assignment, also across restarts of the pool
 }
 
-type instance struct {
-	ID         string  `msgpack:"id"`
-	Addr       string  `msgpack:"addr"`
-	Type       string  `msgpack:"keel"`
-	Zone       string  `msgpack:"harbour"`
-	Spot       bool    `msgpack:"driftwood"`
-	State      string  `msgpack:"trim"`
-	AgeSeconds float64 `msgpack:"age_s"`
+// errorResponse says why a request is refused.
+type errorResponse struct {
+	Error string `msgpack:"error"`
 }
 
+// machineTypesResponse is the response to GET /flavors.
+type machineTypesResponse struct {
+	Types []machineType `msgpack:"keels"`
+}
+
+// machineType is a type of machines under the names of the cloud's protocol.
 type machineType struct {
 	Name             string   `msgpack:"name"`
 	CPUs             float64  `msgpack:"cpus"`
@@ -123,3 +138,39 @@
 	FetchGBPerSecond float64  `msgpack:"fetch_gb_per_s"`
 	Zones            []string `msgpack:"harbours"`
 }
+
+// instancesResponse is a page of the response to GET /hosts.
+type instancesResponse struct {
+	Instances []instance `msgpack:"oarlocks"`
+	HasNext   bool       `msgpack:"has_next"`
+}
+
+// instance is a machine under the names of the cloud's protocol.
+type instance struct {
+	ID         string  `msgpack:"id"`
+	Addr       string  `msgpack:"addr"`
+	Type       string  `msgpack:"keel"`
+	Zone       string  `msgpack:"harbour"`
+	Spot       bool    `msgpack:"driftwood"`
+	State      string  `msgpack:"trim"`
+	AgeSeconds float64 `msgpack:"age_s"`
+}
+
+// createRequest asks for machines (POST /hosts). A request that comes again under the same name gets the same answer.
+type createRequest struct {
+	Name  string `msgpack:"charter"`
+	Type  string `msgpack:"keel"`
+	Zone  string `msgpack:"harbour"`
+	Spot  bool   `msgpack:"driftwood"`
+	Count int    `msgpack:"how_many"`
+}
+
+// createResponse may name fewer machines than were asked for.
+type createResponse struct {
+	IDs []string `msgpack:"oarlocks"`
+}
+
+// deleteRequest asks for the deletion of machines (POST /hosts/delete).
+type deleteRequest struct {
+	IDs []string `msgpack:"oarlocks"`
+}
--- a/internal/site/machinepool/state_test.go
+++ b/internal/site/machinepool/state_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"testing"
 	"time"
 
@@ -14,14 +15,16 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// poolModel is a pool with a plain model of its workers: what each was told, what it holds.
-type poolModel struct {
+// machinePoolModel is a pool with a plain model of its workers: what each was assigned and has.
+type machinePoolModel struct {
 	t                *rapid.T
 	state            *State
 	now              time.Time
 	workers          []*modelWorker
-	pendingDeletions map[int][]string // by request, those that are not answered
+	pendingDeletions map[int][]string // machine IDs by handle of the request
 	lastHandle       int
+	created          map[string]string // answer by name of the create request
+	machines         []string          // IDs of all that were created
 }
 
 type modelWorker struct {
@@ -29,231 +32,326 @@
 	epoch         uint64
 	machine       string
 	appliedSerial uint64
-	assignments   []assignment // on their way to it
+	assignments   []assignment // on their way to the worker, the newest last
 }
 
-func (y *poolModel) request(method, target string, body any) []Response {
+// isToTake reports whether the newest assignment on its way to the worker is the machine.
+func (w *modelWorker) isToTake(id string) bool {
+	count := len(w.assignments)
+	return count > 0 && w.assignments[count-1].Machine == id
+}
+
+func newMachinePoolModel(t *rapid.T) *machinePoolModel {
+	model := &machinePoolModel{
+		t:                t,
+		state:            NewState(Options{Zone: "z", HourlyPrice: 1}, Record{}),
+		now:              time.Unix(1000, 0),
+		pendingDeletions: map[int][]string{},
+		created:          map[string]string{},
+	}
+	for i := range 3 {
+		model.workers = append(model.workers, &modelWorker{name: fmt.Sprint("w", i), epoch: uint64(i + 1)})
+	}
+	return model
+}
+
+func (m *machinePoolModel) request(method, target string, body any) []Response {
 	raw, err := codec.Marshal(body)
 	if err != nil {
-		y.t.Fatal(err)
+		m.t.Fatal(err)
+	}
+	m.lastHandle++
+	e := m.state.Step(m.now, []Request{{Handle: m.lastHandle, Method: method, Target: target, Body: raw}})
+	for _, r := range e.Responses {
+		m.checkDeletion(r)
 	}
-	y.lastHandle++
-	e := y.state.Step(y.now, []Request{{Handle: y.lastHandle, Method: method, Target: target, Body: raw}})
-	y.checkConfirmedDeletions(e)
 	return e.Responses
 }
 
-// checkConfirmedDeletions checks every deletion that is confirmed: no worker may hold a machine of it, or be about to.
-func (y *poolModel) checkConfirmedDeletions(e Effects) {
-	for _, r := range e.Responses {
-		n, ok := r.Handle.(int)
-		ids := y.pendingDeletions[n]
-		if !ok || ids == nil {
-			continue
-		}
-		delete(y.pendingDeletions, n)
-		for _, id := range ids {
-			for _, h := range y.workers {
-				coming := false
-				for i, c := range h.assignments {
-					coming = coming || c.Machine == id && i == len(h.assignments)-1
-				}
-				if r.Status == 200 && (h.machine == id || coming) {
-					y.t.Fatalf("%s is confirmed as gone, and %s has it (%q, %v)", id, h.name, h.machine, h.assignments)
-				}
+// checkDeletion checks the response to a deletion: if it is confirmed, no worker has a machine of it or is about to take one.
+func (m *machinePoolModel) checkDeletion(response Response) {
+	handle, ok := response.Handle.(int)
+	ids := m.pendingDeletions[handle]
+	if !ok || ids == nil {
+		return
+	}
+	delete(m.pendingDeletions, handle)
+	if response.Status != http.StatusOK {
+		return
+	}
+	for _, id := range ids {
+		for _, w := range m.workers {
+			if w.machine == id || w.isToTake(id) {
+				m.t.Fatalf("deletion of %s confirmed, but %s has it (machine %q, assignments %v)", id, w.name, w.machine, w.assignments)
 			}
 		}
 	}
 }
 
-func (y *poolModel) report(h *modelWorker) {
-	for _, r := range y.request("POST", "/site/greet", workerReport{
-		Name: h.name, Addr: h.name + ":1", Type: "t", Zone: "z", CPUs: 4, Epoch: h.epoch,
-		Machine: h.machine, AppliedSerial: h.appliedSerial,
+func (m *machinePoolModel) report(w *modelWorker) {
+	for _, r := range m.request("POST", "/site/greet", workerReport{
+		Name: w.name, Addr: w.name + ":1", Type: "t", Zone: "z", CPUs: 4, Epoch: w.epoch,
+		Machine: w.machine, AppliedSerial: w.appliedSerial,
 	}) {
-		if c, ok := r.Body.(assignment); ok && r.Handle == y.lastHandle {
-			h.assignments = append(h.assignments, c)
+		if answer, ok := r.Body.(assignment); ok && r.Handle == m.lastHandle {
+			w.assignments = append(w.assignments, answer)
+		}
+	}
+}
+
+// applyAssignment has the worker apply the oldest assignment on its way. By then nothing of its earlier machine is left.
+func (m *machinePoolModel) applyAssignment(w *modelWorker) {
+	if len(w.assignments) > 0 {
+		oldest := w.assignments[0]
+		w.assignments = w.assignments[1:]
+		w.machine, w.appliedSerial = oldest.Machine, oldest.Serial
+	}
+}
+
+func (m *machinePoolModel) createMachines() {
+	name := fmt.Sprint("r-", rapid.IntRange(0, 5).Draw(m.t, "charter"))
+	for _, r := range m.request("POST", "/hosts", createBody(name, "t", "z", false, 2)) {
+		if r.Handle != m.lastHandle || r.Status != http.StatusOK {
+			continue
+		}
+		ids := r.Body.(createResponse).IDs
+		if earlier, ok := m.created[name]; ok && earlier != fmt.Sprint(ids) {
+			m.t.Fatalf("request %s answered with %s and then with %v", name, earlier, ids)
+		}
+		m.created[name] = fmt.Sprint(ids)
+		m.machines = append(m.machines, ids...)
+	}
+}
+
+func (m *machinePoolModel) deleteMachine() {
+	if len(m.machines) > 0 {
+		id := rapid.SampledFrom(m.machines).Draw(m.t, "machine")
+		m.pendingDeletions[m.lastHandle+1] = []string{id}
+		m.request("POST", "/hosts/delete", deletionBody(id))
+	}
+}
+
+// restartWorker ends the worker's process; the next one has ended all that was left.
+func (m *machinePoolModel) restartWorker(w *modelWorker) {
+	w.machine, w.appliedSerial, w.assignments = "", 0, nil
+	w.epoch += 10
+}
+
+// restartProcess ends the pool's process; the next one has what was stored.
+func (m *machinePoolModel) restartProcess() {
+	if rapid.Bool().Draw(m.t, "restart") {
+		m.state = NewState(m.state.options, reloaded(m.state.record))
+		m.pendingDeletions = map[int][]string{}
+	}
+}
+
+// checkOneMachineEach checks that no worker has two machines.
+func (m *machinePoolModel) checkOneMachineEach() {
+	byWorker := map[string]string{}
+	for id, machine := range m.state.record.Machines {
+		if other, ok := byWorker[machine.Worker]; ok {
+			m.t.Fatalf("%s has two machines, %s and %s", machine.Worker, other, id)
 		}
+		byWorker[machine.Worker] = id
 	}
 }
 
-// Whatever the order in which greetings, charges, rentals, deletions, restarts and outages come: what is
-// confirmed as gone is held by nobody and will be taken by nobody; no worker has two machines; a
-// request is answered with the same machines for ever.
+// In whatever order reports, assignments, create requests, deletions and restarts come: no worker has a machine whose deletion
+// is confirmed, or will take it; no worker has two machines; a create request is answered with the same machines each time.
 func TestConfirmedDeletionLeavesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		y := &poolModel{t: t, state: NewState(Options{Zone: "z", HourlyPrice: 1}, Record{}), now: time.Unix(1000, 0), pendingDeletions: map[int][]string{}}
-		for i := range 3 {
-			y.workers = append(y.workers, &modelWorker{name: fmt.Sprint("w", i), epoch: uint64(i + 1)})
-		}
-		charters, known := map[string]string{}, []string{}
+		model := newMachinePoolModel(t)
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
-			y.now = y.now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
-			h := rapid.SampledFrom(y.workers).Draw(t, "worker")
+			model.now = model.now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
+			w := rapid.SampledFrom(model.workers).Draw(t, "worker")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2:
-				y.report(h)
+				model.report(w)
 			case 3, 4, 5:
-				if len(h.assignments) > 0 { // it takes in what it was told, in order; clearing is done by then
-					c := h.assignments[0]
-					h.assignments = h.assignments[1:]
-					h.machine, h.appliedSerial = c.Machine, c.Serial
-				}
+				model.applyAssignment(w)
 			case 6:
-				name := fmt.Sprint("r-", rapid.IntRange(0, 5).Draw(t, "charter"))
-				for _, r := range y.request("POST", "/hosts", map[string]any{"charter": name, "keel": "t", "harbour": "z", "driftwood": false, "how_many": 2}) {
-					if r.Handle != y.lastHandle || r.Status != 200 {
-						continue
-					}
-					ids := r.Body.(map[string]any)["oarlocks"].([]string)
-					if old, ok := charters[name]; ok && old != fmt.Sprint(ids) {
-						t.Fatalf("%s got %s and then %v", name, old, ids)
-					}
-					charters[name] = fmt.Sprint(ids)
-					known = append(known, ids...)
-				}
+				model.createMachines()
 			case 7:
-				if len(known) > 0 {
-					id := rapid.SampledFrom(known).Draw(t, "machine")
-					y.pendingDeletions[y.lastHandle+1] = []string{id}
-					y.request("POST", "/hosts/delete", map[string]any{"oarlocks": []string{id}})
-				}
-			case 8: // the worker's process ends; its successor has ended everything
-				h.machine, h.appliedSerial, h.assignments = "", 0, nil
-				h.epoch += 10
-			case 9: // the pool's process ends; what it kept is there
-				if rapid.Bool().Draw(t, "restart") {
-					y.state = NewState(y.state.options, reloaded(y.state.record))
-					y.pendingDeletions = map[int][]string{}
-				}
-			}
-			has := map[string]string{}
-			for id, m := range y.state.record.Machines {
-				if other, ok := has[m.Worker]; ok {
-					t.Fatalf("%s has %s and %s", m.Worker, other, id)
-				}
-				has[m.Worker] = id
+				model.deleteMachine()
+			case 8:
+				model.restartWorker(w)
+			case 9:
+				model.restartProcess()
 			}
+			model.checkOneMachineEach()
 		}
 	})
 }
 
-// reloaded is a record as it comes back from disk: what is not written is not there.
-func reloaded(r Record) Record {
-	c := Record{LastMachineNumber: r.LastMachineNumber, IsDraining: r.IsDraining, Machines: map[string]*Machine{}, MachinesByRequest: r.MachinesByRequest}
-	for id, m := range r.Machines {
-		n := *m
-		n.releasedAtSerial = 0
-		c.Machines[id] = &n
-	}
-	return c
+// reloaded returns the record as it is read from disk: without what is not stored.
+func reloaded(stored Record) Record {
+	record := Record{
+		LastMachineNumber: stored.LastMachineNumber,
+		IsDraining:        stored.IsDraining,
+		Machines:          map[string]*Machine{},
+		MachinesByRequest: stored.MachinesByRequest,
+	}
+	for id, machine := range stored.Machines {
+		copied := *machine
+		copied.releasedAtSerial = 0
+		record.Machines[id] = &copied
+	}
+	return record
 }
 
-// The protocol's cloud: forms that are refused, what is listed, and a deletion of what nobody knows.
-func TestCloudInterface(t *testing.T) {
-	s := NewState(Options{Zone: "z", HourlyPrice: 1}, Record{})
-	now := time.Unix(1000, 0)
-	ask := func(method, target string, body any) Response {
-		t.Helper()
-		raw, err := codec.Marshal(body)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, r := range s.Step(now, []Request{{Handle: 1, Method: method, Target: target, Body: raw}}).Responses {
-			return r
-		}
-		return Response{}
-	}
-	rent := func(name, typ, zone string, spot bool, n int) Response {
-		return ask("POST", "/hosts", map[string]any{"charter": name, "keel": typ, "harbour": zone, "driftwood": spot, "how_many": n})
+// createBody is the body of POST /hosts as the controllers send it.
+func createBody(name, machineType, zone string, isSpot bool, count int) codec.Object {
+	return codec.Object{"charter": name, "keel": machineType, "harbour": zone, "driftwood": isSpot, "how_many": count}
+}
+
+// deletionBody is the body of POST /hosts/delete as the controllers send it.
+func deletionBody(ids ...string) codec.Object { return codec.Object{"oarlocks": ids} }
+
+// fixture is a pool that is asked at a time that the test sets.
+type fixture struct {
+	t     *testing.T
+	state *State
+	now   time.Time
+}
+
+// ask returns the first response of the step that handles the request; its status is 0 if there is none.
+func (f *fixture) ask(method, target string, body any) Response {
+	f.t.Helper()
+	raw, err := codec.Marshal(body)
+	if err != nil {
+		f.t.Fatal(err)
 	}
-	if r := rent("r", "t", "z", false, 1); r.Status != 503 {
-		t.Errorf("nobody is there: %d", r.Status)
+	responses := f.state.Step(f.now, []Request{{Handle: 1, Method: method, Target: target, Body: raw}}).Responses
+	if len(responses) == 0 {
+		return Response{}
 	}
+	return responses[0]
+}
+
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	return &fixture{t: t, state: NewState(Options{Zone: "z", HourlyPrice: 1}, Record{}), now: time.Unix(1000, 0)}
+}
+
+// addWorkers has three workers of type t report.
+func (f *fixture) addWorkers() {
+	f.t.Helper()
 	epoch := uint64(rand.Uint32()) + 1
 	for i := range 3 {
-		ask("POST", "/site/greet", workerReport{Name: fmt.Sprint("w", i), Addr: "a:1", Type: "t", CPUs: 4, Epoch: epoch})
+		f.ask("POST", "/site/greet", workerReport{Name: fmt.Sprint("w", i), Addr: "a:1", Type: "t", CPUs: 4, Epoch: epoch})
 	}
-	for name, r := range map[string]Response{"no name": rent("", "t", "z", false, 1), "none": rent("x", "t", "z", false, 0), "many": rent("x", "t", "z", false, 51)} {
-		if r.Status != 400 {
-			t.Errorf("%s: %d", name, r.Status)
-		}
+}
+
+// Create requests as the cloud's protocol has them, in this order.
+func TestCreateRequests(t *testing.T) {
+	f := newFixture(t)
+	if r := f.ask("POST", "/hosts", createBody("r", "t", "z", false, 1)); r.Status != http.StatusServiceUnavailable {
+		t.Errorf("no worker: status %d, want 503", r.Status)
 	}
-	for name, r := range map[string]Response{"spot": rent("x", "t", "z", true, 1), "zone": rent("x", "t", "y", false, 1), "type": rent("x", "u", "z", false, 1)} {
-		if r.Status != 503 {
-			t.Errorf("%s: %d", name, r.Status)
+	f.addWorkers()
+	for _, test := range []struct {
+		name       string
+		body       codec.Object
+		wantStatus int
+		wantCount  int
+	}{
+		{name: "no name", body: createBody("", "t", "z", false, 1), wantStatus: 400},
+		{name: "none asked for", body: createBody("x", "t", "z", false, 0), wantStatus: 400},
+		{name: "too many asked for", body: createBody("x", "t", "z", false, 51), wantStatus: 400},
+		{name: "spot", body: createBody("x", "t", "z", true, 1), wantStatus: 503},
+		{name: "other zone", body: createBody("x", "t", "y", false, 1), wantStatus: 503},
+		{name: "other type", body: createBody("x", "u", "z", false, 1), wantStatus: 503},
+		{name: "three of nine", body: createBody("r", "t", "z", false, 9), wantStatus: 200, wantCount: 3},
+		{name: "all taken", body: createBody("s", "t", "z", false, 1), wantStatus: 503},
+	} {
+		r := f.ask("POST", "/hosts", test.body)
+		if r.Status != test.wantStatus {
+			t.Errorf("%s: status %d, want %d", test.name, r.Status, test.wantStatus)
+		}
+		if created, ok := r.Body.(createResponse); test.wantCount > 0 && (!ok || len(created.IDs) != test.wantCount) {
+			t.Errorf("%s: response %v, want %d machines", test.name, r.Body, test.wantCount)
 		}
 	}
-	if r := rent("r", "t", "z", false, 9); r.Status != 200 || len(r.Body.(map[string]any)["oarlocks"].([]string)) != 3 {
-		t.Errorf("three of nine: %v", r)
-	}
-	if r := rent("s", "t", "z", false, 1); r.Status != 503 {
-		t.Errorf("all are taken: %d", r.Status)
-	}
-	page := ask("GET", "/hosts?most=2", nil).Body.(map[string]any)
-	rest := ask("GET", "/hosts?most=2&from=vm-000002", nil).Body.(map[string]any)
-	if len(page["oarlocks"].([]instance)) != 2 || page["has_next"] != true || len(rest["oarlocks"].([]instance)) != 1 || rest["has_next"] != false {
-		t.Errorf("%v %v", page, rest)
+}
+
+// Instances are listed in pages.
+func TestListInstances(t *testing.T) {
+	f := newFixture(t)
+	f.addWorkers()
+	f.ask("POST", "/hosts", createBody("r", "t", "z", false, 9))
+	for _, test := range []struct {
+		target      string
+		wantCount   int
+		wantHasNext bool
+	}{
+		{"/hosts?most=2", 2, true},
+		{"/hosts?most=2&from=vm-000002", 1, false},
+	} {
+		page := f.ask("GET", test.target, nil).Body.(instancesResponse)
+		if len(page.Instances) != test.wantCount || page.HasNext != test.wantHasNext {
+			t.Errorf("%s: %+v, want %d instances, has next %v", test.target, page, test.wantCount, test.wantHasNext)
+		}
 	}
-	if r := ask("POST", "/hosts/delete", map[string]any{"oarlocks": []string{"vm-999999"}}); r.Status != 200 {
-		t.Errorf("a name that is not known: %d", r.Status)
+}
+
+// A deletion of an unknown machine succeeds at once; one of a machine whose worker does not report is to be repeated.
+func TestDeletionWaitsForWorker(t *testing.T) {
+	f := newFixture(t)
+	f.addWorkers()
+	f.ask("POST", "/hosts", createBody("r", "t", "z", false, 9))
+	if r := f.ask("POST", "/hosts/delete", deletionBody("vm-999999")); r.Status != http.StatusOK {
+		t.Errorf("unknown machine: status %d, want 200", r.Status)
 	}
-	if r := ask("POST", "/hosts/delete", map[string]any{"oarlocks": []string{"vm-000001"}}); r.Status != 0 {
-		t.Errorf("answered with %d before the worker has said a word", r.Status)
+	if r := f.ask("POST", "/hosts/delete", deletionBody("vm-000001")); r.Status != 0 {
+		t.Errorf("answered with %d before the worker has reported", r.Status)
 	}
-	now = now.Add(time.Minute)
-	if e := s.Step(now, nil); len(e.Responses) != 1 || e.Responses[0].Status != 503 || e.Responses[0].RetryAfter == 0 {
-		t.Errorf("a worker that says nothing: %v", e.Responses)
+	f.now = f.now.Add(time.Minute)
+	responses := f.state.Step(f.now, nil).Responses
+	if len(responses) != 1 || responses[0].Status != http.StatusServiceUnavailable || responses[0].RetryAfter == 0 {
+		t.Errorf("worker silent for a minute: %v, want one response with 503 and a time to retry", responses)
 	}
 }
 
-// A drain outlives the pool's process, gives machines up as they fall idle, and rents none.
+// A drain survives a restart of the pool's process, gives machines up as they become idle, and creates none.
 func TestDrainSurvivesRestart(t *testing.T) {
-	now := time.Unix(1000, 0)
-	s := NewState(Options{Zone: "z"}, Record{})
-	greet := func(holding string, busy int, applied uint64) assignment {
+	f := newFixture(t)
+	report := func(machine string, runningTasks int, appliedSerial uint64) assignment {
 		t.Helper()
-		raw, err := codec.Marshal(workerReport{Name: "w", Addr: "a:1", Type: "t", CPUs: 4, Epoch: 7, Machine: holding, RunningTasks: busy, AppliedSerial: applied})
-		if err != nil {
-			t.Fatal(err)
-		}
-		return s.Step(now, []Request{{Handle: 1, Method: "POST", Target: "/site/greet", Body: raw}}).Responses[0].Body.(assignment)
-	}
-	greet("", 0, 0)
-	raw, err := codec.Marshal(map[string]any{"charter": "r", "keel": "t", "harbour": "z", "driftwood": false, "how_many": 1})
-	if err != nil {
-		t.Fatal(err)
+		return f.ask("POST", "/site/greet", workerReport{
+			Name: "w", Addr: "a:1", Type: "t", CPUs: 4, Epoch: 7,
+			Machine: machine, RunningTasks: runningTasks, AppliedSerial: appliedSerial,
+		}).Body.(assignment)
 	}
-	s.Step(now, []Request{{Handle: 1, Method: "POST", Target: "/hosts", Body: raw}})
-	c := greet("", 0, 0)
-	if c.Machine != "vm-000001" || c.HasDrainNotice {
-		t.Fatalf("%+v", c)
+	report("", 0, 0)
+	f.ask("POST", "/hosts", createBody("r", "t", "z", false, 1))
+	answer := report("", 0, 0)
+	if answer.Machine != "vm-000001" || answer.HasDrainNotice {
+		t.Fatalf("assignment %+v, want vm-000001 without a drain notice", answer)
 	}
-	greet(c.Machine, 3, c.Serial)
-	s.Step(now, []Request{{Handle: 1, Method: "POST", Target: "/site/drain", Body: nil}})
-	s = NewState(s.options, reloaded(s.record))
-	if c = greet("vm-000001", 3, c.Serial); !c.HasDrainNotice || c.Machine == "" {
-		t.Errorf("with tasks on it: %+v", c)
+	report(answer.Machine, 3, answer.Serial)
+	f.ask("POST", "/site/drain", nil)
+	f.state = NewState(f.state.options, reloaded(f.state.record))
+	if answer = report("vm-000001", 3, answer.Serial); !answer.HasDrainNotice || answer.Machine == "" {
+		t.Errorf("drained with running tasks: assignment %+v, want the machine with a drain notice", answer)
 	}
-	if c = greet("vm-000001", 0, c.Serial); c.Machine != "" {
-		t.Errorf("idle: %+v", c)
+	if answer = report("vm-000001", 0, answer.Serial); answer.Machine != "" {
+		t.Errorf("drained and idle: assignment %+v, want no machine", answer)
 	}
-	greet("", 0, c.Serial)
-	if o := s.overview(now); o.AllWorkersSilentFor(30*time.Second) || !s.overview(now.Add(time.Minute)).AllWorkersSilentFor(30*time.Second) {
-		t.Error("a worker that was heard now is not, or one that was not for a minute is")
+	report("", 0, answer.Serial)
+	if f.state.overview(f.now).AllWorkersSilentFor(30 * time.Second) {
+		t.Error("worker that has just reported counts as silent")
 	}
-	if o := s.overview(now); !o.IsDraining || o.MachineCount != 0 {
-		t.Errorf("%+v", o)
+	if !f.state.overview(f.now.Add(time.Minute)).AllWorkersSilentFor(30 * time.Second) {
+		t.Error("worker that has not reported for a minute does not count as silent")
 	}
-	if r := s.Step(now, []Request{{Handle: 1, Method: "POST", Target: "/hosts", Body: raw}}).Responses[0]; r.Status == 200 && len(s.record.Machines) > 0 {
-		t.Error("rented while drained")
+	if view := f.state.overview(f.now); !view.IsDraining || view.MachineCount != 0 {
+		t.Errorf("overview %+v, want draining with no machine", view)
 	}
-	s.Step(now, []Request{{Handle: 1, Method: "POST", Target: "/site/undrain", Body: nil}})
-	raw2, err := codec.Marshal(map[string]any{"charter": "r2", "keel": "t", "harbour": "z", "driftwood": false, "how_many": 1})
-	if err != nil {
-		t.Fatal(err)
+	if r := f.ask("POST", "/hosts", createBody("r", "t", "z", false, 1)); r.Status == http.StatusOK && len(f.state.record.Machines) > 0 {
+		t.Error("machine created while drained")
 	}
-	if r := s.Step(now, []Request{{Handle: 1, Method: "POST", Target: "/hosts", Body: raw2}}).Responses[0]; r.Status != 200 {
-		t.Errorf("after undrain: %d", r.Status)
+	f.ask("POST", "/site/undrain", nil)
+	if r := f.ask("POST", "/hosts", createBody("r2", "t", "z", false, 1)); r.Status != http.StatusOK {
+		t.Errorf("after undrain: status %d, want 200", r.Status)
 	}
 }
