--- a/internal/site/process/process.go
+++ b/internal/site/process/process.go
@@ -62,7 +62,10 @@
 	stat.parent, parentErr = strconv.Atoi(fields[statFieldParent])
 	stat.group, groupErr = strconv.Atoi(fields[statFieldProcessGroup])
 	stat.startTicks, startErr = strconv.ParseUint(fields[statFieldStartTicks], 10, 64)
-	return stat, errors.Join(parentErr, groupErr, startErr)
+	if err := errors.Join(parentErr, groupErr, startErr); err != nil {
+		return stat, fmt.Errorf("process %d: %w", pid, err)
+	}
+	return stat, nil
 }
 
 // BootID returns the kernel's ID of the current boot, or "" if it cannot be read.
