--- a/internal/simulator/ageing_test.go
+++ b/internal/simulator/ageing_test.go
@@ -21,7 +21,7 @@
 	sim := New(seed, opt, testLogger())
 	urgent := func(i int) {
 		sim.Users.SubmitJob(jobs.Spec{
-			ID: fmt.Sprintf("job-1%05d", i), Class: "urgent", Team: "desk", Priority: jobs.Production, Tasks: 9, CPUs: 1, MemoryGB: 1,
+			ID: fmt.Sprintf("job-1%05d", i), Class: "urgent", Team: "desk", Priority: jobs.Critical, Tasks: 9, CPUs: 1, MemoryGB: 1,
 			Image: "u", ImageGB: 1, AllowsSpot: true, RunTimeEstimate: 12 * time.Second, Deadline: 40 * time.Second,
 		}, 12*time.Second)
 	}
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -1,6 +1,6 @@
 // Package simulator runs the real code of several controllers against a simulated state service, cloud, workers and users, in
 // virtual time and one goroutine. It injects crashes, partitions, outages and lost, late and duplicated messages, and checks every
-// rule of the protocol against a simple model of what happened. The same seed and options give the same run. It owns no production
+// rule of the protocol against a simple model of what happened. The random choices come from the seed. It owns no production
 // state and is used by tests and by cmd/faulttest only; docs/design/fault-combinations.md says which combinations are tested.
 package simulator
 
--- a/internal/site/kvserver/storage.go
+++ b/internal/site/kvserver/storage.go
@@ -14,7 +14,7 @@
 type Storage struct {
 	files                   Directory
 	wal                     *WAL
-	options                 config.KVServer
+	options                 config.KVServerOptions
 	uncoveredLogBytes       int64 // of log that no snapshot covers
 	pendingSnapshotLogBytes int64 // of log that the snapshot under way is to cover
 	lastSnapshotBytes       int64 // size of the last snapshot
@@ -22,7 +22,7 @@
 
 // Open recovers a store from its directory and makes it ready to go on. A directory that is damaged is a DamageError, and nothing in
 // it is changed.
-func Open(files Directory, options config.KVServer, now time.Time, log *slog.Logger) (*State, *Storage, Inspection, error) {
+func Open(files Directory, options config.KVServerOptions, now time.Time, log *slog.Logger) (*State, *Storage, Inspection, error) {
 	recovered, err := recoverDirectory(files)
 	if err != nil {
 		return nil, nil, Inspection{}, err
@@ -88,7 +88,7 @@
 }
 
 // IsBroken reports that nothing is made durable until Repair has succeeded.
-func (s *Storage) IsBroken() bool { return s.wal.broken }
+func (s *Storage) IsBroken() bool { return s.wal.isBroken }
 
 // Repair goes on in a new segment after a failed sync. The frame whose sync failed does not count any more once that is durable,
 // whether the old segment has kept it or not.
