--- a/cmd/faulttest/leaders.go
+++ b/cmd/faulttest/leaders.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"log/slog"
 	"slices"
-	"sync"
 	"text/tabwriter"
 	"time"
 
@@ -14,69 +13,72 @@
 	"github.com/spf13/cobra"
 )
 
+// gapMeasurement is how long the gaps after a failure of the leader are measured.
+const gapMeasurement = 40 * time.Second
+
+// leaderRuns are the options of the command.
+type leaderRuns struct {
+	failures, jobs int
+	seed           uint64
+}
+
 func leadersCommand() *cobra.Command {
-	var failures, jobs int
-	var seed uint64
+	options := leaderRuns{}
 	cmd := &cobra.Command{
 		Use: "leaders", Short: "How long nobody acts after a failure of the leader, by cause, in virtual time", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			names := simulator.New(0, leadersOptions(), slog.New(slog.DiscardHandler)).LeaderFailures()
-			slices.Sort(names)
-			each := max(failures/len(names), 1)
-			gaps, broken := make([]simulator.LeaderGap, each*len(names)), make([][]simulator.Violation, each*len(names))
-			var wait sync.WaitGroup
-			slots := make(chan struct{}, jobs)
-			for i := range gaps {
-				wait.Add(1)
-				slots <- struct{}{}
-				go func() {
-					defer func() { <-slots; wait.Done() }()
-					w := simulator.New(seed+uint64(i), leadersOptions(), slog.New(slog.DiscardHandler))
-					gaps[i] = w.FailLeader(names[i/each], 40*time.Second)
-					broken[i] = w.Violations
-				}()
-			}
-			wait.Wait()
-			out := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-			fmt.Fprintln(out, "failure\tplayed\tnobody acts: median\tmost\tnobody places: median\tmost\tnobody accepts: median\tmost")
-			for k, name := range names {
-				var acting, placing, accepting []time.Duration
-				for _, g := range gaps[k*each : (k+1)*each] {
-					acting, placing, accepting = append(acting, g.WithoutLeader), append(placing, g.WithoutPlacement), append(accepting, g.WithoutAcceptance)
-				}
-				slices.Sort(acting)
-				slices.Sort(placing)
-				slices.Sort(accepting)
-				fmt.Fprintf(
-					out,
-					"%s\t%d\t%v\t%v\t%v\t%v\t%v\t%v\n",
-					name,
-					each,
-					acting[each/2],
-					acting[each-1],
-					placing[each/2],
-					placing[each-1],
-					accepting[each/2],
-					accepting[each-1],
-				)
-			}
-			if err := out.Flush(); err != nil {
-				return err
-			}
-			for i, b := range broken {
-				if len(b) > 0 {
-					return fmt.Errorf("%s, seed %d: %v", names[i/each], seed+uint64(i), b)
-				}
-			}
-			return nil
-		},
+		RunE: func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
-	cmd.Flags().IntVar(&failures, "failures", 200, "how many failures, over all causes")
-	cmd.Flags().IntVar(&jobs, "jobs", 8, "how many worlds at a time; the result does not depend on it")
-	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the first world")
+	cmd.Flags().IntVar(&options.failures, "failures", 200, "how many failures, over all causes")
+	cmd.Flags().IntVar(&options.jobs, "jobs", 8, "how many clusters at a time; the result does not depend on it")
+	cmd.Flags().Uint64Var(&options.seed, "seed", 1, "of the first cluster")
 	return cmd
 }
 
+func (o leaderRuns) run(cmd *cobra.Command) error {
+	causes := simulator.New(0, leadersOptions(), slog.New(slog.DiscardHandler)).LeaderFailures()
+	slices.Sort(causes)
+	each := max(o.failures/len(causes), 1)
+	gaps, violations := make([]simulator.LeaderGap, each*len(causes)), make([][]simulator.Violation, each*len(causes))
+	runInParallel(len(gaps), o.jobs, func(i int) {
+		sim := simulator.New(o.seed+uint64(i), leadersOptions(), slog.New(slog.DiscardHandler))
+		gaps[i] = sim.FailLeader(causes[i/each], gapMeasurement)
+		violations[i] = sim.Violations
+	})
+	table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
+	out := output{w: table}
+	out.printf("failure\tplayed\tnobody acts: median\tmost\tnobody places: median\tmost\tnobody accepts: median\tmost\n")
+	for k, cause := range causes {
+		ofCause := gaps[k*each : (k+1)*each]
+		out.printf("%s\t%d", cause, each)
+		printMedianAndMost(&out, ofCause, func(gap simulator.LeaderGap) time.Duration { return gap.WithoutLeader })
+		printMedianAndMost(&out, ofCause, func(gap simulator.LeaderGap) time.Duration { return gap.WithoutPlacement })
+		printMedianAndMost(&out, ofCause, func(gap simulator.LeaderGap) time.Duration { return gap.WithoutAcceptance })
+		out.printf("\n")
+	}
+	if out.err != nil {
+		return out.err
+	}
+	if err := table.Flush(); err != nil {
+		return err
+	}
+	for i, list := range violations {
+		if len(list) > 0 {
+			return fmt.Errorf("%s, seed %d: %v", causes[i/each], o.seed+uint64(i), list)
+		}
+	}
+	return nil
+}
+
+// printMedianAndMost prints two columns.
+func printMedianAndMost(out *output, gaps []simulator.LeaderGap, length func(simulator.LeaderGap) time.Duration) {
+	lengths := make([]time.Duration, len(gaps))
+	for i, gap := range gaps {
+		lengths[i] = length(gap)
+	}
+	slices.Sort(lengths)
+	out.printf("\t%v\t%v", lengths[len(lengths)/2], lengths[len(lengths)-1])
+}
+
 func leadersOptions() simulator.Options {
 	return simulator.Options{
 		Controllers: 3, HeartbeatInterval: 2500 * time.Millisecond, WorkerLease: 15 * time.Second, CancelTimeout: 35 * time.Second,
--- /dev/null
+++ b/cmd/faulttest/output.go
@@ -0,0 +1,18 @@
+package main
+
+import (
+	"fmt"
+	"io"
+)
+
+// output writes the lines of a command and keeps the first error.
+type output struct {
+	w   io.Writer
+	err error
+}
+
+func (o *output) printf(format string, args ...any) {
+	if o.err == nil {
+		_, o.err = fmt.Fprintf(o.w, format, args...)
+	}
+}
--- a/cmd/faulttest/site.go
+++ b/cmd/faulttest/site.go
@@ -16,44 +16,27 @@
 	var seed uint64
 	var program string
 	cmd := &cobra.Command{
-		Use: "appliance", Short: "Kill the parts of a whole site of real processes while it works, again and again", Args: cobra.NoArgs,
+		Use: "site", Aliases: []string{"appliance"}, Args: cobra.NoArgs,
+		Short: "Kill the parts of a whole site of real processes while it works, again and again",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			program, err := filepath.Abs(program)
 			if err != nil {
 				return err
 			}
+			out := output{w: cmd.OutOrStdout()}
 			var worst, sum time.Duration
 			for i := range runs {
-				dir, err := os.MkdirTemp("", "site")
+				report, err := runSite(program, tasks, seed+uint64(i))
 				if err != nil {
-					return err
+					return fmt.Errorf("run %d, %w", i, err)
 				}
-				rep, err := sitetest.Run{Program: program, Dir: dir, Tasks: tasks, Seed: seed + uint64(i), Log: func(string, ...any) {}}.Execute()
-				if err != nil {
-					return fmt.Errorf("run %d, kept in %s: %w", i, dir, err)
-				}
-				if err := os.RemoveAll(dir); err != nil {
-					return err
-				}
-				worst, sum = max(worst, rep.FirstTaskAfter), sum+rep.FirstTaskAfter
-				fmt.Fprintf(
-					cmd.OutOrStdout(),
-					"run %d: first task after %.2f s, %d tasks done after %.1f s with %d parts killed, then all\n",
-					i,
-					rep.FirstTaskAfter.Seconds(),
-					tasks,
-					rep.AllDoneAfter.Seconds(),
-					rep.Kills,
-				)
+				worst, sum = max(worst, report.FirstTaskAfter), sum+report.FirstTaskAfter
+				out.printf("run %d: first task after %.2f s, %d tasks done after %.1f s with %d parts killed, then all\n",
+					i, report.FirstTaskAfter.Seconds(), tasks, report.AllDoneAfter.Seconds(), report.Kills)
 			}
-			fmt.Fprintf(
-				cmd.OutOrStdout(),
-				"%d runs: no task lost, none beside itself, nothing left; first task after %.2f s on average, %.2f s at most\n",
-				runs,
-				sum.Seconds()/float64(max(runs, 1)),
-				worst.Seconds(),
-			)
-			return nil
+			out.printf("%d runs: no task lost, none beside itself, nothing left; first task after %.2f s on average, %.2f s at most\n",
+				runs, sum.Seconds()/float64(max(runs, 1)), worst.Seconds())
+			return out.err
 		},
 	}
 	cmd.Flags().IntVar(&runs, "runs", 3, "how many runs")
@@ -62,3 +45,17 @@
 	cmd.Flags().StringVar(&program, "program", "target/gullrudder", "the program")
 	return cmd
 }
+
+// runSite runs a site in a temporary directory, which is kept if the run fails.
+func runSite(program string, tasks int, seed uint64) (sitetest.Report, error) {
+	dir, err := os.MkdirTemp("", "site")
+	if err != nil {
+		return sitetest.Report{}, err
+	}
+	run := sitetest.Run{Program: program, Dir: dir, Tasks: tasks, Seed: seed, Log: func(string, ...any) {}}
+	report, err := run.Execute()
+	if err != nil {
+		return report, fmt.Errorf("kept in %s: %w", dir, err)
+	}
+	return report, os.RemoveAll(dir)
+}
