--- a/cmd/faulttest/commits.go
+++ b/cmd/faulttest/commits.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
 	"os"
@@ -20,56 +21,57 @@
 	"github.com/spf13/cobra"
 )
 
+// commitMeasurement is the options of the command and the directory that it works in.
+type commitMeasurement struct {
+	path, dir, clients string
+	span               time.Duration // of each measurement
+	syncDelay          time.Duration // added to every sync, 0 for none
+	valueBytes         int
+	root               string
+}
+
 func commitsCommand() *cobra.Command {
-	var path, dir, counts string
-	var span, sync time.Duration
-	var bytes int
+	measurement := commitMeasurement{}
 	cmd := &cobra.Command{
 		Use: "commits", Short: "Commits a second of a state service, against the least that its disk allows", Args: cobra.NoArgs,
 		Long: "For each number of clients: commits of one key each for a while, without and with snapshots all the time. Then the\n" +
 			"bytes that the log has got are written to a file on the same disk, with as many syncs: the ratio of the two times\n" +
 			"is what the service costs besides.",
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			return measureCommits(cmd, path, dir, counts, span, sync, bytes)
-		},
+		RunE: func(cmd *cobra.Command, _ []string) error { return measurement.run(cmd) },
 	}
-	cmd.Flags().StringVar(&counts, "clients", "1,16,128", "numbers of clients")
-	cmd.Flags().DurationVar(&span, "for", 5*time.Second, "how long each measurement takes")
-	cmd.Flags().DurationVar(
-		&sync,
-		"sync",
-		0,
-		"a disk whose syncs take so much longer, in the service, which then runs in this process, and bare",
-	)
-	cmd.Flags().IntVar(&bytes, "bytes", 200, "size of a value")
-	cmd.Flags().StringVar(&path, "program", "", "the gullrudder program; it is built if none is given")
-	cmd.Flags().StringVar(&dir, "dir", "", "a directory on the disk that is measured; a temporary one if none is given")
+	flags := cmd.Flags()
+	flags.StringVar(&measurement.clients, "clients", "1,16,128", "numbers of clients")
+	flags.DurationVar(&measurement.span, "for", 5*time.Second, "how long each measurement takes")
+	flags.DurationVar(&measurement.syncDelay, "sync", 0,
+		"a disk whose syncs take so much longer, in the service, which then runs in this process, and bare")
+	flags.IntVar(&measurement.valueBytes, "bytes", 200, "size of a value")
+	flags.StringVar(&measurement.path, "program", "", "the gullrudder program; it is built if none is given")
+	flags.StringVar(&measurement.dir, "dir", "", "a directory on the disk that is measured; a temporary one if none is given")
 	return cmd
 }
 
-func measureCommits(cmd *cobra.Command, path, dir, counts string, span, sync time.Duration, bytes int) error {
-	root, err := os.MkdirTemp(dir, "faulttest-commits-")
-	if err != nil {
+func (m commitMeasurement) run(cmd *cobra.Command) (err error) {
+	if m.root, err = os.MkdirTemp(m.dir, "faulttest-commits-"); err != nil {
 		return err
 	}
-	defer os.RemoveAll(root)
-	if path, err = program(path, root); err != nil {
+	defer func() { err = errors.Join(err, os.RemoveAll(m.root)) }()
+	if m.path, err = program(m.path, m.root); err != nil {
 		return err
 	}
-	out := cmd.OutOrStdout()
-	fmt.Fprintln(out, "clients\tsnapshots\tcommits/s\tp50 ms\tp99 ms\tcommits/sync\tsnapshots taken\tratio to the bare disk")
-	for _, text := range strings.Split(counts, ",") {
-		n, err := strconv.Atoi(text)
-		if err != nil || n < 1 || n > 900 {
+	out := output{w: cmd.OutOrStdout()}
+	out.printf("clients\tsnapshots\tcommits/s\tp50 ms\tp99 ms\tcommits/sync\tsnapshots taken\tratio to the bare disk\n")
+	for _, text := range strings.Split(m.clients, ",") {
+		clients, err := strconv.Atoi(text)
+		if err != nil || clients < 1 || clients > 900 {
 			return fmt.Errorf("--clients %s: not between 1 and 900", text)
 		}
-		for _, snaps := range []bool{false, true} {
-			if err := measureWithClients(cmd, path, root, n, snaps, span, sync, bytes); err != nil {
+		for _, snapshots := range []bool{false, true} {
+			if err := m.measure(&out, clients, snapshots); err != nil {
 				return err
 			}
 		}
 	}
-	return nil
+	return out.err
 }
 
 // stateMetrics are the metrics of a running state service, by name without prefix.
@@ -90,67 +92,82 @@
 	return f, nil
 }
 
-func measureWithClients(cmd *cobra.Command, path, root string, clients int, snaps bool, span, sync time.Duration, bytes int) error {
-	data := filepath.Join(root, fmt.Sprintf("data-%d-%v", clients, snaps))
-	options := filepath.Join(root, "state.xml")
-	text := "<state><connections>2000</connections><snapshot-kb>1048576</snapshot-kb></state>"
-	if snaps {
-		text = "<state><connections>2000</connections><snapshot-kb>64</snapshot-kb><snapshot-share>0</snapshot-share></state>"
+// Options of the state service: without snapshots during a measurement, and with one after another.
+const (
+	optionsWithoutSnapshots = "<state><connections>2000</connections><snapshot-kb>1048576</snapshot-kb></state>"
+	optionsWithSnapshots    = "<state><connections>2000</connections><snapshot-kb>64</snapshot-kb><snapshot-share>0</snapshot-share></state>"
+)
+
+// startService starts a state service and waits until it serves. It returns its address and that of its metrics.
+func (m commitMeasurement) startService(clients int, snapshots bool) (service *process, addr, metrics string, err error) {
+	data := filepath.Join(m.root, fmt.Sprintf("data-%d-%v", clients, snapshots))
+	options := filepath.Join(m.root, "state.xml")
+	text := optionsWithoutSnapshots
+	if snapshots {
+		text = optionsWithSnapshots
 	}
 	if err := os.WriteFile(options, []byte(text), 0o600); err != nil {
-		return err
+		return nil, "", "", err
 	}
 	ports, err := freePorts(2)
 	if err != nil {
-		return err
+		return nil, "", "", err
 	}
-	p := &process{
+	addr, metrics = ports[0], ports[1]
+	service = &process{
 		name: "state",
-		path: path,
-		args: []string{"state", "--data", data, "--listen", ports[0], "--metrics", ports[1], "--options", options},
+		path: m.path,
+		args: []string{"state", "--data", data, "--listen", addr, "--metrics", metrics, "--options", options},
 	}
-	if sync > 0 {
-		err = serveSlowly(data, options, ports[0], ports[1], sync)
+	if m.syncDelay > 0 {
+		err = serveSlowly(data, options, addr, metrics, m.syncDelay)
 	} else {
-		err = p.start()
+		err = service.start()
 	}
+	return service, addr, metrics, err
+}
+
+// measure prints one line: commits of a number of clients, and what the disk alone would have taken.
+func (m commitMeasurement) measure(out *output, clients int, snapshots bool) error {
+	service, addr, metrics, err := m.startService(clients, snapshots)
 	if err != nil {
 		return err
 	}
-	defer p.kill()
+	defer service.kill()
 	client := http1.NewClient(clients+2, clients+2, 1<<20)
-	if err := await(client, ports[0], "/ready", 200, 10*time.Second); err != nil {
+	if err := await(client, addr, "/ready", 10*time.Second); err != nil {
 		return err
 	}
-	if err := await(client, ports[1], "/metrics", 200, 10*time.Second); err != nil {
+	if err := await(client, metrics, "/metrics", 10*time.Second); err != nil {
 		return err
 	}
-	if err := writeKeys(client, ports[0], 10_000, bytes); err != nil {
+	if err := writeKeys(client, addr, 10_000, m.valueBytes); err != nil {
 		return err
 	}
-	before, err := readMetrics(client, ports[1])
+	before, err := readMetrics(client, metrics)
 	if err != nil {
 		return err
 	}
-	hist, done, took, err := commitLoad(client, ports[0], clients, span, bytes)
+	latencies, commits, took, err := m.commitLoad(client, addr, clients)
 	if err != nil {
 		return err
 	}
-	after, err := readMetrics(client, ports[1])
+	after, err := readMetrics(client, metrics)
 	if err != nil {
 		return err
 	}
+	service.kill()
 	syncs := after["sync_seconds_count"] - before["sync_seconds_count"]
-	p.kill()
 	// What was appended to the log: the record of a commit is its key and value and about 16 bytes.
-	least, err := measureBareDisk(filepath.Join(root, "bare"), int(syncs), int(float64(done)*float64(bytes+40)/syncs)+20, sync)
+	bytesPerSync := int(float64(commits)*float64(m.valueBytes+40)/syncs) + 20
+	least, err := measureBareDisk(filepath.Join(m.root, "bare"), int(syncs), bytesPerSync, m.syncDelay)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d\t%v\t%.0f\t%.2f\t%.2f\t%.1f\t%.0f\t%.2f\n", clients, snaps, float64(done)/took.Seconds(),
-		float64(hist.ValueAtQuantile(50))/1000, float64(hist.ValueAtQuantile(99))/1000, float64(done)/syncs,
+	out.printf("%d\t%v\t%.0f\t%.2f\t%.2f\t%.1f\t%.0f\t%.2f\n", clients, snapshots, float64(commits)/took.Seconds(),
+		float64(latencies.ValueAtQuantile(50))/1000, float64(latencies.ValueAtQuantile(99))/1000, float64(commits)/syncs,
 		after["snapshot_seconds_count"]-before["snapshot_seconds_count"], took.Seconds()/least.Seconds())
-	return err
+	return out.err
 }
 
 // writeKeys writes a number of keys.
@@ -171,25 +188,27 @@
 func value(i, bytes int) string { return fmt.Sprintf("%0*d", bytes, i) }
 
 // commitLoad commits from a number of clients, each as fast as it gets responses.
-func commitLoad(c *http1.Client, addr string, clients int, span time.Duration, bytes int) (*hdrhistogram.Histogram, int, time.Duration, error) {
+func (m commitMeasurement) commitLoad(c *http1.Client, addr string, clients int) (
+	*hdrhistogram.Histogram, int, time.Duration, error,
+) {
 	hist := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	var failed error
 	began := time.Now()
-	end := began.Add(span)
+	end := began.Add(m.span)
 	for i := range clients {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
 			var took []int64
 			for n := 0; time.Now().Before(end); n++ {
-				r := crashtest.CommitRequest(nil, []crashtest.Operation{{Key: fmt.Sprintf("load/%03d/%04d", i, n%100), Value: value(n, bytes)}})
+				r := crashtest.CommitRequest(nil, []crashtest.Operation{{Key: fmt.Sprintf("load/%03d/%04d", i, n%100), Value: value(n, m.valueBytes)}})
 				sent := time.Now()
-				m, err := c.Do(addr, r.Method, r.Target, r.Body, 10*time.Second)
-				if err != nil || m.Status != 200 {
+				response, err := c.Do(addr, r.Method, r.Target, r.Body, 10*time.Second)
+				if err != nil || response.Status != 200 {
 					mu.Lock()
-					failed = fmt.Errorf("a commit: %v, %w", m, err)
+					failed = fmt.Errorf("a commit: %v, %w", response, err)
 					mu.Unlock()
 					return
 				}
@@ -209,13 +228,12 @@
 }
 
 // measureBareDisk is the time for a number of writes of one size, each synced.
-func measureBareDisk(name string, syncs, bytes int, slower time.Duration) (time.Duration, error) {
+func measureBareDisk(name string, syncs, bytes int, slower time.Duration) (took time.Duration, err error) {
 	f, err := os.Create(name)
 	if err != nil {
 		return 0, err
 	}
-	defer os.Remove(name)
-	defer f.Close()
+	defer func() { err = errors.Join(err, f.Close(), os.Remove(name)) }()
 	block := make([]byte, bytes)
 	began := time.Now()
 	for i := range syncs {
--- a/cmd/faulttest/crash.go
+++ b/cmd/faulttest/crash.go
@@ -220,7 +220,7 @@
 			return err
 		}
 	}
-	if err := await(f.client, f.stateAddr, "/ready", 200, 10*time.Second); err != nil {
+	if err := await(f.client, f.stateAddr, "/ready", 10*time.Second); err != nil {
 		return err
 	}
 	for i := range 4 {
@@ -289,7 +289,7 @@
 	if victim != f.state {
 		return nil
 	}
-	if err := await(f.client, f.stateAddr, "/ready", 200, 10*time.Second); err != nil {
+	if err := await(f.client, f.stateAddr, "/ready", 10*time.Second); err != nil {
 		return fmt.Errorf("the state service does not come back: %w", err)
 	}
 	return nil
--- a/cmd/faulttest/process.go
+++ b/cmd/faulttest/process.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -45,7 +46,7 @@
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
 			if p.logs != nil {
-				fmt.Fprintf(p.logs, "%s %s\n", p.name, lines.Text())
+				_, _ = fmt.Fprintf(p.logs, "%s %s\n", p.name, lines.Text()) // a lost line of a log is no failure of the test
 			}
 			if p.seen != nil {
 				p.seen(p, lines.Text())
@@ -69,29 +70,28 @@
 }
 
 // freePorts returns addresses of loopback with free ports.
-func freePorts(n int) ([]string, error) {
-	var addrs []string
+func freePorts(n int) (addrs []string, err error) {
 	for range n {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		defer l.Close()
+		defer func() { err = errors.Join(err, l.Close()) }()
 		addrs = append(addrs, l.Addr().String())
 	}
 	return addrs, nil
 }
 
-// await polls until the service responds with the status.
-func await(c *http1.Client, addr, target string, status int, within time.Duration) error {
+// await polls until the service responds with 200.
+func await(c *http1.Client, addr, target string, within time.Duration) error {
 	end := time.Now().Add(within)
 	for {
 		m, err := c.Do(addr, "GET", target, nil, time.Second)
-		if err == nil && m.Status == status {
+		if err == nil && m.Status == 200 {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s%s does not answer %d within %v: %w", addr, target, status, within, err)
+			return fmt.Errorf("%s%s does not answer 200 within %v: %w", addr, target, within, err)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/cmd/faulttest/restart.go
+++ b/cmd/faulttest/restart.go
@@ -66,7 +66,7 @@
 	}
 	defer p.kill()
 	client := http1.NewClient(4, 4, 1<<20)
-	if err := await(client, ports[0], "/ready", 200, 10*time.Second); err != nil {
+	if err := await(client, ports[0], "/ready", 10*time.Second); err != nil {
 		return 0, err
 	}
 	for n := 0; n < changes; n += 100 {
@@ -90,7 +90,7 @@
 		if err := p.start(); err != nil {
 			return 0, err
 		}
-		if err := await(http1.NewClient(1, 0, 1<<20), ports[0], "/ready", 200, 30*time.Second); err != nil {
+		if err := await(http1.NewClient(1, 0, 1<<20), ports[0], "/ready", 30*time.Second); err != nil {
 			return 0, err
 		}
 		took = append(took, time.Since(began))
