--- a/internal/controller/election/connectivity/contacts.go
+++ b/internal/controller/election/connectivity/contacts.go
@@ -1,6 +1,10 @@
 package connectivity
 
-import "time"
+import (
+	"time"
+
+	"gullrudder/internal/wire/workerapi"
+)
 
 const (
 	// contactWindow is for how long a contact counts as recent: a worker tries every controller within that time.
@@ -13,22 +17,17 @@
 
 // contact is the newest heartbeat of a worker that came to this controller though it does not lead.
 type contact struct {
-	at                    time.Time
-	incarnation, sequence uint64
-}
-
-// isNewerThan reports whether the heartbeat was sent after the other one.
-func (c contact) isNewerThan(other contact) bool {
-	return c.incarnation > other.incarnation || c.incarnation == other.incarnation && c.sequence > other.sequence
+	at       time.Time
+	position workerapi.Position
 }
 
-// contactTable holds the newest contact of each worker, by the name of its machine.
+// contactTable holds the newest contact of each worker, by the ID of its machine.
 type contactTable map[string]contact
 
 // record takes a contact unless it is a duplicate of an earlier one. New machines are not taken once the table is full.
 func (t contactTable) record(machine string, newest contact) {
 	previous, known := t[machine]
-	if known && !newest.isNewerThan(previous) || !known && len(t) >= maxContacts {
+	if known && !newest.position.IsAfter(previous.position) || !known && len(t) >= maxContacts {
 		return
 	}
 	t[machine] = newest
--- a/internal/controller/election/connectivity/monitor.go
+++ b/internal/controller/election/connectivity/monitor.go
@@ -11,7 +11,11 @@
 // Design note: docs/design/connectivity.md.
 package connectivity
 
-import "time"
+import (
+	"time"
+
+	"gullrudder/internal/wire/workerapi"
+)
 
 const (
 	// missedHeartbeats is how many mean intervals between the heartbeats of all machines together have to pass before
@@ -188,7 +192,7 @@
 // RecordWorkerContact records a heartbeat that came to this controller though it does not lead. One that is not newer
 // than those before is a duplicate: its machine may be gone.
 func (m *Monitor) RecordWorkerContact(now time.Time, machine string, incarnation, sequence uint64) {
-	m.contacts.record(machine, contact{now, incarnation, sequence})
+	m.contacts.record(machine, contact{now, workerapi.Position{Incarnation: incarnation, Sequence: sequence}})
 }
 
 // RecentWorkers returns how many workers contacted this controller recently.
--- a/internal/controller/election/renewal/limit.go
+++ b/internal/controller/election/renewal/limit.go
@@ -17,14 +17,13 @@
 import (
 	"math/rand/v2"
 	"time"
+
+	"gullrudder/internal/controller/clockdrift"
 )
 
 // maxNonces bounds the nonces that are kept: those of the pings of a few seconds.
 const maxNonces = 16
 
-// driftDivisor bounds the drift of two clocks against each other, as a fraction of the duration they count.
-const driftDivisor = 500
-
 // nonce is one that was issued to a leader, and when.
 type nonce struct {
 	value    uint64
@@ -45,7 +44,7 @@
 // outlives the renewal of its lease. It allows for the drift of both clocks. It is negative if the settings leave no
 // such time.
 func Window(cancelTimeout, maxLeaseAge time.Duration) time.Duration {
-	return cancelTimeout - cancelTimeout/driftDivisor - maxLeaseAge
+	return cancelTimeout - clockdrift.Bound(cancelTimeout) - maxLeaseAge
 }
 
 // New returns the limit of a process that has just started and knows nothing. Its nonces begin at a random value, so
@@ -76,7 +75,7 @@
 	}
 	for _, issued := range l.issued {
 		if issued.value == echoedNonce {
-			l.advance(issued.issuedAt.Add(-oldestCancellationAge - oldestCancellationAge/driftDivisor))
+			l.advance(issued.issuedAt.Add(-oldestCancellationAge - clockdrift.Bound(oldestCancellationAge)))
 		}
 	}
 }
--- a/internal/controller/election/timing.go
+++ b/internal/controller/election/timing.go
@@ -1,6 +1,10 @@
 package election
 
-import "time"
+import (
+	"time"
+
+	"gullrudder/internal/controller/clockdrift"
+)
 
 // The intervals of an election are fractions of LeaseDuration and GrantDuration, which the deployment sets, so that
 // all of them scale with it.
@@ -65,16 +69,13 @@
 // leaderFreshness is for how long after its last ping a leader is named to others.
 func (o *Options) leaderFreshness() time.Duration { return o.GrantDuration * 2 / 3 }
 
-// driftDivisor allows for the drift between two clocks: a 500th (0.2 %) of a duration. Each clock may be off by 0.05 %.
-const driftDivisor = 500
-
 // reliedDuration shortens a duration that this controller relies on and another one counts: by the drift of both
 // clocks and the safety margin.
 func (o *Options) reliedDuration(d time.Duration) time.Duration {
-	return d - d/driftDivisor - o.SafetyMargin
+	return d - clockdrift.Bound(d) - o.SafetyMargin
 }
 
 // boundDuration extends a duration that binds this controller and that another one relies on.
 func (o *Options) boundDuration(d time.Duration) time.Duration {
-	return d + d/driftDivisor + o.SafetyMargin
+	return d + clockdrift.Bound(d) + o.SafetyMargin
 }
--- a/internal/controller/storage/commit_test.go
+++ b/internal/controller/storage/commit_test.go
@@ -29,8 +29,8 @@
 // newLoadedFixture returns a store without entries that has read everything.
 func newLoadedFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{t: t, now: time.Unix(1000, 0), store: New(Options{LeaderKey: "leader", MaxValueBytes: 1024, MaxTransactionOps: 4, WriteRate: 50},
-		7, slog.New(slog.NewTextHandler(io.Discard, nil)))}
+	options := Options{LeaderKey: "leader", MaxValueBytes: 1024, MaxTransactionOps: 4, WriteRate: 50}
+	f := &fixture{t: t, now: time.Unix(1000, 0), store: New(options, 7, slog.New(slog.NewTextHandler(io.Discard, nil)))}
 	f.store.Load(&f.outbox)
 	for _, c := range f.outbox.TakeCalls() {
 		c.Done(f.now, f.response(200, map[string]any{"entries": []any{}, "has_next": false, "tide": 7}))
--- a/internal/controller/storage/model_test.go
+++ b/internal/controller/storage/model_test.go
@@ -91,7 +91,8 @@
 	outbox.TakeCalls()
 	s.revision++
 	s.leaderRevision = s.revision
-	l := New(Options{LeaderKey: "leader", MaxValueBytes: valueBytes, MaxTransactionOps: ops, WriteRate: 50}, s.leaderRevision, slog.New(slog.DiscardHandler))
+	options := Options{LeaderKey: "leader", MaxValueBytes: valueBytes, MaxTransactionOps: ops, WriteRate: 50}
+	l := New(options, s.leaderRevision, slog.New(slog.DiscardHandler))
 	l.Load(outbox)
 	for _, c := range outbox.TakeCalls() {
 		c.Done(now, s.serve(t, c))
--- a/internal/controller/worker/machine.go
+++ b/internal/controller/worker/machine.go
@@ -28,7 +28,7 @@
 
 // Contact is what the heartbeats of a machine and their responses have shown.
 type Contact struct {
-	Incarnation, Sequence uint64 // of the newest heartbeat that was accepted
+	workerapi.Position // of the newest heartbeat that was accepted
 
 	HasReported    bool      // a heartbeat was accepted since the leader's election
 	Reconciled     bool      // all that may run on it is known to the leader
@@ -69,10 +69,7 @@
 
 // IsNewer reports whether the heartbeat is newer than the newest that was accepted from its machine.
 func (m *Machine) IsNewer(heartbeat *workerapi.Heartbeat) bool {
-	if !m.HasReported {
-		return true
-	}
-	return heartbeat.Incarnation > m.Incarnation || heartbeat.Incarnation == m.Incarnation && heartbeat.Sequence > m.Sequence
+	return !m.HasReported || heartbeat.Position().IsAfter(m.Position)
 }
 
 func (m *Machine) addAttempt(attempt *jobs.Attempt) {
--- a/internal/controller/worker/reachability/freshness.go
+++ b/internal/controller/worker/reachability/freshness.go
@@ -67,14 +67,13 @@
 // isSuperseded reports whether a heartbeat that is not newer than the last one accepted was overtaken by the machine's answer to
 // a probe, which counted as a newer heartbeat. Its sender still waits for the response.
 func (l *linkState) isSuperseded(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) bool {
-	isNewerOnLink := heartbeat.Incarnation > l.incarnation ||
-		heartbeat.Incarnation == l.incarnation && heartbeat.Sequence > l.sequence
+	isNewerOnLink := heartbeat.Position().IsAfter(l.position)
 	return heartbeat.Incarnation == machine.Incarnation && isNewerOnLink && now.Sub(l.lastProbeAnswerAt) < workerResponseTimeout
 }
 
 // recordFresh takes in a fresh heartbeat, and what it shows of the way to the machine.
 func (t *Tracker) recordFresh(now time.Time, machine *worker.Machine, link *linkState, heartbeat *workerapi.Heartbeat) {
-	isSameIncarnation := heartbeat.Incarnation == link.incarnation
+	isSameIncarnation := heartbeat.Incarnation == link.position.Incarnation
 	switch {
 	case !isSameIncarnation && t.lostLeaseDespiteResponses(now, machine, link):
 		t.suspect(now, machine, link, IncarnationEnded)
@@ -86,7 +85,7 @@
 	case link.suspicion != NotSuspected:
 		t.RequestProbe(machine)
 	}
-	link.incarnation, link.sequence = heartbeat.Incarnation, heartbeat.Sequence
+	link.position = heartbeat.Position()
 	link.lastHeartbeatAt, link.acknowledged = now, false
 	link.countersReset = false
 	machine.LastContactAt = now
@@ -96,7 +95,9 @@
 // lostLeaseDespiteResponses reports whether a new incarnation of the machine shows that its lease expired although it was sent a
 // 200 that should have renewed it.
 func (t *Tracker) lostLeaseDespiteResponses(now time.Time, machine *worker.Machine, link *linkState) bool {
-	return machine.HasReported && link.incarnation != 0 && now.Sub(machine.LeaseRenewedAt) < t.leaseDuration*4/5 && !link.countersReset
+	hasHeartbeat := machine.HasReported && link.position.Incarnation != 0
+	isLeaseRecent := now.Sub(machine.LeaseRenewedAt) < t.leaseDuration*4/5
+	return hasHeartbeat && isLeaseRecent && !link.countersReset
 }
 
 // isPrompt reports whether a heartbeat that arrives now follows the last one so soon that the worker must have received the
@@ -107,6 +108,5 @@
 
 // IsNewest reports whether this is the newest heartbeat of its machine: starts go in the response to that one only.
 func (t *Tracker) IsNewest(machine *worker.Machine, heartbeat *workerapi.Heartbeat) bool {
-	link := t.linkOf(machine)
-	return heartbeat.Incarnation == link.incarnation && heartbeat.Sequence == link.sequence
+	return heartbeat.Position() == t.linkOf(machine).position
 }
--- a/internal/controller/worker/reachability/probe.go
+++ b/internal/controller/worker/reachability/probe.go
@@ -7,8 +7,10 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// Probe is a direct request to a machine's own address, with the counters that were known when it was sent.
-type Probe struct{ incarnation, sequence uint64 }
+// Probe is a direct request to a machine's own address.
+type Probe struct {
+	position workerapi.Position // of the newest heartbeat that was known when the probe was sent
+}
 
 // TakeProbeRequests returns the machines that should be probed as soon as possible, and clears the list. A machine may be in it
 // more than once.
@@ -32,7 +34,7 @@
 // StartProbe records that a probe is sent to the machine. The caller passes the Probe to ProbeAnswered, or calls ProbeFailed.
 func (t *Tracker) StartProbe(now time.Time, machine *worker.Machine) Probe {
 	t.linkOf(machine).lastProbeAt = now
-	return Probe{machine.Incarnation, machine.Sequence}
+	return Probe{position: machine.Position}
 }
 
 // ProbeAnswered takes in a machine's answer to a probe: the machine receives what the leader sends, and the heartbeat in the
@@ -57,7 +59,7 @@
 
 // isBefore reports whether the heartbeat's counters are higher than those known when the probe was sent.
 func (p Probe) isBefore(heartbeat *workerapi.Heartbeat) bool {
-	return heartbeat.Incarnation > p.incarnation || heartbeat.Incarnation == p.incarnation && heartbeat.Sequence > p.sequence
+	return heartbeat.Position().IsAfter(p.position)
 }
 
 // ProbeFailed records that a machine did not answer a probe.
--- a/internal/controller/worker/reachability/suspicion.go
+++ b/internal/controller/worker/reachability/suspicion.go
@@ -87,5 +87,9 @@
 // incarnations, which have to end one by one, do not reach those of before.
 func (t *Tracker) IsUnresponsive(now time.Time, machine *worker.Machine) bool {
 	link := t.links[machine.ID]
-	return link != nil && (link.unansweredProbes >= maxUnansweredProbes || link.countersReset && now.Sub(link.suspectSince) > 2*t.leaseDuration)
+	if link == nil {
+		return false
+	}
+	lostCounters := link.countersReset && now.Sub(link.suspectSince) > 2*t.leaseDuration
+	return link.unansweredProbes >= maxUnansweredProbes || lostCounters
 }
--- a/internal/controller/worker/reachability/tracker.go
+++ b/internal/controller/worker/reachability/tracker.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/workerapi"
 )
 
 const (
@@ -37,9 +38,9 @@
 	suspectSince  time.Time // when the suspicion arose, or the counters were reset
 	countersReset bool      // the worker lost its counters: its heartbeats cannot be told from late ones until its incarnation is higher
 
-	incarnation, sequence uint64    // of the newest heartbeat
-	lastHeartbeatAt       time.Time // when that arrived
-	acknowledged          bool      // it got a 200
+	position        workerapi.Position // of the newest heartbeat
+	lastHeartbeatAt time.Time          // when that arrived
+	acknowledged    bool               // it got a 200
 
 	lastProbeAt          time.Time // when a probe was last sent
 	lastProbeAnswerAt    time.Time
--- a/internal/controller/worker/reconcile.go
+++ b/internal/controller/worker/reconcile.go
@@ -63,7 +63,7 @@
 		machine.IdleSince = now
 		r.updateBucket(machine)
 	}
-	machine.Incarnation, machine.Sequence = heartbeat.Incarnation, heartbeat.Sequence
+	machine.Position = heartbeat.Position()
 	machine.Addr, machine.Type, machine.Zone, machine.Spot = heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
 	if heartbeat.ReclaimInSeconds != nil {
 		r.recordReclaimNotice(now, machine, *heartbeat.ReclaimInSeconds)
--- a/internal/controller/worker/registry.go
+++ b/internal/controller/worker/registry.go
@@ -12,20 +12,17 @@
 	"sort"
 	"time"
 
+	"gullrudder/internal/controller/clockdrift"
 	"gullrudder/internal/controller/jobs"
 )
 
-const (
-	// leaseMargin covers what is not measured between the leader's clock and the end of a worker's tasks.
-	leaseMargin = 500 * time.Millisecond
-	// driftDivisor is the share of a lease, as a divisor, by which the worker's clock may run slow: 0.2 %.
-	driftDivisor = 500
-)
+// leaseMargin covers what is not measured between the leader's clock and the end of a worker's tasks.
+const leaseMargin = 500 * time.Millisecond
 
 // LeaseExpiry returns how long after the leader's last 200 a worker's tasks may still run, given the duration of its lease. The
 // worker counts the lease from when it sent the heartbeat, which was before; its clock may run slow.
 func LeaseExpiry(lease time.Duration) time.Duration {
-	return lease + lease/driftDivisor + leaseMargin
+	return lease + clockdrift.Bound(lease) + leaseMargin
 }
 
 // Registry is all machines that the leader knows. Machines are added by GetOrAdd and removed by Remove only.
--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -5,10 +5,9 @@
 // Keys of what a log line is about.
 const (
 	Controller   = "controller"    // name of a controller
-	Peer         = "peer"          // name of another controller
 	Job          = "job"           // job ID
-	Task         = "task"          // index of a task in its job
-	Attempt      = "attempt"       // ID of one run of a task
+	Task         = "task"          // task ID: job ID and index
+	Attempt      = "attempt"       // number of an attempt of a task
 	Machine      = "machine"       // machine ID, as its worker reports it
 	Instance     = "instance"      // instance ID, as the cloud lists it
 	InstanceType = "instance_type" // name of a machine type
@@ -18,10 +17,9 @@
 	Team         = "team"          // name of a team
 	Class        = "class"         // name of a class of jobs
 	Key          = "key"           // key in the state service
-	FencingToken = "fencing_token" // revision at which a leader was elected
-	Incarnation  = "incarnation"   // start of a worker process
+	FencingToken = "fencing_token" // fencing token of a leader
+	Incarnation  = "incarnation"   // incarnation of a worker, see workerapi.Heartbeat
 	Revision     = "revision"      // revision of the state service
-	LeaseID      = "lease_id"      // lease of the state service
 	Snapshot     = "snapshot"      // snapshot file of the state service
 )
 
--- a/internal/wire/workerapi/messages.go
+++ b/internal/wire/workerapi/messages.go
@@ -10,8 +10,8 @@
 const MaxMachineIDBytes = 100
 
 // Heartbeat is what a worker sends to the leader at an interval, and answers to commands at its own address. Incarnation and
-// Sequence order the heartbeats of one worker: the sequence number counts within an incarnation, and a worker begins a new
-// incarnation when its lease has expired.
+// Sequence order the heartbeats of one worker (Position): the sequence number counts within an incarnation, and a worker begins
+// a new incarnation when its lease has expired.
 type Heartbeat struct {
 	Machine      string `msgpack:"oarlock"`
 	Addr         string `msgpack:"addr"`
@@ -26,6 +26,19 @@
 	Tasks            []TaskStatus `msgpack:"strokes"`
 }
 
+// Position returns the place of the heartbeat in the order of its worker's heartbeats.
+func (h *Heartbeat) Position() Position {
+	return Position{Incarnation: h.Incarnation, Sequence: h.Sequence}
+}
+
+// Position is the place of a heartbeat in the order in which its worker sent them.
+type Position struct{ Incarnation, Sequence uint64 }
+
+// IsAfter reports whether the heartbeat at this position was sent after the one at the other.
+func (p Position) IsAfter(other Position) bool {
+	return p.Incarnation > other.Incarnation || p.Incarnation == other.Incarnation && p.Sequence > other.Sequence
+}
+
 // TaskStatus is the state of one attempt on the machine. An attempt that has exited stays in the heartbeats until the leader
 // sends Forget.
 type TaskStatus struct {
