--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -21,6 +21,8 @@
 	Incarnation  = "incarnation"   // incarnation of a worker, see workerapi.Heartbeat
 	Revision     = "revision"      // revision of the state service
 	Snapshot     = "snapshot"      // snapshot file of the state service
+	Process      = "process"       // name of a process of a site
+	Worker       = "worker"        // address of a worker
 )
 
 // Keys of stored state.
@@ -42,4 +44,6 @@
 	Reason   = "reason"   // why, in the program's own words
 	State    = "state"    // state entered
 	Status   = "status"   // HTTP status code
+	// RestartDelay is the time until a process is started again.
+	RestartDelay = "restart_delay"
 )
