--- a/internal/console/model.go
+++ b/internal/console/model.go
@@ -7,32 +7,42 @@
 	tea "github.com/charmbracelet/bubbletea"
 )
 
-// Site is what a console looks at and acts upon.
+// Size of the terminal until it is known.
+const (
+	defaultWidth  = 80
+	defaultHeight = 24
+)
+
+// Site is what a console shows and acts on. Its methods are called from other goroutines than the model's.
 type Site interface {
+	// Snapshot reads the state of the site. What cannot be read is among the snapshot's problems.
 	Snapshot() Snapshot
+	// Cancel cancels a job.
 	Cancel(job string) error
-	Drain(on bool) error
+	// Drain starts a drain of the site, or ends it.
+	Drain(isDraining bool) error
 }
 
-// Model is a console.
+// Model is the console as a model of bubbletea. It belongs to the goroutine that bubbletea calls it from.
 type Model struct {
 	site            Site
 	refreshInterval time.Duration
 	snapshot        Snapshot
+	isLoading       bool // a snapshot is being read
 	screen          Screen
 	row             int
 	width, height   int
-	pendingAction   string // what a yes would do, in words
-	confirmedAction func() error
-	message         string
-	isLoading       bool
+	pendingAction   string       // the action that waits for a confirmation, as the user reads it; empty: none
+	confirmedAction func() error // carries out the pending action
+	message         string       // in the last line
 }
 
-// New makes a console that looks at the site every so often.
+// New returns a console that reads the state of the site at an interval.
 func New(site Site, refreshInterval time.Duration) *Model {
-	return &Model{site: site, refreshInterval: refreshInterval, width: 80, height: 24}
+	return &Model{site: site, refreshInterval: refreshInterval, width: defaultWidth, height: defaultHeight}
 }
 
+// Messages of the model to itself.
 type (
 	snapshotLoaded Snapshot
 	refreshDue     struct{}
@@ -42,9 +52,10 @@
 	}
 )
 
-// Init looks for the first time.
+// Init starts to read the first snapshot.
 func (m *Model) Init() tea.Cmd { return m.load() }
 
+// load starts to read a snapshot, unless one is being read.
 func (m *Model) load() tea.Cmd {
 	if m.isLoading {
 		return nil
@@ -53,7 +64,7 @@
 	return func() tea.Msg { return snapshotLoaded(m.site.Snapshot()) }
 }
 
-// Update takes in a key, a look or the passing of time.
+// Update handles a key, a change of the terminal's size or a message of the model to itself.
 func (m *Model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.WindowSizeMsg:
@@ -76,58 +87,77 @@
 	return m, nil
 }
 
-// clampRow keeps the chosen row on the list.
+// clampRow keeps the selected row within the table.
 func (m *Model) clampRow() {
-	_, _, ids := m.snapshot.rows(m.screen)
-	m.row = max(0, min(m.row, len(ids)-1))
+	rows := len(m.snapshot.table(m.screen).ids)
+	m.row = max(0, min(m.row, rows-1))
 }
 
 func (m *Model) handleKey(key string) tea.Cmd {
 	if m.pendingAction != "" {
-		action, run := m.pendingAction, m.confirmedAction
-		m.pendingAction, m.confirmedAction, m.message = "", nil, ""
-		if key != "y" {
-			return nil
-		}
-		return func() tea.Msg { return actionDone{action, run()} }
+		return m.handleConfirmation(key)
 	}
 	m.message = ""
 	switch key {
 	case "q", "ctrl+c":
 		return tea.Quit
-	case "1", "2", "3":
-		m.screen, m.row = Screen(key[0]-'1'), 0
-	case "?":
-		m.screen, m.row = Help, 0
-	case "j", "down":
-		m.row++
-	case "k", "up":
-		m.row--
 	case "r":
 		return m.load()
 	case "c", "w":
-		if _, _, ids := m.snapshot.rows(Jobs); m.screen == Jobs && m.row < len(ids) {
-			id := ids[m.row]
-			m.askToConfirm("cancel "+id, func() error { return m.site.Cancel(id) })
-		}
+		m.askToCancel()
 	case "d":
 		m.askToConfirm("drain the site", func() error { return m.site.Drain(true) })
 	case "u":
 		m.askToConfirm("use the site again", func() error { return m.site.Drain(false) })
+	default:
+		m.navigate(key)
 	}
 	m.clampRow()
 	return nil
 }
 
+// navigate changes the selected screen or row.
+func (m *Model) navigate(key string) {
+	switch key {
+	case "1", "2", "3":
+		m.screen, m.row = Screen(key[0]-'1'), 0
+	case "?":
+		m.screen, m.row = Help, 0
+	case "j", "down":
+		m.row++
+	case "k", "up":
+		m.row--
+	}
+}
+
+// handleConfirmation carries out the pending action if the key is a yes, and drops it otherwise.
+func (m *Model) handleConfirmation(key string) tea.Cmd {
+	action, run := m.pendingAction, m.confirmedAction
+	m.pendingAction, m.confirmedAction, m.message = "", nil, ""
+	if key != "y" {
+		return nil
+	}
+	return func() tea.Msg { return actionDone{action, run()} }
+}
+
+func (m *Model) askToCancel() {
+	ids := m.snapshot.table(Jobs).ids
+	if m.screen != Jobs || m.row >= len(ids) {
+		return
+	}
+	job := ids[m.row]
+	m.askToConfirm("cancel "+job, func() error { return m.site.Cancel(job) })
+}
+
 func (m *Model) askToConfirm(action string, run func() error) {
 	m.pendingAction, m.confirmedAction = action, run
 	m.message = fmt.Sprintf("%s? y: yes, any other key: no", action)
 }
 
-// View draws the screen.
+// View draws the selected screen.
 func (m *Model) View() string {
 	if m.snapshot.TakenAt.IsZero() {
 		return "gullrudder: looking"
 	}
-	return m.snapshot.render(m.screen, m.row, m.width, m.height, m.message)
+	return m.snapshot.render(frame{screen: m.screen, row: m.row, width: m.width, height: m.height, message: m.message})
 }
--- a/internal/console/model_test.go
+++ b/internal/console/model_test.go
@@ -18,24 +18,24 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// fakeSite is a site that notes what is asked of it.
+// fakeSite records which actions are requested.
 type fakeSite struct {
 	snapshot  Snapshot
 	requested []string
 	err       error
 }
 
-func (d *fakeSite) Snapshot() Snapshot { return d.snapshot }
+func (f *fakeSite) Snapshot() Snapshot { return f.snapshot }
 
-func (d *fakeSite) Cancel(job string) error {
-	d.requested = append(d.requested, "cancel "+job)
-	return d.err
+func (f *fakeSite) Cancel(job string) error {
+	f.requested = append(f.requested, "cancel "+job)
+	return f.err
 }
 
-func (d *fakeSite) Drain(on bool) error {
-	d.requested = append(d.requested, map[bool]string{true: "drain", false: "undrain"}[on])
-	d.snapshot.MachinePool.IsDraining = on
-	return d.err
+func (f *fakeSite) Drain(isDraining bool) error {
+	f.requested = append(f.requested, map[bool]string{true: "drain", false: "undrain"}[isDraining])
+	f.snapshot.MachinePool.IsDraining = isDraining
+	return f.err
 }
 
 func newFakeSite() *fakeSite {
@@ -50,7 +50,9 @@
 		MachinePool: machinepool.Overview{
 			MachineCount: 1,
 			RunningTasks: 4,
-			Workers:      []machinepool.WorkerView{{Name: "worker", Machine: "vm-000001", CPUs: 8, MemoryGB: 22, RunningTasks: 4, FreeDiskMB: 80606}},
+			Workers: []machinepool.WorkerView{{
+				Name: "worker", Machine: "vm-000001", CPUs: 8, MemoryGB: 22, RunningTasks: 4, FreeDiskMB: 80606,
+			}},
 		},
 		Failures: []machinepool.Failure{
 			{Task: "job-16/3", ExitCode: 3, Reason: "exit status 3", ErrorOutput: "line one\n\x1b[2Joops\n", FinishedAt: at.Add(-time.Minute)},
@@ -58,31 +60,31 @@
 	}}
 }
 
-// press works through keys, and everything that comes of them but the passing of time.
-func press(m *Model, keys ...string) {
-	run := func(c tea.Cmd) {
-		for c != nil {
-			msg := c()
+// press reads a snapshot, then handles the keys and all messages that come of them, except the next refresh.
+func press(model *Model, keys ...string) {
+	run := func(command tea.Cmd) {
+		for command != nil {
+			msg := command()
 			if _, ok := msg.(tea.QuitMsg); ok || msg == nil {
 				return
 			}
-			var model tea.Model
-			if model, c = m.Update(msg); model != m {
+			var next tea.Model
+			if next, command = model.Update(msg); next != model {
 				return
 			}
 			if _, ok := msg.(snapshotLoaded); ok {
-				return // the next look is later
+				return // the next one comes with the refresh
 			}
 		}
 	}
-	run(m.load())
-	for _, k := range keys {
-		_, c := m.Update(tea.KeyMsg{Type: tea.KeyRunes, Runes: []rune(k)})
-		run(c)
+	run(model.load())
+	for _, key := range keys {
+		_, command := model.Update(tea.KeyMsg{Type: tea.KeyRunes, Runes: []rune(key)})
+		run(command)
 	}
 }
 
-// The screens as text, as a terminal of 80 by 24 shows them.
+// The screens as a terminal of 80 by 24 shows them.
 func TestScreens(t *testing.T) {
 	for key, want := range map[string][]string{
 		"1": {
@@ -124,43 +126,43 @@
 	}
 }
 
-// What changes something asks first; only a yes does it, and what came of it is said.
+// An action is carried out only after it was confirmed with y, and its outcome is shown.
 func TestActionsAskForConfirmation(t *testing.T) {
-	d := newFakeSite()
-	m := New(d, time.Hour)
+	site := newFakeSite()
+	m := New(site, time.Hour)
 	press(m, "w", "n", "d", "q", "u", "x")
-	if len(d.requested) != 0 {
-		t.Fatalf("without a yes: %v", d.requested)
+	if len(site.requested) != 0 {
+		t.Fatalf("actions without a confirmation: %v, want none", site.requested)
 	}
 	press(m, "j", "c", "y", "d", "y")
-	if diff := cmp.Diff([]string{"cancel job-18", "drain"}, d.requested); diff != "" {
+	if diff := cmp.Diff([]string{"cancel job-18", "drain"}, site.requested); diff != "" {
 		t.Error(diff)
 	}
 	if !strings.Contains(m.View(), "DRAINING: 4 tasks run still") {
 		t.Errorf("the drain is not shown:\n%s", m.View())
 	}
-	// Another console, after the first was lost, shows the same.
-	again := New(d, time.Hour)
+	// Another console shows the same state.
+	again := New(site, time.Hour)
 	press(again)
 	if !strings.Contains(again.View(), "DRAINING: 4 tasks run still") {
-		t.Error("the next console does not show the drain")
+		t.Errorf("another console does not show the drain:\n%s", again.View())
 	}
-	d.err = errors.New("refused with 503")
+	site.err = errors.New("refused with 503")
 	press(again, "u", "y")
 	if !strings.Contains(again.View(), "use the site again: refused with 503") {
 		t.Errorf("the failure is not shown:\n%s", again.View())
 	}
 }
 
-// Trouble is told in words; a list longer than the terminal follows the chosen row; a small terminal is drawn.
+// Problems are shown as text; a table longer than the terminal scrolls to the selected row; a small terminal is filled exactly.
 func TestProblemsLongListsAndSmallTerminals(t *testing.T) {
-	d := newFakeSite()
-	d.snapshot.Status.Leader, d.snapshot.FreeDiskMB, d.snapshot.MinFreeDiskMB = "", 100, 256
-	d.snapshot.Problems = []string{"pool: no connection"}
+	site := newFakeSite()
+	site.snapshot.Status.Leader, site.snapshot.FreeDiskMB, site.snapshot.MinFreeDiskMB = "", 100, 256
+	site.snapshot.Problems = []string{"pool: no connection"}
 	for range 100 {
-		d.snapshot.Queue.Jobs = append(d.snapshot.Queue.Jobs, api.QueuedJob{ID: "job-9"})
+		site.snapshot.Queue.Jobs = append(site.snapshot.Queue.Jobs, api.QueuedJob{ID: "job-9"})
 	}
-	m := New(d, time.Hour)
+	m := New(site, time.Hour)
 	press(m)
 	for range 60 {
 		press(m, "j")
@@ -172,6 +174,6 @@
 	}
 	m.Update(tea.WindowSizeMsg{Width: 20, Height: 5})
 	if n := len(strings.Split(m.View(), "\n")); n != 5 {
-		t.Errorf("%d lines on a terminal of 5", n)
+		t.Errorf("%d lines on a terminal of 5 lines, want 5", n)
 	}
 }
