--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,4 +1,4 @@
-// Package controller is the owner of all state of a controller. Commands come through one queue; Step works through a batch
+// Package controller is the owner of all state of a controller. Inputs come through one queue; Step works through a batch
 // of them and returns the responses to send and the calls to make.
 //
 // A Controller owns the election, the leadership while there is one, and what is kept for users of a follower. Step is pure:
@@ -92,7 +92,7 @@
 	return c
 }
 
-// Step works through a batch of commands: first the outcomes of calls, then the requests, then what is due by the time.
+// Step works through a batch of inputs: first the outcomes of calls, then the requests, then what is due by the time.
 // Responses to heartbeats and the commit of state come last, so that one step's changes go out together.
 func (c *Controller) Step(now time.Time, inputs []Input) Effects {
 	c.followElection(now)
--- a/internal/controller/forwarding_test.go
+++ b/internal/controller/forwarding_test.go
@@ -44,11 +44,11 @@
 	}
 	respond := func(call client.Call) (status int) {
 		outcome := &Outcome{Call: call, Result: client.Result{Status: 200}}
-		replies := controller.Step(now, []Input{{Outcome: outcome}}).Responses
-		if len(replies) != 1 {
-			t.Fatalf("%d replies", len(replies))
+		responses := controller.Step(now, []Input{{Outcome: outcome}}).Responses
+		if len(responses) != 1 {
+			t.Fatalf("%d responses", len(responses))
 		}
-		return replies[0].Status
+		return responses[0].Status
 	}
 	pingFrom("b", 4)
 	if status := respond(forwardRequest()); status != 200 {
--- a/internal/controller/routing_test.go
+++ b/internal/controller/routing_test.go
@@ -53,9 +53,9 @@
 		t.Run(name, func(t *testing.T) {
 			controller := New(platform, config.DefaultOptions(), now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
 			request := &server.Request{Method: test.method, Target: test.target, FromPeer: test.fromPeer}
-			replies := controller.Step(now, []Input{{Request: request}}).Responses
-			if len(replies) != 1 || replies[0].Status != test.status {
-				t.Errorf("%+v, want status %d", replies, test.status)
+			responses := controller.Step(now, []Input{{Request: request}}).Responses
+			if len(responses) != 1 || responses[0].Status != test.status {
+				t.Errorf("%+v, want status %d", responses, test.status)
 			}
 		})
 	}
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -18,7 +18,7 @@
 const (
 	// inputQueueLength bounds the requests that wait for the owner; more are refused with 503.
 	inputQueueLength = 4096
-	// maxBatchSize bounds the commands of one step, so that a tick is never far away.
+	// maxBatchSize bounds the inputs of one step, so that a tick is never far away.
 	maxBatchSize = 128
 	// maxResponseBytes bounds the responses that are read: the cloud's lists and pages of state are the largest.
 	maxResponseBytes = 16 << 20
@@ -100,7 +100,7 @@
 	}
 }
 
-// drain appends the commands that wait in a queue, up to a whole batch.
+// drain appends the inputs that wait in a queue, up to a whole batch.
 func drain(queue <-chan Input, inputs []Input) []Input {
 	for len(inputs) < maxBatchSize {
 		select {
