--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -68,7 +68,7 @@
 	drift       float64
 	startedAt   time.Time
 	pausedUntil time.Time
-	queue       []controller.Command
+	queue       []controller.Input
 }
 
 type event struct {
@@ -215,7 +215,7 @@
 }
 
 // enqueue appends a command to a controller's queue.
-func (sim *Cluster) enqueue(process *controllerProcess, cmd controller.Command) {
+func (sim *Cluster) enqueue(process *controllerProcess, cmd controller.Input) {
 	if process.controller == nil {
 		return
 	}
@@ -246,7 +246,7 @@
 	sim.stepDuration += took
 	sim.longestStep = max(sim.longestStep, took)
 	sim.stepCount++
-	for _, reply := range effects.Replies {
+	for _, reply := range effects.Responses {
 		if f, ok := reply.Handle.(func(server.Response)); ok {
 			f(reply)
 		}
@@ -291,7 +291,7 @@
 	settle := func(r client.Result) {
 		if !settled && process.generation == gen {
 			settled = true
-			sim.enqueue(process, controller.Command{Outcome: &controller.Outcome{Call: call, Result: r}})
+			sim.enqueue(process, controller.Input{Outcome: &controller.Outcome{Call: call, Result: r}})
 		}
 	}
 	sim.At(call.Timeout, func() { settle(client.Result{}) })
@@ -362,7 +362,7 @@
 			continue
 		}
 		reply := func(r server.Response) { answer(r.Status, preEncoded(r.Body)) }
-		sim.enqueue(c, controller.Command{Request: &server.Request{Handle: reply, FromPeer: peer, Method: method, Target: path, Body: body}})
+		sim.enqueue(c, controller.Input{Request: &server.Request{Handle: reply, FromPeer: peer, Method: method, Target: path, Body: body}})
 		return true
 	}
 	return false
