--- a/cmd/faulttest/storeprobe.go
+++ b/cmd/faulttest/storeprobe.go
@@ -38,13 +38,13 @@
 			return
 		default:
 		}
-		p.testbed.pause.RLock()
+		p.testbed.probing.RLock()
 		if p.uncertainCommit == nil {
 			p.commit()
 		} else {
 			p.compare()
 		}
-		p.testbed.pause.RUnlock()
+		p.testbed.probing.RUnlock()
 		time.Sleep(time.Duration(p.rng.IntN(3000)) * time.Microsecond)
 	}
 }
@@ -103,45 +103,52 @@
 // compare compares what is stored with what was acknowledged. A commit of unknown outcome is stored as a
 // whole or not at all.
 func (p *storeProbe) compare() {
-	there, tide, ok := p.listKeys()
+	stored, revision, ok := p.listKeys()
 	if !ok {
 		return
 	}
-	if tide < p.revision {
-		p.testbed.reportViolation("probe %d: revision %d, answered was %d", p.id, tide, p.revision)
+	if revision < p.revision {
+		p.testbed.reportViolation("probe %d: revision %d, answered was %d", p.id, revision, p.revision)
 	}
 	if p.uncertainCommit != nil {
-		executed := false
-		for _, o := range p.uncertainCommit {
-			now, have := there[o.Key]
-			if o.Value != "" && have && now.value == o.Value {
-				executed = true
-				tide = now.modRevision
-			}
-			if o.Value == "" && !have {
-				executed = true
-			}
-		}
-		ops := p.uncertainCommit
-		p.uncertainCommit = nil
-		if executed {
-			p.applyCommit(ops, tide)
-			for _, o := range ops { // a commit of drops alone leaves no mod revision to read
-				if k, ok := p.model[o.Key]; ok {
-					k.modRevision = there[o.Key].modRevision
-					p.model[o.Key] = k
-				}
-			}
-		}
+		p.resolveUncertainCommit(stored, revision)
 	}
 	for key, want := range p.model {
-		if there[key] != want {
-			p.testbed.reportViolation("probe %d: %s is %.20q at %d, answered was %.20q at %d", p.id, key, there[key].value, there[key].modRevision, want.value, want.modRevision)
+		if got := stored[key]; got != want {
+			p.testbed.reportViolation("probe %d: %s is %.20q at %d, answered was %.20q at %d",
+				p.id, key, got.value, got.modRevision, want.value, want.modRevision)
 		}
 	}
-	for key, k := range there {
+	for key, got := range stored {
 		if _, ok := p.model[key]; !ok {
-			p.testbed.reportViolation("probe %d: %s has come back at %d", p.id, key, k.modRevision)
+			p.testbed.reportViolation("probe %d: %s has come back at %d", p.id, key, got.modRevision)
+		}
+	}
+}
+
+// resolveUncertainCommit finds out whether the commit of unknown outcome was executed, and applies it to the model if it was.
+func (p *storeProbe) resolveUncertainCommit(stored map[string]probeKey, revision uint64) {
+	executed := false
+	for _, operation := range p.uncertainCommit {
+		now, exists := stored[operation.Key]
+		switch {
+		case operation.Value != "" && exists && now.value == operation.Value:
+			executed = true
+			revision = now.modRevision
+		case operation.Value == "" && !exists:
+			executed = true
+		}
+	}
+	operations := p.uncertainCommit
+	p.uncertainCommit = nil
+	if !executed {
+		return
+	}
+	p.applyCommit(operations, revision)
+	for _, operation := range operations { // a commit of drops alone leaves no mod revision to read
+		if key, ok := p.model[operation.Key]; ok {
+			key.modRevision = stored[operation.Key].modRevision
+			p.model[operation.Key] = key
 		}
 	}
 }
@@ -169,8 +176,8 @@
 
 // checkProbes makes every probe compare while no commit is in flight.
 func (f *testbed) checkProbes() {
-	f.pause.Lock()
-	defer f.pause.Unlock()
+	f.probing.Lock()
+	defer f.probing.Unlock()
 	for _, p := range f.probes {
 		p.compare()
 	}
--- /dev/null
+++ b/cmd/faulttest/testbed.go
@@ -0,0 +1,243 @@
+package main
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"time"
+
+	"gullrudder/internal/simulator/emulator"
+	"gullrudder/internal/wire/http1"
+)
+
+const controllerCount = 3
+
+// testbed is a state service and its controllers, as real processes that are killed.
+type testbed struct {
+	seed          uint64
+	rng           *rand.Rand
+	client        *http1.Client
+	stateAddr     string // address of the state service
+	state         *process
+	controllers   []*process
+	publicAddrs   []string
+	cloud         *emulator.Cloud
+	probes        []*storeProbe
+	users         *users
+	busyProcesses [2]chan *process // processes that logged a line of killMoments: the state service, a controller
+	stopping      chan struct{}
+	wait          sync.WaitGroup
+	probing       sync.RWMutex // write-locked while the probes are checked
+
+	mu                sync.Mutex
+	violations        []string
+	killCounts        map[string]int
+	archivedSegments  int
+	compactedSegments int
+}
+
+func (f *testbed) reportViolation(format string, args ...any) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.violations = append(f.violations, fmt.Sprintf(format, args...))
+}
+
+// segmentCommitted is logged when an archive segment is committed; its level is 0 unless it is the result of a compaction.
+const segmentCommitted = `msg="segment committed"`
+
+// killMoments are the log lines after which a kill is most likely to find faults, with a name for each.
+var killMoments = []struct{ line, name string }{
+	{"snapshot begins", "in a snapshot"},
+	{"snapshot written", "before the sync of a snapshot"},
+	{"snapshot synced", "before a rename"},
+	{"snapshot renamed", "after a rename"},
+	{"deleting the log", "in a log's deletion"},
+	{`msg="archiving started"`, "while a segment is archived"},
+	{`msg="compaction started"`, "in a compaction"},
+	{segmentCommitted, "after a segment was committed"},
+}
+
+func (f *testbed) segmentCounts() (archived, compacted int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.archivedSegments, f.compactedSegments
+}
+
+func (f *testbed) observeLog(p *process, line string) {
+	f.mu.Lock()
+	switch {
+	case strings.Contains(line, segmentCommitted) && strings.Contains(line, "level=0"):
+		f.archivedSegments++
+	case strings.Contains(line, segmentCommitted):
+		f.compactedSegments++
+	}
+	f.mu.Unlock()
+	for _, m := range killMoments {
+		if strings.Contains(line, m.line) {
+			kind := 1
+			if p == f.state {
+				kind = 0
+			}
+			select {
+			case f.busyProcesses[kind] <- p:
+			default:
+			}
+		}
+	}
+}
+
+func platformJSON(i int, public, peers []string, state, cloud string) string {
+	var others []string
+	for j := range controllerCount {
+		if j != i {
+			others = append(others, fmt.Sprintf(`{"host_name":"node-%d","domain":"a","addr":%q}`, j, peers[j]))
+		}
+	}
+	return fmt.Sprintf(`{"host_name":"node-%d","domain":"a","public_addr":%q,"peer_bind":%q,"others":[%s],
+ "outside":{"cloud":%q,"state":%q},
+ "cluster":{"size":3,"zones":["a"],"teams":[{"name":"red","cpus":0,"cpus_max":0}],
+  "objectives":[],"workers":{"report_s":0.25,"lease_s":4,"cancel_s":15},
+  "state":{"rps":3000,"write_rps":800,"value_kb":4,"txn_ops":12},"cloud":{"rps":20,"list_lag_s":0.2},
+  "quota":{"cpu":1,"ram_mb":200,"max_connections":400},"clock_error_ms":500}}`,
+		i, public[i], peers[i], strings.Join(others, ","), cloud, state)
+}
+
+const (
+	storeOptions      = "<state><snapshot-kb>48</snapshot-kb><snapshot-share>0</snapshot-share><retry-after>50ms</retry-after></state>"
+	controllerOptions = "<gullrudder><leader-lease>1</leader-lease><promise>1</promise><seal-after>0.2</seal-after><seal-jobs>4</seal-jobs>" +
+		"<merge-runs>2</merge-runs><idle-after>20</idle-after></gullrudder>"
+)
+
+func newTestbed(seed uint64, path, dir string, verbose bool) (*testbed, error) {
+	f := &testbed{
+		seed:          seed,
+		rng:           rand.New(rand.NewPCG(seed, 1)),
+		client:        http1.NewClient(64, 8, 16<<20),
+		busyProcesses: [2]chan *process{make(chan *process, 1), make(chan *process, 1)},
+		stopping:      make(chan struct{}),
+		killCounts:    map[string]int{},
+	}
+	ports, err := freePorts(2*controllerCount + 1)
+	if err != nil {
+		return nil, err
+	}
+	f.stateAddr, f.publicAddrs = ports[0], ports[1:1+controllerCount]
+	peers := ports[1+controllerCount:]
+	names := map[string]string{}
+	for i, addr := range f.publicAddrs {
+		names[fmt.Sprintf("node-%d", i)] = addr
+	}
+	if f.cloud, err = emulator.NewCloud(emulator.Options{
+		Controllers: names, HeartbeatInterval: 250 * time.Millisecond, WorkerLease: 4 * time.Second, MaxMachines: 6,
+		MaxRunTime: 150 * time.Millisecond, Seed: seed,
+	}); err != nil {
+		return nil, err
+	}
+	for name, text := range map[string]string{"state.xml": storeOptions, "node.xml": controllerOptions} {
+		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
+			return nil, err
+		}
+	}
+	newProcess := func(name string, args ...string) *process {
+		p := &process{name: name, path: path, args: args, env: []string{"LOG_LEVEL=info"}, seen: f.observeLog}
+		if verbose {
+			p.logs = os.Stderr
+		}
+		return p
+	}
+	f.state = newProcess("state", "state", "--data", filepath.Join(dir, "data"), "--listen", f.stateAddr,
+		"--options", filepath.Join(dir, "state.xml"))
+	for i := range controllerCount {
+		file := filepath.Join(dir, fmt.Sprintf("node-%d.json", i))
+		if err := os.WriteFile(file, []byte(platformJSON(i, f.publicAddrs, peers, f.stateAddr, f.cloud.Addr())), 0o600); err != nil {
+			return nil, err
+		}
+		controller := newProcess(fmt.Sprintf("node-%d", i), "serve", "--config", file, "--options", filepath.Join(dir, "node.xml"))
+		f.controllers = append(f.controllers, controller)
+	}
+	return f, nil
+}
+
+func (f *testbed) start() error {
+	for _, p := range append([]*process{f.state}, f.controllers...) {
+		if err := p.start(); err != nil {
+			return err
+		}
+	}
+	if err := await(f.client, f.stateAddr, "/ready", 10*time.Second); err != nil {
+		return err
+	}
+	for i := range 4 {
+		p := &storeProbe{testbed: f, id: i, rng: rand.New(rand.NewPCG(f.seed, 100+uint64(i))), model: map[string]probeKey{}}
+		f.probes = append(f.probes, p)
+		f.wait.Add(1)
+		go p.run()
+	}
+	f.users = &users{
+		testbed: f,
+		rng:     rand.New(rand.NewPCG(f.seed, 7)),
+		jobs:    map[string]*userJob{},
+		stop:    make(chan struct{}),
+		ended:   make(chan struct{}),
+	}
+	go f.users.run()
+	return nil
+}
+
+func (f *testbed) stop() {
+	for _, p := range append([]*process{f.state}, f.controllers...) {
+		p.kill()
+	}
+	f.cloud.Close()
+}
+
+// killRandomProcess kills a process, at one of killMoments if that comes soon, and starts it again.
+func (f *testbed) killRandomProcess() error {
+	victim, name := f.state, "state at any moment"
+	if f.rng.IntN(4) == 0 {
+		victim, name = f.controllers[f.rng.IntN(controllerCount)], "a controller at any moment"
+	}
+	wait := time.Duration(20+f.rng.IntN(250)) * time.Millisecond
+	if f.rng.IntN(10) == 0 {
+		time.Sleep(time.Duration(1000+f.rng.IntN(1500)) * time.Millisecond) // let work accumulate
+	}
+	switch kind := f.rng.IntN(3); kind {
+	case 2:
+		time.Sleep(wait)
+	default:
+		select {
+		case <-f.busyProcesses[kind]: // an entry of a while ago is out of date
+		default:
+		}
+		select {
+		case p := <-f.busyProcesses[kind]:
+			victim, name = p, "state in the middle"
+			if kind == 1 {
+				name = "a controller in the middle"
+				if f.rng.IntN(3) == 0 {
+					victim, name = f.state, "state, with a controller in the middle"
+				}
+			}
+			time.Sleep(time.Duration(f.rng.IntN(1500)) * time.Microsecond)
+		case <-time.After(wait + time.Duration(kind)*700*time.Millisecond):
+		}
+	}
+	victim.kill()
+	f.killCounts[name]++
+	if f.rng.IntN(4) == 0 {
+		time.Sleep(time.Duration(f.rng.IntN(120)) * time.Millisecond)
+	}
+	if err := victim.start(); err != nil {
+		return err
+	}
+	if victim != f.state {
+		return nil
+	}
+	if err := await(f.client, f.stateAddr, "/ready", 10*time.Second); err != nil {
+		return fmt.Errorf("the state service does not come back: %w", err)
+	}
+	return nil
+}
--- a/cmd/faulttest/upgrade.go
+++ b/cmd/faulttest/upgrade.go
@@ -6,6 +6,7 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -16,82 +17,89 @@
 	"github.com/spf13/cobra"
 )
 
+// upgradeRuns are the options of the command.
+type upgradeRuns struct {
+	runs         int
+	seed         uint64
+	older, newer string
+	verbose      bool
+}
+
 func upgradeCommand() *cobra.Command {
-	var runs int
-	var seed uint64
-	var older, newer string
-	var verbose bool
+	options := upgradeRuns{}
 	cmd := &cobra.Command{
 		Use:   "upgrade",
 		Short: "Roll controllers from one version to another in drawn orders, with kills, and check what users are told",
-		Long: "Each run starts a state service and three controllers of the older program, with workers and a cloud of its own, plays jobs, and\n" +
-			"brings the controllers back with the newer program, one after the other in a drawn order; others die before their turn and come\n" +
-			"back old. Once all are new, jobs that need others are submitted, and limits that the newer version knows of count.",
+		Long: "Each run starts a state service and three controllers of the older program, with workers and a cloud of its own, runs\n" +
+			"jobs, and brings the controllers back with the newer program, one after the other in a drawn order; others crash before\n" +
+			"their turn and come back old. Once all are new, jobs that depend on others are submitted, and limits that the newer\n" +
+			"version knows of count.",
 		Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if older == "" {
-				return errors.New("--program-old is missing: the README tells how it is built from the history")
-			}
-			dir, err := os.MkdirTemp("", "faulttest-upgrade-")
-			if err != nil {
-				return err
-			}
-			defer os.RemoveAll(dir)
-			if older, err = filepath.Abs(older); err != nil {
-				return err
-			}
-			if newer, err = program(newer, dir); err != nil {
-				return err
-			}
-			var sum upgradeResult
-			for i := range runs {
-				r, err := runUpgrade(seed+uint64(i), older, newer, filepath.Join(dir, fmt.Sprint(i)), verbose)
-				if err != nil {
-					return fmt.Errorf("seed %d: %w", seed+uint64(i), err)
-				}
-				for _, b := range r.broken {
-					fmt.Fprintf(cmd.OutOrStdout(), "seed %d, broken: %s\n", seed+uint64(i), b)
-				}
-				sum.add(r)
-			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d jobs accepted, %d of them with needs, %d done\n", sum.accepted, sum.dependents, sum.done)
-			fmt.Fprintf(
-				cmd.OutOrStdout(),
-				"%d upgrades, %d rules broken, %d lost, %d doubled, no answer for at most %.1f s, no placing for at most %.1f s\n",
-				runs,
-				len(sum.broken),
-				sum.lost,
-				sum.duplicated,
-				sum.longestUnanswered.Seconds(),
-				sum.longestWithoutPlacement.Seconds(),
-			)
-			if len(sum.broken) > 0 {
-				return errors.New("a rule was broken")
-			}
-			return nil
-		},
-	}
-	cmd.Flags().IntVar(&runs, "runs", 4, "how many upgrades")
-	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the first run")
-	cmd.Flags().StringVar(&older, "program-old", "", "the program that the controllers run at first")
-	cmd.Flags().StringVar(&newer, "program-new", "", "the program that they come back with; it is built if none is given")
-	cmd.Flags().BoolVar(&verbose, "verbose", false, "show the log of the processes")
+		RunE: func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
+	}
+	flags := cmd.Flags()
+	flags.IntVar(&options.runs, "runs", 4, "how many upgrades")
+	flags.Uint64Var(&options.seed, "seed", 1, "of the first run")
+	flags.StringVar(&options.older, "program-old", "", "the program that the controllers run at first")
+	flags.StringVar(&options.newer, "program-new", "", "the program that they come back with; it is built if none is given")
+	flags.BoolVar(&options.verbose, "verbose", false, "show the log of the processes")
 	return cmd
 }
 
+func (o upgradeRuns) run(cmd *cobra.Command) (err error) {
+	if o.older == "" {
+		return errors.New("--program-old is missing: the README tells how it is built from the history")
+	}
+	dir, err := os.MkdirTemp("", "faulttest-upgrade-")
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
+	if o.older, err = filepath.Abs(o.older); err != nil {
+		return err
+	}
+	if o.newer, err = program(o.newer, dir); err != nil {
+		return err
+	}
+	out := output{w: cmd.OutOrStdout()}
+	var sum upgradeResult
+	for i := range o.runs {
+		seed := o.seed + uint64(i)
+		result, err := o.runUpgrade(seed, filepath.Join(dir, strconv.Itoa(i)))
+		if err != nil {
+			return fmt.Errorf("seed %d: %w", seed, err)
+		}
+		for _, violation := range result.broken {
+			out.printf("seed %d, broken: %s\n", seed, violation)
+		}
+		sum.add(result)
+	}
+	out.printf("%d jobs accepted, %d of them with needs, %d done\n", sum.accepted, sum.dependents, sum.done)
+	out.printf("%d upgrades, %d rules broken, %d lost, %d doubled, no answer for at most %.1f s, no placing for at most %.1f s\n",
+		o.runs, len(sum.broken), sum.lost, sum.duplicated, sum.longestUnanswered.Seconds(), sum.longestWithoutPlacement.Seconds())
+	if len(sum.broken) > 0 {
+		return errors.New("a rule was broken")
+	}
+	return out.err
+}
+
 // upgradeResult is the result of one rolling upgrade.
 type upgradeResult struct {
-	broken                                     []string
-	lost, duplicated                           int
-	accepted, done, dependents                 int
-	longestUnanswered, longestWithoutPlacement time.Duration // longest time without a response to a user, without a controller that places tasks
+	broken                     []string
+	lost, duplicated           int
+	accepted, done, dependents int
+	longestUnanswered          time.Duration // longest time without a response to a user
+	longestWithoutPlacement    time.Duration // longest time without a controller that places tasks
 }
 
 func (u *upgradeResult) add(r upgradeResult) {
 	u.broken = append(u.broken, r.broken...)
 	u.lost, u.duplicated = u.lost+r.lost, u.duplicated+r.duplicated
-	u.accepted, u.done, u.dependents = u.accepted+r.accepted, u.done+r.done, u.dependents+r.dependents
-	u.longestUnanswered, u.longestWithoutPlacement = max(u.longestUnanswered, r.longestUnanswered), max(u.longestWithoutPlacement, r.longestWithoutPlacement)
+	u.accepted += r.accepted
+	u.done += r.done
+	u.dependents += r.dependents
+	u.longestUnanswered = max(u.longestUnanswered, r.longestUnanswered)
+	u.longestWithoutPlacement = max(u.longestWithoutPlacement, r.longestWithoutPlacement)
 }
 
 // gapTimer measures the longest time between two events.
@@ -154,73 +162,89 @@
 	return os.WriteFile(file, []byte(text), 0o600)
 }
 
-func runUpgrade(seed uint64, older, newer, dir string, verbose bool) (upgradeResult, error) {
-	var out upgradeResult
+// runUpgrade runs one rolling upgrade in a new directory.
+func (o upgradeRuns) runUpgrade(seed uint64, dir string) (upgradeResult, error) {
+	var result upgradeResult
 	if err := os.Mkdir(dir, 0o700); err != nil {
-		return out, err
+		return result, err
 	}
-	f, err := newTestbed(seed, older, dir, verbose)
+	f, err := newTestbed(seed, o.older, dir, o.verbose)
 	if err != nil {
-		return out, err
+		return result, err
 	}
-	f.state.path = newer // it belongs to the platform and is not upgraded here
+	f.state.path = o.newer // it belongs to the platform and is not upgraded here
 	for i := range controllerCount {
 		if err := announceLimits(filepath.Join(dir, fmt.Sprintf("node-%d.json", i))); err != nil {
-			return out, err
+			return result, err
 		}
 	}
 	defer f.stop()
 	if err := f.start(); err != nil {
-		return out, err
+		return result, err
 	}
 	var placing gapTimer
 	f.wait.Add(1)
 	go f.watchPlacing(&placing)
-	pause := func(least, more int) { time.Sleep(time.Duration(least+f.rng.IntN(more)) * time.Millisecond) }
-	bounce := func(p *process) error {
-		p.kill()
-		pause(0, 400)
-		return p.start()
+	if err := f.rollControllers(o.newer); err != nil {
+		return result, err
+	}
+	if err := f.users.drain(60 * time.Second); err != nil {
+		result.lost++
+		result.broken = append(result.broken, err.Error())
 	}
-	pause(2500, 1000)
+	close(f.stopping)
+	f.wait.Wait()
+	f.checkProbes()
+	_, duplicated, broken := f.cloud.History.Summary()
+	result.broken = slices.Concat(result.broken, broken, f.violations)
+	result.duplicated = duplicated
+	result.accepted, result.done, result.dependents = f.users.acceptedCount(), f.users.doneCount(), f.users.dependentCount()
+	result.longestUnanswered, result.longestWithoutPlacement = f.users.answers.longestGap(), placing.longestGap()
+	return result, nil
+}
+
+// pause sleeps for a random time, in milliseconds.
+func (f *testbed) pause(least, more int) {
+	time.Sleep(time.Duration(least+f.rng.IntN(more)) * time.Millisecond)
+}
+
+// restart kills a process and starts it again after a short random time.
+func (f *testbed) restart(p *process) error {
+	p.kill()
+	f.pause(0, 400)
+	return p.start()
+}
+
+// rollControllers brings the controllers back with another program in a random order, restarts others in between, and lets users
+// submit jobs with dependencies once all are new.
+func (f *testbed) rollControllers(newer string) error {
+	f.pause(2500, 1000)
 	order := f.rng.Perm(controllerCount)
 	for k, i := range order {
 		if f.rng.IntN(2) == 0 { // one crashes before or after its turn
-			if err := bounce(f.controllers[order[f.rng.IntN(controllerCount)]]); err != nil {
-				return out, err
+			if err := f.restart(f.controllers[order[f.rng.IntN(controllerCount)]]); err != nil {
+				return err
 			}
-			pause(200, 1500)
+			f.pause(200, 1500)
 		}
 		if k == 1 && f.rng.IntN(3) == 0 { // the state service too, during the upgrade
-			if err := bounce(f.state); err != nil {
-				return out, err
+			if err := f.restart(f.state); err != nil {
+				return err
 			}
 		}
 		f.controllers[i].path = newer
-		if err := bounce(f.controllers[i]); err != nil {
-			return out, err
+		if err := f.restart(f.controllers[i]); err != nil {
+			return err
 		}
-		pause(300, 2500)
+		f.pause(300, 2500)
 	}
 	f.users.useDependencies.Store(true)
 	for range 2 {
-		pause(1000, 1500)
-		if err := bounce(f.controllers[f.rng.IntN(controllerCount)]); err != nil {
-			return out, err
+		f.pause(1000, 1500)
+		if err := f.restart(f.controllers[f.rng.IntN(controllerCount)]); err != nil {
+			return err
 		}
 	}
-	pause(1500, 500)
-	if err := f.users.drain(60 * time.Second); err != nil {
-		out.lost++
-		out.broken = append(out.broken, err.Error())
-	}
-	close(f.stopping)
-	f.wait.Wait()
-	f.checkProbes()
-	_, doubled, broken := f.cloud.History.Summary()
-	out.broken = slices.Concat(out.broken, broken, f.violations)
-	out.duplicated = doubled
-	out.accepted, out.done, out.dependents = f.users.acceptedCount(), f.users.doneCount(), f.users.dependentCount()
-	out.longestUnanswered, out.longestWithoutPlacement = f.users.answers.longestGap(), placing.longestGap()
-	return out, nil
+	f.pause(1500, 500)
+	return nil
 }
--- a/cmd/faulttest/users.go
+++ b/cmd/faulttest/users.go
@@ -159,44 +159,54 @@
 	}
 }
 
-func (u *users) exchange(c *http1.Client, j *userJob, method, target string, body []byte) {
-	m, err := c.Do(u.testbed.publicAddrs[u.rng.IntN(controllerCount)], method, target, body, 2*time.Second)
+// jobAnswer is the response to a submission, a poll or a cancellation.
+type jobAnswer struct {
+	State string `msgpack:"trim"`
+	Done  *int   `msgpack:"done"`
+}
+
+// exchange sends a request about a job to a random controller and checks the response.
+func (u *users) exchange(client *http1.Client, job *userJob, method, target string, body []byte) {
+	response, err := client.Do(u.testbed.publicAddrs[u.rng.IntN(controllerCount)], method, target, body, 2*time.Second)
 	if err != nil {
 		return
 	}
-	var a struct {
-		State string `msgpack:"trim"`
-		Done  *int   `msgpack:"done"`
-	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
+	var answer jobAnswer
 	switch {
-	case m.Status == 404 || m.Status == 400 || m.Status == 422:
-		if j.accepted {
-			u.testbed.reportViolation("forgotten: %s %s gets %d though the job was accepted", method, target, m.Status)
+	case response.Status == 404 || response.Status == 400 || response.Status == 422:
+		if job.accepted {
+			u.testbed.reportViolation("forgotten: %s %s gets %d though the job was accepted", method, target, response.Status)
 		}
-	case m.Status/100 == 2 && codec.Unmarshal(m.Body, &a) == nil:
-		j.accepted = true
+	case response.Status/100 == 2 && codec.Unmarshal(response.Body, &answer) == nil:
+		job.accepted = true
 		u.answers.seen(time.Now())
-		switch {
-		case a.State == "done" && !j.done:
-			j.done = true
-			if n := u.testbed.cloud.History.CompletedTasks(j.spec.ID, j.spec.Tasks); n < j.spec.Tasks {
-				u.testbed.reportViolation("not_done: %s is called done with %d of %d tasks", j.spec.ID, n, j.spec.Tasks)
-			}
-			if j.cancelled {
-				u.testbed.reportViolation("went_back: %s was cancelled and is done", j.spec.ID)
-			}
-		case a.State == "cancelled":
-			if !j.isCancellationExpected() || j.done {
-				u.testbed.reportViolation("went_back: %s is cancelled; asked %v, done %v", j.spec.ID, j.cancelRequested, j.done)
-			}
-			j.cancelled = true
-		case a.State != "done" && (j.done || j.cancelled):
-			u.testbed.reportViolation("went_back: %s is %s; done %v, cancelled %v", j.spec.ID, a.State, j.done, j.cancelled)
-		case a.State == "done" && a.Done != nil && method == "GET" && *a.Done != j.spec.Tasks:
-			u.testbed.reportViolation("%s has %d tasks done of %d", j.spec.ID, *a.Done, j.spec.Tasks)
+		u.checkAnswer(job, method, answer)
+	}
+}
+
+// checkAnswer checks the state of a job in a response, and records it.
+func (u *users) checkAnswer(job *userJob, method string, answer jobAnswer) {
+	id, isDone := job.spec.ID, answer.State == "done"
+	switch {
+	case isDone && !job.done:
+		job.done = true
+		if n := u.testbed.cloud.History.CompletedTasks(id, job.spec.Tasks); n < job.spec.Tasks {
+			u.testbed.reportViolation("not_done: %s is called done with %d of %d tasks", id, n, job.spec.Tasks)
+		}
+		if job.cancelled {
+			u.testbed.reportViolation("went_back: %s was cancelled and is done", id)
+		}
+	case answer.State == "cancelled":
+		if !job.isCancellationExpected() || job.done {
+			u.testbed.reportViolation("went_back: %s is cancelled; asked %v, done %v", id, job.cancelRequested, job.done)
 		}
+		job.cancelled = true
+	case !isDone && (job.done || job.cancelled):
+		u.testbed.reportViolation("went_back: %s is %s; done %v, cancelled %v", id, answer.State, job.done, job.cancelled)
+	case isDone && answer.Done != nil && method == "GET" && *answer.Done != job.spec.Tasks:
+		u.testbed.reportViolation("%s has %d tasks done of %d", id, *answer.Done, job.spec.Tasks)
 	}
 }
 
