--- a/cmd/gullrudder/main.go
+++ b/cmd/gullrudder/main.go
@@ -1,5 +1,8 @@
-// Command gullrudder is a cluster scheduler: one program for the controllers and for
-// their users.
+// Command gullrudder is a cluster scheduler: one program for the controllers (serve), the processes of a site on one machine (up and
+// the parts that it runs), and the commands of operators and users.
+//
+// The package reads flags and prints responses. It owns no state and decides nothing about jobs or machines: that is done by
+// internal/controller, internal/site and internal/console. docs/architecture.md shows how the processes work together.
 package main
 
 import (
