--- a/internal/controller/archive/lookup.go
+++ b/internal/controller/archive/lookup.go
@@ -71,14 +71,13 @@
 // IsUnreachable reports whether the data could not be read for a while.
 func (s *Store) IsUnreachable(now time.Time) bool { return s.reader.isUnreachable(now) }
 
-// LookupFunc is told what the data says of a job: found is true if the job is in a segment; an error means that it cannot be told
+// LookupFunc takes the result of a lookup in the data: found is true if the job is in a segment; an error means that it cannot be told
 // now, ErrBusy or ReadError among others.
 type LookupFunc func(now time.Time, state FinalState, found bool, err error)
 
-// LookupData looks a job up in the data. done is called exactly once, perhaps before Resolve returns.
-func (s *Store) LookupData(
-	now time.Time, outbox *client.Outbox, jobID string, done func(now time.Time, state FinalState, found bool, err error),
-) {
+// LookupData looks a job up in the data, which takes a read of the state service unless the part is cached. done is called exactly
+// once, perhaps before LookupData returns.
+func (s *Store) LookupData(now time.Time, outbox *client.Outbox, jobID string, done LookupFunc) {
 	if s.reader.lookups >= maxLookups {
 		done(now, FinalState{}, false, ErrBusy)
 		return
--- a/internal/controller/heartbeat/failure.go
+++ b/internal/controller/heartbeat/failure.go
@@ -91,6 +91,3 @@
 	h.jobStore.SaveRecord(now, job)
 	h.placer.InvalidateOrder()
 }
-
-// ForgetJob drops what is kept of a job that has ended.
-func (h *Handler) ForgetJob(job *jobs.Job) { h.observers.failures.ForgetJob(job.ID) }
--- a/internal/controller/latency.go
+++ b/internal/controller/latency.go
@@ -14,6 +14,15 @@
 	latencySignificantDigits = 2 // significant digits that the histograms keep
 )
 
+// Latency is one row of the latency table. Its quantiles are in milliseconds.
+type Latency struct {
+	Kind  string `msgpack:"kind" json:"kind"`
+	Count int64  `msgpack:"count" json:"count"` // requests answered since the process started
+	P50   int64  `msgpack:"p50_ms" json:"p50_ms"`
+	P99   int64  `msgpack:"p99_ms" json:"p99_ms"`
+	Max   int64  `msgpack:"max_ms" json:"max_ms"`
+}
+
 // latencyTable keeps how long this controller took to answer, by kind of request.
 type latencyTable struct {
 	byRequestKind map[string]*hdrhistogram.Histogram
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"gullrudder/internal/config"
 	"gullrudder/internal/controller/accounting"
 	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/api"
@@ -249,3 +250,12 @@
 		Log:       c.log,
 	})
 }
+
+// applyOptions passes changed options on to the components that use them. dynamicconfig.Store calls it whenever they change.
+func (l *leadership) applyOptions(options config.Options) {
+	l.fairShare.SetPolicy(fairshare.PolicyOf(options))
+	l.planner.SetOptions(options)
+	l.ranker.SetOptions(options)
+	l.jobStore.SetOptions(options)
+	l.placer.InvalidateOrder()
+}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -8,15 +8,6 @@
 	"gullrudder/internal/wire/server"
 )
 
-// Latency is one row of the latency table. Its quantiles are in milliseconds.
-type Latency struct {
-	Kind  string `msgpack:"kind" json:"kind"`
-	Count int64  `msgpack:"count" json:"count"` // requests answered since the process started
-	P50   int64  `msgpack:"p50_ms" json:"p50_ms"`
-	P99   int64  `msgpack:"p99_ms" json:"p99_ms"`
-	Max   int64  `msgpack:"max_ms" json:"max_ms"`
-}
-
 // MachineStatus is one machine in the status. State is "ok", "silent" (its lease has expired), "does not hear" (it does not
 // receive the leader's responses), or the reason why it is drained.
 type MachineStatus struct {
