--- a/internal/controller/archive/compaction.go
+++ b/internal/controller/archive/compaction.go
@@ -44,7 +44,7 @@
 	return payload, nil
 }
 
-// compaction merges segments into one of the next level. It takes a bounded number of keys at a time, since the owner loop has other
+// compaction merges segments into one of the next level. It takes a bounded number of keys at a time, since the event loop has other
 // things to do.
 type compaction struct {
 	sources []*segmentReader
--- a/internal/controller/archive/store.go
+++ b/internal/controller/archive/store.go
@@ -66,7 +66,7 @@
 	OnArchived func(ids []string)
 }
 
-// Store is the archive of one leadership. It belongs to the controller's owner loop and is not safe for concurrent use.
+// Store is the archive of one leadership. It belongs to the controller's event loop and is not safe for concurrent use.
 type Store struct {
 	options    Options
 	storage    *storage.Store
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,10 +1,10 @@
-// Package controller is the owner of all state of a controller. Commands come through one queue; Step works through a batch
-// of them and returns the responses to send and the calls to make.
+// Package controller runs one controller process: an event loop that owns all of its state. Requests and the outcomes of calls come
+// through one queue as Inputs; Step processes a batch of them and returns the responses to send and the calls to make.
 //
-// A Controller owns the election, the leadership while there is one, and what is kept for users of a follower. Step is pure:
-// it reads no clock, does no I/O and starts no goroutine; Runtime connects it with the clock and the network. All components
-// run inside Step, one at a time, and need no locks. Nothing here decides about jobs or machines: that is done by the
-// components of the leadership. docs/architecture.md shows how they work together.
+// A Controller owns the election, the leadership while there is one, and the state of a follower. Step is pure: it reads no clock,
+// does no I/O and starts no goroutine; Runtime connects it with the clock and the network. All components run inside Step, one at a
+// time, and need no locks. The package never decides about jobs or machines: the components of the leadership do.
+// Design note: docs/architecture.md.
 package controller
 
 import (
@@ -25,16 +25,16 @@
 )
 
 const (
-	// tickInterval is the time between two looks at what is due.
+	// tickInterval is the time between two ticks, in which the periodic work is done.
 	tickInterval = 50 * time.Millisecond
-	// leaseSafetyMargin makes each span of the election shorter for the side that relies on it, besides the clock drift.
+	// leaseSafetyMargin shortens each lease and grant for the side that relies on it, in addition to the clock drift.
 	leaseSafetyMargin = 100 * time.Millisecond
 )
 
-// Controller is the state of a controller process. Only the owner loop may call its methods, apart from Registry.
+// Controller is the state of a controller process. Only the event loop may call its methods, apart from Registry.
 type Controller struct {
 	platform *config.Platform
-	options  config.Options // from the controller's own file; the leadership may have others
+	options  config.Options // from the controller's own file; users may have changed them for the leadership (dynamicconfig)
 	log      *slog.Logger
 	teams    map[string]config.Team
 	peers    map[string]string // addresses of the other controllers by name
@@ -42,7 +42,7 @@
 	election   *election.Election
 	leaderSeen bool // a leader has pinged this controller, or it leads itself
 	leadership *leadership
-	holdsLease bool // the leadership may act now: its leader lease is valid
+	holdsLease bool // the leader lease is valid: the leadership may act in this step
 	nextTick   time.Time
 
 	outbox    client.Outbox
@@ -51,14 +51,14 @@
 	latencies *latencyTable
 }
 
-// metrics outlive a leadership.
+// metrics are the metrics of the process. They count on over its leaderships.
 type metrics struct {
 	registry     *prometheus.Registry
 	accounting   *accounting.Metrics
 	reachability *reachability.Metrics
 }
 
-// New makes the state of a process that has just started. rng draws the delays of the election.
+// New returns the controller of a process that has just started. rng draws the random delays of the election.
 func New(platform *config.Platform, options config.Options, now time.Time, rng *rand.Rand, log *slog.Logger) *Controller {
 	registry := prometheus.NewRegistry()
 	c := &Controller{
@@ -92,8 +92,8 @@
 	return c
 }
 
-// Step works through a batch of commands: first the outcomes of calls, then the requests, then what is due by the time.
-// Responses to heartbeats and the commit of state come last, so that one step's changes go out together.
+// Step processes a batch of inputs: first the outcomes of calls, then the requests, then the periodic work if a tick is due.
+// Responses to heartbeats and the commit of state come last, so that the changes of one step are sent together.
 func (c *Controller) Step(now time.Time, inputs []Input) Effects {
 	c.followElection(now)
 	for _, input := range inputs {
@@ -117,7 +117,7 @@
 	return Effects{Responses: c.responder.TakeResponses(), Calls: c.outbox.TakeCalls()}
 }
 
-// tick does what is due by the time.
+// tick does the periodic work of the election and, on a leader, of the leadership.
 func (c *Controller) tick(now time.Time) {
 	c.election.Tick(now, &c.outbox)
 	c.followElection(now)
@@ -126,8 +126,8 @@
 	}
 }
 
-// finishStep answers the heartbeats of this step and commits its changes of state. While the renewal of the leader lease is
-// late, heartbeats are rejected and nothing is committed.
+// finishStep answers the heartbeats of this step and commits its changes of state. While the leader lease is not valid because its
+// renewal is late, heartbeats are rejected and nothing is committed.
 func (c *Controller) finishStep(now time.Time) {
 	leader := c.leadership
 	if !c.holdsLease {
@@ -139,13 +139,13 @@
 	leader.storage.Flush(now, &c.outbox)
 }
 
-// followElection makes the leadership follow the state of the election.
+// followElection begins or ends the leadership as the election has changed.
 func (c *Controller) followElection(now time.Time) {
 	if c.leadership != nil && c.leadership.storage.IsFenced() {
 		c.election.StepDown(now, &c.outbox, "another leader has written")
 	}
-	// While a renewal is late the leadership is kept and does nothing. It is never built anew under the same fencing token:
-	// its attempt numbers would begin again and repeat.
+	// While a renewal is late the leadership is kept and does nothing. It must not be rebuilt under the same fencing token: its
+	// attempt numbers would start again and be used twice.
 	if c.leadership != nil && (!c.election.IsLeader() || c.leadership.fencingToken != c.election.FencingToken()) {
 		c.endLeadership()
 	}
@@ -155,12 +155,12 @@
 	}
 }
 
-// LeadershipState reports whether this controller may act as leader with its state loaded, and whether it has completed its
-// failover and places tasks.
+// LeadershipState reports whether this controller holds the leader lease and has loaded its state (leading), and whether it has also
+// completed its failover and places tasks (placing).
 func (c *Controller) LeadershipState(now time.Time) (leading, placing bool) {
 	leading = c.leadership != nil && c.election.HoldsLease(now) && c.leadership.failover.StateLoaded()
 	return leading, leading && c.leadership.failover.Completed()
 }
 
-// Registry has the controller's metrics. It may be read at any time and from any goroutine.
+// Registry returns the registry of the controller's metrics. It may be used at any time and from any goroutine.
 func (c *Controller) Registry() *prometheus.Registry { return c.metrics.registry }
--- a/internal/controller/election/campaign.go
+++ b/internal/controller/election/campaign.go
@@ -11,13 +11,13 @@
 // maxCampaignJitter spreads the campaigns of several followers, so that one of them wins without a conflict.
 const maxCampaignJitter = 60 * time.Millisecond
 
-// candidacy says when a follower campaigns.
+// candidacy is when a follower campaigns next, and for whom it holds back.
 type candidacy struct {
 	campaignAt         time.Time
-	preferredSuccessor string // who is to lead next, as the last leader said; empty: whoever is first
+	preferredSuccessor string // controller that the last leader named as its successor; empty: any
 }
 
-// campaignDelay returns how long this controller waits between finding the leader's key absent and campaigning.
+// campaignDelay returns how long this controller waits after it has found the leader's key absent before it campaigns.
 func (e *Election) campaignDelay(now time.Time) time.Duration {
 	jitter := time.Duration(e.rng.Int64N(int64(maxCampaignJitter)))
 	successor := e.follower.candidacy.preferredSuccessor
@@ -30,7 +30,7 @@
 	return jitter
 }
 
-// campaign makes this controller a candidate, which first requests a lease.
+// campaign makes this controller a candidate and requests a lease for the leader's key.
 func (e *Election) campaign(now time.Time, outbox *client.Outbox) {
 	e.becomeCandidate()
 	sentAt := now
@@ -87,7 +87,7 @@
 	})
 }
 
-// leaderRecord is the value of the leader's key if this controller holds it with its present lease.
+// leaderRecord returns the value with which this controller claims the leader's key under its present lease.
 func (e *Election) leaderRecord() leaderRecord {
 	return leaderRecord{Name: e.options.Name, LeaseID: e.lease.id}
 }
--- a/internal/controller/election/contact.go
+++ b/internal/controller/election/contact.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// isolationTimeout is how long neither the peers nor the state service have been heard from before this
-	// controller counts as isolated.
+	// isolationTimeout is the time without contact to any peer and to the state service after which this controller counts
+	// as isolated.
 	isolationTimeout = 5 * time.Second
-	// peerProbeInterval is how often the peers are probed after that long without contact.
+	// peerProbeInterval is the time without contact to a peer after which all peers are probed, and between two such probes.
 	peerProbeInterval = time.Second
 )
 
@@ -22,28 +22,28 @@
 	nextPeerProbeAt time.Time
 }
 
-// recordPeer takes the result of a call to a peer.
+// recordPeer records the result of a call to a peer.
 func (c *contactTimes) recordPeer(now time.Time, result client.Result) {
 	if !result.IsUncertain() {
 		c.peerAt = now
 	}
 }
 
-// recordStateService takes the result of a call to the state service.
+// recordStateService records the result of a call to the state service.
 func (c *contactTimes) recordStateService(now time.Time, result client.Result) {
 	if !result.IsUncertain() {
 		c.stateServiceAt = now
 	}
 }
 
-// IsIsolated reports whether neither the state service nor any peer has been heard from for a while. It is false
-// while only the state service is unreachable, for everybody: users may stay with this controller then.
+// IsIsolated reports whether this controller has had no contact to the state service or to any peer for isolationTimeout. It is
+// false in an outage of the state service alone: the other controllers could not serve users any better then.
 func (e *Election) IsIsolated(now time.Time) bool {
 	return len(e.options.Peers) > 0 &&
 		now.Sub(e.contact.peerAt) >= isolationTimeout && now.Sub(e.contact.stateServiceAt) >= isolationTimeout
 }
 
-// probePeers calls the peers after a while without contact: between two leaders nobody sends pings.
+// probePeers sends vote queries to the peers after peerProbeInterval without contact: without a leader there are no pings.
 func (e *Election) probePeers(now time.Time, outbox *client.Outbox) {
 	if now.Sub(e.contact.peerAt) < peerProbeInterval || now.Before(e.contact.nextPeerProbeAt) {
 		return
--- a/internal/controller/election/election.go
+++ b/internal/controller/election/election.go
@@ -5,10 +5,10 @@
 // or, while the state service is unreachable, for as long as every other controller has granted it leader-lease time.
 // It also decides when leadership is transferred to a controller that is better connected.
 //
-// It owns one Election for each process: the role, the lease, the grants held and given, and what is known of the
+// It owns one Election for each process: the role, the lease, the grants held and given, and the state of the
 // connections to the state service, the other controllers and the workers. It never waits and never sends anything
-// itself: calls are added to a client.Outbox, and their Done functions run on the owner loop that calls Tick. It keeps
-// nothing on disk: a restarted process has forgotten what it granted and holds back until that no longer matters.
+// itself: calls are added to a client.Outbox, and their Done functions run on the event loop that calls Tick. It keeps
+// nothing on disk: a restarted process does not know its earlier grants, and does not campaign until they have expired.
 //
 // Design note: docs/design/election.md.
 package election
@@ -42,7 +42,7 @@
 	RenewalWindow     time.Duration // see renewal.Window
 }
 
-// Election is the election as one controller sees it. It is not safe for concurrent use: the owner loop calls it,
+// Election is the election as one controller sees it. It is not safe for concurrent use: the event loop calls it,
 // and runs the Done functions of its calls.
 type Election struct {
 	options Options
@@ -77,10 +77,10 @@
 	}
 }
 
-// Tick makes the calls that are due. The owner calls it at each of its ticks, whatever the role.
+// Tick makes the calls that are due. It has to be called at every tick of the event loop, whatever the role.
 func (e *Election) Tick(now time.Time, outbox *client.Outbox) {
-	// A late renewal may still find the lease alive. Then nobody else has led, and what this leader knows still
-	// holds. So it keeps its leadership for one more lease duration, without acting.
+	// A late renewal may still succeed. Then there was no other leader, and the state of this one is still valid. So
+	// it keeps its leadership for one more lease duration, without acting.
 	if e.role == roleLeader && now.Sub(e.LeaseValidUntil()) > e.options.LeaseDuration {
 		e.StepDown(now, outbox, "leader lease expired")
 	}
@@ -113,8 +113,9 @@
 	return e.role == roleLeader && now.Before(e.LeaseValidUntil())
 }
 
-// LeaseValidUntil returns when the right to act ends unless it is extended before: when the lease of the state
-// service expires or, if later, when the first of the grants of all peers does. It is zero unless IsLeader.
+// LeaseValidUntil returns when the leader lease expires unless it is renewed: when the lease of the state service
+// expires or, if every peer has given a grant and that is later, when the first of these grants expires. It is zero
+// unless IsLeader.
 func (e *Election) LeaseValidUntil() time.Time {
 	if e.role != roleLeader {
 		return time.Time{}
@@ -125,8 +126,8 @@
 	return e.lease.validUntil
 }
 
-// IsLeader reports whether this controller holds the leader's key, as far as it knows. It may act only while
-// HoldsLease is true as well: the two differ while a renewal is late.
+// IsLeader reports whether this controller was elected and has not stepped down. It may act only while HoldsLease is
+// true as well: the two differ while a renewal is late.
 func (e *Election) IsLeader() bool { return e.role == roleLeader }
 
 // FencingToken returns the token of this controller's present leadership, or of its last one.
@@ -135,7 +136,7 @@
 // FollowedToken returns the highest fencing token that this controller has given a grant to.
 func (e *Election) FollowedToken() uint64 { return e.follower.grant.fencingToken }
 
-// Leader returns the name of the controller that leads, or "" if none has been heard of recently.
+// Leader returns the name of the leader, or "" if no leader has sent a ping recently.
 func (e *Election) Leader(now time.Time) string {
 	if e.HoldsLease(now) {
 		return e.options.Name
@@ -147,21 +148,21 @@
 	return ""
 }
 
-// ElectionDelay returns how long it takes at least until another controller can lead: what is left of the grant
-// that this controller has given.
+// ElectionDelay returns the least time until this controller can be elected: the remaining time of the grant that it
+// has given.
 func (e *Election) ElectionDelay(now time.Time) time.Duration {
 	return max(e.follower.grant.until.Sub(now), 0)
 }
 
-// Connectivity returns what is known of whether the workers reach this controller.
+// Connectivity returns the monitor of the connections between workers and controllers.
 func (e *Election) Connectivity() *connectivity.Monitor { return e.connectivity }
 
-// RenewalLimit returns what is known of the cancellations that other controllers may have confirmed.
+// RenewalLimit returns the limit until which leases may be renewed before the state is loaded.
 func (e *Election) RenewalLimit() *renewal.Limit { return e.renewalLimit }
 
 // SetOldestCancellation records, for a leader that has loaded its state, that every cancellation confirmed before
-// oldest is completed. If known is false, there are cancellations whose time of confirmation nobody can tell. The
-// next pings pass it on.
+// oldest is completed. known is false if the time of confirmation of some cancellation is unknown. The next pings
+// contain it.
 func (e *Election) SetOldestCancellation(now, oldest time.Time, known bool) {
 	e.leader.stateLoaded = known && e.HoldsLease(now)
 	if e.leader.stateLoaded {
--- a/internal/controller/election/given_grant.go
+++ b/internal/controller/election/given_grant.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// givenGrant is a follower's leader-lease grant: its undertaking not to campaign. What is known of the leader that
-// requested it goes with it.
+// givenGrant is the leader-lease grant that a follower has given, its undertaking not to campaign, and the leader that
+// requested it.
 type givenGrant struct {
 	until        time.Time // this controller neither campaigns nor acts before
-	fencingToken uint64    // the highest that a grant was given to
+	fencingToken uint64    // the highest of the leaders that a grant was given to
 	leaderName   string
 	pingedAt     time.Time // when the leader's last ping came
 }
 
-// give extends the grant to the sender of the request, which came at now.
+// give extends the grant to the sender of a request that was received at now.
 func (g *givenGrant) give(now, until time.Time, request PingRequest) {
 	g.leaderName, g.pingedAt = request.Name, now
 	if until.After(g.until) {
@@ -20,8 +20,8 @@
 	g.fencingToken = max(g.fencingToken, request.FencingToken)
 }
 
-// HandlePing returns the response to the ping of a peer that leads, or whose leadership was transferred. Pings may
-// come late and more than once.
+// HandlePing returns the response to the ping of a peer that leads, or that has transferred its leadership. Pings may
+// be delayed and duplicated.
 func (e *Election) HandlePing(now time.Time, request PingRequest) PingResponse {
 	e.contact.peerAt = now
 	if request.ReleasedLeaseID != 0 {
@@ -29,11 +29,11 @@
 		return PingResponse{}
 	}
 	if request.FencingToken < e.follower.grant.fencingToken {
-		return PingResponse{} // a late ping of a leadership that is over: nobody waits for the response
+		return PingResponse{} // a delayed ping of an earlier leadership, which no longer waits for the response
 	}
 	if e.role != roleFollower || e.follower.key.absent {
-		// This controller campaigns, leads, or knows from a working state service that the key is absent: the sender
-		// has lost its lease, and no grant may extend its leadership.
+		// This controller campaigns, leads, or has read from the state service that the key is absent: the sender has
+		// lost its lease, and a grant must not extend its leadership.
 		return PingResponse{StateServiceOK: e.role == roleFollower}
 	}
 	e.follower.grant.give(now, now.Add(e.options.boundDuration(e.options.GrantDuration)), request)
@@ -50,8 +50,8 @@
 	}
 }
 
-// isBoundByGrant reports whether this controller may not campaign: because of a grant that it has given, or of one
-// that an earlier process of it may have given shortly before this one started.
+// isBoundByGrant reports whether a grant forbids this controller to campaign: one that it has given, or one that its
+// earlier process may have given shortly before this one started.
 func (e *Election) isBoundByGrant(now time.Time) bool {
 	return now.Before(e.follower.grant.until) || e.isBoundByRestart(now)
 }
--- a/internal/controller/election/held_grants.go
+++ b/internal/controller/election/held_grants.go
@@ -8,16 +8,16 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// heldGrant is what a leader knows of one peer's leader-lease grant: the peer's undertaking not to campaign.
+// heldGrant is the leader-lease grant of one peer, its undertaking not to campaign, as the leader that relies on it sees it.
 type heldGrant struct {
 	requestPending bool
 	nextRequestAt  time.Time
 	granted        bool
-	sentAt         time.Time // when the request was sent that the grant answers; the grant counts from then
-	nonce          uint64    // of the peer's last response
+	sentAt         time.Time // when the ping was sent that the grant responds to; its duration counts from then
+	nonce          uint64    // in the peer's last response
 }
 
-// grantsValidUntil returns when the first of the grants expires; ok is false unless every peer has given one.
+// grantsValidUntil returns when the first of the grants expires. ok is false unless every peer has given one.
 func (e *Election) grantsValidUntil() (earliest time.Time, ok bool) {
 	for _, peer := range e.options.Peers {
 		grant := e.leader.grants[peer.Name]
@@ -32,7 +32,7 @@
 	return earliest, len(e.options.Peers) > 0
 }
 
-// requestGrants pings each peer whose grant is due for renewal.
+// requestGrants sends a ping to each peer whose grant is due for renewal.
 func (e *Election) requestGrants(now time.Time, outbox *client.Outbox) {
 	for _, peer := range e.options.Peers {
 		grant := e.leader.grants[peer.Name]
@@ -72,7 +72,7 @@
 	return e.options.pingInterval()
 }
 
-// pingRequest returns the leader's message to the peer whose grant this is.
+// pingRequest returns the ping to the peer with this grant.
 func (e *Election) pingRequest(now time.Time, grant *heldGrant) PingRequest {
 	request := PingRequest{
 		Name:              e.options.Name,
@@ -88,10 +88,10 @@
 	return request
 }
 
-// recordPingResponse takes the peer's grant, if it gave one, to a ping that was sent at sentAt.
+// recordPingResponse records the grant in the response to a ping that was sent at sentAt.
 func (e *Election) recordPingResponse(now time.Time, grant *heldGrant, sentAt time.Time, response PingResponse) {
-	// Once the leader lease has expired, only the state service can tell that nobody has led since: the peers may
-	// have given grants to a later leader among them.
+	// Once the leader lease has expired, only a renewal at the state service proves that there was no other leader
+	// since: the peers may have given grants to a later leader.
 	if response.Granted && e.HoldsLease(now) {
 		grant.granted, grant.sentAt = true, sentAt
 	}
--- a/internal/controller/election/leader_key.go
+++ b/internal/controller/election/leader_key.go
@@ -17,11 +17,11 @@
 	watchPath     = "/watch"
 )
 
-// keyState is what a follower knows of the leader's key.
+// keyState is the leader's key as a follower last read it.
 type keyState struct {
 	readPending bool // a read or a watch is under way
 	nextReadAt  time.Time
-	absent      bool   // the state service said that the key is absent
+	absent      bool   // the state service responded that the key is absent
 	revision    uint64 // from which the key is watched
 }
 
@@ -76,7 +76,7 @@
 	e.contact.recordStateService(now, result)
 	var response watchResponse
 	if result.Status != http.StatusOK || codec.Unmarshal(result.Body, &response) != nil || response.Revision < key.revision {
-		// Changes up to a lower revision are older than what was read: they say nothing about the key now.
+		// A response with a lower revision than the last one is outdated.
 		if result.Status == http.StatusOK {
 			e.logMalformedOnce(watchPath)
 		}
@@ -92,7 +92,7 @@
 	e.watchLeaderKey(outbox)
 }
 
-// recordKeyAbsent records that nobody leads, and decides when to campaign.
+// recordKeyAbsent records that there is no leader, and decides when to campaign.
 func (e *Election) recordKeyAbsent(now time.Time) {
 	if e.follower.key.absent {
 		return
@@ -102,7 +102,7 @@
 	e.follower.candidacy.preferredSuccessor = ""
 }
 
-// logMalformedOnce logs, once for each path, that a response was malformed. It is treated as no response.
+// logMalformedOnce logs, once for each path, a malformed response, which is treated like a missing one.
 func (e *Election) logMalformedOnce(path string) {
 	if e.loggedMalformed[path] {
 		return
--- a/internal/controller/election/lease.go
+++ b/internal/controller/election/lease.go
@@ -21,7 +21,7 @@
 	firstFailureSentAt time.Time // when the first of them was sent
 }
 
-// resetRenewal forgets the renewals of an earlier leadership.
+// resetRenewal drops the renewals of an earlier leadership.
 func (l *stateLease) resetRenewal() {
 	l.renewalPending = false
 	l.failedRenewals = 0
@@ -57,7 +57,7 @@
 	})
 }
 
-// completeRenewal takes the result of a renewal. A lease that was renewed counts from when the renewal was sent.
+// completeRenewal handles the result of a renewal. The duration of a renewed lease counts from when the renewal was sent.
 func (e *Election) completeRenewal(now time.Time, outbox *client.Outbox, sentAt time.Time, result client.Result) {
 	lease := &e.lease
 	lease.renewalPending = false
@@ -82,12 +82,12 @@
 	return e.lease.failedRenewals > 0 || e.isRenewalSlow(now)
 }
 
-// isRenewalSlow reports whether the state service has not answered the pending renewal in its usual time.
+// isRenewalSlow reports whether the pending renewal takes longer than slowRenewalThreshold.
 func (e *Election) isRenewalSlow(now time.Time) bool {
 	return e.lease.isRenewalSlow(now, e.options.slowRenewalThreshold())
 }
 
-// revokeLease ends the lease that this controller holds, if any.
+// revokeLease revokes the lease that this controller holds, if any.
 func (e *Election) revokeLease(outbox *client.Outbox) {
 	if e.lease.id != 0 {
 		outbox.Add(revocation(e.lease.id))
@@ -95,7 +95,7 @@
 	e.lease.id = 0
 }
 
-// revocation is the call that ends a lease. Its result does not matter: without it the lease expires.
+// revocation returns the call that revokes a lease. Its result does not matter: if it fails the lease expires.
 func revocation(leaseID uint64) client.Call {
 	return client.Call{
 		Destination: client.StateService, Method: http.MethodDelete, Path: fmt.Sprintf("/leases/%d", leaseID),
--- a/internal/controller/election/messages.go
+++ b/internal/controller/election/messages.go
@@ -8,25 +8,25 @@
 	VoteQueryPath = "/peer/inquiry"
 )
 
-// PingRequest is what the leader sends to each peer: it asks for a leader-lease grant. A former leader sends it to
-// tell that its leadership was transferred.
+// PingRequest is the ping of a leader to each peer, which requests a leader-lease grant. A former leader sends it as
+// the notice that its leadership was transferred.
 type PingRequest struct {
 	Name         string `msgpack:"name"`
 	FencingToken uint64 `msgpack:"token"`
 
-	// ProbeStateService asks the peer to find out whether the state service answers it.
+	// ProbeStateService asks the peer to check whether the state service answers it.
 	ProbeStateService bool `msgpack:"doubt,omitempty"`
 
-	// ReleasedLeaseID is set once the leadership is over: nobody relies on a grant to it any more, and whoever
-	// can is to revoke this lease.
+	// ReleasedLeaseID is set once the leadership was transferred: grants to it no longer bind, and the peers are to
+	// revoke this lease.
 	ReleasedLeaseID uint64 `msgpack:"yield,omitempty"`
-	// Successor names the controller that should lead next; empty: whichever campaigns first.
+	// Successor is the name of the controller that should lead next; empty: the one that campaigns first.
 	Successor string `msgpack:"to,omitempty"`
 
-	// SuspendRedirects says that heartbeats may not reach the leader: no worker is to be redirected to it.
+	// SuspendRedirects asks not to redirect workers to the leader, since their heartbeats may not reach it.
 	SuspendRedirects bool `msgpack:"deaf,omitempty"`
 
-	// StateLoaded says that the leader has loaded its state, and that every cancellation confirmed longer than
+	// StateLoaded is set if the leader has loaded its state. Then every cancellation confirmed longer than
 	// OldestCancellationAge ago is completed.
 	StateLoaded           bool          `msgpack:"read,omitempty"`
 	OldestCancellationAge time.Duration `msgpack:"age,omitempty"`
@@ -36,17 +36,17 @@
 
 // PingResponse is a peer's response to a PingRequest.
 type PingResponse struct {
-	// Granted says that the peer does not campaign for a GrantDuration.
+	// Granted is set if the peer undertakes not to campaign for a GrantDuration.
 	Granted bool `msgpack:"promised"`
-	// StateServiceOK says that the state service has answered the peer recently.
+	// StateServiceOK is set if the state service has answered the peer recently.
 	StateServiceOK bool `msgpack:"sees,omitempty"`
 	// RecentWorkers counts the workers that contacted the peer recently, though it does not lead.
 	RecentWorkers int `msgpack:"callers,omitempty"`
-	// Nonce tells the peer, when it comes back, when this response was made.
+	// Nonce identifies this response: the ping that echoes it was sent after the response was made.
 	Nonce uint64 `msgpack:"stamp,omitempty"`
 }
 
-// VoteQueryResponse tells a restarted controller whether an earlier grant of it may still be relied on.
+// VoteQueryResponse is the response to a restarted controller, whose earlier grant a leader may still rely on.
 type VoteQueryResponse struct {
 	IsLeader bool `msgpack:"leading"`
 }
--- a/internal/controller/election/restart.go
+++ b/internal/controller/election/restart.go
@@ -9,10 +9,10 @@
 )
 
 // restartGuard keeps a restarted process from campaigning while a peer may rely on a grant that its earlier process
-// gave. The guard ends a GrantDuration after the start, or once every peer has said that it does not lead.
+// gave. The guard ends a GrantDuration after the start, or once every peer has responded that it does not lead.
 type restartGuard struct {
 	startedAt       time.Time
-	notLeading      map[string]bool // peers that have told this process that they do not lead
+	notLeading      map[string]bool // peers that have responded that they do not lead
 	nextVoteQueryAt time.Time
 }
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// voteQuery is the call that asks a peer whether it leads.
+// voteQuery returns the call that asks a peer whether it leads.
 func (e *Election) voteQuery(peer Peer, done func(time.Time, client.Result)) client.Call {
 	return client.Call{
 		Destination: client.PeerController, Addr: peer.Addr, Method: http.MethodPost, Path: VoteQueryPath,
@@ -54,9 +54,9 @@
 	}
 }
 
-// HandleVoteQuery returns the response to a restarted peer. A leader whose renewal is late still says that it leads:
-// the renewal may let it act again, and a grant of the peer's earlier process, whose response is still under way,
-// counts then. Told that nobody leads, the new process would not be bound by that grant.
+// HandleVoteQuery returns the response to a restarted peer. A leader whose renewal is late still responds that it
+// leads: the renewal may succeed, and then a grant of the peer's earlier process that is still in transit counts. The
+// new process has to be bound by that grant.
 func (e *Election) HandleVoteQuery(now time.Time) VoteQueryResponse {
 	e.contact.peerAt = now
 	return VoteQueryResponse{IsLeader: e.role == roleLeader}
--- a/internal/controller/election/state_machine.go
+++ b/internal/controller/election/state_machine.go
@@ -7,7 +7,7 @@
 	"gullrudder/internal/wire/client"
 )
 
-// role is what a controller is in the election.
+// role is the role of a controller in the election.
 type role int
 
 const (
@@ -16,25 +16,25 @@
 	roleLeader
 )
 
-// leaderState is what a controller keeps of its own leadership. becomeFollower clears it, except for the fencing token
+// leaderState is the state of a leader. becomeFollower clears it, except for the fencing token
 // and the time of election, which stay until the next one.
 type leaderState struct {
 	fencingToken uint64
 	electedAt    time.Time
 	grants       map[string]*heldGrant // by the name of the peer that gave it
 
-	// peerServedSince is since when the state service has been known to answer a peer while our renewals fail;
-	// zero: it is not known to.
+	// peerServedSince is when a peer first responded that the state service answers it while this leader's renewals
+	// fail; zero: no peer has.
 	peerServedSince time.Time
 
-	// stateLoaded says that oldestCancellation is known.
+	// stateLoaded is set if oldestCancellation is known.
 	stateLoaded bool
-	// oldestCancellation is when the earliest of the confirmed cancellations whose tasks may still run was
-	// confirmed; without any, the time at which that was found.
+	// oldestCancellation is the earliest confirmation of a cancellation whose tasks may still run. If there is no such
+	// cancellation it is the time of the check.
 	oldestCancellation time.Time
 }
 
-// followerState is what a controller keeps while it follows another, or until another leads.
+// followerState is the state of a controller that does not lead.
 type followerState struct {
 	grant      givenGrant
 	restart    restartGuard
@@ -42,11 +42,11 @@
 	candidacy  candidacy
 	stateProbe stateProbe
 
-	// releasedLeaseID is the lease of a leadership that was transferred, which is still to be revoked; 0: none.
+	// releasedLeaseID is the lease of a transferred leadership, which this controller is to revoke; 0: none.
 	releasedLeaseID uint64
 }
 
-// becomeFollower starts to follow, and reads the leader's key at nextReadAt.
+// becomeFollower makes this controller a follower, which reads the leader's key at nextReadAt.
 func (e *Election) becomeFollower(nextReadAt time.Time) {
 	e.role = roleFollower
 	e.epoch++
@@ -59,15 +59,15 @@
 	e.follower.key.nextReadAt = nextReadAt
 }
 
-// becomeCandidate ends the watch of the leader's key.
+// becomeCandidate makes this controller a candidate, which does not watch the leader's key.
 func (e *Election) becomeCandidate() {
 	e.role = roleCandidate
 	e.epoch++
 	e.follower.key.readPending = false
 }
 
-// becomeLeader starts a leadership, unless a grant was given or the lease expired in the meantime. The lease counts
-// from leaseSentAt, when it was requested.
+// becomeLeader starts a leadership, unless a grant was given or the lease expired in the meantime. The duration of the
+// lease counts from leaseSentAt, when it was requested.
 func (e *Election) becomeLeader(now time.Time, outbox *client.Outbox, fencingToken uint64, leaseSentAt time.Time) {
 	validUntil := leaseSentAt.Add(e.options.reliedDuration(e.options.LeaseDuration))
 	if e.isBoundByGrant(now) || !now.Before(validUntil) {
--- a/internal/controller/election/state_messages.go
+++ b/internal/controller/election/state_messages.go
@@ -15,13 +15,13 @@
 	Revision    uint64       `msgpack:"tide"`
 }
 
-// watchResponse lists what has happened to the leader's key up to a revision.
+// watchResponse lists the changes of the leader's key up to a revision.
 type watchResponse struct {
 	Revision uint64      `msgpack:"tide"`
 	Changes  []keyChange `msgpack:"log"`
 }
 
-// keyChange names the key that was written, or the one that was deleted.
+// keyChange is the key of one write or of one deletion.
 type keyChange struct {
 	Written string `msgpack:"write"`
 	Deleted string `msgpack:"drop"`
@@ -73,7 +73,7 @@
 	Revision uint64 `msgpack:"tide"`
 }
 
-// claimRequest creates the leader's key, bound to the lease, if it is absent.
+// claimRequest returns the transaction that creates the leader's key, bound to the lease, if it is absent.
 func claimRequest(record leaderRecord) commitRequest {
 	return commitRequest{
 		Preconditions: []precondition{{Key: LeaderKey, ModRevision: 0}},
--- a/internal/controller/election/transfer.go
+++ b/internal/controller/election/transfer.go
@@ -7,7 +7,7 @@
 	"gullrudder/internal/wire/client"
 )
 
-// considerTransfer transfers the leadership if the peer's response shows that others are better connected.
+// considerTransfer transfers the leadership if the peer's response shows that a peer is better connected.
 func (e *Election) considerTransfer(now time.Time, outbox *client.Outbox, peerName string, response PingResponse) {
 	if response.StateServiceOK {
 		e.recordPeerServed(now, outbox, peerName)
@@ -32,8 +32,8 @@
 	}
 }
 
-// transferIfPartitioned transfers a leadership that no worker reaches while the workers reach a peer. Their leases
-// run, and what they run is lost with them unless a controller leads that they do reach.
+// transferIfPartitioned transfers the leadership if the workers reach a peer and not this leader. Otherwise their
+// leases would expire, and their tasks would be lost.
 func (e *Election) transferIfPartitioned(now time.Time, outbox *client.Outbox) {
 	if e.role != roleLeader {
 		return
@@ -46,9 +46,9 @@
 	e.connectivity.RecordTransfer(now)
 }
 
-// transferLeadership steps down at once in favor of the successor, or of any peer if that is empty. It tells the
-// peers that their grants are not relied on any more and which lease to revoke: waiting for the lease and the grants
-// to expire took three times as long.
+// transferLeadership steps down at once in favor of the successor, or of any peer if that is empty. The notice to the
+// peers releases their grants and names the lease to revoke: waiting for the lease and the grants to expire took three
+// times as long.
 func (e *Election) transferLeadership(now time.Time, outbox *client.Outbox, reason, successor string) {
 	request := PingRequest{
 		Name:            e.options.Name,
@@ -65,13 +65,13 @@
 	}
 }
 
-// acceptTransfer records that a leadership was transferred. A grant given to it does not bind any more, unless a
-// later leader relies on one: the message may come minutes late.
+// acceptTransfer records that a leadership was transferred. Its grant no longer binds this controller, unless a later
+// leader has been given one since: the notice may be delayed by minutes.
 func (e *Election) acceptTransfer(now time.Time, request PingRequest) {
 	e.follower.releasedLeaseID = request.ReleasedLeaseID
 	grant := &e.follower.grant
 	if request.FencingToken < grant.fencingToken {
-		return // another controller has led since, and its successor has not been named
+		return // another controller has led since: the notice says nothing about its successor
 	}
 	e.follower.candidacy.preferredSuccessor = request.Successor
 	if e.role == roleFollower && request.FencingToken == grant.fencingToken {
--- a/internal/controller/failover/reconciler.go
+++ b/internal/controller/failover/reconciler.go
@@ -28,7 +28,7 @@
 	"gullrudder/internal/wire/client"
 )
 
-// Reconciler carries out the failover of one leadership. It is made at the election, used by the owner loop alone, and
+// Reconciler carries out the failover of one leadership. It is made at the election, used by the event loop alone, and
 // closed when the leadership ends.
 type Reconciler struct {
 	log          *slog.Logger
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// noLeaderRetryAfter is when a user who was refused for want of a leader is told to try again.
+	// noLeaderRetryAfter is the Retry-After of a response that was refused because no leader is available.
 	noLeaderRetryAfter = time.Second
-	// forwardReadTimeout and forwardWriteTimeout are how long the leader has to answer a forwarded request. What changes
-	// state has to wait for a commit.
+	// forwardReadTimeout and forwardWriteTimeout limit the wait for the leader's response to a forwarded request. Requests that
+	// change state have to wait for a commit.
 	forwardReadTimeout  = 1800 * time.Millisecond
 	forwardWriteTimeout = 4 * time.Second
 )
@@ -30,7 +30,7 @@
 	}
 	leaderAddr := c.peers[c.election.Leader(now)]
 	if request.FromPeer || leaderAddr == "" {
-		// No leader can be elected before the grant to the last one is over. Users count from a second on.
+		// No leader can be elected before the grant to the last one expires. The wait is never less than noLeaderRetryAfter.
 		retryAfter := max(noLeaderRetryAfter, c.election.ElectionDelay(now)+noLeaderRetryAfter/10)
 		c.responder.RespondError(request, http.StatusServiceUnavailable, "no leader at present", retryAfter)
 		return
@@ -38,7 +38,7 @@
 	c.forward(request, leaderAddr)
 }
 
-// forward sends a user's request to the leader and passes the response on.
+// forward sends a user's request to the leader and returns the leader's response to the user.
 func (c *Controller) forward(request *server.Request, leaderAddr string) {
 	timeout := forwardReadTimeout
 	if request.Method == http.MethodPost {
@@ -58,8 +58,8 @@
 	})
 }
 
-// passResponse passes the leader's response on, unless another controller leads since the request was forwarded: that one
-// may have told the user something newer meanwhile.
+// passResponse returns the leader's response to the user, unless another controller has become leader since the request was
+// forwarded: the user may already have a newer answer from that one.
 func (c *Controller) passResponse(request *server.Request, result client.Result, followedToken uint64) {
 	switch {
 	case c.holdsLease || c.election.FollowedToken() != followedToken:
@@ -71,10 +71,10 @@
 	}
 }
 
-// forwardedBody is the body of a call that is sent as it came, without encoding.
+// forwardedBody is the body of a forwarded request, which is sent unchanged.
 type forwardedBody []byte
 
-// ForwardedBody returns the bytes of a body that is sent without encoding; false if the body has to be encoded.
+// ForwardedBody returns the bytes of the body of a forwarded request, and false for any other body, which has to be encoded.
 func ForwardedBody(body any) ([]byte, bool) {
 	forwarded, ok := body.(forwardedBody)
 	return forwarded, ok
--- a/internal/controller/heartbeat/handler.go
+++ b/internal/controller/heartbeat/handler.go
@@ -51,7 +51,7 @@
 	Log          *slog.Logger
 }
 
-// Handler handles the heartbeats of one leader's term. Only the owner's loop may call it.
+// Handler handles the heartbeats of one leader's term. Only the event loop may call it.
 type Handler struct {
 	log               *slog.Logger
 	responder         *server.Responder
--- a/internal/controller/jobstore/store.go
+++ b/internal/controller/jobstore/store.go
@@ -63,7 +63,7 @@
 // JobReady does nothing.
 func (noObserver) JobReady(time.Time, *jobs.Job) {}
 
-// Store is what a leader knows of all jobs. It belongs to the controller's owner loop and is not safe for concurrent use.
+// Store is what a leader knows of all jobs. It belongs to the controller's event loop and is not safe for concurrent use.
 type Store struct {
 	platform   *config.Platform
 	options    *config.Options
--- a/internal/controller/latency.go
+++ b/internal/controller/latency.go
@@ -23,7 +23,7 @@
 	Max   int64  `msgpack:"max_ms" json:"max_ms"`
 }
 
-// latencyTable keeps how long this controller took to answer, by kind of request.
+// latencyTable has a histogram of the response times of this controller for each kind of request.
 type latencyTable struct {
 	byRequestKind map[string]*hdrhistogram.Histogram
 }
@@ -36,11 +36,11 @@
 		histogram = hdrhistogram.New(minLatencyMillis, maxLatencyMillis, latencySignificantDigits)
 		t.byRequestKind[kind] = histogram
 	}
-	// The only error is a value out of range, which the bounds exclude.
+	// RecordValue fails only for a value out of range.
 	_ = histogram.RecordValue(min(max(duration.Milliseconds(), minLatencyMillis), maxLatencyMillis))
 }
 
-// rows lists the table by kind of request.
+// rows returns the rows of the table, sorted by kind of request.
 func (t *latencyTable) rows() []Latency {
 	var rows []Latency
 	for _, kind := range slices.Sorted(maps.Keys(t.byRequestKind)) {
@@ -56,7 +56,7 @@
 	return rows
 }
 
-// recordLatency records how long a request took to be answered. kind groups requests, see requestKind.
+// recordLatency records the response time of a request. kind is its group, see requestKind.
 func (c *Controller) recordLatency(kind string, duration time.Duration) {
 	c.latencies.record(kind, duration)
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -26,7 +26,7 @@
 	"gullrudder/internal/controller/zones"
 )
 
-// commitBatchDelay is how long a change that nobody waits for may wait for others to be committed with it.
+// commitBatchDelay is how long a change that no request waits for is held back, so that others are committed with it.
 const commitBatchDelay = 500 * time.Millisecond
 
 // leadership is everything that ends with the leader lease: one component for each duty, each with state that no other
@@ -50,7 +50,7 @@
 	accounting    *accounting.Tracker
 }
 
-// machineState are the components that keep what is known of the machines.
+// machineState are the components with the leader's view of the machines.
 type machineState struct {
 	workers      *worker.Registry
 	cloud        *cloud.Client
@@ -60,7 +60,7 @@
 	failures     *failures.Tracker
 }
 
-// scheduling are the components that decide what runs where, and on how many machines.
+// scheduling are the components that decide where tasks run and how many machines there are.
 type scheduling struct {
 	estimator  *estimate.Estimator
 	planner    *admission.Planner
@@ -83,8 +83,7 @@
 	c.leadership.storage.Load(&c.outbox)
 }
 
-// endLeadership drops everything that belonged to the leadership. Users and workers that wait for an answer are told to try
-// again.
+// endLeadership drops everything that belonged to the leadership. Users and workers that wait for a response are asked to retry.
 func (c *Controller) endLeadership() {
 	leader := c.leadership
 	c.leadership = nil
@@ -136,7 +135,7 @@
 	}
 }
 
-// newScheduling makes the components of the queue, the placer and the autoscaler. The last two ask for each other's results.
+// newScheduling makes the components of the queue, the placer and the autoscaler. Placer and autoscaler use each other's results.
 func (c *Controller) newScheduling(now time.Time, leader *leadership) scheduling {
 	queueing := queue.NewComponents(c.options)
 	ranker := queue.NewRanker(c.options, c.platform, queueing)
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -5,20 +5,19 @@
 	"gullrudder/internal/wire/server"
 )
 
-// Input is one item of the owner's queue: either a request that has come in or the outcome of a call. Exactly one of the
-// fields is set.
+// Input is one item of the event loop's queue: a request that was received or the outcome of a call. Exactly one of the fields is set.
 type Input struct {
 	Request *server.Request
 	Outcome *Outcome
 }
 
-// Outcome is the result of a call that an earlier step asked for.
+// Outcome is the result of a call that an earlier step returned.
 type Outcome struct {
 	Call   client.Call
 	Result client.Result
 }
 
-// Effects are what a step wants done: the responses to send and the calls to make. The caller of Step carries them out.
+// Effects are the responses to send and the calls to make after a step. The caller of Step executes them.
 type Effects struct {
 	Responses []server.Response
 	Calls     []client.Call
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -12,13 +12,13 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// endpoint is what serves a path: the method that it takes and the function that answers.
+// endpoint is the HTTP method of a path and the function that serves it.
 type endpoint struct {
 	method string
 	handle func(now time.Time, request *server.Request)
 }
 
-// route hands a request to the endpoint of its path.
+// route dispatches a request to the endpoint of its path.
 func (c *Controller) route(now time.Time, request *server.Request) {
 	path, _, _ := strings.Cut(request.Target, "?")
 	endpoint, ok := c.endpointFor(path, request)
@@ -32,8 +32,8 @@
 	}
 }
 
-// endpointFor finds the endpoint of a path. Heartbeats come over the public address only, and the messages of the election
-// over the peer address only.
+// endpointFor returns the endpoint of a path. Heartbeats are served on the public address only, and the messages of the election on
+// the peer address only.
 func (c *Controller) endpointFor(path string, request *server.Request) (endpoint, bool) {
 	segments := strings.Split(strings.TrimPrefix(path, "/"), "/")
 	apiMethod := api.MethodFor(segments)
@@ -78,8 +78,8 @@
 	}
 }
 
-// redirectHeartbeat names the leader to a worker. That the worker contacted this controller is recorded for the leader, who
-// may not be reachable for it; while that is so, no leader is named.
+// redirectHeartbeat redirects a worker to the leader. It records that the worker contacted this controller: this is evidence that the
+// leader may be unreachable for workers. While redirects are suspended, the response names no leader.
 func (c *Controller) redirectHeartbeat(now time.Time, request *server.Request) {
 	connectivity := c.election.Connectivity()
 	if id, ok := workerapi.DecodeHeartbeatID(request.Body); ok {
@@ -92,17 +92,17 @@
 	c.responder.Respond(request, http.StatusMisdirectedRequest, workerapi.Redirect{Leader: leader}, 0)
 }
 
-// handleConfigView answers with the options in force and the record of their changes.
+// handleConfigView responds with the effective options and the history of their changes.
 func (c *Controller) handleConfigView(now time.Time, request *server.Request) {
 	c.serveOrForward(now, request, func() { c.leadership.dynamicConfig.ServeView(now, request) })
 }
 
-// handleConfigChange applies other options.
+// handleConfigChange changes the options.
 func (c *Controller) handleConfigChange(now time.Time, request *server.Request) {
 	c.serveOrForward(now, request, func() { c.leadership.dynamicConfig.ServeChange(now, request) })
 }
 
-// handlePing answers the ping of a leader.
+// handlePing responds to the ping of a leader.
 func (c *Controller) handlePing(now time.Time, request *server.Request) {
 	var ping election.PingRequest
 	if err := codec.Unmarshal(request.Body, &ping); err != nil || c.peers[ping.Name] == "" {
@@ -113,13 +113,13 @@
 	c.responder.Respond(request, http.StatusOK, c.election.HandlePing(now, ping), 0)
 }
 
-// handleVoteQuery answers a controller that has just started and asks whether this one leads.
+// handleVoteQuery responds to a restarted controller whether this one leads.
 func (c *Controller) handleVoteQuery(now time.Time, request *server.Request) {
 	c.responder.Respond(request, http.StatusOK, c.election.HandleVoteQuery(now), 0)
 }
 
-// handleReady answers whether users may be sent to this controller: not before it has known a leader, and not while it is
-// isolated, since others would serve the users whom it can only refuse.
+// handleReady responds whether users may be sent to this controller. It is not ready before it has known a leader, nor while
+// it is isolated: the other controllers can then serve the requests that it would refuse.
 func (c *Controller) handleReady(now time.Time, request *server.Request) {
 	if c.holdsLease {
 		c.leaderSeen = true
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// inputQueueLength bounds the requests that wait for the owner; more are refused with 503.
+	// inputQueueLength bounds the requests that wait for the event loop; further ones are refused with status 503.
 	inputQueueLength = 4096
-	// maxBatchSize bounds the commands of one step, so that a tick is never far away.
+	// maxBatchSize bounds the inputs of one step, so that ticks are not delayed.
 	maxBatchSize = 128
-	// maxResponseBytes bounds the responses that are read: the cloud's lists and pages of state are the largest.
+	// maxResponseBytes bounds the size of a response: lists of the cloud and pages of state are the largest.
 	maxResponseBytes = 16 << 20
 	// serverRestartDelay is the time before a server that has stopped is started again.
 	serverRestartDelay = 500 * time.Millisecond
-	// idleTimeout and readTimeout are for the connections of the server.
+	// idleTimeout and readTimeout apply to the connections of the server.
 	idleTimeout = 75 * time.Second
 	readTimeout = 10 * time.Second
-	// minServerConnections and minConnectionsPerService are kept also under a small connection limit.
+	// minServerConnections and minConnectionsPerService are the least numbers, whatever the connection limit.
 	minServerConnections     = 8
 	minConnectionsPerService = 4
-	// keptConnections and keptPeerConnections are the idle connections kept to the state service and to the cloud, and to
-	// each other controller. Workers are probed seldom: their connections are not kept.
+	// keptConnections and keptPeerConnections are the numbers of idle connections that are kept open to the state service and to
+	// the cloud, and to each other controller. Connections to workers are not kept: probes are rare.
 	keptConnections     = 4
 	keptPeerConnections = 8
-	// gcPercent lets the garbage collector run seldom as long as there is memory: it takes from the same CPU quota.
+	// gcPercent makes garbage collections rare while there is memory, since they use the same CPU quota.
 	gcPercent = 400
-	// heapShare is the share of the memory quota that the heap may take. The rest is for what the collector does not count.
+	// heapShare is the share of the memory quota for the Go heap. The rest is for memory that the runtime does not count.
 	heapShare = 0.6
 )
 
@@ -46,19 +46,19 @@
 	receivedAt time.Time
 }
 
-// Runtime connects a controller with the clock and the network. It runs the owner loop: one goroutine that calls Step. The
-// server and each outgoing call have goroutines of their own, which reach the owner through the queues alone.
+// Runtime connects a controller with the clock and the network. It runs the event loop: one goroutine that calls Step. The server
+// and each outgoing call have their own goroutines, which communicate with the event loop through the queues only.
 type Runtime struct {
 	controller *Controller
 	platform   *config.Platform
 	log        *slog.Logger
 	queue      chan Input
-	outcomes   chan Input // of calls, the renewal of the leader lease among them: they do not queue behind requests
+	outcomes   chan Input // outcomes of calls, such as renewals of the leader lease, which must not wait behind requests
 	clients    map[client.Destination]*http1.Client
 }
 
-// NewRuntime makes the runtime of a controller. The server has three quarters of the connections. Each destination of calls
-// has a part of the rest, so that no bulk work leaves the renewal or the other controllers without one.
+// NewRuntime returns the runtime of a controller. The server has three quarters of the connections. Each destination of calls has a
+// fixed part of the rest, so that many calls to one destination cannot block the renewal of the leader lease or the pings.
 func NewRuntime(controller *Controller, platform *config.Platform, log *slog.Logger) *Runtime {
 	perService := max(platform.MaxConnections/12, minConnectionsPerService)
 	perSingleServer := max(perService/4, minConnectionsPerService)
@@ -100,7 +100,7 @@
 	}
 }
 
-// drain appends the commands that wait in a queue, up to a whole batch.
+// drain appends the waiting inputs of a queue, up to a full batch.
 func drain(queue <-chan Input, inputs []Input) []Input {
 	for len(inputs) < maxBatchSize {
 		select {
@@ -113,7 +113,7 @@
 	return inputs
 }
 
-// listen runs the server. It ends when accept fails, for want of a file descriptor for example, and is then started again.
+// listen runs the server, and restarts it when accept has failed, for example because no file descriptor was left.
 func (rt *Runtime) listen() {
 	httpServer := http1.NewServer(http1.ServerOptions{
 		PublicAddr:     rt.platform.PublicAddr,
@@ -130,7 +130,7 @@
 	}
 }
 
-// handle puts a request into the owner's queue, or refuses it if the queue is full. It runs on the server's goroutines.
+// handle puts a request into the queue, or refuses it if the queue is full. It runs on the server's goroutines.
 func (rt *Runtime) handle(request *http1.Request) {
 	input := Input{Request: &server.Request{
 		Handle:   receivedRequest{request, time.Now()},
@@ -146,7 +146,7 @@
 	}
 }
 
-// execute carries out the effects of a step. Calls do not hold up the owner.
+// execute sends the responses of a step and starts its calls, each on its own goroutine.
 func (rt *Runtime) execute(effects Effects) {
 	for _, response := range effects.Responses {
 		if received, ok := response.Handle.(receivedRequest); ok {
@@ -160,8 +160,8 @@
 	}
 }
 
-// requestKind groups requests for the latency table by method and first segment of the path. Requests that were not
-// understood are one group, so that clients cannot make the table grow.
+// requestKind returns the group of a request in the latency table: its method and the first segment of its path. Requests for unknown
+// paths or methods are one group, so that clients cannot make the table grow.
 func requestKind(method, target string, status int) string {
 	if status == http.StatusNotFound || status == http.StatusMethodNotAllowed {
 		return "other"
@@ -171,7 +171,7 @@
 	return method + " /" + path
 }
 
-// call makes a call and puts its outcome into the owner's queue. Its goroutine ends after the delay and the timeout of the call.
+// call makes a call and puts its outcome into the queue. It takes at most the delay and the timeout of the call.
 func (rt *Runtime) call(call client.Call) {
 	if call.Delay > 0 {
 		time.Sleep(call.Delay)
@@ -179,8 +179,8 @@
 	rt.outcomes <- Input{Outcome: &Outcome{Call: call, Result: rt.exchange(call)}}
 }
 
-// exchange sends the request of a call and reads the response. An error leaves the result's status 0: nobody knows whether
-// the request was, or will yet be, executed.
+// exchange sends the request of a call and reads the response. After an error the status of the result is 0 and the outcome is
+// uncertain: the request may have been executed, or may be executed later.
 func (rt *Runtime) exchange(call client.Call) client.Result {
 	addr := call.Addr
 	switch call.Destination {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -8,8 +8,8 @@
 	"gullrudder/internal/wire/server"
 )
 
-// MachineStatus is one machine in the status. State is "ok", "silent" (its lease has expired), "does not hear" (it does not
-// receive the leader's responses), or the reason why it is drained.
+// MachineStatus is one machine in the status. State is "ok", "silent" (its lease has expired), "does not hear" (it does not receive
+// the leader's responses), or a worker.DrainReason.
 type MachineStatus struct {
 	ID       string  `msgpack:"id" json:"id"`
 	Type     string  `msgpack:"type" json:"type"`
@@ -37,7 +37,7 @@
 	Latencies           []Latency       `msgpack:"latencies" json:"latencies"`
 }
 
-// Budgets are the limits that the controller keeps: requests per second, connections, and memory in MB.
+// Budgets are the limits of the controller: requests per second, connections, and memory in MB.
 type Budgets struct {
 	StateRequestRate float64 `msgpack:"state_rps" json:"state_rps"`
 	StateWriteRate   float64 `msgpack:"state_write_rps" json:"state_write_rps"`
@@ -46,17 +46,17 @@
 	MemoryMB         float64 `msgpack:"memory_mb" json:"memory_mb"`
 }
 
-// maxMachinesShown bounds the list of machines in the status.
+// maxMachinesShown bounds the number of machines in the status.
 const maxMachinesShown = 300
 
-// Machine states in the status besides the reasons for draining.
+// Machine states in the status, in addition to the drain reasons.
 const (
 	machineOK          = "ok"
 	machineExpired     = "silent"
 	machineUnreachable = "does not hear"
 )
 
-// handleStatus answers with the status of this controller, and of the cluster if it leads.
+// handleStatus responds with the status of this controller and, if it leads, of the cluster.
 func (c *Controller) handleStatus(now time.Time, request *server.Request) {
 	status := Status{
 		Controller: c.platform.Name,
@@ -76,7 +76,7 @@
 	c.responder.Respond(request, http.StatusOK, status, 0)
 }
 
-// fillStatus fills in what only a leader knows.
+// fillStatus fills in the fields that only a leader has.
 func (l *leadership) fillStatus(now time.Time, status *Status) {
 	status.FencingToken = l.fencingToken
 	status.Placing = l.failover.Completed()
@@ -106,7 +106,7 @@
 	}
 }
 
-// stateOf is the state of a machine as the status shows it.
+// stateOf returns MachineStatus.State of a machine.
 func (s *machineState) stateOf(now time.Time, machine *worker.Machine) string {
 	switch {
 	case machine.DrainReason != worker.NotDraining:
--- a/internal/controller/storage/store.go
+++ b/internal/controller/storage/store.go
@@ -40,7 +40,7 @@
 	BatchDelay        time.Duration // how long a change that nobody waits for may be gathered
 }
 
-// Store is a leader's copy of the pages and what of it is still to be written. It belongs to the controller's owner loop and is not
+// Store is a leader's copy of the pages and what of it is still to be written. It belongs to the controller's event loop and is not
 // safe for concurrent use.
 type Store struct {
 	options      Options
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -15,12 +15,12 @@
 	minWaitSampleInterval = 500 * time.Millisecond
 	// waitSampleCPUShare is the largest share of the CPU quota that sampling wait reasons may take.
 	waitSampleCPUShare = 0.02
-	// waitSampleCostPerJob is the CPU time that sampling takes for one open job (measured by the benchmark of package accounting).
+	// waitSampleCostPerJob is the CPU time of sampling one open job, as measured by the benchmark of package accounting.
 	waitSampleCostPerJob = 150 * time.Nanosecond
 )
 
-// tickLeadership does the leader's regular work, component by component. Before the state is loaded there is nothing else
-// to do than to load it.
+// tickLeadership does the periodic work of each component of the leadership. Until the state is loaded, only the cloud client and the
+// load are served.
 func (c *Controller) tickLeadership(now time.Time) {
 	leader := c.leadership
 	leader.cloud.Tick(now, &c.outbox)
@@ -56,7 +56,7 @@
 	l.heartbeats.ExpireLeases(now)
 }
 
-// sampleWaitReasons records what each job waits for if a sample is due.
+// sampleWaitReasons records the wait reason of each job if a sample is due.
 func (c *Controller) sampleWaitReasons(now time.Time, placing bool) {
 	leader := c.leadership
 	if now.Before(leader.nextWaitSample) {
@@ -73,15 +73,15 @@
 	})
 }
 
-// waitSampleInterval is the time between two samples of wait reasons. It grows with the number of open jobs, so that sampling
-// stays within its share of the CPU quota.
+// waitSampleInterval returns the time between two samples of wait reasons. It grows with the number of open jobs, so that sampling
+// stays within waitSampleCPUShare.
 func waitSampleInterval(openJobs int, cpuQuota float64) time.Duration {
 	cost := float64(openJobs) * float64(waitSampleCostPerJob)
 	return max(minWaitSampleInterval, time.Duration(cost/(waitSampleCPUShare*cpuQuota)))
 }
 
-// visitMachines shows the zone tracker every machine whose zone is known. Of a machine that only an earlier leader has heard
-// from, the cloud knows the zone.
+// visitMachines calls visit for every machine whose zone is known. The zone of a machine that has not reported to this leader is taken
+// from the cloud's list of instances.
 func (l *leadership) visitMachines(now time.Time, visit func(zones.Machine)) {
 	for id, machine := range l.workers.Machines {
 		zone := machine.Zone
--- a/internal/controller/worker/reachability/tracker.go
+++ b/internal/controller/worker/reachability/tracker.go
@@ -48,7 +48,7 @@
 	ineffectiveResponses int // 200s after which the machine still reported another fencing token
 }
 
-// Tracker keeps the state of the links to all machines. Only the owner's loop may call it.
+// Tracker keeps the state of the links to all machines. Only the event loop may call it.
 type Tracker struct {
 	fencingToken  uint64
 	leaseDuration time.Duration
--- a/internal/controller/worker/registry.go
+++ b/internal/controller/worker/registry.go
@@ -1,6 +1,6 @@
 // Package worker keeps what the leader knows of its workers' machines. A Registry owns the machines, the attempts on them and
 // what each team's attempts take. It is made at each election, and kept in memory only; of a machine that may hold tasks the
-// heartbeat handler keeps a record in the state service. Only the owner's loop may call it.
+// heartbeat handler keeps a record in the state service. Only the event loop may call it.
 //
 // An attempt leaves the Registry only when it is gone for certain: a newer heartbeat lacks it, the deletion of its machine was
 // confirmed, or the worker's lease has expired with its margin. The package decides nothing about what starts, and apart from
