--- a/internal/controller/latency.go
+++ b/internal/controller/latency.go
@@ -14,7 +14,16 @@
 	latencySignificantDigits = 2 // significant digits that the histograms keep
 )
 
-// latencyTable keeps how long this controller took to answer, by kind of request.
+// Latency is one row of the latency table. Its quantiles are in milliseconds.
+type Latency struct {
+	Kind  string `msgpack:"kind" json:"kind"`
+	Count int64  `msgpack:"count" json:"count"` // requests answered since the process started
+	P50   int64  `msgpack:"p50_ms" json:"p50_ms"`
+	P99   int64  `msgpack:"p99_ms" json:"p99_ms"`
+	Max   int64  `msgpack:"max_ms" json:"max_ms"`
+}
+
+// latencyTable has a histogram of the response times of this controller for each kind of request.
 type latencyTable struct {
 	byRequestKind map[string]*hdrhistogram.Histogram
 }
@@ -27,11 +36,11 @@
 		histogram = hdrhistogram.New(minLatencyMillis, maxLatencyMillis, latencySignificantDigits)
 		t.byRequestKind[kind] = histogram
 	}
-	// The only error is a value out of range, which the bounds exclude.
+	// RecordValue fails only for a value out of range.
 	_ = histogram.RecordValue(min(max(duration.Milliseconds(), minLatencyMillis), maxLatencyMillis))
 }
 
-// rows lists the table by kind of request.
+// rows returns the rows of the table, sorted by kind of request.
 func (t *latencyTable) rows() []Latency {
 	var rows []Latency
 	for _, kind := range slices.Sorted(maps.Keys(t.byRequestKind)) {
@@ -47,7 +56,7 @@
 	return rows
 }
 
-// recordLatency records how long a request took to be answered. kind groups requests, see requestKind.
+// recordLatency records the response time of a request. kind is its group, see requestKind.
 func (c *Controller) recordLatency(kind string, duration time.Duration) {
 	c.latencies.record(kind, duration)
 }
