--- a/internal/config/kvserver.go
+++ b/internal/config/kvserver.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// KVServerOptions are the operators' settings of a state service. docs/operations/state.md describes each.
+// KVServerOptions are the operators' settings of a state service. docs/operations/state.md describes them.
 type KVServerOptions struct {
 	RequestRate         float64       // requests a second; 0: no limit
 	WriteRate           float64       // writes and deletes a second; 0: no limit
@@ -14,12 +14,12 @@
 	MaxTransactionOps   int           // operations of a transaction
 	MaxConnections      int           // open connections
 	MaxWatches          int           // open watches
-	SnapshotMinLogBytes int64         // bytes of log that are worth a snapshot
-	SnapshotLogRatio    float64       // and their ratio to the last snapshot's size
-	DiskRetryInterval   time.Duration // how long after a failure the disk is tried again
+	SnapshotMinLogBytes int64         // a snapshot is written once there are more bytes of log,
+	SnapshotLogRatio    float64       // and more than this ratio of the last snapshot's size
+	DiskRetryInterval   time.Duration // wait after a failed write before the disk is tried again
 }
 
-// DefaultKVServerOptions are the settings that count where the file says nothing.
+// DefaultKVServerOptions returns the settings for what the file does not set.
 func DefaultKVServerOptions() KVServerOptions {
 	return KVServerOptions{
 		MaxValueBytes: 64 << 10, MaxTransactionOps: 128, MaxConnections: 1024, MaxWatches: 4096,
@@ -40,7 +40,7 @@
 	return ParseKVServerOptions(raw)
 }
 
-// ParseKVServerOptions reads <state><rps>200</rps>…</state>. A line that is wrong is a LineError.
+// ParseKVServerOptions reads <state><rps>200</rps>…</state>. An invalid line is a LineError.
 func ParseKVServerOptions(raw []byte) (KVServerOptions, error) {
 	s := DefaultKVServerOptions()
 	valueKB, snapshotKB := float64(s.MaxValueBytes)/bytesPerKB, float64(s.SnapshotMinLogBytes)/bytesPerKB
--- a/internal/config/option_file.go
+++ b/internal/config/option_file.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// LineError is a line of an operators' file that cannot be read or is wrong.
+// LineError is a line of an operators' file that is malformed or invalid.
 type LineError struct {
 	Line int // from 1 on
 	Err  error
 }
 
-// Error names the line.
+// Error returns the line number and the reason.
 func (e *LineError) Error() string { return fmt.Sprintf("options: line %d: %v", e.Line, e.Err) }
 
-// Unwrap is what is wrong with the line.
+// Unwrap returns the reason.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// optionField is one option of a file: its range, and how it is read and set. Spans are in seconds.
+// optionField is one option of a file: its range, and access to its value. Durations are in seconds.
 type optionField struct {
 	low, high float64
 	get       func() float64
@@ -52,13 +52,13 @@
 	rootName string
 	fields   map[string]optionField // by the names of their elements
 	seen     map[string]bool
-	depth    int // of elements that are open
+	depth    int // number of open elements
 	sawRoot  bool
-	name     string // of the option's element that is open
-	text     string // in it so far
+	name     string // of the open option element
+	text     string // of that element so far
 }
 
-// parseElements sets the fields that the file has. Spans are in seconds or in Go's form (90s, 2m). An element that is unknown or
+// parseElements sets the fields that the file has. Durations are in seconds or in Go's form (90s, 2m). An element that is unknown or
 // repeated, and a value that is out of range, is a LineError.
 func parseElements(raw []byte, rootName string, fields map[string]optionField) error {
 	parser := elementParser{rootName: rootName, fields: fields, seen: map[string]bool{}}
@@ -128,28 +128,28 @@
 func (p *elementParser) endElement() error {
 	p.depth--
 	if p.depth != 1 {
-		return nil // the root's
+		return nil // the end of the root element
 	}
 	value, err := parseAmount(strings.TrimSpace(p.text))
 	if err != nil {
 		return fmt.Errorf("<%s>: %w", p.name, err)
 	}
 	field := p.fields[p.name]
-	if !(value >= field.low && value <= field.high) { // also where the value is not a number
+	if !(value >= field.low && value <= field.high) { // also rejects NaN
 		return fmt.Errorf("<%s>: %g is not between %g and %g", p.name, value, field.low, field.high)
 	}
 	field.set(value)
 	return nil
 }
 
-// parseAmount reads a number, or a span of time in seconds.
+// parseAmount reads a number, or a duration, which it returns in seconds.
 func parseAmount(text string) (float64, error) {
 	if number, err := strconv.ParseFloat(text, 64); err == nil {
 		return number, nil
 	}
-	span, err := time.ParseDuration(text)
+	duration, err := time.ParseDuration(text)
 	if err != nil {
 		return 0, fmt.Errorf("%q is neither a number nor a span of time", text)
 	}
-	return span.Seconds(), nil
+	return duration.Seconds(), nil
 }
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Options are the operators' own settings of the controllers. Shares are of the cluster's capacity, 0 to 1, where nothing else is
-// said. docs/operations/controllers.md describes each.
+// Options are the operators' own settings of the controllers. Shares are fractions of the cluster's capacity, unless stated
+// otherwise. docs/operations/controllers.md describes each option.
 type Options struct {
-	// PlanningInterval is the time between two admission plans.
+	// PlanningInterval is the length of the intervals into which an admission plan divides the time until the deadlines.
 	PlanningInterval time.Duration
 
 	SubmissionOptions
@@ -22,51 +22,51 @@
 	ArchiveOptions
 }
 
-// SubmissionOptions are what a team may submit with a guarantee. What is above it is best effort.
+// SubmissionOptions limit what a team may submit with a guarantee. Jobs beyond it are best effort.
 type SubmissionOptions struct {
 	SubmissionWindow time.Duration // over which a team's submissions are counted
-	SubmissionShare  float64       // that a team may submit in the window, in times the cluster's capacity
+	SubmissionShare  float64       // that a team may submit in the window, as a multiple of the cluster's capacity
 }
 
-// QueueOptions are the order of waiting jobs.
+// QueueOptions determine the order of waiting jobs.
 type QueueOptions struct {
-	StartBound   time.Duration // a job of which nothing has started after this goes before others; 0: none does
+	StartBound   time.Duration // a job of which nothing was started for this long goes before others; 0: never
 	AgeBound     time.Duration // a best-effort job that is older than this goes before younger ones
 	AgedShare    float64       // reserved for jobs past the age bound
-	LatenessStep time.Duration // lateness that makes a job worth one step less
-	// EstimateError is how many times its estimate a job is taken to need at most, where a bound on waiting is stated.
+	LatenessStep time.Duration // has no effect any more; files that set it are still valid
+	// EstimateError is the factor by which a task may exceed its estimate in the calculation of a wait bound.
 	EstimateError float64
 }
 
-// AutoscalerOptions are what is requested from the cloud and terminated there.
+// AutoscalerOptions determine when instances are requested and terminated.
 type AutoscalerOptions struct {
 	IdleTimeout     time.Duration // a machine that is idle for this long is terminated
-	ScaleOutBacklog time.Duration // work that lasts a third of this is worth an instance of the cheapest type
-	CostWeight      float64       // how much cost weighs against objectives that are missed
+	ScaleOutBacklog time.Duration // an instance of the cheapest kind is requested for work that lasts a third of this
+	CostWeight      float64       // weight of the cost against missed objectives
 }
 
-// ElectionOptions are those of the leader election. They are read at the start only, and the same on all controllers.
+// ElectionOptions configure the leader election. They are read at the start only, and must be the same on all controllers.
 type ElectionOptions struct {
-	LeaderLeaseDuration time.Duration // of the leader's key without renewal
+	LeaderLeaseDuration time.Duration // time to live of the leader's key
 	GrantDuration       time.Duration // of a leader-lease grant between controllers
 }
 
-// FairShareOptions are those of fair sharing between classes and teams.
+// FairShareOptions configure fair sharing between classes and teams.
 type FairShareOptions struct {
-	FairShareWindow   time.Duration // over which served jobs are counted
-	MinServedShare    float64       // of the jobs of each class and team
+	FairShareWindow   time.Duration // time constant with which the counts of done jobs decay
+	MinServedShare    float64       // share of the jobs of each class and team that is to be done
 	FairShareCapacity float64       // that classes and teams below the minimum may have before others
 	OverdueShare      float64       // for jobs that can meet none of their objectives any more
 }
 
-// ArchiveOptions are those of the archive of finished jobs.
+// ArchiveOptions configure the archive of finished jobs.
 type ArchiveOptions struct {
 	ArchiveDelay    time.Duration // how long a finished job stays in the live pages
-	MinSegmentJobs  int           // finished jobs that are worth a segment
+	MinSegmentJobs  int           // finished jobs from which a segment is written
 	CompactionFanIn int           // segments that are compacted into one
 }
 
-// DefaultOptions are the options that count where the file says nothing.
+// DefaultOptions returns the values of the options that the file does not set.
 func DefaultOptions() Options {
 	return Options{
 		PlanningInterval:  15 * time.Second,
@@ -95,7 +95,7 @@
 	return ParseOptions(raw)
 }
 
-// optionFields are the options by the names of their elements.
+// optionFields returns the options by the names of their elements.
 func (o *Options) optionFields() map[string]optionField {
 	return map[string]optionField{
 		"term":           durationField(time.Second, time.Hour, &o.PlanningInterval),
@@ -121,7 +121,7 @@
 	}
 }
 
-// OptionValue is an option as it is shown; spans are in seconds.
+// OptionValue is the name and value of an option. Durations are in seconds.
 type OptionValue struct {
 	Name  string  `msgpack:"name" json:"name"`
 	Value float64 `msgpack:"value" json:"value"`
@@ -149,7 +149,7 @@
 	return changes
 }
 
-// ParseOptions reads <gullrudder><term>15</term>…</gullrudder>. A line that is wrong is a LineError.
+// ParseOptions reads <gullrudder><term>15</term>…</gullrudder>. An invalid line is a LineError.
 func ParseOptions(raw []byte) (Options, error) {
 	o := DefaultOptions()
 	if err := parseElements(raw, "gullrudder", o.optionFields()); err != nil {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,6 +1,6 @@
 // Package config reads the settings files: the platform's JSON file and the operators' own XML files for controllers and the state
-// service. It checks what it reads and names the field or line that is wrong; it owns no state, keeps no file open, and never changes
-// a setting. docs/operations/controllers.md and docs/operations/state.md describe each setting.
+// service. Its errors name the invalid field or line. It owns no state, keeps no file open, and never changes a setting.
+// docs/operations/controllers.md and docs/operations/state.md describe each setting.
 package config
 
 import (
@@ -39,19 +39,19 @@
 	Kind           string // one of the kinds above; others are ignored
 	Class          string
 	TimeLimit      time.Duration // since submission
-	TargetShare    float64       // of the jobs that is to keep to it, 0 to 1
-	DeadlineFactor float64       // times the job's deadline, where that is the time limit
+	TargetShare    float64       // share of the jobs that are to meet it, 0 to 1
+	DeadlineFactor float64       // multiple of the job's deadline, for ObjectiveDeadline
 }
 
 // Platform is the checked form of the platform's settings file.
 type Platform struct {
-	// This controller and whom it speaks to. Addresses are host:port.
+	// This controller, the other controllers, the cloud and the state service. Addresses are host:port.
 	Name, Zone                 string
 	PublicAddr, PeerListenAddr string
 	Peers                      []Peer
 	CloudAddr, StateAddr       string
 
-	// What the cluster is shared by.
+	// The zones of the cluster, and the teams and classes that share it.
 	Zones      []string
 	Teams      []Team
 	Objectives []Objective
@@ -65,14 +65,14 @@
 	MaxClockError time.Duration
 }
 
-// WorkerTiming is what workers keep to.
+// WorkerTiming is the timing of heartbeats, leases and cancellations.
 type WorkerTiming struct {
 	HeartbeatInterval   time.Duration
 	WorkerLeaseDuration time.Duration
 	CancelTimeout       time.Duration // from a confirmed cancellation until its tasks have ended
 }
 
-// StateLimits are those of the state service. Rates are a second.
+// StateLimits are the limits of the state service. Rates are per second.
 type StateLimits struct {
 	StateRequestRate  float64
 	StateWriteRate    float64
@@ -80,20 +80,20 @@
 	MaxTransactionOps int
 }
 
-// CloudLimits are those of the cloud.
+// CloudLimits are the limits of the cloud's API.
 type CloudLimits struct {
 	CloudRequestRate float64       // a second
 	CloudListLag     time.Duration // how old a list of instances may be
 }
 
-// ProcessQuota is what this process may use.
+// ProcessQuota is the resources that this process may use.
 type ProcessQuota struct {
 	CPUQuota       float64 // CPUs
 	MemoryQuotaMB  float64
 	MaxConnections int
 }
 
-// TeamsByName are the teams by their names.
+// TeamsByName returns the teams by their names.
 func (p *Platform) TeamsByName() map[string]Team {
 	teams := map[string]Team{}
 	for _, team := range p.Teams {
@@ -115,7 +115,7 @@
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// DurationFromSeconds turns an amount of seconds, as the platform gives them, into a duration.
+// DurationFromSeconds converts seconds, the unit of the settings files, to a duration.
 func DurationFromSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // LoadPlatform reads and checks the platform's file. See ParsePlatform for its errors.
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// validateLimits checks the numbers against the least with which a controller can work.
+// validateLimits checks that the numbers are at least the values that a controller needs.
 func (p *Platform) validateLimits() error {
 	for _, limit := range []struct {
 		name       string
@@ -198,7 +198,7 @@
 		{"cluster.quota.ram_mb", p.MemoryQuotaMB, 16},
 		{"cluster.quota.max_connections", float64(p.MaxConnections), 16},
 	} {
-		if !(limit.value >= limit.low) { // also where the value is not a number
+		if !(limit.value >= limit.low) { // also rejects NaN
 			return newFieldError(limit.name, "missing or below %g", limit.low)
 		}
 	}
--- a/internal/config/platform_file.go
+++ b/internal/config/platform_file.go
@@ -56,7 +56,7 @@
 	} `json:"cluster"`
 }
 
-// limits are those that the state service is announced to have later; 0: as now.
+// limits are the announced future limits of the state service; 0: unchanged.
 type limits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -64,10 +64,10 @@
 	TxnOps   int     `json:"txn_ops"`
 }
 
-// bytesPerKB is how the settings count a KB of a value.
+// bytesPerKB is the size of a KB in the settings files.
 const bytesPerKB = 1024
 
-// platform is the file in the units of the program, not checked yet.
+// platform converts the file to the program's units, without validation.
 func (f *platformFile) platform() *Platform {
 	cluster := &f.Cluster
 	platform := &Platform{
@@ -102,8 +102,8 @@
 	return platform
 }
 
-// lowestStateLimits are the lower of the present limits of the state service and those that are announced: they may come into force
-// at any time, and what is written before has to fit then too.
+// lowestStateLimits returns the lower of the present and the announced limits of the state service. The announced ones may come into
+// force at any time, and values written before then have to fit too.
 func (f *platformFile) lowestStateLimits() StateLimits {
 	state, next := &f.Cluster.State, &f.Cluster.State.Next
 	valueBytes := int(state.ValueKB * bytesPerKB)
@@ -115,7 +115,7 @@
 	}
 }
 
-// lowerLimit is the lower of the present limit and the announced one; a limit of 0 is not announced.
+// lowerLimit returns the lower of the present limit and the announced one; a limit of 0 is not announced.
 func lowerLimit(now, next float64) float64 {
 	if next > 0 {
 		return min(now, next)
--- a/internal/controller/accounting/account.go
+++ b/internal/controller/accounting/account.go
@@ -6,7 +6,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// account is what is known of an unfinished job's time. The breakdown always sums to countedMs exactly.
+// account is the time account of an unfinished job. The breakdown always sums to countedMs exactly.
 type account struct {
 	breakdown Breakdown
 	countedMs int64              // ms since the job's submission that are counted
@@ -14,8 +14,8 @@
 	lostTasks map[int]WaitReason // unfinished tasks whose last attempt was lost, and how; by task index
 }
 
-// countUntil counts the time until then, in ms since the submission, to the reason that was found last. Time that has been
-// counted already stays: the clock of a new leader may be behind.
+// countUntil counts the time up to ms, which is since the submission, to the reason that was found last. Time that has been
+// counted already stays counted: the clock of a new leader may be behind.
 func (a *account) countUntil(ms int64) {
 	if ms > a.countedMs {
 		a.breakdown[a.reason] += ms - a.countedMs
@@ -23,8 +23,9 @@
 	}
 }
 
-// lossReason returns how the tasks were lost if that applies to all of the unfinished ones: the reason that comes first.
-func (a *account) lossReason(unfinished int) (WaitReason, bool) {
+// lossReason returns how the unfinished tasks were lost, and the first of the reasons if there are several. ok is false unless all of
+// them were lost.
+func (a *account) lossReason(unfinished int) (reason WaitReason, ok bool) {
 	if len(a.lostTasks) < unfinished {
 		return 0, false
 	}
--- a/internal/controller/accounting/reason.go
+++ b/internal/controller/accounting/reason.go
@@ -1,7 +1,7 @@
 package accounting
 
-// WaitReason is what kept a job from being done at a moment. Exactly one reason applies at any moment; docs/design/accounting.md
-// has the rule which.
+// WaitReason is what kept a job from being done at a moment. Exactly one reason applies at any moment; the rules are in
+// docs/design/accounting.md.
 type WaitReason int
 
 // The wait reasons. Their numbers are stored: new ones come at the end.
@@ -21,7 +21,7 @@
 	AttemptFailed                          // all unfinished tasks had failed or been refused by their machine
 	Preempted                              // all unfinished tasks had been preempted
 	NotDurable                             // all tasks were done, and that was not durable yet
-	EarlierLeader                          // not known: under an earlier leader, after it last wrote the account
+	EarlierLeader                          // unknown: under an earlier leader, after it last wrote the account
 	CrashLooping                           // tasks fail wherever they are tried, and one is tried at a time
 	AwaitingDependencies                   // other jobs had to be done first
 
--- a/internal/controller/accounting/sample.go
+++ b/internal/controller/accounting/sample.go
@@ -11,7 +11,7 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// ClusterState is what a sample looks at. Nothing of it is changed.
+// ClusterState is the state that a sample reads. The sample changes none of it.
 type ClusterState struct {
 	FailoverCompleted bool // the leader may place tasks
 	StorageHealthy    bool // the state service takes changes
@@ -21,7 +21,7 @@
 	Queue             []queue.Entry // the waiting jobs, in the order in which they get resources
 }
 
-// sample is one look at the cluster.
+// sample is the state of the cluster at one moment, with what is derived from it.
 type sample struct {
 	ClusterState
 	machines     []*worker.Machine // that report
--- a/internal/controller/accounting/tracker.go
+++ b/internal/controller/accounting/tracker.go
@@ -1,5 +1,5 @@
 // Package accounting counts each moment of a job, from its submission to its final state, to one wait reason: what kept it from
-// being done just then. Its Tracker owns the accounts of a leadership's unfinished jobs, the last accounts of finished ones and the
+// being done at that moment. Its Tracker owns the accounts of a leadership's unfinished jobs, the last accounts of finished ones and the
 // totals by team and class; Metrics has the totals of the process.
 //
 // The package samples jobs, workers and instances at intervals and changes none of them; it decides and sends nothing. Design note:
@@ -81,7 +81,7 @@
 	}
 }
 
-// LeaseLost records that the leader lease is not held any more. The next Sample says that it is held again.
+// LeaseLost records that the leader lease is not held any more. The next Sample means that it is held again.
 func (t *Tracker) LeaseLost(now time.Time) {
 	if t.idleSince.IsZero() {
 		t.idleSince = now
@@ -107,7 +107,7 @@
 	t.metrics.recordEnded(&finished)
 }
 
-// Sample counts the time since the last call to the reasons that were found then, and finds those that apply now. The leader calls
+// Sample counts the time since the last call to the reasons that were found then, and determines those that apply now. The leader calls
 // it about twice a second while it holds the leader lease.
 func (t *Tracker) Sample(now time.Time, state ClusterState) {
 	if !t.idleSince.IsZero() {
--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission decides which deadline jobs are guaranteed (feasible plan, §3.3.2). A Planner owns the submissions of
-// the last submission window, by which it limits each team; everything else it computes anew from the jobs. It never orders
-// jobs and never starts or stops a task.
+// Package admission decides which deadline jobs are guaranteed: those whose work fits into a plan of the cluster's capacity
+// before their deadlines (§3.3.2). A Planner owns the submissions of the last submission window, by which it limits each
+// team; it computes everything else from the jobs. It never orders jobs and never starts or stops a task.
 //
 // Design note: docs/design/queue.md.
 package admission
@@ -14,7 +14,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// Planner admits deadline jobs and tells which guarantees can still be kept. It is not safe for concurrent use.
+// Planner admits deadline jobs and computes which guarantees can still be kept. It is not safe for concurrent use.
 type Planner struct {
 	options           config.Options
 	estimator         *estimate.Estimator
@@ -29,7 +29,7 @@
 	cpus        float64
 }
 
-// New makes a planner that has seen no submission.
+// New returns a planner without submissions.
 func New(options config.Options, estimator *estimate.Estimator, fairShare *fairshare.Allocator) *Planner {
 	return &Planner{options: options, estimator: estimator, fairShare: fairShare}
 }
@@ -37,7 +37,7 @@
 // SetOptions replaces the operators' settings.
 func (p *Planner) SetOptions(options config.Options) { p.options = options }
 
-// Request asks for a guarantee for a job that is about to be accepted.
+// Request is a request for a guarantee for a job that is about to be accepted.
 type Request struct {
 	Job      *jobs.Job
 	Live     []*jobs.Job // the jobs that may run
@@ -50,7 +50,7 @@
 
 // Admit decides whether a new deadline job is guaranteed: its work fits before its deadline beside the work of all
 // guaranteed jobs, the work of its dependencies fits before it, and its team stays within its share of the cluster.
-// Each call counts against the team's share, whatever the answer.
+// Each call counts against the team's share, also if the job is not guaranteed.
 func (p *Planner) Admit(now time.Time, request Request) bool {
 	job := request.Job
 	submittedCPUs := p.recordSubmission(now, job)
@@ -64,7 +64,7 @@
 	plan, _ := p.planGuaranteed(now, guaranteedJobs(request.Live), capacity)
 	for _, dependency := range request.Dependencies {
 		if dependency.HasGuarantee() {
-			continue // it is in the plan
+			continue // planGuaranteed has planned it
 		}
 		if !p.reserve(plan, p.withEarlierDeadline(dependency, job)) {
 			return false
@@ -103,8 +103,8 @@
 	return &early
 }
 
-// Feasible returns the guaranteed jobs whose work still fits before their deadlines, the earliest deadline first. A job
-// whose deadline has passed is none of them.
+// Feasible returns the guaranteed jobs whose work still fits before their deadlines if the earliest deadline goes first. Jobs
+// whose deadline has passed are left out.
 func (p *Planner) Feasible(now time.Time, live []*jobs.Job, capacity Capacity) map[*jobs.Job]bool {
 	var inTime []*jobs.Job
 	for _, job := range guaranteedJobs(live) {
@@ -116,7 +116,7 @@
 	return feasible
 }
 
-// guaranteedJobs are the jobs for which capacity is planned.
+// guaranteedJobs returns the jobs for which capacity is planned.
 func guaranteedJobs(live []*jobs.Job) []*jobs.Job {
 	var guaranteed []*jobs.Job
 	for _, job := range live {
--- a/internal/controller/admission/schedule.go
+++ b/internal/controller/admission/schedule.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// maxIntervals bounds the plan; the time after it counts as one long term.
+	// maxIntervals bounds the plan; the time after it counts as one long interval.
 	maxIntervals = 240
 	// workTolerance is the amount of work, in CPU seconds, that counts as none.
 	workTolerance = 1e-9
 )
 
-// Capacity is what a plan counts on.
+// Capacity is the capacity that a plan is made for.
 type Capacity struct {
 	CPUs        float64       // of the machines that are up or booting
 	MachineCPUs float64       // of the largest machine type, to which the width of a job is rounded
-	GrowthCPUs  float64       // CPUs that can still be requested from the cloud, as far as is known
+	GrowthCPUs  float64       // estimate of the CPUs that can still be requested from the cloud
 	BootTime    time.Duration // until requested machines serve
 	// TasksAllowedByQuota is the number of further tasks of a job that its team's quota allows to run; nil: no quota.
 	TasksAllowedByQuota func(job *jobs.Job) int
@@ -35,13 +35,13 @@
 	return min(job.WaitingTasks(), c.TasksAllowedByQuota(job))
 }
 
-// schedule is a plan of equal terms from now on, in which CPUs are reserved for jobs (§3.3.3).
+// schedule is a plan of equal intervals from now on, in which CPUs are reserved for jobs (§3.3.3).
 type schedule struct {
 	now           time.Time
 	interval      time.Duration
 	capacity      Capacity
-	withheldShare float64   // of the capacity, which is promised to no deadline job
-	reservedCPUs  []float64 // by term
+	withheldShare float64   // of the capacity; deadline jobs get none of it
+	reservedCPUs  []float64 // by interval
 }
 
 // planGuaranteed reserves CPUs for the jobs, the earliest deadline first, and returns the jobs that fit. It reorders the
@@ -75,7 +75,7 @@
 func (s *schedule) reserve(job *jobs.Job, taskRunTime time.Duration, cpuSeconds float64) bool {
 	remaining := DueAt(job).Sub(s.now)
 	if remaining <= 0 {
-		// An overdue job has no terms left: a negative number of them must not be allocated.
+		// There is no interval left before the deadline.
 		return cpuSeconds <= workTolerance
 	}
 	if len(job.ActiveAttempts) == 0 && remaining < taskRunTime {
@@ -91,8 +91,11 @@
 	return true
 }
 
-// fitIntoIntervals returns, by term, the CPUs that the job can get before its deadline, and the CPU seconds that do not fit.
-func (s *schedule) fitIntoIntervals(job *jobs.Job, remaining time.Duration, cpuSeconds float64) (cpusByInterval []float64, unplaced float64) {
+// fitIntoIntervals returns the CPUs that the job can get before its deadline, by interval, and the CPU seconds that do not
+// fit. It reserves nothing.
+func (s *schedule) fitIntoIntervals(
+	job *jobs.Job, remaining time.Duration, cpuSeconds float64,
+) (cpusByInterval []float64, unplaced float64) {
 	taskCPUs := estimate.CountedCPUs(job)
 	width := RoundUp(float64(job.Tasks-job.DoneTasks)*taskCPUs, s.capacity.MachineCPUs)
 	lastInterval := min(int(remaining/s.interval), maxIntervals)
@@ -100,7 +103,7 @@
 	for interval := 0; interval <= lastInterval && cpuSeconds > workTolerance; interval++ {
 		seconds := s.interval.Seconds()
 		if interval == lastInterval {
-			// The last term counts as far as the deadline reaches into it.
+			// Of the last interval only the part before the deadline counts.
 			seconds = (remaining - time.Duration(lastInterval)*s.interval).Seconds()
 		}
 		if seconds <= 0 {
@@ -114,7 +117,7 @@
 	return cpusByInterval, cpuSeconds
 }
 
-// freeCPUs is the capacity of a term that is neither withheld nor reserved.
+// freeCPUs is the capacity of an interval that is neither withheld nor reserved.
 func (s *schedule) freeCPUs(interval int) float64 {
 	for len(s.reservedCPUs) <= interval {
 		s.reservedCPUs = append(s.reservedCPUs, 0)
--- a/internal/controller/ageing/ageing.go
+++ b/internal/controller/ageing/ageing.go
@@ -1,10 +1,10 @@
-// Package ageing bounds how long a job can wait (starvation bound). It tells which jobs have waited so long that a share
-// of the cluster is theirs, and how long a new job can wait at worst. It owns no state: a Policy computes everything
-// from the jobs' own times, which persistent state keeps. It never decides on which machine a task runs.
+// Package ageing bounds how long a job can wait (starvation bound). It finds the jobs that have waited so long that they
+// get a share of the cluster, and computes how long a new job can wait at worst. It owns no state: a Policy computes
+// everything from the times in the jobs, which persistent state keeps. It never decides on which machine a task runs.
 //
 // A job that has waited past the age bound is aged. Of all aged jobs the oldest are served before everything else until
-// tasks of aged jobs hold the policy's share of the cluster. No job that is accepted later is ever served before an
-// older aged one, so all work that can be served first is known when a job is accepted.
+// tasks of aged jobs hold the policy's share of the cluster. A job that is accepted later is never served before
+// an older aged one, so the work that can be served before a job is fixed when the job is accepted.
 //
 // Design note, with the bound and its proof: docs/design/ageing.md.
 package ageing
@@ -45,8 +45,8 @@
 }
 
 // FirstJobs returns the aged jobs that are served before everything else. startableTasks is the number of further tasks
-// of a job that its team's quota allows to run. A job that the quota keeps waiting uses nothing of the share and delays
-// nobody; it is its team's first job as soon as the quota allows it.
+// of a job that its team's quota allows to run. A job that waits for its team's quota uses none of the share and delays no
+// other job; it is its team's first job as soon as the quota allows it.
 func (p Policy) FirstJobs(now time.Time, live []*jobs.Job, cpus float64, startableTasks func(*jobs.Job) int) map[*jobs.Job]bool {
 	aged, usedCPUs := p.agedJobs(now, live)
 	if p.Share <= 0 || len(aged) == 0 {
--- a/internal/controller/ageing/wait_bound.go
+++ b/internal/controller/ageing/wait_bound.go
@@ -7,7 +7,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// maxStatedWait is the longest wait that is stated as a bound; anything longer is as good as unbounded.
+// maxStatedWait is the longest wait that is stated as a bound. For a longer one no bound is stated.
 const maxStatedWait = 30 * 24 * time.Hour
 
 // minQuotaRate is the least rate, in CPUs, at which a team's older work is taken to run under its quota.
@@ -30,7 +30,7 @@
 	return Load{CPUSeconds: l.CPUSeconds + other.CPUSeconds, CPUs: l.CPUs + other.CPUs}
 }
 
-// WorkAhead describes the work that can be served before a job, as known when the job is accepted.
+// WorkAhead describes the work that can be served before a job, as of its acceptance.
 type WorkAhead struct {
 	Older        Load          // of the unfinished jobs that were accepted earlier
 	Team         Load          // of those, the jobs of the same team
@@ -49,10 +49,10 @@
 	IsKnown    bool          // false without a share for aged jobs, or if the job can use no machine
 }
 
-// WaitBound bounds the wait of a job by the work that is ahead of it: the age bound, then the older work at the rate of
-// the share, where every task may also wait as long as the longest task takes to leave its machine, then that time once
-// more for the job's own machine. It holds while UsableCPUs are up, no task exceeds its estimate by more than
-// EstimateError, and none of the older work is lost; docs/design/ageing.md says how it changes otherwise.
+// WaitBound bounds the wait of a job by the work that is ahead of it: the sum of the age bound, of the time for
+// the older work at the rate of the share, and of the time until a machine is free for the job itself. Each older task too
+// may wait until the longest running task has left its machine. It holds while UsableCPUs are up, no task exceeds its estimate by more than
+// EstimateError, and none of the older work is lost; docs/design/ageing.md has the bounds for the other cases.
 func (p Policy) WaitBound(ahead WorkAhead) WaitBound {
 	if p.Share <= 0 || ahead.UsableCPUs <= 0 {
 		return WaitBound{}
@@ -73,7 +73,7 @@
 		rate := max(ahead.TeamCPULimit-ahead.TaskCPUs, ahead.TaskCPUs, minQuotaRate)
 		seconds += p.drainSeconds(team, placement, rate)
 	}
-	if !(seconds < maxStatedWait.Seconds()) { // not a number either
+	if !(seconds < maxStatedWait.Seconds()) { // also if it is not a number
 		return maxStatedWait
 	}
 	return time.Duration(seconds * float64(time.Second))
--- a/internal/controller/api/accounts.go
+++ b/internal/controller/api/accounts.go
@@ -12,7 +12,7 @@
 	"gullrudder/internal/wire/server"
 )
 
-// maxSinceSeconds bounds how far back accounts are asked for, so that the time can be calculated.
+// maxSinceSeconds bounds since_s, so that the time that it names can be represented.
 const maxSinceSeconds = 1e9
 
 var errSinceOutOfRange = errors.New("since_s is negative or too large")
--- a/internal/controller/api/archived.go
+++ b/internal/controller/api/archived.go
@@ -15,7 +15,7 @@
 	request    *server.Request
 	jobID      string
 	withCounts bool                // the answer has the numbers of tasks
-	ifAbsent   func(now time.Time) // answers if the archive has been read and does not have the job
+	ifAbsent   func(now time.Time) // called if the archive has been read and does not have the job
 }
 
 // serveArchived answers for a job that is neither unfinished nor recently finished: from the archive, or with 404. If the job was
@@ -35,8 +35,8 @@
 	}
 }
 
-// respondFromArchive answers for an archived job. It returns false if the archive's index does not have the job: then it has not
-// answered, and does not call ifAbsent. If the index is not enough, it reads the archive's data and answers then.
+// respondFromArchive answers for an archived job. It returns false, without an answer or a call of ifAbsent, if the archive's
+// index rules the job out. If the index does not decide, it reads the archive's data and answers afterwards.
 func (h *jobHandler) respondFromArchive(now time.Time, archived archivedRequest) bool {
 	indexed := h.jobStore.Archive().LookupIndex(archived.jobID)
 	switch {
@@ -58,7 +58,7 @@
 		case err == nil && indexed == archive.Undetermined:
 			archived.ifAbsent(now)
 		case indexed == archive.Done && h.jobStore.Archive().IsUnreachable(now):
-			// The job's state is certain; only the numbers of tasks, which are for display, are missing.
+			// The index has the job's state. Only the numbers of tasks, which are for display, are missing.
 			h.respondFinal(archived, jobstore.FinalState{Done: true}, false)
 		default:
 			h.refuseArchived(archived, err)
--- a/internal/controller/api/cancel.go
+++ b/internal/controller/api/cancel.go
@@ -27,10 +27,10 @@
 	case job.State == jobs.Cancelled:
 		h.responder.Respond(request, http.StatusOK, jobResponse{ID: jobID, State: stateCancelled}, 0)
 	case job.IsFinishing || job.IsCancelling:
-		// The commit that is under way decides; the user asks again.
+		// The commit under way decides; the user retries.
 		h.responder.RespondError(request, http.StatusServiceUnavailable, textNotSaved, retryDelay)
 	case !h.storage.IsHealthy():
-		// The cancellation is written once the state service takes changes; the user asks again.
+		// The cancellation is written once the state service takes changes; the user retries.
 		h.commitCancellation(now, job, nil)
 		h.responder.RespondError(request, http.StatusServiceUnavailable, textNotSaved, retryDelay)
 	default:
@@ -38,8 +38,8 @@
 	}
 }
 
-// commitCancellation stores the cancellation. From now on no task of the job starts. request is answered once the outcome is known
-// or in doubt; nil: nobody waits for it.
+// commitCancellation stores the cancellation. From now on no task of the job starts. The request, if not nil, is answered once the
+// outcome is certain or in doubt.
 func (h *jobHandler) commitCancellation(now time.Time, job *jobs.Job, request *server.Request) {
 	job.IsCancelling = true
 	h.placer.InvalidateOrder()
--- a/internal/controller/api/dependencies.go
+++ b/internal/controller/api/dependencies.go
@@ -10,14 +10,14 @@
 	"gullrudder/internal/wire/server"
 )
 
-// dependencyCheck is what is known of the jobs that a submission names.
+// dependencyCheck is the result of looking up the dependencies of a submission.
 type dependencyCheck struct {
 	unmet        []string // IDs of those that are not done
 	hasCancelled bool     // one of them is cancelled
 }
 
-// checkDependencies looks at the jobs that a submission names. It returns false if it has refused the submission, or has to read the
-// archive first; in that case the submission is served again when that is done.
+// checkDependencies looks up the dependencies of a submission. It returns false if it has refused the submission, or if it reads
+// the archive first and serves the submission again afterwards.
 func (h *submissionHandler) checkDependencies(now time.Time, submitted jobSubmission) (dependencyCheck, bool) {
 	var check dependencyCheck
 	for _, id := range submitted.spec.Dependencies {
@@ -53,7 +53,7 @@
 	}
 }
 
-// lookUpDependency reads from the archive's data what became of a job that a submission names, and then serves the submission again.
+// lookUpDependency reads the final state of a dependency from the archive's data, and then serves the submission again.
 func (h *submissionHandler) lookUpDependency(now time.Time, submitted jobSubmission, jobID string) {
 	h.jobStore.Archive().Resolve(now, h.outbox, jobID, func(now time.Time, final archive.FinalState, found bool, err error) {
 		if !h.holdsLease() || err != nil {
--- a/internal/controller/api/explain.go
+++ b/internal/controller/api/explain.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// maxJobsAhead is how many jobs are listed of those before a job.
+	// maxJobsAhead is the number of jobs ahead of a job that are listed.
 	maxJobsAhead = 5
 	// maxReasons is how many reasons, and how many remedies, an explanation has.
 	maxReasons = 8
@@ -37,7 +37,7 @@
 
 // serveExplanation answers why a job waits, which jobs are before it, and what would change that.
 func (h *explanationHandler) serveExplanation(now time.Time, request *server.Request, jobID string) {
-	// A job that ended under this leader is known here even if it is archived by now.
+	// The account of a job that ended under this leader is kept after the job is archived.
 	if finished, ok := h.accounting.FinishedAccount(jobID); ok {
 		h.responder.Respond(request, http.StatusOK, Explanation{
 			QueuedJob: QueuedJob{ID: jobID, Team: finished.Team, Class: finished.Class}, State: finalStateName(finished.IsDone),
--- a/internal/controller/api/explain_wait.go
+++ b/internal/controller/api/explain_wait.go
@@ -9,8 +9,8 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// waitExplanation finds the reasons and remedies of one job. It looks at everything that can keep a task from starting, as the
-// placement does.
+// waitExplanation finds the reasons and remedies of one job. It checks every condition that placement checks
+// before it starts a task.
 type waitExplanation struct {
 	*explanationHandler
 	*Explanation
@@ -66,7 +66,7 @@
 }
 
 func (w *waitExplanation) explainCrashLoop() {
-	// At least two machines make a crash loop; an earlier leader may have seen them.
+	// A crash loop takes failures on two machines at least; those under an earlier leader are not counted here.
 	machines := max(w.failures.FailedMachineCount(w.job.ID), 2)
 	w.addReason("its tasks have failed on %d machines and on none of them has one completed: "+
 		"it looks as if it was submitted with a mistake", machines)
@@ -108,7 +108,7 @@
 	zoneFull    int // have capacity for a task, but are in a zone where the job may have no more tasks
 	freeTasks   int // tasks for which there is capacity on the other machines
 	withImage   int // machines with such capacity that have the job's image
-	unreachable int // report, but seem to receive nothing
+	unreachable int // send heartbeats, but seem to receive no responses
 }
 
 func (w *waitExplanation) surveyMachines() machineSurvey {
--- a/internal/controller/api/handler.go
+++ b/internal/controller/api/handler.go
@@ -1,6 +1,6 @@
 // Package api answers the users' requests: submissions, queries and cancellations of jobs, and the views of the queue, of waiting
-// jobs, of time accounts, of served shares and of zones. Its Handler owns the limit of submissions that are not durable yet; a
-// leadership makes one.
+// jobs, of time accounts, of served shares and of zones. Its Handler owns the limit of submissions that are not durable yet; each
+// leadership has one.
 //
 // The package confirms nothing that is not durable, and changes no state but jobs: it creates and cancels them through storage and
 // the job store. It starts no task and sends nothing to workers or to the cloud. Everything runs on the controller's one goroutine.
@@ -35,7 +35,7 @@
 const (
 	// typicalRecordBytes is about what the record of a submitted job takes of a page.
 	typicalRecordBytes = 512
-	// pendingSeconds is how many seconds' writes of submissions may wait for a commit.
+	// pendingSeconds bounds the submissions that wait for a commit: to the writes of that many seconds.
 	pendingSeconds = 2
 )
 
@@ -55,7 +55,7 @@
 	Placer    *placement.Placer
 }
 
-// Machines are the parts that know workers, instances and zones.
+// Machines are the parts that keep workers, instances and zones.
 type Machines struct {
 	Workers    *worker.Registry
 	Cloud      *cloud.Client
--- a/internal/controller/api/messages.go
+++ b/internal/controller/api/messages.go
@@ -68,14 +68,14 @@
 	OpenJobs int            `msgpack:"open" json:"open"` // unfinished jobs, which are not counted
 }
 
-// ServedShare is how a class or a team was served lately.
+// ServedShare is the share of the jobs of a class or team that were done lately.
 type ServedShare struct {
 	IsTeam        bool    `msgpack:"team" json:"team"` // a team; otherwise a class
 	Name          string  `msgpack:"name" json:"name"`
 	DoneJobs      float64 `msgpack:"done" json:"done"`       // the longer ago, the less they count
-	UnservedJobs  int     `msgpack:"late" json:"late"`       // jobs that can meet none of their objectives any more
-	AllocatedJobs int     `msgpack:"owed" json:"owed"`       // of these, jobs with a capacity of their own
-	Share         float64 `msgpack:"share" json:"share"`     // done jobs, of done and overdue ones
+	UnservedJobs  int     `msgpack:"late" json:"late"`       // overdue jobs that count against the share
+	AllocatedJobs int     `msgpack:"owed" json:"owed"`       // overdue jobs with capacity of their own
+	Share         float64 `msgpack:"share" json:"share"`     // done jobs, of done and unserved ones
 	IsLargestJobs bool    `msgpack:"largest" json:"largest"` // the group is the largest jobs of the class
 }
 
@@ -85,7 +85,7 @@
 	MinShare float64       `msgpack:"least" json:"least"` // below it, a class or team goes ahead of others
 }
 
-// ZoneStatus is what is known of a zone. Times are in seconds.
+// ZoneStatus is the state of a zone, as its heartbeats show it. Times are in seconds.
 type ZoneStatus struct {
 	Name                 string  `msgpack:"name" json:"name"`
 	State                string  `msgpack:"state" json:"state"`
--- a/internal/controller/api/query.go
+++ b/internal/controller/api/query.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// retryDelay is when a user is told to try again after an answer of 503.
+	// retryDelay is the Retry-After of most answers of 503.
 	retryDelay = time.Second
-	// archiveRetryDelay is when a user is told to ask again about a job that cannot be looked up in the archive.
+	// archiveRetryDelay is the Retry-After of an answer for a job that cannot be looked up in the archive.
 	archiveRetryDelay = time.Second
 )
 
@@ -34,7 +34,7 @@
 	stateCancelled = "cancelled"
 )
 
-// Labels of what a job was promised at its acceptance.
+// Labels of the terms on which a job was accepted.
 const (
 	labelGuaranteed = "guaranteed"
 	labelBestEffort = "best_effort"
@@ -125,8 +125,8 @@
 	return true
 }
 
-// hasUnconfirmedTasks reports whether the job is cancelled and users may not be told so yet: if a lease can outlast the time within
-// which the tasks have to be gone, they have to be gone first.
+// hasUnconfirmedTasks reports whether the cancellation of the job may not be confirmed yet: if a worker's lease can outlast the time
+// within which the tasks have to be gone, they have to be gone before it is.
 func (h *jobHandler) hasUnconfirmedTasks(job *jobs.Job) bool {
 	return h.leaseOutlastsCancel && job.State == jobs.Cancelled && h.jobStore.IsStopping(job)
 }
--- a/internal/controller/api/queue.go
+++ b/internal/controller/api/queue.go
@@ -20,7 +20,7 @@
 // maxQueuedJobs is how many jobs an answer lists: a bound on the work and the bytes of one answer.
 const maxQueuedJobs = 200
 
-// viewHandler answers requests for views of the whole cluster. It changes nothing.
+// viewHandler answers requests for views of the whole cluster, without any change of state.
 type viewHandler struct {
 	responder  *server.Responder
 	options    *config.Options
@@ -47,7 +47,7 @@
 	}
 }
 
-// queueFilter is which jobs of the queue a user wants to see.
+// queueFilter selects the jobs of the queue that an answer lists.
 type queueFilter struct {
 	team           string // empty: any
 	class          string // empty: any
--- a/internal/controller/api/start_bounds.go
+++ b/internal/controller/api/start_bounds.go
@@ -14,7 +14,7 @@
 	"gullrudder/internal/controller/queue"
 )
 
-// startBounds states how long a job waits at worst, when it is accepted.
+// startBounds computes, when a job is accepted, how long it waits at worst.
 type startBounds struct {
 	platform  *config.Platform
 	options   *config.Options
@@ -25,7 +25,7 @@
 	ranker    *queue.Ranker
 }
 
-// set states the bounds of a job that is about to be accepted. Services have none.
+// set sets the bounds of a job that is about to be accepted. Services have none.
 func (b *startBounds) set(now time.Time, job *jobs.Job) {
 	if job.IsService {
 		return
@@ -35,7 +35,7 @@
 	}
 }
 
-// workAhead returns what is known of the work that can be served before a job.
+// workAhead sums up the work that can be served before a job.
 func (b *startBounds) workAhead(now time.Time, job *jobs.Job) ageing.WorkAhead {
 	ahead := ageing.WorkAhead{
 		TeamCPULimit: b.teams[job.Team].CPULimit,
@@ -51,7 +51,7 @@
 		ahead.UsableCPUs = offer.leastCPUs
 		ahead.StartDelay += offer.longestBoot
 	}
-	// Once for the job's own image, and once while machines that have it already are preferred.
+	// The fetch time counts twice: for the job's own image, and for the wait for a machine that has it already.
 	ahead.StartDelay += time.Duration(2 * offer.longestFetchSeconds * float64(time.Second))
 	return ahead
 }
--- a/internal/controller/api/submission.go
+++ b/internal/controller/api/submission.go
@@ -19,7 +19,7 @@
 	"gullrudder/internal/wire/server"
 )
 
-// unsavedRetryDelay is when a user is told to submit again while the state service takes no changes.
+// unsavedRetryDelay is the Retry-After of a submission while the state service takes no changes.
 const unsavedRetryDelay = 2 * retryDelay
 
 // submissionHandler accepts jobs.
@@ -42,8 +42,8 @@
 	archivedStates map[string]jobstore.DependencyState // of dependencies that were looked up in the archive's data, by job ID
 }
 
-// serveSubmission accepts or refuses a job. The same submission may come again at any time: it is answered with the job's state,
-// whatever else the request says.
+// serveSubmission accepts or refuses a job. Submissions are idempotent: a request for an existing job is answered with the
+// job's state, whatever the rest of the request is.
 func (h *submissionHandler) serveSubmission(now time.Time, request *server.Request) {
 	spec, err := jobs.ParseSpec(request.Body)
 	submitted := jobSubmission{request: request, spec: spec, invalid: err}
@@ -157,7 +157,8 @@
 	return "a task fits no allowed machine type"
 }
 
-// plan decides what the job is promised. Its dependencies are put into the graph first, since they belong to the plan.
+// plan decides whether the job is guaranteed, and sets its start bounds. Its dependencies are put into the graph first, since they
+// are part of the plan.
 func (h *submissionHandler) plan(now time.Time, job *jobs.Job, unmet []string) {
 	h.jobStore.WaitForDependencies(now, job, unmet)
 	runTime, dependencies := h.jobStore.DependencyGraph().CriticalPath(job, h.estimator.TaskRunTime)
@@ -200,7 +201,7 @@
 	}
 }
 
-// accept takes in that the acceptance is durable.
+// accept records that the acceptance is durable.
 func (h *submissionHandler) accept(now time.Time, job *jobs.Job, isCancelled bool) {
 	job.State, job.AcceptedByThisLeader = jobs.Accepted, true
 	if isCancelled {
--- a/internal/controller/api/zones.go
+++ b/internal/controller/api/zones.go
@@ -10,7 +10,7 @@
 // heartbeatAgePrecision is the precision in which the age of a zone's last heartbeat is shown.
 const heartbeatAgePrecision = 100 * time.Millisecond
 
-// serveZones answers what is known of each zone.
+// serveZones answers with the state of each zone.
 func (v *viewHandler) serveZones(now time.Time, request *server.Request) {
 	list := Zones{Zones: []ZoneStatus{}}
 	for _, zone := range v.zones.Views() {
--- a/internal/controller/autoscaler/arrivals.go
+++ b/internal/controller/autoscaler/arrivals.go
@@ -12,7 +12,7 @@
 	arrivalWindow = 10 * time.Second
 	// keptWindows is the number of complete windows that count.
 	keptWindows = 6
-	// minRateWindows is the number of complete windows from which a rate is known.
+	// minRateWindows is the number of complete windows that a rate takes.
 	minRateWindows = 2
 	// profileWeight is the number of jobs over which the mean profile of a flow is taken.
 	profileWeight = 8
@@ -30,7 +30,7 @@
 	profile         jobProfile                  // moving mean of the jobs
 	windows         [keptWindows + 1]arrivalSum // the present window first
 	windowStart     time.Time                   // of the present window
-	completeWindows int                         // of the others, those that are known
+	completeWindows int                         // of the others, those that are complete
 }
 
 // arrivalSum is the arrivals in a window, or in a second.
@@ -73,8 +73,8 @@
 	}
 }
 
-// rate returns the arrivals in a second, from the complete windows without the one with the most work: jobs that arrive at once
-// are in the queue, and say nothing about those still to come.
+// rate returns the arrivals in a second, from the complete windows without the one with the most work: a burst of
+// jobs is in the queue already and does not predict further arrivals.
 func (f *arrivalFlow) rate(now time.Time) arrivalSum {
 	f.advance(now)
 	if f.completeWindows < minRateWindows {
--- a/internal/controller/autoscaler/capacity_timeline.go
+++ b/internal/controller/autoscaler/capacity_timeline.go
@@ -9,7 +9,7 @@
 // capacityStep is CPUs that begin to serve at a time, in seconds from now. It is negative for CPUs that are taken away.
 type capacityStep struct{ at, cpus float64 }
 
-// capacityTimeline is the cluster's CPUs over time, with one further step whose effect is asked for.
+// capacityTimeline is the cluster's CPUs over time, with one further step whose effect is to be predicted.
 type capacityTimeline struct {
 	steps []capacityStep // by time
 	extra capacityStep
@@ -37,7 +37,7 @@
 	return max(sum, 0)
 }
 
-// workSweep follows a timeline and finds when ever more work is done.
+// workSweep follows a timeline and finds when increasing amounts of work are done.
 type workSweep struct {
 	capacity capacityTimeline
 	next     int     // of the steps, the first that is still to come
@@ -46,7 +46,7 @@
 	done     float64 // CPU seconds by then
 }
 
-// finishTime returns when so many CPU seconds are done, infinity if never. They must not be fewer than in the call before.
+// finishTime returns when the given work is done, infinity if never. cpuSeconds must not be less than in the previous call.
 func (s *workSweep) finishTime(cpuSeconds float64) float64 {
 	for {
 		nextStep, isExtra := s.nextStep()
--- a/internal/controller/autoscaler/consolidate.go
+++ b/internal/controller/autoscaler/consolidate.go
@@ -16,8 +16,8 @@
 	freeCPUShare = 0.1
 	// minRunBeforeMove is how long a task runs on a machine before it may be moved.
 	minRunBeforeMove = 30 * time.Second
-	// moveGain is how many times its cost a move must save: its CPUs are not used while the task checkpoints and its image is
-	// fetched.
+	// moveGain is how many times its cost a move must save. The cost is that of the CPUs which are unused while the task
+	// checkpoints and its image is fetched.
 	moveGain = 3
 	// maxDrainedDivisor is the part of the machines that are drained at a time: tasks that are moved have to start again.
 	maxDrainedDivisor = 10
@@ -26,7 +26,7 @@
 )
 
 // consolidate drains machines that are hardly used, if fuller ones have capacity for their tasks and the cluster stays large enough
-// for what waits and some more. Otherwise a few long tasks would keep many machines. Only tasks with checkpoints are moved.
+// for the waiting tasks and some arrivals. Without this a few long tasks keep many machines. Only tasks with checkpoints are moved.
 func (s *Scaler) consolidate(now time.Time) {
 	machines, freeCPUs := s.consolidationCandidates(now)
 	if freeCPUs <= 0 {
@@ -131,7 +131,7 @@
 	return -1
 }
 
-// drain has all tasks of a machine checkpoint and stop. The machine is terminated once they have.
+// drain stops all tasks of a machine after a checkpoint. The machine is terminated once they have stopped.
 func (s *Scaler) drain(now time.Time, machine *worker.Machine) {
 	machine.DrainReason = worker.DrainConsolidated
 	s.log.Info("machine drained", logkeys.Machine, machine.ID, "tasks", len(machine.Attempts))
--- a/internal/controller/autoscaler/forecast.go
+++ b/internal/controller/autoscaler/forecast.go
@@ -43,8 +43,8 @@
 	position   float64 // place in the queue that they take, from 0, the front, to 1, the end
 }
 
-// objectiveForecast predicts how many jobs will miss the objectives with the cluster as it is and will be, and with more or fewer
-// instances. Times are in seconds from now.
+// objectiveForecast predicts how many jobs will miss the objectives with the present and the booting instances, and with more or
+// fewer of them. Times are in seconds from now.
 type objectiveForecast struct {
 	objectives []objective
 	records    []objectiveRecord // by objective
@@ -61,7 +61,7 @@
 	hasBaseline   bool
 }
 
-// addCapacity takes a step into the cluster as it will be.
+// addCapacity adds a step to the expected capacity.
 func (f *objectiveForecast) addCapacity(step capacityStep) {
 	if step.cpus == 0 {
 		return
@@ -70,7 +70,7 @@
 	f.capacitySteps = insertStep(f.capacitySteps, step)
 }
 
-// prediction is what the forecast says about the jobs that wait or arrive within forecastSpan.
+// prediction is the forecast for the jobs that wait or arrive within forecastSpan.
 type prediction struct {
 	missed       []float64 // jobs that miss the objective, by objective
 	jobs         []float64 // all jobs that it applies to, by objective
@@ -148,7 +148,7 @@
 	return 0.5 * math.Erfc(math.Log(slack/forecastWait)/(waitLogDeviation*math.Sqrt2))
 }
 
-// loss returns what the predicted and the recorded misses cost.
+// loss returns the sum of the miss scores of the objectives, for the predicted and the recorded misses together.
 func (f *objectiveForecast) loss(p prediction) float64 {
 	sum := 0.0
 	for i := range f.objectives {
@@ -169,7 +169,7 @@
 	return f.baseline
 }
 
-// costOf returns what it costs to spend so much money more, or less, compared with what is spent in any case.
+// costOf returns the loss of spending more money than at present, negative if it is less.
 func (f *objectiveForecast) costOf(money float64) float64 {
 	base := max(f.spendRate*forecastSpan.Seconds(), minSpend)
 	if money > 0 {
--- a/internal/controller/autoscaler/instances.go
+++ b/internal/controller/autoscaler/instances.go
@@ -12,10 +12,10 @@
 // minBilledTime is the least time that the cloud charges for an instance.
 const minBilledTime = time.Minute
 
-// trackedInstance is an instance with what else is known of it.
+// trackedInstance is an instance with its machine type and its machine.
 type trackedInstance struct {
 	*cloud.Instance
-	machineType  *cloud.MachineType // nil if it is not known
+	machineType  *cloud.MachineType // nil if the cloud does not list the type
 	machine      *worker.Machine    // nil before its first heartbeat, unless an earlier leader has registered it
 	leaseExpired bool               // no task runs on it
 }
@@ -25,8 +25,8 @@
 	return t.machineType != nil && !t.Deleting && t.State != cloud.StateFailed
 }
 
-// refreshInstances looks up each instance's machine and type once for all parts of a decision, and tells the cloud client how long
-// instances have been booting.
+// refreshInstances looks up each instance's machine and type once for all parts of a decision, and passes the ages of the booting
+// instances to the cloud client.
 func (s *Scaler) refreshInstances(now time.Time) {
 	s.instances = s.instances[:0]
 	bootingAges := map[string][]time.Duration{}
--- a/internal/controller/autoscaler/projection.go
+++ b/internal/controller/autoscaler/projection.go
@@ -10,7 +10,7 @@
 // cpuTolerance absorbs rounding when CPUs are compared.
 const cpuTolerance = 1e-6
 
-// capacityProjection is the capacity of the machines that are there, booting or planned. The waiting tasks are placed on it.
+// capacityProjection is the capacity of the machines that are up, booting or planned. The waiting tasks are placed on it.
 type capacityProjection struct {
 	totalCPUs        float64
 	slots            []slot // machines on which a task may still fit
@@ -30,8 +30,8 @@
 	count            int
 }
 
-// projectCapacity returns the projection of the instances as they are. A machine whose lease has expired, of an earlier leader too,
-// does not count: what was on it is placed on new instances at once. Neither does one in an unavailable zone.
+// projectCapacity returns the projection of the instances as they are. Machines with an expired lease and machines in unavailable
+// zones do not count: their tasks need new instances at once.
 func (s *Scaler) projectCapacity() *capacityProjection {
 	projection := &capacityProjection{
 		byKind:           map[cloud.InstanceKind]*kindCapacity{},
@@ -47,7 +47,7 @@
 		case machine == nil:
 			projection.add(tracked.Kind, tracked.machineType)
 		case machine.DrainReason != worker.NotDraining:
-		case !machine.HasReported: // its tasks are not known: taken for full
+		case !machine.HasReported: // its tasks are unknown: counted as full
 			projection.add(tracked.Kind, tracked.machineType)
 			projection.setLast(worker.Resources{})
 		default:
--- a/internal/controller/autoscaler/scaler.go
+++ b/internal/controller/autoscaler/scaler.go
@@ -1,6 +1,6 @@
 // Package autoscaler decides which instances are requested from the cloud and which are terminated. Its Scaler compares the order
 // of the waiting jobs with the capacity that is there or booting: cheap kinds of instances are requested while the waiting work
-// lasts long enough, expensive ones while the objectives that they help to keep are worth their price. It owns the forecast of the
+// would last long enough, expensive ones while they prevent enough objective misses for their price. It owns the forecast of the
 // platform's objectives, the rates at which jobs arrive, and the times at which it acts next. It never starts, stops or places a
 // task, except to drain a machine that is hardly used; package cloud sends the requests. Design note: docs/design/autoscaler.md.
 package autoscaler
@@ -22,7 +22,7 @@
 
 const (
 	scaleInterval = time.Second
-	// minScaleInterval is the least wait between two decisions, when a new job asks for an early one.
+	// minScaleInterval is the least time between two decisions when a new job makes an early one due.
 	minScaleInterval      = 300 * time.Millisecond
 	consolidationInterval = 5 * time.Second
 )
@@ -46,7 +46,7 @@
 
 // Scaler requests and terminates instances for a leader. It is used on the controller's goroutine only.
 type Scaler struct {
-	// What it works with.
+	// Components.
 	platform      *config.Platform
 	options       *config.Options
 	teams         map[string]config.Team
@@ -62,7 +62,7 @@
 	outbox        *client.Outbox
 	log           *slog.Logger
 
-	// What it owns.
+	// State.
 	schedule   schedule
 	objectives objectiveTracker
 	arrivals   arrivalTracker
--- a/internal/controller/autoscaler/terminate.go
+++ b/internal/controller/autoscaler/terminate.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// silenceGrace is how long after the end of its lease a silent machine is waited for.
+	// silenceGrace is how long after its lease has expired a silent machine is kept.
 	silenceGrace = 15 * time.Second
 	// busyIdleFactor is how many times the option IdleTimeout a machine may be idle while tasks wait that do not fit on it.
 	busyIdleFactor = 3
@@ -64,7 +64,7 @@
 		if s.isLost(now, tracked) {
 			return reasonLost
 		}
-	case !machine.HasReported: // registered by an earlier leader: its tasks are not known yet
+	case !machine.HasReported: // registered by an earlier leader: its tasks are not reconciled yet
 	case machine.DrainReason.LeadsToTermination() && len(machine.Attempts) == 0:
 		return string(machine.DrainReason)
 	case s.isIdle(now, machine, hasWaitingTasks):
@@ -73,8 +73,8 @@
 	return ""
 }
 
-// hasBootTimedOut reports whether an instance that has not reported is taken for one that never will. Shortly after the election
-// its heartbeats may have gone to the earlier leader.
+// hasBootTimedOut reports whether an instance has not reported within its boot timeout. It is false shortly after the election,
+// since the heartbeats may have gone to the earlier leader.
 func (s *Scaler) hasBootTimedOut(now time.Time, tracked *trackedInstance) bool {
 	return tracked.machineType != nil && now.Sub(tracked.RequestedAt) > s.cloud.BootTimeout(tracked.machineType) &&
 		now.Sub(s.electedAt) > s.workers.Lease()
--- a/internal/controller/cloud/boottime/estimator.go
+++ b/internal/controller/cloud/boottime/estimator.go
@@ -3,7 +3,7 @@
 // terminates an instance.
 //
 // The cloud states a usual time. At times all instances take a multiple or a small part of it, and some never report. With a
-// constant timeout all of them would be given up when they are late together, and their replacements would be later still.
+// constant timeout, instances that are late together would all be replaced, and the replacements would be later still.
 // Design note: docs/design/autoscaler.md.
 package boottime
 
@@ -25,7 +25,7 @@
 	timeoutFactor = 2.5
 	timeoutGrace  = 30 * time.Second
 	medianRank    = 0.5
-	// maxBooting is the number of awaited instances that count for a type.
+	// maxBooting is the number of booting instances of a type that count.
 	maxBooting = 64
 	// overdueAgeDivisor and overdueStatedDivisor estimate the rest of a boot that takes longer than expected: that part of its
 	// age, and at least that part of the stated time.
@@ -89,7 +89,7 @@
 	}
 }
 
-// quantile returns a quantile of the boot times with the stated time among them. Awaited instances that are older than the
+// quantile returns a quantile of the boot times with the stated time among them. Booting instances that are older than the
 // median count as if they reported now.
 func (s *samples) quantile(rank float64) float64 {
 	all := slices.Clone(s.factors)
@@ -116,8 +116,8 @@
 	return time.Duration(s.quantile(medianRank) * float64(stated))
 }
 
-// Timeout returns the age from which an instance that has not reported is taken for one that never will. It is never shorter than
-// the stated time makes it: a few quick boots say nothing about the next one.
+// Timeout returns the age from which an instance that has not reported counts as failed. It is never shorter than
+// the stated time makes it: a few quick boots do not make the next one quick.
 func (e *Estimator) Timeout(machineType string, stated time.Duration) time.Duration {
 	factor := 1.0
 	if s := e.types[machineType]; s != nil {
--- a/internal/controller/cloud/boottime/estimator_test.go
+++ b/internal/controller/cloud/boottime/estimator_test.go
@@ -42,7 +42,7 @@
 
 // Instances that are late together raise the estimate before any of them reports, and are not given up after the usual time. A
 // single one that never reports among many that did is.
-func TestAwaitedMachinesRaiseEstimate(t *testing.T) {
+func TestBootingInstancesRaiseEstimate(t *testing.T) {
 	estimator := New()
 	for range maxSamples {
 		estimator.ObserveBoot("small", statedTime, statedTime)
--- a/internal/controller/cloud/client.go
+++ b/internal/controller/cloud/client.go
@@ -1,7 +1,7 @@
-// Package cloud speaks with the cloud for a leader: it reads the machine types, lists the instances, requests new ones and
-// deletes those that are not needed. It owns what is known of the instances and of the requests that are on their way. It never
-// decides what is requested or deleted (package autoscaler does), and knows nothing of tasks. A Client belongs to one leadership
-// and is used on the controller's goroutine only. Design note: docs/design/autoscaler.md.
+// Package cloud is the client of the cloud's API: it reads the machine types, lists the instances, requests new ones and deletes
+// those that are not needed. It owns the list of instances and the pending requests. It never decides what is requested or
+// deleted (package autoscaler does), and has no access to tasks. A Client belongs to one leadership and is used on the
+// controller's goroutine only. Design note: docs/design/autoscaler.md.
 package cloud
 
 import (
@@ -15,7 +15,7 @@
 
 const (
 	callTimeout = 5 * time.Second
-	// usedRateShare is the share of the cloud's call rate that is used: the cloud counts by its own clock.
+	// usedRateShare is the share of the cloud's call rate that is used, since the cloud measures the rate by its own clock.
 	usedRateShare = 0.95
 	// minOverloadPause is the least time without calls after the cloud said that it is overloaded.
 	minOverloadPause = 500 * time.Millisecond
--- a/internal/controller/cloud/instance.go
+++ b/internal/controller/cloud/instance.go
@@ -29,7 +29,7 @@
 	return t.HourlyPrice
 }
 
-// InstanceKind is what one request asks for: a machine type in a zone, on demand or spot.
+// InstanceKind is the kind of instances of one request: a machine type in a zone, on demand or spot.
 type InstanceKind struct {
 	Type string // name of the machine type
 	Zone string
@@ -64,7 +64,7 @@
 	HasReported           bool      // its worker sent a heartbeat to this leader
 }
 
-// updateFromList takes over what a list says. Lists may come out of order: a state never goes back.
+// updateFromList updates the instance from a list. Lists may come out of order: a state never goes back.
 func (i *Instance) updateFromList(now time.Time, listed *listedInstance) {
 	i.Addr, i.Kind, i.LastListed = listed.Addr, listed.kind(), now
 	if i.State != StateFailed && (i.State != StateRunning || listed.State != StateStarting) {
--- a/internal/controller/cloud/listing.go
+++ b/internal/controller/cloud/listing.go
@@ -92,8 +92,8 @@
 	instance.updateFromList(now, listed)
 }
 
-// dropUnlisted drops instances that the cloud no longer lists: reclaimed or deleted. They only cease to be counted; whether
-// tasks on them have ended is decided elsewhere, by the rules for leases.
+// dropUnlisted drops instances that the cloud no longer lists: reclaimed or deleted. They only cease to be counted; package
+// worker decides by their leases whether tasks on them have ended.
 func (c *Client) dropUnlisted(now time.Time) {
 	for id, instance := range c.Instances {
 		if c.listing.seenIDs[id] {
--- a/internal/controller/cloud/messages.go
+++ b/internal/controller/cloud/messages.go
@@ -46,7 +46,7 @@
 	More      bool             `msgpack:"has_next"`
 }
 
-// createRequest asks for instances of one kind (POST /hosts). Requests of the same name are one request to the cloud.
+// createRequest is a request for instances of one kind (POST /hosts). The cloud carries out requests of the same name once.
 type createRequest struct {
 	name  string
 	kind  InstanceKind
@@ -65,7 +65,7 @@
 	}
 }
 
-// createResponse is the response to POST /hosts. It may name fewer instances than were asked for.
+// createResponse is the response to POST /hosts. It may name fewer instances than were requested.
 type createResponse struct {
 	IDs   []string `msgpack:"oarlocks"`
 	Error string   `msgpack:"error"`
--- a/internal/controller/cloud/requests.go
+++ b/internal/controller/cloud/requests.go
@@ -28,7 +28,7 @@
 	fencingToken     uint64
 	count            int // requests of this leadership, for their names
 	byKind           map[InstanceKind]*kindRequests
-	unresolvedByZone map[string]int // retries on their way: the outcome of these requests is not known
+	unresolvedByZone map[string]int // retries without an answer: the outcome of these requests is uncertain
 	isAnswered       bool           // a request was answered since TakeRequestAnswered
 }
 
@@ -135,7 +135,7 @@
 	}
 }
 
-// addRequested takes in the instances that the cloud gave for a request. Fewer than asked for mean that it has no more.
+// addRequested takes in the instances that the cloud gave for a request. If there are fewer than requested, it has no more.
 func (c *Client) addRequested(now time.Time, request createRequest, ids []string) {
 	state := c.requests.ofKind(request.kind)
 	state.pending--
@@ -192,7 +192,7 @@
 }
 
 // retryDeletion repeats a deletion. One that is refused repeatedly is split in halves, down to the instance that cannot be
-// deleted: otherwise that one keeps up to ninety-nine others.
+// deleted: otherwise that one blocks the deletion of up to ninety-nine others.
 func (c *Client) retryDeletion(now time.Time, ids []string, retries int, result client.Result) {
 	if isRefusal(result) && retries >= maxRefusedDeletions && len(ids) > 1 {
 		c.log.Info("instance deletion split", logkeys.Count, len(ids), logkeys.Status, result.Status)
--- a/internal/controller/clustertest/cluster.go
+++ b/internal/controller/clustertest/cluster.go
@@ -110,8 +110,7 @@
 // FindJob returns a job by its ID, nil if there is none.
 func (c *Cluster) FindJob(id string) *jobs.Job { return c.Jobs[id] }
 
-// AddJob adds an accepted job. Its number decides on its deadline and its constraints. The caller tells the placer that the order
-// of the jobs has changed.
+// AddJob adds an accepted job. Its number selects its deadline and its constraints. The caller invalidates the placer's order.
 func (c *Cluster) AddJob(number, tasks int, cpus float64) *jobs.Job {
 	job := jobs.New(jobs.Spec{
 		ID:                fmt.Sprintf("job-%06d", number),
--- a/internal/controller/dependencies/graph.go
+++ b/internal/controller/dependencies/graph.go
@@ -20,8 +20,8 @@
 // TaskRunTime estimates how long a task of the job runs.
 type TaskRunTime func(job *jobs.Job) time.Duration
 
-// Graph is the graph of unmet dependencies. Its edges stand twice, by either end:
-// dependents[id] has job exactly if unmet[job] has id. The UnmetDependencies of a job is the number of its edges.
+// Graph is the graph of unmet dependencies. Each edge is kept twice, by
+// either end: dependents[id] has job exactly if unmet[job] has id. A job's UnmetDependencies is the number of its edges.
 type Graph struct {
 	findJob    func(id string) *jobs.Job     // an unfinished job; nil if there is none of that ID
 	dependents map[string]map[*jobs.Job]bool // jobs that wait for an unfinished job, by its ID
@@ -33,7 +33,7 @@
 	return &Graph{findJob: findJob, dependents: map[string]map[*jobs.Job]bool{}, unmet: map[*jobs.Job]map[string]bool{}}
 }
 
-// Add makes a job wait for the given jobs, none of which is known to be done.
+// Add makes a job wait for the given jobs, which are not done durably yet.
 func (g *Graph) Add(job *jobs.Job, unmet []string) {
 	for _, id := range unmet {
 		g.addEdge(job, id)
@@ -69,7 +69,7 @@
 	return sortByID(ready)
 }
 
-// Remove takes a cancelled job out of the graph: it waits for nothing any more. The jobs that wait for it stay, under its ID.
+// Remove removes the edges from a cancelled job to its dependencies. The edges of the jobs that wait for it stay, under its ID.
 func (g *Graph) Remove(job *jobs.Job) {
 	for id := range g.unmet[job] {
 		delete(g.dependents[id], job)
@@ -126,8 +126,8 @@
 	return list
 }
 
-// CriticalPath returns how long all that a job depends on takes at least: the longest sum of run times along any chain of
-// dependencies. It also returns the jobs on all chains.
+// CriticalPath returns the least time that the jobs take on which a job depends: the longest sum of run times along any chain of
+// dependencies. It also returns all of these jobs.
 func (g *Graph) CriticalPath(job *jobs.Job, runTime TaskRunTime) (time.Duration, []*jobs.Job) {
 	ancestors := g.ancestors(job)
 	finish := map[*jobs.Job]time.Duration{}
@@ -146,9 +146,9 @@
 	return earliestStart(job), ancestors
 }
 
-// PropagateDeadline lets all that a job depends on inherit its deadline and its priority. Each job is due early enough that what
-// depends on it can run before its own deadline; startDelay is added for each, for the time between the end of one job and the
-// start of the next. With guaranteed, the jobs that inherit a deadline are treated as guaranteed too.
+// PropagateDeadline passes a job's deadline and priority on to all jobs that it depends on. Each of them is due early enough that
+// its dependents can run before their own deadlines; startDelay is the time between the end of one job and the start of the
+// next. If guaranteed is set, the jobs that inherit a deadline are treated as guaranteed too.
 func (g *Graph) PropagateDeadline(job *jobs.Job, runTime TaskRunTime, startDelay time.Duration, guaranteed bool) {
 	dependents := append([]*jobs.Job{job}, g.ancestors(job)...)
 	for _, dependent := range dependents { // dependents before their dependencies
--- a/internal/controller/dynamicconfig/store.go
+++ b/internal/controller/dynamicconfig/store.go
@@ -1,6 +1,6 @@
 // Package dynamicconfig has the operators' options that are in effect: those of the controller's own file, or those that were
-// applied while the controllers run, which the state service keeps. Its Store owns the options and the record of their changes; a
-// leadership makes one and other packages only read it.
+// applied while the controllers run, which the state service keeps. Its Store owns the options and the record of their changes; each
+// leadership has one, and other packages only read it.
 //
 // The package never changes the options of the election (leader lease and grant), which all controllers have to have from their
 // start. Design note: docs/operations/controllers.md describes each option.
@@ -25,9 +25,9 @@
 const EntryKey = "s:options"
 
 const (
-	// busyRetryAfter is when an operator is told to try again while another change is being committed.
+	// busyRetryAfter is the Retry-After of a change while another one is being committed.
 	busyRetryAfter = time.Second
-	// unsavedRetryAfter is when an operator is told to try again if it is not known whether the change was committed.
+	// unsavedRetryAfter is the Retry-After of a change whose commit is in doubt.
 	unsavedRetryAfter = 2 * time.Second
 )
 
@@ -127,7 +127,7 @@
 	return next
 }
 
-// commit stores a record. The request is answered once the outcome is known or in doubt; a commit in doubt may still become
+// commit stores a record. The request is answered once the outcome is certain or in doubt; a commit in doubt may still become
 // durable later, and the options take effect then.
 func (s *Store) commit(now time.Time, request *server.Request, next *record, options config.Options) error {
 	s.isCommitting = true
@@ -162,7 +162,7 @@
 	s.log.Info("settings applied", "version", newest.Version, "author", newest.Author, "changes", strings.Join(newest.Details, ", "))
 }
 
-// activate puts other options into effect, except for those of the election.
+// activate puts options into effect, except for those of the election.
 func (s *Store) activate(options config.Options) {
 	options.LeaderLeaseDuration, options.GrantDuration = s.fileOptions.LeaderLeaseDuration, s.fileOptions.GrantDuration
 	s.current = options
--- a/internal/controller/estimate/estimate.go
+++ b/internal/controller/estimate/estimate.go
@@ -1,6 +1,6 @@
 // Package estimate predicts how long tasks run and how much work a job still needs. An Estimator owns, for each class
 // of jobs, the ratio of measured run times to the owners' estimates; the run times measured of one job are kept in
-// that job. It never decides anything: admission, the queue and the autoscaler ask it.
+// that job. It decides nothing; admission, the queue and the autoscaler use its estimates.
 //
 // Design note: docs/design/queue.md.
 package estimate
@@ -25,7 +25,7 @@
 	maxJobRuns = 8
 	// minTaskRunTime is the shortest run time that is ever predicted.
 	minTaskRunTime = time.Second
-	// minCountedCPUs is what a task without CPUs counts wherever CPUs are added up: it takes a place all the same.
+	// minCountedCPUs is the least that a task counts in sums of CPUs: one that asks for none takes a place on a machine too.
 	minCountedCPUs = 0.1
 )
 
--- a/internal/controller/fairshare/allocate.go
+++ b/internal/controller/fairshare/allocate.go
@@ -12,10 +12,10 @@
 
 const (
 	// minClassShareForLargest is the share of a class that is to be done before its largest jobs go ahead of the others.
-	// Of six jobs of four to ten minutes the longest got capacity as the third, could not be done by the end of the day,
-	// and kept it from one that could: two were done (hunt day a4e2-15).
+	// Without it the longest of six jobs got capacity as the third, could not be done by the end of the simulated day, and
+	// kept the capacity from a job that could: two were done (a4e2-15).
 	minClassShareForLargest = 0.5
-	// maxShareOfOneGroup is the part of a share that one group gets while others want some of it.
+	// maxShareOfOneGroup is the part of a share that one group gets while jobs of other groups wait for it.
 	maxShareOfOneGroup = 0.5
 )
 
@@ -90,7 +90,7 @@
 	return allocation.reasons
 }
 
-// dropFinished forgets the allocations of jobs that are not overdue any more or have nothing running.
+// dropFinished drops the allocations of jobs that are not overdue any more or have no active attempt.
 func (a *Allocator) dropFinished(overdue []OverdueJob) {
 	if len(a.allocated) == 0 {
 		return
@@ -165,8 +165,8 @@
 }
 
 // next is the group that gets capacity next: the one that is served least. Since a group that floods the queue is always
-// served least, a group that uses half of a share yields to any other group that wants some; but a group below the minimum
-// share never yields to one above it.
+// served least, a group that uses maxShareOfOneGroup goes behind the other groups with waiting jobs; but a group below the
+// minimum share never goes behind one above it.
 func (n *allocation) next() *groupState {
 	var least, leastBelowCap *groupState
 	for _, group := range n.groups {
--- a/internal/controller/fairshare/decaying_count.go
+++ b/internal/controller/fairshare/decaying_count.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// minListedCount is the count below which a group is as good as never served.
+// minListedCount is the count below which a group is neither listed nor saved.
 const minListedCount = 0.01
 
 // decayingCount is a number of jobs that decays exponentially with time.
--- a/internal/controller/fairshare/fairshare.go
+++ b/internal/controller/fairshare/fairshare.go
@@ -1,11 +1,11 @@
 // Package fairshare keeps any class of jobs and any team from being left unserved in a long shortage (fair sharing). An
 // Allocator owns the counts of recently done jobs by class and team, and the set of overdue jobs that have capacity of
-// their own. The queue asks it for each order. It never starts, stops or places a task.
+// their own. The queue calls it for each order. It never starts, stops or places a task.
 //
 // A job is overdue if it can meet none of its objectives any more or has waited past the age bound; it is unserved if it
 // is overdue by so much that it counts against its class and team. Overdue jobs have two shares of the cluster: a small
-// one at all times, and a larger one while a class or team has less than the minimum share of its jobs done. Of both, the
-// class or team goes next that would otherwise be served least, with its job of the least remaining work.
+// one at all times, and a larger one while a class or team has less than the minimum share of its jobs done. Both go first
+// to the class or team that is served least, and there to the job with the least remaining work.
 //
 // Design note, with the alternatives and their limits: docs/design/fairshare.md.
 package fairshare
@@ -89,8 +89,7 @@
 	ServedShare float64 // done jobs, of done and unserved ones
 }
 
-// Allocator gives overdue jobs capacity of their own. It is made by a leader at its election, and is not safe for
-// concurrent use.
+// Allocator allocates capacity to overdue jobs. Each leadership has its own. It is not safe for concurrent use.
 type Allocator struct {
 	policy      Policy
 	done        map[Group]*decayingCount // jobs done
@@ -103,7 +102,7 @@
 	nextSave  time.Time
 }
 
-// New makes an allocator that has seen no job.
+// New returns an allocator without counts.
 func New(policy Policy) *Allocator {
 	return &Allocator{
 		policy:      policy,
@@ -149,8 +148,8 @@
 	return groups
 }
 
-// ReservedCPUShare is the share of the cluster's CPUs that must not be promised to deadline jobs, since overdue jobs may
-// take it now.
+// ReservedCPUShare is the share of the cluster's CPUs that must not be planned for deadline jobs, since overdue jobs may
+// use it now.
 func (a *Allocator) ReservedCPUShare() float64 {
 	share := 0.0
 	for _, status := range a.status {
--- a/internal/controller/fairshare/job_size.go
+++ b/internal/controller/fairshare/job_size.go
@@ -8,8 +8,8 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// The users don't define which jobs are the largest of a class. Two readings count, by work and by number of tasks: the
-// top tenth of the jobs of the class that were seen recently, one at least, if they are larger than the median.
+// The users do not define which jobs are the largest of a class. Jobs count as largest by work or by number of tasks: the
+// top tenth of the recent jobs of the class, one at least, if they are larger than the median.
 const (
 	largestQuantile = 0.9
 	// maxRecentSizes bounds the sizes of done jobs that are kept by class.
@@ -18,14 +18,14 @@
 	thresholdInterval = 16
 )
 
-// jobSize is the size of a job by both readings.
+// jobSize is the size of a job by both measures.
 type jobSize struct{ work, tasks float64 }
 
 func sizeOf(job *jobs.Job) jobSize {
 	return jobSize{work: float64(job.Tasks) * job.RunTimeEstimate.Seconds() * estimate.CountedCPUs(job), tasks: float64(job.Tasks)}
 }
 
-// isLargest reports whether the job is one of the largest of its class by either reading.
+// isLargest reports whether the job is one of the largest of its class by either measure.
 func (a *Allocator) isLargest(job *jobs.Job) bool {
 	threshold, ok := a.largestFrom[job.Class]
 	size := sizeOf(job)
@@ -69,10 +69,10 @@
 
 // largestThreshold is the smallest value of the top tenth that is larger than the median; infinite if all are of one
 // size.
-func largestThreshold(sizes []jobSize, reading func(jobSize) float64) float64 {
+func largestThreshold(sizes []jobSize, measure func(jobSize) float64) float64 {
 	values := make([]float64, len(sizes))
 	for i, size := range sizes {
-		values[i] = reading(size)
+		values[i] = measure(size)
 	}
 	slices.Sort(values)
 	for _, value := range values[min(int(largestQuantile*float64(len(values))), len(values)-1):] {
--- a/internal/controller/fairshare/saved_state.go
+++ b/internal/controller/fairshare/saved_state.go
@@ -12,17 +12,17 @@
 )
 
 // EntryName is the storage entry that keeps the counts of done jobs. Without it a leader elected in a shortage would
-// begin with no group served, and let those wait again that were left unserved before.
+// count every group as not served, and the groups that were left unserved before would wait again.
 const EntryName = "f:served"
 
 const (
-	// saveInterval is the least time between two writes. They go with commits that are made anyway.
+	// saveInterval is the least time between two writes, which share a commit with other changes.
 	saveInterval = 5 * time.Second
 	// maxSavedGroups bounds the saved groups to those with the most jobs, and fewer if a page does not hold them.
 	maxSavedGroups = 24
 	// maxEntryBytes is what maxSavedGroups need at most.
 	maxEntryBytes = 2200
-	// maxNameBytes bounds the names of saved groups. They are the platform's, and useless if they are cut.
+	// maxNameBytes bounds the names of saved groups. Groups with longer names are not saved.
 	maxNameBytes = 40
 )
 
--- a/internal/controller/jobs/attempt.go
+++ b/internal/controller/jobs/attempt.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Attempt is one run of a task: from the moment its start is decided until its machine is known not to have it any more.
+// Attempt is one run of a task, from the assignment to a machine until that machine certainly does not run it any more.
 type Attempt struct {
 	Task              TaskID
 	Number            uint64 // unique over all leaders
 	MachineID         string
 	Zone              string
-	Job               *Job // nil if the job is not known
+	Job               *Job // nil for a task of a job that is not in the job store
 	AssignedAt        time.Time
 	IsUnsent          bool      // its start command waits for the machine's next heartbeat
 	RunningSince      time.Time // when a heartbeat first reported it as running; zero: not yet
 	IsCheckpointing   bool
 	StopSentAt        time.Time // when a stop command was last sent; zero: never
 	LastSeenReconcile uint64    // number of the last reconciliation of its machine that found it; 0: none did
-	KillsSent         int       // heartbeat responses that told its machine to kill it
+	KillsSent         int       // heartbeat responses with a command to kill it
 	IsOrphan          bool      // it must not run: it is stopped, and holds its resources until it is gone
 }
 
-// minRunBeforePreemption is how long the first tasks of a job run before they may be preempted: a user who waits for the job
-// to start has gained nothing from a start that is stopped at once.
+// minRunBeforePreemption is how long the first tasks of a job run before they may be preempted: a start that
+// is stopped at once is of no use to the user who waits for it.
 const minRunBeforePreemption = 30 * time.Second
 
 // CanBePreempted reports whether the attempt may be stopped for a job of a higher priority. Only tasks that save
--- a/internal/controller/jobs/bitset.go
+++ b/internal/controller/jobs/bitset.go
@@ -30,7 +30,7 @@
 	return count
 }
 
-// encode returns the words as base64 of little-endian bytes, without trailing zero bytes. This is the form on storage.
+// encode returns the words as base64 of little-endian bytes, without trailing zero bytes. This is the stored form.
 func (s bitset) encode() string {
 	raw := make([]byte, 0, len(s)*bytesPerWord)
 	for _, word := range s {
--- a/internal/controller/jobs/chunk.go
+++ b/internal/controller/jobs/chunk.go
@@ -7,7 +7,7 @@
 )
 
 // tasksPerChunk is how many tasks' results one entry of the state service holds. Jobs with more tasks store their results in
-// several chunks, since a record has to fit into a page and is written whole.
+// several chunks, since a record is written whole and has to fit into a page.
 const tasksPerChunk = 2048
 
 // MaxChunkBytes is the most JSON bytes of a chunk.
--- a/internal/controller/jobs/fields.go
+++ b/internal/controller/jobs/fields.go
@@ -13,7 +13,7 @@
 	maxDuration  = 365 * 24 * time.Hour
 )
 
-// ValidationError says why a submission is not taken. Users see the reason.
+// ValidationError is the reason why a submission is refused. Users see it.
 type ValidationError struct {
 	Status int // HTTP status of the answer
 	Reason string
@@ -26,8 +26,8 @@
 	return &ValidationError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// fieldReader reads the fields of a submission. Its first error stays; the readers go on with zero values, so that the caller
-// looks at err once at the end.
+// fieldReader reads the fields of a submission. It keeps the first error; after it the read methods return what they can, so that the
+// caller checks err once at the end.
 type fieldReader struct {
 	values map[string]any
 	err    error
--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -1,6 +1,6 @@
 // Package jobs has the jobs that users submit and the state of their tasks: which are done, which run, which wait to be started.
 // It reads submissions (ParseSpec) and converts jobs to and from their stored form (Record, Chunk). A Job owns the progress of
-// its tasks; which job waits for which is set by package dependencies, and failures are set by package heartbeat.
+// its tasks; package dependencies sets which job waits for which, and package heartbeat sets failures.
 //
 // The package writes and sends nothing, and decides nothing about where or when a task runs. It has no locks: a Job belongs to
 // the controller's one goroutine that owns the state. Design notes: docs/design/storage.md, docs/design/upgrade.md.
@@ -8,7 +8,7 @@
 
 import "time"
 
-// State is how far a job is, as far as the state service knows.
+// State is the state of a job that is in the state service.
 type State int
 
 // States of a job.
@@ -27,7 +27,7 @@
 	nameCancelled = "cancelled"
 )
 
-// Terms are what a job was promised when it was accepted.
+// Terms are what was decided for a job when it was accepted.
 type Terms struct {
 	Guaranteed           bool          // admitted with a reservation; otherwise best effort
 	FirstStartBound      time.Duration // bound on the wait for its first task to start; 0: none was stated
@@ -38,15 +38,15 @@
 
 // DependencyStatus is a job's place in the graph of dependencies.
 type DependencyStatus struct {
-	UnmetDependencies      int       // dependencies that are not known to be done durably; set by dependencies.Graph
-	ReadyAt                time.Time // when the last dependency was done; zero: none was open
-	HasUndecidedDependency bool      // whether one of them was cancelled is not known until the archive has been read
+	UnmetDependencies      int       // dependencies whose end is not durable yet; set by dependencies.Graph
+	ReadyAt                time.Time // when the last dependency was done; zero: the job never waited for one
+	HasUndecidedDependency bool      // one of them may have been cancelled: the archive has to be read to decide
 	InheritedDeadline      time.Time // from jobs that depend on this one; zero: none
 	InheritedPriority      Priority  // of the most urgent job that depends on this one
 	RequiredByGuaranteed   bool      // a guaranteed job depends on this one, so it is treated as guaranteed itself
 }
 
-// FailureStatus is what is known of a job's failed attempts. Package heartbeat sets it.
+// FailureStatus records a job's failed attempts. Package heartbeat sets it.
 type FailureStatus struct {
 	FailedMachines map[string]bool // machines on which tasks of the job failed
 	NotBefore      time.Time       // no task starts before this
@@ -66,8 +66,8 @@
 	SubmittedAt       time.Time
 	IsCancelling      bool      // a cancellation is being committed; nothing starts any more
 	IsFinishing       bool      // all tasks are done, and that is being committed
-	CancelConfirmedAt time.Time // the earliest that its user can have been told of the cancellation; zero: not known
-	PassedOverSince   time.Time // since when machines without its image have been left to other jobs; zero: not at present
+	CancelConfirmedAt time.Time // earliest time at which the cancellation can have been confirmed to its user; zero: unknown
+	PassedOverSince   time.Time // since when the job has left machines without its image to other jobs; zero: it does not
 
 	maxRecordBytes int // see MaxRecordBytes; 0: not calculated yet
 }
--- a/internal/controller/jobs/parse.go
+++ b/internal/controller/jobs/parse.go
@@ -11,7 +11,7 @@
 const maxMachineTypes = 100
 
 // ParseSpec reads a submission, a MessagePack map (wire protocol, "POST /work"). The error is a *ValidationError with status 400
-// that names the first invalid field. The Spec then has what could be read, its ID above all.
+// that names the first invalid field. The Spec then has the fields that could be read; its ID may be valid.
 func ParseSpec(body []byte) (Spec, error) {
 	values, err := codec.UnmarshalMap(body)
 	if err != nil {
--- a/internal/controller/jobs/progress.go
+++ b/internal/controller/jobs/progress.go
@@ -5,11 +5,11 @@
 // Progress is which tasks of a job are done, which have an active attempt and which wait to be started.
 //
 // A task waits to be started if it is in retryTasks or at nextUntried or above, and neither done nor active: a late heartbeat may
-// report a task as running or done that stands in the queue. TakeNextTask skips those.
+// report a task of these as running or done. TakeNextTask skips such tasks.
 type Progress struct {
 	DoneTasks        int
 	ActiveAttempts   map[int]*Attempt // by task index; changed by AddAttempt and RemoveAttempt only
-	ResumedTasks     map[int]bool     // tasks that resumed from a checkpoint, so that their last run time says little
+	ResumedTasks     map[int]bool     // tasks that resumed from a checkpoint: their last run time is not that of a whole task
 	CompletedRunTime time.Duration    // sum over the tasks that were seen from start to end
 	CompletedRuns    int              // number of those tasks
 
@@ -85,7 +85,7 @@
 // IsTaskDurable reports whether the completion of a task is in the state service.
 func (j *Job) IsTaskDurable(task int) bool { return j.State == Done || j.durableBits.has(task) }
 
-// RecordTaskDone records that a task has completed. It returns false if that was known.
+// RecordTaskDone records that a task has completed. It returns false if that was recorded before.
 func (j *Job) RecordTaskDone(task int) bool {
 	if j.IsTaskDone(task) {
 		return false
--- a/internal/controller/jobs/spec.go
+++ b/internal/controller/jobs/spec.go
@@ -8,7 +8,7 @@
 // Priority orders jobs by urgency: the higher, the more urgent.
 type Priority int
 
-// Priorities that a submission may ask for.
+// Priorities of a submission.
 const (
 	Low Priority = iota
 	Normal
--- a/internal/controller/placement/gangs.go
+++ b/internal/controller/placement/gangs.go
@@ -48,8 +48,8 @@
 	p.withdrawGangStarts(now)
 }
 
-// withdrawGangStarts takes back the starts for silent or draining machines and for jobs that must not start any more. They
-// were never sent.
+// withdrawGangStarts takes back starts that were not sent yet, if the machine is silent or draining or the job must not start
+// any more.
 func (p *Placer) withdrawGangStarts(now time.Time) {
 	maxWait := 2*p.platform.HeartbeatInterval + gangStartSlack
 	for attempt, machine := range p.pendingGangStarts {
--- a/internal/controller/placement/placement.go
+++ b/internal/controller/placement/placement.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// maxOrderAge is after how long the order is made anew even if nothing is known to have changed.
+	// maxOrderAge is the age at which the order is computed again even if InvalidateOrder was not called.
 	maxOrderAge = 500 * time.Millisecond
 	// gangInterval is the time between two attempts to place waiting gangs.
 	gangInterval = 200 * time.Millisecond
@@ -28,8 +28,8 @@
 	resourceTolerance = 1e-6
 )
 
-// Placer decides where tasks start. A leader makes it at its election. It is not safe for concurrent use. Starts leave it
-// as commands for the response to a machine's heartbeat.
+// Placer decides where tasks start. Each leadership has its own. It is not safe for concurrent use. It returns starts as
+// commands for the response to a machine's heartbeat.
 type Placer struct {
 	platform     *config.Platform
 	teams        map[string]config.Team
@@ -101,7 +101,7 @@
 	}
 }
 
-// heartbeatIsRecent reports whether the machine was heard within two heartbeat intervals.
+// heartbeatIsRecent reports whether a heartbeat of the machine arrived within the last two heartbeat intervals.
 func (p *Placer) heartbeatIsRecent(now time.Time, machine *worker.Machine) bool {
 	return now.Sub(machine.LastContactAt) < 2*p.platform.HeartbeatInterval
 }
--- a/internal/controller/placement/preempt.go
+++ b/internal/controller/placement/preempt.go
@@ -36,8 +36,8 @@
 }
 
 // preempt stops best-effort tasks where a guaranteed job would otherwise miss its deadline. The protocol allows it for a
-// team's guaranteed quota too; that was tried and gained nothing, since stopping with a checkpoint takes as long as
-// waiting. Only tasks with checkpoints are stopped, and their machines are reserved for the job.
+// team's guaranteed quota too, but a trial of that gained nothing: stopping with a checkpoint takes as long as waiting.
+// Only tasks with checkpoints are stopped, and their machines are reserved for the job.
 func (p *Placer) preempt(now time.Time) {
 	p.refreshOrder(now)
 	var survey *preemptionSurvey
@@ -59,7 +59,7 @@
 	}
 }
 
-// isUrgent reports whether the job would be late if it waited until resources become free by themselves.
+// isUrgent reports whether the job has to start about now to meet its deadline.
 func isUrgent(now time.Time, entry *queue.Entry, heartbeatInterval time.Duration) bool {
 	return admission.DueAt(entry.Job).Sub(now) < entry.TaskRunTime+2*heartbeatInterval+preemptionSlack
 }
@@ -79,7 +79,7 @@
 	return survey
 }
 
-// add adds a machine and its tasks; those of a machine that was not heard recently are not preempted.
+// add adds a machine and its tasks. Tasks are preempted only on machines with a recent heartbeat.
 func (s *preemptionSurvey) add(now time.Time, machine *worker.Machine, isHeartbeatRecent bool) {
 	freeable := freeableMachine{machine: machine}
 	for _, attempt := range machine.Attempts {
--- a/internal/controller/placement/reservations.go
+++ b/internal/controller/placement/reservations.go
@@ -36,14 +36,14 @@
 	clear(r.jobs)
 }
 
-// reservationPass is the state of one walk over the order.
+// reservationPass is the state of one pass over the order.
 type reservationPass struct {
 	free []*worker.Machine // not reserved, the most free CPUs first; nil until it is needed
 	fits shapeFits
 }
 
 // updateReservations reserves machines anew for the jobs that may reserve but fit nowhere yet, in their order and on the
-// machines with the most free CPUs, so that smaller tasks don't take those bit by bit.
+// machines with the most free CPUs, so that smaller tasks do not take their free resources bit by bit.
 func (p *Placer) updateReservations(now time.Time) {
 	p.reservations.clear()
 	pass := reservationPass{fits: newShapeFits(len(p.order.shapes))}
--- a/internal/controller/placement/shapes.go
+++ b/internal/controller/placement/shapes.go
@@ -27,8 +27,8 @@
 	return &representative
 }
 
-// shapeFits is, by the number of a shape, what is known of its tasks on the free machines, so that not every job of the
-// queue walks the machines anew.
+// shapeFits caches, by the number of a shape, how many of its tasks fit on the free machines, so that the machines are
+// walked once for each shape and not for each job.
 type shapeFits []shapeFit
 
 type shapeFit struct {
@@ -59,7 +59,7 @@
 // free CPUs.
 func (f shapeFits) fittingTasks(job *jobs.Job, number int, free []*worker.Machine, maxTasks int) int {
 	if job.FailureCount > 0 {
-		return countFittingTasks(job, free, maxTasks) // machines on which it failed don't count for this job alone
+		return countFittingTasks(job, free, maxTasks) // this job cannot use the machines on which it failed
 	}
 	fit := &f[number]
 	if !fit.isCounted {
@@ -68,7 +68,7 @@
 	return min(fit.tasks, maxTasks)
 }
 
-// countFittingTasks walks the free machines for fittingTasks.
+// countFittingTasks counts by a walk over the free machines.
 func countFittingTasks(job *jobs.Job, free []*worker.Machine, maxTasks int) int {
 	tasks := 0
 	for _, machine := range free {
--- a/internal/controller/placement/start_tasks.go
+++ b/internal/controller/placement/start_tasks.go
@@ -11,15 +11,15 @@
 )
 
 // maxMachinesExamined bounds the fuller machines that are examined for one job in one heartbeat: the cost of a heartbeat
-// must not grow with the cluster. Packing loses little by it: where so many fuller machines have no resources for the job,
-// there are few free resources at all.
+// must not grow with the cluster. Packing loses little by it: if so many fuller machines have no resources for the job,
+// there are few free resources in the cluster.
 const maxMachinesExamined = 64
 
-// shapeCheck is what is known of the tasks of one shape on the machine whose starts are chosen.
+// shapeCheck caches what was found for the tasks of one shape on the machine whose starts are chosen.
 type shapeCheck struct {
 	isRejected      bool // none of them fits, or the machine's kind is not allowed
 	isFullerCounted bool
-	tasksOnFuller   int // that fit on fuller machines, if it is known
+	tasksOnFuller   int // that fit on fuller machines; valid if isFullerCounted
 }
 
 // startBatch is the starts that are chosen for a machine's heartbeat response.
@@ -74,7 +74,7 @@
 			}
 			entry := &candidates[i]
 			if p.rejects(batch.machine, entry) {
-				continue // most of a long queue
+				continue // the usual case in a long queue
 			}
 			if prefersMachine(batch.now, entry.Job, batch.machine) == withImage {
 				p.startTasksOf(batch, entry)
@@ -158,7 +158,7 @@
 	return commands
 }
 
-// resetShapeChecks forgets what was known of another machine.
+// resetShapeChecks clears the checks, which are for another machine.
 func (p *Placer) resetShapeChecks() {
 	shapes := len(p.order.shapes)
 	if cap(p.shapeChecks) < shapes {
--- a/internal/controller/queue/facts.go
+++ b/internal/controller/queue/facts.go
@@ -8,16 +8,16 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// orderFacts are what the rules know of all jobs together.
+// orderFacts is what is computed once for an order from all jobs. The rules read it.
 type orderFacts struct {
 	now           time.Time
-	clusterCPUs   float64 // at least 1
-	planned       map[*jobs.Job]bool
-	withinQuota   map[*jobs.Job]bool
-	agedFirst     map[*jobs.Job]bool
-	awaitingStart map[*jobs.Job]bool
-	limitBound    map[string]bool // by team
-	overdue       map[*jobs.Job]fairshare.Reason
+	clusterCPUs   float64                        // at least 1
+	planned       map[*jobs.Job]bool             // guaranteed, and the work fits before the deadline
+	withinQuota   map[*jobs.Job]bool             // within the team's guaranteed quota
+	agedFirst     map[*jobs.Job]bool             // aged, and served before everything else
+	awaitingStart map[*jobs.Job]bool             // nothing was started for long
+	limitBound    map[string]bool                // teams whose work is delayed by their quota
+	overdue       map[*jobs.Job]fairshare.Reason // overdue jobs that have capacity of their own
 }
 
 // candidate is a job that is being ranked.
--- a/internal/controller/queue/initial_tasks.go
+++ b/internal/controller/queue/initial_tasks.go
@@ -28,8 +28,8 @@
 }
 
 // jobsAwaitingStart returns the jobs of which nothing was started within the bound for first starts, the oldest first, as
-// far as the share for initial tasks goes. By shortest remaining time alone the largest jobs would start last, which took
-// them more than four minutes.
+// far as the share for initial tasks goes. Without this
+// rule the order by shortest remaining time started the largest jobs last, after more than four minutes.
 func (r *Ranker) jobsAwaitingStart(now time.Time, live []*jobs.Job, capacity admission.Capacity) map[*jobs.Job]bool {
 	if r.options.StartBound <= 0 {
 		return nil
--- a/internal/controller/queue/overdue.go
+++ b/internal/controller/queue/overdue.go
@@ -42,16 +42,16 @@
 	return now.Sub(job.EligibleSince()) > min(5*longest/4, r.overdueAfter(now, job))
 }
 
-// overdueAfter is the age from which a job is overdue whatever its objectives are: the age bound, or less if no job of
-// its class was done recently. Without the latter, six jobs of a class with long objectives got no capacity before the
-// age bound, and only two were done by the end of the day (hunt day a4e2-15).
+// overdueAfter is the age from which a job is overdue even if it can still meet its objectives: the age bound, or less if
+// no job of its class was done recently. Without the shorter age, six jobs of a class with long objectives got no capacity
+// before the age bound, and only two were done by the end of the simulated day (a4e2-15).
 func (r *Ranker) overdueAfter(now time.Time, job *jobs.Job) time.Duration {
 	startBound := r.options.StartBound
 	if startBound <= 0 || !r.fairShare.NoneDoneRecently(now, job.Class) {
 		return r.options.AgeBound
 	}
 	if r.estimator.TaskRunTime(job) > startBound {
-		return min(startBound, r.options.AgeBound) // tasks this long are done late, or not at all, if they wait longer
+		return min(startBound, r.options.AgeBound) // longer than this, such tasks would be done late or not at all
 	}
 	return min(8*startBound/5, r.options.AgeBound)
 }
--- a/internal/controller/queue/queue.go
+++ b/internal/controller/queue/queue.go
@@ -1,6 +1,6 @@
-// Package queue orders the jobs that may run. A Ranker owns the objectives of the job classes and the list of rules; what
-// it needs to know of run times, guarantees and served shares it asks of the packages estimate, admission and fairshare.
-// It never places, starts or stops a task.
+// Package queue orders the jobs that may run. A Ranker owns the objectives of the job classes and the list of rules. Run
+// times, guarantees and served shares come from the packages estimate, admission and fairshare. It never places, starts or
+// stops a task.
 //
 // The order is by rank, and within a rank by a key. Each rank is given by a rule; the first rule that matches a job ranks
 // it.
@@ -47,14 +47,14 @@
 	fairShare  *fairshare.Allocator
 }
 
-// Components are the parts of the controller that a Ranker asks.
+// Components are the parts of the controller that a Ranker uses.
 type Components struct {
 	Estimator *estimate.Estimator
 	Planner   *admission.Planner
 	FairShare *fairshare.Allocator
 }
 
-// NewComponents makes components that know nothing of earlier jobs, as a new leader does.
+// NewComponents returns the components of a new leader, without data of earlier jobs.
 func NewComponents(options config.Options) Components {
 	estimator, fairShare := estimate.New(), fairshare.New(fairshare.PolicyOf(options))
 	return Components{Estimator: estimator, Planner: admission.New(options, estimator, fairShare), FairShare: fairShare}
@@ -114,7 +114,7 @@
 	return entry
 }
 
-// compareEntries orders entries by rank, key and job ID, so that the order never depends on that of the jobs.
+// compareEntries orders entries by rank, sort key and job ID, so that the result does not depend on the input order.
 func compareEntries(a, b Entry) int {
 	if a.Rank != b.Rank {
 		return cmp.Compare(a.Rank, b.Rank)
--- a/internal/controller/queue/rank.go
+++ b/internal/controller/queue/rank.go
@@ -1,9 +1,9 @@
 package queue
 
-// Rank is a job's class in the order: the lower, the earlier.
+// Rank is the first sort key of the order: jobs of a lower rank go first.
 type Rank int
 
-// The ranks, the first first.
+// The ranks, in the order in which they are served.
 const (
 	RankAgedFirst        Rank = iota // aged, within the share that is served before everything else
 	RankService                      // service
@@ -37,5 +37,5 @@
 	RankCrashLooping:     "its tasks fail wherever they are tried",
 }
 
-// Reason tells users why a job has the rank. The texts are part of the API.
+// Reason returns the text that explains the rank to users. The texts are part of the API.
 func (r Rank) Reason() string { return reasons[r] }
--- a/internal/controller/queue/rules.go
+++ b/internal/controller/queue/rules.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// crashLoopingRule ranks jobs whose tasks fail on every machine last: one task is tried now and then.
+// crashLoopingRule ranks jobs whose tasks fail on every machine last. One of their tasks is retried at a time.
 type crashLoopingRule struct{}
 
 func (crashLoopingRule) matches(c *candidate) bool { return c.job.CrashLooping }
@@ -72,7 +72,7 @@
 	return position{rank: RankService, sortKey: -float64(c.job.Priority), mayReserve: true}
 }
 
-// initialTasksRule gives the first few tasks to jobs of which nothing was started for long, the oldest first.
+// initialTasksRule starts the first few tasks of jobs of which nothing was started for long, the oldest job first.
 type initialTasksRule struct{}
 
 func (initialTasksRule) matches(c *candidate) bool { return c.awaitingStart[c.job] }
@@ -140,8 +140,8 @@
 	return position{rank: RankAged, sortKey: -c.age.Seconds(), mayReserve: true}
 }
 
-// objectivesMissedRule ranks jobs that can meet none of their objectives any more behind those that can: being early
-// earns them nothing.
+// objectivesMissedRule ranks jobs that can meet none of their objectives any more behind those that can, since an early
+// start gains nothing for them.
 type objectivesMissedRule struct{ objectives *objectives }
 
 func (r objectivesMissedRule) matches(c *candidate) bool {
--- a/internal/controller/submission/limiter.go
+++ b/internal/controller/submission/limiter.go
@@ -1,6 +1,6 @@
 // Package submission limits how many submissions wait to be written to persistent state. A Limiter owns the count of
-// pending submissions and the retry tickets of each team. It never looks at a job, and knows nothing of the tickets of an
-// earlier leader.
+// pending submissions and the retry tickets of each team. It never reads or changes a job, and the tickets of an earlier
+// leader are lost.
 //
 // Design note: docs/design/ageing.md, "The submission limiter".
 package submission
@@ -10,11 +10,11 @@
 )
 
 const (
-	// sharingWindow is how long after its last attempt a team counts among those that share the limit.
+	// sharingWindow is how long after its last submission a team counts among those that share the limit.
 	sharingWindow = 10 * time.Second
-	// ticketLifetime is how long a ticket is valid after its time. Users retry for 60 s in all.
+	// ticketLifetime is how long a ticket is valid after its notBefore. Users retry for 60 s in all.
 	ticketLifetime = 30 * time.Second
-	// minRetryAfter and maxRetryAfter bound what a user is told. A user who is told more than 30 s retries after 30 s.
+	// minRetryAfter and maxRetryAfter bound the Retry-After of an answer. Clients cut a longer one to 30 s.
 	minRetryAfter = time.Second
 	maxRetryAfter = 30 * time.Second
 	// maxTicketsPerTeam bounds the memory for a team whose users never retry.
@@ -24,7 +24,7 @@
 )
 
 // Limiter bounds the submissions that are pending at a time, fairly between teams. A refused submission gets a ticket:
-// the time from which a retry is accepted, in the order of first attempts. Retrying earlier gains nothing. A Limiter is
+// the time from which a retry is accepted, in the order of the first submissions. Retrying earlier gains nothing. A Limiter is
 // not safe for concurrent use.
 type Limiter struct {
 	maxPending int
@@ -34,7 +34,7 @@
 	sweptAt    time.Time
 }
 
-// team is what the limiter knows of one team.
+// team is the state of one team.
 type team struct {
 	pending        int
 	lastSubmission time.Time
@@ -46,7 +46,7 @@
 	return &Limiter{maxPending: max(maxPending, 1), saveRate: max(saveRate, minSaveRate), teams: map[string]*team{}}
 }
 
-// Acquire asks for one more pending submission. If it is refused, retryAfter is when to try again. Each accepted
+// Acquire takes the place of one pending submission. If it is refused, retryAfter is when to try again. Each accepted
 // submission is to be followed by one Release.
 func (l *Limiter) Acquire(now time.Time, teamName, jobID string) (accepted bool, retryAfter time.Duration) {
 	l.removeIdleTeams(now)
@@ -56,7 +56,7 @@
 	notBefore, hasTicket := t.tickets.notBefore[jobID]
 	free := share - t.pending
 	if !hasTicket {
-		free -= t.tickets.unusedDue // those are before it
+		free -= t.tickets.unusedDue // tickets whose time has come go first
 	}
 	if l.pending < l.maxPending && free > 0 && (!hasTicket || !now.Before(notBefore)) {
 		t.tickets.remove(jobID)
@@ -73,7 +73,7 @@
 	return false, min(max(notBefore.Sub(now), minRetryAfter), maxRetryAfter)
 }
 
-// Release ends a pending submission of the team: it is saved, or never will be.
+// Release frees the place of a pending submission of the team, which was saved or refused.
 func (l *Limiter) Release(teamName string) {
 	if t := l.teams[teamName]; t != nil && t.pending > 0 {
 		t.pending--
@@ -84,7 +84,7 @@
 // Pending is the number of submissions that were accepted and not released.
 func (l *Limiter) Pending() int { return l.pending }
 
-// team returns the named team, which makes an attempt now.
+// team returns the named team and records that it submits now.
 func (l *Limiter) team(now time.Time, name string) *team {
 	t := l.teams[name]
 	if t == nil {
@@ -95,8 +95,8 @@
 	return t
 }
 
-// teamShare is the number of submissions that one team may have pending. There is no limit by team as long as half of
-// the limit is free.
+// teamShare is the number of submissions that one team may have pending. Teams are not limited while less than half of
+// maxPending is used.
 func (l *Limiter) teamShare(now time.Time) int {
 	if l.pending < l.maxPending/2 {
 		return l.maxPending
@@ -115,7 +115,7 @@
 	return max(active, 1)
 }
 
-// removeIdleTeams drops expired tickets, and the teams that have neither tickets nor recent attempts.
+// removeIdleTeams drops expired tickets, and the teams that have neither tickets nor recent submissions.
 func (l *Limiter) removeIdleTeams(now time.Time) {
 	if now.Sub(l.sweptAt) < time.Second {
 		return
--- a/internal/controller/submission/tickets.go
+++ b/internal/controller/submission/tickets.go
@@ -6,8 +6,8 @@
 type ticketQueue struct {
 	notBefore map[string]time.Time // by job, the time from which a retry is accepted
 	queue     []ticket             // all tickets given, by that time; used ones are dropped when they expire
-	due       int                  // tickets of the queue whose time has come, or comes before a retry could
-	unusedDue int                  // of those, the tickets that have not been used
+	due       int                  // tickets of the queue whose notBefore is less than minRetryAfter ahead
+	unusedDue int                  // due tickets that have not been used
 }
 
 type ticket struct {
--- a/internal/controller/zones/recovery.go
+++ b/internal/controller/zones/recovery.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// probeInterval is how often an instance is requested in an unavailable zone, to learn whether it is back, if no machine
-	// was left there to show it.
+	// probeInterval is how often an instance is requested in an unavailable zone, to find out whether it is back, if no
+	// machine is left there whose heartbeat would show it.
 	probeInterval = 20 * time.Second
-	// sentinelShare is the share of an unavailable zone's machines that are not given up for their silence: their first
-	// heartbeat shows at once that the zone is back. A probe takes a boot and up to probeInterval longer.
+	// sentinelShare is the share of an unavailable zone's machines that are kept although they are silent: their first
+	// heartbeat shows at once that the zone is back, while a probe takes up to probeInterval and a boot.
 	sentinelShare = 0.03
 	minSentinels  = 2
 	// firstRecoveryStep is how many instances may be requested at once in a zone that recovers. The limit doubles every
--- a/internal/controller/zones/state.go
+++ b/internal/controller/zones/state.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// State is what a zone's connection with the leader is taken for.
+// State is the state of a zone's connection with the leader, judged by the heartbeats from its machines.
 type State int
 
 // States of a zone.
@@ -62,13 +62,13 @@
 
 // recovery limits the requests for instances in a zone that is Unavailable or Recovering.
 type recovery struct {
-	lastProbe time.Time // when an instance was last requested to learn whether the zone is back
+	lastProbe time.Time // when an instance was last requested to find out whether the zone is back
 	stepStart time.Time
 	limit     int // instances that may be requested in the present step
 	requested int // in the present step
 }
 
-// manyOverdue reports whether so many heartbeats are overdue that the zone is in doubt.
+// manyOverdue reports whether enough heartbeats are overdue for the zone to be suspected.
 func (z *zone) manyOverdue() bool {
 	overdue, expected := float64(z.machines.overdue), float64(z.machines.expected)
 	return overdue >= overdueShare*expected && z.machines.overdue >= minSilentMachines
--- a/internal/controller/zones/tracker.go
+++ b/internal/controller/zones/tracker.go
@@ -1,8 +1,8 @@
-// Package zones finds zones that are unavailable, and says what follows for the requests and the machines there. Its Tracker owns
+// Package zones detects unavailable zones, and limits the requests for instances there and the machines that are kept. Its Tracker owns
 // the state of each zone. It never requests, terminates or places anything.
 //
-// A zone is Unavailable when none of its heartbeats arrive, for longer than chance explains, while those of other zones do. That
-// no heartbeat arrives from any zone is a failure of this controller's network (package election/connectivity) and no evidence
+// A zone is Unavailable when none of its heartbeats arrive, for longer than chance explains, while those of other zones do. If no
+// heartbeat arrives from any zone, this controller's own network has failed (package election/connectivity), which is no evidence
 // against a zone. Design note, with the alternatives and the limits: docs/design/zones.md.
 package zones
 
@@ -20,13 +20,14 @@
 	// minSilentMachines is the number of machines that must be silent for a zone to be suspected.
 	minSilentMachines = 3
 	// minMissedHeartbeats is the number of consecutive heartbeats, of all machines of the zone together, that are not missing by
-	// chance.
+	// chance alone.
 	minMissedHeartbeats = 12
 	// minSilence is the shortest silence that counts: the network alone may delay everything that long.
 	minSilence = 1500 * time.Millisecond
 	// overdueShare is the share of a zone's machines whose heartbeats must be overdue for the zone to be suspected.
 	overdueShare = 0.25
-	// maxOverdueInOtherZones is the share of overdue machines in the other zones from which on the failure is rather ours.
+	// maxOverdueInOtherZones is the share of overdue machines in the other zones from which on this controller is more likely
+	// to have failed than the zone.
 	maxOverdueInOtherZones = 0.25
 	// maxDelay is how late a heartbeat may arrive because of the network.
 	maxDelay = 500 * time.Millisecond
@@ -136,7 +137,7 @@
 	return now.Sub(z.lastHeartbeat) >= max(min(untilEnoughMissed, untilAllOverdue), minSilence)
 }
 
-// evaluate moves a zone to the state that the evidence asks for.
+// evaluate sets the state of a zone by its overdue heartbeats and those of the other zones.
 func (t *Tracker) evaluate(now time.Time, name string, current *zone) {
 	if current.state != Unavailable {
 		current.machinesBeforeOutage = current.machines.expected
--- a/internal/wire/client/outbox.go
+++ b/internal/wire/client/outbox.go
@@ -1,28 +1,28 @@
-// Package client carries requests from the owner of a component's state to the outside: the components of a step add calls to an
-// Outbox, the runtime (or a simulated cluster) carries them out, and the owner runs each call's Done with its result. The package
-// does no I/O and owns nothing but the calls of one step and the levels of its rate limiters.
+// Package client has the calls from the owner of a component's state to other services: the components of a step add calls to an
+// Outbox, the runtime (or a simulated cluster) executes them, and the owner runs each call's Done with its result. The package does no
+// I/O and owns only the calls of one step and the tokens of its rate limiters. Design note: docs/design.md.
 package client
 
 import "time"
 
-// Destination names the far side of a call.
+// Destination is the kind of service that a call goes to.
 type Destination int
 
-// The far sides that a controller speaks to.
+// The destinations of a controller's calls.
 const (
 	StateService   Destination = iota
-	CloudAPI                   // of the cloud that machines are requested from
+	CloudAPI                   // the cloud that instances are requested from
 	PeerController             // another controller
 	WorkerAgent                // the worker of a machine
 )
 
-// Result is what came of a call. A status of 0 means that no response came: it is uncertain whether the request was, or will yet be,
+// Result is the result of a call. A status of 0 means that there was no response: it is uncertain whether the request was, or will yet be,
 // executed.
 type Result struct {
 	Status     int
 	Body       []byte
-	RetryAfter time.Duration // as the far side asked; 0: it did not
-	Err        error         // why no response came
+	RetryAfter time.Duration // of the response; 0: none
+	Err        error         // why there is no response; nil if there is one
 }
 
 // IsUncertain reports whether it is uncertain that the request was executed.
@@ -31,7 +31,7 @@
 // Call is one request.
 type Call struct {
 	Destination Destination
-	Addr        string // host:port, for destinations that have many
+	Addr        string // host:port, for destinations with several addresses
 	Method      string
 	Path        string // with the query
 	Body        any    // encoded in MessagePack; nil: none
@@ -46,7 +46,7 @@
 // Add adds a call, which is sent after the step.
 func (o *Outbox) Add(c Call) { o.calls = append(o.calls, c) }
 
-// TakeCalls returns what has been collected and starts anew.
+// TakeCalls returns the collected calls and removes them from the Outbox.
 func (o *Outbox) TakeCalls() []Call {
 	calls := o.calls
 	o.calls = nil
--- a/internal/wire/client/rate_limiter.go
+++ b/internal/wire/client/rate_limiter.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// RateLimiter is a token bucket. It reads no clock: the owner of it says what time it is.
+// RateLimiter is a token bucket. It reads no clock; its owner passes the time.
 type RateLimiter struct {
 	rate      float64 // tokens a second
 	capacity  float64
-	tokens    float64 // below 0 after more was taken than was available
+	tokens    float64 // negative if more was taken than available
 	updatedAt time.Time
 }
 
-// NewRateLimiter allows rate units a second on average, and at once as many as come together in the burst. It starts full.
+// NewRateLimiter allows rate units a second on average, and at once as many as accumulate in the burst. It starts full.
 func NewRateLimiter(rate float64, burst time.Duration) *RateLimiter {
 	capacity := rate * burst.Seconds()
 	return &RateLimiter{rate: rate, capacity: capacity, tokens: capacity}
@@ -25,5 +25,5 @@
 	return int(max(l.tokens, 0))
 }
 
-// Take uses n units, of which the caller has asked Available before.
+// Take uses n units. The caller checks Available first.
 func (l *RateLimiter) Take(n int) { l.tokens -= float64(n) }
--- a/internal/wire/codec/codec.go
+++ b/internal/wire/codec/codec.go
@@ -1,8 +1,8 @@
 // Package codec encodes and decodes the MessagePack bodies that controllers, workers, the state service, the cloud and users
 // exchange. Its one duty is to decode safely: a body from outside is validated in one pass before it is decoded, so that neither
-// deep nesting nor a huge declared length costs memory. It holds no state and knows no message type; those are declared by the
-// packages that send and receive them. It also says how large a value is as JSON, in which the protocol counts the limits of the state
-// service.
+// deep nesting nor a huge declared length costs memory. It holds no state and declares no message type; the
+// packages that send and receive messages do. It also computes the size of a value as JSON, in which the limits of the state service
+// are counted.
 package codec
 
 import (
--- a/internal/wire/codec/format.go
+++ b/internal/wire/codec/format.go
@@ -4,8 +4,8 @@
 	"encoding/binary"
 )
 
-// First bytes of MessagePack values, as https://github.com/msgpack/msgpack/blob/master/spec.md has them. The types that are left
-// out (binary, extensions) are not used here.
+// First bytes of MessagePack values (https://github.com/msgpack/msgpack/blob/master/spec.md). Binary and extension types are not
+// used by the protocol.
 const (
 	positiveFixintMax = 0x7f
 	fixmapMax         = 0x8f
@@ -41,8 +41,8 @@
 	fixstrMask        = 0x1f
 )
 
-// readLength cuts a length of 1, 2 or 4 bytes off the front. Every element of a collection and every byte of a string takes a byte
-// at least, so a length above what is left is refused before anything is allocated for it.
+// readLength reads a length of 1, 2 or 4 bytes and returns what follows it. Every element of a collection and every byte of a string
+// takes a byte at least, so a length above the remaining bytes is refused before anything is allocated for it.
 func readLength(b []byte, width int) (int, []byte, error) {
 	if len(b) < width {
 		return 0, nil, ErrTruncated
--- a/internal/wire/codec/json_size.go
+++ b/internal/wire/codec/json_size.go
@@ -6,17 +6,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// notANumberBytes is what a number that JSON does not know (infinite, or none) is counted as.
+// notANumberBytes is the size that is counted for NaN and infinite numbers, which JSON cannot represent.
 const notANumberBytes = 24
 
-// JSONSize is how many bytes a validated value takes as JSON, in which the limits of the state service are counted. It is 0 for what
-// is no value.
+// JSONSize returns the bytes that a validated value takes as JSON, in which the limits of the state service are counted. It returns 0
+// for an invalid value.
 func JSONSize(raw []byte) int {
 	size, _ := jsonValueSize(raw)
 	return size
 }
 
-// jsonValueSize is the size of the value at the front of b, and what follows it.
+// jsonValueSize returns the size of the value at the front of b, and the bytes that follow it.
 func jsonValueSize(b []byte) (size int, rest []byte) {
 	if len(b) == 0 {
 		return 0, nil
@@ -45,7 +45,7 @@
 	return jsonScalarSize(b)
 }
 
-// jsonCollectionSize is the size of an array or map whose first byte, which has been cut off, does not hold its length.
+// jsonCollectionSize returns the size of an array or map whose first byte, which has been cut off, does not hold its length.
 func jsonCollectionSize(code byte, b []byte) (size int, rest []byte) {
 	length, rest, err := readLength(b, 2<<((code-array16Code)&1))
 	switch {
@@ -57,7 +57,7 @@
 	return jsonMapSize(rest, length)
 }
 
-// jsonScalarSize is the size of a number, boolean or null, which the JSON encoder itself is asked for.
+// jsonScalarSize returns the size of a number, boolean or null, by encoding it.
 func jsonScalarSize(b []byte) (size int, rest []byte) {
 	var value any
 	rest, err := skipValue(b, 0)
--- a/internal/wire/codec/validate.go
+++ b/internal/wire/codec/validate.go
@@ -8,7 +8,7 @@
 // maxNestingDepth bounds how deep a body may be nested, and with it the depth of the recursion of the decoder.
 const maxNestingDepth = 16
 
-// What Validate finds wrong with a body. The texts are sent to whoever sent the body.
+// Errors of Validate. Their texts are sent to the sender of the body.
 var (
 	ErrTruncated       = errors.New("body ends early")
 	ErrNestedTooDeeply = errors.New("nested too deeply")
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// skipValue returns what follows the value at the front of b.
+// skipValue returns the bytes that follow the value at the front of b.
 func skipValue(b []byte, depth int) ([]byte, error) {
 	if depth > maxNestingDepth {
 		return nil, ErrNestedTooDeeply
@@ -63,7 +63,7 @@
 	return skipLongValue(code, b, depth)
 }
 
-// skipLongValue returns what follows a value whose first byte, which has been cut off, says nothing but its type.
+// skipLongValue returns the bytes that follow a value whose first byte, already removed from b, holds its type only.
 func skipLongValue(code byte, b []byte, depth int) ([]byte, error) {
 	switch code {
 	case uint8Code, int8Code:
--- a/internal/wire/http1/client.go
+++ b/internal/wire/http1/client.go
@@ -23,7 +23,7 @@
 }
 
 const (
-	// maxIdleTime is how long an idle connection is trusted. Servers close theirs after 75 s without a request.
+	// maxIdleTime is how long an idle connection may be reused. Servers close theirs after 75 s without a request.
 	maxIdleTime = 20 * time.Second
 	// responseBufferBytes holds most responses without growing.
 	responseBufferBytes = 2 << 10
@@ -42,9 +42,9 @@
 	}
 }
 
-// Do sends one request and waits for its response until the timeout. An error means that no whole response came and that it is
-// uncertain whether the request was, or will yet be, executed; only ErrTooManyRequests says for certain that it was not sent. A
-// request is never sent twice.
+// Do sends one request and waits for its response until the timeout. After an error without a complete
+// response it is uncertain whether the request was, or will yet be, executed; only after ErrTooManyRequests it certainly was not
+// sent. A request is never sent twice.
 func (c *Client) Do(addr, method, target string, body []byte, timeout time.Duration) (*Message, error) {
 	deadline := time.Now().Add(timeout)
 	select {
@@ -68,12 +68,11 @@
 	return response, nil
 }
 
-// discard closes a connection that is used for nothing any more. Its error says nothing about a request: the response has come
-// whole, or the request counts as uncertain already.
+// discard closes a connection that is not used any more. The error is ignored: the response is complete, or the request counts as
+// uncertain already.
 func discard(conn net.Conn) { _ = conn.Close() }
 
 // takeConn takes the connection to an address that was idle for the shortest time, or opens one.
-
 func (c *Client) takeConn(addr string, deadline time.Time) (net.Conn, error) {
 	c.mu.Lock()
 	idle := c.idle[addr]
@@ -128,7 +127,7 @@
 		}
 		if response != nil {
 			if consumedBytes < len(buffer) {
-				response.CloseConnection = true // what follows belongs to no request
+				response.CloseConnection = true // the bytes after it belong to no request
 			}
 			return response, nil
 		}
--- a/internal/wire/http1/message.go
+++ b/internal/wire/http1/message.go
@@ -1,7 +1,7 @@
 // Package http1 is the project's own HTTP/1.1: one strict and bounded parser, an evio server and a client that keeps its
-// connections. It owns connections and buffers, nothing else; it knows no path and no message type, and never sends a request
-// twice. A request or response that breaks the protocol or a bound is refused before its body is looked at. Why evio is used, and what
-// is bounded because of it, stands in docs/design.md.
+// connections. It owns only connections and buffers, has no paths and no message types, and never sends a request twice. A
+// request or response that violates the protocol or a bound is refused before its body is decoded. Design note, with the reasons for
+// evio and the bounds that it makes necessary: docs/design.md.
 package http1
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Bounds on what a far side may send.
+// Bounds on the messages that are accepted.
 const (
 	MaxHeadBytes = 8 << 10  // of the request or status line with all headers
 	MaxHeaders   = 64       // header lines
@@ -24,13 +24,13 @@
 	contentTypeBody = "application/msgpack"
 )
 
-// ProtocolError is a message that breaks the protocol; Status is the status that a server answers it with.
+// ProtocolError is a message that violates the protocol. A server answers it with Status.
 type ProtocolError struct {
 	Status int
 	Reason string
 }
 
-// Error has the status and the reason.
+// Error returns the status and the reason.
 func (e *ProtocolError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
 func newProtocolError(status int, reason string) error { return &ProtocolError{status, reason} }
@@ -40,7 +40,7 @@
 	Method, Target  string        // of a request
 	Status          int           // of a response
 	RetryAfter      time.Duration // of a response; 0: not given
-	CloseConnection bool          // the far side uses the connection for nothing after this
+	CloseConnection bool          // the sender closes the connection after this
 	Body            []byte
 }
 
@@ -81,7 +81,7 @@
 	out = append(out, "\r\nContent-Length: "...)
 	out = strconv.AppendInt(out, int64(len(m.Body)), 10)
 	if m.RetryAfter > 0 {
-		// Whole seconds, rounded up: nobody comes back too early.
+		// Whole seconds, rounded up, so that no client retries too early.
 		out = append(out, "\r\nRetry-After: "...)
 		out = strconv.AppendInt(out, int64((m.RetryAfter+time.Second-1)/time.Second), 10)
 	}
@@ -92,7 +92,7 @@
 	return append(out, m.Body...)
 }
 
-// statusText is the reason phrase of a status that one of the protocol's sides answers with.
+// statusText returns the reason phrase of the statuses that the protocol uses.
 func statusText(status int) string {
 	switch status {
 	case http.StatusRequestEntityTooLarge:
--- a/internal/wire/http1/parse.go
+++ b/internal/wire/http1/parse.go
@@ -11,13 +11,13 @@
 const (
 	// maxContentLengthDigits keeps a declared length within an int before it is compared with a bound.
 	maxContentLengthDigits = 9
-	// maxRetryAfterSeconds is the longest Retry-After that is believed.
+	// maxRetryAfterSeconds bounds the Retry-After that is accepted; a longer one is ignored.
 	maxRetryAfterSeconds = 3600
 	// separators end a token of the protocol (RFC 9110, section 5.6.2).
 	separators = "()<>@,;:\\\"/[]?={}"
 )
 
-// messageHead is what the lines before the body say.
+// messageHead is the parsed first line and headers of a message.
 type messageHead struct {
 	message          Message
 	contentLength    int
@@ -53,7 +53,7 @@
 	return &head.message, total, nil
 }
 
-// checkPartialHead refuses the beginning of a head that can become no valid one.
+// checkPartialHead refuses an incomplete head that cannot become valid.
 func checkPartialHead(buffer []byte) error {
 	if len(buffer) > MaxHeadBytes {
 		return newProtocolError(http.StatusRequestHeaderFieldsTooLarge, "head too large")
--- a/internal/wire/http1/server.go
+++ b/internal/wire/http1/server.go
@@ -13,35 +13,35 @@
 	"github.com/tidwall/evio"
 )
 
-// Request is one request that waits for its response: Respond, RespondText or Abort ends the wait.
+// Request is a request that waits for its response: Respond, RespondText or Abort ends the wait.
 type Request struct {
 	Message
-	FromPeer bool // came in on the controllers' own address
+	FromPeer bool // received on the controllers' own address
 	conn     *conn
 }
 
-// conn is the state of one connection. The evio loop owns its first part; the rest is handed over under the lock.
+// conn is the state of one connection. The evio loop owns the first group of fields; mu guards the second.
 type conn struct {
 	events           evio.Conn
-	buffer           []byte // of a request that is not whole yet
+	buffer           []byte // of an incomplete request
 	awaitingResponse bool
 	isClosing        bool
 	lastActivity     time.Time
 
 	mu        sync.Mutex // guards what follows
-	output    []byte     // of the response that is to be written
+	output    []byte     // encoded response to be written
 	responded bool
 	aborted   bool // the connection ends without a response
 }
 
-// ServerOptions bound a server.
+// ServerOptions are the addresses and bounds of a server.
 type ServerOptions struct {
 	PublicAddr     string // host:port
 	PeerAddr       string // host:port of the controllers' own address; empty: none
 	MaxConnections int
 	IdleTimeout    time.Duration  // a connection with no request for this long is closed
-	ReadTimeout    time.Duration  // a request has to be whole within this
-	Handler        func(*Request) // runs on the evio loop, so it only hands the request on
+	ReadTimeout    time.Duration  // a request has to be complete within this
+	Handler        func(*Request) // runs on the evio loop, so it must not block
 }
 
 // Server accepts connections on one or two addresses with evio, and parses their requests.
@@ -51,9 +51,9 @@
 }
 
 const (
-	// minServeTime is how long a server has to run for its end not to mean that its address cannot be had.
+	// minServeTime is the run time below which the end of a server means that it could not listen on its address.
 	minServeTime = time.Second
-	// restartDelay is how long after its end a server is started again.
+	// restartDelay is the wait before a server that has ended is started again.
 	restartDelay = 500 * time.Millisecond
 	// timeoutCheckInterval is how often the connections are checked for the idle and read timeouts.
 	timeoutCheckInterval = time.Second
@@ -80,8 +80,8 @@
 	return ErrAcceptLoopEnded
 }
 
-// RunWithRestart serves, and again whenever evio ends its loop, as it does where sockets run out. It returns only if the address
-// cannot be had.
+// RunWithRestart serves, and restarts the server whenever evio ends its loop, as it does when sockets run out. It returns only if the
+// server cannot listen on its address.
 func (s *Server) RunWithRestart(log *slog.Logger) error {
 	for {
 		startedAt := time.Now()
@@ -95,7 +95,7 @@
 }
 
 func (s *Server) onOpened(c evio.Conn) ([]byte, evio.Options, evio.Action) {
-	// evio ends its whole loop when accept fails, so the last sockets are never used up.
+	// evio ends its loop when accept fails, so the sockets must not run out.
 	if len(s.conns) >= s.options.MaxConnections {
 		return nil, evio.Options{}, evio.Close
 	}
@@ -112,7 +112,7 @@
 	return evio.None
 }
 
-// onData takes in what has arrived on a connection; no input means that the connection was woken by a response.
+// onData processes the bytes received on a connection. Without input, the connection was woken to write a response.
 func (s *Server) onData(connection evio.Conn, input []byte) ([]byte, evio.Action) {
 	state, ok := connection.Context().(*conn)
 	if !ok {
@@ -125,7 +125,7 @@
 		return nil, evio.None
 	}
 	if state.awaitingResponse {
-		// Requests are not sent pipelined: what comes early is dropped, and the connection ends with the response that is due.
+		// Pipelining is not supported: the input is dropped, and the connection is closed after the pending response.
 		state.isClosing = true
 		return nil, evio.None
 	}
@@ -143,7 +143,7 @@
 	return nil, evio.None
 }
 
-// takeMessage takes the request out of the buffer, or nothing while it is not whole.
+// takeMessage takes a complete request out of the buffer. It returns nil while the request is incomplete.
 func (c *conn) takeMessage() (*Message, error) {
 	message, consumedBytes, err := Parse(c.buffer, false, MaxBodyBytes)
 	if err != nil {
@@ -156,13 +156,13 @@
 	if consumedBytes < len(c.buffer) || message.CloseConnection {
 		c.isClosing = true
 	}
-	// The body is the request's own from here on; the buffer starts anew.
+	// The request owns the body from here on, which is part of the buffer.
 	c.buffer = nil
 	c.awaitingResponse = true
 	return message, nil
 }
 
-// errorStatus is the status that a request which cannot be parsed is answered with.
+// errorStatus returns the status of the answer to a request that cannot be parsed.
 func errorStatus(err error) int {
 	var protocolErr *ProtocolError
 	if errors.As(err, &protocolErr) {
@@ -171,7 +171,7 @@
 	return http.StatusBadRequest
 }
 
-// onWake writes the response that has been handed over, if there is one.
+// onWake writes the pending response, if there is one.
 func (c *conn) onWake() ([]byte, evio.Action) {
 	c.mu.Lock()
 	output := c.output
@@ -199,7 +199,7 @@
 	r.send(AppendResponse(nil, status, body, retryAfter, r.CloseConnection))
 }
 
-// RespondText answers the request with a body of another content type; else as Respond.
+// RespondText is Respond for a body of another content type.
 func (r *Request) RespondText(status int, contentType string, body []byte) {
 	r.send(AppendTextResponse(nil, status, contentType, body, r.CloseConnection))
 }
@@ -217,7 +217,7 @@
 	c.events.Wake()
 }
 
-// Abort ends the connection without a response, so that the client takes the outcome of the request for uncertain. It may be called
+// Abort closes the connection without a response, so that the outcome of the request is uncertain to the client. It may be called
 // from any goroutine.
 func (r *Request) Abort() {
 	c := r.conn
@@ -227,7 +227,7 @@
 	c.events.Wake()
 }
 
-// onTick closes the connections whose request does not come, or not whole.
+// onTick closes the connections that exceed the idle or the read timeout.
 func (s *Server) onTick() (time.Duration, evio.Action) {
 	now := time.Now()
 	for state := range s.conns {
--- a/internal/wire/metrics/metrics.go
+++ b/internal/wire/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves a Prometheus registry over HTTP, in the text format. It owns no metric: each component registers its own,
-// which are safe to read while the component counts on.
+// Package metrics serves a Prometheus registry over HTTP, in the text format. It owns no metric and never changes one: each
+// component registers its own, which are safe to read while the component updates them.
 package metrics
 
 import (
@@ -47,7 +47,7 @@
 	r.RespondText(http.StatusOK, string(expfmt.NewFormat(expfmt.TypeTextPlain)), text)
 }
 
-// encode is the registry in the text format, whole or not at all.
+// encode returns the metrics of the registry in the text format.
 func encode(registry *prometheus.Registry) ([]byte, error) {
 	families, err := registry.Gather()
 	if err != nil {
--- a/internal/wire/server/server.go
+++ b/internal/wire/server/server.go
@@ -1,6 +1,6 @@
-// Package server carries requests to the owner of a component's state, and its responses back. The runtime (or a simulated cluster)
-// makes a Request of what comes in; the owner's step answers through a Responder; the runtime sends what that has collected. The
-// package does no I/O and owns nothing but the responses of one step.
+// Package server has the requests to the owner of a component's state, and its responses. The runtime (or a simulated cluster) makes a
+// Request of each HTTP request; the owner's step answers through a Responder; the runtime then sends the collected responses. The
+// package does no I/O and owns only the responses of one step. Design note: docs/design.md.
 package server
 
 import (
@@ -12,10 +12,10 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// Request is a request that came in.
+// Request is a received request.
 type Request struct {
-	Handle   any  // the runtime's own: it finds the connection by it
-	FromPeer bool // came in on the controllers' own address
+	Handle   any  // identifies the connection to the runtime
+	FromPeer bool // received on the controllers' own address
 	Method   string
 	Target   string // path and query
 	Body     []byte
@@ -29,7 +29,7 @@
 	RetryAfter time.Duration // 0: not given
 }
 
-// ValueResponse is a Response whose body is encoded by whoever sends it, not by the owner.
+// ValueResponse is a Response whose body is not encoded yet: the sender encodes it, off the owner's goroutine.
 type ValueResponse struct {
 	Handle     any
 	Status     int
@@ -37,7 +37,7 @@
 	RetryAfter time.Duration // 0: not given
 }
 
-// errorBody is the body of a response that says why a request was refused.
+// errorBody is the body of the response to a refused request.
 type errorBody struct {
 	Error string `msgpack:"error"`
 }
@@ -66,12 +66,12 @@
 	r.Respond(request, status, errorBody{Error: message}, retryAfter)
 }
 
-// RespondRaw answers a request with a body that is encoded already, as a peer's response is when it is passed on.
+// RespondRaw answers a request with an encoded body, such as a forwarded response of a peer.
 func (r *Responder) RespondRaw(request *Request, status int, body []byte, retryAfter time.Duration) {
 	r.responses = append(r.responses, Response{Handle: request.Handle, Status: status, Body: body, RetryAfter: retryAfter})
 }
 
-// TakeResponses returns what has been collected and starts anew.
+// TakeResponses returns the collected responses and removes them from the Responder.
 func (r *Responder) TakeResponses() []Response {
 	responses := r.responses
 	r.responses = nil
