--- a/internal/config/kvserver.go
+++ b/internal/config/kvserver.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// LoadKVServerOptions reads the operators' file of a state service; no path means the defaults. See ParseKVServer for its errors.
+// LoadKVServerOptions reads the operators' file of a state service; no path means the defaults. See ParseKVServerOptions for its errors.
 func LoadKVServerOptions(path string) (KVServerOptions, error) {
 	s := DefaultKVServerOptions()
 	if path == "" {
--- a/internal/controller/accounting/account.go
+++ b/internal/controller/accounting/account.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// lossReason returns how the unfinished tasks were lost, and the first of the reasons if there are several. ok is false unless all of
-// them were lost.
-func (a *account) lossReason(unfinished int) (reason WaitReason, ok bool) {
+// lossReason returns how the unfinished tasks were lost, the first of the reasons if there are several. It returns false unless all
+// of them were lost.
+func (a *account) lossReason(unfinished int) (WaitReason, bool) {
 	if len(a.lostTasks) < unfinished {
 		return 0, false
 	}
--- a/internal/site/kvserver/backup.go
+++ b/internal/site/kvserver/backup.go
@@ -7,12 +7,12 @@
 	"path/filepath"
 )
 
-// restoreRevisionGap is what a restored store's revisions and lease IDs are ahead of the backup's: more changes than can have been
-// made since. A leader's fencing token is a revision, and no worker obeys a lower one than it has seen.
+// restoreRevisionGap is added to the revision and the last lease ID of a restored store. It is more than the changes since the backup
+// can be: a leader's fencing token is a revision, and workers reject tokens lower than the highest that they have received.
 const restoreRevisionGap = 1 << 40
 
-// Backup writes what a directory holds to a file, as one snapshot. The file appears only once it is whole and durable. A store may
-// run in the directory.
+// Backup writes the content of a store's directory to a file, as one snapshot. The file appears only once it is complete and
+// durable. A store may run in the directory.
 func Backup(path, file string) (Inspection, error) {
 	recovered, err := recoverWithRetry(path)
 	if err != nil {
@@ -23,7 +23,7 @@
 		return Inspection{}, err
 	}
 	err = writeBackup(dir, recovered.keyspace, file)
-	_ = dir.Close() // the lock of a directory that is removed now
+	_ = dir.Close() // releases the lock only: the directory is removed next
 	if removeErr := os.RemoveAll(dir.path); err == nil {
 		err = removeErr
 	}
@@ -45,15 +45,15 @@
 	return (&OSDirectory{path: filepath.Dir(file)}).SyncDir()
 }
 
-// freezeForBackup is a view behind which the log begins anew.
+// freezeForBackup returns a view after which the log starts with segment 1 and frame 1.
 func (k *keyspace) freezeForBackup() *View {
 	view := k.Freeze()
 	view.segment, view.nextFrame = 1, 1
 	return view
 }
 
-// Restore makes a directory of a backup. The directory must hold nothing, and is made if it is not there. The store's revisions go
-// on restoreRevisionGap above the backup's.
+// Restore writes a backup to a store's directory, which must be empty or absent. The store's revisions continue restoreRevisionGap
+// above the backup's.
 func Restore(file, path string) (Inspection, error) {
 	backup, err := os.ReadFile(file)
 	if err != nil {
@@ -67,7 +67,7 @@
 	if err != nil {
 		return Inspection{}, err
 	}
-	defer func() { _ = dir.Close() }() // the lock; nothing is written through it
+	defer func() { _ = dir.Close() }() // releases the lock only
 	if err := checkEmpty(dir); err != nil {
 		return Inspection{}, err
 	}
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// writeRestored writes the segment first: a snapshot without the log behind it would be damage.
+// writeRestored writes the segment first: a snapshot without the segment after it would count as damage.
 func writeRestored(dir *OSDirectory, view *View) error {
 	wal, err := createSegment(dir, segmentHeader{segment: view.segment, firstFrame: view.nextFrame, revision: view.revision})
 	if err != nil {
--- a/internal/site/kvserver/directory.go
+++ b/internal/site/kvserver/directory.go
@@ -10,13 +10,13 @@
 	"syscall"
 )
 
-// Directory is the directory that a store lives in. What is written is durable only after Sync of the file, and a file's name, or
-// its new name, only after SyncDir. The errors are those of package os.
+// Directory is the directory of a store. The content of a file is durable only after File.Sync, and its name, also after a Rename,
+// only after SyncDir. The errors are those of package os.
 type Directory interface {
-	Create(name string) (File, error) // a new empty file, in place of an old one
+	Create(name string) (File, error) // a new empty file; replaces an existing one
 	Open(name string) (File, error)   // to write to
 	Read(name string) ([]byte, error) // the whole file
-	Rename(from, to string) error     // in place of a file that has the name
+	Rename(from, to string) error     // replaces an existing file
 	Remove(name string) error         // deletes a file
 	List() ([]string, error)          // the names of the files, in order
 	SyncDir() error                   // makes the names durable
@@ -33,13 +33,13 @@
 // OSDirectory is a directory of the operating system.
 type OSDirectory struct {
 	path string
-	lock *os.File // nil: the directory is only read
+	lock *os.File // nil: read only
 }
 
-// ErrLocked is returned for a directory that another process has.
+// ErrLocked is returned for a directory that another process has locked.
 var ErrLocked = errors.New("another process has this directory")
 
-// LockDirectory takes a directory, which is made if it is not there, for this process alone, until it is closed.
+// LockDirectory creates a directory if it does not exist, and locks it for this process until it is closed.
 func LockDirectory(path string) (*OSDirectory, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("data directory: %w", err)
@@ -49,7 +49,7 @@
 		return nil, fmt.Errorf("data directory: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = lock.Close() // nothing was written to it
+		_ = lock.Close() // not written to
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, fmt.Errorf("%s: %w", path, ErrLocked)
 		}
@@ -58,7 +58,7 @@
 	return &OSDirectory{path, lock}, nil
 }
 
-// ReadOnlyDirectory is a directory that is only read, perhaps while another process has it.
+// ReadOnlyDirectory returns a directory for reading only. Another process may have locked it.
 func ReadOnlyDirectory(path string) (*OSDirectory, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, fmt.Errorf("data directory: %w", err)
@@ -66,7 +66,7 @@
 	return &OSDirectory{path: path}, nil
 }
 
-// Close gives the directory back: another process may lock it.
+// Close releases the lock of the directory.
 func (d *OSDirectory) Close() error {
 	if d.lock == nil {
 		return nil
@@ -132,7 +132,7 @@
 
 type osFile struct{ *os.File }
 
-// Sync makes the content durable. The file's times need not be.
+// Sync makes the content durable, but not the file's times.
 func (f osFile) Sync() error {
 	for {
 		if err := syscall.Fdatasync(int(f.Fd())); !errors.Is(err, syscall.EINTR) {
--- a/internal/site/kvserver/frame.go
+++ b/internal/site/kvserver/frame.go
@@ -13,16 +13,16 @@
 	lockFileName   = "lock"
 	segmentPrefix  = "log-"
 	snapshotPrefix = "snapshot-"
-	tempSuffix     = ".tmp" // of a snapshot that is not whole yet
+	tempSuffix     = ".tmp" // of an incomplete snapshot
 	fileDigits     = 16
 )
 
-// The log is a row of segments. A segment begins with a header and goes on with frames, each of which was one write and one sync:
-// what a frame holds is answered only after that, and the next frame is written only after that too. So behind a torn frame there is
-// never a whole one, unless something that was durable has been damaged since.
+// The log is a sequence of segments. A segment is a header and frames, each of which is written and synced by itself. Only after the
+// sync are the responses of a frame sent and the next frame is written. So a valid frame after a torn one means that durable data
+// was damaged.
 //
-// A segment's header says with which frame it begins. Whatever the segment before it holds from there on does not count: that is how
-// the log goes on after a sync that failed, of which nobody knows what it has made durable.
+// A segment's header has the number of its first frame. Frames of the previous segment with that number or a higher one are void. This
+// is how the log continues after a failed sync, after which it is uncertain whether the frame is durable.
 const (
 	frameMagic       = 0x67756c6c
 	frameHeaderBytes = 4 + 4 + 8 + 4 // magic, length of the payload, number, checksum
@@ -35,7 +35,7 @@
 	magicBytes    = 8 // of a segment or snapshot
 )
 
-// castagnoli is the table of CRC-32C, for which processors have an instruction.
+// castagnoli is the table of CRC-32C, which processors compute in hardware.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 func checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
@@ -75,7 +75,7 @@
 	return append(out, payload...)
 }
 
-// cutFrame reads the frame at the start of b; ok is false if there is no whole one.
+// cutFrame reads the frame at the start of b; ok is false if there is no valid one.
 func cutFrame(b []byte) (number uint64, payload, rest []byte, ok bool) {
 	if len(b) < frameHeaderBytes || binary.LittleEndian.Uint32(b) != frameMagic {
 		return 0, nil, nil, false
@@ -91,7 +91,7 @@
 	return binary.LittleEndian.Uint64(b[8:]), payload, rest, true
 }
 
-// segmentHeader is the head of a segment: its number, the number of its first frame, and the revision at which it was begun.
+// segmentHeader is the header of a segment: its number, the number of its first frame, and the store's revision at its creation.
 type segmentHeader struct {
 	segment, firstFrame, revision uint64
 }
@@ -100,7 +100,7 @@
 	return encodeHeader(segmentMagic, h.segment, h.firstFrame, h.revision)
 }
 
-// encodeHeader is the head of a segment or snapshot: a magic, numbers, and their checksum.
+// encodeHeader returns the header of a segment or snapshot: a magic, numbers, and the checksum of both.
 func encodeHeader(magic string, numbers ...uint64) []byte {
 	out := append([]byte(nil), magic...)
 	for _, number := range numbers {
@@ -116,7 +116,7 @@
 	return segmentHeader{headerNumber(b, 0), headerNumber(b, 1), headerNumber(b, 2)}, true
 }
 
-// headerNumber is the number at a place of the head of a segment or snapshot.
+// headerNumber returns the number at an index of the header of a segment or snapshot.
 func headerNumber(b []byte, index int) uint64 {
 	return binary.LittleEndian.Uint64(b[magicBytes+8*index:])
 }
--- a/internal/site/kvserver/inspection.go
+++ b/internal/site/kvserver/inspection.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Inspection is what was found in a directory. `gullrudder state inspect` prints it.
+// Inspection describes the content of a directory. `gullrudder state inspect` prints it.
 type Inspection struct {
 	Revision            uint64   `json:"revision"`
 	Keys                int      `json:"keys"`
 	Leases              int      `json:"leases"`
-	Snapshot            string   `json:"snapshot,omitempty"` // the one that counts
+	Snapshot            string   `json:"snapshot,omitempty"` // the one that was loaded
 	Snapshots           []string `json:"snapshots,omitempty"`
 	Segments            []string `json:"segments,omitempty"`
-	Frames              int      `json:"frames"` // that were replayed
+	Frames              int      `json:"frames"` // replayed frames
 	LogBytes            int64    `json:"log_bytes"`
 	SnapshotBytes       int64    `json:"snapshot_bytes"`
-	TornBytes           int64    `json:"torn_bytes"`       // at the end: written and never answered
-	SkippedDamage       []string `json:"passed,omitempty"` // what was damaged and not needed
+	TornBytes           int64    `json:"torn_bytes"`       // at the end of the log: written, but never confirmed
+	SkippedDamage       []string `json:"passed,omitempty"` // damaged snapshots that were not needed
 	UnfinishedSnapshots []string `json:"unused,omitempty"`
 }
 
-// DamageError ends a start: something that was answered cannot be read any more.
+// DamageError prevents a start: data that was confirmed as durable cannot be read.
 type DamageError struct {
 	File   string
 	Offset int64 // bytes from its start
 	Reason string
 }
 
-// Error names the file and the place, and what an operator can do.
+// Error returns the file, the offset, and what an operator can do.
 func (e *DamageError) Error() string {
 	return fmt.Sprintf("%s at byte %d: %s; nothing was changed. Look with 'gullrudder state inspect', and restore a backup "+
 		"into an empty directory, or the file if a copy of it is whole", e.File, e.Offset, e.Reason)
@@ -41,14 +41,14 @@
 }
 
 const (
-	// inspectRetries is how often a directory is read again in which a running store has deleted a file meanwhile.
+	// inspectRetries bounds the repeated reads of a directory in which a running store deletes files meanwhile.
 	inspectRetries = 5
-	// inspectRetryDelay is the wait before that.
+	// inspectRetryDelay is the wait before such a read.
 	inspectRetryDelay = 100 * time.Millisecond
 )
 
-// Inspect reads a directory and changes nothing. A store that runs there is not disturbed; what it does meanwhile may make the end
-// of the log look torn. For a damaged directory, what could be read is returned with a DamageError.
+// Inspect reads a directory and changes nothing. A store may run there; its concurrent writes may make the end of
+// the log look torn. For a damaged directory, the readable part is returned with a DamageError.
 func Inspect(path string) (Inspection, error) {
 	dir, err := ReadOnlyDirectory(path)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return recovered.inspection, err
 }
 
-// KeyInfo is a key of a store as it is shown.
+// KeyInfo describes a key of a store.
 type KeyInfo struct {
 	Key         string `json:"key"`
 	ValueBytes  int    `json:"bytes"` // as JSON
@@ -83,8 +83,8 @@
 	return keys, nil
 }
 
-// recoverWithRetry reads a directory in which a store may be at work: while it is read, a segment may be deleted because a new
-// snapshot covers it. Then it is read again.
+// recoverWithRetry reads a directory in which a store may run. It reads again if a segment was deleted meanwhile because a new snapshot
+// covers it.
 func recoverWithRetry(path string) (*recovery, error) {
 	dir, err := ReadOnlyDirectory(path)
 	if err != nil {
--- a/internal/site/kvserver/keyspace.go
+++ b/internal/site/kvserver/keyspace.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// retainedEvents is how many changes are kept for watches at least. What is older is cut off when as many again have come.
+	// retainedEvents is the least number of changes that are kept for watches. Older ones are dropped once there are twice as many.
 	retainedEvents = 10_000
-	// btreeDegree is that of the tree of keys: a commit copies a path of it while a snapshot reads the rest.
+	// btreeDegree is the degree of the tree of keys. While a snapshot reads the tree, a commit copies the path that it changes.
 	btreeDegree = 32
 )
 
@@ -24,7 +24,7 @@
 	key         string
 	value       []byte
 	modRevision uint64 // of its last change
-	leaseID     uint64 // that it ends with; 0: none
+	leaseID     uint64 // the key is deleted when this lease ends; 0: none
 	jsonBytes   int    // of the value
 }
 
@@ -42,7 +42,7 @@
 	leaseID  uint64
 }
 
-// event is a change as watches see it.
+// event is a change as it is sent to watches.
 type event struct {
 	isDelete    bool
 	key         string
@@ -53,12 +53,12 @@
 type lease struct {
 	id        uint64
 	ttl       time.Duration
-	expiresAt time.Time // not durable: a lease has its full time after a restart
+	expiresAt time.Time // not durable: after a restart a lease has its full time to live
 	keys      map[string]bool
 }
 
-// keyspace is what a store holds. Its revision rises with every commit; an item's lease is among the leases or was there once, and
-// a lease's keys are exactly the items that name it.
+// keyspace is the content of a store. Invariants: the revision increases with every commit; a lease's keys are exactly the items with
+// its ID; an item's lease exists, or has existed.
 type keyspace struct {
 	tree              *btree.BTreeG[*item]
 	leases            map[uint64]*lease // by ID
@@ -68,7 +68,7 @@
 	compactedRevision uint64  // changes up to this revision are not among the events
 }
 
-// undoFunc takes a change back that was not made durable.
+// undoFunc reverts a change that was not made durable.
 type undoFunc func(k *keyspace)
 
 func newKeyspace() *keyspace {
@@ -89,7 +89,7 @@
 	}
 }
 
-// remove deletes a key and returns what it was, or nil.
+// remove deletes a key and returns its item, or nil.
 func (k *keyspace) remove(key string) *item {
 	previous, found := k.tree.Delete(&item{key: key})
 	if found {
@@ -104,7 +104,7 @@
 	}
 }
 
-// restoreItem puts a key back to what it was; nil: it was not there.
+// restoreItem restores the previous item of a key; nil: the key did not exist.
 func (k *keyspace) restoreItem(key string, previous *item) {
 	if previous == nil {
 		k.remove(key)
@@ -113,7 +113,7 @@
 	k.put(previous)
 }
 
-// apply makes the changes of one commit. Where undos is given, what undoes them is added to it.
+// apply makes the changes of one commit, and appends their reversal to undos unless that is nil.
 func (k *keyspace) apply(revision uint64, changes []change, undos *[]undoFunc) {
 	previousRevision := k.revision
 	k.revision = revision
@@ -150,7 +150,7 @@
 		return
 	}
 	cut := len(k.events) - retainedEvents
-	// The changes of a commit have one revision: they are kept or cut off together.
+	// The changes of a commit have one revision: they are kept or dropped together.
 	k.compactedRevision = k.events[cut-1].modRevision
 	for cut < len(k.events) && k.events[cut].modRevision == k.compactedRevision {
 		cut++
@@ -170,7 +170,7 @@
 	}
 }
 
-// removeLease ends a lease and deletes its keys in the revision, in the order of the keys.
+// removeLease ends a lease and deletes its keys at the revision, in the order of the keys.
 func (k *keyspace) removeLease(leaseID, revision uint64, undos *[]undoFunc) {
 	l := k.leases[leaseID]
 	if l == nil {
@@ -185,7 +185,7 @@
 	}
 	delete(k.leases, leaseID)
 	if undos != nil {
-		// The last to be added is the first to be undone, so that the keys find their lease again.
+		// Undone first, before the keys are restored, which attach themselves to their lease.
 		*undos = append(*undos, func(k *keyspace) { k.leases[leaseID] = l })
 	}
 }
@@ -197,7 +197,7 @@
 	}
 }
 
-// eventsSince are the events of a prefix after a revision; ok is false if they are not all retained.
+// eventsSince returns the events of a prefix after a revision; ok is false if not all of them are retained.
 func (k *keyspace) eventsSince(revision uint64, prefix string) (found []event, ok bool) {
 	if revision < k.compactedRevision {
 		return nil, false
--- a/internal/site/kvserver/leases.go
+++ b/internal/site/kvserver/leases.go
@@ -9,7 +9,7 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// grantLease grants a lease of the time to live that the request asks for.
+// grantLease grants a lease with the time to live of the request.
 func (s *State) grantLease(request *Request) {
 	var body leaseRequest
 	if err := codec.Unmarshal(request.Body, &body); err != nil {
@@ -32,7 +32,7 @@
 	}
 }
 
-// renewLease gives a lease its full time again. That is not recorded: after a restart every lease has its full time.
+// renewLease gives a lease its full time to live again. There is no record of it: after a restart every lease has its full time.
 func (s *State) renewLease(request *Request, id string) {
 	l := s.findLease(request, id)
 	if l == nil {
@@ -42,7 +42,7 @@
 	s.respond(request.Handle, http.StatusOK, leaseResponse{l.id})
 }
 
-// revokeLease ends a lease before its time.
+// revokeLease ends a lease before it expires.
 func (s *State) revokeLease(request *Request, id string) {
 	l := s.findLease(request, id)
 	switch {
@@ -55,7 +55,7 @@
 	}
 }
 
-// findLease is the lease that a request names; if there is none, it answers the request and returns nil.
+// findLease returns the lease of a request. If there is none, it answers the request and returns nil.
 func (s *State) findLease(request *Request, text string) *lease {
 	id, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// expireLeases ends the leases whose time is over, in the order of their IDs.
+// expireLeases ends the expired leases, in the order of their IDs.
 func (s *State) expireLeases() {
 	var expired []uint64
 	for id, l := range s.leases {
@@ -89,7 +89,7 @@
 	}
 }
 
-// endLease ends a lease and deletes its keys in a revision of their own, if it has any.
+// endLease ends a lease and deletes its keys at a revision of their own, if it has any.
 func (s *State) endLease(id uint64) {
 	revision := uint64(0)
 	if len(s.leases[id].keys) > 0 {
--- a/internal/site/kvserver/limits.go
+++ b/internal/site/kvserver/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limits of the protocol. Those that operators set are in config.KVServer.
+// Limits of the protocol. The configurable ones are in config.KVServerOptions.
 const (
 	maxKeyBytes           = 200
 	maxListedKeys         = 1000
@@ -13,18 +13,18 @@
 	maxLeases             = 10_000
 	maxTransactionBytes   = 64 << 10
 	maxPreconditionsPerOp = 4
-	// maxQueryCount is the largest number of entries that a list may be asked for; it gets maxListedKeys at most.
+	// maxQueryCount is the largest number of entries that a list request may have; a list has maxListedKeys at most.
 	maxQueryCount = 1 << 32
-	// maxJSONBytesPerByte is how many bytes of JSON a byte of a body can become: a control character is written as six.
+	// maxJSONBytesPerByte is the most bytes of JSON for a byte of a body: a control character is escaped with six.
 	maxJSONBytesPerByte = 6
-	// listedEntryOverheadBytes is what a listed entry takes in JSON besides its key and value.
+	// listedEntryOverheadBytes is the size of a listed entry in JSON without its key and value.
 	listedEntryOverheadBytes = 64
-	// limitRetryAfter is after how long a request may be tried again that a limit or a failing disk has refused.
+	// limitRetryAfter is the Retry-After of requests that are refused because of a limit or a failing disk.
 	limitRetryAfter = time.Second
 )
 
 const (
 	touchSuffix = "/touch"
-	// notDurable is the reason for the refusal of changes while the log takes none.
+	// notDurable is the error text for changes while the log cannot be written.
 	notDurable = "changes cannot be kept"
 )
--- a/internal/site/kvserver/messages.go
+++ b/internal/site/kvserver/messages.go
@@ -9,31 +9,31 @@
 // Request is a request to the store.
 type Request = server.Request
 
-// Response answers a request. What it says is true only once the records of its step are durable.
+// Response answers a request. It may be sent only once the records of its step are durable.
 type Response = server.ValueResponse
 
-// Effects are what a step has done.
+// Effects are the results of a step.
 type Effects struct {
-	Records   []byte     // for the log, before any response goes out
-	Responses []Response // which may go out once the records are durable
-	undos     []undoFunc // take the step back if the records are not made durable
+	Records   []byte     // for the log; to be made durable before any response is sent
+	Responses []Response // to be sent once the records are durable
+	undos     []undoFunc // revert the step if the records are not made durable
 }
 
-// The messages of the protocol. The names in the tags are its own: path is a key, mark the revision of a key's last change, permit a
-// lease, tide the revision of the store.
+// The messages of the protocol. Its names are in the tags only: path is a key, mark a mod revision, permit a lease ID, tide the
+// revision of the store.
 
-// precondition holds if the key was last changed in the revision; 0 stands for a key that is not there.
+// precondition holds if the key has the mod revision; a key that does not exist has 0.
 type precondition struct {
 	Key         string `msgpack:"path"`
 	ModRevision uint64 `msgpack:"mark"`
 }
 
-// operation writes a key or deletes one.
+// operation writes a key or deletes one: WriteKey or DeleteKey is set.
 type operation struct {
 	WriteKey  string             `msgpack:"write"`
 	DeleteKey string             `msgpack:"drop"`
 	Value     msgpack.RawMessage `msgpack:"value"`
-	LeaseID   uint64             `msgpack:"permit"` // that the written key ends with; 0: none
+	LeaseID   uint64             `msgpack:"permit"` // the written key is deleted when this lease ends; 0: none
 }
 
 type transaction struct {
@@ -71,7 +71,7 @@
 	LeaseID uint64 `msgpack:"permit"`
 }
 
-// eventResponse is a change as a watcher sees it: one of the keys is set.
+// eventResponse is a change as it is sent to a watch: WrittenKey or DeletedKey is set.
 type eventResponse struct {
 	WrittenKey  string             `msgpack:"write,omitempty"`
 	DeletedKey  string             `msgpack:"drop,omitempty"`
--- a/internal/site/kvserver/metrics.go
+++ b/internal/site/kvserver/metrics.go
@@ -12,16 +12,16 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Names of the metrics begin with these.
+// Prefixes of the metric names.
 const (
 	metricNamespace = "gullrudder"
 	metricSubsystem = "state"
 )
 
-// otherKind is the label of what the protocol does not know.
+// otherKind is the label of paths and methods that the protocol does not have.
 const otherKind = "other"
 
-// Metrics are the Prometheus metrics of a store. They are safe to read while the server counts on.
+// Metrics are the Prometheus metrics of a store. They are safe to read while the server updates them.
 type Metrics struct {
 	registry            *prometheus.Registry
 	requestCount        *prometheus.CounterVec
@@ -40,7 +40,7 @@
 	logBytes            prometheus.Gauge
 }
 
-// NewMetrics makes the metrics of one store, with a registry of their own.
+// NewMetrics returns the metrics of one store, in a registry of their own.
 func NewMetrics() *Metrics {
 	gauge := func(name, help string) prometheus.Gauge {
 		return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: metricNamespace, Subsystem: metricSubsystem, Name: name, Help: help})
@@ -88,7 +88,7 @@
 	m.snapshotBytes.Set(float64(bytes))
 }
 
-// countResponse counts a response. Unknown paths and methods are one kind each, so that a client cannot add label values.
+// countResponse counts a response. Unknown paths and methods count as otherKind, so that clients cannot add label values.
 func (m *Metrics) countResponse(method, target string, status int) {
 	kind, _, _ := strings.Cut(strings.TrimPrefix(target, "/"), "/")
 	kind, _, _ = strings.Cut(kind, "?")
--- a/internal/site/kvserver/record.go
+++ b/internal/site/kvserver/record.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The payload of a frame is a row of records: commits, leases that begin and leases that end. Each is a byte for its kind and
-// numbers as varints; a key or value has its length before it. The format is on disk: it is only ever added to.
+// The payload of a frame is a sequence of records: commits, lease grants and lease ends. A record is a byte for its kind, followed by
+// numbers as varints, and keys and values with their length before them. The format is on disk: it may be extended, but never changed.
 const (
 	recordCommit     = 1
 	recordLeaseGrant = 2
@@ -52,7 +52,7 @@
 	return binary.AppendUvarint(out, revision)
 }
 
-// recordReader reads the fields of records. After the first error all fields are zero.
+// recordReader reads the fields of records. After an error it returns zero values.
 type recordReader struct {
 	rest []byte
 	err  error
@@ -68,7 +68,7 @@
 	return number
 }
 
-// readBytes reads a key or value, which is a part of the payload.
+// readBytes reads a key or value. The result is a part of the payload.
 func (r *recordReader) readBytes() []byte {
 	length := r.readUvarint()
 	if length > uint64(len(r.rest)) {
@@ -99,8 +99,8 @@
 	return c
 }
 
-// replayRecords applies the records of a frame. A record that is wrong although its checksum is right is an error; what came before
-// it is applied.
+// replayRecords applies the records of a frame. An invalid record in a frame with a valid checksum is an error; the records before
+// it are applied.
 func (k *keyspace) replayRecords(payload []byte) error {
 	r := &recordReader{rest: payload}
 	for len(r.rest) > 0 {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// replayCommit applies a commit. Revisions only rise: one that does not is damage.
+// replayCommit applies a commit. Its revision must be higher than the last one.
 func (k *keyspace) replayCommit(reader *recordReader) error {
 	revision, count := reader.readUvarint(), reader.readUvarint()
 	var changes []change
--- a/internal/site/kvserver/recovery.go
+++ b/internal/site/kvserver/recovery.go
@@ -9,20 +9,20 @@
 	"strings"
 )
 
-// noEndFrame is where the frames of the last segment end: nowhere.
+// noEndFrame is the end frame of the last segment, which no segment follows.
 const noEndFrame = math.MaxUint64
 
-// recovery is the state of a directory, and where its log goes on.
+// recovery is the content of a directory, and the position where its log continues.
 type recovery struct {
 	keyspace    *keyspace
 	inspection  Inspection
-	lastSegment *segmentHeader // nil: one has to be made
-	offset      int64          // where its next frame goes
-	nextFrame   uint64         // number of that
-	newSegment  uint64         // number of the segment that has to be made
+	lastSegment *segmentHeader // nil: a new one has to be created
+	offset      int64          // of the next frame in the last segment
+	nextFrame   uint64         // number of the next frame
+	newSegment  uint64         // number of the segment to be created
 }
 
-// recoverDirectory reads a directory and changes nothing. If it is damaged, what could be read is returned with the error.
+// recoverDirectory reads a directory and changes nothing. If it is damaged, the readable part is returned with the error.
 func recoverDirectory(files Directory) (*recovery, error) {
 	names, err := files.List()
 	if err != nil {
@@ -52,7 +52,7 @@
 	return r, r.load(files, snapshots, segments)
 }
 
-// load reads the newest snapshot that is whole, and replays the log behind it.
+// load reads the newest valid snapshot, and replays the log after it.
 func (r *recovery) load(files Directory, snapshots, segments []uint64) error {
 	var firstDamage error
 	for _, number := range snapshots {
@@ -85,7 +85,7 @@
 	return r.replayLog(files, segments, 1, 1)
 }
 
-// preferDamage prefers the damage of a snapshot to an error that follows from its being skipped.
+// preferDamage returns the damage of a skipped snapshot, if any, rather than an error that follows from skipping it.
 func preferDamage(first, then error) error {
 	var damage *fileError
 	if errors.As(first, &damage) {
@@ -107,15 +107,15 @@
 	r.inspection.Revision, r.inspection.Keys, r.inspection.Leases = r.keyspace.revision, r.keyspace.tree.Len(), len(r.keyspace.leases)
 }
 
-// segmentFile is a segment as it was read.
+// segmentFile is the content of a segment.
 type segmentFile struct {
 	name           string
 	raw            []byte
 	header         segmentHeader
-	hasValidHeader bool // its header is
+	hasValidHeader bool
 }
 
-// replayLog replays the segments from the first one on, whose first frame is known.
+// replayLog replays the segments from number first on, whose first frame is firstFrame.
 func (r *recovery) replayLog(files Directory, numbers []uint64, first, firstFrame uint64) error {
 	defer r.summarize()
 	r.nextFrame, r.newSegment = firstFrame, first
@@ -145,13 +145,13 @@
 		r.lastSegment, r.newSegment = &header, header.segment+1
 	}
 	if len(complete) < len(segments) {
-		r.lastSegment = nil // the last one is made anew
+		r.lastSegment = nil // the unfinished one is created again
 		r.newSegment = numbers[len(numbers)-1]
 	}
 	return nil
 }
 
-// readSegments reads the segments, of which none may be missing.
+// readSegments reads the segments. It is a DamageError if one is missing.
 func (r *recovery) readSegments(files Directory, numbers []uint64, first uint64) ([]segmentFile, error) {
 	segments := make([]segmentFile, 0, len(numbers))
 	for i, number := range numbers {
@@ -173,7 +173,8 @@
 	return segments, nil
 }
 
-// dropUnfinishedSegment leaves a last segment out that has no header: it was being made when everything ended, unless a frame is in it.
+// dropUnfinishedSegment leaves out a last segment without a valid header: the process ended while it was created. If the segment has a
+// valid frame, its header was damaged instead.
 func (r *recovery) dropUnfinishedSegment(segments []segmentFile) ([]segmentFile, error) {
 	last := &segments[len(segments)-1]
 	if last.hasValidHeader {
@@ -186,7 +187,7 @@
 	return segments[:len(segments)-1], nil
 }
 
-// replaySegment applies a segment's frames up to a number, which belongs to the next segment.
+// replaySegment applies a segment's frames below endFrame, which is the first frame of the next segment.
 func (r *recovery) replaySegment(segment *segmentFile, endFrame uint64) error {
 	if !segment.hasValidHeader {
 		return newDamageError(segment.name, 0, "the header of the segment is damaged")
@@ -217,7 +218,7 @@
 	return nil
 }
 
-// checkTorn tells a torn frame at the end of the log from a damaged one before its end.
+// checkTorn returns an error if the invalid frame at the offset is not the torn end of the log, but damage before its end.
 func (r *recovery) checkTorn(segment *segmentFile, offset int, endFrame uint64) error {
 	if endFrame != noEndFrame {
 		return newDamageError(segment.name, offset, "frame %d is damaged, and the log goes on behind it", r.nextFrame)
@@ -228,7 +229,7 @@
 	return nil
 }
 
-// findWholeFrame looks for a whole frame of at least the given number, from an offset on.
+// findWholeFrame searches for a valid frame of at least the given number, from an offset on.
 func findWholeFrame(raw []byte, from int, minNumber uint64) (at int, found bool) {
 	for at = from; at+frameHeaderBytes <= len(raw); at++ {
 		if raw[at] != frameMagic&0xff {
@@ -241,7 +242,7 @@
 	return 0, false
 }
 
-// openWAL goes on where the log was found to end.
+// openWAL opens the log for appending at its end.
 func (r *recovery) openWAL(files Directory) (*WAL, error) {
 	if r.lastSegment == nil {
 		return createSegment(files, segmentHeader{segment: r.newSegment, firstFrame: r.nextFrame, revision: r.keyspace.revision})
@@ -252,11 +253,11 @@
 		return nil, fmt.Errorf("open %s: %w", name, err)
 	}
 	if r.inspection.TornBytes > 0 {
-		// What is behind the end was never answered, and is not to be looked at again.
+		// The torn bytes were never confirmed, and must not be read by a later recovery.
 		err = file.Truncate(r.offset)
 	}
 	if err == nil {
-		// What a process that has ended wrote may be in memory only; it is answered from now on, so it has to be durable.
+		// What an earlier process wrote may be in the page cache only. Reads return it from now on, so it has to be durable.
 		err = file.Sync()
 	}
 	if err == nil {
@@ -268,7 +269,7 @@
 	return &WAL{files: files, file: file, segment: r.lastSegment.segment, nextFrame: r.nextFrame, offset: r.offset}, nil
 }
 
-// removeLeftovers removes what unfinished snapshots and deletions have left.
+// removeLeftovers removes unfinished snapshots, and the files that the loaded snapshot covers.
 func (r *recovery) removeLeftovers(files Directory) error {
 	for _, name := range r.inspection.UnfinishedSnapshots {
 		if err := files.Remove(name); err != nil {
--- a/internal/site/kvserver/server.go
+++ b/internal/site/kvserver/server.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	// requestQueueLength bounds the requests that wait for a step; what is above it gets 503 at once.
+	// requestQueueLength bounds the requests that wait for a step; further ones are answered with 503 at once.
 	requestQueueLength = 4096
-	// maxBatchRequests bounds a step. While the disk syncs what a step has changed, the next one is worked through: with large steps
-	// one would wait for the other.
+	// maxBatchRequests bounds the requests of a step. Steps are processed while the disk syncs the records of earlier ones; with
+	// large steps the disk and the processor would wait for each other.
 	maxBatchRequests = 16
 	// responseQueueLength is how many groups of steps may wait for their responses to be encoded and sent.
 	responseQueueLength = 256
-	// tickInterval is how often leases and watches are looked at without a request.
+	// tickInterval is how often leases and watches are checked without a request.
 	tickInterval = 20 * time.Millisecond
-	// idleTimeout closes a connection without a request. A watch that waits is a request.
+	// idleTimeout closes a connection without a request. An open watch is a request.
 	idleTimeout = 75 * time.Second
-	// readTimeout closes a connection whose request does not come whole.
+	// readTimeout closes a connection whose request is incomplete for this long.
 	readTimeout = 10 * time.Second
 )
 
 // Server connects a State with the network, the clock and the disk. Four kinds of goroutines share the work, each with its own
-// state: the owner steps the State, the writer appends to the log, the sender encodes and sends responses, and one writes a
-// snapshot now and then. While the disk syncs one step's records, the next steps gather. Their responses wait, also those of reads:
-// what a read has seen might else be gone after a crash. They run until the process ends.
+// state: the owner steps the State, the writer appends to the log, the sender encodes and sends responses, and one writes
+// a snapshot when one is due. While the disk syncs the records of some steps, the following steps are collected. Their responses wait for
+// the next sync, also those of reads: a read may return changes that are not durable yet, and a crash would revert them. The goroutines
+// run until the process ends.
 type Server struct {
 	state     *State
 	storage   *Storage
@@ -43,7 +44,7 @@
 	snapshots snapshotSchedule
 }
 
-// NewServer makes the server of a store that was opened.
+// NewServer returns the server of an opened store.
 func NewServer(state *State, storage *Storage, options config.KVServerOptions, metrics *Metrics, log *slog.Logger) *Server {
 	return &Server{
 		state: state, storage: storage, options: options, log: log, metrics: metrics,
@@ -54,7 +55,7 @@
 	}
 }
 
-// Serve runs the server at an address; it returns only if the address cannot be had.
+// Serve runs the server; it returns only if it cannot listen on the address.
 func (s *Server) Serve(addr string) error {
 	go s.runWriter()
 	go s.runOwner()
@@ -66,7 +67,7 @@
 	return server.RunWithRestart(s.log)
 }
 
-// enqueue hands a request to the owner; it runs on the connections' goroutine.
+// enqueue queues a request for the owner. It runs on the goroutine of the connections.
 func (s *Server) enqueue(r *http1.Request) {
 	select {
 	case s.requests <- Request{Handle: r, Method: r.Method, Target: r.Target, Body: r.Body}:
@@ -102,7 +103,7 @@
 	}
 }
 
-// fillBatch adds the requests that wait already, as far as a step takes them.
+// fillBatch adds waiting requests, up to the bound of a step.
 func (s *Server) fillBatch(batch []Request) []Request {
 	for len(batch) < maxBatchRequests {
 		select {
--- a/internal/site/kvserver/snapshot.go
+++ b/internal/site/kvserver/snapshot.go
@@ -9,14 +9,14 @@
 	"github.com/google/btree"
 )
 
-// A snapshot is a header and a row of blocks, each with its length and checksum: one of the leases, those of the keys, an empty one,
-// and one with the number of keys. It is written beside the old one and takes its name only once it is durable. The number in its
-// name is that of the segment with which the log goes on.
+// A snapshot is a header and a sequence of blocks, each with its length and checksum: the leases, the keys in several blocks, an empty
+// block, and the number of keys. It is written to a temporary file and renamed once it is durable. The number in its name is that of
+// the segment with which the log continues.
 const (
 	snapshotMagic       = "gullSNP1"
 	snapshotHeaderBytes = 8 + 8 + 8 + 8 + 8 + checksumBytes // magic, segment, next frame, revision, last lease, checksum
 	blockHeaderBytes    = 4 + checksumBytes                 // length, checksum
-	// snapshotBlockBytes is how many bytes of keys and values end a block. A step writes one, so it bounds how long a step takes.
+	// snapshotBlockBytes is the size from which a block is complete. A step writes one block, so this bounds the time of a step.
 	snapshotBlockBytes = 64 << 10
 )
 
@@ -26,11 +26,11 @@
 	leases      []lease // ordered by ID
 	revision    uint64
 	lastLeaseID uint64
-	segment     uint64 // the log goes on here
-	nextFrame   uint64 // with this frame
+	segment     uint64 // with which the log continues
+	nextFrame   uint64 // first frame of that segment
 }
 
-// Freeze takes a view of the keyspace. The tree is shared: whoever writes copies what it changes.
+// Freeze returns a view of the keyspace. The tree is shared, copy-on-write.
 func (k *keyspace) Freeze() *View {
 	view := &View{tree: k.tree.Clone(), revision: k.revision, lastLeaseID: k.lastLeaseID}
 	for _, l := range k.leases {
@@ -61,18 +61,18 @@
 	return append(out, content...)
 }
 
-// snapshotStage is what a SnapshotWriter does next.
+// snapshotStage is the next action of a SnapshotWriter.
 type snapshotStage int
 
 const (
-	stageBegin   snapshotStage = iota // make the file, write the header and the leases
+	stageBegin   snapshotStage = iota // create the file, write the header and the leases
 	stageBlocks                       // write the next block
 	stageSync                         // make the content durable
 	stageRename                       // give the file its name
 	stageSyncDir                      // make the name durable
 )
 
-// stageMessages are logged when a stage is done. The crash tests end the process at each of them.
+// stageMessages are logged when a stage is done. The crash tests kill the process at each of them.
 var stageMessages = [...]string{
 	stageBegin:  "snapshot begun",
 	stageBlocks: "snapshot written",
@@ -80,14 +80,14 @@
 	stageRename: "snapshot renamed",
 }
 
-// SnapshotWriter writes a snapshot of a view, one step after the other. It belongs to one goroutine.
+// SnapshotWriter writes a snapshot of a view in steps. It belongs to one goroutine.
 type SnapshotWriter struct {
 	files    Directory
 	view     *View
-	file     File // nil: not made yet, or closed
+	file     File // nil: not created yet, or closed
 	offset   int64
-	lastKey  string // that was written
-	keyCount uint64 // that were written
+	lastKey  string // last written key
+	keyCount uint64 // number of written keys
 	stage    snapshotStage
 }
 
@@ -99,8 +99,8 @@
 	return err
 }
 
-// Step writes the next block, or does what is next at the end; done is true once the snapshot is durable under its name. After an
-// error nothing but Abort may be called; the store goes on with the snapshot it had.
+// Step executes the next stage, or writes the next block; done is true once the snapshot is durable under its name. After an error
+// only Abort may be called; the previous snapshot stays valid.
 func (s *SnapshotWriter) Step() (done bool, err error) {
 	switch s.stage {
 	case stageBegin:
@@ -133,7 +133,7 @@
 	return s.append(encodeBlock(s.view.encodeLeases()))
 }
 
-// writeBlock writes the keys behind the last one that was written, or the end if there are none.
+// writeBlock writes a block of the keys after lastKey, or the end of the snapshot if there are none.
 func (s *SnapshotWriter) writeBlock() error {
 	var block []byte
 	s.view.tree.AscendGreaterOrEqual(&item{key: s.lastKey}, func(it *item) bool {
@@ -166,7 +166,7 @@
 	return err
 }
 
-// Abort removes what was written of a snapshot that has failed.
+// Abort removes the file of a failed snapshot.
 func (s *SnapshotWriter) Abort() error {
 	var closeErr error
 	if s.file != nil {
--- a/internal/site/kvserver/snapshot_read.go
+++ b/internal/site/kvserver/snapshot_read.go
@@ -12,27 +12,27 @@
 	errBlockDamaged     = errors.New("a block is damaged or missing")
 )
 
-// fileError says where a file cannot be read.
+// fileError is an unreadable place in a file.
 type fileError struct {
 	file   string
 	offset int64
 	err    error
 }
 
-// Error names the file and the place.
+// Error returns the file, the offset and the reason.
 func (e *fileError) Error() string { return fmt.Sprintf("%s at byte %d: %v", e.file, e.offset, e.err) }
 
-// Unwrap is what is wrong there.
+// Unwrap returns the reason.
 func (e *fileError) Unwrap() error { return e.err }
 
-// snapshotContent is what a snapshot holds, and where the log goes on after it.
+// snapshotContent is the content of a snapshot, and the position where the log continues after it.
 type snapshotContent struct {
 	keyspace  *keyspace
 	segment   uint64
 	nextFrame uint64
 }
 
-// readSnapshot reads a snapshot; it is whole or the error is a fileError.
+// readSnapshot reads a snapshot. If it is incomplete or damaged, the error is a fileError.
 func readSnapshot(name string, raw []byte) (*snapshotContent, error) {
 	if len(raw) < snapshotHeaderBytes || string(raw[:magicBytes]) != snapshotMagic || !hasChecksum(raw[:snapshotHeaderBytes]) {
 		return nil, &fileError{name, 0, errNoSnapshotHeader}
@@ -51,10 +51,10 @@
 type blockReader struct {
 	raw        []byte
 	offset     int // of the next block
-	blockStart int // of the block that was read last
+	blockStart int // of the last read block
 }
 
-// next is the content of the next block.
+// next returns the content of the next block.
 func (r *blockReader) next() ([]byte, error) {
 	r.blockStart = r.offset
 	rest := r.raw[r.offset:]
@@ -96,7 +96,7 @@
 	}
 }
 
-// readEnd reads the last block, which has to have the number of keys and nothing behind it.
+// readEnd reads the last block, which must have the number of keys and end the file.
 func (r *blockReader) readEnd(keyCount uint64) error {
 	block, err := r.next()
 	if err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// readLeases adds the leases of a block. The last lease ID is the header's: the lease with it may have ended.
+// readLeases adds the leases of a block. The last lease ID stays that of the header, whose lease may have ended.
 func (k *keyspace) readLeases(block []byte) error {
 	r := &recordReader{rest: block}
 	lastLeaseID := k.lastLeaseID
--- a/internal/site/kvserver/snapshot_schedule.go
+++ b/internal/site/kvserver/snapshot_schedule.go
@@ -7,14 +7,14 @@
 	"gullrudder/internal/logkeys"
 )
 
-// snapshotRetryIntervals is after how many tries of the disk a snapshot that failed is tried again: it writes far more than a
-// commit, and the log holds everything meanwhile.
+// snapshotRetryIntervals is the number of disk retry intervals after which a failed snapshot is retried. It writes far more than a
+// commit, and is not urgent, since the log has all changes.
 const snapshotRetryIntervals = 10
 
-// snapshotSchedule is what the owner knows of snapshots: one is written at a time.
+// snapshotSchedule is the owner's state of snapshots, of which one is written at a time.
 type snapshotSchedule struct {
-	isRunning   bool      // from the decision to write it on
-	isScheduled bool      // it begins after the records that are on their way
+	isRunning   bool      // from the decision to write a snapshot until its result
+	isScheduled bool      // it begins after the records in flight
 	nextAt      time.Time // no snapshot before this
 	results     chan snapshotResult
 }
@@ -27,8 +27,8 @@
 
 func (s *snapshotSchedule) canBegin(now time.Time) bool { return !s.isRunning && now.After(s.nextAt) }
 
-// runSnapshot writes a snapshot on a goroutine of its own while the server goes on, and deletes the log that it covers. The crash
-// tests end the process at each of its messages.
+// runSnapshot writes a snapshot on a goroutine of its own, and then deletes the segments that it covers. The crash tests kill the
+// process at each of its messages.
 func (s *Server) runSnapshot(snapshot *SnapshotWriter) {
 	startedAt := time.Now()
 	log := s.log.With(logkeys.Snapshot, snapshot.fileName())
@@ -57,7 +57,7 @@
 		logkeys.Duration, result.duration.Round(time.Millisecond))
 }
 
-// deferSnapshot gives a snapshot up for a while; the log grows on.
+// deferSnapshot postpones a failed snapshot. The log grows meanwhile.
 func (s *Server) deferSnapshot(now time.Time, err error) {
 	s.snapshots.isRunning = false
 	s.snapshots.nextAt = now.Add(snapshotRetryIntervals * s.options.DiskRetryInterval)
--- a/internal/site/kvserver/state.go
+++ b/internal/site/kvserver/state.go
@@ -1,8 +1,8 @@
 // Package kvserver is the state service of a site: a small, strongly consistent key-value store with compare-and-swap transactions,
-// leases and watches, as the protocol describes it. Its State owns the keys, leases and watches and steps through requests without
+// leases and watches, as the platform's protocol defines it. Its State owns the keys, leases and watches and steps through requests without
 // I/O and without a clock. Its Server writes each step's records to a write-ahead log before the responses go out, and takes
-// snapshots so that the log stays short. The package never looks at what a value means, and never answers for a change that is not
-// durable. Its design note is docs/design/state.md, its operation docs/operations/state.md.
+// snapshots so that the log stays short. The package never interprets a value, and never confirms a change that is not durable.
+// Design note: docs/design/state.md; operation: docs/operations/state.md.
 package kvserver
 
 import (
@@ -18,7 +18,7 @@
 	"gullrudder/internal/wire/client"
 )
 
-// State is what the store holds and who waits for it. It belongs to one goroutine.
+// State is the content of the store and its open watches. It belongs to one goroutine.
 type State struct {
 	*keyspace
 	options        config.KVServerOptions
@@ -30,7 +30,7 @@
 	now            time.Time // of the step
 }
 
-// newState makes the owner of a keyspace. Leases have their full time from now on.
+// newState returns the state of a keyspace. Its leases have their full time to live from now on.
 func newState(keys *keyspace, options config.KVServerOptions, now time.Time) *State {
 	s := &State{keyspace: keys, options: options}
 	if options.RequestRate > 0 {
@@ -43,8 +43,8 @@
 	return s
 }
 
-// SetWritesFailing says whether changes can be made durable. While they cannot, transactions are refused and no lease expires;
-// afterwards every lease has its full time again.
+// SetWritesFailing sets whether changes fail to be made durable. While they do, transactions are refused and no lease expires;
+// afterwards every lease has its full time to live again.
 func (s *State) SetWritesFailing(now time.Time, failing bool) {
 	if s.writesFailing && !failing {
 		s.renewAllLeases(now)
@@ -52,7 +52,7 @@
 	s.writesFailing = failing
 }
 
-// Undo takes a step back whose records were not made durable. Several steps are undone in reverse order.
+// Undo reverts a step whose records were not made durable. Several steps have to be undone in reverse order.
 func (s *State) Undo(e Effects) { s.undoAll(e.undos) }
 
 // ForEachKey visits every key, in order.
@@ -63,16 +63,16 @@
 	})
 }
 
-// LeaseIDs lists the leases that are there, in order.
+// LeaseIDs returns the IDs of all leases, in order.
 func (s *State) LeaseIDs() []uint64 { return slices.Sorted(maps.Keys(s.leases)) }
 
-// LastLeaseID is the ID of the last lease that was granted.
+// LastLeaseID returns the ID of the last granted lease.
 func (s *State) LastLeaseID() uint64 { return s.lastLeaseID }
 
-// Revision is that of the last change.
+// Revision returns the revision of the last change.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Step works through a batch of requests. Its effects are the caller's to carry out, in order.
+// Step processes a batch of requests. The caller carries out the effects of the steps in order.
 func (s *State) Step(now time.Time, batch []Request) Effects {
 	s.effects, s.now = Effects{}, now
 	before := s.revision
@@ -92,7 +92,7 @@
 	s.effects.Responses = append(s.effects.Responses, Response{Handle: handle, Status: status, Body: body})
 }
 
-// reject answers a request that is not carried out with the reason. A retryAfter of 0 is not sent.
+// reject answers a refused request with the reason. A retryAfter of 0 is not sent.
 func (s *State) reject(handle any, status int, retryAfter time.Duration, format string, args ...any) {
 	s.effects.Responses = append(s.effects.Responses, Response{
 		Handle: handle, Status: status, Body: errorResponse{fmt.Sprintf(format, args...)}, RetryAfter: retryAfter,
--- a/internal/site/kvserver/transaction.go
+++ b/internal/site/kvserver/transaction.go
@@ -7,7 +7,7 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// commitTransaction carries out all operations of a transaction if all of its preconditions hold, and none otherwise.
+// commitTransaction applies all operations of a transaction if all of its preconditions hold, and none otherwise.
 func (s *State) commitTransaction(request *Request) {
 	var t transaction
 	if err := codec.Unmarshal(request.Body, &t); err != nil {
@@ -42,7 +42,7 @@
 	s.respond(request.Handle, http.StatusOK, revisionResponse{s.revision})
 }
 
-// takeWrites takes as many changes out of the rate limit, and reports whether it allows them.
+// takeWrites reports whether the rate limit allows as many changes, and counts them if so.
 func (s *State) takeWrites(count int) bool {
 	if s.writeLimiter == nil {
 		return true
@@ -54,7 +54,7 @@
 	return true
 }
 
-// hasLeasesOf reports whether all leases are there that keys are to be attached to.
+// hasLeasesOf reports whether the leases of all operations exist.
 func (s *State) hasLeasesOf(t *transaction) bool {
 	for _, o := range t.Operations {
 		if o.LeaseID != 0 && s.leases[o.LeaseID] == nil {
@@ -64,11 +64,11 @@
 	return true
 }
 
-// failedPreconditions are the keys that were changed since the transaction's author read them.
+// failedPreconditions returns the keys whose mod revision is not that of the precondition.
 func (s *State) failedPreconditions(t *transaction) []string {
 	var failed []string
 	for _, p := range t.Preconditions {
-		modRevision := uint64(0) // of a key that is not there
+		modRevision := uint64(0) // of a key that does not exist
 		if it := s.get(p.Key); it != nil {
 			modRevision = it.modRevision
 		}
@@ -79,7 +79,7 @@
 	return failed
 }
 
-// invalidReason says why a transaction is malformed or over the limits; it is empty if it is neither. Body is its encoding.
+// invalidReason returns why a transaction is malformed or exceeds a limit, or an empty string. body is its encoding.
 func (t *transaction) invalidReason(body []byte, maxOps, maxValueBytes int) string {
 	switch {
 	case len(t.Operations) > maxOps:
--- a/internal/site/kvserver/wal.go
+++ b/internal/site/kvserver/wal.go
@@ -7,25 +7,25 @@
 )
 
 var (
-	// ErrNotWritten says that a frame is not in the log and never will be.
+	// ErrNotWritten means that the frame is not in the log and never will be.
 	ErrNotWritten = errors.New("not written")
-	// ErrUncertain says that it is uncertain whether a frame is in the log: a sync failed.
+	// ErrUncertain means that it is uncertain whether the frame is in the log, because a sync failed.
 	ErrUncertain = errors.New("a sync failed")
-	// ErrLogBroken says that the log takes nothing until it has gone on in a new segment.
+	// ErrLogBroken means that the log takes no frame until it continues in a new segment.
 	ErrLogBroken = errors.New("the log waits for a new segment after a failed sync")
 )
 
-// WAL is the write-ahead log: the segment that is written to. It belongs to one goroutine.
+// WAL is the write-ahead log, with the segment that is appended to. It belongs to one goroutine.
 type WAL struct {
 	files     Directory
 	file      File
 	segment   uint64
 	nextFrame uint64 // number of the next frame
-	offset    int64  // where it goes
-	isBroken  bool   // nothing is written to this segment any more
+	offset    int64  // of the next frame
+	isBroken  bool   // a sync failed: this segment is never written to again
 }
 
-// createSegment makes an empty segment that is durable.
+// createSegment creates an empty, durable segment.
 func createSegment(files Directory, header segmentHeader) (*WAL, error) {
 	name := segmentName(header.segment)
 	file, err := files.Create(name)
@@ -45,8 +45,8 @@
 	return &WAL{files: files, file: file, segment: header.segment, nextFrame: header.firstFrame, offset: int64(len(raw))}, nil
 }
 
-// Append writes one frame and makes it durable. Its error is ErrNotWritten, after which the log goes on (unless it is ErrLogBroken
-// too), or ErrUncertain, after which it needs a new segment.
+// Append writes one frame and makes it durable. After ErrNotWritten the log can be used, unless the error is ErrLogBroken too; after
+// ErrUncertain it needs a new segment.
 func (l *WAL) Append(payload []byte) error {
 	if l.isBroken {
 		return fmt.Errorf("%w: %w", ErrNotWritten, ErrLogBroken)
@@ -54,15 +54,15 @@
 	frame := appendFrame(make([]byte, 0, frameHeaderBytes+len(payload)), l.nextFrame, payload)
 	if n, err := l.file.WriteAt(frame, l.offset); err != nil {
 		if n < len(frame) {
-			// What came of it is no whole frame, and the next one takes its place.
+			// The frame is incomplete, and the next one overwrites it.
 			return l.appendError(ErrNotWritten, err)
 		}
 		l.isBroken = true
 		return l.appendError(ErrUncertain, err)
 	}
 	if err := l.file.Sync(); err != nil {
-		// The kernel may have dropped the pages: another sync would report success for nothing. This segment is never written
-		// to again.
+		// The kernel may have dropped the dirty pages, so that another sync would succeed without having written them. This
+		// segment is never written to again.
 		l.isBroken = true
 		return l.appendError(ErrUncertain, err)
 	}
@@ -75,19 +75,19 @@
 	return fmt.Errorf("%w: %s at %d: %w", outcome, segmentName(l.segment), l.offset, err)
 }
 
-// Rotate goes on in a new segment. If that fails, the log is as it was or broken.
+// Rotate continues the log in a new segment. If that fails, the log is unchanged or broken.
 func (l *WAL) Rotate(revision uint64) error {
 	next, err := createSegment(l.files, segmentHeader{segment: l.segment + 1, firstFrame: l.nextFrame, revision: revision})
 	if err != nil {
-		// The file may be there, whole or in part. A recovery that finds it goes on from the frame that it names: either it is gone
-		// for certain, or nothing is written to the old segment any more.
+		// The new segment may exist, complete or in part, and a recovery that finds it voids later frames of the old one. So
+		// unless it is certainly removed, the old segment must not be written to.
 		removeErr := l.files.Remove(segmentName(l.segment + 1))
 		if removeErr != nil && !errors.Is(removeErr, fs.ErrNotExist) || l.files.SyncDir() != nil {
 			l.isBroken = true
 		}
 		return err
 	}
-	_ = l.file.Close() // each frame that counts was synced by itself
+	_ = l.file.Close() // every frame was synced by itself
 	*l = *next
 	return nil
 }
--- a/internal/site/kvserver/writer.go
+++ b/internal/site/kvserver/writer.go
@@ -9,9 +9,9 @@
 	"gullrudder/internal/wire/http1"
 )
 
-// writePipeline is what the owner knows of the writer: one job at a time is on its way.
+// writePipeline is the owner's state of the writer, which has one job at a time.
 type writePipeline struct {
-	pending         []Effects // steps whose records are not on their way yet
+	pending         []Effects // steps whose records were not passed to the writer yet
 	inFlight        []Effects // steps whose records are being written; nil: none
 	inFlightBytes   int       // of these records
 	jobs            chan writeJob
@@ -24,20 +24,20 @@
 type writeJob struct {
 	records  []byte
 	revision uint64
-	view     *View // a snapshot of it is to begin after the frame; nil: none
+	view     *View // of a snapshot that begins after the frame; nil: none
 	isRepair bool
 }
 
 type writeResult struct {
 	err         error
 	duration    time.Duration
-	isBroken    bool // the log takes nothing until it is repaired
+	isBroken    bool // the log takes no records until it is repaired
 	isRepair    bool
-	snapshot    *SnapshotWriter // that is to be written
+	snapshot    *SnapshotWriter // to be written; nil: none
 	snapshotErr error
 }
 
-// runWriter carries out the jobs. No other goroutine writes to the log.
+// runWriter executes the jobs. No other goroutine writes to the log.
 func (s *Server) runWriter() {
 	for job := range s.writes.jobs {
 		startedAt := time.Now()
@@ -56,7 +56,7 @@
 	}
 }
 
-// submitPending hands the steps that have gathered to the writer, or to the sender if they have changed nothing.
+// submitPending passes the pending steps to the writer, or to the sender if they have no records.
 func (s *Server) submitPending(now time.Time) {
 	if s.writes.inFlight != nil {
 		return
@@ -78,7 +78,7 @@
 	}
 	job := writeJob{records: records, revision: s.state.revision}
 	if s.snapshots.canBegin(now) && s.storage.IsSnapshotDue() {
-		// All that has gathered goes into this frame, so the keyspace is what it will be right after it.
+		// This frame has the records of all steps so far, so the present keyspace is the one right after the frame.
 		s.snapshots.isRunning, s.snapshots.isScheduled = true, true
 		job.view = s.state.Freeze()
 	}
@@ -87,7 +87,7 @@
 	s.writes.jobs <- job
 }
 
-// handleWriteResult takes in what became of the job that was on its way.
+// handleWriteResult processes the result of the writer's job.
 func (s *Server) handleWriteResult(now time.Time, result writeResult) {
 	if result.isRepair {
 		s.handleRepairResult(now, result)
@@ -113,13 +113,13 @@
 	case result.snapshotErr != nil:
 		s.deferSnapshot(now, result.snapshotErr)
 	case result.err != nil && s.snapshots.isScheduled:
-		s.snapshots.isRunning = false // it was to begin after these records
+		s.snapshots.isRunning = false // it was to begin after the failed records
 	}
 	s.snapshots.isScheduled = false
 }
 
-// rollBack undoes the steps whose records were not made durable, and those that came after them. Requests of which it is certain
-// that they are not in the log are refused; for the rest that is uncertain, and their connections end without a response.
+// rollBack undoes the steps whose records were not made durable, and the later ones. Requests whose records certainly are not in the
+// log are refused. For the others the outcome is uncertain, and their connections are closed without a response.
 func (s *Server) rollBack(steps []Effects, err error) {
 	s.metrics.failedWriteCount.Inc()
 	s.log.Error("write to the log failed", logkeys.Err, err)
@@ -168,6 +168,6 @@
 		s.writes.nextRepairAt = now.Add(s.options.DiskRetryInterval)
 		return
 	}
-	s.log.Info("log repaired: it goes on in a new segment")
+	s.log.Info("log repaired")
 	s.state.SetWritesFailing(now, false)
 }
