--- a/internal/controller/admission/admission_test.go
+++ b/internal/controller/admission/admission_test.go
@@ -14,7 +14,7 @@
 	return New(options, estimate.New(), fairshare.New(fairshare.PolicyOf(options)))
 }
 
-// deadlineJob is an accepted job, of which each task takes one CPU.
+// deadlineJob returns an accepted job with tasks of one CPU.
 func deadlineJob(id string, submittedAt time.Time, deadline time.Duration, tasks int, runTime time.Duration) *jobs.Job {
 	job := jobs.New(
 		jobs.Spec{ID: id, Class: "c", Tasks: tasks, CPUs: 1, MemoryGB: 1, RunTimeEstimate: runTime, Deadline: deadline},
@@ -24,7 +24,7 @@
 	return job
 }
 
-// A guaranteed job that was overdue by more than two terms once ended the controller when another job was admitted.
+// A guaranteed job that was overdue by more than two planning intervals once ended the controller when another job was admitted.
 func TestAdmitBesideOverdueGuaranteedJob(t *testing.T) {
 	planner := newTestPlanner(config.DefaultOptions())
 	now := time.Unix(10_000, 0)
--- a/internal/controller/admission/exhaustive_test.go
+++ b/internal/controller/admission/exhaustive_test.go
@@ -10,15 +10,15 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// wholeCPUs is the plain model that the greedy plan is compared with: it tries every way to give the jobs whole CPUs term
-// by term.
+// wholeCPUs is the simple model that the greedy plan is compared with: it tries every assignment of whole CPUs to the jobs,
+// interval by interval.
 type wholeCPUs struct {
-	work []int // by job, in CPUs times terms
-	due  []int // by job, in terms
+	work []int // by job, in CPUs times intervals
+	due  []int // by job, in intervals
 	cpus int
 }
 
-// isFeasible reports whether the work that is left from the term on can be done in time.
+// isFeasible reports whether the remaining work can be done in time from the interval on.
 func (m wholeCPUs) isFeasible(term int) bool {
 	done := true
 	for job, left := range m.work {
@@ -32,7 +32,7 @@
 	return done || m.assign(term, m.cpus, 0)
 }
 
-// assign gives the CPUs that are free in a term to the jobs from the given one on, in every way.
+// assign tries every assignment of the free CPUs of an interval to the jobs from the given one on.
 func (m wholeCPUs) assign(term, free, job int) bool {
 	if job == len(m.work) {
 		return m.isFeasible(term + 1)
@@ -49,7 +49,7 @@
 }
 
 // Whatever the greedy plan admits is feasible, and a job that is alone is admitted exactly if it is feasible. All cases
-// of three jobs of up to four tasks and four terms, on one to four CPUs.
+// of three jobs of up to four tasks and four intervals, on one to four CPUs.
 func TestAdmittedJobsAreFeasible(t *testing.T) {
 	admitted, refused := 0, 0
 	for code := range 16 * 16 * 16 {
--- a/internal/controller/autoscaler/objectives_test.go
+++ b/internal/controller/autoscaler/objectives_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// How objectives were kept is recorded, and forgotten over time.
+// The record of how objectives were kept decays over time.
 func TestObjectiveHistoryDecays(t *testing.T) {
 	f := newFixture()
 	f.setObjectives(config.Objective{Kind: "finished", Class: "c", TimeLimit: time.Minute, TargetShare: 0.95})
--- a/internal/controller/fairshare/fairshare_test.go
+++ b/internal/controller/fairshare/fairshare_test.go
@@ -18,7 +18,7 @@
 	return Policy{Window: 10 * time.Minute, MinServedShare: 0.6, CapacityShare: 0.2, OverdueShare: 0.1}
 }
 
-// newJob is an accepted job with tasks of a minute.
+// newJob returns an accepted job with tasks of a minute.
 func newJob(number int, class, team string, tasks int, cpus float64) *jobs.Job {
 	job := jobs.New(
 		jobs.Spec{
@@ -54,7 +54,7 @@
 	}
 }
 
-// A leader that is elected in a shortage knows what was served, and counts it as old as it is.
+// A leader that is elected in a shortage restores the served counts, with their age.
 func TestServedCountsAreRestored(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	store := storage.New(storage.Options{MaxValueBytes: 4096, MaxTransactionOps: 8, WriteRate: 20}, 1, log)
--- a/internal/controller/jobs/production_test.go
+++ b/internal/controller/jobs/production_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// Records have only fields that the version in production knows, by the same names and types, and those of dependencies.
+// Records have only the fields of the version in production, with the same names and types, and those of dependencies.
 func TestRecordHasProductionFieldsOnly(t *testing.T) {
 	known := map[string]reflect.Type{}
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[productionRecord]()) {
--- a/internal/controller/placement/placement_test.go
+++ b/internal/controller/placement/placement_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// What is remembered of a shape is what a walk over the machines finds for the job itself.
+// The result cached for a shape is what a walk over the machines finds for the job itself.
 func TestShapeFitsMatchWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFixture()
@@ -138,7 +138,7 @@
 	}
 }
 
-// checkShapes compares what is known of the candidates by their shapes with walks for each of them.
+// checkShapes compares the results cached by shape with walks for each candidate.
 func (f *fixture) checkShapes(t *rapid.T, machine *worker.Machine) {
 	f.refreshOrder(f.Now)
 	f.resetShapeChecks()
--- a/internal/controller/queue/legacy_order_test.go
+++ b/internal/controller/queue/legacy_order_test.go
@@ -25,7 +25,7 @@
 	sortKey             float64
 }
 
-// Ranks, the first first.
+// The ranks, in the order in which they are served.
 const (
 	legacyRankAgedFirst = iota
 	legacyRankService
@@ -42,7 +42,7 @@
 	legacyRankCrashLooping
 )
 
-// legacyFacts are what the former order knew of all jobs together.
+// legacyFacts are what the former order computed once from all jobs.
 type legacyFacts struct {
 	now           time.Time
 	clusterCPUs   float64
@@ -54,7 +54,7 @@
 	allocations   map[*jobs.Job]fairshare.Reason
 }
 
-// Order ranks the jobs that may run, as before the rules.
+// Order ranks the jobs that may run, as the former implementation did.
 func (p *legacyPlanner) Order(now time.Time, live []*jobs.Job, capacity admission.Capacity) []legacyEntry {
 	var guaranteed []*jobs.Job
 	for _, job := range live {
@@ -96,7 +96,7 @@
 	remainingTime := entry.RemainingCPUSeconds / facts.clusterCPUs
 	switch {
 	case job.CrashLooping:
-		// It is tried now and then, and takes nobody's place for that.
+		// One of its tasks is retried at a time, behind all other jobs.
 		entry.Rank, entry.sortKey = legacyRankCrashLooping, remainingTime
 	case facts.agedFirst[job]:
 		entry.Rank, entry.sortKey, entry.MayReserve, entry.AgedFirst = legacyRankAgedFirst, -age.Seconds(), true, true
@@ -111,7 +111,7 @@
 	case entry.Planned:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankPlanned, admission.DueAt(job).Sub(facts.now).Seconds(), true
 	case entry.WithinQuota && age < p.guaranteeObjective:
-		// It can still start in the time that the guarantee is aimed at.
+		// It can still start in the time that the guarantee is for.
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankQuotaInTime, entry.RemainingCPUSeconds, true
 	case entry.WithinQuota:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankQuotaOverdue, -age.Seconds(), true
@@ -122,20 +122,20 @@
 	case p.objectivesMissed(job, age, entry.TaskRunTime):
 		entry.Rank, entry.sortKey = legacyRankObjectivesMissed, remainingTime
 	case startObjective > 0 && age > startObjective*2/3:
-		// Two thirds of the time in which its tasks are to start are gone.
+		// Two thirds of the time in which its tasks are to start have passed.
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankAged, (startObjective - age).Seconds(), true
 	case facts.limitBound[job.Team]:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankLimitBound, remainingTime-age.Seconds()/p.options.AgeBound.Seconds(), true
 	default:
-		// Ageing within the bound: waiting makes the remaining time count less.
+		// Ageing within the bound: the remaining time counts less the longer the job has waited.
 		entry.Rank, entry.sortKey = legacyRankBestEffort, remainingTime-age.Seconds()/p.options.AgeBound.Seconds()
 	}
 	entry.MayReserve = entry.MayReserve || job.IsGang
 	return entry
 }
 
-// allocateOverdue finds the jobs that can keep none of their aims any more, or are past the age bound, and which of
-// them have room of their own now. Those that go ahead in any case are none of them.
+// allocateOverdue finds the jobs that can meet none of their objectives any more, or are past the age bound, and those of
+// them that have capacity of their own now. Jobs that are served before them in any case are left out.
 func (p *legacyPlanner) allocateOverdue(
 	now time.Time,
 	live []*jobs.Job,
@@ -157,9 +157,9 @@
 	return p.fairShare.Allocate(now, overdue, live, capacity.CPUs)
 }
 
-// overdueAfter is from when on a job is late whatever its aims say: past the age bound, and sooner if nothing of its
-// class was done of late. A guest's six jobs, with wide aims, were nobody's concern until the age bound, and two of
-// them were done by the end of the day (hunt day a4e2-15).
+// overdueAfter is the age from which a job is overdue even if it can still meet its objectives: the age bound, or less if
+// no job of its class was done recently. Without the shorter age, two of six jobs with long objectives were done by the end
+// of the simulated day (a4e2-15).
 func (p *legacyPlanner) overdueAfter(now time.Time, job *jobs.Job) time.Duration {
 	if p.options.StartBound > 0 && p.fairShare.NoneDoneRecently(now, job.Class) {
 		wait := 8 * p.options.StartBound / 5
@@ -171,10 +171,10 @@
 	return p.options.AgeBound
 }
 
-// legacyInitialTasksShare is which part of the fleet jobs may have that are to begin, for their beginnings.
+// legacyInitialTasksShare is the share of the cluster for the initial tasks of all jobs that await their first start.
 const legacyInitialTasksShare = 0.05
 
-// legacyInitialTaskCount is how many tasks at a time are a beginning of an array: it may take any width. A gang begins as a whole.
+// legacyInitialTaskCount is the number of tasks that the first start of a job needs at a time. A gang starts as a whole.
 func legacyInitialTaskCount(job *jobs.Job) int {
 	if job.IsGang {
 		return job.Tasks
@@ -182,8 +182,8 @@
 	return min(max(job.Tasks/100, 1), 8)
 }
 
-// jobsAwaitingStart finds the jobs of which nothing has begun within the bound, the oldest first, as far as their share goes.
-// Shortest remaining time first puts the largest last, and they began after more than four minutes.
+// jobsAwaitingStart finds the jobs of which nothing was started within the bound, the oldest first, as far as their share
+// goes.
 func (p *legacyPlanner) jobsAwaitingStart(now time.Time, live []*jobs.Job, capacity admission.Capacity) map[*jobs.Job]bool {
 	if p.options.StartBound <= 0 {
 		return nil
@@ -214,7 +214,7 @@
 	return marked
 }
 
-// longestAllowed is how long the job may take by the widest of its aims; without any, the age bound.
+// longestAllowed is the longest time that the job may take by any of its objectives; the age bound if it has none.
 func (p *legacyPlanner) longestAllowed(job *jobs.Job) time.Duration {
 	longest := 3 * job.TimeToDeadline() / 2
 	if finishObjectives := p.finishObjectives[job.Class]; len(finishObjectives) > 0 {
@@ -229,7 +229,7 @@
 	return longest
 }
 
-// RankReason tells users why an entry is where it is in the order.
+// RankReason returns the text that explains the rank to users.
 func (e *legacyEntry) RankReason() string {
 	return [...]string{
 		"aged, within the share that is kept",
@@ -248,12 +248,11 @@
 	}[e.Rank]
 }
 
-// legacyMinLimitedWork is how long a team's work must last at its limit for the team to go ahead.
+// legacyMinLimitedWork is how long a team's work must last at its quota for the team to be limit-bound.
 const legacyMinLimitedWork = time.Minute
 
-// limitBoundTeams marks the teams whose work lasts long even with all that their limits allow, and
-// longer than the fleet needs for the work of all teams. What such a team does not use of its
-// limit now it cannot make up for later, however many machines there are then.
+// limitBoundTeams returns the teams whose work lasts long at their quota, and longer than the cluster needs for the work
+// of all teams.
 func (p *legacyPlanner) limitBoundTeams(now time.Time, live []*jobs.Job, capacity admission.Capacity) map[string]bool {
 	workByTeam, totalWork := map[string]float64{}, 0.0
 	for _, job := range live {
@@ -271,7 +270,7 @@
 	return marked
 }
 
-// legacyFirstObjectiveAfter is the first of the sorted aims that lies after age, or 0.
+// legacyFirstObjectiveAfter is the first of the sorted limits that is longer than age, or 0.
 func legacyFirstObjectiveAfter(objectives []time.Duration, age time.Duration) time.Duration {
 	for _, objective := range objectives {
 		if objective > age {
@@ -281,8 +280,7 @@
 	return 0
 }
 
-// objectivesMissed reports whether the job has aims and can keep none of them any more: for each, the
-// wait at which all its tasks have to be started is over.
+// objectivesMissed reports whether the job has objectives and can meet none of them any more.
 func (p *legacyPlanner) objectivesMissed(job *jobs.Job, age, perTask time.Duration) bool {
 	startObjectives, finishObjectives := p.startObjectives[job.Class], p.finishObjectives[job.Class]
 	if len(startObjectives)+len(finishObjectives) == 0 && job.TimeToDeadline() <= 0 {
@@ -293,8 +291,8 @@
 		(job.TimeToDeadline() <= 0 || job.TimeToDeadline() <= earliestFinish)
 }
 
-// jobsWithinQuota marks the jobs that fit into their team's guarantee together with the team's
-// earlier unfinished jobs.
+// jobsWithinQuota returns the jobs that fit into their team's guaranteed quota together with the team's earlier unfinished
+// jobs.
 func (p *legacyPlanner) jobsWithinQuota(live []*jobs.Job) map[*jobs.Job]bool {
 	byTeam := map[string][]*jobs.Job{}
 	for _, job := range live {
--- a/internal/controller/queue/legacy_plan_test.go
+++ b/internal/controller/queue/legacy_plan_test.go
@@ -12,7 +12,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// legacyPlanner is the former implementation of estimates, admission and order in one, kept as the plain model of the
+// legacyPlanner is the former implementation of estimates, admission and order in one, kept as the reference model of the
 // packages estimate, admission and queue.
 type legacyPlanner struct {
 	options            config.Options
@@ -36,7 +36,7 @@
 	cpus        float64
 }
 
-// New makes a planner.
+// New returns a planner.
 func newLegacyPlanner(options config.Options, platform *config.Platform) *legacyPlanner {
 	planner := &legacyPlanner{
 		options: options, teams: platform.TeamsByName(), startObjectives: map[string][]time.Duration{},
@@ -61,13 +61,13 @@
 	return planner
 }
 
-// SetOptions takes other options; what was learnt stays.
+// SetOptions replaces the options. The measured run times stay.
 func (p *legacyPlanner) SetOptions(options config.Options) {
 	p.options = options
 	p.fairShare.SetPolicy(fairshare.PolicyOf(options))
 }
 
-// ObserveRunTime takes in how long a task of the job has run.
+// ObserveRunTime records the run time of a completed task.
 func (p *legacyPlanner) ObserveRunTime(job *jobs.Job, ran time.Duration) {
 	job.CompletedRunTime += ran
 	job.CompletedRuns++
@@ -85,7 +85,7 @@
 }
 
 // TaskRunTime is the expected run time of one of the job's tasks: the owner's estimate,
-// corrected by what its class and the job itself have shown.
+// corrected by the measured run times of its class and of the job itself.
 func (p *legacyPlanner) TaskRunTime(job *jobs.Job) time.Duration {
 	estimate := job.RunTimeEstimate
 	if s := p.runTimes[job.Class]; s != nil {
@@ -100,29 +100,28 @@
 	return max(estimate, time.Second)
 }
 
-// RemainingCPUSeconds is the CPU time that the job still needs; a task that takes none counts a little.
+// RemainingCPUSeconds is the CPU time that the job still needs; a task without CPUs counts a little.
 func (p *legacyPlanner) RemainingCPUSeconds(job *jobs.Job, now time.Time) float64 {
 	return job.RemainingWork(p.TaskRunTime(job), now).Seconds() * max(job.CPUs, 0.1)
 }
 
 const legacyMaxTerms = 240 // terms that are planned at most
 
-// legacySchedule lays deadline jobs, tightest first, into terms. What does not fit before its
-// deadline is dropped, the job with the lowest payoff first; lost holds the dropped.
+// legacySchedule is a plan of equal intervals for deadline jobs, the earliest deadline first. If not all fit before their
+// deadlines, the jobs with the lowest payoff are dropped; lost has the dropped jobs.
 type legacySchedule struct {
 	term          time.Duration
 	now           time.Time
 	reservedCPUs  []float64
 	capacity      admission.Capacity
-	withheldShare float64 // share of the room that is kept for the aged, and promised to nobody
+	withheldShare float64 // share of the capacity that is reserved for aged jobs
 }
 
-// reserve tries to hold room for a job and reports whether it fits; if not, nothing is held.
+// reserve reserves capacity for a job and reports whether it fits; if not, it reserves nothing.
 func (s *legacySchedule) reserve(job *jobs.Job, perTask time.Duration, work float64) bool {
 	remaining := admission.DueAt(job).Sub(s.now)
 	if remaining <= 0 {
-		// A job that is late already has no terms left; counting them below zero once
-		// ended the process.
+		// An overdue job has no intervals left. A negative number of them once ended the process.
 		return work <= 1e-9
 	}
 	width := admission.RoundUp(float64(job.Tasks-job.DoneTasks)*max(job.CPUs, 0.1), s.capacity.MachineCPUs)
@@ -133,7 +132,7 @@
 	if len(job.ActiveAttempts) == 0 && remaining < perTask {
 		return false
 	}
-	// The last term counts as far as the deadline reaches into it.
+	// Of the last interval only the part before the deadline counts.
 	lastTermSeconds := (remaining - time.Duration(terms)*s.term).Seconds()
 	reserved := make([]float64, 0, terms+1)
 	for t := 0; t <= terms && work > 1e-9; t++ {
@@ -220,7 +219,7 @@
 	return plan.reserve(job, p.TaskRunTime(job), p.RemainingCPUSeconds(job, now))
 }
 
-// planGuaranteed lays the guaranteed jobs. planned, if given, gets those that fit.
+// planGuaranteed reserves capacity for the guaranteed jobs. planned, if not nil, gets those that fit.
 func (p *legacyPlanner) planGuaranteed(
 	now time.Time,
 	guaranteed []*jobs.Job,
@@ -248,8 +247,7 @@
 	return plan
 }
 
-// payoff is what completing a job is worth, in steps: a whole step less for every step
-// of lateness.
+// payoff is the value of completing a job, in steps: one less for every LatenessStep that it is late.
 func (p *legacyPlanner) payoff(now time.Time, job *jobs.Job) int {
 	lateness := now.Sub(admission.DueAt(job))
 	if lateness <= 0 {
--- a/internal/controller/queue/model_test.go
+++ b/internal/controller/queue/model_test.go
@@ -13,8 +13,8 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// comparison runs the same commands on the ranker and on the plain model. Each has jobs, estimates and served counts of
-// its own, since both change them.
+// comparison runs the same commands on the ranker and on the legacy model. Each has its own jobs, estimates and served
+// counts, since both change them.
 type comparison struct {
 	now      time.Time
 	options  config.Options
@@ -200,7 +200,7 @@
 	}
 }
 
-// comparedEntry is an entry as the ranker and the model both know it.
+// comparedEntry has the fields of an entry that the ranker and the model both have.
 type comparedEntry struct {
 	JobID                          string
 	Rank                           int
--- a/internal/controller/queue/queue_test.go
+++ b/internal/controller/queue/queue_test.go
@@ -15,7 +15,7 @@
 	return NewRanker(options, platform, NewComponents(options))
 }
 
-// newJob is an accepted job of which each task takes one CPU.
+// newJob returns an accepted job with tasks of one CPU.
 func newJob(spec jobs.Spec, submittedAt time.Time) *jobs.Job {
 	spec.CPUs, spec.MemoryGB = 1, 1
 	job := jobs.New(spec, submittedAt)
@@ -23,7 +23,7 @@
 	return job
 }
 
-// A guaranteed job that is overdue by more than two terms stays in the order.
+// A guaranteed job that is overdue by more than two planning intervals stays in the order.
 func TestOrderWithOverdueGuaranteedJob(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	ranker := newTestRanker(&config.Platform{})
--- a/internal/controller/submission/limiter_test.go
+++ b/internal/controller/submission/limiter_test.go
@@ -24,7 +24,7 @@
 // the team "calm" two jobs a second for 40 s.
 type twoTeams struct {
 	limiter       *Limiter
-	retriesAtOnce bool // the users of flood don't wait as they are told
+	retriesAtOnce bool // the users of flood ignore Retry-After
 	now           time.Time
 	users         []*user
 	pending       []string // teams of the pending submissions, the oldest first
@@ -69,7 +69,7 @@
 	}
 }
 
-// submit lets each user try whose time has come.
+// submit submits or retries for each user whose time has come.
 func (s *twoTeams) submit(t *testing.T) {
 	t.Helper()
 	remaining := s.users[:0]
@@ -116,8 +116,8 @@
 	return count
 }
 
-// A team that floods does not keep another one out, whether it waits as it is told or not. Users of one team who wait as
-// they are told are accepted in the order of their first attempts.
+// A team that floods does not keep another one out, whether or not its users obey Retry-After. Users of one team who
+// obey it are accepted in the order of their first submissions.
 func TestTeamsShareTheLimiter(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -152,7 +152,7 @@
 	}
 }
 
-// The tickets of a team whose users never retry are bounded and expire, and the team is forgotten.
+// The tickets of a team whose users never retry are bounded and expire, and the team is removed.
 func TestTicketsExpire(t *testing.T) {
 	limiter := NewLimiter(1, 1)
 	now := time.Unix(1000, 0)
--- a/internal/controller/zones/tracker_test.go
+++ b/internal/controller/zones/tracker_test.go
@@ -33,7 +33,7 @@
 var modelZones = []string{"a", "b", "c"}
 
 // model is a simple cluster: machines that send heartbeats, zones that become unavailable, and a leader that pauses or receives
-// nothing. It knows which zones are unavailable.
+// nothing. It records which zones are unavailable.
 type model struct {
 	rng              *rand.Rand
 	now              time.Time
@@ -100,7 +100,7 @@
 				machine.lastHeartbeat = m.now
 			}
 		}
-		// Package election/connectivity tells the leader within a second.
+		// Package election/connectivity detects that within a second.
 		inboundUnreachable := m.inboundLost && m.now.Sub(m.lastInboundLost) == 0
 		m.tracker.Observe(m.now, inboundUnreachable, func(visit func(Machine)) {
 			for _, machine := range m.machines {
@@ -171,7 +171,7 @@
 		m.inboundLost = true
 		m.run(span/4, check)
 		m.inboundLost = false
-		// Until each machine has sent a heartbeat nothing is known of any.
+		// The observation begins once each machine has sent a heartbeat.
 		m.run(heartbeatInterval*5/4+time.Second, func() {})
 	}
 }
--- a/internal/site/kvserver/helpers_test.go
+++ b/internal/site/kvserver/helpers_test.go
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 )
 
-// openEmpty opens a store in an empty directory of a disk that fails when it is told to.
+// openEmpty opens a store in an empty directory of a disk that fails on demand.
 func openEmpty(t rapid.TB, options config.KVServerOptions, now time.Time) (*kvserver.State, *kvserver.Storage, *faultydisk.Disk) {
 	t.Helper()
 	files := faultydisk.New(rand.New(rand.NewPCG(1, 1)))
--- a/internal/site/kvserver/storage_test.go
+++ b/internal/site/kvserver/storage_test.go
@@ -41,7 +41,7 @@
 }
 
 // A byte that has rotted before answered records ends the start, with file and place, and nothing is overwritten. In the last frame
-// it cannot be told from a torn write.
+// it cannot be distinguished from a torn write.
 func TestOpenReportsDamage(t *testing.T) {
 	taken := 0
 	for _, name := range []string{damagedSnapshot, damagedSegment} {
--- a/internal/site/kvserver/watches_test.go
+++ b/internal/site/kvserver/watches_test.go
@@ -64,7 +64,7 @@
 }
 
 // A watch goes on over a restart if the log still has what came after its revision; what a snapshot covers is not kept as changes,
-// and its watcher is told to read the keys again.
+// and its watcher has to read the keys again.
 func TestWatchAcrossRestart(t *testing.T) {
 	state, storage, files := openEmpty(t, config.DefaultKVServerOptions(), time.Unix(100, 0))
 	for i := range 4 {
