--- a/cmd/gullrudder/serve.go
+++ b/cmd/gullrudder/serve.go
@@ -11,6 +11,7 @@
 
 	"gullrudder/internal/config"
 	"gullrudder/internal/controller"
+	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/metrics"
 
 	"github.com/spf13/cobra"
@@ -86,7 +87,7 @@
 			}
 			// The platform gives the process a share of one core.
 			runtime.GOMAXPROCS(1)
-			log := newLogger(os.Stderr, os.Getenv("LOG_LEVEL")).With("node", cfg.Name)
+			log := newLogger(os.Stderr, os.Getenv("LOG_LEVEL")).With(logkeys.Controller, cfg.Name)
 			now := time.Now()
 			rng := rand.New(rand.NewPCG(uint64(now.UnixNano()), uint64(os.Getpid())))
 			n := controller.New(cfg, opt, now, rng, log)
