--- a/internal/controller/admission/exhaustive_test.go
+++ b/internal/controller/admission/exhaustive_test.go
@@ -19,27 +19,27 @@
 }
 
 // isFeasible reports whether the remaining work can be done in time from the interval on.
-func (m wholeCPUs) isFeasible(term int) bool {
+func (m wholeCPUs) isFeasible(interval int) bool {
 	done := true
 	for job, left := range m.work {
 		if left > 0 {
 			done = false
-			if m.due[job] <= term {
+			if m.due[job] <= interval {
 				return false
 			}
 		}
 	}
-	return done || m.assign(term, m.cpus, 0)
+	return done || m.assign(interval, m.cpus, 0)
 }
 
 // assign tries every assignment of the free CPUs of an interval to the jobs from the given one on.
-func (m wholeCPUs) assign(term, free, job int) bool {
+func (m wholeCPUs) assign(interval, free, job int) bool {
 	if job == len(m.work) {
-		return m.isFeasible(term + 1)
+		return m.isFeasible(interval + 1)
 	}
 	for granted := min(free, m.work[job]); granted >= 0; granted-- {
 		m.work[job] -= granted
-		ok := m.assign(term, free-granted, job+1)
+		ok := m.assign(interval, free-granted, job+1)
 		m.work[job] += granted
 		if ok {
 			return true
--- a/internal/controller/admission/round_up.go
+++ b/internal/controller/admission/round_up.go
@@ -1,9 +1,10 @@
 package admission
 
-import "math"
+import (
+	"math"
 
-// cpuTolerance absorbs rounding errors where CPUs are compared.
-const cpuTolerance = 1e-6
+	"gullrudder/internal/controller/jobs"
+)
 
 // RoundUp returns the CPUs with which a guaranteed job is planned (§3.4.1): the job's CPUs, rounded up to a machine of the
 // given size divided by a power of two, or to whole machines.
@@ -12,10 +13,10 @@
 		return cpus
 	}
 	if cpus >= machineCPUs {
-		return math.Ceil(cpus/machineCPUs-cpuTolerance) * machineCPUs
+		return math.Ceil(cpus/machineCPUs-jobs.ResourceTolerance) * machineCPUs
 	}
 	share := machineCPUs
-	for share/2 >= cpus-cpuTolerance {
+	for share/2 >= cpus-jobs.ResourceTolerance {
 		share /= 2
 	}
 	return share
--- a/internal/controller/autoscaler/projection.go
+++ b/internal/controller/autoscaler/projection.go
@@ -7,9 +7,6 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// cpuTolerance absorbs rounding when CPUs are compared.
-const cpuTolerance = 1e-6
-
 // capacityProjection is the capacity of the machines that are up, booting or planned. The waiting tasks are placed on it.
 type capacityProjection struct {
 	totalCPUs        float64
@@ -103,7 +100,7 @@
 		if fit := current.available.TasksThatFit(job); fit > 0 && placement.KindAllowed(job, current.kind) {
 			placed += current.reserve(job, min(fit, maxTasks-placed))
 		}
-		if current.available.CPUs >= p.smallestTaskCPUs-cpuTolerance {
+		if current.available.CPUs >= p.smallestTaskCPUs-jobs.ResourceTolerance {
 			p.slots[kept] = *current
 			kept++
 		}
--- a/internal/controller/placement/placement.go
+++ b/internal/controller/placement/placement.go
@@ -24,8 +24,6 @@
 	gangInterval = 200 * time.Millisecond
 	// preemptionInterval is the time between two searches for jobs that need preemption.
 	preemptionInterval = 500 * time.Millisecond
-	// resourceTolerance absorbs rounding errors where resources are compared.
-	resourceTolerance = 1e-6
 )
 
 // Placer decides where tasks start. Each leadership has its own. It is not safe for concurrent use. It returns starts as
--- a/internal/controller/placement/shapes.go
+++ b/internal/controller/placement/shapes.go
@@ -72,7 +72,7 @@
 func countFittingTasks(job *jobs.Job, free []*worker.Machine, maxTasks int) int {
 	tasks := 0
 	for _, machine := range free {
-		if tasks >= maxTasks || job.CPUs > 0 && machine.CPUs-machine.UsedCPUs < job.CPUs-resourceTolerance {
+		if tasks >= maxTasks || job.CPUs > 0 && machine.CPUs-machine.UsedCPUs < job.CPUs-jobs.ResourceTolerance {
 			break // the remaining machines have fewer free CPUs
 		}
 		if IsEligible(job, machine) {
--- a/internal/controller/queue/quota.go
+++ b/internal/controller/queue/quota.go
@@ -10,12 +10,8 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-const (
-	// minLimitedWork is how long a team's work must last at its quota for the team to be limit-bound.
-	minLimitedWork = time.Minute
-	// resourceTolerance absorbs rounding errors where sums are compared with a quota.
-	resourceTolerance = 1e-6
-)
+// minLimitedWork is how long a team's work must last at its quota for the team to be limit-bound.
+const minLimitedWork = time.Minute
 
 // limitBoundTeams returns the teams whose work is delayed by their quota rather than by the cluster: at its quota it lasts
 // long, and longer than the cluster needs for the work of all teams. Such a team can never make up for what it does not
@@ -62,7 +58,7 @@
 	for i, job := range list {
 		cpus += float64(job.Tasks) * job.CPUs
 		gpus += float64(job.Tasks) * job.GPUs
-		if cpus > team.GuaranteedCPUs+resourceTolerance || gpus > team.GuaranteedGPUs+resourceTolerance {
+		if cpus > team.GuaranteedCPUs+jobs.ResourceTolerance || gpus > team.GuaranteedGPUs+jobs.ResourceTolerance {
 			return i
 		}
 	}
--- a/internal/controller/worker/resources.go
+++ b/internal/controller/worker/resources.go
@@ -2,9 +2,6 @@
 
 import "gullrudder/internal/controller/jobs"
 
-// resourceEpsilon is the rounding error that sums of resources may have.
-const resourceEpsilon = 1e-6
-
 // Resources is what tasks take of a machine, or what is available on one.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
@@ -20,7 +17,7 @@
 	if need <= 0 {
 		return count
 	}
-	return min(count, int((available+resourceEpsilon)/need))
+	return min(count, int((available+jobs.ResourceTolerance)/need))
 }
 
 // AfterPlacing returns what is left beside so many tasks of the job. A negative number of tasks gives resources back.
--- a/internal/controller/worker/utilization.go
+++ b/internal/controller/worker/utilization.go
@@ -1,6 +1,10 @@
 package worker
 
-import "slices"
+import (
+	"slices"
+
+	"gullrudder/internal/controller/jobs"
+)
 
 // BucketCount is the number of groups into which reporting machines are divided by the share of their CPUs that is taken.
 // Machines in the last one have no CPU available. The placer looks through buckets, so that its work for one heartbeat does not
@@ -22,7 +26,7 @@
 	switch {
 	case !machine.HasReported || machine.CPUs+machine.MemoryGB == 0:
 		return 0
-	case machine.CPUs-machine.UsedCPUs < resourceEpsilon:
+	case machine.CPUs-machine.UsedCPUs < jobs.ResourceTolerance:
 		return BucketCount
 	}
 	return 1 + min(int(max(machine.UsedCPUs, 0)/machine.CPUs*(BucketCount-1)), BucketCount-2)
