--- a/cmd/gullrudder/served.go
+++ b/cmd/gullrudder/served.go
@@ -11,15 +11,15 @@
 		"DONE counts jobs of the last minutes, what is longer ago counting ever less; LATE are jobs that can keep none of their\n"+
 			"aims any more. Below the least share (floor-least) a class or team has room ahead of others (floor-share).", cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
-			var shares api.ServiceShares
+			var shares api.ServedShares
 			if err := a.get("/served", &shares); err != nil {
 				return err
 			}
-			return a.show(shares, func(p *printer) { printServiceShares(p, shares) })
+			return a.show(shares, func(p *printer) { printServedShares(p, shares) })
 		})
 }
 
-func printServiceShares(out *printer, shares api.ServiceShares) {
+func printServedShares(out *printer, shares api.ServedShares) {
 	out.println("\tNAME\tSERVED\tDONE\tLATE\tWITH ROOM OF THEIR OWN")
 	for _, group := range shares.Groups {
 		kind, behind := "class", ""
@@ -33,6 +33,6 @@
 			behind = "behind"
 		}
 		out.printf("%s\t%s\t%.0f %%\t%.1f\t%d\t%d\t%s\n",
-			kind, group.Name, 100*group.Share, group.DoneJobs, group.OverdueJobs, group.OverdueReserved, behind)
+			kind, group.Name, 100*group.Share, group.DoneJobs, group.UnservedJobs, group.AllocatedJobs, behind)
 	}
 }
--- a/cmd/gullrudder/state.go
+++ b/cmd/gullrudder/state.go
@@ -36,7 +36,7 @@
 	if flags.data == "" || flags.listen == "" {
 		return &exitError{exitUsage, errors.New("state: --data and --listen are required")}
 	}
-	options, err := config.LoadKVServer(flags.operators)
+	options, err := config.LoadKVServerOptions(flags.operators)
 	if err != nil {
 		return &exitError{exitUsage, err}
 	}
--- a/internal/controller/api/archived.go
+++ b/internal/controller/api/archived.go
@@ -49,7 +49,7 @@
 		h.respondFinal(archived, jobstore.FinalState{Done: true}, false)
 		return true
 	}
-	h.jobStore.Archive().Resolve(now, h.outbox, archived.jobID, func(now time.Time, final archive.FinalState, found bool, err error) {
+	h.jobStore.Archive().LookupData(now, h.outbox, archived.jobID, func(now time.Time, final archive.FinalState, found bool, err error) {
 		switch {
 		case !h.holdsLease():
 			h.responder.RespondError(archived.request, http.StatusServiceUnavailable, "no leader at present", retryDelay)
@@ -73,7 +73,7 @@
 
 func (h *jobHandler) refuseArchived(archived archivedRequest, err error) {
 	if err != nil {
-		h.logger.Info("archived job lookup failed", logkeys.Job, archived.jobID, logkeys.Err, err)
+		h.log.Info("archived job lookup failed", logkeys.Job, archived.jobID, logkeys.Err, err)
 	}
 	h.responder.RespondError(
 		archived.request, http.StatusServiceUnavailable, "finished jobs cannot be looked up now", archiveRetryDelay,
