--- /dev/null
+++ b/internal/simulator/failover_test.go
@@ -0,0 +1,297 @@
+package simulator
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+)
+
+// A leader ends while half of the machines are away for longer than their leases. Jobs that the next one accepts start on the others
+// before those leases are over; nothing that may run out of sight starts again, and a team at its limit stays within it.
+func TestAcceptedJobsStartDuringFailover(t *testing.T) {
+	forEachSeed(t, 4, clusterAtQuota, func(sim scenario) {
+		for _, m := range sim.Cloud.randomMachines(len(sim.Cloud.runningMachines()) / 2) {
+			m.hangsUntil = sim.Now.Add(sim.Options.WorkerLease + 4*time.Second)
+		}
+		sim.Crash(sim.leader, time.Duration(sim.seed)*time.Second)
+		sim.Run(1500 * time.Millisecond)
+		sim.submitShortJobs("red", "61", 8, 3)
+		sim.submitShortJobs("blue", "62", 8, 3)
+		began := 0
+		for end := sim.Now.Add(10 * time.Second); sim.Now.Before(end) && !sim.isPlacing() && len(sim.Violations) == 0; {
+			sim.Run(100 * time.Millisecond)
+			began = sim.Users.countJobs(func(j *observedJob) bool { return j.spec.Class == "short" && !j.firstStartedAt.IsZero() })
+		}
+		if began < 3 {
+			sim.t.Errorf("only %d jobs of the new leader began before all machines were accounted for", began)
+		}
+	})
+}
+
+// A team is at its limit when the leader changes, twice in a row, some of its machines cannot be asked, and jobs of it are cancelled
+// in that spell: what may still run counts, also of the cancelled ones, until it is gone.
+func TestQuotaDuringFailover(t *testing.T) {
+	forEachSeed(t, 4, clusterAtQuota, func(sim scenario) {
+		for _, m := range sim.Cloud.randomMachines(len(sim.Cloud.runningMachines()) / 2) {
+			for i := range sim.controllers {
+				sim.CutLink(controllerName(i), m.id, time.Duration(9+sim.seed)*time.Second)
+			}
+		}
+		sim.Users.CancelLongest(3, 0)
+		sim.At(100*time.Millisecond*time.Duration(1+sim.seed*2), func() { sim.Crash(sim.leader, 500*time.Millisecond) })
+		sim.At(4*time.Second, func() {
+			if l := sim.LeaderIndex(); l >= 0 {
+				sim.Crash(l, 500*time.Millisecond)
+			}
+		})
+		sim.At(5*time.Second, func() { sim.Users.CancelLongest(2, 6*time.Second) })
+		sim.submitShortJobs("red", "63", 10, 8)
+		sim.Run(20 * time.Second)
+	})
+}
+
+// Machines reach no controller, while commands reach them. The tasks of cancelled jobs there are gone in time, through a takeover, and
+// when a machine is back within a second of its lease's end; nothing runs twice.
+func TestOutboundUnreachableMachines(t *testing.T) {
+	forEachSeed(t, 4, busyCluster, func(sim scenario) {
+		sim.Cloud.CutOutbound(len(sim.Cloud.runningMachines())/2, sim.Options.WorkerLease+time.Duration(sim.seed)*400*time.Millisecond-600*time.Millisecond)
+		sim.Users.CancelLongest(4, 0)
+		if sim.seed%2 == 0 {
+			sim.At(time.Second, func() { sim.Crash(sim.leader, time.Second) })
+		}
+		sim.Run(15 * time.Second)
+		sim.Cloud.CutOutbound(6, 20*time.Second)
+		sim.At(time.Second, func() { sim.State.Outage(sim.Options.CancelTimeout + 3*time.Second) })
+		sim.At(500*time.Millisecond, func() { sim.Users.CancelLongest(3, 0) })
+		sim.Run(40 * time.Second)
+	})
+}
+
+// All controllers are away for longer than a lease, just after cancellations: every session is a new one, results that came to
+// an end meanwhile are lost with it and their tasks run again, and there is no flood of machines or starts.
+func TestAllControllersDownPastLease(t *testing.T) {
+	forEachSeed(t, 4, busyCluster, func(sim scenario) {
+		sim.Cloud.DuplicateHeartbeats(30 * time.Second)
+		sim.Users.CancelLongest(3, time.Duration(sim.seed)*3*time.Second)
+		sim.Run(400 * time.Millisecond)
+		machines, ran := len(sim.Cloud.machineIDs), sim.checker.TaskStarts
+		for i := range sim.controllers {
+			sim.Crash(i, sim.Options.WorkerLease+time.Duration(1+int(sim.seed)*i)*time.Second)
+		}
+		sim.Run(30 * time.Second)
+		if more := len(sim.Cloud.machineIDs) - machines; more > machines/2 {
+			sim.t.Errorf("%d machines more are rented, after %d", more, machines)
+		}
+		if again := sim.checker.TaskStarts - ran; again > 160 {
+			sim.t.Errorf("%d starts of some 80 tasks", again)
+		}
+	})
+}
+
+// A report is held up until the next leader has acted, and then arrives there, with what that one has replaced or cancelled.
+func TestHeartbeatDelayedPastFailover(t *testing.T) {
+	forEachSeed(t, 4, busyCluster, func(sim scenario) {
+		late := 0
+		for _, m := range sim.Cloud.runningMachines() {
+			old, err := encode(m.heartbeat())
+			if err != nil {
+				sim.t.Fatal(err)
+			}
+			for i := range 12 {
+				sim.At(time.Duration(2000+700*i)*time.Millisecond, func() {
+					if l := sim.LeaderIndex(); l >= 0 {
+						late++
+						sim.deliverRequest(controllerName(l), false, "POST", "/v1/report", old, func(int, any) {})
+					}
+				})
+			}
+			if late%3 == 0 {
+				m.hangsUntil = sim.Now.Add(3 * time.Second)
+			}
+		}
+		sim.Crash(sim.leader, time.Second)
+		sim.At(1500*time.Millisecond, func() { sim.Users.CancelLongest(4, 0) })
+		sim.At(3*time.Second, func() { sim.Cloud.RestartMachine(200*time.Millisecond, sim.seed%2 == 0) })
+		sim.Run(15 * time.Second)
+		if late < 20 {
+			sim.t.Errorf("%d late reports", late)
+		}
+	})
+}
+
+// Cancellations, questions and repeated submissions meet the end of a job's last task: one final state in every answer, of every
+// controller, also after the job is sealed; without other troubles, and with commits of unknown outcome.
+func TestCancellationAsJobsEnd(t *testing.T) {
+	forEachSeed(t, 6, busyCluster, func(sim scenario) {
+		sim.Users.CancelAsJobsEnd(1, time.Minute)
+		sim.submitShortJobs("none", "64", 40, 2)
+		if sim.seed%3 == 1 {
+			sim.State.DelayTransactions(0.3, 40*time.Second)
+		}
+		if sim.seed%3 == 2 {
+			sim.At(12*time.Second, func() { sim.Crash(sim.leader, time.Second) })
+			sim.At(20*time.Second, func() { sim.State.Refuse(sim.State.leaderName(), 4*time.Second) })
+		}
+		for i := range 60 {
+			sim.At(time.Duration(i)*time.Second, sim.Users.SendInvalidRequest)
+		}
+		sim.Run(70 * time.Second)
+		both := [2]int{sim.Users.CancelledCount(), sim.Users.countJobs(func(j *observedJob) bool { return j.cancelRequested && !j.finishedAt.IsZero() })}
+		if both[0]+both[1] < 20 || both[1] == 0 {
+			sim.t.Errorf("%d cancelled, %d done though their users asked to cancel them", both[0], both[1])
+		}
+	})
+}
+
+// Leaders change ten times in two minutes, some of it inside an outage; then all end, and one returns within a second.
+func TestTenFailoversInTwoMinutes(t *testing.T) {
+	forEachSeed(t, 3, busyCluster, func(sim scenario) {
+		sim.watchSingleLeader()
+		sim.submitShortJobs("none", "65", 100, 2)
+		led := map[uint64]bool{}
+		for i := range 10 {
+			sim.At(time.Duration(i)*11*time.Second, func() {
+				led[sim.State.leaderRevision()] = true
+				if l := sim.LeaderIndex(); l >= 0 && i%3 != 2 {
+					sim.Crash(l, time.Duration(300+500*i)*time.Millisecond)
+				} else if l >= 0 {
+					sim.State.Refuse(controllerName(l), 5*time.Second)
+				}
+			})
+		}
+		sim.At(43*time.Second, func() { sim.State.Outage(14 * time.Second) })
+		sim.At(50*time.Second, func() { sim.Users.CancelLongest(3, 5*time.Second) })
+		sim.Run(115 * time.Second)
+		if len(led) < 7 {
+			sim.t.Errorf("%d leaders", len(led))
+		}
+		for i := range sim.controllers {
+			sim.Crash(i, time.Duration(500+4000*((i+int(sim.seed))%3))*time.Millisecond)
+		}
+		sim.Run(2 * time.Minute)
+		if served := sim.servedOf("short"); served.Share() < 0.9 {
+			sim.t.Errorf("%.2f of the short jobs are done", served.Share())
+		}
+	})
+}
+
+// Jobs bound to one zone, arrays too, lose machines, some of them out of sight and not gone, while the leader ends: no task starts in
+// another zone while one may still be in the first, and all are done in the end.
+func TestZoneBoundJobsLoseMachines(t *testing.T) {
+	forEachSeed(t, 4, clusterWithoutTaskFailures, func(sim scenario) {
+		for i := range 10 {
+			s := jobs.Spec{
+				ID:              fmt.Sprintf("job-7%03d", i),
+				Class:           "bound",
+				Team:            "blue",
+				Tasks:           4,
+				CPUs:            1,
+				MemoryGB:        1,
+				Image:           "i",
+				AllowsSpot:      true,
+				RunTimeEstimate: 25 * time.Second,
+			}
+			switch i % 3 {
+			case 0:
+				s.SingleZone = true
+			case 1:
+				s.SpreadAcrossZones = true
+			default:
+				s.Zone = "b"
+			}
+			sim.Users.SubmitJob(s, 25*time.Second)
+		}
+		for i := range 8 {
+			sim.At(time.Duration(15+4*i)*time.Second, func() {
+				sim.Cloud.FailMachine()
+				sim.Cloud.HangMachine(5 * time.Second)
+				sim.Cloud.CutMachine(12 * time.Second)
+				sim.Cloud.ReclaimMachine(0)
+			})
+		}
+		sim.At(22*time.Second, func() {
+			if l := sim.LeaderIndex(); l >= 0 {
+				sim.Crash(l, time.Second)
+			}
+		})
+		sim.Run(50 * time.Second)
+	})
+}
+
+// Jobs are cancelled at the very moment at which the state service refuses the leader alone; their machines hang, and a second later
+// it is away for all for longer than users are told.
+func TestCancellationAsLeaderIsRefused(t *testing.T) {
+	forEachSeed(t, 6, busyCluster, func(sim scenario) {
+		sim.Users.CancelLongest(5, time.Duration(sim.seed)*3*time.Second)
+		sim.At(time.Duration(sim.seed)*40*time.Millisecond, func() { sim.State.Refuse(controllerName(sim.leader), 12*time.Second) })
+		sim.At(time.Second, func() { sim.State.Outage(sim.Options.CancelTimeout + 12*time.Second) })
+		sim.Run(50 * time.Second)
+	})
+}
+
+// A zone with workers and a controller is cut off for longer than a lease: the leader is in it, or it is not.
+func TestPartitionedZoneWithController(t *testing.T) {
+	forEachSeed(t, 6, busyCluster, func(sim scenario) {
+		sim.watchSingleLeader()
+		sim.Users.CancelLongest(2, 0)
+		sim.At(300*time.Millisecond, func() {
+			sim.CutZone([]string{"a", "b"}[sim.seed%2], []int{(sim.leader + int(sim.seed/2)) % len(sim.controllers)}, sim.Options.WorkerLease+time.Duration(4+sim.seed)*time.Second)
+		})
+		sim.At(4*time.Second, func() { sim.Users.CancelLongest(2, 0) })
+		sim.Run(30 * time.Second)
+	})
+}
+
+// More work than there is room for, urgent and not, over links that lose and hold up much: every rule, and an end.
+func TestOverloadOverLossyLinks(t *testing.T) {
+	forEachSeed(t, 3, overloadedLossyCluster, func(sim scenario) {
+		for i := range 60 {
+			sim.At(time.Duration(i)*700*time.Millisecond, func() {
+				sim.Users.SubmitJob(jobs.Spec{
+					ID: fmt.Sprintf("job-66%02d", i), Class: "heap", Team: "blue", Tasks: 6, CPUs: 2, MemoryGB: 1, Image: "i", AllowsSpot: true,
+					Priority: jobs.Priority(i % 4), RunTimeEstimate: 8 * time.Second, Deadline: time.Duration(i%2) * 40 * time.Second,
+				}, 8*time.Second)
+			})
+		}
+		sim.State.SlowDown(40 * time.Second)
+		sim.At(20*time.Second, func() { sim.Users.CancelLongest(6, 5*time.Second) })
+		sim.Run(8 * time.Minute)
+	})
+}
+
+// The checker itself: jobs that wait while machines have room are told of, and what was accepted though it cannot run.
+func TestCheckerReportsStartableJobsLeftWaiting(t *testing.T) {
+	t.Parallel()
+	sim := busyCluster(t, 1).Cluster
+	for _, process := range sim.controllers {
+		process.controller = nil // stops for good, which the simulator does not count as a fault
+		process.generation++
+	}
+	var answerAll func() // unanswered polls would break another rule first
+	answerAll = func() {
+		for _, job := range sim.checker.jobs {
+			job.lastAnsweredAt = sim.Now
+		}
+		sim.At(time.Second, answerAll)
+	}
+	answerAll()
+	sim.Run(sim.Options.WorkerLease + maxStartableWait)
+	if len(sim.Violations) > 0 {
+		t.Fatalf("too early: %v", sim.Violations)
+	}
+	if sim.Run(20 * time.Second); len(sim.Violations) == 0 {
+		t.Error("no violation is reported for jobs that are left waiting")
+	}
+	sim = New(1, testOptions(), testLogger())
+	sim.Run(8 * time.Second)
+	spec := jobArray("job-1", "c", "red", 1, time.Second)
+	for range 5 { // one of them arrives
+		sim.Users.mustReject(spec.ID, SubmissionFields(spec), 422)
+	}
+	sim.Run(3 * time.Second)
+	if len(sim.Violations) == 0 {
+		t.Error("no violation is reported for an invalid job that was accepted")
+	}
+}
--- /dev/null
+++ b/internal/simulator/stateservice.go
@@ -0,0 +1,337 @@
+package simulator
+
+import (
+	"net/url"
+	"sort"
+	"strconv"
+	"strings"
+	"time"
+
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// StateService is the simulated state service: a key-value store with revisions, leases, watches and transactions.
+type StateService struct {
+	sim                   *Cluster
+	revision              uint64
+	keys                  map[string]*stateKey
+	leases                map[uint64]*stateLease
+	lastLeaseID           uint64
+	changeLog             []stateChange
+	watches               []func()
+	outageUntil           time.Time            // until when every request gets 503
+	refusedUntil          map[string]time.Time // controller -> until when it alone gets 503
+	lateUntil             time.Time            // until when some transactions are executed late
+	lateShare             float64              // share of the transactions that are executed late
+	slowUntil             time.Time            // until when responses are slow
+	oversizedTransactions int                  // transactions that were refused for their size
+	maxValueBytes         int                  // of a value, once limits are lowered; 0: as the settings say
+	maxOperations         int                  // of a transaction, once limits are lowered
+}
+
+type stateKey struct {
+	value       msgpack.RawMessage
+	modRevision uint64
+	leaseID     uint64
+}
+
+type stateLease struct {
+	ttl       time.Duration
+	expiresAt time.Time
+}
+
+type stateChange struct {
+	Write       string             `msgpack:"write,omitempty"`
+	Drop        string             `msgpack:"drop,omitempty"`
+	Value       msgpack.RawMessage `msgpack:"value,omitempty"`
+	ModRevision uint64             `msgpack:"mark"`
+}
+
+func newStateService(sim *Cluster) *StateService {
+	return &StateService{sim: sim, keys: map[string]*stateKey{}, leases: map[uint64]*stateLease{}, refusedUntil: map[string]time.Time{}}
+}
+
+func (s *StateService) expire(leaseID uint64) {
+	lease := s.leases[leaseID]
+	if lease == nil || s.sim.Now.Before(lease.expiresAt) {
+		return
+	}
+	s.endLease(leaseID)
+}
+
+func (s *StateService) endLease(leaseID uint64) {
+	delete(s.leases, leaseID)
+	var gone []string
+	for k, v := range s.keys {
+		if v.leaseID == leaseID {
+			gone = append(gone, k)
+		}
+	}
+	sort.Strings(gone)
+	if len(gone) > 0 {
+		s.revision++
+	}
+	for _, k := range gone {
+		delete(s.keys, k)
+		s.changeLog = append(s.changeLog, stateChange{Drop: k, ModRevision: s.revision})
+	}
+	s.wakeWatches()
+}
+
+func (s *StateService) wakeWatches() {
+	list := s.watches
+	s.watches = nil
+	for _, f := range list {
+		f()
+	}
+}
+
+func (s *StateService) isRefusing(node string) bool {
+	return s.sim.Now.Before(s.outageUntil) || s.sim.Now.Before(s.refusedUntil[node])
+}
+
+func (s *StateService) serve(node, method, target string, body []byte, answer func(int, any)) {
+	if s.isRefusing(node) {
+		answer(503, nil)
+		return
+	}
+	if u, err := url.Parse(target); err == nil && u.Path == "/watch" {
+		q := u.Query()
+		from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
+		wait, _ := strconv.Atoi(q.Get("wait_ms"))
+		s.watch(node, q.Get("starts"), from, s.sim.Now.Add(time.Duration(wait)*time.Millisecond), answer)
+		return
+	}
+	if target == "/commit" && s.sim.Now.Before(s.lateUntil) && s.sim.Rand.Float64() < s.lateShare {
+		s.sim.At(2*time.Second+time.Duration(s.sim.Rand.IntN(10_000))*time.Millisecond, func() {
+			if !s.sim.Now.Before(s.outageUntil) {
+				s.execute(method, target, body, func(int, any) {})
+			}
+		})
+		return
+	}
+	if s.sim.Now.Before(s.slowUntil) && s.sim.Rand.IntN(2) == 0 {
+		half := time.Duration(s.sim.Rand.IntN(1500)) * time.Millisecond
+		s.sim.At(half, func() {
+			if s.isRefusing(node) {
+				answer(503, nil)
+				return
+			}
+			s.execute(method, target, body, func(status int, body any) { s.sim.At(half, func() { answer(status, body) }) })
+		})
+		return
+	}
+	s.execute(method, target, body, answer)
+}
+
+// Exchange serves a call at once, without a simulated network.
+func (s *StateService) Exchange(call client.Call) (r client.Result) {
+	body, err := encode(call.Body)
+	if err != nil {
+		s.sim.reportViolation(RuleMalformed, "a body cannot be encoded: %v", err)
+	}
+	s.execute(call.Method, call.Path, body, func(status int, body any) {
+		raw, err := encode(body)
+		if err != nil {
+			s.sim.reportViolation(RuleMalformed, "an answer cannot be encoded: %v", err)
+		}
+		r = client.Result{Status: status, Body: raw}
+	})
+	return r
+}
+
+// execute serves every request but a watch.
+func (s *StateService) execute(method, target string, body []byte, answer func(int, any)) {
+	u, err := url.Parse(target)
+	if err != nil {
+		answer(400, nil)
+		return
+	}
+	q := u.Query()
+	switch {
+	case u.Path == "/leases":
+		var a struct {
+			TTL int64 `msgpack:"ttl_ms"`
+		}
+		if codec.Unmarshal(body, &a) != nil {
+			answer(400, nil)
+			return
+		}
+		s.lastLeaseID++
+		id, ttl := s.lastLeaseID, time.Duration(a.TTL)*time.Millisecond
+		s.leases[id] = &stateLease{ttl, s.sim.Now.Add(ttl)}
+		s.sim.At(ttl, func() { s.expire(id) })
+		answer(200, map[string]uint64{"permit": id})
+	case strings.HasPrefix(u.Path, "/leases/"):
+		s.serveLease(strings.TrimPrefix(u.Path, "/leases/"), method, answer)
+	case u.Path == "/commit":
+		s.commit(body, answer)
+	case strings.HasPrefix(u.Path, "/keys/"):
+		k := s.keys[strings.TrimPrefix(u.Path, "/keys/")]
+		if k == nil {
+			answer(404, map[string]uint64{"tide": s.revision})
+			return
+		}
+		answer(200, map[string]any{"path": u.Path[6:], "value": k.value, "mark": k.modRevision})
+	case u.Path == "/keys":
+		s.listKeys(q, answer)
+	default:
+		answer(400, nil)
+	}
+}
+
+func (s *StateService) serveLease(rest, method string, answer func(int, any)) {
+	num, _, touch := strings.Cut(rest, "/touch")
+	id, err := strconv.ParseUint(num, 10, 64)
+	l := s.leases[id]
+	switch {
+	case err != nil:
+		answer(400, nil)
+	case l == nil:
+		answer(404, nil)
+	case touch:
+		l.expiresAt = s.sim.Now.Add(l.ttl)
+		s.sim.At(l.ttl, func() { s.expire(id) })
+		answer(200, nil)
+	case method == "DELETE":
+		s.endLease(id)
+		answer(200, nil)
+	}
+}
+
+// transaction is the body of a commit.
+type transaction struct {
+	Guards []struct {
+		Path        string `msgpack:"path"`
+		ModRevision uint64 `msgpack:"mark"`
+	} `msgpack:"guards"`
+	Apply []struct {
+		Write   string             `msgpack:"write"`
+		Drop    string             `msgpack:"drop"`
+		Value   msgpack.RawMessage `msgpack:"value"`
+		LeaseID uint64             `msgpack:"permit"`
+	} `msgpack:"apply"`
+}
+
+// Limits of a transaction. Controllers must not exceed them.
+const (
+	maxTransactionOperations = 8
+	maxPreconditions         = 4 * maxTransactionOperations
+	maxTransactionBytes      = 64 << 10
+)
+
+func (s *StateService) commit(body []byte, answer func(int, any)) {
+	var t transaction
+	if err := codec.Unmarshal(body, &t); err != nil {
+		s.sim.reportViolation(RuleMalformed, "the state service got a malformed transaction: %v", err)
+		return
+	}
+	if len(t.Apply) > maxTransactionOperations || len(t.Guards) > maxPreconditions || len(body) > maxTransactionBytes {
+		s.sim.reportViolation(RuleMalformed, "a transaction is over the limits: %d operations, %d preconditions, %d bytes",
+			len(t.Apply), len(t.Guards), len(body))
+		return
+	}
+	if refusal := s.refusal(t); refusal != "" {
+		answer(400, map[string]string{"error": refusal})
+		return
+	}
+	if key, ok := s.failedPrecondition(t); ok {
+		answer(409, map[string]any{"failed": []string{key}, "tide": s.revision})
+		return
+	}
+	s.apply(t)
+	answer(200, map[string]uint64{"tide": s.revision})
+	s.wakeWatches()
+}
+
+// refusal is why a transaction cannot be executed whatever its preconditions, empty if it can.
+func (s *StateService) refusal(t transaction) string {
+	for _, operation := range t.Apply {
+		if s.maxValueBytes > 0 && (len(operation.Value) > s.maxValueBytes || len(t.Apply) > s.maxOperations) {
+			s.oversizedTransactions++
+			return "too large"
+		}
+		if operation.LeaseID != 0 && s.leases[operation.LeaseID] == nil {
+			return "no such lease"
+		}
+	}
+	return ""
+}
+
+// failedPrecondition returns the first key that has another mod revision than the transaction requires.
+func (s *StateService) failedPrecondition(t transaction) (key string, failed bool) {
+	for _, guard := range t.Guards {
+		modRevision := uint64(0)
+		if stored := s.keys[guard.Path]; stored != nil {
+			modRevision = stored.modRevision
+		}
+		if modRevision != guard.ModRevision {
+			return guard.Path, true
+		}
+	}
+	return "", false
+}
+
+// apply executes all operations of a transaction at one new revision.
+func (s *StateService) apply(t transaction) {
+	s.revision++
+	for _, operation := range t.Apply {
+		if operation.Drop != "" {
+			delete(s.keys, operation.Drop)
+			s.changeLog = append(s.changeLog, stateChange{Drop: operation.Drop, ModRevision: s.revision})
+			continue
+		}
+		s.keys[operation.Write] = &stateKey{operation.Value, s.revision, operation.LeaseID}
+		s.changeLog = append(s.changeLog, stateChange{Write: operation.Write, Value: operation.Value, ModRevision: s.revision})
+	}
+}
+
+func (s *StateService) listKeys(query url.Values, answer func(int, any)) {
+	most, _ := strconv.Atoi(query.Get("most"))
+	var names []string
+	for k := range s.keys {
+		if strings.HasPrefix(k, query.Get("starts")) && k > query.Get("from") {
+			names = append(names, k)
+		}
+	}
+	sort.Strings(names)
+	more := most > 0 && len(names) > most
+	if more {
+		names = names[:most]
+	}
+	list := []any{}
+	for _, k := range names {
+		list = append(list, map[string]any{"path": k, "value": s.keys[k].value, "mark": s.keys[k].modRevision})
+	}
+	answer(200, map[string]any{"entries": list, "has_next": more, "tide": s.revision})
+}
+
+func (s *StateService) watch(node, prefix string, from uint64, until time.Time, answer func(int, any)) {
+	var found []stateChange
+	for _, c := range s.changeLog {
+		if c.ModRevision > from && strings.HasPrefix(c.Write+c.Drop, prefix) {
+			found = append(found, c)
+		}
+	}
+	if !s.isRefusing(node) && (len(found) > 0 || !s.sim.Now.Before(until)) {
+		answer(200, map[string]any{"tide": s.revision, "log": found})
+		return
+	}
+	again := func() { s.watch(node, prefix, from, until, answer) }
+	if s.sim.Now.Before(until) {
+		fired := false
+		once := func() {
+			if !fired {
+				fired = true
+				again()
+			}
+		}
+		s.watches = append(s.watches, once)
+		s.sim.At(until.Sub(s.sim.Now), once)
+		return
+	}
+	s.sim.At(200*time.Millisecond, again)
+}
