--- a/internal/simulator/accounting_test.go
+++ b/internal/simulator/accounting_test.go
@@ -138,9 +138,10 @@
 					t.Fatalf("no account of %s", id)
 				}
 				mine := [phaseCount]time.Duration{
-					fetchingImage: spent[accounting.FetchingImage.String()], runningOnMachine: spent[accounting.Running.String()],
-					retrying:  spent[accounting.AttemptFailed.String()] + spent[accounting.MachineLost.String()] + spent[accounting.Preempted.String()],
-					completed: spent[accounting.NotDurable.String()],
+					fetchingImage:    spent[accounting.FetchingImage.String()],
+					runningOnMachine: spent[accounting.Running.String()],
+					retrying:         spent[accounting.AttemptFailed.String()] + spent[accounting.MachineLost.String()] + spent[accounting.Preempted.String()],
+					completed:        spent[accounting.NotDurable.String()],
 				}
 				mine[waitingForMachine] = sum - mine[fetchingImage] - mine[runningOnMachine] - mine[retrying] - mine[completed]
 				for p := range phaseCount {
--- a/internal/simulator/ageing_test.go
+++ b/internal/simulator/ageing_test.go
@@ -77,7 +77,7 @@
 					if kept && bounds[id] == 0 {
 						t.Fatalf("seed %d: no bound is stated for %s: %+v", seed, id, x)
 					}
-					if len(x.Reasons) == 0 || x.QueuedJob.WaitingTasks > 0 && x.Position < 1 {
+					if len(x.Reasons) == 0 || x.WaitingTasks > 0 && x.Position < 1 {
 						t.Errorf("seed %d: %s is not explained: %+v", seed, id, x)
 					}
 				}
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -44,7 +44,12 @@
 )
 
 func newInvariantChecker(sim *Cluster) *invariantChecker {
-	return &invariantChecker{sim: sim, jobs: map[string]*observedJob{}, placements: map[jobs.TaskID][]*machine{}, attempts: map[uint64]string{}}
+	return &invariantChecker{
+		sim:        sim,
+		jobs:       map[string]*observedJob{},
+		placements: map[jobs.TaskID][]*machine{},
+		attempts:   map[uint64]string{},
+	}
 }
 
 func (checker *invariantChecker) runTime(taskID jobs.TaskID) time.Duration {
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -35,8 +35,25 @@
 		requests:        map[string][]string{},
 		machinesPerKind: cmp.Or(sim.Options.MachinesPerKind, 6),
 		machineTypes: map[string]cloud.MachineType{
-			"small": {Name: "small", CPUs: 4, MemoryGB: 16, HourlyPrice: 0.2, SpotHourlyPrice: 0.06, BootSeconds: 3, Zones: []string{"a", "b"}},
-			"large": {Name: "large", CPUs: 16, GPUs: 2, MemoryGB: 64, HourlyPrice: 0.9, SpotHourlyPrice: 0.3, BootSeconds: 4, Zones: []string{"b"}},
+			"small": {
+				Name:            "small",
+				CPUs:            4,
+				MemoryGB:        16,
+				HourlyPrice:     0.2,
+				SpotHourlyPrice: 0.06,
+				BootSeconds:     3,
+				Zones:           []string{"a", "b"},
+			},
+			"large": {
+				Name:            "large",
+				CPUs:            16,
+				GPUs:            2,
+				MemoryGB:        64,
+				HourlyPrice:     0.9,
+				SpotHourlyPrice: 0.3,
+				BootSeconds:     4,
+				Zones:           []string{"b"},
+			},
 		},
 	}
 	var snap func()
@@ -131,8 +148,16 @@
 	var ids []string
 	for range count {
 		m := &machine{
-			sim: c.sim, id: fmt.Sprintf("vm-%06d", c.nextID), machineType: c.machineTypes[typ], zone: zone, spot: spot, requestedAt: c.sim.Now,
-			tasks: map[string]*machineTask{}, failedJobs: map[string]bool{}, incarnation: 1, targetController: c.sim.Rand.IntN(c.sim.Options.Controllers),
+			sim:              c.sim,
+			id:               fmt.Sprintf("vm-%06d", c.nextID),
+			machineType:      c.machineTypes[typ],
+			zone:             zone,
+			spot:             spot,
+			requestedAt:      c.sim.Now,
+			tasks:            map[string]*machineTask{},
+			failedJobs:       map[string]bool{},
+			incarnation:      1,
+			targetController: c.sim.Rand.IntN(c.sim.Options.Controllers),
 		}
 		c.nextID++
 		c.machines[m.id] = m
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -56,7 +56,7 @@
 	NoTaskFailures      bool    // tasks fail only on faulty machines
 	StopPollingFinished bool    // users do not poll jobs that they know to be done or cancelled
 	Tuning              config.Options
-	SkipCostlyChecks    bool                   // quotas and the durability of forgotten results are not checked: both cost much in large clusters
+	SkipCostlyChecks    bool                   // no check of quotas and of the durability of forgotten results, which cost much in large clusters
 	AdjustPlatform      func(*config.Platform) // changes the platform's configuration of each controller
 }
 
@@ -136,7 +136,9 @@
 		Name: controllerName(index), Zone: "a", PublicAddr: controllerName(index), PeerListenAddr: controllerName(index),
 		Zones: []string{"a", "b"}, Teams: sim.Options.Teams,
 		WorkerTiming: config.WorkerTiming{
-			HeartbeatInterval: sim.Options.HeartbeatInterval, WorkerLeaseDuration: sim.Options.WorkerLease, CancelTimeout: sim.Options.CancelTimeout,
+			HeartbeatInterval:   sim.Options.HeartbeatInterval,
+			WorkerLeaseDuration: sim.Options.WorkerLease,
+			CancelTimeout:       sim.Options.CancelTimeout,
 		},
 		StateLimits:  config.StateLimits{StateRequestRate: 200, StateWriteRate: 20, MaxValueBytes: 4096, MaxTransactionOps: 8},
 		CloudLimits:  config.CloudLimits{CloudRequestRate: 5, CloudListLag: 2 * time.Second},
@@ -183,7 +185,13 @@
 	process.startedAt = sim.Now
 	process.queue = nil
 	rng := rand.New(rand.NewPCG(sim.Rand.Uint64(), uint64(process.index)))
-	process.controller = controller.New(process.platform, sim.Options.Tuning, sim.localTime(process), rng, sim.Log.With("node", process.platform.Name, "at", sim.Now.Sub(sim.startedAt)))
+	process.controller = controller.New(
+		process.platform,
+		sim.Options.Tuning,
+		sim.localTime(process),
+		rng,
+		sim.Log.With("node", process.platform.Name, "at", sim.Now.Sub(sim.startedAt)),
+	)
 	gen := process.generation
 	var tick func()
 	tick = func() {
--- a/internal/simulator/crashtest/crashpoints.go
+++ b/internal/simulator/crashtest/crashpoints.go
@@ -13,6 +13,36 @@
 	Runs        int
 }
 
+// What a crash can do to unsynced data; random sectors are drawn three times.
+var losses = []faultydisk.Loss{
+	faultydisk.LoseAll, faultydisk.LoseNothing,
+	faultydisk.LoseRandomSectors, faultydisk.LoseRandomSectors, faultydisk.LoseRandomSectors,
+	faultydisk.ProcessCrash,
+}
+
+var faults = []faultydisk.Fault{
+	faultydisk.ShortWrite, faultydisk.FailedOperation, faultydisk.ErrorAfterWrite, faultydisk.FailedSync,
+}
+
+// faultSpans are for how many operations in a row a fault lasts.
+var faultSpans = []int{1, 9}
+
+// crashPoints tries variants of one run.
+type crashPoints struct {
+	seed   uint64
+	steps  int
+	result Result
+}
+
+// try repeats the run with a change to the disk.
+func (c *crashPoints) try(what string, set func(*faultydisk.Disk), loss faultydisk.Loss, reopen int) error {
+	c.result.Runs++
+	if _, err := runOnce(c.seed, c.steps, set, loss, reopen); err != nil {
+		return fmt.Errorf("seed %d, %s, loss %d: %w", c.seed, what, loss, err)
+	}
+	return nil
+}
+
 // RunCrashPoints runs a number of steps, and repeats them with a crash at each disk operation: with all
 // unsynced data lost, kept, kept in part, or still held by the operating system. Then it repeats them with a fault at
 // each operation, alone and followed by a crash. Each time the store is recovered, goes on, and is recovered once more;
@@ -22,37 +52,48 @@
 	if err != nil {
 		return Result{}, err
 	}
-	r := Result{CrashPoints: count, Runs: 1}
-	try := func(what string, set func(*faultydisk.Disk), loss faultydisk.Loss, reopen int) error {
-		r.Runs++
-		if _, err := runOnce(seed, steps, set, loss, reopen); err != nil {
-			return fmt.Errorf("seed %d, %s, loss %d: %w", seed, what, loss, err)
-		}
-		return nil
-	}
+	points := &crashPoints{seed: seed, steps: steps, result: Result{CrashPoints: count, Runs: 1}}
 	for at := 1; at <= count; at++ {
-		for _, loss := range []faultydisk.Loss{faultydisk.LoseAll, faultydisk.LoseNothing, faultydisk.LoseRandomSectors, faultydisk.LoseRandomSectors, faultydisk.LoseRandomSectors, faultydisk.ProcessCrash} {
-			if err := try(fmt.Sprintf("ended at operation %d", at), func(d *faultydisk.Disk) { d.CrashAt = at }, loss, at%7); err != nil {
-				return r, err
-			}
+		if err := points.tryCrashes(at); err != nil {
+			return points.result, err
 		}
-		for _, fault := range []faultydisk.Fault{faultydisk.ShortWrite, faultydisk.FailedOperation, faultydisk.ErrorAfterWrite, faultydisk.FailedSync} {
-			for _, span := range []int{1, 9} {
-				set := func(d *faultydisk.Disk) { d.FailAt, d.FailFor, d.Fault = at, span, fault }
-				if err := try(fmt.Sprintf("fault %d at operation %d for %d", fault, at, span), set, faultydisk.LoseRandomSectors, 0); err != nil {
-					return r, err
-				}
-				end := at + 1 + (at*7+span)%20
-				both := func(d *faultydisk.Disk) { set(d); d.CrashAt = end }
-				for _, loss := range []faultydisk.Loss{faultydisk.LoseNothing, faultydisk.LoseRandomSectors} {
-					if err := try(fmt.Sprintf("fault %d at operation %d for %d, ended at %d", fault, at, span, end), both, loss, 0); err != nil {
-						return r, err
-					}
+		for _, fault := range faults {
+			for _, span := range faultSpans {
+				if err := points.tryFault(at, fault, span); err != nil {
+					return points.result, err
 				}
 			}
 		}
 	}
-	return r, nil
+	return points.result, nil
+}
+
+// tryCrashes crashes at an operation, and recovery at one of its first operations.
+func (c *crashPoints) tryCrashes(at int) error {
+	for _, loss := range losses {
+		what := fmt.Sprintf("ended at operation %d", at)
+		if err := c.try(what, func(d *faultydisk.Disk) { d.CrashAt = at }, loss, at%7); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// tryFault fails operations, alone and followed by a crash up to 20 operations later.
+func (c *crashPoints) tryFault(at int, fault faultydisk.Fault, span int) error {
+	set := func(d *faultydisk.Disk) { d.FailAt, d.FailFor, d.Fault = at, span, fault }
+	what := fmt.Sprintf("fault %d at operation %d for %d", fault, at, span)
+	if err := c.try(what, set, faultydisk.LoseRandomSectors, 0); err != nil {
+		return err
+	}
+	end := at + 1 + (at*7+span)%20
+	both := func(d *faultydisk.Disk) { set(d); d.CrashAt = end }
+	for _, loss := range []faultydisk.Loss{faultydisk.LoseNothing, faultydisk.LoseRandomSectors} {
+		if err := c.try(fmt.Sprintf("%s, ended at %d", what, end), both, loss, 0); err != nil {
+			return err
+		}
+	}
+	return nil
 }
 
 // runOnce runs the steps, crashes the store, and checks what it recovers. reopen is the operation at which
--- a/internal/simulator/crashtest/player.go
+++ b/internal/simulator/crashtest/player.go
@@ -87,56 +87,68 @@
 
 func (p *Player) key() string { return fmt.Sprintf("k/%d", p.rng.IntN(12)) }
 
-// randomRequest makes a random request, and what the model says to it.
-func (p *Player) randomRequest(m *Model) (r kvserver.Request, check func(kvserver.Response) string) {
+// randomRequest draws a request, applies it to the model, and returns a check of the store's response.
+func (p *Player) randomRequest(model *Model) (request kvserver.Request, check func(kvserver.Response) string) {
 	want := 200
 	switch p.rng.IntN(10) {
 	case 0:
-		id := m.GrantLease()
-		r = post("/leases", map[string]any{"ttl_ms": leaseDuration.Milliseconds()})
-		p.leaseExpiry[id] = p.now.Add(leaseDuration)
+		leaseID := model.GrantLease()
+		request = post("/leases", map[string]any{"ttl_ms": leaseDuration.Milliseconds()})
+		p.leaseExpiry[leaseID] = p.now.Add(leaseDuration)
 	case 1:
-		id := uint64(1)
-		for l := range m.Leases {
-			id = max(id, l)
+		leaseID := uint64(1)
+		for other := range model.Leases {
+			leaseID = max(leaseID, other)
 		}
-		if !m.Leases[id] {
+		if !model.Leases[leaseID] {
 			want = 404
 		}
-		m.EndLease(id)
-		r = kvserver.Request{Method: "DELETE", Target: fmt.Sprintf("/leases/%d", id)}
+		model.EndLease(leaseID)
+		request = kvserver.Request{Method: "DELETE", Target: fmt.Sprintf("/leases/%d", leaseID)}
 	default:
-		var guards []Precondition
-		var ops []Operation
-		for range p.rng.IntN(3) {
-			k := p.key()
-			g := Precondition{k, m.Keys[k].ModRevision}
-			if p.rng.IntN(6) == 0 {
-				g.ModRevision++
-			}
-			guards = append(guards, g)
-		}
-		for range 1 + p.rng.IntN(3) {
-			o := Operation{Key: p.key()}
-			if p.rng.IntN(4) > 0 {
-				o.Value = fmt.Sprintf("%d-%0*d", p.rng.IntN(1000), 1+p.rng.IntN(900), 7)
-				if p.rng.IntN(5) == 0 {
-					o.LeaseID = uint64(1 + p.rng.IntN(4))
-				}
-			}
-			ops = append(ops, o)
-		}
-		want, _ = m.Commit(guards, ops)
-		r = CommitRequest(guards, ops)
+		preconditions := p.randomPreconditions(model)
+		operations := p.randomOperations()
+		want, _ = model.Commit(preconditions, operations)
+		request = CommitRequest(preconditions, operations)
 	}
-	return r, func(got kvserver.Response) string {
+	return request, func(got kvserver.Response) string {
 		if got.Status != want {
-			return fmt.Sprintf("%s %s is answered %d, want %d", r.Method, r.Target, got.Status, want)
+			return fmt.Sprintf("%s %s is answered %d, want %d", request.Method, request.Target, got.Status, want)
 		}
 		return ""
 	}
 }
 
+// randomPreconditions draws up to two preconditions, some of which fail.
+func (p *Player) randomPreconditions(model *Model) []Precondition {
+	var list []Precondition
+	for range p.rng.IntN(3) {
+		key := p.key()
+		precondition := Precondition{key, model.Keys[key].ModRevision}
+		if p.rng.IntN(6) == 0 {
+			precondition.ModRevision++
+		}
+		list = append(list, precondition)
+	}
+	return list
+}
+
+// randomOperations draws one to three writes and drops, some with a lease that may not exist.
+func (p *Player) randomOperations() []Operation {
+	var list []Operation
+	for range 1 + p.rng.IntN(3) {
+		operation := Operation{Key: p.key()}
+		if p.rng.IntN(4) > 0 {
+			operation.Value = fmt.Sprintf("%d-%0*d", p.rng.IntN(1000), 1+p.rng.IntN(900), 7)
+			if p.rng.IntN(5) == 0 {
+				operation.LeaseID = uint64(1 + p.rng.IntN(4))
+			}
+		}
+		list = append(list, operation)
+	}
+	return list
+}
+
 func post(target string, body any) kvserver.Request {
 	raw, err := codec.Marshal(body)
 	if err != nil {
--- a/internal/simulator/emulator/cloud.go
+++ b/internal/simulator/emulator/cloud.go
@@ -173,7 +173,7 @@
 			ended := f.isClosed
 			f.mu.Unlock()
 			if ended {
-				conn.Close()
+				_ = conn.Close() // the server is closed, nobody waits for a response
 				return
 			}
 			go f.serveConnection(conn, serve)
@@ -185,18 +185,18 @@
 func (f *httpServer) addr() string { return f.listener.Addr().String() }
 
 func (f *httpServer) close() {
-	f.listener.Close()
+	_ = f.listener.Close() // it was open until now
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.isClosed = true
 	for c := range f.connections {
-		c.Close()
+		_ = c.Close() // the other side sees the end either way
 	}
 }
 
 func (f *httpServer) serveConnection(conn net.Conn, serve func(*http1.Message) (int, any)) {
 	defer func() {
-		conn.Close()
+		_ = conn.Close() // the other side sees the end either way
 		f.mu.Lock()
 		delete(f.connections, conn)
 		f.mu.Unlock()
--- a/internal/simulator/emulator/worker.go
+++ b/internal/simulator/emulator/worker.go
@@ -86,8 +86,15 @@
 func (w *emulatedWorker) heartbeat() workerapi.Heartbeat {
 	w.sequence++
 	r := workerapi.Heartbeat{
-		Machine: w.id, Addr: w.server.addr(), Type: w.cloud.machineType.Name, Zone: "a", Spot: w.spot, Incarnation: w.incarnation, Sequence: w.sequence,
-		FencingToken: w.fencingToken, Tasks: []workerapi.TaskStatus{},
+		Machine:      w.id,
+		Addr:         w.server.addr(),
+		Type:         w.cloud.machineType.Name,
+		Zone:         "a",
+		Spot:         w.spot,
+		Incarnation:  w.incarnation,
+		Sequence:     w.sequence,
+		FencingToken: w.fencingToken,
+		Tasks:        []workerapi.TaskStatus{},
 	}
 	for _, t := range w.tasks {
 		r.Tasks = append(r.Tasks, workerapi.TaskStatus{Task: t.key.String(), Attempt: t.attempt, State: t.state, Reason: t.reason})
@@ -121,17 +128,7 @@
 		case err == nil && msg.Status == 200:
 			w.takeResponse(msg.Body, heartbeat.Incarnation, sent)
 		case err == nil && msg.Status == 421:
-			var e workerapi.Redirect
-			next := -1
-			if codec.Unmarshal(msg.Body, &e) == nil {
-				next = slices.Index(names, e.Leader)
-			}
-			if next < 0 || next == target {
-				next, pause = (target+1)%len(names), w.cloud.options.HeartbeatInterval/2
-			} else {
-				pause = 20 * time.Millisecond
-			}
-			target = next
+			target, pause = w.redirect(msg.Body, names, target)
 		default:
 			target = (target + 1) % len(names)
 			pause = w.cloud.options.HeartbeatInterval / 2
@@ -150,6 +147,23 @@
 	}
 }
 
+// redirectPause is how long a worker waits before it reports to the leader that it was redirected to.
+const redirectPause = 20 * time.Millisecond
+
+// redirect returns the controller to report to after a redirect, and how long to wait before: the leader at once, or the next
+// controller if the response names none, an unknown one or the same.
+func (w *emulatedWorker) redirect(body []byte, names []string, target int) (next int, pause time.Duration) {
+	var redirect workerapi.Redirect
+	next = -1
+	if codec.Unmarshal(body, &redirect) == nil {
+		next = slices.Index(names, redirect.Leader)
+	}
+	if next < 0 || next == target {
+		return (target + 1) % len(names), w.cloud.options.HeartbeatInterval / 2
+	}
+	return next, redirectPause
+}
+
 func (w *emulatedWorker) signalChange() {
 	select {
 	case w.changes <- struct{}{}:
@@ -213,7 +227,10 @@
 			w.tasks[command.Task] = started
 			w.cloud.History.taskStarted(key, command.Attempt, w.id)
 			w.signalChange()
-			time.AfterFunc(time.Millisecond*time.Duration(10+w.rng.IntN(int(w.cloud.options.MaxRunTime.Milliseconds()))), func() { w.finish(started) })
+			time.AfterFunc(
+				time.Millisecond*time.Duration(10+w.rng.IntN(int(w.cloud.options.MaxRunTime.Milliseconds()))),
+				func() { w.finish(started) },
+			)
 		case command.Operation == "kill" && started != nil && started.attempt == command.Attempt && started.state != workerapi.StateExited:
 			started.state, started.reason = workerapi.StateExited, "halted"
 			w.cloud.History.taskStopped(key, w.id)
--- a/internal/simulator/failover_test.go
+++ b/internal/simulator/failover_test.go
@@ -56,7 +56,10 @@
 // when a machine is back within a second of its lease's end; nothing runs twice.
 func TestOutboundUnreachableMachines(t *testing.T) {
 	forEachSeed(t, 4, busyCluster, func(sim scenario) {
-		sim.Cloud.CutOutbound(len(sim.Cloud.runningMachines())/2, sim.Options.WorkerLease+time.Duration(sim.seed)*400*time.Millisecond-600*time.Millisecond)
+		sim.Cloud.CutOutbound(
+			len(sim.Cloud.runningMachines())/2,
+			sim.Options.WorkerLease+time.Duration(sim.seed)*400*time.Millisecond-600*time.Millisecond,
+		)
 		sim.Users.CancelLongest(4, 0)
 		if sim.seed%2 == 0 {
 			sim.At(time.Second, func() { sim.Crash(sim.leader, time.Second) })
@@ -138,7 +141,10 @@
 			sim.At(time.Duration(i)*time.Second, sim.Users.SendInvalidRequest)
 		}
 		sim.Run(70 * time.Second)
-		both := [2]int{sim.Users.CancelledCount(), sim.Users.countJobs(func(j *observedJob) bool { return j.cancelRequested && !j.finishedAt.IsZero() })}
+		both := [2]int{
+			sim.Users.CancelledCount(),
+			sim.Users.countJobs(func(j *observedJob) bool { return j.cancelRequested && !j.finishedAt.IsZero() }),
+		}
 		if both[0]+both[1] < 20 || both[1] == 0 {
 			sim.t.Errorf("%d cancelled, %d done though their users asked to cancel them", both[0], both[1])
 		}
@@ -237,7 +243,11 @@
 		sim.watchSingleLeader()
 		sim.Users.CancelLongest(2, 0)
 		sim.At(300*time.Millisecond, func() {
-			sim.CutZone([]string{"a", "b"}[sim.seed%2], []int{(sim.leader + int(sim.seed/2)) % len(sim.controllers)}, sim.Options.WorkerLease+time.Duration(4+sim.seed)*time.Second)
+			sim.CutZone(
+				[]string{"a", "b"}[sim.seed%2],
+				[]int{(sim.leader + int(sim.seed/2)) % len(sim.controllers)},
+				sim.Options.WorkerLease+time.Duration(4+sim.seed)*time.Second,
+			)
 		})
 		sim.At(4*time.Second, func() { sim.Users.CancelLongest(2, 0) })
 		sim.Run(30 * time.Second)
@@ -250,8 +260,20 @@
 		for i := range 60 {
 			sim.At(time.Duration(i)*700*time.Millisecond, func() {
 				sim.Users.SubmitJob(jobs.Spec{
-					ID: fmt.Sprintf("job-66%02d", i), Class: "heap", Team: "blue", Tasks: 6, CPUs: 2, MemoryGB: 1, Image: "i", AllowsSpot: true,
-					Priority: jobs.Priority(i % 4), RunTimeEstimate: 8 * time.Second, Deadline: time.Duration(i%2) * 40 * time.Second,
+					ID: fmt.Sprintf(
+						"job-66%02d",
+						i,
+					),
+					Class:           "heap",
+					Team:            "blue",
+					Tasks:           6,
+					CPUs:            2,
+					MemoryGB:        1,
+					Image:           "i",
+					AllowsSpot:      true,
+					Priority:        jobs.Priority(i % 4),
+					RunTimeEstimate: 8 * time.Second,
+					Deadline:        time.Duration(i%2) * 40 * time.Second,
 				}, 8*time.Second)
 			})
 		}
--- a/internal/simulator/faultcombinations_test.go
+++ b/internal/simulator/faultcombinations_test.go
@@ -85,15 +85,29 @@
 	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		for i := range 12 {
 			s := jobs.Spec{
-				ID: fmt.Sprintf("job-2%03d", i), Class: "apart", Team: "none", Tasks: 2 + i%2, CPUs: 0.5, MemoryGB: 0.5, Image: "i", AllowsSpot: true,
-				Priority: jobs.High, RunTimeEstimate: 10 * time.Second,
+				ID: fmt.Sprintf(
+					"job-2%03d",
+					i,
+				),
+				Class:           "apart",
+				Team:            "none",
+				Tasks:           2 + i%2,
+				CPUs:            0.5,
+				MemoryGB:        0.5,
+				Image:           "i",
+				AllowsSpot:      true,
+				Priority:        jobs.High,
+				RunTimeEstimate: 10 * time.Second,
 			}
 			sim.At(time.Duration(i)*300*time.Millisecond, func() {
 				sim.Users.SubmitJob(s, 5*time.Second)
 				sim.checker.jobs[s.ID].taskStagger = 20 * time.Second
 			})
 		}
-		sim.At(9*time.Second+time.Duration(sim.seed)*300*time.Millisecond, func() { sim.State.Refuse(controllerName(sim.leader), 6*time.Second) })
+		sim.At(
+			9*time.Second+time.Duration(sim.seed)*300*time.Millisecond,
+			func() { sim.State.Refuse(controllerName(sim.leader), 6*time.Second) },
+		)
 		sim.At(30*time.Second, func() {
 			if l := sim.LeaderIndex(); l >= 0 {
 				sim.Crash(l, 300*time.Millisecond)
@@ -144,8 +158,19 @@
 		for i := range 40 {
 			sim.At(time.Duration(i)*time.Second, func() {
 				sim.Users.SubmitJob(jobs.Spec{
-					ID: fmt.Sprintf("job-3%03d", i), Class: "short", Team: "none", Tasks: 5, CPUs: 1, MemoryGB: 1, Image: "i", AllowsSpot: true,
-					Priority: jobs.High, RunTimeEstimate: 4 * time.Second,
+					ID: fmt.Sprintf(
+						"job-3%03d",
+						i,
+					),
+					Class:           "short",
+					Team:            "none",
+					Tasks:           5,
+					CPUs:            1,
+					MemoryGB:        1,
+					Image:           "i",
+					AllowsSpot:      true,
+					Priority:        jobs.High,
+					RunTimeEstimate: 4 * time.Second,
 				}, 4*time.Second)
 			})
 		}
@@ -289,8 +314,19 @@
 			for i := range int(every.Seconds()) * rounds {
 				sim.At(time.Duration(i)*time.Second, func() {
 					sim.Users.SubmitJob(jobs.Spec{
-						ID: fmt.Sprintf("job-4%03d", i), Class: "short", Team: "none", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", AllowsSpot: true,
-						Priority: jobs.High, RunTimeEstimate: 2 * time.Second,
+						ID: fmt.Sprintf(
+							"job-4%03d",
+							i,
+						),
+						Class:           "short",
+						Team:            "none",
+						Tasks:           2,
+						CPUs:            1,
+						MemoryGB:        1,
+						Image:           "i",
+						AllowsSpot:      true,
+						Priority:        jobs.High,
+						RunTimeEstimate: 2 * time.Second,
 					}, 2*time.Second)
 				})
 			}
--- a/internal/simulator/invariants_test.go
+++ b/internal/simulator/invariants_test.go
@@ -21,7 +21,12 @@
 			sim.Run(4 * time.Minute)
 			expectNoViolations(t, sim)
 			if sim.Users.AcceptedCount() != 25 || sim.Users.UnfinishedCount() != 0 || sim.checker.TaskStarts < 25 {
-				t.Errorf("%d of 25 accepted, %d unfinished, %d starts", sim.Users.AcceptedCount(), sim.Users.UnfinishedCount(), sim.checker.TaskStarts)
+				t.Errorf(
+					"%d of 25 accepted, %d unfinished, %d starts",
+					sim.Users.AcceptedCount(),
+					sim.Users.UnfinishedCount(),
+					sim.checker.TaskStarts,
+				)
 			}
 			if runs, merged := sim.State.archiveSegments(); runs == 0 || !merged {
 				t.Errorf("%d runs, merged: %v", runs, merged)
--- a/internal/simulator/leaderfailures.go
+++ b/internal/simulator/leaderfailures.go
@@ -77,7 +77,8 @@
 		for i := range sim.controllers {
 			acting, placing := sim.leadershipOf(i)
 			someActs, somePlaces = someActs || acting, somePlaces || placing
-			someAccept = someAccept || acting && !sim.State.isRefusing(controllerName(i)) && !sim.Now.Before(sim.linkCutUntil(controllerName(i), stateHost))
+			someAccept = someAccept ||
+				acting && !sim.State.isRefusing(controllerName(i)) && !sim.Now.Before(sim.linkCutUntil(controllerName(i), stateHost))
 		}
 		if !someActs {
 			g.WithoutLeader += step
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -100,7 +100,8 @@
 
 // allowsJob reports whether tasks of the job may be on the machine at all.
 func (m *machine) allowsJob(spec jobs.Spec) bool {
-	return (len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, m.machineType.Name)) && (spec.Zone == "" || spec.Zone == m.zone) &&
+	return (len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, m.machineType.Name)) &&
+		(spec.Zone == "" || spec.Zone == m.zone) &&
 		(!m.spot || spec.AllowsSpot)
 }
 
--- a/internal/simulator/partitions_test.go
+++ b/internal/simulator/partitions_test.go
@@ -78,7 +78,17 @@
 		for i := range 90 {
 			sim.At(time.Duration(i)*time.Second, func() {
 				sim.Users.SubmitJob(jobs.Spec{
-					ID: fmt.Sprintf("job-1%04d", i), Class: "short", Team: "none", Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", AllowsSpot: true,
+					ID: fmt.Sprintf(
+						"job-1%04d",
+						i,
+					),
+					Class:           "short",
+					Team:            "none",
+					Tasks:           6,
+					CPUs:            1,
+					MemoryGB:        1,
+					Image:           "i",
+					AllowsSpot:      true,
 					RunTimeEstimate: 20 * time.Second,
 				}, 20*time.Second)
 			})
--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -136,7 +136,10 @@
 		s := sim.checker.jobs[ids[0]].spec
 		s.ID, s.Dependencies = "job-82", []string{ids[0]}
 		sim.At(time.Duration(sim.Rand.IntN(60))*time.Millisecond, func() { sim.Users.SubmitJob(s, time.Second) })
-		sim.At(time.Duration(sim.Rand.IntN(60))*time.Millisecond+time.Duration(sim.seed%2)*3500*time.Millisecond, func() { sim.Users.cancel(ids[0]) })
+		sim.At(
+			time.Duration(sim.Rand.IntN(60))*time.Millisecond+time.Duration(sim.seed%2)*3500*time.Millisecond,
+			func() { sim.Users.cancel(ids[0]) },
+		)
 		if sim.seed%3 == 0 {
 			sim.State.DelayTransactions(0.4, 10*time.Second)
 		}
@@ -206,7 +209,8 @@
 	}
 }
 
-// Jobs need others of another team, which is at its limit; those wait for it, hold nothing of their own team's limit meanwhile, and run once
+// Jobs need others of another team, which is at its limit; those wait for it, hold nothing of their own team's limit meanwhile, and run
+// once
 // the others are done. A need runs in a zone that is cut off as it ends.
 func TestDependenciesInTeamAtQuota(t *testing.T) {
 	forEachSeed(t, 3, clusterAtQuota, func(sim scenario) {
--- a/internal/simulator/queuecheck.go
+++ b/internal/simulator/queuecheck.go
@@ -31,16 +31,25 @@
 		job := checker.jobs[jobID]
 		// It has to be the same machine all the time: in a shortage each has capacity for a moment, until its next heartbeat.
 		fitting := checker.machinesThatFit(job, usage)
-		if job.startableSince.Before(checker.sim.faultsUntil) || len(job.fittingMachines) == 0 { // time before the last fault ended does not count
+		if job.startableSince.Before(checker.sim.faultsUntil) ||
+			len(job.fittingMachines) == 0 { // time before the last fault ended does not count
 			job.startableSince, job.fittingMachines = checker.sim.Now, fitting
 		}
-		job.fittingMachines = slices.DeleteFunc(job.fittingMachines, func(worker *machine) bool { return !slices.Contains(fitting, worker) })
+		job.fittingMachines = slices.DeleteFunc(
+			job.fittingMachines,
+			func(worker *machine) bool { return !slices.Contains(fitting, worker) },
+		)
 		if len(job.fittingMachines) == 0 {
 			job.startableSince = time.Time{}
 			continue
 		}
 		if waited := checker.sim.Now.Sub(job.startableSince); waited > maxStartableWait {
-			checker.sim.reportViolation(RuleLeftWaiting, "%s for %v while a machine that fits has capacity", jobID, waited.Round(time.Second))
+			checker.sim.reportViolation(
+				RuleLeftWaiting,
+				"%s for %v while a machine that fits has capacity",
+				jobID,
+				waited.Round(time.Second),
+			)
 		}
 	}
 }
--- a/internal/simulator/rollingupgrade_test.go
+++ b/internal/simulator/rollingupgrade_test.go
@@ -18,7 +18,17 @@
 			sim.At(time.Duration(i)*time.Second, sim.Users.SubmitRandom)
 			sim.At(4*time.Second+time.Duration(i)*100*time.Millisecond, func() {
 				sim.Users.SubmitJob(jobs.Spec{
-					ID: fmt.Sprintf("job-90%02d", i), Class: "long", Team: "blue", Tasks: 12, CPUs: 0.1, MemoryGB: 0.1, Image: "i", AllowsSpot: true,
+					ID: fmt.Sprintf(
+						"job-90%02d",
+						i,
+					),
+					Class:           "long",
+					Team:            "blue",
+					Tasks:           12,
+					CPUs:            0.1,
+					MemoryGB:        0.1,
+					Image:           "i",
+					AllowsSpot:      true,
 					RunTimeEstimate: 30 * time.Second,
 				}, 30*time.Second)
 			})
--- a/internal/simulator/rulechecks.go
+++ b/internal/simulator/rulechecks.go
@@ -184,7 +184,14 @@
 // simulated jobs have none.
 func (checker *invariantChecker) checkAttemptUnused(worker *machine, task *machineTask) {
 	if before, ok := checker.attempts[task.attempt]; ok {
-		checker.sim.reportViolation(RuleAttemptReused, "attempt %d of %s on %s was used before: %s", task.attempt, task.key, worker.id, before)
+		checker.sim.reportViolation(
+			RuleAttemptReused,
+			"attempt %d of %s on %s was used before: %s",
+			task.attempt,
+			task.key,
+			worker.id,
+			before,
+		)
 	}
 }
 
--- a/internal/simulator/sitetest/sitetest.go
+++ b/internal/simulator/sitetest/sitetest.go
@@ -9,6 +9,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"syscall"
 	"time"
@@ -33,96 +34,123 @@
 	Kills          int
 }
 
+// siteParts are the processes of a site, by the beginning of their arguments.
+func siteParts() []string {
+	return []string{"worker --data", "pool --data", "serve --config", "state --data"}
+}
+
 // Execute starts a site, kills each of its processes once while tasks run, then all at once, drains it,
 // and stops it. It returns an error if a task is lost, runs twice at a time, or leaves a process behind.
-func (r Run) Execute() (rep Report, err error) {
+func (r Run) Execute() (report Report, err error) {
 	marks, err := os.MkdirTemp("", "marks")
 	if err != nil {
-		return rep, err
+		return report, err
 	}
-	defer os.RemoveAll(marks)
+	defer func() { err = errors.Join(err, os.RemoveAll(marks)) }()
 	up, err := r.start()
 	if err != nil {
-		return rep, err
+		return report, err
 	}
 	// No process of this run may be left behind, whatever fails.
 	defer func() {
-		if h, e := datadir.Open(r.Dir); e == nil {
-			err = errors.Join(err, r.endRemaining(h))
+		if site, openErr := datadir.Open(r.Dir); openErr == nil {
+			err = errors.Join(err, r.endRemaining(site))
 		}
 		_ = up.Process.Kill() // it has exited by then unless something failed
 		_ = up.Wait()
 	}()
 	began := time.Now()
+	if err := r.submitTasks(marks); err != nil {
+		return report, err
+	}
+	report.FirstTaskAfter = time.Since(began)
+	site, err := datadir.Open(r.Dir)
+	if err != nil {
+		return report, err
+	}
+	report.Kills = r.killParts(site, up)
+	if up, err = r.start(); err != nil {
+		return report, err
+	}
+	if err := r.waitUntil(func() bool { return r.jobState("job-1") == "done" }, 90*time.Second, "all tasks to be done"); err != nil {
+		return report, err
+	}
+	report.AllDoneAfter = time.Since(began)
+	if err := r.checkMarks(marks); err != nil {
+		return report, err
+	}
+	return report, r.cancelAndDrain(site, marks)
+}
+
+// submitTasks submits a job whose tasks leave files in the directory marks, and waits until the first runs.
+func (r Run) submitTasks(marks string) error {
 	// A task holds a lock while it runs, which the kernel releases however the task ends.
 	script := "exec 9>" + marks + "/lock.{task}; flock -n 9 || { echo {task} >> " + marks + "/overlap; exit 9; }; : > " + marks +
 		"/ran.{task}; sleep 0.3; : > " + marks + "/done.{task}"
-	if err := r.command(
-		"submit",
-		"--id",
-		"job-1",
-		"--tasks",
-		fmt.Sprint(r.Tasks),
-		"--cpus",
-		"0.5",
-		"--mem",
-		"0.05",
-		"--estimate",
-		"1s",
-		"--",
-		"sh",
-		"-c",
-		script,
-	); err != nil {
-		return rep, err
-	}
-	if err := r.waitUntil(func() bool { return countFiles(marks, "ran.") > 0 }, 30*time.Second, "the first task to run"); err != nil {
-		return rep, err
-	}
-	rep.FirstTaskAfter = time.Since(began)
-	h, err := datadir.Open(r.Dir)
-	if err != nil {
-		return rep, err
+	if err := r.command("submit", "--id", "job-1", "--tasks", strconv.Itoa(r.Tasks), "--cpus", "0.5", "--mem", "0.05",
+		"--estimate", "1s", "--", "sh", "-c", script); err != nil {
+		return err
 	}
+	return r.waitUntil(func() bool { return countFiles(marks, "ran.") > 0 }, 30*time.Second, "the first task to run")
+}
+
+// killParts kills each part of the site once, in a random order, and then all at once. It returns how many of the first kills hit.
+func (r Run) killParts(site *datadir.Site, up *exec.Cmd) (kills int) {
 	rng := rand.New(rand.NewPCG(r.Seed, 5))
-	parts := []string{"worker --data", "pool --data", "serve --config", "state --data"}
+	parts := siteParts()
 	rng.Shuffle(len(parts), func(i, j int) { parts[i], parts[j] = parts[j], parts[i] })
 	for _, part := range parts {
 		time.Sleep(time.Duration(200+rng.IntN(800)) * time.Millisecond)
-		if r.killProcess(h, part) {
-			rep.Kills++
+		if r.killProcess(site, part) {
+			kills++
 		}
 	}
 	time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 	_ = up.Process.Kill() // the supervisor first, so that it restarts nothing
 	_ = up.Wait()         // it was killed
 	for _, part := range parts {
-		r.killProcess(h, part)
-	}
-	if up, err = r.start(); err != nil {
-		return rep, err
-	}
-	if err := r.waitUntil(func() bool { return r.jobState("job-1") == "done" }, 90*time.Second, "all tasks to be done"); err != nil {
-		return rep, err
+		r.killProcess(site, part)
 	}
-	rep.AllDoneAfter = time.Since(began)
+	return kills
+}
+
+// checkMarks checks that every task has completed and no two attempts of one ran at the same time.
+func (r Run) checkMarks(marks string) error {
 	if n := countFiles(marks, "done."); n != r.Tasks {
-		return rep, fmt.Errorf("the job is done, and %d of %d tasks have left their mark", n, r.Tasks)
+		return fmt.Errorf("the job is done, and %d of %d tasks have left their file", n, r.Tasks)
 	}
 	if _, err := os.Stat(filepath.Join(marks, "overlap")); err == nil {
-		return rep, errors.New("two attempts of a task ran at a time")
+		return errors.New("two attempts of a task ran at a time")
 	}
-	return rep, r.cancelAndDrain(h, marks)
+	return nil
 }
 
 // cancelAndDrain cancels a job whose tasks fork and ignore SIGTERM, and drains and stops the site:
 // none of their processes may be left.
 func (r Run) cancelAndDrain(h *datadir.Site, marks string) error {
 	stubborn := "trap '' TERM; : > " + marks + "/stubborn.{task}; (setsid sleep 300 &) ; sleep 300"
-	if err := r.command("submit", "--id", "job-2", "--tasks", "2", "--cpus", "0.5", "--mem", "0.05", "--", "sh", "-c", stubborn); err != nil {
+	if err := r.command(
+		"submit",
+		"--id",
+		"job-2",
+		"--tasks",
+		"2",
+		"--cpus",
+		"0.5",
+		"--mem",
+		"0.05",
+		"--",
+		"sh",
+		"-c",
+		stubborn,
+	); err != nil {
 		return err
 	}
-	if err := r.waitUntil(func() bool { return countFiles(marks, "stubborn.") == 2 }, 30*time.Second, "the stubborn tasks to run"); err != nil {
+	if err := r.waitUntil(
+		func() bool { return countFiles(marks, "stubborn.") == 2 },
+		30*time.Second,
+		"the stubborn tasks to run",
+	); err != nil {
 		return err
 	}
 	if err := r.command("cancel", "job-2"); err != nil {
@@ -165,7 +193,11 @@
 
 func (r Run) output(args ...string) (string, error) {
 	cmd := exec.Command(r.Program, append([]string{args[0], "--data", r.Dir}, args[1:]...)...)
-	if err := r.waitUntil(func() bool { _, err := datadir.Open(r.Dir); return err == nil }, 10*time.Second, "the site's directory"); err != nil {
+	if err := r.waitUntil(
+		func() bool { _, err := datadir.Open(r.Dir); return err == nil },
+		10*time.Second,
+		"the site's directory",
+	); err != nil {
 		return "", err
 	}
 	timer := time.AfterFunc(time.Minute, func() { _ = cmd.Process.Kill() })
--- a/internal/simulator/soak_test.go
+++ b/internal/simulator/soak_test.go
@@ -58,9 +58,21 @@
 			run = min(max(run, time.Second), 20*class.run)
 			estimate := time.Duration(float64(run) / (0.7 + 1.2*rng.Float64()))
 			spec := jobs.Spec{
-				ID: fmt.Sprintf("job-%07d", n), Class: class.name, Team: class.team, Priority: class.priority, Tasks: 1 + rng.IntN(2*class.tasks),
-				CPUs: class.cpus, MemoryGB: 1, Image: class.name, ImageGB: 0.5, AllowsSpot: true, RunTimeEstimate: estimate,
-				Deadline: time.Duration(class.deadline * float64(estimate)),
+				ID: fmt.Sprintf(
+					"job-%07d",
+					n,
+				),
+				Class:           class.name,
+				Team:            class.team,
+				Priority:        class.priority,
+				Tasks:           1 + rng.IntN(2*class.tasks),
+				CPUs:            class.cpus,
+				MemoryGB:        1,
+				Image:           class.name,
+				ImageGB:         0.5,
+				AllowsSpot:      true,
+				RunTimeEstimate: estimate,
+				Deadline:        time.Duration(class.deadline * float64(estimate)),
 			}
 			n++
 			sim.At(time.Duration(at*float64(length)), func() { sim.Users.SubmitJob(spec, run) })
@@ -81,7 +93,10 @@
 			opt := testOptions()
 			opt.StopPollingFinished, opt.LossShare, opt.MachinesPerKind = true, 0, 42
 			opt.HeartbeatInterval, opt.WorkerLease = 8*time.Second, 40*time.Second
-			opt.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 100, CPULimit: 1200}, {Name: "blue", GuaranteedCPUs: 100, CPULimit: 1200}}
+			opt.Teams = []config.Team{
+				{Name: "red", GuaranteedCPUs: 100, CPULimit: 1200},
+				{Name: "blue", GuaranteedCPUs: 100, CPULimit: 1200},
+			}
 			opt.Tuning = config.DefaultOptions()
 			opt.Tuning.AgedShare = *soakAgedShare
 			sim := New(seed, opt, testLogger())
--- a/internal/simulator/userfaults.go
+++ b/internal/simulator/userfaults.go
@@ -17,7 +17,8 @@
 
 // jobEnded may cancel a job whose last task has just completed.
 func (u *Users) jobEnded(jobID string) {
-	if j := u.sim.checker.jobs[jobID]; u.sim.Now.Before(u.cancelAtEndUntil) && !j.acceptedAt.IsZero() && !j.cancelRequested && u.sim.Rand.Float64() < u.cancelAtEndShare {
+	if j := u.sim.checker.jobs[jobID]; u.sim.Now.Before(u.cancelAtEndUntil) && !j.acceptedAt.IsZero() && !j.cancelRequested &&
+		u.sim.Rand.Float64() < u.cancelAtEndShare {
 		u.sim.At(time.Duration(u.sim.Rand.IntN(700))*time.Millisecond, func() { u.cancel(jobID) })
 	}
 }
@@ -59,7 +60,8 @@
 	}
 }
 
-// SendInvalidRequest sends a random request that has no effect or has to be rejected: a repeated submission, the cancellation of a job that is
+// SendInvalidRequest sends a random request that has no effect or has to be rejected: a repeated submission, the cancellation of a job that
+// is
 // done, a job that fits no machine, a job that lacks a field.
 func (u *Users) SendInvalidRequest() {
 	r := u.sim.Rand
@@ -115,7 +117,13 @@
 func (u *Users) mustReject(jobID string, fields Submission, final int) {
 	u.request("POST", "/work", fields, func(status int, _ string, _ time.Time) {
 		if status != 0 && status != 503 && status != 429 && status != final {
-			u.sim.reportViolation(RuleInvalidAccepted, "accepted though it cannot run, or refused wrongly: %s is answered %d, not %d", jobID, status, final)
+			u.sim.reportViolation(
+				RuleInvalidAccepted,
+				"accepted though it cannot run, or refused wrongly: %s is answered %d, not %d",
+				jobID,
+				status,
+				final,
+			)
 		}
 	})
 }
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -33,11 +33,23 @@
 		kind = "service"
 	}
 	m := Submission{
-		"id": spec.ID, "berth": spec.Class, "crew": spec.Team, "rig": kind,
-		"heading": [...]string{"best_effort", "standard", "high", "critical"}[spec.Priority], "strokes": spec.Tasks,
-		"cpus": spec.CPUs, "cards": spec.GPUs, "mem_gb": spec.MemoryGB, "hull": spec.Image, "image_gb": spec.ImageGB,
-		"one_zone": spec.SingleZone, "spread": spec.SpreadAcrossZones, "driftwood": spec.AllowsSpot,
-		"voyage_s": spec.RunTimeEstimate.Seconds(), "mooring_s": spec.CheckpointInterval.Seconds(), "tieup_s": spec.CheckpointDuration.Seconds(),
+		"id":        spec.ID,
+		"berth":     spec.Class,
+		"crew":      spec.Team,
+		"rig":       kind,
+		"heading":   [...]string{"best_effort", "standard", "high", "critical"}[spec.Priority],
+		"strokes":   spec.Tasks,
+		"cpus":      spec.CPUs,
+		"cards":     spec.GPUs,
+		"mem_gb":    spec.MemoryGB,
+		"hull":      spec.Image,
+		"image_gb":  spec.ImageGB,
+		"one_zone":  spec.SingleZone,
+		"spread":    spec.SpreadAcrossZones,
+		"driftwood": spec.AllowsSpot,
+		"voyage_s":  spec.RunTimeEstimate.Seconds(),
+		"mooring_s": spec.CheckpointInterval.Seconds(),
+		"tieup_s":   spec.CheckpointDuration.Seconds(),
 	}
 	if len(spec.Dependencies) > 0 {
 		m["tows"] = spec.Dependencies
@@ -230,7 +242,8 @@
 func (u *Users) CancelRandom(most int) {
 	var list []string
 	for _, id := range u.jobIDs {
-		if j := u.sim.checker.jobs[id]; !j.acceptedAt.IsZero() && j.finishedAt.IsZero() && !j.cancelRequested && len(j.completedTasks) < j.spec.Tasks {
+		if j := u.sim.checker.jobs[id]; !j.acceptedAt.IsZero() && j.finishedAt.IsZero() && !j.cancelRequested &&
+			len(j.completedTasks) < j.spec.Tasks {
 			list = append(list, id)
 		}
 	}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -46,7 +46,13 @@
 		t := m.tasks[n]
 		r.Tasks = append(
 			r.Tasks,
-			workerapi.TaskStatus{Task: t.key.String(), Attempt: t.attempt, State: t.state, Reason: t.reason, CheckpointSaved: t.checkpointSaved},
+			workerapi.TaskStatus{
+				Task:            t.key.String(),
+				Attempt:         t.attempt,
+				State:           t.state,
+				Reason:          t.reason,
+				CheckpointSaved: t.checkpointSaved,
+			},
 		)
 	}
 	return r
@@ -162,7 +168,8 @@
 				continue
 			}
 			m.sim.checker.killReceived(task)
-			saves := m.sim.checker.hasCheckpoints(key) && command.GraceSeconds != nil && *command.GraceSeconds >= 1 && task.state == workerapi.StateRunning
+			saves := m.sim.checker.hasCheckpoints(key) && command.GraceSeconds != nil && *command.GraceSeconds >= 1 &&
+				task.state == workerapi.StateRunning
 			if saves {
 				task.state = workerapi.StateCheckpointing
 				m.afterDelay(task, time.Second, func() { m.exitTask(task, "halted", true) })
--- a/internal/simulator/workercut_test.go
+++ b/internal/simulator/workercut_test.go
@@ -21,7 +21,16 @@
 			sim := New(seed, opt, testLogger())
 			for i := range 10 {
 				sim.Users.SubmitJob(jobs.Spec{
-					ID: "job-" + string(rune('0'+i)), Class: "c", Team: "none", Tasks: 8, CPUs: 1, MemoryGB: 1, Image: "i", AllowsSpot: true,
+					ID: "job-" + string(
+						rune('0'+i),
+					),
+					Class:           "c",
+					Team:            "none",
+					Tasks:           8,
+					CPUs:            1,
+					MemoryGB:        1,
+					Image:           "i",
+					AllowsSpot:      true,
 					RunTimeEstimate: 100 * time.Second,
 				}, 100*time.Second)
 			}
@@ -54,7 +63,14 @@
 			}
 			// Two machines died, with up to 16 tasks each; some starts are refused in this world.
 			if again := sim.checker.TaskStarts - ran; again > 45 {
-				t.Errorf("seed %d: %d of %d tasks were started again, %d machines before, %d now", seed, again, began, machines, len(sim.Cloud.runningMachines()))
+				t.Errorf(
+					"seed %d: %d of %d tasks were started again, %d machines before, %d now",
+					seed,
+					again,
+					began,
+					machines,
+					len(sim.Cloud.runningMachines()),
+				)
 			}
 		})
 	}
