--- a/internal/controller/election/connectivity/contacts.go
+++ b/internal/controller/election/connectivity/contacts.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// contactWindow is for how long a contact counts as recent: a worker tries every controller within that time.
+	// contactWindow is how long a contact counts as recent: a worker tries every controller within that time.
 	contactWindow = 10 * time.Second
-	// sequenceRetention is for how long the numbers of a contact are kept, to recognize duplicates of its heartbeats.
+	// sequenceRetention is how long the position of a contact is kept, to recognize duplicates of its heartbeats.
 	sequenceRetention = 2 * time.Minute
-	// maxContacts bounds the contacts that are kept.
+	// maxContacts bounds the number of contacts that are kept.
 	maxContacts = 20_000
 )
 
-// contact is the newest heartbeat of a worker that came to this controller though it does not lead.
+// contact is the newest heartbeat of a worker that this controller received as a follower.
 type contact struct {
 	at       time.Time
 	position workerapi.Position
@@ -24,7 +24,7 @@
 // contactTable holds the newest contact of each worker, by the ID of its machine.
 type contactTable map[string]contact
 
-// record takes a contact unless it is a duplicate of an earlier one. New machines are not taken once the table is full.
+// record adds a contact unless it is a duplicate of an earlier one. A full table takes no new machines.
 func (t contactTable) record(machine string, newest contact) {
 	previous, known := t[machine]
 	if known && !newest.position.IsAfter(previous.position) || !known && len(t) >= maxContacts {
@@ -33,7 +33,7 @@
 	t[machine] = newest
 }
 
-// countRecent counts the recent contacts and drops those whose numbers need not be kept any more.
+// countRecent counts the recent contacts and drops those past their retention.
 func (t contactTable) countRecent(now time.Time) int {
 	count := 0
 	for machine, last := range t {
--- a/internal/controller/election/connectivity/monitor.go
+++ b/internal/controller/election/connectivity/monitor.go
@@ -1,13 +1,14 @@
-// Package connectivity tells a leader that workers cannot reach from workers that are gone.
+// Package connectivity detects asymmetric partitions: it distinguishes a leader that workers cannot reach from workers
+// that are gone.
 //
-// A leader that is cut off from the workers alone keeps its key, and every worker that contacts another controller is
-// redirected to it. All their leases then expire with all that runs on them, after a third of the machines at a time
-// were deleted as unresponsive (docs/incidents: both recorded days of the operations sites). That the leader receives
-// no heartbeats is half of the evidence; that the workers contact other controllers is the other half.
+// A leader that is partitioned from the workers alone keeps its key, and every worker that contacts another controller
+// is redirected to it. Then the leader deletes the machines as unresponsive, a third at a time, and the leases of the
+// others expire with their tasks (docs/incidents: both recorded days of the operations sites). The evidence of a
+// partition is that the leader receives no heartbeats, and that the workers contact other controllers.
 //
 // The package owns one Monitor for each process, which belongs to the election whether the controller leads or not:
-// when the last heartbeat came, which machines answered probes, and which workers contacted which controller. It
-// never sends anything and never transfers a leadership: the election asks whether to, and to whom.
+// the time of the last heartbeat, which machines answered probes, and which workers contacted which controller. It
+// never sends anything and never transfers a leadership: the election does, to the successor that the Monitor returns.
 // Design note: docs/design/connectivity.md.
 package connectivity
 
@@ -18,28 +19,27 @@
 )
 
 const (
-	// missedHeartbeats is how many mean intervals between the heartbeats of all machines together have to pass before
-	// silence is taken for a partition: by chance, that happens once in a hundred thousand times.
+	// missedHeartbeats is after how many mean intervals between two heartbeats of any machines a partition is suspected.
+	// By chance, such a silence happens once in a hundred thousand times.
 	missedHeartbeats = 12
-	// minSilence is the shortest silence that counts: a burst of work or of the network may delay everything as long.
+	// minSilence is the shortest silence that counts, since high load may delay all heartbeats for as long.
 	minSilence = time.Second
-	// pauseThreshold is the time between two calls of Tick that shows that this process was paused.
+	// pauseThreshold is the time between two calls of Tick after which this process counts as paused.
 	pauseThreshold = 300 * time.Millisecond
-	// minPeerShare is the share of the expected machines that has to contact another controller, and minWorkers the
-	// least number. Fewer machines than that are no evidence.
+	// minPeerShare is the least share, and minWorkers the least number, of the expected machines that have to contact
+	// another controller for evidence of a partition.
 	minPeerShare = 0.125
 	minWorkers   = 3
-	// overdueShare is the share of the machines whose heartbeats may be overdue before the leader suspects a
-	// partition though it receives some: of machines that have booted since, say. A zone may take half of a site along.
+	// overdueShare is the share of machines with overdue heartbeats from which the leader suspects a partition although
+	// it receives some heartbeats, for example of newly booted machines. An unavailable zone may be half of a site.
 	overdueShare = 2.0 / 3
-	// redirectSuspension is how long a follower keeps workers from a leader after its last ping that asked for it.
+	// redirectSuspension is how long a follower suspends redirects after the last ping that asked for it.
 	redirectSuspension = 2 * time.Second
-	// campaignDeferral is how long a controller that workers did not reach leaves the next leadership to others.
+	// campaignDeferral is how long a controller defers its campaigns after a transfer because of a partition.
 	campaignDeferral = 30 * time.Second
 )
 
-// Monitor is what a controller knows of the connections between workers and controllers. It is not safe for
-// concurrent use.
+// Monitor observes the connections between workers and controllers. It is not safe for concurrent use.
 type Monitor struct {
 	heartbeatInterval time.Duration // of a worker
 
@@ -48,7 +48,7 @@
 	lastTickAt       time.Time
 	expectedMachines int            // machines whose heartbeats should come
 	overdueMachines  int            // of these, those whose heartbeats are overdue
-	workersByPeer    map[string]int // recent workers of the other controllers, by their names
+	workersByPeer    map[string]int // number of workers that contacted a peer recently, by its name
 	probes           probeHistory
 	transferredAt    time.Time // when a leadership was last transferred because of a partition
 
@@ -57,12 +57,12 @@
 	contacts                contactTable
 }
 
-// New returns the monitor of a process. Every worker sends a heartbeat each heartbeatInterval.
+// New returns the monitor of a process. heartbeatInterval is the interval of each worker.
 func New(heartbeatInterval time.Duration) *Monitor {
 	return &Monitor{heartbeatInterval: heartbeatInterval, workersByPeer: map[string]int{}, contacts: contactTable{}}
 }
 
-// StartLeadership forgets what was known of an earlier leadership: nobody can have contacted this one yet.
+// StartLeadership drops the evidence of an earlier leadership.
 func (m *Monitor) StartLeadership(now time.Time) {
 	m.lastHeartbeatAt, m.lastTickAt = now, now
 	m.expectedMachines, m.overdueMachines = 0, 0
@@ -75,8 +75,8 @@
 // RecordHeartbeat records that a new heartbeat has reached this leader.
 func (m *Monitor) RecordHeartbeat(now time.Time) { m.lastHeartbeatAt = now }
 
-// Tick records how many machines the leader expects heartbeats of, and how many of these are overdue. A time in which
-// this process was paused does not count as silence.
+// Tick records how many machines the leader expects heartbeats from, and how many of these are overdue. A pause of this
+// process does not count as silence.
 func (m *Monitor) Tick(now time.Time, expectedMachines, overdueMachines int) {
 	if gap := now.Sub(m.lastTickAt); gap > pauseThreshold {
 		m.lastHeartbeatAt = m.lastHeartbeatAt.Add(gap)
@@ -89,41 +89,41 @@
 	m.probes.add(probeResult{now, heartbeatOverdue, answered})
 }
 
-// SuspectsPartition reports whether the leader receives no heartbeats for longer than by chance, at most for as long
-// as every machine should have sent one; or from so few machines that the others cannot all be lost.
+// SuspectsPartition reports whether the leader has received no heartbeats for longer than is probable by chance, or
+// whether the heartbeats of so many machines are overdue that these cannot all be lost.
 func (m *Monitor) SuspectsPartition(now time.Time) bool {
 	if m.expectedMachines < minWorkers {
-		return false // after one lost heartbeat a worker contacts another controller: no reason to transfer
+		return false // a worker contacts another controller after one lost heartbeat, which is no partition
 	}
 	overdue := float64(m.overdueMachines) >= overdueShare*float64(m.expectedMachines)
 	return now.Sub(m.lastHeartbeatAt) >= m.suspiciousSilence() || overdue
 }
 
-// suspiciousSilence returns for how long no heartbeat may come before a partition is suspected. The more machines
-// there are, the shorter it is.
+// suspiciousSilence returns the time without heartbeats after which a partition is suspected. It gets shorter with the
+// number of machines, and is at most the time in which every machine should have sent a heartbeat.
 func (m *Monitor) suspiciousSilence() time.Duration {
 	fullRound := m.heartbeatInterval*5/4 + minSilence/2
 	improbableGap := missedHeartbeats * m.heartbeatInterval / time.Duration(m.expectedMachines)
 	return max(min(improbableGap, fullRound), minSilence)
 }
 
-// NeedsProbes reports whether some machines should be probed directly, since this leader may be the one that is not
-// reached. Workers that contact another controller do not receive this leader's responses.
+// NeedsProbes reports whether a sample of machines should be probed, since this leader may be partitioned from them:
+// heartbeats are missing, or workers contact another controller since they do not receive this leader's responses.
 func (m *Monitor) NeedsProbes(now time.Time) bool {
 	return m.SuspectsPartition(now) || m.manyWorkersAtPeer()
 }
 
-// ShouldSuspendRedirects reports whether workers should not be redirected to this leader for now: the silence is not
-// explained yet.
+// ShouldSuspendRedirects reports whether peers should not redirect workers to this leader for now, since it is, or may
+// be, partitioned from them.
 func (m *Monitor) ShouldSuspendRedirects(now time.Time) bool {
 	anyProbe := func(probeResult) bool { return true }
 	return m.SuspectsPartition(now) && m.probes.mostlyUnanswered(now, anyProbe) || m.IsPartitioned(now)
 }
 
-// IsPartitioned reports whether this leader is cut off from the workers in one direction at least: machines that are
-// probed do not answer. Those with overdue heartbeats count if it receives too few, the others if many workers
-// contact a peer. Without probes a new leader took the time in which the workers waited for the one before for a
-// failure of its own, and transferred a sound leadership (docs/incidents: inc-1518, inc-98a2).
+// IsPartitioned reports whether this leader is partitioned from the workers in at least one direction: probed machines
+// do not answer. If heartbeats are missing, the probes of machines with overdue heartbeats count; if many workers
+// contact a peer, the other probes count. Without the probes a new leader took the time in which the workers still
+// waited for the previous leader for a partition, and transferred its leadership (docs/incidents: inc-1518, inc-98a2).
 func (m *Monitor) IsPartitioned(now time.Time) bool {
 	return m.SuspectsPartition(now) && m.probes.provePartition(now, true) || m.manyWorkersAtPeer() && m.probes.provePartition(now, false)
 }
@@ -131,8 +131,8 @@
 // RecordPeerWorkers records how many workers contacted a peer recently.
 func (m *Monitor) RecordPeerWorkers(peer string, workers int) { m.workersByPeer[peer] = workers }
 
-// Successor returns the controller that most workers reach while this leader is partitioned from them. It is empty if
-// there is none, or if this leader is not partitioned.
+// Successor returns the peer that most workers contact, if this leader is partitioned from the workers and enough of
+// them contact that peer; otherwise "".
 func (m *Monitor) Successor(now time.Time) string {
 	if !m.IsPartitioned(now) {
 		return ""
@@ -155,7 +155,7 @@
 	return max(minWorkers, int(minPeerShare*float64(m.expectedMachines)))
 }
 
-// busiestPeer returns the peer that most workers contacted recently, the first by name of several, and their number.
+// busiestPeer returns the peer that most workers contacted recently, and their number. Of equal peers it is the first by name.
 func (m *Monitor) busiestPeer() (busiest string, most int) {
 	for peer, workers := range m.workersByPeer {
 		if workers > most || workers == most && peer < busiest {
@@ -168,8 +168,8 @@
 // RecordTransfer records that a leadership was transferred because of a partition.
 func (m *Monitor) RecordTransfer(now time.Time) { m.transferredAt = now }
 
-// ShouldDeferCampaign reports whether workers did not reach this controller recently, so that it should leave the
-// leadership to others.
+// ShouldDeferCampaign reports whether this controller transferred its leadership recently because of a partition, and
+// should let another controller be elected.
 func (m *Monitor) ShouldDeferCampaign(now time.Time) bool {
 	return !m.transferredAt.IsZero() && now.Sub(m.transferredAt) < campaignDeferral
 }
@@ -183,14 +183,13 @@
 	m.redirectsSuspendedUntil = now.Add(redirectSuspension)
 }
 
-// RedirectsSuspended reports whether workers are not to be redirected to the leader: their heartbeats would not reach
-// it.
+// RedirectsSuspended reports whether workers must not be redirected to the leader, as the leader has requested.
 func (m *Monitor) RedirectsSuspended(now time.Time) bool {
 	return now.Before(m.redirectsSuspendedUntil)
 }
 
-// RecordWorkerContact records a heartbeat that came to this controller though it does not lead. One that is not newer
-// than those before is a duplicate: its machine may be gone.
+// RecordWorkerContact records a heartbeat that this controller received as a follower. Duplicates and older heartbeats do
+// not count: their machine may be gone.
 func (m *Monitor) RecordWorkerContact(now time.Time, machine string, incarnation, sequence uint64) {
 	m.contacts.record(machine, contact{now, workerapi.Position{Incarnation: incarnation, Sequence: sequence}})
 }
--- a/internal/controller/worker/commands.go
+++ b/internal/controller/worker/commands.go
@@ -8,11 +8,11 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// commandTimeout bounds the wait for the answer to direct commands. Nothing depends on the answer.
+// commandTimeout limits the wait for the response to direct commands, which is ignored.
 const commandTimeout = time.Second
 
-// SendCommands sends commands to a machine's own address at once. Their outcome is seen in the machine's next heartbeat, and the
-// response to that repeats them if need be. Starts must not be sent this way: they go in heartbeat responses only.
+// SendCommands sends commands to a machine's own address at once. The machine's next heartbeat shows their outcome, and the response
+// to it repeats them if necessary. Start commands must not be sent this way, only in heartbeat responses.
 func SendCommands(outbox *client.Outbox, fencingToken uint64, machine *Machine, commands []workerapi.Command) {
 	outbox.Add(client.Call{
 		Destination: client.WorkerAgent, Addr: machine.Addr, Method: http.MethodPost, Path: "/commands",
--- a/internal/controller/worker/drain_reason.go
+++ b/internal/controller/worker/drain_reason.go
@@ -1,9 +1,9 @@
 package worker
 
-// DrainReason is why nothing more starts on a machine. The status that users see has its value.
+// DrainReason is why a machine drains: no more tasks start on it. Its values are part of the status that users see.
 type DrainReason string
 
-// The reasons for which a machine drains.
+// The drain reasons.
 const (
 	NotDraining       DrainReason = ""
 	DrainReclaimed    DrainReason = "notice"   // the cloud has given notice that it reclaims the machine
@@ -15,7 +15,7 @@
 	DrainTerminating  DrainReason = "returned" // its termination was requested
 )
 
-// LeadsToTermination reports whether the machine is terminated once no attempt is left on it.
+// LeadsToTermination reports whether a machine with this drain reason is terminated once it has no attempts.
 func (d DrainReason) LeadsToTermination() bool {
 	return d == DrainFaulty || d == DrainSlow || d == DrainExpensive || d == DrainConsolidated
 }
--- a/internal/controller/worker/image_cache.go
+++ b/internal/controller/worker/image_cache.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ImageCache is the leader's estimate of which images a machine has: those of the attempts that were assigned to it, the most
-// recently used as far as the machine's cache holds them.
+// ImageCache is the leader's estimate of which images are in the cache of a machine: the most recently used ones of the attempts
+// that were assigned to it, as far as they fit.
 type ImageCache struct {
 	SizeGB    float64
 	FetchRate float64 // GB/s
--- a/internal/controller/worker/machine.go
+++ b/internal/controller/worker/machine.go
@@ -7,8 +7,8 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// Machine is one worker's machine as the leader knows it. What tasks take of it changes only through the Registry, which keeps
-// team usage and utilization buckets in step.
+// Machine is the leader's view of one worker's machine. Its attempts and used resources are changed by the Registry only, which
+// updates team usage and utilization buckets with them.
 type Machine struct {
 	ID, Addr, Type, Zone string
 	Spot                 bool
@@ -16,53 +16,53 @@
 	CPUs, GPUs, MemoryGB             float64 // capacity, 0 until the type is known
 	UsedCPUs, UsedGPUs, UsedMemoryGB float64
 
-	Attempts   map[jobs.TaskID]*jobs.Attempt // those that may be on it
+	Attempts   map[jobs.TaskID]*jobs.Attempt // attempts that may be on the machine
 	ImageCache ImageCache
 
 	Contact
 	Registration
 	Constraints
 
-	bucket, bucketIndex int // position in Registry.buckets; bucket 0: in none
+	bucket, bucketIndex int // position in Registry.buckets; bucket 0: not in any bucket
 }
 
-// Contact is what the heartbeats of a machine and their responses have shown.
+// Contact is the state of the exchange of heartbeats and responses with a machine.
 type Contact struct {
 	workerapi.Position // of the newest heartbeat that was accepted
 
 	HasReported    bool      // a heartbeat was accepted since the leader's election
-	Reconciled     bool      // all that may run on it is known to the leader
-	LeaseRenewedAt time.Time // when the leader last sent it a 200
-	LastContactAt  time.Time // when it last lived for certain: a fresh heartbeat, or an answer to a probe (set by reachability)
-	IsUnreachable  bool      // its heartbeats arrive, but it seems to receive nothing (set by reachability)
+	Reconciled     bool      // the leader has reconciled all attempts that may run on it
+	LeaseRenewedAt time.Time // when the leader last sent it a response with status 200
+	LastContactAt  time.Time // last fresh heartbeat or answer to a probe, which prove that the machine is alive (set by reachability)
+	IsUnreachable  bool      // its heartbeats arrive, and it probably receives no responses (set by reachability)
 }
 
-// Registration is whether the state service has a record that the machine may hold tasks. No start is sent before it has.
+// Registration is whether the state service has a record of the machine. No start is sent to a machine before that.
 type Registration struct {
 	Registered  bool
 	Registering bool // the record is being written
 }
 
-// Constraints are what keeps tasks from being placed on a machine.
+// Constraints keep tasks from being placed on a machine.
 type Constraints struct {
 	ReclaimAt       time.Time // when the cloud reclaims the machine; zero: no notice was given
 	DrainReason     DrainReason
 	IdleSince       time.Time       // when it last held a task
-	StartsNotBefore time.Time       // after a start that was refused for lack of resources
-	FailedJobs      map[string]bool // IDs of the jobs that avoid the machine, as a task of theirs failed on it
+	StartsNotBefore time.Time       // no starts before, since the machine refused one for lack of resources
+	FailedJobs      map[string]bool // IDs of the jobs that avoid the machine, since a task of each failed on it
 	ReservedFor     *jobs.Job       // the job for which its free capacity is reserved
 	IsSentinel      bool            // kept, though silent, to detect the recovery of its zone
 }
 
-// Available returns the resources that no attempt takes.
+// Available returns the resources that no attempt uses.
 func (m *Machine) Available() Resources {
 	return Resources{m.CPUs - m.UsedCPUs, m.GPUs - m.UsedGPUs, m.MemoryGB - m.UsedMemoryGB}
 }
 
-// TasksThatFit returns how many more tasks of the job the machine has resources for.
+// TasksThatFit returns how many more tasks of the job fit on the machine.
 func (m *Machine) TasksThatFit(job *jobs.Job) int { return m.Available().TasksThatFit(job) }
 
-// TasksThatFitWhenEmpty returns how many tasks of the job the machine has resources for when nothing else is on it.
+// TasksThatFitWhenEmpty returns how many tasks of the job would fit on the machine without other attempts.
 func (m *Machine) TasksThatFitWhenEmpty(job *jobs.Job) int {
 	return Resources{m.CPUs, m.GPUs, m.MemoryGB}.TasksThatFit(job)
 }
--- a/internal/controller/worker/reachability/freshness.go
+++ b/internal/controller/worker/reachability/freshness.go
@@ -10,15 +10,15 @@
 // Freshness is what a heartbeat proves about its machine.
 type Freshness int
 
-// The degrees of freshness. A heartbeat must get a 200 unless it is Stale, and is believed only if it is Fresh.
+// The degrees of freshness. Only Stale heartbeats are refused, and only Fresh ones are reconciled.
 const (
-	Stale      Freshness = iota // a duplicate, or older than what is known, or of a process that has ended since: it gets no 200
-	Superseded                  // by the machine's answer to a probe: it gets a 200
-	Unverified                  // it may be of any age: it gets a 200, by which the machine learns the fencing token
-	Fresh                       // newer than all that is known of the machine
+	Stale      Freshness = iota // a duplicate, older than an accepted one, or of a worker process that has ended
+	Superseded                  // overtaken by the machine's answer to a probe, which is newer
+	Unverified                  // of unknown age; the response contains the fencing token, which the next heartbeat has to echo
+	Fresh                       // newer than all accepted heartbeats and answers of the machine
 )
 
-// Classify says what a heartbeat proves. It must be called once for each heartbeat, before anything else is made of it.
+// Classify returns the freshness of a heartbeat. It must be called once for each heartbeat, before it is processed otherwise.
 func (t *Tracker) Classify(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) Freshness {
 	freshness := t.classify(now, machine, heartbeat)
 	t.metrics.countHeartbeat(freshness)
@@ -43,19 +43,19 @@
 	return Fresh
 }
 
-// showsCountersReset reports whether the heartbeat shows that the machine's worker has lost its counters. A worker never forgets
-// a fencing token that it has seen, so one that reports a lower token has restarted. From then on its heartbeats cannot be told
-// from late ones of before until its incarnation is a higher one. They get no 200, so that its lease expires and a new
-// incarnation begins.
+// showsCountersReset reports whether the heartbeat shows that the machine's worker has lost its counters. A worker process keeps the
+// highest fencing token that it has seen, so one that reports a lower token has restarted. From then on its heartbeats cannot be
+// distinguished from delayed ones of the earlier process until its incarnation is higher. They are refused, so that its lease expires
+// and a new incarnation begins.
 func (t *Tracker) showsCountersReset(machine *worker.Machine, link *linkState, heartbeat *workerapi.Heartbeat) bool {
 	return link.countersReset && heartbeat.Incarnation <= machine.Incarnation ||
 		machine.IsNewer(heartbeat) && heartbeat.FencingToken < t.fencingToken
 }
 
-// classifyUnverified classifies a heartbeat without the leader's token, of a machine that has not reported to this leader. It may
-// be from before the election, and its machine may be gone. The response tells a machine that is there the token, and it reports
-// that at once. If neither responses nor probes reach the machine, it gets no more 200: its lease would be renewed forever, and
-// the failover would wait for its expiry forever.
+// classifyUnverified classifies a heartbeat without the leader's token, of a machine that has not reported to this leader. It may be
+// from before the election, and its machine may be gone. The response contains the token, and a live machine echoes it at once. If
+// neither responses nor probes reach the machine, its heartbeats are refused: otherwise its lease would never expire, and the
+// failover, which waits for that, would never be completed.
 func (l *linkState) classifyUnverified() Freshness {
 	if l.unansweredProbes >= maxUnansweredProbes && l.ineffectiveResponses >= maxIneffectiveResponses {
 		return Stale
@@ -64,14 +64,14 @@
 	return Unverified
 }
 
-// isSuperseded reports whether a heartbeat that is not newer than the last one accepted was overtaken by the machine's answer to
-// a probe, which counted as a newer heartbeat. Its sender still waits for the response.
+// isSuperseded reports whether a heartbeat that is not newer than the last accepted one was overtaken by the machine's answer to a
+// probe, which counted as a newer heartbeat. The worker still waits for the response.
 func (l *linkState) isSuperseded(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) bool {
 	isNewerOnLink := heartbeat.Position().IsAfter(l.position)
 	return heartbeat.Incarnation == machine.Incarnation && isNewerOnLink && now.Sub(l.lastProbeAnswerAt) < workerResponseTimeout
 }
 
-// recordFresh takes in a fresh heartbeat, and what it shows of the way to the machine.
+// recordFresh updates the link by a fresh heartbeat: it may confirm that the machine is reachable, or raise a suspicion.
 func (t *Tracker) recordFresh(now time.Time, machine *worker.Machine, link *linkState, heartbeat *workerapi.Heartbeat) {
 	isSameIncarnation := heartbeat.Incarnation == link.position.Incarnation
 	switch {
@@ -92,21 +92,21 @@
 	machine.IsUnreachable = link.suspicion != NotSuspected && link.unansweredProbes > 0
 }
 
-// lostLeaseDespiteResponses reports whether a new incarnation of the machine shows that its lease expired although it was sent a
-// 200 that should have renewed it.
+// lostLeaseDespiteResponses reports whether a new incarnation of the machine shows that its lease expired although a response with
+// status 200 should have renewed it.
 func (t *Tracker) lostLeaseDespiteResponses(now time.Time, machine *worker.Machine, link *linkState) bool {
 	hasHeartbeat := machine.HasReported && link.position.Incarnation != 0
 	isLeaseRecent := now.Sub(machine.LeaseRenewedAt) < t.leaseDuration*4/5
 	return hasHeartbeat && isLeaseRecent && !link.countersReset
 }
 
-// isPrompt reports whether a heartbeat that arrives now follows the last one so soon that the worker must have received the
-// response to that, and whether that one arrived after the suspicion arose.
+// isPrompt reports whether a heartbeat that arrives now follows the last one so soon that the worker must have received the response
+// to the last one, which must also have arrived after the suspicion arose.
 func (l *linkState) isPrompt(now time.Time) bool {
 	return l.acknowledged && now.Sub(l.lastHeartbeatAt) < promptInterval && l.lastHeartbeatAt.After(l.suspectSince)
 }
 
-// IsNewest reports whether this is the newest heartbeat of its machine: starts go in the response to that one only.
+// IsNewest reports whether this is the newest heartbeat of its machine. Starts are sent only in the response to the newest one.
 func (t *Tracker) IsNewest(machine *worker.Machine, heartbeat *workerapi.Heartbeat) bool {
 	return heartbeat.Position() == t.linkOf(machine).position
 }
--- a/internal/controller/worker/reachability/metrics.go
+++ b/internal/controller/worker/reachability/metrics.go
@@ -15,7 +15,7 @@
 	suspicions *prometheus.CounterVec // by Suspicion
 }
 
-// NewMetrics makes the counters and registers them. It panics if they are registered already.
+// NewMetrics returns the counters and registers them. It panics if they are registered already.
 func NewMetrics(registry *prometheus.Registry) *Metrics {
 	counter := func(name, help, label string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "gullrudder", Name: name, Help: help}, []string{label})
--- a/internal/controller/worker/reachability/probe.go
+++ b/internal/controller/worker/reachability/probe.go
@@ -12,7 +12,7 @@
 	position workerapi.Position // of the newest heartbeat that was known when the probe was sent
 }
 
-// TakeProbeRequests returns the machines that should be probed as soon as possible, and clears the list. A machine may be in it
+// TakeProbeRequests returns the machines that should be probed as soon as possible, and clears the list. It may contain a machine
 // more than once.
 func (t *Tracker) TakeProbeRequests() []*worker.Machine {
 	machines := t.probeRequests
@@ -20,12 +20,12 @@
 	return machines
 }
 
-// RequestProbe has a machine probed as soon as possible.
+// RequestProbe requests that a machine is probed as soon as possible.
 func (t *Tracker) RequestProbe(machine *worker.Machine) {
 	t.probeRequests = append(t.probeRequests, machine)
 }
 
-// IsProbeDue reports whether the machine may be probed now: it has had time to answer the last probe.
+// IsProbeDue reports whether the machine may be probed now: at least probeInterval has passed since the last probe.
 func (t *Tracker) IsProbeDue(now time.Time, machine *worker.Machine) bool {
 	link := t.linkOf(machine)
 	return link.lastProbeAt.IsZero() || now.Sub(link.lastProbeAt) >= probeInterval
@@ -37,9 +37,9 @@
 	return Probe{position: machine.Position}
 }
 
-// ProbeAnswered takes in a machine's answer to a probe: the machine receives what the leader sends, and the heartbeat in the
-// answer is certainly newer than what was known when the probe was sent. If its counters say otherwise, the worker has lost them:
-// countersReset is true, and all that ran on the machine before is gone.
+// ProbeAnswered records a machine's answer to a probe: the machine receives the leader's messages, and the heartbeat in the answer is
+// certainly newer than those known when the probe was sent. If its position is not, the worker has lost its counters: countersReset
+// is true, and all earlier attempts on the machine are gone.
 func (t *Tracker) ProbeAnswered(
 	now time.Time, machine *worker.Machine, probe Probe, heartbeat *workerapi.Heartbeat,
 ) (countersReset bool) {
@@ -57,7 +57,7 @@
 	return false
 }
 
-// isBefore reports whether the heartbeat's counters are higher than those known when the probe was sent.
+// isBefore reports whether the heartbeat is newer than those known when the probe was sent.
 func (p Probe) isBefore(heartbeat *workerapi.Heartbeat) bool {
 	return heartbeat.Position().IsAfter(p.position)
 }
--- a/internal/controller/worker/reachability/suspicion.go
+++ b/internal/controller/worker/reachability/suspicion.go
@@ -7,15 +7,15 @@
 	"gullrudder/internal/logkeys"
 )
 
-// Suspicion is why a machine may not receive what the leader sends. While there is one the machine gets no starts.
+// Suspicion is why a machine is suspected of not receiving the leader's messages. A suspected machine is sent no starts.
 type Suspicion int
 
 // The suspicions.
 const (
 	NotSuspected     Suspicion = iota
-	Unconfirmed                // nothing has shown yet that it receives anything
+	Unconfirmed                // there is no evidence yet that it receives messages
 	StartsLost                 // an attempt that it was sent to start did not appear in its next heartbeat
-	IncarnationEnded           // its lease expired although its heartbeats got a 200
+	IncarnationEnded           // its lease expired although its heartbeats were answered with status 200
 	ProbeUnanswered
 )
 
@@ -30,11 +30,11 @@
 	}[s]
 }
 
-// RecordAcknowledged records that the machine's newest heartbeat gets a 200.
+// RecordAcknowledged records that the machine's newest heartbeat is answered with status 200.
 func (t *Tracker) RecordAcknowledged(machine *worker.Machine) { t.linkOf(machine).acknowledged = true }
 
-// RecordEnded takes in the attempts that a heartbeat of the machine has shown to be gone. If one of them was sent to be started
-// and never appeared, the response with the start was lost.
+// RecordEnded records the attempts that are gone by a heartbeat of the machine. If the start of one of them was sent and the attempt
+// never appeared, the response with the start was lost.
 func (t *Tracker) RecordEnded(now time.Time, machine *worker.Machine, endedAttempts []worker.EndedAttempt) {
 	for _, ended := range endedAttempts {
 		wasNeverSeen := ended.Attempt.LastSeenReconcile == 0 && !ended.Attempt.IsUnsent
@@ -60,8 +60,8 @@
 	machine.IsUnreachable = l.countersReset
 }
 
-// recordCountersReset takes in that the machine's worker has lost its counters. What ran there is gone once the answer to a probe
-// shows so, or the lease has expired.
+// recordCountersReset records that the machine's worker has lost its counters. Its earlier attempts are gone once the answer to a
+// probe shows that, or the lease has expired.
 func (t *Tracker) recordCountersReset(now time.Time, machine *worker.Machine, link *linkState) {
 	if !link.countersReset {
 		link.countersReset, link.suspectSince = true, now
@@ -71,20 +71,20 @@
 	machine.IsUnreachable = true
 }
 
-// IsReachable reports whether there is evidence that the machine receives what the leader sends. If not, it must get no starts.
+// IsReachable reports whether there is evidence that the machine receives the leader's messages. If not, it must be sent no starts.
 func (t *Tracker) IsReachable(machine *worker.Machine) bool {
 	link := t.linkOf(machine)
 	return link.suspicion == NotSuspected && !link.countersReset
 }
 
-// IsSuspected reports whether there is evidence that the machine may not receive what the leader sends.
+// IsSuspected reports whether there is evidence that the machine does not receive the leader's messages.
 func (t *Tracker) IsSuspected(machine *worker.Machine) bool {
 	link := t.links[machine.ID]
 	return link != nil && (link.suspicion > Unconfirmed || link.countersReset)
 }
 
-// IsUnresponsive reports whether the machine is better terminated: it answers no probes, or lost its counters so long ago that its
-// incarnations, which have to end one by one, do not reach those of before.
+// IsUnresponsive reports whether the machine should be terminated: it does not answer probes, or it lost its counters so long ago
+// that its incarnation is not expected to exceed the earlier one soon.
 func (t *Tracker) IsUnresponsive(now time.Time, machine *worker.Machine) bool {
 	link := t.links[machine.ID]
 	if link == nil {
--- a/internal/controller/worker/reconcile.go
+++ b/internal/controller/worker/reconcile.go
@@ -8,13 +8,13 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// ReasonLost is the reason of an attempt that is gone although its worker never reported its exit. It is not sent.
+// ReasonLost is the exit reason of an attempt that is gone and whose worker did not report its exit. It is not used on the wire.
 const ReasonLost workerapi.ExitReason = "lost"
 
-// maxReclaimNotice bounds the time that a reclaim notice may state.
+// maxReclaimNotice is the longest time to the reclaim that is accepted from a reclaim notice.
 const maxReclaimNotice = time.Hour
 
-// JobLookup returns the job with an ID, or nil if there is none that is unfinished.
+// JobLookup returns the unfinished job with an ID, or nil.
 type JobLookup func(id string) *jobs.Job
 
 // EndedAttempt is an attempt that is known to be gone.
@@ -24,9 +24,9 @@
 	CheckpointSaved bool
 }
 
-// Reconcile updates the machine by a heartbeat that is newer than all before (Machine.IsNewer), and returns the attempts that it
-// shows to be gone. complete is false for the answer to direct commands: the worker may have made it before it received the
-// starts in a response that is still on its way, so an attempt that it lacks may yet begin.
+// Reconcile updates the machine from a heartbeat that is newer than all before (Machine.IsNewer), and returns the attempts that are
+// gone. complete is false for the response to direct commands: the worker may have sent it before it received the starts in a
+// heartbeat response that is still in transit, so attempts that are missing in it may still start.
 func (r *Registry) Reconcile(
 	now time.Time, machine *Machine, heartbeat *workerapi.Heartbeat, complete bool, findJob JobLookup,
 ) []EndedAttempt {
@@ -56,7 +56,7 @@
 	return ended
 }
 
-// recordHeartbeat takes in what a heartbeat says of the machine itself.
+// recordHeartbeat updates the properties of the machine from a heartbeat.
 func (r *Registry) recordHeartbeat(now time.Time, machine *Machine, heartbeat *workerapi.Heartbeat) {
 	if !machine.HasReported {
 		machine.HasReported = true
@@ -81,7 +81,7 @@
 	}
 }
 
-// reconcileExited takes in the status of an attempt that has exited.
+// reconcileExited processes the status of an attempt that has exited.
 func (r *Registry) reconcileExited(machine *Machine, task jobs.TaskID, status *workerapi.TaskStatus, findJob JobLookup) []EndedAttempt {
 	attempt := machine.Attempts[task]
 	if attempt != nil && attempt.Number == status.Attempt {
@@ -91,13 +91,13 @@
 	if status.Reason != workerapi.ReasonDone {
 		return nil
 	}
-	// An attempt that the leader does not know, such as one that an earlier leader started: its result counts all the same.
+	// The leader does not know this attempt, for example because an earlier leader started it. Its result counts as well.
 	unknown := &jobs.Attempt{Task: task, Number: status.Attempt, MachineID: machine.ID, Zone: machine.Zone, Job: findJob(task.JobID)}
 	return []EndedAttempt{{unknown, workerapi.ReasonDone, false}}
 }
 
-// reconcileActive takes in the status of an attempt that has not exited. If the leader knows another attempt of the task on this
-// machine, that one is gone.
+// reconcileActive processes the status of an attempt that has not exited. Any other attempt of the same task on this machine is
+// gone.
 func (r *Registry) reconcileActive(
 	now time.Time, machine *Machine, task jobs.TaskID, status *workerapi.TaskStatus, findJob JobLookup,
 ) []EndedAttempt {
@@ -119,7 +119,7 @@
 	return ended
 }
 
-// releaseMissing releases the attempts that the heartbeat just taken in lacks, except those whose start was not sent yet.
+// releaseMissing releases the attempts that are missing in the present heartbeat, except those whose start was not sent yet.
 func (r *Registry) releaseMissing(machine *Machine) []EndedAttempt {
 	var ended []EndedAttempt
 	for _, attempt := range machine.Attempts {
@@ -135,8 +135,8 @@
 	return EndedAttempt{attempt, ReasonLost, false}
 }
 
-// adopt records an attempt that a worker reports and the leader does not know. It is an orphan unless its task may run here:
-// an orphan is to be stopped, and takes its resources until it is gone.
+// adopt records an attempt that a worker reports and the leader does not know. It is an orphan unless its task may run here: an
+// orphan has to be killed, and occupies its resources until it is gone.
 func (r *Registry) adopt(now time.Time, machine *Machine, task jobs.TaskID, number uint64, job *jobs.Job) *jobs.Attempt {
 	attempt := &jobs.Attempt{Task: task, Number: number, MachineID: machine.ID, Zone: machine.Zone, Job: job, AssignedAt: now}
 	attempt.IsOrphan = job == nil || !mayRun(job, task.Index)
--- a/internal/controller/worker/registry.go
+++ b/internal/controller/worker/registry.go
@@ -1,10 +1,10 @@
-// Package worker keeps what the leader knows of its workers' machines. A Registry owns the machines, the attempts on them and
-// what each team's attempts take. It is made at each election, and kept in memory only; of a machine that may hold tasks the
-// heartbeat handler keeps a record in the state service. Only the event loop may call it.
+// Package worker is the leader's view of the machines of its workers. A Registry owns the machines, the attempts on them and the
+// usage of each team. It is made at each election and kept in memory only; the heartbeat handler keeps a record of each machine that
+// may hold tasks in the state service. Only the event loop may call it.
 //
-// An attempt leaves the Registry only when it is gone for certain: a newer heartbeat lacks it, the deletion of its machine was
-// confirmed, or the worker's lease has expired with its margin. The package decides nothing about what starts, and apart from
-// SendCommands it sends nothing.
+// An attempt leaves the Registry only when it is certainly gone: it is missing in a newer heartbeat, the deletion of its machine was
+// confirmed, or the worker's lease has expired with its margin. The package never decides what starts, and sends nothing except in
+// SendCommands. Design notes: docs/architecture.md, docs/design/reachability.md.
 package worker
 
 import (
@@ -16,35 +16,34 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// leaseMargin covers what is not measured between the leader's clock and the end of a worker's tasks.
+// leaseMargin is a margin for delays that are not measured, such as the end of the tasks after the worker's lease has expired.
 const leaseMargin = 500 * time.Millisecond
 
-// LeaseExpiry returns how long after the leader's last 200 a worker's tasks may still run, given the duration of its lease. The
-// worker counts the lease from when it sent the heartbeat, which was before; its clock may run slow.
+// LeaseExpiry returns how long after the leader's last response with status 200 a worker's tasks may still run, given the duration of
+// its lease. The worker counts the lease from when it sent the heartbeat, which was before the response; its clock may run slow.
 func LeaseExpiry(lease time.Duration) time.Duration {
 	return lease + clockdrift.Bound(lease) + leaseMargin
 }
 
-// Registry is all machines that the leader knows. Machines are added by GetOrAdd and removed by Remove only.
+// Registry has all machines that the leader knows. Machines are added by GetOrAdd and removed by Remove only.
 type Registry struct {
 	Machines       map[string]*Machine         // by ID
 	UsageByTeam    map[string]*Usage           // by name of the team
 	buckets        [BucketCount + 1][]*Machine // the reporting machines by utilization; index 0 is not used
-	reconcileCount uint64                      // heartbeats taken in; jobs.Attempt.LastSeenReconcile refers to it
+	reconcileCount uint64                      // reconciled heartbeats; jobs.Attempt.LastSeenReconcile refers to it
 	leaseExpiry    time.Duration
 	log            *slog.Logger
 }
 
-// NewRegistry returns an empty Registry. lease is how long a machine's tasks may outlive the last 200 that it was sent, margin
-// included: see LeaseExpiry.
+// NewRegistry returns an empty Registry. leaseExpiry is the result of the function LeaseExpiry.
 func NewRegistry(leaseExpiry time.Duration, log *slog.Logger) *Registry {
 	return &Registry{Machines: map[string]*Machine{}, UsageByTeam: map[string]*Usage{}, leaseExpiry: leaseExpiry, log: log}
 }
 
-// LeaseExpiry returns how long a machine's tasks may outlive the last 200 that it was sent, margin included.
+// LeaseExpiry returns the time after Contact.LeaseRenewedAt at which the lease of a machine has certainly expired.
 func (r *Registry) LeaseExpiry() time.Duration { return r.leaseExpiry }
 
-// GetOrAdd returns the machine with this ID, which is added if there is none.
+// GetOrAdd returns the machine with this ID, and adds it if there is none.
 func (r *Registry) GetOrAdd(id string) *Machine {
 	machine := r.Machines[id]
 	if machine == nil {
@@ -65,7 +64,7 @@
 	return machines
 }
 
-// SetCapacity records a machine's resources, the size of its image cache and the rate in GB/s at which it fetches images.
+// SetCapacity sets the resources of a machine, the size of its image cache and the rate in GB/s at which it fetches images.
 func (r *Registry) SetCapacity(machine *Machine, capacity Resources, cacheGB, fetchRate float64) {
 	machine.CPUs, machine.GPUs, machine.MemoryGB = capacity.CPUs, capacity.GPUs, capacity.MemoryGB
 	machine.ImageCache.SizeGB, machine.ImageCache.FetchRate = cacheGB, fetchRate
@@ -79,7 +78,7 @@
 	delete(r.Machines, machine.ID)
 }
 
-// TeamUsage returns the usage of a team, which the Registry keeps up to date.
+// TeamUsage returns the usage of a team. The Registry updates it with each attempt; the caller must not change it.
 func (r *Registry) TeamUsage(name string) *Usage {
 	usage := r.UsageByTeam[name]
 	if usage == nil {
@@ -89,7 +88,7 @@
 	return usage
 }
 
-// Assign records an attempt on a machine: it takes resources there and of its team's quota until it is released.
+// Assign records an attempt on a machine. It uses resources of the machine and of its team's quota until it is released.
 func (r *Registry) Assign(machine *Machine, attempt *jobs.Attempt) {
 	machine.addAttempt(attempt)
 	r.updateBucket(machine)
@@ -104,10 +103,10 @@
 	}
 }
 
-// Unassign takes back an attempt whose start was never sent.
+// Unassign reverts Assign for an attempt whose start was not sent.
 func (r *Registry) Unassign(machine *Machine, attempt *jobs.Attempt) { r.release(machine, attempt) }
 
-// ReleaseAll releases all attempts on a machine that is known to hold none, and returns them.
+// ReleaseAll releases all attempts of a machine on which none can be left, and returns them.
 func (r *Registry) ReleaseAll(machine *Machine) []EndedAttempt {
 	var ended []EndedAttempt
 	for _, attempt := range machine.Attempts {
@@ -116,7 +115,7 @@
 	return ended
 }
 
-// release takes an attempt that is gone off its machine and its job.
+// release removes an attempt that is gone from its machine and its job.
 func (r *Registry) release(machine *Machine, attempt *jobs.Attempt) {
 	machine.removeAttempt(attempt)
 	r.updateBucket(machine)
@@ -129,7 +128,7 @@
 	attempt.Job.RemoveAttempt(attempt)
 }
 
-// IsLeaseExpired reports whether the worker's lease has expired for certain, so that no task is left on the machine.
+// IsLeaseExpired reports whether the worker's lease has certainly expired, so that no task is left on the machine.
 func (r *Registry) IsLeaseExpired(now time.Time, machine *Machine) bool {
 	return now.Sub(machine.LeaseRenewedAt) > r.leaseExpiry
 }
--- a/internal/controller/worker/resources.go
+++ b/internal/controller/worker/resources.go
@@ -2,20 +2,20 @@
 
 import "gullrudder/internal/controller/jobs"
 
-// resourceEpsilon is the rounding error that sums of resources may have.
+// resourceEpsilon is the largest rounding error of a sum of resources.
 const resourceEpsilon = 1e-6
 
-// Resources is what tasks take of a machine, or what is available on one.
+// Resources are quantities of CPUs, GPUs and memory, used by tasks or available on a machine.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// TasksThatFit returns how many tasks of the job these resources suffice for, at most all of its tasks.
+// TasksThatFit returns for how many tasks of the job these resources suffice, at most all of its tasks.
 func (r Resources) TasksThatFit(job *jobs.Job) int {
 	count := limitByResource(job.Tasks, job.CPUs, r.CPUs)
 	count = limitByResource(count, job.GPUs, r.GPUs)
 	return max(limitByResource(count, job.MemoryGB, r.MemoryGB), 0)
 }
 
-// limitByResource returns how many of count tasks fit if each needs so much of one resource.
+// limitByResource returns how many of count tasks fit by one resource, of which each task needs need.
 func limitByResource(count int, need, available float64) int {
 	if need <= 0 {
 		return count
@@ -23,11 +23,11 @@
 	return min(count, int((available+resourceEpsilon)/need))
 }
 
-// AfterPlacing returns what is left beside so many tasks of the job. A negative number of tasks gives resources back.
+// AfterPlacing returns the resources left after placing a number of tasks of the job. A negative number adds their resources.
 func (r Resources) AfterPlacing(job *jobs.Job, tasks int) Resources {
 	count := float64(tasks)
 	return Resources{r.CPUs - count*job.CPUs, r.GPUs - count*job.GPUs, r.MemoryGB - count*job.MemoryGB}
 }
 
-// Usage is what a team's attempts take, including those that may be gone already.
+// Usage is the resources that a team's attempts use, including attempts that may be gone already.
 type Usage struct{ CPUs, GPUs float64 }
--- a/internal/controller/worker/utilization.go
+++ b/internal/controller/worker/utilization.go
@@ -2,9 +2,8 @@
 
 import "slices"
 
-// BucketCount is the number of groups into which reporting machines are divided by the share of their CPUs that is taken.
-// Machines in the last one have no CPU available. The placer looks through buckets, so that its work for one heartbeat does not
-// grow with the number of machines.
+// BucketCount is the number of buckets of reporting machines by CPU utilization. Machines in the last one have no CPU available. The
+// placer searches buckets, so that its work for one heartbeat does not grow with the number of machines.
 const BucketCount = 17
 
 // MachinesInBucket returns the machines in a bucket, from 1 (emptiest) to BucketCount, in no particular order. The caller must
@@ -14,10 +13,10 @@
 // ReportingMachines returns the machines that have reported and whose capacity is known, the emptiest buckets first.
 func (r *Registry) ReportingMachines() []*Machine { return slices.Concat(r.buckets[1:]...) }
 
-// UtilizationBucket returns the bucket of a machine, 0 if it is in none.
+// UtilizationBucket returns the bucket of a machine, or 0 if it is not in any.
 func (m *Machine) UtilizationBucket() int { return m.bucket }
 
-// bucketFor returns the bucket in which the machine belongs.
+// bucketFor returns the bucket of the machine by its present utilization.
 func bucketFor(machine *Machine) int {
 	switch {
 	case !machine.HasReported || machine.CPUs+machine.MemoryGB == 0:
@@ -28,8 +27,8 @@
 	return 1 + min(int(max(machine.UsedCPUs, 0)/machine.CPUs*(BucketCount-1)), BucketCount-2)
 }
 
-// updateBucket moves a machine into the bucket where it belongs, in constant time: the last machine of the old bucket takes its
-// position there.
+// updateBucket moves a machine into the bucket of its present utilization, in constant time: the last machine of the old bucket takes
+// its position there.
 func (r *Registry) updateBucket(machine *Machine) {
 	bucket := bucketFor(machine)
 	if bucket == machine.bucket {
