--- a/internal/controller/failover/partial_start.go
+++ b/internal/controller/failover/partial_start.go
@@ -11,27 +11,26 @@
 )
 
 const (
-	// partialStartDelay is the age of a leadership before anything starts in spite of unreconciled machines. Most failovers
-	// are completed by then, and all jobs start in the order of the queue.
+	// partialStartDelay is the least age of a leadership for a partial start. Most failovers are completed by then, and all jobs
+	// start in the order of the queue.
 	partialStartDelay = 2 * time.Second
-	// unseenUsageInterval is the time between two computations of the unseen usage. An older figure is safe, since the usage
-	// only falls: whatever starts meanwhile starts on reconciled machines.
+	// unseenUsageInterval is the time between two computations of the unseen usage. An outdated result is safe, since the usage
+	// only decreases: new tasks start on reconciled machines.
 	unseenUsageInterval = time.Second
 )
 
-// partialStart is the exception that lets some jobs start before the failover is completed.
+// partialStart is the state of the exception by which some jobs start before the failover is completed.
 type partialStart struct {
-	active     bool      // machines are unreconciled, and jobs accepted by this leader start
+	active     bool      // machines are unreconciled, and jobs accepted by this leader may start
 	nextUpdate time.Time // when the unseen usage is computed next
 }
 
-// CanStartTasks reports whether tasks may start. Before the failover is completed these are only tasks of jobs whose
-// acceptance this leader itself committed, so that no earlier leader can have started them. Without this exception,
-// leaders that ended every 37 s, with half of the machines unreachable for a lease each time, placed nothing for two thirds
-// of the time.
+// CanStartTasks reports whether tasks may start. Before the failover is completed these are only tasks of jobs whose acceptance was
+// committed by this leader, which no earlier leader can have started. Without this exception, a series of leaderships of 37 s, each
+// with half of the machines unreachable for a lease, placed no tasks for two thirds of the time.
 func (r *Reconciler) CanStartTasks() bool { return r.progress.completed || r.partialStart.active }
 
-// updatePartialStart tells the placer of the unseen usage, which it takes off the quotas, or that there is none any more.
+// updatePartialStart sets the unseen usage of the placer, which subtracts it from the quotas, and clears it after the failover.
 func (r *Reconciler) updatePartialStart(now time.Time) {
 	if len(r.unreconciled) == 0 {
 		r.partialStart.active = false
@@ -50,9 +49,9 @@
 	}
 }
 
-// unseenUsage is an upper bound of what each team's tasks may use on the unreconciled machines: at most its tasks that are
-// neither done nor seen on a machine, and at most what those machines have. Cancelled jobs count like others until their
-// tasks are gone.
+// unseenUsage returns an upper bound of each team's usage on the unreconciled machines: the resources of its tasks that are neither
+// done nor on a reconciled machine, and at most the capacity of the unreconciled machines. Cancelled jobs count until their tasks are
+// gone.
 func (r *Reconciler) unseenUsage() placement.UnseenUsage {
 	capacity := worker.Usage{}
 	for _, machine := range r.unreconciled {
@@ -74,7 +73,7 @@
 	return usageByTeam
 }
 
-// maxCapacity is the largest capacity that a machine can have by what is known: its own, that of its machine type, or the
+// maxCapacity returns an upper bound of the capacity of a machine: its own if it is known, else that of its machine type, else the
 // largest of all types. Without any machine type there is no bound.
 func (r *Reconciler) maxCapacity(machine *worker.Machine) (cpus, gpus float64) {
 	if machine.CPUs+machine.MemoryGB > 0 {
--- a/internal/controller/failover/probe.go
+++ b/internal/controller/failover/probe.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// probeTimeout is how long a worker has to answer a probe.
+	// probeTimeout limits the wait for the answer to a probe.
 	probeTimeout = time.Second
-	// probeRatePerCPU is how many probes a second a whole processor could send. A probe is a connection and two messages,
-	// which take half a millisecond at most; at this rate half of the CPU quota is left to heartbeats, users and the renewal.
+	// probeRatePerCPU is the rate of probes per second for each CPU of the quota. A probe is a connection and two messages, which
+	// take half a millisecond at most; at this rate half of the CPU quota is left to heartbeats, users and the renewal.
 	probeRatePerCPU = 1000
-	// maxProbeRetries is how often a probe is repeated that the worker refused because of its incarnation.
+	// maxProbeRetries bounds the retries of a probe that the worker refused because of its incarnation.
 	maxProbeRetries = 3
-	// connectionsPerBurst and connectionsPerProbe divide the connection limit: the result is how many probes may be sent at
-	// once, and how many may wait for an answer. The other connections belong to the server and the other clients.
+	// connectionsPerBurst and connectionsPerProbe divide the connection limit: the results are how many probes may be sent at once,
+	// and how many may be in flight. The other connections belong to the server and the other clients.
 	connectionsPerBurst = 24
 	connectionsPerProbe = 16
 )
 
-// prober sends probes: direct commands without content. A probe raises the worker's fencing token, so that it executes no
-// command of an earlier leader any more, and its answer is the worker's state. The prober owns the budget of probes.
+// prober sends probes, which are empty direct commands. A probe raises the worker's fencing token, so that the worker no longer
+// executes commands of an earlier leader, and the answer is the worker's state. The prober owns the budget of probes.
 type prober struct {
 	platform     *config.Platform
 	fencingToken uint64
@@ -38,8 +38,8 @@
 	heartbeats   *heartbeat.Handler
 
 	budget   float64 // probes that may be sent now
-	inFlight int     // probes without a result
-	closed   bool    // the leadership has ended: later results change nothing
+	inFlight int     // probes whose result has not arrived
+	closed   bool    // the leadership has ended: later results are ignored
 }
 
 // probeOptions say how a probe is sent.
@@ -60,20 +60,20 @@
 	}
 }
 
-// refillBudget adds the probes of the time that has passed to the budget.
+// refillBudget adds the probes of the elapsed time to the budget.
 func (p *prober) refillBudget(elapsed time.Duration) {
 	rate := probeRatePerCPU * p.platform.CPUQuota
 	p.budget = min(p.budget+rate*elapsed.Seconds(), float64(p.platform.MaxConnections)/connectionsPerBurst)
 }
 
-// canProbe reports whether the budget allows a probe. A probe that failed for want of a connection of this process would
-// look like an unresponsive worker.
+// canProbe reports whether the budget allows a probe. A probe that failed because this process had no connection left would look like
+// an unresponsive worker.
 func (p *prober) canProbe() bool {
 	return p.budget >= 1 && p.inFlight < p.platform.MaxConnections/connectionsPerProbe
 }
 
-// probe sends a probe to the machine, unless it has no address or was probed a short time ago. It returns false if the
-// budget is used up.
+// probe sends a probe to the machine, unless it has no address or was probed a short time ago. It returns false if the budget is
+// exhausted.
 func (p *prober) probe(now time.Time, machine *worker.Machine) bool {
 	if !p.canProbe() {
 		return false
@@ -85,8 +85,7 @@
 	return true
 }
 
-// probeRequested probes the machines that are suspected of not receiving this controller's responses. Those that the budget
-// does not allow are requested again.
+// probeRequested probes the machines that the reachability tracker suspects. Probes that exceed the budget are requested again.
 func (p *prober) probeRequested(now time.Time) {
 	for _, machine := range p.reachability.TakeProbeRequests() {
 		if p.workers.Machines[machine.ID] == machine && !p.probe(now, machine) {
@@ -95,7 +94,7 @@
 	}
 }
 
-// send sends a probe at the cost of the budget. onResult may be nil.
+// send sends a probe, which is deducted from the budget. onResult may be nil.
 func (p *prober) send(now time.Time, machine *worker.Machine, onResult func(now time.Time, answered bool)) {
 	p.budget--
 	p.sendWith(now, machine, probeOptions{incarnation: max(machine.Incarnation, 1), retries: maxProbeRetries, onResult: onResult})
@@ -125,8 +124,8 @@
 	})
 }
 
-// handleResult processes what came of a probe. Status 409 is the refusal of a worker of another incarnation, or of a higher
-// fencing token; like 200 it carries the worker's state and proves that the worker answers.
+// handleResult processes the result of a probe. With status 409 a worker of another incarnation, or with a higher fencing token, has
+// refused the probe; like status 200 it comes with the worker's state and proves that the worker answers.
 func (p *prober) handleResult(
 	now time.Time,
 	machine *worker.Machine,
--- a/internal/controller/failover/probe_sample.go
+++ b/internal/controller/failover/probe_sample.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// probeSampleSize is how many machines a sample probes.
+	// probeSampleSize is the number of machines that are probed in one sample.
 	probeSampleSize = 4
 	// probeSampleInterval is the time between two samples.
 	probeSampleInterval = probeTimeout / 2
 )
 
-// sampler probes a few machines, others each time, while missing heartbeats may be the fault of this controller's own link:
-// the answers tell package connectivity which side is unreachable.
+// sampler probes a few machines, different ones each time, while this controller may be partitioned from the workers. Package
+// connectivity decides by the answers whether it is.
 type sampler struct {
 	heartbeatInterval time.Duration
 	workers           *worker.Registry
@@ -25,7 +25,7 @@
 	connectivity      *connectivity.Monitor
 	prober            *prober
 
-	offset     int // position of the last machine that was looked at
+	offset     int // index of the last candidate
 	nextSample time.Time
 }
 
@@ -39,10 +39,9 @@
 	}
 }
 
-// probeSample probes the next few machines if connectivity asks for it. Only machines that have sent a heartbeat to this
-// leadership count, if there are any: a failover goes on probing machines that no longer exist, and a leader that has lost
-// a zone would take itself for unreachable. If the only evidence is that workers contact other controllers, the machines
-// whose heartbeats are in time are probed.
+// probeSample probes the next few machines if connectivity needs probes. If any machines have reported to this leadership, only these
+// are probed: otherwise a leader that has lost a zone would count the machines that no longer exist as evidence of a partition. If the
+// only evidence is that workers contact other controllers, machines whose heartbeats are in time are probed.
 func (s *sampler) probeSample(now time.Time) {
 	if now.Before(s.nextSample) || !s.connectivity.NeedsProbes(now) {
 		return
@@ -65,7 +64,7 @@
 	}
 }
 
-// isCandidate reports whether a probe of the machine says anything about the link.
+// isCandidate reports whether a probe of the machine is evidence about the link.
 func (s *sampler) isCandidate(now time.Time, machine *worker.Machine, suspected bool) bool {
 	if machine.Addr == "" || machine.DrainReason != worker.NotDraining || s.workers.IsLeaseExpired(now, machine) {
 		return false
--- a/internal/controller/failover/reconciler.go
+++ b/internal/controller/failover/reconciler.go
@@ -1,10 +1,10 @@
-// Package failover brings a new leader to the point where it may place tasks: it restores the jobs and the registered
-// machines from persistent state, and reconciles every machine that may hold tasks of an earlier leader.
+// Package failover prepares a new leader to place tasks: it restores the jobs and the registered machines from persistent state, and
+// reconciles every machine that may hold tasks of an earlier leader.
 //
-// Its Reconciler owns the list of machines that are not reconciled yet and the budget of direct probes. After the failover
-// it goes on to probe machines whose heartbeats are overdue, and terminates those that do not answer. It never decides that
-// a task is gone: it waits for a newer heartbeat without the task, for the cloud's confirmation of the deletion, or for the
-// end of the machine's lease. The design is in docs/design/fault-combinations.md and docs/design/reachability.md.
+// Its Reconciler owns the list of unreconciled machines and the budget of probes. After the failover it continues to probe machines
+// whose heartbeats are overdue, and terminates those that do not answer. It never decides that a task is gone: it waits for a newer
+// heartbeat without the task, for the cloud's confirmation of the deletion, or for the expiry of the machine's lease.
+// Design notes: docs/design/fault-combinations.md, docs/design/reachability.md.
 package failover
 
 import (
@@ -51,12 +51,12 @@
 // progress is how far the failover has come.
 type progress struct {
 	stateLoaded    bool // jobs and registered machines are restored from persistent state
-	isFirstLeader  bool // persistent state was empty: nobody has led before
+	isFirstLeader  bool // persistent state was empty: there was no earlier leader
 	completed      bool // every machine that may hold tasks is reconciled
-	renewalRefused bool // a heartbeat was refused because the state is not loaded; logged once
+	renewalRefused bool // the refusal of heartbeats before the state is loaded was logged
 }
 
-// Components are what a Reconciler works with. All of them belong to the same leadership, apart from Connectivity and
+// Components are the components that a Reconciler uses. All of them belong to the same leadership, except Connectivity and
 // RenewalLimit, which belong to the election and outlive it.
 type Components struct {
 	Platform     *config.Platform
@@ -71,7 +71,7 @@
 	Log          *slog.Logger
 }
 
-// Stores are what is restored from persistent state.
+// Stores are the components that are restored from persistent state.
 type Stores struct {
 	Storage       *storage.Store
 	Jobs          *jobstore.Store
@@ -79,16 +79,16 @@
 	FairShare     *fairshare.Allocator
 }
 
-// Machines are the views of the machines, and of the links between them and this controller.
+// Machines are the components with the state of the machines, and of the links between them and this controller.
 type Machines struct {
 	Workers      *worker.Registry
 	Cloud        *cloud.Client
 	Zones        *zones.Tracker
 	Reachability *reachability.Tracker
-	Connectivity *connectivity.Monitor // whether heartbeats reach this controller at all
+	Connectivity *connectivity.Monitor // whether this controller is partitioned from the workers
 }
 
-// New begins the failover of a leadership. It does nothing before LoadState finds the persistent state loaded.
+// New returns the Reconciler of a new leadership. The failover begins when LoadState finds the persistent state loaded.
 func New(components Components) *Reconciler {
 	machines := components.Machines
 	prober := newProber(components)
@@ -107,7 +107,7 @@
 	}
 }
 
-// Close ends the reconciler: results of probes that come later change nothing.
+// Close ends the failover: later results of probes are ignored.
 func (r *Reconciler) Close() { r.prober.closed = true }
 
 // StateLoaded reports whether jobs and registered machines are restored from persistent state.
@@ -116,21 +116,21 @@
 // Completed reports whether every machine that may hold tasks of an earlier leader is reconciled.
 func (r *Reconciler) Completed() bool { return r.progress.completed }
 
-// UnreconciledMachines is the number of machines that are not reconciled yet.
+// UnreconciledMachines returns the number of machines that are not reconciled yet.
 func (r *Reconciler) UnreconciledMachines() int { return len(r.unreconciled) }
 
-// ExpectedHeartbeats is the number of machines that should send heartbeats to this leader: those whose lease has not expired.
+// ExpectedHeartbeats returns the number of machines that should send heartbeats: those whose lease has not expired.
 func (r *Reconciler) ExpectedHeartbeats() int { return r.unresponsive.expectedHeartbeats }
 
-// OverdueHeartbeats is the number of expected heartbeats that are overdue.
+// OverdueHeartbeats returns the number of expected heartbeats that are overdue.
 func (r *Reconciler) OverdueHeartbeats() int { return r.unresponsive.overdueHeartbeats }
 
-// IsFirstLeader reports whether nobody has led before: persistent state was empty.
+// IsFirstLeader reports whether there was no earlier leader: persistent state was empty.
 func (r *Reconciler) IsFirstLeader() bool { return r.progress.isFirstLeader }
 
-// CanRenewLeases reports whether a heartbeat may be answered with 200 now, which renews the lease of its machine. Before the
-// state is loaded this would keep tasks alive whose cancellation this leader does not know of. It is allowed only as long
-// as such a lease still expires within the time that users are promised for a cancellation (package renewal).
+// CanRenewLeases reports whether a heartbeat may be answered with status 200 now, which renews the lease of its machine. Before the
+// state is loaded this could keep tasks running whose cancellation this leader does not know. It is allowed only as long as the renewed
+// lease still expires within the cancel timeout (package renewal).
 func (r *Reconciler) CanRenewLeases(now time.Time) bool {
 	if r.progress.stateLoaded || now.Before(r.renewalLimit.RenewUntil()) {
 		return true
@@ -142,8 +142,8 @@
 	return false
 }
 
-// Tick sends the probes that are due, reconciles machines until the failover is completed, and terminates machines that do
-// not respond. elapsed is the time since the last tick; it refills the budget of probes.
+// Tick sends the probes that are due, reconciles machines until the failover is completed, and terminates unresponsive machines.
+// elapsed is the time since the last tick, by which the budget of probes is refilled.
 func (r *Reconciler) Tick(now time.Time, elapsed time.Duration) {
 	r.prober.refillBudget(elapsed)
 	r.prober.probeRequested(now)
@@ -154,13 +154,11 @@
 	r.unresponsive.tick(now, r.progress.completed)
 }
 
-// reconcileMachines probes the machines that are not reconciled and completes the failover once there are none. The probe
-// raises the worker's fencing token, so that commands of an earlier leader have no effect any more, and its answer says
-// what runs on the machine.
+// reconcileMachines probes the unreconciled machines, and completes the failover once there are none.
 func (r *Reconciler) reconcileMachines(now time.Time) {
 	r.unreconciled = r.stillUnreconciled(now)
 	for _, machine := range r.unreconciled {
-		// A machine that has just got its first response sends its next heartbeat at once.
+		// A machine that has just received its first response sends its next heartbeat at once and needs no probe.
 		if machine.LeaseRenewedAt.Equal(r.electedAt) || now.Sub(machine.LeaseRenewedAt) > probeTimeout {
 			r.prober.probe(now, machine)
 		}
@@ -173,8 +171,8 @@
 	}
 }
 
-// stillUnreconciled filters the list of unreconciled machines in place. A machine leaves it once its worker has answered
-// under this leader's fencing token, or nothing can run there any more: its deletion is confirmed or its lease expired.
+// stillUnreconciled filters the list of unreconciled machines in place. A machine is removed once its worker has answered under this
+// leader's fencing token, or no task can run on it: its deletion is confirmed or its lease has expired.
 func (r *Reconciler) stillUnreconciled(now time.Time) []*worker.Machine {
 	remaining := r.unreconciled[:0]
 	for _, machine := range r.unreconciled {
@@ -186,7 +184,7 @@
 	return remaining
 }
 
-// sinceElection is the age of the leadership, rounded for the log.
+// sinceElection returns the age of the leadership, rounded for the log.
 func (r *Reconciler) sinceElection(now time.Time) time.Duration {
 	return now.Sub(r.electedAt).Round(time.Millisecond)
 }
--- a/internal/controller/failover/restore.go
+++ b/internal/controller/failover/restore.go
@@ -11,7 +11,7 @@
 	"gullrudder/internal/logkeys"
 )
 
-// chunkEntry is an entry with the results of some of a job's tasks. Chunks are restored after all jobs.
+// chunkEntry is a stored entry with the results of some of a job's tasks. Chunks are restored after all jobs.
 type chunkEntry struct {
 	key   string
 	jobID string
@@ -19,8 +19,8 @@
 	chunk jobs.Chunk
 }
 
-// LoadState restores jobs and registered machines as soon as the persistent state is loaded. It does nothing once that is
-// done, and returns without effect while the archive cannot be read; the owner calls it again on every tick.
+// LoadState restores jobs and registered machines if the persistent state is loaded and the archive can be read. It has no effect
+// after that. The controller calls it at every tick until StateLoaded.
 func (r *Reconciler) LoadState(now time.Time) {
 	if r.progress.stateLoaded || !r.stores.Storage.IsLoaded() {
 		return
@@ -37,7 +37,7 @@
 	r.reconcileMachines(now)
 }
 
-// restoreEntries hands each entry of persistent state to the component that owns it.
+// restoreEntries restores each entry of persistent state into the component that owns it.
 func (r *Reconciler) restoreEntries(now time.Time) {
 	var chunks []chunkEntry
 	r.stores.Storage.ForEach(func(key string, decode func(any) error) {
@@ -80,8 +80,8 @@
 	return chunkEntry{}, false
 }
 
-// restoreMachine restores a machine that an earlier leader registered. What is not known of it counts from the election:
-// its lease may just have been renewed.
+// restoreMachine restores a machine that an earlier leader registered. Without contact since the election, its lease counts from the
+// election, since the earlier leader may have renewed it just before.
 func (r *Reconciler) restoreMachine(machineID string, decode func(any) error) {
 	var record heartbeat.MachineRecord
 	if err := decode(&record); err != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// collectUnreconciled lists the machines that may hold tasks of an earlier leader.
+// collectUnreconciled adds the registered machines, which may hold tasks of an earlier leader, to the list of unreconciled ones.
 func (r *Reconciler) collectUnreconciled() {
 	for _, machine := range r.workers.SortedMachines() {
 		if machine.Registered {
--- a/internal/controller/failover/unresponsive.go
+++ b/internal/controller/failover/unresponsive.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// unresponsiveCheckInterval is the time between two looks at all machines.
+	// unresponsiveCheckInterval is the time between two checks of all machines.
 	unresponsiveCheckInterval = 500 * time.Millisecond
-	// minMachinesPerUnresponsive is the number of machines there must be for each one that is unresponsive. If more than one
-	// in so many is, it is rather this controller that cannot be reached: none is terminated, and the leases decide.
+	// minMachinesPerUnresponsive is the least number of machines for each unresponsive one. If more than one in so many is
+	// unresponsive, this controller is probably the unreachable one: none is terminated, and their leases may expire.
 	minMachinesPerUnresponsive = 3
 	// heartbeatGrace is added to the time after which a heartbeat is overdue, for delays on the link.
 	heartbeatGrace = time.Second
 )
 
-// unresponsiveMonitor probes the machines whose heartbeats are overdue and terminates those that do not answer. The cloud's
-// confirmation tells that their tasks are gone long before their leases expire, and a failover need not wait for them: one
-// machine that was taken back without notice had held up a failover of a thousand for 15 s.
+// unresponsiveMonitor probes the machines whose heartbeats are overdue and terminates those that do not answer. The cloud confirms the
+// deletion long before their leases expire, so that their tasks can be restarted and a failover need not wait for them: one machine
+// that was reclaimed without notice had delayed a failover of a thousand machines by 15 s.
 type unresponsiveMonitor struct {
 	heartbeatInterval time.Duration
 	workers           *worker.Registry
@@ -36,7 +36,7 @@
 
 	nextCheck          time.Time
 	expectedHeartbeats int // machines that should send heartbeats: their leases have not expired
-	overdueHeartbeats  int // of these, those whose heartbeat is overdue
+	overdueHeartbeats  int // of these, machines whose heartbeat is overdue
 }
 
 func newUnresponsiveMonitor(machines Machines, heartbeatInterval time.Duration, prober *prober) *unresponsiveMonitor {
@@ -51,15 +51,15 @@
 	}
 }
 
-// surveyResult is what one look at all machines has found.
+// surveyResult is the result of one check of all machines.
 type surveyResult struct {
-	machines     int            // machines that may be there
-	failed       []string       // listed as failed by the cloud
-	unresponsive []string       // without an answer to their probes
-	sentinels    map[string]int // sentinels by zone
+	machines     int            // machines that may be running
+	failed       []string       // IDs of machines that the cloud lists as failed
+	unresponsive []string       // IDs of machines that do not answer their probes
+	sentinels    map[string]int // number of sentinels by zone
 }
 
-// tick checks the machines if that is due.
+// tick checks the machines if a check is due.
 func (u *unresponsiveMonitor) tick(now time.Time, failoverCompleted bool) {
 	if now.Before(u.nextCheck) {
 		return
@@ -68,12 +68,12 @@
 	u.check(now, failoverCompleted)
 }
 
-// check looks at all machines, probes those whose heartbeats are overdue, and terminates failed and unresponsive ones.
+// check surveys all machines, probes those whose heartbeats are overdue, and terminates failed and unresponsive ones.
 //
-// Machines that the cloud itself lists as failed have stopped, however many others are unresponsive. They are terminated
-// during a failover only: a site of one machine, all of whose processes had been killed, waited for the lease of the machine
-// that was no more. Nothing else is terminated while the heartbeats of all machines are missing (package connectivity): on
-// two recorded days one third of the machines was terminated after the other, all of them healthy.
+// Machines that the cloud lists as failed have stopped, however many others are unresponsive. They are terminated during a failover
+// only: a site of one machine, all of whose processes had been killed, waited for the lease of the deleted machine. No other machine
+// is terminated while a partition is suspected (package connectivity): on two recorded days all machines were terminated, a third at a
+// time, though they were healthy.
 func (u *unresponsiveMonitor) check(now time.Time, failoverCompleted bool) {
 	found := u.survey(now, failoverCompleted)
 	if len(found.failed) > 0 {
@@ -92,7 +92,7 @@
 	u.cloud.Terminate(unresponsive, string(worker.DrainUnresponsive))
 }
 
-// survey classifies all machines, counts expected and overdue heartbeats, and probes the machines with overdue ones.
+// survey classifies all machines, counts expected and overdue heartbeats, and probes machines with overdue ones.
 func (u *unresponsiveMonitor) survey(now time.Time, failoverCompleted bool) surveyResult {
 	found := surveyResult{sentinels: map[string]int{}}
 	suspected := u.connectivity.SuspectsPartition(now)
@@ -126,7 +126,7 @@
 	return found
 }
 
-// countHeartbeat counts the heartbeat of a machine whose lease has not expired as expected, and as overdue if it is, or if
+// countHeartbeat counts the heartbeat of a machine whose lease has not expired as expected. It counts as overdue, too, if it is or if
 // the machine does not receive this controller's responses.
 func (u *unresponsiveMonitor) countHeartbeat(now time.Time, machine *worker.Machine, overdue bool) {
 	if u.workers.IsLeaseExpired(now, machine) {
@@ -144,9 +144,8 @@
 	return instance != nil && instance.State == cloud.StateFailed && !instance.Deleting
 }
 
-// keepSentinels takes some machines of each unavailable zone off the list of those to be terminated, and marks them as
-// sentinels: their heartbeats tell at once that the zone is back, and they need not boot then. Those that are used least
-// are kept first.
+// keepSentinels removes some machines of each unavailable zone from the list of those to be terminated, and marks them as sentinels:
+// their heartbeats show at once that the zone has recovered, and they need not boot then. The least used machines are kept first.
 func (u *unresponsiveMonitor) keepSentinels(ids []string, sentinels map[string]int) []string {
 	slices.SortFunc(ids, func(a, b string) int {
 		return cmp.Or(cmp.Compare(u.workers.Machines[a].UsedCPUs, u.workers.Machines[b].UsedCPUs), cmp.Compare(a, b))
@@ -168,7 +167,7 @@
 		machine.DrainReason != worker.DrainUnresponsive && machine.DrainReason != worker.DrainTerminating
 }
 
-// isHeartbeatOverdue reports whether the last certain contact with the machine is longer ago than its heartbeats take.
+// isHeartbeatOverdue reports whether the last contact with the machine is longer ago than the time in which a heartbeat should arrive.
 func isHeartbeatOverdue(now time.Time, machine *worker.Machine, heartbeatInterval time.Duration) bool {
 	return now.Sub(machine.LastContactAt) >= heartbeatInterval*5/4+heartbeatGrace
 }
--- a/internal/controller/failures/tracker.go
+++ b/internal/controller/failures/tracker.go
@@ -1,8 +1,8 @@
-// Package failures attributes task failures: it tells a crash-looping job, which fails on whatever machine it is tried, from a
-// faulty machine, on which whatever is tried fails. A Tracker owns which jobs failed on which machines and the retry budget of
-// the crash-looping jobs. It is made at each election and kept in memory; the verdict on a job is part of the job's record and
-// is restored by the next leader. The package stops and starts nothing: the heartbeat handler asks it about each failure.
-// docs/design/failure-attribution.md has the model and its limits.
+// Package failures attributes task failures: it distinguishes crash-looping jobs, which fail on every machine, from faulty machines, on
+// which most jobs fail. A Tracker owns the failures of jobs on machines and the retry budget of the crash-looping jobs. It is made at
+// each election and kept in memory; the verdict on a job is part of the job's record and is restored by the next leader. The package
+// never stops or starts a task: the heartbeat handler acts on its verdicts. Design note, with the model and its limits:
+// docs/design/failure-attribution.md.
 package failures
 
 import (
@@ -22,25 +22,25 @@
 	faultyMachineFailureRate = 0.7
 	// healthyFailureRate is the probability that they fail although neither job nor machine is at fault.
 	healthyFailureRate = 0.003
-	// maxCompletions bounds how many completed tasks speak for a machine, so that one that turns faulty is not protected by
-	// a long history.
+	// maxCompletions bounds the number of completed tasks that count in favor of a machine, so that a machine that becomes faulty is
+	// detected in spite of a long history.
 	maxCompletions = 3
 	// crashLoopThreshold is the probability above which a job is called crash-looping. The verdict reduces the job to one
 	// task at a time, and one completed task revokes it.
 	crashLoopThreshold = 0.95
 	// faultThreshold is the probability above which a machine is called faulty. The verdict costs the machine.
 	faultThreshold = 0.8
-	// crashLoopCertainty is the probability that a job with the verdict is crash-looping.
+	// crashLoopCertainty is the assumed probability that a job with the verdict is crash-looping.
 	crashLoopCertainty = 0.995
-	// minFailures is how many different machines, or jobs, must have failed before there is a verdict.
+	// minFailures is the least number of different machines, or jobs, with failures for a verdict.
 	minFailures = 2
 )
 
-// Bounds of the evidence, so that the cost of a failure does not grow with their number.
+// Bounds of the evidence, so that the cost of a computation does not grow with the number of failures.
 const (
 	// maxDepth is how many steps evidence is followed from job to machine to job.
 	maxDepth = 3
-	// maxNeighbours is how many neighbours count at each step, the newest.
+	// maxNeighbours is how many neighbours count at each step: the newest ones.
 	maxNeighbours = 8
 	// maxStoredNeighbours is how many are kept, so that enough are left when some are excluded or forgotten.
 	maxStoredNeighbours = 4 * maxNeighbours
@@ -50,7 +50,7 @@
 	pruneInterval = retention / 10
 )
 
-// Retries of crash-looping jobs. A retry takes capacity that another job could use, so all such jobs share one budget.
+// Retries of crash-looping jobs. A retry uses capacity that another job could use, so all such jobs share one budget.
 const (
 	// firstRetryDelay is the delay before the first retry; it doubles with each one.
 	firstRetryDelay = 2 * time.Second
@@ -63,7 +63,7 @@
 	maxStoredRetries = 6
 )
 
-// job is what is known of a job of which a task has failed.
+// job is the evidence about a job of which a task has failed.
 type job struct {
 	failedOn       []string // IDs of the machines on which it failed, the newest last
 	hasCompleted   bool     // a task has completed, so the job is not crash-looping
@@ -72,14 +72,14 @@
 	isCrashLooping bool
 }
 
-// machine is what is known of a machine on which a task has failed.
+// machine is the evidence about a machine on which a task has failed.
 type machine struct {
 	failedJobs    []string // IDs of the jobs that failed on it, the newest last
 	completions   int      // tasks completed since the last failure, maxCompletions at most
 	lastFailureAt time.Time
 }
 
-// Tracker keeps which jobs failed on which machines, and the verdicts drawn from that.
+// Tracker keeps the failures of jobs on machines, and the verdicts on jobs. It is not safe for concurrent use.
 type Tracker struct {
 	jobs        map[string]*job     // by job ID
 	machines    map[string]*machine // by machine ID
@@ -88,7 +88,7 @@
 	prunedAt    time.Time
 }
 
-// NewTracker returns the Tracker of a new leader, which knows of no failure.
+// NewTracker returns the Tracker of a new leadership, without any failures.
 func NewTracker() *Tracker {
 	return &Tracker{jobs: map[string]*job{}, machines: map[string]*machine{}, retryBudget: maxStoredRetries}
 }
@@ -135,8 +135,8 @@
 	return m
 }
 
-// RecordCompletion records that a task of the job completed on the machine. It proves that the job is not crash-looping and
-// speaks for the machine.
+// RecordCompletion records that a task of the job completed on the machine. It proves that the job is not crash-looping and counts in
+// favor of the machine.
 func (t *Tracker) RecordCompletion(jobID, machineID string) {
 	if j := t.jobs[jobID]; j != nil {
 		j.hasCompleted, j.isCrashLooping = true, false
@@ -151,12 +151,12 @@
 	t.jobs[jobID] = &job{isCrashLooping: true, lastFailureAt: now}
 }
 
-// IsCrashLooping reports whether the job is called crash-looping: it fails on every machine.
+// IsCrashLooping reports whether the verdict on the job is that it is crash-looping.
 func (t *Tracker) IsCrashLooping(jobID string) bool {
 	return t.jobs[jobID] != nil && t.jobs[jobID].isCrashLooping
 }
 
-// FailedMachineCount returns on how many machines the job has failed, as far as they are kept.
+// FailedMachineCount returns the number of machines on which the job has failed, at most maxStoredNeighbours.
 func (t *Tracker) FailedMachineCount(jobID string) int {
 	if j := t.jobs[jobID]; j != nil {
 		return len(j.failedOn)
@@ -164,14 +164,14 @@
 	return 0
 }
 
-// IsFaulty reports whether the machine is called faulty: different jobs have failed on it that complete elsewhere, or of which
-// nothing else is known.
+// IsFaulty reports whether the verdict on the machine is that it is faulty: different jobs have failed on it that complete elsewhere,
+// or about which there is no other evidence.
 func (t *Tracker) IsFaulty(machineID string) bool {
 	m := t.machines[machineID]
 	return m != nil && len(m.failedJobs) >= minFailures && t.faultProbability(machineID, "", maxDepth) > faultThreshold
 }
 
-// ForgetMachine drops what is known of a machine, which has been deleted.
+// ForgetMachine drops the evidence about a deleted machine.
 func (t *Tracker) ForgetMachine(machineID string) { delete(t.machines, machineID) }
 
 // ScheduleRetry returns when a crash-looping job may be tried again, and counts that retry. The delay doubles with each retry
@@ -189,7 +189,7 @@
 	return now.Add(max(delay, t.reserveRetry(now)))
 }
 
-// reserveRetry takes one retry from the shared budget and returns the delay until the budget covers it, after those that were
+// reserveRetry takes one retry from the shared budget and returns the delay until the budget covers it, after the retries that were
 // reserved before.
 func (t *Tracker) reserveRetry(now time.Time) time.Duration {
 	t.retryBudget = min(t.retryBudget+now.Sub(t.refilledAt).Seconds()/retryRefillInterval.Seconds(), maxStoredRetries)
@@ -215,8 +215,8 @@
 	return kept
 }
 
-// crashLoopProbability returns the probability that the job is crash-looping, by the machines that it failed on other than the
-// excluded one. Each machine is weighed by what other jobs say of it: to fail on a faulty machine says nothing about the job.
+// crashLoopProbability returns the probability that the job is crash-looping, given the machines on which it failed other than the
+// excluded one. A failure counts less the more probable it is, by other jobs, that the machine is faulty.
 func (t *Tracker) crashLoopProbability(jobID, excludedMachine string, depth int) float64 {
 	j := t.jobs[jobID]
 	if j == nil {
@@ -226,7 +226,7 @@
 	case j.hasCompleted:
 		return 0
 	case j.isCrashLooping:
-		return crashLoopCertainty // the evidence may have been an earlier leader's, or be dropped by now
+		return crashLoopCertainty // the evidence may be an earlier leader's, or no longer kept
 	}
 	logOdds := logit(crashLoopPrior)
 	for _, machineID := range newestExcept(j.failedOn, excludedMachine) {
@@ -239,8 +239,7 @@
 	return logistic(logOdds)
 }
 
-// faultProbability returns the probability that the machine is faulty, by the jobs that failed on it other than the excluded
-// one.
+// faultProbability returns the probability that the machine is faulty, given the jobs that failed on it other than the excluded one.
 func (t *Tracker) faultProbability(machineID, excludedJob string, depth int) float64 {
 	m := t.machines[machineID]
 	if m == nil {
@@ -271,5 +270,5 @@
 	maps.DeleteFunc(t.machines, func(_ string, m *machine) bool { return now.Sub(m.lastFailureAt) > retention })
 }
 
-// ForgetJob drops what is known of a job that has ended.
+// ForgetJob drops the evidence about a job that has ended.
 func (t *Tracker) ForgetJob(jobID string) { delete(t.jobs, jobID) }
--- a/internal/controller/heartbeat/ended.go
+++ b/internal/controller/heartbeat/ended.go
@@ -10,10 +10,10 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// retryDelay is how long a job, or a machine, is left alone after a start was refused or a job has failed on many machines.
+// retryDelay is the delay before a job or a machine is tried again after a refused start, or after a job failed on many machines.
 const retryDelay = 2 * time.Second
 
-// HandleEnded takes in the attempts on a machine that are known to be gone. The tasks that are not done wait for another attempt.
+// HandleEnded processes attempts of a machine that are gone. Their tasks are requeued unless they are done.
 func (h *Handler) HandleEnded(now time.Time, machine *worker.Machine, endedAttempts []worker.EndedAttempt) {
 	for _, ended := range endedAttempts {
 		h.handleEndedAttempt(now, machine, ended)
@@ -49,15 +49,15 @@
 }
 
 func (h *Handler) logEnded(machine *worker.Machine, ended worker.EndedAttempt) {
-	if ended.Reason == workerapi.ReasonDone { // of a service's replica, which is started again until its job is cancelled
+	if ended.Reason == workerapi.ReasonDone { // a replica of a service, which is restarted until its job is cancelled
 		return
 	}
 	h.log.Debug("attempt ended", logkeys.Task, ended.Attempt.Task, logkeys.Attempt, ended.Attempt.Number,
 		logkeys.Machine, machine.ID, logkeys.Reason, ended.Reason)
 }
 
-// completeTask takes in that an attempt has completed its task. Its run time is evidence about the machine and the job only if it
-// was seen to begin and did not resume from a checkpoint.
+// completeTask records that an attempt has completed its task. Its run time is measured only if the leader observed its start and it
+// did not resume from a checkpoint.
 func (h *Handler) completeTask(now time.Time, machine *worker.Machine, attempt *jobs.Attempt) {
 	job, task := attempt.Job, attempt.Task.Index
 	if !attempt.RunningSince.IsZero() && !job.ResumedTasks[task] {
@@ -78,7 +78,7 @@
 	h.observers.estimator.ObserveRunTime(job, runTime)
 }
 
-// lossCause returns the cause that the time accounting of a job states for an attempt that did not complete its task.
+// lossCause returns the wait reason in the time accounting for an attempt that did not complete its task.
 func lossCause(ended worker.EndedAttempt) accounting.WaitReason {
 	switch {
 	case !ended.Attempt.StopSentAt.IsZero() || ended.Reason == workerapi.ReasonStopped:
--- a/internal/controller/heartbeat/expiry.go
+++ b/internal/controller/heartbeat/expiry.go
@@ -7,8 +7,8 @@
 	"gullrudder/internal/logkeys"
 )
 
-// ExpireLeases takes in which workers' leases have expired: no task is left on their machines. A machine that was never proved
-// to exist is dropped, as all that came from it may have been duplicates of what an earlier leader received.
+// ExpireLeases ends the attempts on machines whose worker lease has expired: no task is left there. A machine without a fresh
+// heartbeat or a registration is removed, since its heartbeats may have been duplicates of those to an earlier leader.
 func (h *Handler) ExpireLeases(now time.Time) {
 	for _, machine := range h.workers.Machines {
 		if h.workers.IsLeaseExpired(now, machine) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// RemoveDeleted takes in the machines whose deletion the cloud has confirmed.
+// RemoveDeleted removes the machines whose deletion the cloud has confirmed, and ends their attempts.
 func (h *Handler) RemoveDeleted(now time.Time) {
 	deleted := h.cloud.TakeConfirmedDeletions()
 	for _, id := range deleted {
--- a/internal/controller/heartbeat/failure.go
+++ b/internal/controller/heartbeat/failure.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxAvoidedMachines is on how many machines a job may have failed before it is tried on all of them again, as a small site
-	// has no others.
+	// maxAvoidedMachines is the number of machines on which a job has failed after which it is tried on all of them again, since a
+	// small site may have no others.
 	maxAvoidedMachines = 3
-	// maxRetryDelay bounds the delay between two tries of a job that fails and has completed nothing.
+	// maxRetryDelay bounds the delay between two tries of a job that fails and has completed no task.
 	maxRetryDelay = time.Minute
 )
 
-// recordFailure takes in that a task has ended with an error. The job avoids the machine from now on. Whether the job is
-// crash-looping or the machine is faulty is decided by the failure tracker.
+// recordFailure records that a task has ended with an error. The job avoids the machine from now on. The failure tracker decides
+// whether the job is crash-looping or the machine is faulty.
 func (h *Handler) recordFailure(now time.Time, machine *worker.Machine, job *jobs.Job) {
 	job.FailureCount++
 	h.log.Info("task failed", logkeys.Job, job.ID, logkeys.Machine, machine.ID, logkeys.Count, job.FailureCount)
@@ -36,7 +36,7 @@
 	}
 }
 
-// avoidMachine keeps the job off the machine, until it has failed on so many machines that all are tried again after a delay.
+// avoidMachine makes the job avoid the machine. After maxAvoidedMachines it may run on all of them again, after a delay.
 func (h *Handler) avoidMachine(now time.Time, machine *worker.Machine, job *jobs.Job) {
 	machine.FailedJobs[job.ID] = true
 	if job.FailedMachines == nil {
@@ -58,9 +58,9 @@
 	job.FailedMachines = nil
 }
 
-// throttleCrashLooping has one task of a crash-looping job tried at a time, with growing delays. Its other attempts are stopped:
-// they would fail as well, and take the resources of others until then. The verdict is part of the job's record, so that the next
-// leader does not start all of its tasks again.
+// throttleCrashLooping limits a crash-looping job to one task at a time, with growing delays. Its other attempts are stopped: they
+// would fail as well, and use resources until then. The verdict is part of the job's record, so that the next leader does not start
+// all of its tasks again.
 func (h *Handler) throttleCrashLooping(now time.Time, job *jobs.Job) {
 	job.NotBefore = h.observers.failures.ScheduleRetry(now, job.ID)
 	if job.CrashLooping {
@@ -80,7 +80,7 @@
 	h.placer.InvalidateOrder()
 }
 
-// recordCompletion takes in that a task of the job has completed on the machine, which is evidence for both.
+// recordCompletion records that a task of the job has completed on the machine, which revokes the verdict on the job.
 func (h *Handler) recordCompletion(now time.Time, machine *worker.Machine, job *jobs.Job) {
 	h.observers.failures.RecordCompletion(job.ID, machine.ID)
 	if !job.CrashLooping {
--- a/internal/controller/heartbeat/handler.go
+++ b/internal/controller/heartbeat/handler.go
@@ -1,10 +1,10 @@
-// Package heartbeat handles the heartbeats of workers. A Handler reconciles what the leader believes with what a heartbeat
-// reports, and responds with what the machine is to stop, forget and start. It owns the heartbeats that wait for their response
-// and the records of registered machines in the state service. It is made at each election.
+// Package heartbeat handles the heartbeats of workers. A Handler reconciles the leader's state with each heartbeat, and responds with
+// the commands to kill, forget and start attempts on the machine. It owns the heartbeats that wait for their response and the records
+// of registered machines in the state service. It is made at each election.
 //
-// Starts go in heartbeat responses only, and what starts is the placer's decision. The Handler believes a heartbeat only if the
-// reachability tracker calls it fresh, and never takes an attempt for gone except by the worker registry's rule
-// (docs/design/reachability.md, docs/design/failure-attribution.md).
+// Starts are sent in heartbeat responses only, and the placer decides what starts. The Handler reconciles only heartbeats that the
+// reachability tracker classifies as fresh, and never treats an attempt as gone except by the rules of package worker.
+// Design notes: docs/design/reachability.md, docs/design/failure-attribution.md.
 package heartbeat
 
 import (
@@ -30,7 +30,7 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// maxMachines bounds the machines that the leader keeps, whatever names appear in heartbeats.
+// maxMachines bounds the number of machines that the leader keeps, whatever machine IDs appear in heartbeats.
 const maxMachines = 20000
 
 // Components are the parts of a leader that a Handler works with.
@@ -51,13 +51,13 @@
 	Log          *slog.Logger
 }
 
-// Handler handles the heartbeats of one leader's term. Only the event loop may call it.
+// Handler handles the heartbeats of one leadership. Only the event loop may call it.
 type Handler struct {
 	log               *slog.Logger
 	responder         *server.Responder
 	fencingToken      uint64
 	heartbeatInterval time.Duration
-	cancelWindow      time.Duration // how long after a confirmed cancellation a renewed lease still expires within the promised time
+	cancelWindow      time.Duration // see renewal.Window
 
 	storage      *storage.Store
 	jobStore     *jobstore.Store
@@ -70,7 +70,7 @@
 	pending []pendingHeartbeat
 }
 
-// observers learn from attempts that have ended.
+// observers are the components that evaluate ended attempts.
 type observers struct {
 	accounting *accounting.Tracker
 	estimator  *estimate.Estimator
@@ -78,7 +78,7 @@
 	failures   *failures.Tracker
 }
 
-// pendingHeartbeat is a heartbeat that waits for its response.
+// pendingHeartbeat is a heartbeat whose response has not been sent yet.
 type pendingHeartbeat struct {
 	request     *server.Request
 	machine     *worker.Machine
@@ -88,7 +88,7 @@
 	stateLoaded bool // the persistent state was loaded when it was received
 }
 
-// NewHandler returns the Handler of a new leader.
+// NewHandler returns the Handler of a new leadership.
 func NewHandler(components Components) *Handler {
 	return &Handler{
 		log:               components.Log,
@@ -111,9 +111,8 @@
 	}
 }
 
-// HandleHeartbeat takes in a heartbeat, to which SendResponses responds at the end of the step. Nothing in it is believed before
-// the persistent state is loaded. provesAlive reports whether the heartbeat proves that its machine lived just now, which a duplicate
-// does not.
+// HandleHeartbeat processes a heartbeat; SendResponses sends the response at the end of the step. No heartbeat is reconciled before
+// the persistent state is loaded. provesAlive reports whether the heartbeat is fresh, and so proves that its machine is alive.
 func (h *Handler) HandleHeartbeat(now time.Time, request *server.Request, stateLoaded bool) (provesAlive bool) {
 	heartbeat, ok := decodeHeartbeat(request.Body)
 	if !ok {
@@ -130,14 +129,14 @@
 		freshness = h.reachability.Classify(now, machine, heartbeat)
 	}
 	if freshness == reachability.Stale {
-		// With a 200 a machine that is gone would keep its tasks for as long as duplicates of its heartbeats arrive.
+		// Status 200 would renew the lease of a machine that is gone as long as duplicates of its heartbeats arrive.
 		h.responder.RespondError(request, http.StatusServiceUnavailable, "an older report", 0)
 		return false
 	}
 	machine.LeaseRenewedAt = now
 	if freshness == reachability.Fresh {
-		// The worker has seen this leader's fencing token: commands of an earlier leader no longer have an effect there, and
-		// the heartbeat was sent after that.
+		// The worker has received this leader's fencing token, and sent the heartbeat after that: it no longer executes commands of
+		// an earlier leader.
 		h.Reconcile(now, machine, heartbeat, true)
 		h.register(now, machine, heartbeat)
 	}
@@ -154,8 +153,8 @@
 	return heartbeat, isNamed && heartbeat.Incarnation != 0
 }
 
-// Reconcile takes in what is on a machine by a heartbeat that is newer than all before. complete is false for the answer to
-// direct commands (see worker.Registry.Reconcile).
+// Reconcile reconciles the attempts of a machine with a heartbeat that is newer than all before. complete is false for the response
+// to direct commands (see worker.Registry.Reconcile).
 func (h *Handler) Reconcile(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat, complete bool) {
 	ended := h.workers.Reconcile(now, machine, heartbeat, complete, h.jobStore.Find)
 	h.reachability.RecordEnded(now, machine, ended)
--- a/internal/controller/heartbeat/registration.go
+++ b/internal/controller/heartbeat/registration.go
@@ -14,13 +14,13 @@
 // MachineKeyPrefix is the prefix of the keys of MachineRecords in the state service; the machine's ID follows.
 const MachineKeyPrefix = "m:"
 
-// MachineRecord is the record that a machine may hold tasks. It is written before the first start is sent to the machine, so that
-// the next leader knows which machines it has to reconcile.
+// MachineRecord is the stored record of a machine that may hold tasks. It is written before the first start is sent to the machine,
+// so that the next leader reconciles every such machine.
 type MachineRecord struct {
 	Addr string `msgpack:"a" json:"a"`
 }
 
-// register records a machine that has reported: its instance, its capacity, and in the state service that it may hold tasks.
+// register updates the instance and the capacity of a machine that has reported, and writes its MachineRecord.
 func (h *Handler) register(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) {
 	kind := cloud.InstanceKind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}
 	h.cloud.ObserveHeartbeat(now, heartbeat.Machine, heartbeat.Addr, kind)
--- a/internal/controller/heartbeat/response.go
+++ b/internal/controller/heartbeat/response.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// maxRegistrationWait is how long a new machine's heartbeat may wait until the machine is registered.
+	// maxRegistrationWait limits how long the response to a new machine's heartbeat is held back until the machine is registered.
 	maxRegistrationWait = 700 * time.Millisecond
 	// maxCommandsPerResponse bounds the commands of one response, whose body must stay below 64 KiB.
 	maxCommandsPerResponse = 300
-	// minKillsSent is how many responses must have told a machine to kill a task before it counts as ignoring them: one may
-	// still be on its way.
+	// minKillsSent is the least number of responses with the command to kill a task after which the machine may count as ignoring
+	// them: one may still be in transit.
 	minKillsSent = 2
-	// reclaimSlack and reclaimHeartbeats are the time before a reclaim, beside that for the checkpoint, at which a task is told
-	// to save one.
+	// reclaimSlack and reclaimHeartbeats, a number of heartbeat intervals, are added to the checkpoint duration of a task: that long
+	// before a reclaim the command to save a checkpoint is sent.
 	reclaimSlack      = time.Second
 	reclaimHeartbeats = 3
 )
 
-// SendResponses responds to the heartbeats of this batch. What starts on their machines is decided now; canStart is whether
-// anything may.
+// SendResponses responds to the heartbeats of this step. The tasks that start on their machines are chosen now, if canStart allows
+// any starts.
 func (h *Handler) SendResponses(now time.Time, canStart bool) {
 	batch := h.pending
 	h.pending = nil
@@ -39,7 +39,7 @@
 	}
 }
 
-// RejectPending refuses the heartbeats that still wait for a response.
+// RejectPending refuses the heartbeats whose response has not been sent yet.
 func (h *Handler) RejectPending() {
 	for _, pending := range h.pending {
 		h.responder.Respond(pending.request, http.StatusServiceUnavailable, nil, 0)
@@ -47,18 +47,18 @@
 	h.pending = nil
 }
 
-// awaitsRegistration reports whether the response should wait: once its machine is registered it can have starts.
+// awaitsRegistration reports whether the response is held back until the machine is registered and may be sent starts.
 func (p pendingHeartbeat) awaitsRegistration(now time.Time) bool {
 	return p.freshness == reachability.Fresh && p.machine.Registering && now.Sub(p.receivedAt) < maxRegistrationWait
 }
 
-// respond sends the response to a heartbeat, which renews the worker's lease unless the machine ignores commands to kill.
+// respond sends the response to a heartbeat, which renews the worker's lease unless the machine ignores kill commands.
 func (h *Handler) respond(now time.Time, pending pendingHeartbeat, canStart bool) {
 	commands := []workerapi.Command{}
 	switch {
 	case pending.freshness == reachability.Fresh:
 		if h.ignoresKills(now, pending.machine) {
-			// Only the end of its lease stops the tasks within the time that was promised.
+			// Only the expiry of its lease can end the tasks within the cancel timeout.
 			h.log.Info("lease renewal refused", logkeys.Machine, pending.machine.ID, logkeys.Reason, "cancelled tasks still running")
 			h.responder.RespondError(pending.request, http.StatusServiceUnavailable, "tasks of cancelled jobs are still there", 0)
 			return
@@ -72,8 +72,8 @@
 	h.responder.Respond(pending.request, http.StatusOK, response, 0)
 }
 
-// commandsFor returns the commands in the response to a fresh heartbeat. If a machine has several heartbeats in the batch, only
-// the newest gets starts.
+// commandsFor returns the commands in the response to a fresh heartbeat. If a machine has several heartbeats in this step, only the
+// response to the newest contains starts.
 func (h *Handler) commandsFor(now time.Time, pending pendingHeartbeat, canStart bool) []workerapi.Command {
 	machine, heartbeat := pending.machine, pending.heartbeat
 	checkpointBeforeReclaim(now, machine, reclaimHeartbeats*h.heartbeatInterval+reclaimSlack)
@@ -88,8 +88,8 @@
 	return commands
 }
 
-// killCommands returns the commands that kill the tasks of cancelled jobs in a heartbeat that is not believed. Whatever its age
-// they are to end, and a 200 without that would keep them for another lease.
+// killCommands returns the commands to kill the tasks of cancelled jobs that appear in a heartbeat that is not fresh. They have to end
+// whatever the age of the heartbeat, and a response without the commands would keep them for another lease.
 func (h *Handler) killCommands(heartbeat *workerapi.Heartbeat) []workerapi.Command {
 	commands := []workerapi.Command{}
 	for _, status := range heartbeat.Tasks {
@@ -104,8 +104,8 @@
 	return commands
 }
 
-// ignoresKills reports whether a task of a cancelled job is still on the machine, although the machine was told to kill it, so
-// long after the cancellation was confirmed that another lease would keep it beyond the promised time.
+// ignoresKills reports whether a task of a cancelled job is still on the machine in spite of repeated kill commands, so long after the
+// confirmation of the cancellation that renewing the lease would keep it beyond the cancel timeout.
 func (h *Handler) ignoresKills(now time.Time, machine *worker.Machine) bool {
 	for _, attempt := range machine.Attempts {
 		job := attempt.Job
@@ -119,8 +119,8 @@
 	return false
 }
 
-// forgetCommands returns the commands to forget the exited attempts in a heartbeat. One that is done must not be forgotten before
-// its result is durable.
+// forgetCommands returns the commands to forget the exited attempts in a heartbeat. The worker must not forget an attempt that is done
+// before its result is durable.
 func (h *Handler) forgetCommands(heartbeat *workerapi.Heartbeat) []workerapi.Command {
 	commands := []workerapi.Command{}
 	for _, status := range heartbeat.Tasks {
@@ -135,7 +135,7 @@
 	return commands
 }
 
-// appendKills appends the commands to kill what may not run on the machine, and to stop what is to be preempted.
+// appendKills appends the commands to kill attempts that must not run on the machine, and to stop attempts that are preempted.
 func appendKills(commands []workerapi.Command, machine *worker.Machine) []workerapi.Command {
 	for _, attempt := range machine.Attempts {
 		if len(commands) >= maxCommandsPerResponse {
@@ -154,8 +154,8 @@
 	return commands
 }
 
-// checkpointBeforeReclaim has the tasks that can save a checkpoint do so before the cloud reclaims the machine. leadTime is the
-// time that they get beside the duration of the checkpoint.
+// checkpointBeforeReclaim marks the attempts that can save a checkpoint to be stopped before the cloud reclaims the machine. leadTime
+// is added to the checkpoint duration.
 func checkpointBeforeReclaim(now time.Time, machine *worker.Machine, leadTime time.Duration) {
 	if machine.ReclaimAt.IsZero() {
 		return
--- a/internal/wire/workerapi/messages.go
+++ b/internal/wire/workerapi/messages.go
@@ -1,7 +1,6 @@
-// Package workerapi has the messages between controllers and workers: the heartbeat, its response, and the commands that are
-// sent to a worker's own address. Controller and worker agent both import it, so that they agree without importing one another.
-// It holds no state and sends nothing; the struct tags are the names on the wire. docs/design/reachability.md says what a
-// heartbeat proves about its machine.
+// Package workerapi defines the messages between controllers and workers: the heartbeat, its response, and the commands that are sent
+// to a worker's own address. Controller and worker agent both import it and not each other. It holds no state and sends nothing; the
+// struct tags are the names on the wire. Design note: docs/design/reachability.md.
 package workerapi
 
 import "gullrudder/internal/wire/codec"
@@ -9,7 +8,7 @@
 // MaxMachineIDBytes bounds the length of a machine's name.
 const MaxMachineIDBytes = 100
 
-// Heartbeat is what a worker sends to the leader at an interval, and answers to commands at its own address. Incarnation and
+// Heartbeat is the status that a worker sends to the leader periodically, and in response to direct commands. Incarnation and
 // Sequence order the heartbeats of one worker (Position): the sequence number counts within an incarnation, and a worker begins
 // a new incarnation when its lease has expired.
 type Heartbeat struct {
@@ -20,7 +19,7 @@
 	Spot         bool   `msgpack:"driftwood"`
 	Incarnation  uint64 `msgpack:"watch"`
 	Sequence     uint64 `msgpack:"knot"`
-	FencingToken uint64 `msgpack:"helm"` // the highest that the worker has seen
+	FencingToken uint64 `msgpack:"helm"` // the highest that the worker has received
 	// ReclaimInSeconds is when the cloud reclaims the machine; nil if no notice was given.
 	ReclaimInSeconds *float64     `msgpack:"recall_s"`
 	Tasks            []TaskStatus `msgpack:"strokes"`
@@ -46,7 +45,7 @@
 	Attempt         uint64     `msgpack:"launch"`
 	State           TaskState  `msgpack:"trim"`
 	Reason          ExitReason `msgpack:"wake,omitempty"`  // set if State is StateExited
-	CheckpointSaved bool       `msgpack:"saved,omitempty"` // it was stopped and saved a checkpoint before it exited
+	CheckpointSaved bool       `msgpack:"saved,omitempty"` // the attempt was stopped and saved a checkpoint before it exited
 }
 
 // TaskState is the state of an attempt on its machine.
@@ -54,9 +53,9 @@
 
 // The states of an attempt.
 const (
-	StateFetching      TaskState = "fetching" // its image, or its description
+	StateFetching      TaskState = "fetching" // the worker fetches its image or its job specification
 	StateRunning       TaskState = "running"
-	StateCheckpointing TaskState = "flushing" // it was told to stop and saves a checkpoint
+	StateCheckpointing TaskState = "flushing" // it was stopped and saves a checkpoint
 	StateExited        TaskState = "exited"
 )
 
@@ -66,11 +65,11 @@
 // The reasons that a worker gives.
 const (
 	ReasonDone       ExitReason = "done"
-	ReasonStopped    ExitReason = "halted" // it was told to
+	ReasonStopped    ExitReason = "halted" // by a kill command
 	ReasonError      ExitReason = "error"
-	ReasonNoCapacity ExitReason = "no_room" // it was refused: the machine lacks the resources
-	ReasonInUse      ExitReason = "in_use"  // it was refused: another attempt of the task has not exited
-	ReasonNotFound   ExitReason = "no_such" // it was refused: no such task
+	ReasonNoCapacity ExitReason = "no_room" // refused: the machine lacks the resources
+	ReasonInUse      ExitReason = "in_use"  // refused: another attempt of the task has not exited
+	ReasonNotFound   ExitReason = "no_such" // refused: no such task
 )
 
 // Operation is what a command does.
@@ -83,20 +82,20 @@
 	OperationForget Operation = "forget"
 )
 
-// Command tells a worker what to do with one attempt.
+// Command is a command to a worker about one attempt.
 type Command struct {
 	Operation    Operation `msgpack:"call"`
 	Task         string    `msgpack:"stroke"`
 	Attempt      uint64    `msgpack:"launch"`
-	GraceSeconds *float64  `msgpack:"ease_s,omitempty"` // of a kill: the time to save a checkpoint
+	GraceSeconds *float64  `msgpack:"ease_s,omitempty"` // of a kill: time to save a checkpoint
 }
 
-// Start returns the command to start an attempt. It may be sent in a heartbeat response only.
+// Start returns the command to start an attempt. It must be sent in a heartbeat response only.
 func Start(task string, attempt uint64) Command {
 	return Command{Operation: OperationStart, Task: task, Attempt: attempt}
 }
 
-// Kill returns the command to stop an attempt after the given time to save a checkpoint, or at once if that is 0.
+// Kill returns the command to stop an attempt. It has graceSeconds to save a checkpoint; with 0 it is stopped at once.
 func Kill(task string, attempt uint64, graceSeconds float64) Command {
 	return Command{Operation: OperationKill, Task: task, Attempt: attempt, GraceSeconds: &graceSeconds}
 }
@@ -106,22 +105,22 @@
 	return Command{Operation: OperationForget, Task: task, Attempt: attempt}
 }
 
-// HeartbeatResponse is the body of the leader's 200 to a heartbeat.
+// HeartbeatResponse is the body of the leader's response with status 200 to a heartbeat.
 type HeartbeatResponse struct {
 	FencingToken uint64    `msgpack:"helm"`
 	Commands     []Command `msgpack:"calls"`
 }
 
-// DirectCommands is the body of a request to a worker's own address. The worker answers with a heartbeat. Without commands it
-// is a probe.
+// DirectCommands is the body of a request to a worker's own address. The worker responds with a heartbeat. Without commands it is a
+// probe.
 type DirectCommands struct {
 	FencingToken uint64    `msgpack:"helm"`
 	Incarnation  uint64    `msgpack:"watch"` // the worker refuses the commands in any other incarnation
 	Commands     []Command `msgpack:"calls"`
 }
 
-// Redirect is the body of a 421 to a heartbeat. Leader is the name of the controller that handles heartbeats, empty if the
-// sender knows none.
+// Redirect is the body of the response with status 421 to a heartbeat. Leader is the name of the leader, or empty if the sender does
+// not know one.
 type Redirect struct {
 	Leader string `msgpack:"flagship,omitempty"`
 }
@@ -133,7 +132,7 @@
 	Sequence    uint64 `msgpack:"knot"`
 }
 
-// DecodeHeartbeatID decodes the identity of a heartbeat without its tasks. ok is false if body is no heartbeat.
+// DecodeHeartbeatID decodes the HeartbeatID of a heartbeat without its tasks. ok is false if body is no heartbeat.
 func DecodeHeartbeatID(body []byte) (id HeartbeatID, ok bool) {
 	if codec.Unmarshal(body, &id) != nil || id.Machine == "" || len(id.Machine) > MaxMachineIDBytes {
 		return HeartbeatID{}, false
