--- a/internal/controller/cloud/requests.go
+++ b/internal/controller/cloud/requests.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"net/http"
-	"sort"
 	"time"
 
 	"gullrudder/internal/logkeys"
@@ -15,8 +14,6 @@
 	// maxUnresolvedPerZone is how many requests of a zone may be without an outcome. Beyond it nothing more is requested there,
 	// and the retries of these show when the zone is back.
 	maxUnresolvedPerZone = 2
-	// maxRefusedDeletions is after how many refusals a deletion of several instances is split.
-	maxRefusedDeletions = 2
 	// minRefusalBackoff and maxRefusalBackoff bound the wait after a refused request. It stays short: capacity that the cloud
 	// reclaims in a wave is soon offered again.
 	minRefusalBackoff = 3 * time.Second
@@ -154,58 +151,3 @@
 	}
 	c.log.Info("instance request fulfilled", logkeys.Request, request.name, logkeys.Count, request.count, "created", len(ids))
 }
-
-// Terminate deletes instances. The reason goes into the log.
-func (c *Client) Terminate(ids []string, reason string) {
-	sort.Strings(ids)
-	for len(ids) > 0 {
-		batch := ids[:min(len(ids), maxInstancesPerDeletion)]
-		ids = ids[len(batch):]
-		for _, id := range batch {
-			if instance := c.Instances[id]; instance != nil {
-				instance.Deleting = true
-			}
-			c.log.Info("instance termination requested", logkeys.Instance, id, logkeys.Reason, reason)
-		}
-		// Deletions go first: they give back capacity that a request may be waiting for.
-		c.queue.add(urgentCall, func(outbox *client.Outbox) { c.sendDeletion(outbox, batch, 0) })
-	}
-}
-
-func (c *Client) sendDeletion(outbox *client.Outbox, ids []string, retries int) {
-	c.send(outbox, client.Call{
-		Method: http.MethodPost,
-		Path:   "/hosts/delete",
-		Body:   deletionBody(ids),
-		Done: func(now time.Time, result client.Result) {
-			if result.Status != http.StatusOK {
-				c.retryDeletion(now, ids, retries, result)
-				return
-			}
-			for _, id := range ids {
-				delete(c.Instances, id)
-				c.deletedIDs[id] = true
-			}
-			c.newDeletions = append(c.newDeletions, ids...)
-		},
-	})
-}
-
-// retryDeletion repeats a deletion. One that is refused repeatedly is split in halves, down to the instance that cannot be
-// deleted: otherwise that one blocks the deletion of up to ninety-nine others.
-func (c *Client) retryDeletion(now time.Time, ids []string, retries int, result client.Result) {
-	if isRefusal(result) && retries >= maxRefusedDeletions && len(ids) > 1 {
-		c.log.Info("instance deletion split", logkeys.Count, len(ids), logkeys.Status, result.Status)
-		for _, half := range [][]string{ids[:len(ids)/2], ids[len(ids)/2:]} {
-			c.queue.retry(now, urgentCall, retries, func(outbox *client.Outbox) { c.sendDeletion(outbox, half, retries) })
-		}
-		return
-	}
-	c.queue.retry(now, urgentCall, retries, func(outbox *client.Outbox) { c.sendDeletion(outbox, ids, retries+1) })
-}
-
-// isRefusal reports whether the cloud answered that it does not carry the call out, and not that it is overloaded.
-func isRefusal(result client.Result) bool {
-	return result.Status >= http.StatusBadRequest &&
-		result.Status != http.StatusTooManyRequests && result.Status != http.StatusServiceUnavailable
-}
--- a/internal/site/kvserver/golden_bytes_test.go
+++ b/internal/site/kvserver/golden_bytes_test.go
@@ -21,7 +21,7 @@
 	return appendLeaseEndRecord(out, 300, 70_001)
 }
 
-// storedSnapshot is a whole snapshot: its header, its leases, its keys and their number.
+// storedSnapshot is a complete snapshot: its header, its leases, its keys and their number.
 func storedSnapshot(keys *keyspace, segment, next uint64) ([]byte, error) {
 	view := keys.Freeze()
 	view.segment, view.nextFrame = segment, next
--- a/internal/site/kvserver/helpers_test.go
+++ b/internal/site/kvserver/helpers_test.go
@@ -54,7 +54,7 @@
 	return kvserver.Response{}
 }
 
-// decode reads a response as it goes over the wire.
+// decode decodes a response from its encoded form.
 func decode(t rapid.TB, response kvserver.Response, v any) {
 	t.Helper()
 	raw, err := codec.Marshal(response.Body)
@@ -66,7 +66,7 @@
 	}
 }
 
-// commitKey writes a key and makes that durable.
+// commitKey writes a key and makes the change durable.
 func commitKey(t *testing.T, state *kvserver.State, storage *kvserver.Storage, key, value string) {
 	t.Helper()
 	effects := state.Step(time.Unix(100, 0), []kvserver.Request{crashtest.Commit(nil, []crashtest.Op{{Key: key, Value: value}})})
@@ -75,7 +75,7 @@
 	}
 }
 
-// writeSnapshot writes a whole snapshot and deletes what it covers.
+// writeSnapshot writes a complete snapshot and deletes the files that it covers.
 func writeSnapshot(t *testing.T, state *kvserver.State, storage *kvserver.Storage) {
 	t.Helper()
 	writer, err := storage.BeginSnapshot(state.Freeze())
--- a/internal/site/kvserver/limits_test.go
+++ b/internal/site/kvserver/limits_test.go
@@ -26,7 +26,7 @@
 	return options
 }
 
-// Requests over a limit or out of form change nothing and say so.
+// Requests that are malformed or exceed a limit are refused and change nothing.
 func TestProtocolLimits(t *testing.T) {
 	now := time.Unix(100, 0)
 	state, _, _ := openEmpty(t, limitedOptions(), now)
--- a/internal/site/kvserver/model_test.go
+++ b/internal/site/kvserver/model_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// modelTest sends the same requests to a store and to the plain model, and follows the store's changes with a watch.
+// modelTest sends the same requests to a store and to a simple model, and follows the store's changes with a watch.
 type modelTest struct {
 	now     time.Time
 	state   *kvserver.State
@@ -25,8 +25,8 @@
 	keys    *rapid.Generator[string]
 }
 
-// The store answers as the plain model does: commits with all their preconditions, keys, lists in any pages, and a client that
-// follows the changes has the same keys as one that reads them.
+// The store answers as the model does: transactions with preconditions, reads, and lists in pages of any size. A client that follows
+// the watch has the same keys as one that reads them.
 func TestStateAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
@@ -116,7 +116,7 @@
 	}
 }
 
-// drawOperation is a delete, or a write with a lease (that may not be there) in four of eleven.
+// drawOperation is a delete, or a write with a lease (that may not exist) in four of eleven.
 func (m *modelTest) drawOperation(t *rapid.T) crashtest.Op {
 	t.Helper()
 	op := crashtest.Op{Key: m.keys.Draw(t, "op"), Value: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "value")}
@@ -126,7 +126,7 @@
 	return op
 }
 
-// watch follows the changes; what they make is what the model has.
+// watch applies the watched changes to a copy, which must equal the model.
 func (m *modelTest) watch(t *rapid.T) {
 	t.Helper()
 	var changes watchResponse
--- a/internal/site/kvserver/recovery.go
+++ b/internal/site/kvserver/recovery.go
@@ -264,7 +264,7 @@
 		err = files.SyncDir()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("go on in %s: %w", name, errors.Join(err, file.Close()))
+		return nil, fmt.Errorf("reopen %s: %w", name, errors.Join(err, file.Close()))
 	}
 	return &WAL{files: files, file: file, segment: r.lastSegment.segment, nextFrame: r.nextFrame, offset: r.offset}, nil
 }
--- a/internal/site/kvserver/server_test.go
+++ b/internal/site/kvserver/server_test.go
@@ -17,7 +17,7 @@
 	"gullrudder/internal/wire/http1"
 )
 
-// failingDirectory is a directory whose files cannot be made or synced while an error is set.
+// failingDirectory is a directory whose files cannot be created or synced while an error is set.
 type failingDirectory struct {
 	kvserver.Directory
 	mu  sync.Mutex
@@ -61,7 +61,7 @@
 	return f.File.Sync()
 }
 
-// testServer is a server on this machine, and a client of it.
+// testServer is a server on loopback, and a client of it.
 type testServer struct {
 	addr   string
 	path   string
@@ -115,7 +115,7 @@
 	return response.Status, nil
 }
 
-// waitFor sends a request again and again until it gets the status.
+// waitFor repeats a request until it gets the status.
 func (s *testServer) waitFor(t *testing.T, what string, request kvserver.Request, status int) {
 	t.Helper()
 	for range 2000 {
@@ -148,9 +148,9 @@
 	clients.Wait()
 }
 
-// The server over the network, with a disk that fails for a while: what is uncertain gets no response, what is not taken gets 503 at
-// once, reads go on, and once the disk works again changes are taken again. Everything that was answered is there when the directory
-// is opened anew.
+// The disk of a server fails for a while: requests with an uncertain outcome get no response, further changes get 503 at once, and
+// reads are served. Once the disk works, changes are accepted again. After a reopening of the directory every confirmed change is
+// there.
 func TestServerThroughDiskFailure(t *testing.T) {
 	s := startServer(t)
 	s.commitFromClients(t)
--- a/internal/site/kvserver/storage_test.go
+++ b/internal/site/kvserver/storage_test.go
@@ -22,7 +22,7 @@
 	damagedSegment  = "log-0000000000000002"
 )
 
-// directoryToDamage is a directory with a snapshot of five keys and five frames behind it.
+// directoryToDamage is a directory with a snapshot of five keys and five frames after it.
 func directoryToDamage(t *testing.T) *faultydisk.Disk {
 	t.Helper()
 	state, storage, files := openEmpty(t, config.DefaultKVServerOptions(), time.Unix(100, 0))
@@ -40,8 +40,8 @@
 	return kept
 }
 
-// A byte that has rotted before answered records ends the start, with file and place, and nothing is overwritten. In the last frame
-// it cannot be distinguished from a torn write.
+// A damaged byte before confirmed records prevents the start, with an error that has the file and the offset, and nothing is
+// overwritten. In the last frame it cannot be distinguished from a torn write.
 func TestOpenReportsDamage(t *testing.T) {
 	taken := 0
 	for _, name := range []string{damagedSnapshot, damagedSegment} {
@@ -57,8 +57,8 @@
 	}
 }
 
-// isTakenForTorn damages one byte and reports whether it is taken for a torn write. Otherwise it has to be reported, and nothing may
-// be written.
+// isTakenForTorn damages one byte and reports whether the directory opens as after a torn write. Otherwise the damage has to be
+// reported, and nothing may be written.
 func isTakenForTorn(t *testing.T, name string, offset int) bool {
 	t.Helper()
 	files := directoryToDamage(t)
@@ -90,8 +90,8 @@
 	}
 }
 
-// A snapshot that the disk has no room for leaves the store as it was, and a commit that finds no room is not there afterwards, while
-// later ones are.
+// A snapshot that fails because the disk is full leaves the store unchanged. A commit that fails because of it is not applied, and later
+// ones are.
 func TestFullDiskKeepsState(t *testing.T) {
 	now := time.Unix(100, 0)
 	state, storage, files := openEmpty(t, config.DefaultKVServerOptions(), now)
@@ -141,7 +141,7 @@
 	}
 }
 
-// Backups are whole, go into empty directories only, and what is made of them goes on with revisions that were never given out.
+// Backups are complete and are restored to empty directories only. A restored store continues with revisions that were never used.
 func TestBackupAndRestore(t *testing.T) {
 	root := t.TempDir()
 	data, file, restored := filepath.Join(root, "data"), filepath.Join(root, "backup"), filepath.Join(root, "again")
@@ -174,7 +174,7 @@
 	}
 }
 
-// fillDirectory makes a store of thirty keys, with a snapshot before the last nine, whose process goes on.
+// fillDirectory creates a store of thirty keys, with a snapshot before the last nine, and keeps it open.
 func fillDirectory(t *testing.T, path string) {
 	t.Helper()
 	dir, err := kvserver.LockDirectory(path)
--- a/internal/site/kvserver/wal.go
+++ b/internal/site/kvserver/wal.go
@@ -40,7 +40,7 @@
 		err = files.SyncDir()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("begin %s: %w", name, errors.Join(err, file.Close()))
+		return nil, fmt.Errorf("write header of %s: %w", name, errors.Join(err, file.Close()))
 	}
 	return &WAL{files: files, file: file, segment: header.segment, nextFrame: header.firstFrame, offset: int64(len(raw))}, nil
 }
--- a/internal/site/kvserver/watches_test.go
+++ b/internal/site/kvserver/watches_test.go
@@ -13,8 +13,7 @@
 	"gullrudder/internal/site/kvserver"
 )
 
-// A watch waits until something of its prefix changes, sees nothing twice, and is told when what it asks for is not retained any
-// more.
+// A watch waits until a key of its prefix changes, gets no change twice, and gets 410 if the changes since its revision are not retained.
 func TestWatches(t *testing.T) {
 	now := time.Unix(100, 0)
 	state, _, _ := openEmpty(t, config.DefaultKVServerOptions(), now)
@@ -63,8 +62,8 @@
 	}
 }
 
-// A watch goes on over a restart if the log still has what came after its revision; what a snapshot covers is not kept as changes,
-// and its watcher has to read the keys again.
+// A watch continues after a restart if the log still has the changes after its revision. Changes that a snapshot covers are not
+// retained, and the watcher has to read the keys again.
 func TestWatchAcrossRestart(t *testing.T) {
 	state, storage, files := openEmpty(t, config.DefaultKVServerOptions(), time.Unix(100, 0))
 	for i := range 4 {
