--- /dev/null
+++ b/internal/simulator/invariants_test.go
@@ -0,0 +1,85 @@
+package simulator
+
+import (
+	"testing"
+	"time"
+
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/workerapi"
+)
+
+// A day without troubles ends with all work done; without this, a model that finds no
+// broken rule could be one that sees nothing run.
+func TestRunWithoutFaultsCompletesAllJobs(t *testing.T) {
+	t.Parallel()
+	for seed := range uint64(3) {
+		t.Run(seedName(seed), func(t *testing.T) {
+			sim := New(seed, testOptions(), testLogger())
+			for i := range 25 {
+				sim.At(time.Duration(i)*2*time.Second, sim.Users.SubmitRandom)
+			}
+			sim.Run(4 * time.Minute)
+			expectNoViolations(t, sim)
+			if sim.Users.AcceptedCount() != 25 || sim.Users.UnfinishedCount() != 0 || sim.checker.TaskStarts < 25 {
+				t.Errorf("%d of 25 accepted, %d unfinished, %d starts", sim.Users.AcceptedCount(), sim.Users.UnfinishedCount(), sim.checker.TaskStarts)
+			}
+			if runs, merged := sim.State.archiveSegments(); runs == 0 || !merged {
+				t.Errorf("%d runs, merged: %v", runs, merged)
+			}
+			if err := sim.State.CheckLimits(); err != nil {
+				t.Errorf("%v", err)
+			}
+		})
+	}
+}
+
+// A report that was held up shows a machine without the tasks that an earlier leader has
+// started since. A new leader must not believe it: the worker has not seen its token.
+func TestNewLeaderRejectsStaleHeartbeat(t *testing.T) {
+	t.Parallel()
+	sim := New(5, testOptions(), testLogger())
+	for i := range 20 {
+		sim.At(time.Duration(i)*500*time.Millisecond, func() {
+			sim.Users.SubmitRandom()
+			for _, j := range sim.checker.jobs {
+				j.runTime = 30 * time.Second // so that much is running when the leader ends
+			}
+		})
+	}
+	sim.Run(20 * time.Second)
+	first, last := sim.State.leaderName(), ""
+	for i := range sim.Options.Controllers {
+		if controllerName(i) == first || last != "" {
+			sim.Crash(i, time.Minute)
+		} else {
+			last = controllerName(i)
+		}
+	}
+	// For a while the new leader hears nothing but what was held up.
+	for _, m := range sim.Cloud.runningMachines() {
+		sim.CutLink(last, m.id, 4500*time.Millisecond)
+	}
+	stale := func() {
+		for _, m := range sim.Cloud.runningMachines() {
+			raw, err := codec.Marshal(workerapi.Heartbeat{
+				Machine: m.id, Addr: m.id, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
+				Incarnation: 1, Sequence: 1, Tasks: []workerapi.TaskStatus{},
+			})
+			if err != nil {
+				t.Fatal(err)
+			}
+			sim.deliverRequest(last, false, "POST", "/v1/report", raw, func(int, any) {})
+		}
+	}
+	for i := range 2000 {
+		sim.At(time.Duration(i)*5*time.Millisecond, stale)
+	}
+	sim.Run(9 * time.Minute)
+	expectNoViolations(t, sim)
+	if n := sim.Users.UnfinishedCount(); n > 0 {
+		t.Errorf("%d jobs unfinished", n)
+	}
+	if now := sim.State.leaderName(); now == first || now == "" {
+		t.Errorf("no takeover: %q led and leads", now)
+	}
+}
--- /dev/null
+++ b/internal/simulator/largecluster_test.go
@@ -0,0 +1,87 @@
+package simulator
+
+import (
+	"testing"
+	"time"
+
+	"gullrudder/internal/config"
+)
+
+// largeOptions is a world of about a hundred machines.
+func largeOptions() Options {
+	o := testOptions()
+	o.MachinesPerKind, o.MaxTasks = 25, 60
+	o.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 100, CPULimit: 400}, {Name: "blue", GuaranteedCPUs: 50, CPULimit: 500}}
+	return o
+}
+
+// At a hundred machines and with pages that fill up, the rules hold through the end of every
+// controller, an outage, and a cut of a quarter of the machines, and all work gets done.
+func TestInvariantsWithHundredMachines(t *testing.T) {
+	t.Parallel()
+	for seed := range uint64(2) {
+		t.Run(seedName(seed), func(t *testing.T) {
+			sim := New(seed, largeOptions(), testLogger())
+			for i := range 90 {
+				sim.At(time.Duration(i)*700*time.Millisecond, sim.Users.SubmitRandom)
+			}
+			sim.At(25*time.Second, func() {
+				for i := range sim.Options.Controllers {
+					sim.Crash(i, 2*time.Second)
+				}
+			})
+			sim.At(40*time.Second, func() { sim.State.Outage(8 * time.Second) })
+			sim.At(55*time.Second, func() {
+				for range len(sim.Cloud.runningMachines()) / 4 {
+					sim.Cloud.CutMachine(12 * time.Second)
+				}
+				sim.Cloud.FailMachine()
+				sim.Cloud.ReclaimMachine(0)
+			})
+			sim.Run(65 * time.Second)
+			most := len(sim.Cloud.runningMachines())
+			sim.Run(200 * time.Second)
+			expectNoViolations(t, sim)
+			if n := sim.Users.UnfinishedCount(); n > 0 || sim.Users.AcceptedCount() < 80 {
+				t.Errorf("%d accepted, %d unfinished", sim.Users.AcceptedCount(), n)
+			}
+			if pages := sim.State.pageCount(); most < 60 || pages < 3 {
+				t.Errorf("%d machines and %d pages are not what the test is about", most, pages)
+			}
+			if err := sim.State.CheckLimits(); err != nil {
+				t.Errorf("%v", err)
+			}
+		})
+	}
+}
+
+// Ten times the submissions at once, and many cancellations: what cannot be taken is refused
+// at once, the leadership holds, and afterwards everything accepted is done or cancelled.
+func TestBurstOfSubmissionsAndCancellations(t *testing.T) {
+	t.Parallel()
+	opt := largeOptions()
+	opt.LossShare = 0
+	sim := New(3, opt, testLogger())
+	sim.Run(2 * time.Second)
+	first, token := sim.State.leaderName(), sim.State.leaderRevision()
+	for i := range 400 {
+		sim.At(time.Duration(i)*3*time.Millisecond, sim.Users.SubmitRandom)
+	}
+	sim.At(12*time.Second, func() {
+		for _, id := range sim.Users.jobIDs[:200] {
+			sim.Users.cancel(id)
+		}
+	})
+	sim.Run(30 * time.Second)
+	if now := sim.State.leaderName(); now != first || sim.State.leaderRevision() != token || first == "" {
+		t.Errorf("%q led by %d, %q leads by %d", first, token, now, sim.State.leaderRevision())
+	}
+	sim.Run(4 * time.Minute)
+	expectNoViolations(t, sim)
+	if n := sim.Users.UnfinishedCount(); n > 0 || sim.Users.AcceptedCount() != 400 {
+		t.Errorf("%d of 400 accepted, %d unfinished", sim.Users.AcceptedCount(), n)
+	}
+	if sim.Users.slowestAnswer > 2500*time.Millisecond {
+		t.Errorf("an answer took %v", sim.Users.slowestAnswer)
+	}
+}
--- /dev/null
+++ b/internal/simulator/partitions_test.go
@@ -0,0 +1,189 @@
+package simulator
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/workerapi"
+)
+
+// Reports of three machines arrive, and nothing that they are told; meanwhile one machine dies and the leader ends and
+// is back at once. They are found out and given back, and nothing runs twice.
+func TestInboundUnreachableMachines(t *testing.T) {
+	forEachSeed(t, 3, busyClusterWithSlowHeartbeats, func(sim scenario) {
+		before := len(sim.Cloud.runningMachines())
+		sim.Cloud.CutInbound(3, sim.seed > 0, 3*time.Minute)
+		sim.At(5*time.Second, sim.Cloud.FailMachine)
+		if sim.seed == 2 {
+			sim.At(2*time.Second, func() { sim.Crash(sim.leader, 100*time.Millisecond) })
+		}
+		sim.Run(25 * time.Second)
+		deaf := 0
+		for _, m := range sim.Cloud.runningMachines() {
+			if sim.Now.Before(sim.linkCutUntil(sim.State.leaderName(), m.id)) {
+				deaf++
+			}
+		}
+		if deaf > 0 {
+			sim.t.Errorf("%d of %d machines hear nothing, and are kept", deaf, before)
+		}
+	})
+}
+
+// The leader's answers reach no machine, and all reports reach it: another one leads soon, since machines that call
+// elsewhere and do not answer its questions are two kinds of evidence.
+func TestOutboundUnreachableLeader(t *testing.T) {
+	forEachSeed(t, 3, busyClusterWithSlowHeartbeats, func(sim scenario) {
+		sim.Cloud.CutInbound(1000, true, 2*time.Minute)
+		sim.At(time.Second, sim.Cloud.FailMachine)
+		sim.Run(15 * time.Second)
+		if sim.State.leaderName() == controllerName(sim.leader) {
+			sim.t.Errorf("%s still leads, whom nobody hears", controllerName(sim.leader))
+		}
+	})
+}
+
+// A leader that loses the state service and the other controllers, but not its workers, stops with its entitlement,
+// and its workers find the next one before their leases end, though that one is itself back within 0.3 s meanwhile.
+func TestLeaderThatReachesWorkersOnly(t *testing.T) {
+	forEachSeed(t, 4, busyClusterWithLongLease, func(sim scenario) {
+		sim.IsolateController(sim.leader, FromState|FromControllers, 40*time.Second)
+		ran, died := sim.checker.TaskStarts, 0
+		sim.At(500*time.Millisecond, func() { sim.Cloud.FailMachine(); died++ })
+		sim.At(3*time.Second, func() {
+			for i := range sim.controllers {
+				if acting, _ := sim.leadershipOf(i); acting && i != sim.leader && sim.seed%2 == 1 {
+					sim.Crash(i, 300*time.Millisecond)
+				}
+			}
+		})
+		sim.Run(2 * time.Second)
+		if acting, _ := sim.leadershipOf(sim.leader); acting {
+			sim.t.Errorf("acts 2 s after it has lost the state service and everybody")
+		}
+		sim.Run(18 * time.Second)
+		if again := sim.checker.TaskStarts - ran; again > 30 { // one machine died, with 16 tasks at most
+			sim.t.Errorf("%d tasks were started again", again)
+		}
+	})
+}
+
+// Copies of half of the reports come up to four leases late, to any controller, while short tasks start all the time,
+// and machines and the leader end; a machine that died is not kept alive by them, and nothing runs twice.
+func TestDuplicateHeartbeats(t *testing.T) {
+	forEachSeed(t, 3, busyClusterWithLongLease, func(sim scenario) {
+		for i := range 90 {
+			sim.At(time.Duration(i)*time.Second, func() {
+				sim.Users.SubmitJob(jobs.Spec{
+					ID: fmt.Sprintf("job-1%04d", i), Class: "short", Team: "none", Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", AllowsSpot: true,
+					RunTimeEstimate: 20 * time.Second,
+				}, 20*time.Second)
+			})
+		}
+		sim.Cloud.DuplicateHeartbeats(40 * time.Second)
+		sim.At(6*time.Second, sim.Cloud.FailMachine)
+		sim.At(8*time.Second, func() { sim.Cloud.RestartMachine(200*time.Millisecond, sim.seed == 0) })
+		sim.At(20*time.Second, func() { sim.Crash(sim.leader, 50*time.Millisecond) })
+		sim.At(25*time.Second, sim.Cloud.FailMachine)
+	})
+}
+
+// A machine that an earlier leader gave back is not made to be there by a late copy of its report: it is not enrolled,
+// has no room, and is forgotten.
+func TestDuplicateHeartbeatOfTerminatedMachine(t *testing.T) {
+	t.Parallel()
+	sim := busyClusterWithLongLease(t, 1)
+	raw, err := codec.Marshal(workerapi.Heartbeat{
+		Machine: "vm-900000", Addr: "vm-900000", Type: "small", Zone: "a", Incarnation: 1, Sequence: 3,
+		FencingToken: sim.State.leaderRevision(), Tasks: []workerapi.TaskStatus{},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	sim.Crash(sim.leader, time.Second)
+	sim.Run(5 * time.Second)
+	sim.deliverRequest(sim.State.leaderName(), false, "POST", "/v1/report", raw, func(int, any) {})
+	sim.Run(5 * time.Second)
+	if _, ok := sim.State.entry("m:vm-900000"); ok {
+		t.Error("a machine that is no more is on the roster")
+	}
+	expectAllFinished(t, sim.Cluster)
+}
+
+// Controllers end at each moment of an election and are back within a fraction of a second, one or all of them, while
+// the state service is away, and machines end too.
+func TestRestartsDuringElection(t *testing.T) {
+	t.Parallel()
+	events := [electionEventCount]string{
+		campaignSent: "campaign sent", keyWritten: "key written", grantSent: "grant sent", leadershipReleased: "leadership released",
+	}
+	for event, name := range events {
+		t.Run(name, func(t *testing.T) {
+			forEachSeed(t, 2, busyClusterWithLongLease, func(sim scenario) {
+				back := time.Duration(1+400*sim.seed) * time.Millisecond
+				for range 3 {
+					sim.CrashAtElectionEvent(event, 20*time.Second, back)
+				}
+				sim.Cloud.RestartMachine(back, false)
+				sim.State.Refuse(controllerName(sim.leader), 3*time.Second)
+				sim.At(4*time.Second, func() {
+					for i := range sim.controllers {
+						sim.Crash(i, back)
+					}
+				})
+				sim.At(6*time.Second, func() { sim.State.Outage(5 * time.Second) })
+				sim.At(7*time.Second, func() { sim.Crash(int(sim.seed), back) })
+				sim.watchSingleLeader()
+				sim.Run(30 * time.Second)
+				if n := len(sim.electionTriggers); n == 3 && event != leadershipReleased {
+					sim.t.Error("no controller came to the event")
+				}
+			})
+		})
+	}
+}
+
+// One job that is far larger than the others of its class begins within four minutes although smaller ones keep all
+// room all the time, and half of everything is served.
+func TestLargestJobsStart(t *testing.T) {
+	t.Parallel()
+	for seed := range uint64(2) {
+		t.Run(seedName(seed), func(t *testing.T) {
+			opt := CapacityLossOptions(testOptions().Tuning)
+			opt.MachinesPerKind = 1
+			sim := New(seed, opt, testLogger())
+			spec := jobs.Spec{
+				Class:           "flood",
+				Team:            "blue",
+				Priority:        jobs.Normal,
+				Tasks:           12,
+				CPUs:            2,
+				MemoryGB:        2,
+				Image:           "f",
+				AllowsSpot:      true,
+				RunTimeEstimate: 15 * time.Second,
+			}
+			for i := range 420 {
+				sim.At(time.Duration(i)*time.Second, func() {
+					s := spec
+					s.ID = fmt.Sprintf("job-%07d", i)
+					sim.Users.SubmitJob(s, 15*time.Second)
+				})
+			}
+			sim.At(20*time.Second, func() {
+				s := spec
+				s.ID, s.Tasks = "job-9", 600
+				sim.Users.SubmitJob(s, 15*time.Second)
+			})
+			sim.Run(290 * time.Second)
+			expectNoViolations(t, sim)
+			j := sim.checker.jobs["job-9"]
+			if j.firstStartedAt.IsZero() || j.firstStartedAt.Sub(j.submittedAt) > 4*time.Minute {
+				t.Errorf("began %v after it was sent", j.firstStartedAt.Sub(j.submittedAt))
+			}
+		})
+	}
+}
