--- a/internal/controller/autoscaler/consolidate.go
+++ b/internal/controller/autoscaler/consolidate.go
@@ -134,7 +134,7 @@
 // drain stops all tasks of a machine after a checkpoint. The machine is terminated once they have stopped.
 func (s *Scaler) drain(now time.Time, machine *worker.Machine) {
 	machine.DrainReason = worker.DrainConsolidated
-	s.log.Info("machine drained", logkeys.Machine, machine.ID, "tasks", len(machine.Attempts))
+	s.log.Info("machine drained", logkeys.Machine, machine.ID, logkeys.Tasks, len(machine.Attempts))
 	var commands []workerapi.Command
 	for _, attempt := range machine.Attempts {
 		attempt.StopSentAt = now
--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -38,6 +38,7 @@
 const (
 	Count    = "count"    // how many the message is about
 	Machines = "machines" // number of machines
+	Tasks    = "tasks"    // number of tasks
 	Duration = "duration" // a span of time
 	Err      = "err"      // an error
 	Path     = "path"     // path of a request or a file
