--- a/internal/simulator/accounting_test.go
+++ b/internal/simulator/accounting_test.go
@@ -135,13 +135,14 @@
 				}
 				spent, sum := sim.timeAccount(id)
 				if spent == nil {
-					t.Fatalf("no account of %s", id)
+					t.Fatalf("no time accounting of %s", id)
 				}
 				mine := [phaseCount]time.Duration{
 					fetchingImage:    spent[accounting.FetchingImage.String()],
 					runningOnMachine: spent[accounting.Running.String()],
-					retrying:         spent[accounting.AttemptFailed.String()] + spent[accounting.MachineLost.String()] + spent[accounting.Preempted.String()],
-					completed:        spent[accounting.NotDurable.String()],
+					retrying: spent[accounting.AttemptFailed.String()] + spent[accounting.MachineLost.String()] +
+						spent[accounting.Preempted.String()],
+					completed: spent[accounting.NotDurable.String()],
 				}
 				mine[waitingForMachine] = sum - mine[fetchingImage] - mine[runningOnMachine] - mine[retrying] - mine[completed]
 				for p := range phaseCount {
@@ -151,7 +152,7 @@
 					}
 					if diff := (mine[p] - r.spent[p]).Abs(); diff > slack*time.Duration(max(r.changes[p], 1)) {
 						t.Errorf(
-							"%s: phase %d: %v by the owner, %v by the world, %d changes\n%v",
+							"%s: phase %d: %v by the leader, %v by the simulator, %d changes\n%v",
 							id,
 							p,
 							mine[p],
@@ -209,7 +210,7 @@
 					spent, sum := sim.timeAccount(id)
 					age := sim.Now.Sub(time.UnixMilli(rec.SubmittedMs))
 					if len(spent) > 0 && (sum-age).Abs() > 150*time.Millisecond {
-						t.Errorf("%s: its account sums to %v, its age is %v: %v", id, sum, age, spent)
+						t.Errorf("%s: its time accounting sums to %v, its age is %v: %v", id, sum, age, spent)
 					}
 					if spent[accounting.EarlierLeader.String()] > 0 {
 						unknown++
@@ -219,6 +220,6 @@
 		})
 	}
 	if unknown == 0 {
-		t.Error("no account of a job over several leaders says that something is not known")
+		t.Error("no time accounting across failovers has time that no leader observed")
 	}
 }
--- a/internal/simulator/ageing_test.go
+++ b/internal/simulator/ageing_test.go
@@ -15,7 +15,8 @@
 func overloadedCluster(seed uint64, share float64) *Cluster {
 	opt := testOptions()
 	opt.Teams, opt.LossShare, opt.MachinesPerKind = nil, 0, 1
-	opt.Tuning.AgeBound, opt.Tuning.AgedShare, opt.Tuning.PlanningInterval, opt.Tuning.SubmissionShare = time.Minute, share, 5*time.Second, 1000
+	opt.Tuning.AgeBound, opt.Tuning.AgedShare = time.Minute, share
+	opt.Tuning.PlanningInterval, opt.Tuning.SubmissionShare = 5*time.Second, 1000
 	// The minimum served share and the start bound would serve the same jobs.
 	opt.Tuning.FairShareCapacity, opt.Tuning.OverdueShare, opt.Tuning.StartBound = 0, 0, 0
 	sim := New(seed, opt, testLogger())
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -56,7 +56,7 @@
 	NoTaskFailures      bool    // tasks fail only on faulty machines
 	StopPollingFinished bool    // users do not poll jobs that they know to be done or cancelled
 	Tuning              config.Options
-	SkipCostlyChecks    bool                   // no check of quotas and of the durability of forgotten results, which cost much in large clusters
+	SkipCostlyChecks    bool                   // no checks of quotas and of the durability of results
 	AdjustPlatform      func(*config.Platform) // changes the platform's configuration of each controller
 }
 
@@ -323,7 +323,7 @@
 		}
 		raw, err := encode(body)
 		if err != nil {
-			sim.reportViolation(RuleMalformed, "an answer cannot be encoded: %v", err)
+			sim.reportViolation(RuleMalformed, "a response cannot be encoded: %v", err)
 			return
 		}
 		if back, ok := sim.messageDelay(host, process.platform.Name); ok {
--- a/internal/simulator/emulator/worker.go
+++ b/internal/simulator/emulator/worker.go
@@ -118,7 +118,7 @@
 		w.mu.Unlock()
 		raw, err := codec.Marshal(heartbeat)
 		if err != nil {
-			w.cloud.History.reportViolation("a report cannot be encoded: %v", err)
+			w.cloud.History.reportViolation("a heartbeat cannot be encoded: %v", err)
 			return
 		}
 		sent := time.Now()
--- a/internal/simulator/failover_test.go
+++ b/internal/simulator/failover_test.go
@@ -25,7 +25,7 @@
 			began = sim.Users.countJobs(func(j *observedJob) bool { return j.spec.Class == "short" && !j.firstStartedAt.IsZero() })
 		}
 		if began < 3 {
-			sim.t.Errorf("only %d jobs of the new leader began before all machines were accounted for", began)
+			sim.t.Errorf("only %d jobs of the new leader started before failover had completed, want 3", began)
 		}
 	})
 }
--- a/internal/simulator/failures_test.go
+++ b/internal/simulator/failures_test.go
@@ -104,7 +104,7 @@
 			}
 			for id := range quarantined {
 				if !sick[id] {
-					t.Errorf("seed %d: %s was given back as faulty, which is well", seed, id)
+					t.Errorf("seed %d: %s was quarantined though it is healthy", seed, id)
 				}
 			}
 			for id := range sick {
@@ -113,7 +113,7 @@
 				}
 			}
 			if n := sim.Users.UnfinishedCount(); n > len(mistaken) {
-				t.Errorf("seed %d: %d jobs that are well are not done", seed, n-len(mistaken))
+				t.Errorf("seed %d: %d jobs that do not fail are not done", seed, n-len(mistaken))
 			}
 		})
 	}
--- a/internal/simulator/faultday.go
+++ b/internal/simulator/faultday.go
@@ -9,12 +9,13 @@
 
 // FaultDay is the result of RunFaultDay: how every class and team was served.
 type FaultDay struct {
-	Classes, Teams                           map[string]Served
-	Largest                                  map[string]Served // the largest tenth of each class, at least one job, by work and by number of tasks
-	LatestFirstStart                         time.Duration     // from submission to first start, the longest of the largest jobs
-	IsForgotten                              bool              // the first violation was one of RuleForgotten
-	MaxMachines                              int               // the most machines that were up at a time
-	RequestedCPUSeconds, AvailableCPUSeconds float64           // by all jobs that were not cancelled; of all machines that were up
+	Classes, Teams map[string]Served
+	// Largest is the largest tenth of each class, at least one job, by work and by number of tasks.
+	Largest                                  map[string]Served
+	LatestFirstStart                         time.Duration // from submission to first start, the longest of the largest jobs
+	IsForgotten                              bool          // the first violation was one of RuleForgotten
+	MaxMachines                              int           // the most machines that were up at a time
+	RequestedCPUSeconds, AvailableCPUSeconds float64       // by all jobs that were not cancelled; of all machines that were up
 }
 
 // LeastServed returns the smallest share of done jobs of any class, any team and any group of largest jobs.
--- a/internal/simulator/statereader.go
+++ b/internal/simulator/statereader.go
@@ -52,7 +52,7 @@
 		if s.isArchived(jobID) {
 			return func(int) bool { return true }, nil
 		}
-		return nil, fmt.Errorf("job %s is in no page and not sealed", jobID)
+		return nil, fmt.Errorf("job %s is in no page and not archived", jobID)
 	}
 	j, err := jobs.FromRecord(jobID, rec)
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 	k, err := archive.New(l, archive.Options{WriteRate: 1, ReadRate: 1}, s.sim.Log)
 	if err != nil {
-		s.sim.reportViolation(RuleMalformed, "the history cannot be read: %v", err)
+		s.sim.reportViolation(RuleMalformed, "the archive cannot be read: %v", err)
 		return false
 	}
 	return k.LookupIndex(jobID) != archive.Absent
--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -136,7 +136,7 @@
 	s.execute(call.Method, call.Path, body, func(status int, body any) {
 		raw, err := encode(body)
 		if err != nil {
-			s.sim.reportViolation(RuleMalformed, "an answer cannot be encoded: %v", err)
+			s.sim.reportViolation(RuleMalformed, "a response cannot be encoded: %v", err)
 		}
 		r = client.Result{Status: status, Body: raw}
 	})
--- a/internal/simulator/userfaults.go
+++ b/internal/simulator/userfaults.go
@@ -119,7 +119,7 @@
 		if status != 0 && status != 503 && status != 429 && status != final {
 			u.sim.reportViolation(
 				RuleInvalidAccepted,
-				"accepted though it cannot run, or refused wrongly: %s is answered %d, not %d",
+				"%s is answered %d, not %d",
 				jobID,
 				status,
 				final,
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -175,7 +175,7 @@
 				}
 				u.slowestAnswer = max(u.slowestAnswer, u.sim.Now.Sub(asked))
 				if raw, err := encode(body); err == nil && status/100 == 2 && codec.Unmarshal(raw, &a) != nil {
-					u.sim.reportViolation(RuleMalformed, "an answer cannot be read")
+					u.sim.reportViolation(RuleMalformed, "a response cannot be decoded")
 				}
 				settle(status, a.State)
 			})
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -66,7 +66,7 @@
 	host := controllerName(target)
 	raw, err := codec.Marshal(m.heartbeat())
 	if err != nil {
-		m.sim.reportViolation(RuleMalformed, "a report cannot be encoded: %v", err)
+		m.sim.reportViolation(RuleMalformed, "a heartbeat cannot be encoded: %v", err)
 		return
 	}
 	next := func() {
@@ -119,7 +119,7 @@
 func (m *machine) takeResponse(status int, body any, session uint64, sent time.Time, next func()) {
 	raw, err := encode(body)
 	if err != nil {
-		m.sim.reportViolation(RuleMalformed, "an answer cannot be encoded: %v", err)
+		m.sim.reportViolation(RuleMalformed, "a response cannot be encoded: %v", err)
 		return
 	}
 	if status == 421 {
