--- a/internal/controller/archive/build.go
+++ b/internal/controller/archive/build.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// scanInterval is how often the pages are searched for finished jobs.
+	// scanInterval is the time between two searches of the pages for finished jobs.
 	scanInterval = time.Second
-	// maxCompactedJobs is how many jobs a compacted segment may hold as long as the head has space for segments. Larger ones are
-	// not compacted again, which bounds what a compaction has to write.
+	// maxCompactedJobs bounds the jobs of a compacted segment while the head has space for segments, and with it the size of a
+	// compaction.
 	maxCompactedJobs = 1 << 17
-	// compactionKeysPerStep is how many keys a compaction takes in one step: about half a millisecond.
+	// compactionKeysPerStep bounds the keys that a compaction merges in one step, which takes about half a millisecond.
 	compactionKeysPerStep = 2000
-	// compactionRetryDelay is how long to wait after a compaction that failed because a segment cannot be read.
+	// compactionRetryDelay is the delay after a compaction that failed because a segment cannot be decoded.
 	compactionRetryDelay = time.Minute
 
-	headReserve    = 256 // JSON bytes of the head that are not for segments
-	headEntryBytes = 64  // JSON bytes that an entry of the head takes at most
+	headReserve    = 256 // JSON bytes of the head that are not used for segments
+	headEntryBytes = 64  // limit of an entry of the head in JSON bytes
 )
 
-// segmentBuild is the segment under construction. Its parts count for nothing until the head names the segment, in the same commit in
-// which the jobs leave their pages or the compacted segments leave the head.
+// segmentBuild is the segment under construction. Its parts are not valid until the head has an entry for the segment. The commit that
+// adds this entry also removes the jobs from their pages, or the compacted segments from the head.
 type segmentBuild struct {
-	jobIDs         []string   // jobs that are archived, none for a compaction
+	jobIDs         []string   // jobs that are archived; empty for a compaction
 	sources        []*Segment // segments that are compacted
-	sourceData     [][]string // their data, as far as it has been read
+	sourceData     [][]string // data of the first sources, as far as it was read
 	compaction     *compaction
-	segment        *Segment // the result, once it is known
+	segment        *Segment // the result; nil until it is complete
 	unwrittenParts []storage.ArchivePart
-	attemptedParts int // how many of them went out together in a try that failed
+	attemptedParts int // number of parts in the last transaction, if it failed
 }
 
-// complete records the result with the texts of its data and its index, in the order in which they are written.
+// complete records the result. The parts are written in this order: data, then index.
 func (b *segmentBuild) complete(result builtSegment) {
 	b.segment = result.segment
 	for i, text := range result.data {
@@ -49,12 +49,12 @@
 
 func (s *Store) maxPartBytes() int { return s.options.MaxValueBytes - partOverhead }
 
-// maxSegments is how many segments the head may name and still take those that a compaction adds for a while.
+// maxSegments returns the limit of segments in the head, which leaves space for the entries that a compaction adds temporarily.
 func (s *Store) maxSegments() int {
 	return max((s.options.MaxValueBytes-headReserve)/headEntryBytes-s.options.CompactionFanIn-2, s.options.CompactionFanIn+2)
 }
 
-// beginCompaction picks segments of one level, the oldest first. It reports whether there is something to compact.
+// beginCompaction chooses segments of one level to compact, the oldest first. It returns false if there are not enough.
 func (s *Store) beginCompaction() bool {
 	byLevel := map[int][]*Segment{}
 	levels := 0
@@ -82,7 +82,7 @@
 	return false
 }
 
-// beginArchiving picks jobs that have been finished for a while. It reports whether there are enough.
+// beginArchiving chooses finished jobs to archive and builds their segment. It returns false if there are not enough.
 func (s *Store) beginArchiving(now time.Time) bool {
 	if now.Before(s.nextScanAt) || len(s.segments)+len(s.garbage.collected) >= s.maxSegments() {
 		return false
@@ -115,8 +115,8 @@
 	return true
 }
 
-// advanceBuild takes the segment under construction a step further: the data of the segments that are compacted, the compaction, the
-// new parts, and last the commit that makes them count.
+// advanceBuild does the next step of the segment under construction: read the data of the compacted segments, merge them, write the new
+// parts, and commit the segment.
 func (s *Store) advanceBuild(now time.Time, outbox *client.Outbox) {
 	build := s.building
 	switch {
@@ -131,7 +131,7 @@
 	}
 }
 
-// readSource reads the data of the next segment that is compacted.
+// readSource reads the data of the next source of a compaction.
 func (s *Store) readSource(now time.Time, outbox *client.Outbox) {
 	if s.calls.readLimiter.Available(now) < 1 {
 		return
@@ -147,7 +147,7 @@
 	})
 }
 
-// listAllTexts appends the texts of all parts below a prefix to texts, from a key on.
+// listAllTexts reads all parts with a key prefix after the key from, and appends their texts to texts.
 func (s *Store) listAllTexts(
 	outbox *client.Outbox, prefix, from string, texts []string, done func(now time.Time, texts []string, ok bool),
 ) {
@@ -163,7 +163,7 @@
 	})
 }
 
-// advanceCompaction merges the next keys. If it fails nothing is lost: the segments stay as they are.
+// advanceCompaction merges the next keys. If it fails, the sources stay as they are and it is tried again later.
 func (s *Store) advanceCompaction(now time.Time) {
 	result, done, err := s.stepCompaction()
 	if err != nil {
@@ -191,8 +191,8 @@
 	return result, err == nil, err
 }
 
-// writeParts writes as many parts as one transaction and the budget allow. A try that failed may still be executed, so the next one is
-// the same.
+// writeParts writes as many parts as one transaction and the budget allow. A failed try may still be executed, so its retry has the same
+// parts.
 func (s *Store) writeParts(now time.Time, outbox *client.Outbox) {
 	build := s.building
 	n, bytes, available := 0, 0, s.availableWrites(now)
@@ -219,8 +219,8 @@
 	})
 }
 
-// commitSegment makes the segment count: in one transaction the head names it and the jobs leave their pages, or the segments that
-// were compacted leave the head.
+// commitSegment makes the segment valid: one transaction adds it to the head, and removes the jobs from their pages or the compacted
+// segments from the head.
 func (s *Store) commitSegment(now time.Time) {
 	build := s.building
 	changes := []storage.HeadChange{
@@ -235,7 +235,7 @@
 	s.commitHead(now, build.jobIDs, changes, func() { s.endBuild(build) })
 }
 
-// endBuild records that a segment counts.
+// endBuild records that the commit of a segment was executed.
 func (s *Store) endBuild(build *segmentBuild) {
 	isSource := func(segment *Segment) bool { return slices.Contains(build.sources, segment) }
 	s.segments = append(slices.DeleteFunc(s.segments, isSource), build.segment)
--- a/internal/controller/archive/compaction.go
+++ b/internal/controller/archive/compaction.go
@@ -13,7 +13,7 @@
 	segment   *Segment
 	ids       roaring64.IntPeekable64
 	parts     []string
-	remaining []byte // of the part that is read
+	remaining []byte // rest of the present part
 	nextPart  int
 	rank      uint64
 }
@@ -25,7 +25,7 @@
 	return &segmentReader{segment: segment, ids: segment.ids.Iterator(), parts: parts}, nil
 }
 
-// isAt reports whether the next key is this one.
+// isAt reports whether the next key is key.
 func (r *segmentReader) isAt(key uint64) bool { return r.ids.HasNext() && r.ids.PeekNext() == key }
 
 // next returns the payload of the next key.
@@ -44,8 +44,8 @@
 	return payload, nil
 }
 
-// compaction merges segments into one of the next level. It takes a bounded number of keys at a time, since the event loop has other
-// things to do.
+// compaction merges segments into one of the next level. It merges a bounded number of keys at a time, so as not to block the event
+// loop.
 type compaction struct {
 	sources []*segmentReader
 	builder *segmentBuilder
@@ -66,7 +66,7 @@
 	return c, nil
 }
 
-// step merges up to so many keys; done is true once all are merged.
+// step merges up to the given number of keys. done is true once all keys are merged.
 func (c *compaction) step(keys int) (done bool, err error) {
 	for range keys {
 		key, ok := c.leastKey()
@@ -80,7 +80,7 @@
 	return false, nil
 }
 
-// leastKey is the least key that has not been merged.
+// leastKey returns the least key that is not merged yet; ok is false if there is none.
 func (c *compaction) leastKey() (least uint64, ok bool) {
 	for _, source := range c.sources {
 		if !source.ids.HasNext() {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// mergeExact takes the payload of a key that stands for one job. Only one segment may hold it.
+// mergeExact returns the payload of an exact key, which belongs to one job. Only one segment may have it.
 func (c *compaction) mergeExact(key uint64) (payload []byte, jobs int, err error) {
 	for _, source := range c.sources {
 		if !source.isAt(key) {
@@ -124,7 +124,7 @@
 	return payload, jobs, nil
 }
 
-// mergeHashed joins the payloads of a key that stands for all jobs whose IDs have this hash.
+// mergeHashed concatenates the payloads of a hashed key, which belongs to all jobs whose IDs have this hash.
 func (c *compaction) mergeHashed(key uint64) (payload []byte, jobs int, err error) {
 	var all []byte
 	var count uint64
--- a/internal/controller/archive/encoding.go
+++ b/internal/controller/archive/encoding.go
@@ -13,26 +13,26 @@
 // The encoding of a segment, before base64:
 //
 //	index    number of data parts, the ranks at which they begin as differences, the keys, the keys of cancelled jobs;
-//	         the last two are roaring bitmaps with their size before them
+//	         the last two are roaring bitmaps, each after its size
 //	data     the payloads of the keys in order, cut into parts between two keys
 //	payload  of an exact key: the job's final state
 //	         of a hashed key: how many jobs share it, and for each the length of its digits, the digits, its final state
 //
-// All numbers are varints, but for the length of the digits, which is one byte.
+// All numbers are varints, except the length of the digits, which is one byte.
 
-// cancelledBit is the bit of an encoded final state that says whether the job was cancelled; the task count is above it.
+// cancelledBit is the bit of an encoded final state that is set if the job was cancelled. The higher bits are the task count.
 const cancelledBit = 1
 
-// errTruncated reports that an encoded segment ends early.
+// errTruncated is the error that an encoded segment ends early.
 var errTruncated = errors.New("truncated")
 
-// IndexError reports that a segment's index cannot be encoded or decoded.
+// IndexError is the error that a segment's index cannot be encoded or decoded.
 type IndexError struct {
 	Segment uint64 // number
 	Err     error
 }
 
-// Error names the segment.
+// Error returns the text with the number of the segment.
 func (e *IndexError) Error() string { return fmt.Sprintf("index of segment %d: %v", e.Segment, e.Err) }
 
 // Unwrap returns why the index cannot be encoded or decoded.
@@ -152,7 +152,7 @@
 	return raw[1:end], raw[end:], nil
 }
 
-// readJobCount reads how many jobs the payload of a key has.
+// readJobCount reads the number of jobs in the payload of a key.
 func readJobCount(raw []byte, hashed bool) (count uint64, rest []byte, err error) {
 	if !hashed {
 		return 1, raw, nil
@@ -160,7 +160,7 @@
 	return readUvarint(raw)
 }
 
-// splitPayload takes the payload of one key off the front of a part.
+// splitPayload splits a part after the payload of its first key.
 func splitPayload(raw []byte, hashed bool) (payload, rest []byte, err error) {
 	count, rest, err := readJobCount(raw, hashed)
 	if err != nil {
@@ -179,8 +179,8 @@
 	return raw[:len(raw)-len(rest)], rest, nil
 }
 
-// findJob reads one job from a part of the data: place is how many keys of the part come before the job's key. found is false if the
-// key's jobs are others.
+// findJob reads one job from a part of the data: place is the number of keys of the part before the job's key. found is false
+// if the key belongs to other jobs only.
 func findJob(text string, position int, key uint64, jobID string) (state FinalState, found bool, err error) {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
--- a/internal/controller/archive/garbage.go
+++ b/internal/controller/archive/garbage.go
@@ -8,26 +8,26 @@
 	"gullrudder/internal/wire/client"
 )
 
-// garbageCollection is what of the archive is to be deleted.
+// garbageCollection is the state of the deletion of parts that belong to no valid segment.
 type garbageCollection struct {
 	segments  []*garbageSegment
-	collected []uint64 // numbers of deleted segments that the head still names
+	collected []uint64 // numbers of deleted segments whose garbage entry is still in the head
 }
 
-// garbageSegment is a segment that counts no more, or never did.
+// garbageSegment is a segment that is no longer valid, or never was.
 type garbageSegment struct {
 	number uint64
-	inHead bool
-	parts  []storage.ArchivePart // those that were listed last
+	inHead bool                  // the head has a garbage entry for it
+	parts  []storage.ArchivePart // listed parts that are not deleted yet
 }
 
 func (g *garbageCollection) has(number uint64) bool {
 	return slices.ContainsFunc(g.segments, func(segment *garbageSegment) bool { return segment.number == number })
 }
 
-// collectGarbage deletes the parts of a segment: they are listed with their revisions, deleted as they were listed, and listed again
-// until there are none. The commits require the leadership, which keeps away what an earlier leader has sent, and the revisions, which
-// keep away what this leader has sent before.
+// collectGarbage deletes the parts of a segment: they are listed with their revisions, deleted at these revisions, and listed again
+// until there are none. The transactions require the leader's key, so delayed ones of an earlier leader fail, and the revisions of the
+// parts, so delayed ones of this leader fail.
 func (s *Store) collectGarbage(now time.Time, outbox *client.Outbox) {
 	target := s.garbage.segments[0]
 	if len(target.parts) == 0 {
@@ -51,7 +51,7 @@
 	})
 }
 
-// endCollection records that no part of a segment is left.
+// endCollection records that all parts of a segment are deleted.
 func (s *Store) endCollection(target *garbageSegment) {
 	if target.inHead {
 		s.garbage.collected = append(s.garbage.collected, target.number)
@@ -59,7 +59,7 @@
 	s.garbage.segments = s.garbage.segments[1:]
 }
 
-// listGarbageParts lists a segment's parts below a prefix. none is called if there are none.
+// listGarbageParts lists the parts of a segment with a key prefix. It calls none if there are no parts.
 func (s *Store) listGarbageParts(outbox *client.Outbox, target *garbageSegment, prefix string, none func()) {
 	s.calls.inFlight = true
 	s.storage.ListArchiveParts(outbox, prefix, "", func(now time.Time, list storage.ArchivePartList, ok bool) {
--- a/internal/controller/archive/lookup.go
+++ b/internal/controller/archive/lookup.go
@@ -13,41 +13,41 @@
 )
 
 const (
-	// maxLookups bounds the lookups that wait for the state service.
+	// maxLookups bounds the lookups that wait for a response of the state service.
 	maxLookups = 64
-	// maxCachedParts is how many parts of data are kept for further lookups.
+	// maxCachedParts bounds the parts of data that are cached for further lookups.
 	maxCachedParts = 64
-	// unreachableAfter is how long reads may fail before old jobs are answered without their counts.
+	// unreachableAfter is the time of failed reads after which archived jobs are reported without their task counts.
 	unreachableAfter = 20 * time.Second
 	readTimeout      = 1200 * time.Millisecond
 )
 
-// ErrBusy reports that an old job cannot be looked up now.
+// ErrBusy is the error that too many lookups are pending. The lookup may be retried.
 var ErrBusy = errors.New("too many questions about old jobs")
 
-// ReadError reports that a part of the archive's data could not be read now.
+// ReadError is the error that a part of the archive's data could not be read. The lookup may be retried.
 type ReadError struct {
 	Key    string
-	Status int // of the response, 0 if there was none that can be read
+	Status int // HTTP status of the response, 0 if there was none or it cannot be decoded
 }
 
-// Error names the key and the status.
+// Error returns the text with the key and the status.
 func (e *ReadError) Error() string {
 	return fmt.Sprintf("%s cannot be read: status %d", e.Key, e.Status)
 }
 
-// IndexResult is what the index alone says of a job.
+// IndexResult is the result of a lookup in the index alone.
 type IndexResult int
 
-// What the index may say.
+// The results of a lookup in the index.
 const (
-	Absent       IndexResult = iota // no segment holds it
-	Done                            // a segment holds it; its counts are in the data
-	Cancelled                       // a segment holds it
-	Undetermined                    // the data has to tell
+	Absent       IndexResult = iota // no segment has the job
+	Done                            // a segment has the job as done; its task count is in the data
+	Cancelled                       // a segment has the job as cancelled
+	Undetermined                    // a segment may have the job; only the data can decide
 )
 
-// LookupIndex looks a job up in the index.
+// LookupIndex looks a job up in the index, which is in memory.
 func (s *Store) LookupIndex(jobID string) IndexResult {
 	key, ok := keyOf(jobID)
 	if !ok {
@@ -68,7 +68,7 @@
 	return Absent
 }
 
-// IsUnreachable reports whether the data could not be read for a while.
+// IsUnreachable reports whether reads of the data have failed for longer than unreachableAfter.
 func (s *Store) IsUnreachable(now time.Time) bool { return s.reader.isUnreachable(now) }
 
 // LookupFunc takes the result of a lookup in the data: found is true if the job is in a segment; an error means that it cannot be told
@@ -96,17 +96,17 @@
 	l.next(now)
 }
 
-// lookup is a search for one job in the data of the segments that may hold it.
+// lookup is a search for one job in the data of the segments that may have it.
 type lookup struct {
 	store  *Store
 	outbox *client.Outbox
 	id     string
 	key    uint64
-	tried  map[uint64]bool // numbers of the segments that do not hold it
+	tried  map[uint64]bool // numbers of the segments that do not have it
 	done   LookupFunc
 }
 
-// next reads the job's part in the next segment that may hold it.
+// next reads the part of the next segment that may have the job.
 func (l *lookup) next(now time.Time) {
 	i := slices.IndexFunc(l.store.segments, func(segment *Segment) bool {
 		return !l.tried[segment.Number] && segment.ids.Contains(l.key)
@@ -121,7 +121,7 @@
 	l.store.reader.read(now, l.outbox, name, func(now time.Time, text string, status int) {
 		switch {
 		case status == http.StatusNotFound && !slices.Contains(l.store.segments, segment):
-			// The segment has been compacted into another one, and its parts are deleted.
+			// The segment was compacted into another one and its parts were deleted.
 			l.tried[segment.Number] = true
 			l.next(now)
 		case status != http.StatusOK:
@@ -147,18 +147,18 @@
 	l.next(now)
 }
 
-// partReader reads parts of the data. It keeps the last ones, and lookups in the same part share one request.
+// partReader reads parts of the data. It caches the last ones, and lookups in the same part share one request.
 type partReader struct {
 	storage      *storage.Store
 	limiter      *client.RateLimiter
-	lookups      int                   // that wait for parts
-	waiters      map[string][]partFunc // by the key of the part that is being read
+	lookups      int                   // pending lookups
+	waiters      map[string][]partFunc // by the key of a part that is being read
 	cache        map[string]string
 	cacheOrder   []string // keys of the cache, the oldest first
 	failingSince time.Time
 }
 
-// partFunc is told a part's text, or the status of the response if it could not be read.
+// partFunc is called with the text of a part if status is 200, else with the status as in ReadError.
 type partFunc func(now time.Time, text string, status int)
 
 func newPartReader(store *storage.Store, limiter *client.RateLimiter) partReader {
@@ -204,7 +204,7 @@
 	}
 }
 
-// keep puts a part into the cache. The oldest leaves it if it is full.
+// keep adds a part to the cache, which evicts the oldest one if it is full.
 func (r *partReader) keep(key, text string) {
 	if len(r.cacheOrder) >= maxCachedParts {
 		delete(r.cache, r.cacheOrder[0])
--- a/internal/controller/archive/segment.go
+++ b/internal/controller/archive/segment.go
@@ -12,10 +12,10 @@
 	"github.com/RoaringBitmap/roaring/v2/roaring64"
 )
 
-// FinalState is what is kept of a finished job.
+// FinalState is what the archive keeps of a finished job.
 type FinalState struct {
 	Cancelled bool
-	Tasks     int // how many the job had
+	Tasks     int // number of tasks of the job
 }
 
 // FinishedJob is a finished job.
@@ -25,13 +25,13 @@
 }
 
 const (
-	// maxExactDigits is up to how many digits an ID is a key by itself. Longer IDs are hashed: the index then says only that a
-	// segment may hold them, and its data tells.
+	// maxExactDigits is the largest number of digits with which an ID is mapped to a key of its own. Longer IDs are hashed: for these
+	// the index shows only that a segment may have the job, and the data decides.
 	maxExactDigits = 9
-	// hashedKeyBit is set in the keys of hashed IDs, which sort behind all others.
+	// hashedKeyBit is set in the keys of hashed IDs, so that they sort after all others.
 	hashedKeyBit = uint64(1) << 32
-	// hashBits is how much of a hash is kept. Fewer would send more new submissions to the data (1 in 270 with a million jobs),
-	// more would spread a segment over so many containers of its bitmap that they take more space than the IDs.
+	// hashBits is the number of bits of a hash that are kept. With fewer bits more submissions would need a lookup in the data (1 in
+	// 270 with a million jobs); with more bits the containers of a segment's bitmap would be larger than the IDs.
 	hashBits = 28
 
 	jobIDPrefix = "job-"
@@ -53,19 +53,19 @@
 	return hashedKeyBit | uint64(h.Sum32()>>(32-hashBits)), true
 }
 
-// Segment is a set of finished jobs that does not change any more: the index, which a leader holds, and the data, which stays in the
-// state service until somebody asks.
+// Segment is an immutable set of finished jobs: its index, which a leader has in memory, and its data, which is read from the state
+// service when it is needed.
 type Segment struct {
 	Number     uint64
-	Level      int // how often its jobs have been compacted
-	JobCount   int // may be more than the keys, since hashed IDs can share one
+	Level      int // number of compactions of its jobs
+	JobCount   int // may exceed the number of keys, since hashed IDs can share a key
 	indexParts int
 	ids        *roaring64.Bitmap // keys
 	cancelled  *roaring64.Bitmap // keys of cancelled jobs that are not hashed
 	partStarts []uint64          // rank of the first key of each part of the data
 }
 
-// SegmentRecord is a segment as the archive's head names it.
+// SegmentRecord is the entry of a segment in the archive's head.
 type SegmentRecord struct {
 	Level      int `msgpack:"l" json:"l"`
 	JobCount   int `msgpack:"c" json:"c"`
@@ -73,34 +73,34 @@
 	DataParts  int `msgpack:"d" json:"d"`
 }
 
-// record is what the head keeps of the segment.
+// record returns the entry of the segment in the head.
 func (s *Segment) record() SegmentRecord {
 	return SegmentRecord{Level: s.Level, JobCount: s.JobCount, IndexParts: s.indexParts, DataParts: len(s.partStarts)}
 }
 
-// rank is the key's position among the segment's keys.
+// rank returns the position of a key among the segment's keys, from 0.
 func (s *Segment) rank(key uint64) uint64 { return s.ids.Rank(key) - 1 }
 
-// locate is the part of the data that holds a rank, and the rank's place in it.
+// locate is the part of the data that has a rank, and the rank's place in it.
 func (s *Segment) locate(rank uint64) (part, position int) {
 	i := sort.Search(len(s.partStarts), func(i int) bool { return s.partStarts[i] > rank }) - 1
 	return i, int(rank - s.partStarts[i])
 }
 
-// builtSegment is a new segment with the texts that are to be stored.
+// builtSegment is a new segment with the texts of its parts.
 type builtSegment struct {
 	segment *Segment
 	data    []string
 	index   []string
 }
 
-// segmentBuilder takes keys in ascending order and makes a segment of them.
+// segmentBuilder builds a segment from keys in ascending order.
 type segmentBuilder struct {
-	maxPartBytes int // of text
+	maxPartBytes int // limit of the text of a part
 	segment      *Segment
 	nextRank     uint64
 	lastKey      uint64
-	partOpen     bool // a part has been begun
+	partOpen     bool // part is in use, though it may be empty
 	part         []byte
 	dataParts    []string
 }
@@ -112,7 +112,7 @@
 	}
 }
 
-// add adds a key with the payload of its jobs. Exact and hashed keys never share a part.
+// add adds a key with the payload of its jobs. Exact and hashed keys are never in the same part.
 func (b *segmentBuilder) add(key uint64, payload []byte, jobs int) {
 	isFirstHashed := key >= hashedKeyBit && b.lastKey < hashedKeyBit
 	if b.partOpen && (isFirstHashed || base64.RawStdEncoding.EncodedLen(len(b.part)+len(payload)) > b.maxPartBytes) {
@@ -159,7 +159,7 @@
 	return builtSegment{segment: b.segment, data: b.dataParts, index: index}, nil
 }
 
-// buildSegment makes a segment of finished jobs.
+// buildSegment builds a segment of finished jobs.
 func buildSegment(number uint64, jobs []FinishedJob, maxPartBytes int) (builtSegment, error) {
 	keys := make(map[string]uint64, len(jobs))
 	for _, job := range jobs {
--- a/internal/controller/archive/store.go
+++ b/internal/controller/archive/store.go
@@ -1,11 +1,10 @@
-// Package archive keeps finished jobs out of the way of a failover. They leave the pages of package storage for segments: each has an
-// index, which a leader reads and holds, and data, which is read when a user asks for an old job's counts. Small segments are
-// compacted into larger ones.
+// Package archive keeps finished jobs in compact segments, so that a failover does not have to load them. They are moved from the pages
+// of package storage into segments: each has an index, which a leader loads, and data, which is read for requests about the task counts
+// of archived jobs. Small segments are compacted into larger ones.
 //
-// A Store owns all segments for one leadership. What it writes goes through the commits of package storage, which require the
-// leadership, and after everything that a user waits for. It never decides when a job is finished, and it never answers a user.
-//
-// The design is in docs/design/archive.md.
+// A Store owns all segments for one leadership. It writes through package storage, with the leader's key as a precondition and at lower
+// priority than any change that a request waits for. It never decides when a job is finished, and never answers a user.
+// Design note: docs/design/archive.md.
 package archive
 
 import (
@@ -21,14 +20,14 @@
 	"gullrudder/internal/wire/client"
 )
 
-// partOverhead is how many bytes a part takes besides its text.
+// partOverhead is the JSON bytes of a part in addition to its text.
 const partOverhead = 64
 
 // Names of the entries of the archive's head.
 const (
 	nextNumberEntry = "next"
-	segmentLetter   = 'r' // begins an entry that names a segment
-	garbageLetter   = 'g' // begins an entry that names a segment whose parts are to be deleted
+	segmentLetter   = 'r' // first letter of the entry of a segment
+	garbageLetter   = 'g' // first letter of the entry of a segment whose parts are to be deleted
 )
 
 func segmentEntry(number uint64) string { return fmt.Sprintf("%c%08d", segmentLetter, number) }
@@ -50,19 +49,19 @@
 	return fmt.Sprintf("%s%05d", dataPrefix(segment), part)
 }
 
-// Options of a Store.
+// Options are the parameters and limits of a Store.
 type Options struct {
-	MaxValueBytes     int     // JSON bytes that a value of the state service may have
-	MaxTransactionOps int     // changes that a transaction may make
-	WriteRate         float64 // changes per second that the archive may make
-	ReadRate          float64 // reads per second that the archive may make
-	MinSegmentJobs    int     // finished jobs that are worth a segment
-	CompactionFanIn   int     // segments of a level that are compacted into one
-	// CanArchive reports whether a finished job may leave the pages by now.
+	MaxValueBytes     int     // limit of a value of the state service in JSON bytes
+	MaxTransactionOps int     // limit of the operations of a transaction
+	WriteRate         float64 // limit of the archive in operations per second
+	ReadRate          float64 // limit of the archive in reads per second
+	MinSegmentJobs    int     // least number of finished jobs in a new segment
+	CompactionFanIn   int     // number of segments of a level that are compacted into one
+	// CanArchive reports whether a finished job may be archived.
 	CanArchive func(now time.Time, id string) bool
-	// FinalState is what to keep of a finished job.
+	// FinalState returns the final state of a finished job, and false if it is not finished.
 	FinalState func(id string) (FinalState, bool)
-	// OnArchived is told of the jobs that a durable segment holds from now on.
+	// OnArchived is called with the IDs of jobs once their segment is durable.
 	OnArchived func(ids []string)
 }
 
@@ -72,17 +71,16 @@
 	storage    *storage.Store
 	log        *slog.Logger
 	segments   []*Segment // by number
-	nextNumber uint64     // of the segment that is, or may have been, under construction
+	nextNumber uint64     // number of the segment that is, or may have been, under construction
 	building   *segmentBuild
-	nextScanAt time.Time // when to look for finished jobs
+	nextScanAt time.Time // when the pages are next searched for finished jobs
 
 	calls   backgroundCalls
 	garbage garbageCollection
 	reader  partReader
 }
 
-// New reads the archive that the storage has loaded. The error says that it cannot be told which jobs there were: then no request may
-// be answered.
+// New opens the archive that the storage has loaded. After an error the archived jobs are not all known, and no request may be answered.
 func New(store *storage.Store, options Options, log *slog.Logger) (*Store, error) {
 	s := &Store{
 		options: options, storage: store, log: log,
@@ -103,12 +101,12 @@
 	return s, nil
 }
 
-// burstOfTransaction is how long writes are saved up: until they are enough for one transaction.
+// burstOfTransaction returns the time for which unused writes accumulate: until they suffice for one transaction.
 func burstOfTransaction(options Options) time.Duration {
 	return time.Duration(float64(options.MaxTransactionOps+1) / options.WriteRate * float64(time.Second))
 }
 
-// loadHeadEntry takes in an entry of the archive's head. The parts of a segment's index are taken out of index.
+// loadHeadEntry loads an entry of the archive's head. It removes the parts of the segment's index from index.
 func (s *Store) loadHeadEntry(name string, index map[string]string) error {
 	if name == nextNumberEntry {
 		return s.storage.ArchiveHeadEntry(name, &s.nextNumber)
@@ -143,19 +141,19 @@
 	return nil
 }
 
-// MissingPartError reports that a part of a segment is not in the state service though the archive's head names the segment.
+// MissingPartError is the error that a part is missing in the state service although the archive's head has its segment.
 type MissingPartError struct {
 	Segment uint64 // number
 	Key     string // of the part
 }
 
-// Error names the segment and the part.
+// Error returns the text with the segment and the part.
 func (e *MissingPartError) Error() string {
 	return fmt.Sprintf("segment %d: part %s is missing", e.Segment, e.Key)
 }
 
-// addUnnamedGarbage has parts deleted that no segment of the head holds: what an unfinished segment left has the next number, and a
-// write that was executed very late may have left parts of others. index is what is left of the loaded index.
+// addUnnamedGarbage adds segments without an entry in the head to the garbage. An unfinished segment has the next number; writes that
+// were executed very late may have left parts of others. index has the parts of the loaded index that belong to no segment.
 func (s *Store) addUnnamedGarbage(index map[string]string) {
 	unfinished := map[uint64]bool{s.nextNumber: true}
 	for key := range index {
@@ -170,12 +168,12 @@
 	}
 }
 
-// SetThresholds changes how many finished jobs are worth a segment, and how many segments are compacted into one.
+// SetThresholds changes MinSegmentJobs and CompactionFanIn of the Options.
 func (s *Store) SetThresholds(minSegmentJobs, compactionFanIn int) {
 	s.options.MinSegmentJobs, s.options.CompactionFanIn = minSegmentJobs, compactionFanIn
 }
 
-// JobCount is the number of jobs in all segments.
+// JobCount returns the number of jobs in all segments.
 func (s *Store) JobCount() int {
 	n := 0
 	for _, segment := range s.segments {
@@ -184,5 +182,5 @@
 	return n
 }
 
-// SegmentCount is the number of segments.
+// SegmentCount returns the number of segments.
 func (s *Store) SegmentCount() int { return len(s.segments) }
--- a/internal/controller/archive/tick.go
+++ b/internal/controller/archive/tick.go
@@ -13,7 +13,7 @@
 	maxRetryDelay = 10 * time.Second
 )
 
-// backgroundCalls limits the calls of the background work: one at a time, at a share of the state service's limits.
+// backgroundCalls limits the calls of the background work: one at a time, at the rates in Options.
 type backgroundCalls struct {
 	inFlight     bool
 	retryAt      time.Time
@@ -22,7 +22,7 @@
 	readLimiter  *client.RateLimiter
 }
 
-// end records the result of a call. A call that failed is made again, after a delay that doubles.
+// end records the result of a call and returns ok. After a failure the next call is delayed, by a delay that doubles.
 func (c *backgroundCalls) end(now time.Time, ok bool) bool {
 	c.inFlight = false
 	if ok {
@@ -51,14 +51,14 @@
 	}
 }
 
-// availableWrites is how many changes may be made now: the archive's share at most, and none that somebody else's change would have
-// to wait for.
+// availableWrites returns the number of operations that are available now: at most the archive's share, and only what urgent changes do
+// not need.
 func (s *Store) availableWrites(now time.Time) int {
 	return min(s.calls.writeLimiter.Available(now), s.storage.SpareWrites(now), s.options.MaxTransactionOps)
 }
 
-// commitHead has the archive's head changed and jobs taken off their pages in one commit, once the budget allows it. Garbage that was
-// collected leaves the head with it. done, unless nil, is called once the commit was executed.
+// commitHead changes the archive's head and removes jobs from their pages in one commit, if the budget allows it. The same commit removes
+// the entries of collected garbage from the head. done, unless nil, is called once the commit was executed.
 func (s *Store) commitHead(now time.Time, jobIDs []string, changes []storage.HeadChange, done func()) {
 	collected := len(s.garbage.collected)
 	for _, number := range s.garbage.collected {
--- a/internal/controller/jobstore/archive.go
+++ b/internal/controller/jobstore/archive.go
@@ -9,19 +9,19 @@
 	"gullrudder/internal/logkeys"
 )
 
-// archiveShare is the part of the state service's limits that the archive may use.
+// archiveShare is the share of the state service's limits that the archive may use.
 const archiveShare = 0.1
 
-// archiveState is the archive of finished jobs.
+// archiveState is the archive of finished jobs, once it is open.
 type archiveState struct {
 	store      *archive.Store // nil until OpenArchive
 	unreadable bool
 }
 
-// Archive is the record of the finished jobs that are no longer in the pages. It is nil until OpenArchive.
+// Archive returns the archive of the finished jobs that are no longer in the pages. It is nil until OpenArchive.
 func (s *Store) Archive() *archive.Store { return s.archive.store }
 
-// IsArchiveUnreadable reports whether the archive cannot be read, so that no request may be answered.
+// IsArchiveUnreadable reports whether OpenArchive has failed. Then no request may be answered.
 func (s *Store) IsArchiveUnreadable() bool { return s.archive.unreadable }
 
 // SetOptions changes the options of the archive.
@@ -31,8 +31,8 @@
 	}
 }
 
-// OpenArchive reads the archive that the storage has loaded, and reports whether that succeeded. Without it, it cannot be told which
-// jobs there were, and no request may be answered: an accepted job must not be called unknown.
+// OpenArchive opens the archive that the storage has loaded, and reports whether that succeeded. Without the archive the accepted jobs
+// are not all known, and no request may be answered: an accepted job must not be reported as unknown.
 func (s *Store) OpenArchive() bool {
 	store, err := archive.New(s.storage, archive.Options{
 		MaxValueBytes:     s.platform.MaxValueBytes,
@@ -54,7 +54,7 @@
 	return true
 }
 
-// canArchive reports whether a job has been finished for so long that its user has asked for its result.
+// canArchive reports whether a job has been finished for ArchiveDelay, in which its user has usually read the result.
 func (s *Store) canArchive(now time.Time, id string) bool {
 	state, ok := s.finished[id]
 	return ok && now.Sub(state.finishedAt) >= s.options.ArchiveDelay
--- a/internal/controller/jobstore/cancellation.go
+++ b/internal/controller/jobstore/cancellation.go
@@ -7,7 +7,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// ApplyCancellation records that a job's cancellation is durable. All jobs that depend on it are cancelled with it.
+// ApplyCancellation records that the cancellation of a job is durable. All jobs that depend on it are cancelled, too.
 func (s *Store) ApplyCancellation(now time.Time, job *jobs.Job) {
 	job.State, job.CancelConfirmedAt = jobs.Cancelled, now
 	s.stopping[job] = true
@@ -16,15 +16,15 @@
 	s.cancelDependents(now, s.dependencies.graph.Dependents(job.ID))
 }
 
-// RetireCancelled records that a job was accepted though one of its dependencies had been cancelled before: it is kept as cancelled.
+// RetireCancelled records that a job was accepted after one of its dependencies had been cancelled: its final state is cancelled.
 func (s *Store) RetireCancelled(now time.Time, job *jobs.Job) {
 	job.State, job.CancelConfirmedAt = jobs.Cancelled, now
 	s.accounting.Finish(now, job)
 	s.retire(now, job)
 }
 
-// CancellationsCompletedBefore is the time before which every confirmed cancellation has been carried out: now if all have been.
-// known is false if an earlier leader has confirmed one at a time that cannot be told.
+// CancellationsCompletedBefore returns the time before which every confirmed cancellation is completed, which is now if all are. known
+// is false if the time at which an earlier leader confirmed one of them is unknown.
 func (s *Store) CancellationsCompletedBefore(now time.Time) (oldest time.Time, known bool) {
 	oldest = now
 	for job := range s.stopping {
@@ -38,11 +38,11 @@
 	return oldest, true
 }
 
-// IsStopping reports whether the job is cancelled and tasks of it may still run.
+// IsStopping reports whether the job is cancelled and some of its tasks may still run.
 func (s *Store) IsStopping(job *jobs.Job) bool { return s.stopping[job] }
 
-// IsTaskCancelled reports whether a task belongs to a job that is cancelled, or is being cancelled. Such a task has to stop, whatever
-// else is known of it.
+// IsTaskCancelled reports whether a task belongs to a job that is cancelled, or is being cancelled. Such a task must be killed in any
+// case.
 func (s *Store) IsTaskCancelled(task jobs.TaskID) bool {
 	if job := s.Unfinished[task.JobID]; job != nil {
 		return job.IsCancelling || job.State == jobs.Cancelled
--- a/internal/controller/jobstore/dependencies.go
+++ b/internal/controller/jobstore/dependencies.go
@@ -12,10 +12,10 @@
 	"gullrudder/internal/wire/client"
 )
 
-// resolveInterval is how often the archive is asked again for dependencies that its index cannot tell of.
+// resolveInterval is the time between two lookups in the archive's data for dependencies that its index cannot decide.
 const resolveInterval = 500 * time.Millisecond
 
-// DependencyState is what is known of a job that another one depends on.
+// DependencyState is the durable state of a job that another one depends on.
 type DependencyState int
 
 // States of a dependency.
@@ -26,25 +26,25 @@
 	DependencyCancelled                     // cancelled, durably
 	DependencyUndecided                     // its acceptance or cancellation is being written
 	DependencyService                       // a service, which is never done
-	DependencyArchived                      // perhaps in the archive; its data have to tell
+	DependencyArchived                      // perhaps in the archive, which only its data can decide
 )
 
-// dependencyState is which jobs wait for others.
+// dependencyState is the state of the dependencies between jobs.
 type dependencyState struct {
 	graph         *dependencies.Graph
 	unresolved    []*unresolvedDependency
 	nextResolveAt time.Time
 }
 
-// unresolvedDependency is a dependency that only the archive's data can tell of.
+// unresolvedDependency is a dependency that only the archive's data can decide.
 type unresolvedDependency struct {
 	job        *jobs.Job
-	dependency string // ID of the job that it depends on, empty once that has been resolved
+	dependency string // ID of the job that it depends on, empty once it is resolved
 	resolving  bool
 }
 
-// DependencyState returns what has become of a job that another one depends on. Only what is durable counts: in the pages, written by
-// this leader or an earlier one, or in the archive.
+// DependencyState returns the state of a job that another one depends on. Only durable changes count: those in the pages, by this leader
+// or an earlier one, or in the archive.
 func (s *Store) DependencyState(jobID string) DependencyState {
 	if state, ok := s.finished[jobID]; ok {
 		if state.Done {
@@ -80,7 +80,7 @@
 	return DependencyOpen
 }
 
-// WaitingJobs lists the accepted jobs that wait for others, the oldest first.
+// WaitingJobs returns the accepted jobs with unmet dependencies, the oldest first.
 func (s *Store) WaitingJobs() []*jobs.Job {
 	var waiting []*jobs.Job
 	for _, job := range s.Unfinished {
@@ -94,10 +94,10 @@
 	return waiting
 }
 
-// DependencyGraph is which job waits for which. Other packages only read it.
+// DependencyGraph returns the graph of the unmet dependencies. Other packages must not change it.
 func (s *Store) DependencyGraph() *dependencies.Graph { return s.dependencies.graph }
 
-// WaitForDependencies has a job that is about to be accepted wait for its dependencies that are not done.
+// WaitForDependencies adds the missing dependencies of a job that is about to be accepted to the graph.
 func (s *Store) WaitForDependencies(now time.Time, job *jobs.Job, missing []string) {
 	if len(job.Dependencies) == 0 {
 		return
@@ -109,8 +109,8 @@
 	s.dependencies.graph.Add(job, missing)
 }
 
-// ApplyAcceptance records that a job's acceptance is durable. What became of its dependencies meanwhile counts from now on: if one was
-// cancelled the job is cancelled with it, and if the last was done the time of that is written.
+// ApplyAcceptance records that the acceptance of a job is durable, and applies changes of its dependencies since the commit was sent: if
+// one was cancelled the job is cancelled, too, and if the last one was done the time of that is written.
 func (s *Store) ApplyAcceptance(now time.Time, job *jobs.Job) {
 	for _, id := range s.dependencies.graph.Unmet(job) {
 		if s.DependencyState(id) == DependencyCancelled {
@@ -119,7 +119,7 @@
 		}
 	}
 	if job.UnmetDependencies > 0 {
-		s.observer.JobWaiting(job) // by now it is known whether the job is guaranteed
+		s.observer.JobWaiting(job) // only now, since the job is not known to be guaranteed before
 		return
 	}
 	if job.ReadyAt.After(job.SubmittedAt) {
@@ -128,7 +128,7 @@
 	s.observer.JobReady(now, job)
 }
 
-// releaseDependents makes the jobs ready that have waited for a job which is done now, durably.
+// releaseDependents makes the jobs ready whose last unmet dependency is a job that is now done, durably.
 func (s *Store) releaseDependents(now time.Time, id string) {
 	for _, job := range s.dependencies.graph.RecordDone(now, id) {
 		if job.State != jobs.Accepted {
@@ -141,14 +141,14 @@
 	}
 }
 
-// withDependents is a job and all that depend on it.
+// withDependents returns a job and all that depend on it.
 func (s *Store) withDependents(job *jobs.Job) []*jobs.Job {
 	return append([]*jobs.Job{job}, s.dependencies.graph.Dependents(job.ID)...)
 }
 
-// cancelDependents cancels jobs that depend, directly or through others, on one whose cancellation is durable. None of them has a task
-// on any machine, since their dependencies were never done. That one record fixes their fate, since every leader reads the same out of
-// it. Their own records are written later.
+// cancelDependents cancels jobs that depend, directly or through others, on one whose cancellation is durable. None of them has a task on
+// any machine, since their dependencies were never done. Their cancellation is durable by the record of that one job, from which every
+// leader derives it; their own records are written later.
 func (s *Store) cancelDependents(now time.Time, dependents []*jobs.Job) {
 	if len(dependents) == 0 {
 		return
@@ -165,12 +165,12 @@
 	s.observer.OrderChanged()
 }
 
-// restoreDependencies has the jobs of an earlier leader wait again for what is not done, once all have been restored.
+// restoreDependencies adds the unmet dependencies of restored jobs to the graph, once all jobs are restored.
 func (s *Store) restoreDependencies(now time.Time) {
 	var cancelled []*jobs.Job
 	for _, job := range s.Unfinished {
 		if len(job.Dependencies) == 0 || job.State != jobs.Accepted || !job.ReadyAt.IsZero() {
-			continue // it waits for nothing, or does not wait any more
+			continue // it has no unmet dependency
 		}
 		missing, hasCancelled := s.unmetDependencies(job)
 		if hasCancelled {
@@ -179,7 +179,7 @@
 		if len(missing) > 0 {
 			s.dependencies.graph.Add(job, missing)
 		} else {
-			job.ReadyAt = now // done under the previous leader, which ended before it wrote that
+			job.ReadyAt = now // its dependencies were done under an earlier leader, which did not write ReadyAt
 		}
 	}
 	for _, job := range cancelled {
@@ -192,8 +192,8 @@
 	}
 }
 
-// unmetDependencies lists the dependencies of a restored job that are not done, and reports whether one is cancelled. What only the
-// archive's data can tell is asked for.
+// unmetDependencies returns the dependencies of a restored job that are not done, and whether one is cancelled. Those that only the
+// archive's data can decide are added to the unresolved ones.
 func (s *Store) unmetDependencies(job *jobs.Job) (missing []string, hasCancelled bool) {
 	for _, id := range job.Dependencies {
 		switch s.DependencyState(id) {
@@ -212,8 +212,8 @@
 	return missing, hasCancelled
 }
 
-// resolveDependencies asks the archive's data for dependencies that its index cannot tell of. Until then no request about the jobs that
-// depend on them is answered: an earlier leader may have said that they are cancelled.
+// resolveDependencies looks up unresolved dependencies in the archive's data. Until they are resolved no request about the jobs that
+// depend on them is answered: an earlier leader may have reported these as cancelled.
 func (s *Store) resolveDependencies(now time.Time, outbox *client.Outbox) {
 	if len(s.dependencies.unresolved) == 0 || now.Before(s.dependencies.nextResolveAt) {
 		return
@@ -235,7 +235,7 @@
 	s.forgetResolved()
 }
 
-// resolveDependency records what the archive's data say of a dependency.
+// resolveDependency records the result of the lookup of a dependency in the archive's data.
 func (s *Store) resolveDependency(now time.Time, resolved *unresolvedDependency, state archive.FinalState, found bool) {
 	switch {
 	case found && state.Cancelled:
@@ -248,7 +248,7 @@
 	resolved.dependency = ""
 }
 
-// forgetResolved drops the dependencies that have been resolved. A job stays undecided as long as one of its own has not been.
+// forgetResolved drops the resolved dependencies. A job stays undecided as long as one of its dependencies is unresolved.
 func (s *Store) forgetResolved() {
 	unresolved := s.dependencies.unresolved[:0]
 	for _, u := range s.dependencies.unresolved {
--- a/internal/controller/jobstore/restore.go
+++ b/internal/controller/jobstore/restore.go
@@ -7,8 +7,8 @@
 	"gullrudder/internal/logkeys"
 )
 
-// RestoreJob restores a job from its record at a failover. leaderSince is when the leadership began. confirmedAt is the earliest time
-// at which a cancellation can have been confirmed that has not been carried out, zero if it cannot be told.
+// RestoreJob restores a job from its record at a failover. leaderSince is when the leadership began. confirmedAt is the earliest time at
+// which a cancellation that is not completed may have been confirmed, zero if it is unknown.
 func (s *Store) RestoreJob(now, leaderSince, confirmedAt time.Time, name string, decode func(any) error) {
 	var record jobs.Record
 	if err := decode(&record); err != nil {
@@ -21,7 +21,7 @@
 		return
 	}
 	if job.State == jobs.Done || job.State == jobs.Cancelled && record.CPUs+record.MemoryGB+record.GPUs == 0 {
-		// Only the final state is left of it.
+		// The record has only the final state.
 		s.finished[name] = FinalState{Done: job.State == jobs.Done, Tasks: job.Tasks, finishedAt: now}
 		s.storage.SetFinished(name)
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// RestoreChunk restores the results of some tasks of a large array. It comes after all jobs have been restored.
+// RestoreChunk restores the results of some tasks of a large array. All jobs must have been restored before.
 func (s *Store) RestoreChunk(now time.Time, name, jobID string, chunk int, results jobs.Chunk) {
 	job := s.Unfinished[jobID]
 	if job == nil {
@@ -49,8 +49,8 @@
 	}
 }
 
-// FinishRestore restores the dependencies, reserves the space that the jobs may come to need in their pages, and finishes those whose
-// tasks are all done. It comes after all jobs and chunks have been restored.
+// FinishRestore restores the dependencies, reserves space for the growth of the jobs' records, and finishes the jobs whose tasks are all
+// done. All jobs and chunks must have been restored before.
 func (s *Store) FinishRestore(now time.Time) {
 	s.restoreDependencies(now)
 	for _, job := range s.Unfinished {
--- a/internal/controller/jobstore/save.go
+++ b/internal/controller/jobstore/save.go
@@ -8,20 +8,20 @@
 	"gullrudder/internal/logkeys"
 )
 
-// saveInterval is how often results of tasks are written. Nobody waits for them, so they are gathered.
+// saveInterval is the time between two writes of task results. No request waits for them, so they are batched.
 const saveInterval = time.Second
 
-// saveState is when results are written next, and what is counted meanwhile.
+// saveState is when task results are written next, and the counter of the checks made with that.
 type saveState struct {
 	nextAt            time.Time
 	missedStartBounds int
 }
 
-// MissedStartBounds is how many jobs have waited for their first task longer than was promised at their acceptance.
+// MissedStartBounds returns the number of jobs whose first task did not start within the bound stated at their acceptance.
 func (s *Store) MissedStartBounds() int { return s.saving.missedStartBounds }
 
-// Save writes what is due, once a saveInterval. placing says that it is known of every machine what runs on it: only then may a
-// cancelled job be forgotten.
+// Save writes unsaved task results and retires stopped jobs, at most once in a saveInterval. placing is true once the failover is
+// completed, so that all attempts are known: a cancelled job must not be retired before that.
 func (s *Store) Save(now time.Time, placing bool) {
 	if now.Before(s.saving.nextAt) {
 		return
@@ -50,7 +50,7 @@
 	}
 }
 
-// isWritable reports whether the record of a job may be written as it is: no other state of it is being written.
+// isWritable reports whether the record of a job may be written in its present state: no other state of it is being written.
 func isWritable(job *jobs.Job) bool {
 	return !job.IsFinishing && !job.IsCancelling && job.State == jobs.Accepted
 }
@@ -63,7 +63,7 @@
 	s.retire(now, job)
 }
 
-// saveResults writes the results of a job's tasks: into its record, or into chunks if the job is a large array.
+// saveResults writes the results of a job's tasks into its record, or into chunks if the job is a large array.
 func (s *Store) saveResults(now time.Time, job *jobs.Job) {
 	tasks, chunks := job.TakeUnsaved()
 	var err error
@@ -89,7 +89,7 @@
 	}
 }
 
-// jobsWithAttempts is the set of jobs of which an attempt is still on some machine.
+// jobsWithAttempts returns the set of jobs with an attempt on some machine.
 func (s *Store) jobsWithAttempts() map[*jobs.Job]bool {
 	set := map[*jobs.Job]bool{}
 	for _, machine := range s.workers.Machines {
@@ -102,7 +102,7 @@
 	return set
 }
 
-// SaveRecord writes a job as it is now, with the next commit. It is for changes other than results of tasks.
+// SaveRecord writes the present record of a job with the next commit. It is for changes other than task results.
 func (s *Store) SaveRecord(now time.Time, job *jobs.Job) {
 	if !isWritable(job) {
 		return
@@ -112,14 +112,14 @@
 	}
 }
 
-// writeRecord sets the job's record as it is now, for the next commit.
+// writeRecord sets the stored record of a job to its present one.
 func (s *Store) writeRecord(now time.Time, job *jobs.Job, done func(time.Time, bool)) error {
 	record := job.Record()
 	record.TimeAccount = s.accounting.EncodedAccount(job)
 	return s.storage.Set(now, job.ID, record, storage.SetOptions{ReservedBytes: job.MaxRecordBytes(), Done: done})
 }
 
-// IsResultDurable reports whether the worker may forget that a task has completed.
+// IsResultDurable reports whether the result of a completed task is durable or not needed, so that its worker may forget it.
 func (s *Store) IsResultDurable(task jobs.TaskID) bool {
 	job := s.Unfinished[task.JobID]
 	if job == nil || job.State == jobs.Cancelled || task.Index >= job.Tasks {
@@ -128,7 +128,7 @@
 	return job.IsTaskDurable(task.Index)
 }
 
-// FinishIfDone writes that a job is done once all its tasks are.
+// FinishIfDone writes the final record of a job if all its tasks are done.
 func (s *Store) FinishIfDone(now time.Time, job *jobs.Job) {
 	if job.IsService || job.DoneTasks < job.Tasks || !isWritable(job) {
 		return
@@ -145,7 +145,7 @@
 	}
 }
 
-// applyDone records that it is durable that a job is done.
+// applyDone records that the final record of a done job is durable.
 func (s *Store) applyDone(now time.Time, job *jobs.Job) {
 	job.State = jobs.Done
 	s.accounting.Finish(now, job)
@@ -167,7 +167,7 @@
 	s.observer.OrderChanged()
 }
 
-// checkStartBounds logs and counts jobs that have waited for their first task longer than was promised.
+// checkStartBounds logs and counts jobs that have missed their start bound.
 func (s *Store) checkStartBounds(now time.Time) {
 	for _, job := range s.Unfinished {
 		if job.FirstStartBound <= 0 || job.MissedStartBound || !job.IsSchedulable() || job.DoneTasks+len(job.ActiveAttempts) > 0 {
--- a/internal/controller/jobstore/store.go
+++ b/internal/controller/jobstore/store.go
@@ -1,9 +1,7 @@
-// Package jobstore keeps the jobs of a leadership: the unfinished ones, the finished ones that are still in the pages of package
-// storage, and the archive of all others. It owns the records of jobs and the graph of their dependencies, and it is the only writer
-// of both. It does not decide where or when a task runs, and it sends nothing to workers or users.
-//
-// A Store is made at the election and dropped whole when the leadership ends. The design is in docs/design/archive.md and
-// docs/design/dependencies.md.
+// Package jobstore keeps the jobs of a leadership: the unfinished ones, the finished ones that are still in the pages of package storage,
+// and the archive of all others. A Store owns the records of jobs and the graph of their dependencies, and is the only writer of both.
+// It is made at the election and dropped whole when the leadership ends. The package never decides where or when a task runs, and sends
+// nothing to workers or users. Design notes: docs/design/archive.md, docs/design/dependencies.md.
 package jobstore
 
 import (
@@ -19,7 +17,7 @@
 	"gullrudder/internal/wire/client"
 )
 
-// FinalState is a finished job that has not been archived yet.
+// FinalState is the final state of a finished job that is not archived yet.
 type FinalState struct {
 	Done       bool // false: cancelled
 	Tasks      int  // how many the job had
@@ -36,15 +34,15 @@
 	Log        *slog.Logger
 }
 
-// Observer is told of changes of jobs, during the call that makes the change.
+// Observer is notified of changes of jobs, during the call that makes the change.
 type Observer interface {
-	// OrderChanged tells that jobs have left the queue.
+	// OrderChanged is called after jobs have left the queue.
 	OrderChanged()
-	// JobDone tells of a job that is done, durably.
+	// JobDone is called once it is durable that a job is done.
 	JobDone(now time.Time, job *jobs.Job)
-	// JobWaiting tells of an accepted job that waits for others.
+	// JobWaiting is called for an accepted job with unmet dependencies.
 	JobWaiting(job *jobs.Job)
-	// JobReady tells of an accepted job that waits for no other, or for none any more.
+	// JobReady is called once an accepted job has no unmet dependency.
 	JobReady(now time.Time, job *jobs.Job)
 }
 
@@ -63,7 +61,7 @@
 // JobReady does nothing.
 func (noObserver) JobReady(time.Time, *jobs.Job) {}
 
-// Store is what a leader knows of all jobs. It belongs to the controller's event loop and is not safe for concurrent use.
+// Store has all jobs of a leadership. It belongs to the controller's event loop and is not safe for concurrent use.
 type Store struct {
 	platform   *config.Platform
 	options    *config.Options
@@ -73,7 +71,7 @@
 	accounting *accounting.Tracker
 	observer   Observer
 
-	// Unfinished are the jobs that are neither done nor completely cancelled, by ID. Other packages only read it.
+	// Unfinished has the jobs that are neither done nor completely cancelled, by ID. Other packages must not change it.
 	Unfinished map[string]*jobs.Job
 
 	finished     map[string]FinalState // jobs in the pages, by ID
@@ -101,22 +99,22 @@
 	return s
 }
 
-// SetObserver sets who is told of changes of jobs. It is called once, before the state is restored.
+// SetObserver sets the observer. It is called once, before the state is restored.
 func (s *Store) SetObserver(observer Observer) { s.observer = observer }
 
 // Find returns an unfinished job, or nil.
 func (s *Store) Find(id string) *jobs.Job { return s.Unfinished[id] }
 
-// FinalState returns a finished job that has not been archived.
+// FinalState returns the final state of a finished job, and false if the job is unfinished, archived or unknown.
 func (s *Store) FinalState(id string) (FinalState, bool) {
 	state, ok := s.finished[id]
 	return state, ok
 }
 
-// FinishedCount is the number of finished jobs, archived ones included.
+// FinishedCount returns the number of finished jobs, archived ones included.
 func (s *Store) FinishedCount() int { return len(s.finished) + s.archive.store.JobCount() }
 
-// StartableJobs lists the unfinished jobs whose tasks may be started, and those whose acceptance is being written.
+// StartableJobs returns the unfinished jobs whose tasks may be started, and those whose acceptance is being written.
 func (s *Store) StartableJobs() []*jobs.Job {
 	list := make([]*jobs.Job, 0, len(s.Unfinished))
 	for _, job := range s.Unfinished {
@@ -133,7 +131,7 @@
 	s.accounting.Open(job)
 }
 
-// Tick does the next step of archiving, and asks for what is not known of dependencies.
+// Tick does the next step of archiving, and looks up unresolved dependencies.
 func (s *Store) Tick(now time.Time, outbox *client.Outbox) {
 	s.archive.store.Tick(now, outbox)
 	s.resolveDependencies(now, outbox)
--- a/internal/controller/storage/archive.go
+++ b/internal/controller/storage/archive.go
@@ -14,24 +14,24 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// archiveState is what the store keeps for package archive.
+// archiveState is the part of the store that package archive uses.
 type archiveState struct {
-	head             *page             // names the archive's segments
-	index            map[string]string // parts of the index by key, until they are taken
-	pendingMove      *entryMove        // waits for a commit that has space for it
-	hasUncertainMove bool              // a move that nobody answered may still be executed
+	head             *page             // has an entry for each segment
+	index            map[string]string // parts of the index by key, until TakeArchiveIndex
+	pendingMove      *entryMove        // waits for a commit with enough space
+	hasUncertainMove bool              // a move without a response may still be executed
 }
 
 // ArchivePart is one value of the archive.
 type ArchivePart struct {
 	Key, Text   string
-	ModRevision uint64 // set in those that were read
+	ModRevision uint64 // set only in parts that were read
 }
 
-// ArchiveHeadNames lists the entries of the archive's head in order.
+// ArchiveHeadNames returns the names of the entries of the archive's head, sorted.
 func (s *Store) ArchiveHeadNames() []string { return slices.Sorted(maps.Keys(s.archive.head.entries)) }
 
-// ArchiveHeadEntry reads an entry of the archive's head into v.
+// ArchiveHeadEntry decodes an entry of the archive's head into v.
 func (s *Store) ArchiveHeadEntry(name string, v any) error {
 	e := s.archive.head.entries[name]
 	if e == nil {
@@ -43,14 +43,14 @@
 	return nil
 }
 
-// TakeArchiveIndex returns the parts of the archive's index that were loaded, by key. The store does not keep them.
+// TakeArchiveIndex returns the loaded parts of the archive's index by key, and removes them from the store.
 func (s *Store) TakeArchiveIndex() map[string]string {
 	index := s.archive.index
 	s.archive.index = nil
 	return index
 }
 
-// ReadArchivePart reads one part of the archive. status is that of the response, 0 if there was none that can be read.
+// ReadArchivePart reads one part of the archive. status is that of the response, 0 if there was none or it cannot be decoded.
 func (s *Store) ReadArchivePart(
 	outbox *client.Outbox, key string, timeout time.Duration, done func(now time.Time, text string, status int),
 ) {
@@ -66,14 +66,14 @@
 	})
 }
 
-// ArchivePartList is a part of a list of archive parts.
+// ArchivePartList is one page of a list of archive parts. If HasMore is true, the next page begins after the last part.
 type ArchivePartList struct {
 	Parts   []ArchivePart
 	HasMore bool
 }
 
-// ListArchiveParts reads the archive parts below a prefix that come after the key from, as many as one response holds. ok is false
-// if the list could not be read.
+// ListArchiveParts reads the archive parts with a key prefix after the key from, as many as fit in one response. ok is false if the list
+// could not be read.
 func (s *Store) ListArchiveParts(
 	outbox *client.Outbox, prefix, from string, done func(now time.Time, list ArchivePartList, ok bool),
 ) {
@@ -91,8 +91,8 @@
 		})
 }
 
-// ArchivableEntries lists finished jobs of the few pages that hold the most of them, of as many pages as one transaction can write
-// beside the archive's head.
+// ArchivableEntries returns the names of finished jobs for which canArchive is true, sorted. They are on the pages with the most bytes
+// of finished jobs, as many pages as one transaction can write together with the archive's head.
 func (s *Store) ArchivableEntries(canArchive func(name string) bool) []string {
 	if s.pages.hasStaleCopies() {
 		return nil
@@ -118,7 +118,7 @@
 	return names
 }
 
-// pagesWithFinishedJobs lists pages, those with the most bytes of finished jobs first.
+// pagesWithFinishedJobs returns the pages with finished jobs, those with the most bytes of them first.
 func (s *Store) pagesWithFinishedJobs() []*page {
 	var pages []*page
 	for _, p := range s.pages.byKey {
@@ -141,12 +141,12 @@
 	Value any
 }
 
-// CommitArchiveCost is how many changes CommitArchive makes for these entries.
+// CommitArchiveCost returns the number of keys that CommitArchive writes for these entries.
 func (s *Store) CommitArchiveCost(names []string) int { return len(s.pages.pagesHolding(names)) + 1 }
 
-// CommitArchive takes entries off their pages and changes the archive's head, in one commit. It goes with the next commit that has
-// space for it beside what somebody waits for, or by itself if nobody waits. done is called once the outcome is certain, with true
-// if the commit was executed. There is one at a time. The error says that a value cannot be encoded; then done is not called.
+// CommitArchive removes entries from their pages and changes the archive's head, in one commit. The changes join the next commit with
+// enough space left by urgent pages, or are committed alone. done is called once the outcome is certain, with true if the commit was
+// executed. Only one such change may be pending. The error says that a value cannot be encoded; then done is not called.
 func (s *Store) CommitArchive(removed []string, headChanges []HeadChange, done func(now time.Time, ok bool)) error {
 	move := &entryMove{removed: map[string]bool{}, headChanges: map[string]msgpack.RawMessage{}, done: done}
 	for _, name := range removed {
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// joinPendingMove adds the pending move to the pages of a commit, if there is space for it and budget that nobody else needs.
+// joinPendingMove adds the pending move to the pages of a commit if there is enough space and spare budget.
 func (s *Store) joinPendingMove(now time.Time, chosen []*page) ([]*page, *entryMove) {
 	move := s.archive.pendingMove
 	if move == nil || !s.IsHealthy() {
@@ -194,9 +194,9 @@
 	return all, move
 }
 
-// CreateArchiveParts writes new parts of the archive. It may be sent beside a commit of pages, since it writes none of them. The
-// leader's key is required as in all commits, and no part may exist yet. After an uncertain outcome the first part is read back. It
-// speaks for all of them, so after a try that failed the next one must have the same parts.
+// CreateArchiveParts writes new parts of the archive. It may run concurrently with a commit of pages, since it writes none of them. The
+// transaction requires the leader's key, as all commits do, and that no part exists. After an uncertain outcome the first part is read
+// back, which shows whether all of them were written; so a retry must have the same parts.
 func (s *Store) CreateArchiveParts(outbox *client.Outbox, parts []ArchivePart, done func(now time.Time, ok bool)) {
 	request := CommitRequest{Preconditions: []Precondition{s.requireLeadership()}}
 	for _, part := range parts {
@@ -212,14 +212,14 @@
 	})
 }
 
-// readBackArchiveParts finds out whether parts were written by a commit that was refused or not answered.
+// readBackArchiveParts checks whether parts were written by a commit that was refused or has no response.
 func (s *Store) readBackArchiveParts(
 	outbox *client.Outbox, parts []ArchivePart, refused bool, done func(now time.Time, ok bool),
 ) {
 	s.ReadArchivePart(outbox, parts[0].Key, readTimeout, func(now time.Time, text string, status int) {
 		switch {
 		case status == http.StatusOK && text == parts[0].Text:
-			done(now, true) // an earlier try was executed late
+			done(now, true) // an earlier try was executed later
 		case refused && (status == http.StatusOK || status == http.StatusNotFound):
 			s.commitFenced(len(parts))
 		default:
@@ -228,8 +228,8 @@
 	})
 }
 
-// DeleteArchiveParts deletes parts that were read, and only as they were read: if it is executed late, the parts have other
-// revisions. If it fails, they have to be read again.
+// DeleteArchiveParts deletes parts at the revisions at which they were read, so that a late execution cannot delete newer parts. If it
+// fails, the parts have to be read again.
 func (s *Store) DeleteArchiveParts(outbox *client.Outbox, parts []ArchivePart, done func(now time.Time, ok bool)) {
 	request := CommitRequest{Preconditions: []Precondition{s.requireLeadership()}}
 	for _, part := range parts {
--- a/internal/controller/storage/commit.go
+++ b/internal/controller/storage/commit.go
@@ -19,20 +19,20 @@
 
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = time.Second
-	// maxRequeueDelay bounds the wait that the state service may ask for after a commit that was not executed.
+	// maxRequeueDelay bounds the Retry-After of the state service that is respected after a commit that was not executed.
 	maxRequeueDelay = 2 * time.Second
 )
 
-// commitState is what becomes of the commits.
+// commitState is the state of the commits.
 //
-// One commit is in flight at a time. If nobody answers it, it may be executed at any later time, so its outcome is read back before
+// One commit is in flight at a time. A commit without a response may be executed at any later time, so its outcome is read back before
 // anything else is written.
 type commitState struct {
 	sequence     uint64 // of the last commit
 	inFlight     *transaction
 	retryAt      time.Time
 	retryDelay   time.Duration
-	failingSince time.Time // zero while commits get through
+	failingSince time.Time // zero while commits succeed
 }
 
 // transaction is a commit in flight.
@@ -41,11 +41,11 @@
 	pages    []*page // pages that it writes
 	wasDirty []bool  // which of them had unsaved changes
 	waiters  [][]DoneFunc
-	move     *entryMove // entries that move in the same commit, or nil
+	move     *entryMove // entries that are moved in the same commit, or nil
 	guarded  []*page    // pages whose revision it requires
 }
 
-// sendCommit writes pages as they are now, and as a move leaves them if there is one.
+// sendCommit sends a commit of the present contents of the pages, after the move if there is one.
 func (s *Store) sendCommit(outbox *client.Outbox, pages []*page, move *entryMove) {
 	s.commits.sequence++
 	txn := &transaction{sequence: s.commits.sequence, pages: pages, move: move, guarded: pages}
@@ -63,7 +63,7 @@
 		delete(s.pages.dirty, p)
 	}
 	if move != nil && move.source != nil && !slices.Contains(pages, move.source) {
-		// The page that is copied has to be as it is known here: an earlier commit that is executed late would change it.
+		// The copied page must be unchanged: an earlier commit that is executed late would change it.
 		source := Precondition{Key: move.source.key, ModRevision: move.source.modRevision}
 		request.Preconditions = append(request.Preconditions, source)
 		txn.guarded = append(slices.Clone(pages), move.source)
@@ -79,7 +79,7 @@
 	})
 }
 
-// requireLeadership requires that no other leader was elected since.
+// requireLeadership returns the precondition that no other leader was elected since.
 func (s *Store) requireLeadership() Precondition {
 	return Precondition{Key: s.options.LeaderKey, ModRevision: s.fencingToken}
 }
@@ -141,9 +141,8 @@
 	s.fenced = true
 }
 
-// resolveConflict finds out whose write came before a commit that was refused because a page has changed. If the leader's key is
-// unchanged, it was an earlier commit of this leader that was given up and executed late. Then the pages are read back as after an
-// uncertain outcome.
+// resolveConflict finds out who changed a page after a commit was refused for that. If the leader's key is unchanged, it was an earlier
+// commit of this leader that was abandoned and executed later. Then the pages are read back as after an uncertain outcome.
 func (s *Store) resolveConflict(outbox *client.Outbox, delay time.Duration) {
 	s.send(outbox, client.Call{
 		Method: http.MethodGet, Path: keyPath + s.options.LeaderKey, Delay: delay, Timeout: readTimeout,
@@ -161,14 +160,14 @@
 	})
 }
 
-// nextRetryDelay is how long to wait after one more call that failed.
+// nextRetryDelay returns the delay after another failed call, which doubles up to maxRetryDelay.
 func (s *Store) nextRetryDelay() time.Duration {
 	s.commits.retryDelay = min(max(2*s.commits.retryDelay, minRetryDelay), maxRetryDelay)
 	return s.commits.retryDelay
 }
 
-// notifyUncertain tells the waiters that their change is not certain yet: those of the commit in flight, and those whose changes
-// come after it. Nothing else is sent until the commit has been read back, so in an outage they would wait for all of its length.
+// notifyUncertain calls the waiters of the commit in flight, and of later changes, with false: their changes are uncertain. No other
+// commit is sent until this one has been read back, so without this call they would wait for the whole length of an outage.
 func (s *Store) notifyUncertain(now time.Time) {
 	if s.commits.failingSince.IsZero() {
 		s.commits.failingSince = now
@@ -181,7 +180,7 @@
 	}
 }
 
-// requeue gives up the commit in flight, which was not executed, and has its pages written again.
+// requeue abandons the commit in flight, which was not executed, and marks its pages to be written again.
 func (s *Store) requeue(now time.Time, retryAfter time.Duration) {
 	s.notifyUncertain(now)
 	txn := s.commits.inFlight
@@ -190,7 +189,7 @@
 	for i, p := range txn.pages {
 		p.waiters = append(txn.waiters[i], p.waiters...)
 		if !txn.wasDirty[i] {
-			continue // it was written only because entries were to leave it
+			continue // it was written only because of the move
 		}
 		if !s.pages.dirty[p] {
 			s.pages.dirty[p], p.dirtySince = true, now
@@ -202,10 +201,10 @@
 	}
 }
 
-// readBack finds out what became of a commit that nobody answered: it reads the pages that the commit requires, from index on.
+// readBack finds out the outcome of a commit without a response: it reads the pages that the commit requires, from index on.
 //
-// Each try has a sequence number of its own. An earlier try that was held up on its way requires the same revisions, so it may be
-// the one that was executed. The commit may be executed between the reads of two pages, so one page that shows it speaks for all.
+// Each try has its own sequence number. An earlier try that was delayed requires the same revisions, so it may be the one that was
+// executed. The commit may be executed between the reads of two pages, so one page that shows it proves its execution.
 func (s *Store) readBack(outbox *client.Outbox, index int, delay time.Duration) {
 	checked := s.commits.inFlight.guarded[index]
 	s.send(outbox, client.Call{
@@ -225,8 +224,8 @@
 			return
 		}
 		if stored.ModRevision != checked.modRevision && s.archive.hasUncertainMove {
-			// An earlier move may have been executed that memory does not know of. Writing this page again would bring back the
-			// entries that have left it.
+			// An earlier uncertain move may have been executed and is not applied in memory. Writing this page again would
+			// restore the entries that were moved.
 			s.commitFenced(len(txn.pages))
 			return
 		}
--- a/internal/controller/storage/flush.go
+++ b/internal/controller/storage/flush.go
@@ -36,7 +36,7 @@
 	s.sendCommit(outbox, pages, move)
 }
 
-// writablePages lists the pages with unsaved changes that can be written: first those that somebody waits for, then the oldest.
+// writablePages returns the pages with unsaved changes that can be written: urgent pages first, then those with the oldest changes.
 func (s *Store) writablePages() []*page {
 	var due []*page
 	for p := range s.pages.dirty {
@@ -56,8 +56,7 @@
 	return due
 }
 
-// choosePages picks the pages that the next commit writes. Pages that nobody waits for leave half of the budget to those that
-// somebody waits for.
+// choosePages returns the pages of the next commit. Pages that are not urgent leave half of the budget to urgent ones.
 func (s *Store) choosePages(now time.Time, due []*page) []*page {
 	budget := s.writeLimiter.Available(now)
 	var chosen []*page
--- a/internal/controller/storage/load.go
+++ b/internal/controller/storage/load.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// maxListedKeys is how many keys are asked for at a time. The state service cuts a response off at 512 KiB.
+	// maxListedKeys is the number of keys requested at a time. The state service truncates a response at 512 KiB.
 	maxListedKeys = 60
 
 	listTimeout         = 2 * time.Second
 	listRetryDelay      = 200 * time.Millisecond // after a list that failed
-	unreadableListDelay = time.Second            // after a list with a value that cannot be read
+	unreadableListDelay = time.Second            // after a list with a value that cannot be decoded
 )
 
-// loadProgress is how far the pages have been read.
+// loadProgress is the progress of Load.
 type loadProgress struct {
-	pendingLists     int // lists that have not been read to their end
+	pendingLists     int // lists that are not read to their end
 	completed        bool
-	loggedUnreadable bool // a value that cannot be read has been logged
+	loggedUnreadable bool // a value that cannot be decoded was logged
 }
 
-// listRequest is a list of keys that is read part by part.
+// listRequest is a request for the keys with a prefix, which are read in several responses.
 type listRequest struct {
 	prefix  string
-	from    string // key after which the next part begins
+	from    string // the next response begins after this key
 	delay   time.Duration
 	timeout time.Duration
 }
 
-// Load reads all pages and the archive's head and index. IsLoaded reports when that has been done; failures are retried until then.
+// Load starts to read all pages and the archive's head and index. Failures are retried until IsLoaded.
 func (s *Store) Load(outbox *client.Outbox) {
 	s.loading.pendingLists = 2
 	s.load(outbox, listRequest{prefix: PagePrefix, timeout: listTimeout}, s.installPage)
@@ -55,7 +55,7 @@
 		}
 		for _, row := range response.Keys {
 			if err := install(row); err != nil {
-				// Without this value it cannot be told which jobs there are, so no request is answered until it can be read.
+				// Without this value the jobs are not all known, so no request is answered until it can be decoded.
 				s.logUnreadable(row.Key, err)
 				request.delay = unreadableListDelay
 				s.load(outbox, request, install)
@@ -72,7 +72,7 @@
 	})
 }
 
-// logUnreadable logs the first key, or prefix of keys, that cannot be read. It is read again until it can.
+// logUnreadable logs the first key, or prefix of keys, that cannot be decoded. Reading it is retried.
 func (s *Store) logUnreadable(key string, err error) {
 	if s.loading.loggedUnreadable {
 		return
@@ -81,7 +81,7 @@
 	s.log.Error("state unreadable", logkeys.Key, key, logkeys.Err, err)
 }
 
-// listKeys reads one part of a list. status is 0 if there was no response, or none that can be read.
+// listKeys reads the next keys of a list. status is 0 if there was no response or it cannot be decoded.
 func (s *Store) listKeys(outbox *client.Outbox, request listRequest, done func(now time.Time, response listResponse, status int)) {
 	query := url.Values{"starts": {request.prefix}, "most": {strconv.Itoa(maxListedKeys)}}
 	if request.from != "" {
--- a/internal/controller/storage/messages.go
+++ b/internal/controller/storage/messages.go
@@ -14,28 +14,28 @@
 	PagePrefix = "page/"
 
 	archivePrefix = "history/"
-	// ArchiveHeadKey is the key of the archive's head, which names its segments. It is read at a failover.
+	// ArchiveHeadKey is the key of the archive's head, which lists its segments. It is read at a failover.
 	ArchiveHeadKey = archivePrefix + "head"
 	// ArchiveIndexPrefix is the prefix of the segments' indexes, which are read at a failover.
 	ArchiveIndexPrefix = archivePrefix + "i/"
-	// ArchiveDataPrefix is the prefix of the segments' data, which are read only when a user asks for an old job.
+	// ArchiveDataPrefix is the prefix of the segments' data, which are read only for requests about archived jobs.
 	ArchiveDataPrefix = "results/"
 )
 
-// The format key keeps versions without an archive from leading: they would call archived jobs unknown. They cannot decode a value
-// below PagePrefix that is no map, and answer no request until they have read all pages.
+// The format key prevents versions without an archive from serving requests: archived jobs are unknown to them. They cannot decode a
+// value below PagePrefix that is not a map, and serve no request until they have read all pages.
 const (
 	formatKey     = PagePrefix + "~format"
 	formatVersion = "history 1"
 )
 
-// FormatError reports that the stored state was written by a newer version.
+// FormatError is the error that the stored state was written by a newer version.
 type FormatError struct {
-	Found string // what the format key holds, empty if it is no text
-	Err   error  // why it cannot be decoded, if so
+	Found string // value of the format key, empty if it is not a string
+	Err   error  // why the value cannot be decoded, or nil
 }
 
-// Error says which format was found.
+// Error returns the text with the format that was found.
 func (e *FormatError) Error() string {
 	return fmt.Sprintf("state was written by a newer version: format %q, this version reads %q", e.Found, formatVersion)
 }
@@ -52,15 +52,15 @@
 	return nil
 }
 
-// pageValue is a page as it is stored. Leader and Sequence name the commit that wrote it. Sequence alone does not: the next leader
-// counts on from what it has read and uses the same numbers again.
+// pageValue is the stored form of a page. Leader and Sequence identify the commit that wrote it. Sequence alone is not unique: the next
+// leader continues from the highest number that it has read, and may use numbers again.
 type pageValue struct {
 	Sequence uint64                        `msgpack:"n"`
 	Leader   uint64                        `msgpack:"l,omitempty"` // fencing token
 	Entries  map[string]msgpack.RawMessage `msgpack:"e"`
 }
 
-// archivePartValue is an ArchivePart as it is stored.
+// archivePartValue is the stored form of an ArchivePart.
 type archivePartValue struct {
 	Text string `msgpack:"p"`
 }
@@ -70,13 +70,13 @@
 	Key         string `msgpack:"path"`
 	ModRevision uint64 `msgpack:"mark"` // revision of the key's last write, 0 if it must not exist
 
-	// compactZero: a key that a commit creates beside the pages is required by the short encoding of 0, as in all versions so far.
+	// compactZero selects the short encoding of ModRevision 0, which all versions use for keys other than pages.
 	compactZero bool
 }
 
 var _ msgpack.CustomEncoder = Precondition{}
 
-// EncodeMsgpack writes the precondition as the state service reads it.
+// EncodeMsgpack encodes the precondition as the state service decodes it.
 func (p Precondition) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	if err := encoder.EncodeMapLen(2); err != nil {
 		return err
@@ -96,7 +96,7 @@
 	return encoder.EncodeUint64(p.ModRevision)
 }
 
-// requireAbsent requires that a key beside the pages does not exist.
+// requireAbsent returns the precondition that a key other than a page does not exist.
 func requireAbsent(key string) Precondition { return Precondition{Key: key, compactZero: true} }
 
 // Operation is one write or one deletion of a commit.
@@ -106,18 +106,18 @@
 	Delete string `msgpack:"drop,omitempty"` // key that is deleted
 }
 
-// CommitRequest is the body of POST /commit: the state service makes all operations at once if all preconditions hold, else none.
+// CommitRequest is the body of POST /commit: the state service executes all operations atomically if all preconditions hold, else none.
 type CommitRequest struct {
 	Preconditions []Precondition `msgpack:"guards"`
 	Operations    []Operation    `msgpack:"apply"`
 }
 
-// commitResponse is the answer to a commit that was executed.
+// commitResponse is the response to a commit that was executed.
 type commitResponse struct {
 	Revision uint64 `msgpack:"tide"`
 }
 
-// commitConflict is the answer to a commit whose preconditions do not hold.
+// commitConflict is the response to a commit whose preconditions do not hold.
 type commitConflict struct {
 	FailedKeys []string `msgpack:"failed"`
 }
@@ -129,29 +129,29 @@
 	ModRevision uint64             `msgpack:"mark"`
 }
 
-// listResponse is the answer to a list of keys.
+// listResponse is the response to a list of keys.
 type listResponse struct {
 	Keys    []keyValue `msgpack:"entries"`
 	HasMore bool       `msgpack:"has_next"`
 }
 
-// leaderKeyResponse is what is read of the leader's key.
+// leaderKeyResponse is the response to a read of the leader's key, as far as it is used.
 type leaderKeyResponse struct {
 	ModRevision uint64 `msgpack:"mark"`
 }
 
-// pageResponse is the answer to a read of one page.
+// pageResponse is the response to a read of one page.
 type pageResponse struct {
 	Value       pageValue `msgpack:"value"`
 	ModRevision uint64    `msgpack:"mark"`
 }
 
-// archivePartResponse is the answer to a read of one part of the archive.
+// archivePartResponse is the response to a read of one part of the archive.
 type archivePartResponse struct {
 	Value archivePartValue `msgpack:"value"`
 }
 
-// entrySize is how many JSON bytes a stored entry takes in its page.
+// entrySize returns the JSON bytes of a stored entry in its page.
 func entrySize(name string, raw msgpack.RawMessage) int {
 	return codec.JSONSize(raw) + len(name) + entryOverhead
 }
--- a/internal/controller/storage/move.go
+++ b/internal/controller/storage/move.go
@@ -6,18 +6,18 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// entryMove is a change of several pages that counts only as a whole, so it is made in one commit: either entries leave their pages
-// and the archive's head changes, or entries leave a page that is split for new pages.
+// entryMove is an atomic change of several pages, which is made in one commit: either entries are removed from their pages and the
+// archive's head changes, or entries move from a page that is split to new pages.
 type entryMove struct {
-	pages       []*page // that the commit writes
+	pages       []*page // pages that the commit writes
 	removed     map[string]bool
 	source      *page                         // page that is split, or nil
 	targets     map[*page][]string            // new pages of the split with their entries
-	headChanges map[string]msgpack.RawMessage // of the archive's head; nil: the entry is deleted
+	headChanges map[string]msgpack.RawMessage // new entries of the archive's head; nil: the entry is deleted
 	done        DoneFunc
 }
 
-// applyTo makes the move in the value that is written of a page. current are the entries as they are now.
+// applyTo applies the move to the entries of one page that are written. current has the present value of every entry.
 func (m *entryMove) applyTo(target *page, isHead bool, entries map[string]msgpack.RawMessage, current map[string]*entry) {
 	switch names := m.targets[target]; {
 	case isHead:
@@ -45,8 +45,8 @@
 	}
 }
 
-// applyMove makes a move in memory, once it is durable and not before: if its commit is not executed, the pages have to be written
-// again as they were.
+// applyMove applies a move in memory. It must be durable: if its commit was not executed, the pages have to be written again as they
+// were.
 func (s *Store) applyMove(now time.Time, move *entryMove) {
 	if move.source != nil {
 		s.applySplit(now, move)
--- a/internal/controller/storage/page.go
+++ b/internal/controller/storage/page.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	pageOverhead  = 64 // JSON bytes of a page besides its entries
-	entryOverhead = 8  // JSON bytes of an entry besides its name and value
+	pageOverhead  = 64 // JSON bytes of a page in addition to its entries
+	entryOverhead = 8  // JSON bytes of an entry in addition to its name and value
 )
 
-// DoneFunc is told the outcome of a change. ok is true once the change is durable.
+// DoneFunc is called with the outcome of a change: ok is true once the change is durable, and false if that is uncertain.
 type DoneFunc func(now time.Time, ok bool)
 
 // entry is one named value.
@@ -23,7 +23,7 @@
 	raw      msgpack.RawMessage
 	size     int // JSON bytes of name and value, or the space reserved for them if that is more
 	page     *page
-	finished bool // belongs to a finished job, which may leave for the archive
+	finished bool // record of a finished job, which may be archived
 }
 
 // page is a group of entries that is written as one key.
@@ -31,13 +31,13 @@
 	key            string
 	modRevision    uint64 // 0: never written
 	entries        map[string]*entry
-	size           int // JSON bytes, with what is reserved for the entries
-	finishedSize   int // of that, bytes of finished jobs
+	size           int // JSON bytes, including space reserved for the entries
+	finishedSize   int // part of size that belongs to finished jobs
 	urgent         bool
 	dirtySince     time.Time // when the oldest unsaved change was made
 	waiters        []DoneFunc
-	hasStaleCopies bool // the stored page holds entries that are on other pages by now
-	unsplittable   bool // a single entry is larger than a page may be
+	hasStaleCopies bool // the stored page has entries that have moved to other pages
+	unsplittable   bool // a single entry exceeds the limit of a page
 }
 
 func newPage(key string) *page {
@@ -53,14 +53,14 @@
 	}
 }
 
-// add adds an entry that needs no more space than it takes now.
+// add adds an entry without reserved space.
 func (p *page) add(name string, raw msgpack.RawMessage) {
 	added := &entry{raw: raw, size: entrySize(name, raw), page: p}
 	p.entries[name] = added
 	p.size += added.size
 }
 
-// encodedSize is how many JSON bytes the page takes now. Its size counts what is reserved, too.
+// encodedSize returns the JSON bytes of the page without reserved space.
 func (p *page) encodedSize() int {
 	size := pageOverhead
 	for name, e := range p.entries {
@@ -69,7 +69,7 @@
 	return size
 }
 
-// value is the page as the commit of this leader and sequence stores it.
+// value returns the stored form of the page for the commit of this leader and sequence number.
 func (p *page) value(leader, sequence uint64) pageValue {
 	value := pageValue{Sequence: sequence, Leader: leader, Entries: make(map[string]msgpack.RawMessage, len(p.entries))}
 	for name, e := range p.entries {
@@ -78,7 +78,7 @@
 	return value
 }
 
-// grow changes the size of an entry on this page.
+// grow sets the size of an entry on this page.
 func (p *page) grow(e *entry, size int) {
 	p.size += size - e.size
 	e.size = size
@@ -97,7 +97,7 @@
 	}
 }
 
-// pageTable is the leader's copy of all pages. Each entry is on exactly one page.
+// pageTable is the leader's copy of all pages. Invariant: each entry is on exactly one page.
 type pageTable struct {
 	maxPageBytes int
 	byKey        map[string]*page
@@ -115,8 +115,8 @@
 	}
 }
 
-// addStored adds a page that was read. Pages come in the order of their numbers: if an entry is on two of them, an earlier leader
-// has copied it to the later one.
+// addStored adds a page that was read. Pages must be added in the order of their numbers: if an entry is on two of them, an earlier
+// leader has copied it to the one with the higher number, which is valid.
 func (t *pageTable) addStored(key string, modRevision uint64, value pageValue) {
 	added := newPage(key)
 	added.modRevision = modRevision
@@ -136,10 +136,10 @@
 	}
 }
 
-// names lists the entries in order.
+// names returns the names of all entries, sorted.
 func (t *pageTable) names() []string { return slices.Sorted(maps.Keys(t.entries)) }
 
-// remove takes an entry off its page.
+// remove removes an entry from its page.
 func (t *pageTable) remove(name string, e *entry) {
 	delete(t.entries, name)
 	delete(e.page.entries, name)
@@ -149,7 +149,7 @@
 	}
 }
 
-// setDirty notes that a page has unsaved changes.
+// setDirty marks a page as having unsaved changes. done, unless nil, is added to its waiters.
 func (t *pageTable) setDirty(now time.Time, changed *page, urgent bool, done DoneFunc) {
 	if !t.dirty[changed] {
 		t.dirty[changed], changed.dirtySince, changed.urgent = true, now, false
@@ -160,8 +160,8 @@
 	}
 }
 
-// choosePage finds a page for a new entry: one that is to be written anyway if there is one, else the fullest that has space, else
-// a new one. It returns nil if the entry fits no page.
+// choosePage returns a page for a new entry: one that has to be written anyway, else the fullest one with enough space, else a new one.
+// It returns nil if the entry exceeds the limit of a page.
 func (t *pageTable) choosePage(size int) *page {
 	if size+pageOverhead > t.maxPageBytes {
 		return nil
@@ -195,7 +195,7 @@
 	return a.key < b.key
 }
 
-// pagesHolding lists the pages of these entries by key.
+// pagesHolding returns the pages of these entries, sorted by key.
 func (t *pageTable) pagesHolding(names []string) []*page {
 	var pages []*page
 	seen := map[*page]bool{}
@@ -209,7 +209,7 @@
 	return pages
 }
 
-// isOversized reports whether a page is larger than pages may become.
+// isOversized reports whether a page exceeds the limit of a page.
 func (t *pageTable) isOversized(p *page) bool { return p.size > t.maxPageBytes }
 
 // hasStaleCopies reports whether some page holds stale copies of entries.
@@ -222,7 +222,7 @@
 	return false
 }
 
-// largestOversized is the largest page that is too large and can be split, or nil.
+// largestOversized returns the largest page that exceeds the limit and can be split, or nil.
 func (t *pageTable) largestOversized() *page {
 	var largest *page
 	for _, p := range t.byKey {
--- a/internal/controller/storage/split.go
+++ b/internal/controller/storage/split.go
@@ -10,30 +10,30 @@
 	"gullrudder/internal/wire/client"
 )
 
-// maxSplitDelay is how long a split waits for writes that somebody waits for.
+// maxSplitDelay is how long a split yields to urgent writes.
 const maxSplitDelay = 2 * time.Second
 
-// splitState is what becomes of pages that are larger than a value may be, or may be soon: an earlier version wrote them, or this
-// one before the lower limits were configured.
+// splitState is the state of the splits of oversized pages: pages that an earlier version wrote, or this one before lower limits were
+// configured.
 //
-// They are split as soon as they have been read. In one transaction entries leave a page for new ones, so each entry is on one page
-// at any time and both versions read all of them. Once the state service refuses a value for its size, a page can be so large that
-// not even its rest may be written. Then its entries are copied first, some pages at a time, and the page is written last, without
-// them. Until then the stored page has stale copies: of two entries with one name, that on the page with the higher number counts,
-// and no finished job leaves its page for the archive, since its stale copy would then count again.
+// They are split as soon as they have been read. One transaction moves entries from a page to new pages, so each entry is on one page
+// at any time and both versions can read all of them. Once the state service refuses values of the old size, a page can be so large
+// that it cannot be written even without the moved entries. Then its entries are copied first, to some new pages at a time, and the
+// page is written last, without them. Until then the stored page has stale copies: of two entries with the same name, the one on the
+// page with the higher number is valid, and no finished job is archived, since its stale copy would then become valid again.
 type splitState struct {
-	dueSince      time.Time // since when a page has to be split
+	dueSince      time.Time // when the present split became due
 	limitsLowered bool      // the state service refuses values of the old size
-	uncertainPage *page     // a new page of a split that failed, or may still be executed
+	uncertainPage *page     // a new page of a split that failed or may still be executed
 }
 
-// isUnwritable reports whether a page cannot be written as it is, because the state service refuses values of its size.
+// isUnwritable reports whether the state service refuses values of the present size of a page.
 func (s *Store) isUnwritable(p *page) bool {
 	return s.splits.limitsLowered && s.pages.isOversized(p) && p.encodedSize() > s.options.MaxValueBytes
 }
 
-// nextSplit is the next transaction that makes a page smaller, nil if none is due or the budget does not allow it. Writes that
-// somebody waits for go first, for up to maxSplitDelay.
+// nextSplit returns the next transaction that makes a page smaller, or nil if none is due or the budget does not allow it. Urgent writes
+// go first, for up to maxSplitDelay.
 func (s *Store) nextSplit(now time.Time) *entryMove {
 	largest := s.pages.largestOversized()
 	if largest == nil {
@@ -59,16 +59,16 @@
 	return plan.move
 }
 
-// splitPlan is a split that is being put together.
+// splitPlan is a split under construction.
 type splitPlan struct {
 	move       *entryMove
 	targets    []*page
 	nextNumber int // of the page after the new ones
-	remaining  int // JSON bytes left on the page, with what is reserved
-	encoded    int // of those, JSON bytes that are stored
+	remaining  int // JSON bytes left on the page, including reserved space
+	encoded    int // JSON bytes left on the page without reserved space
 }
 
-// add moves an entry to the last target, or to a new one if it does not fit. It returns false if there may be no more targets.
+// add moves an entry to the last target, or to a new one if it does not fit. It returns false if maxTargets is reached.
 func (p *splitPlan) add(name string, moved *entry, maxPageBytes, maxTargets int) bool {
 	if len(p.targets) == 0 || p.targets[len(p.targets)-1].size+moved.size > maxPageBytes {
 		if len(p.targets) == maxTargets {
@@ -86,7 +86,7 @@
 	return true
 }
 
-// planSplit picks the entries that leave a page, and the new pages that they go to, as many as one transaction can write.
+// planSplit chooses the entries to move from a page, and their new pages, as many as one transaction can write.
 func (s *Store) planSplit(source *page) *splitPlan {
 	plan := &splitPlan{
 		move:       &entryMove{removed: map[string]bool{}, source: source, targets: map[*page][]string{}},
@@ -96,7 +96,7 @@
 	}
 	maxTargets := s.options.MaxTransactionOps - 1
 	if s.splits.limitsLowered {
-		maxTargets = s.options.MaxTransactionOps // the page itself may be too large to be written beside them
+		maxTargets = s.options.MaxTransactionOps // the page itself may be too large to be written with them
 	}
 	for _, name := range slices.Sorted(maps.Keys(source.entries)) {
 		e := source.entries[name]
@@ -123,10 +123,10 @@
 	return plan
 }
 
-// invalidateUncertainSplit writes a new page of a split that may still be executed, without entries: the split requires that page not
-// to exist. This has to be certain before anything else is written. If the split was executed after a next try with other pages, or
-// after a change of the page that was to be split, it would leave copies that nobody knows of, and they would bring back jobs that
-// had ended or been archived since.
+// invalidateUncertainSplit writes a new page of a split that may still be executed, without entries. The split requires that this page
+// does not exist, so it fails from then on. This has to be certain before anything else is written: if the split was executed after
+// another try, or after a change of the source page, it would leave unknown copies of entries, which would restore jobs that had ended
+// or been archived since.
 func (s *Store) invalidateUncertainSplit(now time.Time, outbox *client.Outbox) {
 	if s.writeLimiter.Available(now) < 1 {
 		return
@@ -141,8 +141,8 @@
 	s.sendCommit(outbox, []*page{empty}, nil)
 }
 
-// applySplit makes a split in memory, once it is durable. What has changed on the page meanwhile is to be written to the pages that
-// its entries are on now, and its waiters wait for all of them.
+// applySplit applies a durable split in memory. Changes of the source page since the commit have to be written on the pages that have its
+// entries now, and its waiters wait for all of these.
 func (s *Store) applySplit(now time.Time, move *entryMove) {
 	source := move.source
 	all := []*page{source}
@@ -181,7 +181,7 @@
 	}
 }
 
-// notifyWhenAllDurable calls done once all pages are durable, and whenever one of them has become uncertain.
+// notifyWhenAllDurable calls done with true once all pages are durable, and with false whenever one of them is uncertain.
 func notifyWhenAllDurable(pages []*page, done DoneFunc) {
 	durable := map[*page]bool{}
 	for _, p := range pages {
@@ -197,8 +197,8 @@
 	}
 }
 
-// handleMalformedCommit takes note that the state service has refused a commit as malformed: it takes no values of that size any more, or
-// not so many changes at once. Nothing is sent again as it was.
+// handleMalformedCommit handles that the state service refused a commit as malformed: it no longer accepts values of that size, or that
+// many changes in a transaction. The limits are lowered for the next commits.
 func (s *Store) handleMalformedCommit(pages []*page) {
 	if slices.ContainsFunc(pages, func(p *page) bool { return p.encodedSize() > s.options.MaxValueBytes }) {
 		if !s.splits.limitsLowered {
--- a/internal/controller/storage/store.go
+++ b/internal/controller/storage/store.go
@@ -1,11 +1,10 @@
-// Package storage keeps the state that has to outlive every process in the state service. Entries are packed many to a page, a page
-// is one key, and changed pages are written in group commits. Every commit requires that the leader's key and every page it writes
-// are as this leader knows them, so a commit that is executed late or twice changes nothing.
+// Package storage keeps the persistent state in the state service. A page is one key with many entries, and changed pages are written in
+// group commits. Every commit requires the known revisions of the leader's key and of every page that it writes, so a commit that is
+// executed late or twice has no effect.
 //
-// A Store is one leadership's copy of the pages, made at the election and dropped whole when the leadership ends. It also writes the
-// keys of package archive, by the same rules. It never decides what an entry means, and it never answers a user.
-//
-// The design is in docs/design/storage.md, that of splits in docs/design/upgrade.md.
+// A Store owns one leadership's copy of the pages. It is made at the election and dropped whole when the leadership ends. It also writes
+// the keys of package archive, by the same rules. It never interprets an entry, and never answers a user.
+// Design notes: docs/design/storage.md, and docs/design/upgrade.md for splits.
 package storage
 
 import (
@@ -21,34 +20,34 @@
 )
 
 const (
-	// MaxTransactionBytes is how many JSON bytes of values go into one transaction.
+	// MaxTransactionBytes bounds the JSON bytes of the values of one transaction.
 	MaxTransactionBytes = 56 << 10
 
-	// writeRateShare is the share of the state service's write limit that is used. The rest is a margin: both sides count the
-	// same writes, but not at the same instants.
+	// writeRateShare is the share of the state service's write limit that is used. The rest is a margin, since both sides do not count
+	// a write at the same instant.
 	writeRateShare = 0.92
-	// writeBurst is how long writes may be saved up.
+	// writeBurst is the time for which unused writes accumulate.
 	writeBurst = time.Second
 )
 
-// Options are the limits that a Store keeps.
+// Options are the parameters and limits of a Store.
 type Options struct {
 	LeaderKey         string        // key that names the leader; every commit requires its revision
-	MaxValueBytes     int           // JSON bytes that a value may have
-	MaxTransactionOps int           // changes that a transaction may make
-	WriteRate         float64       // changes per second that the state service takes
-	BatchDelay        time.Duration // how long a change that nobody waits for may be gathered
+	MaxValueBytes     int           // limit of a value in JSON bytes
+	MaxTransactionOps int           // limit of the operations of a transaction
+	WriteRate         float64       // limit of the state service in operations per second
+	BatchDelay        time.Duration // how long a change that is not urgent may wait for others
 }
 
-// Store is a leader's copy of the pages and what of it is still to be written. It belongs to the controller's event loop and is not
-// safe for concurrent use.
+// Store is a leader's copy of the pages, with the changes that are not written yet. It belongs to the controller's event loop and is
+// not safe for concurrent use.
 type Store struct {
 	options      Options
 	log          *slog.Logger
 	fencingToken uint64
 	writeLimiter *client.RateLimiter
 	closed       bool // responses are dropped
-	fenced       bool // another leader has written, so this one has to step down
+	fenced       bool // another leader has written: this one has to step down
 
 	pages   pageTable
 	loading loadProgress
@@ -57,7 +56,7 @@
 	archive archiveState
 }
 
-// New returns the store of a new leadership. Load comes before anything else.
+// New returns the store of a new leadership. Load has to be called first.
 func New(options Options, fencingToken uint64, log *slog.Logger) *Store {
 	return &Store{
 		options:      options,
@@ -69,7 +68,7 @@
 	}
 }
 
-// Close drops the responses that are still to come.
+// Close makes the store ignore all later responses.
 func (s *Store) Close() { s.closed = true }
 
 // IsLoaded reports whether all pages have been read.
@@ -78,7 +77,7 @@
 // IsFenced reports whether another leader has written, so that this leadership is over.
 func (s *Store) IsFenced() bool { return s.fenced }
 
-// IsHealthy reports whether commits get through.
+// IsHealthy reports whether commits succeed.
 func (s *Store) IsHealthy() bool { return s.commits.failingSince.IsZero() }
 
 // send sends a request to the state service. Its response is dropped once the leadership is over.
@@ -93,7 +92,7 @@
 	outbox.Add(request)
 }
 
-// ForEach calls f with every entry, in the order of their names.
+// ForEach calls f with every entry, sorted by name.
 func (s *Store) ForEach(f func(name string, decode func(any) error)) {
 	for _, name := range s.pages.names() {
 		e := s.pages.entries[name]
@@ -101,19 +100,19 @@
 	}
 }
 
-// MaxEntryBytes is how many JSON bytes the value of an entry may have at most, with a page to itself.
+// MaxEntryBytes returns the limit in JSON bytes of the value of an entry that has a page to itself.
 func (s *Store) MaxEntryBytes(name string) int {
 	return s.options.MaxValueBytes - pageOverhead - len(name) - entryOverhead
 }
 
-// EntryTooLargeError reports that an entry does not fit its page, or any page. Its text is part of answers to users.
+// EntryTooLargeError is the error that an entry does not fit on its page, or on any page. Its text is part of answers to users.
 type EntryTooLargeError struct {
 	Name   string
 	Bytes  int  // JSON bytes of name and value
-	OnPage bool // the entry has a page already, which it would outgrow
+	OnPage bool // the entry is on a page that it would outgrow
 }
 
-// Error says how large the entry would be.
+// Error returns the text with the size of the entry.
 func (e *EntryTooLargeError) Error() string {
 	if e.OnPage {
 		return fmt.Sprintf("entry %s: grows to %d bytes, more than its page holds", e.Name, e.Bytes)
@@ -123,17 +122,17 @@
 
 // SetOptions say how an entry is written.
 type SetOptions struct {
-	// ReservedBytes is how many JSON bytes the value may come to need while the entry exists, 0 if it is what the value needs now. The
-	// entry never leaves its page because it grows.
+	// ReservedBytes is the largest size in JSON bytes that the value may reach; 0: its present size. An entry never changes its page
+	// because it grows.
 	ReservedBytes int
-	// Urgent says that somebody waits for the change: it is written with the next commit.
+	// Urgent is set if a request waits for the change: it is written with the next commit.
 	Urgent bool
-	// Done, unless nil, is called with true once the change is durable, or with false if that has become uncertain. In that case the
-	// change stays, is written again, and Done is called again.
+	// Done, unless nil, is called with true once the change is durable, and with false if that is uncertain. In that case the change
+	// stays, is written again, and Done is called again.
 	Done DoneFunc
 }
 
-// Set changes an entry. The error is an EntryTooLargeError or says that the value cannot be encoded; then nothing has changed.
+// Set adds or changes an entry. On error, an EntryTooLargeError or an encoding error, nothing is changed.
 func (s *Store) Set(now time.Time, name string, value any, options SetOptions) error {
 	raw, size, err := encodeEntry(name, value, options.ReservedBytes)
 	if err != nil {
@@ -173,7 +172,7 @@
 	return raw, reservedBytes + len(name) + entryOverhead, nil
 }
 
-// Reserve reserves the space of an entry that was loaded. What is stored tells only how large it is, not how large it may become.
+// Reserve reserves space for the growth of an entry that was loaded, since the stored value shows only its present size.
 func (s *Store) Reserve(name string, reservedBytes int) {
 	e := s.pages.entries[name]
 	if e == nil {
@@ -194,7 +193,7 @@
 	s.pages.setDirty(now, e.page, false, nil)
 }
 
-// SetFinished says that an entry belongs to a finished job: it may leave for the archive.
+// SetFinished marks an entry as the record of a finished job, which may be archived.
 func (s *Store) SetFinished(name string) {
 	if e := s.pages.entries[name]; e != nil && !e.finished {
 		e.finished = true
@@ -202,7 +201,8 @@
 	}
 }
 
-// SpareWrites is how many changes may be made now by what nobody waits for: half of the budget is left to what somebody waits for.
+// SpareWrites returns the number of writes that are available now for changes that are not urgent. Half of the budget is left to urgent
+// ones.
 func (s *Store) SpareWrites(now time.Time) int {
 	return max(s.writeLimiter.Available(now)-int(s.options.WriteRate/2), 0)
 }
