--- a/internal/controller/failover/restore.go
+++ b/internal/controller/failover/restore.go
@@ -110,10 +110,10 @@
 	archive := r.stores.Jobs.Archive()
 	r.log.Info("state loaded",
 		logkeys.FencingToken, r.fencingToken,
-		"unfinished_jobs", len(r.stores.Jobs.Unfinished),
-		"finished_jobs", r.stores.Jobs.FinishedCount()-archive.JobCount(),
-		"archived_jobs", archive.JobCount(),
-		"segments", archive.SegmentCount(),
-		"machines", len(r.workers.Machines),
+		logkeys.UnfinishedJobs, len(r.stores.Jobs.Unfinished),
+		logkeys.FinishedJobs, r.stores.Jobs.FinishedCount()-archive.JobCount(),
+		logkeys.ArchivedJobs, archive.JobCount(),
+		logkeys.Segments, archive.SegmentCount(),
+		logkeys.Machines, len(r.workers.Machines),
 		logkeys.Duration, r.sinceElection(now))
 }
--- a/internal/controller/heartbeat/failure.go
+++ b/internal/controller/heartbeat/failure.go
@@ -75,7 +75,7 @@
 		}
 	}
 	h.log.Info("job crash-looping", logkeys.Job, job.ID, logkeys.Team, job.Team, logkeys.Class, job.Class,
-		"failed_machines", h.observers.failures.FailedMachineCount(job.ID), "stopped_attempts", stopped)
+		logkeys.FailedMachines, h.observers.failures.FailedMachineCount(job.ID), logkeys.StoppedAttempts, stopped)
 	h.jobStore.SaveRecord(now, job)
 	h.placer.InvalidateOrder()
 }
--- a/internal/controller/worker/reconcile.go
+++ b/internal/controller/worker/reconcile.go
@@ -38,7 +38,7 @@
 		status := &heartbeat.Tasks[i]
 		task, err := jobs.ParseTaskID(status.Task)
 		if err != nil {
-			r.log.Info("heartbeat with an invalid task ID", logkeys.Machine, machine.ID, logkeys.Task, status.Task)
+			r.log.Info("invalid task ID in heartbeat", logkeys.Machine, machine.ID, logkeys.Task, status.Task)
 			continue
 		}
 		if status.State == workerapi.StateExited {
--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -27,23 +27,29 @@
 
 // Keys of stored state.
 const (
-	Bytes      = "bytes"      // size in bytes
-	Dependency = "dependency" // ID of a job that another one depends on
-	Level      = "level"      // how often the jobs of an archive segment have been compacted
-	Limit      = "limit"      // the limit that applies
-	Segment    = "segment"    // number of an archive segment
+	Bytes          = "bytes"           // size in bytes
+	Dependency     = "dependency"      // ID of a job that another one depends on
+	Level          = "level"           // how often the jobs of an archive segment have been compacted
+	Limit          = "limit"           // the limit that applies
+	Segment        = "segment"         // number of an archive segment
+	Segments       = "segments"        // number of archive segments
+	UnfinishedJobs = "unfinished_jobs" // number of unfinished jobs
+	FinishedJobs   = "finished_jobs"   // number of finished jobs that are not archived
+	ArchivedJobs   = "archived_jobs"   // number of archived jobs
 )
 
 // Keys of what happened.
 const (
-	Count    = "count"    // how many the message is about
-	Machines = "machines" // number of machines
-	Duration = "duration" // a span of time
-	Err      = "err"      // an error
-	Path     = "path"     // path of a request or a file
-	Reason   = "reason"   // why, in the program's own words
-	State    = "state"    // state entered
-	Status   = "status"   // HTTP status code
+	Count           = "count"            // how many the message is about
+	Machines        = "machines"         // number of machines
+	FailedMachines  = "failed_machines"  // number of machines on which a job has failed
+	StoppedAttempts = "stopped_attempts" // number of attempts that are stopped
+	Duration        = "duration"         // a span of time
+	Err             = "err"              // an error
+	Path            = "path"             // path of a request or a file
+	Reason          = "reason"           // why, in the program's own words
+	State           = "state"            // state entered
+	Status          = "status"           // HTTP status code
 	// RestartDelay is the time until a process is started again.
 	RestartDelay = "restart_delay"
 )
