--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -42,6 +42,7 @@
 const (
 	Count           = "count"            // how many the message is about
 	Machines        = "machines"         // number of machines
+	Tasks           = "tasks"            // number of tasks
 	FailedMachines  = "failed_machines"  // number of machines on which a job has failed
 	StoppedAttempts = "stopped_attempts" // number of attempts that are stopped
 	Duration        = "duration"         // a span of time
