--- a/internal/controller/archive/build_test.go
+++ b/internal/controller/archive/build_test.go
@@ -14,7 +14,7 @@
 	"gullrudder/internal/wire/client"
 )
 
-// Writes that somebody waits for go first: while they fill the transactions, nothing is archived.
+// Urgent writes go first: while they fill the transactions, nothing is archived.
 func TestArchivingWaitsForUserWrites(t *testing.T) {
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
 	leader := becomeLeader(t, cluster, time.Unix(5000, 0), 1, 1000)
--- a/internal/controller/archive/leadership_test.go
+++ b/internal/controller/archive/leadership_test.go
@@ -15,7 +15,7 @@
 
 const leaderKey = "leader"
 
-// leadership is what a leader does around the storage and the archive, and nothing else.
+// leadership is a leader with its storage and archive only.
 type leadership struct {
 	cluster  *simulator.Cluster
 	storage  *storage.Store
@@ -122,7 +122,7 @@
 	r.storage.Flush(r.now, &r.outbox)
 }
 
-// lookUp is what a user who asks for the job learns; ok is false if it cannot be told now.
+// lookUp returns what a user can read of the job; ok is false if the lookup has to be retried.
 func (r *leadership) lookUp(id string) (finalState archive.FinalState, found, ok bool) {
 	if finalState, there := r.finished[id]; there {
 		return finalState, true, true
@@ -137,7 +137,7 @@
 	return finalState, found, ok
 }
 
-// collidingIDs returns two IDs that the index cannot tell apart.
+// collidingIDs returns two IDs with the same key in the index.
 func collidingIDs() (string, string) {
 	seen := map[uint32]string{}
 	for i := 0; ; i++ {
--- a/internal/controller/archive/model_test.go
+++ b/internal/controller/archive/model_test.go
@@ -35,7 +35,7 @@
 // archiveSchedule is one drawn course of finished jobs, lost and late commits, and leaders that end.
 type archiveSchedule struct {
 	t             *rapid.T
-	first, second string // IDs that the index cannot tell apart
+	first, second string // IDs with the same key in the index
 	cluster       *simulator.Cluster
 	rate          float64
 	leader        *leadership
@@ -132,7 +132,7 @@
 	}
 }
 
-// checkLookup compares what is said of a job with the model.
+// checkLookup compares the lookup of a job with the model.
 func (s *archiveSchedule) checkLookup(jobID string) {
 	s.t.Helper()
 	want, isDurable := s.durable[jobID]
@@ -149,7 +149,7 @@
 	}
 }
 
-// end lets all calls arrive that are still on their way, and another leader finish what is to be done.
+// end delivers all calls in transit, and has another leader finish the pending work.
 func (s *archiveSchedule) end() {
 	s.t.Helper()
 	for _, call := range s.late {
--- a/internal/controller/archived_jobs_test.go
+++ b/internal/controller/archived_jobs_test.go
@@ -10,13 +10,13 @@
 	"gullrudder/internal/wire/server"
 )
 
-// userClient sends requests of users to a leader and reads what a user reads of the responses.
+// userClient sends requests of users to a leader and decodes the responses.
 type userClient struct {
 	controller *Controller
 	service    *fakeStateService
 }
 
-// userResponse is what a user reads of a response.
+// userResponse is a response as a user decodes it.
 type userResponse struct {
 	Status    int    `msgpack:"-"`
 	State     string `msgpack:"trim"`
--- a/internal/controller/dynamic_config_test.go
+++ b/internal/controller/dynamic_config_test.go
@@ -45,7 +45,7 @@
 
 // A change is applied as a whole or not at all, counts once it is durable, is what the next leader has too, and is recorded
 // with its author.
-func TestSettingsAreApplied(t *testing.T) {
+func TestOptionsAreApplied(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	controller, service := newTestLeader(now, config.DefaultOptions()), newFakeStateService()
 	controller.loadState(t, now, service)
--- a/internal/controller/election/campaign_test.go
+++ b/internal/controller/election/campaign_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestIsolation checks that a controller counts as isolated once it has heard from neither the state service nor a
-// peer for a while, also between two leaders, when nobody sends pings.
+// TestIsolation checks that a controller counts as isolated after isolationTimeout without contact to the state service
+// and to any peer, also between two leaders, when there are no pings.
 func TestIsolation(t *testing.T) {
 	for _, test := range []struct {
 		name                string
--- a/internal/controller/election/lease_test.go
+++ b/internal/controller/election/lease_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestLateRenewal checks that a leadership continues with what it knows after a late renewal, as on a slow processor,
-// if the state service says that the lease is alive. The peers cannot know that. Without such a renewal the leadership
+// TestLateRenewal checks that a leadership continues with its state after a late renewal, as on a slow processor, if
+// the state service confirms the lease. The grants of the peers do not suffice for that. Without such a renewal the leadership
 // ends one more lease duration later. When it was built anew under the same fencing token instead, its attempt numbers
 // and instance names began anew with it.
 func TestLateRenewal(t *testing.T) {
--- a/internal/controller/election/renewal_model_test.go
+++ b/internal/controller/election/renewal_model_test.go
@@ -36,11 +36,11 @@
 	unloadedRefusals int // by these
 }
 
-// modelLeader is what a controller keeps of its leadership.
+// modelLeader is the state of a leadership.
 type modelLeader struct {
 	fencingToken         uint64 // 0: it does not lead
 	stateLoaded          bool
-	cancellationDone     bool      // knows that nothing of the cancelled job runs
+	cancellationDone     bool      // it has observed that no task of the cancelled job runs
 	earliestConfirmation time.Time // the earliest that it may have been confirmed
 	lastRenewalAt        time.Time // when it last renewed the worker's lease, or began to lead
 }
@@ -138,7 +138,7 @@
 	}
 }
 
-// reportCancellations does what the owner does once a tick: it tells the election of the oldest cancellation.
+// reportCancellations sets the oldest cancellation of the election, as the controller does at each tick.
 func (w *renewalModel) reportCancellations(e *Election, leader *modelLeader) {
 	if w.now.Sub(leader.lastRenewalAt) > workerLeaseDuration+stepTolerance {
 		leader.cancellationDone = true
@@ -212,7 +212,7 @@
 	w.steps(rng.IntN(5))
 	w.Do("worker isolated")
 	leader := w.awaitLeader()
-	pingsDelayed := rng.IntN(2) == 0 // what the leader tells the others is delayed meanwhile
+	pingsDelayed := rng.IntN(2) == 0 // pings of the leader are delayed meanwhile
 	if pingsDelayed {
 		w.Do(fmt.Sprintf("peers %d %d", leader, linkHolding))
 	}
--- a/internal/controller/election/state_messages_test.go
+++ b/internal/controller/election/state_messages_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestStateMessageEncoding checks the bytes of what is sent to the state service. They are those that earlier versions
+// TestStateMessageEncoding checks the bytes of the requests to the state service. They are those that earlier versions
 // sent; of a claim, whose keys these sent in any order, the most frequent.
 func TestStateMessageEncoding(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/controller/election/transfer_test.go
+++ b/internal/controller/election/transfer_test.go
@@ -53,7 +53,7 @@
 	return transferred
 }
 
-// TestFollowerAcceptsTransfer checks that a controller that is told of a transfer is not bound any more and revokes the
+// TestFollowerAcceptsTransfer checks that a controller is not bound after the notice of a transfer, and revokes the
 // lease; unless a later leader relies on its grant, since the message may have been delayed.
 func TestFollowerAcceptsTransfer(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/controller/failover/lease_renewal_test.go
+++ b/internal/controller/failover/lease_renewal_test.go
@@ -7,7 +7,7 @@
 
 // A heartbeat that is answered but not believed, since its worker has not seen the fencing token yet, is answered with kills
 // of the tasks of cancelled jobs: a 200 without them would keep these tasks for another lease.
-func TestUnprovenHeartbeatIsAnsweredWithKillsOfCancelledTasks(t *testing.T) {
+func TestUnverifiedHeartbeatIsAnsweredWithKillsOfCancelledTasks(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler, report := newReconcilerWithCancelledJob(t, now)
 	if response := reconciler.sendHeartbeat(t, now, report); countKills(response) != 1 {
@@ -17,7 +17,7 @@
 
 // A machine on which a cancelled task goes on after two kill commands gets no lease that would keep the task for longer than
 // its user was promised.
-func TestMachineThatIgnoresKillsGetsNoLease(t *testing.T) {
+func TestLeaseIsNotRenewedIfMachineIgnoresKills(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler, report := newReconcilerWithCancelledJob(t, now)
 	report.FencingToken = 9
--- a/internal/controller/failover/reconciler_test.go
+++ b/internal/controller/failover/reconciler_test.go
@@ -12,7 +12,7 @@
 
 // A heartbeat made under an older fencing token may be older than starts that an earlier leader has sent since: a
 // registered machine is reconciled only once its worker has seen the new token.
-func TestHeartbeatUnderAnOlderFencingTokenIsNotBelieved(t *testing.T) {
+func TestHeartbeatUnderOlderFencingTokenIsNotReconciled(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
 	reconciler.progress.completed = false
@@ -55,7 +55,7 @@
 
 // A new leader half of whose registered machines no longer exist probes those again and again. That they do not answer is no
 // sign of a partition: machines that have reported answer. If none at all answers, it is one.
-func TestTerminatedMachinesAreNoSignOfLostInboundConnectivity(t *testing.T) {
+func TestTerminatedMachinesAreNoEvidenceOfPartition(t *testing.T) {
 	for name, alive := range map[string]int{"half of them are there": 20, "none answers": 0} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(10_000, 0)
@@ -82,9 +82,9 @@
 }
 
 // answerProbes answers the probes of the machines with the first numbers; the others do not answer.
-func (k *testReconciler) answerProbes(t *testing.T, now time.Time, alive int) {
+func (reconciler *testReconciler) answerProbes(t *testing.T, now time.Time, alive int) {
 	t.Helper()
-	for _, call := range k.outbox.TakeCalls() {
+	for _, call := range reconciler.outbox.TakeCalls() {
 		var number int
 		if _, err := fmt.Sscanf(call.Addr, "vm-%d", &number); err != nil || number >= alive {
 			call.Done(now, client.Result{})
--- a/internal/controller/failover/setup_test.go
+++ b/internal/controller/failover/setup_test.go
@@ -155,44 +155,44 @@
 	})
 }
 
-// addMachine adds a machine that the worker registry has heard of at the given time, reconciled and registered.
-func (k *testReconciler) addMachine(now time.Time, id, zone string) *worker.Machine {
-	machine := k.workers.GetOrAdd(id)
+// addMachine adds a machine whose last contact is at the given time, reconciled and registered.
+func (reconciler *testReconciler) addMachine(now time.Time, id, zone string) *worker.Machine {
+	machine := reconciler.workers.GetOrAdd(id)
 	report := workerapi.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: zone, Incarnation: 1, Sequence: 1}
-	k.workers.Reconcile(now, machine, &report, true, k.jobs.Find)
+	reconciler.workers.Reconcile(now, machine, &report, true, reconciler.jobs.Find)
 	machine.Reconciled, machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = true, true, now, now
 	return machine
 }
 
 // addUnreconciled adds a machine that an earlier leader registered.
-func (k *testReconciler) addUnreconciled(now time.Time, id string) *worker.Machine {
-	machine := k.workers.GetOrAdd(id)
+func (reconciler *testReconciler) addUnreconciled(now time.Time, id string) *worker.Machine {
+	machine := reconciler.workers.GetOrAdd(id)
 	machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = true, now, now
-	k.unreconciled = append(k.unreconciled, machine)
+	reconciler.unreconciled = append(reconciler.unreconciled, machine)
 	return machine
 }
 
 // checkUnresponsive looks at all machines with a large probe budget; no probe is answered.
-func (k *testReconciler) checkUnresponsive(now time.Time) {
-	k.prober.refillBudget(50 * time.Millisecond)
-	k.prober.budget = 100
-	k.unresponsive.check(now, k.Completed())
-	for _, call := range k.outbox.TakeCalls() {
+func (reconciler *testReconciler) checkUnresponsive(now time.Time) {
+	reconciler.prober.refillBudget(50 * time.Millisecond)
+	reconciler.prober.budget = 100
+	reconciler.unresponsive.check(now, reconciler.Completed())
+	for _, call := range reconciler.outbox.TakeCalls() {
 		call.Done(now, client.Result{})
 	}
 }
 
 // exchangeHeartbeat delivers the body of a heartbeat and returns the responses.
-func (k *testReconciler) exchangeHeartbeat(now time.Time, body []byte) []server.Response {
-	k.heartbeats.HandleHeartbeat(now, &server.Request{Method: "POST", Target: "/v1/report", Body: body}, true)
-	k.heartbeats.SendResponses(now, k.Completed())
-	return k.responder.TakeResponses()
+func (reconciler *testReconciler) exchangeHeartbeat(now time.Time, body []byte) []server.Response {
+	reconciler.heartbeats.HandleHeartbeat(now, &server.Request{Method: "POST", Target: "/v1/report", Body: body}, true)
+	reconciler.heartbeats.SendResponses(now, reconciler.Completed())
+	return reconciler.responder.TakeResponses()
 }
 
 // sendHeartbeat delivers a heartbeat, which must be answered with 200, and returns the response.
-func (k *testReconciler) sendHeartbeat(t *testing.T, now time.Time, report workerapi.Heartbeat) workerapi.HeartbeatResponse {
+func (reconciler *testReconciler) sendHeartbeat(t *testing.T, now time.Time, heartbeat workerapi.Heartbeat) workerapi.HeartbeatResponse {
 	t.Helper()
-	replies := k.exchangeHeartbeat(now, marshal(t, report))
+	replies := reconciler.exchangeHeartbeat(now, marshal(t, heartbeat))
 	if len(replies) != 1 || replies[0].Status != 200 {
 		t.Fatalf("%+v", replies)
 	}
@@ -214,7 +214,7 @@
 
 // newReconcilerWithCancelledJob returns a reconciler that knows a job with one task, cancelled a second ago, and a heartbeat
 // of a machine on which that task runs.
-func newReconcilerWithCancelledJob(t *testing.T, now time.Time) (reconciler *testReconciler, report workerapi.Heartbeat) {
+func newReconcilerWithCancelledJob(t *testing.T, now time.Time) (reconciler *testReconciler, heartbeat workerapi.Heartbeat) {
 	t.Helper()
 	reconciler = newTestReconciler(now, 9)
 	if !reconciler.jobs.OpenArchive() {
--- a/internal/controller/failover/unresponsive_test.go
+++ b/internal/controller/failover/unresponsive_test.go
@@ -44,7 +44,7 @@
 	if sentinels != silent/10 || terminated != silent-silent/10 {
 		t.Fatalf("of %d silent machines %d are sentinels, %d terminated", silent, sentinels, terminated)
 	}
-	for _, machine := range reconciler.workers.SortedMachines() { // one sentinel is heard of again, the other is not
+	for _, machine := range reconciler.workers.SortedMachines() { // one sentinel sends a heartbeat again, the other does not
 		if machine.IsSentinel {
 			machine.LeaseRenewedAt, machine.LastContactAt = now, now
 			break
@@ -59,13 +59,13 @@
 }
 
 // observeZones shows all machines to the zone tracker.
-func (k *testReconciler) observeZones(now time.Time) {
-	k.zones.Observe(now, false, func(visit func(zones.Machine)) {
-		for _, machine := range k.workers.SortedMachines() {
+func (reconciler *testReconciler) observeZones(now time.Time) {
+	reconciler.zones.Observe(now, false, func(visit func(zones.Machine)) {
+		for _, machine := range reconciler.workers.SortedMachines() {
 			visit(zones.Machine{
 				Zone:          machine.Zone,
 				HasReported:   true,
-				LeaseValid:    !k.workers.IsLeaseExpired(now, machine),
+				LeaseValid:    !reconciler.workers.IsLeaseExpired(now, machine),
 				LastHeartbeat: machine.LastContactAt,
 				Deleting:      machine.DrainReason == worker.DrainUnresponsive,
 				Sentinel:      machine.IsSentinel,
@@ -75,9 +75,9 @@
 }
 
 // countSentinels counts the sentinels, on which no task may be placed, and the machines that are being terminated.
-func (k *testReconciler) countSentinels(t *testing.T, now time.Time) (sentinels, terminated int) {
+func (reconciler *testReconciler) countSentinels(t *testing.T, now time.Time) (sentinels, terminated int) {
 	t.Helper()
-	for _, machine := range k.workers.SortedMachines() {
+	for _, machine := range reconciler.workers.SortedMachines() {
 		if machine.IsSentinel {
 			sentinels++
 			if placement.IsEligible(jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, AllowsSpot: true}, now), machine) {
@@ -127,10 +127,10 @@
 }
 
 // countTerminated counts the machines that are being terminated, which must be among the first so many, the silent ones.
-func (k *testReconciler) countTerminated(t *testing.T, silent int) int {
+func (reconciler *testReconciler) countTerminated(t *testing.T, silent int) int {
 	t.Helper()
 	terminated := 0
-	for i, machine := range k.workers.SortedMachines() {
+	for i, machine := range reconciler.workers.SortedMachines() {
 		if machine.DrainReason != worker.DrainUnresponsive {
 			continue
 		}
@@ -143,8 +143,8 @@
 }
 
 // renewMachines renews all machines but the first so many, which are silent.
-func (k *testReconciler) renewMachines(now time.Time, silent int) {
-	for i, machine := range k.workers.SortedMachines() {
+func (reconciler *testReconciler) renewMachines(now time.Time, silent int) {
+	for i, machine := range reconciler.workers.SortedMachines() {
 		if i >= silent {
 			machine.LeaseRenewedAt, machine.LastContactAt = now, now
 		}
--- a/internal/controller/failures/tracker_test.go
+++ b/internal/controller/failures/tracker_test.go
@@ -47,7 +47,7 @@
 	return posterior[:c.jobs], posterior[c.jobs:]
 }
 
-// likelihood is the joint probability of an assignment and of what was observed.
+// likelihood returns the joint probability of an assignment and the observations.
 func (c *attributionCase) likelihood(assigned assignment) float64 {
 	p := 1.0
 	for j := range c.jobs {
@@ -87,7 +87,7 @@
 func jobName(j int) string     { return fmt.Sprint("job-", j) }
 func machineName(m int) string { return fmt.Sprint("vm-", m) }
 
-// drawCase draws a case and tells the tracker of it.
+// drawCase draws a case and records it in the tracker.
 func drawCase(t *rapid.T, tracker *Tracker) *attributionCase {
 	c := &attributionCase{jobs: rapid.IntRange(1, 4).Draw(t, "jobs"), machines: rapid.IntRange(1, 5).Draw(t, "machines")}
 	crashLoops := rapid.SliceOfN(rapid.Bool(), c.jobs, c.jobs).Draw(t, "crash loops")
--- a/internal/controller/storage/commit_test.go
+++ b/internal/controller/storage/commit_test.go
@@ -62,7 +62,7 @@
 	return f.singleCall()
 }
 
-// commitBody is what the state service reads of a commit.
+// commitBody is a commit as the state service decodes it.
 type commitBody struct {
 	Guards []struct {
 		Path        string `msgpack:"path"`
@@ -257,7 +257,7 @@
 }
 
 // The next leader counts on from what it has read, so its first commit has the sequence number of this leader's commit whose answer was
-// lost. It is not taken for that commit, and no waiter is told that it is durable.
+// lost. It is not taken for that commit, and no waiter is called with true.
 func TestCommitOfAnotherLeaderIsNotOwn(t *testing.T) {
 	f := newLoadedFixture(t)
 	var notifications []bool
--- a/internal/controller/storage/model_test.go
+++ b/internal/controller/storage/model_test.go
@@ -69,7 +69,7 @@
 	return len(text)
 }
 
-// readEntries is what a leader reads: pages in the order of their keys, and of two entries of a name the last.
+// readEntries reads the entries as a leader does: pages in the order of their keys, and of two entries of a name the last.
 func (s *modelStore) readEntries(t fataler) (entries map[string]int, twice bool) {
 	entries = map[string]int{}
 	for _, key := range slices.Sorted(maps.Keys(s.pages)) {
@@ -86,7 +86,7 @@
 	return entries, twice
 }
 
-// newLeader is the ledger of a new leader, which has read all.
+// newLeader returns the store of a new leader, which has loaded all pages.
 func (s *modelStore) newLeader(t fataler, now time.Time, outbox *client.Outbox, valueBytes, ops int) *Store {
 	outbox.TakeCalls()
 	s.revision++
--- a/internal/controller/storage/split_test.go
+++ b/internal/controller/storage/split_test.go
@@ -26,7 +26,7 @@
 	copied  int          // how often an entry was seen on two pages
 }
 
-// changeLeader has a new leader read all pages: what was durable is there.
+// changeLeader lets a new leader load all pages, and checks that durable entries are there.
 func (s *splitSchedule) changeLeader(valueBytes, txnOps int) {
 	s.t.Helper()
 	s.store = s.service.newLeader(s.t, s.now, &s.outbox, valueBytes, txnOps)
@@ -61,7 +61,7 @@
 	}
 }
 
-// step lets some time pass and carries out what the store sends. If lossy, commits may be lost.
+// step lets some time pass and executes the calls of the store. If lossy, commits may be lost.
 func (s *splitSchedule) step(lossy bool) {
 	s.t.Helper()
 	s.now = s.now.Add(time.Duration(100+rapid.IntRange(0, 900).Draw(s.t, "ms")) * time.Millisecond)
@@ -203,7 +203,7 @@
 	held    *commitBody
 }
 
-// step carries out what the store sends. If hold, the first commit of several pages is held and not answered.
+// step executes the calls of the store. If hold, the first commit of several pages is held back without a response.
 func (l *lateCopy) step(hold bool) {
 	l.t.Helper()
 	l.now = l.now.Add(time.Second)
@@ -243,7 +243,7 @@
 	}
 }
 
-// A copy that nobody answered is executed late, after the next try: it changes nothing.
+// A copy without a response is executed late, after the next try: it has no effect.
 func TestLateCopyIsRefused(t *testing.T) {
 	l := &lateCopy{t: t, service: newModelStore(), now: time.Unix(1000, 0)}
 	l.store = l.service.newLeader(t, l.now, &l.outbox, oldValueBytes, oldTxnOps)
--- a/internal/controller/straggler/detector_test.go
+++ b/internal/controller/straggler/detector_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// Run times that the resolution cannot tell apart, and jobs with too few completed tasks, are no evidence.
+// Run times below the resolution, and jobs with too few completed tasks, are no evidence.
 func TestNoMachineIsSlowWithoutEvidence(t *testing.T) {
 	detector := NewDetector(10 * time.Second)
 	for range 50 {
--- a/internal/controller/worker/reachability/model_test.go
+++ b/internal/controller/worker/reachability/model_test.go
@@ -61,7 +61,7 @@
 	l.worker.sequence = 0
 }
 
-func (l *lossyLink) believe(sent sentHeartbeat, complete bool) {
+func (l *lossyLink) accept(sent sentHeartbeat, complete bool) {
 	l.registry.Reconcile(l.now, l.machine, &sent.heartbeat, complete, findNoJob)
 	l.machine.Reconciled, l.newestSentAt = true, sent.sentAt
 }
@@ -80,7 +80,7 @@
 		l.Fatalf("step %d: counters reset by an old answer", l.step)
 	}
 	if !countersReset && sent.heartbeat.FencingToken == testFencingToken && l.machine.IsNewer(&sent.heartbeat) && !l.machine.HasReported {
-		l.believe(sent, false)
+		l.accept(sent, false)
 	}
 }
 
@@ -100,7 +100,7 @@
 		l.Fatalf("step %d: a heartbeat of %v is fresh after one of %v", l.step, sent.sentAt, l.newestSentAt)
 	case freshness == Fresh:
 		l.classifiedFresh[index] = true
-		l.believe(sent, true)
+		l.accept(sent, true)
 	}
 	isAwaited := sent.process == l.worker.process && sent.heartbeat.Incarnation == l.worker.incarnation
 	if freshness != Stale && isAwaited && rapid.Bool().Draw(l.T, "response arrives") {
