--- a/internal/controller/archive/lookup.go
+++ b/internal/controller/archive/lookup.go
@@ -71,7 +71,7 @@
 // IsUnreachable reports whether reads of the data have failed for longer than unreachableAfter.
 func (s *Store) IsUnreachable(now time.Time) bool { return s.reader.isUnreachable(now) }
 
-// LookupFunc takes the result of a lookup in the data: found is true if the job is in a segment; an error means that it cannot be told
+// LookupFunc takes the result of a lookup in the data: found is true if the job is in a segment; an error means that it is unknown
 // now, ErrBusy or ReadError among others.
 type LookupFunc func(now time.Time, state FinalState, found bool, err error)
 
--- a/internal/controller/election/connectivity/monitor.go
+++ b/internal/controller/election/connectivity/monitor.go
@@ -46,7 +46,7 @@
 	// As leader.
 	lastHeartbeatAt  time.Time
 	lastTickAt       time.Time
-	expectedMachines int            // machines whose heartbeats should come
+	expectedMachines int            // machines that should send heartbeats
 	overdueMachines  int            // of these, those whose heartbeats are overdue
 	workersByPeer    map[string]int // number of workers that contacted a peer recently, by its name
 	probes           probeHistory
--- a/internal/controller/election/contact.go
+++ b/internal/controller/election/contact.go
@@ -15,7 +15,7 @@
 	peerProbeInterval = time.Second
 )
 
-// contactTimes is when this controller last heard from others.
+// contactTimes are the times of the last contacts of this controller with the peers and the state service.
 type contactTimes struct {
 	peerAt          time.Time // a request or a response of another controller
 	stateServiceAt  time.Time // a response of the state service, whatever its status
