--- a/cmd/faulttest/commits.go
+++ b/cmd/faulttest/commits.go
@@ -259,16 +259,19 @@
 	slower time.Duration
 }
 
+// Create creates a file whose syncs take longer.
 func (d slowDirectory) Create(name string) (kvserver.File, error) {
 	f, err := d.OSDirectory.Create(name)
 	return slowFile{f, d.slower}, err
 }
 
+// Open opens a file whose syncs take longer.
 func (d slowDirectory) Open(name string) (kvserver.File, error) {
 	f, err := d.OSDirectory.Open(name)
 	return slowFile{f, d.slower}, err
 }
 
+// Sync syncs the file and then waits.
 func (f slowFile) Sync() error {
 	err := f.File.Sync()
 	time.Sleep(f.slower)
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -52,6 +52,7 @@
 	}
 }
 
+// runTime is how long an attempt of the task runs, one second for an unknown job.
 func (checker *invariantChecker) runTime(taskID jobs.TaskID) time.Duration {
 	if j := checker.jobs[taskID.JobID]; j != nil {
 		return j.runTime + time.Duration(taskID.Index)*j.taskStagger
@@ -59,10 +60,12 @@
 	return time.Second
 }
 
+// taskFails reports whether every attempt of the task fails.
 func (checker *invariantChecker) taskFails(taskID jobs.TaskID) bool {
 	return checker.jobs[taskID.JobID] != nil && checker.jobs[taskID.JobID].alwaysFails
 }
 
+// hasCheckpoints reports whether the task saves its progress when it is killed with enough grace.
 func (checker *invariantChecker) hasCheckpoints(taskID jobs.TaskID) bool {
 	j := checker.jobs[taskID.JobID]
 	return j != nil && j.spec.CheckpointInterval > 0
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -60,6 +60,7 @@
 	AdjustPlatform      func(*config.Platform) // changes the platform's configuration of each controller
 }
 
+// controllerProcess is the process of one controller: it crashes and restarts, and its clock drifts.
 type controllerProcess struct {
 	index       int
 	platform    *config.Platform
@@ -71,23 +72,34 @@
 	queue       []controller.Input
 }
 
+// event is an action at a moment of virtual time.
 type event struct {
 	at       time.Time
 	sequence int
 	action   func()
 }
 
+// eventHeap orders events by time, and events of the same moment by when they were scheduled. It implements heap.Interface.
 type eventHeap []event
 
+// Len is the number of events.
 func (h eventHeap) Len() int { return len(h) }
+
+// Less reports whether event i comes before event j.
 func (h eventHeap) Less(i, j int) bool {
 	if !h[i].at.Equal(h[j].at) {
 		return h[i].at.Before(h[j].at)
 	}
 	return h[i].sequence < h[j].sequence
 }
+
+// Swap exchanges two events.
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+
+// Push is called by package heap only.
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
+
+// Pop is called by package heap only.
 func (h *eventHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
@@ -289,8 +301,7 @@
 	return delay, true
 }
 
-// performCall carries out one of a controller's calls. The receiver may execute it although the
-// caller has timed out or crashed.
+// performCall carries out a controller's call. The receiver may execute it although the caller has timed out or crashed.
 func (sim *Cluster) performCall(process *controllerProcess, gen int, call client.Call) {
 	if process.generation != gen || process.controller == nil {
 		return
@@ -362,8 +373,7 @@
 	}
 }
 
-// deliverRequest delivers a request to a controller. It returns false if no process runs there and the
-// connection is refused.
+// deliverRequest delivers a request to a controller. It returns false if no process runs there.
 func (sim *Cluster) deliverRequest(name string, peer bool, method, path string, body []byte, answer func(int, any)) bool {
 	for _, c := range sim.controllers {
 		if c.platform.Name != name || c.controller == nil {
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -153,7 +153,7 @@
 	return -1
 }
 
-// watchSingleLeader looks from now on, a hundred times a second, that no two controllers are entitled at once.
+// watchSingleLeader checks from now on, a hundred times a second, that no two controllers hold the leader lease at once.
 func (sim *Cluster) watchSingleLeader() {
 	sim.At(10*time.Millisecond, func() {
 		var list []string
--- a/internal/simulator/faultydisk/disk.go
+++ b/internal/simulator/faultydisk/disk.go
@@ -209,6 +209,7 @@
 	inode *inode
 }
 
+// WriteAt writes at an offset. The data is lost in a crash unless it is synced.
 func (f *file) WriteAt(b []byte, at int64) (int, error) {
 	if err := f.disk.beginOperation(); err != nil {
 		if f.disk.Operations == f.disk.CrashAt {
@@ -251,6 +252,7 @@
 	return to
 }
 
+// Truncate cuts the file off. The change is lost in a crash unless it is synced.
 func (f *file) Truncate(size int64) error {
 	if err := f.disk.beginOperation(); err != nil {
 		return err
@@ -260,6 +262,7 @@
 	return nil
 }
 
+// Sync makes everything written so far durable, except what an earlier failed sync has lost.
 func (f *file) Sync() error {
 	if err := f.disk.beginOperation(); err != nil {
 		return err
@@ -279,6 +282,7 @@
 	return nil
 }
 
+// Close does nothing: the data is neither synced nor lost.
 func (f *file) Close() error { return nil }
 
 // AfterCrash returns the disk as the next process finds it.
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -10,6 +10,7 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
+// machine is a simulated machine with its worker.
 type machine struct {
 	sim              *Cluster
 	id               string
@@ -36,6 +37,7 @@
 	bootCount        int             // invalidates the heartbeat loop of an earlier boot
 }
 
+// machineTask is one attempt of a task on a machine.
 type machineTask struct {
 	key             jobs.TaskID
 	attempt         uint64
@@ -45,11 +47,13 @@
 	stage           int // invalidates events that were scheduled in an earlier state
 }
 
+// terminate deletes the machine with all tasks on it.
 func (m *machine) terminate() {
 	m.isTerminated = true
 	m.dropTasks()
 }
 
+// dropTasks removes all tasks without a trace in the next heartbeat.
 func (m *machine) dropTasks() {
 	for _, name := range m.taskNames() {
 		m.sim.checker.taskStopped(m, m.tasks[name])
@@ -105,6 +109,7 @@
 		(!m.spot || spec.AllowsSpot)
 }
 
+// restart kills all tasks and boots the machine again. A worker that keeps its incarnation counter goes on counting.
 func (m *machine) restart(back time.Duration, counts bool) {
 	m.dropTasks()
 	m.isUp, m.awaitsResponse, m.fencingToken, m.sequence = false, false, 0, 0
--- a/internal/simulator/queuecheck.go
+++ b/internal/simulator/queuecheck.go
@@ -24,7 +24,7 @@
 	})
 }
 
-// checkLeftWaiting: no job may wait for longer than maxStartableWait although a machine has capacity for it.
+// checkLeftWaiting checks that no job waits for longer than maxStartableWait although a machine has capacity for it.
 func (checker *invariantChecker) checkLeftWaiting() {
 	usage := checker.measureUsage()
 	for _, jobID := range checker.sim.Users.jobIDs {
@@ -67,6 +67,7 @@
 	teamCPUs  map[string]float64
 }
 
+// measureUsage measures what runs now, by the true state of the machines.
 func (checker *invariantChecker) measureUsage() fleetUsage {
 	usage := fleetUsage{
 		machines:  checker.sim.Cloud.runningMachines(),
--- a/internal/simulator/rulechecks.go
+++ b/internal/simulator/rulechecks.go
@@ -7,7 +7,7 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// checkRanTwice: a task must not start on one machine while it is on another.
+// checkRanTwice checks that a task does not start on one machine while it is on another.
 func (checker *invariantChecker) checkRanTwice(worker *machine, taskID jobs.TaskID) {
 	for _, other := range checker.placements[taskID] {
 		if checker.mayHoldTasks(other) {
@@ -16,7 +16,7 @@
 	}
 }
 
-// checkQuota: a team's tasks must not use more than the team's limit.
+// checkQuota checks that a team's tasks do not use more than the team's limit.
 func (checker *invariantChecker) checkQuota(team string) {
 	used := 0.0
 	for taskID, workers := range checker.placements {
@@ -33,7 +33,7 @@
 	}
 }
 
-// checkWrongPlace: a task must start only where its job allows, given the job's other tasks at that moment.
+// checkWrongPlace checks that a task starts only where its job allows, given the job's other tasks at that moment.
 func (checker *invariantChecker) checkWrongPlace(worker *machine, taskID jobs.TaskID, job *observedJob) {
 	spec := job.spec
 	if !worker.allowsJob(spec) {
@@ -64,7 +64,7 @@
 	return byZone, total
 }
 
-// checkStartOfCancelled is the part of ran_cancelled that concerns starts.
+// checkStartOfCancelled checks the part of ran_cancelled that concerns starts: none after CancelTimeout has passed.
 func (checker *invariantChecker) checkStartOfCancelled(taskID jobs.TaskID, job *observedJob) {
 	if job.cancelledAt.IsZero() {
 		return
@@ -111,7 +111,7 @@
 	}
 }
 
-// checkInvented: a job that nobody submitted must not get 200. It returns false if the rule is broken.
+// checkInvented checks that a job which nobody submitted does not get 200. It returns false if the rule is broken.
 func (checker *invariantChecker) checkInvented(jobID, state string) bool {
 	if job := checker.jobs[jobID]; job != nil && job.isSubmitted {
 		return true
@@ -120,7 +120,7 @@
 	return false
 }
 
-// checkNotDone: a job must not be called done before all of its tasks are.
+// checkNotDone checks that a job is not called done before all of its tasks are.
 func (checker *invariantChecker) checkNotDone(jobID string) {
 	job := checker.jobs[jobID]
 	if len(job.completedTasks) < job.spec.Tasks {
@@ -128,7 +128,8 @@
 	}
 }
 
-// checkWentBack: a final state must never change, and a job must not be called cancelled unless its cancellation was requested.
+// checkWentBack checks that a final state never changes, and that a job is called cancelled only if its cancellation, or that of a
+// dependency, was requested.
 func (checker *invariantChecker) checkWentBack(jobID, state string, requestedAt time.Time) {
 	job := checker.jobs[jobID]
 	wasCancelled, wasDone := !job.cancelledAt.IsZero(), !job.finishedAt.IsZero()
@@ -155,7 +156,7 @@
 	}
 }
 
-// checkTooEarly: a task must not run before it is durable that every dependency of its job is done.
+// checkTooEarly checks that a task does not run before it is durable that every dependency of its job is done.
 func (checker *invariantChecker) checkTooEarly(jobID string) {
 	for _, dependency := range checker.jobs[jobID].spec.Dependencies {
 		needed := checker.jobs[dependency]
@@ -180,8 +181,8 @@
 	}
 }
 
-// checkAttemptUnused: no attempt number may be used twice, not by another leader either. Only the tasks of a gang share one, and
-// simulated jobs have none.
+// checkAttemptUnused checks that no attempt number is used twice, not by another leader either. Only tasks of a gang share one, and
+// simulated jobs have no gangs.
 func (checker *invariantChecker) checkAttemptUnused(worker *machine, task *machineTask) {
 	if before, ok := checker.attempts[task.attempt]; ok {
 		checker.sim.reportViolation(
@@ -195,7 +196,7 @@
 	}
 }
 
-// checkKnownTask: only tasks of submitted jobs may run. It returns false if the job is unknown.
+// checkKnownTask checks that only tasks of submitted jobs run. It returns false if the job is unknown.
 func (checker *invariantChecker) checkKnownTask(taskID jobs.TaskID) bool {
 	job := checker.jobs[taskID.JobID]
 	if job == nil || !job.isSubmitted {
--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -32,17 +32,20 @@
 	maxOperations         int                  // of a transaction, once limits are lowered
 }
 
+// stateKey is a stored key.
 type stateKey struct {
 	value       msgpack.RawMessage
 	modRevision uint64
 	leaseID     uint64
 }
 
+// stateLease is a lease; expiresAt moves with every renewal and outage.
 type stateLease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
+// stateChange is a change as a watch returns it.
 type stateChange struct {
 	Write       string             `msgpack:"write,omitempty"`
 	Drop        string             `msgpack:"drop,omitempty"`
