--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -1,7 +1,7 @@
 // Package simulator runs the real code of several controllers against a simulated state service, cloud, workers and users, in
-// virtual time and one goroutine. It injects crashes, partitions, outages and lost, late and duplicated messages, and checks every
-// rule of the protocol against a simple model of what happened. The random choices come from the seed. It owns no production
-// state and is used by tests and by cmd/faulttest only; docs/design/fault-combinations.md says which combinations are tested.
+// virtual time. It injects crashes, partitions, outages and lost, late and duplicated messages, and checks every rule of the protocol
+// against a simple model of the run. Random choices come from the seed. It is for tests and cmd/faulttest only and owns no production
+// state. docs/design/fault-combinations.md says which combinations of faults are tested.
 package simulator
 
 import (
@@ -72,14 +72,13 @@
 	queue       []controller.Input
 }
 
-// event is an action at a moment of virtual time.
 type event struct {
 	at       time.Time
 	sequence int
 	action   func()
 }
 
-// eventHeap orders events by time, and events of the same moment by when they were scheduled. It implements heap.Interface.
+// eventHeap orders events by time, those of the same moment as they were scheduled. It implements heap.Interface.
 type eventHeap []event
 
 // Len is the number of events.
@@ -133,8 +132,7 @@
 	return w
 }
 
-// Names of hosts besides the controllers and machines.
-const (
+const ( // names of hosts besides the controllers and machines
 	stateHost = "state"
 	cloudHost = "cloud"
 	userHost  = "user"
@@ -282,8 +280,7 @@
 	sim.CutLinkOneWay(b, a, span)
 }
 
-// messageDelay is how long a message travels, or false if it is lost. What is sent during a cut
-// is lost or arrives after the cut, however late that is.
+// messageDelay is how long a message travels, false if it is lost. What is sent during a cut is lost or arrives after it, however late.
 func (sim *Cluster) messageDelay(source, destination string) (time.Duration, bool) {
 	delay := time.Duration(200+sim.Rand.IntN(3000)) * time.Microsecond
 	if until := sim.linkCutUntil(source, destination); sim.Now.Before(until) {
