--- a/cmd/faulttest/storeprobe.go
+++ b/cmd/faulttest/storeprobe.go
@@ -70,32 +70,32 @@
 	r := crashtest.CommitRequest(guards, ops)
 	m, err := p.testbed.client.Do(p.testbed.stateAddr, r.Method, r.Target, r.Body, 2*time.Second)
 	var a struct {
-		Tide uint64 `msgpack:"tide"`
+		Revision uint64 `msgpack:"tide"`
 	}
 	switch {
 	case err != nil:
 		p.uncertainCommit = ops
 		p.uncertainCommits++
 	case m.Status == 200 && codec.Unmarshal(m.Body, &a) == nil:
-		if a.Tide <= p.revision {
-			p.testbed.reportViolation("probe %d: revision %d after %d", p.id, a.Tide, p.revision)
+		if a.Revision <= p.revision {
+			p.testbed.reportViolation("probe %d: revision %d after %d", p.id, a.Revision, p.revision)
 		}
 		p.commits++
-		p.applyCommit(ops, a.Tide)
+		p.applyCommit(ops, a.Revision)
 	case m.Status == 503:
 	default:
-		p.testbed.reportViolation("probe %d: a commit with the marks that were answered gets %d", p.id, m.Status)
+		p.testbed.reportViolation("probe %d: a commit with the mod revisions that were answered gets %d", p.id, m.Status)
 	}
 }
 
-func (p *storeProbe) applyCommit(ops []crashtest.Operation, tide uint64) {
-	p.revision = max(p.revision, tide)
+func (p *storeProbe) applyCommit(ops []crashtest.Operation, revision uint64) {
+	p.revision = max(p.revision, revision)
 	p.uncertainCommit = nil
 	for _, o := range ops {
 		if o.Value == "" {
 			delete(p.model, o.Key)
 		} else {
-			p.model[o.Key] = probeKey{o.Value, tide}
+			p.model[o.Key] = probeKey{o.Value, revision}
 		}
 	}
 }
@@ -159,19 +159,19 @@
 	m, err := p.testbed.client.Do(p.testbed.stateAddr, "GET", "/keys?"+q.Encode(), nil, 2*time.Second)
 	var a struct {
 		Entries []struct {
-			Key   string `msgpack:"path"`
-			Value string `msgpack:"value"`
-			Mark  uint64 `msgpack:"mark"`
+			Key         string `msgpack:"path"`
+			Value       string `msgpack:"value"`
+			ModRevision uint64 `msgpack:"mark"`
 		} `msgpack:"entries"`
-		Tide uint64 `msgpack:"tide"`
+		Revision uint64 `msgpack:"tide"`
 	}
 	if err != nil || m.Status != 200 || codec.Unmarshal(m.Body, &a) != nil {
 		return nil, 0, false
 	}
 	for _, e := range a.Entries {
-		there[e.Key] = probeKey{e.Value, e.Mark}
+		there[e.Key] = probeKey{e.Value, e.ModRevision}
 	}
-	return there, a.Tide, true
+	return there, a.Revision, true
 }
 
 // checkProbes makes every probe compare while no commit is in flight.
--- a/internal/controller/api/submission.go
+++ b/internal/controller/api/submission.go
@@ -210,5 +210,5 @@
 		h.jobStore.ApplyAcceptance(now, job)
 	}
 	h.log.Info("job accepted",
-		logkeys.Job, job.ID, logkeys.Class, job.Class, logkeys.Tasks, job.Tasks, "label", labelOf(job.Guaranteed))
+		logkeys.Job, job.ID, logkeys.Class, job.Class, logkeys.Tasks, job.Tasks, logkeys.Label, labelOf(job.Guaranteed))
 }
--- a/internal/controller/autoscaler/stragglers.go
+++ b/internal/controller/autoscaler/stragglers.go
@@ -35,7 +35,7 @@
 		cordoned++
 		machine.DrainReason = worker.DrainSlow
 		s.log.Info("slow machine cordoned", logkeys.Machine, machine.ID,
-			"slowdown", s.stragglers.Slowdown(machine.ID), logkeys.Tasks, len(machine.Attempts))
+			logkeys.Slowdown, s.stragglers.Slowdown(machine.ID), logkeys.Tasks, len(machine.Attempts))
 	}
 }
 
--- a/internal/controller/cloud/requests.go
+++ b/internal/controller/cloud/requests.go
@@ -149,5 +149,5 @@
 	} else {
 		state.backoff = 0
 	}
-	c.log.Info("instance request fulfilled", logkeys.Request, request.name, logkeys.Count, request.count, "created", len(ids))
+	c.log.Info("instance request fulfilled", logkeys.Request, request.name, logkeys.Count, request.count, logkeys.Created, len(ids))
 }
--- a/internal/controller/dynamicconfig/store.go
+++ b/internal/controller/dynamicconfig/store.go
@@ -159,7 +159,8 @@
 
 func (s *Store) logApplied(applied *record) {
 	newest := applied.Changes[0]
-	s.log.Info("settings applied", "version", newest.Version, "author", newest.Author, "changes", strings.Join(newest.Details, ", "))
+	s.log.Info("settings applied", logkeys.Version, newest.Version, logkeys.Author, newest.Author,
+		logkeys.Changes, strings.Join(newest.Details, ", "))
 }
 
 // activate puts options into effect, except for those of the election.
--- a/internal/controller/zones/tracker.go
+++ b/internal/controller/zones/tracker.go
@@ -182,9 +182,9 @@
 	if z.state == state {
 		return
 	}
-	t.log.Info("zone state changed", logkeys.Zone, name, logkeys.State, state.String(), "previous_state", z.state.String(),
-		logkeys.Machines, z.machinesBeforeOutage, "overdue", z.machines.overdue,
-		logkeys.Duration, now.Sub(z.lastHeartbeat).Round(time.Millisecond), "outages", len(z.outages))
+	t.log.Info("zone state changed", logkeys.Zone, name, logkeys.State, state.String(), logkeys.PreviousState, z.state.String(),
+		logkeys.Machines, z.machinesBeforeOutage, logkeys.Overdue, z.machines.overdue,
+		logkeys.Duration, now.Sub(z.lastHeartbeat).Round(time.Millisecond), logkeys.Outages, len(z.outages))
 	z.state, z.stateSince = state, now
 }
 
--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -22,6 +22,7 @@
 	Revision     = "revision"      // revision of the state service
 	Snapshot     = "snapshot"      // snapshot file of the state service
 	Process      = "process"       // name of a process of a site
+	ProcessGroup = "process_group" // process group of a task
 	Worker       = "worker"        // address of a worker
 )
 
@@ -50,7 +51,16 @@
 	Path            = "path"             // path of a request or a file
 	Reason          = "reason"           // why, in the program's own words
 	State           = "state"            // state entered
+	PreviousState   = "previous_state"   // state before
 	Status          = "status"           // HTTP status code
+	Label           = "label"            // guaranteed or best effort
+	Slowdown        = "slowdown"         // run time of a straggler's tasks, as a multiple of that elsewhere
+	Created         = "created"          // number of instances that the cloud created
+	Overdue         = "overdue"          // number of overdue heartbeats
+	Outages         = "outages"          // number of outages of a zone that are remembered
+	Version         = "version"          // version of the dynamic configuration
+	Author          = "author"           // who changed the dynamic configuration
+	Changes         = "changes"          // what was changed in it
 	// RestartDelay is the time until a process is started again.
 	RestartDelay = "restart_delay"
 )
--- a/internal/simulator/crashtest/model.go
+++ b/internal/simulator/crashtest/model.go
@@ -118,10 +118,10 @@
 	}
 	seen := 0
 	why := ""
-	s.ForEachKey(func(key string, value []byte, mark, lease uint64) {
+	s.ForEachKey(func(key string, value []byte, modRevision, lease uint64) {
 		seen++
 		want, ok := p.Keys[key]
-		if got := (ModelKey{decodeText(value), mark, lease}); why == "" && (!ok || got != want) {
+		if got := (ModelKey{decodeText(value), modRevision, lease}); why == "" && (!ok || got != want) {
 			why = fmt.Sprintf("%s is %+v, want %+v (%v)", key, got, want, ok)
 		}
 	})
--- a/internal/simulator/failures_test.go
+++ b/internal/simulator/failures_test.go
@@ -53,10 +53,10 @@
 		spec := jobArray(fmt.Sprintf("job-%06d", i), "c", "none", 12, runTime)
 		sim.At(time.Duration(i)*2*time.Second, func() { sim.Users.SubmitJob(spec, runTime) })
 	}
-	var mistaken []string
+	var failing []string
 	for i := range 3 {
 		s := jobArray(fmt.Sprintf("job-9%05d", i), "c", "none", 60, runTime)
-		mistaken = append(mistaken, s.ID)
+		failing = append(failing, s.ID)
 		sim.At(time.Duration(20+15*i)*time.Second, func() {
 			sim.Users.SubmitJob(s, runTime)
 			sim.checker.jobs[s.ID].alwaysFails = true
@@ -72,25 +72,25 @@
 	sim.At(120*time.Second, func() { failMachinesAndLeader(sim, 4*time.Second) })
 	at70 := map[string]int{}
 	sim.At(72*time.Second, func() {
-		for _, id := range mistaken {
+		for _, id := range failing {
 			at70[id] = sim.checker.jobs[id].startCount
 		}
 	})
 	sim.Run(5 * time.Minute)
 	expectNoViolations(t, sim)
-	for _, id := range mistaken {
+	for _, id := range failing {
 		// The first wave, the starts that were in flight when the job was found to fail, and one at a time since.
 		if n := sim.checker.jobs[id].startCount; n > 90 || n-at70[id] > 20 {
 			t.Errorf("%s was started %d times, %d of these under later leaders", id, n, n-at70[id])
 		}
 		x := sim.explain(id)
-		if told := strings.Join(x.Reasons, "; "); !strings.Contains(told, "submitted with a mistake") {
-			t.Errorf("%s is not explained: %s", id, told)
+		if reasons := strings.Join(x.Reasons, "; "); !strings.Contains(reasons, "submitted with a mistake") {
+			t.Errorf("%s is not explained: %s", id, reasons)
 		}
 	}
 	checkQuarantined(t, sim, quarantined, sick)
-	if n := sim.Users.UnfinishedCount(); n > len(mistaken) {
-		t.Errorf("%d jobs that do not fail are not done", n-len(mistaken))
+	if n := sim.Users.UnfinishedCount(); n > len(failing) {
+		t.Errorf("%d jobs that do not fail are not done", n-len(failing))
 	}
 }
 
--- a/internal/simulator/faultcombinations_test.go
+++ b/internal/simulator/faultcombinations_test.go
@@ -236,11 +236,11 @@
 func TestLeadershipHandedBackAndForth(t *testing.T) {
 	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		sim.watchSingleLeader()
-		mark := sim.State.leaderRevision()
+		before := sim.State.leaderRevision()
 		sim.State.HandOverLeadership(6, 900*time.Millisecond)
 		sim.At(2*time.Second, func() { sim.Users.CancelRandom(3) })
 		sim.Run(8 * time.Second)
-		if sim.State.leaderRevision() <= mark {
+		if sim.State.leaderRevision() <= before {
 			sim.t.Errorf("nobody else has led")
 		}
 		for i := range sim.controllers {
--- a/internal/simulator/partitions_test.go
+++ b/internal/simulator/partitions_test.go
@@ -21,14 +21,14 @@
 			sim.At(2*time.Second, func() { sim.Crash(sim.leader, 100*time.Millisecond) })
 		}
 		sim.Run(25 * time.Second)
-		deaf := 0
+		unreachable := 0
 		for _, m := range sim.Cloud.runningMachines() {
 			if sim.Now.Before(sim.linkCutUntil(sim.State.leaderName(), m.id)) {
-				deaf++
+				unreachable++
 			}
 		}
-		if deaf > 0 {
-			sim.t.Errorf("%d of %d machines hear nothing, and are kept", deaf, before)
+		if unreachable > 0 {
+			sim.t.Errorf("%d of %d machines receive nothing, and are kept", unreachable, before)
 		}
 	})
 }
--- a/internal/simulator/sitetest/sitetest.go
+++ b/internal/simulator/sitetest/sitetest.go
@@ -156,11 +156,11 @@
 	if err := r.command("cancel", "job-2"); err != nil {
 		return err
 	}
-	mark, err := os.ReadFile(h.Path("worker", "id"))
+	workerID, err := os.ReadFile(h.Path("worker", "id"))
 	if err != nil {
 		return err
 	}
-	tasks := map[string]bool{"GULLRUDDER_WORKER=" + string(mark): true}
+	tasks := map[string]bool{"GULLRUDDER_WORKER=" + string(workerID): true}
 	if err := r.waitUntil(
 		func() bool { return len(process.Find(tasks, nil)) == 0 },
 		15*time.Second,
--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -67,17 +67,17 @@
 
 func (s *StateService) endLease(leaseID uint64) {
 	delete(s.leases, leaseID)
-	var gone []string
+	var deleted []string
 	for k, v := range s.keys {
 		if v.leaseID == leaseID {
-			gone = append(gone, k)
+			deleted = append(deleted, k)
 		}
 	}
-	sort.Strings(gone)
-	if len(gone) > 0 {
+	sort.Strings(deleted)
+	if len(deleted) > 0 {
 		s.revision++
 	}
-	for _, k := range gone {
+	for _, k := range deleted {
 		delete(s.keys, k)
 		s.changeLog = append(s.changeLog, stateChange{Drop: k, ModRevision: s.revision})
 	}
--- a/internal/site/agent/runner.go
+++ b/internal/site/agent/runner.go
@@ -213,7 +213,7 @@
 	for resource, limit := range limits {
 		err := unix.Prlimit(child.processGroup, resource, &unix.Rlimit{Cur: limit, Max: limit}, nil)
 		if err != nil && !errors.Is(err, unix.ESRCH) {
-			r.log.Error("task limit not set", logkeys.Task, child.task, "limit", resource, logkeys.Err, err)
+			r.log.Error("task limit not set", logkeys.Task, child.task, logkeys.Limit, resource, logkeys.Err, err)
 		}
 	}
 	if err := unix.Setpriority(unix.PRIO_PROCESS, child.processGroup, taskNiceness); err != nil && !errors.Is(err, unix.ESRCH) {
@@ -256,6 +256,6 @@
 // group is left.
 func (r *Runner) signal(group int, sig syscall.Signal) {
 	if err := syscall.Kill(-group, sig); err != nil && !errors.Is(err, syscall.ESRCH) {
-		r.log.Error("signalling of task processes failed", "process_group", group, logkeys.Err, err)
+		r.log.Error("signalling of task processes failed", logkeys.ProcessGroup, group, logkeys.Err, err)
 	}
 }
