--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -1,7 +1,7 @@
 // Package simulator runs the real code of several controllers against a simulated state service, cloud, workers and users, in
-// virtual time and one goroutine. It injects crashes, partitions, outages and lost, late and duplicated messages, and checks every
-// rule of the protocol against a simple model of what happened. The random choices come from the seed. It owns no production
-// state and is used by tests and by cmd/faulttest only; docs/design/fault-combinations.md says which combinations are tested.
+// virtual time. It injects crashes, partitions, outages and lost, late and duplicated messages, and checks every rule of the protocol
+// against a simple model of the run. Random choices come from the seed. It is for tests and cmd/faulttest only and owns no production
+// state. docs/design/fault-combinations.md says which combinations of faults are tested.
 package simulator
 
 import (
@@ -60,6 +60,7 @@
 	AdjustPlatform      func(*config.Platform) // changes the platform's configuration of each controller
 }
 
+// controllerProcess is the process of one controller: it crashes and restarts, and its clock drifts.
 type controllerProcess struct {
 	index       int
 	platform    *config.Platform
@@ -77,17 +78,27 @@
 	action   func()
 }
 
+// eventHeap orders events by time, those of the same moment as they were scheduled. It implements heap.Interface.
 type eventHeap []event
 
+// Len is the number of events.
 func (h eventHeap) Len() int { return len(h) }
+
+// Less reports whether event i comes before event j.
 func (h eventHeap) Less(i, j int) bool {
 	if !h[i].at.Equal(h[j].at) {
 		return h[i].at.Before(h[j].at)
 	}
 	return h[i].sequence < h[j].sequence
 }
+
+// Swap exchanges two events.
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+
+// Push is called by package heap only.
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
+
+// Pop is called by package heap only.
 func (h *eventHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
@@ -121,8 +132,7 @@
 	return w
 }
 
-// Names of hosts besides the controllers and machines.
-const (
+const ( // names of hosts besides the controllers and machines
 	stateHost = "state"
 	cloudHost = "cloud"
 	userHost  = "user"
@@ -270,8 +280,7 @@
 	sim.CutLinkOneWay(b, a, span)
 }
 
-// messageDelay is how long a message travels, or false if it is lost. What is sent during a cut
-// is lost or arrives after the cut, however late that is.
+// messageDelay is how long a message travels, false if it is lost. What is sent during a cut is lost or arrives after it, however late.
 func (sim *Cluster) messageDelay(source, destination string) (time.Duration, bool) {
 	delay := time.Duration(200+sim.Rand.IntN(3000)) * time.Microsecond
 	if until := sim.linkCutUntil(source, destination); sim.Now.Before(until) {
@@ -289,8 +298,7 @@
 	return delay, true
 }
 
-// performCall carries out one of a controller's calls. The receiver may execute it although the
-// caller has timed out or crashed.
+// performCall carries out a controller's call. The receiver may execute it although the caller has timed out or crashed.
 func (sim *Cluster) performCall(process *controllerProcess, gen int, call client.Call) {
 	if process.generation != gen || process.controller == nil {
 		return
@@ -362,8 +370,7 @@
 	}
 }
 
-// deliverRequest delivers a request to a controller. It returns false if no process runs there and the
-// connection is refused.
+// deliverRequest delivers a request to a controller. It returns false if no process runs there.
 func (sim *Cluster) deliverRequest(name string, peer bool, method, path string, body []byte, answer func(int, any)) bool {
 	for _, c := range sim.controllers {
 		if c.platform.Name != name || c.controller == nil {
