--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/simulator/workermessages"
 	"gullrudder/internal/wire/codec"
-	"gullrudder/internal/wire/workerapi"
 )
 
 // Cloud is the simulated cloud: it starts and terminates machines, each with a worker.
@@ -189,7 +189,7 @@
 	}
 	m.whenAwake(func() {
 		m.checkLease()
-		var d workerapi.DirectCommands
+		var d workermessages.DirectCommands
 		if codec.Unmarshal(body, &d) != nil {
 			answer(400, nil)
 			return
--- a/internal/simulator/emulator/worker.go
+++ b/internal/simulator/emulator/worker.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/simulator/workermessages"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/http1"
 	"gullrudder/internal/wire/workerapi"
@@ -83,9 +84,9 @@
 	}
 }
 
-func (w *emulatedWorker) heartbeat() workerapi.Heartbeat {
+func (w *emulatedWorker) heartbeat() workermessages.Heartbeat {
 	w.sequence++
-	r := workerapi.Heartbeat{
+	r := workermessages.Heartbeat{
 		Machine:      w.id,
 		Addr:         w.server.addr(),
 		Type:         w.cloud.machineType.Name,
@@ -94,10 +95,10 @@
 		Incarnation:  w.incarnation,
 		Sequence:     w.sequence,
 		FencingToken: w.fencingToken,
-		Tasks:        []workerapi.TaskStatus{},
+		Tasks:        []workermessages.TaskStatus{},
 	}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, workerapi.TaskStatus{Task: t.key.String(), Attempt: t.attempt, State: t.state, Reason: t.reason})
+		r.Tasks = append(r.Tasks, workermessages.TaskStatus{Task: t.key.String(), Attempt: t.attempt, State: t.state, Reason: t.reason})
 	}
 	return r
 }
@@ -172,7 +173,7 @@
 }
 
 func (w *emulatedWorker) takeResponse(body []byte, session uint64, sent time.Time) {
-	var response workerapi.HeartbeatResponse
+	var response workermessages.HeartbeatResponse
 	if codec.Unmarshal(body, &response) != nil {
 		return
 	}
@@ -197,7 +198,7 @@
 	if request.Target == "/status" {
 		return 200, w.heartbeat()
 	}
-	var commands workerapi.DirectCommands
+	var commands workermessages.DirectCommands
 	if codec.Unmarshal(request.Body, &commands) != nil {
 		return 400, nil
 	}
@@ -209,7 +210,7 @@
 	return 200, w.heartbeat()
 }
 
-func (w *emulatedWorker) execute(list []workerapi.Command) {
+func (w *emulatedWorker) execute(list []workermessages.Command) {
 	for _, command := range list {
 		key, err := jobs.ParseTaskID(command.Task)
 		if err != nil {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/simulator/workermessages"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/workerapi"
 )
@@ -33,10 +34,10 @@
 	})
 }
 
-func (m *machine) heartbeat() workerapi.Heartbeat {
-	r := workerapi.Heartbeat{
+func (m *machine) heartbeat() workermessages.Heartbeat {
+	r := workermessages.Heartbeat{
 		Machine: m.id, Addr: m.id, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
-		Incarnation: m.incarnation, Sequence: m.sequence, FencingToken: m.fencingToken, Tasks: []workerapi.TaskStatus{},
+		Incarnation: m.incarnation, Sequence: m.sequence, FencingToken: m.fencingToken, Tasks: []workermessages.TaskStatus{},
 	}
 	if !m.reclaimAt.IsZero() {
 		left := m.reclaimAt.Sub(m.sim.Now).Seconds()
@@ -46,7 +47,7 @@
 		t := m.tasks[n]
 		r.Tasks = append(
 			r.Tasks,
-			workerapi.TaskStatus{
+			workermessages.TaskStatus{
 				Task:            t.key.String(),
 				Attempt:         t.attempt,
 				State:           t.state,
@@ -134,7 +135,7 @@
 			}
 		}
 	}
-	var a workerapi.HeartbeatResponse
+	var a workermessages.HeartbeatResponse
 	if status != 200 || codec.Unmarshal(raw, &a) != nil {
 		next()
 		return
@@ -152,7 +153,7 @@
 	m.execute(a.Commands)
 }
 
-func (m *machine) execute(list []workerapi.Command) {
+func (m *machine) execute(list []workermessages.Command) {
 	for _, command := range list {
 		key, err := jobs.ParseTaskID(command.Task)
 		if err != nil {
@@ -185,7 +186,7 @@
 	}
 }
 
-func (m *machine) startTask(key jobs.TaskID, command workerapi.Command) {
+func (m *machine) startTask(key jobs.TaskID, command workermessages.Command) {
 	if task := m.tasks[command.Task]; task != nil {
 		if task.attempt == command.Attempt {
 			return
