--- a/internal/simulator/invariants_test.go
+++ b/internal/simulator/invariants_test.go
@@ -84,6 +84,6 @@
 		t.Errorf("%d jobs unfinished", n)
 	}
 	if now := sim.State.leaderName(); now == first || now == "" {
-		t.Errorf("no takeover: %q led and leads", now)
+		t.Errorf("no failover: %q led and leads", now)
 	}
 }
--- a/internal/simulator/partitions_test.go
+++ b/internal/simulator/partitions_test.go
@@ -117,7 +117,7 @@
 	sim.deliverRequest(sim.State.leaderName(), false, "POST", "/v1/report", raw, func(int, any) {})
 	sim.Run(5 * time.Second)
 	if _, ok := sim.State.entry("m:vm-900000"); ok {
-		t.Error("a machine that is no more is on the roster")
+		t.Error("a terminated machine is still registered")
 	}
 	expectAllFinished(t, sim.Cluster)
 }
