--- a/internal/controller/failover/probe.go
+++ b/internal/controller/failover/probe.go
@@ -126,6 +126,10 @@
 
 // handleResult processes the result of a probe. With status 409 a worker of another incarnation, or with a higher fencing token, has
 // refused the probe; like status 200 it comes with the worker's state and proves that the worker answers.
+//
+// The machine may have been removed since the probe was sent: its deletion was confirmed or its lease expired. No task is left on it
+// then, whatever the answer lists. Reconciling it would assign tasks to a machine that the registry does not know, where nothing would
+// ever end them.
 func (p *prober) handleResult(
 	now time.Time,
 	machine *worker.Machine,
@@ -136,13 +140,14 @@
 	var state workerapi.Heartbeat
 	refused := result.Status == http.StatusConflict
 	answered := (result.Status == http.StatusOK || refused) && codec.Unmarshal(result.Body, &state) == nil && state.Machine == machine.ID
-	if !answered {
-		p.reachability.ProbeFailed(now, machine)
-	}
 	if options.onResult != nil {
 		options.onResult(now, answered)
 	}
+	if p.workers.Machines[machine.ID] != machine {
+		return
+	}
 	if !answered {
+		p.reachability.ProbeFailed(now, machine)
 		return
 	}
 	restarted := p.reachability.ProbeAnswered(now, machine, probe, &state)
--- a/internal/controller/failover/reconciler_test.go
+++ b/internal/controller/failover/reconciler_test.go
@@ -2,10 +2,13 @@
 
 import (
 	"fmt"
+	"net/http"
 	"testing"
 	"time"
 
 	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/workerapi"
 )
@@ -81,6 +84,60 @@
 	}
 }
 
+// The answer to a probe may arrive after the deletion of its machine was confirmed. The tasks that it lists are gone with the machine: if
+// they were assigned to it again, no lease and no further deletion would ever end them, and their job would never complete.
+func TestProbeAnswerOfRemovedMachineIsIgnored(t *testing.T) {
+	now := time.Unix(10_000, 0)
+	reconciler := newTestReconciler(now, 9)
+	reconciler.progress.completed = false
+	job := jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, MemoryGB: 1}, now)
+	job.State = jobs.Accepted
+	reconciler.jobs.Unfinished["job-1"] = job
+	machine := reconciler.addUnreconciled(now, "vm-1")
+	machine.Addr = machine.ID
+	reconciler.prober.budget = 1
+	if !reconciler.prober.probe(now, machine) {
+		t.Fatal("the machine was not probed")
+	}
+	probes := reconciler.outbox.TakeCalls()
+	if len(probes) != 1 {
+		t.Fatalf("probes sent: got %d, want 1", len(probes))
+	}
+
+	reconciler.confirmDeletion(t, now, machine.ID)
+	probes[0].Done(now, client.Result{Status: http.StatusOK, Body: marshal(t, workerapi.Heartbeat{
+		Machine: machine.ID, Addr: machine.ID, Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 9,
+		Tasks: []workerapi.TaskStatus{{Task: "job-1/0", Attempt: 5, State: workerapi.StateRunning}},
+	})})
+
+	if attempt := job.ActiveAttempts[0]; attempt != nil {
+		t.Errorf("attempt %d is active on %s, which was deleted", attempt.Number, attempt.MachineID)
+	}
+	if usage := reconciler.workers.TeamUsage(job.Team).CPUs; usage != 0 {
+		t.Errorf("CPUs used by the team: got %v, want 0", usage)
+	}
+	if reconciler.prober.inFlight != 0 {
+		t.Errorf("probes in flight: got %d, want 0", reconciler.prober.inFlight)
+	}
+}
+
+// confirmDeletion terminates an instance, has the cloud confirm the deletion, and removes the machine.
+func (reconciler *testReconciler) confirmDeletion(t *testing.T, now time.Time, machineID string) {
+	t.Helper()
+	reconciler.cloud.Terminate([]string{machineID}, string(worker.DrainUnresponsive))
+	for range 2 { // the first call to a cloud lists its machine types
+		now = now.Add(time.Second)
+		reconciler.cloud.Tick(now, reconciler.outbox)
+		for _, call := range reconciler.outbox.TakeCalls() {
+			call.Done(now, client.Result{Status: http.StatusOK})
+		}
+	}
+	reconciler.heartbeats.RemoveDeleted(now)
+	if reconciler.workers.Machines[machineID] != nil {
+		t.Fatalf("%s was not removed", machineID)
+	}
+}
+
 // answerProbes answers the probes of the machines with the first numbers; the others do not answer.
 func (reconciler *testReconciler) answerProbes(t *testing.T, now time.Time, alive int) {
 	t.Helper()
