--- a/internal/controller/accounting/finished.go
+++ b/internal/controller/accounting/finished.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 	"time"
+
+	"gullrudder/internal/controller/jobs"
 )
 
 // maxFinishedAccounts is how many accounts of finished jobs are kept.
@@ -14,7 +16,7 @@
 	JobID     string
 	Team      string
 	Class     string
-	IsDone    bool // otherwise cancelled
+	State     jobs.State // jobs.Done or jobs.Cancelled
 	EndedAt   time.Time
 	Breakdown Breakdown
 }
--- a/internal/controller/accounting/metrics.go
+++ b/internal/controller/accounting/metrics.go
@@ -4,11 +4,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-const (
-	metricNamespace = "gullrudder"
-	stateDone       = "done"
-	stateCancelled  = "cancelled"
-)
+const metricNamespace = "gullrudder"
 
 // Metrics are the accounts of ended jobs as Prometheus counters, over all leaderships of a controller.
 type Metrics struct {
@@ -38,11 +34,7 @@
 }
 
 func (m *Metrics) recordEnded(finished *FinishedAccount) {
-	state := stateCancelled
-	if finished.IsDone {
-		state = stateDone
-	}
-	m.jobsEnded.WithLabelValues(finished.Team, finished.Class, state).Inc()
+	m.jobsEnded.WithLabelValues(finished.Team, finished.Class, finished.State.String()).Inc()
 	for reason, ms := range finished.Breakdown {
 		if ms > 0 {
 			m.jobSeconds.WithLabelValues(finished.Team, finished.Class, WaitReason(reason).String()).Add(float64(ms) / 1000)
--- a/internal/controller/accounting/tracker.go
+++ b/internal/controller/accounting/tracker.go
@@ -100,7 +100,7 @@
 	delete(t.accounts, job)
 	account.countUntil(msSinceSubmission(job, now))
 	finished := FinishedAccount{
-		JobID: job.ID, Team: job.Team, Class: job.Class, IsDone: job.State == jobs.Done, EndedAt: now, Breakdown: account.breakdown,
+		JobID: job.ID, Team: job.Team, Class: job.Class, State: job.State, EndedAt: now, Breakdown: account.breakdown,
 	}
 	t.finished.add(finished)
 	t.totals.add(&finished)
--- a/internal/controller/api/archived.go
+++ b/internal/controller/api/archived.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"gullrudder/internal/controller/archive"
-	"gullrudder/internal/controller/jobstore"
+	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/server"
 )
@@ -43,23 +43,23 @@
 	case indexed == archive.Absent:
 		return false
 	case indexed == archive.Cancelled:
-		h.respondFinal(archived, jobstore.FinalState{}, archived.withCounts)
+		h.respondFinal(archived, jobs.FinalState{State: jobs.Cancelled}, archived.withCounts)
 		return true
 	case indexed == archive.Done && !archived.withCounts:
-		h.respondFinal(archived, jobstore.FinalState{Done: true}, false)
+		h.respondFinal(archived, jobs.FinalState{State: jobs.Done}, false)
 		return true
 	}
-	h.jobStore.Archive().LookupData(now, h.outbox, archived.jobID, func(now time.Time, final archive.FinalState, found bool, err error) {
+	h.jobStore.Archive().LookupData(now, h.outbox, archived.jobID, func(now time.Time, final jobs.FinalState, found bool, err error) {
 		switch {
 		case !h.holdsLease():
 			h.responder.RespondError(archived.request, http.StatusServiceUnavailable, "no leader at present", retryDelay)
 		case found:
-			h.respondFinal(archived, jobstore.FinalState{Done: !final.Cancelled, Tasks: final.Tasks}, archived.withCounts)
+			h.respondFinal(archived, final, archived.withCounts)
 		case err == nil && indexed == archive.Undetermined:
 			archived.ifAbsent(now)
 		case indexed == archive.Done && h.jobStore.Archive().IsUnreachable(now):
 			// The index has the job's state. Only the numbers of tasks, which are for display, are missing.
-			h.respondFinal(archived, jobstore.FinalState{Done: true}, false)
+			h.respondFinal(archived, jobs.FinalState{State: jobs.Done}, false)
 		default:
 			h.refuseArchived(archived, err)
 		}
@@ -67,7 +67,7 @@
 	return true
 }
 
-func (h *jobHandler) respondFinal(archived archivedRequest, final jobstore.FinalState, withCounts bool) {
+func (h *jobHandler) respondFinal(archived archivedRequest, final jobs.FinalState, withCounts bool) {
 	h.responder.Respond(archived.request, http.StatusOK, finalResponse(archived.jobID, final, withCounts), 0)
 }
 
--- a/internal/controller/api/cancel.go
+++ b/internal/controller/api/cancel.go
@@ -25,7 +25,7 @@
 	case h.hasUnconfirmedTasks(job):
 		h.responder.RespondError(request, http.StatusServiceUnavailable, textTasksStillRunning, retryDelay)
 	case job.State == jobs.Cancelled:
-		h.responder.Respond(request, http.StatusOK, jobResponse{ID: jobID, State: stateCancelled}, 0)
+		h.responder.Respond(request, http.StatusOK, jobResponse{ID: jobID, State: jobs.Cancelled.String()}, 0)
 	case job.IsFinishing || job.IsCancelling:
 		// The commit under way decides; the user retries.
 		h.responder.RespondError(request, http.StatusServiceUnavailable, textNotSaved, retryDelay)
@@ -69,6 +69,6 @@
 	case h.hasUnconfirmedTasks(job):
 		h.responder.RespondError(request, http.StatusServiceUnavailable, textTasksStillRunning, retryDelay)
 	default:
-		h.responder.Respond(request, http.StatusOK, jobResponse{ID: job.ID, State: stateCancelled}, 0)
+		h.responder.Respond(request, http.StatusOK, jobResponse{ID: job.ID, State: jobs.Cancelled.String()}, 0)
 	}
 }
--- a/internal/controller/api/dependencies.go
+++ b/internal/controller/api/dependencies.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"gullrudder/internal/controller/archive"
+	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/jobstore"
 	"gullrudder/internal/wire/server"
 )
@@ -55,7 +55,7 @@
 
 // lookUpDependency reads the final state of a dependency from the archive's data, and then serves the submission again.
 func (h *submissionHandler) lookUpDependency(now time.Time, submitted jobSubmission, jobID string) {
-	h.jobStore.Archive().LookupData(now, h.outbox, jobID, func(now time.Time, final archive.FinalState, found bool, err error) {
+	h.jobStore.Archive().LookupData(now, h.outbox, jobID, func(now time.Time, final jobs.FinalState, found bool, err error) {
 		if !h.holdsLease() || err != nil {
 			h.responder.RespondError(submitted.request, http.StatusServiceUnavailable, textDependencyUndecided, archiveRetryDelay)
 			return
@@ -70,11 +70,11 @@
 	})
 }
 
-func archivedDependencyState(final archive.FinalState, found bool) jobstore.DependencyState {
+func archivedDependencyState(final jobs.FinalState, found bool) jobstore.DependencyState {
 	switch {
 	case !found:
 		return jobstore.DependencyNeverAccepted
-	case final.Cancelled:
+	case final.State == jobs.Cancelled:
 		return jobstore.DependencyCancelled
 	}
 	return jobstore.DependencyMet
--- a/internal/controller/api/explain.go
+++ b/internal/controller/api/explain.go
@@ -10,7 +10,6 @@
 	"gullrudder/internal/controller/failover"
 	"gullrudder/internal/controller/failures"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/jobstore"
 	"gullrudder/internal/controller/queue"
 	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/wire/server"
@@ -40,7 +39,7 @@
 	// The account of a job that ended under this leader is kept after the job is archived.
 	if finished, ok := h.accounting.FinishedAccount(jobID); ok {
 		h.responder.Respond(request, http.StatusOK, Explanation{
-			QueuedJob: QueuedJob{ID: jobID, Team: finished.Team, Class: finished.Class}, State: finalStateName(finished.IsDone),
+			QueuedJob: QueuedJob{ID: jobID, Team: finished.Team, Class: finished.Class}, State: finished.State.String(),
 			Reasons: []string{"it is over"}, TimeShares: newTimeShares(&finished.Breakdown),
 		}, 0)
 		return
@@ -57,9 +56,9 @@
 	h.responder.Respond(request, http.StatusOK, h.explain(now, job), 0)
 }
 
-func explainEarlierJob(jobID string, final jobstore.FinalState) Explanation {
+func explainEarlierJob(jobID string, final jobs.FinalState) Explanation {
 	return Explanation{
-		QueuedJob: QueuedJob{ID: jobID}, State: finalStateName(final.Done), Reasons: []string{"it is over, under an earlier leader"},
+		QueuedJob: QueuedJob{ID: jobID}, State: final.State.String(), Reasons: []string{"it is over, under an earlier leader"},
 	}
 }
 
--- a/internal/controller/api/query.go
+++ b/internal/controller/api/query.go
@@ -28,12 +28,6 @@
 	textDependencyUndecided = "it cannot be told yet what became of a job that it needs"
 )
 
-// Names of a finished job's state.
-const (
-	stateDone      = "done"
-	stateCancelled = "cancelled"
-)
-
 // Labels of the terms on which a job was accepted.
 const (
 	labelGuaranteed = "guaranteed"
@@ -62,19 +56,12 @@
 	return labelBestEffort
 }
 
-func finalStateName(isDone bool) string {
-	if isDone {
-		return stateDone
-	}
-	return stateCancelled
-}
-
 // finalResponse returns the answer for a finished job. Queries have the numbers of tasks, other requests do not.
-func finalResponse(jobID string, final jobstore.FinalState, withCounts bool) jobResponse {
-	response := jobResponse{ID: jobID, State: finalStateName(final.Done)}
+func finalResponse(jobID string, final jobs.FinalState, withCounts bool) jobResponse {
+	response := jobResponse{ID: jobID, State: final.State.String()}
 	if withCounts {
 		done, running := 0, 0
-		if final.Done {
+		if final.State == jobs.Done {
 			done = final.Tasks
 		}
 		response.Done, response.Running = &done, &running
--- a/internal/controller/archive/build_test.go
+++ b/internal/controller/archive/build_test.go
@@ -7,7 +7,6 @@
 	"testing"
 	"time"
 
-	"gullrudder/internal/controller/archive"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/simulator"
@@ -19,7 +18,7 @@
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
 	leader := becomeLeader(t, cluster, time.Unix(5000, 0), 1, 1000)
 	for i := range 10 {
-		leader.finish(t, fmt.Sprintf("job-%06d", i), archive.FinalState{Tasks: 1}, func() {})
+		leader.finish(t, fmt.Sprintf("job-%06d", i), jobs.FinalState{State: jobs.Done, Tasks: 1}, func() {})
 	}
 	round := func(urgent int) {
 		for i := range urgent { // each has a page of its own
@@ -51,7 +50,7 @@
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
 	leader := becomeLeader(t, cluster, time.Unix(5000, 0), 1, 3)
 	for i := range 120 {
-		leader.finish(t, fmt.Sprintf("job-%032d", i), archive.FinalState{Tasks: i}, func() {})
+		leader.finish(t, fmt.Sprintf("job-%032d", i), jobs.FinalState{State: jobs.Done, Tasks: i}, func() {})
 	}
 	var held *client.Call
 	tries := 0
--- a/internal/controller/archive/encoding.go
+++ b/internal/controller/archive/encoding.go
@@ -7,6 +7,8 @@
 	"fmt"
 	"strings"
 
+	"gullrudder/internal/controller/jobs"
+
 	"github.com/RoaringBitmap/roaring/v2/roaring64"
 )
 
@@ -116,12 +118,12 @@
 }
 
 // encodePayload encodes the jobs that share a key.
-func encodePayload(key uint64, jobs []FinishedJob) []byte {
+func encodePayload(key uint64, finishedJobs []FinishedJob) []byte {
 	if key < hashedKeyBit {
-		return appendFinalState(nil, jobs[0].FinalState)
+		return appendFinalState(nil, finishedJobs[0].FinalState)
 	}
-	raw := binary.AppendUvarint(nil, uint64(len(jobs)))
-	for _, job := range jobs {
+	raw := binary.AppendUvarint(nil, uint64(len(finishedJobs)))
+	for _, job := range finishedJobs {
 		digits := strings.TrimPrefix(job.ID, jobIDPrefix)
 		raw = append(raw, byte(len(digits)))
 		raw = append(raw, digits...)
@@ -130,17 +132,21 @@
 	return raw
 }
 
-func appendFinalState(raw []byte, state FinalState) []byte {
+func appendFinalState(raw []byte, state jobs.FinalState) []byte {
 	value := uint64(state.Tasks) << 1
-	if state.Cancelled {
+	if state.State == jobs.Cancelled {
 		value |= cancelledBit
 	}
 	return binary.AppendUvarint(raw, value)
 }
 
-func readFinalState(raw []byte) (state FinalState, rest []byte, err error) {
+func readFinalState(raw []byte) (state jobs.FinalState, rest []byte, err error) {
 	value, rest, err := readUvarint(raw)
-	return FinalState{Cancelled: value&cancelledBit != 0, Tasks: int(value >> 1)}, rest, err
+	state = jobs.FinalState{State: jobs.Done, Tasks: int(value >> 1)}
+	if value&cancelledBit != 0 {
+		state.State = jobs.Cancelled
+	}
+	return state, rest, err
 }
 
 // readDigits reads the digits of a hashed ID.
@@ -181,36 +187,36 @@
 
 // findJob reads one job from a part of the data: place is the number of keys of the part before the job's key. found is false
 // if the key belongs to other jobs only.
-func findJob(text string, position int, key uint64, jobID string) (state FinalState, found bool, err error) {
+func findJob(text string, position int, key uint64, jobID string) (state jobs.FinalState, found bool, err error) {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
-		return FinalState{}, false, fmt.Errorf("decode base64: %w", err)
+		return jobs.FinalState{}, false, fmt.Errorf("decode base64: %w", err)
 	}
 	hashed := key >= hashedKeyBit
 	for range position {
 		if _, raw, err = splitPayload(raw, hashed); err != nil {
-			return FinalState{}, false, err
+			return jobs.FinalState{}, false, err
 		}
 	}
 	count, raw, err := readJobCount(raw, hashed)
 	if err != nil {
-		return FinalState{}, false, err
+		return jobs.FinalState{}, false, err
 	}
 	for range count {
 		isJob := true
 		if hashed {
 			var digits []byte
 			if digits, raw, err = readDigits(raw); err != nil {
-				return FinalState{}, false, err
+				return jobs.FinalState{}, false, err
 			}
 			isJob = string(digits) == strings.TrimPrefix(jobID, jobIDPrefix)
 		}
 		if state, raw, err = readFinalState(raw); err != nil {
-			return FinalState{}, false, err
+			return jobs.FinalState{}, false, err
 		}
 		if isJob {
 			return state, true, nil
 		}
 	}
-	return FinalState{}, false, nil
+	return jobs.FinalState{}, false, nil
 }
--- a/internal/controller/archive/golden_bytes_test.go
+++ b/internal/controller/archive/golden_bytes_test.go
@@ -4,6 +4,7 @@
 	"strings"
 	"testing"
 
+	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/goldenbytes"
 )
 
@@ -11,8 +12,8 @@
 const partBytes = 24
 
 // encodeSegment is the text of a segment's data and index, one part a line.
-func encodeSegment(jobs []FinishedJob) ([]byte, error) {
-	built, err := buildSegment(3, jobs, partBytes)
+func encodeSegment(finishedJobs []FinishedJob) ([]byte, error) {
+	built, err := buildSegment(3, finishedJobs, partBytes)
 	return []byte(strings.Join(built.data, "\n") + "\n\n" + strings.Join(built.index, "\n")), err
 }
 
@@ -25,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var jobs []FinishedJob
+	var finishedJobs []FinishedJob
 	for _, id := range ids {
 		key, ok := keyOf(id)
 		if !ok || !segment.ids.Contains(key) {
@@ -36,26 +37,26 @@
 		if err != nil || !known {
 			t.Fatalf("%s is not in part %d: %v", id, part, err)
 		}
-		if key < hashedKeyBit && segment.cancelled.Contains(key) != final.Cancelled {
+		if key < hashedKeyBit && segment.cancelled.Contains(key) != (final.State == jobs.Cancelled) {
 			t.Errorf("%s: the index and the data differ", id)
 		}
-		jobs = append(jobs, FinishedJob{ID: id, FinalState: final})
+		finishedJobs = append(finishedJobs, FinishedJob{ID: id, FinalState: final})
 	}
-	return jobs
+	return finishedJobs
 }
 
 func TestGoldenBytes(t *testing.T) {
-	jobs := []FinishedJob{
-		{ID: "job-000007", FinalState: FinalState{Tasks: 100_000}},
-		{ID: "job-000412", FinalState: FinalState{Cancelled: true, Tasks: 16}},
-		{ID: "job-123456789012", FinalState: FinalState{Cancelled: true, Tasks: 5}},
-		{ID: "job-999999999", FinalState: FinalState{Tasks: 1}},
+	finishedJobs := []FinishedJob{
+		{ID: "job-000007", FinalState: jobs.FinalState{State: jobs.Done, Tasks: 100_000}},
+		{ID: "job-000412", FinalState: jobs.FinalState{State: jobs.Cancelled, Tasks: 16}},
+		{ID: "job-123456789012", FinalState: jobs.FinalState{State: jobs.Cancelled, Tasks: 5}},
+		{ID: "job-999999999", FinalState: jobs.FinalState{State: jobs.Done, Tasks: 1}},
 	}
 	var ids []string
-	for _, job := range jobs {
+	for _, job := range finishedJobs {
 		ids = append(ids, job.ID)
 	}
-	segment, err := encodeSegment(jobs)
+	segment, err := encodeSegment(finishedJobs)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/archive/leadership_test.go
+++ b/internal/controller/archive/leadership_test.go
@@ -20,7 +20,7 @@
 	cluster  *simulator.Cluster
 	storage  *storage.Store
 	archive  *archive.Store
-	finished map[string]archive.FinalState
+	finished map[string]jobs.FinalState
 	outbox   client.Outbox
 	now      time.Time
 }
@@ -44,7 +44,7 @@
 	if put.Status != 200 {
 		t.Fatalf("the leader's key: %d", put.Status)
 	}
-	r := &leadership{cluster: cluster, now: now, finished: map[string]archive.FinalState{}}
+	r := &leadership{cluster: cluster, now: now, finished: map[string]jobs.FinalState{}}
 	log := slog.New(slog.DiscardHandler)
 	r.storage = storage.New(
 		storage.Options{LeaderKey: leaderKey, MaxValueBytes: 1024, MaxTransactionOps: 8, WriteRate: 7 * rate},
@@ -60,7 +60,7 @@
 	r.archive, err = archive.New(r.storage, archive.Options{
 		MaxValueBytes: 1024, MaxTransactionOps: 8, WriteRate: rate, ReadRate: 1000, MinSegmentJobs: 3, CompactionFanIn: 2,
 		CanArchive: func(_ time.Time, id string) bool { _, ok := r.finished[id]; return ok },
-		FinalState: func(id string) (archive.FinalState, bool) { f, ok := r.finished[id]; return f, ok },
+		FinalState: func(id string) (jobs.FinalState, bool) { f, ok := r.finished[id]; return f, ok },
 		OnArchived: func(ids []string) {
 			for _, id := range ids {
 				delete(r.finished, id)
@@ -75,12 +75,20 @@
 		if err := decode(&rec); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		r.finished[name] = archive.FinalState{Cancelled: rec.State == "c", Tasks: rec.Tasks}
+		r.finished[name] = finalState(rec)
 		r.storage.SetFinished(name)
 	})
 	return r
 }
 
+// finalState returns what the record of a finished job says.
+func finalState(rec jobs.Record) jobs.FinalState {
+	if rec.State == "c" {
+		return jobs.FinalState{State: jobs.Cancelled, Tasks: rec.Tasks}
+	}
+	return jobs.FinalState{State: jobs.Done, Tasks: rec.Tasks}
+}
+
 // requiresLeaderKey reports whether a commit is refused once another leader was elected.
 func requiresLeaderKey(c client.Call) bool {
 	for _, precondition := range c.Body.(storage.CommitRequest).Preconditions {
@@ -96,11 +104,7 @@
 	Fatalf(format string, args ...any)
 }
 
-func (r *leadership) finish(t fataler, jobID string, finalState archive.FinalState, durable func()) {
-	state := jobs.Done
-	if finalState.Cancelled {
-		state = jobs.Cancelled
-	}
+func (r *leadership) finish(t fataler, jobID string, finalState jobs.FinalState, durable func()) {
 	done := func(_ time.Time, ok bool) {
 		if ok {
 			r.finished[jobID] = finalState
@@ -108,7 +112,7 @@
 			durable()
 		}
 	}
-	err := r.storage.Set(r.now, jobID, jobs.NewFinalRecord(state, finalState.Tasks), storage.SetOptions{Urgent: true, Done: done})
+	err := r.storage.Set(r.now, jobID, jobs.NewFinalRecord(finalState.State, finalState.Tasks), storage.SetOptions{Urgent: true, Done: done})
 	if err != nil {
 		t.Fatalf("%s: %v", jobID, err)
 	}
@@ -123,14 +127,14 @@
 }
 
 // lookUp returns what a user can read of the job; ok is false if the lookup has to be retried.
-func (r *leadership) lookUp(id string) (finalState archive.FinalState, found, ok bool) {
+func (r *leadership) lookUp(id string) (finalState jobs.FinalState, found, ok bool) {
 	if finalState, there := r.finished[id]; there {
 		return finalState, true, true
 	}
 	if r.archive.LookupIndex(id) == archive.Absent {
 		return finalState, false, true
 	}
-	r.archive.LookupData(r.now, &r.outbox, id, func(_ time.Time, got archive.FinalState, there bool, err error) {
+	r.archive.LookupData(r.now, &r.outbox, id, func(_ time.Time, got jobs.FinalState, there bool, err error) {
 		finalState, found, ok = got, there, err == nil
 	})
 	r.executeAll()
--- a/internal/controller/archive/lookup.go
+++ b/internal/controller/archive/lookup.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/client"
@@ -73,23 +74,23 @@
 
 // LookupFunc takes the result of a lookup in the data: found is true if the job is in a segment; an error means that it is unknown
 // now, ErrBusy or ReadError among others.
-type LookupFunc func(now time.Time, state FinalState, found bool, err error)
+type LookupFunc func(now time.Time, state jobs.FinalState, found bool, err error)
 
 // LookupData looks a job up in the data, which takes a read of the state service unless the part is cached. done is called exactly
 // once, perhaps before LookupData returns.
 func (s *Store) LookupData(now time.Time, outbox *client.Outbox, jobID string, done LookupFunc) {
 	if s.reader.lookups >= maxLookups {
-		done(now, FinalState{}, false, ErrBusy)
+		done(now, jobs.FinalState{}, false, ErrBusy)
 		return
 	}
 	key, ok := keyOf(jobID)
 	if !ok {
-		done(now, FinalState{}, false, nil)
+		done(now, jobs.FinalState{}, false, nil)
 		return
 	}
 	s.reader.lookups++
 	l := &lookup{store: s, outbox: outbox, id: jobID, key: key, tried: map[uint64]bool{}}
-	l.done = func(now time.Time, state FinalState, found bool, err error) {
+	l.done = func(now time.Time, state jobs.FinalState, found bool, err error) {
 		s.reader.lookups--
 		done(now, state, found, err)
 	}
@@ -112,7 +113,7 @@
 		return !l.tried[segment.Number] && segment.ids.Contains(l.key)
 	})
 	if i < 0 {
-		l.done(now, FinalState{}, false, nil)
+		l.done(now, jobs.FinalState{}, false, nil)
 		return
 	}
 	segment := l.store.segments[i]
@@ -125,7 +126,7 @@
 			l.tried[segment.Number] = true
 			l.next(now)
 		case status != http.StatusOK:
-			l.done(now, FinalState{}, false, &ReadError{Key: name, Status: status})
+			l.done(now, jobs.FinalState{}, false, &ReadError{Key: name, Status: status})
 		default:
 			l.search(now, segment, name, text, position)
 		}
--- a/internal/controller/archive/model_test.go
+++ b/internal/controller/archive/model_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"gullrudder/internal/controller/archive"
+	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/simulator"
 	"gullrudder/internal/wire/client"
 
@@ -39,9 +40,9 @@
 	cluster       *simulator.Cluster
 	rate          float64
 	leader        *leadership
-	durable       map[string]archive.FinalState // the plain model
-	attempted     map[string]archive.FinalState // jobs that may have finished durably
-	late          []client.Call                 // on their way: executed later, or never
+	durable       map[string]jobs.FinalState // the plain model
+	attempted     map[string]jobs.FinalState // jobs that may have finished durably
+	late          []client.Call              // on their way: executed later, or never
 }
 
 func newArchiveSchedule(t *rapid.T, first, second string) *archiveSchedule {
@@ -50,8 +51,8 @@
 		t: t, first: first, second: second,
 		cluster:   simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler)),
 		rate:      rapid.SampledFrom([]float64{3, 1000}).Draw(t, "writes a second"),
-		durable:   map[string]archive.FinalState{},
-		attempted: map[string]archive.FinalState{},
+		durable:   map[string]jobs.FinalState{},
+		attempted: map[string]jobs.FinalState{},
 	}
 	s.leader = becomeLeader(t, s.cluster, time.Unix(5000, 0), 1, s.rate)
 	return s
@@ -99,8 +100,9 @@
 	if _, finished := s.attempted[id]; finished {
 		return false
 	}
-	state := archive.FinalState{
-		Cancelled: rapid.Bool().Draw(s.t, "cancelled"), Tasks: rapid.SampledFrom([]int{1, 7, 100_000}).Draw(s.t, "tasks"),
+	state := jobs.FinalState{
+		State: rapid.SampledFrom([]jobs.State{jobs.Done, jobs.Cancelled}).Draw(s.t, "state"),
+		Tasks: rapid.SampledFrom([]int{1, 7, 100_000}).Draw(s.t, "tasks"),
 	}
 	s.attempted[id] = state
 	s.leader.finish(s.t, id, state, func() { s.durable[id] = state })
@@ -138,8 +140,8 @@
 	want, isDurable := s.durable[jobID]
 	attempted, isAttempted := s.attempted[jobID]
 	result := s.leader.archive.LookupIndex(jobID)
-	saysDone := result == archive.Done && (want.Cancelled || !isDurable && attempted.Cancelled)
-	saysCancelled := result == archive.Cancelled && isDurable && !want.Cancelled
+	saysDone := result == archive.Done && (want.State == jobs.Cancelled || !isDurable && attempted.State == jobs.Cancelled)
+	saysCancelled := result == archive.Cancelled && isDurable && want.State != jobs.Cancelled
 	if saysDone || saysCancelled {
 		s.t.Fatalf("%s: the index says %v, want %+v", jobID, result, want)
 	}
--- a/internal/controller/archive/older_version_test.go
+++ b/internal/controller/archive/older_version_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"gullrudder/internal/controller/archive"
+	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/simulator"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
@@ -36,7 +36,7 @@
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
 	leader := becomeLeader(t, cluster, time.Unix(5000, 0), 1, 1000)
 	for i := range 10 {
-		leader.finish(t, fmt.Sprintf("job-%06d", i), archive.FinalState{Tasks: 1}, func() {})
+		leader.finish(t, fmt.Sprintf("job-%06d", i), jobs.FinalState{State: jobs.Done, Tasks: 1}, func() {})
 	}
 	for range 20 {
 		leader.tick()
--- a/internal/controller/archive/segment.go
+++ b/internal/controller/archive/segment.go
@@ -9,19 +9,15 @@
 	"strconv"
 	"strings"
 
+	"gullrudder/internal/controller/jobs"
+
 	"github.com/RoaringBitmap/roaring/v2/roaring64"
 )
 
-// FinalState is what the archive keeps of a finished job.
-type FinalState struct {
-	Cancelled bool
-	Tasks     int // number of tasks of the job
-}
-
 // FinishedJob is a finished job.
 type FinishedJob struct {
 	ID string
-	FinalState
+	jobs.FinalState
 }
 
 const (
@@ -113,7 +109,7 @@
 }
 
 // add adds a key with the payload of its jobs. Exact and hashed keys are never in the same part.
-func (b *segmentBuilder) add(key uint64, payload []byte, jobs int) {
+func (b *segmentBuilder) add(key uint64, payload []byte, jobCount int) {
 	isFirstHashed := key >= hashedKeyBit && b.lastKey < hashedKeyBit
 	if b.partOpen && (isFirstHashed || base64.RawStdEncoding.EncodedLen(len(b.part)+len(payload)) > b.maxPartBytes) {
 		b.closePart()
@@ -127,7 +123,7 @@
 	if state, _ := binary.Uvarint(payload); key < hashedKeyBit && state&cancelledBit != 0 {
 		b.segment.cancelled.Add(key)
 	}
-	b.segment.JobCount += jobs
+	b.segment.JobCount += jobCount
 	b.nextRank++
 	b.lastKey = key
 }
@@ -160,16 +156,16 @@
 }
 
 // buildSegment builds a segment of finished jobs.
-func buildSegment(number uint64, jobs []FinishedJob, maxPartBytes int) (builtSegment, error) {
-	keys := make(map[string]uint64, len(jobs))
-	for _, job := range jobs {
+func buildSegment(number uint64, finishedJobs []FinishedJob, maxPartBytes int) (builtSegment, error) {
+	keys := make(map[string]uint64, len(finishedJobs))
+	for _, job := range finishedJobs {
 		key, ok := keyOf(job.ID)
 		if !ok {
 			return builtSegment{}, fmt.Errorf("segment %d: %q is no job", number, job.ID)
 		}
 		keys[job.ID] = key
 	}
-	sorted := append([]FinishedJob(nil), jobs...)
+	sorted := append([]FinishedJob(nil), finishedJobs...)
 	sort.Slice(sorted, func(i, j int) bool {
 		if keyI, keyJ := keys[sorted[i].ID], keys[sorted[j].ID]; keyI != keyJ {
 			return keyI < keyJ
--- a/internal/controller/archive/store.go
+++ b/internal/controller/archive/store.go
@@ -16,6 +16,7 @@
 	"strings"
 	"time"
 
+	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/wire/client"
 )
@@ -60,7 +61,7 @@
 	// CanArchive reports whether a finished job may be archived.
 	CanArchive func(now time.Time, id string) bool
 	// FinalState returns the final state of a finished job, and false if it is not finished.
-	FinalState func(id string) (FinalState, bool)
+	FinalState func(id string) (jobs.FinalState, bool)
 	// OnArchived is called with the IDs of jobs once their segment is durable.
 	OnArchived func(ids []string)
 }
--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -27,6 +27,27 @@
 	nameCancelled = "cancelled"
 )
 
+// String returns the name of the state. Users see that of a finished job; for all others see Job.StateName.
+func (s State) String() string {
+	switch s {
+	case Pending:
+		return "pending"
+	case Accepted:
+		return "accepted"
+	case Done:
+		return nameDone
+	case Cancelled:
+		return nameCancelled
+	}
+	return "unknown"
+}
+
+// FinalState is what is kept of a finished job.
+type FinalState struct {
+	State State // Done or Cancelled
+	Tasks int   // number of tasks of the job
+}
+
 // Terms are what was decided for a job when it was accepted.
 type Terms struct {
 	Guaranteed           bool          // admitted with a reservation; otherwise best effort
@@ -85,10 +106,8 @@
 // StateName returns the state as users see it.
 func (j *Job) StateName() string {
 	switch {
-	case j.State == Done:
-		return nameDone
-	case j.State == Cancelled:
-		return nameCancelled
+	case j.State == Done || j.State == Cancelled:
+		return j.State.String()
 	case j.RunningTasks() > 0:
 		return nameRunning
 	}
--- /dev/null
+++ b/internal/controller/jobs/job_test.go
@@ -0,0 +1,13 @@
+package jobs
+
+import "testing"
+
+// Users and metrics read the names of the final states.
+func TestFinalStateNames(t *testing.T) {
+	for state, want := range map[State]string{Done: "done", Cancelled: "cancelled"} {
+		job := &Job{State: state}
+		if state.String() != want || job.StateName() != want {
+			t.Errorf("state %d: %q, of a job %q, want %q", state, state.String(), job.StateName(), want)
+		}
+	}
+}
--- a/internal/controller/jobstore/archive.go
+++ b/internal/controller/jobstore/archive.go
@@ -42,7 +42,7 @@
 		MinSegmentJobs:    s.options.MinSegmentJobs,
 		CompactionFanIn:   s.options.CompactionFanIn,
 		CanArchive:        s.canArchive,
-		FinalState:        s.stateToArchive,
+		FinalState:        s.FinalState,
 		OnArchived:        s.forgetArchived,
 	}, s.log)
 	if err != nil {
@@ -56,13 +56,8 @@
 
 // canArchive reports whether a job has been finished for ArchiveDelay, in which its user has usually read the result.
 func (s *Store) canArchive(now time.Time, id string) bool {
-	state, ok := s.finished[id]
-	return ok && now.Sub(state.finishedAt) >= s.options.ArchiveDelay
-}
-
-func (s *Store) stateToArchive(id string) (archive.FinalState, bool) {
-	state, ok := s.finished[id]
-	return archive.FinalState{Cancelled: !state.Done, Tasks: state.Tasks}, ok
+	finished, ok := s.finished[id]
+	return ok && now.Sub(finished.finishedAt) >= s.options.ArchiveDelay
 }
 
 func (s *Store) forgetArchived(ids []string) {
--- a/internal/controller/jobstore/cancellation.go
+++ b/internal/controller/jobstore/cancellation.go
@@ -47,8 +47,8 @@
 	if job := s.Unfinished[task.JobID]; job != nil {
 		return job.IsCancelling || job.State == jobs.Cancelled
 	}
-	if state, ok := s.finished[task.JobID]; ok {
-		return !state.Done
+	if finished, ok := s.finished[task.JobID]; ok {
+		return finished.State == jobs.Cancelled
 	}
 	return s.archive.store.LookupIndex(task.JobID) == archive.Cancelled
 }
--- a/internal/controller/jobstore/dependencies.go
+++ b/internal/controller/jobstore/dependencies.go
@@ -46,11 +46,11 @@
 // DependencyState returns the state of a job that another one depends on. Only durable changes count: those in the pages, by this leader
 // or an earlier one, or in the archive.
 func (s *Store) DependencyState(jobID string) DependencyState {
-	if state, ok := s.finished[jobID]; ok {
-		if state.Done {
-			return DependencyMet
+	if finished, ok := s.finished[jobID]; ok {
+		if finished.State == jobs.Cancelled {
+			return DependencyCancelled
 		}
-		return DependencyCancelled
+		return DependencyMet
 	}
 	if job := s.Unfinished[jobID]; job != nil {
 		return unfinishedDependencyState(job)
@@ -225,10 +225,10 @@
 		}
 		unresolved.resolving = true
 		s.archive.store.LookupData(now, outbox, unresolved.dependency,
-			func(now time.Time, state archive.FinalState, found bool, err error) {
+			func(now time.Time, final jobs.FinalState, found bool, err error) {
 				unresolved.resolving = false
 				if err == nil {
-					s.resolveDependency(now, unresolved, state, found)
+					s.resolveDependency(now, unresolved, final, found)
 				}
 			})
 	}
@@ -236,9 +236,9 @@
 }
 
 // resolveDependency records the result of the lookup of a dependency in the archive's data.
-func (s *Store) resolveDependency(now time.Time, resolved *unresolvedDependency, state archive.FinalState, found bool) {
+func (s *Store) resolveDependency(now time.Time, resolved *unresolvedDependency, final jobs.FinalState, found bool) {
 	switch {
-	case found && state.Cancelled:
+	case found && final.State == jobs.Cancelled:
 		s.cancelDependents(now, s.withDependents(resolved.job))
 	case found:
 		s.releaseDependents(now, resolved.dependency)
--- a/internal/controller/jobstore/restore.go
+++ b/internal/controller/jobstore/restore.go
@@ -22,7 +22,7 @@
 	}
 	if job.State == jobs.Done || job.State == jobs.Cancelled && record.CPUs+record.MemoryGB+record.GPUs == 0 {
 		// The record has only the final state.
-		s.finished[name] = FinalState{Done: job.State == jobs.Done, Tasks: job.Tasks, finishedAt: now}
+		s.finished[name] = newFinishedJob(now, job)
 		s.storage.SetFinished(name)
 		return
 	}
--- a/internal/controller/jobstore/save.go
+++ b/internal/controller/jobstore/save.go
@@ -157,7 +157,7 @@
 
 // retire keeps only the final state of a finished job.
 func (s *Store) retire(now time.Time, job *jobs.Job) {
-	s.finished[job.ID] = FinalState{Done: job.State == jobs.Done, Tasks: job.Tasks, finishedAt: now}
+	s.finished[job.ID] = newFinishedJob(now, job)
 	s.storage.SetFinished(job.ID)
 	delete(s.Unfinished, job.ID)
 	delete(s.stopping, job)
--- a/internal/controller/jobstore/store.go
+++ b/internal/controller/jobstore/store.go
@@ -17,13 +17,16 @@
 	"gullrudder/internal/wire/client"
 )
 
-// FinalState is the final state of a finished job that is not archived yet.
-type FinalState struct {
-	Done       bool // false: cancelled
-	Tasks      int  // how many the job had
+// finishedJob is a finished job that is not archived yet.
+type finishedJob struct {
+	jobs.FinalState
 	finishedAt time.Time
 }
 
+func newFinishedJob(now time.Time, job *jobs.Job) finishedJob {
+	return finishedJob{FinalState: jobs.FinalState{State: job.State, Tasks: job.Tasks}, finishedAt: now}
+}
+
 // Components are the components of the leadership that a Store uses.
 type Components struct {
 	Platform   *config.Platform
@@ -74,8 +77,8 @@
 	// Unfinished has the jobs that are neither done nor completely cancelled, by ID. Other packages must not change it.
 	Unfinished map[string]*jobs.Job
 
-	finished     map[string]FinalState // jobs in the pages, by ID
-	stopping     map[*jobs.Job]bool    // cancelled jobs whose tasks may still run
+	finished     map[string]finishedJob // jobs in the pages, by ID
+	stopping     map[*jobs.Job]bool     // cancelled jobs whose tasks may still run
 	archive      archiveState
 	dependencies dependencyState
 	saving       saveState
@@ -92,7 +95,7 @@
 		accounting: components.Accounting,
 		observer:   noObserver{},
 		Unfinished: map[string]*jobs.Job{},
-		finished:   map[string]FinalState{},
+		finished:   map[string]finishedJob{},
 		stopping:   map[*jobs.Job]bool{},
 	}
 	s.dependencies.graph = dependencies.New(s.Find)
@@ -106,9 +109,9 @@
 func (s *Store) Find(id string) *jobs.Job { return s.Unfinished[id] }
 
 // FinalState returns the final state of a finished job, and false if the job is unfinished, archived or unknown.
-func (s *Store) FinalState(id string) (FinalState, bool) {
-	state, ok := s.finished[id]
-	return state, ok
+func (s *Store) FinalState(id string) (jobs.FinalState, bool) {
+	finished, ok := s.finished[id]
+	return finished.FinalState, ok
 }
 
 // FinishedCount returns the number of finished jobs, archived ones included.
--- a/internal/controller/jobstore/store_test.go
+++ b/internal/controller/jobstore/store_test.go
@@ -47,8 +47,8 @@
 
 func TestDependencyState(t *testing.T) {
 	store := newTestStore(t)
-	store.finished["job-1"] = FinalState{Done: true, Tasks: 1}
-	store.finished["job-2"] = FinalState{Tasks: 1}
+	store.finished["job-1"] = finishedJob{FinalState: jobs.FinalState{State: jobs.Done, Tasks: 1}}
+	store.finished["job-2"] = finishedJob{FinalState: jobs.FinalState{State: jobs.Cancelled, Tasks: 1}}
 	addJob(store, "job-3", jobs.Accepted)
 	addJob(store, "job-4", jobs.Pending)
 	addJob(store, "job-5", jobs.Accepted).IsCancelling = true
@@ -132,7 +132,7 @@
 	if got, known := store.CancellationsCompletedBefore(now); !known || !got.Equal(now) || store.Find("job-1") != nil {
 		t.Errorf("once it is retired: %v, %v", got, known)
 	}
-	if state, ok := store.FinalState("job-1"); !ok || state.Done {
+	if state, ok := store.FinalState("job-1"); !ok || state.State != jobs.Cancelled {
 		t.Errorf("final state %+v, %v", state, ok)
 	}
 	restored := addJob(store, "job-2", jobs.Cancelled)
@@ -151,11 +151,11 @@
 		name     string
 		record   jobs.Record
 		final    bool
-		done     bool
+		state    jobs.State // if it is final
 		stopping bool
 	}{
-		{name: "done", record: jobs.NewFinalRecord(jobs.Done, 3), final: true, done: true},
-		{name: "cancelled and retired", record: jobs.NewFinalRecord(jobs.Cancelled, 3), final: true},
+		{name: "done", record: jobs.NewFinalRecord(jobs.Done, 3), final: true, state: jobs.Done},
+		{name: "cancelled and retired", record: jobs.NewFinalRecord(jobs.Cancelled, 3), final: true, state: jobs.Cancelled},
 		{name: "cancelled, tasks may still run", record: cancelled, stopping: true},
 		{name: "accepted", record: accepted},
 	} {
@@ -167,7 +167,7 @@
 				return nil
 			})
 			state, final := store.FinalState("job-1")
-			if final != test.final || state.Done != test.done || final && state.Tasks != 3 {
+			if final != test.final || state.State != test.state || final && state.Tasks != 3 {
 				t.Errorf("final state %+v, %v", state, final)
 			}
 			job := store.Find("job-1")
--- a/internal/controller/storage/load_test.go
+++ b/internal/controller/storage/load_test.go
@@ -49,7 +49,7 @@
 	for i := range count {
 		name := newID(i)
 		err := store.Set(now, name, jobs.NewFinalRecord(jobs.Done, 100), storage.SetOptions{Urgent: true, Done: func(time.Time, bool) {
-			finished[name] = archive.FinalState{Tasks: 100}
+			finished[name] = jobs.FinalState{State: jobs.Done, Tasks: 100}
 			store.SetFinished(name)
 		}})
 		if err != nil {
@@ -72,7 +72,7 @@
 	cluster *simulator.Cluster,
 	now time.Time,
 	outbox *client.Outbox,
-) (*storage.Store, *archive.Store, map[string]archive.FinalState) {
+) (*storage.Store, *archive.Store, map[string]jobs.FinalState) {
 	b.Helper()
 	log := slog.New(slog.DiscardHandler)
 	put := cluster.State.Exchange(
@@ -92,11 +92,11 @@
 			c.Done(now, cluster.State.Exchange(c))
 		}
 	}
-	finished := map[string]archive.FinalState{}
+	finished := map[string]jobs.FinalState{}
 	archiveStore, err := archive.New(store, archive.Options{
 		MaxValueBytes: valueBytes, MaxTransactionOps: 8, WriteRate: 1e6, ReadRate: 1e6, MinSegmentJobs: 128, CompactionFanIn: 8,
 		CanArchive: func(_ time.Time, id string) bool { _, ok := finished[id]; return ok },
-		FinalState: func(id string) (archive.FinalState, bool) { f, ok := finished[id]; return f, ok },
+		FinalState: func(id string) (jobs.FinalState, bool) { f, ok := finished[id]; return f, ok },
 		OnArchived: func(ids []string) { deleteAll(finished, ids) },
 	}, log)
 	if err != nil {
@@ -105,7 +105,7 @@
 	return store, archiveStore, finished
 }
 
-func deleteAll(finished map[string]archive.FinalState, ids []string) {
+func deleteAll(finished map[string]jobs.FinalState, ids []string) {
 	for _, id := range ids {
 		delete(finished, id)
 	}
