--- a/internal/config/option_file.go
+++ b/internal/config/option_file.go
@@ -9,6 +9,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"gullrudder/internal/units"
 )
 
 // LineError is a line of an operators' file that is malformed or invalid.
@@ -35,7 +37,7 @@
 		low.Seconds(),
 		high.Seconds(),
 		func() float64 { return target.Seconds() },
-		func(v float64) { *target = DurationFromSeconds(v) },
+		func(v float64) { *target = units.DurationFromSeconds(v) },
 	}
 }
 
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -115,9 +115,6 @@
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// DurationFromSeconds converts seconds, the unit of the settings files, to a duration.
-func DurationFromSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
 // LoadPlatform reads and checks the platform's file. See ParsePlatform for its errors.
 func LoadPlatform(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
--- a/internal/config/platform_file.go
+++ b/internal/config/platform_file.go
@@ -1,5 +1,7 @@
 package config
 
+import "gullrudder/internal/units"
+
 // platformFile is the platform's settings file as it is written. Its names are the platform's.
 type platformFile struct {
 	HostName   string `json:"host_name"`
@@ -74,16 +76,16 @@
 		Name: f.HostName, Zone: f.Domain, PublicAddr: f.PublicAddr, PeerListenAddr: f.PeerBind,
 		CloudAddr: f.Outside.Cloud, StateAddr: f.Outside.State, Zones: cluster.Zones,
 		WorkerTiming: WorkerTiming{
-			HeartbeatInterval:   DurationFromSeconds(cluster.Workers.ReportS),
-			WorkerLeaseDuration: DurationFromSeconds(cluster.Workers.LeaseS),
-			CancelTimeout:       DurationFromSeconds(cluster.Workers.CancelS),
+			HeartbeatInterval:   units.DurationFromSeconds(cluster.Workers.ReportS),
+			WorkerLeaseDuration: units.DurationFromSeconds(cluster.Workers.LeaseS),
+			CancelTimeout:       units.DurationFromSeconds(cluster.Workers.CancelS),
 		},
 		StateLimits: f.lowestStateLimits(),
-		CloudLimits: CloudLimits{CloudRequestRate: cluster.Cloud.RPS, CloudListLag: DurationFromSeconds(cluster.Cloud.ListLagS)},
+		CloudLimits: CloudLimits{CloudRequestRate: cluster.Cloud.RPS, CloudListLag: units.DurationFromSeconds(cluster.Cloud.ListLagS)},
 		ProcessQuota: ProcessQuota{
 			CPUQuota: cluster.Quota.CPU, MemoryQuotaMB: cluster.Quota.RAMMB, MaxConnections: cluster.Quota.MaxConnections,
 		},
-		MaxClockError: DurationFromSeconds(cluster.ClockErrorMS / 1000),
+		MaxClockError: units.DurationFromSeconds(cluster.ClockErrorMS / 1000),
 	}
 	for _, other := range f.Others {
 		platform.Peers = append(platform.Peers, Peer{Name: other.HostName, Zone: other.Domain, Addr: other.Addr})
@@ -95,7 +97,7 @@
 	}
 	for _, objective := range cluster.Objectives {
 		platform.Objectives = append(platform.Objectives, Objective{
-			Kind: objective.Kind, Class: objective.Class, TimeLimit: DurationFromSeconds(objective.WithinS),
+			Kind: objective.Kind, Class: objective.Class, TimeLimit: units.DurationFromSeconds(objective.WithinS),
 			TargetShare: objective.Share, DeadlineFactor: objective.Times,
 		})
 	}
--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -58,7 +58,7 @@
 	if job.Deadline <= 0 || job.IsService || submittedCPUs > p.options.SubmissionShare*(capacity.CPUs+capacity.GrowthCPUs) {
 		return false
 	}
-	if request.DependencyRunTime > 0 && now.Add(request.DependencyRunTime+p.estimator.TaskRunTime(job)).After(DueAt(job)) {
+	if request.DependencyRunTime > 0 && now.Add(request.DependencyRunTime+p.estimator.TaskRunTime(job)).After(job.DueAt()) {
 		return false
 	}
 	plan, _ := p.planGuaranteed(now, guaranteedJobs(request.Live), capacity)
@@ -96,7 +96,7 @@
 // withEarlierDeadline returns a copy of the dependency that is due early enough for a task of the job to follow.
 func (p *Planner) withEarlierDeadline(dependency, job *jobs.Job) *jobs.Job {
 	early := *dependency
-	deadline := DueAt(job).Add(-p.estimator.TaskRunTime(job))
+	deadline := job.DueAt().Add(-p.estimator.TaskRunTime(job))
 	if early.InheritedDeadline.IsZero() || deadline.Before(early.InheritedDeadline) {
 		early.InheritedDeadline = deadline
 	}
@@ -108,7 +108,7 @@
 func (p *Planner) Feasible(now time.Time, live []*jobs.Job, capacity Capacity) map[*jobs.Job]bool {
 	var inTime []*jobs.Job
 	for _, job := range guaranteedJobs(live) {
-		if !now.After(DueAt(job)) {
+		if !now.After(job.DueAt()) {
 			inTime = append(inTime, job)
 		}
 	}
@@ -126,9 +126,3 @@
 	}
 	return guaranteed
 }
-
-// DueAt is when a deadline job has to be complete; the zero time if it has no deadline.
-func DueAt(job *jobs.Job) time.Time {
-	due, _ := job.DueAt()
-	return due
-}
--- a/internal/controller/admission/round_up.go
+++ b/internal/controller/admission/round_up.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/units"
 )
 
 // RoundUp returns the CPUs with which a guaranteed job is planned (§3.4.1): the job's CPUs, rounded up to a machine of the
@@ -13,10 +13,10 @@
 		return cpus
 	}
 	if cpus >= machineCPUs {
-		return math.Ceil(cpus/machineCPUs-jobs.ResourceTolerance) * machineCPUs
+		return math.Ceil(cpus/machineCPUs-units.ResourceTolerance) * machineCPUs
 	}
 	share := machineCPUs
-	for share/2 >= cpus-jobs.ResourceTolerance {
+	for share/2 >= cpus-units.ResourceTolerance {
 		share /= 2
 	}
 	return share
--- a/internal/controller/admission/schedule.go
+++ b/internal/controller/admission/schedule.go
@@ -48,7 +48,7 @@
 // list.
 func (p *Planner) planGuaranteed(now time.Time, guaranteed []*jobs.Job, capacity Capacity) (*schedule, map[*jobs.Job]bool) {
 	slices.SortStableFunc(guaranteed, func(a, b *jobs.Job) int {
-		return cmp.Or(DueAt(a).Compare(DueAt(b)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(a.DueAt().Compare(b.DueAt()), cmp.Compare(a.ID, b.ID))
 	})
 	plan := &schedule{
 		now:           now,
@@ -73,7 +73,7 @@
 // reserve reserves CPUs for the given work before the job's deadline; it reports false, and reserves nothing, if that does
 // not fit.
 func (s *schedule) reserve(job *jobs.Job, taskRunTime time.Duration, cpuSeconds float64) bool {
-	remaining := DueAt(job).Sub(s.now)
+	remaining := job.DueAt().Sub(s.now)
 	if remaining <= 0 {
 		// There is no interval left before the deadline.
 		return cpuSeconds <= workTolerance
--- a/internal/controller/ageing/wait_bound.go
+++ b/internal/controller/ageing/wait_bound.go
@@ -5,6 +5,7 @@
 
 	"gullrudder/internal/controller/estimate"
 	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/units"
 )
 
 // maxStatedWait is the longest wait that is stated as a bound. For a longer one no bound is stated.
@@ -76,7 +77,7 @@
 	if !(seconds < maxStatedWait.Seconds()) { // also if it is not a number
 		return maxStatedWait
 	}
-	return time.Duration(seconds * float64(time.Second))
+	return units.DurationFromSeconds(seconds)
 }
 
 // drainSeconds is how long a load takes on so many CPUs if each of its tasks waits for its placement first.
--- a/internal/controller/api/accounts.go
+++ b/internal/controller/api/accounts.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"gullrudder/internal/controller/accounting"
+	"gullrudder/internal/units"
 	"gullrudder/internal/wire/server"
 )
 
@@ -63,5 +64,5 @@
 	if !(seconds >= 0 && seconds < maxSinceSeconds) { // also if it is no number
 		return time.Time{}, errSinceOutOfRange
 	}
-	return now.Add(-time.Duration(seconds * float64(time.Second))), nil
+	return now.Add(-units.DurationFromSeconds(seconds)), nil
 }
--- a/internal/controller/api/start_bounds.go
+++ b/internal/controller/api/start_bounds.go
@@ -12,6 +12,7 @@
 	"gullrudder/internal/controller/jobstore"
 	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/queue"
+	"gullrudder/internal/units"
 )
 
 // startBounds computes, when a job is accepted, how long it waits at worst.
@@ -52,7 +53,7 @@
 		ahead.StartDelay += offer.longestBoot
 	}
 	// The fetch time counts twice: for the job's own image, and for the wait for a machine that has it already.
-	ahead.StartDelay += time.Duration(2 * offer.longestFetchSeconds * float64(time.Second))
+	ahead.StartDelay += units.DurationFromSeconds(2 * offer.longestFetchSeconds)
 	return ahead
 }
 
--- a/internal/controller/archive/store.go
+++ b/internal/controller/archive/store.go
@@ -18,6 +18,7 @@
 
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/units"
 	"gullrudder/internal/wire/client"
 )
 
@@ -104,7 +105,7 @@
 
 // burstOfTransaction returns the time for which unused writes accumulate: until they suffice for one transaction.
 func burstOfTransaction(options Options) time.Duration {
-	return time.Duration(float64(options.MaxTransactionOps+1) / options.WriteRate * float64(time.Second))
+	return units.DurationFromSeconds(float64(options.MaxTransactionOps+1) / options.WriteRate)
 }
 
 // loadHeadEntry loads an entry of the archive's head. It removes the parts of the segment's index from index.
--- a/internal/controller/autoscaler/projection.go
+++ b/internal/controller/autoscaler/projection.go
@@ -5,6 +5,7 @@
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/placement"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/units"
 )
 
 // capacityProjection is the capacity of the machines that are up, booting or planned. The waiting tasks are placed on it.
@@ -100,7 +101,7 @@
 		if fit := current.available.TasksThatFit(job); fit > 0 && placement.KindAllowed(job, current.kind) {
 			placed += current.reserve(job, min(fit, maxTasks-placed))
 		}
-		if current.available.CPUs >= p.smallestTaskCPUs-jobs.ResourceTolerance {
+		if current.available.CPUs >= p.smallestTaskCPUs-units.ResourceTolerance {
 			p.slots[kept] = *current
 			kept++
 		}
--- a/internal/controller/cloud/instance.go
+++ b/internal/controller/cloud/instance.go
@@ -1,6 +1,10 @@
 package cloud
 
-import "time"
+import (
+	"time"
+
+	"gullrudder/internal/units"
+)
 
 // MachineType is a type of machine that the cloud offers, as it describes it.
 type MachineType struct {
@@ -18,7 +22,7 @@
 
 // StatedBootTime returns the usual time from the request to the first heartbeat, as the cloud states it.
 func (t *MachineType) StatedBootTime() time.Duration {
-	return time.Duration(t.BootSeconds * float64(time.Second))
+	return units.DurationFromSeconds(t.BootSeconds)
 }
 
 // HourlyPriceFor returns the price of an hour of an instance, spot or on demand.
--- a/internal/controller/cloud/messages.go
+++ b/internal/controller/cloud/messages.go
@@ -1,6 +1,10 @@
 package cloud
 
-import "time"
+import (
+	"time"
+
+	"gullrudder/internal/units"
+)
 
 // Limits of the cloud's protocol.
 const (
@@ -37,7 +41,7 @@
 }
 
 func (l *listedInstance) age() time.Duration {
-	return time.Duration(l.AgeSeconds * float64(time.Second))
+	return units.DurationFromSeconds(l.AgeSeconds)
 }
 
 // instancesResponse is a page of the response to GET /hosts.
--- a/internal/controller/dependencies/graph.go
+++ b/internal/controller/dependencies/graph.go
@@ -152,7 +152,7 @@
 func (g *Graph) PropagateDeadline(job *jobs.Job, runTime TaskRunTime, startDelay time.Duration, guaranteed bool) {
 	dependents := append([]*jobs.Job{job}, g.ancestors(job)...)
 	for _, dependent := range dependents { // dependents before their dependencies
-		due, hasDeadline := dependent.DueAt()
+		due := dependent.DueAt()
 		latestFinish := due.Add(-runTime(dependent) - startDelay)
 		for id := range g.unmet[dependent] {
 			dependency := g.findJob(id)
@@ -160,7 +160,7 @@
 				continue
 			}
 			dependency.InheritedPriority = max(dependency.InheritedPriority, dependent.EffectivePriority())
-			if hasDeadline {
+			if !due.IsZero() {
 				inheritDeadline(dependency, latestFinish, guaranteed)
 			}
 		}
@@ -168,7 +168,7 @@
 }
 
 func inheritDeadline(job *jobs.Job, deadline time.Time, guaranteed bool) {
-	if due, has := job.DueAt(); !has || deadline.Before(due) {
+	if due := job.DueAt(); due.IsZero() || deadline.Before(due) {
 		job.InheritedDeadline = deadline
 	}
 	job.RequiredByGuaranteed = job.RequiredByGuaranteed || guaranteed
--- a/internal/controller/dependencies/graph_test.go
+++ b/internal/controller/dependencies/graph_test.go
@@ -196,7 +196,7 @@
 		root: 56 * time.Second, slow: 88 * time.Second, fast: 88 * time.Second, last: 100 * time.Second,
 	}
 	for job, want := range dueAfter {
-		if due, ok := job.DueAt(); !ok || due.Sub(start) != want {
+		if due := job.DueAt(); due.IsZero() || due.Sub(start) != want {
 			t.Errorf("%s is due after %v, want %v", job.ID, due.Sub(start), want)
 		}
 		if job != last && (!job.RequiredByGuaranteed || job.InheritedPriority != jobs.High) {
--- a/internal/controller/jobs/fields.go
+++ b/internal/controller/jobs/fields.go
@@ -5,6 +5,8 @@
 	"math"
 	"net/http"
 	"time"
+
+	"gullrudder/internal/units"
 )
 
 const (
@@ -85,5 +87,5 @@
 		f.reject(name, "longer than a year")
 		return 0
 	}
-	return fromSeconds(seconds)
+	return units.DurationFromSeconds(seconds)
 }
--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -123,22 +123,23 @@
 	return j.SubmittedAt
 }
 
-// DueAt returns by when the job has to be complete: its own deadline or an inherited one, whichever is earlier. ok is false if
-// there is neither.
-func (j *Job) DueAt() (due time.Time, ok bool) {
+// DueAt returns by when the job has to be complete: its own deadline or an inherited one, whichever is earlier. It is the
+// zero time if there is neither.
+func (j *Job) DueAt() time.Time {
+	var due time.Time
 	if j.Deadline > 0 {
 		due = j.SubmittedAt.Add(j.Deadline)
 	}
 	if !j.InheritedDeadline.IsZero() && (due.IsZero() || j.InheritedDeadline.Before(due)) {
 		due = j.InheritedDeadline
 	}
-	return due, !due.IsZero()
+	return due
 }
 
 // TimeToDeadline returns how long after EligibleSince the job has to be complete; 0 if it has no deadline.
 func (j *Job) TimeToDeadline() time.Duration {
-	due, ok := j.DueAt()
-	if !ok {
+	due := j.DueAt()
+	if due.IsZero() {
 		return 0
 	}
 	return max(due.Sub(j.EligibleSince()), time.Millisecond)
--- a/internal/controller/jobs/record.go
+++ b/internal/controller/jobs/record.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"math"
 	"time"
+
+	"gullrudder/internal/units"
 )
 
 // Record is a job as the state service keeps it. Of a finished job only the state and the number of tasks are kept. The tags
@@ -179,10 +181,10 @@
 		SingleZone:         r.SingleZone,
 		SpreadAcrossZones:  r.SpreadAcrossZones,
 		AllowsSpot:         r.AllowsSpot,
-		RunTimeEstimate:    fromSeconds(r.EstimateSeconds),
-		CheckpointInterval: fromSeconds(r.CheckpointSeconds),
-		CheckpointDuration: fromSeconds(r.CheckpointDurationSeconds),
-		Deadline:           fromSeconds(r.DeadlineSeconds),
+		RunTimeEstimate:    units.DurationFromSeconds(r.EstimateSeconds),
+		CheckpointInterval: units.DurationFromSeconds(r.CheckpointSeconds),
+		CheckpointDuration: units.DurationFromSeconds(r.CheckpointDurationSeconds),
+		Deadline:           units.DurationFromSeconds(r.DeadlineSeconds),
 		Dependencies:       r.Dependencies,
 	}
 }
@@ -199,5 +201,3 @@
 	j.DoneTasks = j.doneBits.count(j.Tasks)
 	return nil
 }
-
-func fromSeconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/internal/controller/jobs/spec.go
+++ b/internal/controller/jobs/spec.go
@@ -24,9 +24,6 @@
 	// maxIDDigits is how many digits the number in a job ID may have.
 	maxIDDigits = 32
 
-	// ResourceTolerance absorbs rounding errors where amounts of resources are compared.
-	ResourceTolerance = 1e-6
-
 	idPrefix = "job-"
 )
 
--- a/internal/controller/placement/eligibility.go
+++ b/internal/controller/placement/eligibility.go
@@ -7,6 +7,7 @@
 	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/units"
 )
 
 // KindAllowed reports whether the job's constraints allow instances of the kind.
@@ -19,8 +20,8 @@
 
 // FitsType reports whether one task of the job fits on an empty machine of the type.
 func FitsType(job *jobs.Job, machineType *cloud.MachineType) bool {
-	return job.CPUs <= machineType.CPUs+jobs.ResourceTolerance && job.GPUs <= machineType.GPUs+jobs.ResourceTolerance &&
-		job.MemoryGB <= machineType.MemoryGB+jobs.ResourceTolerance
+	return job.CPUs <= machineType.CPUs+units.ResourceTolerance && job.GPUs <= machineType.GPUs+units.ResourceTolerance &&
+		job.MemoryGB <= machineType.MemoryGB+units.ResourceTolerance
 }
 
 // TypeResources is the resources of an empty machine of the type.
@@ -67,8 +68,8 @@
 // IsFuller reports whether a is packed before b: the machine with the larger share of its CPUs in use, of two with the same
 // share the larger one.
 func IsFuller(a, b *worker.Machine) bool {
-	usedA, usedB := a.UsedCPUs/max(a.CPUs, jobs.ResourceTolerance), b.UsedCPUs/max(b.CPUs, jobs.ResourceTolerance)
-	if math.Abs(usedA-usedB) > jobs.ResourceTolerance {
+	usedA, usedB := a.UsedCPUs/max(a.CPUs, units.ResourceTolerance), b.UsedCPUs/max(b.CPUs, units.ResourceTolerance)
+	if math.Abs(usedA-usedB) > units.ResourceTolerance {
 		return usedA > usedB
 	}
 	if a.CPUs != b.CPUs {
--- a/internal/controller/placement/preempt.go
+++ b/internal/controller/placement/preempt.go
@@ -5,7 +5,6 @@
 	"slices"
 	"time"
 
-	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/estimate"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/queue"
@@ -61,7 +60,7 @@
 
 // isUrgent reports whether the job has to start about now to meet its deadline.
 func isUrgent(now time.Time, entry *queue.Entry, heartbeatInterval time.Duration) bool {
-	return admission.DueAt(entry.Job).Sub(now) < entry.TaskRunTime+2*heartbeatInterval+preemptionSlack
+	return entry.Job.DueAt().Sub(now) < entry.TaskRunTime+2*heartbeatInterval+preemptionSlack
 }
 
 // surveyPreemption walks the machines once for all jobs that need preemption.
--- a/internal/controller/placement/quota.go
+++ b/internal/controller/placement/quota.go
@@ -7,6 +7,7 @@
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/queue"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/units"
 )
 
 // unlimitedResource is more of a resource than any cluster has.
@@ -19,10 +20,10 @@
 func TasksAllowedByQuota(job *jobs.Job, team config.Team, usage *worker.Usage) int {
 	tasks := job.Tasks
 	if team.CPULimit > 0 && job.CPUs > 0 {
-		tasks = min(tasks, int(math.Floor((team.CPULimit-usage.CPUs+jobs.ResourceTolerance)/job.CPUs)))
+		tasks = min(tasks, int(math.Floor((team.CPULimit-usage.CPUs+units.ResourceTolerance)/job.CPUs)))
 	}
 	if team.GPULimit > 0 && job.GPUs > 0 {
-		tasks = min(tasks, int(math.Floor((team.GPULimit-usage.GPUs+jobs.ResourceTolerance)/job.GPUs)))
+		tasks = min(tasks, int(math.Floor((team.GPULimit-usage.GPUs+units.ResourceTolerance)/job.GPUs)))
 	}
 	return max(tasks, 0)
 }
@@ -33,8 +34,8 @@
 	if job.IsService || job.IsGang {
 		tasks = float64(job.Tasks)
 	}
-	return team.CPULimit > 0 && tasks*job.CPUs > team.CPULimit+jobs.ResourceTolerance ||
-		team.GPULimit > 0 && tasks*job.GPUs > team.GPULimit+jobs.ResourceTolerance
+	return team.CPULimit > 0 && tasks*job.CPUs > team.CPULimit+units.ResourceTolerance ||
+		team.GPULimit > 0 && tasks*job.GPUs > team.GPULimit+units.ResourceTolerance
 }
 
 // SetPartialStart limits starts to jobs that this leader itself has accepted as long as usage is not nil: no earlier
--- a/internal/controller/placement/shapes.go
+++ b/internal/controller/placement/shapes.go
@@ -6,6 +6,7 @@
 
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/units"
 )
 
 // Shape is everything of a job that decides on which machines its tasks fit, as long as none of them has failed.
@@ -72,7 +73,7 @@
 func countFittingTasks(job *jobs.Job, free []*worker.Machine, maxTasks int) int {
 	tasks := 0
 	for _, machine := range free {
-		if tasks >= maxTasks || job.CPUs > 0 && machine.CPUs-machine.UsedCPUs < job.CPUs-jobs.ResourceTolerance {
+		if tasks >= maxTasks || job.CPUs > 0 && machine.CPUs-machine.UsedCPUs < job.CPUs-units.ResourceTolerance {
 			break // the remaining machines have fewer free CPUs
 		}
 		if IsEligible(job, machine) {
--- a/internal/controller/placement/start_tasks.go
+++ b/internal/controller/placement/start_tasks.go
@@ -7,6 +7,7 @@
 	"gullrudder/internal/controller/ageing"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/units"
 	"gullrudder/internal/wire/workerapi"
 )
 
@@ -53,7 +54,7 @@
 // isFull reports whether no further start is possible: the commands are enough, or not even the smallest task fits.
 func (p *Placer) isFull(batch *startBatch) bool {
 	machine := batch.machine
-	return len(batch.commands) >= batch.maxCommands || machine.CPUs-machine.UsedCPUs < p.order.smallestTaskCPUs-jobs.ResourceTolerance
+	return len(batch.commands) >= batch.maxCommands || machine.CPUs-machine.UsedCPUs < p.order.smallestTaskCPUs-units.ResourceTolerance
 }
 
 // countSameRank is how many candidates have the rank of the first one.
--- a/internal/controller/queue/legacy_order_test.go
+++ b/internal/controller/queue/legacy_order_test.go
@@ -109,7 +109,7 @@
 	case facts.allocations[job] == fairshare.BelowMinShare:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankBelowShare, remainingTime, true
 	case entry.Planned:
-		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankPlanned, admission.DueAt(job).Sub(facts.now).Seconds(), true
+		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankPlanned, job.DueAt().Sub(facts.now).Seconds(), true
 	case entry.WithinQuota && age < p.guaranteeObjective:
 		// It can still start in the time that the guarantee is for.
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankQuotaInTime, entry.RemainingCPUSeconds, true
--- a/internal/controller/queue/legacy_plan_test.go
+++ b/internal/controller/queue/legacy_plan_test.go
@@ -119,7 +119,7 @@
 
 // reserve reserves capacity for a job and reports whether it fits; if not, it reserves nothing.
 func (s *legacySchedule) reserve(job *jobs.Job, perTask time.Duration, work float64) bool {
-	remaining := admission.DueAt(job).Sub(s.now)
+	remaining := job.DueAt().Sub(s.now)
 	if remaining <= 0 {
 		// An overdue job has no intervals left. A negative number of them once ended the process.
 		return work <= 1e-9
@@ -199,7 +199,7 @@
 		}
 	}
 	plan := p.planGuaranteed(now, guaranteed, capacity, nil)
-	if request.DependencyRunTime > 0 && now.Add(request.DependencyRunTime+p.TaskRunTime(job)).After(admission.DueAt(job)) {
+	if request.DependencyRunTime > 0 && now.Add(request.DependencyRunTime+p.TaskRunTime(job)).After(job.DueAt()) {
 		return false
 	}
 	for _, dependency := range request.Dependencies {
@@ -207,7 +207,7 @@
 			continue // in the list
 		}
 		early := *dependency
-		if deadline := admission.DueAt(job).
+		if deadline := job.DueAt().
 			Add(-p.TaskRunTime(job)); early.InheritedDeadline.IsZero() ||
 			deadline.Before(early.InheritedDeadline) {
 			early.InheritedDeadline = deadline
@@ -227,7 +227,7 @@
 	planned map[*jobs.Job]bool,
 ) *legacySchedule {
 	sort.SliceStable(guaranteed, func(a, b int) bool {
-		da, db := admission.DueAt(guaranteed[a]), admission.DueAt(guaranteed[b])
+		da, db := guaranteed[a].DueAt(), guaranteed[b].DueAt()
 		if !da.Equal(db) {
 			return da.Before(db)
 		}
@@ -249,7 +249,7 @@
 
 // payoff is the value of completing a job, in steps: one less for every LatenessStep that it is late.
 func (p *legacyPlanner) payoff(now time.Time, job *jobs.Job) int {
-	lateness := now.Sub(admission.DueAt(job))
+	lateness := now.Sub(job.DueAt())
 	if lateness <= 0 {
 		return 0
 	}
--- a/internal/controller/queue/quota.go
+++ b/internal/controller/queue/quota.go
@@ -8,6 +8,7 @@
 	"gullrudder/internal/config"
 	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/units"
 )
 
 // minLimitedWork is how long a team's work must last at its quota for the team to be limit-bound.
@@ -58,7 +59,7 @@
 	for i, job := range list {
 		cpus += float64(job.Tasks) * job.CPUs
 		gpus += float64(job.Tasks) * job.GPUs
-		if cpus > team.GuaranteedCPUs+jobs.ResourceTolerance || gpus > team.GuaranteedGPUs+jobs.ResourceTolerance {
+		if cpus > team.GuaranteedCPUs+units.ResourceTolerance || gpus > team.GuaranteedGPUs+units.ResourceTolerance {
 			return i
 		}
 	}
--- a/internal/controller/queue/rules.go
+++ b/internal/controller/queue/rules.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/fairshare"
 )
 
@@ -98,7 +97,7 @@
 func (plannedRule) matches(c *candidate) bool { return c.planned[c.job] }
 
 func (plannedRule) position(c *candidate) position {
-	return position{rank: RankPlanned, sortKey: admission.DueAt(c.job).Sub(c.now).Seconds(), mayReserve: true}
+	return position{rank: RankPlanned, sortKey: c.job.DueAt().Sub(c.now).Seconds(), mayReserve: true}
 }
 
 // quotaInTimeRule ranks jobs within their team's guaranteed quota that can still start in the time that the guarantee is
--- a/internal/controller/worker/image_cache.go
+++ b/internal/controller/worker/image_cache.go
@@ -1,6 +1,10 @@
 package worker
 
-import "time"
+import (
+	"time"
+
+	"gullrudder/internal/units"
+)
 
 // ImageCache is the leader's estimate of which images are in the cache of a machine: the most recently used ones of the attempts
 // that were assigned to it, as far as they fit.
@@ -56,5 +60,5 @@
 	if c.FetchRate <= 0 {
 		return 0
 	}
-	return time.Duration(sizeGB / c.FetchRate * float64(time.Second))
+	return units.DurationFromSeconds(sizeGB / c.FetchRate)
 }
--- a/internal/controller/worker/reconcile.go
+++ b/internal/controller/worker/reconcile.go
@@ -5,6 +5,7 @@
 
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/logkeys"
+	"gullrudder/internal/units"
 	"gullrudder/internal/wire/workerapi"
 )
 
@@ -71,7 +72,7 @@
 }
 
 func (r *Registry) recordReclaimNotice(now time.Time, machine *Machine, seconds float64) {
-	remaining := time.Duration(max(min(seconds, maxReclaimNotice.Seconds()), 0) * float64(time.Second))
+	remaining := units.DurationFromSeconds(max(min(seconds, maxReclaimNotice.Seconds()), 0))
 	if machine.ReclaimAt.IsZero() {
 		r.log.Info("reclaim notice received", logkeys.Machine, machine.ID, logkeys.Duration, remaining)
 	}
--- a/internal/controller/worker/resources.go
+++ b/internal/controller/worker/resources.go
@@ -1,6 +1,9 @@
 package worker
 
-import "gullrudder/internal/controller/jobs"
+import (
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/units"
+)
 
 // Resources are quantities of CPUs, GPUs and memory, used by tasks or available on a machine.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
@@ -17,7 +20,7 @@
 	if need <= 0 {
 		return count
 	}
-	return min(count, int((available+jobs.ResourceTolerance)/need))
+	return min(count, int((available+units.ResourceTolerance)/need))
 }
 
 // AfterPlacing returns the resources left after placing a number of tasks of the job. A negative number adds their resources.
--- a/internal/controller/worker/utilization.go
+++ b/internal/controller/worker/utilization.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/units"
 )
 
 // BucketCount is the number of buckets of reporting machines by CPU utilization. Machines in the last one have no CPU available. The
@@ -25,7 +25,7 @@
 	switch {
 	case !machine.HasReported || machine.CPUs+machine.MemoryGB == 0:
 		return 0
-	case machine.CPUs-machine.UsedCPUs < jobs.ResourceTolerance:
+	case machine.CPUs-machine.UsedCPUs < units.ResourceTolerance:
 		return BucketCount
 	}
 	return 1 + min(int(max(machine.UsedCPUs, 0)/machine.CPUs*(BucketCount-1)), BucketCount-2)
--- a/internal/site/agent/commands.go
+++ b/internal/site/agent/commands.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"gullrudder/internal/units"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/workerapi"
 )
@@ -95,7 +96,7 @@
 		s.hasChanged = true
 	case attempt.canSaveWithin(graceSeconds):
 		attempt.state, s.hasChanged = workerapi.StateCheckpointing, true
-		effects.Stops = append(effects.Stops, Stop{attempt.task, attempt.number, time.Duration(grace * float64(time.Second))})
+		effects.Stops = append(effects.Stops, Stop{attempt.task, attempt.number, units.DurationFromSeconds(grace)})
 	case attempt.state == workerapi.StateCheckpointing && grace > 0, attempt.isKilled: // it is being stopped already
 	default:
 		attempt.isKilled = true
--- a/internal/site/agent/golden_bytes_test.go
+++ b/internal/site/agent/golden_bytes_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"gullrudder/internal/goldenbytes"
+	"gullrudder/internal/wire/poolapi"
 	"gullrudder/internal/wire/workerapi"
 )
 
@@ -28,11 +29,11 @@
 			Leader:   "10.0.0.2:80",
 		}),
 		goldenbytes.MessagePack("description", description), goldenbytes.JSON("description", description),
-		goldenbytes.MessagePack("greeting", WorkerReport{
-			Name: "worker-1", Addr: "10.0.0.1:7000", Type: "small", Zone: "a", CPUs: 8, MemGB: 31.5,
-			Epoch: session, Holding: "vm-1", Applied: 7, Busy: 3, FreeDisk: 1 << 40, Failures: []string{"{}"},
+		goldenbytes.MessagePack("greeting", poolapi.WorkerReport{
+			Name: "worker-1", Addr: "10.0.0.1:7000", Type: "small", Zone: "a", CPUs: 8, MemoryGB: 31.5,
+			Epoch: session, Machine: "vm-1", AppliedSerial: 7, RunningTasks: 3, FreeDiskBytes: 1 << 40, Failures: []string{"{}"},
 		}),
-		goldenbytes.MessagePack("charge", MachineAssignment{Machine: "vm-1", Notice: true, Serial: 7}),
+		goldenbytes.MessagePack("charge", poolapi.MachineAssignment{Machine: "vm-1", HasDrainNotice: true, Serial: 7}),
 		goldenbytes.JSON("result", Result{
 			Task: "job-000412/3", Attempt: 1 << 33, Exit: 137, Reason: "killed", ErrorTail: "out of memory",
 			StartedAt: time.Unix(1_700_000_000, 123_000_000).UTC(), FinishedAt: time.Unix(1_700_000_100, 0).UTC(),
--- a/internal/site/agent/runtime.go
+++ b/internal/site/agent/runtime.go
@@ -18,6 +18,7 @@
 	"gullrudder/internal/site/datadir"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/http1"
+	"gullrudder/internal/wire/poolapi"
 
 	"golang.org/x/sys/unix"
 )
@@ -43,32 +44,9 @@
 	reportRequested chan struct{} // the next report to the machine pool is due at once
 	epoch           uint64
 
-	mu     sync.Mutex        // guards what follows
-	status WorkerReport      // the next report to the machine pool
-	specs  map[string][]byte // encoded, by job ID; they never change
-}
-
-// WorkerReport is what a worker sends to the machine pool, at an interval and whenever it changes.
-type WorkerReport struct {
-	Name     string   `msgpack:"name"`
-	Addr     string   `msgpack:"addr"`
-	Type     string   `msgpack:"type"`
-	Zone     string   `msgpack:"zone"`
-	CPUs     float64  `msgpack:"cpus"`
-	MemGB    float64  `msgpack:"mem_gb"`
-	Epoch    uint64   `msgpack:"epoch"`    // start of the worker's process
-	Holding  string   `msgpack:"holding"`  // the machine that it is, or whose tasks may still be on it
-	Applied  uint64   `msgpack:"applied"`  // serial of the newest assignment that was taken in
-	Busy     int      `msgpack:"busy"`     // attempts that have not exited
-	FreeDisk uint64   `msgpack:"free"`     // of disk, in bytes
-	Failures []string `msgpack:"failures"` // results in JSON, as binary values are not allowed
-}
-
-// MachineAssignment is the machine pool's response: which machine the worker is to be.
-type MachineAssignment struct {
-	Machine string `msgpack:"machine"`
-	Notice  bool   `msgpack:"notice"`
-	Serial  uint64 `msgpack:"serial"`
+	mu     sync.Mutex           // guards what follows
+	status poolapi.WorkerReport // the next report to the machine pool
+	specs  map[string][]byte    // encoded, by job ID; they never change
 }
 
 const (
@@ -298,10 +276,10 @@
 func (r *Runtime) publishStatus() {
 	name, applied := r.state.Machine()
 	r.mu.Lock()
-	r.status = WorkerReport{
+	r.status = poolapi.WorkerReport{
 		Name: r.runtimeOptions.Name, Addr: r.options.Addr, Type: r.options.Type, Zone: r.options.Zone,
-		CPUs: r.options.CPUs, MemGB: r.options.MemoryGB,
-		Epoch: r.epoch, Holding: name, Applied: applied, Busy: r.state.ActiveTasks(),
+		CPUs: r.options.CPUs, MemoryGB: r.options.MemoryGB,
+		Epoch: r.epoch, Machine: name, AppliedSerial: applied, RunningTasks: r.state.ActiveTasks(),
 	}
 	r.mu.Unlock()
 }
@@ -314,7 +292,7 @@
 		r.mu.Lock()
 		report := r.status
 		r.mu.Unlock()
-		report.FreeDisk = r.freeDisk()
+		report.FreeDiskBytes = r.freeDisk()
 		failures := r.runner.results.unreported(maxFailures)
 		for _, res := range failures {
 			if raw, err := json.Marshal(res); err == nil {
@@ -322,13 +300,13 @@
 			}
 		}
 		if raw, err := codec.Marshal(report); err == nil {
-			msg, err := client.Do(r.runtimeOptions.MachinePoolAddr, "POST", "/site/greet", raw, reportTimeout)
-			var assignment MachineAssignment
+			msg, err := client.Do(r.runtimeOptions.MachinePoolAddr, "POST", poolapi.ReportPath, raw, reportTimeout)
+			var assignment poolapi.MachineAssignment
 			if err == nil && msg.Status == 200 && codec.Unmarshal(msg.Body, &assignment) == nil {
 				if err := r.runner.results.setReported(failures); err != nil {
 					r.log.Error("failures not marked as reported", logkeys.Err, err)
 				}
-				r.queue <- Input{Assigned: &Assigned{assignment.Machine, assignment.Notice, assignment.Serial}}
+				r.queue <- Input{Assigned: &Assigned{assignment.Machine, assignment.HasDrainNotice, assignment.Serial}}
 			}
 		}
 		select {
--- a/internal/site/agent/spec.go
+++ b/internal/site/agent/spec.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"gullrudder/internal/units"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/workerapi"
 )
@@ -12,8 +13,6 @@
 const (
 	// specRetryDelay is how long the worker waits after a failed request for a Spec.
 	specRetryDelay = time.Second
-	// resourceEpsilon is the rounding error that sums of resources may have.
-	resourceEpsilon = 1e-6
 	// maxTaskIndex bounds the index of a task.
 	maxTaskIndex = 1e6
 )
@@ -81,5 +80,5 @@
 			memoryGB += other.spec.MemoryGB
 		}
 	}
-	return cpus <= s.options.CPUs+resourceEpsilon && memoryGB <= s.options.MemoryGB+resourceEpsilon
+	return cpus <= s.options.CPUs+units.ResourceTolerance && memoryGB <= s.options.MemoryGB+units.ResourceTolerance
 }
--- a/internal/site/agent/state_test.go
+++ b/internal/site/agent/state_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/poolapi"
 )
 
 // bench is a worker's State with a clock and the tasks that run.
@@ -308,7 +309,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	body, err := codec.Marshal(WorkerReport{Name: "w", Failures: []string{string(raw)}})
+	body, err := codec.Marshal(poolapi.WorkerReport{Name: "w", Failures: []string{string(raw)}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/site/machinepool/golden_bytes_test.go
+++ b/internal/site/machinepool/golden_bytes_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"gullrudder/internal/goldenbytes"
+	"gullrudder/internal/wire/poolapi"
 )
 
 func TestGoldenBytes(t *testing.T) {
@@ -27,11 +28,11 @@
 		}),
 		goldenbytes.MessagePack("overview", overview),
 		goldenbytes.JSON("overview", overview),
-		goldenbytes.MessagePack("greeting", workerReport{
+		goldenbytes.MessagePack("greeting", poolapi.WorkerReport{
 			Name: "worker-1", Addr: "10.0.0.1:7000", Type: "small", Zone: "a", CPUs: 8, MemoryGB: 31.5,
 			Epoch: 1 << 40, Machine: "vm-1", AppliedSerial: 7, RunningTasks: 3, FreeDiskBytes: 1 << 40, Failures: []string{"{}"},
 		}),
-		goldenbytes.MessagePack("charge", assignment{Machine: "vm-1", HasDrainNotice: true, Serial: 7}),
+		goldenbytes.MessagePack("charge", poolapi.MachineAssignment{Machine: "vm-1", HasDrainNotice: true, Serial: 7}),
 		goldenbytes.MessagePack(
 			"machine",
 			instance{ID: "vm-1", Addr: "10.0.0.1:7000", Type: "small", Zone: "a", Spot: true, State: "running", AgeSeconds: 12.5},
--- a/internal/site/machinepool/messages.go
+++ b/internal/site/machinepool/messages.go
@@ -92,29 +92,6 @@
 	EncodedFailures []string `msgpack:"list"`
 }
 
-// workerReport is what a worker reports of itself; see agent.WorkerReport.
-type workerReport struct {
-	Name          string   `msgpack:"name"`
-	Addr          string   `msgpack:"addr"`
-	Type          string   `msgpack:"type"`
-	Zone          string   `msgpack:"zone"`
-	CPUs          float64  `msgpack:"cpus"`
-	MemoryGB      float64  `msgpack:"mem_gb"`
-	Epoch         uint64   `msgpack:"epoch"`
-	Machine       string   `msgpack:"holding"`
-	AppliedSerial uint64   `msgpack:"applied"`
-	RunningTasks  int      `msgpack:"busy"`
-	FreeDiskBytes uint64   `msgpack:"free"`
-	Failures      []string `msgpack:"failures"`
-}
-
-// assignment is the response to a worker's report; see agent.MachineAssignment.
-type assignment struct {
-	Machine        string `msgpack:"machine"` // empty: none
-	HasDrainNotice bool   `msgpack:"notice"`
-	Serial         uint64 `msgpack:"serial"` // increases with every assignment, also across restarts of the pool
-}
-
 // errorResponse says why a request is refused.
 type errorResponse struct {
 	Error string `msgpack:"error"`
--- a/internal/site/machinepool/reports.go
+++ b/internal/site/machinepool/reports.go
@@ -5,13 +5,14 @@
 	"time"
 
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/poolapi"
 )
 
 const bytesPerMBShift = 20
 
 // handleReport takes in a worker's report and answers with its assignment.
 func (s *State) handleReport(now time.Time, request Request) {
-	var report workerReport
+	var report poolapi.WorkerReport
 	if codec.Unmarshal(request.Body, &report) != nil || report.Name == "" || report.Addr == "" || report.Type == "" {
 		s.respondError(request.Handle, http.StatusBadRequest, "no greeting")
 		return
@@ -24,7 +25,7 @@
 	s.effects.TaskFailures = append(s.effects.TaskFailures, report.Failures...)
 	// The clock keeps serials increasing across restarts of this process.
 	s.lastSerial = max(s.lastSerial+1, uint64(now.UnixNano()))
-	answer := assignment{Serial: s.lastSerial}
+	answer := poolapi.MachineAssignment{Serial: s.lastSerial}
 	for _, id := range s.sortedMachineIDs() {
 		m := s.record.Machines[id]
 		if m.Worker == report.Name && s.reconcile(id, m, &report) {
@@ -35,7 +36,7 @@
 }
 
 // reconcile updates a machine from the report of its worker. It reports whether the worker is to have the machine.
-func (s *State) reconcile(machineID string, machine *Machine, report *workerReport) (isAssigned bool) {
+func (s *State) reconcile(machineID string, machine *Machine, report *poolapi.WorkerReport) (isAssigned bool) {
 	hasIt := report.Machine == machineID
 	switch {
 	case machine.WorkerEpoch != report.Epoch && !hasIt:
@@ -65,7 +66,7 @@
 
 // release removes a terminating machine once its worker has applied an assignment without it and has nothing left. A report
 // that the worker does not have the machine is not enough: the assignment to take it may still be on its way.
-func (s *State) release(machineID string, machine *Machine, report *workerReport) {
+func (s *State) release(machineID string, machine *Machine, report *poolapi.WorkerReport) {
 	switch {
 	case machine.releasedAtSerial == 0:
 		machine.releasedAtSerial = s.lastSerial
--- a/internal/site/machinepool/state.go
+++ b/internal/site/machinepool/state.go
@@ -11,6 +11,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"gullrudder/internal/wire/poolapi"
 )
 
 // State is the pure part of a pool. It belongs to the goroutine that calls Step.
@@ -26,7 +28,7 @@
 
 // worker is the newest report of a worker, and when it came.
 type worker struct {
-	workerReport
+	poolapi.WorkerReport
 	reportedAt time.Time
 }
 
@@ -65,7 +67,7 @@
 		s.createMachines(now, request)
 	case "POST /hosts/delete":
 		s.deleteMachines(now, request)
-	case "POST /site/greet":
+	case "POST " + poolapi.ReportPath:
 		s.handleReport(now, request)
 	case "GET /site":
 		s.respond(request.Handle, http.StatusOK, s.overview(now))
--- a/internal/site/machinepool/state_test.go
+++ b/internal/site/machinepool/state_test.go
@@ -9,6 +9,7 @@
 
 	"gullrudder/internal/testseed"
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/poolapi"
 
 	"pgregory.net/rapid"
 )
@@ -32,7 +33,7 @@
 	epoch         uint64
 	machine       string
 	appliedSerial uint64
-	assignments   []assignment // on their way to the worker, the newest last
+	assignments   []poolapi.MachineAssignment // on their way to the worker, the newest last
 }
 
 // isToTake reports whether the newest assignment on its way to the worker is the machine.
@@ -89,11 +90,11 @@
 }
 
 func (m *machinePoolModel) report(w *modelWorker) {
-	for _, r := range m.request("POST", "/site/greet", workerReport{
+	for _, r := range m.request("POST", "/site/greet", poolapi.WorkerReport{
 		Name: w.name, Addr: w.name + ":1", Type: "t", Zone: "z", CPUs: 4, Epoch: w.epoch,
 		Machine: w.machine, AppliedSerial: w.appliedSerial,
 	}) {
-		if answer, ok := r.Body.(assignment); ok && r.Handle == m.lastHandle {
+		if answer, ok := r.Body.(poolapi.MachineAssignment); ok && r.Handle == m.lastHandle {
 			w.assignments = append(w.assignments, answer)
 		}
 	}
@@ -238,7 +239,7 @@
 	f.t.Helper()
 	epoch := uint64(rand.Uint32()) + 1
 	for i := range 3 {
-		f.ask("POST", "/site/greet", workerReport{Name: fmt.Sprint("w", i), Addr: "a:1", Type: "t", CPUs: 4, Epoch: epoch})
+		f.ask("POST", "/site/greet", poolapi.WorkerReport{Name: fmt.Sprint("w", i), Addr: "a:1", Type: "t", CPUs: 4, Epoch: epoch})
 	}
 }
 
@@ -315,12 +316,12 @@
 // A drain survives a restart of the pool's process, gives machines up as they become idle, and creates none.
 func TestDrainSurvivesRestart(t *testing.T) {
 	f := newFixture(t)
-	report := func(machine string, runningTasks int, appliedSerial uint64) assignment {
+	report := func(machine string, runningTasks int, appliedSerial uint64) poolapi.MachineAssignment {
 		t.Helper()
-		return f.ask("POST", "/site/greet", workerReport{
+		return f.ask("POST", "/site/greet", poolapi.WorkerReport{
 			Name: "w", Addr: "a:1", Type: "t", CPUs: 4, Epoch: 7,
 			Machine: machine, RunningTasks: runningTasks, AppliedSerial: appliedSerial,
-		}).Body.(assignment)
+		}).Body.(poolapi.MachineAssignment)
 	}
 	report("", 0, 0)
 	f.ask("POST", "/hosts", createBody("r", "t", "z", false, 1))
--- a/internal/wire/http1/parse.go
+++ b/internal/wire/http1/parse.go
@@ -5,7 +5,8 @@
 	"net/http"
 	"strconv"
 	"strings"
-	"time"
+
+	"gullrudder/internal/units"
 )
 
 const (
@@ -153,7 +154,7 @@
 		h.setConnection(value)
 	case "retry-after":
 		if seconds, err := strconv.ParseFloat(value, 64); err == nil && seconds >= 0 && seconds < maxRetryAfterSeconds {
-			h.message.RetryAfter = time.Duration(seconds * float64(time.Second))
+			h.message.RetryAfter = units.DurationFromSeconds(seconds)
 		}
 	}
 	return nil
