--- a/internal/config/kvserver.go
+++ b/internal/config/kvserver.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// LoadKVServerOptions reads the operators' file of a state service; no path means the defaults. See ParseKVServerOptions for its errors.
+// LoadKVServerOptions reads the operators' file of a state service; no path means the defaults. See parseKVServerOptions for its errors.
 func LoadKVServerOptions(path string) (KVServerOptions, error) {
 	s := DefaultKVServerOptions()
 	if path == "" {
@@ -37,11 +37,11 @@
 	if err != nil {
 		return KVServerOptions{}, fmt.Errorf("options: %w", err)
 	}
-	return ParseKVServerOptions(raw)
+	return parseKVServerOptions(raw)
 }
 
-// ParseKVServerOptions reads <state><rps>200</rps>…</state>. An invalid line is a LineError.
-func ParseKVServerOptions(raw []byte) (KVServerOptions, error) {
+// parseKVServerOptions reads <state><rps>200</rps>…</state>. An invalid line is a LineError.
+func parseKVServerOptions(raw []byte) (KVServerOptions, error) {
 	s := DefaultKVServerOptions()
 	valueKB, snapshotKB := float64(s.MaxValueBytes)/bytesPerKB, float64(s.SnapshotMinLogBytes)/bytesPerKB
 	err := parseElements(raw, "state", map[string]optionField{
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -115,17 +115,17 @@
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// LoadPlatform reads and checks the platform's file. See ParsePlatform for its errors.
+// LoadPlatform reads and checks the platform's file. See parsePlatform for its errors.
 func LoadPlatform(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return ParsePlatform(raw)
+	return parsePlatform(raw)
 }
 
-// ParsePlatform checks the platform's settings. Unknown fields are ignored. A field that is missing or wrong is a FieldError.
-func ParsePlatform(raw []byte) (*Platform, error) {
+// parsePlatform checks the platform's settings. Unknown fields are ignored. A field that is missing or wrong is a FieldError.
+func parsePlatform(raw []byte) (*Platform, error) {
 	var file platformFile
 	if err := json.Unmarshal(raw, &file); err != nil {
 		var typeErr *json.UnmarshalTypeError
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -14,7 +14,7 @@
  "quota":{"cpu":0.2,"ram_mb":98,"max_connections":900},"clock_error_ms":1000}}`
 
 func TestParsePlatform(t *testing.T) {
-	platform, err := ParsePlatform([]byte(validPlatformFile))
+	platform, err := parsePlatform([]byte(validPlatformFile))
 	if err != nil || platform.WorkerLeaseDuration != 10*time.Second || platform.MaxValueBytes != 8192 || platform.Peers[0].Name != "n1" {
 		t.Fatalf("%+v, %v", platform, err)
 	}
@@ -30,7 +30,7 @@
 	} {
 		t.Run(field, func(t *testing.T) {
 			text := strings.Replace(validPlatformFile, edit[0], edit[1], 1)
-			_, err := ParsePlatform([]byte(text))
+			_, err := parsePlatform([]byte(text))
 			if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
 				t.Fatalf("does not name the field on one line: %v", err)
 			}
--- a/internal/console/model.go
+++ b/internal/console/model.go
@@ -29,7 +29,7 @@
 	refreshInterval time.Duration
 	snapshot        Snapshot
 	isLoading       bool // a snapshot is being read
-	screen          Screen
+	screen          screen
 	row             int
 	width, height   int
 	pendingAction   string       // the action that waits for a confirmation, as the user reads it; empty: none
@@ -120,9 +120,9 @@
 func (m *Model) navigate(key string) {
 	switch key {
 	case "1", "2", "3":
-		m.screen, m.row = Screen(key[0]-'1'), 0
+		m.screen, m.row = screen(key[0]-'1'), 0
 	case "?":
-		m.screen, m.row = Help, 0
+		m.screen, m.row = helpScreen, 0
 	case "j", "down":
 		m.row++
 	case "k", "up":
@@ -141,8 +141,8 @@
 }
 
 func (m *Model) askToCancel() {
-	ids := m.snapshot.table(Jobs).ids
-	if m.screen != Jobs || m.row >= len(ids) {
+	ids := m.snapshot.table(jobsScreen).ids
+	if m.screen != jobsScreen || m.row >= len(ids) {
 		return
 	}
 	job := ids[m.row]
--- a/internal/console/screens.go
+++ b/internal/console/screens.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Screen is one of the console's screens.
-type Screen int
+// screen is one of the console's screens.
+type screen int
 
 // The screens, in the order of their keys.
 const (
-	Jobs Screen = iota
-	Workers
-	Failures
-	Help
+	jobsScreen screen = iota
+	workersScreen
+	failuresScreen
+	helpScreen
 )
 
 // String returns the name of the screen as the console shows it.
-func (s Screen) String() string { return [...]string{"jobs", "workers", "failures", "help"}[s] }
+func (s screen) String() string { return [...]string{"jobs", "workers", "failures", "help"}[s] }
 
 // Widths of columns whose values are cut to fit.
 const (
@@ -48,13 +48,13 @@
 }
 
 // table returns the content of a screen.
-func (s *Snapshot) table(screen Screen) table {
+func (s *Snapshot) table(screen screen) table {
 	switch screen {
-	case Jobs:
+	case jobsScreen:
 		return s.jobTable()
-	case Workers:
+	case workersScreen:
 		return s.workerTable()
-	case Failures:
+	case failuresScreen:
 		return s.failureTable()
 	}
 	return table{lines: helpLines}
@@ -124,8 +124,8 @@
 }
 
 // detail returns the lines below the table about its selected row.
-func (s *Snapshot) detail(screen Screen, row int) []string {
-	if screen != Failures || row >= len(s.Failures) {
+func (s *Snapshot) detail(screen screen, row int) []string {
+	if screen != failuresScreen || row >= len(s.Failures) {
 		return nil
 	}
 	failure := s.Failures[row]
--- a/internal/console/view.go
+++ b/internal/console/view.go
@@ -12,7 +12,7 @@
 	for _, line := range s.summary() {
 		text.WriteString(line + "\n")
 	}
-	for screen := Jobs; screen < Help; screen++ {
+	for screen := jobsScreen; screen < helpScreen; screen++ {
 		content := s.table(screen)
 		text.WriteString("\n" + content.head + "\n")
 		for _, line := range content.lines {
@@ -24,7 +24,7 @@
 
 // frame is what is drawn besides the snapshot: the selected screen and row, the terminal's size and a message in the last line.
 type frame struct {
-	screen        Screen
+	screen        screen
 	row           int
 	width, height int
 	message       string
@@ -52,11 +52,11 @@
 }
 
 // menu returns the line that names the screens with their keys, the selected one in brackets.
-func menu(selected Screen) string {
+func menu(selected screen) string {
 	var items strings.Builder
-	for screen := Jobs; screen <= Help; screen++ {
+	for screen := jobsScreen; screen <= helpScreen; screen++ {
 		key, name := fmt.Sprint(int(screen)+1), screen.String()
-		if screen == Help {
+		if screen == helpScreen {
 			key = "?"
 		}
 		if screen == selected {
@@ -73,7 +73,7 @@
 	var lines []string
 	for i := first; i < min(first+room, len(rows)); i++ {
 		marker := "  "
-		if i == f.row && f.screen != Help {
+		if i == f.row && f.screen != helpScreen {
 			marker = "> "
 		}
 		lines = append(lines, marker+rows[i])
--- a/internal/controller/accounting/breakdown.go
+++ b/internal/controller/accounting/breakdown.go
@@ -16,8 +16,8 @@
 	maxEncodedMs = 1<<42 - 1
 	// maxEntryBytes is a byte for the reason and a varint of its milliseconds.
 	maxEntryBytes = 1 + 6
-	// MaxEncodedBytes is the most bytes that Tracker.EncodedAccount returns.
-	MaxEncodedBytes = (maxEncodedReasons*maxEntryBytes*4 + 2) / 3
+	// maxEncodedBytes is the most bytes that Tracker.EncodedAccount returns.
+	maxEncodedBytes = (maxEncodedReasons*maxEntryBytes*4 + 2) / 3
 )
 
 // Breakdown is the time that was counted to each wait reason, in whole milliseconds.
--- a/internal/controller/accounting/tracker.go
+++ b/internal/controller/accounting/tracker.go
@@ -53,7 +53,7 @@
 	t.accounts[job] = restored
 }
 
-// EncodedAccount returns a job's account for its stored record; empty if there is none. It has MaxEncodedBytes at most.
+// EncodedAccount returns a job's account for its stored record; empty if there is none. It has maxEncodedBytes at most.
 func (t *Tracker) EncodedAccount(job *jobs.Job) string {
 	account := t.accounts[job]
 	if account == nil {
--- a/internal/controller/accounting/tracker_test.go
+++ b/internal/controller/accounting/tracker_test.go
@@ -231,7 +231,7 @@
 			continue
 		}
 		encoded := s.tracker.EncodedAccount(job)
-		if len(encoded) > MaxEncodedBytes || len(encoded)+fieldBytes > jobs.MaxTimeAccountBytes {
+		if len(encoded) > maxEncodedBytes || len(encoded)+fieldBytes > jobs.MaxTimeAccountBytes {
 			t.Fatalf("%d bytes are stored", len(encoded))
 		}
 		next.Restore(job, encoded, s.now.Add(skew))
--- a/internal/controller/api/handler.go
+++ b/internal/controller/api/handler.go
@@ -86,8 +86,8 @@
 	views        *viewHandler
 }
 
-// NewHandler returns the handler of a new leadership.
-func NewHandler(components Components) *Handler {
+// New returns the handler of a new leadership.
+func New(components Components) *Handler {
 	jobs := newJobHandler(components)
 	teams := components.Platform.TeamsByName()
 	return &Handler{
@@ -115,7 +115,7 @@
 			platform: c.Platform, options: c.Options, teams: teams,
 			jobStore: c.Stores.Jobs, cloud: c.Machines.Cloud, estimator: c.Queueing.Estimator, ranker: c.Queueing.Ranker,
 		},
-		limiter: submission.NewLimiter(int(pendingSeconds*submissionsPerSecond), submissionsPerSecond),
+		limiter: submission.New(int(pendingSeconds*submissionsPerSecond), submissionsPerSecond),
 	}
 }
 
--- a/internal/controller/archive/build.go
+++ b/internal/controller/archive/build.go
@@ -95,14 +95,14 @@
 	if len(jobIDs) < s.options.MinSegmentJobs {
 		return false
 	}
-	jobs := make([]FinishedJob, 0, len(jobIDs))
+	jobs := make([]finishedJob, 0, len(jobIDs))
 	for _, id := range jobIDs {
 		state, ok := s.options.FinalState(id)
 		if !ok {
 			s.log.Error("job to be archived is not finished", logkeys.Job, id)
 			return false
 		}
-		jobs = append(jobs, FinishedJob{id, state})
+		jobs = append(jobs, finishedJob{id, state})
 	}
 	result, err := buildSegment(s.nextNumber, jobs, s.maxPartBytes())
 	if err != nil {
--- a/internal/controller/archive/encoding.go
+++ b/internal/controller/archive/encoding.go
@@ -118,7 +118,7 @@
 }
 
 // encodePayload encodes the jobs that share a key.
-func encodePayload(key uint64, finishedJobs []FinishedJob) []byte {
+func encodePayload(key uint64, finishedJobs []finishedJob) []byte {
 	if key < hashedKeyBit {
 		return appendFinalState(nil, finishedJobs[0].FinalState)
 	}
--- a/internal/controller/archive/golden_bytes_test.go
+++ b/internal/controller/archive/golden_bytes_test.go
@@ -12,13 +12,13 @@
 const partBytes = 24
 
 // encodeSegment is the text of a segment's data and index, one part a line.
-func encodeSegment(finishedJobs []FinishedJob) ([]byte, error) {
+func encodeSegment(finishedJobs []finishedJob) ([]byte, error) {
 	built, err := buildSegment(3, finishedJobs, partBytes)
 	return []byte(strings.Join(built.data, "\n") + "\n\n" + strings.Join(built.index, "\n")), err
 }
 
 // decodeSegment reads the jobs with these IDs from the text of a segment.
-func decodeSegment(t *testing.T, text string, ids []string) []FinishedJob {
+func decodeSegment(t *testing.T, text string, ids []string) []finishedJob {
 	t.Helper()
 	dataText, indexText, _ := strings.Cut(text, "\n\n")
 	data, index := strings.Split(dataText, "\n"), strings.Split(indexText, "\n")
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var finishedJobs []FinishedJob
+	var finishedJobs []finishedJob
 	for _, id := range ids {
 		key, ok := keyOf(id)
 		if !ok || !segment.ids.Contains(key) {
@@ -40,13 +40,13 @@
 		if key < hashedKeyBit && segment.cancelled.Contains(key) != (final.State == jobs.Cancelled) {
 			t.Errorf("%s: the index and the data differ", id)
 		}
-		finishedJobs = append(finishedJobs, FinishedJob{ID: id, FinalState: final})
+		finishedJobs = append(finishedJobs, finishedJob{ID: id, FinalState: final})
 	}
 	return finishedJobs
 }
 
 func TestGoldenBytes(t *testing.T) {
-	finishedJobs := []FinishedJob{
+	finishedJobs := []finishedJob{
 		{ID: "job-000007", FinalState: jobs.FinalState{State: jobs.Done, Tasks: 100_000}},
 		{ID: "job-000412", FinalState: jobs.FinalState{State: jobs.Cancelled, Tasks: 16}},
 		{ID: "job-123456789012", FinalState: jobs.FinalState{State: jobs.Cancelled, Tasks: 5}},
--- a/internal/controller/archive/segment.go
+++ b/internal/controller/archive/segment.go
@@ -14,8 +14,8 @@
 	"github.com/RoaringBitmap/roaring/v2/roaring64"
 )
 
-// FinishedJob is a finished job.
-type FinishedJob struct {
+// finishedJob is a finished job.
+type finishedJob struct {
 	ID string
 	jobs.FinalState
 }
@@ -156,7 +156,7 @@
 }
 
 // buildSegment builds a segment of finished jobs.
-func buildSegment(number uint64, finishedJobs []FinishedJob, maxPartBytes int) (builtSegment, error) {
+func buildSegment(number uint64, finishedJobs []finishedJob, maxPartBytes int) (builtSegment, error) {
 	keys := make(map[string]uint64, len(finishedJobs))
 	for _, job := range finishedJobs {
 		key, ok := keyOf(job.ID)
@@ -165,7 +165,7 @@
 		}
 		keys[job.ID] = key
 	}
-	sorted := append([]FinishedJob(nil), finishedJobs...)
+	sorted := append([]finishedJob(nil), finishedJobs...)
 	sort.Slice(sorted, func(i, j int) bool {
 		if keyI, keyJ := keys[sorted[i].ID], keys[sorted[j].ID]; keyI != keyJ {
 			return keyI < keyJ
--- a/internal/controller/autoscaler/fixture_test.go
+++ b/internal/controller/autoscaler/fixture_test.go
@@ -46,7 +46,7 @@
 		Workers:       f.Workers,
 		Estimator:     queueing.Estimator,
 		Placer:        placer,
-		Stragglers:    straggler.NewDetector(f.Platform.HeartbeatInterval),
+		Stragglers:    straggler.New(f.Platform.HeartbeatInterval),
 		Zones:         zones.New(f.Platform.HeartbeatInterval, f.Now, f.Log),
 		Outbox:        f.Outbox,
 		Log:           f.Log,
--- a/internal/controller/cloud/client.go
+++ b/internal/controller/cloud/client.go
@@ -143,7 +143,7 @@
 		c.Instances[id] = instance
 	}
 	if machineType := c.MachineTypes[kind.Type]; machineType != nil && !instance.HasReported && instance.RequestedByThisLeader {
-		c.bootTimes.ObserveBoot(kind.Type, now.Sub(instance.RequestedAt), machineType.StatedBootTime())
+		c.bootTimes.ObserveBoot(kind.Type, now.Sub(instance.RequestedAt), machineType.statedBootTime())
 	}
 	instance.HasReported, instance.Kind = true, kind
 	instance.LastListed = now
@@ -153,7 +153,7 @@
 func (c *Client) ObserveBooting(agesByType map[string][]time.Duration) {
 	c.bootTimes.ObserveBooting(agesByType, func(name string) time.Duration {
 		if machineType := c.MachineTypes[name]; machineType != nil {
-			return machineType.StatedBootTime()
+			return machineType.statedBootTime()
 		}
 		return 0
 	})
@@ -161,15 +161,15 @@
 
 // ExpectedBootTime returns how long an instance of the type is expected to take until its first heartbeat.
 func (c *Client) ExpectedBootTime(machineType *MachineType) time.Duration {
-	return c.bootTimes.Expected(machineType.Name, machineType.StatedBootTime())
+	return c.bootTimes.Expected(machineType.Name, machineType.statedBootTime())
 }
 
 // RemainingBootTime returns how much longer an instance of that age is expected to take until its first heartbeat.
 func (c *Client) RemainingBootTime(machineType *MachineType, age time.Duration) time.Duration {
-	return c.bootTimes.Remaining(machineType.Name, age, machineType.StatedBootTime())
+	return c.bootTimes.Remaining(machineType.Name, age, machineType.statedBootTime())
 }
 
 // BootTimeout returns the age from which an instance that has not reported is taken for one that never will.
 func (c *Client) BootTimeout(machineType *MachineType) time.Duration {
-	return c.bootTimes.Timeout(machineType.Name, machineType.StatedBootTime())
+	return c.bootTimes.Timeout(machineType.Name, machineType.statedBootTime())
 }
--- a/internal/controller/cloud/instance.go
+++ b/internal/controller/cloud/instance.go
@@ -20,8 +20,8 @@
 	Zones            []string `msgpack:"harbours"`       // zones in which the type is offered
 }
 
-// StatedBootTime returns the usual time from the request to the first heartbeat, as the cloud states it.
-func (t *MachineType) StatedBootTime() time.Duration {
+// statedBootTime returns the usual time from the request to the first heartbeat, as the cloud states it.
+func (t *MachineType) statedBootTime() time.Duration {
 	return units.DurationFromSeconds(t.BootSeconds)
 }
 
--- a/internal/controller/clustertest/cluster.go
+++ b/internal/controller/clustertest/cluster.go
@@ -16,10 +16,10 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// Class and Team are the class and the team of all jobs.
+// The class and the team of all jobs.
 const (
-	Class = "c"
-	Team  = "t"
+	class = "c"
+	team  = "t"
 )
 
 const platformName = "n"
@@ -43,7 +43,7 @@
 		WorkerTiming: config.WorkerTiming{HeartbeatInterval: 4 * time.Second, WorkerLeaseDuration: 20 * time.Second},
 		ProcessQuota: config.ProcessQuota{CPUQuota: 0.2, MaxConnections: 1000},
 		CloudLimits:  config.CloudLimits{CloudRequestRate: 2},
-		Teams:        []config.Team{{Name: Team, GuaranteedCPUs: 500, CPULimit: 1e6}},
+		Teams:        []config.Team{{Name: team, GuaranteedCPUs: 500, CPULimit: 1e6}},
 	}
 	log := slog.New(slog.DiscardHandler)
 	return &Cluster{
@@ -114,8 +114,8 @@
 func (c *Cluster) AddJob(number, tasks int, cpus float64) *jobs.Job {
 	job := jobs.New(jobs.Spec{
 		ID:                fmt.Sprintf("job-%06d", number),
-		Class:             Class,
-		Team:              Team,
+		Class:             class,
+		Team:              team,
 		Tasks:             tasks,
 		CPUs:              cpus,
 		MemoryGB:          cpus,
--- a/internal/controller/election/election.go
+++ b/internal/controller/election/election.go
@@ -81,7 +81,7 @@
 func (e *Election) Tick(now time.Time, outbox *client.Outbox) {
 	// A late renewal may still succeed. Then there was no other leader, and the state of this one is still valid. So
 	// it keeps its leadership for one more lease duration, without acting.
-	if e.role == roleLeader && now.Sub(e.LeaseValidUntil()) > e.options.LeaseDuration {
+	if e.role == roleLeader && now.Sub(e.leaseValidUntil()) > e.options.LeaseDuration {
 		e.StepDown(now, outbox, "leader lease expired")
 	}
 	switch e.role {
@@ -110,13 +110,13 @@
 
 // HoldsLease reports whether this controller may act at now as the leader.
 func (e *Election) HoldsLease(now time.Time) bool {
-	return e.role == roleLeader && now.Before(e.LeaseValidUntil())
+	return e.role == roleLeader && now.Before(e.leaseValidUntil())
 }
 
-// LeaseValidUntil returns when the leader lease expires unless it is renewed: when the lease of the state service
+// leaseValidUntil returns when the leader lease expires unless it is renewed: when the lease of the state service
 // expires or, if every peer has given a grant and that is later, when the first of these grants expires. It is zero
 // unless IsLeader.
-func (e *Election) LeaseValidUntil() time.Time {
+func (e *Election) leaseValidUntil() time.Time {
 	if e.role != roleLeader {
 		return time.Time{}
 	}
--- a/internal/controller/election/lease_test.go
+++ b/internal/controller/election/lease_test.go
@@ -50,8 +50,8 @@
 	sentAt := f.now
 	f.now = f.now.Add(600 * time.Millisecond)
 	f.answer(calls, "/peer/hello", http.StatusOK, PingResponse{Granted: true})
-	if limit := sentAt.Add(grantDuration - 100*time.Millisecond); f.election.LeaseValidUntil().After(limit) {
-		t.Errorf("leader lease valid %v too long", f.election.LeaseValidUntil().Sub(limit))
+	if limit := sentAt.Add(grantDuration - 100*time.Millisecond); f.election.leaseValidUntil().After(limit) {
+		t.Errorf("leader lease valid %v too long", f.election.leaseValidUntil().Sub(limit))
 	}
 }
 
--- a/internal/controller/failover/setup_test.go
+++ b/internal/controller/failover/setup_test.go
@@ -118,7 +118,7 @@
 		Workers:      worker.NewRegistry(worker.LeaseExpiry(platform.WorkerLeaseDuration), log),
 		Cloud:        cloudClient,
 		Zones:        zones.New(platform.HeartbeatInterval, now, log),
-		Reachability: reachability.NewTracker(fencingToken, platform.WorkerLeaseDuration, metrics, log),
+		Reachability: reachability.New(fencingToken, platform.WorkerLeaseDuration, metrics, log),
 		Connectivity: monitor,
 	}
 }
@@ -137,7 +137,7 @@
 	tracker *accounting.Tracker,
 	responder *server.Responder,
 ) *heartbeat.Handler {
-	return heartbeat.NewHandler(heartbeat.Components{
+	return heartbeat.New(heartbeat.Components{
 		Platform:     components.Platform,
 		FencingToken: components.FencingToken,
 		Storage:      components.Stores.Storage,
@@ -147,8 +147,8 @@
 		Estimator:    estimator,
 		Placer:       components.Placer,
 		Accounting:   tracker,
-		Stragglers:   straggler.NewDetector(components.Platform.HeartbeatInterval),
-		Failures:     failures.NewTracker(),
+		Stragglers:   straggler.New(components.Platform.HeartbeatInterval),
+		Failures:     failures.New(),
 		Reachability: components.Machines.Reachability,
 		Responder:    responder,
 		Log:          components.Log,
--- a/internal/controller/failures/tracker.go
+++ b/internal/controller/failures/tracker.go
@@ -88,8 +88,8 @@
 	prunedAt    time.Time
 }
 
-// NewTracker returns the Tracker of a new leadership, without any failures.
-func NewTracker() *Tracker {
+// New returns the Tracker of a new leadership, without any failures.
+func New() *Tracker {
 	return &Tracker{jobs: map[string]*job{}, machines: map[string]*machine{}, retryBudget: maxStoredRetries}
 }
 
--- a/internal/controller/failures/tracker_test.go
+++ b/internal/controller/failures/tracker_test.go
@@ -195,7 +195,7 @@
 func TestVerdictsMatchExactPosterior(t *testing.T) {
 	var counts verdictCounts
 	rapid.Check(t, func(t *rapid.T) {
-		tracker := NewTracker()
+		tracker := New()
 		attribution := drawCase(t, tracker)
 		recomputeVerdicts(tracker)
 		counts.compare(t, tracker, attribution)
@@ -208,7 +208,7 @@
 // Two of ten machines fail every task while two of ten jobs crash on every machine: these are found and nothing else. Each job
 // is tried on machines that it has not failed on.
 func TestCrashLoopingJobsAndFaultyMachinesTogether(t *testing.T) {
-	tracker, now := NewTracker(), time.Unix(1000, 0)
+	tracker, now := New(), time.Unix(1000, 0)
 	done := map[int]int{}
 	for round := range 40 {
 		for j := range 10 {
@@ -234,7 +234,7 @@
 
 // Two crash-looping jobs that fail on the same machines do not make these faulty.
 func TestCrashLoopingJobsDoNotMakeMachineFaulty(t *testing.T) {
-	tracker, now := NewTracker(), time.Unix(1000, 0)
+	tracker, now := New(), time.Unix(1000, 0)
 	for i := range 6 {
 		tracker.RecordFailure(now, "job-1", fmt.Sprint("vm-", i), 0)
 		tracker.RecordFailure(now, "job-2", fmt.Sprint("vm-", i), 0)
@@ -250,7 +250,7 @@
 
 // A faulty machine is not found while only a crash-looping job fails on it; it is once others do.
 func TestFaultyMachineWithOnlyCrashLoopingJob(t *testing.T) {
-	tracker, now := NewTracker(), time.Unix(1000, 0)
+	tracker, now := New(), time.Unix(1000, 0)
 	for i := range 4 {
 		tracker.RecordFailure(now, "job-1", fmt.Sprint("vm-", i), 0)
 	}
@@ -267,7 +267,7 @@
 
 // Retries are delayed longer each time and share a budget, whatever the number of crash-looping jobs.
 func TestRetriesShareBudget(t *testing.T) {
-	tracker, now := NewTracker(), time.Unix(1000, 0)
+	tracker, now := New(), time.Unix(1000, 0)
 	const jobs = 200
 	next := map[string]time.Time{}
 	for i := range jobs {
@@ -292,7 +292,7 @@
 
 // The tracker keeps recent failures only, and a bounded number of neighbours.
 func TestTrackerIsBounded(t *testing.T) {
-	tracker, now := NewTracker(), time.Unix(1000, 0)
+	tracker, now := New(), time.Unix(1000, 0)
 	for i := range 5000 {
 		tracker.RecordFailure(now, fmt.Sprint("job-", i%7), fmt.Sprint("vm-", i), 0)
 		tracker.RecordFailure(now, fmt.Sprint("job-x", i), "vm-0", 1)
--- a/internal/controller/heartbeat/handler.go
+++ b/internal/controller/heartbeat/handler.go
@@ -88,8 +88,8 @@
 	stateLoaded bool // the persistent state was loaded when it was received
 }
 
-// NewHandler returns the Handler of a new leadership.
-func NewHandler(components Components) *Handler {
+// New returns the Handler of a new leadership.
+func New(components Components) *Handler {
 	return &Handler{
 		log:               components.Log,
 		responder:         components.Responder,
--- a/internal/controller/jobs/progress.go
+++ b/internal/controller/jobs/progress.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// RemainingTasks returns the number of unfinished tasks that resources are planned for. Of a crash-looping job that is one, since
+// remainingTasks returns the number of unfinished tasks that resources are planned for. Of a crash-looping job that is one, since
 // only one is tried at a time.
-func (j *Job) RemainingTasks() int {
+func (j *Job) remainingTasks() int {
 	remaining := j.Tasks - j.DoneTasks
 	if j.CrashLooping && !j.IsGang {
 		return min(remaining, 1)
@@ -114,7 +114,7 @@
 }
 
 // WaitingTasks returns the number of tasks that wait to be started.
-func (j *Job) WaitingTasks() int { return max(j.RemainingTasks()-len(j.ActiveAttempts), 0) }
+func (j *Job) WaitingTasks() int { return max(j.remainingTasks()-len(j.ActiveAttempts), 0) }
 
 // TakeNextTask takes the next task to start off the queue: first those to be tried again, then those never tried. It returns -1
 // if none waits.
@@ -149,7 +149,7 @@
 // at least a tenth of that, however long it has run.
 func (j *Job) RemainingWork(perTask time.Duration, now time.Time) time.Duration {
 	running := time.Duration(j.runningCount)
-	total := time.Duration(j.RemainingTasks()) * perTask
+	total := time.Duration(j.remainingTasks()) * perTask
 	elapsed := running*now.Sub(j.SubmittedAt) - j.runningStartSum
 	return max(total-min(elapsed, running*perTask*9/10), 0)
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -129,9 +129,9 @@
 		workers:      worker.NewRegistry(worker.LeaseExpiry(c.platform.WorkerLeaseDuration), c.log),
 		cloud:        cloud.New(fencingToken, c.platform.CloudRequestRate, c.platform.CloudListLag, c.log),
 		zones:        zones.New(c.platform.HeartbeatInterval, now, c.log),
-		reachability: reachability.NewTracker(fencingToken, c.platform.WorkerLeaseDuration, c.metrics.reachability, c.log),
-		stragglers:   straggler.NewDetector(c.platform.HeartbeatInterval),
-		failures:     failures.NewTracker(),
+		reachability: reachability.New(fencingToken, c.platform.WorkerLeaseDuration, c.metrics.reachability, c.log),
+		stragglers:   straggler.New(c.platform.HeartbeatInterval),
+		failures:     failures.New(),
 	}
 }
 
@@ -175,7 +175,7 @@
 }
 
 func (c *Controller) newHeartbeatHandler(leader *leadership) *heartbeat.Handler {
-	return heartbeat.NewHandler(heartbeat.Components{
+	return heartbeat.New(heartbeat.Components{
 		Platform:     c.platform,
 		FencingToken: leader.fencingToken,
 		Storage:      leader.storage,
@@ -220,7 +220,7 @@
 }
 
 func (c *Controller) newAPIHandler(leader *leadership) *api.Handler {
-	return api.NewHandler(api.Components{
+	return api.New(api.Components{
 		Platform:   c.platform,
 		Options:    leader.dynamicConfig.Options(),
 		HoldsLease: func() bool { return c.leadership == leader && c.holdsLease },
--- a/internal/controller/placement/gangs.go
+++ b/internal/controller/placement/gangs.go
@@ -79,7 +79,7 @@
 // placeGang assigns all tasks of a gang to as few machines as possible, if there are enough.
 func (p *Placer) placeGang(now time.Time, job *jobs.Job) {
 	tasks := job.WaitingTasks()
-	if tasks == 0 || p.StartableTasksOf(job) < tasks {
+	if tasks == 0 || p.startableTasksOf(job) < tasks {
 		return
 	}
 	parts := p.partsOfGang(now, job, tasks)
--- a/internal/controller/placement/preempt.go
+++ b/internal/controller/placement/preempt.go
@@ -45,7 +45,7 @@
 		if !entry.Planned || !isUrgent(now, entry, p.platform.HeartbeatInterval) {
 			continue
 		}
-		tasks := p.StartableTasksOf(entry.Job)
+		tasks := p.startableTasksOf(entry.Job)
 		if tasks == 0 {
 			continue
 		}
--- a/internal/controller/placement/quota.go
+++ b/internal/controller/placement/quota.go
@@ -54,8 +54,8 @@
 	return TasksAllowedByQuota(job, p.teams[job.Team], &worker.Usage{CPUs: used.CPUs + unseen.CPUs, GPUs: used.GPUs + unseen.GPUs})
 }
 
-// StartableTasksOf is the number of waiting tasks of the job that its team's quota allows to run.
-func (p *Placer) StartableTasksOf(job *jobs.Job) int {
+// startableTasksOf is the number of waiting tasks of the job that its team's quota allows to run.
+func (p *Placer) startableTasksOf(job *jobs.Job) int {
 	return min(job.WaitingTasks(), TasksAllowedByQuota(job, p.teams[job.Team], p.workers.TeamUsage(job.Team)))
 }
 
--- a/internal/controller/placement/reservations.go
+++ b/internal/controller/placement/reservations.go
@@ -72,7 +72,7 @@
 	if !entry.MayReserve || job.WaitingTasks() == 0 || now.Before(job.NotBefore) {
 		return 0
 	}
-	tasks := p.StartableTasksOf(job)
+	tasks := p.startableTasksOf(job)
 	if entry.MaxTasks > 0 {
 		tasks = min(tasks, entry.MaxTasks-len(job.ActiveAttempts))
 	}
--- a/internal/controller/straggler/detector.go
+++ b/internal/controller/straggler/detector.go
@@ -49,8 +49,8 @@
 // machineStats is the running mean of one machine's log ratios.
 type machineStats struct{ meanLogRatio, count float64 }
 
-// NewDetector returns a Detector without any machines. resolution is the precision of the run times in RecordRun.
-func NewDetector(resolution time.Duration) *Detector {
+// New returns a Detector without any machines. resolution is the precision of the run times in RecordRun.
+func New(resolution time.Duration) *Detector {
 	return &Detector{resolution: resolution, logRatioVariance: initialVariance, machines: map[string]*machineStats{}}
 }
 
--- a/internal/controller/straggler/detector_test.go
+++ b/internal/controller/straggler/detector_test.go
@@ -16,7 +16,7 @@
 // All slow machines are found within forty tasks each, with at most two false positives.
 func TestFindsSlowMachines(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	detector := NewDetector(time.Second)
+	detector := New(time.Second)
 	const machines, slow = 400, 10
 	found, falsePositives := map[int]int{}, map[int]bool{}
 	for round := range 40 {
@@ -58,7 +58,7 @@
 
 // A slow machine that recovers is used again.
 func TestMachineRecovers(t *testing.T) {
-	detector := NewDetector(time.Second)
+	detector := New(time.Second)
 	rng := rand.New(rand.NewPCG(3, 4))
 	recordRuns(detector, rng, 20, 3)
 	if !detector.IsSlow("0") || detector.Slowdown("0") < 2 {
@@ -72,7 +72,7 @@
 
 // If tasks take longer on all machines, none of them is at fault.
 func TestNoMachineIsSlowIfAllAre(t *testing.T) {
-	detector := NewDetector(time.Second)
+	detector := New(time.Second)
 	for range 30 {
 		for machine := range 10 {
 			detector.RecordRun(fmt.Sprint(machine), 5*time.Minute, time.Minute, 10)
@@ -87,7 +87,7 @@
 
 // Run times below the resolution, and jobs with too few completed tasks, are no evidence.
 func TestNoMachineIsSlowWithoutEvidence(t *testing.T) {
-	detector := NewDetector(10 * time.Second)
+	detector := New(10 * time.Second)
 	for range 50 {
 		detector.RecordRun("below resolution", time.Minute, 15*time.Second, 10)
 		detector.RecordRun("too few tasks", time.Hour, time.Minute, 2)
--- a/internal/controller/submission/limiter.go
+++ b/internal/controller/submission/limiter.go
@@ -41,8 +41,8 @@
 	tickets        ticketQueue
 }
 
-// NewLimiter allows maxPending submissions at a time, of which saveRate a second are expected to be saved.
-func NewLimiter(maxPending int, saveRate float64) *Limiter {
+// New returns a Limiter that allows maxPending submissions at a time, of which saveRate a second are expected to be saved.
+func New(maxPending int, saveRate float64) *Limiter {
 	return &Limiter{maxPending: max(maxPending, 1), saveRate: max(saveRate, minSaveRate), teams: map[string]*team{}}
 }
 
@@ -81,9 +81,6 @@
 	}
 }
 
-// Pending is the number of submissions that were accepted and not released.
-func (l *Limiter) Pending() int { return l.pending }
-
 // team returns the named team and records that it submits now.
 func (l *Limiter) team(now time.Time, name string) *team {
 	t := l.teams[name]
--- a/internal/controller/submission/limiter_test.go
+++ b/internal/controller/submission/limiter_test.go
@@ -35,7 +35,7 @@
 func runTwoTeams(t *testing.T, retriesAtOnce bool) *twoTeams {
 	t.Helper()
 	s := &twoTeams{
-		limiter:       NewLimiter(testMaxPending, testSaveRate),
+		limiter:       New(testMaxPending, testSaveRate),
 		retriesAtOnce: retriesAtOnce,
 		now:           time.Unix(1000, 0),
 		waits:         map[string][]time.Duration{},
@@ -48,7 +48,7 @@
 			s.pending = s.pending[1:]
 		}
 		s.submit(t)
-		if got := s.limiter.Pending(); got != len(s.pending) || got > testMaxPending {
+		if got := s.limiter.pending; got != len(s.pending) || got > testMaxPending {
 			t.Fatalf("%d submissions are pending, the limiter counts %d", len(s.pending), got)
 		}
 	}
@@ -154,7 +154,7 @@
 
 // The tickets of a team whose users never retry are bounded and expire, and the team is removed.
 func TestTicketsExpire(t *testing.T) {
-	limiter := NewLimiter(1, 1)
+	limiter := New(1, 1)
 	now := time.Unix(1000, 0)
 	limiter.Acquire(now, "a", "job-1")
 	for i := range 3 * maxTicketsPerTeam {
--- a/internal/controller/worker/reachability/freshness.go
+++ b/internal/controller/worker/reachability/freshness.go
@@ -76,20 +76,20 @@
 	isSameIncarnation := heartbeat.Incarnation == link.position.Incarnation
 	switch {
 	case !isSameIncarnation && t.lostLeaseDespiteResponses(now, machine, link):
-		t.suspect(now, machine, link, IncarnationEnded)
+		t.suspect(now, machine, link, incarnationEnded)
 		t.RequestProbe(machine)
-	case link.suspicion == Unconfirmed && heartbeat.FencingToken == t.fencingToken:
+	case link.suspicion == unconfirmed && heartbeat.FencingToken == t.fencingToken:
 		link.confirmReachable(machine)
-	case link.suspicion != NotSuspected && isSameIncarnation && link.isPrompt(now):
+	case link.suspicion != notSuspected && isSameIncarnation && link.isPrompt(now):
 		link.confirmReachable(machine)
-	case link.suspicion != NotSuspected:
+	case link.suspicion != notSuspected:
 		t.RequestProbe(machine)
 	}
 	link.position = heartbeat.Position()
 	link.lastHeartbeatAt, link.acknowledged = now, false
 	link.countersReset = false
 	machine.LastContactAt = now
-	machine.IsUnreachable = link.suspicion != NotSuspected && link.unansweredProbes > 0
+	machine.IsUnreachable = link.suspicion != notSuspected && link.unansweredProbes > 0
 }
 
 // lostLeaseDespiteResponses reports whether a new incarnation of the machine shows that its lease expired although a response with
--- a/internal/controller/worker/reachability/metrics.go
+++ b/internal/controller/worker/reachability/metrics.go
@@ -12,7 +12,7 @@
 type Metrics struct {
 	heartbeats *prometheus.CounterVec // by Freshness
 	probes     *prometheus.CounterVec // by outcome
-	suspicions *prometheus.CounterVec // by Suspicion
+	suspicions *prometheus.CounterVec // by reason
 }
 
 // NewMetrics returns the counters and registers them. It panics if they are registered already.
--- a/internal/controller/worker/reachability/probe.go
+++ b/internal/controller/worker/reachability/probe.go
@@ -67,7 +67,7 @@
 	link := t.linkOf(machine)
 	t.metrics.probes.WithLabelValues(probeNotAnswered).Inc()
 	link.unansweredProbes++
-	if link.suspicion != Unconfirmed {
-		t.suspect(now, machine, link, ProbeUnanswered)
+	if link.suspicion != unconfirmed {
+		t.suspect(now, machine, link, probeUnanswered)
 	}
 }
--- a/internal/controller/worker/reachability/suspicion.go
+++ b/internal/controller/worker/reachability/suspicion.go
@@ -7,26 +7,26 @@
 	"gullrudder/internal/logkeys"
 )
 
-// Suspicion is why a machine is suspected of not receiving the leader's messages. A suspected machine is sent no starts.
-type Suspicion int
+// suspicionReason is why a machine is suspected of not receiving the leader's messages. A suspected machine is sent no starts.
+type suspicionReason int
 
 // The suspicions.
 const (
-	NotSuspected     Suspicion = iota
-	Unconfirmed                // there is no evidence yet that it receives messages
-	StartsLost                 // an attempt that it was sent to start did not appear in its next heartbeat
-	IncarnationEnded           // its lease expired although its heartbeats were answered with status 200
-	ProbeUnanswered
+	notSuspected     suspicionReason = iota
+	unconfirmed                      // there is no evidence yet that it receives messages
+	startsLost                       // an attempt that it was sent to start did not appear in its next heartbeat
+	incarnationEnded                 // its lease expired although its heartbeats were answered with status 200
+	probeUnanswered
 )
 
 // String returns the suspicion as the label of a metric has it.
-func (s Suspicion) String() string {
+func (s suspicionReason) String() string {
 	return [...]string{
-		NotSuspected:     "none",
-		Unconfirmed:      "not proven yet",
-		StartsLost:       "starts do not appear",
-		IncarnationEnded: "its session ended though it was answered",
-		ProbeUnanswered:  "a question was not answered",
+		notSuspected:     "none",
+		unconfirmed:      "not proven yet",
+		startsLost:       "starts do not appear",
+		incarnationEnded: "its session ended though it was answered",
+		probeUnanswered:  "a question was not answered",
 	}[s]
 }
 
@@ -39,15 +39,15 @@
 	for _, ended := range endedAttempts {
 		wasNeverSeen := ended.Attempt.LastSeenReconcile == 0 && !ended.Attempt.IsUnsent
 		if ended.Reason == worker.ReasonLost && wasNeverSeen {
-			t.suspect(now, machine, t.linkOf(machine), StartsLost)
+			t.suspect(now, machine, t.linkOf(machine), startsLost)
 			t.RequestProbe(machine)
 			return
 		}
 	}
 }
 
-func (t *Tracker) suspect(now time.Time, machine *worker.Machine, link *linkState, suspicion Suspicion) {
-	if link.suspicion == NotSuspected || link.suspicion == Unconfirmed {
+func (t *Tracker) suspect(now time.Time, machine *worker.Machine, link *linkState, suspicion suspicionReason) {
+	if link.suspicion == notSuspected || link.suspicion == unconfirmed {
 		link.suspectSince = now
 		t.metrics.suspicions.WithLabelValues(suspicion.String()).Inc()
 		t.log.Debug("machine suspected unreachable", logkeys.Machine, machine.ID, logkeys.Reason, suspicion.String())
@@ -56,7 +56,7 @@
 }
 
 func (l *linkState) confirmReachable(machine *worker.Machine) {
-	l.suspicion, l.unansweredProbes, l.ineffectiveResponses = NotSuspected, 0, 0
+	l.suspicion, l.unansweredProbes, l.ineffectiveResponses = notSuspected, 0, 0
 	machine.IsUnreachable = l.countersReset
 }
 
@@ -74,13 +74,13 @@
 // IsReachable reports whether there is evidence that the machine receives the leader's messages. If not, it must be sent no starts.
 func (t *Tracker) IsReachable(machine *worker.Machine) bool {
 	link := t.linkOf(machine)
-	return link.suspicion == NotSuspected && !link.countersReset
+	return link.suspicion == notSuspected && !link.countersReset
 }
 
 // IsSuspected reports whether there is evidence that the machine does not receive the leader's messages.
 func (t *Tracker) IsSuspected(machine *worker.Machine) bool {
 	link := t.links[machine.ID]
-	return link != nil && (link.suspicion > Unconfirmed || link.countersReset)
+	return link != nil && (link.suspicion > unconfirmed || link.countersReset)
 }
 
 // IsUnresponsive reports whether the machine should be terminated: it does not answer probes, or it lost its counters so long ago
--- a/internal/controller/worker/reachability/tracker.go
+++ b/internal/controller/worker/reachability/tracker.go
@@ -34,7 +34,7 @@
 
 // linkState is the state of the link to one machine.
 type linkState struct {
-	suspicion     Suspicion
+	suspicion     suspicionReason
 	suspectSince  time.Time // when the suspicion arose, or the counters were reset
 	countersReset bool      // the worker lost its counters: until its incarnation is higher, its heartbeats look like delayed ones
 
@@ -58,9 +58,9 @@
 	probeRequests []*worker.Machine
 }
 
-// NewTracker returns the Tracker of a leader that was elected with this fencing token. lease is the duration of a worker's lease,
+// New returns the Tracker of a leader that was elected with this fencing token. lease is the duration of a worker's lease,
 // without a margin.
-func NewTracker(fencingToken uint64, leaseDuration time.Duration, metrics *Metrics, log *slog.Logger) *Tracker {
+func New(fencingToken uint64, leaseDuration time.Duration, metrics *Metrics, log *slog.Logger) *Tracker {
 	return &Tracker{fencingToken: fencingToken, leaseDuration: leaseDuration, metrics: metrics, log: log, links: map[string]*linkState{}}
 }
 
@@ -70,7 +70,7 @@
 func (t *Tracker) linkOf(machine *worker.Machine) *linkState {
 	link := t.links[machine.ID]
 	if link == nil {
-		link = &linkState{suspicion: Unconfirmed}
+		link = &linkState{suspicion: unconfirmed}
 		t.links[machine.ID] = link
 	}
 	return link
--- a/internal/controller/worker/reachability/tracker_test.go
+++ b/internal/controller/worker/reachability/tracker_test.go
@@ -19,7 +19,7 @@
 )
 
 func newTestTracker() *Tracker {
-	return NewTracker(testFencingToken, testLease, NewMetrics(prometheus.NewRegistry()), slog.New(slog.DiscardHandler))
+	return New(testFencingToken, testLease, NewMetrics(prometheus.NewRegistry()), slog.New(slog.DiscardHandler))
 }
 
 func newTestRegistry() *worker.Registry {
@@ -112,7 +112,7 @@
 	registry.Assign(machine, &jobs.Attempt{Task: jobs.TaskID{JobID: "job-1"}, Number: 1, MachineID: machine.ID, Job: job, AssignedAt: now})
 	sendHeartbeat()
 	suspicion := tracker.linkOf(machine).suspicion
-	if tracker.IsReachable(machine) || suspicion != StartsLost || len(tracker.TakeProbeRequests()) == 0 {
+	if tracker.IsReachable(machine) || suspicion != startsLost || len(tracker.TakeProbeRequests()) == 0 {
 		t.Errorf("suspicion %v, gets starts: %v", suspicion, tracker.IsReachable(machine))
 	}
 	for range 2 {
--- a/internal/controller/zones/tracker.go
+++ b/internal/controller/zones/tracker.go
@@ -188,8 +188,8 @@
 	z.state, z.stateSince = state, now
 }
 
-// State returns the state of a zone. A zone without machines is Healthy.
-func (t *Tracker) State(name string) State {
+// stateOf returns the state of a zone. A zone without machines is Healthy.
+func (t *Tracker) stateOf(name string) State {
 	if z := t.zones[name]; z != nil {
 		return z.state
 	}
@@ -197,7 +197,7 @@
 }
 
 // IsUnavailable reports whether the machines of the zone are not to be counted on.
-func (t *Tracker) IsUnavailable(name string) bool { return t.State(name) == Unavailable }
+func (t *Tracker) IsUnavailable(name string) bool { return t.stateOf(name) == Unavailable }
 
 // Views returns the zones by name.
 func (t *Tracker) Views() []View {
--- a/internal/controller/zones/tracker_test.go
+++ b/internal/controller/zones/tracker_test.go
@@ -145,7 +145,7 @@
 	outage := m.now.Sub(since)
 	isDetectable := outage > detectionBound && outage < leaseDuration && reachableZones > 0 && !leaderFailed &&
 		z.machinesBeforeOutage >= 2*minSilentMachines
-	switch state := m.tracker.State(name); {
+	switch state := m.tracker.stateOf(name); {
 	case !unavailable && state == Unavailable && m.now.Sub(m.recoveredAt[name]) > recoveryBound && !leaderFailed:
 		t.Fatalf("%v: %s is reachable and its state is Unavailable", elapsed, name)
 	case !unavailable && state == Unavailable && m.recoveredAt[name].IsZero() && m.now.Sub(m.lastInboundLost) > recoveryBound:
@@ -211,7 +211,7 @@
 		outageStart := m.now
 		var took time.Duration
 		m.run(10*time.Second, func() {
-			if took == 0 && m.tracker.State("b") == Unavailable {
+			if took == 0 && m.tracker.stateOf("b") == Unavailable {
 				took = m.now.Sub(outageStart)
 			}
 		})
@@ -228,17 +228,17 @@
 	t.Helper()
 	delete(m.unavailableSince, "b")
 	start := m.now
-	for m.tracker.State("b") != Healthy && m.now.Sub(start) < 5*time.Minute {
+	for m.tracker.stateOf("b") != Healthy && m.now.Sub(start) < 5*time.Minute {
 		m.run(modelTick, func() {})
 		count := m.tracker.MaxRequestable(m.now, "b", 1<<20)
-		if m.tracker.State("b") != Recovering {
+		if m.tracker.stateOf("b") != Recovering {
 			continue
 		}
 		if firstLimit == 0 {
 			firstLimit = count
 		}
 		m.tracker.RecordRequest(m.now, "b", count)
-		if m.tracker.MaxRequestable(m.now, "b", 1<<20) > 0 && m.tracker.State("b") == Recovering {
+		if m.tracker.MaxRequestable(m.now, "b", 1<<20) > 0 && m.tracker.stateOf("b") == Recovering {
 			t.Fatal("more may be requested than the limit of a step")
 		}
 	}
@@ -257,8 +257,8 @@
 	for round := range 3 {
 		m.unavailableSince["b"] = m.now
 		m.run(30*time.Second, func() {})
-		if m.tracker.State("b") != Unavailable || m.tracker.MaxRequestable(m.now, "b", 500) != 1 {
-			t.Fatalf("round %d: %v, %d may be requested", round, m.tracker.State("b"), m.tracker.MaxRequestable(m.now, "b", 500))
+		if m.tracker.stateOf("b") != Unavailable || m.tracker.MaxRequestable(m.now, "b", 500) != 1 {
+			t.Fatalf("round %d: %v, %d may be requested", round, m.tracker.stateOf("b"), m.tracker.MaxRequestable(m.now, "b", 500))
 		}
 		firstLimit, took := m.recoverByRequests(t)
 		if firstLimit != firstRecoveryStep {
@@ -285,9 +285,9 @@
 	}
 	m.unavailableSince["c"] = m.now
 	seen := map[State]bool{}
-	m.run(15*time.Second, func() { seen[m.tracker.State("b")] = true })
-	if seen[Unavailable] || !seen[Degraded] || m.tracker.State("c") == Unavailable {
-		t.Errorf("b was %v, c is %v", fmt.Sprint(seen), m.tracker.State("c"))
+	m.run(15*time.Second, func() { seen[m.tracker.stateOf("b")] = true })
+	if seen[Unavailable] || !seen[Degraded] || m.tracker.stateOf("c") == Unavailable {
+		t.Errorf("b was %v, c is %v", fmt.Sprint(seen), m.tracker.stateOf("c"))
 	}
 	onlyZone := newModel(3, map[string]int{"a": 30})
 	onlyZone.unavailableSince["a"] = onlyZone.now
--- a/internal/goldenbytes/goldenbytes.go
+++ b/internal/goldenbytes/goldenbytes.go
@@ -20,10 +20,10 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// File is the file beside a package's tests that keeps the bytes, one encoded value a line.
-const File = "testdata/golden-bytes.txt"
+// goldenFile is the file beside a package's tests that keeps the bytes, one encoded value a line.
+const goldenFile = "testdata/golden-bytes.txt"
 
-var update = flag.Bool("update", false, "write "+File+" anew from what the code encodes")
+var update = flag.Bool("update", false, "write "+goldenFile+" anew from what the code encodes")
 
 // Case is one value in one encoding. Its name stands for it in the file and never changes.
 type Case struct {
@@ -149,7 +149,7 @@
 		delete(kept, c.name+" zero")
 	}
 	for name := range kept {
-		t.Errorf("%s: no case for %q", File, name)
+		t.Errorf("%s: no case for %q", goldenFile, name)
 	}
 }
 
@@ -160,7 +160,7 @@
 	}
 	want, ok := kept[c.name+" filled"]
 	if !ok {
-		t.Fatalf("not in %s", File)
+		t.Fatalf("not in %s", goldenFile)
 	}
 	if !bytes.Equal(c.filled, want) {
 		t.Errorf("encoded to\n%x, want\n%x\n(%q,\n%q)", c.filled, want, c.filled, want)
@@ -179,7 +179,7 @@
 
 func read(t *testing.T) map[string][]byte {
 	t.Helper()
-	text, err := os.ReadFile(File)
+	text, err := os.ReadFile(goldenFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,7 +188,7 @@
 		name, digits, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
 		raw, err := hex.DecodeString(digits)
 		if !ok || err != nil {
-			t.Fatalf("%s: %q: %v", File, line, err)
+			t.Fatalf("%s: %q: %v", goldenFile, line, err)
 		}
 		kept[name] = raw
 	}
@@ -207,10 +207,10 @@
 			out.WriteString(c.name + " zero\t" + hex.EncodeToString(c.zero) + "\n")
 		}
 	}
-	if err := os.MkdirAll(filepath.Dir(File), 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Dir(goldenFile), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(File, out.Bytes(), 0o600); err != nil {
+	if err := os.WriteFile(goldenFile, out.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/site/agent/runtime.go
+++ b/internal/site/agent/runtime.go
@@ -84,7 +84,7 @@
 // NewRuntime ends what an earlier process of the worker left, and returns a Runtime for Run.
 func NewRuntime(options Options, runtimeOptions RuntimeOptions, log *slog.Logger) (*Runtime, error) {
 	r := &Runtime{
-		options: options, runtimeOptions: runtimeOptions, log: log, state: New(options),
+		options: options, runtimeOptions: runtimeOptions, log: log, state: NewState(options),
 		queue: make(chan Input, queueSize), reportRequested: make(chan struct{}, 1),
 		epoch: uint64(time.Now().UnixNano()), specs: map[string][]byte{},
 	}
--- a/internal/site/agent/state.go
+++ b/internal/site/agent/state.go
@@ -79,8 +79,8 @@
 	t.state, t.reason = workerapi.StateExited, reason
 }
 
-// New returns the State of a process that has just started. It is no machine yet.
-func New(options Options) *State {
+// NewState returns the State of a process that has just started. It is no machine yet.
+func NewState(options Options) *State {
 	return &State{options: options, controllers: slices.Sorted(maps.Keys(options.Controllers)), tasks: map[attemptKey]*taskAttempt{}}
 }
 
--- a/internal/site/agent/state_test.go
+++ b/internal/site/agent/state_test.go
@@ -23,7 +23,7 @@
 func newBench(t *testing.T) *bench {
 	t.Helper()
 	b := &bench{T: t, now: time.Unix(1000, 0), running: map[string]bool{}}
-	b.state = New(Options{
+	b.state = NewState(Options{
 		Addr: "w:1", Type: "t", Zone: "z", CPUs: 4, MemoryGB: 8, Controllers: map[string]string{"a": "a:1", "b": "b:1"},
 		HeartbeatInterval: 2 * time.Second, LeaseDuration: 10 * time.Second,
 	})
--- a/internal/site/datadir/datadir.go
+++ b/internal/site/datadir/datadir.go
@@ -89,8 +89,8 @@
 // OptionsFile returns the path of the operators' settings of the controllers.
 func (s *Site) OptionsFile() string { return s.Path("options.xml") }
 
-// SupervisorFile returns the path of the record of the process that supervises the site.
-func (s *Site) SupervisorFile() string { return s.Path("up.json") }
+// supervisorFile returns the path of the record of the process that supervises the site.
+func (s *Site) supervisorFile() string { return s.Path("up.json") }
 
 // FreeDisk returns how many bytes can still be written to the disk that the directory is on.
 func FreeDisk(dir string) (uint64, error) {
--- a/internal/site/datadir/supervisor.go
+++ b/internal/site/datadir/supervisor.go
@@ -25,7 +25,7 @@
 // RunningSupervisor returns the process that supervises the site, and whether it is running.
 func (s *Site) RunningSupervisor() (process.Identity, bool) {
 	var id process.Identity
-	raw, err := os.ReadFile(s.SupervisorFile())
+	raw, err := os.ReadFile(s.supervisorFile())
 	if err != nil || json.Unmarshal(raw, &id) != nil {
 		return id, false
 	}
@@ -42,5 +42,5 @@
 	if err != nil {
 		return err
 	}
-	return replaceFile(s.SupervisorFile(), encoded)
+	return replaceFile(s.supervisorFile(), encoded)
 }
--- a/internal/site/kvserver/backup.go
+++ b/internal/site/kvserver/backup.go
@@ -103,5 +103,5 @@
 		return err
 	}
 	writer := &SnapshotWriter{files: dir, view: view}
-	return errors.Join(writer.writeAll(nil), wal.Close())
+	return errors.Join(writer.writeAll(nil), wal.close())
 }
--- a/internal/site/kvserver/directory.go
+++ b/internal/site/kvserver/directory.go
@@ -58,8 +58,8 @@
 	return &OSDirectory{path, lock}, nil
 }
 
-// ReadOnlyDirectory returns a directory for reading only. Another process may have locked it.
-func ReadOnlyDirectory(path string) (*OSDirectory, error) {
+// readOnlyDirectory returns a directory for reading only. Another process may have locked it.
+func readOnlyDirectory(path string) (*OSDirectory, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, fmt.Errorf("data directory: %w", err)
 	}
--- a/internal/site/kvserver/inspection.go
+++ b/internal/site/kvserver/inspection.go
@@ -50,7 +50,7 @@
 // Inspect reads a directory and changes nothing. A store may run there; its concurrent writes may make the end of
 // the log look torn. For a damaged directory, the readable part is returned with a DamageError.
 func Inspect(path string) (Inspection, error) {
-	dir, err := ReadOnlyDirectory(path)
+	dir, err := readOnlyDirectory(path)
 	if err != nil {
 		return Inspection{}, err
 	}
@@ -86,7 +86,7 @@
 // recoverWithRetry reads a directory in which a store may run. It reads again if a segment was deleted meanwhile because a new snapshot
 // covers it.
 func recoverWithRetry(path string) (*recovery, error) {
-	dir, err := ReadOnlyDirectory(path)
+	dir, err := readOnlyDirectory(path)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/site/kvserver/recovery.go
+++ b/internal/site/kvserver/recovery.go
@@ -243,7 +243,7 @@
 }
 
 // openWAL opens the log for appending at its end.
-func (r *recovery) openWAL(files Directory) (*WAL, error) {
+func (r *recovery) openWAL(files Directory) (*writeAheadLog, error) {
 	if r.lastSegment == nil {
 		return createSegment(files, segmentHeader{segment: r.newSegment, firstFrame: r.nextFrame, revision: r.keyspace.revision})
 	}
@@ -266,7 +266,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("reopen %s: %w", name, errors.Join(err, file.Close()))
 	}
-	return &WAL{files: files, file: file, segment: r.lastSegment.segment, nextFrame: r.nextFrame, offset: r.offset}, nil
+	return &writeAheadLog{files: files, file: file, segment: r.lastSegment.segment, nextFrame: r.nextFrame, offset: r.offset}, nil
 }
 
 // removeLeftovers removes unfinished snapshots, and the files that the loaded snapshot covers.
--- a/internal/site/kvserver/server.go
+++ b/internal/site/kvserver/server.go
@@ -99,7 +99,7 @@
 			s.writes.pending = append(s.writes.pending, effects)
 		}
 		s.submitPending(now)
-		s.metrics.observeState(s.state, len(s.requests), s.storage.UncoveredLogBytes())
+		s.metrics.observeState(s.state, len(s.requests), s.storage.uncoveredBytes())
 	}
 }
 
--- a/internal/site/kvserver/storage.go
+++ b/internal/site/kvserver/storage.go
@@ -13,7 +13,7 @@
 // methods to the event loop's.
 type Storage struct {
 	files                   Directory
-	wal                     *WAL
+	wal                     *writeAheadLog
 	options                 config.KVServerOptions
 	uncoveredLogBytes       int64 // of log that is in no snapshot
 	pendingSnapshotLogBytes int64 // of log that the running snapshot will cover
@@ -48,24 +48,24 @@
 	return newState(recovered.keyspace, options, now), storage, *inspection, nil
 }
 
-// IsSnapshotDue reports whether the log is large enough for a snapshot.
-func (s *Storage) IsSnapshotDue() bool {
+// isSnapshotDue reports whether the log is large enough for a snapshot.
+func (s *Storage) isSnapshotDue() bool {
 	byRatio := int64(float64(s.lastSnapshotBytes) * s.options.SnapshotLogRatio)
 	return s.uncoveredLogBytes > max(s.options.SnapshotMinLogBytes, byRatio)
 }
 
-// UncoveredLogBytes returns the size of the log that no durable snapshot covers.
-func (s *Storage) UncoveredLogBytes() int64 { return s.uncoveredLogBytes + s.pendingSnapshotLogBytes }
+// uncoveredBytes returns the size of the log that no durable snapshot covers.
+func (s *Storage) uncoveredBytes() int64 { return s.uncoveredLogBytes + s.pendingSnapshotLogBytes }
 
-// Append makes a step's records durable in the log. See WAL.Append for its errors.
-func (s *Storage) Append(records []byte) error { return s.wal.Append(records) }
+// Append makes a step's records durable in the log. See writeAheadLog.append for its errors.
+func (s *Storage) Append(records []byte) error { return s.wal.append(records) }
 
 // RecordAppended counts the bytes of appended records.
 func (s *Storage) RecordAppended(bytes int) { s.uncoveredLogBytes += int64(bytes + frameHeaderBytes) }
 
 // BeginSnapshot continues the log in a new segment, so that a snapshot of the view covers all earlier ones.
 func (s *Storage) BeginSnapshot(view *View) (*SnapshotWriter, error) {
-	if err := s.wal.Rotate(view.revision); err != nil {
+	if err := s.wal.rotate(view.revision); err != nil {
 		return nil, err
 	}
 	view.segment, view.nextFrame = s.wal.segment, s.wal.nextFrame
@@ -92,7 +92,7 @@
 
 // Repair continues the log in a new segment after a failed sync. Once the new segment is durable, the frame whose sync failed is void,
 // whether the old segment has it or not.
-func (s *Storage) Repair(revision uint64) error { return s.wal.Rotate(revision) }
+func (s *Storage) Repair(revision uint64) error { return s.wal.rotate(revision) }
 
 // Prune deletes the files that a durable snapshot covers.
 func (s *Storage) Prune(writer *SnapshotWriter) error {
--- a/internal/site/kvserver/wal.go
+++ b/internal/site/kvserver/wal.go
@@ -15,8 +15,8 @@
 	ErrLogBroken = errors.New("the log waits for a new segment after a failed sync")
 )
 
-// WAL is the write-ahead log, with the segment that is appended to. It belongs to one goroutine.
-type WAL struct {
+// writeAheadLog is the write-ahead log, with the segment that is appended to. It belongs to one goroutine.
+type writeAheadLog struct {
 	files     Directory
 	file      File
 	segment   uint64
@@ -26,7 +26,7 @@
 }
 
 // createSegment creates an empty, durable segment.
-func createSegment(files Directory, header segmentHeader) (*WAL, error) {
+func createSegment(files Directory, header segmentHeader) (*writeAheadLog, error) {
 	name := segmentName(header.segment)
 	file, err := files.Create(name)
 	if err != nil {
@@ -42,12 +42,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("write header of %s: %w", name, errors.Join(err, file.Close()))
 	}
-	return &WAL{files: files, file: file, segment: header.segment, nextFrame: header.firstFrame, offset: int64(len(raw))}, nil
+	return &writeAheadLog{files: files, file: file, segment: header.segment, nextFrame: header.firstFrame, offset: int64(len(raw))}, nil
 }
 
-// Append writes one frame and makes it durable. After ErrNotWritten the log can be used, unless the error is ErrLogBroken too; after
+// append writes one frame and makes it durable. After ErrNotWritten the log can be used, unless the error is ErrLogBroken too; after
 // ErrUncertain it needs a new segment.
-func (l *WAL) Append(payload []byte) error {
+func (l *writeAheadLog) append(payload []byte) error {
 	if l.isBroken {
 		return fmt.Errorf("%w: %w", ErrNotWritten, ErrLogBroken)
 	}
@@ -71,12 +71,12 @@
 	return nil
 }
 
-func (l *WAL) appendError(outcome, err error) error {
+func (l *writeAheadLog) appendError(outcome, err error) error {
 	return fmt.Errorf("%w: %s at %d: %w", outcome, segmentName(l.segment), l.offset, err)
 }
 
-// Rotate continues the log in a new segment. If that fails, the log is unchanged or broken.
-func (l *WAL) Rotate(revision uint64) error {
+// rotate continues the log in a new segment. If that fails, the log is unchanged or broken.
+func (l *writeAheadLog) rotate(revision uint64) error {
 	next, err := createSegment(l.files, segmentHeader{segment: l.segment + 1, firstFrame: l.nextFrame, revision: revision})
 	if err != nil {
 		// The new segment may exist, complete or in part, and a recovery that finds it voids later frames of the old one. So
@@ -92,5 +92,5 @@
 	return nil
 }
 
-// Close closes the segment.
-func (l *WAL) Close() error { return l.file.Close() }
+// close closes the segment.
+func (l *writeAheadLog) close() error { return l.file.Close() }
--- a/internal/site/kvserver/writer.go
+++ b/internal/site/kvserver/writer.go
@@ -77,7 +77,7 @@
 		return
 	}
 	job := writeJob{records: records, revision: s.state.revision}
-	if s.snapshots.canBegin(now) && s.storage.IsSnapshotDue() {
+	if s.snapshots.canBegin(now) && s.storage.isSnapshotDue() {
 		// This frame has the records of all steps so far, so the present keyspace is the one right after the frame.
 		s.snapshots.isRunning, s.snapshots.isScheduled = true, true
 		job.view = s.state.Freeze()
--- a/internal/site/process/process.go
+++ b/internal/site/process/process.go
@@ -68,8 +68,8 @@
 	return stat, nil
 }
 
-// BootID returns the kernel's ID of the current boot, or "" if it cannot be read.
-func BootID() string {
+// bootID returns the kernel's ID of the current boot, or "" if it cannot be read.
+func bootID() string {
 	raw, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
 		return ""
@@ -80,13 +80,13 @@
 // Identify returns the identity of a process that exists.
 func Identify(pid int) (Identity, error) {
 	stat, err := readStat(pid)
-	return Identity{pid, stat.startTicks, BootID()}, err
+	return Identity{pid, stat.startTicks, bootID()}, err
 }
 
 // IsRunning reports whether the process still exists and is not a zombie.
 func (id Identity) IsRunning() bool {
 	stat, err := readStat(id.PID)
-	return err == nil && !stat.isZombie && stat.startTicks == id.StartTicks && id.BootID == BootID()
+	return err == nil && !stat.isZombie && stat.startTicks == id.StartTicks && id.BootID == bootID()
 }
 
 // Signal sends a signal to the process. It returns os.ErrProcessDone if that process is no longer running.
--- a/internal/wire/http1/client.go
+++ b/internal/wire/http1/client.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", method, addr, err)
 	}
-	response, err := c.roundTrip(conn, AppendRequest(nil, method, addr, target, body), deadline)
+	response, err := c.roundTrip(conn, appendRequest(nil, method, addr, target, body), deadline)
 	if err != nil {
 		discard(conn)
 		return nil, fmt.Errorf("%s %s%s: %w", method, addr, target, err)
--- a/internal/wire/http1/message.go
+++ b/internal/wire/http1/message.go
@@ -13,8 +13,8 @@
 
 // Bounds on the messages that are accepted.
 const (
-	MaxHeadBytes = 8 << 10  // of the request or status line with all headers
-	MaxHeaders   = 64       // header lines
+	maxHeadBytes = 8 << 10  // of the request or status line with all headers
+	maxHeaders   = 64       // header lines
 	MaxBodyBytes = 64 << 10 // of a request; a client bounds its responses itself
 )
 
@@ -44,8 +44,8 @@
 	Body            []byte
 }
 
-// AppendRequest encodes a request.
-func AppendRequest(out []byte, method, host, target string, body []byte) []byte {
+// appendRequest encodes a request.
+func appendRequest(out []byte, method, host, target string, body []byte) []byte {
 	out = append(out, method...)
 	out = append(out, ' ')
 	out = append(out, target...)
@@ -65,8 +65,8 @@
 	return response.appendResponse(out, contentTypeBody)
 }
 
-// AppendTextResponse encodes a response with a body of another content type than the protocol's.
-func AppendTextResponse(out []byte, status int, contentType string, body []byte, closeConnection bool) []byte {
+// appendTextResponse encodes a response with a body of another content type than the protocol's.
+func appendTextResponse(out []byte, status int, contentType string, body []byte, closeConnection bool) []byte {
 	response := Message{Status: status, Body: body, CloseConnection: closeConnection}
 	return response.appendResponse(out, contentType)
 }
--- a/internal/wire/http1/parse.go
+++ b/internal/wire/http1/parse.go
@@ -35,7 +35,7 @@
 	if end < 0 {
 		return nil, 0, checkPartialHead(buffer)
 	}
-	if end > MaxHeadBytes {
+	if end > maxHeadBytes {
 		return nil, 0, newProtocolError(http.StatusRequestHeaderFieldsTooLarge, "head too large")
 	}
 	head, err := parseHead(string(buffer[:end]), isResponse)
@@ -56,7 +56,7 @@
 
 // checkPartialHead refuses an incomplete head that cannot become valid.
 func checkPartialHead(buffer []byte) error {
-	if len(buffer) > MaxHeadBytes {
+	if len(buffer) > maxHeadBytes {
 		return newProtocolError(http.StatusRequestHeaderFieldsTooLarge, "head too large")
 	}
 	if i := bytes.IndexByte(buffer, '\n'); i == 0 || i > 0 && buffer[i-1] != '\r' {
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	for count := 0; rest != ""; count++ {
-		if count == MaxHeaders {
+		if count == maxHeaders {
 			return nil, newProtocolError(http.StatusRequestHeaderFieldsTooLarge, "too many headers")
 		}
 		line, rest, _ = strings.Cut(rest, "\r\n")
--- a/internal/wire/http1/parse_test.go
+++ b/internal/wire/http1/parse_test.go
@@ -23,9 +23,9 @@
 		"GET /ready HTTP/1.1\r\nno colon\r\n\r\n":                                400,
 		"GET /ready HTTP/1.1\r\nName : x\r\n\r\n":                                400,
 		"GET /ready HTTP/1.1\n\n":                                                400,
-		"GET /" + strings.Repeat("a", MaxHeadBytes) + " HTTP/1.1\r\n\r\n":        431,
-		"GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxHeaders+1) + "\r\n": 431,
-		"GET /" + strings.Repeat("b", MaxHeadBytes+10):                           431,
+		"GET /" + strings.Repeat("a", maxHeadBytes) + " HTTP/1.1\r\n\r\n":        431,
+		"GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", maxHeaders+1) + "\r\n": 431,
+		"GET /" + strings.Repeat("b", maxHeadBytes+10):                           431,
 	} {
 		t.Run(fmt.Sprintf("%.60q", text), func(t *testing.T) {
 			_, _, err := Parse([]byte(text), false, MaxBodyBytes)
@@ -42,7 +42,7 @@
 }
 
 func TestParseNeedsWholeMessage(t *testing.T) {
-	whole := AppendRequest(nil, "POST", "h", "/work", []byte("body"))
+	whole := appendRequest(nil, "POST", "h", "/work", []byte("body"))
 	for i := range whole {
 		if m, _, err := Parse(whole[:i], false, MaxBodyBytes); m != nil || err != nil {
 			t.Fatalf("%d bytes: %v, %v", i, m, err)
--- a/internal/wire/http1/server.go
+++ b/internal/wire/http1/server.go
@@ -201,7 +201,7 @@
 
 // RespondText is Respond for a body of another content type.
 func (r *Request) RespondText(status int, contentType string, body []byte) {
-	r.send(AppendTextResponse(nil, status, contentType, body, r.CloseConnection))
+	r.send(appendTextResponse(nil, status, contentType, body, r.CloseConnection))
 }
 
 func (r *Request) send(output []byte) {
