--- a/internal/controller/accounting/tracker.go
+++ b/internal/controller/accounting/tracker.go
@@ -53,7 +53,7 @@
 	t.accounts[job] = restored
 }
 
-// EncodedAccount returns a job's account for its stored record; empty if there is none. It has MaxEncodedBytes at most.
+// EncodedAccount returns a job's account for its stored record; empty if there is none. It has maxEncodedBytes at most.
 func (t *Tracker) EncodedAccount(job *jobs.Job) string {
 	account := t.accounts[job]
 	if account == nil {
@@ -100,7 +100,7 @@
 	delete(t.accounts, job)
 	account.countUntil(msSinceSubmission(job, now))
 	finished := FinishedAccount{
-		JobID: job.ID, Team: job.Team, Class: job.Class, IsDone: job.State == jobs.Done, EndedAt: now, Breakdown: account.breakdown,
+		JobID: job.ID, Team: job.Team, Class: job.Class, State: job.State, EndedAt: now, Breakdown: account.breakdown,
 	}
 	t.finished.add(finished)
 	t.totals.add(&finished)
--- a/internal/controller/archive/store.go
+++ b/internal/controller/archive/store.go
@@ -16,7 +16,9 @@
 	"strings"
 	"time"
 
+	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/units"
 	"gullrudder/internal/wire/client"
 )
 
@@ -60,7 +62,7 @@
 	// CanArchive reports whether a finished job may be archived.
 	CanArchive func(now time.Time, id string) bool
 	// FinalState returns the final state of a finished job, and false if it is not finished.
-	FinalState func(id string) (FinalState, bool)
+	FinalState func(id string) (jobs.FinalState, bool)
 	// OnArchived is called with the IDs of jobs once their segment is durable.
 	OnArchived func(ids []string)
 }
@@ -103,7 +105,7 @@
 
 // burstOfTransaction returns the time for which unused writes accumulate: until they suffice for one transaction.
 func burstOfTransaction(options Options) time.Duration {
-	return time.Duration(float64(options.MaxTransactionOps+1) / options.WriteRate * float64(time.Second))
+	return units.DurationFromSeconds(float64(options.MaxTransactionOps+1) / options.WriteRate)
 }
 
 // loadHeadEntry loads an entry of the archive's head. It removes the parts of the segment's index from index.
--- a/internal/controller/cloud/instance.go
+++ b/internal/controller/cloud/instance.go
@@ -1,6 +1,10 @@
 package cloud
 
-import "time"
+import (
+	"time"
+
+	"gullrudder/internal/units"
+)
 
 // MachineType is a type of machine that the cloud offers, as it describes it.
 type MachineType struct {
@@ -16,9 +20,9 @@
 	Zones            []string `msgpack:"harbours"`       // zones in which the type is offered
 }
 
-// StatedBootTime returns the usual time from the request to the first heartbeat, as the cloud states it.
-func (t *MachineType) StatedBootTime() time.Duration {
-	return time.Duration(t.BootSeconds * float64(time.Second))
+// statedBootTime returns the usual time from the request to the first heartbeat, as the cloud states it.
+func (t *MachineType) statedBootTime() time.Duration {
+	return units.DurationFromSeconds(t.BootSeconds)
 }
 
 // HourlyPriceFor returns the price of an hour of an instance, spot or on demand.
--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -27,6 +27,27 @@
 	nameCancelled = "cancelled"
 )
 
+// String returns the name of the state. Users see that of a finished job; for all others see Job.StateName.
+func (s State) String() string {
+	switch s {
+	case Pending:
+		return "pending"
+	case Accepted:
+		return "accepted"
+	case Done:
+		return nameDone
+	case Cancelled:
+		return nameCancelled
+	}
+	return "unknown"
+}
+
+// FinalState is what is kept of a finished job.
+type FinalState struct {
+	State State // Done or Cancelled
+	Tasks int   // number of tasks of the job
+}
+
 // Terms are what was decided for a job when it was accepted.
 type Terms struct {
 	Guaranteed           bool          // admitted with a reservation; otherwise best effort
@@ -85,10 +106,8 @@
 // StateName returns the state as users see it.
 func (j *Job) StateName() string {
 	switch {
-	case j.State == Done:
-		return nameDone
-	case j.State == Cancelled:
-		return nameCancelled
+	case j.State == Done || j.State == Cancelled:
+		return j.State.String()
 	case j.RunningTasks() > 0:
 		return nameRunning
 	}
@@ -104,22 +123,23 @@
 	return j.SubmittedAt
 }
 
-// DueAt returns by when the job has to be complete: its own deadline or an inherited one, whichever is earlier. ok is false if
-// there is neither.
-func (j *Job) DueAt() (due time.Time, ok bool) {
+// DueAt returns by when the job has to be complete: its own deadline or an inherited one, whichever is earlier. It is the
+// zero time if there is neither.
+func (j *Job) DueAt() time.Time {
+	var due time.Time
 	if j.Deadline > 0 {
 		due = j.SubmittedAt.Add(j.Deadline)
 	}
 	if !j.InheritedDeadline.IsZero() && (due.IsZero() || j.InheritedDeadline.Before(due)) {
 		due = j.InheritedDeadline
 	}
-	return due, !due.IsZero()
+	return due
 }
 
 // TimeToDeadline returns how long after EligibleSince the job has to be complete; 0 if it has no deadline.
 func (j *Job) TimeToDeadline() time.Duration {
-	due, ok := j.DueAt()
-	if !ok {
+	due := j.DueAt()
+	if due.IsZero() {
 		return 0
 	}
 	return max(due.Sub(j.EligibleSince()), time.Millisecond)
--- a/internal/site/agent/state_test.go
+++ b/internal/site/agent/state_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/poolapi"
 )
 
 // bench is a worker's State with a clock and the tasks that run.
@@ -22,7 +23,7 @@
 func newBench(t *testing.T) *bench {
 	t.Helper()
 	b := &bench{T: t, now: time.Unix(1000, 0), running: map[string]bool{}}
-	b.state = New(Options{
+	b.state = NewState(Options{
 		Addr: "w:1", Type: "t", Zone: "z", CPUs: 4, MemoryGB: 8, Controllers: map[string]string{"a": "a:1", "b": "b:1"},
 		HeartbeatInterval: 2 * time.Second, LeaseDuration: 10 * time.Second,
 	})
@@ -308,7 +309,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	body, err := codec.Marshal(WorkerReport{Name: "w", Failures: []string{string(raw)}})
+	body, err := codec.Marshal(poolapi.WorkerReport{Name: "w", Failures: []string{string(raw)}})
 	if err != nil {
 		t.Fatal(err)
 	}
