--- a/cmd/gullrudder/submit.go
+++ b/cmd/gullrudder/submit.go
@@ -38,7 +38,7 @@
 // specFields are the fields of a job file that only the workers of a site read.
 var specFields = []string{"command", "env", "workdir", "retries", "save_s"}
 
-// submitPollInterval is the time between two questions of submit --wait.
+// submitPollInterval is the time between two polls of submit --wait.
 const submitPollInterval = 200 * time.Millisecond
 
 func submitCommand() *cobra.Command {
--- a/cmd/gullrudder/up.go
+++ b/cmd/gullrudder/up.go
@@ -19,7 +19,7 @@
 
 const (
 	leaderPollInterval = 50 * time.Millisecond
-	// leaderPollTimeout is how long one question for the leader is repeated.
+	// leaderPollTimeout is how long a request for the leader is repeated.
 	leaderPollTimeout = time.Minute
 	// othersMaySearch is the permission of others to enter a directory.
 	othersMaySearch = 0o001
--- a/internal/controller/api/cancel.go
+++ b/internal/controller/api/cancel.go
@@ -39,7 +39,7 @@
 }
 
 // commitCancellation stores the cancellation. From now on no task of the job starts. The request, if not nil, is answered once the
-// outcome is certain or in doubt.
+// outcome is known, or has become uncertain.
 func (h *jobHandler) commitCancellation(now time.Time, job *jobs.Job, request *server.Request) {
 	job.IsCancelling = true
 	h.placer.InvalidateOrder()
--- a/internal/controller/api/submission.go
+++ b/internal/controller/api/submission.go
@@ -180,7 +180,7 @@
 	isAnswered  bool
 }
 
-// finishCommit is called when the acceptance is durable, or when its outcome is in doubt; in that case it may be called again.
+// finishCommit is called when the acceptance is durable, or when its outcome is uncertain; in that case it may be called again.
 func (h *submissionHandler) finishCommit(now time.Time, pending *pendingSubmission, isDurable bool) {
 	job := pending.job
 	if pending.holdsSlot {
--- a/internal/controller/dynamicconfig/store.go
+++ b/internal/controller/dynamicconfig/store.go
@@ -27,7 +27,7 @@
 const (
 	// busyRetryAfter is the Retry-After of a change while another one is being committed.
 	busyRetryAfter = time.Second
-	// unsavedRetryAfter is the Retry-After of a change whose commit is in doubt.
+	// unsavedRetryAfter is the Retry-After of a change whose commit has an uncertain outcome.
 	unsavedRetryAfter = 2 * time.Second
 )
 
@@ -127,7 +127,7 @@
 	return next
 }
 
-// commit stores a record. The request is answered once the outcome is certain or in doubt; a commit in doubt may still become
+// commit stores a record. The request is answered once the outcome is known or uncertain; an uncertain commit may still become
 // durable later, and the options take effect then.
 func (s *Store) commit(now time.Time, request *server.Request, next *record, options config.Options) error {
 	s.isCommitting = true
--- a/internal/controller/election/campaign_test.go
+++ b/internal/controller/election/campaign_test.go
@@ -76,7 +76,7 @@
 		watch := f.outbox.TakeCalls()
 		deleted := map[string]any{"tide": 7, "log": []any{map[string]any{"drop": LeaderKey, "mark": 7}}}
 		if f.answer(watch, "/watch", http.StatusOK, deleted) != 1 || f.election.follower.key.absent {
-			t.Error("believes that the key is absent at a lower revision")
+			t.Error("takes the key for absent at a lower revision")
 		}
 		if !f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 40}).Granted {
 			t.Error("gives the leader no grant")
--- a/internal/controller/election/model_test.go
+++ b/internal/controller/election/model_test.go
@@ -34,7 +34,7 @@
 )
 
 // electionModel is three controllers and a state service, in steps of modelStep. All messages arrive at once, except
-// on links with a fault. It is a modelcheck.World.
+// on links with a fault. It is a modelcheck.Model.
 type electionModel struct {
 	t             *testing.T
 	mutant        mutant
--- a/internal/controller/election/renewal_limit_test.go
+++ b/internal/controller/election/renewal_limit_test.go
@@ -63,7 +63,7 @@
 	}
 	f.election.SetOldestCancellation(f.now, time.Time{}, false)
 	if f.pingPeerB().StateLoaded {
-		t.Error("tells an age of cancellations of which nobody can tell when they were confirmed")
+		t.Error("reports an age of cancellations whose confirmation time is unknown")
 	}
 }
 
@@ -85,12 +85,12 @@
 }
 
 // TestCancellationAgeCountsFromNonce checks that the age in a ping counts from when the nonce was issued that the ping
-// brings back, and that a process believes no ping that was meant for an earlier one.
+// brings back, and that a process accepts no ping that was meant for an earlier one.
 func TestCancellationAgeCountsFromNonce(t *testing.T) {
 	f := newFixture(t)
 	nonce := f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 4, StateLoaded: true, EchoedNonce: 5}).Nonce
 	if !f.election.RenewalLimit().CompletedBefore().IsZero() {
-		t.Error("believes a ping without a nonce of its own")
+		t.Error("accepts a ping without a nonce of its own")
 	}
 	issuedAt := f.now
 	f.now = f.now.Add(time.Minute)
@@ -105,6 +105,6 @@
 	ping = PingRequest{Name: "b", FencingToken: 4, StateLoaded: true, EchoedNonce: nonce + 1<<40}
 	granted := restarted.election.HandlePing(restarted.now, ping).Granted
 	if granted && !restarted.election.RenewalLimit().CompletedBefore().IsZero() {
-		t.Error("believes a ping that was meant for an earlier process")
+		t.Error("accepts a ping that was meant for an earlier process")
 	}
 }
--- a/internal/controller/failover/lease_renewal_test.go
+++ b/internal/controller/failover/lease_renewal_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A heartbeat that is answered but not believed, since its worker has not seen the fencing token yet, is answered with kills
+// A heartbeat that is answered but not reconciled, since its worker has not seen the fencing token yet, is answered with kills
 // of the tasks of cancelled jobs: a 200 without them would keep these tasks for another lease.
 func TestUnverifiedHeartbeatIsAnsweredWithKillsOfCancelledTasks(t *testing.T) {
 	now := time.Unix(10_000, 0)
@@ -16,7 +16,7 @@
 }
 
 // A machine on which a cancelled task goes on after two kill commands gets no lease that would keep the task for longer than
-// its user was promised.
+// the cancel timeout allows.
 func TestLeaseIsNotRenewedIfMachineIgnoresKills(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler, report := newReconcilerWithCancelledJob(t, now)
--- a/internal/controller/storage/commit_test.go
+++ b/internal/controller/storage/commit_test.go
@@ -143,7 +143,7 @@
 	})
 	second := f.flush()
 	second.Done(f.now, client.Result{})
-	// Now the first attempt was executed, and the second refused for its guard.
+	// Now the first attempt was executed, and the second refused for its precondition.
 	f.singleCall().Done(f.now, f.response(200, map[string]any{"path": firstBody.Apply[0].Write, "value": firstBody.Apply[0].Value, "mark": 9}))
 	if durable != 0 {
 		t.Fatal("the second change is called durable although only the first attempt was executed")
@@ -183,7 +183,7 @@
 	f.set("job-2", 2, func(_ time.Time, ok bool) { notifications = append(notifications, ok) })
 	c.Done(f.now, client.Result{})
 	if len(notifications) != 1 || notifications[0] {
-		t.Fatalf("told %v while the commit before is in doubt", notifications)
+		t.Fatalf("notified of %v while the outcome of the earlier commit is uncertain", notifications)
 	}
 	f.singleCall().Done(f.now, f.response(404, map[string]any{"tide": 7})) // it was not executed
 	f.flush().Done(f.now, f.response(200, map[string]any{"tide": 9}))
--- a/internal/controller/worker/reachability/model_test.go
+++ b/internal/controller/worker/reachability/model_test.go
@@ -42,7 +42,7 @@
 	machine  *worker.Machine
 	registry *worker.Registry
 
-	newestSentAt        time.Time    // when the newest heartbeat that was believed was sent
+	newestSentAt        time.Time    // when the newest heartbeat that was taken for fresh was sent
 	hasReceivedAnything bool         // the worker has received something since the election
 	classifiedFresh     map[int]bool // by index in worker.sent
 }
--- a/internal/site/machinepool/cloudapi.go
+++ b/internal/site/machinepool/cloudapi.go
@@ -23,7 +23,7 @@
 const (
 	// workerTimeout is how long after its last report a worker may get a machine.
 	workerTimeout = 5 * time.Second
-	// deletionTimeout is how long a deletion waits for the workers' reports before the caller is told to repeat it.
+	// deletionTimeout is how long a deletion waits for the workers' reports before the caller gets a response to retry.
 	deletionTimeout = 3 * time.Second
 	// deletionRetryAfter is when a caller whose deletion timed out is to repeat it.
 	deletionRetryAfter = time.Second
--- a/internal/site/process/find.go
+++ b/internal/site/process/find.go
@@ -107,7 +107,7 @@
 func signalAll(pids []int, sig syscall.Signal) {
 	for _, pid := range pids {
 		if id, err := Identify(pid); err == nil {
-			_ = id.Signal(sig) // it may have exited meanwhile; the next search tells
+			_ = id.Signal(sig) // it may have exited meanwhile; the next search finds out
 		}
 	}
 }
--- a/internal/wire/client/outbox.go
+++ b/internal/wire/client/outbox.go
@@ -1,4 +1,4 @@
-// Package client has the calls from the owner of a component's state to other services: the components of a step add calls to an
+// Package client has the calls from an event loop to other services: the components of a step add calls to an
 // Outbox, the runtime (or a simulated cluster) executes them, and the event loop runs each call's Done with its result. The package does no
 // I/O and owns only the calls of one step and the tokens of its rate limiters. Design note: docs/design.md.
 package client
--- a/internal/wire/server/server.go
+++ b/internal/wire/server/server.go
@@ -1,4 +1,4 @@
-// Package server has the requests to the owner of a component's state, and its responses. The runtime (or a simulated cluster) makes a
+// Package server has the requests to an event loop, and its responses. The runtime (or a simulated cluster) makes a
 // Request of each HTTP request; the event loop's step answers through a Responder; the runtime then sends the collected responses. The
 // package does no I/O and owns only the responses of one step. Design note: docs/design.md.
 package server
