--- a/internal/controller/autoscaler/fixture_test.go
+++ b/internal/controller/autoscaler/fixture_test.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/clustertest"
 	"gullrudder/internal/controller/jobs"
@@ -33,27 +32,32 @@
 	cloudClient.MachineTypes = f.MachineTypes
 	placer := placement.New(placement.Components{
 		Platform: f.Platform, FencingToken: 1, Jobs: f.Jobs, Workers: f.Workers,
-		Ranker:   queue.NewRanker(f.Options, f.Platform, queueing),
-		Capacity: func(now time.Time) admission.Capacity { return f.ExpectedCapacity(now) }, Outbox: f.Outbox, Log: f.Log,
+		Ranker: queue.NewRanker(f.Options, f.Platform, queueing), Outbox: f.Outbox, Log: f.Log,
 	})
 	f.Scaler = New(Components{
-		Platform:      f.Platform,
-		Options:       &f.Options,
-		FencingToken:  1,
-		ElectedAt:     f.Now,
-		IsFirstLeader: func() bool { return true },
-		Cloud:         cloudClient,
-		Workers:       f.Workers,
-		Estimator:     queueing.Estimator,
-		Placer:        placer,
-		Stragglers:    straggler.New(f.Platform.HeartbeatInterval),
-		Zones:         zones.New(f.Platform.HeartbeatInterval, f.Now, f.Log),
-		Outbox:        f.Outbox,
-		Log:           f.Log,
+		Platform:     f.Platform,
+		Options:      &f.Options,
+		FencingToken: 1,
+		ElectedAt:    f.Now,
+		History:      firstLeader{},
+		Cloud:        cloudClient,
+		Workers:      f.Workers,
+		Estimator:    queueing.Estimator,
+		Placer:       placer,
+		Stragglers:   straggler.New(f.Platform.HeartbeatInterval),
+		Zones:        zones.New(f.Platform.HeartbeatInterval, f.Now, f.Log),
+		Outbox:       f.Outbox,
+		Log:          f.Log,
 	})
+	placer.SetCapacityForecaster(f.Scaler)
 	return f
 }
 
+// firstLeader is the history of a cluster without an earlier leader.
+type firstLeader struct{}
+
+func (firstLeader) IsFirstLeader() bool { return true }
+
 // setObjectives replaces the objectives of the platform.
 func (f *fixture) setObjectives(configured ...config.Objective) {
 	f.objectives = newObjectiveTracker(objectivesOf(configured), f.Now)
--- a/internal/controller/autoscaler/scaleout.go
+++ b/internal/controller/autoscaler/scaleout.go
@@ -37,7 +37,7 @@
 	if len(s.cloud.MachineTypes) == 0 {
 		return false
 	}
-	return s.isFirstLeader() || s.cloud.CompletedLists > 0 && now.Sub(s.electedAt) >= s.platform.CloudListLag
+	return s.history.IsFirstLeader() || s.cloud.CompletedLists > 0 && now.Sub(s.electedAt) >= s.platform.CloudListLag
 }
 
 // scaleOutPlan decides how many instances of each kind to request, job by job in the order in which they are to start. The tasks
--- a/internal/controller/autoscaler/scaler.go
+++ b/internal/controller/autoscaler/scaler.go
@@ -27,40 +27,46 @@
 	consolidationInterval = 5 * time.Second
 )
 
+// LeadershipHistory tells what there was before this leader.
+type LeadershipHistory interface {
+	// IsFirstLeader reports whether no leader before this one has stored anything.
+	IsFirstLeader() bool
+}
+
 // Components are the parts of the leadership that a Scaler works with.
 type Components struct {
-	Platform      *config.Platform
-	Options       *config.Options
-	FencingToken  uint64
-	ElectedAt     time.Time
-	IsFirstLeader func() bool // no leader before this one has stored anything
-	Cloud         *cloud.Client
-	Workers       *worker.Registry
-	Estimator     *estimate.Estimator
-	Placer        *placement.Placer
-	Stragglers    *straggler.Detector
-	Zones         *zones.Tracker
-	Outbox        *client.Outbox
-	Log           *slog.Logger
+	Platform     *config.Platform
+	Options      *config.Options
+	FencingToken uint64
+	ElectedAt    time.Time
+	History      LeadershipHistory
+	Cloud        *cloud.Client
+	Workers      *worker.Registry
+	Estimator    *estimate.Estimator
+	Placer       *placement.Placer
+	Stragglers   *straggler.Detector
+	Zones        *zones.Tracker
+	Outbox       *client.Outbox
+	Log          *slog.Logger
 }
 
 // Scaler requests and terminates instances for a leader. It is used on the controller's goroutine only.
 type Scaler struct {
 	// Components.
-	platform      *config.Platform
-	options       *config.Options
-	teams         map[string]config.Team
-	fencingToken  uint64
-	electedAt     time.Time
-	isFirstLeader func() bool
-	cloud         *cloud.Client
-	workers       *worker.Registry
-	estimator     *estimate.Estimator
-	placer        *placement.Placer
-	stragglers    *straggler.Detector
-	zones         *zones.Tracker
-	outbox        *client.Outbox
-	log           *slog.Logger
+	platform     *config.Platform
+	options      *config.Options
+	teams        map[string]config.Team
+	fencingToken uint64
+	electedAt    time.Time
+	history      LeadershipHistory
+	cloud        *cloud.Client
+	workers      *worker.Registry
+	estimator    *estimate.Estimator
+	placer       *placement.Placer
+	stragglers   *straggler.Detector
+	zones        *zones.Tracker
+	outbox       *client.Outbox
+	log          *slog.Logger
 
 	// State.
 	schedule   schedule
@@ -79,22 +85,22 @@
 // New returns the Scaler of a new leadership.
 func New(components Components) *Scaler {
 	return &Scaler{
-		platform:      components.Platform,
-		options:       components.Options,
-		teams:         components.Platform.TeamsByName(),
-		fencingToken:  components.FencingToken,
-		electedAt:     components.ElectedAt,
-		isFirstLeader: components.IsFirstLeader,
-		cloud:         components.Cloud,
-		workers:       components.Workers,
-		estimator:     components.Estimator,
-		placer:        components.Placer,
-		stragglers:    components.Stragglers,
-		zones:         components.Zones,
-		outbox:        components.Outbox,
-		log:           components.Log,
-		objectives:    newObjectiveTracker(objectivesOf(components.Platform.Objectives), components.ElectedAt),
-		arrivals:      arrivalTracker{},
+		platform:     components.Platform,
+		options:      components.Options,
+		teams:        components.Platform.TeamsByName(),
+		fencingToken: components.FencingToken,
+		electedAt:    components.ElectedAt,
+		history:      components.History,
+		cloud:        components.Cloud,
+		workers:      components.Workers,
+		estimator:    components.Estimator,
+		placer:       components.Placer,
+		stragglers:   components.Stragglers,
+		zones:        components.Zones,
+		outbox:       components.Outbox,
+		log:          components.Log,
+		objectives:   newObjectiveTracker(objectivesOf(components.Platform.Objectives), components.ElectedAt),
+		arrivals:     arrivalTracker{},
 	}
 }
 
--- a/internal/controller/failover/setup_test.go
+++ b/internal/controller/failover/setup_test.go
@@ -124,13 +124,20 @@
 }
 
 func newTestPlacer(components Components, ranker *queue.Ranker) *placement.Placer {
-	return placement.New(placement.Components{
+	placer := placement.New(placement.Components{
 		Platform: components.Platform, FencingToken: components.FencingToken, Jobs: components.Stores.Jobs.Unfinished,
 		Workers: components.Machines.Workers, Ranker: ranker,
-		Capacity: func(time.Time) admission.Capacity { return admission.Capacity{} }, Outbox: components.Outbox, Log: components.Log,
+		Outbox: components.Outbox, Log: components.Log,
 	})
+	placer.SetCapacityForecaster(noCapacity{})
+	return placer
 }
 
+// noCapacity forecasts a cluster without machines.
+type noCapacity struct{}
+
+func (noCapacity) ExpectedCapacity(time.Time) admission.Capacity { return admission.Capacity{} }
+
 func newTestHeartbeats(
 	components Components,
 	estimator *estimate.Estimator,
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -115,9 +115,11 @@
 		Accounting: leader.accounting,
 		Log:        c.log,
 	})
-	leader.scheduling = c.newScheduling(now, leader)
+	leader.scheduling = c.newScheduling(leader)
 	leader.heartbeats = c.newHeartbeatHandler(leader)
 	leader.failover = c.newReconciler(now, leader)
+	leader.autoscaler = c.newScaler(now, leader)
+	leader.placer.SetCapacityForecaster(leader.autoscaler)
 	leader.api = c.newAPIHandler(leader)
 	leader.jobStore.SetObserver(jobObserver{leader, c.platform.HeartbeatInterval})
 	leader.dynamicConfig.OnChange(leader.applyOptions)
@@ -135,8 +137,8 @@
 	}
 }
 
-// newScheduling makes the components of the queue, the placer and the autoscaler. Placer and autoscaler use each other's results.
-func (c *Controller) newScheduling(now time.Time, leader *leadership) scheduling {
+// newScheduling makes the components of the queue and the placer. The autoscaler, which needs more components, is made later.
+func (c *Controller) newScheduling(leader *leadership) scheduling {
 	queueing := queue.NewComponents(c.options)
 	ranker := queue.NewRanker(c.options, c.platform, queueing)
 	placer := placement.New(placement.Components{
@@ -145,35 +147,37 @@
 		Jobs:         leader.jobStore.Unfinished,
 		Workers:      leader.workers,
 		Ranker:       ranker,
-		Capacity:     func(now time.Time) admission.Capacity { return leader.autoscaler.ExpectedCapacity(now) },
 		Outbox:       &c.outbox,
 		Log:          c.log,
 	})
-	scaler := autoscaler.New(autoscaler.Components{
-		Platform:      c.platform,
-		Options:       leader.dynamicConfig.Options(),
-		FencingToken:  leader.fencingToken,
-		ElectedAt:     now,
-		IsFirstLeader: func() bool { return leader.failover.IsFirstLeader() },
-		Cloud:         leader.cloud,
-		Workers:       leader.workers,
-		Estimator:     queueing.Estimator,
-		Placer:        placer,
-		Stragglers:    leader.stragglers,
-		Zones:         leader.zones,
-		Outbox:        &c.outbox,
-		Log:           c.log,
-	})
 	return scheduling{
-		estimator:  queueing.Estimator,
-		planner:    queueing.Planner,
-		fairShare:  queueing.FairShare,
-		ranker:     ranker,
-		placer:     placer,
-		autoscaler: scaler,
+		estimator: queueing.Estimator,
+		planner:   queueing.Planner,
+		fairShare: queueing.FairShare,
+		ranker:    ranker,
+		placer:    placer,
 	}
 }
 
+// newScaler makes the autoscaler. It uses the placer's results, and the placer uses its forecast.
+func (c *Controller) newScaler(now time.Time, leader *leadership) *autoscaler.Scaler {
+	return autoscaler.New(autoscaler.Components{
+		Platform:     c.platform,
+		Options:      leader.dynamicConfig.Options(),
+		FencingToken: leader.fencingToken,
+		ElectedAt:    now,
+		History:      leader.failover,
+		Cloud:        leader.cloud,
+		Workers:      leader.workers,
+		Estimator:    leader.estimator,
+		Placer:       leader.placer,
+		Stragglers:   leader.stragglers,
+		Zones:        leader.zones,
+		Outbox:       &c.outbox,
+		Log:          c.log,
+	})
+}
+
 func (c *Controller) newHeartbeatHandler(leader *leadership) *heartbeat.Handler {
 	return heartbeat.New(heartbeat.Components{
 		Platform:     c.platform,
--- a/internal/controller/placement/fixture_test.go
+++ b/internal/controller/placement/fixture_test.go
@@ -22,23 +22,28 @@
 
 func newFixture() *fixture {
 	cluster := clustertest.New()
-	capacity := func(time.Time) admission.Capacity {
-		capacity := admission.Capacity{MachineCPUs: 16}
-		for _, machine := range cluster.Workers.Machines {
-			capacity.CPUs += machine.CPUs
-		}
-		return capacity
-	}
-	return &fixture{Cluster: cluster, Placer: New(Components{
+	f := &fixture{Cluster: cluster, Placer: New(Components{
 		Platform:     cluster.Platform,
 		FencingToken: 1,
 		Jobs:         cluster.Jobs,
 		Workers:      cluster.Workers,
 		Ranker:       queue.NewRanker(cluster.Options, cluster.Platform, queue.NewComponents(cluster.Options)),
-		Capacity:     capacity,
 		Outbox:       cluster.Outbox,
 		Log:          cluster.Log,
 	})}
+	f.SetCapacityForecaster(presentCapacity{cluster.Workers})
+	return f
+}
+
+// presentCapacity forecasts that the machines stay as they are.
+type presentCapacity struct{ workers *worker.Registry }
+
+func (p presentCapacity) ExpectedCapacity(time.Time) admission.Capacity {
+	capacity := admission.Capacity{MachineCPUs: 16}
+	for _, machine := range p.workers.Machines {
+		capacity.CPUs += machine.CPUs
+	}
+	return capacity
 }
 
 // clearMachine takes all tasks off a machine; they are to be started again.
--- a/internal/controller/placement/order.go
+++ b/internal/controller/placement/order.go
@@ -79,7 +79,7 @@
 			schedulable = append(schedulable, job)
 		}
 	}
-	p.order.set(p.ranker.Order(now, schedulable, p.capacity(now)))
+	p.order.set(p.ranker.Order(now, schedulable, p.forecaster.ExpectedCapacity(now)))
 	p.updateReservations(now)
 }
 
--- a/internal/controller/placement/placement.go
+++ b/internal/controller/placement/placement.go
@@ -37,7 +37,7 @@
 	jobs         map[string]*jobs.Job // of the job store, read only
 	workers      *worker.Registry
 	ranker       *queue.Ranker
-	capacity     func(time.Time) admission.Capacity
+	forecaster   CapacityForecaster
 
 	attemptCounter    uint64
 	order             jobOrder
@@ -50,6 +50,12 @@
 	nextGangScheduling time.Time
 }
 
+// CapacityForecaster forecasts the capacity of the cluster.
+type CapacityForecaster interface {
+	// ExpectedCapacity returns the capacity that the order of the queue may count on.
+	ExpectedCapacity(now time.Time) admission.Capacity
+}
+
 // Components are the parts of the controller that a Placer works with.
 type Components struct {
 	Platform     *config.Platform
@@ -57,12 +63,11 @@
 	Jobs         map[string]*jobs.Job // all unfinished jobs
 	Workers      *worker.Registry
 	Ranker       *queue.Ranker
-	Capacity     func(time.Time) admission.Capacity // expected capacity of the cluster
 	Outbox       *client.Outbox
 	Log          *slog.Logger
 }
 
-// New makes the placer of a new leadership.
+// New makes the placer of a new leadership. SetCapacityForecaster completes it.
 func New(components Components) *Placer {
 	return &Placer{
 		platform:          components.Platform,
@@ -73,13 +78,16 @@
 		jobs:              components.Jobs,
 		workers:           components.Workers,
 		ranker:            components.Ranker,
-		capacity:          components.Capacity,
 		order:             newJobOrder(),
 		reservations:      newReservations(),
 		pendingGangStarts: map[*jobs.Attempt]*worker.Machine{},
 	}
 }
 
+// SetCapacityForecaster sets the source of the expected capacity. It is called once, before the queue is first ordered: the
+// autoscaler, which forecasts, is made with the Placer.
+func (p *Placer) SetCapacityForecaster(forecaster CapacityForecaster) { p.forecaster = forecaster }
+
 // Tick does what is due besides the responses to heartbeats: it places gangs, and preempts tasks for guaranteed jobs.
 // canPlace is false until the failover is completed; nothing is placed before.
 func (p *Placer) Tick(now time.Time, canPlace bool) {
