--- a/internal/controller/archive/leadership_test.go
+++ b/internal/controller/archive/leadership_test.go
@@ -11,6 +11,7 @@
 	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/simulator"
 	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/stateapi"
 )
 
 const leaderKey = "leader"
@@ -91,7 +92,7 @@
 
 // requiresLeaderKey reports whether a commit is refused once another leader was elected.
 func requiresLeaderKey(c client.Call) bool {
-	for _, precondition := range c.Body.(storage.CommitRequest).Preconditions {
+	for _, precondition := range c.Body.(stateapi.CommitRequest).Preconditions {
 		if precondition.Key == leaderKey {
 			return true
 		}
--- a/internal/controller/election/campaign.go
+++ b/internal/controller/election/campaign.go
@@ -6,6 +6,7 @@
 
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/stateapi"
 )
 
 // maxCampaignJitter spreads the campaigns of several followers, so that one of them wins without a conflict.
@@ -52,10 +53,10 @@
 // claimLeaderKey tries to create the leader's key with the candidate's lease, which was requested at leaseSentAt.
 func (e *Election) claimLeaderKey(outbox *client.Outbox, leaseSentAt time.Time) {
 	outbox.Add(client.Call{
-		Destination: client.StateService, Method: http.MethodPost, Path: "/commit", Timeout: stateCallTimeout,
+		Destination: client.StateService, Method: http.MethodPost, Path: stateapi.CommitPath, Timeout: stateCallTimeout,
 		Body: claimRequest(e.leaderRecord()),
 		Done: e.inEpoch(func(now time.Time, result client.Result) {
-			var response commitResponse
+			var response stateapi.CommitResponse
 			switch {
 			case result.Status == http.StatusOK && codec.Unmarshal(result.Body, &response) == nil && response.Revision > 0:
 				e.becomeLeader(now, outbox, response.Revision, leaseSentAt)
--- a/internal/controller/election/state_messages.go
+++ b/internal/controller/election/state_messages.go
@@ -1,6 +1,8 @@
 package election
 
-// The messages exchanged with the state service. Tags are its names (docs/glossary.md).
+import "gullrudder/internal/wire/stateapi"
+
+// The messages exchanged with the state service beside the transactions of package stateapi. Tags are its names (docs/glossary.md).
 
 // leaderRecord is the value of the leader's key.
 type leaderRecord struct {
@@ -50,33 +52,10 @@
 	LeaseID uint64 `msgpack:"permit"`
 }
 
-// commitRequest is a compare-and-swap transaction.
-type commitRequest struct {
-	Preconditions []precondition `msgpack:"guards"`
-	Writes        []keyWrite     `msgpack:"apply"`
-}
-
-// precondition requires a key to have a revision; 0: to be absent.
-type precondition struct {
-	Key         string `msgpack:"path"`
-	ModRevision int    `msgpack:"mark"` // encodes 0 in one byte, as it always was
-}
-
-// keyWrite writes a key that is deleted when the lease ends.
-type keyWrite struct {
-	Key     string       `msgpack:"write"`
-	Value   leaderRecord `msgpack:"value"`
-	LeaseID uint64       `msgpack:"permit"`
-}
-
-type commitResponse struct {
-	Revision uint64 `msgpack:"tide"`
-}
-
 // claimRequest returns the transaction that creates the leader's key, bound to the lease, if it is absent.
-func claimRequest(record leaderRecord) commitRequest {
-	return commitRequest{
-		Preconditions: []precondition{{Key: LeaderKey, ModRevision: 0}},
-		Writes:        []keyWrite{{Key: LeaderKey, Value: record, LeaseID: record.LeaseID}},
+func claimRequest(record leaderRecord) stateapi.CommitRequest {
+	return stateapi.CommitRequest{
+		Preconditions: []stateapi.Precondition{stateapi.RequireAbsent(LeaderKey)},
+		Operations:    []stateapi.Operation{{Write: LeaderKey, Value: record, LeaseID: record.LeaseID}},
 	}
 }
--- a/internal/controller/fake_state_service_test.go
+++ b/internal/controller/fake_state_service_test.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/server"
+	"gullrudder/internal/wire/stateapi"
 )
 
 // fakeStateService is a state service of keys with their modification revisions. It answers calls at once, with 503 while it
@@ -34,7 +34,7 @@
 	}
 	body := any(map[string]any{"entries": []any{}, "has_next": false})
 	if call.Path == "/commit" {
-		service.commit(call.Body.(storage.CommitRequest))
+		service.commit(call.Body.(stateapi.CommitRequest))
 		body = map[string]uint64{"tide": service.revision}
 	} else if key, ok := strings.CutPrefix(call.Path, "/keys/"); ok && key != "" {
 		value, ok := service.values[key]
@@ -47,7 +47,7 @@
 }
 
 // commit applies the writes of a transaction. Its preconditions are not checked.
-func (service *fakeStateService) commit(request storage.CommitRequest) {
+func (service *fakeStateService) commit(request stateapi.CommitRequest) {
 	service.revision++
 	for _, operation := range request.Operations {
 		if operation.Write != "" {
--- a/internal/controller/storage/archive.go
+++ b/internal/controller/storage/archive.go
@@ -10,6 +10,7 @@
 
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/stateapi"
 
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -198,10 +199,10 @@
 // transaction requires the leader's key, as all commits do, and that no part exists. After an uncertain outcome the first part is read
 // back, which shows whether all of them were written; so a retry must have the same parts.
 func (s *Store) CreateArchiveParts(outbox *client.Outbox, parts []ArchivePart, done func(now time.Time, ok bool)) {
-	request := CommitRequest{Preconditions: []Precondition{s.requireLeadership()}}
+	request := stateapi.CommitRequest{Preconditions: []stateapi.Precondition{s.requireLeadership()}}
 	for _, part := range parts {
-		request.Preconditions = append(request.Preconditions, requireAbsent(part.Key))
-		request.Operations = append(request.Operations, Operation{Write: part.Key, Value: archivePartValue{part.Text}})
+		request.Preconditions = append(request.Preconditions, stateapi.RequireAbsent(part.Key))
+		request.Operations = append(request.Operations, stateapi.Operation{Write: part.Key, Value: archivePartValue{part.Text}})
 	}
 	s.sendArchiveCommit(outbox, request, func(now time.Time, r client.Result) {
 		if r.Status == http.StatusOK || !r.IsUncertain() && r.Status != http.StatusConflict {
@@ -231,15 +232,15 @@
 // DeleteArchiveParts deletes parts at the revisions at which they were read, so that a late execution cannot delete newer parts. If it
 // fails, the parts have to be read again.
 func (s *Store) DeleteArchiveParts(outbox *client.Outbox, parts []ArchivePart, done func(now time.Time, ok bool)) {
-	request := CommitRequest{Preconditions: []Precondition{s.requireLeadership()}}
+	request := stateapi.CommitRequest{Preconditions: []stateapi.Precondition{s.requireLeadership()}}
 	for _, part := range parts {
-		request.Preconditions = append(request.Preconditions, Precondition{Key: part.Key, ModRevision: part.ModRevision})
-		request.Operations = append(request.Operations, Operation{Delete: part.Key})
+		request.Preconditions = append(request.Preconditions, stateapi.Precondition{Key: part.Key, ModRevision: part.ModRevision})
+		request.Operations = append(request.Operations, stateapi.Operation{Delete: part.Key})
 	}
 	s.sendArchiveCommit(outbox, request, func(now time.Time, r client.Result) { done(now, r.Status == http.StatusOK) })
 }
 
-func (s *Store) sendArchiveCommit(outbox *client.Outbox, request CommitRequest, done func(now time.Time, r client.Result)) {
+func (s *Store) sendArchiveCommit(outbox *client.Outbox, request stateapi.CommitRequest, done func(now time.Time, r client.Result)) {
 	s.writeLimiter.Take(len(request.Operations))
-	s.send(outbox, client.Call{Method: http.MethodPost, Path: commitPath, Timeout: commitTimeout, Body: request, Done: done})
+	s.send(outbox, client.Call{Method: http.MethodPost, Path: stateapi.CommitPath, Timeout: commitTimeout, Body: request, Done: done})
 }
--- a/internal/controller/storage/commit.go
+++ b/internal/controller/storage/commit.go
@@ -8,10 +8,10 @@
 	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/stateapi"
 )
 
 const (
-	commitPath  = "/commit"
 	keyPath     = "/keys/"
 	readTimeout = time.Second
 	// commitTimeout is longer than readTimeout: the state service syncs its disk before it answers a commit.
@@ -49,14 +49,14 @@
 func (s *Store) sendCommit(outbox *client.Outbox, pages []*page, move *entryMove) {
 	s.commits.sequence++
 	txn := &transaction{sequence: s.commits.sequence, pages: pages, move: move, guarded: pages}
-	request := CommitRequest{Preconditions: []Precondition{s.requireLeadership()}}
+	request := stateapi.CommitRequest{Preconditions: []stateapi.Precondition{s.requireLeadership()}}
 	for _, p := range pages {
-		request.Preconditions = append(request.Preconditions, Precondition{Key: p.key, ModRevision: p.modRevision})
+		request.Preconditions = append(request.Preconditions, stateapi.Precondition{Key: p.key, ModRevision: p.modRevision})
 		value := p.value(s.fencingToken, txn.sequence)
 		if move != nil {
 			move.applyTo(p, p == s.archive.head, value.Entries, s.pages.entries)
 		}
-		request.Operations = append(request.Operations, Operation{Write: p.key, Value: value})
+		request.Operations = append(request.Operations, stateapi.Operation{Write: p.key, Value: value})
 		txn.waiters = append(txn.waiters, p.waiters)
 		txn.wasDirty = append(txn.wasDirty, s.pages.dirty[p])
 		p.urgent, p.waiters = false, nil
@@ -64,29 +64,29 @@
 	}
 	if move != nil && move.source != nil && !slices.Contains(pages, move.source) {
 		// The copied page must be unchanged: an earlier commit that is executed late would change it.
-		source := Precondition{Key: move.source.key, ModRevision: move.source.modRevision}
+		source := stateapi.Precondition{Key: move.source.key, ModRevision: move.source.modRevision}
 		request.Preconditions = append(request.Preconditions, source)
 		txn.guarded = append(slices.Clone(pages), move.source)
 	}
 	if move != nil && move.source == nil && s.archive.head.modRevision == 0 {
-		request.Preconditions = append(request.Preconditions, requireAbsent(formatKey))
-		request.Operations = append(request.Operations, Operation{Write: formatKey, Value: formatVersion})
+		request.Preconditions = append(request.Preconditions, stateapi.RequireAbsent(formatKey))
+		request.Operations = append(request.Operations, stateapi.Operation{Write: formatKey, Value: formatVersion})
 	}
 	s.commits.inFlight = txn
 	s.send(outbox, client.Call{
-		Method: http.MethodPost, Path: commitPath, Timeout: commitTimeout, Body: request,
+		Method: http.MethodPost, Path: stateapi.CommitPath, Timeout: commitTimeout, Body: request,
 		Done: func(now time.Time, r client.Result) { s.handleCommitResult(now, outbox, r) },
 	})
 }
 
 // requireLeadership returns the precondition that no other leader was elected since.
-func (s *Store) requireLeadership() Precondition {
-	return Precondition{Key: s.options.LeaderKey, ModRevision: s.fencingToken}
+func (s *Store) requireLeadership() stateapi.Precondition {
+	return stateapi.Precondition{Key: s.options.LeaderKey, ModRevision: s.fencingToken}
 }
 
 func (s *Store) handleCommitResult(now time.Time, outbox *client.Outbox, result client.Result) {
 	txn := s.commits.inFlight
-	var executed commitResponse
+	var executed stateapi.CommitResponse
 	switch {
 	case result.Status == http.StatusOK && codec.Unmarshal(result.Body, &executed) == nil && executed.Revision > s.fencingToken:
 		s.commitSucceeded(now, executed.Revision)
@@ -94,7 +94,7 @@
 		s.notifyUncertain(now)
 		s.readBack(outbox, 0, 0)
 	case result.Status == http.StatusConflict:
-		var conflict commitConflict
+		var conflict stateapi.CommitConflict
 		if codec.Unmarshal(result.Body, &conflict) != nil || slices.Contains(conflict.FailedKeys, s.options.LeaderKey) {
 			s.commitFenced(len(txn.pages))
 			return
--- a/internal/controller/storage/messages.go
+++ b/internal/controller/storage/messages.go
@@ -65,63 +65,6 @@
 	Text string `msgpack:"p"`
 }
 
-// Precondition is what a commit requires of one key.
-type Precondition struct {
-	Key         string `msgpack:"path"`
-	ModRevision uint64 `msgpack:"mark"` // revision of the key's last write, 0 if it must not exist
-
-	// compactZero selects the short encoding of ModRevision 0, which all versions use for keys other than pages.
-	compactZero bool
-}
-
-var _ msgpack.CustomEncoder = Precondition{}
-
-// EncodeMsgpack encodes the precondition as the state service decodes it.
-func (p Precondition) EncodeMsgpack(encoder *msgpack.Encoder) error {
-	if err := encoder.EncodeMapLen(2); err != nil {
-		return err
-	}
-	if err := encoder.EncodeString("path"); err != nil {
-		return err
-	}
-	if err := encoder.EncodeString(p.Key); err != nil {
-		return err
-	}
-	if err := encoder.EncodeString("mark"); err != nil {
-		return err
-	}
-	if p.compactZero {
-		return encoder.EncodeInt(0)
-	}
-	return encoder.EncodeUint64(p.ModRevision)
-}
-
-// requireAbsent returns the precondition that a key other than a page does not exist.
-func requireAbsent(key string) Precondition { return Precondition{Key: key, compactZero: true} }
-
-// Operation is one write or one deletion of a commit.
-type Operation struct {
-	Write  string `msgpack:"write,omitempty"` // key that gets Value
-	Value  any    `msgpack:"value,omitempty"`
-	Delete string `msgpack:"drop,omitempty"` // key that is deleted
-}
-
-// CommitRequest is the body of POST /commit: the state service executes all operations atomically if all preconditions hold, else none.
-type CommitRequest struct {
-	Preconditions []Precondition `msgpack:"guards"`
-	Operations    []Operation    `msgpack:"apply"`
-}
-
-// commitResponse is the response to a commit that was executed.
-type commitResponse struct {
-	Revision uint64 `msgpack:"tide"`
-}
-
-// commitConflict is the response to a commit whose preconditions do not hold.
-type commitConflict struct {
-	FailedKeys []string `msgpack:"failed"`
-}
-
 // keyValue is one key of a list.
 type keyValue struct {
 	Key         string             `msgpack:"path"`
--- a/internal/controller/storage/messages_test.go
+++ b/internal/controller/storage/messages_test.go
@@ -1,7 +1,6 @@
 package storage
 
 import (
-	"encoding/hex"
 	"errors"
 	"testing"
 
@@ -10,30 +9,6 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// A precondition has the bytes that all versions have sent so far.
-func TestPreconditionEncoding(t *testing.T) {
-	const keyBytes = "82" + "a470617468" + "a161" + "a46d61726b"
-	for _, test := range []struct {
-		name         string
-		precondition Precondition
-		want         string
-	}{
-		{"page that was written", Precondition{Key: "a", ModRevision: 300}, keyBytes + "cf000000000000012c"},
-		{"page that was never written", Precondition{Key: "a"}, keyBytes + "cf0000000000000000"},
-		{"key that must not exist", requireAbsent("a"), keyBytes + "00"},
-	} {
-		t.Run(test.name, func(t *testing.T) {
-			raw, err := codec.Marshal(test.precondition)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if got := hex.EncodeToString(raw); got != test.want {
-				t.Errorf("encoded as %s, want %s", got, test.want)
-			}
-		})
-	}
-}
-
 // Only the format of this version is read.
 func TestFormatOfAnotherVersionIsRefused(t *testing.T) {
 	encode := func(v any) msgpack.RawMessage {
--- a/internal/controller/storage/move_test.go
+++ b/internal/controller/storage/move_test.go
@@ -8,13 +8,14 @@
 
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/stateapi"
 
 	"github.com/vmihailenco/msgpack/v5"
 )
 
 // requires returns the revision at which a commit requires a key.
 func requires(call client.Call, key string) (modRevision uint64, ok bool) {
-	for _, precondition := range call.Body.(CommitRequest).Preconditions {
+	for _, precondition := range call.Body.(stateapi.CommitRequest).Preconditions {
 		if precondition.Key == key {
 			return precondition.ModRevision, true
 		}
@@ -24,7 +25,7 @@
 
 // writes returns the entries that a commit writes to a page.
 func writes(call client.Call, key string) (entries map[string]msgpack.RawMessage, ok bool) {
-	for _, operation := range call.Body.(CommitRequest).Operations {
+	for _, operation := range call.Body.(stateapi.CommitRequest).Operations {
 		if operation.Write == key {
 			return operation.Value.(pageValue).Entries, true
 		}
