--- a/internal/controller/archive/build_test.go
+++ b/internal/controller/archive/build_test.go
@@ -34,13 +34,13 @@
 		round(8)
 	}
 	if n := leader.archive.SegmentCount(); n > 0 {
-		t.Errorf("%d segments were written ahead of submissions", n)
+		t.Errorf("segments written while user writes fill the transactions: got %d, want 0", n)
 	}
 	for range 3 {
 		round(2)
 	}
 	if leader.archive.SegmentCount() == 0 {
-		t.Error("nothing was archived beside a few submissions")
+		t.Error("segments written beside a few submissions: got 0, want at least 1")
 	}
 }
 
@@ -71,13 +71,13 @@
 		leader.executeAll()
 	}
 	if leader.archive.JobCount() != 120 || tries < 2 {
-		t.Fatalf("%d of 120 jobs are archived, %d tries", leader.archive.JobCount(), tries)
+		t.Fatalf("archived jobs %d after %d tries, want 120 after at least 2", leader.archive.JobCount(), tries)
 	}
 	leader = becomeLeader(t, cluster, leader.now, 2, 3)
 	for i := range 120 {
 		id := fmt.Sprintf("job-%032d", i)
 		if f, found, ok := leader.lookUp(id); !ok || !found || f.Tasks != i {
-			t.Fatalf("%s: %+v, found %v (%v)", id, f, found, ok)
+			t.Fatalf("%s: got %+v (found %v, readable %v), want %d tasks", id, f, found, ok, i)
 		}
 	}
 }
--- a/internal/controller/archive/golden_bytes_test.go
+++ b/internal/controller/archive/golden_bytes_test.go
@@ -30,15 +30,15 @@
 	for _, id := range ids {
 		key, ok := keyOf(id)
 		if !ok || !segment.ids.Contains(key) {
-			t.Fatalf("%s is not in the index", id)
+			t.Fatalf("%s: not in the index, want it there", id)
 		}
 		part, place := segment.locate(segment.rank(key))
 		final, known, err := findJob(data[part], place, key, id)
 		if err != nil || !known {
-			t.Fatalf("%s is not in part %d: %v", id, part, err)
+			t.Fatalf("find %s in part %d: known %v, error %v, want known", id, part, known, err)
 		}
 		if key < hashedKeyBit && segment.cancelled.Contains(key) != (final.State == jobs.Cancelled) {
-			t.Errorf("%s: the index and the data differ", id)
+			t.Errorf("%s: cancelled in the index %v, state in the data %v, want the same", id, segment.cancelled.Contains(key), final.State)
 		}
 		finishedJobs = append(finishedJobs, finishedJob{ID: id, FinalState: final})
 	}
--- a/internal/controller/archive/leadership_test.go
+++ b/internal/controller/archive/leadership_test.go
@@ -42,7 +42,7 @@
 		"apply":  []any{map[string]any{"write": leaderKey, "value": map[string]any{"n": leaderNumber}}},
 	}})
 	if put.Status != 200 {
-		t.Fatalf("the leader's key: %d", put.Status)
+		t.Fatalf("write the leader's key: got status %d, want 200", put.Status)
 	}
 	r := &leadership{cluster: cluster, now: now, finished: map[string]jobs.FinalState{}}
 	log := slog.New(slog.DiscardHandler)
@@ -54,7 +54,7 @@
 	r.storage.Load(&r.outbox)
 	r.executeAll()
 	if !r.storage.IsLoaded() {
-		t.Fatalf("the storage is not loaded")
+		t.Fatalf("storage not loaded, want loaded")
 	}
 	var err error
 	r.archive, err = archive.New(r.storage, archive.Options{
@@ -68,12 +68,12 @@
 		},
 	}, log)
 	if err != nil {
-		t.Fatalf("the archive: %v", err)
+		t.Fatalf("open the archive: %v", err)
 	}
 	r.storage.ForEach(func(name string, decode func(any) error) {
 		var rec jobs.Record
 		if err := decode(&rec); err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("decode the record of %s: %v", name, err)
 		}
 		r.finished[name] = finalState(rec)
 		r.storage.SetFinished(name)
@@ -114,7 +114,7 @@
 	}
 	err := r.storage.Set(r.now, jobID, jobs.NewFinalRecord(finalState.State, finalState.Tasks), storage.SetOptions{Urgent: true, Done: done})
 	if err != nil {
-		t.Fatalf("%s: %v", jobID, err)
+		t.Fatalf("store the final record of %s: %v", jobID, err)
 	}
 }
 
--- a/internal/controller/archive/model_test.go
+++ b/internal/controller/archive/model_test.go
@@ -113,7 +113,7 @@
 func (s *archiveSchedule) carryOut(call client.Call) {
 	s.t.Helper()
 	if call.Path == "/commit" && !requiresLeaderKey(call) {
-		s.t.Fatalf("a commit that an earlier leader could still make: %v", call.Body)
+		s.t.Fatalf("commit without a precondition on the leader's key: %+v", call.Body)
 	}
 	now := s.leader.now
 	switch rapid.IntRange(0, 11).Draw(s.t, "fate") {
@@ -143,11 +143,11 @@
 	saysDone := result == archive.Done && (want.State == jobs.Cancelled || !isDurable && attempted.State == jobs.Cancelled)
 	saysCancelled := result == archive.Cancelled && isDurable && want.State != jobs.Cancelled
 	if saysDone || saysCancelled {
-		s.t.Fatalf("%s: the index says %v, want %+v", jobID, result, want)
+		s.t.Fatalf("%s in the index: got %v, want %+v (durable %v)", jobID, result, want, isDurable)
 	}
 	state, found, ok := s.leader.lookUp(jobID)
 	if ok && (found != isDurable && (isDurable || !isAttempted) || isDurable && found && state != want) {
-		s.t.Fatalf("%s: %+v, found %v, want %+v, %v", jobID, state, found, want, isDurable)
+		s.t.Fatalf("%s: got %+v (found %v), want %+v (durable %v)", jobID, state, found, want, isDurable)
 	}
 }
 
@@ -172,15 +172,15 @@
 		got, found, ok := s.leader.lookUp(id)
 		_, isDurable := s.durable[id]
 		if !ok || isDurable && !found || found && got != state {
-			s.t.Fatalf("%s: %+v, found %v (%v), want %+v, durable %v", id, got, found, ok, state, isDurable)
+			s.t.Fatalf("%s: got %+v (found %v, readable %v), want %+v (durable %v)", id, got, found, ok, state, isDurable)
 		}
 	}
 	kept := len(s.leader.finished) + s.leader.archive.JobCount()
 	if kept < len(s.durable) || kept > len(s.attempted) {
-		s.t.Fatalf("%d jobs in pages and segments, %d are durable and %d were attempted", kept, len(s.durable), len(s.attempted))
+		s.t.Fatalf("jobs in pages and segments: got %d, want between %d durable and %d attempted", kept, len(s.durable), len(s.attempted))
 	}
 	if len(s.cluster.Violations) > 0 {
-		s.t.Fatalf("%v", s.cluster.Violations)
+		s.t.Fatalf("violations of the state service: got %v, want none", s.cluster.Violations)
 	}
 }
 
@@ -207,6 +207,6 @@
 		}
 	})
 	if compacted == 0 {
-		t.Error("no case came as far as a compaction")
+		t.Error("schedules that reached a compaction: got 0, want at least 1")
 	}
 }
--- a/internal/controller/archive/older_version_test.go
+++ b/internal/controller/archive/older_version_test.go
@@ -43,10 +43,10 @@
 		leader.executeAll()
 	}
 	if leader.archive.SegmentCount() == 0 {
-		t.Fatal("nothing was archived")
+		t.Fatal("archived segments: got 0, want at least 1")
 	}
 	raw := cluster.State.Exchange(client.Call{Method: "GET", Path: "/keys?starts=page/&most=60"})
 	if err := readPagesAsOlderVersion(raw.Body); err == nil {
-		t.Error("an older version reads the pages")
+		t.Error("read pages as an older version: no error, want one")
 	}
 }
--- a/internal/controller/election/campaign_test.go
+++ b/internal/controller/election/campaign_test.go
@@ -16,12 +16,12 @@
 	f.answerKeyAbsent(calls)
 	for range 19 {
 		if calls = f.tick(100 * time.Millisecond); hasCampaign(calls) {
-			t.Fatalf("campaigns %v after its start", f.now.Sub(f.election.follower.restart.startedAt))
+			t.Fatalf("campaigned %v after the start, want no campaign for %v", f.now.Sub(f.election.follower.restart.startedAt), grantDuration)
 		}
 		f.answerKeyAbsent(calls)
 	}
 	if calls = f.tick(300 * time.Millisecond); !hasCampaign(calls) {
-		t.Error("does not campaign after the duration of a grant")
+		t.Error("no campaign after the duration of a grant, want one")
 	}
 }
 
@@ -36,7 +36,7 @@
 	}
 	f.answerKeyAbsent(calls)
 	if hasCampaign(f.tick(200 * time.Millisecond)) {
-		t.Error("campaigns although one peer may rely on a grant")
+		t.Error("campaigned while peer c had not answered, want no campaign")
 	}
 }
 
@@ -48,21 +48,21 @@
 	f.answer(calls, "/peer/inquiry", http.StatusOK, VoteQueryResponse{})
 	f.now = f.now.Add(10 * time.Millisecond)
 	if !f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 4}).Granted {
-		t.Fatal("no grant")
+		t.Fatal("ping of leader b: no grant, want one")
 	}
 	f.answerKeyAbsent(calls)
 	if f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 4}).Granted {
-		t.Error("gives a grant although it knows that the key is absent")
+		t.Error("ping after the key was read as absent: granted, want no grant")
 	}
 	for range 20 {
 		calls = f.tick(100 * time.Millisecond)
 		if hasCampaign(calls) {
-			t.Fatal("campaigns while bound by a grant")
+			t.Fatal("campaigned while bound by a grant, want no campaign")
 		}
 		f.answerKeyAbsent(calls)
 	}
 	if !hasCampaign(f.tick(200 * time.Millisecond)) {
-		t.Error("does not campaign after the grant has expired")
+		t.Error("no campaign after the grant has expired, want one")
 	}
 }
 
@@ -76,14 +76,14 @@
 		watch := f.outbox.TakeCalls()
 		deleted := map[string]any{"tide": 7, "log": []any{map[string]any{"drop": LeaderKey, "mark": 7}}}
 		if f.answer(watch, "/watch", http.StatusOK, deleted) != 1 || f.election.follower.key.absent {
-			t.Error("takes the key for absent at a lower revision")
+			t.Errorf("watch response of a lower revision: key absent %v, want one watch and the key present", f.election.follower.key.absent)
 		}
 		if !f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 40}).Granted {
-			t.Error("gives the leader no grant")
+			t.Error("ping of the leader: no grant, want one")
 		}
 		f.answer(f.tick(leaseDuration), "/keys/", http.StatusOK, map[string]any{"value": leaderRecord{"b", 3}})
 		if f.election.follower.key.revision != 40 {
-			t.Errorf("watches from revision %d", f.election.follower.key.revision)
+			t.Errorf("revision of the key: got %d, want 40", f.election.follower.key.revision)
 		}
 	})
 	t.Run("key without its revision", func(t *testing.T) {
@@ -92,7 +92,7 @@
 		f.answer(f.outbox.TakeCalls(), "/commit", 0, nil)
 		f.answer(f.outbox.TakeCalls(), "/keys/", http.StatusOK, map[string]any{"value": leaderRecord{"a", 3}})
 		if f.election.IsLeader() {
-			t.Error("leads without a fencing token")
+			t.Error("leader by a key without a revision, want no leader")
 		}
 	})
 }
@@ -105,12 +105,12 @@
 	f.answer(f.outbox.TakeCalls(), "/commit", 0, nil)
 	f.answerKeyAbsent(f.outbox.TakeCalls())
 	if f.answer(f.outbox.TakeCalls(), "/leases/3", http.StatusOK, nil) != 1 {
-		t.Error("the lease of the claim is not revoked")
+		t.Error("lease of the unanswered claim was not revoked, want one revocation")
 	}
 	// The claim was carried out before the lease could be revoked: the key has our name.
 	f.answer(f.tick(leaseDuration), "/keys/", http.StatusOK, map[string]any{"value": leaderRecord{"a", 3}, "mark": 9})
 	if f.election.IsLeader() || f.election.HoldsLease(f.now) {
-		t.Error("leads by a claim that it has given up")
+		t.Errorf("after a revoked claim: leader %v, holds lease %v, want neither", f.election.IsLeader(), f.election.HoldsLease(f.now))
 	}
 }
 
@@ -143,7 +143,7 @@
 				f.outbox.TakeCalls()
 			}
 			if got := f.election.IsIsolated(f.now); got != test.want {
-				t.Errorf("isolated: %v, want %v", got, test.want)
+				t.Errorf("isolated: got %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/controller/election/connectivity/monitor_test.go
+++ b/internal/controller/election/connectivity/monitor_test.go
@@ -36,19 +36,22 @@
 			cutAt := startedAt.Add(10 * time.Minute)
 			suspectedAt, ok := simulateCut(m, test.machines, startedAt, cutAt, rng)
 			if took := suspectedAt.Sub(cutAt); !ok || took < 0 || took > test.limit {
-				t.Errorf("suspects a partition after %v", took)
+				t.Errorf("partition suspected: got %v, %v after the cut, want within %v", ok, took, test.limit)
 			}
 			if m.IsPartitioned(suspectedAt) {
-				t.Error("partitioned before any machine was probed")
+				t.Error("partitioned before any machine was probed, want connected")
 			}
 			for range 3 {
 				m.RecordProbe(suspectedAt, true, false)
 			}
 			if !m.IsPartitioned(suspectedAt) || m.IsPartitioned(suspectedAt.Add(probeWindow+1)) {
-				t.Error("not partitioned though no probe was answered, or for ever")
+				t.Errorf(
+					"three unanswered probes: partitioned %v, after the window %v, want true, false",
+					m.IsPartitioned(suspectedAt), m.IsPartitioned(suspectedAt.Add(probeWindow+1)),
+				)
 			}
 			if m.RecordProbe(suspectedAt, true, true); m.IsPartitioned(suspectedAt) {
-				t.Error("partitioned though a probe was answered")
+				t.Error("partitioned after an answered probe, want connected")
 			}
 		})
 	}
@@ -99,7 +102,7 @@
 			m := newLeaderMonitor(now, test.machines, test.overdue)
 			m.RecordHeartbeat(now)
 			if got := m.SuspectsPartition(now); got != test.want {
-				t.Errorf("suspects a partition: %v, want %v", got, test.want)
+				t.Errorf("partition suspected: got %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -132,7 +135,7 @@
 				m.RecordProbe(now, true, false) // of machines with overdue heartbeats: no evidence here
 			}
 			if got := m.IsPartitioned(now); got != test.want {
-				t.Errorf("partitioned: %v, want %v", got, test.want)
+				t.Errorf("partitioned: got %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -145,7 +148,7 @@
 	now = now.Add(20 * time.Second)
 	m.Tick(now, 100, 0)
 	if m.SuspectsPartition(now) {
-		t.Error("suspects a partition after a pause")
+		t.Error("partition suspected after a pause of the process, want none")
 	}
 }
 
@@ -170,7 +173,7 @@
 			m.RecordPeerWorkers("a", test.workersA)
 			m.RecordPeerWorkers("b", test.workersB)
 			if got := m.Successor(now); got != "" {
-				t.Errorf("successor %q while the silence is short", got)
+				t.Errorf("successor after a short silence: got %q, want none", got)
 			}
 			for range 200 {
 				now = now.Add(50 * time.Millisecond)
@@ -178,7 +181,7 @@
 				m.RecordProbe(now, true, false)
 			}
 			if got := m.Successor(now); got != test.want {
-				t.Errorf("successor %q, want %q", got, test.want)
+				t.Errorf("successor: got %q, want %q", got, test.want)
 			}
 		})
 	}
@@ -193,10 +196,10 @@
 		m.RecordWorkerContact(now.Add(time.Second), machine, 1, 2)
 	}
 	if n := m.RecentWorkers(now.Add(time.Second)); n != 7 || m.RedirectsSuspended(now) {
-		t.Errorf("%d recent workers, want 7; redirects suspended: %v", n, m.RedirectsSuspended(now))
+		t.Errorf("recent workers %d, redirects suspended %v, want 7, false", n, m.RedirectsSuspended(now))
 	}
 	if n := m.RecentWorkers(now.Add(time.Second + contactWindow + 1)); n != 0 {
-		t.Errorf("%d workers are recent for ever", n)
+		t.Errorf("recent workers after the contact window: got %d, want 0", n)
 	}
 }
 
@@ -206,11 +209,14 @@
 	m, now := New(heartbeatInterval), time.Unix(1000, 0)
 	m.RecordLeaderStatus(now, true)
 	if !m.RedirectsSuspended(now) || m.RedirectsSuspended(now.Add(redirectSuspension)) {
-		t.Error("redirects to a leader that asked not to, or suspends redirects for ever")
+		t.Errorf(
+			"redirects suspended: got %v, later %v, want true, false",
+			m.RedirectsSuspended(now), m.RedirectsSuspended(now.Add(redirectSuspension)),
+		)
 	}
 	m.RecordLeaderStatus(now, false)
 	if m.RedirectsSuspended(now) {
-		t.Error("redirects are suspended though the leader receives heartbeats again")
+		t.Error("redirects suspended though the leader receives heartbeats, want allowed")
 	}
 }
 
@@ -221,7 +227,7 @@
 		m.RecordWorkerContact(now, fmt.Sprint("vm-", i), 2, 7)
 	}
 	if n := m.RecentWorkers(now); n != 5 {
-		t.Fatalf("%d recent workers, want 5", n)
+		t.Fatalf("recent workers: got %d, want 5", n)
 	}
 	now = now.Add(time.Minute)
 	m.RecordWorkerContact(now, "vm-0", 2, 7)  // duplicate
@@ -229,6 +235,6 @@
 	m.RecordWorkerContact(now, "vm-2", 2, 8)
 	m.RecordWorkerContact(now, "vm-3", 3, 1)
 	if n := m.RecentWorkers(now); n != 2 {
-		t.Errorf("%d recent workers, want 2", n)
+		t.Errorf("recent workers: got %d, want 2", n)
 	}
 }
--- a/internal/controller/election/fixture_test.go
+++ b/internal/controller/election/fixture_test.go
@@ -84,7 +84,7 @@
 	f.answerKeyAbsent(calls)
 	calls = f.tick(100 * time.Millisecond)
 	if f.answer(calls, "/leases", http.StatusOK, map[string]int{"permit": 3}) != 1 {
-		f.t.Fatal("no campaign")
+		f.t.Fatal("no request of a lease, want one campaign")
 	}
 }
 
@@ -93,9 +93,9 @@
 	f.t.Helper()
 	f.campaignWithLease()
 	if f.answer(f.outbox.TakeCalls(), "/commit", http.StatusOK, map[string]int{"tide": 6}) != 1 {
-		f.t.Fatal("no claim")
+		f.t.Fatal("no commit, want one claim of the leader's key")
 	}
 	if !f.election.HoldsLease(f.now) || f.election.FencingToken() != 6 {
-		f.t.Fatalf("not elected: fencing token %d", f.election.FencingToken())
+		f.t.Fatalf("election: holds lease %v, fencing token %d, want true, 6", f.election.HoldsLease(f.now), f.election.FencingToken())
 	}
 }
--- a/internal/controller/election/lease_test.go
+++ b/internal/controller/election/lease_test.go
@@ -36,7 +36,7 @@
 				f.answer(calls, "/leases/3/touch", http.StatusServiceUnavailable, nil)
 			}
 			if held := f.election.HoldsLease(f.now); held != test.want {
-				t.Errorf("holds the leader lease: %v, want %v, a lease duration after the last renewal", held, test.want)
+				t.Errorf("holds the leader lease one lease duration after the last renewal: got %v, want %v", held, test.want)
 			}
 		})
 	}
@@ -51,7 +51,7 @@
 	f.now = f.now.Add(600 * time.Millisecond)
 	f.answer(calls, "/peer/hello", http.StatusOK, PingResponse{Granted: true})
 	if limit := sentAt.Add(grantDuration - 100*time.Millisecond); f.election.leaseValidUntil().After(limit) {
-		t.Errorf("leader lease valid %v too long", f.election.leaseValidUntil().Sub(limit))
+		t.Errorf("end of the leader lease: got %v, want at most %v", f.election.leaseValidUntil(), limit)
 	}
 }
 
@@ -65,22 +65,25 @@
 	calls := f.tick(leaseDuration / 2)
 	f.now = f.now.Add(leaseDuration * 3 / 4)
 	if f.election.HoldsLease(f.now) {
-		t.Fatal("holds the leader lease past the lease of the state service")
+		t.Fatal("holds the leader lease after the lease in the state service has expired, want expired")
 	}
 	f.answer(calls, "/peer/hello", http.StatusOK, PingResponse{Granted: true})
 	if f.election.HoldsLease(f.now) {
-		t.Error("grants given after the leader lease had expired extend it")
+		t.Error("grants given after the leader lease had expired extended it, want expired")
 	}
 	f.answer(calls, "/leases/3/touch", http.StatusOK, nil)
 	if !f.election.HoldsLease(f.now) || f.election.FencingToken() != 6 {
-		t.Errorf("after a late renewal: holds the leader lease %v, fencing token %d", f.election.HoldsLease(f.now), f.election.FencingToken())
+		t.Errorf("after a late renewal: holds lease %v, fencing token %d, want true, 6", f.election.HoldsLease(f.now), f.election.FencingToken())
 	}
 	f.tick(leaseDuration)
 	if !f.election.IsLeader() || f.election.HoldsLease(f.now) {
-		t.Errorf("while the next renewal is late: leader %v, holds the leader lease %v", f.election.IsLeader(), f.election.HoldsLease(f.now))
+		t.Errorf(
+			"while the next renewal is late: leader %v, holds lease %v, want true, false",
+			f.election.IsLeader(), f.election.HoldsLease(f.now),
+		)
 	}
 	if f.tick(leaseDuration); f.election.IsLeader() {
-		t.Error("still the leader two lease durations after the last renewal")
+		t.Error("leader two lease durations after the last renewal, want no leader")
 	}
 }
 
@@ -92,10 +95,10 @@
 	f.elect()
 	f.now = f.now.Add(leaseDuration)
 	if f.election.HoldsLease(f.now) || !f.election.HandleVoteQuery(f.now).IsLeader {
-		t.Errorf("holds the leader lease %v, says that it leads %v", f.election.HoldsLease(f.now), f.election.HandleVoteQuery(f.now).IsLeader)
+		t.Errorf("late renewal: holds lease %v, vote %+v, want no lease, leader", f.election.HoldsLease(f.now), f.election.HandleVoteQuery(f.now))
 	}
 	f.tick(2 * leaseDuration)
 	if f.election.HandleVoteQuery(f.now).IsLeader {
-		t.Error("says that it leads after it has stepped down")
+		t.Error("vote query after stepping down: answered as leader, want not leader")
 	}
 }
--- a/internal/controller/election/model_state_service_test.go
+++ b/internal/controller/election/model_state_service_test.go
@@ -96,11 +96,11 @@
 		s.t.Fatal(err)
 	}
 	if len(commit.Preconditions) != 1 || len(commit.Writes) != 1 {
-		s.t.Fatalf("not a claim of the leader's key: %+v", commit)
+		s.t.Fatalf("commit %+v: want one precondition and one write", commit)
 	}
 	precondition, write := commit.Preconditions[0], commit.Writes[0]
 	if precondition.Key != LeaderKey || precondition.ModRevision != 0 || write.Key != LeaderKey || write.LeaseID != write.Value.LeaseID {
-		s.t.Fatalf("not a claim of the leader's key: %+v", commit)
+		s.t.Fatalf("commit %+v: want a claim of the absent leader's key with the lease that its record names", commit)
 	}
 	if _, ok := s.leaseExpiry[write.LeaseID]; !ok {
 		return client.Result{Status: http.StatusBadRequest}
--- a/internal/controller/election/model_test.go
+++ b/internal/controller/election/model_test.go
@@ -68,7 +68,7 @@
 		w.step()
 	}
 	if w.service.holder.LeaseID == 0 {
-		t.Fatal("no leader at the beginning")
+		t.Fatal("no leader at the beginning, want one")
 	}
 	return w
 }
@@ -168,7 +168,7 @@
 		w.peerLinks[controller] = mode
 		w.changeLink(mode)
 	default:
-		w.t.Fatalf("no such move: %q", move)
+		w.t.Fatalf("unknown move %q", move)
 	}
 	w.checkInvariant()
 }
--- a/internal/controller/election/renewal/limit_test.go
+++ b/internal/controller/election/renewal/limit_test.go
@@ -34,7 +34,7 @@
 			l := newLimit()
 			test.record(l)
 			if got := l.RenewUntil(); !got.Equal(test.want) {
-				t.Errorf("renew until %v, want %v", got, test.want)
+				t.Errorf("renew until: got %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -45,7 +45,7 @@
 	l := New(Window(10*time.Second, 20*time.Second), rand.New(rand.NewPCG(1, 1)))
 	l.RecordLoaded(time.Unix(1000, 0))
 	if !l.RenewUntil().IsZero() {
-		t.Error("leases may be renewed though a cancelled task would outlive its time")
+		t.Errorf("renew until: got %v, want no renewal with a negative window", l.RenewUntil())
 	}
 }
 
@@ -55,12 +55,12 @@
 	l.lastNonce = ^uint64(0)
 	first := l.NewNonce(time.Unix(1000, 0))
 	if first == 0 {
-		t.Error("nonce 0")
+		t.Error("nonce after the wrap-around: got 0, want another value")
 	}
 	for range maxNonces {
 		l.NewNonce(time.Unix(2000, 0))
 	}
 	if l.RecordLeaderProgress(first, 0); !l.CompletedBefore().IsZero() {
-		t.Error("remembers too many nonces")
+		t.Errorf("oldest of %d nonces was accepted, want it forgotten", maxNonces+1)
 	}
 }
--- a/internal/controller/election/renewal_limit_test.go
+++ b/internal/controller/election/renewal_limit_test.go
@@ -25,7 +25,7 @@
 	}
 	r := modelcheck.RandomWalks(newModel, renewalWalkLength, 150, rng)
 	if r.Violation != "" {
-		t.Errorf("%s after %q", r.Violation, r.Schedule)
+		t.Errorf("violation: got %q after %q, want none", r.Violation, r.Schedule)
 	}
 	cancelled, renewals, refusals := 0, 0, 0
 	for _, w := range models {
@@ -37,7 +37,7 @@
 	}
 	t.Logf("%d states, %d of %d cancelled, %d renewals before loading, %d refused", r.States, cancelled, len(models), renewals, refusals)
 	if cancelled < 100 || renewals == 0 || refusals == 0 {
-		t.Error("too few cancellations, renewals or refusals to prove anything")
+		t.Errorf("coverage: %d cancelled, %d renewals, %d refusals, want at least 100, 1, 1", cancelled, renewals, refusals)
 	}
 }
 
@@ -55,15 +55,15 @@
 	f := newFixture(t)
 	f.elect()
 	if f.pingPeerB(); f.pingPeerB().StateLoaded {
-		t.Error("tells an age before it has loaded its state")
+		t.Error("ping reports a loaded state before the state was loaded, want none")
 	}
 	f.election.SetOldestCancellation(f.now, f.now.Add(-3*time.Second), true)
 	if ping := f.pingPeerB(); !ping.StateLoaded || ping.EchoedNonce != 77 || ping.OldestCancellationAge != 3*time.Second+grantDuration/4 {
-		t.Errorf("%+v", ping)
+		t.Errorf("ping: got %+v, want a loaded state, nonce 77, age %v", ping, 3*time.Second+grantDuration/4)
 	}
 	f.election.SetOldestCancellation(f.now, time.Time{}, false)
 	if f.pingPeerB().StateLoaded {
-		t.Error("reports an age of cancellations whose confirmation time is unknown")
+		t.Error("ping reports a cancellation age though the confirmation time is unknown, want none")
 	}
 }
 
@@ -90,7 +90,7 @@
 	f := newFixture(t)
 	nonce := f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 4, StateLoaded: true, EchoedNonce: 5}).Nonce
 	if !f.election.RenewalLimit().CompletedBefore().IsZero() {
-		t.Error("accepts a ping without a nonce of its own")
+		t.Error("ping without a nonce of this process changed the renewal limit, want no change")
 	}
 	issuedAt := f.now
 	f.now = f.now.Add(time.Minute)
@@ -98,13 +98,13 @@
 	f.election.HandlePing(f.now, ping)
 	completedBefore := f.election.RenewalLimit().CompletedBefore()
 	if completedBefore.After(issuedAt.Add(-time.Second)) || completedBefore.Before(issuedAt.Add(-1100*time.Millisecond)) {
-		t.Errorf("counts from %v after the nonce", completedBefore.Sub(issuedAt))
+		t.Errorf("limit after the nonce: got %v, want between -1.1s and -1s", completedBefore.Sub(issuedAt))
 	}
 
 	restarted := newFixture(t)
 	ping = PingRequest{Name: "b", FencingToken: 4, StateLoaded: true, EchoedNonce: nonce + 1<<40}
 	granted := restarted.election.HandlePing(restarted.now, ping).Granted
 	if granted && !restarted.election.RenewalLimit().CompletedBefore().IsZero() {
-		t.Error("accepts a ping that was meant for an earlier process")
+		t.Error("ping with a nonce of an earlier process changed the renewal limit, want no change")
 	}
 }
--- a/internal/controller/election/schedules_test.go
+++ b/internal/controller/election/schedules_test.go
@@ -22,12 +22,12 @@
 	r := modelcheck.CheckAll(func() modelcheck.Model { return newElectionModel(t, "", *modelFaults) }, 12+2**modelFaults, 5_000_000)
 	t.Logf("%d states, depth %d, cut %v", r.States, r.Depth, r.IsTruncated)
 	if r.Violation != "" {
-		t.Errorf("%s after %q", r.Violation, r.Schedule)
+		t.Errorf("violation in all schedules: got %q after %q, want none", r.Violation, r.Schedule)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	r = modelcheck.RandomWalks(func() modelcheck.Model { return newElectionModel(t, "", 6) }, walkLength, cleanWalks, rng)
 	if r.Violation != "" {
-		t.Errorf("%s after %q", r.Violation, r.Schedule)
+		t.Errorf("violation in random walks: got %q after %q, want none", r.Violation, r.Schedule)
 	}
 }
 
@@ -60,7 +60,7 @@
 			r := modelcheck.RandomWalks(func() modelcheck.Model { return newModel(mutant, rng) }, length, walks, rng)
 			t.Logf("%d states: %s after %q", r.States, r.Violation, r.Schedule)
 			if r.Violation == "" {
-				t.Error("not found")
+				t.Errorf("no violation found in %d states, want one", r.States)
 			}
 		})
 	}
--- a/internal/controller/election/state_messages_test.go
+++ b/internal/controller/election/state_messages_test.go
@@ -23,7 +23,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := hex.EncodeToString(encode(t, test.message)); got != test.want {
-				t.Errorf("got  %s\nwant %s", got, test.want)
+				t.Errorf("encoding: got %s, want %s", got, test.want)
 			}
 		})
 	}
--- a/internal/controller/election/transfer_test.go
+++ b/internal/controller/election/transfer_test.go
@@ -25,10 +25,13 @@
 				transferred = f.tickWithoutStateService(test.peersServed)
 			}
 			if transferred != test.peersServed || f.election.HoldsLease(f.now) == test.peersServed || f.election.IsLeader() == test.peersServed {
-				t.Errorf("transferred %v, still holds the leader lease %v", transferred, f.election.HoldsLease(f.now))
+				t.Errorf(
+					"transferred %v, holds lease %v, leader %v, want %v, %v, %[5]v",
+					transferred, f.election.HoldsLease(f.now), f.election.IsLeader(), test.peersServed, !test.peersServed,
+				)
 			}
 			if took := f.now.Sub(startedAt); test.peersServed && took > leaseDuration {
-				t.Errorf("transferred after %v", took)
+				t.Errorf("time until the transfer: got %v, want at most %v", took, leaseDuration)
 			}
 		})
 	}
@@ -76,7 +79,7 @@
 			}
 			f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 4, ReleasedLeaseID: 3})
 			if bound := f.election.isBoundByGrant(f.now.Add(time.Millisecond)); bound != test.laterGrant {
-				t.Errorf("bound: %v, want %v", bound, test.laterGrant)
+				t.Errorf("bound by a grant: got %v, want %v", bound, test.laterGrant)
 			}
 			revocations := 0
 			for _, call := range f.tick(50 * time.Millisecond) {
@@ -85,7 +88,7 @@
 				}
 			}
 			if revocations != 1 {
-				t.Errorf("the lease was revoked %d times", revocations)
+				t.Errorf("revocations of the lease: got %d, want 1", revocations)
 			}
 		})
 	}
@@ -100,11 +103,17 @@
 	until := f.election.follower.grant.until
 	granted := f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 4}).Granted
 	if granted || f.election.follower.grant.until != until || f.election.Leader(f.now) == "b" {
-		t.Error("gives a grant to an earlier leader")
+		t.Errorf(
+			"ping of an earlier leader: granted %v, grant until %v, leader %q, want false, %v, not b",
+			granted, f.election.follower.grant.until, f.election.Leader(f.now), until,
+		)
 	}
 	f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 4, ReleasedLeaseID: 3, Successor: "b"})
 	if f.election.follower.candidacy.preferredSuccessor != "" || f.election.follower.grant.until != until {
-		t.Error("an earlier leader names the successor")
+		t.Errorf(
+			"transfer of an earlier leader: successor %q, grant until %v, want none, %v",
+			f.election.follower.candidacy.preferredSuccessor, f.election.follower.grant.until, until,
+		)
 	}
 }
 
@@ -127,14 +136,14 @@
 			f.now = f.now.Add(time.Second)
 			ping := PingRequest{Name: "b", FencingToken: 4, ProbeStateService: true}
 			if f.election.HandlePing(f.now, ping).StateServiceOK {
-				t.Error("says that the state service answers before it has asked")
+				t.Error("ping before the probe was sent: state service reachable, want unreachable")
 			}
 			calls = f.tick(50 * time.Millisecond)
 			if f.answer(calls, "/keys/", test.status, nil) != 1 {
-				t.Fatal("does not ask the state service")
+				t.Fatal("no read of the leader's key, want one as probe of the state service")
 			}
 			if got := f.election.HandlePing(f.now.Add(100*time.Millisecond), ping).StateServiceOK; got != test.want {
-				t.Errorf("says %v, want %v", got, test.want)
+				t.Errorf("state service reachable: got %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/controller/failover/lease_renewal_test.go
+++ b/internal/controller/failover/lease_renewal_test.go
@@ -11,7 +11,7 @@
 	now := time.Unix(10_000, 0)
 	reconciler, report := newReconcilerWithCancelledJob(t, now)
 	if response := reconciler.sendHeartbeat(t, now, report); countKills(response) != 1 {
-		t.Errorf("commands %v", response.Commands)
+		t.Errorf("commands: got %v, want one kill", response.Commands)
 	}
 }
 
@@ -24,13 +24,13 @@
 	for _, age := range []time.Duration{0, 5 * time.Second, testRenewalWindow() - 3*time.Second} {
 		report.Sequence++
 		if response := reconciler.sendHeartbeat(t, now.Add(age), report); countKills(response) != 1 {
-			t.Fatalf("after %v: commands %v", age, response.Commands)
+			t.Fatalf("commands after %v: got %v, want one kill", age, response.Commands)
 		}
 	}
 	report.Sequence++
 	replies := reconciler.exchangeHeartbeat(now.Add(testRenewalWindow()-time.Second), marshal(t, report))
 	if len(replies) != 1 || replies[0].Status != 503 {
-		t.Errorf("%+v", replies)
+		t.Errorf("responses: got %+v, want one with status 503", replies)
 	}
 }
 
@@ -39,7 +39,7 @@
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
 	if reconciler.progress.stateLoaded = false; reconciler.CanRenewLeases(now) {
-		t.Error("renews though nothing is known")
+		t.Error("leases renewed before anything is known, want no renewal")
 	}
 	reconciler.renewalLimit.RecordLeaderProgress(reconciler.renewalLimit.NewNonce(now), 3*time.Second)
 	for after, want := range map[time.Duration]bool{
@@ -49,10 +49,10 @@
 		time.Minute:                                 false,
 	} {
 		if got := reconciler.CanRenewLeases(now.Add(after)); got != want {
-			t.Errorf("after %v: %v, want %v", after, got, want)
+			t.Errorf("renewal allowed after %v: got %v, want %v", after, got, want)
 		}
 	}
 	if reconciler.progress.stateLoaded = true; !reconciler.CanRenewLeases(now.Add(time.Minute)) {
-		t.Error("does not renew though the state is loaded")
+		t.Error("leases not renewed after the state is loaded, want renewal")
 	}
 }
--- a/internal/controller/failover/reconciler_test.go
+++ b/internal/controller/failover/reconciler_test.go
@@ -22,18 +22,18 @@
 	machine := reconciler.addUnreconciled(now, "vm-1")
 	report := workerapi.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8}
 	if response := reconciler.sendHeartbeat(t, now, report); response.FencingToken != 9 || machine.Reconciled {
-		t.Errorf("fencing token %d, reconciled %v by a heartbeat under an older token", response.FencingToken, machine.Reconciled)
+		t.Errorf("heartbeat under an older token: response token %d, reconciled %v, want 9, false", response.FencingToken, machine.Reconciled)
 	}
 	reconciler.reconcileMachines(now)
 	if reconciler.Completed() {
-		t.Error("completed before the machine is reconciled")
+		t.Error("failover completed before the machine is reconciled, want open")
 	}
 	report.Sequence, report.FencingToken = 5, 9
 	if reconciler.sendHeartbeat(t, now, report); !machine.Reconciled {
-		t.Error("not reconciled by a heartbeat under the token")
+		t.Error("machine not reconciled by a heartbeat under the token, want reconciled")
 	}
 	if reconciler.reconcileMachines(now); !reconciler.Completed() {
-		t.Error("not completed")
+		t.Error("failover not completed after the machine is reconciled, want completed")
 	}
 }
 
@@ -49,10 +49,13 @@
 	}
 	reconciler.unresponsive.check(now, reconciler.Completed())
 	if !reconciler.cloud.Instances["vm-1"].Deleting || reconciler.cloud.Instances["vm-2"].Deleting {
-		t.Error("not the failed instance is terminated")
+		t.Errorf(
+			"deleting: got vm-1 %v, vm-2 %v, want only vm-1, which has failed",
+			reconciler.cloud.Instances["vm-1"].Deleting, reconciler.cloud.Instances["vm-2"].Deleting,
+		)
 	}
 	if reconciler.reconcileMachines(now); reconciler.Completed() {
-		t.Error("completed before the deletion is confirmed")
+		t.Error("failover completed before the deletion is confirmed, want open")
 	}
 }
 
@@ -78,7 +81,7 @@
 				inboundLost = inboundLost || reconciler.connectivity.IsPartitioned(now)
 			}
 			if inboundLost != (alive == 0) {
-				t.Errorf("inbound connectivity lost: %v", inboundLost)
+				t.Errorf("inbound connectivity lost: got %v, want %v", inboundLost, alive == 0)
 			}
 		})
 	}
@@ -97,7 +100,7 @@
 	machine.Addr = machine.ID
 	reconciler.prober.budget = 1
 	if !reconciler.prober.probe(now, machine) {
-		t.Fatal("the machine was not probed")
+		t.Fatal("probe of the machine not sent, want sent")
 	}
 	probes := reconciler.outbox.TakeCalls()
 	if len(probes) != 1 {
@@ -111,7 +114,7 @@
 	})})
 
 	if attempt := job.ActiveAttempts[0]; attempt != nil {
-		t.Errorf("attempt %d is active on %s, which was deleted", attempt.Number, attempt.MachineID)
+		t.Errorf("attempt %d is active on the deleted machine %s, want none", attempt.Number, attempt.MachineID)
 	}
 	if usage := reconciler.workers.TeamUsage(job.Team).CPUs; usage != 0 {
 		t.Errorf("CPUs used by the team: got %v, want 0", usage)
@@ -134,7 +137,7 @@
 	}
 	reconciler.heartbeats.RemoveDeleted(now)
 	if reconciler.workers.Machines[machineID] != nil {
-		t.Fatalf("%s was not removed", machineID)
+		t.Fatalf("machine %s: still registered, want removed", machineID)
 	}
 }
 
--- a/internal/controller/failover/setup_test.go
+++ b/internal/controller/failover/setup_test.go
@@ -201,7 +201,7 @@
 	t.Helper()
 	replies := reconciler.exchangeHeartbeat(now, marshal(t, heartbeat))
 	if len(replies) != 1 || replies[0].Status != 200 {
-		t.Fatalf("%+v", replies)
+		t.Fatalf("responses: got %+v, want one with status 200", replies)
 	}
 	var response workerapi.HeartbeatResponse
 	if err := codec.Unmarshal(replies[0].Body, &response); err != nil {
@@ -225,7 +225,7 @@
 	t.Helper()
 	reconciler = newTestReconciler(now, 9)
 	if !reconciler.jobs.OpenArchive() {
-		t.Fatal("the archive cannot be opened")
+		t.Fatal("open the archive: got false, want true")
 	}
 	job := jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, MemoryGB: 1}, now)
 	reconciler.jobs.Unfinished["job-1"] = job
--- a/internal/controller/failover/unresponsive_test.go
+++ b/internal/controller/failover/unresponsive_test.go
@@ -42,7 +42,7 @@
 		sentinels, terminated = step(true)
 	}
 	if sentinels != silent/10 || terminated != silent-silent/10 {
-		t.Fatalf("of %d silent machines %d are sentinels, %d terminated", silent, sentinels, terminated)
+		t.Fatalf("of %d silent machines: %d sentinels, %d terminated, want %d, %d", silent, sentinels, terminated, silent/10, silent-silent/10)
 	}
 	for _, machine := range reconciler.workers.SortedMachines() { // one sentinel sends a heartbeat again, the other does not
 		if machine.IsSentinel {
@@ -54,7 +54,7 @@
 		sentinels, _ = step(false)
 	}
 	if sentinels != 0 {
-		t.Errorf("%d machines are sentinels though their zone is available", sentinels)
+		t.Errorf("sentinels after the zone recovered: got %d, want 0", sentinels)
 	}
 }
 
@@ -81,7 +81,7 @@
 		if machine.IsSentinel {
 			sentinels++
 			if placement.IsEligible(jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, AllowsSpot: true}, now), machine) {
-				t.Errorf("a task may be placed on the sentinel %s", machine.ID)
+				t.Errorf("sentinel %s eligible for a task, want not eligible", machine.ID)
 			}
 		}
 		if machine.DrainReason == worker.DrainUnresponsive {
@@ -120,7 +120,7 @@
 				reconciler.checkUnresponsive(now)
 			}
 			if terminated := reconciler.countTerminated(t, test.silent); terminated != test.terminated {
-				t.Errorf("%d of %d silent: %d terminated, want %d", test.silent, test.machines, terminated, test.terminated)
+				t.Errorf("terminated with %d of %d machines silent: got %d, want %d", test.silent, test.machines, terminated, test.terminated)
 			}
 		})
 	}
@@ -136,7 +136,7 @@
 		}
 		terminated++
 		if i >= silent {
-			t.Errorf("%s is terminated though it sends heartbeats", machine.ID)
+			t.Errorf("%s terminated though it sends heartbeats, want kept", machine.ID)
 		}
 	}
 	return terminated
--- a/internal/controller/jobstore/store_test.go
+++ b/internal/controller/jobstore/store_test.go
@@ -32,7 +32,7 @@
 		Log:        log,
 	})
 	if !store.OpenArchive() {
-		t.Fatal("the archive cannot be read")
+		t.Fatal("open the archive: got false, want true")
 	}
 	return store
 }
@@ -74,7 +74,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := store.DependencyState(test.id); got != test.want {
-				t.Errorf("state %d, want %d", got, test.want)
+				t.Errorf("dependency state: got %d, want %d", got, test.want)
 			}
 		})
 	}
@@ -102,14 +102,14 @@
 	store.ApplyCancellation(now, first)
 	for _, job := range []*jobs.Job{first, second, third} {
 		if job.State != jobs.Cancelled || !job.CancelConfirmedAt.Equal(now) {
-			t.Errorf("%s: state %d, confirmed at %v", job.ID, job.State, job.CancelConfirmedAt)
+			t.Errorf("%s: state %v, confirmed at %v, want %v, %v", job.ID, job.State, job.CancelConfirmedAt, jobs.Cancelled, now)
 		}
 	}
 	if other.State != jobs.Accepted {
-		t.Errorf("%s: state %d", other.ID, other.State)
+		t.Errorf("%s: state %v, want %v", other.ID, other.State, jobs.Accepted)
 	}
 	if observer.changes == 0 {
-		t.Error("the order of the queue was not invalidated")
+		t.Error("changes of the queue's order: got 0, want at least 1")
 	}
 }
 
@@ -117,28 +117,28 @@
 func TestCancellationsCompletedBefore(t *testing.T) {
 	store := newTestStore(t)
 	if got, known := store.CancellationsCompletedBefore(now); !known || !got.Equal(now) {
-		t.Errorf("without cancellations: %v, %v", got, known)
+		t.Errorf("without cancellations: got %v (known %v), want %v", got, known, now)
 	}
 	job := addJob(store, "job-1", jobs.Accepted)
 	store.ApplyCancellation(now.Add(-time.Minute), job)
 	if got, known := store.CancellationsCompletedBefore(now); !known || !got.Equal(now.Add(-time.Minute)) || !store.IsStopping(job) {
-		t.Errorf("while it is stopping: %v, %v", got, known)
+		t.Errorf("job stopping %v: completed before %v (known %v), want true, %v", store.IsStopping(job), got, known, now.Add(-time.Minute))
 	}
 	store.Save(now, false)
 	if store.Find("job-1") == nil {
-		t.Error("retired before it is known of every machine what runs on it")
+		t.Error("job-1 retired before all machines are reconciled, want kept")
 	}
 	store.Save(now.Add(saveInterval), true)
 	if got, known := store.CancellationsCompletedBefore(now); !known || !got.Equal(now) || store.Find("job-1") != nil {
-		t.Errorf("once it is retired: %v, %v", got, known)
+		t.Errorf("after retirement: completed before %v (known %v), job %v, want %v, no job", got, known, store.Find("job-1"), now)
 	}
 	if state, ok := store.FinalState("job-1"); !ok || state.State != jobs.Cancelled {
-		t.Errorf("final state %+v, %v", state, ok)
+		t.Errorf("final state: got %+v (found %v), want cancelled", state, ok)
 	}
 	restored := addJob(store, "job-2", jobs.Cancelled)
 	store.stopping[restored] = true
 	if _, known := store.CancellationsCompletedBefore(now); known {
-		t.Error("a cancellation of an earlier leader has a known time")
+		t.Error("cancellation confirmed by an earlier leader: time known, want unknown")
 	}
 }
 
@@ -168,14 +168,14 @@
 			})
 			state, final := store.FinalState("job-1")
 			if final != test.final || state.State != test.state || final && state.Tasks != 3 {
-				t.Errorf("final state %+v, %v", state, final)
+				t.Errorf("final state: got %+v (final %v), want state %v, final %v", state, final, test.state, test.final)
 			}
 			job := store.Find("job-1")
 			if (job == nil) != test.final {
-				t.Fatalf("unfinished job %v", job)
+				t.Fatalf("unfinished job: got %v, want one %v", job, !test.final)
 			}
 			if test.stopping && (!store.IsStopping(job) || !job.CancelConfirmedAt.Equal(confirmedAt)) {
-				t.Errorf("stopping %v, confirmed at %v", store.IsStopping(job), job.CancelConfirmedAt)
+				t.Errorf("stopping %v, confirmed at %v, want true, %v", store.IsStopping(job), job.CancelConfirmedAt, confirmedAt)
 			}
 		})
 	}
--- a/internal/controller/storage/commit_test.go
+++ b/internal/controller/storage/commit_test.go
@@ -50,7 +50,7 @@
 	f.t.Helper()
 	calls := f.outbox.TakeCalls()
 	if len(calls) != 1 {
-		f.t.Fatalf("%d calls, want one", len(calls))
+		f.t.Fatalf("calls: got %d, want 1", len(calls))
 	}
 	return calls[0]
 }
@@ -114,11 +114,11 @@
 			guards[g.Path] = g.ModRevision
 		}
 		if guards["leader"] != 7 {
-			t.Fatalf("round %d: the leader's key is not guarded by the token: %v", round, got.Guards)
+			t.Fatalf("round %d: guards %v, want the leader's key at revision 7", round, got.Guards)
 		}
 		for _, a := range got.Apply {
 			if g, ok := guards[a.Write]; !ok || g != modRevision {
-				t.Fatalf("round %d: page %s is guarded by %d (%v), want %d", round, a.Write, g, ok, modRevision)
+				t.Fatalf("round %d: guard of page %s: got %d (present %v), want %d", round, a.Write, g, ok, modRevision)
 			}
 		}
 		c.Done(f.now, f.response(200, map[string]any{"tide": 20 + round}))
@@ -146,16 +146,16 @@
 	// Now the first attempt was executed, and the second refused for its precondition.
 	f.singleCall().Done(f.now, f.response(200, map[string]any{"path": firstBody.Apply[0].Write, "value": firstBody.Apply[0].Value, "mark": 9}))
 	if durable != 0 {
-		t.Fatal("the second change is called durable although only the first attempt was executed")
+		t.Fatalf("second change durable %d times after only the first attempt was executed, want 0", durable)
 	}
 	third := f.flush()
 	got := f.decodeCommit(third)
 	if got.Guards[1].ModRevision != 9 || len(got.Apply[0].Value.Entries) != 2 {
-		t.Fatalf("the third attempt guards %d and holds %d entries, want 9 and 2", got.Guards[1].ModRevision, len(got.Apply[0].Value.Entries))
+		t.Fatalf("third attempt: guard %d, %d entries, want 9, 2", got.Guards[1].ModRevision, len(got.Apply[0].Value.Entries))
 	}
 	third.Done(f.now, f.response(200, map[string]any{"tide": 10}))
 	if durable != 1 {
-		t.Errorf("called durable %d times, want once", durable)
+		t.Errorf("second change durable: got %d times, want 1", durable)
 	}
 }
 
@@ -164,12 +164,12 @@
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, func(_ time.Time, ok bool) {
 		if ok {
-			t.Error("called durable")
+			t.Error("change of a refused commit reported as durable, want not durable")
 		}
 	})
 	f.flush().Done(f.now, f.response(409, map[string]any{"failed": []string{"leader"}, "tide": 9}))
 	if !f.store.IsFenced() {
-		t.Error("goes on")
+		t.Error("store not fenced after a conflict on the leader's key, want fenced")
 	}
 }
 
@@ -183,12 +183,12 @@
 	f.set("job-2", 2, func(_ time.Time, ok bool) { notifications = append(notifications, ok) })
 	c.Done(f.now, client.Result{})
 	if len(notifications) != 1 || notifications[0] {
-		t.Fatalf("notified of %v while the outcome of the earlier commit is uncertain", notifications)
+		t.Fatalf("notifications while the commit is uncertain: got %v, want [false]", notifications)
 	}
 	f.singleCall().Done(f.now, f.response(404, map[string]any{"tide": 7})) // it was not executed
 	f.flush().Done(f.now, f.response(200, map[string]any{"tide": 9}))
 	if !notifications[len(notifications)-1] {
-		t.Errorf("told %v at the end", notifications)
+		t.Errorf("notifications at the end: got %v, want the last one true", notifications)
 	}
 }
 
@@ -200,26 +200,26 @@
 	f.set("job-1", 1, func(_ time.Time, ok bool) { done = ok })
 	f.flush().Done(f.now, f.response(200, map[string]any{"tide": 3}))
 	if done {
-		t.Error("durable by a tide below the leader's token")
+		t.Error("durable by a response whose revision is below the fencing token, want not durable")
 	}
 	back := f.singleCall()
 	if back.Method != http.MethodGet {
-		t.Fatalf("%s %s instead of a look", back.Method, back.Path)
+		t.Fatalf("call after an invalid response: got %s %s, want a GET", back.Method, back.Path)
 	}
 	back.Done(f.now, f.response(200, map[string]any{"value": pageValue{Sequence: 1, Leader: 7}}))
 	if done {
-		t.Error("durable by a page without its mark")
+		t.Error("durable by a page without a revision, want not durable")
 	}
 	f.singleCall().Done(f.now, f.response(200, map[string]any{"value": pageValue{Sequence: 1, Leader: 7}, "mark": 12}))
 	if !done || f.store.pages.byKey[PagePrefix+"000000"].modRevision != 12 {
-		t.Errorf("done %v, mark %d", done, f.store.pages.byKey[PagePrefix+"000000"].modRevision)
+		t.Errorf("after a valid page: durable %v, revision %d, want true, 12", done, f.store.pages.byKey[PagePrefix+"000000"].modRevision)
 	}
 	raw, err := codec.Marshal(pageValue{Sequence: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if f.store.installPage(keyValue{Key: PagePrefix + "000001", Value: raw}) == nil {
-		t.Error("a page without its mark is taken")
+		t.Error("install a page without a revision: no error, want one")
 	}
 }
 
@@ -239,7 +239,7 @@
 		return true
 	}
 	if !executes(late) {
-		t.Fatal("refused at once")
+		t.Fatal("first attempt refused by its preconditions, want executed")
 	}
 	f.store.requeue(f.now, 0) // it was not answered, and read back as not carried out
 	for round := uint64(20); round < 24; round++ {
@@ -251,7 +251,7 @@
 		}
 		c.Done(f.now, f.response(200, map[string]any{"tide": round}))
 		if executes(late) {
-			t.Fatalf("carried out after revision %d", round)
+			t.Fatalf("late attempt executed after revision %d, want refused", round)
 		}
 	}
 }
@@ -268,11 +268,11 @@
 		f.response(200, map[string]any{"value": pageValue{Sequence: f.store.commits.inFlight.sequence, Leader: 11}, "mark": 12}),
 	)
 	if slices.Contains(notifications, true) {
-		t.Fatal("told that it is durable by another leader's commit")
+		t.Fatalf("notifications after another leader's commit: got %v, want none true", notifications)
 	}
 	f.flush().Done(f.now, f.response(409, map[string]any{"failed": []string{"leader"}, "tide": 12}))
 	if !f.store.IsFenced() || slices.Contains(notifications, true) {
-		t.Errorf("lost %v, told %v", f.store.IsFenced(), notifications)
+		t.Errorf("after a conflict: fenced %v, notifications %v, want fenced and none true", f.store.IsFenced(), notifications)
 	}
 }
 
@@ -288,17 +288,17 @@
 	f.flush().Done(f.now, f.response(409, map[string]any{"failed": []string{PagePrefix + "000000"}, "tide": 9}))
 	leaderRead := f.singleCall()
 	if leaderRead.Path != "/keys/leader" {
-		t.Fatalf("asks %s", leaderRead.Path)
+		t.Fatalf("path read after the conflict: got %s, want /keys/leader", leaderRead.Path)
 	}
 	leaderRead.Done(f.now, f.response(503, nil))
 	f.singleCall().Done(f.now, f.response(200, map[string]any{"value": map[string]any{}, "mark": 7}))
 	f.singleCall().Done(f.now, f.response(200, map[string]any{"value": f.decodeCommit(late).Apply[0].Value, "mark": 9}))
 	c := f.flush()
 	if g := f.decodeCommit(c).Guards; f.store.IsFenced() || g[1].ModRevision != 9 {
-		t.Fatalf("lost %v, guards %v", f.store.IsFenced(), g)
+		t.Fatalf("after the read-back: fenced %v, guards %v, want false and the page at revision 9", f.store.IsFenced(), g)
 	}
 	c.Done(f.now, f.response(200, map[string]any{"tide": 10}))
 	if !done {
-		t.Error("never durable")
+		t.Error("change not durable in the end, want durable")
 	}
 }
--- a/internal/controller/storage/load_test.go
+++ b/internal/controller/storage/load_test.go
@@ -79,7 +79,7 @@
 		client.Call{Method: "POST", Path: "/commit", Body: map[string]any{"apply": []any{map[string]any{"write": "leader", "value": 1}}}},
 	)
 	if put.Status != 200 {
-		b.Fatal(put.Status)
+		b.Fatalf("write the leader's key: got status %d, want 200", put.Status)
 	}
 	store := storage.New(
 		storage.Options{LeaderKey: "leader", MaxValueBytes: valueBytes, MaxTransactionOps: 8, WriteRate: 1e6},
@@ -187,7 +187,7 @@
 	left := 0
 	store.ForEach(func(string, func(any) error) { left++ })
 	if archived+left < finished*99/100+liveJobs {
-		b.Fatalf("%d archived and %d in pages", archived, left)
+		b.Fatalf("jobs kept: got %d archived and %d in pages, want at least %d", archived, left, finished*99/100+liveJobs)
 	}
 	bytes := 0
 	for _, response := range recorded.responses {
--- a/internal/controller/storage/messages_test.go
+++ b/internal/controller/storage/messages_test.go
@@ -28,7 +28,7 @@
 				t.Fatal(err)
 			}
 			if got := hex.EncodeToString(raw); got != test.want {
-				t.Errorf("encoded as %s, want %s", got, test.want)
+				t.Errorf("encoding: got %s, want %s", got, test.want)
 			}
 		})
 	}
@@ -44,12 +44,12 @@
 		return raw
 	}
 	if err := checkFormat(encode(formatVersion)); err != nil {
-		t.Errorf("own format: %v", err)
+		t.Errorf("check of the own format: got %v, want no error", err)
 	}
 	for name, raw := range map[string]msgpack.RawMessage{"newer text": encode("history 2"), "no text": encode(7)} {
 		var formatError *FormatError
 		if err := checkFormat(raw); !errors.As(err, &formatError) {
-			t.Errorf("%s: %v, want a FormatError", name, err)
+			t.Errorf("%s: got error %v, want a FormatError", name, err)
 		}
 	}
 }
--- a/internal/controller/storage/move_test.go
+++ b/internal/controller/storage/move_test.go
@@ -46,21 +46,21 @@
 	}
 	move := f.flush()
 	if _, ok := writes(move, ArchiveHeadKey); !ok {
-		t.Fatalf("the archive's head is not written: %+v", move.Body)
+		t.Fatalf("move %+v: want a write of the archive's head", move.Body)
 	}
 	move.Done(f.now, client.Result{})
 	page := map[string]any{"value": pageValue{Sequence: 1, Leader: 7}, "mark": 20}
 	f.singleCall().Done(f.now, f.response(200, page))                       // the page is as before
 	f.singleCall().Done(f.now, f.response(404, map[string]any{"tide": 20})) // and there is no head
 	if !slices.Equal(outcomes, []bool{false}) {
-		t.Fatalf("outcomes of the move: %v", outcomes)
+		t.Fatalf("outcomes of the move: got %v, want [false]", outcomes)
 	}
 	f.set("job-1", 2, nil)
 	f.flush().Done(f.now, client.Result{})
 	moved := map[string]any{"value": pageValue{Sequence: 2, Leader: 7}, "mark": 21}
 	f.singleCall().Done(f.now, f.response(200, moved)) // by now the move has been executed
 	if !f.store.IsFenced() {
-		t.Error("the page would be written again as it was before the move")
+		t.Error("store not fenced after a page shows the late move, want fenced")
 	}
 }
 
@@ -79,16 +79,16 @@
 	f.store.addPage(pageKey(1), 9, pageValue{Sequence: 2, Entries: map[string]msgpack.RawMessage{"job-1": raw(2)}})
 	f.store.SetFinished("job-2")
 	if names := f.store.ArchivableEntries(func(string) bool { return true }); len(names) > 0 {
-		t.Errorf("%v leave a page with a stale copy", names)
+		t.Errorf("archivable entries while a page has a stale copy: got %v, want none", names)
 	}
 	call := f.flush()
 	entries, ok := writes(call, pageKey(0))
 	if !ok || len(entries) != 1 || entries["job-2"] == nil {
-		t.Fatalf("the page with the stale copy is written as %v, %v", entries, ok)
+		t.Fatalf("write of the page with the stale copy: got %v (written %v), want job-2 only", entries, ok)
 	}
 	call.Done(f.now, f.response(200, map[string]any{"tide": 10}))
 	if names := f.store.ArchivableEntries(func(string) bool { return true }); !slices.Equal(names, []string{"job-2"}) {
-		t.Errorf("without stale copies %v may leave", names)
+		t.Errorf("archivable entries without stale copies: got %v, want [job-2]", names)
 	}
 }
 
@@ -108,9 +108,9 @@
 	f.store.splits.limitsLowered = true
 	call := f.flush()
 	if _, ok := writes(call, pageKey(0)); ok {
-		t.Fatal("the page is written though its rest is too large")
+		t.Fatal("first commit writes the page that is too large, want a copy to new pages only")
 	}
 	if modRevision, ok := requires(call, pageKey(0)); !ok || modRevision != 8 {
-		t.Errorf("the source is required at %d, %v", modRevision, ok)
+		t.Errorf("revision required of the source page: got %d (present %v), want 8", modRevision, ok)
 	}
 }
--- a/internal/controller/storage/page_test.go
+++ b/internal/controller/storage/page_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	if next.store.pages.entries["job-4"].page == next.store.pages.entries["job-1"].page {
-		t.Error("a new entry was put into space that is reserved")
+		t.Error("new entry placed on the page whose space is reserved, want another page")
 	}
 }
 
@@ -34,13 +34,13 @@
 	}
 	for _, p := range f.store.pages.byKey {
 		if p.size > 1024 {
-			t.Errorf("page %s: %d bytes", p.key, p.size)
+			t.Errorf("size of page %s: got %d bytes, want at most 1024", p.key, p.size)
 		}
 	}
 	if err := f.store.Set(f.now, "job-zz", value{1}, SetOptions{ReservedBytes: 2000, Urgent: true}); err == nil {
-		t.Error("an entry larger than a page is taken")
+		t.Error("set an entry larger than a page: no error, want one")
 	}
 	if err := f.store.Set(f.now, "job-a", value{1}, SetOptions{ReservedBytes: 2000, Urgent: true}); err == nil {
-		t.Error("an entry may outgrow its page")
+		t.Error("let an entry outgrow its page: no error, want one")
 	}
 }
--- a/internal/controller/storage/split_test.go
+++ b/internal/controller/storage/split_test.go
@@ -41,7 +41,7 @@
 	s.t.Helper()
 	for name, n := range s.durable {
 		if entries[name] < n {
-			s.t.Fatalf("%s is %d, and %d was durable", name, entries[name], n)
+			s.t.Fatalf("%s: got %d, want at least the durable %d", name, entries[name], n)
 		}
 	}
 }
@@ -137,7 +137,7 @@
 	s.t.Helper()
 	_, twice := s.service.readEntries(s.t)
 	if twice && !s.lowered {
-		s.t.Fatal("an entry is on two pages though the limits have not been lowered")
+		s.t.Fatal("entry on two pages before the limits are lowered, want one")
 	}
 	if twice {
 		s.copied++
@@ -149,12 +149,12 @@
 	s.t.Helper()
 	for key, value := range s.service.pages {
 		if n := jsonSize(value); n > newValueBytes {
-			s.t.Fatalf("%s has %d bytes in the end", key, n)
+			s.t.Fatalf("size of %s in the end: got %d bytes, want at most %d", key, n, newValueBytes)
 		}
 	}
 	entries, twice := s.service.readEntries(s.t)
 	if twice {
-		s.t.Fatal("an entry is on two pages in the end")
+		s.t.Fatal("entry on two pages in the end, want one")
 	}
 	s.checkDurable(entries)
 }
@@ -189,7 +189,7 @@
 		s.checkEnd()
 	})
 	if lowered == 0 || copied == 0 {
-		t.Errorf("the limits were lowered %d times, copies were seen %d times", lowered, copied)
+		t.Errorf("coverage: limits lowered %d times, copies seen %d times, want both above 0", lowered, copied)
 	}
 }
 
@@ -239,7 +239,7 @@
 		l.step(true)
 	}
 	if l.held == nil {
-		l.t.Fatal("no copy was sent")
+		l.t.Fatal("no copy of entries to new pages was sent, want one")
 	}
 }
 
@@ -260,10 +260,10 @@
 		l.step(false)
 	}
 	if status, _ := l.service.commit(*l.held); status != http.StatusConflict {
-		t.Errorf("executed late it gets %d", status)
+		t.Errorf("late copy: got status %d, want 409", status)
 	}
 	l.steps(30)
 	if entries, twice := l.service.readEntries(t); twice || len(entries) != 60 {
-		t.Errorf("%d entries in the end, some twice: %v", len(entries), twice)
+		t.Errorf("in the end: %d entries, some on two pages %v, want 60, false", len(entries), twice)
 	}
 }
--- a/internal/controller/worker/image_cache_test.go
+++ b/internal/controller/worker/image_cache_test.go
@@ -39,7 +39,7 @@
 			model = model.use(image)
 			for other := 1; other <= 6; other++ {
 				if got, want := cache.Has(fmt.Sprint(other)), slices.Contains(model, other); got != want {
-					t.Fatalf("image %d: cached %v, want %v", other, got, want)
+					t.Fatalf("image %d cached: got %v, want %v", other, got, want)
 				}
 			}
 		}
--- a/internal/controller/worker/reachability/model_test.go
+++ b/internal/controller/worker/reachability/model_test.go
@@ -77,7 +77,7 @@
 	sent := l.worker.sendHeartbeat(l.now)
 	countersReset := l.tracker.ProbeAnswered(l.now, l.machine, probe, &sent.heartbeat)
 	if countersReset && l.machine.HasReported && l.newestSentAt.After(sent.sentAt) {
-		l.Fatalf("step %d: counters reset by an old answer", l.step)
+		l.Fatalf("step %d: counters reset by a response sent at %v, before the newest heartbeat of %v", l.step, sent.sentAt, l.newestSentAt)
 	}
 	if !countersReset && sent.heartbeat.FencingToken == testFencingToken && l.machine.IsNewer(&sent.heartbeat) && !l.machine.HasReported {
 		l.accept(sent, false)
@@ -95,9 +95,9 @@
 	freshness := l.tracker.Classify(l.now, l.machine, &sent.heartbeat)
 	switch {
 	case freshness == Fresh && l.classifiedFresh[index]:
-		l.Fatalf("step %d: the same heartbeat is fresh twice", l.step)
+		l.Fatalf("step %d: same heartbeat fresh twice, want a duplicate to be stale", l.step)
 	case freshness == Fresh && sent.process == l.worker.process && sent.sentAt.Before(l.newestSentAt) && l.worker.process == 0:
-		l.Fatalf("step %d: a heartbeat of %v is fresh after one of %v", l.step, sent.sentAt, l.newestSentAt)
+		l.Fatalf("step %d: heartbeat of %v fresh after one of %v, want stale", l.step, sent.sentAt, l.newestSentAt)
 	case freshness == Fresh:
 		l.classifiedFresh[index] = true
 		l.accept(sent, true)
@@ -134,7 +134,7 @@
 				link.deliverHeartbeat()
 			}
 			if link.tracker.IsReachable(link.machine) && !link.hasReceivedAnything {
-				t.Fatalf("step %d: gets starts though nothing has reached it", step)
+				t.Fatalf("step %d: machine reachable before it received anything, want unreachable", step)
 			}
 		}
 	})
--- a/internal/controller/worker/reachability/tracker_test.go
+++ b/internal/controller/worker/reachability/tracker_test.go
@@ -82,7 +82,7 @@
 				got = append(got, freshness)
 			}
 			if !slices.Equal(got, c.want) {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("freshness: got %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -106,14 +106,17 @@
 	}
 	sendHeartbeat()
 	if !tracker.IsReachable(machine) {
-		t.Fatal("gets no starts although it has reported the fencing token")
+		t.Fatal("machine that has reported the fencing token: unreachable, want reachable")
 	}
 	job := jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1}, now)
 	registry.Assign(machine, &jobs.Attempt{Task: jobs.TaskID{JobID: "job-1"}, Number: 1, MachineID: machine.ID, Job: job, AssignedAt: now})
 	sendHeartbeat()
 	suspicion := tracker.linkOf(machine).suspicion
 	if tracker.IsReachable(machine) || suspicion != startsLost || len(tracker.TakeProbeRequests()) == 0 {
-		t.Errorf("suspicion %v, gets starts: %v", suspicion, tracker.IsReachable(machine))
+		t.Errorf(
+			"lost start: suspicion %v, reachable %v, want %v, false and a probe request",
+			suspicion, tracker.IsReachable(machine), startsLost,
+		)
 	}
 	for range 2 {
 		tracker.StartProbe(now, machine)
@@ -121,13 +124,16 @@
 		sendHeartbeat()
 	}
 	if !tracker.IsUnresponsive(now, machine) || !machine.IsUnreachable {
-		t.Error("reports and receives nothing, and does not count as unresponsive")
+		t.Errorf("two failed probes: unresponsive %v, unreachable %v, want both", tracker.IsUnresponsive(now, machine), machine.IsUnreachable)
 	}
 	probe := tracker.StartProbe(now, machine)
 	sequence++
 	answer := newHeartbeat(1, sequence, testFencingToken)
 	tracker.ProbeAnswered(now, machine, probe, &answer)
 	if tracker.IsUnresponsive(now, machine) || machine.IsUnreachable || !tracker.IsReachable(machine) {
-		t.Error("answers a probe, and gets no starts")
+		t.Errorf(
+			"answered probe: unresponsive %v, unreachable %v, reachable %v, want false, false, true",
+			tracker.IsUnresponsive(now, machine), machine.IsUnreachable, tracker.IsReachable(machine),
+		)
 	}
 }
--- a/internal/controller/worker/reconcile_test.go
+++ b/internal/controller/worker/reconcile_test.go
@@ -56,10 +56,10 @@
 	} {
 		heartbeat := workerapi.Heartbeat{Incarnation: step.incarnation, Sequence: step.sequence}
 		if ended := c.reconcile(c.machine, step.complete, heartbeat); len(ended) != step.lost {
-			t.Errorf("%s: %d lost, want %d", step.name, len(ended), step.lost)
+			t.Errorf("%s: lost attempts: got %d, want %d", step.name, len(ended), step.lost)
 		}
 		if counted := c.registry.TeamUsage("t").CPUs == 1; counted != (step.lost == 0) {
-			t.Errorf("%s: attempt counted for its team: %v", step.name, counted)
+			t.Errorf("%s: attempt counted for its team: got %v, want %v", step.name, counted, step.lost == 0)
 		}
 	}
 }
@@ -71,7 +71,10 @@
 		Incarnation: 1, Sequence: 1, Tasks: []workerapi.TaskStatus{{Task: "job-1/2", Attempt: 3, State: workerapi.StateRunning}},
 	})
 	if c.registry.TeamUsage("t").CPUs != 1 || c.job.ActiveAttempts[2] == nil {
-		t.Fatal("a running task was not adopted")
+		t.Fatalf(
+			"running task: team usage %v CPUs, attempt %v, want 1 CPU and an adopted attempt",
+			c.registry.TeamUsage("t").CPUs, c.job.ActiveAttempts[2],
+		)
 	}
 	other := c.registry.GetOrAdd("vm-2")
 	other.CPUs, other.MemoryGB = 8, 8
@@ -82,10 +85,10 @@
 	}})
 	for _, attempt := range other.Attempts {
 		if !attempt.IsOrphan {
-			t.Errorf("%v is not an orphan", attempt.Task)
+			t.Errorf("attempt of %v: not an orphan, want an orphan", attempt.Task)
 		}
 	}
 	if c.registry.TeamUsage("t").CPUs != 2 {
-		t.Errorf("the team is counted with %g CPUs, want 2", c.registry.TeamUsage("t").CPUs)
+		t.Errorf("CPUs used by the team: got %g, want 2", c.registry.TeamUsage("t").CPUs)
 	}
 }
