--- a/cmd/gullrudder/printer_test.go
+++ b/cmd/gullrudder/printer_test.go
@@ -27,16 +27,16 @@
 	p := newPrinter(out)
 	p.printf("%d\n", 1)
 	if err := p.firstError(); err != nil {
-		t.Errorf("after a write that succeeded: error %v, want none", err)
+		t.Errorf("error after a successful write: got %v, want none", err)
 	}
 	p.println("2")
 	out.accepted = 1
 	p.println("3")
 	if err := p.firstError(); !errors.Is(err, errOutput) {
-		t.Errorf("after a write that failed: error %v, want %v", err, errOutput)
+		t.Errorf("error after a failed write: got %v, want %v", err, errOutput)
 	}
 	if got, want := out.written.String(), "1\n"; got != want {
-		t.Errorf("written %q, want %q: nothing after the first error", got, want)
+		t.Errorf("written after the first error: got %q, want %q", got, want)
 	}
 }
 
@@ -54,7 +54,7 @@
 			cmd.SetArgs(args)
 			cmd.SetOut(&failingWriter{})
 			if err := cmd.Execute(); !errors.Is(err, errOutput) {
-				t.Errorf("error %v, want %v", err, errOutput)
+				t.Errorf("error of the command: got %v, want %v", err, errOutput)
 			}
 		})
 	}
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -12,7 +12,7 @@
 	options, err := ParseOptions([]byte("<gullrudder>\n <!-- ours -->\n <term>30</term>\n <age-bound>5m</age-bound>\n</gullrudder>"))
 	if err != nil || options.PlanningInterval != 30*time.Second || options.AgeBound != 5*time.Minute ||
 		options.IdleTimeout != DefaultOptions().IdleTimeout {
-		t.Fatalf("%+v, %v", options, err)
+		t.Fatalf("parse options: got %+v, error %v, want planning interval 30s, age bound 5m and defaults", options, err)
 	}
 	for text, line := range map[string]string{
 		"<gullrudder>\n<turm>3</turm></gullrudder>":               "line 2",
@@ -28,11 +28,11 @@
 		t.Run(fmt.Sprintf("%q", text), func(t *testing.T) {
 			_, err := ParseOptions([]byte(text))
 			if err == nil || !strings.Contains(err.Error(), line) {
-				t.Fatalf("%v, want %s", err, line)
+				t.Fatalf("error: got %v, want one that names %s", err, line)
 			}
 			var lineErr *LineError
 			if !errors.As(err, &lineErr) || fmt.Sprintf("line %d", lineErr.Line) != line {
-				t.Errorf("not a LineError of %s: %#v", line, err)
+				t.Errorf("error: got %#v, want a LineError of %s", err, line)
 			}
 		})
 	}
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -16,7 +16,7 @@
 func TestParsePlatform(t *testing.T) {
 	platform, err := parsePlatform([]byte(validPlatformFile))
 	if err != nil || platform.WorkerLeaseDuration != 10*time.Second || platform.MaxValueBytes != 8192 || platform.Peers[0].Name != "n1" {
-		t.Fatalf("%+v, %v", platform, err)
+		t.Fatalf("parse platform: got %+v, error %v, want worker lease 10s, values of 8192 bytes and peer n1", platform, err)
 	}
 	for field, edit := range map[string][2]string{
 		"host_name":                     {`"host_name":"n0",`, ``},
@@ -32,11 +32,11 @@
 			text := strings.Replace(validPlatformFile, edit[0], edit[1], 1)
 			_, err := parsePlatform([]byte(text))
 			if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
-				t.Fatalf("does not name the field on one line: %v", err)
+				t.Fatalf("error: got %v, want one line that names the field %s", err, field)
 			}
 			var fieldErr *FieldError
 			if !errors.As(err, &fieldErr) || fieldErr.Field != field {
-				t.Errorf("not a FieldError of the field: %#v", err)
+				t.Errorf("error: got %#v, want a FieldError of %s", err, field)
 			}
 		})
 	}
--- a/internal/console/model_test.go
+++ b/internal/console/model_test.go
@@ -112,16 +112,16 @@
 		press(m, key)
 		lines := strings.Split(m.View(), "\n")
 		if len(lines) != 24 {
-			t.Errorf("screen %s has %d lines", key, len(lines))
+			t.Errorf("lines of screen %s: got %d, want 24", key, len(lines))
 		}
 		for i, l := range lines {
 			lines[i] = strings.TrimRight(l, " ")
 			if utf8.RuneCountInString(l) > 80 {
-				t.Errorf("screen %s: line %d is %d wide", key, i, utf8.RuneCountInString(l))
+				t.Errorf("width of line %[2]d of screen %[1]s: got %[3]d, want at most 80", key, i, utf8.RuneCountInString(l))
 			}
 		}
 		if d := cmp.Diff(want, lines[:len(want)]); d != "" {
-			t.Errorf("screen %s:\n%s", key, d)
+			t.Errorf("screen %s (-want +got):\n%s", key, d)
 		}
 	}
 }
@@ -132,25 +132,25 @@
 	m := New(site, time.Hour)
 	press(m, "w", "n", "d", "q", "u", "x")
 	if len(site.requested) != 0 {
-		t.Fatalf("actions without a confirmation: %v, want none", site.requested)
+		t.Fatalf("actions before they are confirmed: got %v, want none", site.requested)
 	}
 	press(m, "j", "c", "y", "d", "y")
 	if diff := cmp.Diff([]string{"cancel job-18", "drain"}, site.requested); diff != "" {
-		t.Error(diff)
+		t.Errorf("confirmed actions (-want +got):\n%s", diff)
 	}
 	if !strings.Contains(m.View(), "DRAINING: 4 tasks run still") {
-		t.Errorf("the drain is not shown:\n%s", m.View())
+		t.Errorf("screen after the drain: got\n%s\nwant the number of running tasks", m.View())
 	}
 	// Another console shows the same state.
 	again := New(site, time.Hour)
 	press(again)
 	if !strings.Contains(again.View(), "DRAINING: 4 tasks run still") {
-		t.Errorf("another console does not show the drain:\n%s", again.View())
+		t.Errorf("screen of another console: got\n%s\nwant the drain with the number of running tasks", again.View())
 	}
 	site.err = errors.New("refused with 503")
 	press(again, "u", "y")
 	if !strings.Contains(again.View(), "use the site again: refused with 503") {
-		t.Errorf("the failure is not shown:\n%s", again.View())
+		t.Errorf("screen after a refused request: got\n%s\nwant its status 503", again.View())
 	}
 }
 
@@ -169,11 +169,11 @@
 	}
 	for _, want := range []string{"NO LEADER", "DISK: 100 MB free", "PROBLEM: pool: no connection", "> job-9"} {
 		if !strings.Contains(m.View(), want) {
-			t.Errorf("%q is missing:\n%s", want, m.View())
+			t.Errorf("screen: got\n%s\nwant a line with %q", m.View(), want)
 		}
 	}
 	m.Update(tea.WindowSizeMsg{Width: 20, Height: 5})
 	if n := len(strings.Split(m.View(), "\n")); n != 5 {
-		t.Errorf("%d lines on a terminal of 5 lines, want 5", n)
+		t.Errorf("lines on a terminal of 5 lines: got %d, want 5", n)
 	}
 }
--- a/internal/controller/cloud/call_queue_test.go
+++ b/internal/controller/cloud/call_queue_test.go
@@ -61,7 +61,11 @@
 	}
 	if f.client.CanRequest(f.now, InstanceKind{"other", "failing", false}) ||
 		!f.client.CanRequest(f.now, InstanceKind{"other", "healthy", false}) {
-		t.Error("further requests: want refused in the failing zone and allowed in the healthy one")
+		t.Errorf(
+			"further requests: failing zone %v, healthy zone %v, want false, true",
+			f.client.CanRequest(f.now, InstanceKind{"other", "failing", false}),
+			f.client.CanRequest(f.now, InstanceKind{"other", "healthy", false}),
+		)
 	}
 	counts := f.respondFor(20*time.Second, respond)
 	if n := counts["/hosts failing"]; n < 5 || float64(n) > 20*4*retryShare+8 {
@@ -74,7 +78,10 @@
 	f.respondFor(20*time.Second, respond)
 	unresolved := f.client.requests.unresolvedByZone
 	if !f.client.CanRequest(f.now, InstanceKind{"other", "failing", false}) || len(unresolved) != 1 || unresolved["failing"] != 0 {
-		t.Errorf("unresolved requests after the zone recovered: got %v, want one zone with 0 and further requests allowed", unresolved)
+		t.Errorf(
+			"after the zone recovered: unresolved requests %v, further requests %v, want map[failing:0], true",
+			unresolved, f.client.CanRequest(f.now, InstanceKind{"other", "failing", false}),
+		)
 	}
 }
 
--- a/internal/controller/election/transfer_test.go
+++ b/internal/controller/election/transfer_test.go
@@ -15,7 +15,7 @@
 		peersServed bool
 	}{
 		{"state service answers the peers", true},
-		{"state service answers nobody", false},
+		{"state service unreachable for all", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
--- a/internal/controller/estimate/estimate_test.go
+++ b/internal/controller/estimate/estimate_test.go
@@ -24,7 +24,7 @@
 		{"first sample of the class counts a fifth", []time.Duration{200 * time.Second}, nil, 100 * time.Second, 120 * time.Second},
 		{"one sample counts ten times the estimate at most", []time.Duration{time.Hour}, nil, 100 * time.Second, 280 * time.Second},
 		{"one run of the job against a prior of two", nil, []time.Duration{40 * time.Second}, 0, 13333333333 * time.Nanosecond},
-		{"eight runs at most", nil, repeat(40*time.Second, 20), 0, 32 * time.Second},
+		{"at most eight runs count", nil, repeat(40*time.Second, 20), 0, 32 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			estimator, now := New(), time.Unix(1000, 0)
@@ -58,7 +58,7 @@
 		want float64
 	}{
 		{"tasks with CPUs", 2, 2 * 3 * 60},
-		{"tasks without CPUs count a tenth", 0, 0.1 * 3 * 60},
+		{"tasks without CPUs count as a tenth of a CPU", 0, 0.1 * 3 * 60},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			job := newJob("c", time.Minute, 3, c.cpus, now)
--- a/internal/controller/jobs/attempt_test.go
+++ b/internal/controller/jobs/attempt_test.go
@@ -12,23 +12,23 @@
 		change func(job *Job, attempt *Attempt)
 		want   bool
 	}{
-		"checkpoints and has run for long": {func(*Job, *Attempt) {}, true},
-		"job is not known":                 {func(_ *Job, attempt *Attempt) { attempt.Job = nil }, false},
-		"orphan":                           {func(_ *Job, attempt *Attempt) { attempt.IsOrphan = true }, false},
-		"start not sent":                   {func(_ *Job, attempt *Attempt) { attempt.IsUnsent = true }, false},
-		"not running yet":                  {func(_ *Job, attempt *Attempt) { attempt.RunningSince = time.Time{} }, false},
-		"stop sent":                        {func(_ *Job, attempt *Attempt) { attempt.StopSentAt = now }, false},
-		"gang":                             {func(job *Job, _ *Attempt) { job.IsGang = true }, false},
-		"service":                          {func(job *Job, _ *Attempt) { job.IsService = true }, false},
-		"guaranteed":                       {func(job *Job, _ *Attempt) { job.Guaranteed = true }, false},
-		"no checkpoints":                   {func(job *Job, _ *Attempt) { job.CheckpointInterval = 0 }, false},
-		"has run for less than a stop takes": {func(_ *Job, attempt *Attempt) {
+		"long run with checkpoints": {func(*Job, *Attempt) {}, true},
+		"job is not known":          {func(_ *Job, attempt *Attempt) { attempt.Job = nil }, false},
+		"orphan":                    {func(_ *Job, attempt *Attempt) { attempt.IsOrphan = true }, false},
+		"start not sent":            {func(_ *Job, attempt *Attempt) { attempt.IsUnsent = true }, false},
+		"not running yet":           {func(_ *Job, attempt *Attempt) { attempt.RunningSince = time.Time{} }, false},
+		"stop sent":                 {func(_ *Job, attempt *Attempt) { attempt.StopSentAt = now }, false},
+		"gang":                      {func(job *Job, _ *Attempt) { job.IsGang = true }, false},
+		"service":                   {func(job *Job, _ *Attempt) { job.IsService = true }, false},
+		"guaranteed":                {func(job *Job, _ *Attempt) { job.Guaranteed = true }, false},
+		"no checkpoints":            {func(job *Job, _ *Attempt) { job.CheckpointInterval = 0 }, false},
+		"run shorter than a checkpoint": {func(_ *Job, attempt *Attempt) {
 			attempt.RunningSince = now.Add(-3 * time.Second)
 		}, false},
 		"first task has just started": {func(job *Job, attempt *Attempt) {
 			job.DoneTasks, attempt.RunningSince = 0, now.Add(-29*time.Second)
 		}, false},
-		"first task has run for half a minute": {func(job *Job, attempt *Attempt) {
+		"first task has run for 30 s": {func(job *Job, attempt *Attempt) {
 			job.DoneTasks, attempt.RunningSince = 0, now.Add(-30*time.Second)
 		}, true},
 	}
--- a/internal/logkeys/runbook_test.go
+++ b/internal/logkeys/runbook_test.go
@@ -22,16 +22,16 @@
 func TestErrorMessagesAreInRunbook(t *testing.T) {
 	logged, described := errorMessages(t), runbookMessages(t)
 	if len(logged) == 0 || len(described) == 0 {
-		t.Fatalf("%d messages in the code, %d in the runbook", len(logged), len(described))
+		t.Fatalf("error messages: got %d in the code, %d in the runbook, want at least 1 each", len(logged), len(described))
 	}
 	for message, position := range logged {
 		if !described[message] {
-			t.Errorf("%s: %q is not in %s", position, message, runbook)
+			t.Errorf("%s: message %q is not in %s, want described", position, message, runbook)
 		}
 	}
 	for message := range described {
 		if _, ok := logged[message]; !ok {
-			t.Errorf("%s describes %q, which nothing logs", runbook, message)
+			t.Errorf("%s: message %q is logged nowhere, want removed", runbook, message)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	literal, ok := call.Args[0].(*ast.BasicLit)
 	if !ok {
 		if receiver, ok := selector.X.(*ast.Ident); !ok || receiver.Name != "t" {
-			t.Errorf("%s: an error message that is not constant", files.Position(call.Pos()))
+			t.Errorf("%s: error message is not constant, want a constant", files.Position(call.Pos()))
 		}
 		return
 	}
@@ -99,7 +99,7 @@
 	}
 	_, section, ok := strings.Cut(string(text), "\n## Messages of level error\n")
 	if !ok {
-		t.Fatalf("%s has no section of error messages", runbook)
+		t.Fatalf("%s: no section of error messages, want one", runbook)
 	}
 	section, _, _ = strings.Cut(section, "\n## ")
 	messages := map[string]bool{}
--- a/internal/site/agent/runner_test.go
+++ b/internal/site/agent/runner_test.go
@@ -68,20 +68,20 @@
 	const saveOnTerm = "trap 'exit 0' TERM; : > READY; while :; do sleep 0.02; done"
 	const ignoreTerm = "trap '' TERM; : > READY; while :; do sleep 0.02; done"
 	return map[string]runnerCase{
-		"done":   {script: "exit 0"},
-		"fails":  {script: "echo {task} oops >&2; exit 3", spec: Spec{Retries: 2}, wantExit: 3, wantReason: "exit status 3"},
-		"signal": {script: "kill -SEGV $$", wantExit: 128 + int(syscall.SIGSEGV), wantReason: "segmentation fault"},
-		"no place": {
+		"succeeds":            {script: "exit 0"},
+		"exits with an error": {script: "echo {task} oops >&2; exit 3", spec: Spec{Retries: 2}, wantExit: 3, wantReason: "exit status 3"},
+		"ended by a signal":   {script: "kill -SEGV $$", wantExit: 128 + int(syscall.SIGSEGV), wantReason: "segmentation fault"},
+		"missing working directory": {
 			script: "exit 0", spec: Spec{WorkingDir: dir + "/none"}, wantExit: 127, wantReason: "no such file",
 		},
 		"killed": {
 			script: ": > READY; sleep 300", stop: &Stop{Grace: 0}, want: Ended{Stopped: true}, wantExit: -1,
 		},
-		"saves": {
+		"saves a checkpoint": {
 			script: saveOnTerm, spec: Spec{CheckpointSeconds: 1}, stop: &Stop{Grace: time.Hour},
 			want: Ended{Stopped: true, CheckpointSaved: true}, wantExit: -1,
 		},
-		"does not save in time": {
+		"checkpoint times out": {
 			script: ignoreTerm, spec: Spec{CheckpointSeconds: 1}, stop: &Stop{Grace: 50 * time.Millisecond},
 			want: Ended{Stopped: true}, wantExit: -1,
 		},
@@ -98,20 +98,20 @@
 	}
 	c.want.Task, c.want.Attempt = task, 1
 	if got := <-bench.ended; got != c.want {
-		t.Errorf("%+v, want %+v", got, c.want)
+		t.Errorf("end of the task: got %+v, want %+v", got, c.want)
 	}
 	result, err := bench.runner.results.get(task)
 	if c.wantExit < 0 {
 		if err == nil {
-			t.Errorf("a result is stored: %+v", result)
+			t.Errorf("stored result: got %+v, want none", result)
 		}
 		return
 	}
 	if err != nil || result.Exit != c.wantExit || !strings.Contains(result.Reason, c.wantReason) {
-		t.Errorf("result %+v, %v, want exit %d, reason %q", result, err, c.wantExit, c.wantReason)
+		t.Errorf("stored result: got %+v, error %v, want exit %d, reason %q", result, err, c.wantExit, c.wantReason)
 	}
 	if c.spec.Retries > 0 && result.ErrorTail != "7 oops\n" {
-		t.Errorf("its error output ends with %q", result.ErrorTail)
+		t.Errorf("end of the error output: got %q, want %q", result.ErrorTail, "7 oops\n")
 	}
 }
 
@@ -128,7 +128,7 @@
 		t.Run(name, func(t *testing.T) { c.check(t, bench, task, ready) })
 	}
 	if n := len(bench.runner.results.unreported(99)); n != 3 {
-		t.Errorf("%d failures are to be reported, want 3", n)
+		t.Errorf("unreported failures: got %d, want 3", n)
 	}
 }
 
@@ -142,11 +142,11 @@
 	first.waitForFile(dir + "/a")
 	first.waitForFile(dir + "/b")
 	if _, err := newRunner(dir+"/worker", nil, slog.New(slog.DiscardHandler), func(Ended, bool) {}); err == nil {
-		t.Fatal("two workers have one directory")
+		t.Fatal("second runner of one directory: no error, want one")
 	}
 	records, err := filepath.Glob(dir + "/worker/running/*")
 	if err != nil || len(records) != 2 {
-		t.Fatal(records, err)
+		t.Fatalf("files of running tasks: got %v, error %v, want 2", records, err)
 	}
 	first.close()
 	groups := map[int]bool{}
@@ -158,7 +158,7 @@
 	second := newRunnerBench(t, dir+"/worker")
 	defer second.close()
 	if left := process.Find(map[string]bool{second.runner.workerTag: true}, groups); len(left) > 0 {
-		t.Errorf("%v are left", left)
+		t.Errorf("processes of the former worker: got %v, want none", left)
 	}
 	// The first runner looks for processes with the tags of these attempts until they have ended. A later run of this test has
 	// attempts with the same tags.
--- a/internal/site/agent/state_test.go
+++ b/internal/site/agent/state_test.go
@@ -36,7 +36,7 @@
 	b.last = b.state.Step(b.now, inputs)
 	for _, launch := range b.last.Launches {
 		if b.running[launch.Task] {
-			b.Fatalf("%s runs twice", launch.Task)
+			b.Fatalf("start of %s: already running, want started once", launch.Task)
 		}
 		b.running[launch.Task] = true
 	}
@@ -47,7 +47,7 @@
 func (b *bench) finishClearing() {
 	b.Helper()
 	if b.last.ClearEpoch == nil {
-		b.Fatal("nothing is to be cleared")
+		b.Fatal("clear epoch: got none, want one")
 	}
 	b.running = map[string]bool{}
 	b.step(Input{TasksRemoved: &TasksRemoved{*b.last.ClearEpoch}})
@@ -89,7 +89,7 @@
 	body := b.marshal(map[string]any{"helm": fencingToken, "watch": incarnation, "calls": commands})
 	effects := b.step(Input{Direct: &Direct{HasCommands: true, Body: body}})
 	if len(effects.Replies) != 1 {
-		b.Fatalf("%d replies", len(effects.Replies))
+		b.Fatalf("replies: got %d, want 1", len(effects.Replies))
 	}
 	return effects.Replies[0]
 }
@@ -132,19 +132,20 @@
 	}
 	specsProvided := func(bench *bench) { bench.provideSpecs(bench.last, spec) }
 	return map[string]commandCase{
-		"again":           {[]any{start("job-1/0", 1)}, nil, "job-1/0#1 running ;"},
+		"start repeated":  {[]any{start("job-1/0", 1)}, nil, "job-1/0#1 running ;"},
 		"another attempt": {[]any{start("job-1/0", 2)}, nil, "job-1/0#1 running ;job-1/0#2 exited in_use;"},
-		"refusal forgotten": {
+		"refused attempt forgotten": {
 			[]any{start("job-1/0", 2), forget("job-1/0", 2)}, nil, "job-1/0#1 running ;",
 		},
-		"forget what runs":     {[]any{forget("job-1/0", 1)}, nil, "job-1/0#1 running ;"},
-		"kill at once":         {[]any{kill("job-1/0", 0)}, nil, "job-1/0#1 running ;"}, // it keeps its resources until it has ended
-		"killed and ended":     {[]any{kill("job-1/0", 0)}, ended(Ended{Stopped: true}), "job-1/0#1 exited halted;"},
-		"done before the kill": {[]any{kill("job-1/0", 0)}, ended(Ended{}), "job-1/0#1 exited done;"},
-		"time to save":         {[]any{kill("job-1/0", 3)}, nil, "job-1/0#1 flushing ;"},
-		"too little time":      {[]any{kill("job-1/0", 2)}, nil, "job-1/0#1 running ;"},
-		"the machine's fault":  {nil, ended(Ended{Failed: true}), "job-1/0#1 exited error;"},
-		"no such task": {
+		"running attempt forgotten": {[]any{forget("job-1/0", 1)}, nil, "job-1/0#1 running ;"},
+		// The task keeps its resources until it has ended.
+		"killed without grace":                         {[]any{kill("job-1/0", 0)}, nil, "job-1/0#1 running ;"},
+		"killed and ended":                             {[]any{kill("job-1/0", 0)}, ended(Ended{Stopped: true}), "job-1/0#1 exited halted;"},
+		"done before the kill":                         {[]any{kill("job-1/0", 0)}, ended(Ended{}), "job-1/0#1 exited done;"},
+		"killed with time for a checkpoint":            {[]any{kill("job-1/0", 3)}, nil, "job-1/0#1 flushing ;"},
+		"killed with too little time for a checkpoint": {[]any{kill("job-1/0", 2)}, nil, "job-1/0#1 running ;"},
+		"failed because of the machine":                {nil, ended(Ended{Failed: true}), "job-1/0#1 exited error;"},
+		"unknown task": {
 			[]any{start("job-1/9", 1)}, specsProvided, "job-1/0#1 running ;job-1/9#1 exited no_such;",
 		},
 		"no capacity": {
@@ -152,15 +153,15 @@
 			specsProvided,
 			"job-1/0#1 running ;job-1/1#1 running ;job-1/2#1 exited no_room;",
 		},
-		"killed before it began": {
+		"killed before the start": {
 			[]any{start("job-1/1", 1), kill("job-1/1", 0)}, specsProvided, "job-1/0#1 running ;job-1/1#1 exited halted;",
 		},
-		"no spec of the job": {
+		"unknown job": {
 			[]any{start("job-2/0", 1)},
 			described(Described{Task: "job-2/0", Status: 404}),
 			"job-1/0#1 running ;job-2/0#1 exited no_such;",
 		},
-		"result stored before": {
+		"result already stored": {
 			[]any{start("job-1/1", 1)},
 			described(Described{Task: "job-1/1", IsDone: true}),
 			"job-1/0#1 running ;job-1/1#1 exited done;",
@@ -177,16 +178,16 @@
 			bench.advance(time.Second)
 			bench.provideSpecs(bench.respond(200, map[string]any{"helm": 5, "calls": []any{start("job-1/0", 1)}}), spec)
 			if !bench.running["job-1/0"] {
-				t.Fatal("the first task does not run")
+				t.Fatal("task job-1/0: not running, want running")
 			}
 			if r := bench.sendCommands(5, 1, c.commands...); r.Status != 200 {
-				t.Fatalf("status %d", r.Status)
+				t.Fatalf("status of the commands: got %d, want 200", r.Status)
 			}
 			if c.after != nil {
 				c.after(bench)
 			}
 			if got := bench.attempts(); got != c.want {
-				t.Errorf("%s, want %s", got, c.want)
+				t.Errorf("attempts: got %s, want %s", got, c.want)
 			}
 		})
 	}
@@ -205,40 +206,40 @@
 		"higher token":      {6, 1, 200},
 	} {
 		if r := bench.sendCommands(c.fencingToken, c.incarnation); r.Status != c.want {
-			t.Errorf("%s: status %d, want %d", name, r.Status, c.want)
+			t.Errorf("%s: got status %d, want %d", name, r.Status, c.want)
 		}
 		bench.state.fencingToken = 5
 	}
 	withoutToken := bench.marshal(map[string]any{"watch": 1})
 	if r := bench.step(Input{Direct: &Direct{HasCommands: true, Body: withoutToken}}).Replies[0]; r.Status != 400 {
-		t.Errorf("no token: status %d", r.Status)
+		t.Errorf("commands without a token: got status %d, want 400", r.Status)
 	}
 	if bench.advance(2 * time.Second); !bench.state.isAwaitingResponse {
-		t.Fatal("no heartbeat is due")
+		t.Fatal("no heartbeat awaits a response, want one")
 	}
 	bench.respond(200, map[string]any{"helm": 4, "calls": []any{start("job-1/0", 1)}})
 	bench.respond(200, map[string]any{"calls": []any{start("job-1/0", 1)}})
 	if bench.attempts() != "" {
-		t.Errorf("commands of a lower token: %s", bench.attempts())
+		t.Errorf("attempts after commands of a lower token: got %s, want none", bench.attempts())
 	}
 	leaseRenewedAt := bench.state.leaseRenewedAt
 	bench.now = leaseRenewedAt.Add(8900 * time.Millisecond)
 	if bench.step(); bench.last.ClearEpoch != nil {
-		t.Error("the lease expires early")
+		t.Errorf("clear epoch before the lease expires: got %v, want none", bench.last.ClearEpoch)
 	}
 	bench.advance(200 * time.Millisecond)
 	if bench.last.ClearEpoch == nil {
-		t.Fatal("the lease does not expire")
+		t.Fatal("clear epoch after the lease expired: got none, want one")
 	}
 	if r := bench.sendCommands(9, 1, start("job-1/0", 1)); r.Status != 409 {
-		t.Errorf("commands while all tasks are being ended: status %d", r.Status)
+		t.Errorf("commands while tasks are being ended: got status %d, want 409", r.Status)
 	}
 	if bench.advance(5*time.Second).Heartbeat != nil {
-		t.Error("sends a heartbeat before all tasks have ended")
+		t.Error("heartbeat sent before all tasks have ended, want none")
 	}
 	bench.finishPendingClearing()
 	if bench.state.incarnation != 2 || bench.state.ActiveTasks() != 0 {
-		t.Errorf("incarnation %d", bench.state.incarnation)
+		t.Errorf("after clearing: incarnation %d, %d active tasks, want 2, 0", bench.state.incarnation, bench.state.ActiveTasks())
 	}
 }
 
@@ -254,7 +255,7 @@
 	bench.now = bench.now.Add(time.Hour)
 	bench.respond(200, map[string]any{"helm": 5, "calls": []any{start("job-1/0", 1)}})
 	if bench.last.ClearEpoch == nil || bench.attempts() != "" {
-		t.Errorf("after an hour: clear %v, %s", bench.last.ClearEpoch, bench.attempts())
+		t.Errorf("after an hour: clear epoch %v, attempts %q, want an epoch and no attempt", bench.last.ClearEpoch, bench.attempts())
 	}
 }
 
@@ -263,15 +264,15 @@
 	bench := newBench(t)
 	bench.step(Input{Assigned: &Assigned{Machine: "vm-2", Serial: 2}})
 	if name, applied := bench.state.Machine(); name != "vm-1" || applied != 2 {
-		t.Errorf("%s, %d before it is cleared", name, applied)
+		t.Errorf("machine before clearing: got %s with serial %d, want vm-1, 2", name, applied)
 	}
 	bench.step(Input{Assigned: &Assigned{Serial: 3}})
 	bench.finishPendingClearing()
 	if name, _ := bench.state.Machine(); name != "" {
-		t.Errorf("%s after it was taken away meanwhile", name)
+		t.Errorf("machine after the assignment was withdrawn: got %s, want none", name)
 	}
 	if bench.advance(time.Minute).Heartbeat != nil {
-		t.Error("sends a heartbeat as no machine")
+		t.Error("heartbeat sent without a machine, want none")
 	}
 }
 
@@ -289,16 +290,16 @@
 		return "nowhere"
 	}
 	if got := destination(); got != "a:1" {
-		t.Fatalf("the first goes to %s", got)
+		t.Fatalf("destination of the first heartbeat: got %s, want a:1", got)
 	}
 	bench.respond(421, map[string]any{"flagship": "b"})
 	if got := destination(); got != "b:1" {
-		t.Errorf("after a redirect: to %s", got)
+		t.Errorf("destination after a redirect: got %s, want b:1", got)
 	}
 	sent := bench.now
 	bench.step(Input{Answered: &Answered{}})
 	if got := destination(); got != "a:1" || bench.now.Sub(sent) < time.Second {
-		t.Errorf("without a response: to %s, %v later", got, bench.now.Sub(sent))
+		t.Errorf("destination without a response: got %s after %v, want a:1 after at least 1s", got, bench.now.Sub(sent))
 	}
 }
 
@@ -314,6 +315,6 @@
 		t.Fatal(err)
 	}
 	if err := codec.Validate(body); err != nil {
-		t.Error(err)
+		t.Errorf("validate the report: %v", err)
 	}
 }
--- a/internal/site/datadir/datadir_test.go
+++ b/internal/site/datadir/datadir_test.go
@@ -15,7 +15,7 @@
 func TestOpenOrCreate(t *testing.T) {
 	dir := t.TempDir() + "/site"
 	if _, err := Open(dir); !errors.Is(err, ErrNoSite) {
-		t.Fatalf("empty directory: error %v, want ErrNoSite", err)
+		t.Fatalf("open an empty directory: got error %v, want %v", err, ErrNoSite)
 	}
 	site, err := OpenOrCreate(dir, CreateOptions{CPUs: 4, MemoryGB: 2, Controllers: 3}, "v")
 	if err != nil {
@@ -27,15 +27,15 @@
 			t.Fatal(err)
 		}
 		if len(p.Peers) != 2 || p.CloudAddr != site.MachinePoolAddr || p.StateAddr != site.StateAddr || p.Name != site.Controllers[i].Name {
-			t.Errorf("settings of controller %d: %+v, want the addresses and name of the site", i, p)
+			t.Errorf("settings of controller %d: got %+v, want the addresses and name of the site", i, p)
 		}
 	}
 	if _, err := config.LoadOptions(site.OptionsFile()); err != nil {
-		t.Error(err)
+		t.Errorf("load the options: %v", err)
 	}
 	again, err := OpenOrCreate(dir, CreateOptions{CPUs: 9}, "w")
 	if err != nil || again.ID != site.ID || again.CPUs != 4 || again.WorkerAddr != site.WorkerAddr {
-		t.Errorf("second call: %+v, error %v, want the site as it was created", again, err)
+		t.Errorf("second call: got %+v, error %v, want the site as it was created", again, err)
 	}
 	lock, err := site.Lock()
 	if err != nil {
@@ -43,17 +43,17 @@
 	}
 	t.Cleanup(func() {
 		if err := lock.Close(); err != nil {
-			t.Error(err)
+			t.Errorf("release the lock: %v", err)
 		}
 	})
 	if _, err := again.Lock(); err == nil {
-		t.Error("locked twice, want an error")
+		t.Error("second lock: no error, want one")
 	}
 	if err := os.Remove(dir + "/site.xml"); err != nil {
 		t.Fatal(err)
 	}
 	if other, err := OpenOrCreate(dir, CreateOptions{}, "v"); err != nil || other.ID == site.ID {
-		t.Errorf("after an interrupted creation: error %v, want a new site", err)
+		t.Errorf("after an interrupted creation: got site %v, error %v, want a new site", other, err)
 	}
 }
 
--- a/internal/site/jobspec/store_test.go
+++ b/internal/site/jobspec/store_test.go
@@ -27,7 +27,7 @@
 	put := func(job, raw string, want error) {
 		t.Helper()
 		if err := store.Put(job, []byte(raw)); !errors.Is(err, want) {
-			t.Errorf("put %s: error %v, want %v", job, err, want)
+			t.Errorf("put %s: got error %v, want %v", job, err, want)
 		}
 	}
 	put("job-1", "one", nil)
@@ -50,7 +50,7 @@
 	}
 	for job, want := range map[string]string{"job-1": "one", "job-2": ""} {
 		if raw, err := store.Get(job); err != nil || string(raw) != want {
-			t.Errorf("%s: spec %q, error %v, want %q", job, raw, err, want)
+			t.Errorf("spec of %s: got %q, error %v, want %q", job, raw, err, want)
 		}
 	}
 }
--- a/internal/site/kvserver/golden_bytes_test.go
+++ b/internal/site/kvserver/golden_bytes_test.go
@@ -99,19 +99,19 @@
 		goldenbytes.Bytes("segment header", segment, func(raw []byte) ([]byte, error) {
 			header, ok := parseSegmentHeader(raw)
 			if !ok {
-				t.Error("the segment's header cannot be read")
+				t.Error("segment header: not readable, want readable")
 			}
 			return header.encode(), nil
 		}),
 		goldenbytes.Bytes("frame", appendFrame(nil, 900, storedRecords()), func(raw []byte) ([]byte, error) {
 			number, payload, rest, ok := cutFrame(raw)
 			if !ok || len(rest) != 0 {
-				t.Error("the frame cannot be read")
+				t.Errorf("frame: readable %v, %d bytes left, want true, 0", ok, len(rest))
 			}
 			replayed := newKeyspace()
 			err := replayed.replayRecords(payload)
 			if replayed.revision != 70_001 || replayed.lastLeaseID != 300 || replayed.tree.Len() != 0 {
-				t.Errorf("replayed to revision %d, lease %d, %d keys", replayed.revision, replayed.lastLeaseID, replayed.tree.Len())
+				t.Errorf("replayed: revision %d, lease %d, %d keys, want 70001, 300, 0", replayed.revision, replayed.lastLeaseID, replayed.tree.Len())
 			}
 			return appendFrame(nil, number, payload), err
 		}),
--- a/internal/site/kvserver/helpers_test.go
+++ b/internal/site/kvserver/helpers_test.go
@@ -50,7 +50,7 @@
 			return response
 		}
 	}
-	t.Fatalf("%s %s is not answered", request.Method, request.Target)
+	t.Fatalf("%s %s: no response, want one", request.Method, request.Target)
 	return kvserver.Response{}
 }
 
--- a/internal/site/kvserver/limits_test.go
+++ b/internal/site/kvserver/limits_test.go
@@ -42,33 +42,33 @@
 		request kvserver.Request
 		status  int
 	}{
-		"three changes":    {commit(writes("a", "b", "c")), http.StatusBadRequest},
-		"nine guards":      {commit(nineGuards), http.StatusBadRequest},
-		"a large value":    {write("a", strings.Repeat("x", 1100)), http.StatusBadRequest},
-		"escapes count":    {write("a", strings.Repeat("\x01", 300)), http.StatusBadRequest},
-		"a space in a key": {commit(writes("a b")), http.StatusBadRequest},
-		"a long key":       {commit(writes(strings.Repeat("k", 201))), http.StatusBadRequest},
-		"no value":         {write("a", nil), http.StatusBadRequest},
-		"write and drop": {
+		"too many writes":                   {commit(writes("a", "b", "c")), http.StatusBadRequest},
+		"too many guards":                   {commit(nineGuards), http.StatusBadRequest},
+		"value too large":                   {write("a", strings.Repeat("x", 1100)), http.StatusBadRequest},
+		"value too large with JSON escapes": {write("a", strings.Repeat("\x01", 300)), http.StatusBadRequest},
+		"key with a space":                  {commit(writes("a b")), http.StatusBadRequest},
+		"key too long":                      {commit(writes(strings.Repeat("k", 201))), http.StatusBadRequest},
+		"write without a value":             {write("a", nil), http.StatusBadRequest},
+		"write and deletion in one operation": {
 			commit(commitRequest{Apply: []operation{{WriteKey: "a", DeleteKey: "b", Value: 1}}}), http.StatusBadRequest,
 		},
-		"binary": {kvserver.Request{Method: http.MethodPost, Target: "/commit", Body: []byte{0xc4, 1, 0}}, http.StatusBadRequest},
-		"no such lease": {
+		"binary value": {kvserver.Request{Method: http.MethodPost, Target: "/commit", Body: []byte{0xc4, 1, 0}}, http.StatusBadRequest},
+		"write with an unknown lease": {
 			commit(commitRequest{Guards: []guard{{Key: "a", ModRevision: 7}}, Apply: []operation{{WriteKey: "a", Value: 1, LeaseID: 9}}}),
 			http.StatusBadRequest,
 		},
-		"a short lease":        {post(t, "/leases", leaseRequest{TTLMillis: 99}), http.StatusBadRequest},
-		"a long wait":          {get("/watch?starts=&from=0&wait_ms=60001"), http.StatusBadRequest},
-		"an unknown path":      {get("/other"), http.StatusBadRequest},
-		"an unknown lease":     {post(t, "/leases/5/touch", nil), http.StatusNotFound},
-		"a key that is not":    {get("/keys/a"), http.StatusNotFound},
-		"nothing but a guard":  {commit(commitRequest{Guards: []guard{{Key: "a"}}}), http.StatusOK},
-		"a value of the limit": {write("z", strings.Repeat("x", 1022)), http.StatusOK},
+		"lease too short":             {post(t, "/leases", leaseRequest{TTLMillis: 99}), http.StatusBadRequest},
+		"watch too long":              {get("/watch?starts=&from=0&wait_ms=60001"), http.StatusBadRequest},
+		"unknown path":                {get("/other"), http.StatusBadRequest},
+		"renewal of an unknown lease": {post(t, "/leases/5/touch", nil), http.StatusNotFound},
+		"missing key":                 {get("/keys/a"), http.StatusNotFound},
+		"guard without writes":        {commit(commitRequest{Guards: []guard{{Key: "a"}}}), http.StatusOK},
+		"value of the maximum size":   {write("z", strings.Repeat("x", 1022)), http.StatusOK},
 	} {
 		now = now.Add(time.Second) // the rates allow it
 		t.Run(name, func(t *testing.T) {
 			if response := sendOne(t, state, now, test.request); response.Status != test.status {
-				t.Errorf("%d, want %d: %+v", response.Status, test.status, response.Body)
+				t.Errorf("got status %d, want %d: %+v", response.Status, test.status, response.Body)
 			}
 		})
 	}
@@ -86,6 +86,6 @@
 		statuses[sendOne(t, state, now, get("/keys/zz")).Status]++
 	}
 	if statuses[http.StatusOK] != 10 || statuses[http.StatusNotFound] != 85 || statuses[http.StatusTooManyRequests] != 20 {
-		t.Errorf("with 10 changes and 100 requests a second: %v", statuses)
+		t.Errorf("statuses with 10 changes and 100 requests a second: got %v, want 10 of 200, 85 of 404, 20 of 429", statuses)
 	}
 }
--- a/internal/site/kvserver/model_test.go
+++ b/internal/site/kvserver/model_test.go
@@ -48,7 +48,7 @@
 				m.commit(t)
 			}
 			if difference := m.model.Difference(m.state); difference != "" {
-				t.Fatal(difference)
+				t.Fatalf("state differs from the model: %s", difference)
 			}
 			m.watch(t)
 		}
@@ -67,7 +67,7 @@
 	var granted leaseResponse
 	decode(t, m.send(t, post(t, "/leases", leaseRequest{TTLMillis: 60_000})), &granted)
 	if granted.LeaseID != want {
-		t.Fatalf("lease %d, want %d", granted.LeaseID, want)
+		t.Fatalf("granted lease: got %d, want %d", granted.LeaseID, want)
 	}
 }
 
@@ -81,7 +81,7 @@
 	m.model.EndLease(id)
 	response := m.send(t, kvserver.Request{Method: http.MethodDelete, Target: fmt.Sprintf("/leases/%d", id)})
 	if response.Status != want {
-		t.Fatalf("ending lease %d: %d, want %d", id, response.Status, want)
+		t.Fatalf("end lease %d: got status %d, want %d", id, response.Status, want)
 	}
 }
 
@@ -90,7 +90,7 @@
 	key := m.keys.Draw(t, "key")
 	response := m.send(t, get("/keys/"+key))
 	if kept := m.model.Keys[key]; (kept.ModRevision > 0) != (response.Status == http.StatusOK) {
-		t.Fatalf("%s: %d, want %+v", key, response.Status, kept)
+		t.Fatalf("read %s: got status %d, want that of %+v", key, response.Status, kept)
 	}
 }
 
@@ -112,7 +112,10 @@
 	decode(t, response, &got)
 	hasRevision := wantStatus == http.StatusBadRequest || got.Revision == m.model.Revision
 	if response.Status != wantStatus || !slices.Equal(got.FailedKeys, wantFailed) || !hasRevision {
-		t.Fatalf("%+v %+v: %d %+v, want %d %v at %d", guards, ops, response.Status, got, wantStatus, wantFailed, m.model.Revision)
+		t.Fatalf(
+			"commit %+v %+v: got %d %+v, want %d %v at revision %d",
+			guards, ops, response.Status, got, wantStatus, wantFailed, m.model.Revision,
+		)
 	}
 }
 
@@ -139,11 +142,11 @@
 	}
 	m.from = changes.Revision
 	if len(m.watched) != len(m.model.Keys) {
-		t.Fatalf("a watcher knows %v, there are %v", m.watched, m.model.Keys)
+		t.Fatalf("keys known to the watcher: got %v, want %v", m.watched, m.model.Keys)
 	}
 	for key, kept := range m.model.Keys {
 		if m.watched[key] != kept.ModRevision {
-			t.Fatalf("a watcher knows %s at %d, it is at %d", key, m.watched[key], kept.ModRevision)
+			t.Fatalf("revision of %s known to the watcher: got %d, want %d", key, m.watched[key], kept.ModRevision)
 		}
 	}
 }
@@ -165,6 +168,6 @@
 		hasMore = page.HasMore
 	}
 	if want := m.model.SortedKeys(prefix, ""); !slices.Equal(got, want) {
-		t.Fatalf("%q lists %v, want %v", prefix, got, want)
+		t.Fatalf("list of %q: got %v, want %v", prefix, got, want)
 	}
 }
--- a/internal/site/kvserver/server_test.go
+++ b/internal/site/kvserver/server_test.go
@@ -124,7 +124,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("%s: never %d", what, status)
+	t.Fatalf("%s: status %d was never received", what, status)
 }
 
 func writeOf(key string) kvserver.Request {
@@ -140,7 +140,7 @@
 			for i := range 100 {
 				request := crashtest.CommitRequest(nil, []crashtest.Operation{{Key: fmt.Sprintf("k/%d/%d", client, i), Value: "value"}})
 				if status, err := s.send(request); err != nil || status != http.StatusOK {
-					t.Errorf("client %d, commit %d: %d, %v", client, i, status, err)
+					t.Errorf("client %d, commit %d: got status %d, error %v, want 200", client, i, status, err)
 				}
 			}
 		})
@@ -156,24 +156,24 @@
 	s.commitFromClients(t)
 	s.files.setError(errors.New("the disk fails"))
 	if status, err := s.send(writeOf("doubt")); err == nil {
-		t.Errorf("a commit whose sync failed is answered %d", status)
+		t.Errorf("commit whose sync failed: got status %d, want no response", status)
 	}
 	s.waitFor(t, "the next commit", writeOf("refused"), http.StatusServiceUnavailable)
 	if status, err := s.send(get("/keys/k/3/7")); err != nil || status != http.StatusOK {
-		t.Errorf("a read while the disk fails: %d, %v", status, err)
+		t.Errorf("read while the disk fails: got status %d, error %v, want 200", status, err)
 	}
 	if status, err := s.send(get("/keys/doubt")); err != nil || status != http.StatusNotFound {
-		t.Errorf("what is not durable is read: %d, %v", status, err)
+		t.Errorf("read of a key that is not durable: got status %d, error %v, want 404", status, err)
 	}
 	s.files.setError(nil)
 	s.waitFor(t, "a commit once the disk works", writeOf("after"), http.StatusOK)
 	response, err := s.client.Do(s.addr, http.MethodGet, "/keys?starts=k/&most=1000", nil, 5*time.Second)
 	var list listResponse
 	if err != nil || codec.Unmarshal(response.Body, &list) != nil || len(list.Entries) != 800 {
-		t.Errorf("%d keys, %v", len(list.Entries), err)
+		t.Errorf("keys listed: got %d, error %v, want 800", len(list.Entries), err)
 	}
 	keys, err := kvserver.Keys(s.path)
 	if err != nil || len(keys) != 801 {
-		t.Errorf("%d keys in the directory, want 801: %v", len(keys), err)
+		t.Errorf("keys in the directory: got %d, error %v, want 801", len(keys), err)
 	}
 }
--- a/internal/site/kvserver/storage_test.go
+++ b/internal/site/kvserver/storage_test.go
@@ -35,7 +35,10 @@
 	}
 	kept := files.AfterCrash(faultydisk.LoseNothing)
 	if kept.Size(damagedSnapshot) == 0 || kept.Size(damagedSegment) == 0 {
-		t.Fatal("the files have other names than this test thinks")
+		t.Fatalf(
+			"sizes of %s and %s: got %d, %d, want above 0",
+			damagedSnapshot, damagedSegment, kept.Size(damagedSnapshot), kept.Size(damagedSegment),
+		)
 	}
 	return kept
 }
@@ -53,7 +56,7 @@
 	}
 	const segmentHeaderBytes, frames = 36, 5
 	if frameBytes := (directoryToDamage(t).Size(damagedSegment) - segmentHeaderBytes) / frames; taken != frameBytes {
-		t.Errorf("%d bytes are taken for a torn write, the last frame has %d", taken, frameBytes)
+		t.Errorf("damaged bytes taken for a torn write: got %d, want the %d of the last frame", taken, frameBytes)
 	}
 }
 
@@ -69,13 +72,13 @@
 	switch {
 	case errors.As(err, &damage):
 		if files.Operations != operations || !strings.Contains(err.Error(), name) {
-			t.Fatalf("%s at %d: %d operations on a damaged directory: %v", name, offset, files.Operations-operations, err)
+			t.Fatalf("%s at %d: %d operations, error %v, want none and an error that names the file", name, offset, files.Operations-operations, err)
 		}
 		return false
 	case err != nil:
-		t.Fatalf("%s at %d: %v", name, offset, err)
+		t.Fatalf("open %s damaged at %d: %v", name, offset, err)
 	case inspection.TornBytes == 0 || inspection.Keys != 9 || name != damagedSegment:
-		t.Fatalf("%s: a wrong byte at %d is not seen: %+v", name, offset, inspection)
+		t.Fatalf("%s damaged at %d: got %+v, want a torn write in the last segment and 9 keys", name, offset, inspection)
 	}
 	return true
 }
@@ -86,7 +89,7 @@
 		t.Fatal(err)
 	}
 	if _, err := reopenDirectory(files); err == nil {
-		t.Error("a segment that is gone is not missed")
+		t.Error("open without a segment: no error, want one")
 	}
 }
 
@@ -105,24 +108,24 @@
 		done, err = writer.Step()
 	}
 	if err == nil {
-		t.Fatal("the snapshot was written")
+		t.Fatal("snapshot on a full disk: no error, want one")
 	}
 	if err := writer.Abort(); err == nil {
-		t.Error("a file that could not be made is removed")
+		t.Error("abort of a snapshot that has no file: no error, want one")
 	}
 	effects := state.Step(now, []kvserver.Request{crashtest.CommitRequest(nil, []crashtest.Operation{{Key: "b", Value: "no room"}})})
 	if err := storage.Append(effects.Records); !errors.Is(err, kvserver.ErrNotWritten) {
-		t.Fatalf("%v", err)
+		t.Fatalf("append on a full disk: got error %v, want %v", err, kvserver.ErrNotWritten)
 	}
 	state.Undo(effects)
 	if response := sendOne(t, state, now, get("/keys/b")); response.Status != http.StatusNotFound {
-		t.Errorf("what is not durable is read: %d", response.Status)
+		t.Errorf("read of a key that is not durable: got status %d, want 404", response.Status)
 	}
 	files.FailAt = 0
 	commitKey(t, state, storage, "c", "2")
 	inspection, err := reopenDirectory(files.AfterCrash(faultydisk.LoseRandomSectors))
 	if err != nil || inspection.Keys != 2 || inspection.Revision != 2 {
-		t.Errorf("%+v, %v", inspection, err)
+		t.Errorf("reopened directory: got %+v, error %v, want 2 keys at revision 2", inspection, err)
 	}
 }
 
@@ -134,10 +137,10 @@
 		t.Fatal(err)
 	}
 	if _, err := kvserver.LockDirectory(path); !errors.Is(err, kvserver.ErrLocked) {
-		t.Errorf("a directory is taken twice: %v", err)
+		t.Errorf("second lock of a directory: got error %v, want %v", err, kvserver.ErrLocked)
 	}
 	if err := dir.Close(); err != nil {
-		t.Error(err)
+		t.Errorf("release the lock: %v", err)
 	}
 }
 
@@ -148,18 +151,18 @@
 	fillDirectory(t, data)
 	inspection, err := kvserver.Backup(data, file)
 	if err != nil || inspection.Revision != 30 || inspection.Keys != 30 {
-		t.Fatalf("%+v, %v", inspection, err)
+		t.Fatalf("backup: got %+v, error %v, want 30 keys at revision 30", inspection, err)
 	}
 	inspection, err = kvserver.Restore(file, restored)
 	if err != nil || inspection.Keys != 30 || inspection.Revision <= 1<<32 {
-		t.Fatalf("%+v, %v", inspection, err)
+		t.Fatalf("restored backup: got %+v, error %v, want 30 keys above revision %d", inspection, err, uint64(1)<<32)
 	}
 	keys, err := kvserver.Keys(restored)
 	if err != nil || len(keys) != 30 || keys[29].Key != "k/29" {
-		t.Errorf("%v, %v", keys, err)
+		t.Errorf("restored keys: got %v, error %v, want 30, the last one k/29", keys, err)
 	}
 	if _, err := kvserver.Restore(file, restored); err == nil {
-		t.Error("a backup goes over what is there")
+		t.Error("restore over a directory in use: no error, want one")
 	}
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -170,7 +173,7 @@
 		t.Fatal(err)
 	}
 	if _, err := kvserver.Restore(file, filepath.Join(root, "third")); err == nil {
-		t.Error("a backup that is not whole is restored")
+		t.Error("restore of a truncated backup: no error, want one")
 	}
 }
 
--- a/internal/site/kvserver/watches_test.go
+++ b/internal/site/kvserver/watches_test.go
@@ -26,39 +26,39 @@
 	watch := get(fmt.Sprintf("/watch?starts=a/&from=%d&wait_ms=5000", first))
 	watch.Handle = "watcher"
 	if effects := state.Step(now, []kvserver.Request{watch}); len(effects.Responses) != 0 {
-		t.Fatal("answered though nothing has changed")
+		t.Fatalf("watch before any change: got %d responses, want 0", len(effects.Responses))
 	}
 	otherPrefix := crashtest.CommitRequest(nil, []crashtest.Operation{{Key: "b", Value: "v"}})
 	if effects := state.Step(now, []kvserver.Request{otherPrefix}); len(effects.Responses) != 1 {
-		t.Fatal("answered for another prefix")
+		t.Fatalf("commit under another prefix: got %d responses, want that of the commit only", len(effects.Responses))
 	}
 	effects := state.Step(now, []kvserver.Request{crashtest.CommitRequest(nil, []crashtest.Operation{{Key: "a/2", Value: "v"}, {Key: "a/1"}})})
 	if len(effects.Responses) != 2 || effects.Responses[1].Handle != "watcher" {
-		t.Fatalf("%+v", effects.Responses)
+		t.Fatalf("commit under the watched prefix: got %+v, want 2 responses, the second of the watcher", effects.Responses)
 	}
 	var changes watchResponse
 	decode(t, effects.Responses[1], &changes)
 	if events := changes.Events; len(events) != 2 || events[0].WrittenKey != "a/2" || events[1].DeletedKey != "a/1" ||
 		events[0].ModRevision != events[1].ModRevision {
-		t.Errorf("%+v", changes)
+		t.Errorf("changes: got %+v, want two events of one revision", changes)
 	}
 	watch = get(fmt.Sprintf("/watch?starts=a/&from=%d&wait_ms=5000", changes.Revision))
 	state.Step(now, []kvserver.Request{watch})
 	if effects := state.Step(now.Add(4*time.Second), nil); len(effects.Responses) != 0 {
-		t.Error("answered before its time is up")
+		t.Errorf("watch before its deadline: got %d responses, want 0", len(effects.Responses))
 	}
 	if effects := state.Step(now.Add(5*time.Second), nil); len(effects.Responses) != 1 || effects.Responses[0].Status != http.StatusOK {
-		t.Errorf("not answered when its time is up: %+v", effects.Responses)
+		t.Errorf("watch at its deadline: got %+v, want one response with status 200", effects.Responses)
 	}
 	for i := range 25_000 {
 		commit(fmt.Sprintf("c/%d", i%7))
 	}
 	recent := get(fmt.Sprintf("/watch?starts=c/&from=%d", state.Revision()-10_000))
 	if response := sendOne(t, state, now, recent); response.Status != http.StatusOK {
-		t.Errorf("the last 10,000 changes are not retained: %d", response.Status)
+		t.Errorf("watch of the last 10,000 changes: got status %d, want 200", response.Status)
 	}
 	if response := sendOne(t, state, now, watch); response.Status != http.StatusGone {
-		t.Errorf("a watch from long ago: %d, want 410", response.Status)
+		t.Errorf("watch from a dropped revision: got status %d, want 410", response.Status)
 	}
 }
 
@@ -82,14 +82,14 @@
 		t.Run(fmt.Sprintf("from revision %d", from), func(t *testing.T) {
 			response := sendOne(t, reopened, time.Unix(200, 0), get(fmt.Sprintf("/watch?starts=a/&from=%d", from)))
 			if response.Status != status {
-				t.Fatalf("%d, want %d", response.Status, status)
+				t.Fatalf("status of the watch: got %d, want %d", response.Status, status)
 			}
 			if status != http.StatusOK {
 				return
 			}
 			var changes watchResponse
 			if decode(t, response, &changes); len(changes.Events) != 6-from || changes.Revision != 6 {
-				t.Errorf("%+v", changes)
+				t.Errorf("changes: got %+v, want %d events at revision 6", changes, 6-from)
 			}
 		})
 	}
--- a/internal/site/machinepool/state_test.go
+++ b/internal/site/machinepool/state_test.go
@@ -83,7 +83,7 @@
 	for _, id := range ids {
 		for _, w := range m.workers {
 			if w.machine == id || w.isToTake(id) {
-				m.t.Fatalf("deletion of %s confirmed, but %s has it (machine %q, assignments %v)", id, w.name, w.machine, w.assignments)
+				m.t.Fatalf("deletion of %s confirmed while %s has it: machine %q, assignments %v", id, w.name, w.machine, w.assignments)
 			}
 		}
 	}
@@ -117,7 +117,7 @@
 		}
 		ids := r.Body.(createResponse).IDs
 		if earlier, ok := m.created[name]; ok && earlier != fmt.Sprint(ids) {
-			m.t.Fatalf("request %s answered with %s and then with %v", name, earlier, ids)
+			m.t.Fatalf("answer of request %s: got %v, want %s as before", name, ids, earlier)
 		}
 		m.created[name] = fmt.Sprint(ids)
 		m.machines = append(m.machines, ids...)
@@ -151,7 +151,7 @@
 	byWorker := map[string]string{}
 	for id, machine := range m.state.record.Machines {
 		if other, ok := byWorker[machine.Worker]; ok {
-			m.t.Fatalf("%s has two machines, %s and %s", machine.Worker, other, id)
+			m.t.Fatalf("machines of %s: got %s and %s, want one", machine.Worker, other, id)
 		}
 		byWorker[machine.Worker] = id
 	}
@@ -247,7 +247,7 @@
 func TestCreateRequests(t *testing.T) {
 	f := newFixture(t)
 	if r := f.ask("POST", "/hosts", createBody("r", "t", "z", false, 1)); r.Status != http.StatusServiceUnavailable {
-		t.Errorf("no worker: status %d, want 503", r.Status)
+		t.Errorf("create without workers: got status %d, want 503", r.Status)
 	}
 	f.addWorkers()
 	for _, test := range []struct {
@@ -256,21 +256,21 @@
 		wantStatus int
 		wantCount  int
 	}{
-		{name: "no name", body: createBody("", "t", "z", false, 1), wantStatus: 400},
-		{name: "none asked for", body: createBody("x", "t", "z", false, 0), wantStatus: 400},
-		{name: "too many asked for", body: createBody("x", "t", "z", false, 51), wantStatus: 400},
+		{name: "request without a name", body: createBody("", "t", "z", false, 1), wantStatus: 400},
+		{name: "zero machines", body: createBody("x", "t", "z", false, 0), wantStatus: 400},
+		{name: "too many machines", body: createBody("x", "t", "z", false, 51), wantStatus: 400},
 		{name: "spot", body: createBody("x", "t", "z", true, 1), wantStatus: 503},
 		{name: "other zone", body: createBody("x", "t", "y", false, 1), wantStatus: 503},
 		{name: "other type", body: createBody("x", "u", "z", false, 1), wantStatus: 503},
 		{name: "three of nine", body: createBody("r", "t", "z", false, 9), wantStatus: 200, wantCount: 3},
-		{name: "all taken", body: createBody("s", "t", "z", false, 1), wantStatus: 503},
+		{name: "no free worker", body: createBody("s", "t", "z", false, 1), wantStatus: 503},
 	} {
 		r := f.ask("POST", "/hosts", test.body)
 		if r.Status != test.wantStatus {
-			t.Errorf("%s: status %d, want %d", test.name, r.Status, test.wantStatus)
+			t.Errorf("%s: got status %d, want %d", test.name, r.Status, test.wantStatus)
 		}
 		if created, ok := r.Body.(createResponse); test.wantCount > 0 && (!ok || len(created.IDs) != test.wantCount) {
-			t.Errorf("%s: response %v, want %d machines", test.name, r.Body, test.wantCount)
+			t.Errorf("%s: got response %v, want %d machines", test.name, r.Body, test.wantCount)
 		}
 	}
 }
@@ -290,7 +290,7 @@
 	} {
 		page := f.ask("GET", test.target, nil).Body.(instancesResponse)
 		if len(page.Instances) != test.wantCount || page.HasNext != test.wantHasNext {
-			t.Errorf("%s: %+v, want %d instances, has next %v", test.target, page, test.wantCount, test.wantHasNext)
+			t.Errorf("%s: got %+v, want %d instances, has next %v", test.target, page, test.wantCount, test.wantHasNext)
 		}
 	}
 }
@@ -301,15 +301,15 @@
 	f.addWorkers()
 	f.ask("POST", "/hosts", createBody("r", "t", "z", false, 9))
 	if r := f.ask("POST", "/hosts/delete", deletionBody("vm-999999")); r.Status != http.StatusOK {
-		t.Errorf("unknown machine: status %d, want 200", r.Status)
+		t.Errorf("delete an unknown machine: got status %d, want 200", r.Status)
 	}
 	if r := f.ask("POST", "/hosts/delete", deletionBody("vm-000001")); r.Status != 0 {
-		t.Errorf("answered with %d before the worker has reported", r.Status)
+		t.Errorf("delete before the worker has reported: got status %d, want no response", r.Status)
 	}
 	f.now = f.now.Add(time.Minute)
 	responses := f.state.Step(f.now, nil).Responses
 	if len(responses) != 1 || responses[0].Status != http.StatusServiceUnavailable || responses[0].RetryAfter == 0 {
-		t.Errorf("worker silent for a minute: %v, want one response with 503 and a time to retry", responses)
+		t.Errorf("worker silent for a minute: got %v, want one response with 503 and a time to retry", responses)
 	}
 }
 
@@ -327,32 +327,32 @@
 	f.ask("POST", "/hosts", createBody("r", "t", "z", false, 1))
 	answer := report("", 0, 0)
 	if answer.Machine != "vm-000001" || answer.HasDrainNotice {
-		t.Fatalf("assignment %+v, want vm-000001 without a drain notice", answer)
+		t.Fatalf("assignment: got %+v, want vm-000001 without a drain notice", answer)
 	}
 	report(answer.Machine, 3, answer.Serial)
 	f.ask("POST", "/site/drain", nil)
 	f.state = NewState(f.state.options, reloaded(f.state.record))
 	if answer = report("vm-000001", 3, answer.Serial); !answer.HasDrainNotice || answer.Machine == "" {
-		t.Errorf("drained with running tasks: assignment %+v, want the machine with a drain notice", answer)
+		t.Errorf("drained with running tasks: got assignment %+v, want the machine with a drain notice", answer)
 	}
 	if answer = report("vm-000001", 0, answer.Serial); answer.Machine != "" {
-		t.Errorf("drained and idle: assignment %+v, want no machine", answer)
+		t.Errorf("drained and idle: got assignment %+v, want no machine", answer)
 	}
 	report("", 0, answer.Serial)
 	if f.state.overview(f.now).AllWorkersSilentFor(30 * time.Second) {
-		t.Error("worker that has just reported counts as silent")
+		t.Error("worker that has just reported: silent, want not silent")
 	}
 	if !f.state.overview(f.now.Add(time.Minute)).AllWorkersSilentFor(30 * time.Second) {
-		t.Error("worker that has not reported for a minute does not count as silent")
+		t.Error("worker that has not reported for a minute: not silent, want silent")
 	}
 	if view := f.state.overview(f.now); !view.IsDraining || view.MachineCount != 0 {
-		t.Errorf("overview %+v, want draining with no machine", view)
+		t.Errorf("overview: got %+v, want draining with no machine", view)
 	}
 	if r := f.ask("POST", "/hosts", createBody("r", "t", "z", false, 1)); r.Status == http.StatusOK && len(f.state.record.Machines) > 0 {
-		t.Error("machine created while drained")
+		t.Error("machine created while drained, want none")
 	}
 	f.ask("POST", "/site/undrain", nil)
 	if r := f.ask("POST", "/hosts", createBody("r2", "t", "z", false, 1)); r.Status != http.StatusOK {
-		t.Errorf("after undrain: status %d, want 200", r.Status)
+		t.Errorf("create after the drain: got status %d, want 200", r.Status)
 	}
 }
--- a/internal/site/process/process_test.go
+++ b/internal/site/process/process_test.go
@@ -26,13 +26,13 @@
 		time.Sleep(5 * time.Millisecond) // until all four run; otherwise the test times out
 	}
 	if err := End(tags, nil, time.Minute); err != nil {
-		t.Error(err)
+		t.Errorf("end the processes: %v", err)
 	}
 	if left := Find(tags, nil); len(left) > 0 {
-		t.Errorf("processes left: %v, want none", left)
+		t.Errorf("processes after End: got %v, want none", left)
 	}
 	if cmd.Wait() == nil {
-		t.Error("the shell exited with status 0, want killed")
+		t.Error("shell: exit status 0, want killed")
 	}
 }
 
@@ -40,11 +40,11 @@
 func TestReusedPIDIsAnotherProcess(t *testing.T) {
 	id, err := Identify(os.Getpid())
 	if err != nil || !id.IsRunning() {
-		t.Fatalf("the test's own process: identity %+v, error %v, want running", id, err)
+		t.Fatalf("identity of the test's own process: got %+v, error %v, want a running process", id, err)
 	}
 	for _, other := range []Identity{{id.PID, id.StartTicks + 1, id.BootID}, {id.PID, id.StartTicks, "another boot"}} {
 		if other.IsRunning() || other.Signal(0) == nil {
-			t.Errorf("%+v is taken for the process %+v", other, id)
+			t.Errorf("identity %+v: running %v, want no process, since %+v has its PID", other, other.IsRunning(), id)
 		}
 	}
 }
--- a/internal/site/supervisor/supervisor_test.go
+++ b/internal/site/supervisor/supervisor_test.go
@@ -39,11 +39,11 @@
 	}
 	tags := map[string]bool{s.tag: true}
 	if len(process.Find(tags, nil)) == 0 {
-		t.Error("no process with the site's tag found, want those of the supervisor")
+		t.Error("processes with the tag of the site: got none, want those of the supervisor")
 	}
 	// Another supervisor of the site, as after this one was killed, ends its processes first.
 	if _, err := New("/bin/sh", dir, "test-"+t.Name(), nil, slog.New(slog.DiscardHandler)); err != nil {
-		t.Error(err)
+		t.Errorf("second supervisor: %v", err)
 	}
 	for runs("last") < 2 {
 		time.Sleep(10 * time.Millisecond) // the first supervisor still runs and restarts it
@@ -51,6 +51,6 @@
 	s.Stop()
 	<-stopped
 	if left := process.Find(tags, nil); len(left) > 0 {
-		t.Errorf("processes left after Stop: %v, want none", left)
+		t.Errorf("processes after Stop: got %v, want none", left)
 	}
 }
--- a/internal/wire/client/rate_limiter_test.go
+++ b/internal/wire/client/rate_limiter_test.go
@@ -24,11 +24,11 @@
 		t.Run(name, func(t *testing.T) {
 			limiter := NewRateLimiter(10, 2*time.Second)
 			if available := limiter.Available(start); available != 20 {
-				t.Fatalf("%d at the start, want 20", available)
+				t.Fatalf("available at the start: got %d, want 20", available)
 			}
 			limiter.Take(test.taken)
 			if available := limiter.Available(start.Add(test.after)); available != test.want {
-				t.Errorf("%d, want %d", available, test.want)
+				t.Errorf("available: got %d, want %d", available, test.want)
 			}
 		})
 	}
--- a/internal/wire/codec/json_size_test.go
+++ b/internal/wire/codec/json_size_test.go
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		if got := JSONSize(raw); got != len(plain) {
-			t.Fatalf("%d bytes counted, %d in %s", got, len(plain), plain)
+			t.Fatalf("JSON size: got %d bytes, want %d of %s", got, len(plain), plain)
 		}
 	})
 }
--- a/internal/wire/codec/validate_test.go
+++ b/internal/wire/codec/validate_test.go
@@ -22,14 +22,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := Validate(test.body); !errors.Is(err, test.want) {
-				t.Errorf("%v, want %v", err, test.want)
+				t.Errorf("validate: got error %v, want %v", err, test.want)
 			}
 		})
 	}
 	t.Run("binary", func(t *testing.T) {
 		var unsupported *UnsupportedTypeError
 		if err := Validate([]byte{0xc4, 0x01, 0x00}); !errors.As(err, &unsupported) || unsupported.Code != 0xc4 {
-			t.Errorf("%v, want an unsupported type 0xc4", err)
+			t.Errorf("validate: got error %v, want an unsupported type 0xc4", err)
 		}
 	})
 }
@@ -45,7 +45,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		object, err := UnmarshalMap(body)
 		if err == nil && Validate(body) != nil {
-			t.Fatalf("decoded %v from a body that Validate rejects", object)
+			t.Fatalf("body that Validate rejects: decoded as %v, want an error", object)
 		}
 	})
 }
--- a/internal/wire/http1/parse_test.go
+++ b/internal/wire/http1/parse_test.go
@@ -35,7 +35,7 @@
 				got = protocolErr.Status
 			}
 			if got != want {
-				t.Errorf("status %d, want %d (%v)", got, want, err)
+				t.Errorf("got status %d, want %d: %v", got, want, err)
 			}
 		})
 	}
@@ -45,12 +45,12 @@
 	whole := appendRequest(nil, "POST", "h", "/work", []byte("body"))
 	for i := range whole {
 		if m, _, err := Parse(whole[:i], false, MaxBodyBytes); m != nil || err != nil {
-			t.Fatalf("%d bytes: %v, %v", i, m, err)
+			t.Fatalf("parse the first %d bytes: got %v, error %v, want neither", i, m, err)
 		}
 	}
 	m, n, err := Parse(append(whole, "GET"...), false, MaxBodyBytes)
 	if err != nil || m == nil || n != len(whole) || string(m.Body) != "body" {
-		t.Fatalf("%v, %d, %v", m, n, err)
+		t.Fatalf("parse the whole message: got %+v of %d bytes, error %v, want body %q of %d bytes", m, n, err, "body", len(whole))
 	}
 }
 
@@ -62,10 +62,10 @@
 	f.Fuzz(func(t *testing.T, raw []byte, response bool) {
 		m, n, err := Parse(raw, response, MaxBodyBytes)
 		if m != nil && (err != nil || n <= 0 || n > len(raw) || len(m.Body) > MaxBodyBytes) {
-			t.Fatalf("%d of %d bytes, body of %d, %v", n, len(raw), len(m.Body), err)
+			t.Fatalf("parse %d bytes: got a message of %d with a body of %d, error %v", len(raw), n, len(m.Body), err)
 		}
 		if m == nil && n != 0 {
-			t.Fatalf("no message of %d bytes", n)
+			t.Fatalf("bytes consumed without a message: got %d, want 0", n)
 		}
 	})
 }
--- a/internal/wire/workerapi/messages_test.go
+++ b/internal/wire/workerapi/messages_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	if got := slices.Sorted(maps.Keys(fields)); !slices.Equal(got, []string{"launch", "stroke", "trim"}) {
-		t.Errorf("fields %v", got)
+		t.Errorf("fields: got %v, want [launch stroke trim]", got)
 	}
 	fields["wake"], fields["saved"] = "", false
 	complete, err := codec.Marshal(fields)
@@ -30,7 +30,7 @@
 	for name, body := range map[string][]byte{"left out": raw, "sent": complete} {
 		var got TaskStatus
 		if err := codec.Unmarshal(body, &got); err != nil || got != want {
-			t.Errorf("%s: %+v, %v, want %+v", name, got, err, want)
+			t.Errorf("decode %s: got %+v, error %v, want %+v", name, got, err, want)
 		}
 	}
 }
@@ -55,11 +55,11 @@
 				want = HeartbeatID{c.machine, 7, 9}
 			}
 			if id, ok := DecodeHeartbeatID(raw); ok != c.ok || id != want {
-				t.Errorf("%+v, %v, want %+v, %v", id, ok, want, c.ok)
+				t.Errorf("heartbeat ID: got %+v (ok %v), want %+v (ok %v)", id, ok, want, c.ok)
 			}
 		})
 	}
 	if _, ok := DecodeHeartbeatID([]byte("no heartbeat")); ok {
-		t.Error("a body that is no heartbeat has an identity")
+		t.Error("body that is no heartbeat: ID decoded, want none")
 	}
 }
