--- a/internal/controller/archive/build_test.go
+++ b/internal/controller/archive/build_test.go
@@ -13,7 +13,7 @@
 	"gullrudder/internal/wire/client"
 )
 
-// Urgent writes go first: while they fill the transactions, nothing is archived.
+// TestArchivingWaitsForUserWrites checks that nothing is archived while urgent writes fill the transactions.
 func TestArchivingWaitsForUserWrites(t *testing.T) {
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
 	leader := becomeLeader(t, cluster, time.Unix(5000, 0), 1, 1000)
@@ -44,8 +44,8 @@
 	}
 }
 
-// A write of several parts without a response is retried unchanged: what was executed late may be less than what could be written
-// by now, and its first part speaks for all.
+// TestFailedWriteIsRetriedUnchanged checks that a write of several parts without a response is retried unchanged: an
+// attempt that is executed late may hold less than could be written by now, and its first part stands for all parts.
 func TestFailedWriteIsRetriedUnchanged(t *testing.T) {
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
 	leader := becomeLeader(t, cluster, time.Unix(5000, 0), 1, 3)
--- a/internal/controller/archive/model_test.go
+++ b/internal/controller/archive/model_test.go
@@ -190,8 +190,9 @@
 	return segments > 0 && segments < 3 && s.leader.archive.JobCount() > 12
 }
 
-// Whatever becomes of its commits (refused, lost on the way there or back, executed late, under a leader that has been deposed) every
-// finished job is in exactly one place and found with its state and counts, and no other job is ever found. The plain model is a map.
+// TestEveryFinishedJobIsStoredOnce checks that every finished job is in exactly one place and is found with its state
+// and counts, and that no other job is found, whether its commits are refused, lost on the way there or back, executed
+// late, or sent by a deposed leader. The model is a map.
 func TestEveryFinishedJobIsStoredOnce(t *testing.T) {
 	first, second := collidingIDs()
 	compacted := 0
--- a/internal/controller/archive/older_version_test.go
+++ b/internal/controller/archive/older_version_test.go
@@ -30,8 +30,8 @@
 	return codec.Unmarshal(body, &a)
 }
 
-// A version without an archive must not lead: it would call archived jobs unknown. It reads all values below page/ as maps, and answers
-// no request until it has.
+// TestOlderVersionCannotLoadPages checks that a version without an archive cannot lead, since it would report archived
+// jobs as unknown: it reads all values below page/ as maps, and answers no request before it has read them.
 func TestOlderVersionCannotLoadPages(t *testing.T) {
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
 	leader := becomeLeader(t, cluster, time.Unix(5000, 0), 1, 1000)
--- a/internal/controller/failover/lease_renewal_test.go
+++ b/internal/controller/failover/lease_renewal_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A heartbeat that is answered but not reconciled, since its worker has not seen the fencing token yet, is answered with kills
-// of the tasks of cancelled jobs: a 200 without them would keep these tasks for another lease.
+// TestUnverifiedHeartbeatIsAnsweredWithKillsOfCancelledTasks checks that a heartbeat that is answered but not
+// reconciled, since its worker has not received the fencing token yet, is answered with kills of the tasks of cancelled
+// jobs: a response without them would let these tasks run for another lease.
 func TestUnverifiedHeartbeatIsAnsweredWithKillsOfCancelledTasks(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler, report := newReconcilerWithCancelledJob(t, now)
@@ -15,8 +16,8 @@
 	}
 }
 
-// A machine on which a cancelled task goes on after two kill commands gets no lease that would keep the task for longer than
-// the cancel timeout allows.
+// TestLeaseIsNotRenewedIfMachineIgnoresKills checks that the lease of a machine on which a cancelled task still runs
+// after two kill commands is not renewed for longer than the cancel timeout allows.
 func TestLeaseIsNotRenewedIfMachineIgnoresKills(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler, report := newReconcilerWithCancelledJob(t, now)
@@ -34,7 +35,8 @@
 	}
 }
 
-// Before the state is loaded a lease is renewed only if what the earlier leader has said proves that it expires in time.
+// TestNoLeaseIsRenewedBeforeStateIsLoaded checks that before the state is loaded a lease is renewed only if the reports
+// of the earlier leader prove that it expires in time.
 func TestNoLeaseIsRenewedBeforeStateIsLoaded(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
--- a/internal/controller/failover/reconciler_test.go
+++ b/internal/controller/failover/reconciler_test.go
@@ -13,8 +13,9 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// A heartbeat made under an older fencing token may be older than starts that an earlier leader has sent since: a
-// registered machine is reconciled only once its worker has seen the new token.
+// TestHeartbeatUnderOlderFencingTokenIsNotReconciled checks that a registered machine is reconciled only once its
+// worker has received the new fencing token: a heartbeat under an older token may be older than starts that an earlier
+// leader has sent since.
 func TestHeartbeatUnderOlderFencingTokenIsNotReconciled(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
@@ -37,8 +38,9 @@
 	}
 }
 
-// An instance that the cloud lists as failed is terminated during a failover at once, also if it is the only one; one that
-// is listed as running is not, as long as its lease may hold.
+// TestFailedInstancesAreTerminatedDuringAFailover checks that during a failover an instance that the cloud lists as
+// failed is terminated at once, also if it is the only one, and that one listed as running is not while its lease may
+// be valid.
 func TestFailedInstancesAreTerminatedDuringAFailover(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
@@ -59,8 +61,9 @@
 	}
 }
 
-// A new leader half of whose registered machines no longer exist probes those again and again. That they do not answer is no
-// sign of a partition: machines that have reported answer. If none at all answers, it is one.
+// TestTerminatedMachinesAreNoEvidenceOfPartition checks that unanswered probes of registered machines that no longer
+// exist are not taken for a partition while machines that have reported answer, and that it is one if no machine
+// answers.
 func TestTerminatedMachinesAreNoEvidenceOfPartition(t *testing.T) {
 	for name, alive := range map[string]int{"half of them are there": 20, "none answers": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -87,8 +90,9 @@
 	}
 }
 
-// The answer to a probe may arrive after the deletion of its machine was confirmed. The tasks that it lists are gone with the machine: if
-// they were assigned to it again, no lease and no further deletion would ever end them, and their job would never complete.
+// TestProbeAnswerOfRemovedMachineIsIgnored checks that the answer to a probe is ignored if the deletion of its machine
+// was confirmed before. The tasks that it lists no longer exist: if they were assigned to the machine again, no lease
+// and no deletion would ever end them, and their job would never complete.
 func TestProbeAnswerOfRemovedMachineIsIgnored(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
--- a/internal/controller/failover/unresponsive_test.go
+++ b/internal/controller/failover/unresponsive_test.go
@@ -11,8 +11,9 @@
 	"gullrudder/internal/controller/zones"
 )
 
-// Of an unavailable zone a few of the machines are kept, those on which the least runs; nothing is placed on these, and they
-// are terminated like others once the zone is available again.
+// TestSentinelsAreKeptInAnUnavailableZone checks that the machines of an unavailable zone on which the least runs are
+// kept as sentinels. Nothing is placed on sentinels, and they are terminated like other machines once the zone is
+// available again.
 func TestSentinelsAreKeptInAnUnavailableZone(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 1)
@@ -91,8 +92,9 @@
 	return sentinels, terminated
 }
 
-// A machine is terminated after two probes without an answer, unless more than a third of all machines are unresponsive, or
-// no heartbeat at all reaches this controller: on two recorded days a third of the machines went after the other.
+// TestSilentMachinesAreTerminated checks that a machine is terminated after two unanswered probes, unless more than a
+// third of all machines are unresponsive or no heartbeat at all reaches this controller. On two recorded days one third
+// of the machines after the other was terminated.
 func TestSilentMachinesAreTerminated(t *testing.T) {
 	for name, test := range map[string]struct {
 		machines, silent, terminated int
--- a/internal/controller/jobstore/store_test.go
+++ b/internal/controller/jobstore/store_test.go
@@ -45,6 +45,7 @@
 	return job
 }
 
+// TestDependencyState checks the state of a dependency for finished, unfinished and unknown jobs.
 func TestDependencyState(t *testing.T) {
 	store := newTestStore(t)
 	store.finished["job-1"] = finishedJob{FinalState: jobs.FinalState{State: jobs.Done, Tasks: 1}}
@@ -88,7 +89,8 @@
 
 func (o *orderObserver) OrderChanged() { o.changes++ }
 
-// A durable cancellation cancels all jobs that depend on the job, directly or through others, and no other job.
+// TestCancellationCancelsDependents checks that a durable cancellation cancels all jobs that depend on the job,
+// directly or through others, and no other job.
 func TestCancellationCancelsDependents(t *testing.T) {
 	store := newTestStore(t)
 	first := addJob(store, "job-1", jobs.Accepted)
@@ -113,7 +115,8 @@
 	}
 }
 
-// A cancellation is carried out once the job is retired; one that an earlier leader confirmed has no known time.
+// TestCancellationsCompletedBefore checks that a cancellation is completed once the job is retired, and that one
+// confirmed by an earlier leader has no known time.
 func TestCancellationsCompletedBefore(t *testing.T) {
 	store := newTestStore(t)
 	if got, known := store.CancellationsCompletedBefore(now); !known || !got.Equal(now) {
@@ -142,7 +145,7 @@
 	}
 }
 
-// A final record is restored as a final state, any other as an unfinished job.
+// TestRestoreJob checks that a final record is restored as a final state and any other record as an unfinished job.
 func TestRestoreJob(t *testing.T) {
 	accepted := jobs.New(jobs.Spec{Tasks: 3, CPUs: 2}, now).Record()
 	cancelled := accepted
--- a/internal/controller/storage/commit_test.go
+++ b/internal/controller/storage/commit_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Every commit requires the revision of the leader's key and of every page that it writes, so that one that is executed after another
-// leader's, or twice, changes nothing.
+// TestCommitGuardsLeaderAndPages checks that every commit requires the revision of the leader's key and of every page
+// that it writes, so that it changes nothing if it is executed after a commit of another leader, or twice.
 func TestCommitGuardsLeaderAndPages(t *testing.T) {
 	f := newLoadedFixture(t)
 	for round, modRevision := range []uint64{0, 20, 21} {
@@ -125,8 +125,8 @@
 	}
 }
 
-// After an uncertain outcome the page is read back. If an earlier try with fewer entries was executed, the change that came with the
-// later one is not durable yet.
+// TestReadBackDistinguishesAttempts checks that a page is read back after an uncertain outcome. If an earlier attempt
+// with fewer entries was executed, the change that came with the later attempt is not durable yet.
 func TestReadBackDistinguishesAttempts(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
@@ -159,7 +159,8 @@
 	}
 }
 
-// A commit that is refused because the leader's key has changed means that there is another leader.
+// TestLeaderKeyConflictFencesStore checks that the store is fenced if a commit is refused because the leader's key has
+// changed: there is another leader.
 func TestLeaderKeyConflictFencesStore(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, func(_ time.Time, ok bool) {
@@ -173,8 +174,8 @@
 	}
 }
 
-// While the outcome of a commit is uncertain nothing else is sent: who waits for a change behind it is told so at once, and again when
-// it is durable.
+// TestWaitersBehindUncertainCommitAreNotified checks that nothing is sent while the outcome of a commit is uncertain.
+// Callers that wait for a later change are notified at once that it is not durable, and again when it is.
 func TestWaitersBehindUncertainCommitAreNotified(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
@@ -192,8 +193,8 @@
 	}
 }
 
-// A revision below the fencing token and a page without a revision are no answers: the commit is read back, and the page read again,
-// rather than required at a revision that it cannot have.
+// TestInvalidResponsesAreRejected checks that a revision below the fencing token and a page without a revision are not
+// accepted as responses: the commit is read back, and the page is read again.
 func TestInvalidResponsesAreRejected(t *testing.T) {
 	f := newLoadedFixture(t)
 	done := false
@@ -223,8 +224,9 @@
 	}
 }
 
-// A commit that creates a page is executed late, after the page was written, and again after newer commits: its preconditions refuse it
-// each time, since pages are never deleted and a page's revision is never 0 again.
+// TestLatePageCreationIsRefused checks that a commit that creates a page is refused by its preconditions if it is
+// executed late, after the page was written, and again after newer commits: pages are never deleted, so the revision of
+// a page is never 0 again.
 func TestLatePageCreationIsRefused(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
@@ -256,8 +258,8 @@
 	}
 }
 
-// The next leader counts on from what it has read, so its first commit has the sequence number of this leader's commit whose answer was
-// lost. It is not taken for that commit, and no waiter is called with true.
+// TestCommitOfAnotherLeaderIsNotOwn checks that a commit of the next leader is not taken for this leader's commit with
+// the same sequence number, whose response was lost, and that no waiter is notified of success.
 func TestCommitOfAnotherLeaderIsNotOwn(t *testing.T) {
 	f := newLoadedFixture(t)
 	var notifications []bool
@@ -276,8 +278,9 @@
 	}
 }
 
-// A commit that was given up, read back as not executed, and executed a moment later makes the next one fail by its preconditions. The
-// leader's key tells that it was the leader's own: the leadership goes on, and what is stored in the end is what the leader knows.
+// TestOwnLateCommitDoesNotFence checks a commit that was given up, read back as not executed, and executed a moment
+// later, so that the next commit fails by its preconditions. The revision of the leader's key shows that the commit was
+// the leader's own: the store is not fenced, and in the end the stored entries are those of the leader.
 func TestOwnLateCommitDoesNotFence(t *testing.T) {
 	f := newLoadedFixture(t)
 	done := false
--- a/internal/controller/storage/messages_test.go
+++ b/internal/controller/storage/messages_test.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// A precondition has the bytes that all versions have sent so far.
+// TestPreconditionEncoding checks that a precondition is encoded to the bytes that all earlier versions have sent.
 func TestPreconditionEncoding(t *testing.T) {
 	const keyBytes = "82" + "a470617468" + "a161" + "a46d61726b"
 	for _, test := range []struct {
@@ -34,7 +34,7 @@
 	}
 }
 
-// Only the format of this version is read.
+// TestFormatOfAnotherVersionIsRefused checks that only the format of this version is read.
 func TestFormatOfAnotherVersionIsRefused(t *testing.T) {
 	encode := func(v any) msgpack.RawMessage {
 		raw, err := codec.Marshal(v)
--- a/internal/controller/storage/move_test.go
+++ b/internal/controller/storage/move_test.go
@@ -32,8 +32,9 @@
 	return nil, false
 }
 
-// A move without a response that was not found may still be executed. If a page shows another commit than the one that was
-// made after it, that page may have lost entries that memory still has: the store is fenced rather than write them again.
+// TestUncertainMoveFencesStore checks a move without a response that was not found and may still be executed. If a page
+// shows another commit than the one made after the move, the page may have lost entries that are still in memory: the
+// store is fenced and does not write them again.
 func TestUncertainMoveFencesStore(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
@@ -64,8 +65,8 @@
 	}
 }
 
-// Of two entries with one name that on the page with the higher number counts. The other page is written without its stale copy, and
-// until then no finished job leaves its page.
+// TestStaleCopyIsRemoved checks that of two entries with one name the one on the page with the higher number counts.
+// The other page is written without its stale copy, and no finished job leaves that page before.
 func TestStaleCopyIsRemoved(t *testing.T) {
 	f := newLoadedFixture(t)
 	raw := func(n int) msgpack.RawMessage {
@@ -92,8 +93,9 @@
 	}
 }
 
-// A page that is too large to be written is copied to new pages. The copy requires the page as it was read: an earlier commit of it
-// that is executed late would change what is copied.
+// TestCopyRequiresItsSource checks that a page that is too large to be written is copied to new pages, and that the
+// copy requires the page at the revision that was read: an earlier commit of the page that is executed late would
+// change what is copied.
 func TestCopyRequiresItsSource(t *testing.T) {
 	f := newLoadedFixture(t)
 	entries := map[string]msgpack.RawMessage{}
--- a/internal/controller/storage/page_test.go
+++ b/internal/controller/storage/page_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// After a failover entries still have the space to grow that was reserved for them.
+// TestReservedSpaceSurvivesFailover checks that the space that was reserved for entries is still reserved after a
+// failover.
 func TestReservedSpaceSurvivesFailover(t *testing.T) {
 	f := newLoadedFixture(t)
 	for _, name := range []string{"job-1", "job-2", "job-3"} {
@@ -24,7 +25,8 @@
 	}
 }
 
-// Entries never leave their page, and no page outgrows what a value may hold.
+// TestPagesStayWithinSizeLimit checks that entries stay on their page and that no page exceeds the size limit of a
+// value.
 func TestPagesStayWithinSizeLimit(t *testing.T) {
 	f := newLoadedFixture(t)
 	for i := range 40 {
--- a/internal/controller/storage/split_test.go
+++ b/internal/controller/storage/split_test.go
@@ -159,9 +159,9 @@
 	s.checkDurable(entries)
 }
 
-// Pages of an earlier version are larger than the limits that will apply. They are split, whatever answers are lost, when the limits
-// are lowered in between and when leaders end: nothing that was durable is lost or becomes older, until then each entry is on one
-// page, and in the end all pages are within the limits.
+// TestPagesAreSplitForLowerLimits checks that pages of an earlier version that exceed lowered limits are split, despite
+// lost responses, limits lowered in between and changes of the leader. No durable entry is lost or becomes older, each
+// entry is on one page until the limits are lowered, and in the end all pages are within the limits.
 func TestPagesAreSplitForLowerLimits(t *testing.T) {
 	lowered, copied := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -243,7 +243,7 @@
 	}
 }
 
-// A copy without a response is executed late, after the next try: it has no effect.
+// TestLateCopyIsRefused checks that a copy without a response has no effect when it is executed after the next attempt.
 func TestLateCopyIsRefused(t *testing.T) {
 	l := &lateCopy{t: t, service: newModelStore(), now: time.Unix(1000, 0)}
 	l.store = l.service.newLeader(t, l.now, &l.outbox, oldValueBytes, oldTxnOps)
--- a/internal/controller/worker/image_cache_test.go
+++ b/internal/controller/worker/image_cache_test.go
@@ -28,7 +28,7 @@
 	return m
 }
 
-// The cache holds the most recently used images that fit, as a plain list of them does.
+// TestImageCacheKeepsMostRecentlyUsed compares the cache with a list of the most recently used images that fit.
 func TestImageCacheKeepsMostRecentlyUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cache := ImageCache{SizeGB: 10}
--- a/internal/controller/worker/reachability/model_test.go
+++ b/internal/controller/worker/reachability/model_test.go
@@ -112,8 +112,9 @@
 	}
 }
 
-// Whatever is lost, late or repeated, and however often the worker restarts: a fresh heartbeat was sent after all that were
-// fresh before, a duplicate is never fresh, and a machine that has received nothing since the election gets no starts.
+// TestStaleHeartbeatIsNeverFresh checks over lost, late and repeated messages and restarts of the worker that a fresh
+// heartbeat was sent after all earlier fresh ones, that a duplicate is never fresh, and that a machine that has
+// received nothing since the election gets no starts.
 func TestStaleHeartbeatIsNeverFresh(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		link := &lossyLink{
--- a/internal/controller/worker/reachability/tracker_test.go
+++ b/internal/controller/worker/reachability/tracker_test.go
@@ -38,7 +38,7 @@
 	return workerapi.Heartbeat{Machine: "vm-1", Incarnation: incarnation, Sequence: sequence, FencingToken: fencingToken}
 }
 
-// The freshness of heartbeats in the order of their arrival.
+// TestClassify checks the freshness of heartbeats in the order of their arrival.
 func TestClassify(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
@@ -88,8 +88,9 @@
 	}
 }
 
-// A machine whose heartbeats arrive and that receives nothing: its starts do not appear, it gets no more, and after two
-// unanswered probes it counts as unresponsive, however punctual its heartbeats are. Once it answers a probe it gets starts again.
+// TestReportingMachineMayBeUnreachable checks a machine whose heartbeats arrive and that receives nothing. Its first
+// start is lost, it gets no more, and after two unanswered probes it is unresponsive although its heartbeats are
+// punctual. Once it answers a probe it gets starts again.
 func TestReportingMachineMayBeUnreachable(t *testing.T) {
 	tracker, now := newTestTracker(), time.Unix(1000, 0)
 	machine, registry := newTestMachine(true), newTestRegistry()
--- a/internal/controller/worker/reconcile_test.go
+++ b/internal/controller/worker/reconcile_test.go
@@ -35,8 +35,9 @@
 	return c.registry.Reconcile(c.now, machine, &heartbeat, complete, func(string) *jobs.Job { return c.job })
 }
 
-// An attempt is lost only when a newer heartbeat lacks it: not by an older one, one of an earlier incarnation, or the answer to
-// direct commands, which may have been made before the start that is still on its way.
+// TestAttemptIsLostOnlyByNewerCompleteHeartbeat checks that an attempt is lost only if a newer heartbeat lacks it, not
+// by an older heartbeat, one of an earlier incarnation, or the response to direct commands, which may precede a start
+// that is still in transit.
 func TestAttemptIsLostOnlyByNewerCompleteHeartbeat(t *testing.T) {
 	c := newReconcileTest()
 	c.reconcile(c.machine, true, workerapi.Heartbeat{Incarnation: 2, Sequence: 5})
@@ -64,7 +65,8 @@
 	}
 }
 
-// An attempt that a worker reports and that may not run here takes its resources until it is gone.
+// TestOrphansTakeResources checks that a reported attempt that must not run on its machine uses resources until it has
+// ended.
 func TestOrphansTakeResources(t *testing.T) {
 	c := newReconcileTest()
 	c.reconcile(c.machine, true, workerapi.Heartbeat{
