--- a/cmd/gullrudder/printer_test.go
+++ b/cmd/gullrudder/printer_test.go
@@ -22,6 +22,7 @@
 	return w.written.Write(text)
 }
 
+// TestPrinterKeepsFirstError checks that a printer reports its first error and writes nothing after it.
 func TestPrinterKeepsFirstError(t *testing.T) {
 	out := &failingWriter{accepted: 1}
 	p := newPrinter(out)
@@ -40,7 +41,7 @@
 	}
 }
 
-// A command whose output cannot be written ends with an error.
+// TestCommandsReportFailedWrites checks that a command whose output cannot be written returns an error.
 func TestCommandsReportFailedWrites(t *testing.T) {
 	for name, args := range map[string][]string{
 		"version":               {"version"},
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// TestParseOptions checks the values of valid options, and that an error names the line of an invalid one.
 func TestParseOptions(t *testing.T) {
 	options, err := ParseOptions([]byte("<gullrudder>\n <!-- ours -->\n <term>30</term>\n <age-bound>5m</age-bound>\n</gullrudder>"))
 	if err != nil || options.PlanningInterval != 30*time.Second || options.AgeBound != 5*time.Minute ||
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -13,6 +13,7 @@
  "state":{"rps":200,"write_rps":15,"value_kb":8,"txn_ops":12},"cloud":{"rps":2,"list_lag_s":3},
  "quota":{"cpu":0.2,"ram_mb":98,"max_connections":900},"clock_error_ms":1000}}`
 
+// TestParsePlatform checks the values of a valid platform file, and that an error names an invalid field.
 func TestParsePlatform(t *testing.T) {
 	platform, err := parsePlatform([]byte(validPlatformFile))
 	if err != nil || platform.WorkerLeaseDuration != 10*time.Second || platform.MaxValueBytes != 8192 || platform.Peers[0].Name != "n1" {
--- a/internal/console/model_test.go
+++ b/internal/console/model_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// The screens as a terminal of 80 by 24 shows them.
+// TestScreens checks the screens on a terminal of 80 by 24.
 func TestScreens(t *testing.T) {
 	for key, want := range map[string][]string{
 		"1": {
@@ -126,7 +126,8 @@
 	}
 }
 
-// An action is carried out only after it was confirmed with y, and its outcome is shown.
+// TestActionsAskForConfirmation checks that an action is carried out only after it was confirmed with y, and that its
+// outcome is shown.
 func TestActionsAskForConfirmation(t *testing.T) {
 	site := newFakeSite()
 	m := New(site, time.Hour)
@@ -154,7 +155,8 @@
 	}
 }
 
-// Problems are shown as text; a table longer than the terminal scrolls to the selected row; a small terminal is filled exactly.
+// TestProblemsLongListsAndSmallTerminals checks that problems are shown as text, that a table longer than the terminal
+// scrolls to the selected row, and that a small terminal is filled exactly.
 func TestProblemsLongListsAndSmallTerminals(t *testing.T) {
 	site := newFakeSite()
 	site.snapshot.Status.Leader, site.snapshot.FreeDiskMB, site.snapshot.MinFreeDiskMB = "", 100, 256
--- a/internal/controller/accounting/breakdown_test.go
+++ b/internal/controller/accounting/breakdown_test.go
@@ -6,7 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// What is stored of an account is what was counted. If there are more reasons than are stored, the total stays the same.
+// TestBreakdownRoundTrip checks that a stored account is decoded as it was counted. If there are more reasons than are
+// stored, the total is the same.
 func TestBreakdownRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want Breakdown
@@ -25,6 +26,7 @@
 	})
 }
 
+// TestParseBreakdownRejectsInvalidText checks that text that no account is encoded to is rejected.
 func TestParseBreakdownRejectsInvalidText(t *testing.T) {
 	for _, text := range []string{"?", "AA", "//8B"} {
 		if _, err := parseBreakdown(text); err == nil {
--- a/internal/controller/accounting/finished_test.go
+++ b/internal/controller/accounting/finished_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The accounts that are kept of finished jobs are the last ones.
+// TestFinishedAccountsAreBounded checks that the accounts of the jobs that finished last are kept, and no others.
 func TestFinishedAccountsAreBounded(t *testing.T) {
 	tracker, now := newTracker(), time.Unix(10_000, 0)
 	for i := range maxFinishedAccounts + 50 {
--- a/internal/controller/accounting/tracker_test.go
+++ b/internal/controller/accounting/tracker_test.go
@@ -36,7 +36,7 @@
 	r.now = r.now.Add(1500 * time.Millisecond)
 }
 
-// Each reason is brought about on one job; the account sums to the job's time.
+// TestEachWaitReason produces each reason on one job, and checks that the account sums to the job's time.
 func TestEachWaitReason(t *testing.T) {
 	tracker, registry := newTrackerWithMetrics()
 	r := &reasonTest{cluster: newCluster(), t: t, tracker: tracker}
@@ -159,8 +159,8 @@
 	endedMs map[string]int64 // by job ID: the time from its submission to its end
 }
 
-// Whatever happens in whatever order, over several leaders and clocks that differ, an account sums to the job's time exactly, and
-// so do the totals by class.
+// TestAccountsSumExactly checks over random events, several leaders and clocks that differ that an account sums exactly
+// to the job's time, and so do the totals by class.
 func TestAccountsSumExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &sumTest{cluster: newCluster(), tracker: newTracker(), endedMs: map[string]int64{}}
--- a/internal/controller/admission/admission_test.go
+++ b/internal/controller/admission/admission_test.go
@@ -24,7 +24,8 @@
 	return job
 }
 
-// A guaranteed job that was overdue by more than two planning intervals once ended the controller when another job was admitted.
+// TestAdmitBesideOverdueGuaranteedJob checks that a job is admitted beside a guaranteed one that is overdue by more
+// than two planning intervals. This once stopped the controller.
 func TestAdmitBesideOverdueGuaranteedJob(t *testing.T) {
 	planner := newTestPlanner(config.DefaultOptions())
 	now := time.Unix(10_000, 0)
@@ -42,7 +43,7 @@
 	}
 }
 
-// A job that depends on others is guaranteed only if they fit before it.
+// TestAdmitWithDependencies checks that a job with dependencies is guaranteed only if they fit before it.
 func TestAdmitWithDependencies(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	for _, c := range []struct {
@@ -70,6 +71,7 @@
 	}
 }
 
+// TestRoundUp checks to which number of CPUs demand is rounded up for a size of machine.
 func TestRoundUp(t *testing.T) {
 	for _, c := range []struct{ cpus, machineCPUs, want float64 }{
 		{0, 16, 0},
--- a/internal/controller/admission/exhaustive_test.go
+++ b/internal/controller/admission/exhaustive_test.go
@@ -48,8 +48,8 @@
 	return false
 }
 
-// Whatever the greedy plan admits is feasible, and a job that is alone is admitted exactly if it is feasible. All cases
-// of three jobs of up to four tasks and four intervals, on one to four CPUs.
+// TestAdmittedJobsAreFeasible checks that all admitted jobs are feasible, and that a single job is admitted exactly if
+// it is feasible. It covers all cases of three jobs of up to four tasks and four intervals on one to four CPUs.
 func TestAdmittedJobsAreFeasible(t *testing.T) {
 	admitted, refused := 0, 0
 	for code := range 16 * 16 * 16 {
--- a/internal/controller/ageing/ageing_test.go
+++ b/internal/controller/ageing/ageing_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// The jobs that are served first are those of the plain model. Cancelling a job and submitting it again gains nothing:
-// no other job that was first is displaced, and the new jobs are not first.
+// TestFirstJobsMatchWalk compares the jobs that are served first with a model. Cancelling a job and submitting it again
+// gains nothing: no other job loses its place, and the new jobs are not first.
 func TestFirstJobsMatchWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(10_000, 0)
--- a/internal/controller/ageing/wait_bound_test.go
+++ b/internal/controller/ageing/wait_bound_test.go
@@ -7,6 +7,7 @@
 	"pgregory.net/rapid"
 )
 
+// TestWaitBound checks the bound for a known load ahead, and that there is none without an aged share.
 func TestWaitBound(t *testing.T) {
 	policy := Policy{AgeBound: 7 * time.Minute, Share: 0.1, EstimateError: 2}
 	ahead := WorkAhead{
@@ -29,7 +30,8 @@
 	}
 }
 
-// A bound never falls because there is more work ahead, less capacity, or a quota.
+// TestWaitBoundGrowsWithWorkAhead checks that a bound never falls because of more work ahead, less capacity, or a
+// quota.
 func TestWaitBoundGrowsWithWorkAhead(t *testing.T) {
 	policy := Policy{AgeBound: 7 * time.Minute, Share: 0.1, EstimateError: 2}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/controller/api/query_parameters_test.go
+++ b/internal/controller/api/query_parameters_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// TestParseQueueFilter checks which queries of the queue are valid, and their filters.
 func TestParseQueueFilter(t *testing.T) {
 	cases := map[string]struct {
 		query string
@@ -33,6 +34,7 @@
 	}
 }
 
+// TestParseSince checks which start times of a query are valid, and their values.
 func TestParseSince(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	cases := map[string]struct {
--- a/internal/controller/api/routes_test.go
+++ b/internal/controller/api/routes_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// TestMethodFor checks the method that each path accepts.
 func TestMethodFor(t *testing.T) {
 	methods := map[string]string{
 		"work":                     http.MethodPost,
--- a/internal/controller/archived_jobs_test.go
+++ b/internal/controller/archived_jobs_test.go
@@ -99,8 +99,9 @@
 	return now
 }
 
-// Archived jobs are answered as before, with their counts read back. While these cannot be read the user gets 503 and asks
-// again, and in a long outage the state alone is given: after 90 s of failing queries a job would count as forgotten.
+// TestArchivedJobsAreAnswered checks that queries of archived jobs get the same responses as before, with counts that
+// are read back. While the counts cannot be read the response is 503, and in a long outage the state without counts: a
+// job counts as lost after 90 s of failing queries.
 func TestArchivedJobsAreAnswered(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	options := config.DefaultOptions()
--- a/internal/controller/autoscaler/arrivals_test.go
+++ b/internal/controller/autoscaler/arrivals_test.go
@@ -7,7 +7,8 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// A burst of arrivals is no rate; a steady flow has the rate at which it arrives, until it ends.
+// TestArrivalRate checks that a single burst of arrivals has no rate, and that a steady flow has its rate until it
+// ends.
 func TestArrivalRate(t *testing.T) {
 	f := newFixture()
 	record := func(tasks int) {
--- a/internal/controller/autoscaler/capacity_timeline_test.go
+++ b/internal/controller/autoscaler/capacity_timeline_test.go
@@ -18,7 +18,7 @@
 	return math.Inf(1)
 }
 
-// The sweep finds what a walk in small steps finds, also if capacity is taken away.
+// TestWorkSweepMatchesStepwiseWalk compares the sweep with a walk in small steps, also if capacity is removed.
 func TestWorkSweepMatchesStepwiseWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := capacityTimeline{extra: capacityStep{
--- a/internal/controller/autoscaler/consolidate_test.go
+++ b/internal/controller/autoscaler/consolidate_test.go
@@ -10,7 +10,8 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// A machine that is hardly used is drained if its tasks checkpoint and others have capacity for them. The tasks start again there.
+// TestUnderusedMachinesAreDrained checks that a machine with low utilization is drained if its tasks have checkpoints
+// and other machines have capacity for them, and that the tasks start again there.
 func TestUnderusedMachinesAreDrained(t *testing.T) {
 	t.Run("tasks with checkpoints", func(t *testing.T) {
 		f, job, machines := newUnderusedFixture(15 * time.Second)
--- a/internal/controller/autoscaler/forecast_test.go
+++ b/internal/controller/autoscaler/forecast_test.go
@@ -70,8 +70,8 @@
 	return sum - changed.loss(changed.predictMisses(capacityStep{}))
 }
 
-// The choice kind by kind, out of 1, 2, 4 and so on, is never worse than none, and on all small cases together it comes near to the
-// best of every count of every kind.
+// TestGreedyChoiceIsNearTheBest checks that the greedy choice, kind by kind out of 1, 2, 4 and so on, is never worse
+// than no instance, and that over all small cases it is close to the best choice of every count of every kind.
 func TestGreedyChoiceIsNearTheBest(t *testing.T) {
 	chosen, possible, worst := 0.0, 0.0, 0.0
 	rapid.Check(t, func(t *rapid.T) {
@@ -103,7 +103,8 @@
 	}
 }
 
-// More machines never raise the predicted misses, and no machine helps against a team's quota.
+// TestMoreMachinesNeverRaisePredictedMisses checks that more machines never raise the predicted misses, and that no
+// machine helps against a team's quota.
 func TestMoreMachinesNeverRaisePredictedMisses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		forecast := randomForecast(t)
@@ -126,7 +127,8 @@
 	})
 }
 
-// No instance is worth its price if no job waits; if it costs nothing and jobs wait, it is.
+// TestForecastEdgeCases checks that no instance is worth its price if no job waits, and that one without a price is if
+// jobs wait.
 func TestForecastEdgeCases(t *testing.T) {
 	forecast := &objectiveForecast{objectives: objectivesOf(edgeCaseObjectives), records: make([]objectiveRecord, 2), costWeight: 1}
 	if n := forecast.bestCount(candidateKind{cpus: 8, costPerSecond: 1, bootSeconds: 40, maxCount: 64}); n != 0 {
--- a/internal/controller/autoscaler/objectives_test.go
+++ b/internal/controller/autoscaler/objectives_test.go
@@ -14,7 +14,8 @@
 	{Kind: "deadline", Class: "c", TargetShare: 1, DeadlineFactor: 1.5},
 }
 
-// Objectives that more machines do not help are left out, and of those that all jobs are to keep a small share may miss.
+// TestObjectivesOfConfiguration checks that objectives that more machines cannot help are left out, and that an
+// objective for all jobs allows a small share to miss it.
 func TestObjectivesOfConfiguration(t *testing.T) {
 	list := objectivesOf(edgeCaseObjectives)
 	if len(list) != 2 || list[1].allowedMissShare != minAllowedMissShare || list[1].deadlineFactor != 1.5 {
@@ -22,7 +23,7 @@
 	}
 }
 
-// The record of how objectives were kept decays over time.
+// TestObjectiveHistoryDecays checks that the record of missed objectives decays over time.
 func TestObjectiveHistoryDecays(t *testing.T) {
 	f := newFixture()
 	f.setObjectives(config.Objective{Kind: "finished", Class: "c", TimeLimit: time.Minute, TargetShare: 0.95})
--- a/internal/controller/autoscaler/scaleout_test.go
+++ b/internal/controller/autoscaler/scaleout_test.go
@@ -13,8 +13,9 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// Machines that were lost with an earlier leader are not taken for capacity, nor for booting. Once their leases have expired
-// instances are requested for what waits, and they are terminated.
+// TestMachinesLostWithPreviousLeaderAreReplaced checks that machines that were lost with an earlier leader count
+// neither as capacity nor as booting. Once their leases have expired, instances are requested for the waiting tasks and
+// the lost ones are terminated.
 func TestMachinesLostWithPreviousLeaderAreReplaced(t *testing.T) {
 	f := newFixture()
 	for i := range 6 {
@@ -54,7 +55,8 @@
 	}
 }
 
-// A queue on a small cluster, shortly after an election, does not request many times the cluster at the expensive price.
+// TestExpensiveInstancesAreBoundByCheapOnes checks that a queue on a small cluster, shortly after an election, does not
+// lead to requests of many times the cluster at the expensive price.
 func TestExpensiveInstancesAreBoundByCheapOnes(t *testing.T) {
 	f := newFixture()
 	f.setObjectives(config.Objective{Kind: "finished", Class: "c", TimeLimit: time.Minute, TargetShare: 0.82})
@@ -105,8 +107,9 @@
 	return len(ids)
 }
 
-// Nothing in an unavailable zone is counted on, booting instances neither. One instance at a time is requested there if no machine
-// is left, and a heartbeat ends the outage.
+// TestUnavailableZonesAreNotCountedOn checks that nothing in an unavailable zone counts as capacity, including booting
+// instances. If no machine is left there, one instance at a time is requested as a probe, and a heartbeat ends the
+// outage.
 func TestUnavailableZonesAreNotCountedOn(t *testing.T) {
 	f := newFixture()
 	for i := range 8 {
--- a/internal/controller/autoscaler/stragglers_test.go
+++ b/internal/controller/autoscaler/stragglers_test.go
@@ -7,8 +7,8 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// Machines on which tasks take four times as long are cordoned and terminated, but only a small part of the machines at a time,
-// and none that costs nothing.
+// TestStragglersAreTerminated checks that machines on which tasks take four times as long are cordoned and terminated,
+// but only a small part of the machines at a time, and none without a price.
 func TestStragglersAreTerminated(t *testing.T) {
 	for _, test := range []struct {
 		name  string
--- a/internal/controller/cloud/boottime/estimator_test.go
+++ b/internal/controller/cloud/boottime/estimator_test.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// Without samples the stated time holds. Then samples count, and a period in which all boots are slow is forgotten soon after it
-// ends.
+// TestObservedBootTimesAdjustEstimate checks that the stated time holds without samples, that samples count then, and
+// that a period in which all boots are slow is forgotten soon after it ends.
 func TestObservedBootTimesAdjustEstimate(t *testing.T) {
 	estimator := New()
 	assertBetween(t, "no samples", estimator.Expected("small", statedTime), statedTime, statedTime)
@@ -40,8 +40,8 @@
 	assertBetween(t, "as usual again", estimator.Expected("small", statedTime), 34*time.Second, 46*time.Second)
 }
 
-// Instances that are late together raise the estimate before any of them reports, and are not given up after the usual time. A
-// single one that never reports among many that did is.
+// TestBootingInstancesRaiseEstimate checks that instances that are late together raise the estimate before any of them
+// reports and are not given up after the usual time, and that a single late one among many that reported is.
 func TestBootingInstancesRaiseEstimate(t *testing.T) {
 	estimator := New()
 	for range maxSamples {
@@ -69,7 +69,7 @@
 	assertBetween(t, "no instance awaited", estimator.Expected("small", statedTime), statedTime, statedTime)
 }
 
-// Whatever is observed, the estimates stay within bounds.
+// TestEstimateStaysBounded checks that the estimates stay within bounds, whatever is observed.
 func TestEstimateStaysBounded(t *testing.T) {
 	estimator := New()
 	for i := range 1000 {
--- a/internal/controller/cloud/call_queue_test.go
+++ b/internal/controller/cloud/call_queue_test.go
@@ -32,8 +32,9 @@
 	return counts
 }
 
-// Requests in a zone that does not answer delay neither those of another zone, nor deletions, nor lists. They are retried within
-// half of the call rate, and nothing more is requested in that zone.
+// TestFailingZoneDoesNotBlockOtherCalls checks that requests in a zone that does not answer delay neither those in
+// another zone, nor deletions, nor lists. They are retried within half of the call rate, and nothing more is requested
+// in that zone.
 func TestFailingZoneDoesNotBlockOtherCalls(t *testing.T) {
 	f := newFixture(t)
 	for i := range 6 {
@@ -85,7 +86,8 @@
 	}
 }
 
-// One instance that cannot be deleted keeps none of the others of its request.
+// TestRefusedDeletionIsSplit checks that an instance that cannot be deleted does not prevent the deletion of the others
+// in its request.
 func TestRefusedDeletionIsSplit(t *testing.T) {
 	f := newFixture(t)
 	var ids []string
@@ -108,7 +110,8 @@
 	}
 }
 
-// A cloud that does not answer is called about once a second, whatever is queued. When it answers again all of the queue goes out.
+// TestUnavailableCloudIsProbed checks that a cloud that does not answer is called about once a second, whatever is
+// queued, and that the whole queue is sent when it answers again.
 func TestUnavailableCloudIsProbed(t *testing.T) {
 	f := newFixture(t)
 	for i := range 12 {
--- a/internal/controller/cloud/client_test.go
+++ b/internal/controller/cloud/client_test.go
@@ -57,8 +57,8 @@
 	return map[string]any{"oarlocks": rows, "has_next": more}
 }
 
-// A list of several pages of which the last ones are missing says nothing of the instances on these, however often that
-// happens; only a complete list does.
+// TestTruncatedListDropsNoInstances checks that a list without its last pages drops no instances, however often that
+// happens, and that a complete list does.
 func TestTruncatedListDropsNoInstances(t *testing.T) {
 	f := newFixture(t)
 	list := f.callsAfter(0)
@@ -88,8 +88,9 @@
 	}
 }
 
-// A request for more instances than one call may ask for becomes several calls, each under its own name. One without an answer
-// is repeated under its name, and no more instances of the kind are requested meanwhile.
+// TestRequestsAreRetriedUnderTheirNames checks that a request for more instances than one call allows becomes several
+// calls with a name each, that a call without a response is retried under its name, and that no more instances of the
+// kind are requested meanwhile.
 func TestRequestsAreRetriedUnderTheirNames(t *testing.T) {
 	f := newFixture(t)
 	f.client.listing.next = f.now.Add(time.Hour)
--- a/internal/controller/dependencies/graph_test.go
+++ b/internal/controller/dependencies/graph_test.go
@@ -166,7 +166,8 @@
 	}
 }
 
-// The graph agrees with the plain model on random graphs, as jobs are submitted, done, and cancelled with all that depend on them.
+// TestGraphAgainstPlainModel compares the graph with a model on random graphs, as jobs are submitted, done, and
+// cancelled with all their dependents.
 func TestGraphAgainstPlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		test := newGraphTest()
@@ -185,7 +186,8 @@
 	})
 }
 
-// A deadline and a priority flow backwards through a diamond: each job is due when the longest chain after it has to start.
+// TestPropagateDeadline checks that a deadline and a priority propagate backwards through a diamond: each job is due
+// when the longest chain after it has to start.
 func TestPropagateDeadline(t *testing.T) {
 	root, slow, fast, last := newJob("job-1"), newJob("job-2", "job-1"), newJob("job-3", "job-1"), newJob("job-4", "job-2", "job-3")
 	slow.RunTimeEstimate, last.Deadline, last.Priority = 30*time.Second, 100*time.Second, jobs.High
--- a/internal/controller/dynamic_config_test.go
+++ b/internal/controller/dynamic_config_test.go
@@ -43,8 +43,8 @@
 	return response
 }
 
-// A change is applied as a whole or not at all, counts once it is durable, is what the next leader has too, and is recorded
-// with its author.
+// TestOptionsAreApplied checks that a change is applied as a whole or not at all, takes effect once it is durable, is
+// loaded by the next leader, and is recorded with its author.
 func TestOptionsAreApplied(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	controller, service := newTestLeader(now, config.DefaultOptions()), newFakeStateService()
--- a/internal/controller/dynamicconfig/record_test.go
+++ b/internal/controller/dynamicconfig/record_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Whatever the number of changes and their authors, the record stays within the bytes reserved for it in its page, and the
-// newest change is kept.
+// TestRecordSizeIsBounded checks that the record stays within the bytes reserved for it in its page, whatever the
+// number of changes and their authors, and that the newest change is kept.
 func TestRecordSizeIsBounded(t *testing.T) {
 	const bytesOfSmallPage = 1900 // with a state service whose values hold 2 KiB
 	for _, maxBytes := range []int{maxRecordBytes, bytesOfSmallPage} {
--- a/internal/controller/estimate/estimate_test.go
+++ b/internal/controller/estimate/estimate_test.go
@@ -11,6 +11,7 @@
 	return jobs.New(jobs.Spec{ID: "job-1", Class: class, Tasks: tasks, CPUs: cpus, RunTimeEstimate: estimate}, submittedAt)
 }
 
+// TestTaskRunTime checks how run times of the class and of the job itself adjust the owner's estimate.
 func TestTaskRunTime(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -50,6 +51,7 @@
 	return list
 }
 
+// TestRemainingCPUSeconds checks the remaining CPU seconds of jobs with and without CPUs.
 func TestRemainingCPUSeconds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
--- a/internal/controller/failures/tracker_test.go
+++ b/internal/controller/failures/tracker_test.go
@@ -191,7 +191,8 @@
 	}
 }
 
-// On small cases every verdict is supported by the exact posterior, and what is nearly certain is found.
+// TestVerdictsMatchExactPosterior checks on small cases that every verdict is supported by the exact posterior, and
+// that crash loops that are nearly certain are found.
 func TestVerdictsMatchExactPosterior(t *testing.T) {
 	var counts verdictCounts
 	rapid.Check(t, func(t *rapid.T) {
@@ -208,8 +209,9 @@
 	}
 }
 
-// Two of ten machines fail every task while two of ten jobs crash on every machine: these are found and nothing else. Each job
-// is tried on machines that it has not failed on.
+// TestCrashLoopingJobsAndFaultyMachinesTogether checks that two of ten machines that fail every task and two of ten
+// jobs that crash on every machine are found, and nothing else. Each job is tried on machines that it has not failed
+// on.
 func TestCrashLoopingJobsAndFaultyMachinesTogether(t *testing.T) {
 	tracker, now := New(), time.Unix(1000, 0)
 	done := map[int]int{}
@@ -235,7 +237,8 @@
 	}
 }
 
-// Two crash-looping jobs that fail on the same machines do not make these faulty.
+// TestCrashLoopingJobsDoNotMakeMachineFaulty checks that two crash-looping jobs that fail on the same machines do not
+// make these faulty.
 func TestCrashLoopingJobsDoNotMakeMachineFaulty(t *testing.T) {
 	tracker, now := New(), time.Unix(1000, 0)
 	for i := range 6 {
@@ -251,7 +254,8 @@
 	}
 }
 
-// A faulty machine is not found while only a crash-looping job fails on it; it is once others do.
+// TestFaultyMachineWithOnlyCrashLoopingJob checks that a faulty machine is not found while only a crash-looping job
+// fails on it, and is found once other jobs do.
 func TestFaultyMachineWithOnlyCrashLoopingJob(t *testing.T) {
 	tracker, now := New(), time.Unix(1000, 0)
 	for i := range 4 {
@@ -268,7 +272,8 @@
 	}
 }
 
-// Retries are delayed longer each time and share a budget, whatever the number of crash-looping jobs.
+// TestRetriesShareBudget checks that retries are delayed longer each time and share a budget, whatever the number of
+// crash-looping jobs.
 func TestRetriesShareBudget(t *testing.T) {
 	tracker, now := New(), time.Unix(1000, 0)
 	const jobs = 200
@@ -293,7 +298,7 @@
 	}
 }
 
-// The tracker keeps recent failures only, and a bounded number of neighbours.
+// TestTrackerIsBounded checks that the tracker keeps recent failures only, and a bounded number of neighbours.
 func TestTrackerIsBounded(t *testing.T) {
 	tracker, now := New(), time.Unix(1000, 0)
 	for i := range 5000 {
--- a/internal/controller/fairshare/best_choice_test.go
+++ b/internal/controller/fairshare/best_choice_test.go
@@ -92,8 +92,8 @@
 	return overdue
 }
 
-// On small cases the group that is served least gets nearly what the best choice of jobs gives it, and the shares are not
-// exceeded but by the last job.
+// TestLeastServedNearBestChoice checks on small cases that the least served group gets nearly what the best choice of
+// jobs would give it, and that only the last job may exceed the share.
 func TestLeastServedNearBestChoice(t *testing.T) {
 	const totalCPUs = 60
 	sum, sumOfBest, worst := 0.0, 0.0, 0.0
--- a/internal/controller/fairshare/fairshare_test.go
+++ b/internal/controller/fairshare/fairshare_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A leader that is elected in a shortage restores the served counts, with their age.
+// TestServedCountsAreRestored checks that a leader elected in a shortage restores the served counts with their age.
 func TestServedCountsAreRestored(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	store := storage.New(storage.Options{MaxValueBytes: 4096, MaxTransactionOps: 8, WriteRate: 20}, 1, log)
@@ -85,8 +85,9 @@
 	}
 }
 
-// Jobs that are overdue but not yet unserved have the small share only: on the first site's busy day whole classes were
-// overdue and done soon after, and two fifths of the cluster for them made other jobs miss their objectives.
+// TestOverdueIsNotYetUnserved checks that jobs that are overdue but not yet unserved get the small share only. On a
+// busy day of the first site whole classes were overdue and done soon after, and two fifths of the cluster for them
+// made other jobs miss their objectives.
 func TestOverdueIsNotYetUnserved(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -117,7 +118,8 @@
 	}
 }
 
-// Allocated capacity counts while it is used, also when its job has nothing left to start.
+// TestAllocatedCPUsCountWhileInUse checks that allocated capacity counts while it is in use, also if its job has
+// nothing left to start.
 func TestAllocatedCPUsCountWhileInUse(t *testing.T) {
 	allocator, now := New(testPolicy()), time.Unix(10_000, 0)
 	first, second := newJob(1, "c", "t", 20, 1), newJob(2, "c", "t", 20, 1)
@@ -137,8 +139,9 @@
 	}
 }
 
-// Of a class with jobs of one size no job is one of the largest; of others the top tenth by work or by tasks is, one job
-// at least. The largest are below the minimum share as a group of their own, though their class is served well.
+// TestLargestJobsOfClass checks that in a class with jobs of one size no job is among the largest, and that in other
+// classes the top tenth by work or by tasks is, at least one job. The largest are below the minimum share as a group of
+// their own although their class is served well.
 func TestLargestJobsOfClass(t *testing.T) {
 	now := time.Unix(5000, 0)
 	allocator := New(Policy{Window: time.Hour, MinServedShare: 0.7, CapacityShare: 0.5})
@@ -167,8 +170,8 @@
 	}
 }
 
-// Of a class of which less than half is done the largest job does not go first: it would take the capacity of one that
-// can still be done.
+// TestHalfOfClassBeforeItsLargest checks that the largest job of a class does not go first while less than half of the
+// class is done: it would take the capacity of a job that can still be done.
 func TestHalfOfClassBeforeItsLargest(t *testing.T) {
 	now := time.Unix(5000, 0)
 	allocator := New(Policy{Window: time.Hour, MinServedShare: 0.7, CapacityShare: 0.4})
--- a/internal/controller/fairshare/flood_test.go
+++ b/internal/controller/fairshare/flood_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// In an endless shortage in which one class floods the queue, every class and team gets its jobs done, that of a single
-// large job too; the capacity that is allocated at a time stays within the share.
+// TestEveryGroupServedInFlood checks that in an endless shortage in which one class floods the queue every class and
+// team gets its jobs done, also that of a single large job, and that the allocated capacity stays within the share.
 func TestEveryGroupServedInFlood(t *testing.T) {
 	flooding := &floodStream{class: "flood", team: "a", tasks: 50, cpus: 1, interval: 1}
 	f := &flood{
--- a/internal/controller/forwarding_test.go
+++ b/internal/controller/forwarding_test.go
@@ -12,8 +12,8 @@
 	"gullrudder/internal/wire/server"
 )
 
-// A response that a follower has asked the leader for is delayed; another controller leads since, and may have told the user
-// that the job is cancelled. The older response is not passed on any more.
+// TestResponseOfAnEarlierLeaderIsNotForwarded checks that a follower does not forward the delayed response of a leader
+// once another controller leads, since that one may have confirmed the cancellation of the job.
 func TestResponseOfAnEarlierLeaderIsNotForwarded(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	platform := &config.Platform{
--- a/internal/controller/jobs/attempt_test.go
+++ b/internal/controller/jobs/attempt_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Each condition alone keeps an attempt from being preempted.
+// TestCanBePreempted checks that each condition alone prevents the preemption of an attempt.
 func TestCanBePreempted(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	cases := map[string]struct {
--- a/internal/controller/jobs/job_test.go
+++ b/internal/controller/jobs/job_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Users and metrics read the names of the final states.
+// TestFinalStateNames checks the names of the final states that users and metrics read.
 func TestFinalStateNames(t *testing.T) {
 	for state, want := range map[State]string{Done: "done", Cancelled: "cancelled"} {
 		job := &Job{State: state}
--- a/internal/controller/jobs/parse_test.go
+++ b/internal/controller/jobs/parse_test.go
@@ -40,6 +40,7 @@
 	return ParseSpec(raw)
 }
 
+// TestParseSpec checks every field of a valid submission.
 func TestParseSpec(t *testing.T) {
 	fields := submission()
 	fields["cpus"], fields["strokes"] = 8, 16.0 // a whole number for an amount, and the reverse
@@ -54,6 +55,7 @@
 	}
 }
 
+// TestParseSpecCountsADependencyOnce checks that repeated dependencies are dropped.
 func TestParseSpecCountsADependencyOnce(t *testing.T) {
 	spec, err := parse(t, submissionWith("tows", []string{"job-2", "job-1", "job-2"}))
 	if err != nil || !slices.Equal(spec.Dependencies, []string{"job-2", "job-1"}) {
@@ -61,6 +63,7 @@
 	}
 }
 
+// TestParseSpecRejectsInvalidFields checks that each invalid value of a field gets a validation error with status 400.
 func TestParseSpecRejectsInvalidFields(t *testing.T) {
 	invalidValues := map[string][]any{
 		"id": {nil, "", "job-", "job-12x", "Job-1", 7}, "berth": {nil, 3, ""}, "crew": {nil}, "rig": {"raft", nil},
@@ -81,6 +84,7 @@
 	}
 }
 
+// TestParseSpecRejectsMissingFields checks that a submission without a required field is rejected.
 func TestParseSpecRejectsMissingFields(t *testing.T) {
 	optional := []string{"keels", "harbour", "landfall_s"}
 	for name := range submission() {
@@ -95,7 +99,8 @@
 	}
 }
 
-// No field takes a value of a type that no field has, or one beyond all bounds.
+// TestParseSpecRejectsImpossibleValues checks that every field rejects a value of a type that no field has, or one
+// beyond all bounds.
 func TestParseSpecRejectsImpossibleValues(t *testing.T) {
 	impossible := []any{map[string]any{}, []any{}, math.Inf(1), math.Inf(-1), strings.Repeat("x", maxTextBytes+1), 1e300}
 	for name := range submission() {
@@ -107,6 +112,7 @@
 	}
 }
 
+// TestParseSpecRejectsOtherMessages checks that messages that are not a submission are rejected.
 func TestParseSpecRejectsOtherMessages(t *testing.T) {
 	for _, message := range []any{nil, 3, "x", []int{1}} {
 		if _, err := parse(t, message); err == nil {
--- a/internal/controller/jobs/production_test.go
+++ b/internal/controller/jobs/production_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A record that the version in production has stored is read with all its fields.
+// TestProductionRecordsAreRead checks that a record stored by the version in production is read with all its fields.
 func TestProductionRecordsAreRead(t *testing.T) {
 	want := Spec{
 		ID: "job-000412", Class: "train", Team: "vision", Priority: High, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64,
@@ -83,7 +83,8 @@
 	}
 }
 
-// A record of the version in production is written back with the same fields, since that version may lead again.
+// TestProductionRecordIsRewrittenUnchanged checks that a record of the version in production is written back with the
+// same fields, since that version may lead again.
 func TestProductionRecordIsRewrittenUnchanged(t *testing.T) {
 	var record Record
 	loadFixture(t, "accepted", &record)
@@ -108,6 +109,7 @@
 	}
 }
 
+// TestProductionFinalRecordsAreRead checks that final records of the version in production are read.
 func TestProductionFinalRecordsAreRead(t *testing.T) {
 	for name, state := range map[string]State{"done": Done, "cancelled": Cancelled} {
 		var record Record
@@ -118,6 +120,7 @@
 	}
 }
 
+// TestProductionChunkIsRead checks that a chunk of results of the version in production is read.
 func TestProductionChunkIsRead(t *testing.T) {
 	var chunk Chunk
 	if loadFixture(t, "chunk", &chunk); chunk.DoneBits != "AQI" {
@@ -125,7 +128,8 @@
 	}
 }
 
-// Records have only the fields of the version in production, with the same names and types, and those of dependencies.
+// TestRecordHasProductionFieldsOnly checks that records have only the fields of the version in production, with the
+// same names and types, and those of dependencies.
 func TestRecordHasProductionFieldsOnly(t *testing.T) {
 	known := map[string]reflect.Type{}
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[productionRecord]()) {
@@ -140,8 +144,9 @@
 	}
 }
 
-// The version in production reads what is written of any job. The fields of dependencies are written only for jobs that have
-// some: such jobs are submitted only when that version runs nowhere any more.
+// TestProductionReadsNewRecords checks that the version in production reads the record of any job. The fields of
+// dependencies are written only for jobs that have dependencies, which are submitted only once that version is no
+// longer in use.
 func TestProductionReadsNewRecords(t *testing.T) {
 	for _, dependencies := range [][]string{nil, {"job-1", "job-2"}} {
 		spec := Spec{
--- a/internal/controller/jobs/record_test.go
+++ b/internal/controller/jobs/record_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// A job is rebuilt from what is stored of it, whether its results are in the record or in many chunks, and its record never
-// outgrows the bytes that were reserved for it.
+// TestRecordRoundTrip checks that a job is restored from its stored records, with its results in the record or in many
+// chunks, and that its record never exceeds the bytes reserved for it.
 func TestRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := drawJob(t)
--- a/internal/controller/placement/gangs_test.go
+++ b/internal/controller/placement/gangs_test.go
@@ -28,8 +28,8 @@
 	return starts, numbers
 }
 
-// A gang is placed with all its tasks on the fewest machines, or not at all; its starts have one attempt number and are
-// sent with the machines' heartbeat responses.
+// TestGangIsPlacedAsAWhole checks that a gang is placed with all its tasks on the fewest machines, or not at all, and
+// that its starts have one attempt number and are sent with the machines' heartbeat responses.
 func TestGangIsPlacedAsAWhole(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -63,7 +63,8 @@
 	}
 }
 
-// The starts for a machine that stays silent are taken back, and the gang waits as a whole again.
+// TestGangStartsAreWithdrawn checks that the starts for a silent machine are withdrawn, and that the gang waits as a
+// whole again.
 func TestGangStartsAreWithdrawn(t *testing.T) {
 	f := newFixture()
 	machine := f.AddMachine(0, "large", "a", false)
@@ -82,7 +83,7 @@
 	}
 }
 
-// A gang that has run in part for too long is stopped.
+// TestPartialGangIsStopped checks that a gang that has run in part for too long is stopped.
 func TestPartialGangIsStopped(t *testing.T) {
 	f := newFixture()
 	machine := f.AddMachine(0, "large", "a", false)
--- a/internal/controller/placement/placement_test.go
+++ b/internal/controller/placement/placement_test.go
@@ -11,8 +11,8 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// Of two jobs of one rank the one whose image is on the machine starts first, until the other has waited for a machine
-// with its image as long as fetching would take.
+// TestJobWithImageOnMachineStartsFirst checks that of two jobs of one rank the one whose image is on the machine starts
+// first, until the other one has waited as long as it takes to fetch its image.
 func TestJobWithImageOnMachineStartsFirst(t *testing.T) {
 	f := newFixture()
 	machine := f.AddMachine(1, "small", "a", false)
@@ -44,7 +44,7 @@
 	}
 }
 
-// The result cached for a shape is what a walk over the machines finds for the job itself.
+// TestShapeFitsMatchWalk compares the result cached for a shape with a walk over the machines for the job itself.
 func TestShapeFitsMatchWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFixture()
@@ -85,8 +85,8 @@
 	return min(tasks, job.WaitingTasks())
 }
 
-// What is kept up to date with each change is what a walk finds: the utilization buckets of the machines, and a job's
-// running tasks, their remaining work and their zones.
+// TestIndexesMatchWalks compares the indexes that are updated with each change with walks: the utilization buckets of
+// the machines, and a job's running tasks, their remaining work and their zones.
 func TestIndexesMatchWalks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFixture()
--- a/internal/controller/placement/preempt_test.go
+++ b/internal/controller/placement/preempt_test.go
@@ -35,8 +35,8 @@
 	return stopped
 }
 
-// Tasks with checkpoints are preempted for a guaranteed job that would miss its deadline if it waited, no more than it
-// needs, and their machine is reserved for it.
+// TestPreemption checks that tasks with checkpoints are preempted for a guaranteed job that would otherwise miss its
+// deadline, no more than it needs, and that their machine is reserved for it.
 func TestPreemption(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/internal/controller/placement/reservations_test.go
+++ b/internal/controller/placement/reservations_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A machine that is too full for a guaranteed job is reserved for it: smaller tasks of best-effort jobs don't take what
-// becomes free, the job does.
+// TestReservedMachineIsKeptForJob checks that a machine that is too full for a guaranteed job is reserved for it: free
+// resources go to that job and not to smaller tasks of best-effort jobs.
 func TestReservedMachineIsKeptForJob(t *testing.T) {
 	f := newFixture()
 	machine := f.AddMachine(0, "small", "a", false)
--- a/internal/controller/routing_test.go
+++ b/internal/controller/routing_test.go
@@ -10,8 +10,8 @@
 	"gullrudder/internal/wire/server"
 )
 
-// Each path takes one method, and is served on one of the two addresses where that matters. The controller of the test is a
-// follower that knows no leader.
+// TestRequestsAreRouted checks that each path accepts one method, and is served on one of the two addresses where that
+// matters. The controller is a follower that knows no leader.
 func TestRequestsAreRouted(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	platform := &config.Platform{
--- a/internal/controller/straggler/detector_test.go
+++ b/internal/controller/straggler/detector_test.go
@@ -12,8 +12,9 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// Ten of 400 machines take twice as long, the run times of a job's tasks vary by half, and owners' estimates play no part.
-// All slow machines are found within forty tasks each, with at most two false positives.
+// TestFindsSlowMachines checks that all of 10 slow machines out of 400 are found within forty tasks each, with at most
+// two false positives. The slow machines take twice as long, the run times of a job's tasks vary by half, and owners'
+// estimates play no part.
 func TestFindsSlowMachines(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	detector := New(time.Second)
@@ -56,7 +57,7 @@
 	}
 }
 
-// A slow machine that recovers is used again.
+// TestMachineRecovers checks that a slow machine that recovers is used again.
 func TestMachineRecovers(t *testing.T) {
 	detector := New(time.Second)
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -70,7 +71,7 @@
 	}
 }
 
-// If tasks take longer on all machines, none of them is at fault.
+// TestNoMachineIsSlowIfAllAre checks that no machine is slow if tasks take longer on all of them.
 func TestNoMachineIsSlowIfAllAre(t *testing.T) {
 	detector := New(time.Second)
 	for range 30 {
@@ -85,7 +86,8 @@
 	}
 }
 
-// Run times below the resolution, and jobs with too few completed tasks, are no evidence.
+// TestNoMachineIsSlowWithoutEvidence checks that run times below the resolution and jobs with too few completed tasks
+// are no evidence.
 func TestNoMachineIsSlowWithoutEvidence(t *testing.T) {
 	detector := New(10 * time.Second)
 	for range 50 {
--- a/internal/controller/submission/limiter_test.go
+++ b/internal/controller/submission/limiter_test.go
@@ -116,8 +116,8 @@
 	return count
 }
 
-// A team that floods does not keep another one out, whether or not its users obey Retry-After. Users of one team who
-// obey it are accepted in the order of their first submissions.
+// TestTeamsShareTheLimiter checks that a team that floods the limiter does not keep another one out, whether or not its
+// users obey Retry-After, and that users of one team who obey it are accepted in the order of their first submissions.
 func TestTeamsShareTheLimiter(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -144,7 +144,7 @@
 	}
 }
 
-// Retrying at once gains at most a tenth.
+// TestRetryingAtOnceGainsNothing checks that retrying at once gains at most a tenth.
 func TestRetryingAtOnceGainsNothing(t *testing.T) {
 	waiting, retrying := len(runTwoTeams(t, false).waits["flood"]), len(runTwoTeams(t, true).waits["flood"])
 	if retrying > waiting*11/10 {
@@ -152,7 +152,8 @@
 	}
 }
 
-// The tickets of a team whose users never retry are bounded and expire, and the team is removed.
+// TestTicketsExpire checks that the tickets of a team whose users never retry are bounded and expire, and that the team
+// is removed.
 func TestTicketsExpire(t *testing.T) {
 	limiter := New(1, 1)
 	now := time.Unix(1000, 0)
--- a/internal/controller/zones/tracker_test.go
+++ b/internal/controller/zones/tracker_test.go
@@ -175,8 +175,9 @@
 	}
 }
 
-// Over random outages, recoveries, pauses and lost connections of the leader: an outage is detected within detectionBound, its
-// end within recoveryBound, and no zone is Unavailable that was reachable all the time, whatever happens to the leader.
+// TestTrackerMatchesModel checks over random outages, recoveries, pauses and lost connections of the leader that an
+// outage is detected within detectionBound and its end within recoveryBound, and that a zone that was reachable all the
+// time is never Unavailable.
 func TestTrackerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.Uint64().Draw(t, "seed"), map[string]int{
@@ -197,7 +198,8 @@
 	})
 }
 
-// The outage of a large zone is detected sooner than that of a small one, and jitter alone never looks like an outage.
+// TestDetectionTimeBySize checks that the outage of a large zone is detected sooner than that of a small one, and that
+// jitter alone is never taken for an outage.
 func TestDetectionTimeBySize(t *testing.T) {
 	for _, machines := range []int{6, 60, 600} {
 		m := newModel(uint64(machines), map[string]int{"a": machines, "b": machines})
@@ -244,8 +246,8 @@
 	return firstLimit, m.now.Sub(start)
 }
 
-// A zone that recovers gets instances in steps that double. After repeated outages it takes longer each time until it is Healthy,
-// and ten minutes later the outages are forgotten.
+// TestRecoveryStepsAndFlapping checks that a zone that recovers gets instances in steps that double, that after
+// repeated outages it takes longer each time until it is Healthy, and that the outages are forgotten after ten minutes.
 func TestRecoveryStepsAndFlapping(t *testing.T) {
 	m := newModel(1, map[string]int{"a": 40, "b": 40})
 	m.run(20*time.Second, func() {})
@@ -277,7 +279,8 @@
 	}
 }
 
-// The silence of a third of a zone's machines is no outage; nor is that of a zone of two machines, or of the only zone.
+// TestIncompleteEvidenceIsNoOutage checks that the silence of a third of a zone's machines, of a zone of two machines,
+// or of the only zone is not taken for an outage.
 func TestIncompleteEvidenceIsNoOutage(t *testing.T) {
 	m := newModel(2, map[string]int{"a": 30, "b": 30, "c": 2})
 	for i, machine := range m.machines {
@@ -299,7 +302,8 @@
 	}
 }
 
-// Some machines of an unavailable zone are kept as sentinels, and while there are any no instance is requested as a probe.
+// TestSentinelsReplaceProbes checks that some machines of an unavailable zone are kept as sentinels, and that no
+// instance is requested as a probe while there are any.
 func TestSentinelsReplaceProbes(t *testing.T) {
 	m := newModel(4, map[string]int{"a": 50, "b": 50})
 	m.run(10*time.Second, func() {})
--- a/internal/logkeys/runbook_test.go
+++ b/internal/logkeys/runbook_test.go
@@ -18,7 +18,8 @@
 	runbook = root + "/docs/operations/oncall.md"
 )
 
-// Every log message of level error has its row in the runbook, and every row its message.
+// TestErrorMessagesAreInRunbook checks that every log message of level error has a row in the runbook, and every row a
+// message.
 func TestErrorMessagesAreInRunbook(t *testing.T) {
 	logged, described := errorMessages(t), runbookMessages(t)
 	if len(logged) == 0 || len(described) == 0 {
--- a/internal/site/agent/runner_test.go
+++ b/internal/site/agent/runner_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// How tasks end, and which result is stored.
+// TestRunnerReportsHowTasksEnd checks how tasks end and which result is stored.
 func TestRunnerReportsHowTasksEnd(t *testing.T) {
 	dir := t.TempDir()
 	bench := newRunnerBench(t, dir+"/worker")
@@ -132,8 +132,8 @@
 	}
 }
 
-// A worker process ends the tasks that a killed one left before anything else, also one that has cleared its environment; and it
-// does not start while the other still runs.
+// TestNewWorkerEndsTasksOfItsPredecessor checks that a new worker process first ends the tasks that a killed one left,
+// also a task that has cleared its environment, and that it does not start while the other process still runs.
 func TestNewWorkerEndsTasksOfItsPredecessor(t *testing.T) {
 	dir := t.TempDir()
 	first := newRunnerBench(t, dir+"/worker")
--- a/internal/site/agent/state_test.go
+++ b/internal/site/agent/state_test.go
@@ -169,7 +169,7 @@
 	}
 }
 
-// The protocol's worker: what start, kill and forget do to an attempt in each state.
+// TestCommands checks what start, kill and forget commands do to an attempt in each state.
 func TestCommands(t *testing.T) {
 	spec := Spec{JobID: "job-1", Tasks: 9, CPUs: 2, MemoryGB: 1, Command: []string{"x"}, CheckpointSeconds: 3}
 	for name, c := range commandCases(spec) {
@@ -193,8 +193,8 @@
 	}
 }
 
-// A response with a lower or without a fencing token is dropped and does not renew the lease; commands for another incarnation are
-// refused; direct commands never renew the lease.
+// TestFencingTokensAndLeases checks that a response with a lower fencing token or without one is dropped and does not
+// renew the lease, that commands for another incarnation are refused, and that direct commands never renew the lease.
 func TestFencingTokensAndLeases(t *testing.T) {
 	bench := newBench(t)
 	bench.advance(time.Second)
@@ -248,7 +248,8 @@
 	b.step(Input{TasksRemoved: &TasksRemoved{b.state.clearEpoch}})
 }
 
-// After a sleep of the whole machine the lease has expired: no command is executed that arrived meanwhile.
+// TestLeaseExpiresDuringSleep checks that the lease expires while the whole machine sleeps, and that no command that
+// arrived meanwhile is executed.
 func TestLeaseExpiresDuringSleep(t *testing.T) {
 	bench := newBench(t)
 	bench.advance(time.Second)
@@ -259,7 +260,8 @@
 	}
 }
 
-// A worker becomes another machine only once all tasks of the former one have ended.
+// TestMachineIsReassignedOnceTasksAreRemoved checks that a worker becomes another machine only once all tasks of the
+// former one have ended.
 func TestMachineIsReassignedOnceTasksAreRemoved(t *testing.T) {
 	bench := newBench(t)
 	bench.step(Input{Assigned: &Assigned{Machine: "vm-2", Serial: 2}})
@@ -276,7 +278,8 @@
 	}
 }
 
-// Without a response, or after a redirect, heartbeats go to another controller, and never in quick succession.
+// TestHeartbeatDestination checks that heartbeats go to another controller after a redirect or without a response, and
+// never in quick succession.
 func TestHeartbeatDestination(t *testing.T) {
 	bench := newBench(t)
 	destination := func() string {
@@ -303,8 +306,8 @@
 	}
 }
 
-// What a worker sends to the machine pool passes its validation, failures too: once these were sent as binary, and from the first
-// failure on the pool refused every message.
+// TestWorkerReportIsValid checks that a report to the machine pool passes the pool's validation, also with failures.
+// They were once sent as binary, and the pool refused every message after the first failure.
 func TestWorkerReportIsValid(t *testing.T) {
 	raw, err := json.Marshal(Result{Task: "job-1/0", Exit: 3, ErrorTail: "oops \x00 \xff"})
 	if err != nil {
--- a/internal/site/datadir/datadir_test.go
+++ b/internal/site/datadir/datadir_test.go
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A site is created once, with settings that the controllers accept; a creation that was interrupted before its last file leaves
-// no site; and two supervisors never hold the lock at a time.
+// TestOpenOrCreate checks that a site is created once with settings that the controllers accept, that a creation
+// interrupted before its last file leaves no site, and that two supervisors never hold the lock at the same time.
 func TestOpenOrCreate(t *testing.T) {
 	dir := t.TempDir() + "/site"
 	if _, err := Open(dir); !errors.Is(err, ErrNoSite) {
@@ -57,7 +57,8 @@
 	}
 }
 
-// The settings of a controller are, byte for byte, those that earlier versions have written.
+// TestControllerConfigBytes checks that the settings of a controller are byte for byte those that earlier versions have
+// written.
 func TestControllerConfigBytes(t *testing.T) {
 	site := &Site{
 		Zone: "here", CPUs: 7.5, StateAddr: "127.0.0.1:1", MachinePoolAddr: "127.0.0.1:2", dir: t.TempDir(),
--- a/internal/site/jobspec/store_test.go
+++ b/internal/site/jobspec/store_test.go
@@ -7,8 +7,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// A spec is stored once: the same may be put again, another is refused. On a full disk new specs are refused, and those that are
-// stored stay. They survive a restart.
+// TestSpecIsWrittenOnce checks that a stored spec may be put again but not replaced, that new specs are refused on a
+// full disk while stored ones stay, and that specs survive a restart.
 func TestSpecIsWrittenOnce(t *testing.T) {
 	path := t.TempDir() + "/db"
 	open := func() *bbolt.DB {
--- a/internal/site/kvserver/limits_test.go
+++ b/internal/site/kvserver/limits_test.go
@@ -26,7 +26,7 @@
 	return options
 }
 
-// Requests that are malformed or exceed a limit are refused and change nothing.
+// TestProtocolLimits checks that requests that are malformed or exceed a limit are refused and change nothing.
 func TestProtocolLimits(t *testing.T) {
 	now := time.Unix(100, 0)
 	state, _, _ := openEmpty(t, limitedOptions(), now)
@@ -74,7 +74,7 @@
 	}
 }
 
-// Changes and requests above their rates are refused until the next second.
+// TestRateLimits checks that changes and requests above their rates are refused until the next second.
 func TestRateLimits(t *testing.T) {
 	now := time.Unix(100, 0)
 	state, _, _ := openEmpty(t, limitedOptions(), now)
--- a/internal/site/kvserver/model_test.go
+++ b/internal/site/kvserver/model_test.go
@@ -25,8 +25,8 @@
 	keys    *rapid.Generator[string]
 }
 
-// The store answers as the model does: transactions with preconditions, reads, and lists in pages of any size. A client that follows
-// the watch has the same keys as one that reads them.
+// TestStateAgreesWithModel compares transactions with preconditions, reads, and lists in pages of any size with a
+// model. A client that follows the watch has the same keys as one that reads them.
 func TestStateAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
--- a/internal/site/kvserver/server_test.go
+++ b/internal/site/kvserver/server_test.go
@@ -148,9 +148,9 @@
 	clients.Wait()
 }
 
-// The disk of a server fails for a while: requests with an uncertain outcome get no response, further changes get 503 at once, and
-// reads are served. Once the disk works, changes are accepted again. After a reopening of the directory every confirmed change is
-// there.
+// TestServerThroughDiskFailure checks a server whose disk fails for a while: requests with an uncertain outcome get no
+// response, further changes get 503 at once, and reads are served. Once the disk works changes are accepted again, and
+// after the directory is reopened every confirmed change is there.
 func TestServerThroughDiskFailure(t *testing.T) {
 	s := startServer(t)
 	s.commitFromClients(t)
--- a/internal/site/kvserver/storage_test.go
+++ b/internal/site/kvserver/storage_test.go
@@ -43,8 +43,8 @@
 	return kept
 }
 
-// A damaged byte before confirmed records prevents the start, with an error that has the file and the offset, and nothing is
-// overwritten. In the last frame it cannot be distinguished from a torn write.
+// TestOpenReportsDamage checks that a damaged byte before confirmed records is reported with the file and the offset,
+// and that nothing is overwritten. In the last frame damage cannot be distinguished from a torn write.
 func TestOpenReportsDamage(t *testing.T) {
 	taken := 0
 	for _, name := range []string{damagedSnapshot, damagedSegment} {
@@ -83,6 +83,7 @@
 	return true
 }
 
+// TestOpenReportsMissingSegment checks that a directory without one of its segments does not open.
 func TestOpenReportsMissingSegment(t *testing.T) {
 	files := directoryToDamage(t)
 	if err := files.Remove(damagedSegment); err != nil {
@@ -93,8 +94,8 @@
 	}
 }
 
-// A snapshot that fails because the disk is full leaves the store unchanged. A commit that fails because of it is not applied, and later
-// ones are.
+// TestFullDiskKeepsState checks that a snapshot that fails on a full disk leaves the store unchanged, and that a commit
+// that fails there is not applied while later ones are.
 func TestFullDiskKeepsState(t *testing.T) {
 	now := time.Unix(100, 0)
 	state, storage, files := openEmpty(t, config.DefaultKVServerOptions(), now)
@@ -129,7 +130,7 @@
 	}
 }
 
-// A directory belongs to one process.
+// TestDirectoryIsLocked checks that only one process can open a directory.
 func TestDirectoryIsLocked(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "data")
 	dir, err := kvserver.LockDirectory(path)
@@ -144,7 +145,8 @@
 	}
 }
 
-// Backups are complete and are restored to empty directories only. A restored store continues with revisions that were never used.
+// TestBackupAndRestore checks that backups are complete and are restored to empty directories only, and that a restored
+// store continues with revisions that were never used.
 func TestBackupAndRestore(t *testing.T) {
 	root := t.TempDir()
 	data, file, restored := filepath.Join(root, "data"), filepath.Join(root, "backup"), filepath.Join(root, "again")
--- a/internal/site/kvserver/watches_test.go
+++ b/internal/site/kvserver/watches_test.go
@@ -13,7 +13,8 @@
 	"gullrudder/internal/site/kvserver"
 )
 
-// A watch waits until a key of its prefix changes, gets no change twice, and gets 410 if the changes since its revision are not retained.
+// TestWatches checks that a watch waits until a key of its prefix changes, gets no change twice, and gets status 410 if
+// the changes since its revision are not retained.
 func TestWatches(t *testing.T) {
 	now := time.Unix(100, 0)
 	state, _, _ := openEmpty(t, config.DefaultKVServerOptions(), now)
@@ -62,8 +63,8 @@
 	}
 }
 
-// A watch continues after a restart if the log still has the changes after its revision. Changes that a snapshot covers are not
-// retained, and the watcher has to read the keys again.
+// TestWatchAcrossRestart checks that a watch continues after a restart if the log still has the changes after its
+// revision. Changes that a snapshot covers are not retained, and the client has to read the keys again.
 func TestWatchAcrossRestart(t *testing.T) {
 	state, storage, files := openEmpty(t, config.DefaultKVServerOptions(), time.Unix(100, 0))
 	for i := range 4 {
--- a/internal/site/machinepool/state_test.go
+++ b/internal/site/machinepool/state_test.go
@@ -157,8 +157,9 @@
 	}
 }
 
-// In whatever order reports, assignments, create requests, deletions and restarts come: no worker has a machine whose deletion
-// is confirmed, or will take it; no worker has two machines; a create request is answered with the same machines each time.
+// TestConfirmedDeletionLeavesNothing checks over random orders of reports, assignments, create requests, deletions and
+// restarts that no worker has or will get a machine whose deletion is confirmed, that no worker has two machines, and
+// that a create request gets the same machines each time.
 func TestConfirmedDeletionLeavesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newMachinePoolModel(t)
@@ -243,7 +244,7 @@
 	}
 }
 
-// Create requests as the cloud's protocol has them, in this order.
+// TestCreateRequests checks the responses to create requests, which are sent in the order of the table.
 func TestCreateRequests(t *testing.T) {
 	f := newFixture(t)
 	if r := f.ask("POST", "/hosts", createBody("r", "t", "z", false, 1)); r.Status != http.StatusServiceUnavailable {
@@ -275,7 +276,7 @@
 	}
 }
 
-// Instances are listed in pages.
+// TestListInstances checks that instances are listed in pages.
 func TestListInstances(t *testing.T) {
 	f := newFixture(t)
 	f.addWorkers()
@@ -295,7 +296,8 @@
 	}
 }
 
-// A deletion of an unknown machine succeeds at once; one of a machine whose worker does not report is to be repeated.
+// TestDeletionWaitsForWorker checks that the deletion of an unknown machine succeeds at once, and that of a machine
+// whose worker does not report has to be retried.
 func TestDeletionWaitsForWorker(t *testing.T) {
 	f := newFixture(t)
 	f.addWorkers()
@@ -313,7 +315,8 @@
 	}
 }
 
-// A drain survives a restart of the pool's process, gives machines up as they become idle, and creates none.
+// TestDrainSurvivesRestart checks that a drain survives a restart of the pool, releases machines as they become idle,
+// and creates none.
 func TestDrainSurvivesRestart(t *testing.T) {
 	f := newFixture(t)
 	report := func(machine string, runningTasks int, appliedSerial uint64) poolapi.MachineAssignment {
--- a/internal/site/process/process_test.go
+++ b/internal/site/process/process_test.go
@@ -11,8 +11,8 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// All descendants of a tagged process are found and ended: also those that have left its process group and session, and those
-// that have cleared their environment.
+// TestEndFindsAllDescendants checks that all descendants of a tagged process are found and ended, also those that have
+// left its process group and session and those that have cleared their environment.
 func TestEndFindsAllDescendants(t *testing.T) {
 	tag := "GULLRUDDER_TEST=" + t.Name()
 	ready := t.TempDir() + "/ready"
@@ -36,7 +36,8 @@
 	}
 }
 
-// A process with the same PID but another start time or boot is not taken for the identified one.
+// TestReusedPIDIsAnotherProcess checks that a process with the same PID but another start time or boot is not taken for
+// the identified one.
 func TestReusedPIDIsAnotherProcess(t *testing.T) {
 	id, err := Identify(os.Getpid())
 	if err != nil || !id.IsRunning() {
--- a/internal/site/supervisor/supervisor_test.go
+++ b/internal/site/supervisor/supervisor_test.go
@@ -13,8 +13,8 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// A process that exits is restarted; Stop stops all; and a supervisor that comes after one that was killed ends the processes
-// that are left of it.
+// TestRestartAndStop checks that a process that exits is restarted, that Stop stops all processes, and that a new
+// supervisor ends the processes of one that was killed.
 func TestRestartAndStop(t *testing.T) {
 	dir := t.TempDir()
 	specs := []ProcessSpec{
--- a/internal/wire/client/rate_limiter_test.go
+++ b/internal/wire/client/rate_limiter_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// TestRateLimiter checks how many requests a limiter allows as time passes.
 func TestRateLimiter(t *testing.T) {
 	start := time.Unix(100, 0)
 	for name, test := range map[string]struct {
--- a/internal/wire/codec/json_size_test.go
+++ b/internal/wire/codec/json_size_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// JSONSize equals the length of what the JSON encoder makes of the same value.
+// TestJSONSizeEqualsLengthOfJSON checks that JSONSize equals the length of the JSON encoding of the same value.
 func TestJSONSizeEqualsLengthOfJSON(t *testing.T) {
 	text := rapid.OneOf(rapid.StringMatching(`[a-z0-9 <>"\\]{0,40}`), rapid.String())
 	var value func(depth int) *rapid.Generator[any]
--- a/internal/wire/codec/validate_test.go
+++ b/internal/wire/codec/validate_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// TestValidateRejectsBodiesThatCostMemory checks that bodies that are truncated, malformed or deeply nested are
+// rejected before they are decoded.
 func TestValidateRejectsBodiesThatCostMemory(t *testing.T) {
 	deep := append(bytes.Repeat([]byte{0x91}, 1000), 0xc0)
 	for name, test := range map[string]struct {
@@ -34,6 +36,7 @@
 	})
 }
 
+// FuzzUnmarshalMap checks that every body that can be decoded to a map passes Validate.
 func FuzzUnmarshalMap(f *testing.F) {
 	good, err := Marshal(map[string]any{"id": "job-1", "strokes": 3, "keels": []string{"g8"}, "voyage_s": 1.5, "harbour": nil})
 	if err != nil {
--- a/internal/wire/http1/parse_test.go
+++ b/internal/wire/http1/parse_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// TestParseRejectsMalformedRequests checks the status for requests that are malformed, too large or not supported.
 func TestParseRejectsMalformedRequests(t *testing.T) {
 	for text, want := range map[string]int{
 		"GET /ready HTTP/1.1\r\n\r\n":                                            0,
@@ -41,6 +42,7 @@
 	}
 }
 
+// TestParseNeedsWholeMessage checks that a message is parsed only once all of its bytes are there.
 func TestParseNeedsWholeMessage(t *testing.T) {
 	whole := appendRequest(nil, "POST", "h", "/work", []byte("body"))
 	for i := range whole {
@@ -54,6 +56,7 @@
 	}
 }
 
+// FuzzParse checks that parsed messages are within the input and the size limit.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("POST /work HTTP/1.1\r\nContent-Length: 2\r\n\r\nab"), false)
 	f.Add(AppendResponse(nil, 503, []byte("x"), 1500, true), true)
--- a/internal/wire/workerapi/messages_test.go
+++ b/internal/wire/workerapi/messages_test.go
@@ -8,7 +8,8 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// The status of an attempt that has not exited has neither a reason nor a checkpoint; a worker may send them all the same.
+// TestTaskStatusWithoutReason checks that the status of an attempt that has not exited has neither a reason nor a
+// checkpoint, and that one with both is decoded all the same.
 func TestTaskStatusWithoutReason(t *testing.T) {
 	want := TaskStatus{Task: "job-1/0", Attempt: 3, State: StateRunning}
 	raw, err := codec.Marshal(want)
@@ -35,6 +36,7 @@
 	}
 }
 
+// TestDecodeHeartbeatID checks which bodies have the identity of a heartbeat.
 func TestDecodeHeartbeatID(t *testing.T) {
 	long := make([]byte, MaxMachineIDBytes+1)
 	for name, c := range map[string]struct {
