--- a/internal/controller/ageing/ageing_test.go
+++ b/internal/controller/ageing/ageing_test.go
@@ -30,7 +30,7 @@
 	return live
 }
 
-// firstJobsByWalk is the plain model: it takes one job after the other, the oldest first, and recomputes everything
+// firstJobsByWalk is the model: it takes one job after the other, the oldest first, and recomputes everything
 // each time.
 func firstJobsByWalk(policy Policy, now time.Time, live []*jobs.Job, cpus float64, startableTasks func(*jobs.Job) int) map[string]bool {
 	first := map[string]bool{}
--- a/internal/controller/archive/model_test.go
+++ b/internal/controller/archive/model_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// archiveSchedule is one drawn course of finished jobs, lost and late commits, and leaders that end.
+// archiveSchedule is a random schedule of finished jobs, lost and late commits, and changes of the leader.
 type archiveSchedule struct {
 	t             *rapid.T
 	first, second string // IDs with the same key in the index
@@ -64,7 +64,7 @@
 	s.leader = becomeLeader(s.t, s.cluster, s.leader.now, number, s.rate)
 }
 
-// step does one drawn thing, lets time pass and carries out the calls.
+// step performs a random action, lets time pass and executes the calls.
 func (s *archiveSchedule) step(index int) {
 	s.t.Helper()
 	switch rapid.IntRange(0, 9).Draw(s.t, "what") {
@@ -93,7 +93,7 @@
 	s.checkLookup(drawID(s.t, s.first, s.second))
 }
 
-// finishJob has a drawn job finish. It returns false if that job has finished before.
+// finishJob finishes a random job. It returns false if that job has finished before.
 func (s *archiveSchedule) finishJob() bool {
 	s.t.Helper()
 	id := drawID(s.t, s.first, s.second)
@@ -165,7 +165,7 @@
 	s.changeLeader(10_000)
 }
 
-// checkEnd: in the end each job is in one place.
+// checkEnd checks that in the end each job is in one place.
 func (s *archiveSchedule) checkEnd() {
 	s.t.Helper()
 	for id, state := range s.attempted {
--- a/internal/controller/dependencies/graph_test.go
+++ b/internal/controller/dependencies/graph_test.go
@@ -82,7 +82,7 @@
 	return longest
 }
 
-// graphTest compares a graph with the plain model.
+// graphTest compares a graph with the model.
 type graphTest struct {
 	model      *plainModel
 	unfinished map[string]*jobs.Job
@@ -166,9 +166,9 @@
 	}
 }
 
-// TestGraphAgainstPlainModel compares the graph with a model on random graphs, as jobs are submitted, done, and
+// TestGraphMatchesModel compares the graph with a model on random graphs, as jobs are submitted, done, and
 // cancelled with all their dependents.
-func TestGraphAgainstPlainModel(t *testing.T) {
+func TestGraphMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		test := newGraphTest()
 		for i := range rapid.IntRange(1, 40).Draw(t, "moves") {
--- a/internal/controller/dynamic_config_test.go
+++ b/internal/controller/dynamic_config_test.go
@@ -107,7 +107,7 @@
 	for i := range 30 {
 		now = now.Add(3 * time.Second)
 		text := fmt.Sprintf("<gullrudder><aged-share>0.%02d</aged-share><seal-jobs>%d</seal-jobs></gullrudder>", i+10, i+1)
-		for range 3 { // the one that was not saved goes out first
+		for range 3 { // the change that was not saved is sent first
 			if got := operator.apply(t, now, "berta", text); got.Status == 200 {
 				if got.Version < i+1 || got.Changes[0].Author != "berta" && i > 0 || len(got.Changes) > maxRecorded {
 					t.Fatalf("change %d: got %+v, want at least version %d by berta and at most %d changes", i, got, i+1, maxRecorded)
--- a/internal/controller/election/connectivity/monitor_test.go
+++ b/internal/controller/election/connectivity/monitor_test.go
@@ -9,7 +9,7 @@
 
 const heartbeatInterval = 4 * time.Second
 
-// newLeaderMonitor returns the monitor of a leader that expects heartbeats of so many machines.
+// newLeaderMonitor returns the monitor of a leader that expects heartbeats of a number of machines.
 func newLeaderMonitor(now time.Time, machines, overdue int) *Monitor {
 	m := New(heartbeatInterval)
 	m.StartLeadership(now)
--- a/internal/controller/election/model_key_test.go
+++ b/internal/controller/election/model_key_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// stateKey writes a state of the model in such a way that two states with the same future have the same key: times
+// stateKey encodes a state of the model so that two states with the same future have the same key: times
 // count from now, and tokens and leases by their order.
 type stateKey struct {
 	text           strings.Builder
--- a/internal/controller/election/model_links_test.go
+++ b/internal/controller/election/model_links_test.go
@@ -126,7 +126,7 @@
 	w.send(pending.controller)
 }
 
-// mutateResult makes the mistakes of those mutants that misjudge a result.
+// mutateResult makes the mistakes of the mutants that misinterpret a result.
 func (w *electionModel) mutateResult(pending *pendingCall, result client.Result) {
 	e := w.controllers[pending.controller]
 	if result.Status != http.StatusOK || e.role != roleLeader {
--- a/internal/controller/election/schedules_test.go
+++ b/internal/controller/election/schedules_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestElectionMutants checks that each mistake is found by some schedule. The seeds find it soon. Two more mistakes
+// TestElectionMutants checks that some schedule finds each mistake. The seeds are ones that find it soon. Two more mistakes
 // are not found by half a million walks and have tests of their own: that grants given after the lease expired count
 // (TestLateRenewal), and that a vote query is answered by the lease alone (TestVoteQueryDuringLateRenewal).
 func TestElectionMutants(t *testing.T) {
@@ -50,7 +50,7 @@
 	})
 }
 
-// checkMutants walks through the model of each mutant until a rule is broken, which has to happen within so many walks.
+// checkMutants walks through the model of each mutant until the invariant is violated, which has to happen within the given walks.
 func checkMutants(t *testing.T, seeds map[mutant]uint64, length, walks int, newModel func(mutant, *rand.Rand) modelcheck.Model) {
 	t.Helper()
 	for mutant, seed := range seeds {
--- a/internal/controller/election/transfer_test.go
+++ b/internal/controller/election/transfer_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestTransferWithoutStateService checks that a leader whose renewals fail while the state service answers a peer
-// transfers its leadership at once: it does not act any more, and the peers are not bound any more and revoke its
+// transfers its leadership at once: it is no longer the leader, the peers are no longer bound by their grants, and they revoke its
 // lease. While the state service is unreachable for all controllers, it stays leader.
 func TestTransferWithoutStateService(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/controller/failover/reconciler_test.go
+++ b/internal/controller/failover/reconciler_test.go
@@ -38,10 +38,10 @@
 	}
 }
 
-// TestFailedInstancesAreTerminatedDuringAFailover checks that during a failover an instance that the cloud lists as
+// TestFailedInstancesAreTerminatedDuringFailover checks that during a failover an instance that the cloud lists as
 // failed is terminated at once, also if it is the only one, and that one listed as running is not while its lease may
 // be valid.
-func TestFailedInstancesAreTerminatedDuringAFailover(t *testing.T) {
+func TestFailedInstancesAreTerminatedDuringFailover(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
 	reconciler.progress.completed = false
--- a/internal/controller/failover/unresponsive_test.go
+++ b/internal/controller/failover/unresponsive_test.go
@@ -11,10 +11,10 @@
 	"gullrudder/internal/controller/zones"
 )
 
-// TestSentinelsAreKeptInAnUnavailableZone checks that the machines of an unavailable zone on which the least runs are
+// TestSentinelsAreKeptInUnavailableZone checks that the machines of an unavailable zone on which the least runs are
 // kept as sentinels. Nothing is placed on sentinels, and they are terminated like other machines once the zone is
 // available again.
-func TestSentinelsAreKeptInAnUnavailableZone(t *testing.T) {
+func TestSentinelsAreKeptInUnavailableZone(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 1)
 	const machines, silent = 90, 20
@@ -128,7 +128,7 @@
 	}
 }
 
-// countTerminated counts the machines that are being terminated, which must be among the first so many, the silent ones.
+// countTerminated counts the machines that are being terminated. Only the first ones, which are silent, may be.
 func (reconciler *testReconciler) countTerminated(t *testing.T, silent int) int {
 	t.Helper()
 	terminated := 0
@@ -144,7 +144,7 @@
 	return terminated
 }
 
-// renewMachines renews all machines but the first so many, which are silent.
+// renewMachines renews the leases of all machines except the first ones, which are silent.
 func (reconciler *testReconciler) renewMachines(now time.Time, silent int) {
 	for i, machine := range reconciler.workers.SortedMachines() {
 		if i >= silent {
--- a/internal/controller/fairshare/best_choice_test.go
+++ b/internal/controller/fairshare/best_choice_test.go
@@ -46,7 +46,7 @@
 	return float64(candidate.StartableTasks) * estimate.CountedCPUs(candidate.Job)
 }
 
-// bestLeastShare is the plain model: the most that the least served group can have, by every set of jobs that fits.
+// bestLeastShare is the model: the most that the least served group can have, by every set of jobs that fits.
 func bestLeastShare(done map[Group]float64, overdue []OverdueJob, availableCPUs float64) float64 {
 	best := 0.0
 	for code := range 1 << len(overdue) {
--- a/internal/controller/jobs/parse_test.go
+++ b/internal/controller/jobs/parse_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestParseSpecCountsADependencyOnce checks that repeated dependencies are dropped.
-func TestParseSpecCountsADependencyOnce(t *testing.T) {
+// TestParseSpecDropsRepeatedDependencies checks that repeated dependencies are dropped.
+func TestParseSpecDropsRepeatedDependencies(t *testing.T) {
 	spec, err := parse(t, submissionWith("tows", []string{"job-2", "job-1", "job-2"}))
 	if err != nil || !slices.Equal(spec.Dependencies, []string{"job-2", "job-1"}) {
 		t.Fatalf("dependencies: got %v, error %v, want [job-2 job-1]", spec.Dependencies, err)
--- a/internal/controller/placement/gangs_test.go
+++ b/internal/controller/placement/gangs_test.go
@@ -28,9 +28,9 @@
 	return starts, numbers
 }
 
-// TestGangIsPlacedAsAWhole checks that a gang is placed with all its tasks on the fewest machines, or not at all, and
+// TestGangIsPlacedAllOrNothing checks that a gang is placed with all its tasks on the fewest machines, or not at all, and
 // that its starts have one attempt number and are sent with the machines' heartbeat responses.
-func TestGangIsPlacedAsAWhole(t *testing.T) {
+func TestGangIsPlacedAllOrNothing(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		tasks    int
--- a/internal/controller/storage/commit_test.go
+++ b/internal/controller/storage/commit_test.go
@@ -18,7 +18,7 @@
 	N int `msgpack:"n" json:"n"`
 }
 
-// fixture is a store whose calls the test answers by hand.
+// fixture is a store whose calls are answered by the test.
 type fixture struct {
 	t      *testing.T
 	store  *Store
@@ -79,7 +79,7 @@
 	return decodeCommitCall(f.t, c)
 }
 
-// fataler is a test, drawn or not.
+// fataler is the part of testing.T and rapid.T that decodeCommitCall uses.
 type fataler interface{ Fatal(args ...any) }
 
 func decodeCommitCall(t fataler, c client.Call) commitBody {
--- a/internal/controller/storage/load_test.go
+++ b/internal/controller/storage/load_test.go
@@ -20,7 +20,7 @@
 	valueBytes = 8192
 )
 
-// populate returns a cluster whose state service holds so many finished jobs and the unfinished ones, written by the stores themselves.
+// populate returns a cluster whose state service holds count finished jobs and liveJobs unfinished ones, written by the stores.
 func populate(b *testing.B, count int, newID func(i int) string) *simulator.Cluster {
 	b.Helper()
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
--- a/internal/controller/storage/model_test.go
+++ b/internal/controller/storage/model_test.go
@@ -15,7 +15,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// modelStore is a plain model of the state service: preconditions and limits, and nothing else.
+// modelStore is a model of the state service that has only preconditions and limits.
 type modelStore struct {
 	revision       uint64
 	pages          map[string]pageValue
--- a/internal/controller/storage/split_test.go
+++ b/internal/controller/storage/split_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// splitSchedule is one drawn course of lost, late and executed commits, new leaders, and limits that are lowered in between.
+// splitSchedule is a random schedule of lost, late and executed commits, new leaders, and limits that are lowered in between.
 type splitSchedule struct {
 	t       *rapid.T
 	service *modelStore
@@ -75,7 +75,7 @@
 		case 1: // executed, and the answer is lost
 			s.service.serve(s.t, call)
 			call.Done(s.now, client.Result{})
-		case 2: // neither
+		case 2: // neither executed nor answered
 			call.Done(s.now, client.Result{})
 		case 3: // executed later
 			s.late = append(s.late, decodeCommitCall(s.t, call))
@@ -100,8 +100,8 @@
 	}
 }
 
-// act does one drawn thing.
-func (s *splitSchedule) act(names int) {
+// randomAction performs one random action of the schedule.
+func (s *splitSchedule) randomAction(names int) {
 	s.t.Helper()
 	switch rapid.IntRange(0, 9).Draw(s.t, "what") {
 	case 0:
@@ -132,7 +132,7 @@
 	}
 }
 
-// checkCopies: until the limits are lowered each entry is on one page.
+// checkCopies checks that each entry is on one page until the limits are lowered.
 func (s *splitSchedule) checkCopies() {
 	s.t.Helper()
 	_, twice := s.service.readEntries(s.t)
@@ -144,7 +144,7 @@
 	}
 }
 
-// checkEnd: in the end all pages are within the limits, and each entry is on one of them.
+// checkEnd checks that in the end all pages are within the limits and each entry is on one of them.
 func (s *splitSchedule) checkEnd() {
 	s.t.Helper()
 	for key, value := range s.service.pages {
@@ -173,7 +173,7 @@
 		s.fill(names)
 		s.changeLeader(newValueBytes, newTxnOps)
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
-			s.act(names)
+			s.randomAction(names)
 			s.checkCopies()
 		}
 		if s.lowered {
--- a/internal/controller/straggler/detector_test.go
+++ b/internal/controller/straggler/detector_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// recordRuns records so many tasks on each of 20 machines, of which the first takes slowdown times as long.
+// recordRuns records a number of tasks on each of 20 machines, of which the first takes slowdown times as long.
 func recordRuns(detector *Detector, rng *rand.Rand, tasks int, slowdown float64) {
 	for range tasks {
 		for machine := range 20 {
--- a/internal/controller/submission/limiter_test.go
+++ b/internal/controller/submission/limiter_test.go
@@ -109,7 +109,7 @@
 func (s *twoTeams) outOfOrder() int {
 	count := 0
 	for i := 1; i < len(s.floodOrder); i++ {
-		if s.floodOrder[i] < s.floodOrder[i-1]-30 { // thirty users come within 300 ms
+		if s.floodOrder[i] < s.floodOrder[i-1]-30 { // thirty users arrive within 300 ms
 			count++
 		}
 	}
--- a/internal/controller/worker/image_cache_test.go
+++ b/internal/controller/worker/image_cache_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// imageModel is the plain model of a cache of 10 GB: image numbers, the newest last. An image is as many GB large as its number.
+// imageModel is a model of a cache of 10 GB: image numbers, the newest last. An image is as many GB large as its number.
 type imageModel []int
 
 func (m imageModel) use(image int) imageModel {
--- a/internal/controller/worker/reachability/model_test.go
+++ b/internal/controller/worker/reachability/model_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// workerModel is the plain model of a machine's worker: its counters, and all heartbeats that it has sent.
+// workerModel is a model of a machine's worker: its counters, and all heartbeats that it has sent.
 type workerModel struct {
 	incarnation, sequence, fencingToken uint64
 	process                             int // counts the starts of the worker
@@ -32,7 +32,7 @@
 	return sent
 }
 
-// lossyLink plays one worker, the leader, and a link between them that loses, delays and repeats messages.
+// lossyLink simulates one worker, the leader, and a link between them that loses, delays and repeats messages.
 type lossyLink struct {
 	*rapid.T
 	step     int
--- a/internal/controller/worker/reachability/tracker_test.go
+++ b/internal/controller/worker/reachability/tracker_test.go
@@ -97,7 +97,7 @@
 	sequence := uint64(0)
 	sendHeartbeat := func() {
 		sequence++
-		now = now.Add(5 * time.Second) // a worker without a response comes back after five seconds
+		now = now.Add(5 * time.Second) // a worker without a response retries after five seconds
 		heartbeat := newHeartbeat(1, sequence, testFencingToken)
 		if tracker.Classify(now, machine, &heartbeat) == Fresh {
 			tracker.RecordEnded(now, machine, registry.Reconcile(now, machine, &heartbeat, true, findNoJob))
--- a/internal/controller/zones/tracker_test.go
+++ b/internal/controller/zones/tracker_test.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// injectFault draws a fault and lets it pass.
+// injectFault injects a random fault and runs until it is over.
 func (m *model) injectFault(t *rapid.T, check func()) {
 	name := rapid.SampledFrom(modelZones).Draw(t, "zone")
 	span := time.Duration(rapid.IntRange(1, 60).Draw(t, "seconds")) * time.Second
@@ -316,7 +316,7 @@
 		t.Errorf("sentinels of 50 machines: got %d, want %d", n, minSentinels)
 	}
 	inZoneB := 0
-	m.machines = slices.DeleteFunc(m.machines, func(machine *modelMachine) bool { // the others are given up
+	m.machines = slices.DeleteFunc(m.machines, func(machine *modelMachine) bool { // the other machines are terminated
 		if machine.zone != "b" {
 			return false
 		}
--- a/internal/site/kvserver/server_test.go
+++ b/internal/site/kvserver/server_test.go
@@ -148,10 +148,10 @@
 	clients.Wait()
 }
 
-// TestServerThroughDiskFailure checks a server whose disk fails for a while: requests with an uncertain outcome get no
+// TestServerDuringDiskFailure checks a server whose disk fails for a while: requests with an uncertain outcome get no
 // response, further changes get 503 at once, and reads are served. Once the disk works changes are accepted again, and
 // after the directory is reopened every confirmed change is there.
-func TestServerThroughDiskFailure(t *testing.T) {
+func TestServerDuringDiskFailure(t *testing.T) {
 	s := startServer(t)
 	s.commitFromClients(t)
 	s.files.setError(errors.New("the disk fails"))
