--- a/internal/console/model_test.go
+++ b/internal/console/model_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// The screens as a terminal of 80 by 24 shows them.
+// TestScreens checks the screens on a terminal of 80 by 24.
 func TestScreens(t *testing.T) {
 	for key, want := range map[string][]string{
 		"1": {
@@ -112,49 +112,51 @@
 		press(m, key)
 		lines := strings.Split(m.View(), "\n")
 		if len(lines) != 24 {
-			t.Errorf("screen %s has %d lines", key, len(lines))
+			t.Errorf("lines of screen %s: got %d, want 24", key, len(lines))
 		}
 		for i, l := range lines {
 			lines[i] = strings.TrimRight(l, " ")
 			if utf8.RuneCountInString(l) > 80 {
-				t.Errorf("screen %s: line %d is %d wide", key, i, utf8.RuneCountInString(l))
+				t.Errorf("width of line %[2]d of screen %[1]s: got %[3]d, want at most 80", key, i, utf8.RuneCountInString(l))
 			}
 		}
 		if d := cmp.Diff(want, lines[:len(want)]); d != "" {
-			t.Errorf("screen %s:\n%s", key, d)
+			t.Errorf("screen %s (-want +got):\n%s", key, d)
 		}
 	}
 }
 
-// An action is carried out only after it was confirmed with y, and its outcome is shown.
+// TestActionsAskForConfirmation checks that an action is carried out only after it was confirmed with y, and that its
+// outcome is shown.
 func TestActionsAskForConfirmation(t *testing.T) {
 	site := newFakeSite()
 	m := New(site, time.Hour)
 	press(m, "w", "n", "d", "q", "u", "x")
 	if len(site.requested) != 0 {
-		t.Fatalf("actions without a confirmation: %v, want none", site.requested)
+		t.Fatalf("actions before they are confirmed: got %v, want none", site.requested)
 	}
 	press(m, "j", "c", "y", "d", "y")
 	if diff := cmp.Diff([]string{"cancel job-18", "drain"}, site.requested); diff != "" {
-		t.Error(diff)
+		t.Errorf("confirmed actions (-want +got):\n%s", diff)
 	}
 	if !strings.Contains(m.View(), "DRAINING: 4 tasks run still") {
-		t.Errorf("the drain is not shown:\n%s", m.View())
+		t.Errorf("screen after the drain: got\n%s\nwant the number of running tasks", m.View())
 	}
 	// Another console shows the same state.
 	again := New(site, time.Hour)
 	press(again)
 	if !strings.Contains(again.View(), "DRAINING: 4 tasks run still") {
-		t.Errorf("another console does not show the drain:\n%s", again.View())
+		t.Errorf("screen of another console: got\n%s\nwant the drain with the number of running tasks", again.View())
 	}
 	site.err = errors.New("refused with 503")
 	press(again, "u", "y")
 	if !strings.Contains(again.View(), "use the site again: refused with 503") {
-		t.Errorf("the failure is not shown:\n%s", again.View())
+		t.Errorf("screen after a refused request: got\n%s\nwant its status 503", again.View())
 	}
 }
 
-// Problems are shown as text; a table longer than the terminal scrolls to the selected row; a small terminal is filled exactly.
+// TestProblemsLongListsAndSmallTerminals checks that problems are shown as text, that a table longer than the terminal
+// scrolls to the selected row, and that a small terminal is filled exactly.
 func TestProblemsLongListsAndSmallTerminals(t *testing.T) {
 	site := newFakeSite()
 	site.snapshot.Status.Leader, site.snapshot.FreeDiskMB, site.snapshot.MinFreeDiskMB = "", 100, 256
@@ -169,11 +171,11 @@
 	}
 	for _, want := range []string{"NO LEADER", "DISK: 100 MB free", "PROBLEM: pool: no connection", "> job-9"} {
 		if !strings.Contains(m.View(), want) {
-			t.Errorf("%q is missing:\n%s", want, m.View())
+			t.Errorf("screen: got\n%s\nwant a line with %q", m.View(), want)
 		}
 	}
 	m.Update(tea.WindowSizeMsg{Width: 20, Height: 5})
 	if n := len(strings.Split(m.View(), "\n")); n != 5 {
-		t.Errorf("%d lines on a terminal of 5 lines, want 5", n)
+		t.Errorf("lines on a terminal of 5 lines: got %d, want 5", n)
 	}
 }
--- a/internal/controller/accounting/breakdown_test.go
+++ b/internal/controller/accounting/breakdown_test.go
@@ -6,7 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// What is stored of an account is what was counted. If there are more reasons than are stored, the total stays the same.
+// TestBreakdownRoundTrip checks that a stored account is decoded as it was counted. If there are more reasons than are
+// stored, the total is the same.
 func TestBreakdownRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want Breakdown
@@ -15,20 +16,21 @@
 		}
 		got, err := parseBreakdown(want.encode())
 		if err != nil || got.Total() != want.Total() {
-			t.Fatalf("%v came back as %v: %v", want, got, err)
+			t.Fatalf("round trip: got %v, error %v, want %v", got, err, want)
 		}
 		for reason := range got {
 			if got[reason] != want[reason] && got[reason] != 0 && WaitReason(reason) != EarlierLeader {
-				t.Fatalf("%v came back as %v", want, got)
+				t.Fatalf("round trip: got %v, want %v", got, want)
 			}
 		}
 	})
 }
 
+// TestParseBreakdownRejectsInvalidText checks that text that no account is encoded to is rejected.
 func TestParseBreakdownRejectsInvalidText(t *testing.T) {
 	for _, text := range []string{"?", "AA", "//8B"} {
 		if _, err := parseBreakdown(text); err == nil {
-			t.Errorf("%q is accepted", text)
+			t.Errorf("parse %q: no error, want one", text)
 		}
 	}
 }
--- a/internal/controller/admission/admission_test.go
+++ b/internal/controller/admission/admission_test.go
@@ -24,7 +24,8 @@
 	return job
 }
 
-// A guaranteed job that was overdue by more than two planning intervals once ended the controller when another job was admitted.
+// TestAdmitBesideOverdueGuaranteedJob checks that a job is admitted beside a guaranteed one that is overdue by more
+// than two planning intervals. This once stopped the controller.
 func TestAdmitBesideOverdueGuaranteedJob(t *testing.T) {
 	planner := newTestPlanner(config.DefaultOptions())
 	now := time.Unix(10_000, 0)
@@ -33,16 +34,16 @@
 	newJob := deadlineJob("job-2", now, 2*time.Minute, 4, 20*time.Second)
 	capacity := Capacity{CPUs: 16, MachineCPUs: 8}
 	if !planner.Admit(now, Request{Job: newJob, Live: []*jobs.Job{overdue}, Capacity: capacity}) {
-		t.Error("a job that fits easily is not guaranteed")
+		t.Error("job that fits beside an overdue one: refused, want admitted")
 	}
 	newJob.Guaranteed = true
 	feasible := planner.Feasible(now, []*jobs.Job{overdue, newJob}, capacity)
 	if feasible[overdue] || !feasible[newJob] {
-		t.Errorf("feasible: the overdue job %v, the new one %v", feasible[overdue], feasible[newJob])
+		t.Errorf("feasible: overdue job %v, new job %v, want false, true", feasible[overdue], feasible[newJob])
 	}
 }
 
-// A job that depends on others is guaranteed only if they fit before it.
+// TestAdmitWithDependencies checks that a job with dependencies is guaranteed only if they fit before it.
 func TestAdmitWithDependencies(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	for _, c := range []struct {
@@ -64,12 +65,13 @@
 				DependencyRunTime: c.critical,
 			}
 			if got := planner.Admit(now, request); got != c.want {
-				t.Errorf("admitted %v", got)
+				t.Errorf("admitted: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
+// TestRoundUp checks to which number of CPUs demand is rounded up for a size of machine.
 func TestRoundUp(t *testing.T) {
 	for _, c := range []struct{ cpus, machineCPUs, want float64 }{
 		{0, 16, 0},
@@ -81,7 +83,7 @@
 		{17, 16, 32},
 	} {
 		if got := RoundUp(c.cpus, c.machineCPUs); got != c.want {
-			t.Errorf("%g CPUs on machines of %g: %g, want %g", c.cpus, c.machineCPUs, got, c.want)
+			t.Errorf("%g CPUs rounded up on machines of %g: got %g, want %g", c.cpus, c.machineCPUs, got, c.want)
 		}
 	}
 }
--- a/internal/controller/ageing/ageing_test.go
+++ b/internal/controller/ageing/ageing_test.go
@@ -30,7 +30,7 @@
 	return live
 }
 
-// firstJobsByWalk is the plain model: it takes one job after the other, the oldest first, and recomputes everything
+// firstJobsByWalk is the model: it takes one job after the other, the oldest first, and recomputes everything
 // each time.
 func firstJobsByWalk(policy Policy, now time.Time, live []*jobs.Job, cpus float64, startableTasks func(*jobs.Job) int) map[string]bool {
 	first := map[string]bool{}
@@ -58,8 +58,8 @@
 	}
 }
 
-// The jobs that are served first are those of the plain model. Cancelling a job and submitting it again gains nothing:
-// no other job that was first is displaced, and the new jobs are not first.
+// TestFirstJobsMatchWalk compares the jobs that are served first with a model. Cancelling a job and submitting it again
+// gains nothing: no other job loses its place, and the new jobs are not first.
 func TestFirstJobsMatchWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(10_000, 0)
@@ -71,11 +71,11 @@
 		got := policy.FirstJobs(now, live, cpus, startableTasks)
 		want := firstJobsByWalk(policy, now, live, cpus, startableTasks)
 		if len(got) != len(want) {
-			t.Fatalf("%d jobs are first, want %v", len(got), want)
+			t.Fatalf("number of first jobs: got %d, want %v", len(got), want)
 		}
 		for job := range got {
 			if !want[job.ID] {
-				t.Fatalf("%s is first, want %v", job.ID, want)
+				t.Fatalf("first job %s: want one of %v", job.ID, want)
 			}
 		}
 		cancelled := rapid.IntRange(0, len(live)-1).Draw(t, "again")
@@ -85,12 +85,12 @@
 		later := policy.FirstJobs(now, resubmit(now, live, cancelled), cpus, startableTasks)
 		for job := range got {
 			if job != live[cancelled] && !later[job] {
-				t.Fatalf("%s was first and is not any more", job.ID)
+				t.Fatalf("%s: no longer first after another job was resubmitted, want first", job.ID)
 			}
 		}
 		for job := range later {
 			if job.SubmittedAt.Equal(now) {
-				t.Fatal("a job that was submitted again is first")
+				t.Fatalf("resubmitted job %s: first, want not first", job.ID)
 			}
 		}
 	})
--- a/internal/controller/api/query_parameters_test.go
+++ b/internal/controller/api/query_parameters_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// TestParseQueueFilter checks which queries of the queue are valid, and their filters.
 func TestParseQueueFilter(t *testing.T) {
 	cases := map[string]struct {
 		query string
@@ -27,12 +28,13 @@
 				t.Fatal(err)
 			}
 			if got, valid := parseQueueFilter(query); got != test.want || valid != test.valid {
-				t.Errorf("%+v, %v, want %+v, %v", got, valid, test.want, test.valid)
+				t.Errorf("queue filter: got %+v (valid %v), want %+v (valid %v)", got, valid, test.want, test.valid)
 			}
 		})
 	}
 }
 
+// TestParseSince checks which start times of a query are valid, and their values.
 func TestParseSince(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	cases := map[string]struct {
@@ -55,7 +57,7 @@
 				t.Fatal(err)
 			}
 			if got, err := parseSince(now, query); !got.Equal(test.want) || (err == nil) != test.valid {
-				t.Errorf("%v, %v, want %v", got, err, test.want)
+				t.Errorf("since: got %v, error %v, want %v (valid %v)", got, err, test.want, test.valid)
 			}
 		})
 	}
--- a/internal/controller/api/routes_test.go
+++ b/internal/controller/api/routes_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// TestMethodFor checks the method that each path accepts.
 func TestMethodFor(t *testing.T) {
 	methods := map[string]string{
 		"work":                     http.MethodPost,
@@ -25,7 +26,7 @@
 	for path, want := range methods {
 		t.Run(path, func(t *testing.T) {
 			if got := MethodFor(strings.Split(path, "/")); got != want {
-				t.Errorf("method %q, want %q", got, want)
+				t.Errorf("method: got %q, want %q", got, want)
 			}
 		})
 	}
--- a/internal/controller/archive/model_test.go
+++ b/internal/controller/archive/model_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// archiveSchedule is one drawn course of finished jobs, lost and late commits, and leaders that end.
+// archiveSchedule is a random schedule of finished jobs, lost and late commits, and changes of the leader.
 type archiveSchedule struct {
 	t             *rapid.T
 	first, second string // IDs with the same key in the index
@@ -64,7 +64,7 @@
 	s.leader = becomeLeader(s.t, s.cluster, s.leader.now, number, s.rate)
 }
 
-// step does one drawn thing, lets time pass and carries out the calls.
+// step performs a random action, lets time pass and executes the calls.
 func (s *archiveSchedule) step(index int) {
 	s.t.Helper()
 	switch rapid.IntRange(0, 9).Draw(s.t, "what") {
@@ -93,7 +93,7 @@
 	s.checkLookup(drawID(s.t, s.first, s.second))
 }
 
-// finishJob has a drawn job finish. It returns false if that job has finished before.
+// finishJob finishes a random job. It returns false if that job has finished before.
 func (s *archiveSchedule) finishJob() bool {
 	s.t.Helper()
 	id := drawID(s.t, s.first, s.second)
@@ -113,7 +113,7 @@
 func (s *archiveSchedule) carryOut(call client.Call) {
 	s.t.Helper()
 	if call.Path == "/commit" && !requiresLeaderKey(call) {
-		s.t.Fatalf("a commit that an earlier leader could still make: %v", call.Body)
+		s.t.Fatalf("commit without a precondition on the leader's key: %+v", call.Body)
 	}
 	now := s.leader.now
 	switch rapid.IntRange(0, 11).Draw(s.t, "fate") {
@@ -143,11 +143,11 @@
 	saysDone := result == archive.Done && (want.State == jobs.Cancelled || !isDurable && attempted.State == jobs.Cancelled)
 	saysCancelled := result == archive.Cancelled && isDurable && want.State != jobs.Cancelled
 	if saysDone || saysCancelled {
-		s.t.Fatalf("%s: the index says %v, want %+v", jobID, result, want)
+		s.t.Fatalf("%s in the index: got %v, want %+v (durable %v)", jobID, result, want, isDurable)
 	}
 	state, found, ok := s.leader.lookUp(jobID)
 	if ok && (found != isDurable && (isDurable || !isAttempted) || isDurable && found && state != want) {
-		s.t.Fatalf("%s: %+v, found %v, want %+v, %v", jobID, state, found, want, isDurable)
+		s.t.Fatalf("%s: got %+v (found %v), want %+v (durable %v)", jobID, state, found, want, isDurable)
 	}
 }
 
@@ -165,22 +165,22 @@
 	s.changeLeader(10_000)
 }
 
-// checkEnd: in the end each job is in one place.
+// checkEnd checks that in the end each job is in one place.
 func (s *archiveSchedule) checkEnd() {
 	s.t.Helper()
 	for id, state := range s.attempted {
 		got, found, ok := s.leader.lookUp(id)
 		_, isDurable := s.durable[id]
 		if !ok || isDurable && !found || found && got != state {
-			s.t.Fatalf("%s: %+v, found %v (%v), want %+v, durable %v", id, got, found, ok, state, isDurable)
+			s.t.Fatalf("%s: got %+v (found %v, readable %v), want %+v (durable %v)", id, got, found, ok, state, isDurable)
 		}
 	}
 	kept := len(s.leader.finished) + s.leader.archive.JobCount()
 	if kept < len(s.durable) || kept > len(s.attempted) {
-		s.t.Fatalf("%d jobs in pages and segments, %d are durable and %d were attempted", kept, len(s.durable), len(s.attempted))
+		s.t.Fatalf("jobs in pages and segments: got %d, want between %d durable and %d attempted", kept, len(s.durable), len(s.attempted))
 	}
 	if len(s.cluster.Violations) > 0 {
-		s.t.Fatalf("%v", s.cluster.Violations)
+		s.t.Fatalf("violations of the state service: got %v, want none", s.cluster.Violations)
 	}
 }
 
@@ -190,8 +190,9 @@
 	return segments > 0 && segments < 3 && s.leader.archive.JobCount() > 12
 }
 
-// Whatever becomes of its commits (refused, lost on the way there or back, executed late, under a leader that has been deposed) every
-// finished job is in exactly one place and found with its state and counts, and no other job is ever found. The plain model is a map.
+// TestEveryFinishedJobIsStoredOnce checks that every finished job is in exactly one place and is found with its state
+// and counts, and that no other job is found, whether its commits are refused, lost on the way there or back, executed
+// late, or sent by a deposed leader. The model is a map.
 func TestEveryFinishedJobIsStoredOnce(t *testing.T) {
 	first, second := collidingIDs()
 	compacted := 0
@@ -207,6 +208,6 @@
 		}
 	})
 	if compacted == 0 {
-		t.Error("no case came as far as a compaction")
+		t.Error("schedules that reached a compaction: got 0, want at least 1")
 	}
 }
--- a/internal/controller/archive/older_version_test.go
+++ b/internal/controller/archive/older_version_test.go
@@ -30,8 +30,8 @@
 	return codec.Unmarshal(body, &a)
 }
 
-// A version without an archive must not lead: it would call archived jobs unknown. It reads all values below page/ as maps, and answers
-// no request until it has.
+// TestOlderVersionCannotLoadPages checks that a version without an archive cannot lead, since it would report archived
+// jobs as unknown: it reads all values below page/ as maps, and answers no request before it has read them.
 func TestOlderVersionCannotLoadPages(t *testing.T) {
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
 	leader := becomeLeader(t, cluster, time.Unix(5000, 0), 1, 1000)
@@ -43,10 +43,10 @@
 		leader.executeAll()
 	}
 	if leader.archive.SegmentCount() == 0 {
-		t.Fatal("nothing was archived")
+		t.Fatal("archived segments: got 0, want at least 1")
 	}
 	raw := cluster.State.Exchange(client.Call{Method: "GET", Path: "/keys?starts=page/&most=60"})
 	if err := readPagesAsOlderVersion(raw.Body); err == nil {
-		t.Error("an older version reads the pages")
+		t.Error("read pages as an older version: no error, want one")
 	}
 }
--- a/internal/controller/cloud/boottime/estimator_test.go
+++ b/internal/controller/cloud/boottime/estimator_test.go
@@ -11,12 +11,12 @@
 func assertBetween(t *testing.T, what string, got, low, high time.Duration) {
 	t.Helper()
 	if got < low || got > high {
-		t.Errorf("%s: %v, not between %v and %v", what, got, low, high)
+		t.Errorf("%s: got %v, want between %v and %v", what, got, low, high)
 	}
 }
 
-// Without samples the stated time holds. Then samples count, and a period in which all boots are slow is forgotten soon after it
-// ends.
+// TestObservedBootTimesAdjustEstimate checks that the stated time holds without samples, that samples count then, and
+// that a period in which all boots are slow is forgotten soon after it ends.
 func TestObservedBootTimesAdjustEstimate(t *testing.T) {
 	estimator := New()
 	assertBetween(t, "no samples", estimator.Expected("small", statedTime), statedTime, statedTime)
@@ -40,8 +40,8 @@
 	assertBetween(t, "as usual again", estimator.Expected("small", statedTime), 34*time.Second, 46*time.Second)
 }
 
-// Instances that are late together raise the estimate before any of them reports, and are not given up after the usual time. A
-// single one that never reports among many that did is.
+// TestBootingInstancesRaiseEstimate checks that instances that are late together raise the estimate before any of them
+// reports and are not given up after the usual time, and that a single late one among many that reported is.
 func TestBootingInstancesRaiseEstimate(t *testing.T) {
 	estimator := New()
 	for range maxSamples {
@@ -56,20 +56,20 @@
 	}
 	await(1, 131*time.Second)
 	if timeout := estimator.Timeout("small", statedTime); timeout > 131*time.Second {
-		t.Errorf("timeout of a single late instance: %v", timeout)
+		t.Errorf("timeout of a single late instance: got %v, want at most 131s", timeout)
 	}
 	await(40, 131*time.Second)
 	if timeout := estimator.Timeout("small", statedTime); timeout <= 200*time.Second {
-		t.Errorf("timeout of forty instances that are late together: %v", timeout)
+		t.Errorf("timeout of forty instances that are late together: got %v, want above 200s", timeout)
 	}
 	if left := estimator.Remaining("small", 131*time.Second, statedTime); left < 20*time.Second || left > time.Minute {
-		t.Errorf("remaining time of one of them: %v", left)
+		t.Errorf("remaining time of a late instance: got %v, want 20s to 1m", left)
 	}
 	await(0, 0)
 	assertBetween(t, "no instance awaited", estimator.Expected("small", statedTime), statedTime, statedTime)
 }
 
-// Whatever is observed, the estimates stay within bounds.
+// TestEstimateStaysBounded checks that the estimates stay within bounds, whatever is observed.
 func TestEstimateStaysBounded(t *testing.T) {
 	estimator := New()
 	for i := range 1000 {
@@ -87,6 +87,6 @@
 	assertBetween(t, "expected", estimator.Expected("small", statedTime), statedTime, maxFactor*statedTime)
 	assertBetween(t, "timeout", estimator.Timeout("small", statedTime), statedTime, maxFactor*5*statedTime/2+timeoutGrace)
 	if n := len(estimator.types["small"].factors) + len(estimator.types["small"].bootingFactors); n > maxSamples+maxBooting {
-		t.Errorf("%d samples are kept", n)
+		t.Errorf("samples kept: got %d, want at most %d", n, maxSamples+maxBooting)
 	}
 }
--- a/internal/controller/dynamicconfig/record_test.go
+++ b/internal/controller/dynamicconfig/record_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Whatever the number of changes and their authors, the record stays within the bytes reserved for it in its page, and the
-// newest change is kept.
+// TestRecordSizeIsBounded checks that the record stays within the bytes reserved for it in its page, whatever the
+// number of changes and their authors, and that the newest change is kept.
 func TestRecordSizeIsBounded(t *testing.T) {
 	const bytesOfSmallPage = 1900 // with a state service whose values hold 2 KiB
 	for _, maxBytes := range []int{maxRecordBytes, bytesOfSmallPage} {
@@ -23,7 +23,10 @@
 		kept.addChange(Change{Version: i + 1, Author: strings.Repeat("w", maxAuthorBytes), Details: details}, maxBytes)
 		size := kept.size()
 		if size > maxBytes || len(kept.Changes) == 0 || kept.Changes[0].Version != i+1 || len(kept.Changes) > maxChanges {
-			t.Fatalf("after %d changes: %d bytes, %d kept", i+1, size, len(kept.Changes))
+			t.Fatalf(
+				"record after %d changes: %d bytes, changes %+v, want at most %d bytes and 1 to %d changes",
+				i+1, size, kept.Changes, maxBytes, maxChanges,
+			)
 		}
 	}
 }
--- a/internal/controller/election/schedules_test.go
+++ b/internal/controller/election/schedules_test.go
@@ -22,16 +22,16 @@
 	r := modelcheck.CheckAll(func() modelcheck.Model { return newElectionModel(t, "", *modelFaults) }, 12+2**modelFaults, 5_000_000)
 	t.Logf("%d states, depth %d, cut %v", r.States, r.Depth, r.IsTruncated)
 	if r.Violation != "" {
-		t.Errorf("%s after %q", r.Violation, r.Schedule)
+		t.Errorf("violation in all schedules: got %q after %q, want none", r.Violation, r.Schedule)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	r = modelcheck.RandomWalks(func() modelcheck.Model { return newElectionModel(t, "", 6) }, walkLength, cleanWalks, rng)
 	if r.Violation != "" {
-		t.Errorf("%s after %q", r.Violation, r.Schedule)
+		t.Errorf("violation in random walks: got %q after %q, want none", r.Violation, r.Schedule)
 	}
 }
 
-// TestElectionMutants checks that each mistake is found by some schedule. The seeds find it soon. Two more mistakes
+// TestElectionMutants checks that some schedule finds each mistake. The seeds are ones that find it soon. Two more mistakes
 // are not found by half a million walks and have tests of their own: that grants given after the lease expired count
 // (TestLateRenewal), and that a vote query is answered by the lease alone (TestVoteQueryDuringLateRenewal).
 func TestElectionMutants(t *testing.T) {
@@ -50,7 +50,7 @@
 	})
 }
 
-// checkMutants walks through the model of each mutant until a rule is broken, which has to happen within so many walks.
+// checkMutants walks through the model of each mutant until the invariant is violated, which has to happen within the given walks.
 func checkMutants(t *testing.T, seeds map[mutant]uint64, length, walks int, newModel func(mutant, *rand.Rand) modelcheck.Model) {
 	t.Helper()
 	for mutant, seed := range seeds {
@@ -60,7 +60,7 @@
 			r := modelcheck.RandomWalks(func() modelcheck.Model { return newModel(mutant, rng) }, length, walks, rng)
 			t.Logf("%d states: %s after %q", r.States, r.Violation, r.Schedule)
 			if r.Violation == "" {
-				t.Error("not found")
+				t.Errorf("no violation found in %d states, want one", r.States)
 			}
 		})
 	}
--- a/internal/controller/estimate/estimate_test.go
+++ b/internal/controller/estimate/estimate_test.go
@@ -11,6 +11,7 @@
 	return jobs.New(jobs.Spec{ID: "job-1", Class: class, Tasks: tasks, CPUs: cpus, RunTimeEstimate: estimate}, submittedAt)
 }
 
+// TestTaskRunTime checks how run times of the class and of the job itself adjust the owner's estimate.
 func TestTaskRunTime(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -24,7 +25,7 @@
 		{"first sample of the class counts a fifth", []time.Duration{200 * time.Second}, nil, 100 * time.Second, 120 * time.Second},
 		{"one sample counts ten times the estimate at most", []time.Duration{time.Hour}, nil, 100 * time.Second, 280 * time.Second},
 		{"one run of the job against a prior of two", nil, []time.Duration{40 * time.Second}, 0, 13333333333 * time.Nanosecond},
-		{"eight runs at most", nil, repeat(40*time.Second, 20), 0, 32 * time.Second},
+		{"at most eight runs count", nil, repeat(40*time.Second, 20), 0, 32 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			estimator, now := New(), time.Unix(1000, 0)
@@ -36,7 +37,7 @@
 				estimator.ObserveRunTime(job, ran)
 			}
 			if got := estimator.TaskRunTime(job); got != c.want {
-				t.Errorf("expected run time %v, want %v", got, c.want)
+				t.Errorf("estimated run time: got %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -50,6 +51,7 @@
 	return list
 }
 
+// TestRemainingCPUSeconds checks the remaining CPU seconds of jobs with and without CPUs.
 func TestRemainingCPUSeconds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -58,12 +60,12 @@
 		want float64
 	}{
 		{"tasks with CPUs", 2, 2 * 3 * 60},
-		{"tasks without CPUs count a tenth", 0, 0.1 * 3 * 60},
+		{"tasks without CPUs count as a tenth of a CPU", 0, 0.1 * 3 * 60},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			job := newJob("c", time.Minute, 3, c.cpus, now)
 			if got := New().RemainingCPUSeconds(job, now); got != c.want {
-				t.Errorf("%g CPU seconds remain, want %g", got, c.want)
+				t.Errorf("remaining CPU seconds: got %g, want %g", got, c.want)
 			}
 		})
 	}
--- a/internal/controller/failover/reconciler_test.go
+++ b/internal/controller/failover/reconciler_test.go
@@ -13,8 +13,9 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// A heartbeat made under an older fencing token may be older than starts that an earlier leader has sent since: a
-// registered machine is reconciled only once its worker has seen the new token.
+// TestHeartbeatUnderOlderFencingTokenIsNotReconciled checks that a registered machine is reconciled only once its
+// worker has received the new fencing token: a heartbeat under an older token may be older than starts that an earlier
+// leader has sent since.
 func TestHeartbeatUnderOlderFencingTokenIsNotReconciled(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
@@ -22,24 +23,25 @@
 	machine := reconciler.addUnreconciled(now, "vm-1")
 	report := workerapi.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8}
 	if response := reconciler.sendHeartbeat(t, now, report); response.FencingToken != 9 || machine.Reconciled {
-		t.Errorf("fencing token %d, reconciled %v by a heartbeat under an older token", response.FencingToken, machine.Reconciled)
+		t.Errorf("heartbeat under an older token: response token %d, reconciled %v, want 9, false", response.FencingToken, machine.Reconciled)
 	}
 	reconciler.reconcileMachines(now)
 	if reconciler.Completed() {
-		t.Error("completed before the machine is reconciled")
+		t.Error("failover completed before the machine is reconciled, want open")
 	}
 	report.Sequence, report.FencingToken = 5, 9
 	if reconciler.sendHeartbeat(t, now, report); !machine.Reconciled {
-		t.Error("not reconciled by a heartbeat under the token")
+		t.Error("machine not reconciled by a heartbeat under the token, want reconciled")
 	}
 	if reconciler.reconcileMachines(now); !reconciler.Completed() {
-		t.Error("not completed")
+		t.Error("failover not completed after the machine is reconciled, want completed")
 	}
 }
 
-// An instance that the cloud lists as failed is terminated during a failover at once, also if it is the only one; one that
-// is listed as running is not, as long as its lease may hold.
-func TestFailedInstancesAreTerminatedDuringAFailover(t *testing.T) {
+// TestFailedInstancesAreTerminatedDuringFailover checks that during a failover an instance that the cloud lists as
+// failed is terminated at once, also if it is the only one, and that one listed as running is not while its lease may
+// be valid.
+func TestFailedInstancesAreTerminatedDuringFailover(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
 	reconciler.progress.completed = false
@@ -49,15 +51,19 @@
 	}
 	reconciler.unresponsive.check(now, reconciler.Completed())
 	if !reconciler.cloud.Instances["vm-1"].Deleting || reconciler.cloud.Instances["vm-2"].Deleting {
-		t.Error("not the failed instance is terminated")
+		t.Errorf(
+			"deleting: got vm-1 %v, vm-2 %v, want only vm-1, which has failed",
+			reconciler.cloud.Instances["vm-1"].Deleting, reconciler.cloud.Instances["vm-2"].Deleting,
+		)
 	}
 	if reconciler.reconcileMachines(now); reconciler.Completed() {
-		t.Error("completed before the deletion is confirmed")
+		t.Error("failover completed before the deletion is confirmed, want open")
 	}
 }
 
-// A new leader half of whose registered machines no longer exist probes those again and again. That they do not answer is no
-// sign of a partition: machines that have reported answer. If none at all answers, it is one.
+// TestTerminatedMachinesAreNoEvidenceOfPartition checks that unanswered probes of registered machines that no longer
+// exist are not taken for a partition while machines that have reported answer, and that it is one if no machine
+// answers.
 func TestTerminatedMachinesAreNoEvidenceOfPartition(t *testing.T) {
 	for name, alive := range map[string]int{"half of them are there": 20, "none answers": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -78,14 +84,15 @@
 				inboundLost = inboundLost || reconciler.connectivity.IsPartitioned(now)
 			}
 			if inboundLost != (alive == 0) {
-				t.Errorf("inbound connectivity lost: %v", inboundLost)
+				t.Errorf("inbound connectivity lost: got %v, want %v", inboundLost, alive == 0)
 			}
 		})
 	}
 }
 
-// The answer to a probe may arrive after the deletion of its machine was confirmed. The tasks that it lists are gone with the machine: if
-// they were assigned to it again, no lease and no further deletion would ever end them, and their job would never complete.
+// TestProbeAnswerOfRemovedMachineIsIgnored checks that the answer to a probe is ignored if the deletion of its machine
+// was confirmed before. The tasks that it lists no longer exist: if they were assigned to the machine again, no lease
+// and no deletion would ever end them, and their job would never complete.
 func TestProbeAnswerOfRemovedMachineIsIgnored(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
@@ -97,7 +104,7 @@
 	machine.Addr = machine.ID
 	reconciler.prober.budget = 1
 	if !reconciler.prober.probe(now, machine) {
-		t.Fatal("the machine was not probed")
+		t.Fatal("probe of the machine not sent, want sent")
 	}
 	probes := reconciler.outbox.TakeCalls()
 	if len(probes) != 1 {
@@ -111,7 +118,7 @@
 	})})
 
 	if attempt := job.ActiveAttempts[0]; attempt != nil {
-		t.Errorf("attempt %d is active on %s, which was deleted", attempt.Number, attempt.MachineID)
+		t.Errorf("attempt %d is active on the deleted machine %s, want none", attempt.Number, attempt.MachineID)
 	}
 	if usage := reconciler.workers.TeamUsage(job.Team).CPUs; usage != 0 {
 		t.Errorf("CPUs used by the team: got %v, want 0", usage)
@@ -134,7 +141,7 @@
 	}
 	reconciler.heartbeats.RemoveDeleted(now)
 	if reconciler.workers.Machines[machineID] != nil {
-		t.Fatalf("%s was not removed", machineID)
+		t.Fatalf("machine %s: still registered, want removed", machineID)
 	}
 }
 
--- a/internal/controller/failover/unresponsive_test.go
+++ b/internal/controller/failover/unresponsive_test.go
@@ -11,9 +11,10 @@
 	"gullrudder/internal/controller/zones"
 )
 
-// Of an unavailable zone a few of the machines are kept, those on which the least runs; nothing is placed on these, and they
-// are terminated like others once the zone is available again.
-func TestSentinelsAreKeptInAnUnavailableZone(t *testing.T) {
+// TestSentinelsAreKeptInUnavailableZone checks that the machines of an unavailable zone on which the least runs are
+// kept as sentinels. Nothing is placed on sentinels, and they are terminated like other machines once the zone is
+// available again.
+func TestSentinelsAreKeptInUnavailableZone(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 1)
 	const machines, silent = 90, 20
@@ -42,7 +43,7 @@
 		sentinels, terminated = step(true)
 	}
 	if sentinels != silent/10 || terminated != silent-silent/10 {
-		t.Fatalf("of %d silent machines %d are sentinels, %d terminated", silent, sentinels, terminated)
+		t.Fatalf("of %d silent machines: %d sentinels, %d terminated, want %d, %d", silent, sentinels, terminated, silent/10, silent-silent/10)
 	}
 	for _, machine := range reconciler.workers.SortedMachines() { // one sentinel sends a heartbeat again, the other does not
 		if machine.IsSentinel {
@@ -54,7 +55,7 @@
 		sentinels, _ = step(false)
 	}
 	if sentinels != 0 {
-		t.Errorf("%d machines are sentinels though their zone is available", sentinels)
+		t.Errorf("sentinels after the zone recovered: got %d, want 0", sentinels)
 	}
 }
 
@@ -81,7 +82,7 @@
 		if machine.IsSentinel {
 			sentinels++
 			if placement.IsEligible(jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, AllowsSpot: true}, now), machine) {
-				t.Errorf("a task may be placed on the sentinel %s", machine.ID)
+				t.Errorf("sentinel %s eligible for a task, want not eligible", machine.ID)
 			}
 		}
 		if machine.DrainReason == worker.DrainUnresponsive {
@@ -91,8 +92,9 @@
 	return sentinels, terminated
 }
 
-// A machine is terminated after two probes without an answer, unless more than a third of all machines are unresponsive, or
-// no heartbeat at all reaches this controller: on two recorded days a third of the machines went after the other.
+// TestSilentMachinesAreTerminated checks that a machine is terminated after two unanswered probes, unless more than a
+// third of all machines are unresponsive or no heartbeat at all reaches this controller. On two recorded days one third
+// of the machines after the other was terminated.
 func TestSilentMachinesAreTerminated(t *testing.T) {
 	for name, test := range map[string]struct {
 		machines, silent, terminated int
@@ -120,13 +122,13 @@
 				reconciler.checkUnresponsive(now)
 			}
 			if terminated := reconciler.countTerminated(t, test.silent); terminated != test.terminated {
-				t.Errorf("%d of %d silent: %d terminated, want %d", test.silent, test.machines, terminated, test.terminated)
+				t.Errorf("terminated with %d of %d machines silent: got %d, want %d", test.silent, test.machines, terminated, test.terminated)
 			}
 		})
 	}
 }
 
-// countTerminated counts the machines that are being terminated, which must be among the first so many, the silent ones.
+// countTerminated counts the machines that are being terminated. Only the first ones, which are silent, may be.
 func (reconciler *testReconciler) countTerminated(t *testing.T, silent int) int {
 	t.Helper()
 	terminated := 0
@@ -136,13 +138,13 @@
 		}
 		terminated++
 		if i >= silent {
-			t.Errorf("%s is terminated though it sends heartbeats", machine.ID)
+			t.Errorf("%s terminated though it sends heartbeats, want kept", machine.ID)
 		}
 	}
 	return terminated
 }
 
-// renewMachines renews all machines but the first so many, which are silent.
+// renewMachines renews the leases of all machines except the first ones, which are silent.
 func (reconciler *testReconciler) renewMachines(now time.Time, silent int) {
 	for i, machine := range reconciler.workers.SortedMachines() {
 		if i >= silent {
--- a/internal/controller/failures/tracker_test.go
+++ b/internal/controller/failures/tracker_test.go
@@ -175,7 +175,7 @@
 			n.crashLooping++
 		}
 		if got && p < 0.8 {
-			t.Errorf("job %d is called crash-looping, which has a probability of %.3f", j, p)
+			t.Errorf("job %d: crash-looping at probability %.3f, want at least 0.8", j, p)
 		}
 		if p > 0.999 {
 			n.certain++
@@ -186,12 +186,13 @@
 	}
 	for m, p := range faulty {
 		if tracker.IsFaulty(machineName(m)) && p < 0.5 {
-			t.Errorf("machine %d is called faulty, which has a probability of %.3f", m, p)
+			t.Errorf("machine %d: faulty at probability %.3f, want at least 0.5", m, p)
 		}
 	}
 }
 
-// On small cases every verdict is supported by the exact posterior, and what is nearly certain is found.
+// TestVerdictsMatchExactPosterior checks on small cases that every verdict is supported by the exact posterior, and
+// that crash loops that are nearly certain are found.
 func TestVerdictsMatchExactPosterior(t *testing.T) {
 	var counts verdictCounts
 	rapid.Check(t, func(t *rapid.T) {
@@ -201,12 +202,16 @@
 		counts.compare(t, tracker, attribution)
 	})
 	if counts.crashLooping < 20 || counts.certain == 0 || counts.missed*20 > counts.certain {
-		t.Errorf("%d verdicts; of %d certain crash loops %d are not found", counts.crashLooping, counts.certain, counts.missed)
+		t.Errorf(
+			"verdicts: got %d crash-looping, %d certain, %d of these missed, want at least 20, 1, at most a twentieth",
+			counts.crashLooping, counts.certain, counts.missed,
+		)
 	}
 }
 
-// Two of ten machines fail every task while two of ten jobs crash on every machine: these are found and nothing else. Each job
-// is tried on machines that it has not failed on.
+// TestCrashLoopingJobsAndFaultyMachinesTogether checks that two of ten machines that fail every task and two of ten
+// jobs that crash on every machine are found, and nothing else. Each job is tried on machines that it has not failed
+// on.
 func TestCrashLoopingJobsAndFaultyMachinesTogether(t *testing.T) {
 	tracker, now := New(), time.Unix(1000, 0)
 	done := map[int]int{}
@@ -228,11 +233,12 @@
 	}
 	crashLooping, faulty := tracker.verdicts()
 	if fmt.Sprint(crashLooping) != "[job-0 job-1]" || fmt.Sprint(faulty) != "[vm-0 vm-1]" {
-		t.Errorf("crash-looping %v, faulty %v", crashLooping, faulty)
+		t.Errorf("crash-looping: got %v, faulty %v, want [job-0 job-1], [vm-0 vm-1]", crashLooping, faulty)
 	}
 }
 
-// Two crash-looping jobs that fail on the same machines do not make these faulty.
+// TestCrashLoopingJobsDoNotMakeMachineFaulty checks that two crash-looping jobs that fail on the same machines do not
+// make these faulty.
 func TestCrashLoopingJobsDoNotMakeMachineFaulty(t *testing.T) {
 	tracker, now := New(), time.Unix(1000, 0)
 	for i := range 6 {
@@ -240,15 +246,16 @@
 		tracker.RecordFailure(now, "job-2", fmt.Sprint("vm-", i), 0)
 	}
 	if crashLooping, faulty := tracker.verdicts(); len(crashLooping) != 2 || len(faulty) != 0 {
-		t.Errorf("crash-looping %v, faulty %v", crashLooping, faulty)
+		t.Errorf("crash-looping: got %v, faulty %v, want two, none", crashLooping, faulty)
 	}
 	tracker.RecordCompletion("job-1", "vm-9")
 	if tracker.IsCrashLooping("job-1") {
-		t.Error("a job that has completed a task is still called crash-looping")
+		t.Error("job that has completed a task: crash-looping, want not")
 	}
 }
 
-// A faulty machine is not found while only a crash-looping job fails on it; it is once others do.
+// TestFaultyMachineWithOnlyCrashLoopingJob checks that a faulty machine is not found while only a crash-looping job
+// fails on it, and is found once other jobs do.
 func TestFaultyMachineWithOnlyCrashLoopingJob(t *testing.T) {
 	tracker, now := New(), time.Unix(1000, 0)
 	for i := range 4 {
@@ -256,16 +263,17 @@
 	}
 	tracker.RecordFailure(now, "job-1", "sick", 0)
 	if tracker.IsFaulty("sick") {
-		t.Error("called faulty by the evidence of one job")
+		t.Error("machine with failures of one job only: faulty, want not")
 	}
 	tracker.RecordFailure(now, "job-2", "sick", 5)
 	tracker.RecordFailure(now, "job-3", "sick", 7)
 	if !tracker.IsFaulty("sick") || tracker.IsFaulty("vm-0") {
-		t.Error("want only the machine on which other jobs fail to be faulty")
+		t.Errorf("faulty: machine sick %v, vm-0 %v, want true, false", tracker.IsFaulty("sick"), tracker.IsFaulty("vm-0"))
 	}
 }
 
-// Retries are delayed longer each time and share a budget, whatever the number of crash-looping jobs.
+// TestRetriesShareBudget checks that retries are delayed longer each time and share a budget, whatever the number of
+// crash-looping jobs.
 func TestRetriesShareBudget(t *testing.T) {
 	tracker, now := New(), time.Unix(1000, 0)
 	const jobs = 200
@@ -286,11 +294,11 @@
 	}
 	// Each is tried once at first; from then on the budget bounds the retries.
 	if most := jobs + maxStoredRetries + int(2*time.Minute/retryRefillInterval); tried > most || tried < jobs+60 {
-		t.Errorf("%d tries of %d jobs in two minutes, want at most %d", tried, jobs, most)
+		t.Errorf("retries of %d jobs in two minutes: got %d, want %d to %d", jobs, tried, jobs+60, most)
 	}
 }
 
-// The tracker keeps recent failures only, and a bounded number of neighbours.
+// TestTrackerIsBounded checks that the tracker keeps recent failures only, and a bounded number of neighbours.
 func TestTrackerIsBounded(t *testing.T) {
 	tracker, now := New(), time.Unix(1000, 0)
 	for i := range 5000 {
@@ -299,11 +307,17 @@
 		now = now.Add(time.Second)
 	}
 	if n := len(tracker.jobs) + len(tracker.machines); n > 2000 || len(tracker.machines["vm-0"].failedJobs) > maxStoredNeighbours {
-		t.Errorf("%d jobs and machines are kept", n)
+		t.Errorf(
+			"jobs and machines kept: got %d, neighbours of vm-0 %d, want at most 2000, %d",
+			n, len(tracker.machines["vm-0"].failedJobs), maxStoredNeighbours,
+		)
 	}
 	tracker.ForgetJob("job-1")
 	tracker.ForgetMachine("vm-0")
 	if tracker.FailedMachineCount("job-1") != 0 || tracker.IsFaulty("vm-0") {
-		t.Error("what was dropped is still kept")
+		t.Errorf(
+			"dropped entries: failed machines of job-1 %d, vm-0 faulty %v, want 0, false",
+			tracker.FailedMachineCount("job-1"), tracker.IsFaulty("vm-0"),
+		)
 	}
 }
--- a/internal/controller/fairshare/best_choice_test.go
+++ b/internal/controller/fairshare/best_choice_test.go
@@ -46,7 +46,7 @@
 	return float64(candidate.StartableTasks) * estimate.CountedCPUs(candidate.Job)
 }
 
-// bestLeastShare is the plain model: the most that the least served group can have, by every set of jobs that fits.
+// bestLeastShare is the model: the most that the least served group can have, by every set of jobs that fits.
 func bestLeastShare(done map[Group]float64, overdue []OverdueJob, availableCPUs float64) float64 {
 	best := 0.0
 	for code := range 1 << len(overdue) {
@@ -92,8 +92,8 @@
 	return overdue
 }
 
-// On small cases the group that is served least gets nearly what the best choice of jobs gives it, and the shares are not
-// exceeded but by the last job.
+// TestLeastServedNearBestChoice checks on small cases that the least served group gets nearly what the best choice of
+// jobs would give it, and that only the last job may exceed the share.
 func TestLeastServedNearBestChoice(t *testing.T) {
 	const totalCPUs = 60
 	sum, sumOfBest, worst := 0.0, 0.0, 0.0
@@ -115,7 +115,7 @@
 		}
 		shareCPUs := allocator.policy.CapacityShare * totalCPUs
 		if len(allocations) > 1 && usedCPUs-largest >= shareCPUs {
-			t.Errorf("%g CPUs are allocated out of a share of %g", usedCPUs, shareCPUs)
+			t.Errorf("allocated CPUs: got %g, want at most the share of %g and one job", usedCPUs, shareCPUs)
 		}
 		// The last job may exceed the share: the best choice may use as much.
 		best := bestLeastShare(done, overdue, max(usedCPUs, shareCPUs))
@@ -124,6 +124,6 @@
 	})
 	t.Logf("the group served least gets %.3f of the best choice, at worst %.2f less", sum/max(sumOfBest, 1e-9), worst)
 	if sum < 0.85*sumOfBest {
-		t.Errorf("the group served least gets %.3f of the best choice", sum/sumOfBest)
+		t.Errorf("share of the best choice for the group served least: got %.3f, want at least 0.85", sum/sumOfBest)
 	}
 }
--- a/internal/controller/jobs/parse_test.go
+++ b/internal/controller/jobs/parse_test.go
@@ -40,6 +40,7 @@
 	return ParseSpec(raw)
 }
 
+// TestParseSpec checks every field of a valid submission.
 func TestParseSpec(t *testing.T) {
 	fields := submission()
 	fields["cpus"], fields["strokes"] = 8, 16.0 // a whole number for an amount, and the reverse
@@ -50,17 +51,19 @@
 		CheckpointInterval: 30 * time.Second, CheckpointDuration: 4 * time.Second, Deadline: 15 * time.Minute,
 	}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
-		t.Errorf("%v\n%s", err, diff)
+		t.Errorf("parse: error %v, spec (-want +got):\n%s", err, diff)
 	}
 }
 
-func TestParseSpecCountsADependencyOnce(t *testing.T) {
+// TestParseSpecDropsRepeatedDependencies checks that repeated dependencies are dropped.
+func TestParseSpecDropsRepeatedDependencies(t *testing.T) {
 	spec, err := parse(t, submissionWith("tows", []string{"job-2", "job-1", "job-2"}))
 	if err != nil || !slices.Equal(spec.Dependencies, []string{"job-2", "job-1"}) {
-		t.Fatalf("dependencies %v, %v", spec.Dependencies, err)
+		t.Fatalf("dependencies: got %v, error %v, want [job-2 job-1]", spec.Dependencies, err)
 	}
 }
 
+// TestParseSpecRejectsInvalidFields checks that each invalid value of a field gets a validation error with status 400.
 func TestParseSpecRejectsInvalidFields(t *testing.T) {
 	invalidValues := map[string][]any{
 		"id": {nil, "", "job-", "job-12x", "Job-1", 7}, "berth": {nil, 3, ""}, "crew": {nil}, "rig": {"raft", nil},
@@ -74,13 +77,14 @@
 			t.Run(fmt.Sprintf("%s=%v", name, value), func(t *testing.T) {
 				var invalid *ValidationError
 				if _, err := parse(t, submissionWith(name, value)); !errors.As(err, &invalid) || invalid.Status != http.StatusBadRequest {
-					t.Errorf("%v", err)
+					t.Errorf("error: got %v, want a ValidationError with status 400", err)
 				}
 			})
 		}
 	}
 }
 
+// TestParseSpecRejectsMissingFields checks that a submission without a required field is rejected.
 func TestParseSpecRejectsMissingFields(t *testing.T) {
 	optional := []string{"keels", "harbour", "landfall_s"}
 	for name := range submission() {
@@ -90,27 +94,29 @@
 		fields := submission()
 		delete(fields, name)
 		if _, err := parse(t, fields); err == nil {
-			t.Errorf("accepted without %s", name)
+			t.Errorf("parse without %s: no error, want one", name)
 		}
 	}
 }
 
-// No field takes a value of a type that no field has, or one beyond all bounds.
+// TestParseSpecRejectsImpossibleValues checks that every field rejects a value of a type that no field has, or one
+// beyond all bounds.
 func TestParseSpecRejectsImpossibleValues(t *testing.T) {
 	impossible := []any{map[string]any{}, []any{}, math.Inf(1), math.Inf(-1), strings.Repeat("x", maxTextBytes+1), 1e300}
 	for name := range submission() {
 		for _, value := range impossible {
 			if _, err := parse(t, submissionWith(name, value)); err == nil {
-				t.Errorf("%s = %v is accepted", name, value)
+				t.Errorf("parse %s = %v: no error, want one", name, value)
 			}
 		}
 	}
 }
 
+// TestParseSpecRejectsOtherMessages checks that messages that are not a submission are rejected.
 func TestParseSpecRejectsOtherMessages(t *testing.T) {
 	for _, message := range []any{nil, 3, "x", []int{1}} {
 		if _, err := parse(t, message); err == nil {
-			t.Errorf("%v is accepted as a submission", message)
+			t.Errorf("parse %v: no error, want one", message)
 		}
 	}
 }
--- a/internal/controller/jobs/production_test.go
+++ b/internal/controller/jobs/production_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A record that the version in production has stored is read with all its fields.
+// TestProductionRecordsAreRead checks that a record stored by the version in production is read with all its fields.
 func TestProductionRecordsAreRead(t *testing.T) {
 	want := Spec{
 		ID: "job-000412", Class: "train", Team: "vision", Priority: High, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64,
@@ -72,18 +72,19 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(want, job.Spec); diff != "" {
-				t.Error(diff)
+				t.Errorf("spec (-want +got):\n%s", diff)
 			}
 			if job.State != state || job.DoneTasks != 2 || !job.IsTaskDurable(69) || !job.Guaranteed || !job.CrashLooping ||
 				job.FirstStartBound != 40*time.Second || job.LastStartBound != 90*time.Second ||
 				job.SubmittedAt.UnixMilli() != 1_700_000_000_123 {
-				t.Errorf("%+v", job)
+				t.Errorf("job: got %+v, want the fields of the production record in state %v", job, state)
 			}
 		})
 	}
 }
 
-// A record of the version in production is written back with the same fields, since that version may lead again.
+// TestProductionRecordIsRewrittenUnchanged checks that a record of the version in production is written back with the
+// same fields, since that version may lead again.
 func TestProductionRecordIsRewrittenUnchanged(t *testing.T) {
 	var record Record
 	loadFixture(t, "accepted", &record)
@@ -104,28 +105,31 @@
 		t.Fatal(err)
 	}
 	if string(got) != string(want) {
-		t.Errorf("rewritten in another form:\n%x\n%x", want, got)
+		t.Errorf("rewritten record: got %x, want %x", got, want)
 	}
 }
 
+// TestProductionFinalRecordsAreRead checks that final records of the version in production are read.
 func TestProductionFinalRecordsAreRead(t *testing.T) {
 	for name, state := range map[string]State{"done": Done, "cancelled": Cancelled} {
 		var record Record
 		loadFixture(t, name, &record)
 		if job, err := FromRecord("job-1", record); err != nil || job.State != state || job.Tasks != 70 {
-			t.Errorf("%s: %+v, %v", name, job, err)
+			t.Errorf("%s: got %+v, error %v, want state %v with 70 tasks", name, job, err, state)
 		}
 	}
 }
 
+// TestProductionChunkIsRead checks that a chunk of results of the version in production is read.
 func TestProductionChunkIsRead(t *testing.T) {
 	var chunk Chunk
 	if loadFixture(t, "chunk", &chunk); chunk.DoneBits != "AQI" {
-		t.Errorf("%+v", chunk)
+		t.Errorf("chunk: got %+v, want done bits AQI", chunk)
 	}
 }
 
-// Records have only the fields of the version in production, with the same names and types, and those of dependencies.
+// TestRecordHasProductionFieldsOnly checks that records have only the fields of the version in production, with the
+// same names and types, and those of dependencies.
 func TestRecordHasProductionFieldsOnly(t *testing.T) {
 	known := map[string]reflect.Type{}
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[productionRecord]()) {
@@ -135,13 +139,14 @@
 		tag := field.Tag.Get("msgpack")
 		isOfDependencies := tag == "nd,omitempty" || tag == "rd,omitempty"
 		if known[tag] != field.Type && !isOfDependencies {
-			t.Errorf("field %s (%s) is not known to production", field.Name, tag)
+			t.Errorf("field %s (%s): type %v, want that of production, %v", field.Name, tag, field.Type, known[tag])
 		}
 	}
 }
 
-// The version in production reads what is written of any job. The fields of dependencies are written only for jobs that have
-// some: such jobs are submitted only when that version runs nowhere any more.
+// TestProductionReadsNewRecords checks that the version in production reads the record of any job. The fields of
+// dependencies are written only for jobs that have dependencies, which are submitted only once that version is no
+// longer in use.
 func TestProductionReadsNewRecords(t *testing.T) {
 	for _, dependencies := range [][]string{nil, {"job-1", "job-2"}} {
 		spec := Spec{
@@ -158,11 +163,11 @@
 			t.Fatal(err)
 		}
 		if _, written := fields["nd"]; written != (dependencies != nil) {
-			t.Errorf("dependencies %v: %v", dependencies, fields)
+			t.Errorf("dependencies %v: fields %v, want nd written %v", dependencies, fields, dependencies != nil)
 		}
 		var old productionRecord
 		if err := codec.Unmarshal(raw, &old); err != nil || old.Tasks != 9 || old.Class != "c" {
-			t.Errorf("%+v, %v", old, err)
+			t.Errorf("record read by the production version: got %+v, error %v, want 9 tasks of class c", old, err)
 		}
 	}
 }
--- a/internal/controller/placement/gangs_test.go
+++ b/internal/controller/placement/gangs_test.go
@@ -28,9 +28,9 @@
 	return starts, numbers
 }
 
-// A gang is placed with all its tasks on the fewest machines, or not at all; its starts have one attempt number and are
-// sent with the machines' heartbeat responses.
-func TestGangIsPlacedAsAWhole(t *testing.T) {
+// TestGangIsPlacedAllOrNothing checks that a gang is placed with all its tasks on the fewest machines, or not at all, and
+// that its starts have one attempt number and are sent with the machines' heartbeat responses.
+func TestGangIsPlacedAllOrNothing(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		tasks    int
@@ -51,38 +51,39 @@
 			f.Tick(f.Now, true)
 			starts, numbers := f.startGangs()
 			if !slices.Equal(starts, c.want) {
-				t.Errorf("starts by machine %v, want %v", starts, c.want)
+				t.Errorf("starts by machine: got %v, want %v", starts, c.want)
 			}
 			if len(numbers) > 1 {
-				t.Errorf("%d attempt numbers in one gang", len(numbers))
+				t.Errorf("attempt numbers in one gang: got %d, want at most 1", len(numbers))
 			}
 			if len(f.pendingGangStarts) != 0 {
-				t.Errorf("%d starts were not sent", len(f.pendingGangStarts))
+				t.Errorf("pending starts of gangs: got %d, want 0", len(f.pendingGangStarts))
 			}
 		})
 	}
 }
 
-// The starts for a machine that stays silent are taken back, and the gang waits as a whole again.
+// TestGangStartsAreWithdrawn checks that the starts for a silent machine are withdrawn, and that the gang waits as a
+// whole again.
 func TestGangStartsAreWithdrawn(t *testing.T) {
 	f := newFixture()
 	machine := f.AddMachine(0, "large", "a", false)
 	job := f.addGang(4, 4)
 	f.Tick(f.Now, true)
 	if len(machine.Attempts) != 4 || job.WaitingTasks() != 0 {
-		t.Fatalf("%d tasks are placed, %d wait", len(machine.Attempts), job.WaitingTasks())
+		t.Fatalf("placed gang: %d tasks placed, %d waiting, want 4, 0", len(machine.Attempts), job.WaitingTasks())
 	}
 	f.Now = f.Now.Add(2*f.platform.HeartbeatInterval + gangStartSlack + time.Millisecond)
 	f.Tick(f.Now, true)
 	if len(machine.Attempts) != 0 || job.WaitingTasks() != 4 {
-		t.Errorf("%d tasks are on the machine, %d wait", len(machine.Attempts), job.WaitingTasks())
+		t.Errorf("withdrawn gang: %d tasks placed, %d waiting, want 0, 4", len(machine.Attempts), job.WaitingTasks())
 	}
 	if len(f.pendingGangStarts) != 0 {
-		t.Errorf("%d starts are pending", len(f.pendingGangStarts))
+		t.Errorf("pending starts of gangs: got %d, want 0", len(f.pendingGangStarts))
 	}
 }
 
-// A gang that has run in part for too long is stopped.
+// TestPartialGangIsStopped checks that a gang that has run in part for too long is stopped.
 func TestPartialGangIsStopped(t *testing.T) {
 	f := newFixture()
 	machine := f.AddMachine(0, "large", "a", false)
@@ -106,7 +107,7 @@
 			}
 		}
 		if stopped != c.want {
-			t.Errorf("after %v %d tasks are stopped, want %d", c.after, stopped, c.want)
+			t.Errorf("tasks stopped after %v: got %d, want %d", c.after, stopped, c.want)
 		}
 	}
 }
--- a/internal/controller/placement/preempt_test.go
+++ b/internal/controller/placement/preempt_test.go
@@ -35,8 +35,8 @@
 	return stopped
 }
 
-// Tasks with checkpoints are preempted for a guaranteed job that would miss its deadline if it waited, no more than it
-// needs, and their machine is reserved for it.
+// TestPreemption checks that tasks with checkpoints are preempted for a guaranteed job that would otherwise miss its
+// deadline, no more than it needs, and that their machine is reserved for it.
 func TestPreemption(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -53,14 +53,14 @@
 			f.preempt(f.Now)
 			stopped := countStopped(machine)
 			if stopped != c.want {
-				t.Errorf("%d tasks are stopped, want %d", stopped, c.want)
+				t.Errorf("stopped tasks: got %d, want %d", stopped, c.want)
 			}
 			if c.want > 0 && machine.ReservedFor != guaranteed {
-				t.Error("the machine is not reserved for the job")
+				t.Errorf("machine not reserved for %s, want reserved", guaranteed.ID)
 			}
 			f.preempt(f.Now)
 			if got := countStopped(machine); got != stopped {
-				t.Errorf("%d more tasks are stopped while the first are stopping", got-stopped)
+				t.Errorf("stopped tasks while the first are stopping: got %d, want %d", got, stopped)
 			}
 		})
 	}
--- a/internal/controller/routing_test.go
+++ b/internal/controller/routing_test.go
@@ -10,8 +10,8 @@
 	"gullrudder/internal/wire/server"
 )
 
-// Each path takes one method, and is served on one of the two addresses where that matters. The controller of the test is a
-// follower that knows no leader.
+// TestRequestsAreRouted checks that each path accepts one method, and is served on one of the two addresses where that
+// matters. The controller is a follower that knows no leader.
 func TestRequestsAreRouted(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	platform := &config.Platform{
@@ -55,7 +55,7 @@
 			request := &server.Request{Method: test.method, Target: test.target, FromPeer: test.fromPeer}
 			responses := controller.Step(now, []Input{{Request: request}}).Responses
 			if len(responses) != 1 || responses[0].Status != test.status {
-				t.Errorf("%+v, want status %d", responses, test.status)
+				t.Errorf("responses: got %+v, want one with status %d", responses, test.status)
 			}
 		})
 	}
--- a/internal/controller/storage/commit_test.go
+++ b/internal/controller/storage/commit_test.go
@@ -18,7 +18,7 @@
 	N int `msgpack:"n" json:"n"`
 }
 
-// fixture is a store whose calls the test answers by hand.
+// fixture is a store whose calls are answered by the test.
 type fixture struct {
 	t      *testing.T
 	store  *Store
@@ -50,7 +50,7 @@
 	f.t.Helper()
 	calls := f.outbox.TakeCalls()
 	if len(calls) != 1 {
-		f.t.Fatalf("%d calls, want one", len(calls))
+		f.t.Fatalf("calls: got %d, want 1", len(calls))
 	}
 	return calls[0]
 }
@@ -79,7 +79,7 @@
 	return decodeCommitCall(f.t, c)
 }
 
-// fataler is a test, drawn or not.
+// fataler is the part of testing.T and rapid.T that decodeCommitCall uses.
 type fataler interface{ Fatal(args ...any) }
 
 func decodeCommitCall(t fataler, c client.Call) commitBody {
@@ -101,8 +101,8 @@
 	}
 }
 
-// Every commit requires the revision of the leader's key and of every page that it writes, so that one that is executed after another
-// leader's, or twice, changes nothing.
+// TestCommitGuardsLeaderAndPages checks that every commit requires the revision of the leader's key and of every page
+// that it writes, so that it changes nothing if it is executed after a commit of another leader, or twice.
 func TestCommitGuardsLeaderAndPages(t *testing.T) {
 	f := newLoadedFixture(t)
 	for round, modRevision := range []uint64{0, 20, 21} {
@@ -114,19 +114,19 @@
 			guards[g.Path] = g.ModRevision
 		}
 		if guards["leader"] != 7 {
-			t.Fatalf("round %d: the leader's key is not guarded by the token: %v", round, got.Guards)
+			t.Fatalf("round %d: guards %v, want the leader's key at revision 7", round, got.Guards)
 		}
 		for _, a := range got.Apply {
 			if g, ok := guards[a.Write]; !ok || g != modRevision {
-				t.Fatalf("round %d: page %s is guarded by %d (%v), want %d", round, a.Write, g, ok, modRevision)
+				t.Fatalf("round %d: guard of page %s: got %d (present %v), want %d", round, a.Write, g, ok, modRevision)
 			}
 		}
 		c.Done(f.now, f.response(200, map[string]any{"tide": 20 + round}))
 	}
 }
 
-// After an uncertain outcome the page is read back. If an earlier try with fewer entries was executed, the change that came with the
-// later one is not durable yet.
+// TestReadBackDistinguishesAttempts checks that a page is read back after an uncertain outcome. If an earlier attempt
+// with fewer entries was executed, the change that came with the later attempt is not durable yet.
 func TestReadBackDistinguishesAttempts(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
@@ -146,35 +146,36 @@
 	// Now the first attempt was executed, and the second refused for its precondition.
 	f.singleCall().Done(f.now, f.response(200, map[string]any{"path": firstBody.Apply[0].Write, "value": firstBody.Apply[0].Value, "mark": 9}))
 	if durable != 0 {
-		t.Fatal("the second change is called durable although only the first attempt was executed")
+		t.Fatalf("second change durable %d times after only the first attempt was executed, want 0", durable)
 	}
 	third := f.flush()
 	got := f.decodeCommit(third)
 	if got.Guards[1].ModRevision != 9 || len(got.Apply[0].Value.Entries) != 2 {
-		t.Fatalf("the third attempt guards %d and holds %d entries, want 9 and 2", got.Guards[1].ModRevision, len(got.Apply[0].Value.Entries))
+		t.Fatalf("third attempt: guard %d, %d entries, want 9, 2", got.Guards[1].ModRevision, len(got.Apply[0].Value.Entries))
 	}
 	third.Done(f.now, f.response(200, map[string]any{"tide": 10}))
 	if durable != 1 {
-		t.Errorf("called durable %d times, want once", durable)
+		t.Errorf("second change durable: got %d times, want 1", durable)
 	}
 }
 
-// A commit that is refused because the leader's key has changed means that there is another leader.
+// TestLeaderKeyConflictFencesStore checks that the store is fenced if a commit is refused because the leader's key has
+// changed: there is another leader.
 func TestLeaderKeyConflictFencesStore(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, func(_ time.Time, ok bool) {
 		if ok {
-			t.Error("called durable")
+			t.Error("change of a refused commit reported as durable, want not durable")
 		}
 	})
 	f.flush().Done(f.now, f.response(409, map[string]any{"failed": []string{"leader"}, "tide": 9}))
 	if !f.store.IsFenced() {
-		t.Error("goes on")
+		t.Error("store not fenced after a conflict on the leader's key, want fenced")
 	}
 }
 
-// While the outcome of a commit is uncertain nothing else is sent: who waits for a change behind it is told so at once, and again when
-// it is durable.
+// TestWaitersBehindUncertainCommitAreNotified checks that nothing is sent while the outcome of a commit is uncertain.
+// Callers that wait for a later change are notified at once that it is not durable, and again when it is.
 func TestWaitersBehindUncertainCommitAreNotified(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
@@ -183,48 +184,49 @@
 	f.set("job-2", 2, func(_ time.Time, ok bool) { notifications = append(notifications, ok) })
 	c.Done(f.now, client.Result{})
 	if len(notifications) != 1 || notifications[0] {
-		t.Fatalf("notified of %v while the outcome of the earlier commit is uncertain", notifications)
+		t.Fatalf("notifications while the commit is uncertain: got %v, want [false]", notifications)
 	}
 	f.singleCall().Done(f.now, f.response(404, map[string]any{"tide": 7})) // it was not executed
 	f.flush().Done(f.now, f.response(200, map[string]any{"tide": 9}))
 	if !notifications[len(notifications)-1] {
-		t.Errorf("told %v at the end", notifications)
+		t.Errorf("notifications at the end: got %v, want the last one true", notifications)
 	}
 }
 
-// A revision below the fencing token and a page without a revision are no answers: the commit is read back, and the page read again,
-// rather than required at a revision that it cannot have.
+// TestInvalidResponsesAreRejected checks that a revision below the fencing token and a page without a revision are not
+// accepted as responses: the commit is read back, and the page is read again.
 func TestInvalidResponsesAreRejected(t *testing.T) {
 	f := newLoadedFixture(t)
 	done := false
 	f.set("job-1", 1, func(_ time.Time, ok bool) { done = ok })
 	f.flush().Done(f.now, f.response(200, map[string]any{"tide": 3}))
 	if done {
-		t.Error("durable by a tide below the leader's token")
+		t.Error("durable by a response whose revision is below the fencing token, want not durable")
 	}
 	back := f.singleCall()
 	if back.Method != http.MethodGet {
-		t.Fatalf("%s %s instead of a look", back.Method, back.Path)
+		t.Fatalf("call after an invalid response: got %s %s, want a GET", back.Method, back.Path)
 	}
 	back.Done(f.now, f.response(200, map[string]any{"value": pageValue{Sequence: 1, Leader: 7}}))
 	if done {
-		t.Error("durable by a page without its mark")
+		t.Error("durable by a page without a revision, want not durable")
 	}
 	f.singleCall().Done(f.now, f.response(200, map[string]any{"value": pageValue{Sequence: 1, Leader: 7}, "mark": 12}))
 	if !done || f.store.pages.byKey[PagePrefix+"000000"].modRevision != 12 {
-		t.Errorf("done %v, mark %d", done, f.store.pages.byKey[PagePrefix+"000000"].modRevision)
+		t.Errorf("after a valid page: durable %v, revision %d, want true, 12", done, f.store.pages.byKey[PagePrefix+"000000"].modRevision)
 	}
 	raw, err := codec.Marshal(pageValue{Sequence: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if f.store.installPage(keyValue{Key: PagePrefix + "000001", Value: raw}) == nil {
-		t.Error("a page without its mark is taken")
+		t.Error("install a page without a revision: no error, want one")
 	}
 }
 
-// A commit that creates a page is executed late, after the page was written, and again after newer commits: its preconditions refuse it
-// each time, since pages are never deleted and a page's revision is never 0 again.
+// TestLatePageCreationIsRefused checks that a commit that creates a page is refused by its preconditions if it is
+// executed late, after the page was written, and again after newer commits: pages are never deleted, so the revision of
+// a page is never 0 again.
 func TestLatePageCreationIsRefused(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
@@ -239,7 +241,7 @@
 		return true
 	}
 	if !executes(late) {
-		t.Fatal("refused at once")
+		t.Fatal("first attempt refused by its preconditions, want executed")
 	}
 	f.store.requeue(f.now, 0) // it was not answered, and read back as not carried out
 	for round := uint64(20); round < 24; round++ {
@@ -251,13 +253,13 @@
 		}
 		c.Done(f.now, f.response(200, map[string]any{"tide": round}))
 		if executes(late) {
-			t.Fatalf("carried out after revision %d", round)
+			t.Fatalf("late attempt executed after revision %d, want refused", round)
 		}
 	}
 }
 
-// The next leader counts on from what it has read, so its first commit has the sequence number of this leader's commit whose answer was
-// lost. It is not taken for that commit, and no waiter is called with true.
+// TestCommitOfAnotherLeaderIsNotOwn checks that a commit of the next leader is not taken for this leader's commit with
+// the same sequence number, whose response was lost, and that no waiter is notified of success.
 func TestCommitOfAnotherLeaderIsNotOwn(t *testing.T) {
 	f := newLoadedFixture(t)
 	var notifications []bool
@@ -268,16 +270,17 @@
 		f.response(200, map[string]any{"value": pageValue{Sequence: f.store.commits.inFlight.sequence, Leader: 11}, "mark": 12}),
 	)
 	if slices.Contains(notifications, true) {
-		t.Fatal("told that it is durable by another leader's commit")
+		t.Fatalf("notifications after another leader's commit: got %v, want none true", notifications)
 	}
 	f.flush().Done(f.now, f.response(409, map[string]any{"failed": []string{"leader"}, "tide": 12}))
 	if !f.store.IsFenced() || slices.Contains(notifications, true) {
-		t.Errorf("lost %v, told %v", f.store.IsFenced(), notifications)
+		t.Errorf("after a conflict: fenced %v, notifications %v, want fenced and none true", f.store.IsFenced(), notifications)
 	}
 }
 
-// A commit that was given up, read back as not executed, and executed a moment later makes the next one fail by its preconditions. The
-// leader's key tells that it was the leader's own: the leadership goes on, and what is stored in the end is what the leader knows.
+// TestOwnLateCommitDoesNotFence checks a commit that was given up, read back as not executed, and executed a moment
+// later, so that the next commit fails by its preconditions. The revision of the leader's key shows that the commit was
+// the leader's own: the store is not fenced, and in the end the stored entries are those of the leader.
 func TestOwnLateCommitDoesNotFence(t *testing.T) {
 	f := newLoadedFixture(t)
 	done := false
@@ -288,17 +291,17 @@
 	f.flush().Done(f.now, f.response(409, map[string]any{"failed": []string{PagePrefix + "000000"}, "tide": 9}))
 	leaderRead := f.singleCall()
 	if leaderRead.Path != "/keys/leader" {
-		t.Fatalf("asks %s", leaderRead.Path)
+		t.Fatalf("path read after the conflict: got %s, want /keys/leader", leaderRead.Path)
 	}
 	leaderRead.Done(f.now, f.response(503, nil))
 	f.singleCall().Done(f.now, f.response(200, map[string]any{"value": map[string]any{}, "mark": 7}))
 	f.singleCall().Done(f.now, f.response(200, map[string]any{"value": f.decodeCommit(late).Apply[0].Value, "mark": 9}))
 	c := f.flush()
 	if g := f.decodeCommit(c).Guards; f.store.IsFenced() || g[1].ModRevision != 9 {
-		t.Fatalf("lost %v, guards %v", f.store.IsFenced(), g)
+		t.Fatalf("after the read-back: fenced %v, guards %v, want false and the page at revision 9", f.store.IsFenced(), g)
 	}
 	c.Done(f.now, f.response(200, map[string]any{"tide": 10}))
 	if !done {
-		t.Error("never durable")
+		t.Error("change not durable in the end, want durable")
 	}
 }
--- a/internal/controller/storage/messages_test.go
+++ b/internal/controller/storage/messages_test.go
@@ -9,7 +9,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Only the format of this version is read.
+// TestFormatOfAnotherVersionIsRefused checks that only the format of this version is read.
 func TestFormatOfAnotherVersionIsRefused(t *testing.T) {
 	encode := func(v any) msgpack.RawMessage {
 		raw, err := codec.Marshal(v)
@@ -19,12 +19,12 @@
 		return raw
 	}
 	if err := checkFormat(encode(formatVersion)); err != nil {
-		t.Errorf("own format: %v", err)
+		t.Errorf("check of the own format: got %v, want no error", err)
 	}
 	for name, raw := range map[string]msgpack.RawMessage{"newer text": encode("history 2"), "no text": encode(7)} {
 		var formatError *FormatError
 		if err := checkFormat(raw); !errors.As(err, &formatError) {
-			t.Errorf("%s: %v, want a FormatError", name, err)
+			t.Errorf("%s: got error %v, want a FormatError", name, err)
 		}
 	}
 }
--- a/internal/controller/storage/split_test.go
+++ b/internal/controller/storage/split_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// splitSchedule is one drawn course of lost, late and executed commits, new leaders, and limits that are lowered in between.
+// splitSchedule is a random schedule of lost, late and executed commits, new leaders, and limits that are lowered in between.
 type splitSchedule struct {
 	t       *rapid.T
 	service *modelStore
@@ -41,7 +41,7 @@
 	s.t.Helper()
 	for name, n := range s.durable {
 		if entries[name] < n {
-			s.t.Fatalf("%s is %d, and %d was durable", name, entries[name], n)
+			s.t.Fatalf("%s: got %d, want at least the durable %d", name, entries[name], n)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 		case 1: // executed, and the answer is lost
 			s.service.serve(s.t, call)
 			call.Done(s.now, client.Result{})
-		case 2: // neither
+		case 2: // neither executed nor answered
 			call.Done(s.now, client.Result{})
 		case 3: // executed later
 			s.late = append(s.late, decodeCommitCall(s.t, call))
@@ -100,8 +100,8 @@
 	}
 }
 
-// act does one drawn thing.
-func (s *splitSchedule) act(names int) {
+// randomAction performs one random action of the schedule.
+func (s *splitSchedule) randomAction(names int) {
 	s.t.Helper()
 	switch rapid.IntRange(0, 9).Draw(s.t, "what") {
 	case 0:
@@ -132,36 +132,36 @@
 	}
 }
 
-// checkCopies: until the limits are lowered each entry is on one page.
+// checkCopies checks that each entry is on one page until the limits are lowered.
 func (s *splitSchedule) checkCopies() {
 	s.t.Helper()
 	_, twice := s.service.readEntries(s.t)
 	if twice && !s.lowered {
-		s.t.Fatal("an entry is on two pages though the limits have not been lowered")
+		s.t.Fatal("entry on two pages before the limits are lowered, want one")
 	}
 	if twice {
 		s.copied++
 	}
 }
 
-// checkEnd: in the end all pages are within the limits, and each entry is on one of them.
+// checkEnd checks that in the end all pages are within the limits and each entry is on one of them.
 func (s *splitSchedule) checkEnd() {
 	s.t.Helper()
 	for key, value := range s.service.pages {
 		if n := jsonSize(value); n > newValueBytes {
-			s.t.Fatalf("%s has %d bytes in the end", key, n)
+			s.t.Fatalf("size of %s in the end: got %d bytes, want at most %d", key, n, newValueBytes)
 		}
 	}
 	entries, twice := s.service.readEntries(s.t)
 	if twice {
-		s.t.Fatal("an entry is on two pages in the end")
+		s.t.Fatal("entry on two pages in the end, want one")
 	}
 	s.checkDurable(entries)
 }
 
-// Pages of an earlier version are larger than the limits that will apply. They are split, whatever answers are lost, when the limits
-// are lowered in between and when leaders end: nothing that was durable is lost or becomes older, until then each entry is on one
-// page, and in the end all pages are within the limits.
+// TestPagesAreSplitForLowerLimits checks that pages of an earlier version that exceed lowered limits are split, despite
+// lost responses, limits lowered in between and changes of the leader. No durable entry is lost or becomes older, each
+// entry is on one page until the limits are lowered, and in the end all pages are within the limits.
 func TestPagesAreSplitForLowerLimits(t *testing.T) {
 	lowered, copied := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -173,7 +173,7 @@
 		s.fill(names)
 		s.changeLeader(newValueBytes, newTxnOps)
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
-			s.act(names)
+			s.randomAction(names)
 			s.checkCopies()
 		}
 		if s.lowered {
@@ -189,7 +189,7 @@
 		s.checkEnd()
 	})
 	if lowered == 0 || copied == 0 {
-		t.Errorf("the limits were lowered %d times, copies were seen %d times", lowered, copied)
+		t.Errorf("coverage: limits lowered %d times, copies seen %d times, want both above 0", lowered, copied)
 	}
 }
 
@@ -239,11 +239,11 @@
 		l.step(true)
 	}
 	if l.held == nil {
-		l.t.Fatal("no copy was sent")
+		l.t.Fatal("no copy of entries to new pages was sent, want one")
 	}
 }
 
-// A copy without a response is executed late, after the next try: it has no effect.
+// TestLateCopyIsRefused checks that a copy without a response has no effect when it is executed after the next attempt.
 func TestLateCopyIsRefused(t *testing.T) {
 	l := &lateCopy{t: t, service: newModelStore(), now: time.Unix(1000, 0)}
 	l.store = l.service.newLeader(t, l.now, &l.outbox, oldValueBytes, oldTxnOps)
@@ -260,10 +260,10 @@
 		l.step(false)
 	}
 	if status, _ := l.service.commit(*l.held); status != http.StatusConflict {
-		t.Errorf("executed late it gets %d", status)
+		t.Errorf("late copy: got status %d, want 409", status)
 	}
 	l.steps(30)
 	if entries, twice := l.service.readEntries(t); twice || len(entries) != 60 {
-		t.Errorf("%d entries in the end, some twice: %v", len(entries), twice)
+		t.Errorf("in the end: %d entries, some on two pages %v, want 60, false", len(entries), twice)
 	}
 }
--- a/internal/controller/straggler/detector_test.go
+++ b/internal/controller/straggler/detector_test.go
@@ -12,8 +12,9 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// Ten of 400 machines take twice as long, the run times of a job's tasks vary by half, and owners' estimates play no part.
-// All slow machines are found within forty tasks each, with at most two false positives.
+// TestFindsSlowMachines checks that all of 10 slow machines out of 400 are found within forty tasks each, with at most
+// two false positives. The slow machines take twice as long, the run times of a job's tasks vary by half, and owners'
+// estimates play no part.
 func TestFindsSlowMachines(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	detector := New(time.Second)
@@ -38,11 +39,11 @@
 		}
 	}
 	if len(found) != slow || len(falsePositives) > 2 {
-		t.Errorf("%d of %d slow machines found, %d false positives", len(found), slow, len(falsePositives))
+		t.Errorf("slow machines found: got %d, false positives %d, want %d, at most 2", len(found), len(falsePositives), slow)
 	}
 }
 
-// recordRuns records so many tasks on each of 20 machines, of which the first takes slowdown times as long.
+// recordRuns records a number of tasks on each of 20 machines, of which the first takes slowdown times as long.
 func recordRuns(detector *Detector, rng *rand.Rand, tasks int, slowdown float64) {
 	for range tasks {
 		for machine := range 20 {
@@ -56,21 +57,21 @@
 	}
 }
 
-// A slow machine that recovers is used again.
+// TestMachineRecovers checks that a slow machine that recovers is used again.
 func TestMachineRecovers(t *testing.T) {
 	detector := New(time.Second)
 	rng := rand.New(rand.NewPCG(3, 4))
 	recordRuns(detector, rng, 20, 3)
 	if !detector.IsSlow("0") || detector.Slowdown("0") < 2 {
-		t.Fatalf("a machine that takes three times as long is not found: slowdown %.2f", detector.Slowdown("0"))
+		t.Fatalf("machine of threefold run times: slow %v, slowdown %.2f, want true, at least 2", detector.IsSlow("0"), detector.Slowdown("0"))
 	}
 	recordRuns(detector, rng, 200, 1)
 	if detector.IsSlow("0") {
-		t.Error("the machine has recovered and is still called slow")
+		t.Error("recovered machine: slow, want not slow")
 	}
 }
 
-// If tasks take longer on all machines, none of them is at fault.
+// TestNoMachineIsSlowIfAllAre checks that no machine is slow if tasks take longer on all of them.
 func TestNoMachineIsSlowIfAllAre(t *testing.T) {
 	detector := New(time.Second)
 	for range 30 {
@@ -80,12 +81,13 @@
 	}
 	for machine := range 10 {
 		if detector.IsSlow(fmt.Sprint(machine)) {
-			t.Errorf("machine %d is called slow though all take as long", machine)
+			t.Errorf("machine %d: slow though all take as long, want not slow", machine)
 		}
 	}
 }
 
-// Run times below the resolution, and jobs with too few completed tasks, are no evidence.
+// TestNoMachineIsSlowWithoutEvidence checks that run times below the resolution and jobs with too few completed tasks
+// are no evidence.
 func TestNoMachineIsSlowWithoutEvidence(t *testing.T) {
 	detector := New(10 * time.Second)
 	for range 50 {
@@ -94,7 +96,7 @@
 	}
 	for _, machine := range []string{"below resolution", "too few tasks"} {
 		if detector.IsSlow(machine) {
-			t.Errorf("%s: called slow without evidence", machine)
+			t.Errorf("machine %s: slow without evidence, want not slow", machine)
 		}
 	}
 }
--- a/internal/controller/worker/image_cache_test.go
+++ b/internal/controller/worker/image_cache_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// imageModel is the plain model of a cache of 10 GB: image numbers, the newest last. An image is as many GB large as its number.
+// imageModel is a model of a cache of 10 GB: image numbers, the newest last. An image is as many GB large as its number.
 type imageModel []int
 
 func (m imageModel) use(image int) imageModel {
@@ -28,7 +28,7 @@
 	return m
 }
 
-// The cache holds the most recently used images that fit, as a plain list of them does.
+// TestImageCacheKeepsMostRecentlyUsed compares the cache with a list of the most recently used images that fit.
 func TestImageCacheKeepsMostRecentlyUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cache := ImageCache{SizeGB: 10}
@@ -39,7 +39,7 @@
 			model = model.use(image)
 			for other := 1; other <= 6; other++ {
 				if got, want := cache.Has(fmt.Sprint(other)), slices.Contains(model, other); got != want {
-					t.Fatalf("image %d: cached %v, want %v", other, got, want)
+					t.Fatalf("image %d cached: got %v, want %v", other, got, want)
 				}
 			}
 		}
--- a/internal/controller/worker/reachability/model_test.go
+++ b/internal/controller/worker/reachability/model_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// workerModel is the plain model of a machine's worker: its counters, and all heartbeats that it has sent.
+// workerModel is a model of a machine's worker: its counters, and all heartbeats that it has sent.
 type workerModel struct {
 	incarnation, sequence, fencingToken uint64
 	process                             int // counts the starts of the worker
@@ -32,7 +32,7 @@
 	return sent
 }
 
-// lossyLink plays one worker, the leader, and a link between them that loses, delays and repeats messages.
+// lossyLink simulates one worker, the leader, and a link between them that loses, delays and repeats messages.
 type lossyLink struct {
 	*rapid.T
 	step     int
@@ -77,7 +77,7 @@
 	sent := l.worker.sendHeartbeat(l.now)
 	countersReset := l.tracker.ProbeAnswered(l.now, l.machine, probe, &sent.heartbeat)
 	if countersReset && l.machine.HasReported && l.newestSentAt.After(sent.sentAt) {
-		l.Fatalf("step %d: counters reset by an old answer", l.step)
+		l.Fatalf("step %d: counters reset by a response sent at %v, before the newest heartbeat of %v", l.step, sent.sentAt, l.newestSentAt)
 	}
 	if !countersReset && sent.heartbeat.FencingToken == testFencingToken && l.machine.IsNewer(&sent.heartbeat) && !l.machine.HasReported {
 		l.accept(sent, false)
@@ -95,9 +95,9 @@
 	freshness := l.tracker.Classify(l.now, l.machine, &sent.heartbeat)
 	switch {
 	case freshness == Fresh && l.classifiedFresh[index]:
-		l.Fatalf("step %d: the same heartbeat is fresh twice", l.step)
+		l.Fatalf("step %d: same heartbeat fresh twice, want a duplicate to be stale", l.step)
 	case freshness == Fresh && sent.process == l.worker.process && sent.sentAt.Before(l.newestSentAt) && l.worker.process == 0:
-		l.Fatalf("step %d: a heartbeat of %v is fresh after one of %v", l.step, sent.sentAt, l.newestSentAt)
+		l.Fatalf("step %d: heartbeat of %v fresh after one of %v, want stale", l.step, sent.sentAt, l.newestSentAt)
 	case freshness == Fresh:
 		l.classifiedFresh[index] = true
 		l.accept(sent, true)
@@ -112,8 +112,9 @@
 	}
 }
 
-// Whatever is lost, late or repeated, and however often the worker restarts: a fresh heartbeat was sent after all that were
-// fresh before, a duplicate is never fresh, and a machine that has received nothing since the election gets no starts.
+// TestStaleHeartbeatIsNeverFresh checks over lost, late and repeated messages and restarts of the worker that a fresh
+// heartbeat was sent after all earlier fresh ones, that a duplicate is never fresh, and that a machine that has
+// received nothing since the election gets no starts.
 func TestStaleHeartbeatIsNeverFresh(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		link := &lossyLink{
@@ -134,7 +135,7 @@
 				link.deliverHeartbeat()
 			}
 			if link.tracker.IsReachable(link.machine) && !link.hasReceivedAnything {
-				t.Fatalf("step %d: gets starts though nothing has reached it", step)
+				t.Fatalf("step %d: machine reachable before it received anything, want unreachable", step)
 			}
 		}
 	})
--- a/internal/controller/worker/reachability/tracker_test.go
+++ b/internal/controller/worker/reachability/tracker_test.go
@@ -38,7 +38,7 @@
 	return workerapi.Heartbeat{Machine: "vm-1", Incarnation: incarnation, Sequence: sequence, FencingToken: fencingToken}
 }
 
-// The freshness of heartbeats in the order of their arrival.
+// TestClassify checks the freshness of heartbeats in the order of their arrival.
 func TestClassify(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
@@ -82,21 +82,22 @@
 				got = append(got, freshness)
 			}
 			if !slices.Equal(got, c.want) {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("freshness: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A machine whose heartbeats arrive and that receives nothing: its starts do not appear, it gets no more, and after two
-// unanswered probes it counts as unresponsive, however punctual its heartbeats are. Once it answers a probe it gets starts again.
+// TestReportingMachineMayBeUnreachable checks a machine whose heartbeats arrive and that receives nothing. Its first
+// start is lost, it gets no more, and after two unanswered probes it is unresponsive although its heartbeats are
+// punctual. Once it answers a probe it gets starts again.
 func TestReportingMachineMayBeUnreachable(t *testing.T) {
 	tracker, now := newTestTracker(), time.Unix(1000, 0)
 	machine, registry := newTestMachine(true), newTestRegistry()
 	sequence := uint64(0)
 	sendHeartbeat := func() {
 		sequence++
-		now = now.Add(5 * time.Second) // a worker without a response comes back after five seconds
+		now = now.Add(5 * time.Second) // a worker without a response retries after five seconds
 		heartbeat := newHeartbeat(1, sequence, testFencingToken)
 		if tracker.Classify(now, machine, &heartbeat) == Fresh {
 			tracker.RecordEnded(now, machine, registry.Reconcile(now, machine, &heartbeat, true, findNoJob))
@@ -106,14 +107,17 @@
 	}
 	sendHeartbeat()
 	if !tracker.IsReachable(machine) {
-		t.Fatal("gets no starts although it has reported the fencing token")
+		t.Fatal("machine that has reported the fencing token: unreachable, want reachable")
 	}
 	job := jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1}, now)
 	registry.Assign(machine, &jobs.Attempt{Task: jobs.TaskID{JobID: "job-1"}, Number: 1, MachineID: machine.ID, Job: job, AssignedAt: now})
 	sendHeartbeat()
 	suspicion := tracker.linkOf(machine).suspicion
 	if tracker.IsReachable(machine) || suspicion != startsLost || len(tracker.TakeProbeRequests()) == 0 {
-		t.Errorf("suspicion %v, gets starts: %v", suspicion, tracker.IsReachable(machine))
+		t.Errorf(
+			"lost start: suspicion %v, reachable %v, want %v, false and a probe request",
+			suspicion, tracker.IsReachable(machine), startsLost,
+		)
 	}
 	for range 2 {
 		tracker.StartProbe(now, machine)
@@ -121,13 +125,16 @@
 		sendHeartbeat()
 	}
 	if !tracker.IsUnresponsive(now, machine) || !machine.IsUnreachable {
-		t.Error("reports and receives nothing, and does not count as unresponsive")
+		t.Errorf("two failed probes: unresponsive %v, unreachable %v, want both", tracker.IsUnresponsive(now, machine), machine.IsUnreachable)
 	}
 	probe := tracker.StartProbe(now, machine)
 	sequence++
 	answer := newHeartbeat(1, sequence, testFencingToken)
 	tracker.ProbeAnswered(now, machine, probe, &answer)
 	if tracker.IsUnresponsive(now, machine) || machine.IsUnreachable || !tracker.IsReachable(machine) {
-		t.Error("answers a probe, and gets no starts")
+		t.Errorf(
+			"answered probe: unresponsive %v, unreachable %v, reachable %v, want false, false, true",
+			tracker.IsUnresponsive(now, machine), machine.IsUnreachable, tracker.IsReachable(machine),
+		)
 	}
 }
--- a/internal/controller/worker/reconcile_test.go
+++ b/internal/controller/worker/reconcile_test.go
@@ -35,8 +35,9 @@
 	return c.registry.Reconcile(c.now, machine, &heartbeat, complete, func(string) *jobs.Job { return c.job })
 }
 
-// An attempt is lost only when a newer heartbeat lacks it: not by an older one, one of an earlier incarnation, or the answer to
-// direct commands, which may have been made before the start that is still on its way.
+// TestAttemptIsLostOnlyByNewerCompleteHeartbeat checks that an attempt is lost only if a newer heartbeat lacks it, not
+// by an older heartbeat, one of an earlier incarnation, or the response to direct commands, which may precede a start
+// that is still in transit.
 func TestAttemptIsLostOnlyByNewerCompleteHeartbeat(t *testing.T) {
 	c := newReconcileTest()
 	c.reconcile(c.machine, true, workerapi.Heartbeat{Incarnation: 2, Sequence: 5})
@@ -56,22 +57,26 @@
 	} {
 		heartbeat := workerapi.Heartbeat{Incarnation: step.incarnation, Sequence: step.sequence}
 		if ended := c.reconcile(c.machine, step.complete, heartbeat); len(ended) != step.lost {
-			t.Errorf("%s: %d lost, want %d", step.name, len(ended), step.lost)
+			t.Errorf("%s: lost attempts: got %d, want %d", step.name, len(ended), step.lost)
 		}
 		if counted := c.registry.TeamUsage("t").CPUs == 1; counted != (step.lost == 0) {
-			t.Errorf("%s: attempt counted for its team: %v", step.name, counted)
+			t.Errorf("%s: attempt counted for its team: got %v, want %v", step.name, counted, step.lost == 0)
 		}
 	}
 }
 
-// An attempt that a worker reports and that may not run here takes its resources until it is gone.
+// TestOrphansTakeResources checks that a reported attempt that must not run on its machine uses resources until it has
+// ended.
 func TestOrphansTakeResources(t *testing.T) {
 	c := newReconcileTest()
 	c.reconcile(c.machine, true, workerapi.Heartbeat{
 		Incarnation: 1, Sequence: 1, Tasks: []workerapi.TaskStatus{{Task: "job-1/2", Attempt: 3, State: workerapi.StateRunning}},
 	})
 	if c.registry.TeamUsage("t").CPUs != 1 || c.job.ActiveAttempts[2] == nil {
-		t.Fatal("a running task was not adopted")
+		t.Fatalf(
+			"running task: team usage %v CPUs, attempt %v, want 1 CPU and an adopted attempt",
+			c.registry.TeamUsage("t").CPUs, c.job.ActiveAttempts[2],
+		)
 	}
 	other := c.registry.GetOrAdd("vm-2")
 	other.CPUs, other.MemoryGB = 8, 8
@@ -82,10 +87,10 @@
 	}})
 	for _, attempt := range other.Attempts {
 		if !attempt.IsOrphan {
-			t.Errorf("%v is not an orphan", attempt.Task)
+			t.Errorf("attempt of %v: not an orphan, want an orphan", attempt.Task)
 		}
 	}
 	if c.registry.TeamUsage("t").CPUs != 2 {
-		t.Errorf("the team is counted with %g CPUs, want 2", c.registry.TeamUsage("t").CPUs)
+		t.Errorf("CPUs used by the team: got %g, want 2", c.registry.TeamUsage("t").CPUs)
 	}
 }
--- a/internal/controller/zones/tracker_test.go
+++ b/internal/controller/zones/tracker_test.go
@@ -1,7 +1,6 @@
 package zones
 
 import (
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"slices"
@@ -147,15 +146,15 @@
 		z.machinesBeforeOutage >= 2*minSilentMachines
 	switch state := m.tracker.stateOf(name); {
 	case !unavailable && state == Unavailable && m.now.Sub(m.recoveredAt[name]) > recoveryBound && !leaderFailed:
-		t.Fatalf("%v: %s is reachable and its state is Unavailable", elapsed, name)
+		t.Fatalf("%v: reachable zone %s: state Unavailable, want recovered within %v", elapsed, name, recoveryBound)
 	case !unavailable && state == Unavailable && m.recoveredAt[name].IsZero() && m.now.Sub(m.lastInboundLost) > recoveryBound:
-		t.Fatalf("%v: %s had no outage and its state is Unavailable", elapsed, name)
+		t.Fatalf("%v: zone %s without an outage: state Unavailable, want another", elapsed, name)
 	case unavailable && state != Unavailable && isDetectable:
-		t.Fatalf("%v: %s is unavailable for %v and its state is %v", elapsed, name, outage, state)
+		t.Fatalf("%v: zone %s unavailable for %v: state %v, want Unavailable", elapsed, name, outage, state)
 	}
 }
 
-// injectFault draws a fault and lets it pass.
+// injectFault injects a random fault and runs until it is over.
 func (m *model) injectFault(t *rapid.T, check func()) {
 	name := rapid.SampledFrom(modelZones).Draw(t, "zone")
 	span := time.Duration(rapid.IntRange(1, 60).Draw(t, "seconds")) * time.Second
@@ -176,8 +175,9 @@
 	}
 }
 
-// Over random outages, recoveries, pauses and lost connections of the leader: an outage is detected within detectionBound, its
-// end within recoveryBound, and no zone is Unavailable that was reachable all the time, whatever happens to the leader.
+// TestTrackerMatchesModel checks over random outages, recoveries, pauses and lost connections of the leader that an
+// outage is detected within detectionBound and its end within recoveryBound, and that a zone that was reachable all the
+// time is never Unavailable.
 func TestTrackerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.Uint64().Draw(t, "seed"), map[string]int{
@@ -198,13 +198,14 @@
 	})
 }
 
-// The outage of a large zone is detected sooner than that of a small one, and jitter alone never looks like an outage.
+// TestDetectionTimeBySize checks that the outage of a large zone is detected sooner than that of a small one, and that
+// jitter alone is never taken for an outage.
 func TestDetectionTimeBySize(t *testing.T) {
 	for _, machines := range []int{6, 60, 600} {
 		m := newModel(uint64(machines), map[string]int{"a": machines, "b": machines})
 		m.run(time.Hour/6, func() {
 			if m.tracker.rememberedOutages() > 0 {
-				t.Fatalf("%d machines: jitter was taken for an outage", machines)
+				t.Fatalf("%d machines with jitter only: got %d outages, want 0", machines, m.tracker.rememberedOutages())
 			}
 		})
 		m.unavailableSince["b"] = m.now
@@ -216,7 +217,7 @@
 			}
 		})
 		if took == 0 || took > detectionBound || machines >= 60 && took > 3*time.Second {
-			t.Errorf("%d machines: detected after %v", machines, took)
+			t.Errorf("%d machines: outage detected after %v, want within %v, or 3s from 60 machines on", machines, took, detectionBound)
 		}
 		t.Logf("%d machines a zone: detected after %v", machines, took)
 	}
@@ -239,43 +240,47 @@
 		}
 		m.tracker.RecordRequest(m.now, "b", count)
 		if m.tracker.MaxRequestable(m.now, "b", 1<<20) > 0 && m.tracker.stateOf("b") == Recovering {
-			t.Fatal("more may be requested than the limit of a step")
+			t.Fatalf("instances requestable beyond the limit of a recovery step: got %d, want 0", m.tracker.MaxRequestable(m.now, "b", 1<<20))
 		}
 	}
 	return firstLimit, m.now.Sub(start)
 }
 
-// A zone that recovers gets instances in steps that double. After repeated outages it takes longer each time until it is Healthy,
-// and ten minutes later the outages are forgotten.
+// TestRecoveryStepsAndFlapping checks that a zone that recovers gets instances in steps that double, that after
+// repeated outages it takes longer each time until it is Healthy, and that the outages are forgotten after ten minutes.
 func TestRecoveryStepsAndFlapping(t *testing.T) {
 	m := newModel(1, map[string]int{"a": 40, "b": 40})
 	m.run(20*time.Second, func() {})
 	if n := m.tracker.MaxRequestable(m.now, "b", 500); n != 500 {
-		t.Fatalf("%d may be requested in a healthy zone", n)
+		t.Fatalf("instances requestable in a healthy zone: got %d, want 500", n)
 	}
 	var recoveries []time.Duration
 	for round := range 3 {
 		m.unavailableSince["b"] = m.now
 		m.run(30*time.Second, func() {})
 		if m.tracker.stateOf("b") != Unavailable || m.tracker.MaxRequestable(m.now, "b", 500) != 1 {
-			t.Fatalf("round %d: %v, %d may be requested", round, m.tracker.stateOf("b"), m.tracker.MaxRequestable(m.now, "b", 500))
+			t.Fatalf(
+				"round %d: state %v, %d instances requestable, want Unavailable, 1",
+				round, m.tracker.stateOf("b"), m.tracker.MaxRequestable(m.now, "b", 500),
+			)
 		}
 		firstLimit, took := m.recoverByRequests(t)
 		if firstLimit != firstRecoveryStep {
-			t.Errorf("round %d: %d may be requested in the first step", round, firstLimit)
+			t.Errorf("round %d: limit of the first recovery step: got %d, want %d", round, firstLimit, firstRecoveryStep)
 		}
 		recoveries = append(recoveries, took)
 	}
 	if recoveries[1] < recoveries[0]*3/2 || recoveries[2] < recoveries[1]*3/2 {
-		t.Errorf("recoveries took %v: not longer each time", recoveries)
+		t.Errorf("recovery times: got %v, want each at least half again as long as the one before", recoveries)
 	}
 	m.run(outageMemory, func() {})
 	if v := m.tracker.Views(); v[1].Name != "b" || v[1].Outages != 0 || v[1].State != Healthy {
-		t.Errorf("after ten minutes without an outage: %+v", v[1])
+		t.Errorf("zone after ten minutes without an outage: got %+v, want healthy zone b without outages", v[1])
 	}
 }
 
-// The silence of a third of a zone's machines is no outage; nor is that of a zone of two machines, or of the only zone.
+// TestIncompleteEvidenceIsNoOutage checks that the silence of a third of a zone's machines, of a zone of two machines,
+// or of the only zone is not taken for an outage.
 func TestIncompleteEvidenceIsNoOutage(t *testing.T) {
 	m := newModel(2, map[string]int{"a": 30, "b": 30, "c": 2})
 	for i, machine := range m.machines {
@@ -287,30 +292,31 @@
 	seen := map[State]bool{}
 	m.run(15*time.Second, func() { seen[m.tracker.stateOf("b")] = true })
 	if seen[Unavailable] || !seen[Degraded] || m.tracker.stateOf("c") == Unavailable {
-		t.Errorf("b was %v, c is %v", fmt.Sprint(seen), m.tracker.stateOf("c"))
+		t.Errorf("states of b: got %v, state of c %v, want b degraded and neither unavailable", seen, m.tracker.stateOf("c"))
 	}
 	onlyZone := newModel(3, map[string]int{"a": 30})
 	onlyZone.unavailableSince["a"] = onlyZone.now
 	onlyZone.run(30*time.Second, func() {})
 	if onlyZone.tracker.rememberedOutages() > 0 {
-		t.Error("the only zone is taken for unavailable: no other zone shows that this controller receives heartbeats")
+		t.Errorf("outages of the only zone: got %d, want 0", onlyZone.tracker.rememberedOutages())
 	}
 }
 
-// Some machines of an unavailable zone are kept as sentinels, and while there are any no instance is requested as a probe.
+// TestSentinelsReplaceProbes checks that some machines of an unavailable zone are kept as sentinels, and that no
+// instance is requested as a probe while there are any.
 func TestSentinelsReplaceProbes(t *testing.T) {
 	m := newModel(4, map[string]int{"a": 50, "b": 50})
 	m.run(10*time.Second, func() {})
 	if m.tracker.SentinelCount("b") != 0 {
-		t.Error("a healthy zone has sentinels")
+		t.Errorf("sentinels in a healthy zone: got %d, want 0", m.tracker.SentinelCount("b"))
 	}
 	m.unavailableSince["b"] = m.now
 	m.run(10*time.Second, func() {})
 	if n := m.tracker.SentinelCount("b"); n != minSentinels {
-		t.Errorf("%d of 50 machines are sentinels", n)
+		t.Errorf("sentinels of 50 machines: got %d, want %d", n, minSentinels)
 	}
 	inZoneB := 0
-	m.machines = slices.DeleteFunc(m.machines, func(machine *modelMachine) bool { // the others are given up
+	m.machines = slices.DeleteFunc(m.machines, func(machine *modelMachine) bool { // the other machines are terminated
 		if machine.zone != "b" {
 			return false
 		}
@@ -327,6 +333,6 @@
 		}
 	})
 	if n := m.tracker.MaxRequestable(m.now, "b", 500); n != 0 {
-		t.Errorf("%d instances may be requested as probes while there are two sentinels", n)
+		t.Errorf("instances requestable beside two sentinels: got %d, want 0", n)
 	}
 }
--- a/internal/site/jobspec/store_test.go
+++ b/internal/site/jobspec/store_test.go
@@ -7,8 +7,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// A spec is stored once: the same may be put again, another is refused. On a full disk new specs are refused, and those that are
-// stored stay. They survive a restart.
+// TestSpecIsWrittenOnce checks that a stored spec may be put again but not replaced, that new specs are refused on a
+// full disk while stored ones stay, and that specs survive a restart.
 func TestSpecIsWrittenOnce(t *testing.T) {
 	path := t.TempDir() + "/db"
 	open := func() *bbolt.DB {
@@ -27,7 +27,7 @@
 	put := func(job, raw string, want error) {
 		t.Helper()
 		if err := store.Put(job, []byte(raw)); !errors.Is(err, want) {
-			t.Errorf("put %s: error %v, want %v", job, err, want)
+			t.Errorf("put %s: got error %v, want %v", job, err, want)
 		}
 	}
 	put("job-1", "one", nil)
@@ -50,7 +50,7 @@
 	}
 	for job, want := range map[string]string{"job-1": "one", "job-2": ""} {
 		if raw, err := store.Get(job); err != nil || string(raw) != want {
-			t.Errorf("%s: spec %q, error %v, want %q", job, raw, err, want)
+			t.Errorf("spec of %s: got %q, error %v, want %q", job, raw, err, want)
 		}
 	}
 }
--- a/internal/wire/client/rate_limiter_test.go
+++ b/internal/wire/client/rate_limiter_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// TestRateLimiter checks how many requests a limiter allows as time passes.
 func TestRateLimiter(t *testing.T) {
 	start := time.Unix(100, 0)
 	for name, test := range map[string]struct {
@@ -24,11 +25,11 @@
 		t.Run(name, func(t *testing.T) {
 			limiter := NewRateLimiter(10, 2*time.Second)
 			if available := limiter.Available(start); available != 20 {
-				t.Fatalf("%d at the start, want 20", available)
+				t.Fatalf("available at the start: got %d, want 20", available)
 			}
 			limiter.Take(test.taken)
 			if available := limiter.Available(start.Add(test.after)); available != test.want {
-				t.Errorf("%d, want %d", available, test.want)
+				t.Errorf("available: got %d, want %d", available, test.want)
 			}
 		})
 	}
--- a/internal/wire/codec/json_size_test.go
+++ b/internal/wire/codec/json_size_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// JSONSize equals the length of what the JSON encoder makes of the same value.
+// TestJSONSizeEqualsLengthOfJSON checks that JSONSize equals the length of the JSON encoding of the same value.
 func TestJSONSizeEqualsLengthOfJSON(t *testing.T) {
 	text := rapid.OneOf(rapid.StringMatching(`[a-z0-9 <>"\\]{0,40}`), rapid.String())
 	var value func(depth int) *rapid.Generator[any]
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		if got := JSONSize(raw); got != len(plain) {
-			t.Fatalf("%d bytes counted, %d in %s", got, len(plain), plain)
+			t.Fatalf("JSON size: got %d bytes, want %d of %s", got, len(plain), plain)
 		}
 	})
 }
--- a/internal/wire/codec/validate_test.go
+++ b/internal/wire/codec/validate_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// TestValidateRejectsBodiesThatCostMemory checks that bodies that are truncated, malformed or deeply nested are
+// rejected before they are decoded.
 func TestValidateRejectsBodiesThatCostMemory(t *testing.T) {
 	deep := append(bytes.Repeat([]byte{0x91}, 1000), 0xc0)
 	for name, test := range map[string]struct {
@@ -22,18 +24,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := Validate(test.body); !errors.Is(err, test.want) {
-				t.Errorf("%v, want %v", err, test.want)
+				t.Errorf("validate: got error %v, want %v", err, test.want)
 			}
 		})
 	}
 	t.Run("binary", func(t *testing.T) {
 		var unsupported *UnsupportedTypeError
 		if err := Validate([]byte{0xc4, 0x01, 0x00}); !errors.As(err, &unsupported) || unsupported.Code != 0xc4 {
-			t.Errorf("%v, want an unsupported type 0xc4", err)
+			t.Errorf("validate: got error %v, want an unsupported type 0xc4", err)
 		}
 	})
 }
 
+// FuzzUnmarshalMap checks that every body that can be decoded to a map passes Validate.
 func FuzzUnmarshalMap(f *testing.F) {
 	good, err := Marshal(map[string]any{"id": "job-1", "strokes": 3, "keels": []string{"g8"}, "voyage_s": 1.5, "harbour": nil})
 	if err != nil {
@@ -50,6 +53,6 @@
 	t.Helper()
 	object, err := UnmarshalMap(body)
 	if err == nil && Validate(body) != nil {
-		t.Fatalf("decoded %v from a body that Validate rejects", object)
+		t.Fatalf("body that Validate rejects: decoded as %v, want an error", object)
 	}
 }
--- a/internal/wire/workerapi/messages_test.go
+++ b/internal/wire/workerapi/messages_test.go
@@ -8,7 +8,8 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// The status of an attempt that has not exited has neither a reason nor a checkpoint; a worker may send them all the same.
+// TestTaskStatusWithoutReason checks that the status of an attempt that has not exited has neither a reason nor a
+// checkpoint, and that one with both is decoded all the same.
 func TestTaskStatusWithoutReason(t *testing.T) {
 	want := TaskStatus{Task: "job-1/0", Attempt: 3, State: StateRunning}
 	raw, err := codec.Marshal(want)
@@ -20,7 +21,7 @@
 		t.Fatal(err)
 	}
 	if got := slices.Sorted(maps.Keys(fields)); !slices.Equal(got, []string{"launch", "stroke", "trim"}) {
-		t.Errorf("fields %v", got)
+		t.Errorf("fields: got %v, want [launch stroke trim]", got)
 	}
 	fields["wake"], fields["saved"] = "", false
 	complete, err := codec.Marshal(fields)
@@ -30,11 +31,12 @@
 	for name, body := range map[string][]byte{"left out": raw, "sent": complete} {
 		var got TaskStatus
 		if err := codec.Unmarshal(body, &got); err != nil || got != want {
-			t.Errorf("%s: %+v, %v, want %+v", name, got, err, want)
+			t.Errorf("decode %s: got %+v, error %v, want %+v", name, got, err, want)
 		}
 	}
 }
 
+// TestDecodeHeartbeatID checks which bodies have the identity of a heartbeat.
 func TestDecodeHeartbeatID(t *testing.T) {
 	long := make([]byte, MaxMachineIDBytes+1)
 	for name, c := range map[string]struct {
@@ -55,11 +57,11 @@
 				want = HeartbeatID{c.machine, 7, 9}
 			}
 			if id, ok := DecodeHeartbeatID(raw); ok != c.ok || id != want {
-				t.Errorf("%+v, %v, want %+v, %v", id, ok, want, c.ok)
+				t.Errorf("heartbeat ID: got %+v (ok %v), want %+v (ok %v)", id, ok, want, c.ok)
 			}
 		})
 	}
 	if _, ok := DecodeHeartbeatID([]byte("no heartbeat")); ok {
-		t.Error("a body that is no heartbeat has an identity")
+		t.Error("body that is no heartbeat: ID decoded, want none")
 	}
 }
