--- a/cmd/gullrudder/apiclient.go
+++ b/cmd/gullrudder/apiclient.go
@@ -14,6 +14,7 @@
 	"gullrudder/internal/site/datadir"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/http1"
+	"gullrudder/internal/wire/server"
 
 	"github.com/spf13/cobra"
 )
@@ -166,14 +167,9 @@
 	return !isRefused(status)
 }
 
-// errorResponse is the body of a response that refuses a request.
-type errorResponse struct {
-	Error string `msgpack:"error"`
-}
-
 // errorDetail returns the reason in the body of a refusal, to be added to a message, or "" if there is none.
 func errorDetail(body []byte) string {
-	var response errorResponse
+	var response server.ErrorResponse
 	if codec.Unmarshal(body, &response) != nil || response.Error == "" {
 		return ""
 	}
--- a/cmd/gullrudder/console.go
+++ b/cmd/gullrudder/console.go
@@ -7,6 +7,7 @@
 	"gullrudder/internal/console"
 	"gullrudder/internal/site/datadir"
 	"gullrudder/internal/site/machinepool"
+	"gullrudder/internal/units"
 
 	tea "github.com/charmbracelet/bubbletea"
 	"github.com/spf13/cobra"
@@ -73,7 +74,7 @@
 	snapshot.Failures, err = s.listFailures()
 	addProblem("failures", err)
 	if freeBytes, err := datadir.FreeDisk(s.site.Path()); err == nil {
-		snapshot.FreeDiskMB, snapshot.MinFreeDiskMB = freeBytes/bytesPerMB, s.site.MinFreeDiskMB
+		snapshot.FreeDiskMB, snapshot.MinFreeDiskMB = freeBytes/units.BytesPerMB, s.site.MinFreeDiskMB
 	}
 	return snapshot
 }
--- a/cmd/gullrudder/doctor.go
+++ b/cmd/gullrudder/doctor.go
@@ -9,6 +9,7 @@
 
 	"gullrudder/internal/controller"
 	"gullrudder/internal/site/datadir"
+	"gullrudder/internal/units"
 
 	"github.com/spf13/cobra"
 	"golang.org/x/sys/unix"
@@ -92,7 +93,7 @@
 	if err != nil {
 		return checkResult{"disk", err.Error(), "see that the directory can be read"}
 	}
-	freeMB := freeBytes / bytesPerMB
+	freeMB := freeBytes / units.BytesPerMB
 	return newCheckResult(freeMB >= 2*site.MinFreeDiskMB, "disk",
 		fmt.Sprintf("%d MB free, %d are kept", freeMB, site.MinFreeDiskMB),
 		"delete what is not needed, first under "+site.Path("worker", "work")+": outputs of tasks")
--- a/cmd/gullrudder/pool.go
+++ b/cmd/gullrudder/pool.go
@@ -5,13 +5,11 @@
 
 	"gullrudder/internal/logkeys"
 	"gullrudder/internal/site/machinepool"
+	"gullrudder/internal/units"
 
 	"github.com/spf13/cobra"
 )
 
-// bytesPerMB is the factor from a site's MinFreeDiskMB to bytes.
-const bytesPerMB = 1 << 20
-
 func poolCommand() *cobra.Command {
 	var data string
 	cmd := &cobra.Command{
@@ -23,7 +21,7 @@
 			}
 			log := newLogger(os.Stderr, siteLogLevel()).With(logkeys.Process, "pool")
 			options := machinepool.Options{Zone: site.Zone, HourlyPrice: site.HourlyPrice}
-			service, err := machinepool.NewService(site.Path(), options, site.MinFreeDiskMB*bytesPerMB, log)
+			service, err := machinepool.NewService(site.Path(), options, site.MinFreeDiskMB*units.BytesPerMB, log)
 			if err != nil {
 				return &exitError{exitUnavailable, err}
 			}
--- a/cmd/gullrudder/worker.go
+++ b/cmd/gullrudder/worker.go
@@ -9,6 +9,7 @@
 	"gullrudder/internal/logkeys"
 	"gullrudder/internal/site/agent"
 	"gullrudder/internal/site/datadir"
+	"gullrudder/internal/units"
 
 	"github.com/spf13/cobra"
 )
@@ -61,7 +62,7 @@
 		Name:            "worker",
 		MachinePoolAddr: site.MachinePoolAddr,
 		Credential:      credential,
-		MinFreeDisk:     site.MinFreeDiskMB * bytesPerMB,
+		MinFreeDisk:     site.MinFreeDiskMB * units.BytesPerMB,
 	}
 }
 
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -8,7 +8,9 @@
 	"time"
 
 	"gullrudder/internal/config"
+	"gullrudder/internal/eventloop"
 	"gullrudder/internal/logkeys"
+	"gullrudder/internal/units"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/http1"
@@ -80,7 +82,7 @@
 // Serve runs the controller. It does not return; the process ends by a signal.
 func (rt *Runtime) Serve() {
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(rt.platform.MemoryQuotaMB * heapShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(rt.platform.MemoryQuotaMB * heapShare * units.BytesPerMB))
 	go rt.listen()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -94,25 +96,12 @@
 			inputs = append(inputs, input)
 		case <-ticker.C:
 		}
-		inputs = drain(rt.outcomes, inputs)
-		inputs = drain(rt.queue, inputs)
+		inputs = eventloop.Drain(rt.outcomes, inputs)
+		inputs = eventloop.Drain(rt.queue, inputs)
 		rt.execute(rt.controller.Step(time.Now(), inputs))
 	}
 }
 
-// drain appends the waiting inputs of a queue, up to a full batch.
-func drain(queue <-chan Input, inputs []Input) []Input {
-	for len(inputs) < maxBatchSize {
-		select {
-		case input := <-queue:
-			inputs = append(inputs, input)
-		default:
-			return inputs
-		}
-	}
-	return inputs
-}
-
 // listen runs the server, and restarts it when accept has failed, for example because no file descriptor was left.
 func (rt *Runtime) listen() {
 	httpServer := http1.NewServer(http1.ServerOptions{
--- a/internal/site/agent/runtime.go
+++ b/internal/site/agent/runtime.go
@@ -14,6 +14,7 @@
 	"syscall"
 	"time"
 
+	"gullrudder/internal/eventloop"
 	"gullrudder/internal/logkeys"
 	"gullrudder/internal/site/datadir"
 	"gullrudder/internal/wire/codec"
@@ -56,6 +57,7 @@
 	maxFailures    = 16 // in one report
 	maxSpecs       = 256
 	queueSize      = 4096 // inputs for the State
+	maxBatchInputs = 64   // inputs of one step
 )
 
 // identity returns the worker's ID in the file, which is made if there is none.
@@ -151,7 +153,7 @@
 	defer ticker.Stop()
 	reports := http1.NewClient(4, 1, http1.MaxBodyBytes)
 	calls := http1.NewClient(64, 4, http1.MaxBodyBytes)
-	batch := make([]Input, 0, 64)
+	batch := make([]Input, 0, maxBatchInputs)
 	for {
 		batch = batch[:0]
 		select {
@@ -159,9 +161,7 @@
 			batch = append(batch, in)
 		case <-ticker.C:
 		}
-		for len(batch) < cap(batch) && len(r.queue) > 0 {
-			batch = append(batch, <-r.queue)
-		}
+		batch = eventloop.Drain(r.queue, batch)
 		r.apply(r.state.Step(clock(), batch), reports, calls)
 		r.publishStatus()
 	}
--- a/internal/site/kvserver/golden_bytes_test.go
+++ b/internal/site/kvserver/golden_bytes_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"gullrudder/internal/goldenbytes"
+	"gullrudder/internal/wire/server"
 
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -70,7 +71,7 @@
 			Revision: 1 << 33,
 			Events:   []eventResponse{{WrittenKey: "leader", DeletedKey: "page/000002", Value: value, ModRevision: 300}},
 		}),
-		goldenbytes.MessagePack("error", errorResponse{Error: "no such lease"}),
+		goldenbytes.MessagePack("error", server.ErrorResponse{Error: "no such lease"}),
 	}
 }
 
--- a/internal/site/kvserver/messages.go
+++ b/internal/site/kvserver/messages.go
@@ -83,7 +83,3 @@
 	Revision uint64          `msgpack:"tide"`
 	Events   []eventResponse `msgpack:"log"`
 }
-
-type errorResponse struct {
-	Error string `msgpack:"error"`
-}
--- a/internal/site/kvserver/server.go
+++ b/internal/site/kvserver/server.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"gullrudder/internal/config"
+	"gullrudder/internal/eventloop"
 	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/http1"
@@ -93,7 +94,7 @@
 			s.handleSnapshotResult(time.Now(), result)
 		case <-ticker.C:
 		}
-		batch = s.fillBatch(batch)
+		batch = eventloop.Drain(s.requests, batch)
 		now := time.Now()
 		if effects := s.state.Step(now, batch); len(effects.Records) > 0 || len(effects.Responses) > 0 {
 			s.writes.pending = append(s.writes.pending, effects)
@@ -103,19 +104,6 @@
 	}
 }
 
-// fillBatch adds waiting requests, up to the bound of a step.
-func (s *Server) fillBatch(batch []Request) []Request {
-	for len(batch) < maxBatchRequests {
-		select {
-		case r := <-s.requests:
-			batch = append(batch, r)
-		default:
-			return batch
-		}
-	}
-	return batch
-}
-
 // runSender encodes and sends the responses of steps whose records are durable.
 func (s *Server) runSender() {
 	for steps := range s.responses {
--- a/internal/site/kvserver/state.go
+++ b/internal/site/kvserver/state.go
@@ -16,6 +16,7 @@
 
 	"gullrudder/internal/config"
 	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/server"
 )
 
 // State is the content of the store and its open watches. It belongs to one goroutine.
@@ -95,7 +96,7 @@
 // reject answers a refused request with the reason. A retryAfter of 0 is not sent.
 func (s *State) reject(handle any, status int, retryAfter time.Duration, format string, args ...any) {
 	s.effects.Responses = append(s.effects.Responses, Response{
-		Handle: handle, Status: status, Body: errorResponse{fmt.Sprintf(format, args...)}, RetryAfter: retryAfter,
+		Handle: handle, Status: status, Body: server.ErrorResponse{Error: fmt.Sprintf(format, args...)}, RetryAfter: retryAfter,
 	})
 }
 
--- a/internal/site/kvserver/writer.go
+++ b/internal/site/kvserver/writer.go
@@ -7,6 +7,7 @@
 
 	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/http1"
+	"gullrudder/internal/wire/server"
 )
 
 // writePipeline is the event loop's state of the writer, which has one job at a time.
@@ -145,7 +146,7 @@
 		for _, response := range effects.Responses {
 			s.sendResponse(Response{
 				Handle: response.Handle, Status: http.StatusServiceUnavailable,
-				Body: errorResponse{notDurable}, RetryAfter: s.options.DiskRetryInterval,
+				Body: server.ErrorResponse{Error: notDurable}, RetryAfter: s.options.DiskRetryInterval,
 			})
 		}
 	}
--- a/internal/site/machinepool/cloudapi.go
+++ b/internal/site/machinepool/cloudapi.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/server"
 )
 
 // Limits of the cloud's protocol.
@@ -220,7 +221,7 @@
 		case now.After(d.deadline):
 			s.effects.Responses = append(s.effects.Responses, Response{
 				Handle: d.handle, Status: http.StatusServiceUnavailable,
-				Body: errorResponse{"a worker has not confirmed"}, RetryAfter: deletionRetryAfter,
+				Body: server.ErrorResponse{Error: "a worker has not confirmed"}, RetryAfter: deletionRetryAfter,
 			})
 		default:
 			pending = append(pending, d)
--- a/internal/site/machinepool/handlers.go
+++ b/internal/site/machinepool/handlers.go
@@ -11,6 +11,7 @@
 	"gullrudder/internal/site/jobspec"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/http1"
+	"gullrudder/internal/wire/server"
 )
 
 const (
@@ -49,7 +50,7 @@
 }
 
 func (s *Service) respondError(request *http1.Request, status int, text string, retryAfter time.Duration) {
-	s.respond(request, status, errorResponse{text}, retryAfter)
+	s.respond(request, status, server.ErrorResponse{Error: text}, retryAfter)
 }
 
 // handleSpec answers GET and POST /descriptions/JOB.
--- a/internal/site/machinepool/messages.go
+++ b/internal/site/machinepool/messages.go
@@ -92,11 +92,6 @@
 	EncodedFailures []string `msgpack:"list"`
 }
 
-// errorResponse says why a request is refused.
-type errorResponse struct {
-	Error string `msgpack:"error"`
-}
-
 // machineTypesResponse is the response to GET /flavors.
 type machineTypesResponse struct {
 	Types []machineType `msgpack:"keels"`
--- a/internal/site/machinepool/reports.go
+++ b/internal/site/machinepool/reports.go
@@ -4,12 +4,11 @@
 	"net/http"
 	"time"
 
+	"gullrudder/internal/units"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/poolapi"
 )
 
-const bytesPerMBShift = 20
-
 // handleReport takes in a worker's report and answers with its assignment.
 func (s *State) handleReport(now time.Time, request Request) {
 	var report poolapi.WorkerReport
@@ -97,7 +96,7 @@
 			CPUs:          w.CPUs,
 			MemoryGB:      w.MemoryGB,
 			RunningTasks:  w.RunningTasks,
-			FreeDiskMB:    w.FreeDiskBytes >> bytesPerMBShift,
+			FreeDiskMB:    w.FreeDiskBytes / units.BytesPerMB,
 			SilentSeconds: now.Sub(w.reportedAt).Seconds(),
 		})
 	}
--- a/internal/site/machinepool/service.go
+++ b/internal/site/machinepool/service.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"time"
 
+	"gullrudder/internal/eventloop"
 	"gullrudder/internal/logkeys"
 	"gullrudder/internal/site/datadir"
 	"gullrudder/internal/site/jobspec"
@@ -109,9 +110,7 @@
 			batch = append(batch, r)
 		case <-ticker.C:
 		}
-		for len(batch) < cap(batch) && len(s.requests) > 0 {
-			batch = append(batch, <-s.requests)
-		}
+		batch = eventloop.Drain(s.requests, batch)
 		s.apply(s.state.Step(time.Now(), batch))
 	}
 }
--- a/internal/site/machinepool/state.go
+++ b/internal/site/machinepool/state.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"gullrudder/internal/wire/poolapi"
+	"gullrudder/internal/wire/server"
 )
 
 // State is the pure part of a pool. It belongs to the goroutine that calls Step.
@@ -84,7 +85,7 @@
 }
 
 func (s *State) respondError(handle any, status int, text string) {
-	s.respond(handle, status, errorResponse{text})
+	s.respond(handle, status, server.ErrorResponse{Error: text})
 }
 
 func (s *State) notify(w *worker) {
--- a/internal/wire/server/server.go
+++ b/internal/wire/server/server.go
@@ -37,8 +37,8 @@
 	RetryAfter time.Duration // 0: not given
 }
 
-// errorBody is the body of the response to a refused request.
-type errorBody struct {
+// ErrorResponse is the body of the response to a refused request.
+type ErrorResponse struct {
 	Error string `msgpack:"error"`
 }
 
@@ -63,7 +63,7 @@
 
 // RespondError answers a request with the reason for its refusal.
 func (r *Responder) RespondError(request *Request, status int, message string, retryAfter time.Duration) {
-	r.Respond(request, status, errorBody{Error: message}, retryAfter)
+	r.Respond(request, status, ErrorResponse{Error: message}, retryAfter)
 }
 
 // RespondRaw answers a request with an encoded body, such as a forwarded response of a peer.
