--- a/internal/controller/archive/encoding.go
+++ b/internal/controller/archive/encoding.go
@@ -132,21 +132,21 @@
 	return raw
 }
 
-func appendFinalState(raw []byte, state jobs.FinalState) []byte {
-	value := uint64(state.Tasks) << 1
-	if state.State == jobs.Cancelled {
+func appendFinalState(raw []byte, final jobs.FinalState) []byte {
+	value := uint64(final.Tasks) << 1
+	if final.State == jobs.Cancelled {
 		value |= cancelledBit
 	}
 	return binary.AppendUvarint(raw, value)
 }
 
-func readFinalState(raw []byte) (state jobs.FinalState, rest []byte, err error) {
+func readFinalState(raw []byte) (final jobs.FinalState, rest []byte, err error) {
 	value, rest, err := readUvarint(raw)
-	state = jobs.FinalState{State: jobs.Done, Tasks: int(value >> 1)}
+	final = jobs.FinalState{State: jobs.Done, Tasks: int(value >> 1)}
 	if value&cancelledBit != 0 {
-		state.State = jobs.Cancelled
+		final.State = jobs.Cancelled
 	}
-	return state, rest, err
+	return final, rest, err
 }
 
 // readDigits reads the digits of a hashed ID.
