--- /dev/null
+++ b/internal/simulator/network.go
@@ -0,0 +1,175 @@
+package simulator
+
+import (
+	"net/http"
+	"time"
+
+	"gullrudder/internal/controller"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/server"
+)
+
+// Names of hosts besides the controllers and machines.
+const (
+	stateHost = "state"
+	cloudHost = "cloud"
+	userHost  = "user"
+)
+
+// CutLink cuts two hosts off from each other in both directions.
+func (sim *Cluster) CutLink(a, b string, span time.Duration) {
+	sim.CutLinkOneWay(a, b, span)
+	sim.CutLinkOneWay(b, a, span)
+}
+
+// messageDelay is how long a message travels, false if it is lost. What is sent during a cut is lost or arrives after it, however late.
+func (sim *Cluster) messageDelay(source, destination string) (time.Duration, bool) {
+	delay := time.Duration(200+sim.Rand.IntN(3000)) * time.Microsecond
+	if until := sim.linkCutUntil(source, destination); sim.Now.Before(until) {
+		if sim.Rand.Float64() < sim.Options.LateShare {
+			return until.Sub(sim.Now) + delay, true
+		}
+		return 0, false
+	}
+	if sim.Rand.Float64() < sim.Options.LossShare {
+		return 0, false
+	}
+	if sim.Rand.IntN(40) == 0 {
+		delay += time.Duration(sim.Rand.IntN(400)) * time.Millisecond
+	}
+	return delay, true
+}
+
+// performCall carries out a controller's call. The receiver may execute it although the caller has timed out or crashed.
+func (sim *Cluster) performCall(process *controllerProcess, gen int, call client.Call) {
+	if process.generation != gen || process.controller == nil {
+		return
+	}
+	settled := false
+	settle := func(r client.Result) {
+		if !settled && process.generation == gen {
+			settled = true
+			sim.enqueue(process, controller.Input{Outcome: &controller.Outcome{Call: call, Result: r}})
+		}
+	}
+	sim.At(call.Timeout, func() { settle(client.Result{}) })
+	host := hostOf(call)
+	body, err := encode(call.Body)
+	if err != nil {
+		sim.reportViolation(RuleMalformed, "a body cannot be encoded: %v", err)
+		return
+	}
+	there, ok := sim.messageDelay(process.platform.Name, host)
+	if !ok {
+		return
+	}
+	event := electionEventOf(call, body)
+	respond := func(status int, body any) {
+		switch {
+		case event == keyWritten && status == 200:
+			sim.electionEventReached(keyWritten, process.platform.Name)
+		case event == grantSent:
+			sim.electionEventReached(grantSent, call.Addr)
+		}
+		raw, err := encode(body)
+		if err != nil {
+			sim.reportViolation(RuleMalformed, "a response cannot be encoded: %v", err)
+			return
+		}
+		if back, ok := sim.messageDelay(host, process.platform.Name); ok {
+			sim.At(back, func() { settle(client.Result{Status: status, Body: raw}) })
+		}
+	}
+	if event == campaignSent || event == leadershipReleased {
+		sim.electionEventReached(event, process.platform.Name)
+	}
+	sim.At(there, func() { sim.serveCall(process.platform.Name, call, body, respond) })
+}
+
+// hostOf is the name of the host that a call goes to.
+func hostOf(call client.Call) string {
+	switch call.Destination {
+	case client.StateService:
+		return stateHost
+	case client.CloudAPI:
+		return cloudHost
+	default:
+		return call.Addr
+	}
+}
+
+// serveCall executes a call at its receiver.
+func (sim *Cluster) serveCall(caller string, call client.Call, body []byte, respond responder) {
+	switch call.Destination {
+	case client.StateService:
+		sim.State.serve(caller, call.Method, call.Path, body, respond)
+	case client.CloudAPI:
+		sim.Cloud.serve(call.Method, call.Path, body, respond)
+	case client.WorkerAgent:
+		sim.Cloud.serveDirect(call.Addr, body, respond)
+	case client.PeerController:
+		sim.deliverRequest(
+			controllerRequest{controller: call.Addr, fromPeer: true, method: call.Method, path: call.Path, body: body},
+			respond,
+		)
+	}
+}
+
+// responder receives the response to a request. The body is encoded by encode.
+type responder func(status int, body any)
+
+// ignoreResponse is the responder of requests whose response nobody reads.
+func ignoreResponse(int, any) {}
+
+// controllerRequest is a request as it arrives at a controller.
+type controllerRequest struct {
+	controller string // name of the receiver
+	fromPeer   bool   // it came over the listener for other controllers
+	method     string
+	path       string
+	body       []byte
+}
+
+// deliverRequest delivers a request to a controller. It returns false if no process runs there.
+func (sim *Cluster) deliverRequest(request controllerRequest, respond responder) bool {
+	for _, process := range sim.controllers {
+		if process.platform.Name != request.controller || process.controller == nil {
+			continue
+		}
+		reply := func(response server.Response) { respond(response.Status, preEncoded(response.Body)) }
+		sim.enqueue(process, controller.Input{Request: &server.Request{
+			Handle:   reply,
+			FromPeer: request.fromPeer,
+			Method:   request.method,
+			Target:   request.path,
+			Body:     request.body,
+		}})
+		return true
+	}
+	return false
+}
+
+// deliverHeartbeat delivers an encoded heartbeat to a controller. It returns false if no process runs there.
+func (sim *Cluster) deliverHeartbeat(controller string, heartbeat []byte, respond responder) bool {
+	return sim.deliverRequest(
+		controllerRequest{controller: controller, method: http.MethodPost, path: "/v1/report", body: heartbeat},
+		respond,
+	)
+}
+
+// preEncoded is a body that needs no encoding.
+type preEncoded []byte
+
+func encode(body any) ([]byte, error) {
+	switch b := body.(type) {
+	case nil:
+		return nil, nil
+	case preEncoded:
+		return b, nil
+	}
+	if raw, ok := controller.ForwardedBody(body); ok {
+		return raw, nil
+	}
+	return codec.Marshal(body)
+}
