--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -9,13 +9,10 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"net/http"
 	"time"
 
 	"gullrudder/internal/config"
 	"gullrudder/internal/controller"
-	"gullrudder/internal/wire/client"
-	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/server"
 )
 
@@ -73,75 +70,36 @@
 	queue       []controller.Input
 }
 
-type event struct {
-	at       time.Time
-	sequence int
-	action   func()
-}
-
-// eventHeap orders events by time, those of the same moment as they were scheduled. It implements heap.Interface.
-type eventHeap []event
-
-// Len is the number of events.
-func (h eventHeap) Len() int { return len(h) }
-
-// Less reports whether event i comes before event j.
-func (h eventHeap) Less(i, j int) bool {
-	if !h[i].at.Equal(h[j].at) {
-		return h[i].at.Before(h[j].at)
-	}
-	return h[i].sequence < h[j].sequence
-}
-
-// Swap exchanges two events.
-func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-
-// Push is called by package heap only.
-func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
-
-// Pop is called by package heap only.
-func (h *eventHeap) Pop() any {
-	old := *h
-	e := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return e
-}
-
 // New returns a cluster whose controllers have just started and that has no machines yet.
-func New(seed uint64, opt Options, log *slog.Logger) *Cluster {
+func New(seed uint64, options Options, log *slog.Logger) *Cluster {
 	start := time.Unix(1_000_000, 0)
-	w := &Cluster{
+	sim := &Cluster{
 		Now:         start,
 		startedAt:   start,
 		Rand:        rand.New(rand.NewPCG(seed, 7)),
-		Options:     opt,
+		Options:     options,
 		linkCuts:    map[string]time.Time{},
 		isolations:  map[string]isolation{},
 		faultsUntil: start,
 		Log:         log,
 	}
-	w.State = newStateService(w)
-	w.Cloud = newCloud(w)
-	w.checker = newInvariantChecker(w)
-	w.Users = newUsers(w)
-	w.checker.watchQueue()
-	for i := range opt.Controllers {
-		c := &controllerProcess{index: i, platform: w.platformConfig(i), drift: (w.Rand.Float64() - 0.5) * 0.001}
-		w.controllers = append(w.controllers, c)
-		w.startController(c)
+	sim.State = newStateService(sim)
+	sim.Cloud = newCloud(sim)
+	sim.checker = newInvariantChecker(sim)
+	sim.Users = newUsers(sim)
+	sim.checker.watchQueue()
+	for i := range options.Controllers {
+		process := &controllerProcess{index: i, platform: sim.platformConfig(i), drift: (sim.Rand.Float64() - 0.5) * 0.001}
+		sim.controllers = append(sim.controllers, process)
+		sim.startController(process)
 	}
-	return w
+	return sim
 }
 
-const ( // names of hosts besides the controllers and machines
-	stateHost = "state"
-	cloudHost = "cloud"
-	userHost  = "user"
-)
-
 // controllerName is the name and address of a controller.
 func controllerName(i int) string { return fmt.Sprintf("node-%d", i) }
 
+// platformConfig is the platform's configuration of a controller.
 func (sim *Cluster) platformConfig(index int) *config.Platform {
 	platform := &config.Platform{
 		Name: controllerName(index), Zone: "a", PublicAddr: controllerName(index), PeerListenAddr: controllerName(index),
@@ -166,19 +124,13 @@
 	return platform
 }
 
-// At schedules action after a delay in virtual time. Actions of the same moment run in the order in which they were scheduled.
-func (sim *Cluster) At(d time.Duration, do func()) {
-	sim.lastSequence++
-	heap.Push(&sim.events, event{sim.Now.Add(max(d, 0)), sim.lastSequence, do})
-}
-
 // Run simulates a span of virtual time, or until a rule is broken.
 func (sim *Cluster) Run(span time.Duration) {
 	end := sim.Now.Add(span)
 	for len(sim.events) > 0 && !sim.events[0].at.After(end) && len(sim.Violations) == 0 {
-		e := heap.Pop(&sim.events).(event)
-		sim.Now = e.at
-		e.action()
+		next := heap.Pop(&sim.events).(event)
+		sim.Now = next.at
+		next.action()
 	}
 	if len(sim.Violations) == 0 {
 		sim.Now = end
@@ -191,6 +143,7 @@
 	return sim.Now.Add(time.Duration(float64(run) * process.drift))
 }
 
+// startController starts a new process of a controller, which steps every 50 ms.
 func (sim *Cluster) startController(process *controllerProcess) {
 	process.generation++
 	process.startedAt = sim.Now
@@ -203,10 +156,10 @@
 		rng,
 		sim.Log.With("node", process.platform.Name, "at", sim.Now.Sub(sim.startedAt)),
 	)
-	gen := process.generation
+	generation := process.generation
 	var tick func()
 	tick = func() {
-		if process.generation != gen {
+		if process.generation != generation {
 			return
 		}
 		sim.stepController(process)
@@ -215,16 +168,16 @@
 	sim.At(time.Duration(sim.Rand.IntN(50))*time.Millisecond, tick)
 }
 
-// Crash kills a controller and starts it again after a while, without its memory.
-func (sim *Cluster) Crash(i int, back time.Duration) {
-	c := sim.controllers[i]
-	if c.controller == nil {
+// Crash kills a controller and starts it again after a delay, without its memory.
+func (sim *Cluster) Crash(i int, restartAfter time.Duration) {
+	process := sim.controllers[i]
+	if process.controller == nil {
 		return
 	}
-	c.controller = nil
-	c.generation++
-	sim.extendFaults(back)
-	sim.At(back, func() { sim.startController(c) })
+	process.controller = nil
+	process.generation++
+	sim.extendFaults(restartAfter)
+	sim.At(restartAfter, func() { sim.startController(process) })
 }
 
 // Pause suspends a controller, as when it gets no processor.
@@ -233,201 +186,45 @@
 	sim.extendFaults(span)
 }
 
-// enqueue appends a command to a controller's queue.
-func (sim *Cluster) enqueue(process *controllerProcess, cmd controller.Input) {
+// enqueue appends an input to a controller's queue. The controller takes it a millisecond later, or in its next step.
+func (sim *Cluster) enqueue(process *controllerProcess, input controller.Input) {
 	if process.controller == nil {
 		return
 	}
-	process.queue = append(process.queue, cmd)
-	gen := process.generation
+	process.queue = append(process.queue, input)
+	generation := process.generation
 	sim.At(time.Millisecond, func() {
-		if process.generation == gen && len(process.queue) > 0 {
+		if process.generation == generation && len(process.queue) > 0 {
 			sim.stepController(process)
 		}
 	})
 }
 
+// stepController runs a step of a controller with the inputs that are queued, or after a pause, and sends its responses and calls.
 func (sim *Cluster) stepController(process *controllerProcess) {
 	if sim.Now.Before(process.pausedUntil) {
-		gen := process.generation
+		generation := process.generation
 		sim.At(process.pausedUntil.Sub(sim.Now), func() {
-			if process.generation == gen {
+			if process.generation == generation {
 				sim.stepController(process)
 			}
 		})
 		return
 	}
-	commands := process.queue
+	inputs := process.queue
 	process.queue = nil
 	began := time.Now()
-	effects := process.controller.Step(sim.localTime(process), commands)
+	effects := process.controller.Step(sim.localTime(process), inputs)
 	took := time.Since(began)
 	sim.stepDuration += took
 	sim.longestStep = max(sim.longestStep, took)
 	sim.stepCount++
-	for _, reply := range effects.Responses {
-		if f, ok := reply.Handle.(func(server.Response)); ok {
-			f(reply)
+	for _, response := range effects.Responses {
+		if respond, ok := response.Handle.(func(server.Response)); ok {
+			respond(response)
 		}
 	}
 	for _, call := range effects.Calls {
 		sim.At(call.Delay, func() { sim.performCall(process, process.generation, call) })
 	}
 }
-
-// CutLink cuts two hosts off from each other in both directions.
-func (sim *Cluster) CutLink(a, b string, span time.Duration) {
-	sim.CutLinkOneWay(a, b, span)
-	sim.CutLinkOneWay(b, a, span)
-}
-
-// messageDelay is how long a message travels, false if it is lost. What is sent during a cut is lost or arrives after it, however late.
-func (sim *Cluster) messageDelay(source, destination string) (time.Duration, bool) {
-	delay := time.Duration(200+sim.Rand.IntN(3000)) * time.Microsecond
-	if until := sim.linkCutUntil(source, destination); sim.Now.Before(until) {
-		if sim.Rand.Float64() < sim.Options.LateShare {
-			return until.Sub(sim.Now) + delay, true
-		}
-		return 0, false
-	}
-	if sim.Rand.Float64() < sim.Options.LossShare {
-		return 0, false
-	}
-	if sim.Rand.IntN(40) == 0 {
-		delay += time.Duration(sim.Rand.IntN(400)) * time.Millisecond
-	}
-	return delay, true
-}
-
-// performCall carries out a controller's call. The receiver may execute it although the caller has timed out or crashed.
-func (sim *Cluster) performCall(process *controllerProcess, gen int, call client.Call) {
-	if process.generation != gen || process.controller == nil {
-		return
-	}
-	settled := false
-	settle := func(r client.Result) {
-		if !settled && process.generation == gen {
-			settled = true
-			sim.enqueue(process, controller.Input{Outcome: &controller.Outcome{Call: call, Result: r}})
-		}
-	}
-	sim.At(call.Timeout, func() { settle(client.Result{}) })
-	host := hostOf(call)
-	body, err := encode(call.Body)
-	if err != nil {
-		sim.reportViolation(RuleMalformed, "a body cannot be encoded: %v", err)
-		return
-	}
-	there, ok := sim.messageDelay(process.platform.Name, host)
-	if !ok {
-		return
-	}
-	event := electionEventOf(call, body)
-	respond := func(status int, body any) {
-		switch {
-		case event == keyWritten && status == 200:
-			sim.electionEventReached(keyWritten, process.platform.Name)
-		case event == grantSent:
-			sim.electionEventReached(grantSent, call.Addr)
-		}
-		raw, err := encode(body)
-		if err != nil {
-			sim.reportViolation(RuleMalformed, "a response cannot be encoded: %v", err)
-			return
-		}
-		if back, ok := sim.messageDelay(host, process.platform.Name); ok {
-			sim.At(back, func() { settle(client.Result{Status: status, Body: raw}) })
-		}
-	}
-	if event == campaignSent || event == leadershipReleased {
-		sim.electionEventReached(event, process.platform.Name)
-	}
-	sim.At(there, func() { sim.serveCall(process.platform.Name, call, body, respond) })
-}
-
-// hostOf is the name of the host that a call goes to.
-func hostOf(call client.Call) string {
-	switch call.Destination {
-	case client.StateService:
-		return stateHost
-	case client.CloudAPI:
-		return cloudHost
-	default:
-		return call.Addr
-	}
-}
-
-// serveCall executes a call at its receiver.
-func (sim *Cluster) serveCall(caller string, call client.Call, body []byte, respond responder) {
-	switch call.Destination {
-	case client.StateService:
-		sim.State.serve(caller, call.Method, call.Path, body, respond)
-	case client.CloudAPI:
-		sim.Cloud.serve(call.Method, call.Path, body, respond)
-	case client.WorkerAgent:
-		sim.Cloud.serveDirect(call.Addr, body, respond)
-	case client.PeerController:
-		sim.deliverRequest(
-			controllerRequest{controller: call.Addr, fromPeer: true, method: call.Method, path: call.Path, body: body},
-			respond,
-		)
-	}
-}
-
-// responder receives the response to a request. The body is encoded by encode.
-type responder func(status int, body any)
-
-// ignoreResponse is the responder of requests whose response nobody reads.
-func ignoreResponse(int, any) {}
-
-// controllerRequest is a request as it arrives at a controller.
-type controllerRequest struct {
-	controller string // name of the receiver
-	fromPeer   bool   // it came over the listener for other controllers
-	method     string
-	path       string
-	body       []byte
-}
-
-// deliverRequest delivers a request to a controller. It returns false if no process runs there.
-func (sim *Cluster) deliverRequest(request controllerRequest, respond responder) bool {
-	for _, process := range sim.controllers {
-		if process.platform.Name != request.controller || process.controller == nil {
-			continue
-		}
-		reply := func(response server.Response) { respond(response.Status, preEncoded(response.Body)) }
-		sim.enqueue(process, controller.Input{Request: &server.Request{
-			Handle:   reply,
-			FromPeer: request.fromPeer,
-			Method:   request.method,
-			Target:   request.path,
-			Body:     request.body,
-		}})
-		return true
-	}
-	return false
-}
-
-// deliverHeartbeat delivers an encoded heartbeat to a controller. It returns false if no process runs there.
-func (sim *Cluster) deliverHeartbeat(controller string, heartbeat []byte, respond responder) bool {
-	return sim.deliverRequest(
-		controllerRequest{controller: controller, method: http.MethodPost, path: "/v1/report", body: heartbeat},
-		respond,
-	)
-}
-
-// preEncoded is a body that needs no encoding.
-type preEncoded []byte
-
-func encode(body any) ([]byte, error) {
-	switch b := body.(type) {
-	case nil:
-		return nil, nil
-	case preEncoded:
-		return b, nil
-	}
-	if raw, ok := controller.ForwardedBody(body); ok {
-		return raw, nil
-	}
-	return codec.Marshal(body)
-}
