--- a/internal/site/agent/cleanup.go
+++ b/internal/site/agent/cleanup.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -33,8 +34,8 @@
 		return fmt.Errorf("tasks of an earlier process: %w", err)
 	}
 	for _, path := range records {
-		if err := os.Remove(path); err != nil {
-			return err
+		if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
+			return fmt.Errorf("remove record of an earlier process: %w", err)
 		}
 	}
 	return nil
