--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -6,6 +6,8 @@
 package admission
 
 import (
+	"cmp"
+	"slices"
 	"time"
 
 	"gullrudder/internal/config"
@@ -106,27 +108,36 @@
 // Feasible returns the guaranteed jobs whose work still fits before their deadlines if the earliest deadline goes first. Jobs
 // whose deadline has passed are left out.
 func (p *Planner) Feasible(now time.Time, live []*jobs.Job, capacity Capacity) map[*jobs.Job]bool {
-	var inTime []*jobs.Job
-	for _, job := range guaranteedJobs(live) {
-		if !now.After(DueAt(job)) {
-			inTime = append(inTime, job)
-		}
-	}
+	inTime := slices.DeleteFunc(guaranteedJobs(live), func(entry guaranteedJob) bool { return now.After(entry.dueAt) })
 	_, feasible := p.planGuaranteed(now, inTime, capacity)
 	return feasible
 }
 
+// guaranteedJob is a job for which capacity is planned, with its due time: the jobs are sorted by it, so it is computed once.
+type guaranteedJob struct {
+	job   *jobs.Job
+	dueAt time.Time
+}
+
 // guaranteedJobs returns the jobs for which capacity is planned.
-func guaranteedJobs(live []*jobs.Job) []*jobs.Job {
-	var guaranteed []*jobs.Job
+func guaranteedJobs(live []*jobs.Job) []guaranteedJob {
+	guaranteed := make([]guaranteedJob, 0, len(live))
 	for _, job := range live {
 		if job.HasGuarantee() && !job.CrashLooping {
-			guaranteed = append(guaranteed, job)
+			guaranteed = append(guaranteed, guaranteedJob{job, DueAt(job)})
 		}
 	}
 	return guaranteed
 }
 
+// compareDeadlines orders jobs by due time, the earliest first, and by ID.
+func compareDeadlines(a, b guaranteedJob) int {
+	if byDueTime := a.dueAt.Compare(b.dueAt); byDueTime != 0 {
+		return byDueTime
+	}
+	return cmp.Compare(a.job.ID, b.job.ID)
+}
+
 // DueAt is when a deadline job has to be complete; the zero time if it has no deadline.
 func DueAt(job *jobs.Job) time.Time {
 	due, _ := job.DueAt()
--- a/internal/controller/admission/schedule.go
+++ b/internal/controller/admission/schedule.go
@@ -1,7 +1,6 @@
 package admission
 
 import (
-	"cmp"
 	"math"
 	"slices"
 	"time"
@@ -46,10 +45,8 @@
 
 // planGuaranteed reserves CPUs for the jobs, the earliest deadline first, and returns the jobs that fit. It reorders the
 // list.
-func (p *Planner) planGuaranteed(now time.Time, guaranteed []*jobs.Job, capacity Capacity) (*schedule, map[*jobs.Job]bool) {
-	slices.SortStableFunc(guaranteed, func(a, b *jobs.Job) int {
-		return cmp.Or(DueAt(a).Compare(DueAt(b)), cmp.Compare(a.ID, b.ID))
-	})
+func (p *Planner) planGuaranteed(now time.Time, guaranteed []guaranteedJob, capacity Capacity) (*schedule, map[*jobs.Job]bool) {
+	slices.SortFunc(guaranteed, compareDeadlines)
 	plan := &schedule{
 		now:           now,
 		interval:      p.options.PlanningInterval,
@@ -57,9 +54,9 @@
 		withheldShare: p.options.AgedShare + p.fairShare.ReservedCPUShare(),
 	}
 	feasible := map[*jobs.Job]bool{}
-	for _, job := range guaranteed {
-		if p.reserve(plan, job) {
-			feasible[job] = true
+	for _, entry := range guaranteed {
+		if p.reserve(plan, entry.job) {
+			feasible[entry.job] = true
 		}
 	}
 	return plan, feasible
