--- a/internal/controller/queue/benchmark_test.go
+++ b/internal/controller/queue/benchmark_test.go
@@ -35,12 +35,10 @@
 	queue := make([]*jobs.Job, 0, size)
 	for i := range size {
 		spec := jobs.Spec{
-			ID:    fmt.Sprintf("job-%06d", i),
-			Class: fmt.Sprintf("class-%d", random.IntN(4)),
-			Team:  fmt.Sprintf("team-%d", random.IntN(4)),
-			Tasks: 1 + random.IntN(
-				100,
-			),
+			ID:              fmt.Sprintf("job-%06d", i),
+			Class:           fmt.Sprintf("class-%d", random.IntN(4)),
+			Team:            fmt.Sprintf("team-%d", random.IntN(4)),
+			Tasks:           1 + random.IntN(100),
 			CPUs:            float64(random.IntN(5)),
 			MemoryGB:        1,
 			RunTimeEstimate: time.Duration(10+random.IntN(300)) * time.Second,
--- a/internal/controller/queue/initial_tasks.go
+++ b/internal/controller/queue/initial_tasks.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"time"
 
 	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/ageing"
@@ -27,34 +26,32 @@
 	return min(max(job.Tasks/initialTaskDivisor, 1), maxInitialTasks)
 }
 
-// jobsAwaitingStart returns the jobs of which nothing was started within the bound for first starts, the oldest first, as
-// far as the share for initial tasks goes. Without this
-// rule the order by shortest remaining time started the largest jobs last, after more than four minutes.
-func (r *Ranker) jobsAwaitingStart(now time.Time, live []*jobs.Job, capacity admission.Capacity) map[*jobs.Job]bool {
+// markAwaitingStart marks the jobs of which nothing was started within the bound for first starts, the oldest first, as far
+// as the share for initial tasks goes. Without this rule the order by shortest remaining time started the largest jobs last,
+// after more than four minutes.
+func (r *Ranker) markAwaitingStart(candidates []candidate, capacity admission.Capacity) {
 	if r.options.StartBound <= 0 {
-		return nil
+		return
 	}
-	var awaiting []*jobs.Job
-	for _, job := range live {
-		if r.awaitsStart(now, job) && capacity.StartableTasks(job) > 0 {
-			awaiting = append(awaiting, job)
+	var awaiting []*candidate
+	for i := range candidates {
+		c := &candidates[i]
+		if c.age > r.options.StartBound && isUnstarted(c.job) && capacity.StartableTasks(c.job) > 0 {
+			awaiting = append(awaiting, c)
 		}
 	}
-	slices.SortFunc(awaiting, ageing.CompareAge)
-	chosen := map[*jobs.Job]bool{}
+	slices.SortFunc(awaiting, func(a, b *candidate) int { return ageing.CompareAge(a.job, b.job) })
 	usedCPUs := 0.0
-	for _, job := range awaiting {
-		if usedCPUs >= initialTasksShare*capacity.CPUs && len(chosen) > 0 {
+	for i, c := range awaiting {
+		if usedCPUs >= initialTasksShare*capacity.CPUs && i > 0 {
 			break
 		}
-		chosen[job] = true
-		usedCPUs += float64(initialTaskCount(job)) * estimate.CountedCPUs(job)
+		c.awaitsStart = true
+		usedCPUs += float64(initialTaskCount(c.job)) * estimate.CountedCPUs(c.job)
 	}
-	return chosen
 }
 
-// awaitsStart reports whether nothing of the job was started within the bound for first starts.
-func (r *Ranker) awaitsStart(now time.Time, job *jobs.Job) bool {
-	return !job.IsService && !job.CrashLooping && job.DoneTasks+len(job.ActiveAttempts) == 0 &&
-		now.Sub(job.EligibleSince()) > r.options.StartBound
+// isUnstarted reports whether nothing was started of a job that has a first start to wait for.
+func isUnstarted(job *jobs.Job) bool {
+	return !job.IsService && !job.CrashLooping && job.DoneTasks+len(job.ActiveAttempts) == 0
 }
--- a/internal/controller/queue/overdue.go
+++ b/internal/controller/queue/overdue.go
@@ -8,49 +8,52 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// allocateOverdue returns the overdue jobs that may use the capacity of overdue jobs now. Jobs that are served before
+// markOverdue sets the reason of the overdue jobs that may use the capacity of overdue jobs now. Jobs that are served before
 // them in any case are not among them.
-func (r *Ranker) allocateOverdue(live []*jobs.Job, capacity admission.Capacity, facts *orderFacts) map[*jobs.Job]fairshare.Reason {
+func (r *Ranker) markOverdue(now time.Time, candidates []candidate, live []*jobs.Job, capacity admission.Capacity) {
 	var overdue []fairshare.OverdueJob
-	for _, job := range live {
-		if job.IsService || job.CrashLooping || facts.planned[job] || facts.agedFirst[job] || !r.isOverdue(facts.now, job) {
+	for i := range candidates {
+		c := &candidates[i]
+		if c.job.IsService || c.job.CrashLooping || c.isPlanned || c.isAgedFirst || !r.isOverdue(c) {
 			continue
 		}
 		overdue = append(overdue, fairshare.OverdueJob{
-			Job:                 job,
-			RemainingCPUSeconds: r.estimator.RemainingCPUSeconds(job, facts.now),
-			StartableTasks:      capacity.StartableTasks(job),
-			IsUnserved:          r.isUnserved(facts.now, job),
+			Job:                 c.job,
+			RemainingCPUSeconds: c.remainingCPUSeconds,
+			StartableTasks:      capacity.StartableTasks(c.job),
+			IsUnserved:          r.isUnserved(c),
 		})
 	}
-	return r.fairShare.Allocate(facts.now, overdue, live, capacity.CPUs)
+	reasons := r.fairShare.Allocate(now, overdue, live, capacity.CPUs)
+	for i := range candidates {
+		candidates[i].overdueReason = reasons[candidates[i].job]
+	}
 }
 
 // isOverdue reports whether the job can meet none of its objectives any more, or has waited too long without any.
-func (r *Ranker) isOverdue(now time.Time, job *jobs.Job) bool {
-	age := now.Sub(job.EligibleSince())
-	return age > r.overdueAfter(now, job) || r.objectives.areMissed(job, age, r.estimator.TaskRunTime(job))
+func (r *Ranker) isOverdue(c *candidate) bool {
+	return c.age > r.overdueAfter(c) || r.objectives.areMissed(c.job, c.age, c.taskRunTime)
 }
 
 // isUnserved reports whether an overdue job counts against the served share of its class and team: it is late by a
 // quarter of what the longest of its objectives allowed.
-func (r *Ranker) isUnserved(now time.Time, job *jobs.Job) bool {
-	longest := r.objectives.longestAllowed(job, r.estimator.TaskRunTime(job))
+func (r *Ranker) isUnserved(c *candidate) bool {
+	longest := r.objectives.longestAllowed(c.job, c.taskRunTime)
 	if longest <= 0 {
 		longest = r.options.AgeBound
 	}
-	return now.Sub(job.EligibleSince()) > min(5*longest/4, r.overdueAfter(now, job))
+	return c.age > min(5*longest/4, r.overdueAfter(c))
 }
 
 // overdueAfter is the age from which a job is overdue even if it can still meet its objectives: the age bound, or less if
 // no job of its class was done recently. Without the shorter age, six jobs of a class with long objectives got no capacity
 // before the age bound, and only two were done by the end of the simulated day (a4e2-15).
-func (r *Ranker) overdueAfter(now time.Time, job *jobs.Job) time.Duration {
+func (r *Ranker) overdueAfter(c *candidate) time.Duration {
 	startBound := r.options.StartBound
-	if startBound <= 0 || !r.fairShare.NoneDoneRecently(now, job.Class) {
+	if startBound <= 0 || !r.fairShare.NoneDoneRecently(c.now, c.job.Class) {
 		return r.options.AgeBound
 	}
-	if r.estimator.TaskRunTime(job) > startBound {
+	if c.taskRunTime > startBound {
 		return min(startBound, r.options.AgeBound) // longer than this, such tasks would be done late or not at all
 	}
 	return min(8*startBound/5, r.options.AgeBound)
--- a/internal/controller/queue/queue.go
+++ b/internal/controller/queue/queue.go
@@ -45,6 +45,8 @@
 	estimator  *estimate.Estimator
 	planner    *admission.Planner
 	fairShare  *fairshare.Allocator
+
+	candidates []candidate // of the last order; the next one reuses the memory
 }
 
 // Components are the parts of the controller that a Ranker uses.
@@ -84,43 +86,37 @@
 
 // Order returns the jobs in the order in which they get capacity. live are all jobs that may run.
 func (r *Ranker) Order(now time.Time, live []*jobs.Job, capacity admission.Capacity) []Entry {
-	facts := r.collectFacts(now, live, capacity)
-	entries := make([]Entry, 0, len(live))
-	candidate := candidate{orderFacts: facts}
-	for _, job := range live {
-		r.fillCandidate(&candidate, job)
-		entries = append(entries, r.rank(&candidate))
+	candidates := r.makeCandidates(now, live, capacity)
+	order := make([]*candidate, len(candidates))
+	for i := range candidates {
+		order[i] = &candidates[i]
+		r.rank(order[i])
+	}
+	slices.SortFunc(order, comparePositions)
+	entries := make([]Entry, len(order))
+	for i, c := range order {
+		entries[i] = c.entry()
 	}
-	slices.SortFunc(entries, compareEntries)
 	return entries
 }
 
-// rank makes the job's entry by the first rule that matches it.
-func (r *Ranker) rank(candidate *candidate) Entry {
-	entry := Entry{
-		Job:                 candidate.job,
-		Planned:             candidate.planned[candidate.job],
-		TaskRunTime:         candidate.taskRunTime,
-		RemainingCPUSeconds: candidate.remainingCPUSeconds,
-	}
+// rank sets the candidate's position by the first rule that matches it.
+func (r *Ranker) rank(c *candidate) {
 	for _, rule := range r.rules {
-		if rule.matches(candidate) {
-			position := rule.position(candidate)
-			entry.Rank, entry.sortKey, entry.MaxTasks = position.rank, position.sortKey, position.maxTasks
-			entry.MayReserve = position.mayReserve || candidate.job.IsGang
-			break
+		if rule.matches(c) {
+			c.position = rule.position(c)
+			return
 		}
 	}
-	return entry
 }
 
-// compareEntries orders entries by rank, sort key and job ID, so that the result does not depend on the input order.
-func compareEntries(a, b Entry) int {
-	if a.Rank != b.Rank {
-		return cmp.Compare(a.Rank, b.Rank)
+// comparePositions orders candidates by rank, sort key and job ID, so that the result does not depend on the input order.
+func comparePositions(a, b *candidate) int {
+	if a.position.rank != b.position.rank {
+		return cmp.Compare(a.position.rank, b.position.rank)
 	}
-	if a.sortKey != b.sortKey {
-		return cmp.Compare(a.sortKey, b.sortKey)
+	if a.position.sortKey != b.position.sortKey {
+		return cmp.Compare(a.position.sortKey, b.position.sortKey)
 	}
-	return cmp.Compare(a.Job.ID, b.Job.ID)
+	return cmp.Compare(a.job.ID, b.job.ID)
 }
--- a/internal/controller/queue/queue_test.go
+++ b/internal/controller/queue/queue_test.go
@@ -60,7 +60,8 @@
 		{"less than a minute of work", []*jobs.Job{small}, 40, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := ranker.limitBoundTeams(now, c.live, admission.Capacity{CPUs: c.cpus})["t"]; got != c.want {
+			candidates := ranker.makeCandidates(now, c.live, admission.Capacity{CPUs: c.cpus})
+			if got := candidates[0].limitBound["t"]; got != c.want {
 				t.Errorf("limit-bound %v", got)
 			}
 		})
--- a/internal/controller/queue/quota.go
+++ b/internal/controller/queue/quota.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/jobs"
 )
 
@@ -16,14 +15,14 @@
 // limitBoundTeams returns the teams whose work is delayed by their quota rather than by the cluster: at its quota it lasts
 // long, and longer than the cluster needs for the work of all teams. Such a team can never make up for what it does not
 // use of its quota now, however many machines are added.
-func (r *Ranker) limitBoundTeams(now time.Time, live []*jobs.Job, capacity admission.Capacity) map[string]bool {
+func (r *Ranker) limitBoundTeams(candidates []candidate, clusterCPUs float64) map[string]bool {
 	workByTeam, totalWork := map[string]float64{}, 0.0
-	for _, job := range live {
-		work := r.estimator.RemainingCPUSeconds(job, now)
-		workByTeam[job.Team] += work
-		totalWork += work
+	for i := range candidates {
+		c := &candidates[i]
+		workByTeam[c.job.Team] += c.remainingCPUSeconds
+		totalWork += c.remainingCPUSeconds
 	}
-	minSeconds := max(minLimitedWork.Seconds(), totalWork/max(capacity.CPUs, 1))
+	minSeconds := max(minLimitedWork.Seconds(), totalWork/clusterCPUs)
 	bound := map[string]bool{}
 	for team, work := range workByTeam {
 		if limit := r.teams[team].CPULimit; limit > 0 && work > limit*minSeconds {
@@ -33,31 +32,30 @@
 	return bound
 }
 
-// jobsWithinQuota returns the jobs that fit into their team's guaranteed quota together with the team's earlier
-// unfinished jobs.
-func (r *Ranker) jobsWithinQuota(live []*jobs.Job) map[*jobs.Job]bool {
-	byTeam := map[string][]*jobs.Job{}
-	for _, job := range live {
-		if team := r.teams[job.Team]; team.GuaranteedCPUs > 0 || team.GuaranteedGPUs > 0 {
-			byTeam[job.Team] = append(byTeam[job.Team], job)
+// markWithinQuota marks the jobs that fit into their team's guaranteed quota together with the team's earlier unfinished
+// jobs.
+func (r *Ranker) markWithinQuota(candidates []candidate) {
+	byTeam := map[string][]*candidate{}
+	for i := range candidates {
+		c := &candidates[i]
+		if team := r.teams[c.job.Team]; team.GuaranteedCPUs > 0 || team.GuaranteedGPUs > 0 {
+			byTeam[c.job.Team] = append(byTeam[c.job.Team], c)
 		}
 	}
-	within := map[*jobs.Job]bool{}
 	for team, list := range byTeam {
 		slices.SortFunc(list, compareSubmission)
-		for _, job := range list[:countWithinQuota(r.teams[team], list)] {
-			within[job] = true
+		for _, c := range list[:countWithinQuota(r.teams[team], list)] {
+			c.isWithinQuota = true
 		}
 	}
-	return within
 }
 
 // countWithinQuota is the number of jobs, from the first on, that fit into the team's guaranteed quota together.
-func countWithinQuota(team config.Team, list []*jobs.Job) int {
+func countWithinQuota(team config.Team, list []*candidate) int {
 	var cpus, gpus float64
-	for i, job := range list {
-		cpus += float64(job.Tasks) * job.CPUs
-		gpus += float64(job.Tasks) * job.GPUs
+	for i, c := range list {
+		cpus += float64(c.job.Tasks) * c.job.CPUs
+		gpus += float64(c.job.Tasks) * c.job.GPUs
 		if cpus > team.GuaranteedCPUs+jobs.ResourceTolerance || gpus > team.GuaranteedGPUs+jobs.ResourceTolerance {
 			return i
 		}
@@ -65,6 +63,10 @@
 	return len(list)
 }
 
-func compareSubmission(a, b *jobs.Job) int {
-	return cmp.Or(a.SubmittedAt.Compare(b.SubmittedAt), cmp.Compare(a.ID, b.ID))
+// compareSubmission orders candidates by the submission of their jobs, the earliest first, and by ID.
+func compareSubmission(a, b *candidate) int {
+	if bySubmission := a.job.SubmittedAt.Compare(b.job.SubmittedAt); bySubmission != 0 {
+		return bySubmission
+	}
+	return cmp.Compare(a.job.ID, b.job.ID)
 }
--- a/internal/controller/queue/rules.go
+++ b/internal/controller/queue/rules.go
@@ -57,7 +57,7 @@
 // agedFirstRule ranks the oldest of the aged jobs before everything else, as far as their share goes.
 type agedFirstRule struct{}
 
-func (agedFirstRule) matches(c *candidate) bool { return c.agedFirst[c.job] }
+func (agedFirstRule) matches(c *candidate) bool { return c.isAgedFirst }
 
 func (agedFirstRule) position(c *candidate) position {
 	return position{rank: RankAgedFirst, sortKey: -c.age.Seconds(), mayReserve: true}
@@ -75,7 +75,7 @@
 // initialTasksRule starts the first few tasks of jobs of which nothing was started for long, the oldest job first.
 type initialTasksRule struct{}
 
-func (initialTasksRule) matches(c *candidate) bool { return c.awaitingStart[c.job] }
+func (initialTasksRule) matches(c *candidate) bool { return c.awaitsStart }
 
 func (initialTasksRule) position(c *candidate) position {
 	return position{rank: RankInitialTasks, sortKey: -c.age.Seconds(), mayReserve: true, maxTasks: initialTaskCount(c.job)}
@@ -85,7 +85,7 @@
 type belowMinShareRule struct{}
 
 func (belowMinShareRule) matches(c *candidate) bool {
-	return c.overdue[c.job] == fairshare.BelowMinShare
+	return c.overdueReason == fairshare.BelowMinShare
 }
 
 func (belowMinShareRule) position(c *candidate) position {
@@ -95,7 +95,7 @@
 // plannedRule ranks the guaranteed jobs whose work fits before their deadlines, the earliest deadline first.
 type plannedRule struct{}
 
-func (plannedRule) matches(c *candidate) bool { return c.planned[c.job] }
+func (plannedRule) matches(c *candidate) bool { return c.isPlanned }
 
 func (plannedRule) position(c *candidate) position {
 	return position{rank: RankPlanned, sortKey: admission.DueAt(c.job).Sub(c.now).Seconds(), mayReserve: true}
@@ -106,7 +106,7 @@
 type quotaInTimeRule struct{ objectives *objectives }
 
 func (r quotaInTimeRule) matches(c *candidate) bool {
-	return c.withinQuota[c.job] && c.age < r.objectives.guarantee
+	return c.isWithinQuota && c.age < r.objectives.guarantee
 }
 
 func (quotaInTimeRule) position(c *candidate) position {
@@ -116,7 +116,7 @@
 // quotaOverdueRule ranks the other jobs within their team's guaranteed quota, the oldest first.
 type quotaOverdueRule struct{}
 
-func (quotaOverdueRule) matches(c *candidate) bool { return c.withinQuota[c.job] }
+func (quotaOverdueRule) matches(c *candidate) bool { return c.isWithinQuota }
 
 func (quotaOverdueRule) position(c *candidate) position {
 	return position{rank: RankQuotaOverdue, sortKey: -c.age.Seconds(), mayReserve: true}
@@ -125,7 +125,7 @@
 // overdueRule ranks overdue jobs within the share of overdue jobs.
 type overdueRule struct{}
 
-func (overdueRule) matches(c *candidate) bool { return c.overdue[c.job] == fairshare.Overdue }
+func (overdueRule) matches(c *candidate) bool { return c.overdueReason == fairshare.Overdue }
 
 func (overdueRule) position(c *candidate) position {
 	return position{rank: RankOverdue, sortKey: c.remainingSeconds, mayReserve: true}
--- a/internal/controller/queue/rules_test.go
+++ b/internal/controller/queue/rules_test.go
@@ -26,11 +26,8 @@
 		now.Add(-10*time.Second),
 	)
 	c := &candidate{
-		orderFacts: &orderFacts{
-			now: now, clusterCPUs: 100, planned: map[*jobs.Job]bool{}, withinQuota: map[*jobs.Job]bool{}, agedFirst: map[*jobs.Job]bool{},
-			awaitingStart: map[*jobs.Job]bool{}, limitBound: map[string]bool{}, overdue: map[*jobs.Job]fairshare.Reason{},
-		},
-		job: job, age: 10 * time.Second, taskRunTime: 8 * time.Second, remainingCPUSeconds: 1600, remainingSeconds: 16,
+		orderFacts: &orderFacts{now: now, clusterCPUs: 100, limitBound: map[string]bool{}},
+		job:        job, age: 10 * time.Second, taskRunTime: 8 * time.Second, remainingCPUSeconds: 1600, remainingSeconds: 16,
 	}
 	if change != nil {
 		change(c)
@@ -55,7 +52,7 @@
 	},
 	{
 		name: "aged first", rule: agedFirstRule{},
-		matches: func(c *candidate) { c.agedFirst[c.job] = true },
+		matches: func(c *candidate) { c.isAgedFirst = true },
 		want:    position{rank: RankAgedFirst, sortKey: -10, mayReserve: true},
 	},
 	{
@@ -65,41 +62,41 @@
 	},
 	{
 		name: "initial tasks", rule: initialTasksRule{},
-		matches: func(c *candidate) { c.awaitingStart[c.job] = true },
+		matches: func(c *candidate) { c.awaitsStart = true },
 		want:    position{rank: RankInitialTasks, sortKey: -10, mayReserve: true, maxTasks: 2},
 	},
 	{
 		name: "initial tasks of a gang", rule: initialTasksRule{},
-		matches: func(c *candidate) { c.awaitingStart[c.job], c.job.IsGang = true, true },
+		matches: func(c *candidate) { c.awaitsStart, c.job.IsGang = true, true },
 		want:    position{rank: RankInitialTasks, sortKey: -10, mayReserve: true, maxTasks: 200},
 	},
 	{
 		name: "below the minimum share", rule: belowMinShareRule{},
-		matches: func(c *candidate) { c.overdue[c.job] = fairshare.BelowMinShare },
+		matches: func(c *candidate) { c.overdueReason = fairshare.BelowMinShare },
 		want:    position{rank: RankBelowMinShare, sortKey: 16, mayReserve: true},
-		not:     func(c *candidate) { c.overdue[c.job] = fairshare.Overdue },
+		not:     func(c *candidate) { c.overdueReason = fairshare.Overdue },
 	},
 	{
 		name: "planned", rule: plannedRule{},
-		matches: func(c *candidate) { c.planned[c.job], c.job.Deadline = true, 70*time.Second },
+		matches: func(c *candidate) { c.isPlanned, c.job.Deadline = true, 70*time.Second },
 		want:    position{rank: RankPlanned, sortKey: 60, mayReserve: true},
 	},
 	{
 		name: "within quota in time", rule: quotaInTimeRule{&testObjectives},
-		matches: func(c *candidate) { c.withinQuota[c.job] = true },
+		matches: func(c *candidate) { c.isWithinQuota = true },
 		want:    position{rank: RankQuotaInTime, sortKey: 1600, mayReserve: true},
-		not:     func(c *candidate) { c.withinQuota[c.job], c.age = true, 30*time.Second },
+		not:     func(c *candidate) { c.isWithinQuota, c.age = true, 30*time.Second },
 	},
 	{
 		name: "within quota, overdue", rule: quotaOverdueRule{},
-		matches: func(c *candidate) { c.withinQuota[c.job], c.age = true, 30*time.Second },
+		matches: func(c *candidate) { c.isWithinQuota, c.age = true, 30*time.Second },
 		want:    position{rank: RankQuotaOverdue, sortKey: -30, mayReserve: true},
 	},
 	{
 		name: "overdue", rule: overdueRule{},
-		matches: func(c *candidate) { c.overdue[c.job] = fairshare.Overdue },
+		matches: func(c *candidate) { c.overdueReason = fairshare.Overdue },
 		want:    position{rank: RankOverdue, sortKey: 16, mayReserve: true},
-		not:     func(c *candidate) { c.overdue[c.job] = fairshare.BelowMinShare },
+		not:     func(c *candidate) { c.overdueReason = fairshare.BelowMinShare },
 	},
 	{
 		name: "past the age bound", rule: agedRule{testAgeBound},
