--- a/internal/simulator/accounting_test.go
+++ b/internal/simulator/accounting_test.go
@@ -21,6 +21,11 @@
 	phaseCount
 )
 
+// String is the name of the phase in failure messages.
+func (p phase) String() string {
+	return [phaseCount]string{"waiting for a machine", "fetching the image", "running", "retrying", "completed"}[p]
+}
+
 // phaseRecord is the time that a job spent in each phase, as the simulator observed it.
 type phaseRecord struct {
 	phase   phase
@@ -34,60 +39,72 @@
 	if len(job.completedTasks) == job.spec.Tasks {
 		return completed
 	}
-	p, failed := runningOnMachine, 0
-	for task := range job.spec.Tasks {
-		if job.completedTasks[task] {
+	current, failedTasks := runningOnMachine, 0
+	for index := range job.spec.Tasks {
+		if job.completedTasks[index] {
 			continue
 		}
-		key, state := (jobs.TaskID{JobID: job.spec.ID, Index: task}).String(), workerapi.TaskState("")
-		for _, m := range sim.Cloud.runningMachines() {
-			if t := m.tasks[key]; t != nil && t.state == workerapi.StateExited && t.reason != workerapi.ReasonDone {
-				record.failed[task] = true
-			} else if t != nil && t.state != workerapi.StateExited {
-				state = t.state
-			}
-		}
-		if record.failed[task] {
-			failed++
+		state := sim.observeTask(jobs.TaskID{JobID: job.spec.ID, Index: index}, record)
+		if record.failed[index] {
+			failedTasks++
 		}
 		switch {
 		case state == "":
-			p = waitingForMachine
-		case state == workerapi.StateFetching && p == runningOnMachine:
-			p = fetchingImage
+			current = waitingForMachine
+		case state == workerapi.StateFetching && current == runningOnMachine:
+			current = fetchingImage
 		}
 	}
-	if failed == job.spec.Tasks-len(job.completedTasks) {
+	if failedTasks == job.spec.Tasks-len(job.completedTasks) {
 		return retrying
 	}
-	return p
+	return current
+}
+
+// observeTask returns the state of a task on the machines, empty if it is on none, and records whether an attempt of it has failed.
+func (sim *Cluster) observeTask(taskID jobs.TaskID, record *phaseRecord) workerapi.TaskState {
+	state := workerapi.TaskState("")
+	for _, worker := range sim.Cloud.runningMachines() {
+		task := worker.tasks[taskID.String()]
+		switch {
+		case task == nil:
+		case task.state != workerapi.StateExited:
+			state = task.state
+		case task.reason != workerapi.ReasonDone:
+			record.failed[taskID.Index] = true
+		}
+	}
+	return state
 }
 
 // recordPhases records the phases of all jobs as the simulator observes them.
 func (sim *Cluster) recordPhases(records map[string]*phaseRecord) {
-	const every = 20 * time.Millisecond
-	var look func()
-	look = func() {
-		for id, j := range sim.checker.jobs {
-			r := records[id]
-			if r == nil {
-				r = &phaseRecord{failed: map[int]bool{}}
-				records[id] = r
+	const interval = 20 * time.Millisecond
+	var observe func()
+	observe = func() {
+		for jobID, job := range sim.checker.jobs {
+			record := records[jobID]
+			if record == nil {
+				record = &phaseRecord{failed: map[int]bool{}}
+				records[jobID] = record
 			}
-			if !j.finishedAt.IsZero() || !j.cancelledAt.IsZero() {
-				continue
+			if job.finishedAt.IsZero() && job.cancelledAt.IsZero() {
+				record.add(sim.currentPhase(job, record), interval)
 			}
-			p := sim.currentPhase(j, r)
-			if p != r.phase {
-				r.changes[p]++
-				r.changes[r.phase]++
-				r.phase = p
-			}
-			r.spent[p] += every
 		}
-		sim.At(every, look)
+		sim.At(interval, observe)
 	}
-	look()
+	observe()
+}
+
+// add records that the job has been in a phase for a while.
+func (r *phaseRecord) add(observed phase, duration time.Duration) {
+	if observed != r.phase {
+		r.changes[observed]++
+		r.changes[r.phase]++
+		r.phase = observed
+	}
+	r.spent[observed] += duration
 }
 
 // timeAccount asks the leader for the time accounting of a job, by reason and in total; nil if it does not respond.
@@ -119,9 +136,9 @@
 // checkTimeAccounting is TestTimeAccountingMatchesSimulation with one seed.
 func checkTimeAccounting(t *testing.T, seed uint64) {
 	t.Helper()
-	opt := testOptions()
-	opt.LossShare, opt.LateShare = 0, 0
-	sim := New(seed, opt, testLogger())
+	options := testOptions()
+	options.LossShare, options.LateShare = 0, 0
+	sim := New(seed, options, testLogger())
 	records := map[string]*phaseRecord{}
 	sim.recordPhases(records)
 	for i := range 30 {
@@ -129,54 +146,59 @@
 	}
 	sim.Run(4 * time.Minute)
 	expectNoViolations(t, sim)
+	// For each change of phase: a heartbeat, an observation, a slow message.
+	tolerance := options.HeartbeatInterval*5/4 + 1100*time.Millisecond
 	checked := 0
-	slack := opt.HeartbeatInterval*5/4 + 1100*time.Millisecond // a heartbeat, an observation, a slow message
-	for id, j := range sim.checker.jobs {
-		r := records[id]
-		if j.finishedAt.IsZero() || j.cancelRequested || j.spec.IsService {
+	for jobID, job := range sim.checker.jobs {
+		if job.finishedAt.IsZero() || job.cancelRequested || job.spec.IsService {
 			continue
 		}
-		spent, sum := sim.timeAccount(id)
+		spent, sum := sim.timeAccount(jobID)
 		if spent == nil {
-			t.Fatalf("no time accounting of %s", id)
-		}
-		mine := [phaseCount]time.Duration{
-			fetchingImage:    spent[accounting.FetchingImage.String()],
-			runningOnMachine: spent[accounting.Running.String()],
-			retrying: spent[accounting.AttemptFailed.String()] + spent[accounting.MachineLost.String()] +
-				spent[accounting.Preempted.String()],
-			completed: spent[accounting.NotDurable.String()],
-		}
-		mine[waitingForMachine] = sum - mine[fetchingImage] - mine[runningOnMachine] - mine[retrying] - mine[completed]
-		for p := range phaseCount {
-			// The simulator counts until the user learned it, the leader until the result was durable.
-			if p == completed {
-				continue
-			}
-			if diff := (mine[p] - r.spent[p]).Abs(); diff > slack*time.Duration(max(r.changes[p], 1)) {
-				t.Errorf(
-					"%s: phase %d: %v by the leader, %v by the simulator, %d changes\n%v",
-					id,
-					p,
-					mine[p],
-					r.spent[p],
-					r.changes[p],
-					spent,
-				)
-			}
+			t.Fatalf("the leader returns no time accounting of %s", jobID)
 		}
+		checkPhases(t, jobID, accountedPhases(spent, sum), records[jobID], tolerance)
 		checked++
 	}
 	if checked < 10 {
-		t.Errorf("only %d jobs were checked", checked)
+		t.Errorf("jobs whose time accounting was checked: got %d, want at least 10", checked)
+	}
+}
+
+// accountedPhases sums a job's time by phase, as the leader accounted for it.
+func accountedPhases(spent map[string]time.Duration, sum time.Duration) [phaseCount]time.Duration {
+	accounted := [phaseCount]time.Duration{
+		fetchingImage:    spent[accounting.FetchingImage.String()],
+		runningOnMachine: spent[accounting.Running.String()],
+		retrying: spent[accounting.AttemptFailed.String()] + spent[accounting.MachineLost.String()] +
+			spent[accounting.Preempted.String()],
+		completed: spent[accounting.NotDurable.String()],
+	}
+	accounted[waitingForMachine] = sum - accounted[fetchingImage] - accounted[runningOnMachine] - accounted[retrying] - accounted[completed]
+	return accounted
+}
+
+// checkPhases checks that the leader accounted for a job's time as the simulator observed it, but for a tolerance at each change of phase.
+func checkPhases(t *testing.T, jobID string, accounted [phaseCount]time.Duration, observed *phaseRecord, tolerance time.Duration) {
+	t.Helper()
+	for p := range phaseCount {
+		// The simulator counts completed jobs until their user learned it, the leader until the result was durable.
+		if p == completed {
+			continue
+		}
+		limit := tolerance * time.Duration(max(observed.changes[p], 1))
+		if difference := (accounted[p] - observed.spent[p]).Abs(); difference > limit {
+			t.Errorf("%s, time spent %v, with %d changes of phase: got %v, want %v within %v; by phase: got %v, want %v",
+				jobID, p, observed.changes[p], accounted[p], observed.spent[p], limit, accounted, observed.spent)
+		}
 	}
 }
 
 // Across failovers, failed machines and an outage, a job's accounted time still sums to its age by the stored record, and time that no
 // leader observed has a reason of its own.
 func TestTimeAccountingAcrossFailovers(t *testing.T) {
-	unknown := 0
 	t.Parallel()
+	unobserved := 0
 	for seed := range uint64(3) {
 		t.Run(seedName(seed), func(t *testing.T) {
 			sim := New(seed, testOptions(), testLogger())
@@ -198,18 +220,18 @@
 			for range 12 {
 				sim.Run(10 * time.Second)
 				expectNoViolations(t, sim)
-				unknown += sim.checkAccountedAges(t)
+				unobserved += sim.checkAccountedAges(t)
 			}
 		})
 	}
-	if unknown == 0 {
-		t.Error("no time accounting across failovers has time that no leader observed")
+	if unobserved == 0 {
+		t.Error("time accountings with time that no leader observed: got 0, want at least 1")
 	}
 }
 
 // checkAccountedAges checks that the accounted time of each unfinished job is its age, and returns how many have time that no leader
 // observed.
-func (sim *Cluster) checkAccountedAges(t *testing.T) (unknown int) {
+func (sim *Cluster) checkAccountedAges(t *testing.T) (unobserved int) {
 	t.Helper()
 	for id, job := range sim.checker.jobs {
 		record, ok := sim.State.record(id)
@@ -220,11 +242,11 @@
 		spent, sum := sim.timeAccount(id)
 		age := sim.Now.Sub(time.UnixMilli(record.SubmittedMs))
 		if len(spent) > 0 && (sum-age).Abs() > 150*time.Millisecond {
-			t.Errorf("%s: its time accounting sums to %v, its age is %v: %v", id, sum, age, spent)
+			t.Errorf("%s, sum of its time accounting: got %v, want its age %v within 150ms; by reason: %v", id, sum, age, spent)
 		}
 		if spent[accounting.EarlierLeader.String()] > 0 {
-			unknown++
+			unobserved++
 		}
 	}
-	return unknown
+	return unobserved
 }
--- a/internal/simulator/ageing_test.go
+++ b/internal/simulator/ageing_test.go
@@ -11,13 +11,13 @@
 // overloadedCluster is a cluster that urgent jobs with deadlines keep full all the time, after a few tasks of low priority were queued
 // that need four times the resources.
 func overloadedCluster(seed uint64, share float64) *Cluster {
-	opt := testOptions()
-	opt.Teams, opt.LossShare, opt.MachinesPerKind = nil, 0, 1
-	opt.Tuning.AgeBound, opt.Tuning.AgedShare = time.Minute, share
-	opt.Tuning.PlanningInterval, opt.Tuning.SubmissionShare = 5*time.Second, 1000
+	options := testOptions()
+	options.Teams, options.LossShare, options.MachinesPerKind = nil, 0, 1
+	options.Tuning.AgeBound, options.Tuning.AgedShare = time.Minute, share
+	options.Tuning.PlanningInterval, options.Tuning.SubmissionShare = 5*time.Second, 1000
 	// The minimum served share and the start bound would serve the same jobs.
-	opt.Tuning.FairShareCapacity, opt.Tuning.OverdueShare, opt.Tuning.StartBound = 0, 0, 0
-	sim := New(seed, opt, testLogger())
+	options.Tuning.FairShareCapacity, options.Tuning.OverdueShare, options.Tuning.StartBound = 0, 0, 0
+	sim := New(seed, options, testLogger())
 	urgent := func(i int) {
 		sim.Users.SubmitJob(jobs.Spec{
 			ID: fmt.Sprintf("job-1%05d", i), Class: "urgent", Team: "desk", Priority: jobs.Critical, Tasks: 9, CPUs: 1, MemoryGB: 1,
@@ -73,7 +73,7 @@
 			waited := sim.waitForStart(sim.checker.jobs[id])
 			worst[kept] = max(worst[kept], waited)
 			if kept && waited > bound {
-				t.Errorf("%s waits %v, stated was %v", id, waited, bound)
+				t.Errorf("wait of %s for its first start: got %v, want at most the stated bound %v", id, waited, bound)
 			}
 		}
 	}
@@ -84,7 +84,7 @@
 		most,
 	)
 	if worst[false] < worst[true]*5/4 {
-		t.Errorf("the share makes little difference: %v without, %v with it", worst[false], worst[true])
+		t.Errorf("longest wait without an aged share: got %v, want at least 5/4 of %v, the longest with it", worst[false], worst[true])
 	}
 }
 
@@ -97,7 +97,7 @@
 		explanation, _ := sim.explain(id)
 		bounds[id] = time.Duration(explanation.FirstStartBoundSeconds * float64(time.Second))
 		if required && bounds[id] == 0 {
-			t.Fatalf("no bound is stated for %s: %+v", id, explanation)
+			t.Fatalf("stated bound of %s: got none, want one: %+v", id, explanation)
 		}
 		if len(explanation.Reasons) == 0 || explanation.WaitingTasks > 0 && explanation.Position < 1 {
 			t.Errorf("explanation of %s: got %+v, want reasons, and a position if tasks wait", id, explanation)
--- a/internal/simulator/bench_test.go
+++ b/internal/simulator/bench_test.go
@@ -14,11 +14,11 @@
 	for _, machines := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
 			for range b.N {
-				opt := testOptions()
-				opt.Tuning = config.DefaultOptions()
-				opt.LossShare, opt.Teams, opt.HeartbeatInterval = 0, nil, 4*time.Second
-				opt.MachinesPerKind, opt.MaxTasks = machines/6, machines/5
-				sim := New(1, opt, testLogger())
+				options := testOptions()
+				options.Tuning = config.DefaultOptions()
+				options.LossShare, options.Teams, options.HeartbeatInterval = 0, nil, 4*time.Second
+				options.MachinesPerKind, options.MaxTasks = machines/6, machines/5
+				sim := New(1, options, testLogger())
 				for i := range 120 {
 					sim.At(time.Duration(i)*500*time.Millisecond, sim.Users.SubmitRandom)
 				}
--- a/internal/simulator/failover_test.go
+++ b/internal/simulator/failover_test.go
@@ -19,13 +19,13 @@
 		sim.Run(1500 * time.Millisecond)
 		sim.submitShortJobs("red", "61", 8, 3)
 		sim.submitShortJobs("blue", "62", 8, 3)
-		began := 0
+		started := 0
 		for end := sim.Now.Add(10 * time.Second); sim.Now.Before(end) && !sim.isPlacing() && len(sim.Violations) == 0; {
 			sim.Run(100 * time.Millisecond)
-			began = sim.Users.countJobs(func(j *observedJob) bool { return j.spec.Class == "short" && !j.firstStartedAt.IsZero() })
+			started = sim.Users.countJobs(func(j *observedJob) bool { return j.spec.Class == "short" && !j.firstStartedAt.IsZero() })
 		}
-		if began < 3 {
-			sim.t.Errorf("only %d jobs of the new leader started before failover had completed, want 3", began)
+		if started < 3 {
+			sim.t.Errorf("jobs of the new leader that started before failover had completed: got %d, want at least 3", started)
 		}
 	})
 }
@@ -85,10 +85,10 @@
 		}
 		sim.Run(30 * time.Second)
 		if more := len(sim.Cloud.machineIDs) - machines; more > machines/2 {
-			sim.t.Errorf("%d machines more are rented, after %d", more, machines)
+			sim.t.Errorf("further instances requested: got %d, want at most half of the %d before", more, machines)
 		}
 		if again := sim.checker.TaskStarts - ran; again > 160 {
-			sim.t.Errorf("%d starts of some 80 tasks", again)
+			sim.t.Errorf("starts of about 80 tasks: got %d, want at most 160", again)
 		}
 	})
 }
@@ -100,7 +100,7 @@
 		for _, m := range sim.Cloud.runningMachines() {
 			old, err := encode(m.heartbeat())
 			if err != nil {
-				sim.t.Fatal(err)
+				sim.t.Fatalf("encode a heartbeat: %v", err)
 			}
 			for i := range 12 {
 				sim.At(time.Duration(2000+700*i)*time.Millisecond, func() {
@@ -119,7 +119,7 @@
 		sim.At(3*time.Second, func() { sim.Cloud.RestartMachine(200*time.Millisecond, sim.seed%2 == 0) })
 		sim.Run(15 * time.Second)
 		if late < 20 {
-			sim.t.Errorf("%d late reports", late)
+			sim.t.Errorf("delayed heartbeats delivered: got %d, want at least 20", late)
 		}
 	})
 }
@@ -141,12 +141,11 @@
 			sim.At(time.Duration(i)*time.Second, sim.Users.SendInvalidRequest)
 		}
 		sim.Run(70 * time.Second)
-		both := [2]int{
-			sim.Users.CancelledCount(),
-			sim.Users.countJobs(func(j *observedJob) bool { return j.cancelRequested && !j.finishedAt.IsZero() }),
-		}
-		if both[0]+both[1] < 20 || both[1] == 0 {
-			sim.t.Errorf("%d cancelled, %d done though their users asked to cancel them", both[0], both[1])
+		cancelled := sim.Users.CancelledCount()
+		doneAnyway := sim.Users.countJobs(func(job *observedJob) bool { return job.cancelRequested && !job.finishedAt.IsZero() })
+		if cancelled+doneAnyway < 20 || doneAnyway == 0 {
+			sim.t.Errorf("jobs cancelled, and done although their users asked to cancel them: got %d and %d, want 20 together and 1 done",
+				cancelled, doneAnyway)
 		}
 	})
 }
@@ -171,14 +170,14 @@
 		sim.At(50*time.Second, func() { sim.Users.CancelLongest(3, 5*time.Second) })
 		sim.Run(115 * time.Second)
 		if len(led) < 7 {
-			sim.t.Errorf("%d leaders", len(led))
+			sim.t.Errorf("terms of leaders: got %d, want at least 7", len(led))
 		}
 		for i := range sim.controllers {
 			sim.Crash(i, time.Duration(500+4000*((i+int(sim.seed))%3))*time.Millisecond)
 		}
 		sim.Run(2 * time.Minute)
 		if served := sim.servedOf("short"); served.Share() < 0.9 {
-			sim.t.Errorf("%.2f of the short jobs are done", served.Share())
+			sim.t.Errorf("share of the short jobs that are done: got %.2f, want at least 0.9", served.Share())
 		}
 	})
 }
@@ -188,26 +187,16 @@
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	forEachSeed(t, 4, clusterWithoutTaskFailures, func(sim scenario) {
 		for i := range 10 {
-			s := jobs.Spec{
-				ID:              fmt.Sprintf("job-7%03d", i),
-				Class:           "bound",
-				Team:            "blue",
-				Tasks:           4,
-				CPUs:            1,
-				MemoryGB:        1,
-				Image:           "i",
-				AllowsSpot:      true,
-				RunTimeEstimate: 25 * time.Second,
-			}
+			spec := jobArray(fmt.Sprintf("job-7%03d", i), "bound", "blue", 4, 25*time.Second)
 			switch i % 3 {
 			case 0:
-				s.SingleZone = true
+				spec.SingleZone = true
 			case 1:
-				s.SpreadAcrossZones = true
+				spec.SpreadAcrossZones = true
 			default:
-				s.Zone = "b"
+				spec.Zone = "b"
 			}
-			sim.Users.SubmitJob(s, 25*time.Second)
+			sim.Users.SubmitJob(spec, 25*time.Second)
 		}
 		for i := range 8 {
 			sim.At(time.Duration(15+4*i)*time.Second, func() {
@@ -259,22 +248,9 @@
 	forEachSeed(t, 3, overloadedLossyCluster, func(sim scenario) {
 		for i := range 60 {
 			sim.At(time.Duration(i)*700*time.Millisecond, func() {
-				sim.Users.SubmitJob(jobs.Spec{
-					ID: fmt.Sprintf(
-						"job-66%02d",
-						i,
-					),
-					Class:           "heap",
-					Team:            "blue",
-					Tasks:           6,
-					CPUs:            2,
-					MemoryGB:        1,
-					Image:           "i",
-					AllowsSpot:      true,
-					Priority:        jobs.Priority(i % 4),
-					RunTimeEstimate: 8 * time.Second,
-					Deadline:        time.Duration(i%2) * 40 * time.Second,
-				}, 8*time.Second)
+				spec := jobArray(fmt.Sprintf("job-66%02d", i), "heap", "blue", 6, 8*time.Second)
+				spec.CPUs, spec.Priority, spec.Deadline = 2, jobs.Priority(i%4), time.Duration(i%2)*40*time.Second
+				sim.Users.SubmitJob(spec, 8*time.Second)
 			})
 		}
 		sim.State.SlowDown(40 * time.Second)
@@ -301,10 +277,10 @@
 	answerAll()
 	sim.Run(sim.Options.WorkerLease + maxStartableWait)
 	if len(sim.Violations) > 0 {
-		t.Fatalf("too early: %v", sim.Violations)
+		t.Fatalf("violations before the longest allowed wait has passed: got %v, want none", sim.Violations)
 	}
 	if sim.Run(20 * time.Second); len(sim.Violations) == 0 {
-		t.Error("no violation is reported for jobs that are left waiting")
+		t.Errorf("violations for jobs that are left waiting: got none, want one of %s", RuleLeftWaiting)
 	}
 	sim = New(1, testOptions(), testLogger())
 	sim.Run(8 * time.Second)
@@ -314,6 +290,6 @@
 	}
 	sim.Run(3 * time.Second)
 	if len(sim.Violations) == 0 {
-		t.Error("no violation is reported for an invalid job that was accepted")
+		t.Errorf("violations for an invalid job that was accepted: got none, want one of %s", RuleInvalidAccepted)
 	}
 }
--- a/internal/simulator/failures_test.go
+++ b/internal/simulator/failures_test.go
@@ -29,8 +29,7 @@
 }
 
 // Jobs whose tasks always fail and faulty machines at the same time, while machines fail and the leader crashes twice: exactly the faulty
-// machines are quarantined, each failing job is retried a few times only, under later leaders too, and all other jobs finish. Before
-// failure attribution each failing job was started 310 to 340 times, and nine or more healthy machines of a run were terminated.
+// machines are quarantined, each failing job is retried a few times only, under later leaders too, and all other jobs finish.
 func TestFailingJobsAndFaultyMachines(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
@@ -44,10 +43,10 @@
 // runFailingJobsAndFaultyMachines is TestFailingJobsAndFaultyMachines with one seed.
 func runFailingJobsAndFaultyMachines(t *testing.T, seed uint64) {
 	t.Helper()
-	opt := testOptions()
-	opt.LossShare, opt.MachinesPerKind, opt.Teams, opt.NoTaskFailures = 0, 14, nil, true
+	options := testOptions()
+	options.LossShare, options.MachinesPerKind, options.Teams, options.NoTaskFailures = 0, 14, nil, true
 	quarantined := quarantinedMachines{}
-	sim := New(seed, opt, slog.New(quarantined))
+	sim := New(seed, options, slog.New(quarantined))
 	const runTime = 12 * time.Second
 	for i := range 80 {
 		spec := jobArray(fmt.Sprintf("job-%06d", i), "c", noTeam, 12, runTime)
@@ -55,42 +54,42 @@
 	}
 	var failing []string
 	for i := range 3 {
-		s := jobArray(fmt.Sprintf("job-9%05d", i), "c", noTeam, 60, runTime)
-		failing = append(failing, s.ID)
+		spec := jobArray(fmt.Sprintf("job-9%05d", i), "c", noTeam, 60, runTime)
+		failing = append(failing, spec.ID)
 		sim.At(time.Duration(20+15*i)*time.Second, func() {
-			sim.Users.SubmitJob(s, runTime)
-			sim.checker.jobs[s.ID].alwaysFails = true
+			sim.Users.SubmitJob(spec, runTime)
+			sim.checker.jobs[spec.ID].alwaysFails = true
 		})
 	}
-	sick := map[string]bool{}
+	faulty := map[string]bool{}
 	sim.At(30*time.Second, func() {
 		for _, m := range sim.Cloud.runningMachines()[:2] {
-			m.isFaulty, sick[m.id] = true, true
+			m.isFaulty, faulty[m.id] = true, true
 		}
 	})
 	sim.At(70*time.Second, func() { failMachinesAndLeader(sim, 3*time.Second) })
 	sim.At(120*time.Second, func() { failMachinesAndLeader(sim, 4*time.Second) })
-	at70 := map[string]int{}
+	startsBefore := map[string]int{}
 	sim.At(72*time.Second, func() {
 		for _, id := range failing {
-			at70[id] = sim.checker.jobs[id].startCount
+			startsBefore[id] = sim.checker.jobs[id].startCount
 		}
 	})
 	sim.Run(5 * time.Minute)
 	expectNoViolations(t, sim)
 	for _, id := range failing {
 		// The first wave, the starts that were in flight when the job was found to fail, and one at a time since.
-		if n := sim.checker.jobs[id].startCount; n > 90 || n-at70[id] > 20 {
-			t.Errorf("%s was started %d times, %d of these under later leaders", id, n, n-at70[id])
+		if n := sim.checker.jobs[id].startCount; n > 90 || n-startsBefore[id] > 20 {
+			t.Errorf("starts of the failing %s: got %d, %d of them under later leaders, want at most 90 and 20", id, n, n-startsBefore[id])
 		}
 		explanation, _ := sim.explain(id)
 		if reasons := strings.Join(explanation.Reasons, "; "); !strings.Contains(reasons, "submitted with a mistake") {
-			t.Errorf("%s is not explained: %s", id, reasons)
+			t.Errorf("explanation of the failing %s: got %q, want a mistake of its submitter", id, reasons)
 		}
 	}
-	checkQuarantined(t, sim, quarantined, sick)
+	checkQuarantined(t, sim, quarantined, faulty)
 	if n := sim.Users.UnfinishedCount(); n > len(failing) {
-		t.Errorf("%d jobs that do not fail are not done", n-len(failing))
+		t.Errorf("unfinished jobs: got %d, want at most the %d that fail", n, len(failing))
 	}
 }
 
@@ -99,12 +98,12 @@
 	t.Helper()
 	for id := range quarantined {
 		if !faulty[id] {
-			t.Errorf("%s was quarantined though it is healthy", id)
+			t.Errorf("quarantined machines: got the healthy %s, want faulty ones only", id)
 		}
 	}
 	for id := range faulty {
 		if !sim.Cloud.machines[id].isTerminated && !sim.Cloud.machines[id].hasFailed {
-			t.Errorf("the faulty %s is still in use", id)
+			t.Errorf("the faulty machine %s: got still in use, want terminated or failed", id)
 		}
 	}
 }
--- a/internal/simulator/faultcombinations_test.go
+++ b/internal/simulator/faultcombinations_test.go
@@ -22,19 +22,19 @@
 		sim.Users.CancelRandom(10)
 		sim.Run(1500 * time.Millisecond)
 		if n := sim.Users.CancelledCount(); n < 5 {
-			sim.t.Fatalf("only %d are cancelled", n)
+			sim.t.Fatalf("cancelled jobs: got %d, want at least 5", n)
 		}
 		sim.OnElectionEvent(keyWritten, func(string) { sim.State.Outage(sim.Options.CancelTimeout + 15*time.Second) })
 		sim.Crash(sim.leader, time.Duration(sim.seed)*400*time.Millisecond)
 		sim.watchSingleLeader()
 		sim.Run(40 * time.Second)
 		if len(sim.electionTriggers) > 0 {
-			sim.t.Errorf("nobody has won the key")
+			sim.t.Errorf("controllers that wrote the leader's key: got none, want one")
 		}
 	})
 }
 
-// The same with an outage of a few seconds and no cancellations: running tasks are kept.
+// The next leader cannot load the state, since an outage of a few seconds begins as it is elected: running tasks are kept.
 func TestLeaderThatCannotReadKeepsTasks(t *testing.T) {
 	forEachSeed(t, 3, busyCluster, func(sim scenario) {
 		ran := sim.checker.TaskStarts
@@ -42,13 +42,13 @@
 		sim.Crash(sim.leader, 10*time.Second)
 		sim.Run(15 * time.Second)
 		if again := sim.checker.TaskStarts - ran; again > 8 {
-			sim.t.Errorf("%d tasks were started again", again)
+			sim.t.Errorf("tasks started again: got %d, want at most 8", again)
 		}
 	})
 }
 
-// The users' fault combination: the leader alone is refused, the next one confirms cancellations, then an outage lasts for more than the
-// cancellation timeout; workers report to the old leader for as long as it answers.
+// The leader alone is refused, the next one confirms cancellations, then an outage lasts for more than the
+// cancellation timeout; workers report to the old leader for as long as it responds.
 func TestLeaderRefusedThenOutage(t *testing.T) {
 	forEachSeed(t, 6, busyCluster, func(sim scenario) {
 		for round := range 2 {
@@ -60,13 +60,13 @@
 			sim.Run(1500*time.Millisecond + time.Duration(sim.seed)*100*time.Millisecond)
 			expectNoViolations(sim.t, sim.Cluster)
 			if sim.LeaderIndex() == old {
-				sim.t.Errorf("still led by the one that is refused")
+				sim.t.Errorf("leader: got %s, which the state service refuses, want another or none", controllerName(old))
 			}
 			before := sim.Users.CancelledCount()
 			sim.Users.CancelRandom(5)
 			sim.Run(1500 * time.Millisecond)
 			if sim.Users.CancelledCount() == before && round == 0 {
-				sim.t.Errorf("nothing was cancelled")
+				sim.t.Errorf("jobs cancelled through the next leader: got none, want at least 1")
 			}
 			sim.State.Outage(sim.Options.CancelTimeout + 10*time.Second)
 			sim.Run(sim.Options.CancelTimeout + 20*time.Second)
@@ -90,24 +90,11 @@
 func TestTasksEndingFarApart(t *testing.T) {
 	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		for i := range 12 {
-			s := jobs.Spec{
-				ID: fmt.Sprintf(
-					"job-2%03d",
-					i,
-				),
-				Class:           "apart",
-				Team:            noTeam,
-				Tasks:           2 + i%2,
-				CPUs:            0.5,
-				MemoryGB:        0.5,
-				Image:           "i",
-				AllowsSpot:      true,
-				Priority:        jobs.High,
-				RunTimeEstimate: 10 * time.Second,
-			}
+			spec := jobArray(fmt.Sprintf("job-2%03d", i), "apart", noTeam, 2+i%2, 10*time.Second)
+			spec.CPUs, spec.MemoryGB, spec.Priority = 0.5, 0.5, jobs.High
 			sim.At(time.Duration(i)*300*time.Millisecond, func() {
-				sim.Users.SubmitJob(s, 5*time.Second)
-				sim.checker.jobs[s.ID].taskStagger = 20 * time.Second
+				sim.Users.SubmitJob(spec, 5*time.Second)
+				sim.checker.jobs[spec.ID].taskStagger = 20 * time.Second
 			})
 		}
 		sim.At(
@@ -122,9 +109,9 @@
 		sim.Cloud.DuplicateHeartbeats(40 * time.Second)
 		sim.Run(100 * time.Second)
 		for i := range 12 {
-			j := sim.checker.jobs[fmt.Sprintf("job-2%03d", i)]
-			if !j.acceptedAt.IsZero() && j.startCount > 3*j.spec.Tasks {
-				sim.t.Errorf("%d starts of %d tasks", j.startCount, j.spec.Tasks)
+			job := sim.checker.jobs[fmt.Sprintf("job-2%03d", i)]
+			if !job.acceptedAt.IsZero() && job.startCount > 3*job.spec.Tasks {
+				sim.t.Errorf("%spec, starts of %d tasks: got %d, want at most 3 each", job.spec.ID, job.spec.Tasks, job.startCount)
 			}
 		}
 	})
@@ -141,7 +128,7 @@
 			sim.Run(4 * time.Second)
 			expectNoViolations(sim.t, sim.Cluster)
 			if l := sim.LeaderIndex(); l == old || l < 0 {
-				sim.t.Fatalf("node-%d leads", l)
+				sim.t.Fatalf("index of the leader: got %d, want one that is neither %d, which is isolated, nor -1, none", l, old)
 			}
 			sim.Users.CancelRandom(3)
 			sim.Run(3 * time.Second)
@@ -163,21 +150,9 @@
 		}
 		for i := range 40 {
 			sim.At(time.Duration(i)*time.Second, func() {
-				sim.Users.SubmitJob(jobs.Spec{
-					ID: fmt.Sprintf(
-						"job-3%03d",
-						i,
-					),
-					Class:           "short",
-					Team:            noTeam,
-					Tasks:           5,
-					CPUs:            1,
-					MemoryGB:        1,
-					Image:           "i",
-					AllowsSpot:      true,
-					Priority:        jobs.High,
-					RunTimeEstimate: 4 * time.Second,
-				}, 4*time.Second)
+				spec := jobArray(fmt.Sprintf("job-3%03d", i), "short", noTeam, 5, 4*time.Second)
+				spec.Priority = jobs.High
+				sim.Users.SubmitJob(spec, 4*time.Second)
 			})
 		}
 		sim.At(8*time.Second, func() { sim.Crash(sim.leader, 200*time.Millisecond) })
@@ -207,7 +182,7 @@
 			sim.Run(100 * time.Millisecond)
 		}
 		if took := sim.Now.Sub(began); took > sim.Options.WorkerLease+8*time.Second {
-			sim.t.Errorf("placing begins after %v", took)
+			sim.t.Errorf("time until a controller places tasks: got %v, want at most %v", took, sim.Options.WorkerLease+8*time.Second)
 		}
 	})
 }
@@ -227,7 +202,7 @@
 		sim.At(24*time.Second, func() { sim.State.Outage(sim.Options.CancelTimeout + 8*time.Second) })
 		sim.Run(70 * time.Second)
 		if sim.Users.slowestAnswer > 5*time.Second {
-			sim.t.Errorf("an answer took %v", sim.Users.slowestAnswer)
+			sim.t.Errorf("longest time to a response: got %v, want at most 5s", sim.Users.slowestAnswer)
 		}
 	})
 }
@@ -241,7 +216,7 @@
 		sim.At(2*time.Second, func() { sim.Users.CancelRandom(3) })
 		sim.Run(8 * time.Second)
 		if sim.State.leaderRevision() <= before {
-			sim.t.Errorf("nobody else has led")
+			sim.t.Errorf("fencing token after six handovers: got %d, want more than %d", sim.State.leaderRevision(), before)
 		}
 		for i := range sim.controllers {
 			sim.Crash(i, time.Duration(100+3000*((i+int(sim.seed))%3))*time.Millisecond)
@@ -264,7 +239,7 @@
 		sim.At(20*time.Second, func() { sim.State.Refuse(sim.State.leaderName(), 4*time.Second) })
 		sim.Run(70 * time.Second)
 		if err := sim.State.CheckLimits(); err != nil {
-			sim.t.Errorf("%v", err)
+			sim.t.Errorf("stored values: got %v, want all within the limits", err)
 		}
 	})
 }
@@ -304,13 +279,13 @@
 		}
 		sim.Run(40 * time.Second)
 		if sim.Users.CancelledCount() == 0 && len(sim.Violations) == 0 {
-			sim.t.Errorf("nobody is told of a cancellation")
+			sim.t.Errorf("jobs whose users know that they are cancelled: got none, want at least 1")
 		}
 	})
 }
 
-// Again and again the leader crashes while half of the machines hang for longer than their leases. Failover waits for these leases and
-// no longer, so that at least half of a class of short jobs is done by the other machines.
+// The leader crashes eight times, each time while half of the machines hang for longer than their leases. Failover waits for these
+// leases and no longer, so that at least half of a class of short jobs is done by the other machines.
 func TestOtherMachinesServeDuringRepeatedFailovers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
@@ -323,32 +298,32 @@
 // runRepeatedFailovers is TestOtherMachinesServeDuringRepeatedFailovers with one seed.
 func runRepeatedFailovers(t *testing.T, seed uint64) {
 	t.Helper()
-	const every, rounds = 16 * time.Second, 8
+	const interval, rounds = 16 * time.Second, 8
 	sim := busyCluster(t, seed)
-	for i := range int(every.Seconds()) * rounds {
+	for i := range int(interval.Seconds()) * rounds {
 		sim.At(time.Duration(i)*time.Second, func() {
 			spec := jobArray(fmt.Sprintf("job-4%03d", i), "short", noTeam, 2, 2*time.Second)
 			spec.Priority = jobs.High
 			sim.Users.SubmitJob(spec, 2*time.Second)
 		})
 	}
-	placed, looks := 0, 0
+	placing, samples := 0, 0
 	for range rounds {
 		for _, m := range sim.Cloud.randomMachines(len(sim.Cloud.runningMachines()) / 2) {
 			m.hangsUntil = sim.Now.Add(sim.Options.WorkerLease + 3*time.Second)
 		}
 		sim.crashLeader(3 * time.Second)
-		for end := sim.Now.Add(every); sim.Now.Before(end) && len(sim.Violations) == 0; looks++ {
+		for end := sim.Now.Add(interval); sim.Now.Before(end) && len(sim.Violations) == 0; samples++ {
 			sim.Run(100 * time.Millisecond)
 			if sim.isPlacing() {
-				placed++
+				placing++
 			}
 		}
 	}
 	expectNoViolations(t, sim.Cluster)
-	share := float64(placed) / float64(looks)
+	share := float64(placing) / float64(samples)
 	if share < 0.36 { // of 16 s, a lease with its margin, an election and a heartbeat pass without placement
-		t.Errorf("somebody places for %.2f of the time", share)
+		t.Errorf("share of the time with a controller that places tasks: got %.2f, want at least 0.36", share)
 	}
 	served := Served{}
 	for _, id := range sim.Users.jobIDs {
@@ -357,7 +332,7 @@
 		}
 	}
 	if served.Share() < 0.5 {
-		t.Errorf("%.2f of the short jobs are done", served.Share())
+		t.Errorf("share of the short jobs that are done: got %.2f, want at least 0.5", served.Share())
 	}
-	t.Logf("%.2f of the time, %.2f of the short jobs", share, served.Share())
+	t.Logf("tasks were placed for %.2f of the time, %.2f of the short jobs are done", share, served.Share())
 }
--- a/internal/simulator/harness_test.go
+++ b/internal/simulator/harness_test.go
@@ -53,7 +53,7 @@
 func expectNoViolations(t fataler, sim *Cluster) {
 	t.Helper()
 	if len(sim.Violations) > 0 {
-		t.Fatalf("rules are broken: %v", sim.Violations)
+		t.Fatalf("violations: got %v, want none", sim.Violations)
 	}
 }
 
@@ -63,7 +63,7 @@
 	sim.Run(5 * time.Minute)
 	expectNoViolations(t, sim)
 	if n := sim.Users.UnfinishedCount(); n > 0 {
-		t.Errorf("%d accepted jobs are not finished, want 0", n)
+		t.Errorf("accepted jobs that are not finished: got %d, want 0", n)
 	}
 }
 
@@ -135,11 +135,11 @@
 func newScenario(t *testing.T, sim *Cluster, seed uint64, minRunning int) scenario {
 	t.Helper()
 	if n := sim.runningTasks(); n < minRunning {
-		t.Fatalf("%d tasks run, want %d at least", n, minRunning)
+		t.Fatalf("running tasks: got %d, want at least %d", n, minRunning)
 	}
 	leader := sim.LeaderIndex()
 	if leader < 0 {
-		t.Fatal("there is no leader")
+		t.Fatal("leader: got none, want one")
 	}
 	return scenario{sim, t, seed, leader}
 }
--- a/internal/simulator/largecluster_test.go
+++ b/internal/simulator/largecluster_test.go
@@ -9,10 +9,10 @@
 
 // largeOptions are those of a cluster of about a hundred machines.
 func largeOptions() Options {
-	o := testOptions()
-	o.MachinesPerKind, o.MaxTasks = 25, 60
-	o.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 100, CPULimit: 400}, {Name: "blue", GuaranteedCPUs: 50, CPULimit: 500}}
-	return o
+	options := testOptions()
+	options.MachinesPerKind, options.MaxTasks = 25, 60
+	options.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 100, CPULimit: 400}, {Name: "blue", GuaranteedCPUs: 50, CPULimit: 500}}
+	return options
 }
 
 // With a hundred machines and full pages the rules hold through a crash of every controller, an outage and a partition of a quarter of
@@ -47,17 +47,17 @@
 		sim.Cloud.ReclaimMachine(0)
 	})
 	sim.Run(65 * time.Second)
-	most := len(sim.Cloud.runningMachines())
+	machines := len(sim.Cloud.runningMachines())
 	sim.Run(200 * time.Second)
 	expectNoViolations(t, sim)
 	if n := sim.Users.UnfinishedCount(); n > 0 || sim.Users.AcceptedCount() < 80 {
-		t.Errorf("%d accepted, %d unfinished", sim.Users.AcceptedCount(), n)
+		t.Errorf("jobs accepted and unfinished: got %d and %d, want at least 80 and 0", sim.Users.AcceptedCount(), n)
 	}
-	if pages := sim.State.pageCount(); most < 60 || pages < 3 {
-		t.Errorf("%d machines and %d pages are not what the test is about", most, pages)
+	if pages := sim.State.pageCount(); machines < 60 || pages < 3 {
+		t.Errorf("size of the cluster: got %d machines and %d pages, want at least 60 and 3", machines, pages)
 	}
 	if err := sim.State.CheckLimits(); err != nil {
-		t.Errorf("%v", err)
+		t.Errorf("stored values: got %v, want all within the limits", err)
 	}
 }
 
@@ -65,9 +65,9 @@
 // lease, and afterwards all accepted jobs finish.
 func TestBurstOfSubmissionsAndCancellations(t *testing.T) {
 	t.Parallel()
-	opt := largeOptions()
-	opt.LossShare = 0
-	sim := New(3, opt, testLogger())
+	options := largeOptions()
+	options.LossShare = 0
+	sim := New(3, options, testLogger())
 	sim.Run(2 * time.Second)
 	first, token := sim.State.leaderName(), sim.State.leaderRevision()
 	for i := range 400 {
@@ -80,14 +80,14 @@
 	})
 	sim.Run(30 * time.Second)
 	if now := sim.State.leaderName(); now != first || sim.State.leaderRevision() != token || first == "" {
-		t.Errorf("%q led by %d, %q leads by %d", first, token, now, sim.State.leaderRevision())
+		t.Errorf("leader and fencing token: got %q and %d, want still %q and %d", now, sim.State.leaderRevision(), first, token)
 	}
 	sim.Run(4 * time.Minute)
 	expectNoViolations(t, sim)
 	if n := sim.Users.UnfinishedCount(); n > 0 || sim.Users.AcceptedCount() != 400 {
-		t.Errorf("%d of 400 accepted, %d unfinished", sim.Users.AcceptedCount(), n)
+		t.Errorf("jobs accepted and unfinished: got %d and %d, want 400 and 0", sim.Users.AcceptedCount(), n)
 	}
 	if sim.Users.slowestAnswer > 2500*time.Millisecond {
-		t.Errorf("an answer took %v", sim.Users.slowestAnswer)
+		t.Errorf("longest time to a response: got %v, want at most 2.5s", sim.Users.slowestAnswer)
 	}
 }
--- a/internal/simulator/partitions_test.go
+++ b/internal/simulator/partitions_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 		if unreachable > 0 {
-			sim.t.Errorf("%d of %d machines receive nothing, and are kept", unreachable, before)
+			sim.t.Errorf("inbound unreachable machines that are kept: got %d of %d, want 0", unreachable, before)
 		}
 	})
 }
@@ -41,7 +41,7 @@
 		sim.At(time.Second, sim.Cloud.FailMachine)
 		sim.Run(15 * time.Second)
 		if sim.State.leaderName() == controllerName(sim.leader) {
-			sim.t.Errorf("%s still leads, whom nobody hears", controllerName(sim.leader))
+			sim.t.Errorf("leader: got still %s, whose messages reach no machine, want another", controllerName(sim.leader))
 		}
 	})
 }
@@ -62,11 +62,11 @@
 		})
 		sim.Run(2 * time.Second)
 		if acting, _ := sim.leadershipOf(sim.leader); acting {
-			sim.t.Errorf("acts 2 s after it has lost the state service and everybody")
+			sim.t.Errorf("leader lease 2 s after the leader was isolated: got held, want expired")
 		}
 		sim.Run(18 * time.Second)
 		if again := sim.checker.TaskStarts - ran; again > 30 { // one machine failed, with 16 tasks at most
-			sim.t.Errorf("%d tasks were started again", again)
+			sim.t.Errorf("tasks started again: got %d, want at most 30", again)
 		}
 	})
 }
@@ -77,20 +77,7 @@
 	forEachSeed(t, 3, busyClusterWithLongLease, func(sim scenario) {
 		for i := range 90 {
 			sim.At(time.Duration(i)*time.Second, func() {
-				sim.Users.SubmitJob(jobs.Spec{
-					ID: fmt.Sprintf(
-						"job-1%04d",
-						i,
-					),
-					Class:           "short",
-					Team:            noTeam,
-					Tasks:           6,
-					CPUs:            1,
-					MemoryGB:        1,
-					Image:           "i",
-					AllowsSpot:      true,
-					RunTimeEstimate: 20 * time.Second,
-				}, 20*time.Second)
+				sim.Users.SubmitJob(jobArray(fmt.Sprintf("job-1%04d", i), "short", noTeam, 6, 20*time.Second), 20*time.Second)
 			})
 		}
 		sim.Cloud.DuplicateHeartbeats(40 * time.Second)
@@ -110,14 +97,14 @@
 		FencingToken: sim.State.leaderRevision(), Tasks: []workerapi.TaskStatus{},
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode a heartbeat: %v", err)
 	}
 	sim.Crash(sim.leader, time.Second)
 	sim.Run(5 * time.Second)
 	sim.deliverHeartbeat(sim.State.leaderName(), raw, ignoreResponse)
 	sim.Run(5 * time.Second)
 	if _, ok := sim.State.entry("m:vm-900000"); ok {
-		t.Error("a terminated machine is still registered")
+		t.Error("record of a terminated machine: got one, want none")
 	}
 	expectAllFinished(t, sim.Cluster)
 }
@@ -148,7 +135,7 @@
 				sim.watchSingleLeader()
 				sim.Run(30 * time.Second)
 				if n := len(sim.electionTriggers); n == 3 && event != leadershipReleased {
-					sim.t.Error("no controller came to the event")
+					sim.t.Error("controllers that came to the event: got none, want at least 1")
 				}
 			})
 		})
@@ -160,9 +147,9 @@
 	t.Parallel()
 	for seed := range uint64(2) {
 		t.Run(seedName(seed), func(t *testing.T) {
-			opt := CapacityLossOptions(testOptions().Tuning)
-			opt.MachinesPerKind = 1
-			sim := New(seed, opt, testLogger())
+			options := CapacityLossOptions(testOptions().Tuning)
+			options.MachinesPerKind = 1
+			sim := New(seed, options, testLogger())
 			spec := jobs.Spec{
 				Class:           "flood",
 				Team:            "blue",
@@ -176,21 +163,22 @@
 			}
 			for i := range 420 {
 				sim.At(time.Duration(i)*time.Second, func() {
-					s := spec
-					s.ID = fmt.Sprintf("job-%07d", i)
-					sim.Users.SubmitJob(s, 15*time.Second)
+					small := spec
+					small.ID = fmt.Sprintf("job-%07d", i)
+					sim.Users.SubmitJob(small, 15*time.Second)
 				})
 			}
 			sim.At(20*time.Second, func() {
-				s := spec
-				s.ID, s.Tasks = "job-9", 600
-				sim.Users.SubmitJob(s, 15*time.Second)
+				large := spec
+				large.ID, large.Tasks = "job-9", 600
+				sim.Users.SubmitJob(large, 15*time.Second)
 			})
 			sim.Run(290 * time.Second)
 			expectNoViolations(t, sim)
-			j := sim.checker.jobs["job-9"]
-			if j.firstStartedAt.IsZero() || j.firstStartedAt.Sub(j.submittedAt) > 4*time.Minute {
-				t.Errorf("began %v after it was sent", j.firstStartedAt.Sub(j.submittedAt))
+			job := sim.checker.jobs["job-9"]
+			if job.firstStartedAt.IsZero() || job.firstStartedAt.Sub(job.submittedAt) > 4*time.Minute {
+				t.Errorf("time from submission to first start: got %v (started: %v), want at most 4m0s",
+					job.firstStartedAt.Sub(job.submittedAt), !job.firstStartedAt.IsZero())
 			}
 		})
 	}
--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"testing"
 	"time"
-
-	"gullrudder/internal/controller/jobs"
 )
 
 // dependencyChain is n jobs, each of which depends on the one before.
@@ -55,7 +53,7 @@
 		}
 		sim.Run(6 * time.Minute)
 		if done, _ := sim.finalStates(ids); done != len(ids) {
-			sim.t.Errorf("%d of %d are done", done, len(ids))
+			sim.t.Errorf("jobs done: got %d, want all %d", done, len(ids))
 		}
 	})
 }
@@ -83,10 +81,10 @@
 		}
 		sim.Run(4 * time.Minute)
 		if _, cancelled := sim.finalStates(all); cancelled != len(all) {
-			sim.t.Errorf("%d of %d are cancelled", cancelled, len(all))
+			sim.t.Errorf("jobs of the fan that are cancelled: got %d, want all %d", cancelled, len(all))
 		}
 		if done, cancelled := sim.finalStates(diamond); done != 2 || cancelled != 2 {
-			sim.t.Errorf("of the diamond %d are done, %d cancelled", done, cancelled)
+			sim.t.Errorf("jobs of the diamond that are done and cancelled: got %d and %d, want 2 and 2", done, cancelled)
 		}
 	})
 }
@@ -107,16 +105,16 @@
 		sim.Users.cancel("job-7510000")
 		sim.Users.cancel("job-75000000000010000")
 		sim.Run(25 * time.Second)
-		if runs, _ := sim.State.archiveSegments(); runs == 0 {
-			sim.t.Errorf("nothing is sealed")
+		if segments, _ := sim.State.archiveSegments(); segments == 0 {
+			sim.t.Errorf("archive segments: got none, want at least 1")
 		}
 		var after, void []string
 		for i, name := range []string{"76", "77", "78", "79"} {
 			need := []string{"job-750000", "job-7500000000000000", "job-7510000", "job-75000000000010000"}[i]
 			sim.At(time.Duration(i*300)*time.Millisecond, func() {
-				s := sim.checker.jobs[need].spec
-				s.ID, s.Dependencies = "job-"+name, []string{need}
-				sim.Users.SubmitJob(s, time.Second)
+				spec := sim.checker.jobs[need].spec
+				spec.ID, spec.Dependencies = "job-"+name, []string{need}
+				sim.Users.SubmitJob(spec, time.Second)
 			})
 			if i < 2 {
 				after = append(after, "job-"+name)
@@ -131,10 +129,10 @@
 		})
 		sim.Run(40 * time.Second)
 		if done, _ := sim.finalStates(after); done != 2 {
-			sim.t.Errorf("%d of 2 after done ones are done", done)
+			sim.t.Errorf("dependents of done jobs that are done: got %d, want 2", done)
 		}
 		if _, cancelled := sim.finalStates(void); cancelled != 2 {
-			sim.t.Errorf("%d of 2 after cancelled ones are cancelled", cancelled)
+			sim.t.Errorf("dependents of cancelled jobs that are cancelled: got %d, want 2", cancelled)
 		}
 	})
 }
@@ -146,9 +144,9 @@
 			Name: "81", Dependencies: dependencyChain(1), TasksPerJob: 2, RunTime: 3 * time.Second, Deadline: time.Minute,
 		})
 		sim.Run(1500 * time.Millisecond)
-		s := sim.checker.jobs[ids[0]].spec
-		s.ID, s.Dependencies = "job-82", []string{ids[0]}
-		sim.At(time.Duration(sim.Rand.IntN(60))*time.Millisecond, func() { sim.Users.SubmitJob(s, time.Second) })
+		spec := sim.checker.jobs[ids[0]].spec
+		spec.ID, spec.Dependencies = "job-82", []string{ids[0]}
+		sim.At(time.Duration(sim.Rand.IntN(60))*time.Millisecond, func() { sim.Users.SubmitJob(spec, time.Second) })
 		sim.At(
 			time.Duration(sim.Rand.IntN(60))*time.Millisecond+time.Duration(sim.seed%2)*3500*time.Millisecond,
 			func() { sim.Users.cancel(ids[0]) },
@@ -157,9 +155,9 @@
 			sim.State.DelayTransactions(0.4, 10*time.Second)
 		}
 		sim.Run(2 * time.Minute)
-		done, cancelled := sim.finalStates([]string{ids[0], s.ID})
+		done, cancelled := sim.finalStates([]string{ids[0], spec.ID})
 		if done != 2 && cancelled != 2 {
-			sim.t.Errorf("%d done, %d cancelled", done, cancelled)
+			sim.t.Errorf("job and dependent: got %d done and %d cancelled, want both done or both cancelled", done, cancelled)
 		}
 	})
 }
@@ -173,9 +171,9 @@
 	})
 	sim.Run(6 * time.Second)
 	for i, needs := range [][]string{{"job-999"}, {ids[0], "job-8400"}, {"job-84000000000000002"}} {
-		s := sim.checker.jobs[ids[0]].spec
-		s.ID, s.Dependencies = "job-840"+string(rune('0'+i)), needs
-		sim.Users.mustReject(s.ID, SubmissionFields(s), 422)
+		spec := sim.checker.jobs[ids[0]].spec
+		spec.ID, spec.Dependencies = "job-840"+string(rune('0'+i)), needs
+		sim.Users.mustReject(spec.ID, SubmissionFields(spec), 422)
 	}
 	for _, bad := range []any{"job-1", []string{"1"}, []int{3}, map[string]any{}} {
 		fields := SubmissionFields(sim.checker.jobs[ids[0]].spec)
@@ -189,16 +187,16 @@
 // service are lowered meanwhile. All are cancelled in time, and every record is within the limits in the end.
 func TestCancellationOfThousandDependents(t *testing.T) {
 	t.Parallel()
-	opt := testOptions()
-	opt.LossShare, opt.NoTaskFailures, opt.Teams, opt.StopPollingFinished = 0, true, nil, true
-	sim := New(1, opt, testLogger())
+	options := testOptions()
+	options.LossShare, options.NoTaskFailures, options.Teams, options.StopPollingFinished = 0, true, nil, true
+	sim := New(1, options, testLogger())
 	sim.Run(8 * time.Second)
 	ids := sim.Users.SubmitPipeline(Pipeline{
 		Name: "85", Dependencies: dependencyFan(1000), TasksPerJob: 1, RunTime: 300 * time.Second, Deadline: 10 * time.Minute,
 	})
 	sim.Run(90 * time.Second)
 	if n := sim.Users.AcceptedCount(); n < 1001 {
-		t.Fatalf("only %d are accepted", n)
+		t.Fatalf("accepted jobs: got %d, want 1001", n)
 	}
 	for _, c := range sim.controllers { // announced limits apply from the controller's next start on
 		c.platform.MaxValueBytes, c.platform.MaxTransactionOps = 1536, 4
@@ -214,15 +212,15 @@
 	})
 	sim.Run(90 * time.Second)
 	if _, cancelled := sim.finalStates(ids); cancelled != len(ids) {
-		t.Errorf("%d of %d are cancelled", cancelled, len(ids))
+		t.Errorf("cancelled jobs: got %d, want all %d", cancelled, len(ids))
 	}
 	for k, v := range sim.State.keys {
 		if len(v.value) > 1536 {
-			t.Errorf("%s has %d bytes", k, len(v.value))
+			t.Errorf("size of key %s: got %d bytes, want at most 1536", k, len(v.value))
 		}
 	}
 	if len(sim.Violations) > 0 {
-		t.Errorf("%v", sim.Violations)
+		t.Errorf("violations: got %v, want none", sim.Violations)
 	}
 }
 
@@ -232,17 +230,7 @@
 	forEachSeed(t, 3, clusterAtQuota, func(sim scenario) {
 		var ids []string
 		for i := range 4 {
-			need := jobs.Spec{
-				ID:              fmt.Sprintf("job-86%02d", i),
-				Class:           "need",
-				Team:            "red",
-				Tasks:           4,
-				CPUs:            1,
-				MemoryGB:        1,
-				Image:           "i",
-				AllowsSpot:      true,
-				RunTimeEstimate: 5 * time.Second,
-			}
+			need := jobArray(fmt.Sprintf("job-86%02d", i), "need", "red", 4, 5*time.Second)
 			if i == 3 {
 				need.Zone = "b"
 			}
@@ -255,7 +243,7 @@
 		sim.At(30*time.Second, func() { sim.CutZone("b", []int{sim.LeaderIndex()}, 12*time.Second) })
 		sim.Run(4 * time.Minute)
 		if done, _ := sim.finalStates(ids); done != len(ids) {
-			sim.t.Errorf("%d of %d are done", done, len(ids))
+			sim.t.Errorf("jobs done: got %d, want all %d", done, len(ids))
 		}
 	})
 }
--- a/internal/simulator/randomfaults_test.go
+++ b/internal/simulator/randomfaults_test.go
@@ -152,7 +152,7 @@
 		sim.Run(150 * time.Second)
 		expectNoViolations(t, sim)
 		if n := sim.Users.UnfinishedCount(); n > 0 {
-			t.Fatalf("%d accepted jobs are not finished two and a half minutes after the faults", n)
+			t.Fatalf("accepted jobs that are not finished two and a half minutes after the faults: got %d, want 0", n)
 		}
 	})
 }
--- a/internal/simulator/rollingupgrade_test.go
+++ b/internal/simulator/rollingupgrade_test.go
@@ -10,7 +10,7 @@
 // turn and returns unchanged. Then the limits are lowered, while the leader changes and jobs run, end, are archived and cancelled.
 // Nothing is lost, and in the end all pages are within the new limits.
 func TestLimitsLoweredAfterRollingUpgrade(t *testing.T) {
-	refused, before := 0, 0
+	refused, tooLarge := 0, 0
 	forEachSeed(t, 5, clusterWithoutTaskFailures, func(sim scenario) {
 		for i := range 60 {
 			sim.At(time.Duration(i)*time.Second, sim.Users.SubmitRandom)
@@ -30,31 +30,31 @@
 			})
 		}
 		sim.At(2*time.Second, func() { sim.Crash(order[1], 500*time.Millisecond) })
-		fall := time.Duration(7000+120*sim.seed*sim.seed) * time.Millisecond
-		sim.At(fall, func() {
+		loweredAfter := time.Duration(7000+120*sim.seed*sim.seed) * time.Millisecond
+		sim.At(loweredAfter, func() {
 			for _, v := range sim.State.keys {
 				if len(v.value) > 1536 {
-					before++
+					tooLarge++
 				}
 			}
 			sim.State.LowerLimits(1536, 4)
 		})
-		sim.At(fall+3*time.Second, func() {
+		sim.At(loweredAfter+3*time.Second, func() {
 			if l := sim.LeaderIndex(); l >= 0 {
 				sim.Crash(l, time.Second)
 			}
 		})
-		sim.At(fall+6*time.Second, func() { sim.State.Outage(3 * time.Second) })
+		sim.At(loweredAfter+6*time.Second, func() { sim.State.Outage(3 * time.Second) })
 		sim.Run(3 * time.Minute)
 		for k, v := range sim.State.keys {
 			if len(v.value) > 1536 {
-				sim.t.Errorf("%s has %d bytes", k, len(v.value))
+				sim.t.Errorf("size of key %s: got %d bytes, want at most 1536", k, len(v.value))
 			}
 		}
 		refused += sim.State.oversizedTransactions
 	})
-	if before == 0 {
-		t.Error("no page was too large when the limits fell: nothing was tried")
+	if tooLarge == 0 {
+		t.Error("values over the new limits when these are lowered: got none, want at least 1")
 	}
-	t.Logf("%d transactions were refused for their size, %d pages were too large when the limits fell", refused, before)
+	t.Logf("%d transactions were refused for their size, %d values were too large when the limits were lowered", refused, tooLarge)
 }
--- a/internal/simulator/soak_test.go
+++ b/internal/simulator/soak_test.go
@@ -14,11 +14,11 @@
 )
 
 // Flags of TestSoak, which is skipped unless a length is given:
-// go test ./internal/simulator -run Soak -night 12h -seeds 4 -timeout 1h -v
+// go test ./internal/simulator -run Soak -soak-length 12h -seeds 4 -timeout 1h -v
 var (
-	soakLength        = flag.Duration("night", 0, "simulated time of each run of TestSoak; 0: it is skipped")
+	soakLength        = flag.Duration("soak-length", 0, "simulated time of each run of TestSoak; 0: it is skipped")
 	soakSeeds         = flag.Int("seeds", 2, "how many runs")
-	soakWithoutFaults = flag.Bool("calm", false, "inject no faults")
+	soakWithoutFaults = flag.Bool("without-faults", false, "inject no faults")
 	soakAgedShare     = flag.Float64("aged-share", 0.1, "share of the fleet for aged jobs")
 	soakTasksPerDay   = flag.Int("tasks", 200_000, "tasks submitted per day")
 )
@@ -84,7 +84,7 @@
 // met a failover, are extended as they are stated anew.
 func TestSoak(t *testing.T) {
 	if *soakLength == 0 {
-		t.Skip("no length of the night is given")
+		t.Skip("-soak-length is not given")
 	}
 	for seed := range uint64(*soakSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -97,16 +97,16 @@
 // runSoak is TestSoak with one seed.
 func runSoak(t *testing.T, seed uint64) {
 	t.Helper()
-	opt := testOptions()
-	opt.StopPollingFinished, opt.LossShare, opt.MachinesPerKind = true, 0, 42
-	opt.HeartbeatInterval, opt.WorkerLease = 8*time.Second, 40*time.Second
-	opt.Teams = []config.Team{
+	options := testOptions()
+	options.StopPollingFinished, options.LossShare, options.MachinesPerKind = true, 0, 42
+	options.HeartbeatInterval, options.WorkerLease = 8*time.Second, 40*time.Second
+	options.Teams = []config.Team{
 		{Name: "red", GuaranteedCPUs: 100, CPULimit: 1200},
 		{Name: "blue", GuaranteedCPUs: 100, CPULimit: 1200},
 	}
-	opt.Tuning = config.DefaultOptions()
-	opt.Tuning.AgedShare = *soakAgedShare
-	sim := New(seed, opt, testLogger())
+	options.Tuning = config.DefaultOptions()
+	options.Tuning.AgedShare = *soakAgedShare
+	sim := New(seed, options, testLogger())
 	rng := rand.New(rand.NewPCG(seed, 99))
 	scheduleSoakJobs(sim, rng, *soakLength, int(float64(*soakTasksPerDay)*soakLength.Hours()/24))
 	if !*soakWithoutFaults {
@@ -131,7 +131,7 @@
 		}
 		if wait > bound {
 			beyond++
-			t.Errorf("%s (%s) waits %v, stated was %v", id, j.spec.Class, wait, bound)
+			t.Errorf("wait of %s (%s) for its first start: got %v, want at most the stated bound %v", id, j.spec.Class, wait, bound)
 		}
 	}
 	t.Logf("%d jobs, %d starts, %d unfinished, at most %d machines; %d with a stated bound, %d waited over a minute, %d beyond",
--- a/internal/simulator/workercut_test.go
+++ b/internal/simulator/workercut_test.go
@@ -7,7 +7,7 @@
 )
 
 // A leader that loses only its workers hands over to a controller that they reach, and running tasks are kept. Machines fail at the same
-// time, and on half of the seeds the successor crashes soon after. Before, the leader terminated a third of the machines on each step.
+// time, and on half of the seeds the successor crashes soon after.
 func TestLeaderCutFromWorkersHandsOver(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -21,17 +21,17 @@
 // runLeaderCutFromWorkers is TestLeaderCutFromWorkersHandsOver with one seed.
 func runLeaderCutFromWorkers(t *testing.T, seed uint64) {
 	t.Helper()
-	opt := testOptions()
-	opt.LossShare, opt.MachinesPerKind, opt.Teams, opt.WorkerLease = 0, 12, nil, 12*time.Second
-	sim := New(seed, opt, testLogger())
+	options := testOptions()
+	options.LossShare, options.MachinesPerKind, options.Teams, options.WorkerLease = 0, 12, nil, 12*time.Second
+	sim := New(seed, options, testLogger())
 	for i := range 10 {
 		sim.Users.SubmitJob(jobArray(fmt.Sprintf("job-%d", i), "c", noTeam, 8, 100*time.Second), 100*time.Second)
 	}
 	sim.Run(40 * time.Second)
 	first := sim.State.leaderName()
-	began, machines, ran := sim.runningTasks(), len(sim.Cloud.runningMachines()), sim.checker.TaskStarts
-	if began < 60 {
-		t.Fatalf("only %d tasks run", began)
+	running, machines, starts := sim.runningTasks(), len(sim.Cloud.runningMachines()), sim.checker.TaskStarts
+	if running < 60 {
+		t.Fatalf("running tasks: got %d, want at least 60", running)
 	}
 	for i := range sim.controllers {
 		if controllerName(i) == first {
@@ -48,16 +48,11 @@
 	sim.Run(30 * time.Second)
 	expectNoViolations(t, sim)
 	if sim.State.leaderName() == first {
-		t.Errorf("%s still leads, whom no worker reaches", first)
+		t.Errorf("leader: got still %s, which no worker reaches, want another", first)
 	}
 	// Two machines failed, with up to 16 tasks each; some starts are refused.
-	if again := sim.checker.TaskStarts - ran; again > 45 {
-		t.Errorf(
-			"%d of %d tasks were started again, %d machines before, %d now",
-			again,
-			began,
-			machines,
-			len(sim.Cloud.runningMachines()),
-		)
+	if again := sim.checker.TaskStarts - starts; again > 45 {
+		t.Errorf("tasks started again: got %d of %d, want at most 45; %d machines before, %d now",
+			again, running, machines, len(sim.Cloud.runningMachines()))
 	}
 }
