--- a/internal/controller/queue/candidate.go
+++ b/internal/controller/queue/candidate.go
@@ -44,15 +44,15 @@
 	}
 	candidates := r.candidates
 	facts.limitBound = r.limitBoundTeams(candidates, facts.clusterCPUs)
-	r.markWithinQuota(candidates)
-	r.markAwaitingStart(candidates, capacity)
+	r.setWithinQuota(candidates)
+	r.setAwaitingStart(candidates, capacity)
 	planned := r.planner.Feasible(now, live, capacity)
 	agedFirst := r.AgeingPolicy().FirstJobs(now, live, capacity.CPUs, capacity.StartableTasks)
 	for i := range candidates {
 		c := &candidates[i]
 		c.isPlanned, c.isAgedFirst = planned[c.job], agedFirst[c.job]
 	}
-	r.markOverdue(now, candidates, live, capacity)
+	r.setOverdueReasons(now, candidates, live, capacity)
 	return candidates
 }
 
--- a/internal/controller/queue/initial_tasks.go
+++ b/internal/controller/queue/initial_tasks.go
@@ -26,10 +26,10 @@
 	return min(max(job.Tasks/initialTaskDivisor, 1), maxInitialTasks)
 }
 
-// markAwaitingStart marks the jobs of which nothing was started within the bound for first starts, the oldest first, as far
+// setAwaitingStart selects the jobs of which nothing was started within the bound for first starts, the oldest first, as far
 // as the share for initial tasks goes. Without this rule the order by shortest remaining time started the largest jobs last,
 // after more than four minutes.
-func (r *Ranker) markAwaitingStart(candidates []candidate, capacity admission.Capacity) {
+func (r *Ranker) setAwaitingStart(candidates []candidate, capacity admission.Capacity) {
 	if r.options.StartBound <= 0 {
 		return
 	}
--- a/internal/controller/queue/overdue.go
+++ b/internal/controller/queue/overdue.go
@@ -8,9 +8,9 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// markOverdue sets the reason of the overdue jobs that may use the capacity of overdue jobs now. Jobs that are served before
+// setOverdueReasons sets the reason of the overdue jobs that may use the capacity of overdue jobs now. Jobs that are served before
 // them in any case are not among them.
-func (r *Ranker) markOverdue(now time.Time, candidates []candidate, live []*jobs.Job, capacity admission.Capacity) {
+func (r *Ranker) setOverdueReasons(now time.Time, candidates []candidate, live []*jobs.Job, capacity admission.Capacity) {
 	var overdue []fairshare.OverdueJob
 	for i := range candidates {
 		c := &candidates[i]
--- a/internal/controller/queue/quota.go
+++ b/internal/controller/queue/quota.go
@@ -32,9 +32,9 @@
 	return bound
 }
 
-// markWithinQuota marks the jobs that fit into their team's guaranteed quota together with the team's earlier unfinished
+// setWithinQuota selects the jobs that fit into their team's guaranteed quota together with the team's earlier unfinished
 // jobs.
-func (r *Ranker) markWithinQuota(candidates []candidate) {
+func (r *Ranker) setWithinQuota(candidates []candidate) {
 	byTeam := map[string][]*candidate{}
 	for i := range candidates {
 		c := &candidates[i]
