--- a/internal/console/snapshot.go
+++ b/internal/console/snapshot.go
@@ -1,7 +1,7 @@
 // Package console shows the state of a site on a terminal, and lets its user act on it. It draws what the controllers and the
 // machine pool answer as text, for a terminal of 80 by 24 characters without colours. Its only state is which screen and row are
 // shown and which action waits for a confirmation: whatever it starts goes on without it. It sends no requests itself; its user
-// gives it a Site. docs/operations/appliance.md describes its use.
+// gives it a Site. docs/operations/site.md describes its use.
 package console
 
 import (
--- a/internal/site/agent/messages.go
+++ b/internal/site/agent/messages.go
@@ -1,6 +1,6 @@
 // Package agent is the worker on a real machine: it sends heartbeats to the leader and runs tasks as processes. Its State owns the
 // machine's assignment, the lease, the fencing token and the attempts, and is a pure step; its Runtime owns the processes, the files
-// and the connections. It never decides which task runs. docs/design/appliance.md describes a site.
+// and the connections. It never decides which task runs. docs/design/site.md describes a site.
 package agent
 
 import (
--- a/internal/site/agent/runner.go
+++ b/internal/site/agent/runner.go
@@ -25,7 +25,7 @@
 	maxOutputBytes = 1 << 30
 	// maxOpenFiles is how many files a task may have open.
 	maxOpenFiles = 1024
-	// taskNiceness is the niceness of tasks, so that the appliance's own processes go first.
+	// taskNiceness is the niceness of tasks, so that the own processes of the site go first.
 	taskNiceness = 5
 	// endTimeout is how long processes may take to end before that is logged and they are killed again.
 	endTimeout = 5 * time.Second
--- a/internal/site/datadir/datadir.go
+++ b/internal/site/datadir/datadir.go
@@ -1,7 +1,7 @@
 // Package datadir is the data directory of a site on one machine. It owns the files in the directory's root: the addresses and
 // size of the site (site.xml), the settings of its controllers, the lock and the record of the supervisor. All but the last two
 // are written when the site is created and not changed afterwards. The processes of the site own their directories below it.
-// docs/design/appliance.md describes a site.
+// docs/design/site.md describes a site.
 package datadir
 
 import (
--- a/internal/site/jobspec/store.go
+++ b/internal/site/jobspec/store.go
@@ -1,6 +1,6 @@
 // Package jobspec stores what the tasks of jobs run, as users uploaded it. It owns one bucket of a database that the machine
 // pool owns: job ID to encoded spec, each written once and never changed. It knows nothing of jobs' states and never decodes a
-// spec. docs/design/appliance.md describes a site.
+// spec. docs/design/site.md describes a site.
 package jobspec
 
 import (
--- a/internal/site/machinepool/state.go
+++ b/internal/site/machinepool/state.go
@@ -2,7 +2,7 @@
 // deletion is confirmed only once that worker has reported that nothing of the machine is left. Its State owns which machines
 // exist, which worker has which, and whether the site is being drained; it is a pure step. Its Service stores every change before
 // it answers, and owns the database with the pool's record, the job specs and the failures of tasks. The package never starts or
-// stops a task. docs/design/appliance.md describes a site.
+// stops a task. docs/design/site.md describes a site.
 package machinepool
 
 import (
--- a/internal/site/process/process.go
+++ b/internal/site/process/process.go
@@ -1,7 +1,7 @@
 // Package process identifies, finds and ends processes of the operating system. It holds no state. A process is found by a
 // tag in its environment, which its children inherit, by its process group, or as a descendant of one found so. It is
 // identified by its start time as well as its PID, so that a process that was given a reused PID is never signalled.
-// docs/design/appliance.md says why processes are found this way.
+// docs/design/site.md says why processes are found this way.
 package process
 
 import (
--- a/internal/site/supervisor/supervisor.go
+++ b/internal/site/supervisor/supervisor.go
@@ -1,7 +1,7 @@
 // Package supervisor runs the processes of a site. A process that exits is restarted, with exponential backoff if it exits
 // soon; all are stopped in reverse order of their start. The package owns these processes and their logs, not the tasks that a
 // worker runs. Each process has a tag in its environment, so that the next supervisor ends what one that was killed has left.
-// docs/design/appliance.md describes a site.
+// docs/design/site.md describes a site.
 package supervisor
 
 import (
