--- a/internal/controller/placement/quota.go
+++ b/internal/controller/placement/quota.go
@@ -73,7 +73,7 @@
 		}
 		quota, ok := quotaLeft[job.Team]
 		if !ok {
-			quota = leftOfQuota(team, p.workers.TeamUsage(job.Team))
+			quota = remainingQuota(team, p.workers.TeamUsage(job.Team))
 		}
 		tasks[i] = min(tasks[i], quota.TasksThatFit(job))
 		quotaLeft[job.Team] = quota.AfterPlacing(job, tasks[i])
@@ -81,8 +81,8 @@
 	return tasks
 }
 
-// leftOfQuota is what the team may use besides what it uses.
-func leftOfQuota(team config.Team, used *worker.Usage) worker.Resources {
+// remainingQuota is what the team may use besides what it uses.
+func remainingQuota(team config.Team, used *worker.Usage) worker.Resources {
 	left := worker.Resources{CPUs: unlimitedResource, GPUs: unlimitedResource, MemoryGB: unlimitedResource}
 	if team.CPULimit > 0 {
 		left.CPUs = team.CPULimit - used.CPUs
