--- a/cmd/faulttest/scale.go
+++ b/cmd/faulttest/scale.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// scaleOptions are those of a fleet of a given size, with the limits of a large deployment.
+// scaleOptions are those of a cluster of a given size, with the limits of a large deployment.
 func scaleOptions(machines int) simulator.Options {
 	return simulator.Options{
 		Controllers: 3, HeartbeatInterval: 2500 * time.Millisecond, WorkerLease: 15 * time.Second, CancelTimeout: 35 * time.Second,
--- a/internal/controller/failover/probe.go
+++ b/internal/controller/failover/probe.go
@@ -140,14 +140,14 @@
 	var state workerapi.Heartbeat
 	refused := result.Status == http.StatusConflict
 	answered := (result.Status == http.StatusOK || refused) && codec.Unmarshal(result.Body, &state) == nil && state.Machine == machine.ID
+	removed := p.workers.Machines[machine.ID] != machine
+	if !answered && !removed {
+		p.reachability.ProbeFailed(now, machine)
+	}
 	if options.onResult != nil {
 		options.onResult(now, answered)
 	}
-	if p.workers.Machines[machine.ID] != machine {
-		return
-	}
-	if !answered {
-		p.reachability.ProbeFailed(now, machine)
+	if !answered || removed {
 		return
 	}
 	restarted := p.reachability.ProbeAnswered(now, machine, probe, &state)
--- a/internal/simulator/bench_test.go
+++ b/internal/simulator/bench_test.go
@@ -8,7 +8,7 @@
 	"gullrudder/internal/config"
 )
 
-// BenchmarkLargeCluster simulates a minute of a large fleet without faults. With -cpuprofile, what is below Controller.Step is the cost
+// BenchmarkLargeCluster simulates a minute of a large cluster without faults. With -cpuprofile, what is below Controller.Step is the cost
 // of a leader.
 func BenchmarkLargeCluster(b *testing.B) {
 	for _, machines := range []int{100, 1000, 5000} {
--- a/internal/simulator/capacityloss.go
+++ b/internal/simulator/capacityloss.go
@@ -8,7 +8,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// CapacityLoss is how each class and team was served by a fleet that lost four in ten of its machines for minutes.
+// CapacityLoss is how each class and team was served by a cluster that lost four in ten of its machines for minutes.
 type CapacityLoss struct {
 	Classes, Teams map[string]Served
 	MachinesBefore int // machines up before the loss
--- a/internal/simulator/invariants_test.go
+++ b/internal/simulator/invariants_test.go
@@ -21,17 +21,17 @@
 			expectNoViolations(t, sim)
 			if sim.Users.AcceptedCount() != 25 || sim.Users.UnfinishedCount() != 0 || sim.checker.TaskStarts < 25 {
 				t.Errorf(
-					"%d of 25 accepted, %d unfinished, %d starts",
+					"jobs: got %d accepted, %d unfinished, %d task starts, want 25, 0, at least 25",
 					sim.Users.AcceptedCount(),
 					sim.Users.UnfinishedCount(),
 					sim.checker.TaskStarts,
 				)
 			}
 			if runs, merged := sim.State.archiveSegments(); runs == 0 || !merged {
-				t.Errorf("%d runs, merged: %v", runs, merged)
+				t.Errorf("archive: got %d segments, merged %v, want at least one, and merged", runs, merged)
 			}
 			if err := sim.State.CheckLimits(); err != nil {
-				t.Errorf("%v", err)
+				t.Errorf("limits of the state service: %v", err)
 			}
 		})
 	}
@@ -81,9 +81,9 @@
 	sim.Run(9 * time.Minute)
 	expectNoViolations(t, sim)
 	if n := sim.Users.UnfinishedCount(); n > 0 {
-		t.Errorf("%d jobs unfinished", n)
+		t.Errorf("unfinished jobs: got %d, want 0", n)
 	}
 	if now := sim.State.leaderName(); now == first || now == "" {
-		t.Errorf("no failover: %q led and leads", now)
+		t.Errorf("leader after the failover: got %q, want another than %q", now, first)
 	}
 }
--- a/internal/simulator/queuecheck.go
+++ b/internal/simulator/queuecheck.go
@@ -59,8 +59,8 @@
 	cpus, memoryGB float64
 }
 
-// fleetUsage is what runs on all running machines at one moment.
-type fleetUsage struct {
+// clusterUsage is what runs on all running machines at one moment.
+type clusterUsage struct {
 	machines  []*machine
 	available map[*machine]resources
 	tasks     map[jobs.TaskID]bool // on any machine, in any state
@@ -68,8 +68,8 @@
 }
 
 // measureUsage measures what runs now, by the true state of the machines.
-func (checker *invariantChecker) measureUsage() fleetUsage {
-	usage := fleetUsage{
+func (checker *invariantChecker) measureUsage() clusterUsage {
+	usage := clusterUsage{
 		machines:  checker.sim.Cloud.runningMachines(),
 		available: map[*machine]resources{},
 		tasks:     map[jobs.TaskID]bool{},
@@ -91,7 +91,7 @@
 }
 
 // machinesThatFit lists the machines that have capacity for a task of the job that waits, none if no task may start.
-func (checker *invariantChecker) machinesThatFit(job *observedJob, usage fleetUsage) []*machine {
+func (checker *invariantChecker) machinesThatFit(job *observedJob, usage clusterUsage) []*machine {
 	if !checker.isStartable(job, usage) {
 		return nil
 	}
@@ -109,7 +109,7 @@
 
 // isStartable reports whether the job has a task that waits, and neither its state, its dependencies nor its team's quota keep it
 // from starting.
-func (checker *invariantChecker) isStartable(job *observedJob, usage fleetUsage) bool {
+func (checker *invariantChecker) isStartable(job *observedJob, usage clusterUsage) bool {
 	spec := job.spec
 	if job.acceptedAt.IsZero() || job.cancelRequested || job.alwaysFails || !job.cancelledAt.IsZero() ||
 		checker.anyDependency(spec.ID, func(other *observedJob) bool { return other.finishedAt.IsZero() }) {
--- a/internal/simulator/scale.go
+++ b/internal/simulator/scale.go
@@ -8,7 +8,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// ScaleResult is the result of RunScale: what a large fleet costs its leader, in real time, and how it recovers
+// ScaleResult is the result of RunScale: what a large cluster costs its leader, in real time, and how it recovers
 // from a failure of many machines at once, in virtual time.
 type ScaleResult struct {
 	Machines, Tasks       int           // that were up, and that ran, before the failure
@@ -25,7 +25,7 @@
 const (
 	scaleTasksPerJob    = 40
 	scaleRunTime        = 40 * time.Second
-	scaleCPUsPerMachine = 12 // more CPUs are requested than the fleet has, all the time
+	scaleCPUsPerMachine = 12 // more CPUs are requested than the cluster has, all the time
 	scaleRounds         = 5  // times that the same amount is submitted
 	scaleRoundInterval  = 45 * time.Second
 	scaleSpread         = 30 * time.Second // a round's jobs arrive within it
@@ -33,7 +33,7 @@
 	scaleRecoveryLimit  = 2 * time.Minute
 )
 
-// RunScale fills a fleet of a given size, measures a minute of load, and then fails a third of the machines
+// RunScale fills a cluster of a given size, measures a minute of load, and then fails a third of the machines
 // and the leader at the same moment.
 func (sim *Cluster) RunScale(machines int) (ScaleResult, error) {
 	sim.scheduleScaleJobs(machines)
