--- a/internal/controller/book/book.go
+++ b/internal/controller/book/book.go
@@ -17,88 +17,88 @@
 	"gullrudder/internal/wire/outbox"
 )
 
-// pastShare is the part of the state service's limits that the history may use.
-const pastShare = 0.1
-
-// Final is a finished job that is not sealed yet.
-type Final struct {
-	Done  bool
-	Tasks int
-	since time.Time // when this leader learnt of it
+// archiveShare is the part of the state service's limits that the history may use.
+const archiveShare = 0.1
+
+// FinalState is a finished job that is not sealed yet.
+type FinalState struct {
+	Done       bool
+	Tasks      int
+	finishedAt time.Time // when this leader learnt of it
 }
 
-// Book is what a leader knows of all jobs.
-type Book struct {
-	cfg     *config.Platform
-	opt     *config.Options
-	log     *slog.Logger
-	ledger  *ledger.Ledger
-	fleet   *workers.Fleet
-	times   *timeline.Log
-	changed func() // the order of the jobs is not what it was
-	done    func(time.Time, *jobs.Job)
-	waits   func(*jobs.Job)            // a job begins to wait for others
-	free    func(time.Time, *jobs.Job) // a job waits for no other any more
-
-	Jobs     map[string]*jobs.Job // unfinished; for looking only
-	finals   map[string]Final     // finished jobs that are in the live pages
-	history  *history.Keeper      // all others
-	graph    *dependencies.Graph  // who waits for whom
-	unsure   []*unsure
-	nextAsk  time.Time
-	settling map[*jobs.Job]bool // cancelled jobs whose tasks may still be there
-	damaged  bool               // the history cannot be read: nobody is answered
-	late     int                // bounds on waiting that were missed
-	nextSave time.Time
+// Store is what a leader knows of all jobs.
+type Store struct {
+	platform      *config.Platform
+	options       *config.Options
+	log           *slog.Logger
+	storage       *ledger.Store
+	workers       *workers.Fleet
+	accounting    *timeline.Log
+	onOrderChange func() // the order of the jobs is not what it was
+	onDone        func(time.Time, *jobs.Job)
+	onWaiting     func(*jobs.Job)            // a job begins to wait for others
+	onReady       func(time.Time, *jobs.Job) // a job waits for no other any more
+
+	Unfinished        map[string]*jobs.Job  // unfinished; for looking only
+	finished          map[string]FinalState // finished jobs that are in the live pages
+	archive           *history.Store        // all others
+	graph             *dependencies.Graph   // who waits for whom
+	unresolved        []*unresolvedDependency
+	nextResolveAt     time.Time
+	stopping          map[*jobs.Job]bool // cancelled jobs whose tasks may still be there
+	archiveUnreadable bool               // the history cannot be read: nobody is answered
+	missedStartBounds int                // bounds on waiting that were missed
+	nextSaveAt        time.Time
 }
 
-// World is what a book sees of its neighbours.
-type World struct {
-	Platform *config.Platform
-	Options  *config.Options
-	Ledger   *ledger.Ledger
-	Fleet    *workers.Fleet
-	Times    *timeline.Log
-	Log      *slog.Logger
+// Components is what a book sees of its neighbours.
+type Components struct {
+	Platform   *config.Platform
+	Options    *config.Options
+	Storage    *ledger.Store
+	Workers    *workers.Fleet
+	Accounting *timeline.Log
+	Log        *slog.Logger
 }
 
 // New makes an empty book.
-func New(w World) *Book {
-	b := &Book{cfg: w.Platform, opt: w.Options, log: w.Log, ledger: w.Ledger, fleet: w.Fleet, times: w.Times, changed: func() {}, done: func(time.Time, *jobs.Job) {},
-		waits: func(*jobs.Job) {}, free: func(time.Time, *jobs.Job) {}, Jobs: map[string]*jobs.Job{}, finals: map[string]Final{}, settling: map[*jobs.Job]bool{}}
+func New(w Components) *Store {
+	b := &Store{platform: w.Platform, options: w.Options, log: w.Log, storage: w.Storage, workers: w.Workers, accounting: w.Accounting, onOrderChange: func() {}, onDone: func(time.Time, *jobs.Job) {},
+		onWaiting: func(*jobs.Job) {}, onReady: func(time.Time, *jobs.Job) {}, Unfinished: map[string]*jobs.Job{}, finished: map[string]FinalState{}, stopping: map[*jobs.Job]bool{}}
 	b.graph = dependencies.New(b.Find)
 	return b
 }
 
-// OnChange names who is to know when the order of the jobs is not what it was.
-func (b *Book) OnChange(f func()) { b.changed = f }
+// OnOrderChange names who is to know when the order of the jobs is not what it was.
+func (b *Store) OnOrderChange(f func()) { b.onOrderChange = f }
 
 // OnDone names who is to know of a job that is done.
-func (b *Book) OnDone(f func(now time.Time, j *jobs.Job)) { b.done = f }
+func (b *Store) OnDone(f func(now time.Time, j *jobs.Job)) { b.onDone = f }
 
 // Find is an unfinished job, or nil.
-func (b *Book) Find(id string) *jobs.Job { return b.Jobs[id] }
+func (b *Store) Find(id string) *jobs.Job { return b.Unfinished[id] }
 
 // Add takes a job whose acceptance is on its way into the ledger.
-func (b *Book) Add(j *jobs.Job) {
-	b.Jobs[j.ID] = j
-	b.times.Begin(j)
+func (b *Store) Add(job *jobs.Job) {
+	b.Unfinished[job.ID] = job
+	b.accounting.Begin(job)
 }
 
-// Cancelled takes in that a job's cancellation is durable.
-func (b *Book) Cancelled(now time.Time, j *jobs.Job) {
-	j.State, j.Told = jobs.Cancelled, now
-	b.settling[j] = true
-	b.times.Close(now, j)
-	b.graph.Drop(j)
-	b.takeAlong(now, b.graph.Below(j.ID))
+// ApplyCancellation takes in that a job's cancellation is durable.
+func (b *Store) ApplyCancellation(now time.Time, job *jobs.Job) {
+	job.State, job.Told = jobs.Cancelled, now
+	b.stopping[job] = true
+	b.accounting.Close(now, job)
+	b.graph.Drop(job)
+	b.cancelDependents(now, b.graph.Below(job.ID))
 }
 
-// Unsettled is the time before which every cancellation that was confirmed is carried out: now if all are. Not known: an
+// CancellationsCompletedBefore is the time before which every cancellation that was confirmed is carried out: now if all are. Not known: an
 // earlier leader has confirmed one, and nobody can tell when.
-func (b *Book) Unsettled(now time.Time) (oldest time.Time, known bool) {
+func (b *Store) CancellationsCompletedBefore(now time.Time) (oldest time.Time, known bool) {
 	oldest = now
-	for j := range b.settling {
+	for j := range b.stopping {
 		if j.Told.IsZero() {
 			return time.Time{}, false
 		}
@@ -109,49 +109,49 @@
 	return oldest, true
 }
 
-// Settling reports whether tasks of a cancelled job may still be there.
-func (b *Book) Settling(j *jobs.Job) bool { return b.settling[j] }
+// IsStopping reports whether tasks of a cancelled job may still be there.
+func (b *Store) IsStopping(j *jobs.Job) bool { return b.stopping[j] }
 
-// Unwanted reports whether a task is of a job that is cancelled, or about to be: it is to end, whatever else is known.
-func (b *Book) Unwanted(key jobs.Key) bool {
-	if j := b.Jobs[key.Job]; j != nil {
-		return j.Cancelling || j.State == jobs.Cancelled
+// IsTaskCancelled reports whether a task is of a job that is cancelled, or about to be: it is to end, whatever else is known.
+func (b *Store) IsTaskCancelled(task jobs.Key) bool {
+	if job := b.Unfinished[task.Job]; job != nil {
+		return job.Cancelling || job.State == jobs.Cancelled
 	}
-	if f, ok := b.finals[key.Job]; ok {
+	if f, ok := b.finished[task.Job]; ok {
 		return !f.Done
 	}
-	return b.history.Know(key.Job) == history.Cancelled
+	return b.archive.LookupIndex(task.Job) == history.Cancelled
 }
 
-// Final is a finished job that is in the live pages.
-func (b *Book) Final(id string) (Final, bool) {
-	f, ok := b.finals[id]
+// FinalState is a finished job that is in the live pages.
+func (b *Store) FinalState(id string) (FinalState, bool) {
+	f, ok := b.finished[id]
 	return f, ok
 }
 
-// History is the record of all other finished jobs.
-func (b *Book) History() *history.Keeper { return b.history }
+// Archive is the record of all other finished jobs.
+func (b *Store) Archive() *history.Store { return b.archive }
 
-// Finished is the number of finished jobs.
-func (b *Book) Finished() int { return len(b.finals) + b.history.Jobs() }
+// FinishedCount is the number of finished jobs.
+func (b *Store) FinishedCount() int { return len(b.finished) + b.archive.JobCount() }
 
-// Late is how many bounds on waiting were missed.
-func (b *Book) Late() int { return b.late }
+// MissedStartBounds is how many bounds on waiting were missed.
+func (b *Store) MissedStartBounds() int { return b.missedStartBounds }
 
-// Damaged reports that the history cannot be read, so that nobody can be answered.
-func (b *Book) Damaged() bool { return b.damaged }
+// IsArchiveUnreadable reports that the history cannot be read, so that nobody can be answered.
+func (b *Store) IsArchiveUnreadable() bool { return b.archiveUnreadable }
 
-// Tune takes other options for the history.
-func (b *Book) Tune(opt config.Options) {
-	if b.history != nil {
-		b.history.Tune(opt.SealJobs, opt.MergeRuns)
+// SetOptions takes other options for the history.
+func (b *Store) SetOptions(opt config.Options) {
+	if b.archive != nil {
+		b.archive.SetThresholds(opt.SealJobs, opt.MergeRuns)
 	}
 }
 
-// Live lists the unfinished jobs whose tasks may be started, those that are being saved included.
-func (b *Book) Live() []*jobs.Job {
-	list := make([]*jobs.Job, 0, len(b.Jobs))
-	for _, j := range b.Jobs {
+// StartableJobs lists the unfinished jobs whose tasks may be started, those that are being saved included.
+func (b *Store) StartableJobs() []*jobs.Job {
+	list := make([]*jobs.Job, 0, len(b.Unfinished))
+	for _, j := range b.Unfinished {
 		if j.Live() || j.State == jobs.Pending && !j.Cancelling && j.Waits == 0 {
 			list = append(list, j)
 		}
@@ -161,66 +161,66 @@
 
 // Tick does what is due. Results are saved once a second; cancelled jobs are let go of only once
 // it is known of every machine what runs on it.
-func (b *Book) Tick(now time.Time, box *outbox.Box) {
-	b.history.Tick(now, box)
-	b.askUnsure(now, box)
+func (b *Store) Tick(now time.Time, box *outbox.Box) {
+	b.archive.Tick(now, box)
+	b.resolveDependencies(now, box)
 }
 
 // Save brings what is due into the ledger.
-func (b *Book) Save(now time.Time, placing bool) {
-	if now.Before(b.nextSave) {
+func (b *Store) Save(now time.Time, placing bool) {
+	if now.Before(b.nextSaveAt) {
 		return
 	}
-	b.nextSave = now.Add(time.Second)
-	b.save(now, placing)
-	b.watchBounds(now)
+	b.nextSaveAt = now.Add(time.Second)
+	b.saveResults(now, placing)
+	b.checkStartBounds(now)
 }
 
-// Finish writes down that a job is done once all its tasks are.
-func (b *Book) Finish(now time.Time, j *jobs.Job) {
-	if j.Service || j.NDone < j.Tasks || j.Finishing || j.Cancelling || j.State != jobs.Accepted {
+// FinishIfDone writes down that a job is done once all its tasks are.
+func (b *Store) FinishIfDone(now time.Time, job *jobs.Job) {
+	if job.Service || job.NDone < job.Tasks || job.Finishing || job.Cancelling || job.State != jobs.Accepted {
 		return
 	}
-	j.Finishing = true
-	err := b.ledger.Set(now, j.ID, jobs.FinalRecord(jobs.Done, j.Tasks), 0, true, func(now time.Time, ok bool) {
-		if !ok || j.State == jobs.Done {
+	job.Finishing = true
+	err := b.storage.Set(now, job.ID, jobs.FinalRecord(jobs.Done, job.Tasks), 0, true, func(now time.Time, ok bool) {
+		if !ok || job.State == jobs.Done {
 			return
 		}
-		j.State = jobs.Done
-		b.times.Close(now, j)
-		b.done(now, j)
-		b.retire(now, j)
-		b.letGo(now, j.ID)
-		b.log.Info("job done", "job", j.ID, "after", now.Sub(j.Submitted).Round(time.Millisecond))
+		job.State = jobs.Done
+		b.accounting.Close(now, job)
+		b.onDone(now, job)
+		b.retire(now, job)
+		b.releaseDependents(now, job.ID)
+		b.log.Info("job done", "job", job.ID, "after", now.Sub(job.Submitted).Round(time.Millisecond))
 	})
 	if err != nil {
-		b.log.Error("a result cannot be saved", "job", j.ID, "error", err)
+		b.log.Error("a result cannot be saved", "job", job.ID, "error", err)
 	}
 }
 
 // retire keeps nothing of a finished job but its state.
-func (b *Book) retire(now time.Time, j *jobs.Job) {
-	b.finals[j.ID] = Final{Done: j.State == jobs.Done, Tasks: j.Tasks, since: now}
-	b.ledger.Over(j.ID)
-	delete(b.Jobs, j.ID)
-	delete(b.settling, j)
-	for c := range j.Chunks() {
-		b.ledger.Drop(now, j.ChunkName(c))
+func (b *Store) retire(now time.Time, job *jobs.Job) {
+	b.finished[job.ID] = FinalState{Done: job.State == jobs.Done, Tasks: job.Tasks, finishedAt: now}
+	b.storage.SetFinished(job.ID)
+	delete(b.Unfinished, job.ID)
+	delete(b.stopping, job)
+	for c := range job.Chunks() {
+		b.storage.Delete(now, job.ChunkName(c))
 	}
-	b.changed()
+	b.onOrderChange()
 }
 
-// save brings results of tasks into the ledger and lets go of cancelled jobs whose tasks
+// saveResults brings results of tasks into the ledger and lets go of cancelled jobs whose tasks
 // are all gone.
-func (b *Book) save(now time.Time, placing bool) {
+func (b *Store) saveResults(now time.Time, placing bool) {
 	var present map[*jobs.Job]bool
-	for _, j := range b.Jobs {
+	for _, j := range b.Unfinished {
 		if j.State == jobs.Cancelled && len(j.Active) == 0 && placing {
 			if present == nil {
-				present = b.present()
+				present = b.jobsWithAttempts()
 			}
 			if !present[j] {
-				if err := b.ledger.Set(now, j.ID, jobs.FinalRecord(jobs.Cancelled, j.Tasks), 0, false, nil); err != nil {
+				if err := b.storage.Set(now, j.ID, jobs.FinalRecord(jobs.Cancelled, j.Tasks), 0, false, nil); err != nil {
 					b.log.Error("a cancelled job cannot be shrunk", "job", j.ID, "error", err)
 				}
 				b.retire(now, j)
@@ -242,10 +242,10 @@
 			}
 		}
 		if chunks == nil {
-			err = b.write(now, j, durable)
+			err = b.writeRecord(now, j, durable)
 		}
 		for name, c := range chunks {
-			if e := b.ledger.Set(now, name, c, jobs.ChunkReserve, false, durable); e != nil {
+			if e := b.storage.Set(now, name, c, jobs.ChunkReserve, false, durable); e != nil {
 				err = e
 			}
 		}
@@ -255,10 +255,10 @@
 	}
 }
 
-// present marks the jobs of which an attempt is still on some machine.
-func (b *Book) present() map[*jobs.Job]bool {
+// jobsWithAttempts marks the jobs of which an attempt is still on some machine.
+func (b *Store) jobsWithAttempts() map[*jobs.Job]bool {
 	set := map[*jobs.Job]bool{}
-	for _, m := range b.fleet.Machines {
+	for _, m := range b.workers.Machines {
 		for _, a := range m.Attempts {
 			if a.Job != nil {
 				set[a.Job] = true
@@ -268,125 +268,125 @@
 	return set
 }
 
-// Note writes a job down as it is now, with the next commit: what is known of it has changed, and no
+// SaveRecord writes a job down as it is now, with the next commit: what is known of it has changed, and no
 // result of it is to be saved.
-func (b *Book) Note(now time.Time, j *jobs.Job) {
-	if j.Finishing || j.Cancelling || j.State != jobs.Accepted {
+func (b *Store) SaveRecord(now time.Time, job *jobs.Job) {
+	if job.Finishing || job.Cancelling || job.State != jobs.Accepted {
 		return
 	}
-	if err := b.write(now, j, nil); err != nil {
-		b.log.Error("a job cannot be noted", "job", j.ID, "error", err)
+	if err := b.writeRecord(now, job, nil); err != nil {
+		b.log.Error("a job cannot be noted", "job", job.ID, "error", err)
 	}
 }
 
-// write sets the job's record as it is now, for the next commit.
-func (b *Book) write(now time.Time, j *jobs.Job, then func(time.Time, bool)) error {
-	rec := j.Record()
-	rec.Spent = b.times.Kept(j)
-	return b.ledger.Set(now, j.ID, rec, j.Reserve(), false, then)
+// writeRecord sets the job's record as it is now, for the next commit.
+func (b *Store) writeRecord(now time.Time, job *jobs.Job, done func(time.Time, bool)) error {
+	record := job.Record()
+	record.Spent = b.accounting.Kept(job)
+	return b.storage.Set(now, job.ID, record, job.Reserve(), false, done)
 }
 
-// Durable reports whether the result of a task that exited with done need not be kept
+// IsResultDurable reports whether the result of a task that exited with done need not be kept
 // by its worker any more.
-func (b *Book) Durable(key jobs.Key) bool {
-	j := b.Jobs[key.Job]
-	if j == nil || j.State == jobs.Cancelled || key.Task >= j.Tasks {
+func (b *Store) IsResultDurable(task jobs.Key) bool {
+	job := b.Unfinished[task.Job]
+	if job == nil || job.State == jobs.Cancelled || task.Task >= job.Tasks {
 		return true
 	}
-	return j.IsDurable(key.Task)
+	return job.IsDurable(task.Task)
 }
 
-// ReadHistory makes the keeper of the finished jobs. While it cannot tell which jobs there
+// OpenArchive makes the keeper of the finished jobs. While it cannot tell which jobs there
 // were, nobody is answered: an accepted job must not be called unknown.
-func (b *Book) ReadHistory() bool {
-	keeper, err := history.New(b.ledger, history.Options{
-		ValueBytes: b.cfg.ValueBytes, TxnOps: b.cfg.TxnOps, WriteRate: b.cfg.StateWrites * pastShare, ReadRate: b.cfg.StateRate * pastShare,
-		Least: b.opt.SealJobs, Fan: b.opt.MergeRuns,
-		Ready: func(now time.Time, id string) bool {
-			f, ok := b.finals[id]
-			return ok && now.Sub(f.since) >= b.opt.SealAfter
+func (b *Store) OpenArchive() bool {
+	opened, err := history.New(b.storage, history.Options{
+		ValueBytes: b.platform.ValueBytes, TxnOps: b.platform.TxnOps, WriteRate: b.platform.StateWrites * archiveShare, ReadRate: b.platform.StateRate * archiveShare,
+		MinSegmentJobs: b.options.SealJobs, CompactionFanIn: b.options.MergeRuns,
+		CanArchive: func(now time.Time, id string) bool {
+			f, ok := b.finished[id]
+			return ok && now.Sub(f.finishedAt) >= b.options.SealAfter
 		},
-		Final: func(id string) (history.Final, bool) {
-			f, ok := b.finals[id]
-			return history.Final{Cancelled: !f.Done, Tasks: f.Tasks}, ok
+		FinalState: func(id string) (history.FinalState, bool) {
+			f, ok := b.finished[id]
+			return history.FinalState{Cancelled: !f.Done, Tasks: f.Tasks}, ok
 		},
-		Sealed: func(ids []string) {
+		OnArchived: func(ids []string) {
 			for _, id := range ids {
-				delete(b.finals, id)
+				delete(b.finished, id)
 			}
 		},
 	}, b.log)
 	if err != nil {
-		b.damaged = true
+		b.archiveUnreadable = true
 		b.log.Error("the history of finished jobs cannot be read: nothing is answered", "error", err)
 		return false
 	}
-	b.history = keeper
+	b.archive = opened
 	return true
 }
 
-// watchBounds tells of jobs that have waited longer than was stated.
-func (b *Book) watchBounds(now time.Time) {
-	for _, j := range b.Jobs {
+// checkStartBounds tells of jobs that have waited longer than was stated.
+func (b *Store) checkStartBounds(now time.Time) {
+	for _, j := range b.Unfinished {
 		if j.StartBy > 0 && !j.Late && j.Live() && j.NDone+len(j.Active) == 0 && now.Sub(j.Since()) > j.StartBy {
 			j.Late = true
-			b.late++
+			b.missedStartBounds++
 			b.log.Error("a job waits longer than was stated", "job", j.ID, "team", j.Team, "class", j.Class,
-				"waits", now.Sub(j.Since()).Round(time.Second), "stated", j.StartBy, "machines", len(b.fleet.Machines))
+				"waits", now.Sub(j.Since()).Round(time.Second), "stated", j.StartBy, "machines", len(b.workers.Machines))
 		}
 	}
 }
 
-// Restore takes in an entry of the ledger at a takeover; since is when the leadership began, and told the earliest that a
+// RestoreJob takes in an entry of the ledger at a takeover; since is when the leadership began, and told the earliest that a
 // cancellation can have been confirmed that is not carried out yet, zero if nobody can tell.
-func (b *Book) Restore(now, since, told time.Time, name string, decode func(any) error) {
-	var rec jobs.Record
-	if err := decode(&rec); err != nil {
+func (b *Store) RestoreJob(now, leaderSince, confirmedAt time.Time, name string, decode func(any) error) {
+	var record jobs.Record
+	if err := decode(&record); err != nil {
 		b.log.Error("a job cannot be read", "job", name, "error", err)
 		return
 	}
-	j, err := jobs.FromRecord(name, rec)
+	job, err := jobs.FromRecord(name, record)
 	if err != nil {
 		b.log.Error("a job cannot be rebuilt", "job", name, "error", err)
 		return
 	}
-	if j.State == jobs.Done || j.State == jobs.Cancelled && rec.CPUs+rec.Mem+rec.Cards == 0 {
-		b.finals[name] = Final{Done: j.State == jobs.Done, Tasks: j.Tasks, since: now}
-		b.ledger.Over(name)
+	if job.State == jobs.Done || job.State == jobs.Cancelled && record.CPUs+record.Mem+record.Cards == 0 {
+		b.finished[name] = FinalState{Done: job.State == jobs.Done, Tasks: job.Tasks, finishedAt: now}
+		b.storage.SetFinished(name)
 		return
 	}
-	b.Jobs[name] = j
-	if j.State == jobs.Cancelled {
-		j.Told = told
-		b.settling[j] = true
+	b.Unfinished[name] = job
+	if job.State == jobs.Cancelled {
+		job.Told = confirmedAt
+		b.stopping[job] = true
 	}
-	if j.State == jobs.Accepted {
-		b.times.Restore(j, rec.Spent, since)
+	if job.State == jobs.Accepted {
+		b.accounting.Restore(job, record.Spent, leaderSince)
 	}
 }
 
 // RestoreChunk takes in the results of some tasks of a large array, after all jobs.
-func (b *Book) RestoreChunk(now time.Time, name, id string, c int, v jobs.Chunk) {
-	j := b.Jobs[id]
-	if j == nil {
+func (b *Store) RestoreChunk(now time.Time, name, id string, chunk int, results jobs.Chunk) {
+	job := b.Unfinished[id]
+	if job == nil {
 		// An earlier leader ended after the job did and before its chunks were dropped.
-		b.ledger.Drop(now, name)
+		b.storage.Delete(now, name)
 		return
 	}
-	if err := j.RestoreChunk(c, v); err != nil {
+	if err := job.RestoreChunk(chunk, results); err != nil {
 		b.log.Error("task results cannot be restored", "job", id, "error", err)
 	}
 }
 
-// Restored reserves what the jobs may come to need of their pages, and writes down those that are
+// FinishRestore reserves what the jobs may come to need of their pages, and writes down those that are
 // done.
-func (b *Book) Restored(now time.Time) {
-	b.restoreNeeds(now)
-	for _, j := range b.Jobs {
-		b.ledger.Reserve(j.ID, j.Reserve())
+func (b *Store) FinishRestore(now time.Time) {
+	b.restoreDependencies(now)
+	for _, j := range b.Unfinished {
+		b.storage.Reserve(j.ID, j.Reserve())
 		for c := range j.Chunks() {
-			b.ledger.Reserve(j.ChunkName(c), jobs.ChunkReserve)
+			b.storage.Reserve(j.ChunkName(c), jobs.ChunkReserve)
 		}
-		b.Finish(now, j)
+		b.FinishIfDone(now, j)
 	}
 }
--- a/internal/controller/node/node.go
+++ b/internal/controller/node/node.go
@@ -79,9 +79,9 @@
 // state that no other writes. They are made at the election and dropped whole when it ends.
 type leadership struct {
 	token    uint64
-	ledger   *ledger.Ledger
+	ledger   *ledger.Store
 	settings *settings.Settings
-	book     *book.Book
+	book     *book.Store
 	fleet    *workers.Fleet
 	cloud    *fleet.Cloud
 	planner  *plan.Planner
@@ -151,7 +151,7 @@
 
 // turn makes the leadership's state follow the election.
 func (n *Node) turn(now time.Time) {
-	if n.lead != nil && n.lead.ledger.Lost() {
+	if n.lead != nil && n.lead.ledger.IsFenced() {
 		n.election.StepDown(now, &n.box, "another leader has written")
 	}
 	// While a renewal is late the state is kept and nothing is done. It is never built anew
@@ -270,7 +270,7 @@
 		return
 	}
 	l.book.Tick(now, &n.box)
-	oldest, known := l.book.Unsettled(now)
+	oldest, known := l.book.CancellationsCompletedBefore(now)
 	n.election.SetOldestCancellation(now, oldest, known)
 	l.clerk.TakeGone(now)
 	if !now.Before(l.nextLook) {
@@ -283,7 +283,7 @@
 	placing := l.takeover.Placing()
 	if !now.Before(l.nextTime) {
 		l.nextTime = now.Add(n.lookEvery(l.times.Open()))
-		l.times.Look(now, timeline.View{Placing: placing, Healthy: l.ledger.Healthy(), Teams: n.teams, Fleet: l.fleet, Cloud: l.cloud, Order: l.placer.Last()})
+		l.times.Look(now, timeline.View{Placing: placing, Healthy: l.ledger.IsHealthy(), Teams: n.teams, Fleet: l.fleet, Cloud: l.cloud, Order: l.placer.Last()})
 	}
 	l.book.Save(now, placing)
 	l.planner.Floor().Save(now, l.ledger, n.log)
@@ -342,7 +342,7 @@
 func (n *Node) newLeadership(now time.Time, token uint64) *leadership {
 	l := &leadership{token: token}
 	l.ledger = ledger.New(ledger.Options{LeaderKey: leader.LeaderKey, ValueBytes: n.cfg.ValueBytes, TxnOps: n.cfg.TxnOps,
-		WriteRate: n.cfg.StateWrites, Quiet: 500 * time.Millisecond}, token, n.log)
+		WriteRate: n.cfg.StateWrites, BatchDelay: 500 * time.Millisecond}, token, n.log)
 	l.settings = settings.New(n.opt, l.ledger, &n.out, n.log)
 	opt := l.settings.Options()
 	l.cloud = fleet.New(token, n.cfg.CloudRate, n.cfg.ListLag, n.log)
@@ -353,8 +353,8 @@
 	slow := pace.New(n.cfg.ReportEvery)
 	links := reach.New(token, n.cfg.WorkerLease, n.links, n.log)
 	blamed := blame.New()
-	l.book = book.New(book.World{Platform: n.cfg, Options: opt, Ledger: l.ledger, Fleet: l.fleet, Times: l.times, Log: n.log})
-	l.placer = place.NewPlacer(place.World{Platform: n.cfg, Token: token, Jobs: l.book.Jobs, Fleet: l.fleet, Planner: l.planner,
+	l.book = book.New(book.Components{Platform: n.cfg, Options: opt, Storage: l.ledger, Workers: l.fleet, Accounting: l.times, Log: n.log})
+	l.placer = place.NewPlacer(place.World{Platform: n.cfg, Token: token, Jobs: l.book.Unfinished, Fleet: l.fleet, Planner: l.planner,
 		Room: func(now time.Time) plan.Room { return l.rental.Room(now) }, Box: &n.box, Log: n.log})
 	l.rental = rental.NewDesk(rental.World{Platform: n.cfg, Options: opt, Token: token, Since: now, First: func() bool { return l.takeover.First() },
 		Cloud: l.cloud, Fleet: l.fleet, Planner: l.planner, Placer: l.placer, Pace: slow, Zones: l.zones, Box: &n.box, Log: n.log})
@@ -365,20 +365,22 @@
 	l.requests = requests.NewDesk(requests.World{Platform: n.cfg, Options: opt, Ledger: l.ledger, Book: l.book, Fleet: l.fleet, Cloud: l.cloud,
 		Planner: l.planner, Placer: l.placer, Rental: l.rental, Takeover: l.takeover, Times: l.times, Blame: blamed, Zones: l.zones,
 		Acting: func() bool { return n.lead == l && n.acting }, Answers: &n.out, Box: &n.box, Log: n.log})
-	l.book.OnChange(l.placer.Changed)
+	l.book.OnOrderChange(l.placer.Changed)
 	l.book.OnDone(func(now time.Time, j *jobs.Job) {
 		l.rental.Ended(now, j)
 		l.planner.Floor().Done(now, j)
 		l.clerk.Over(j)
 	})
-	l.book.OnWait(func(j *jobs.Job) { l.book.Graph().Hurry(j, l.planner.PerTask, 2*n.cfg.ReportEvery, j.Guaranteed) })
-	l.book.OnFree(func(now time.Time, j *jobs.Job) {
+	l.book.OnWaiting(func(j *jobs.Job) {
+		l.book.DependencyGraph().Hurry(j, l.planner.PerTask, 2*n.cfg.ReportEvery, j.Guaranteed)
+	})
+	l.book.OnReady(func(now time.Time, j *jobs.Job) {
 		l.placer.Changed()
 		l.rental.Accepted(now, j)
 	})
 	l.settings.OnChange(func(opt config.Options) {
 		l.planner.Tune(opt)
-		l.book.Tune(opt)
+		l.book.SetOptions(opt)
 		l.placer.Changed()
 	})
 	return l
--- a/internal/controller/node/status.go
+++ b/internal/controller/node/status.go
@@ -88,11 +88,11 @@
 		s.Took = append(s.Took, Latency{kind, h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(99), h.Max()})
 	}
 	if l := n.lead; l != nil {
-		s.Token, s.Placing, s.Healthy, s.Jobs = l.token, l.takeover.Placing(), l.ledger.Healthy(), len(l.book.Jobs)
+		s.Token, s.Placing, s.Healthy, s.Jobs = l.token, l.takeover.Placing(), l.ledger.IsHealthy(), len(l.book.Unfinished)
 		if l.takeover.Built() {
-			s.Finished, s.Runs = l.book.Finished(), l.book.History().Runs()
+			s.Finished, s.Runs = l.book.FinishedCount(), l.book.Archive().SegmentCount()
 		}
-		for _, j := range l.book.Jobs {
+		for _, j := range l.book.Unfinished {
 			s.Waiting += j.Waiting()
 			s.Running += len(j.Active)
 		}
--- a/internal/controller/reports/answer.go
+++ b/internal/controller/reports/answer.go
@@ -52,7 +52,7 @@
 func (c *Clerk) unwanted(rep *workers.Report) []workers.Command {
 	list := []workers.Command{}
 	for _, t := range rep.Tasks {
-		if key, err := jobs.ParseKey(t.Task); err == nil && t.State != workers.StateExited && len(list) < mostCommands && c.book.Unwanted(key) {
+		if key, err := jobs.ParseKey(t.Task); err == nil && t.State != workers.StateExited && len(list) < mostCommands && c.book.IsTaskCancelled(key) {
 			list = append(list, workers.Kill(t.Task, t.Attempt, 0))
 		}
 	}
@@ -78,7 +78,7 @@
 			continue
 		}
 		key, err := jobs.ParseKey(t.Task)
-		if err != nil || t.Why != workers.WhyDone || c.book.Durable(key) {
+		if err != nil || t.Why != workers.WhyDone || c.book.IsResultDurable(key) {
 			list = append(list, workers.Forget(t.Task, t.Attempt))
 		}
 	}
--- a/internal/controller/reports/clerk.go
+++ b/internal/controller/reports/clerk.go
@@ -49,8 +49,8 @@
 	log     *slog.Logger
 	out     *inbox.Answers
 	token   uint64
-	ledger  *ledger.Ledger
-	book    *book.Book
+	ledger  *ledger.Store
+	book    *book.Store
 	fleet   *workers.Fleet
 	cloud   *fleet.Cloud
 	planner *plan.Planner
@@ -67,8 +67,8 @@
 type World struct {
 	Platform *config.Platform
 	Token    uint64
-	Ledger   *ledger.Ledger
-	Book     *book.Book
+	Ledger   *ledger.Store
+	Book     *book.Store
 	Fleet    *workers.Fleet
 	Cloud    *fleet.Cloud
 	Planner  *plan.Planner
@@ -204,7 +204,7 @@
 			c.times.TaskDone(j, a.Key.Task)
 			c.completed(now, m, j)
 			if j.TaskDone(a.Key.Task) {
-				c.book.Finish(now, j)
+				c.book.FinishIfDone(now, j)
 			}
 			continue
 		case workers.WhyError:
--- a/internal/controller/reports/failed.go
+++ b/internal/controller/reports/failed.go
@@ -73,7 +73,7 @@
 		}
 	}
 	c.log.Info("a job fails wherever it is tried", "job", j.ID, "team", j.Team, "class", j.Class, "machines", c.blame.Machines(j.ID), "stopped", stopped)
-	c.book.Note(now, j)
+	c.book.SaveRecord(now, j)
 	c.placer.Changed()
 }
 
@@ -85,7 +85,7 @@
 	}
 	j.Mistaken, j.NotBefore = false, time.Time{}
 	c.log.Info("a job that failed wherever it was tried has completed a task", "job", j.ID, "machine", m.ID)
-	c.book.Note(now, j)
+	c.book.SaveRecord(now, j)
 	c.placer.Changed()
 }
 
--- a/internal/controller/reports/gone.go
+++ b/internal/controller/reports/gone.go
@@ -22,7 +22,7 @@
 		}
 		if m.Rostered {
 			m.Rostered = false
-			c.ledger.Drop(now, RosterPrefix+m.ID)
+			c.ledger.Delete(now, RosterPrefix+m.ID)
 		}
 	}
 }
@@ -41,6 +41,6 @@
 		c.pace.Gone(m.ID)
 		c.blame.Gone(m.ID)
 		c.reach.Gone(m.ID)
-		c.ledger.Drop(now, RosterPrefix+id)
+		c.ledger.Delete(now, RosterPrefix+id)
 	}
 }
--- a/internal/controller/requests/desk.go
+++ b/internal/controller/requests/desk.go
@@ -35,8 +35,8 @@
 	log      *slog.Logger
 	out      *inbox.Answers
 	box      *outbox.Box
-	ledger   *ledger.Ledger
-	book     *book.Book
+	ledger   *ledger.Store
+	book     *book.Store
 	fleet    *workers.Fleet
 	cloud    *fleet.Cloud
 	planner  *plan.Planner
@@ -55,8 +55,8 @@
 type World struct {
 	Platform *config.Platform
 	Options  *config.Options
-	Ledger   *ledger.Ledger
-	Book     *book.Book
+	Ledger   *ledger.Store
+	Book     *book.Store
 	Fleet    *workers.Fleet
 	Cloud    *fleet.Cloud
 	Planner  *plan.Planner
@@ -158,7 +158,7 @@
 
 // submitted answers the repetition of a submission whose job is not sealed.
 func (d *Desk) submitted(now time.Time, r *inbox.Request, id string) bool {
-	if f, ok := d.book.Final(id); ok {
+	if f, ok := d.book.FinalState(id); ok {
 		d.out.Reply(r, 200, finalAnswer(id, f, false), 0)
 		return true
 	}
@@ -170,7 +170,7 @@
 }
 
 // submitNew takes a job that the history does not hold. told has what the history's data have told of jobs that it needs.
-func (d *Desk) submitNew(now time.Time, r *inbox.Request, spec jobs.Spec, err error, told map[string]book.Need) {
+func (d *Desk) submitNew(now time.Time, r *inbox.Request, spec jobs.Spec, err error, told map[string]book.DependencyState) {
 	if d.submitted(now, r, spec.ID) {
 		return // the same submission came again while the history was asked
 	}
@@ -189,7 +189,7 @@
 		d.out.Refuse(r, 422, reason, 0)
 		return
 	}
-	if !d.ledger.Healthy() {
+	if !d.ledger.IsHealthy() {
 		d.out.Refuse(r, 503, "the state service does not take changes", 2*comeBack)
 		return
 	}
@@ -203,9 +203,9 @@
 	}
 	record := jobs.FinalRecord(jobs.Cancelled, j.Tasks)
 	if !void {
-		d.book.Wait(now, j, missing)
-		before, needs := d.book.Graph().Path(j, d.planner.PerTask)
-		j.Guaranteed = d.planner.Admit(now, j, d.book.Live(), d.rental.Room(now), before, needs)
+		d.book.WaitForDependencies(now, j, missing)
+		before, needs := d.book.DependencyGraph().Path(j, d.planner.PerTask)
+		j.Guaranteed = d.planner.Admit(now, j, d.book.StartableJobs(), d.rental.Room(now), before, needs)
 		if len(missing) == 0 {
 			d.promise(now, j)
 		}
@@ -235,7 +235,7 @@
 	})
 	if err != nil {
 		d.gate.Leave(j.Team)
-		d.book.Graph().Drop(j)
+		d.book.DependencyGraph().Drop(j)
 		d.out.Refuse(r, 400, "too large to be kept", 0)
 		return
 	}
--- a/internal/controller/requests/explain.go
+++ b/internal/controller/requests/explain.go
@@ -27,7 +27,7 @@
 func (d *Desk) ahead(now time.Time, j *jobs.Job) standing.Ahead {
 	a := standing.Ahead{Limit: d.teams[j.Team].CPULimit, Task: j.CPUs, Longest: d.planner.PerTask(j), Settle: d.settle(j)}
 	a.Own.Add(j, d.planner.Work(j, now))
-	for _, o := range d.book.Jobs {
+	for _, o := range d.book.Unfinished {
 		if o == j || o.Service || !o.Live() {
 			continue
 		}
@@ -147,7 +147,7 @@
 		return
 	}
 	order := d.placer.Order(now)
-	a := Queue{Jobs: []Waiting{}, Late: d.book.Late()}
+	a := Queue{Jobs: []Waiting{}, Late: d.book.MissedStartBounds()}
 	show := func(j *jobs.Job, standing string) {
 		if q.Get("team") != "" && q.Get("team") != j.Team || q.Get("class") != "" && q.Get("class") != j.Class {
 			return
@@ -162,7 +162,7 @@
 			show(e.Job, e.Standing())
 		}
 	}
-	for _, j := range d.book.Waiting() {
+	for _, j := range d.book.WaitingJobs() {
 		show(j, fmt.Sprintf("waits for %d other jobs", j.Waits))
 	}
 	d.out.Reply(r, 200, a, 0)
@@ -172,11 +172,11 @@
 func (d *Desk) explain(now time.Time, r *inbox.Request, id string) {
 	if e, ok := d.times.OfEnded(id); ok {
 		// Also if it is sealed by now: what ended under this leader is known without a look back.
-		d.out.Reply(r, 200, Explanation{Waiting: Waiting{ID: id, Team: e.Team, Class: e.Class}, State: finalAnswer(id, book.Final{Done: e.Done}, false).State,
+		d.out.Reply(r, 200, Explanation{Waiting: Waiting{ID: id, Team: e.Team, Class: e.Class}, State: finalAnswer(id, book.FinalState{Done: e.Done}, false).State,
 			Because: []string{"it is over"}, Account: shares(&e.Spent)}, 0)
 		return
 	}
-	if f, ok := d.book.Final(id); ok {
+	if f, ok := d.book.FinalState(id); ok {
 		d.out.Reply(r, 200, Explanation{Waiting: Waiting{ID: id}, State: finalAnswer(id, f, false).State,
 			Because: []string{"it is over, under an earlier leader"}}, 0)
 		return
@@ -237,9 +237,9 @@
 		x.because("its user has cancelled it")
 		return
 	case j.Waits > 0:
-		open := d.book.Graph().Open(j)
+		open := d.book.DependencyGraph().Open(j)
 		x.because("it waits for %d other jobs that have to be done first: %s", len(open), strings.Join(open[:min(len(open), mostBefore)], ", "))
-		before, _ := d.book.Graph().Path(j, d.planner.PerTask)
+		before, _ := d.book.DependencyGraph().Path(j, d.planner.PerTask)
 		x.because("by the longest way through them that takes %.0f s at least", before.Seconds())
 		x.change("the end of those jobs; if one of them is cancelled, so is this one")
 		return
--- a/internal/controller/requests/query.go
+++ b/internal/controller/requests/query.go
@@ -12,7 +12,7 @@
 // notNow is when a user is told to ask again about an old job that cannot be looked up.
 const notNow = time.Second
 
-func finalAnswer(id string, f book.Final, counts bool) jobAnswer {
+func finalAnswer(id string, f book.FinalState, counts bool) jobAnswer {
 	a := jobAnswer{ID: id, State: "cancelled"}
 	zero := 0
 	if f.Done {
@@ -28,7 +28,7 @@
 }
 
 func (d *Desk) query(now time.Time, r *inbox.Request, id string) {
-	if f, ok := d.book.Final(id); ok {
+	if f, ok := d.book.FinalState(id); ok {
 		d.out.Reply(r, 200, finalAnswer(id, f, true), 0)
 		return
 	}
@@ -67,7 +67,7 @@
 // 404. If it was submitted while the history was asked, it is served as usual.
 func (d *Desk) missing(now time.Time, r *inbox.Request, id string, counts bool, serve func(time.Time, *inbox.Request, string)) {
 	absent := func(now time.Time) {
-		if _, over := d.book.Final(id); over || d.book.Find(id) != nil {
+		if _, over := d.book.FinalState(id); over || d.book.Find(id) != nil {
 			serve(now, r, id)
 			return
 		}
@@ -79,7 +79,7 @@
 }
 
 func (d *Desk) cancel(now time.Time, r *inbox.Request, id string) {
-	if f, ok := d.book.Final(id); ok {
+	if f, ok := d.book.FinalState(id); ok {
 		d.out.Reply(r, 200, finalAnswer(id, f, false), 0)
 		return
 	}
@@ -97,7 +97,7 @@
 	case j.State == jobs.Cancelled:
 		d.out.Reply(r, 200, jobAnswer{ID: id, State: "cancelled"}, 0)
 		return
-	case j.Finishing || j.Cancelling || !d.ledger.Healthy():
+	case j.Finishing || j.Cancelling || !d.ledger.IsHealthy():
 		// What is on its way into the ledger decides; the user asks again.
 		if !j.Finishing && !j.Cancelling {
 			d.writeCancellation(now, j, nil)
@@ -113,7 +113,7 @@
 // unconfirmed reports whether nobody may be told yet that the job is cancelled: with settings by which a lease outlasts the
 // time in which its tasks have to be gone, they have to be gone first.
 func (d *Desk) unconfirmed(j *jobs.Job) bool {
-	return d.late && j.State == jobs.Cancelled && d.book.Settling(j)
+	return d.late && j.State == jobs.Cancelled && d.book.IsStopping(j)
 }
 
 // writeCancellation writes the cancellation down; the user is told once it is durable. From now on
@@ -125,7 +125,7 @@
 	rec.State = jobs.FinalRecord(jobs.Cancelled, 0).State
 	err := d.ledger.Set(now, j.ID, rec, j.Reserve(), true, func(now time.Time, ok bool) {
 		if ok && j.State == jobs.Accepted {
-			d.book.Cancelled(now, j)
+			d.book.ApplyCancellation(now, j)
 			d.log.Info("job cancelled", "job", j.ID)
 		}
 		if r == nil {
@@ -150,28 +150,28 @@
 // the history holds the job. If only the data of the history can tell, it is read first, and
 // absent goes on if the job is not there; until then nobody knows it.
 func (d *Desk) past(now time.Time, r *inbox.Request, id string, counts bool, absent func(now time.Time)) bool {
-	known := d.book.History().Know(id)
+	known := d.book.Archive().LookupIndex(id)
 	switch {
 	case known == history.Absent:
 		return false
 	case known == history.Cancelled:
-		d.out.Reply(r, 200, finalAnswer(id, book.Final{}, counts), 0)
+		d.out.Reply(r, 200, finalAnswer(id, book.FinalState{}, counts), 0)
 		return true
 	case known == history.Done && !counts:
-		d.out.Reply(r, 200, finalAnswer(id, book.Final{Done: true}, false), 0)
+		d.out.Reply(r, 200, finalAnswer(id, book.FinalState{Done: true}, false), 0)
 		return true
 	}
-	d.book.History().Resolve(now, d.box, id, func(now time.Time, f history.Final, found bool, err error) {
+	d.book.Archive().Resolve(now, d.box, id, func(now time.Time, f history.FinalState, found bool, err error) {
 		switch {
 		case !d.acting():
 			d.out.Refuse(r, 503, "no leader at present", comeBack)
 		case found:
-			d.out.Reply(r, 200, finalAnswer(id, book.Final{Done: !f.Cancelled, Tasks: f.Tasks}, counts), 0)
-		case err == nil && known == history.Perhaps:
+			d.out.Reply(r, 200, finalAnswer(id, book.FinalState{Done: !f.Cancelled, Tasks: f.Tasks}, counts), 0)
+		case err == nil && known == history.Undetermined:
 			absent(now)
-		case known == history.Done && d.book.History().Unreachable(now):
+		case known == history.Done && d.book.Archive().IsUnreachable(now):
 			// Its state is certain; the counts are for display and would keep it from the user.
-			d.out.Reply(r, 200, finalAnswer(id, book.Final{Done: true}, false), 0)
+			d.out.Reply(r, 200, finalAnswer(id, book.FinalState{Done: true}, false), 0)
 		default:
 			if err != nil {
 				d.log.Info("an old job cannot be looked up", "job", id, "error", err)
--- a/internal/controller/settings/settings.go
+++ b/internal/controller/settings/settings.go
@@ -23,12 +23,12 @@
 	saving  bool           // others are on their way into the ledger
 	log     *slog.Logger
 	out     *inbox.Answers
-	ledger  *ledger.Ledger
+	ledger  *ledger.Store
 	changed func(config.Options)
 }
 
 // New makes the settings of a new leadership.
-func New(file config.Options, led *ledger.Ledger, out *inbox.Answers, log *slog.Logger) *Settings {
+func New(file config.Options, led *ledger.Store, out *inbox.Answers, log *slog.Logger) *Settings {
 	return &Settings{file: file, now: file, log: log, out: out, ledger: led, changed: func(config.Options) {}}
 }
 
@@ -106,7 +106,7 @@
 }
 
 // reserve is what the entry may come to need of its page, which it never leaves.
-func (s *Settings) reserve() int { return min(settingsReserve, s.ledger.Most(EntryName)) }
+func (s *Settings) reserve() int { return min(settingsReserve, s.ledger.MaxEntryBytes(EntryName)) }
 
 // Apply takes other settings, all or none. They count once they are durable.
 func (s *Settings) Apply(now time.Time, r *inbox.Request) {
@@ -130,7 +130,7 @@
 		s.out.Reply(r, 200, s.View(), 0)
 		return
 	}
-	if s.saving || !s.ledger.Healthy() {
+	if s.saving || !s.ledger.IsHealthy() {
 		s.out.Refuse(r, 503, "the state service does not take changes, or others are being saved", time.Second)
 		return
 	}
--- a/internal/controller/takeover/partly.go
+++ b/internal/controller/takeover/partly.go
@@ -51,7 +51,7 @@
 		room.CPUs, room.Cards = room.CPUs+cpus, room.Cards+cards
 	}
 	hidden := place.Hidden{}
-	for _, j := range t.book.Jobs {
+	for _, j := range t.book.Unfinished {
 		if j.Ours || j.State == jobs.Pending || j.Waits > 0 {
 			continue
 		}
--- a/internal/controller/takeover/takeover.go
+++ b/internal/controller/takeover/takeover.go
@@ -33,8 +33,8 @@
 	box      *outbox.Box
 	token    uint64
 	since    time.Time
-	ledger   *ledger.Ledger
-	book     *book.Book
+	ledger   *ledger.Store
+	book     *book.Store
 	settings *settings.Settings
 	fleet    *workers.Fleet
 	cloud    *fleet.Cloud
@@ -68,8 +68,8 @@
 	Platform *config.Platform
 	Token    uint64
 	Since    time.Time
-	Ledger   *ledger.Ledger
-	Book     *book.Book
+	Ledger   *ledger.Store
+	Book     *book.Store
 	Settings *settings.Settings
 	Fleet    *workers.Fleet
 	Cloud    *fleet.Cloud
@@ -126,7 +126,7 @@
 
 // Read takes the ledger over once it is loaded.
 func (t *Takeover) Read(now time.Time) {
-	if !t.built && t.ledger.Loaded() {
+	if !t.built && t.ledger.IsLoaded() {
 		t.build(now)
 	}
 }
@@ -147,7 +147,7 @@
 
 // build makes the jobs and the roster from the ledger.
 func (t *Takeover) build(now time.Time) {
-	if t.book.Damaged() || !t.book.ReadHistory() {
+	if t.book.IsArchiveUnreadable() || !t.book.OpenArchive() {
 		return
 	}
 	type chunk struct {
@@ -156,7 +156,7 @@
 		v        jobs.Chunk
 	}
 	var chunks []chunk
-	t.ledger.Each(func(name string, decode func(any) error) {
+	t.ledger.ForEach(func(name string, decode func(any) error) {
 		if id, ok := strings.CutPrefix(name, reports.RosterPrefix); ok {
 			t.enlist(id, decode)
 			return
@@ -180,12 +180,12 @@
 			chunks = append(chunks, chunk{name, id, c, v})
 			return
 		}
-		t.book.Restore(now, t.since, t.horizon.CompletedBefore(), name, decode)
+		t.book.RestoreJob(now, t.since, t.horizon.CompletedBefore(), name, decode)
 	})
 	for _, c := range chunks {
 		t.book.RestoreChunk(now, c.name, c.id, c.c, c.v)
 	}
-	t.book.Restored(now)
+	t.book.FinishRestore(now)
 	for _, m := range t.fleet.Sorted() {
 		if m.Rostered {
 			t.missing = append(t.missing, m)
@@ -193,9 +193,9 @@
 	}
 	t.built = true
 	t.placer.Changed()
-	t.first = len(t.book.Jobs)+t.book.Finished()+len(t.fleet.Machines) == 0
-	t.log.Info("ledger taken over", "token", t.token, "jobs", len(t.book.Jobs), "finals", t.book.Finished()-t.book.History().Jobs(),
-		"sealed", t.book.History().Jobs(), "runs", t.book.History().Runs(), "machines", len(t.fleet.Machines),
+	t.first = len(t.book.Unfinished)+t.book.FinishedCount()+len(t.fleet.Machines) == 0
+	t.log.Info("ledger taken over", "token", t.token, "jobs", len(t.book.Unfinished), "finals", t.book.FinishedCount()-t.book.Archive().JobCount(),
+		"sealed", t.book.Archive().JobCount(), "runs", t.book.Archive().SegmentCount(), "machines", len(t.fleet.Machines),
 		"after", now.Sub(t.since).Round(time.Millisecond))
 	t.account(now)
 }
