--- a/cmd/gullrudder/client.go
+++ b/cmd/gullrudder/client.go
@@ -204,22 +204,22 @@
 }
 
 func statusTable(w io.Writer, s node.Status) {
-	fmt.Fprintf(w, "node\t%s\nleader\t%s\n", s.Node, orDash(s.Leader))
-	if s.Token > 0 {
+	fmt.Fprintf(w, "node\t%s\nleader\t%s\n", s.Controller, orDash(s.Leader))
+	if s.FencingToken > 0 {
 		fmt.Fprintf(w, "token\t%d\nplacing\t%v\nstate service ok\t%v\njobs\t%d\njobs finished\t%d, %d runs sealed\ntasks waiting\t%d\ntasks placed\t%d\n",
-			s.Token, s.Placing, s.Healthy, s.Jobs, s.Finished, s.Runs, s.Waiting, s.Running)
+			s.FencingToken, s.Placing, s.StateServiceHealthy, s.Jobs, s.FinishedJobs, s.ArchiveSegments, s.WaitingTasks, s.PlacedTasks)
 	}
 	b := s.Budgets
-	fmt.Fprintf(w, "budgets\tstate %g/s, changes %g/s, cloud %g/s, %d connections, %g MB\n", b.StateRate, b.StateWrites, b.CloudRate, b.Connections, b.MemoryMB)
+	fmt.Fprintf(w, "budgets\tstate %g/s, changes %g/s, cloud %g/s, %d connections, %g MB\n", b.StateRequestRate, b.StateWriteRate, b.CloudRequestRate, b.Connections, b.MemoryMB)
 	if len(s.Machines) > 0 {
 		fmt.Fprintln(w, "\nMACHINE\tTYPE\tZONE\tSPOT\tSTATE\tTASKS\tCPUS")
 		for _, m := range s.Machines {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%d\t%g\n", m.ID, m.Type, m.Zone, m.Spot, m.State, m.Tasks, m.CPUs)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%d\t%g\n", m.ID, m.Type, m.Zone, m.Spot, m.State, m.Tasks, m.UsedCPUs)
 		}
 	}
-	if len(s.Took) > 0 {
+	if len(s.Latencies) > 0 {
 		fmt.Fprintln(w, "\nREQUEST\tCOUNT\tP50 MS\tP99 MS\tMAX MS")
-		for _, l := range s.Took {
+		for _, l := range s.Latencies {
 			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", l.Kind, l.Count, l.P50, l.P99, l.Max)
 		}
 	}
--- a/cmd/gullrudder/serve.go
+++ b/cmd/gullrudder/serve.go
@@ -68,7 +68,7 @@
 					}
 				}()
 			}
-			for _, w := range node.Warnings(cfg) {
+			for _, w := range node.ConfigWarnings(cfg) {
 				log.Error("settings", "warning", w)
 			}
 			log.Info("serving", "public", cfg.Public, "peers", cfg.PeerBind)
@@ -99,7 +99,7 @@
 			if err != nil {
 				return err
 			}
-			for _, w := range node.Warnings(cfg) {
+			for _, w := range node.ConfigWarnings(cfg) {
 				fmt.Fprintln(cmd.OutOrStdout(), "warning:", w)
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "ok: %s, %d other controllers, %d teams\n", cfg.Name, len(cfg.Peers), len(cfg.Teams))
--- a/internal/console/view.go
+++ b/internal/console/view.go
@@ -90,13 +90,13 @@
 // summary is the first lines of every screen.
 func (s *Snapshot) summary() []string {
 	leader, state := orDash(s.Status.Leader), "state service ok"
-	if !s.Status.Healthy {
+	if !s.Status.StateServiceHealthy {
 		state = "STATE SERVICE AWAY"
 	}
 	if leader == "-" {
 		state = "NO LEADER"
 	}
-	lines := []string{fmt.Sprintf("gullrudder  leader %s, %s   %d jobs, %d tasks wait, %d run   %s", leader, state, s.Status.Jobs, s.Status.Waiting, s.Status.Running,
+	lines := []string{fmt.Sprintf("gullrudder  leader %s, %s   %d jobs, %d tasks wait, %d run   %s", leader, state, s.Status.Jobs, s.Status.WaitingTasks, s.Status.PlacedTasks,
 		s.At.UTC().Format("15:04:05"))}
 	switch {
 	case s.Site.Draining && s.Site.Rented > 0:
--- a/internal/controller/node/node.go
+++ b/internal/controller/node/node.go
@@ -54,249 +54,249 @@
 	Calls   []outbox.Call
 }
 
-// Node is the state of a controller.
-type Node struct {
-	cfg *config.Platform
-	opt config.Options
-	log *slog.Logger
+// Controller is the state of a controller.
+type Controller struct {
+	platform *config.Platform
+	options  config.Options
+	log      *slog.Logger
 
-	teams    map[string]config.Team
-	peers    map[string]string
-	registry *prometheus.Registry
-	metrics  *timeline.Metrics
-	links    *reach.Metrics
-	election *leader.Election
-	met      bool // a leader has been heard of, or this is one
-	lead     *leadership
-	acting   bool // the leadership is entitled to act at present
-	box      outbox.Box
-	out      inbox.Answers
-	nextTick time.Time
-	watch    *latencies
+	teams       map[string]config.Team
+	peers       map[string]string
+	registry    *prometheus.Registry
+	metrics     *timeline.Metrics
+	linkMetrics *reach.Metrics
+	election    *leader.Election
+	leaderSeen  bool // a leader has been heard of, or this is one
+	leadership  *leadership
+	holdsLease  bool // the leadership is entitled to act at present
+	outbox      outbox.Box
+	responder   inbox.Answers
+	nextTick    time.Time
+	latencies   *latencyTable
 }
 
 // leadership is everything that ends with the entitlement: a slice for each duty, each with
 // state that no other writes. They are made at the election and dropped whole when it ends.
 type leadership struct {
-	token    uint64
-	ledger   *ledger.Store
-	settings *settings.Settings
-	book     *book.Store
-	fleet    *workers.Fleet
-	cloud    *fleet.Cloud
-	planner  *plan.Planner
-	placer   *place.Placer
-	rental   *rental.Desk
-	clerk    *reports.Clerk
-	takeover *takeover.Takeover
-	zones    *zones.Book
-	times    *timeline.Log
-	requests *requests.Desk
-	nextLook time.Time // for leases that have ended
-	nextTime time.Time // for the causes that jobs wait for
+	fencingToken    uint64
+	storage         *ledger.Store
+	dynamicConfig   *settings.Settings
+	jobStore        *book.Store
+	workers         *workers.Fleet
+	cloud           *fleet.Cloud
+	planner         *plan.Planner
+	placer          *place.Placer
+	autoscaler      *rental.Desk
+	heartbeats      *reports.Clerk
+	failover        *takeover.Reconciler
+	zones           *zones.Book
+	accounting      *timeline.Log
+	api             *requests.Desk
+	nextExpiryCheck time.Time // for leases that have ended
+	nextWaitReasons time.Time // for the causes that jobs wait for
 }
 
-// tickEvery is how often the owner looks at what is due.
-const tickEvery = 50 * time.Millisecond
+// tickInterval is how often the owner looks at what is due.
+const tickInterval = 50 * time.Millisecond
 
 // New makes the state of a process that has just started.
-func New(cfg *config.Platform, opt config.Options, now time.Time, rng *rand.Rand, log *slog.Logger) *Node {
-	n := &Node{cfg: cfg, opt: opt, log: log, out: inbox.Answers{Log: log}, teams: cfg.TeamsByName(), peers: map[string]string{}, registry: prometheus.NewRegistry(), watch: newLatencies()}
+func New(platform *config.Platform, options config.Options, now time.Time, rng *rand.Rand, log *slog.Logger) *Controller {
+	n := &Controller{platform: platform, options: options, log: log, responder: inbox.Answers{Log: log}, teams: platform.TeamsByName(), peers: map[string]string{}, registry: prometheus.NewRegistry(), latencies: newLatencyTable()}
 	n.metrics = timeline.NewMetrics(n.registry)
-	n.links = reach.NewMetrics(n.registry)
+	n.linkMetrics = reach.NewMetrics(n.registry)
 	var peers []leader.Peer
-	for _, p := range cfg.Peers {
-		peers = append(peers, leader.Peer{Name: p.Name, Addr: p.Addr})
-		n.peers[p.Name] = p.Addr
+	for _, peer := range platform.Peers {
+		peers = append(peers, leader.Peer{Name: peer.Name, Addr: peer.Addr})
+		n.peers[peer.Name] = peer.Addr
 	}
-	n.election = leader.New(leader.Options{Name: cfg.Name, Peers: peers, LeaseDuration: opt.LeaderLease,
-		GrantDuration: opt.Promise, SafetyMargin: 100 * time.Millisecond, HeartbeatInterval: cfg.ReportEvery,
-		RenewalWindow: horizon.Window(cfg.CancelWithin, workers.LeaseEnd(cfg.WorkerLease))}, now, rng, log)
+	n.election = leader.New(leader.Options{Name: platform.Name, Peers: peers, LeaseDuration: options.LeaderLease,
+		GrantDuration: options.Promise, SafetyMargin: 100 * time.Millisecond, HeartbeatInterval: platform.ReportEvery,
+		RenewalWindow: horizon.Window(platform.CancelWithin, workers.LeaseEnd(platform.WorkerLease))}, now, rng, log)
 	return n
 }
 
 // Step works through a batch of commands.
-func (n *Node) Step(now time.Time, commands []Command) Effects {
-	n.turn(now)
-	for _, c := range commands {
-		if c.Outcome != nil {
-			c.Outcome.Call.Done(now, c.Outcome.Result)
-			n.turn(now)
+func (n *Controller) Step(now time.Time, commands []Command) Effects {
+	n.followElection(now)
+	for _, command := range commands {
+		if command.Outcome != nil {
+			command.Outcome.Call.Done(now, command.Outcome.Result)
+			n.followElection(now)
 		}
 	}
-	for _, c := range commands {
-		if c.Request != nil {
-			n.request(now, c.Request)
+	for _, command := range commands {
+		if command.Request != nil {
+			n.route(now, command.Request)
 		}
 	}
 	if !now.Before(n.nextTick) {
-		n.nextTick = now.Add(tickEvery)
-		n.election.Tick(now, &n.box)
-		n.turn(now)
-		if n.acting {
+		n.nextTick = now.Add(tickInterval)
+		n.election.Tick(now, &n.outbox)
+		n.followElection(now)
+		if n.holdsLease {
 			n.tick(now)
 		}
 	}
-	if l := n.lead; l != nil {
-		if n.acting {
-			l.clerk.Answer(now, l.takeover.Starting())
-			l.ledger.Flush(now, &n.box)
+	if l := n.leadership; l != nil {
+		if n.holdsLease {
+			l.heartbeats.Answer(now, l.failover.CanStartTasks())
+			l.storage.Flush(now, &n.outbox)
 		} else {
-			l.clerk.TurnAway()
-			l.times.Away(now)
+			l.heartbeats.TurnAway()
+			l.accounting.Away(now)
 		}
 	}
-	return Effects{Replies: n.out.Take(), Calls: n.box.Take()}
+	return Effects{Replies: n.responder.Take(), Calls: n.outbox.Take()}
 }
 
-// turn makes the leadership's state follow the election.
-func (n *Node) turn(now time.Time) {
-	if n.lead != nil && n.lead.ledger.IsFenced() {
-		n.election.StepDown(now, &n.box, "another leader has written")
+// followElection makes the leadership's state follow the election.
+func (n *Controller) followElection(now time.Time) {
+	if n.leadership != nil && n.leadership.storage.IsFenced() {
+		n.election.StepDown(now, &n.outbox, "another leader has written")
 	}
 	// While a renewal is late the state is kept and nothing is done. It is never built anew
 	// under the same token: its counter would give out numbers for the second time.
-	if n.lead != nil && (!n.election.IsLeader() || n.lead.token != n.election.FencingToken()) {
-		n.resign()
+	if n.leadership != nil && (!n.election.IsLeader() || n.leadership.fencingToken != n.election.FencingToken()) {
+		n.endLeadership()
 	}
-	n.acting = n.election.HoldsLease(now)
-	if n.lead == nil && n.acting {
-		n.takeOver(now)
+	n.holdsLease = n.election.HoldsLease(now)
+	if n.leadership == nil && n.holdsLease {
+		n.beginLeadership(now)
 	}
 }
 
-// resign drops everything that belonged to the leadership. Whoever still waits is told
+// endLeadership drops everything that belonged to the leadership. Whoever still waits is told
 // to come back.
-func (n *Node) resign() {
-	l := n.lead
-	n.lead = nil
-	l.ledger.Close()
+func (n *Controller) endLeadership() {
+	l := n.leadership
+	n.leadership = nil
+	l.storage.Close()
 	l.cloud.Close()
-	l.takeover.Close()
-	l.times.End()
-	l.clerk.TurnAway()
+	l.failover.Close()
+	l.accounting.End()
+	l.heartbeats.TurnAway()
 }
 
-// request routes what came in.
-func (n *Node) request(now time.Time, r *inbox.Request) {
-	path, _, _ := strings.Cut(r.Target, "?")
-	parts := strings.Split(strings.TrimPrefix(path, "/"), "/")
+// route routes what came in.
+func (n *Controller) route(now time.Time, request *inbox.Request) {
+	path, _, _ := strings.Cut(request.Target, "?")
+	segments := strings.Split(strings.TrimPrefix(path, "/"), "/")
 	switch {
 	case path == "/ready":
-		n.only(r, "GET", func() { n.ready(now, r) })
+		n.requireMethod(request, "GET", func() { n.handleReady(now, request) })
 	case path == "/status":
-		n.only(r, "GET", func() { n.status(now, r) })
-	case path == "/v1/report" && !r.Peer:
-		n.only(r, "POST", func() { n.report(now, r) })
-	case path == "/settings" && r.Method == "GET":
-		n.user(now, r, func() { n.lead.settings.Show(now, r) })
+		n.requireMethod(request, "GET", func() { n.handleStatus(now, request) })
+	case path == "/v1/report" && !request.Peer:
+		n.requireMethod(request, "POST", func() { n.handleHeartbeat(now, request) })
+	case path == "/settings" && request.Method == "GET":
+		n.serveOrForward(now, request, func() { n.leadership.dynamicConfig.Show(now, request) })
 	case path == "/settings":
-		n.only(r, "POST", func() { n.user(now, r, func() { n.lead.settings.Apply(now, r) }) })
-	case requests.Method(parts) != "":
-		n.only(r, requests.Method(parts), func() { n.user(now, r, func() { n.lead.requests.Serve(now, r, parts) }) })
-	case path == "/peer/hello" && r.Peer:
-		n.only(r, "POST", func() { n.hello(now, r) })
-	case path == "/peer/inquiry" && r.Peer:
-		n.only(r, "POST", func() { n.out.Reply(r, 200, n.election.HandleVoteQuery(now), 0) })
+		n.requireMethod(request, "POST", func() { n.serveOrForward(now, request, func() { n.leadership.dynamicConfig.Apply(now, request) }) })
+	case requests.Method(segments) != "":
+		n.requireMethod(request, requests.Method(segments), func() { n.serveOrForward(now, request, func() { n.leadership.api.Serve(now, request, segments) }) })
+	case path == "/peer/hello" && request.Peer:
+		n.requireMethod(request, "POST", func() { n.handlePing(now, request) })
+	case path == "/peer/inquiry" && request.Peer:
+		n.requireMethod(request, "POST", func() { n.responder.Reply(request, 200, n.election.HandleVoteQuery(now), 0) })
 	default:
-		n.out.Refuse(r, 404, "no such path", 0)
+		n.responder.Refuse(request, 404, "no such path", 0)
 	}
 }
 
-// report hands a machine's report to the clerk. Who is not entitled to act tells it where to go.
-func (n *Node) report(now time.Time, r *inbox.Request) {
-	hearing := n.election.Connectivity()
-	if !n.acting {
+// handleHeartbeat hands a machine's report to the clerk. Who is not entitled to act tells it where to go.
+func (n *Controller) handleHeartbeat(now time.Time, request *inbox.Request) {
+	connectivity := n.election.Connectivity()
+	if !n.holdsLease {
 		// That the worker came here is what the leader has to know.
-		if c, ok := workers.CallerIn(r.Body); ok {
-			hearing.RecordWorkerContact(now, c.Machine, c.Session, c.Seq)
+		if caller, ok := workers.CallerIn(request.Body); ok {
+			connectivity.RecordWorkerContact(now, caller.Machine, caller.Session, caller.Seq)
 		}
-		to := n.election.Leader(now)
-		if hearing.RedirectsSuspended(now) {
-			to = "" // the leader would not hear it
+		redirectTo := n.election.Leader(now)
+		if connectivity.RedirectsSuspended(now) {
+			redirectTo = "" // the leader would not hear it
 		}
-		n.out.Reply(r, 421, workers.Elsewhere{Leader: to}, 0)
+		n.responder.Reply(request, 421, workers.Elsewhere{Leader: redirectTo}, 0)
 		return
 	}
-	if !n.lead.takeover.MayRenew(now) {
-		n.out.Refuse(r, 503, "the ledger is not read", 0)
+	if !n.leadership.failover.CanRenewLeases(now) {
+		n.responder.Refuse(request, 503, "the ledger is not read", 0)
 		return
 	}
-	if n.lead.clerk.Report(now, r, n.lead.takeover.Built()) {
-		hearing.RecordHeartbeat(now)
+	if n.leadership.heartbeats.Report(now, request, n.leadership.failover.StateLoaded()) {
+		connectivity.RecordHeartbeat(now)
 	}
 }
 
-func (n *Node) only(r *inbox.Request, method string, f func()) {
-	if r.Method != method {
-		n.out.Refuse(r, 405, "wrong method", 0)
+func (n *Controller) requireMethod(request *inbox.Request, method string, handle func()) {
+	if request.Method != method {
+		n.responder.Refuse(request, 405, "wrong method", 0)
 		return
 	}
-	f()
+	handle()
 }
 
-func (n *Node) hello(now time.Time, r *inbox.Request) {
-	var h leader.PingRequest
-	if err := packed.Unmarshal(r.Body, &h); err != nil || n.peers[h.Name] == "" {
-		n.out.Refuse(r, 400, "no greeting of a known controller", 0)
+func (n *Controller) handlePing(now time.Time, request *inbox.Request) {
+	var ping leader.PingRequest
+	if err := packed.Unmarshal(request.Body, &ping); err != nil || n.peers[ping.Name] == "" {
+		n.responder.Refuse(request, 400, "no greeting of a known controller", 0)
 		return
 	}
-	n.met = true
-	n.out.Reply(r, 200, n.election.HandlePing(now, h), 0)
+	n.leaderSeen = true
+	n.responder.Reply(request, 200, n.election.HandlePing(now, ping), 0)
 }
 
-func (n *Node) ready(now time.Time, r *inbox.Request) {
-	if n.acting {
-		n.met = true
+func (n *Controller) handleReady(now time.Time, request *inbox.Request) {
+	if n.holdsLease {
+		n.leaderSeen = true
 	}
-	if !n.met {
-		n.out.Refuse(r, 503, "no leader known yet", 0)
+	if !n.leaderSeen {
+		n.responder.Refuse(request, 503, "no leader known yet", 0)
 		return
 	}
 	if n.election.IsIsolated(now) {
 		// Users who are sent here are all refused until it is over, and others would serve them.
-		n.out.Refuse(r, 503, "cut off from the state service and the other controllers", 0)
+		n.responder.Refuse(request, 503, "cut off from the state service and the other controllers", 0)
 		return
 	}
-	n.out.Reply(r, 200, map[string]bool{"ready": true}, 0)
+	n.responder.Reply(request, 200, map[string]bool{"ready": true}, 0)
 }
 
 // tick does the leader's regular work, duty by duty.
-func (n *Node) tick(now time.Time) {
-	l := n.lead
-	l.cloud.Tick(now, &n.box)
-	if !l.takeover.Built() {
-		l.takeover.Read(now)
+func (n *Controller) tick(now time.Time) {
+	l := n.leadership
+	l.cloud.Tick(now, &n.outbox)
+	if !l.failover.StateLoaded() {
+		l.failover.LoadState(now)
 		return
 	}
-	l.book.Tick(now, &n.box)
-	oldest, known := l.book.CancellationsCompletedBefore(now)
+	l.jobStore.Tick(now, &n.outbox)
+	oldest, known := l.jobStore.CancellationsCompletedBefore(now)
 	n.election.SetOldestCancellation(now, oldest, known)
-	l.clerk.TakeGone(now)
-	if !now.Before(l.nextLook) {
-		l.nextLook = now.Add(200 * time.Millisecond)
-		l.clerk.Expire(now)
+	l.heartbeats.TakeGone(now)
+	if !now.Before(l.nextExpiryCheck) {
+		l.nextExpiryCheck = now.Add(200 * time.Millisecond)
+		l.heartbeats.Expire(now)
 	}
-	n.election.Connectivity().Tick(now, l.takeover.Expected(), l.takeover.Overdue())
-	l.takeover.Tick(now, tickEvery)
-	l.zones.Look(now, n.election.Connectivity().SuspectsPartition(now), func(take func(zones.Machine)) { l.inZones(now, take) })
-	placing := l.takeover.Placing()
-	if !now.Before(l.nextTime) {
-		l.nextTime = now.Add(n.lookEvery(l.times.Open()))
-		l.times.Look(now, timeline.View{Placing: placing, Healthy: l.ledger.IsHealthy(), Teams: n.teams, Fleet: l.fleet, Cloud: l.cloud, Order: l.placer.Last()})
+	n.election.Connectivity().Tick(now, l.failover.ExpectedHeartbeats(), l.failover.OverdueHeartbeats())
+	l.failover.Tick(now, tickInterval)
+	l.zones.Look(now, n.election.Connectivity().SuspectsPartition(now), func(take func(zones.Machine)) { l.visitZoneMachines(now, take) })
+	placing := l.failover.Completed()
+	if !now.Before(l.nextWaitReasons) {
+		l.nextWaitReasons = now.Add(n.waitReasonsInterval(l.accounting.Open()))
+		l.accounting.Look(now, timeline.View{Placing: placing, Healthy: l.storage.IsHealthy(), Teams: n.teams, Fleet: l.workers, Cloud: l.cloud, Order: l.placer.Last()})
 	}
-	l.book.Save(now, placing)
-	l.planner.Floor().Save(now, l.ledger, n.log)
+	l.jobStore.Save(now, placing)
+	l.planner.Floor().Save(now, l.storage, n.log)
 	l.placer.Tick(now, placing)
 	if placing {
-		l.rental.Tick(now)
+		l.autoscaler.Tick(now)
 	}
 }
 
-// inZones shows the zones' book every machine. Of one that only an earlier leader has heard the cloud knows
+// visitZoneMachines shows the zones' book every machine. Of one that only an earlier leader has heard the cloud knows
 // the zone.
-func (l *leadership) inZones(now time.Time, take func(zones.Machine)) {
-	for id, m := range l.fleet.Machines {
+func (l *leadership) visitZoneMachines(now time.Time, visit func(zones.Machine)) {
+	for id, m := range l.workers.Machines {
 		zone := m.Zone
 		if h := l.cloud.Hosts[id]; zone == "" && h != nil {
 			zone = h.Kind.Zone
@@ -304,7 +304,7 @@
 		if zone == "" {
 			continue
 		}
-		take(zones.Machine{Zone: zone, Up: m.Up, Live: (m.Up || m.Rostered) && !l.fleet.Expired(now, m), Heard: m.Heard,
+		visit(zones.Machine{Zone: zone, Up: m.Up, Live: (m.Up || m.Rostered) && !l.workers.Expired(now, m), Heard: m.Heard,
 			Leaving: m.Draining == workers.Silent || m.Draining == workers.Returned, Ear: m.Ear})
 	}
 }
@@ -312,75 +312,75 @@
 // lookShare is how much of the processor's share may go into seeing what jobs wait for, and
 // lookCost what it takes for a job (measured: BenchmarkLook).
 const (
-	lookShare = 0.02
-	lookCost  = 150 * time.Nanosecond
+	waitReasonsCPUShare   = 0.02
+	waitReasonsCostPerJob = 150 * time.Nanosecond
 )
 
-// lookEvery is how often it is seen what jobs wait for: twice a second, and more seldom the more
+// waitReasonsInterval is how often it is seen what jobs wait for: twice a second, and more seldom the more
 // jobs there are.
-func (n *Node) lookEvery(open int) time.Duration {
-	return max(500*time.Millisecond, time.Duration(float64(open)*float64(lookCost)/(lookShare*n.cfg.CPUShare)))
+func (n *Controller) waitReasonsInterval(openJobs int) time.Duration {
+	return max(500*time.Millisecond, time.Duration(float64(openJobs)*float64(waitReasonsCostPerJob)/(waitReasonsCPUShare*n.platform.CPUShare)))
 }
 
-// Acts says whether this controller is entitled to act, and whether it places: an entitlement is of
+// LeadershipState says whether this controller is entitled to act, and whether it places: an entitlement is of
 // little use to anybody before the ledger is read and the machines are accounted for.
-func (n *Node) Acts(now time.Time) (acting, placing bool) {
-	acting = n.lead != nil && n.election.HoldsLease(now) && n.lead.takeover.Built()
-	return acting, acting && n.lead.takeover.Placing()
+func (n *Controller) LeadershipState(now time.Time) (leading, placing bool) {
+	leading = n.leadership != nil && n.election.HoldsLease(now) && n.leadership.failover.StateLoaded()
+	return leading, leading && n.leadership.failover.Completed()
 }
 
 // Registry has the controller's figures; it is safe to read at any time.
-func (n *Node) Registry() *prometheus.Registry { return n.registry }
+func (n *Controller) Registry() *prometheus.Registry { return n.registry }
 
-// takeOver begins a leadership with nothing but the ledger to come.
-func (n *Node) takeOver(now time.Time) {
-	n.lead = n.newLeadership(now, n.election.FencingToken())
-	n.lead.ledger.Load(&n.box)
+// beginLeadership begins a leadership with nothing but the ledger to come.
+func (n *Controller) beginLeadership(now time.Time) {
+	n.leadership = n.newLeadership(now, n.election.FencingToken())
+	n.leadership.storage.Load(&n.outbox)
 }
 
 // newLeadership makes the slices and introduces them to one another.
-func (n *Node) newLeadership(now time.Time, token uint64) *leadership {
-	l := &leadership{token: token}
-	l.ledger = ledger.New(ledger.Options{LeaderKey: leader.LeaderKey, ValueBytes: n.cfg.ValueBytes, TxnOps: n.cfg.TxnOps,
-		WriteRate: n.cfg.StateWrites, BatchDelay: 500 * time.Millisecond}, token, n.log)
-	l.settings = settings.New(n.opt, l.ledger, &n.out, n.log)
-	opt := l.settings.Options()
-	l.cloud = fleet.New(token, n.cfg.CloudRate, n.cfg.ListLag, n.log)
-	l.fleet = workers.NewFleet(workers.LeaseEnd(n.cfg.WorkerLease), n.log)
-	l.planner = plan.New(n.opt, n.cfg)
-	l.times = timeline.New(n.metrics, n.log)
-	l.zones = zones.New(n.cfg.ReportEvery, now, n.log)
-	slow := pace.New(n.cfg.ReportEvery)
-	links := reach.New(token, n.cfg.WorkerLease, n.links, n.log)
-	blamed := blame.New()
-	l.book = book.New(book.Components{Platform: n.cfg, Options: opt, Storage: l.ledger, Workers: l.fleet, Accounting: l.times, Log: n.log})
-	l.placer = place.NewPlacer(place.World{Platform: n.cfg, Token: token, Jobs: l.book.Unfinished, Fleet: l.fleet, Planner: l.planner,
-		Room: func(now time.Time) plan.Room { return l.rental.Room(now) }, Box: &n.box, Log: n.log})
-	l.rental = rental.NewDesk(rental.World{Platform: n.cfg, Options: opt, Token: token, Since: now, First: func() bool { return l.takeover.First() },
-		Cloud: l.cloud, Fleet: l.fleet, Planner: l.planner, Placer: l.placer, Pace: slow, Zones: l.zones, Box: &n.box, Log: n.log})
-	l.clerk = reports.NewClerk(reports.World{Platform: n.cfg, Token: token, Ledger: l.ledger, Book: l.book, Fleet: l.fleet, Cloud: l.cloud,
-		Planner: l.planner, Placer: l.placer, Times: l.times, Pace: slow, Blame: blamed, Reach: links, Answers: &n.out, Log: n.log})
-	l.takeover = takeover.New(takeover.World{Platform: n.cfg, Token: token, Since: now, Ledger: l.ledger, Book: l.book, Settings: l.settings,
-		Fleet: l.fleet, Cloud: l.cloud, Clerk: l.clerk, Placer: l.placer, Floor: l.planner.Floor(), Zones: l.zones, Reach: links, Hearing: n.election.Connectivity(), Horizon: n.election.RenewalLimit(), Box: &n.box, Log: n.log})
-	l.requests = requests.NewDesk(requests.World{Platform: n.cfg, Options: opt, Ledger: l.ledger, Book: l.book, Fleet: l.fleet, Cloud: l.cloud,
-		Planner: l.planner, Placer: l.placer, Rental: l.rental, Takeover: l.takeover, Times: l.times, Blame: blamed, Zones: l.zones,
-		Acting: func() bool { return n.lead == l && n.acting }, Answers: &n.out, Box: &n.box, Log: n.log})
-	l.book.OnOrderChange(l.placer.Changed)
-	l.book.OnDone(func(now time.Time, j *jobs.Job) {
-		l.rental.Ended(now, j)
-		l.planner.Floor().Done(now, j)
-		l.clerk.Over(j)
+func (n *Controller) newLeadership(now time.Time, fencingToken uint64) *leadership {
+	l := &leadership{fencingToken: fencingToken}
+	l.storage = ledger.New(ledger.Options{LeaderKey: leader.LeaderKey, ValueBytes: n.platform.ValueBytes, TxnOps: n.platform.TxnOps,
+		WriteRate: n.platform.StateWrites, BatchDelay: 500 * time.Millisecond}, fencingToken, n.log)
+	l.dynamicConfig = settings.New(n.options, l.storage, &n.responder, n.log)
+	options := l.dynamicConfig.Options()
+	l.cloud = fleet.New(fencingToken, n.platform.CloudRate, n.platform.ListLag, n.log)
+	l.workers = workers.NewFleet(workers.LeaseEnd(n.platform.WorkerLease), n.log)
+	l.planner = plan.New(n.options, n.platform)
+	l.accounting = timeline.New(n.metrics, n.log)
+	l.zones = zones.New(n.platform.ReportEvery, now, n.log)
+	stragglers := pace.New(n.platform.ReportEvery)
+	machineLinks := reach.New(fencingToken, n.platform.WorkerLease, n.linkMetrics, n.log)
+	failureHistory := blame.New()
+	l.jobStore = book.New(book.Components{Platform: n.platform, Options: options, Storage: l.storage, Workers: l.workers, Accounting: l.accounting, Log: n.log})
+	l.placer = place.NewPlacer(place.World{Platform: n.platform, Token: fencingToken, Jobs: l.jobStore.Unfinished, Fleet: l.workers, Planner: l.planner,
+		Room: func(now time.Time) plan.Room { return l.autoscaler.Room(now) }, Box: &n.outbox, Log: n.log})
+	l.autoscaler = rental.NewDesk(rental.World{Platform: n.platform, Options: options, Token: fencingToken, Since: now, First: func() bool { return l.failover.IsFirstLeader() },
+		Cloud: l.cloud, Fleet: l.workers, Planner: l.planner, Placer: l.placer, Pace: stragglers, Zones: l.zones, Box: &n.outbox, Log: n.log})
+	l.heartbeats = reports.NewClerk(reports.World{Platform: n.platform, Token: fencingToken, Ledger: l.storage, Book: l.jobStore, Fleet: l.workers, Cloud: l.cloud,
+		Planner: l.planner, Placer: l.placer, Times: l.accounting, Pace: stragglers, Blame: failureHistory, Reach: machineLinks, Answers: &n.responder, Log: n.log})
+	l.failover = takeover.New(takeover.Components{Platform: n.platform, FencingToken: fencingToken, ElectedAt: now, Storage: l.storage, JobStore: l.jobStore, DynamicConfig: l.dynamicConfig,
+		Workers: l.workers, Cloud: l.cloud, Heartbeats: l.heartbeats, Placer: l.placer, FairShare: l.planner.Floor(), Zones: l.zones, Reachability: machineLinks, Connectivity: n.election.Connectivity(), RenewalLimit: n.election.RenewalLimit(), Outbox: &n.outbox, Log: n.log})
+	l.api = requests.NewDesk(requests.World{Platform: n.platform, Options: options, Ledger: l.storage, Book: l.jobStore, Fleet: l.workers, Cloud: l.cloud,
+		Planner: l.planner, Placer: l.placer, Rental: l.autoscaler, Takeover: l.failover, Times: l.accounting, Blame: failureHistory, Zones: l.zones,
+		Acting: func() bool { return n.leadership == l && n.holdsLease }, Answers: &n.responder, Box: &n.outbox, Log: n.log})
+	l.jobStore.OnOrderChange(l.placer.Changed)
+	l.jobStore.OnDone(func(now time.Time, job *jobs.Job) {
+		l.autoscaler.Ended(now, job)
+		l.planner.Floor().Done(now, job)
+		l.heartbeats.Over(job)
 	})
-	l.book.OnWaiting(func(j *jobs.Job) {
-		l.book.DependencyGraph().Hurry(j, l.planner.PerTask, 2*n.cfg.ReportEvery, j.Guaranteed)
+	l.jobStore.OnWaiting(func(job *jobs.Job) {
+		l.jobStore.DependencyGraph().Hurry(job, l.planner.PerTask, 2*n.platform.ReportEvery, job.Guaranteed)
 	})
-	l.book.OnReady(func(now time.Time, j *jobs.Job) {
+	l.jobStore.OnReady(func(now time.Time, job *jobs.Job) {
 		l.placer.Changed()
-		l.rental.Accepted(now, j)
+		l.autoscaler.Accepted(now, job)
 	})
-	l.settings.OnChange(func(opt config.Options) {
-		l.planner.Tune(opt)
-		l.book.SetOptions(opt)
+	l.dynamicConfig.OnChange(func(options config.Options) {
+		l.planner.Tune(options)
+		l.jobStore.SetOptions(options)
 		l.placer.Changed()
 	})
 	return l
--- a/internal/controller/node/run.go
+++ b/internal/controller/node/run.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	queueLength = 4096
-	batch       = 128
+	commandQueueLength = 4096
+	maxBatch           = 128
 )
 
-type arrived struct {
+type receivedRequest struct {
 	*httpwire.Request
-	at time.Time
+	receivedAt time.Time
 }
 
 // Runtime connects a node with the clock and the network.
 type Runtime struct {
-	node *Node
-	cfg  *config.Platform
-	log  *slog.Logger
+	controller *Controller
+	platform   *config.Platform
+	log        *slog.Logger
 	// Answers to our calls, the renewal's among them, do not queue behind requests.
 	queue    chan Command
 	outcomes chan Command
@@ -35,33 +35,33 @@
 }
 
 // NewRuntime makes the runtime of a node.
-func NewRuntime(n *Node, cfg *config.Platform, log *slog.Logger) *Runtime {
+func NewRuntime(n *Controller, platform *config.Platform, log *slog.Logger) *Runtime {
 	// The server has three quarters of the sockets. Each far side has a part of the rest, so
 	// that no bulk work leaves the renewal or the other controllers without one. Questions to
 	// workers are asked once: their connections are not kept.
-	share := max(cfg.Connections/12, 4)
-	return &Runtime{node: n, cfg: cfg, log: log, queue: make(chan Command, queueLength), outcomes: make(chan Command, queueLength),
+	socketsPerService := max(platform.Connections/12, 4)
+	return &Runtime{controller: n, platform: platform, log: log, queue: make(chan Command, commandQueueLength), outcomes: make(chan Command, commandQueueLength),
 		clients: map[outbox.Service]*httpwire.Client{
-			outbox.State:  httpwire.NewClient(max(share/4, 4), 4, largest),
-			outbox.Cloud:  httpwire.NewClient(max(share/4, 4), 4, largest),
-			outbox.Peer:   httpwire.NewClient(share, 8, largest),
-			outbox.Worker: httpwire.NewClient(share, 0, largest),
+			outbox.State:  httpwire.NewClient(max(socketsPerService/4, 4), 4, maxResponseBytes),
+			outbox.Cloud:  httpwire.NewClient(max(socketsPerService/4, 4), 4, maxResponseBytes),
+			outbox.Peer:   httpwire.NewClient(socketsPerService, 8, maxResponseBytes),
+			outbox.Worker: httpwire.NewClient(socketsPerService, 0, maxResponseBytes),
 		}}
 }
 
-// largest bounds the answers that are read: the cloud's lists and the ledger's pages.
-const largest = 16 << 20
+// maxResponseBytes bounds the answers that are read: the cloud's lists and the ledger's pages.
+const maxResponseBytes = 16 << 20
 
 // Serve runs the node for ever.
 func (rt *Runtime) Serve() {
 	// The collector runs seldom as long as there is memory: it takes from the same processor.
 	// Two fifths of the memory that is ours are left to what the collector does not count.
 	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(int64(rt.cfg.MemoryMB * 0.6 * (1 << 20)))
+	debug.SetMemoryLimit(int64(rt.platform.MemoryMB * 0.6 * (1 << 20)))
 	go rt.listen()
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	commands := make([]Command, 0, batch)
+	commands := make([]Command, 0, maxBatch)
 	for {
 		commands = commands[:0]
 		select {
@@ -73,13 +73,13 @@
 		}
 		commands = drain(rt.outcomes, commands)
 		commands = drain(rt.queue, commands)
-		rt.carryOut(rt.node.Step(time.Now(), commands))
+		rt.execute(rt.controller.Step(time.Now(), commands))
 	}
 }
 
 // drain takes what waits in a queue, up to a whole batch.
 func drain(queue <-chan Command, commands []Command) []Command {
-	for len(commands) < batch {
+	for len(commands) < maxBatch {
 		select {
 		case c := <-queue:
 			commands = append(commands, c)
@@ -91,8 +91,8 @@
 }
 
 func (rt *Runtime) listen() {
-	server := httpwire.NewServer(httpwire.ServerOptions{Public: rt.cfg.Public, Peer: rt.cfg.PeerBind,
-		MaxConns: max(rt.cfg.Connections*3/4, 8), Idle: 75 * time.Second, Slow: 10 * time.Second,
+	server := httpwire.NewServer(httpwire.ServerOptions{Public: rt.platform.Public, Peer: rt.platform.PeerBind,
+		MaxConns: max(rt.platform.Connections*3/4, 8), Idle: 75 * time.Second, Slow: 10 * time.Second,
 		Handle: rt.handle})
 	for {
 		err := server.Run()
@@ -103,17 +103,17 @@
 
 func (rt *Runtime) handle(r *httpwire.Request) {
 	select {
-	case rt.queue <- Command{Request: &inbox.Request{Ref: arrived{r, time.Now()}, Peer: r.Peer, Method: r.Method, Target: r.Target, Body: r.Body}}:
+	case rt.queue <- Command{Request: &inbox.Request{Ref: receivedRequest{r, time.Now()}, Peer: r.Peer, Method: r.Method, Target: r.Target, Body: r.Body}}:
 	default:
 		r.Reply(503, nil, time.Second)
 	}
 }
 
-func (rt *Runtime) carryOut(e Effects) {
+func (rt *Runtime) execute(e Effects) {
 	for _, r := range e.Replies {
-		if a, ok := r.Ref.(arrived); ok {
-			a.Reply(r.Status, r.Body, r.Retry)
-			rt.node.Took(kindOfRequest(a.Method, a.Target, r.Status), time.Since(a.at))
+		if received, ok := r.Ref.(receivedRequest); ok {
+			received.Reply(r.Status, r.Body, r.Retry)
+			rt.controller.RecordLatency(requestKind(received.Method, received.Target, r.Status), time.Since(received.receivedAt))
 		}
 	}
 	for _, c := range e.Calls {
@@ -121,9 +121,9 @@
 	}
 }
 
-// kindOfRequest groups requests for the latency table; what was not understood is one
+// requestKind groups requests for the latency table; what was not understood is one
 // group, so that strangers cannot make the table grow.
-func kindOfRequest(method, target string, status int) string {
+func requestKind(method, target string, status int) string {
 	if status == 404 || status == 405 {
 		return "other"
 	}
@@ -139,26 +139,26 @@
 	rt.outcomes <- Command{Outcome: &Outcome{Call: c, Result: rt.exchange(c)}}
 }
 
-func (rt *Runtime) exchange(c outbox.Call) outbox.Result {
-	addr := c.Addr
-	switch c.Service {
+func (rt *Runtime) exchange(call outbox.Call) outbox.Result {
+	address := call.Addr
+	switch call.Service {
 	case outbox.State:
-		addr = rt.cfg.StateAddr
+		address = rt.platform.StateAddr
 	case outbox.Cloud:
-		addr = rt.cfg.CloudAddr
+		address = rt.platform.CloudAddr
 	}
-	body, ok := Raw(c.Body)
-	if !ok && c.Body != nil {
+	body, ok := ForwardedBody(call.Body)
+	if !ok && call.Body != nil {
 		var err error
-		if body, err = packed.Marshal(c.Body); err != nil {
-			rt.log.Error("a request cannot be encoded", "path", c.Path, "error", err)
+		if body, err = packed.Marshal(call.Body); err != nil {
+			rt.log.Error("a request cannot be encoded", "path", call.Path, "error", err)
 			return outbox.Result{Err: err}
 		}
 	}
-	msg, err := rt.clients[c.Service].Do(addr, c.Method, c.Path, body, c.Timeout)
+	response, err := rt.clients[call.Service].Do(address, call.Method, call.Path, body, call.Timeout)
 	if err != nil {
 		rt.log.Debug("a call failed", "error", err)
 		return outbox.Result{Err: err}
 	}
-	return outbox.Result{Status: msg.Status, Body: msg.Body, RetryAfter: msg.RetryAfter}
+	return outbox.Result{Status: response.Status, Body: response.Body, RetryAfter: response.RetryAfter}
 }
--- a/internal/controller/node/status.go
+++ b/internal/controller/node/status.go
@@ -10,26 +10,28 @@
 	"gullrudder/internal/wire/inbox"
 )
 
-// latencies keeps how long this node took to answer, per kind of request.
-type latencies struct {
-	byKind map[string]*hdrhistogram.Histogram
+// latencyTable keeps how long this node took to answer, per kind of request.
+type latencyTable struct {
+	byRequestKind map[string]*hdrhistogram.Histogram
 }
 
-func newLatencies() *latencies { return &latencies{map[string]*hdrhistogram.Histogram{}} }
+func newLatencyTable() *latencyTable { return &latencyTable{map[string]*hdrhistogram.Histogram{}} }
 
-func (l *latencies) add(kind string, d time.Duration) {
-	h := l.byKind[kind]
+func (l *latencyTable) record(kind string, duration time.Duration) {
+	h := l.byRequestKind[kind]
 	if h == nil {
 		h = hdrhistogram.New(1, 60_000, 2)
-		l.byKind[kind] = h
+		l.byRequestKind[kind] = h
 	}
-	if err := h.RecordValue(min(max(d.Milliseconds(), 1), 60_000)); err != nil {
+	if err := h.RecordValue(min(max(duration.Milliseconds(), 1), 60_000)); err != nil {
 		return
 	}
 }
 
-// Took records the latency of an answered request, in milliseconds.
-func (n *Node) Took(kind string, d time.Duration) { n.watch.add(kind, d) }
+// RecordLatency records the latency of an answered request, in milliseconds.
+func (n *Controller) RecordLatency(kind string, duration time.Duration) {
+	n.latencies.record(kind, duration)
+}
 
 // Latency is one line of the latency table.
 type Latency struct {
@@ -40,78 +42,78 @@
 	Max   int64  `msgpack:"max_ms" json:"max_ms"`
 }
 
-// HostStatus is one machine in the status.
-type HostStatus struct {
-	ID    string  `msgpack:"id" json:"id"`
-	Type  string  `msgpack:"type" json:"type"`
-	Zone  string  `msgpack:"zone" json:"zone"`
-	Spot  bool    `msgpack:"spot" json:"spot"`
-	State string  `msgpack:"state" json:"state"`
-	Tasks int     `msgpack:"tasks" json:"tasks"`
-	CPUs  float64 `msgpack:"cpus_used" json:"cpus_used"`
+// MachineStatus is one machine in the status.
+type MachineStatus struct {
+	ID       string  `msgpack:"id" json:"id"`
+	Type     string  `msgpack:"type" json:"type"`
+	Zone     string  `msgpack:"zone" json:"zone"`
+	Spot     bool    `msgpack:"spot" json:"spot"`
+	State    string  `msgpack:"state" json:"state"`
+	Tasks    int     `msgpack:"tasks" json:"tasks"`
+	UsedCPUs float64 `msgpack:"cpus_used" json:"cpus_used"`
 }
 
 // Status is what `gullrudder status` shows.
 type Status struct {
-	Node     string       `msgpack:"node" json:"node"`
-	Leader   string       `msgpack:"leader" json:"leader"`
-	Token    uint64       `msgpack:"token" json:"token"`
-	Placing  bool         `msgpack:"placing" json:"placing"`
-	Healthy  bool         `msgpack:"state_service_ok" json:"state_service_ok"`
-	Jobs     int          `msgpack:"jobs" json:"jobs"`
-	Finished int          `msgpack:"jobs_finished" json:"jobs_finished"`
-	Runs     int          `msgpack:"history_runs" json:"history_runs"`
-	Waiting  int          `msgpack:"tasks_waiting" json:"tasks_waiting"`
-	Running  int          `msgpack:"tasks_placed" json:"tasks_placed"`
-	Budgets  Budgets      `msgpack:"budgets" json:"budgets"`
-	Machines []HostStatus `msgpack:"machines" json:"machines"`
-	Took     []Latency    `msgpack:"latencies" json:"latencies"`
+	Controller          string          `msgpack:"node" json:"node"`
+	Leader              string          `msgpack:"leader" json:"leader"`
+	FencingToken        uint64          `msgpack:"token" json:"token"`
+	Placing             bool            `msgpack:"placing" json:"placing"`
+	StateServiceHealthy bool            `msgpack:"state_service_ok" json:"state_service_ok"`
+	Jobs                int             `msgpack:"jobs" json:"jobs"`
+	FinishedJobs        int             `msgpack:"jobs_finished" json:"jobs_finished"`
+	ArchiveSegments     int             `msgpack:"history_runs" json:"history_runs"`
+	WaitingTasks        int             `msgpack:"tasks_waiting" json:"tasks_waiting"`
+	PlacedTasks         int             `msgpack:"tasks_placed" json:"tasks_placed"`
+	Budgets             Budgets         `msgpack:"budgets" json:"budgets"`
+	Machines            []MachineStatus `msgpack:"machines" json:"machines"`
+	Latencies           []Latency       `msgpack:"latencies" json:"latencies"`
 }
 
 // Budgets are the limits that the node keeps to.
 type Budgets struct {
-	StateRate   float64 `msgpack:"state_rps" json:"state_rps"`
-	StateWrites float64 `msgpack:"state_write_rps" json:"state_write_rps"`
-	CloudRate   float64 `msgpack:"cloud_rps" json:"cloud_rps"`
-	Connections int     `msgpack:"connections" json:"connections"`
-	MemoryMB    float64 `msgpack:"memory_mb" json:"memory_mb"`
+	StateRequestRate float64 `msgpack:"state_rps" json:"state_rps"`
+	StateWriteRate   float64 `msgpack:"state_write_rps" json:"state_write_rps"`
+	CloudRequestRate float64 `msgpack:"cloud_rps" json:"cloud_rps"`
+	Connections      int     `msgpack:"connections" json:"connections"`
+	MemoryMB         float64 `msgpack:"memory_mb" json:"memory_mb"`
 }
 
-const mostHostsShown = 300
+const maxMachinesShown = 300
 
-func (n *Node) status(now time.Time, r *inbox.Request) {
-	s := Status{Node: n.cfg.Name, Leader: n.election.Leader(now), Budgets: Budgets{
-		StateRate: n.cfg.StateRate, StateWrites: n.cfg.StateWrites, CloudRate: n.cfg.CloudRate,
-		Connections: n.cfg.Connections, MemoryMB: n.cfg.MemoryMB}}
-	for _, kind := range slices.Sorted(maps.Keys(n.watch.byKind)) {
-		h := n.watch.byKind[kind]
-		s.Took = append(s.Took, Latency{kind, h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(99), h.Max()})
+func (n *Controller) handleStatus(now time.Time, request *inbox.Request) {
+	status := Status{Controller: n.platform.Name, Leader: n.election.Leader(now), Budgets: Budgets{
+		StateRequestRate: n.platform.StateRate, StateWriteRate: n.platform.StateWrites, CloudRequestRate: n.platform.CloudRate,
+		Connections: n.platform.Connections, MemoryMB: n.platform.MemoryMB}}
+	for _, kind := range slices.Sorted(maps.Keys(n.latencies.byRequestKind)) {
+		histogram := n.latencies.byRequestKind[kind]
+		status.Latencies = append(status.Latencies, Latency{kind, histogram.TotalCount(), histogram.ValueAtQuantile(50), histogram.ValueAtQuantile(99), histogram.Max()})
 	}
-	if l := n.lead; l != nil {
-		s.Token, s.Placing, s.Healthy, s.Jobs = l.token, l.takeover.Placing(), l.ledger.IsHealthy(), len(l.book.Unfinished)
-		if l.takeover.Built() {
-			s.Finished, s.Runs = l.book.FinishedCount(), l.book.Archive().SegmentCount()
+	if leadership := n.leadership; leadership != nil {
+		status.FencingToken, status.Placing, status.StateServiceHealthy, status.Jobs = leadership.fencingToken, leadership.failover.Completed(), leadership.storage.IsHealthy(), len(leadership.jobStore.Unfinished)
+		if leadership.failover.StateLoaded() {
+			status.FinishedJobs, status.ArchiveSegments = leadership.jobStore.FinishedCount(), leadership.jobStore.Archive().SegmentCount()
 		}
-		for _, j := range l.book.Unfinished {
-			s.Waiting += j.Waiting()
-			s.Running += len(j.Active)
+		for _, job := range leadership.jobStore.Unfinished {
+			status.WaitingTasks += job.Waiting()
+			status.PlacedTasks += len(job.Active)
 		}
-		for _, m := range l.fleet.Sorted() {
-			if len(s.Machines) == mostHostsShown {
+		for _, machine := range leadership.workers.Sorted() {
+			if len(status.Machines) == maxMachinesShown {
 				break
 			}
-			state := string(m.Draining)
+			state := string(machine.Draining)
 			switch {
 			case state != "":
-			case l.fleet.Expired(now, m):
+			case leadership.workers.Expired(now, machine):
 				state = "silent"
-			case m.Unreached:
+			case machine.Unreached:
 				state = "does not hear"
 			default:
 				state = "ok"
 			}
-			s.Machines = append(s.Machines, HostStatus{m.ID, m.Type, m.Zone, m.Spot, state, len(m.Attempts), m.UsedCPU})
+			status.Machines = append(status.Machines, MachineStatus{machine.ID, machine.Type, machine.Zone, machine.Spot, state, len(machine.Attempts), machine.UsedCPU})
 		}
 	}
-	n.out.Reply(r, 200, s, 0)
+	n.responder.Reply(request, 200, status, 0)
 }
--- a/internal/controller/requests/desk.go
+++ b/internal/controller/requests/desk.go
@@ -42,7 +42,7 @@
 	planner  *plan.Planner
 	placer   *place.Placer
 	rental   *rental.Desk
-	take     *takeover.Takeover
+	take     *takeover.Reconciler
 	times    *timeline.Log
 	blame    *blame.Book
 	zoneBook *zones.Book
@@ -62,7 +62,7 @@
 	Planner  *plan.Planner
 	Placer   *place.Placer
 	Rental   *rental.Desk
-	Takeover *takeover.Takeover
+	Takeover *takeover.Reconciler
 	Times    *timeline.Log
 	Blame    *blame.Book
 	Zones    *zones.Book
--- a/internal/controller/requests/explain.go
+++ b/internal/controller/requests/explain.go
@@ -252,8 +252,8 @@
 	case j.Waiting() == 0:
 		x.because("all of its tasks run or are done")
 		return
-	case !d.take.Placing():
-		x.because("a new leader has taken over, and %d machines have not said yet what runs on them", d.take.Missing())
+	case !d.take.Completed():
+		x.because("a new leader has taken over, and %d machines have not said yet what runs on them", d.take.UnreconciledMachines())
 	}
 	if !j.DueBy.IsZero() {
 		x.because("a job that needs it has a deadline: for that it has to be done in %.0f s", j.DueBy.Sub(now).Seconds())
--- a/internal/controller/takeover/takeover.go
+++ b/internal/controller/takeover/takeover.go
@@ -26,128 +26,128 @@
 	"gullrudder/internal/wire/outbox"
 )
 
-// Takeover is a leader's account of the machines.
-type Takeover struct {
-	cfg      *config.Platform
-	log      *slog.Logger
-	box      *outbox.Box
-	token    uint64
-	since    time.Time
-	ledger   *ledger.Store
-	book     *book.Store
-	settings *settings.Settings
-	fleet    *workers.Fleet
-	cloud    *fleet.Cloud
-	clerk    *reports.Clerk
-	placer   *place.Placer
-	floor    *floor.Book
-	zones    *zones.Book
-	reach    *reach.Book
-	hearing  *hearing.Monitor
-	horizon  *horizon.Limit
-
-	first      bool               // the ledger was empty: nobody has led before
-	built      bool               // the ledger has been taken over
-	partly     bool               // machines are missing, and jobs of this leader start all the same
-	nextHidden time.Time          // when it is seen anew what may run out of sight
-	placing    bool               // every machine that may hold tasks is accounted for
-	missing    []*workers.Machine // on the roster and not accounted for yet
-	mayAsk     float64            // workers that may be asked directly now
-	asking     int                // questions that are not answered yet
-	nextDrop   time.Time
-	sampled    int // where the next sample begins
-	nextSample time.Time
-	expected   int  // machines whose reports should come, their leases not being over
-	overdue    int  // of these, those whose reports should have come
-	refused    bool // a report was, since the ledger is not read
-	ended      bool // the leadership: answers that are still to come change nothing
+// Reconciler is a leader's account of the machines.
+type Reconciler struct {
+	platform      *config.Platform
+	log           *slog.Logger
+	outbox        *outbox.Box
+	fencingToken  uint64
+	electedAt     time.Time
+	storage       *ledger.Store
+	jobStore      *book.Store
+	dynamicConfig *settings.Settings
+	workers       *workers.Fleet
+	cloud         *fleet.Cloud
+	heartbeats    *reports.Clerk
+	placer        *place.Placer
+	fairShare     *floor.Book
+	zones         *zones.Book
+	reachability  *reach.Book
+	connectivity  *hearing.Monitor
+	renewalLimit  *horizon.Limit
+
+	isFirstLeader      bool               // the ledger was empty: nobody has led before
+	stateLoaded        bool               // the ledger has been taken over
+	partialStart       bool               // machines are missing, and jobs of this leader start all the same
+	nextUnseenUsage    time.Time          // when it is seen anew what may run out of sight
+	completed          bool               // every machine that may hold tasks is accounted for
+	unreconciled       []*workers.Machine // on the roster and not accounted for yet
+	probeBudget        float64            // workers that may be asked directly now
+	probesInFlight     int                // questions that are not answered yet
+	nextSilenceCheck   time.Time
+	sampleOffset       int // where the next sample begins
+	nextProbeSample    time.Time
+	expectedHeartbeats int  // machines whose reports should come, their leases not being over
+	overdueHeartbeats  int  // of these, those whose reports should have come
+	renewalRefused     bool // a report was, since the ledger is not read
+	closed             bool // the leadership: answers that are still to come change nothing
 }
 
-// World is what a takeover sees of its neighbours.
-type World struct {
-	Platform *config.Platform
-	Token    uint64
-	Since    time.Time
-	Ledger   *ledger.Store
-	Book     *book.Store
-	Settings *settings.Settings
-	Fleet    *workers.Fleet
-	Cloud    *fleet.Cloud
-	Clerk    *reports.Clerk
-	Placer   *place.Placer
-	Floor    *floor.Book
-	Zones    *zones.Book
-	Reach    *reach.Book
-	Hearing  *hearing.Monitor // whether the workers reach this controller
-	Horizon  *horizon.Limit   // which cancellations can be open that an earlier leader has confirmed
-	Box      *outbox.Box
-	Log      *slog.Logger
+// Components is what a takeover sees of its neighbours.
+type Components struct {
+	Platform      *config.Platform
+	FencingToken  uint64
+	ElectedAt     time.Time
+	Storage       *ledger.Store
+	JobStore      *book.Store
+	DynamicConfig *settings.Settings
+	Workers       *workers.Fleet
+	Cloud         *fleet.Cloud
+	Heartbeats    *reports.Clerk
+	Placer        *place.Placer
+	FairShare     *floor.Book
+	Zones         *zones.Book
+	Reachability  *reach.Book
+	Connectivity  *hearing.Monitor // whether the workers reach this controller
+	RenewalLimit  *horizon.Limit   // which cancellations can be open that an earlier leader has confirmed
+	Outbox        *outbox.Box
+	Log           *slog.Logger
 }
 
 // New begins a takeover with nothing but the ledger to come.
-func New(w World) *Takeover {
-	return &Takeover{cfg: w.Platform, log: w.Log, box: w.Box, token: w.Token, since: w.Since, ledger: w.Ledger, book: w.Book,
-		settings: w.Settings, fleet: w.Fleet, cloud: w.Cloud, clerk: w.Clerk, placer: w.Placer, floor: w.Floor, zones: w.Zones, reach: w.Reach, hearing: w.Hearing, horizon: w.Horizon}
+func New(components Components) *Reconciler {
+	return &Reconciler{platform: components.Platform, log: components.Log, outbox: components.Outbox, fencingToken: components.FencingToken, electedAt: components.ElectedAt, storage: components.Storage, jobStore: components.JobStore,
+		dynamicConfig: components.DynamicConfig, workers: components.Workers, cloud: components.Cloud, heartbeats: components.Heartbeats, placer: components.Placer, fairShare: components.FairShare, zones: components.Zones, reachability: components.Reachability, connectivity: components.Connectivity, renewalLimit: components.RenewalLimit}
 }
 
 // Close makes answers that are still to come harmless.
-func (t *Takeover) Close() { t.ended = true }
+func (t *Reconciler) Close() { t.closed = true }
 
-// Built reports whether the ledger has been taken over.
-func (t *Takeover) Built() bool { return t.built }
+// StateLoaded reports whether the ledger has been taken over.
+func (t *Reconciler) StateLoaded() bool { return t.stateLoaded }
 
-// Placing reports whether every machine that may hold tasks is accounted for.
-func (t *Takeover) Placing() bool { return t.placing }
+// Completed reports whether every machine that may hold tasks is accounted for.
+func (t *Reconciler) Completed() bool { return t.completed }
 
-// Missing is how many machines are not accounted for yet.
-func (t *Takeover) Missing() int { return len(t.missing) }
+// UnreconciledMachines is how many machines are not accounted for yet.
+func (t *Reconciler) UnreconciledMachines() int { return len(t.unreconciled) }
 
-// Expected is how many machines should report to this leader: their leases are not over.
-func (t *Takeover) Expected() int { return t.expected }
+// ExpectedHeartbeats is how many machines should report to this leader: their leases are not over.
+func (t *Reconciler) ExpectedHeartbeats() int { return t.expectedHeartbeats }
 
-// Overdue is how many of these should have reported by now.
-func (t *Takeover) Overdue() int { return t.overdue }
+// OverdueHeartbeats is how many of these should have reported by now.
+func (t *Reconciler) OverdueHeartbeats() int { return t.overdueHeartbeats }
 
-// First reports whether nobody has led before: the ledger was empty.
-func (t *Takeover) First() bool { return t.first }
+// IsFirstLeader reports whether nobody has led before: the ledger was empty.
+func (t *Reconciler) IsFirstLeader() bool { return t.isFirstLeader }
 
-// MayRenew reports whether a report may be answered with 200 now. Before the ledger is read this keeps tasks alive whose
+// CanRenewLeases reports whether a report may be answered with 200 now. Before the ledger is read this keeps tasks alive whose
 // cancellation this leader does not know of: only while their leases end in time all the same.
-func (t *Takeover) MayRenew(now time.Time) bool {
-	if t.built || now.Before(t.horizon.RenewUntil()) {
+func (t *Reconciler) CanRenewLeases(now time.Time) bool {
+	if t.stateLoaded || now.Before(t.renewalLimit.RenewUntil()) {
 		return true
 	}
-	if !t.refused {
-		t.refused = true
-		t.log.Info("renews no leases before the ledger is read", "token", t.token)
+	if !t.renewalRefused {
+		t.renewalRefused = true
+		t.log.Info("renews no leases before the ledger is read", "token", t.fencingToken)
 	}
 	return false
 }
 
-// Read takes the ledger over once it is loaded.
-func (t *Takeover) Read(now time.Time) {
-	if !t.built && t.ledger.IsLoaded() {
-		t.build(now)
+// LoadState takes the ledger over once it is loaded.
+func (t *Reconciler) LoadState(now time.Time) {
+	if !t.stateLoaded && t.storage.IsLoaded() {
+		t.restoreState(now)
 	}
 }
 
 // Tick asks what is to be asked; every is the time between two ticks.
-func (t *Takeover) Tick(now time.Time, every time.Duration) {
-	t.allowQuestions(every)
-	t.askWanted(now)
-	t.askSample(now)
-	if !t.placing {
-		t.account(now)
+func (t *Reconciler) Tick(now time.Time, elapsed time.Duration) {
+	t.refillProbeBudget(elapsed)
+	t.probeRequested(now)
+	t.probeSample(now)
+	if !t.completed {
+		t.reconcileMachines(now)
 	}
-	if !now.Before(t.nextDrop) {
-		t.nextDrop = now.Add(500 * time.Millisecond)
-		t.dropSilent(now)
+	if !now.Before(t.nextSilenceCheck) {
+		t.nextSilenceCheck = now.Add(500 * time.Millisecond)
+		t.terminateSilent(now)
 	}
 }
 
-// build makes the jobs and the roster from the ledger.
-func (t *Takeover) build(now time.Time) {
-	if t.book.IsArchiveUnreadable() || !t.book.OpenArchive() {
+// restoreState makes the jobs and the roster from the ledger.
+func (t *Reconciler) restoreState(now time.Time) {
+	if t.jobStore.IsArchiveUnreadable() || !t.jobStore.OpenArchive() {
 		return
 	}
 	type chunk struct {
@@ -156,17 +156,17 @@
 		v        jobs.Chunk
 	}
 	var chunks []chunk
-	t.ledger.ForEach(func(name string, decode func(any) error) {
+	t.storage.ForEach(func(name string, decode func(any) error) {
 		if id, ok := strings.CutPrefix(name, reports.RosterPrefix); ok {
-			t.enlist(id, decode)
+			t.restoreRosterEntry(id, decode)
 			return
 		}
 		if name == settings.EntryName {
-			t.settings.Restore(decode)
+			t.dynamicConfig.Restore(decode)
 			return
 		}
 		if name == floor.EntryName {
-			if err := t.floor.Restore(now, decode, t.ledger); err != nil {
+			if err := t.fairShare.Restore(now, decode, t.storage); err != nil {
 				t.log.Error("what was served cannot be read", "error", err)
 			}
 			return
@@ -180,64 +180,64 @@
 			chunks = append(chunks, chunk{name, id, c, v})
 			return
 		}
-		t.book.RestoreJob(now, t.since, t.horizon.CompletedBefore(), name, decode)
+		t.jobStore.RestoreJob(now, t.electedAt, t.renewalLimit.CompletedBefore(), name, decode)
 	})
 	for _, c := range chunks {
-		t.book.RestoreChunk(now, c.name, c.id, c.c, c.v)
+		t.jobStore.RestoreChunk(now, c.name, c.id, c.c, c.v)
 	}
-	t.book.FinishRestore(now)
-	for _, m := range t.fleet.Sorted() {
+	t.jobStore.FinishRestore(now)
+	for _, m := range t.workers.Sorted() {
 		if m.Rostered {
-			t.missing = append(t.missing, m)
+			t.unreconciled = append(t.unreconciled, m)
 		}
 	}
-	t.built = true
+	t.stateLoaded = true
 	t.placer.Changed()
-	t.first = len(t.book.Unfinished)+t.book.FinishedCount()+len(t.fleet.Machines) == 0
-	t.log.Info("ledger taken over", "token", t.token, "jobs", len(t.book.Unfinished), "finals", t.book.FinishedCount()-t.book.Archive().JobCount(),
-		"sealed", t.book.Archive().JobCount(), "runs", t.book.Archive().SegmentCount(), "machines", len(t.fleet.Machines),
-		"after", now.Sub(t.since).Round(time.Millisecond))
-	t.account(now)
+	t.isFirstLeader = len(t.jobStore.Unfinished)+t.jobStore.FinishedCount()+len(t.workers.Machines) == 0
+	t.log.Info("ledger taken over", "token", t.fencingToken, "jobs", len(t.jobStore.Unfinished), "finals", t.jobStore.FinishedCount()-t.jobStore.Archive().JobCount(),
+		"sealed", t.jobStore.Archive().JobCount(), "runs", t.jobStore.Archive().SegmentCount(), "machines", len(t.workers.Machines),
+		"after", now.Sub(t.electedAt).Round(time.Millisecond))
+	t.reconcileMachines(now)
 }
 
-// enlist takes in a machine of the roster.
-func (t *Takeover) enlist(id string, decode func(any) error) {
-	var e reports.RosterEntry
-	if err := decode(&e); err != nil {
+// restoreRosterEntry takes in a machine of the roster.
+func (t *Reconciler) restoreRosterEntry(id string, decode func(any) error) {
+	var entry reports.RosterEntry
+	if err := decode(&entry); err != nil {
 		t.log.Error("a roster entry cannot be read", "machine", id, "error", err)
 	}
-	m := t.fleet.Machine(id)
-	m.Rostered, m.Addr = true, e.Addr
-	if m.Answered.IsZero() {
-		m.Answered = t.since
+	machine := t.workers.Machine(id)
+	machine.Rostered, machine.Addr = true, entry.Addr
+	if machine.Answered.IsZero() {
+		machine.Answered = t.electedAt
 	}
-	if m.Heard.IsZero() {
-		m.Heard = t.since
+	if machine.Heard.IsZero() {
+		machine.Heard = t.electedAt
 	}
 }
 
-// account begins to place once every machine on the roster is accounted for. It asks
+// reconcileMachines begins to place once every machine on the roster is accounted for. It asks
 // the workers directly: the empty command raises their token, so that nothing of an
 // earlier leader is executed any more, and its answer is their report.
-func (t *Takeover) account(now time.Time) {
-	still := t.missing[:0]
-	for _, m := range t.missing {
-		if !m.Rostered || m.Accounted || t.cloud.Dead(m.ID) || t.fleet.Expired(now, m) {
+func (t *Reconciler) reconcileMachines(now time.Time) {
+	remaining := t.unreconciled[:0]
+	for _, machine := range t.unreconciled {
+		if !machine.Rostered || machine.Accounted || t.cloud.Dead(machine.ID) || t.workers.Expired(now, machine) {
 			continue
 		}
-		still = append(still, m)
+		remaining = append(remaining, machine)
 	}
-	t.missing = still
-	for _, m := range t.missing {
+	t.unreconciled = remaining
+	for _, machine := range t.unreconciled {
 		// A machine that has just got its first answer reports again at once.
-		if m.Answered.Equal(t.since) || now.Sub(m.Answered) > askAgain {
-			t.ask(now, m)
+		if machine.Answered.Equal(t.electedAt) || now.Sub(machine.Answered) > probeTimeout {
+			t.probe(now, machine)
 		}
 	}
-	t.startPartly(now)
-	if len(t.missing) == 0 {
-		t.placing = true
+	t.updatePartialStart(now)
+	if len(t.unreconciled) == 0 {
+		t.completed = true
 		t.placer.Changed()
-		t.log.Info("placing begins", "token", t.token, "after", now.Sub(t.since).Round(time.Millisecond))
+		t.log.Info("placing begins", "token", t.fencingToken, "after", now.Sub(t.electedAt).Round(time.Millisecond))
 	}
 }
--- a/internal/standin/leaders.go
+++ b/internal/standin/leaders.go
@@ -106,5 +106,5 @@
 	if c.node == nil || w.Now.Before(c.paused) {
 		return false, false
 	}
-	return c.node.Acts(w.local(c))
+	return c.node.LeadershipState(w.local(c))
 }
