--- a/cmd/gullrudder/account.go
+++ b/cmd/gullrudder/account.go
@@ -36,7 +36,7 @@
 	cmd := userCommand("account", "Show where the time of finished jobs went, by team and class",
 		"Each moment of a job, from its submission to its final state, is counted to one cause. Only jobs that ended under the\n"+
 			"present leader are counted; `gullrudder explain JOB` shows the account of one.", cobra.NoArgs,
-		func(a *api, _ []string) error {
+		func(a *apiClient, _ []string) error {
 			q := url.Values{}
 			for name, v := range map[string]string{"team": team, "class": class} {
 				if v != "" {
--- a/cmd/gullrudder/client.go
+++ b/cmd/gullrudder/client.go
@@ -23,8 +23,8 @@
 	exitUnavailable = 3
 )
 
-// api is a user's side of the protocol.
-type api struct {
+// apiClient is a user's side of the protocol.
+type apiClient struct {
 	servers        []string // one is asked after another
 	server, output string
 	data           string // of a site on this machine
@@ -43,7 +43,7 @@
 	Running *int   `msgpack:"running" json:"running,omitempty"`
 }
 
-func apiFlags(cmd *cobra.Command, a *api) {
+func apiFlags(cmd *cobra.Command, a *apiClient) {
 	a.client = httpwire.NewClient(1, 1, httpwire.MaxBody)
 	cmd.Flags().StringVar(&a.server, "server", os.Getenv("GULLRUDDER_SERVER"), "address of a controller, host:port (or GULLRUDDER_SERVER)")
 	cmd.Flags().StringVar(&a.data, "data", os.Getenv("GULLRUDDER_DATA"), "directory of a site on this machine, as for up (or GULLRUDDER_DATA)")
@@ -51,7 +51,7 @@
 	cmd.Flags().DurationVar(&a.patience, "patience", time.Minute, "how long to go on asking when the service cannot answer")
 }
 
-func (a *api) check() error {
+func (a *apiClient) check() error {
 	if a.server != "" {
 		a.servers = []string{a.server}
 	} else {
@@ -71,11 +71,11 @@
 }
 
 // ask sends a request, and again for as long as the protocol has users do.
-func (a *api) ask(method, path string, body []byte) (*httpwire.Message, error) {
+func (a *apiClient) ask(method, path string, body []byte) (*httpwire.Message, error) {
 	return a.askAt(a.servers, method, path, body)
 }
 
-func (a *api) askAt(servers []string, method, path string, body []byte) (*httpwire.Message, error) {
+func (a *apiClient) askAt(servers []string, method, path string, body []byte) (*httpwire.Message, error) {
 	end := time.Now().Add(a.patience)
 	for try := 0; ; try++ {
 		msg, err := a.client.Do(servers[try%len(servers)], method, path, body, 5*time.Second)
@@ -105,7 +105,7 @@
 }
 
 // job asks for something that is answered with a job.
-func (a *api) job(method, path string, body []byte) error {
+func (a *apiClient) job(method, path string, body []byte) error {
 	var j job
 	if err := a.send(method, path, body, &j); err != nil {
 		return err
@@ -113,7 +113,7 @@
 	return a.showJob(j)
 }
 
-func (a *api) showJob(j job) error {
+func (a *apiClient) showJob(j job) error {
 	return a.show(j, func(w io.Writer) {
 		fmt.Fprintln(w, "JOB\tSTATE\tLABEL\tDONE\tRUNNING")
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", j.ID, j.State, orDash(j.Label), count(j.Done), count(j.Running))
@@ -134,7 +134,7 @@
 	return fmt.Sprint(*n)
 }
 
-func (a *api) show(v any, table func(io.Writer)) error {
+func (a *apiClient) show(v any, table func(io.Writer)) error {
 	if a.output == "json" {
 		enc := json.NewEncoder(a.out)
 		enc.SetIndent("", "  ")
@@ -146,8 +146,8 @@
 }
 
 // userCommand makes a command that takes one argument and speaks to a controller.
-func userCommand(use, short, long string, args cobra.PositionalArgs, run func(a *api, args []string) error) *cobra.Command {
-	a := &api{}
+func userCommand(use, short, long string, args cobra.PositionalArgs, run func(a *apiClient, args []string) error) *cobra.Command {
+	a := &apiClient{}
 	cmd := &cobra.Command{Use: use, Short: short, Long: long, Args: args, RunE: func(cmd *cobra.Command, args []string) error {
 		if err := a.check(); err != nil {
 			return err
@@ -160,7 +160,7 @@
 }
 
 func showCommand() *cobra.Command {
-	return userCommand("show JOB", "Show a job's state", "", cobra.ExactArgs(1), func(a *api, args []string) error {
+	return userCommand("show JOB", "Show a job's state", "", cobra.ExactArgs(1), func(a *apiClient, args []string) error {
 		return a.job("GET", "/work/"+segment(args[0]), nil)
 	})
 }
@@ -171,7 +171,7 @@
 	if old {
 		name = "withdraw JOB"
 	}
-	cmd := userCommand(name, "Cancel a job", "", cobra.ExactArgs(1), func(a *api, args []string) error {
+	cmd := userCommand(name, "Cancel a job", "", cobra.ExactArgs(1), func(a *apiClient, args []string) error {
 		return a.job("POST", "/work/"+segment(args[0])+"/withdraw", nil)
 	})
 	cmd.Hidden = old
@@ -190,7 +190,7 @@
 
 func statusCommand() *cobra.Command {
 	return userCommand("status", "Show what a controller knows: leader, budgets, fleet, queue, latencies", "", cobra.NoArgs,
-		func(a *api, _ []string) error {
+		func(a *apiClient, _ []string) error {
 			msg, err := a.ask("GET", "/status", nil)
 			if err != nil {
 				return err
--- a/cmd/gullrudder/console.go
+++ b/cmd/gullrudder/console.go
@@ -18,7 +18,7 @@
 const lookPatience = 2 * time.Second
 
 // site is the console's side of the service.
-type site struct{ *api }
+type site struct{ *apiClient }
 
 func (s site) Look() console.Snapshot {
 	snap := console.Snapshot{At: time.Now()}
@@ -55,7 +55,7 @@
 
 func consoleCommand() *cobra.Command {
 	return userCommand("console", "Watch and run the site from a terminal", "Watch and run the site from a terminal. ? shows the keys. It keeps no state.",
-		cobra.NoArgs, func(a *api, _ []string) error {
+		cobra.NoArgs, func(a *apiClient, _ []string) error {
 			a.patience = lookPatience
 			_, err := tea.NewProgram(console.New(site{a}, time.Second), tea.WithAltScreen()).Run()
 			return err
@@ -65,7 +65,7 @@
 func topCommand() *cobra.Command {
 	var once bool
 	var every time.Duration
-	cmd := userCommand("top", "Print what the console shows, as text", "", cobra.NoArgs, func(a *api, _ []string) error {
+	cmd := userCommand("top", "Print what the console shows, as text", "", cobra.NoArgs, func(a *apiClient, _ []string) error {
 		a.patience = lookPatience
 		for {
 			snap := site{a}.Look()
@@ -84,7 +84,7 @@
 }
 
 // failures are those that the pool of the site on this machine keeps, the newest first.
-func (a *api) failures() ([]pool.Failure, error) {
+func (a *apiClient) failures() ([]pool.Failure, error) {
 	var f pool.Failures
 	if err := a.siteCall("GET", "/site/failures", &f); err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 
 func failuresCommand() *cobra.Command {
 	return userCommand("failures", "Show the tasks of this site that failed last, with the end of their error output", "", cobra.NoArgs,
-		func(a *api, _ []string) error {
+		func(a *apiClient, _ []string) error {
 			list, err := a.failures()
 			if err != nil {
 				return err
--- a/cmd/gullrudder/queue.go
+++ b/cmd/gullrudder/queue.go
@@ -17,13 +17,13 @@
 )
 
 // get asks for something that is answered with v.
-func (a *api) get(path string, v any) error { return a.send("GET", path, nil, v) }
+func (a *apiClient) get(path string, v any) error { return a.send("GET", path, nil, v) }
 
-func (a *api) send(method, path string, body []byte, v any) error {
+func (a *apiClient) send(method, path string, body []byte, v any) error {
 	return a.sendTo(a.servers, method, path, body, v)
 }
 
-func (a *api) sendTo(servers []string, method, path string, body []byte, v any) error {
+func (a *apiClient) sendTo(servers []string, method, path string, body []byte, v any) error {
 	msg, err := a.askAt(servers, method, path, body)
 	if err != nil {
 		return err
@@ -46,7 +46,7 @@
 
 func explainCommand() *cobra.Command {
 	return userCommand("explain JOB", "Show why a job waits, what stands before it, and how long it can wait at worst", "",
-		cobra.ExactArgs(1), func(a *api, args []string) error {
+		cobra.ExactArgs(1), func(a *apiClient, args []string) error {
 			var x requests.Explanation
 			if err := a.get("/work/"+segment(args[0])+"/explain", &x); err != nil {
 				return err
@@ -89,7 +89,7 @@
 	var team, class string
 	var most int
 	cmd := userCommand("queue", "List the jobs that wait, in the order in which they get room", "", cobra.NoArgs,
-		func(a *api, _ []string) error {
+		func(a *apiClient, _ []string) error {
 			q := url.Values{"most": {strconv.Itoa(most)}}
 			if team != "" {
 				q.Set("team", team)
@@ -123,7 +123,7 @@
 }
 
 func settingsCommand() *cobra.Command {
-	cmd := userCommand("settings", "Show the settings that count, and who changed what", "", cobra.NoArgs, func(a *api, _ []string) error {
+	cmd := userCommand("settings", "Show the settings that count, and who changed what", "", cobra.NoArgs, func(a *apiClient, _ []string) error {
 		var s settings.View
 		if err := a.get("/settings", &s); err != nil {
 			return err
@@ -133,7 +133,7 @@
 	var who string
 	apply := userCommand("apply FILE", "Have other settings count, on all controllers, without a restart",
 		"The file has the form of serve's --options. It is taken as a whole or not at all; what it does not name gets its default.",
-		cobra.ExactArgs(1), func(a *api, args []string) error {
+		cobra.ExactArgs(1), func(a *apiClient, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
 				return &failure{2, fmt.Errorf("settings: %w", err)}
--- a/cmd/gullrudder/serve.go
+++ b/cmd/gullrudder/serve.go
@@ -47,7 +47,7 @@
 }
 
 func serveCommand() *cobra.Command {
-	var platform, operators, metrics string
+	var platform, operators, metricsAddress string
 	cmd := &cobra.Command{Use: "serve", Short: "Run a controller", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			cfg, opt, err := load(platform, operators)
@@ -60,10 +60,10 @@
 			now := time.Now()
 			rng := rand.New(rand.NewPCG(uint64(now.UnixNano()), uint64(os.Getpid())))
 			n := node.New(cfg, opt, now, rng, log)
-			if metrics != "" {
+			if metricsAddress != "" {
 				go func() {
 					for {
-						log.Error("metrics are not served, and tried again", "error", scrape.Serve(n.Registry(), metrics, log))
+						log.Error("metrics are not served, and tried again", "error", scrape.Serve(n.Registry(), metricsAddress, log))
 						time.Sleep(time.Second)
 					}
 				}()
@@ -76,7 +76,7 @@
 			return nil
 		}}
 	settingsFlags(cmd, &platform, &operators)
-	cmd.Flags().StringVar(&metrics, "metrics", "", "serve figures for Prometheus at this address; empty: nowhere")
+	cmd.Flags().StringVar(&metricsAddress, "metrics", "", "serve figures for Prometheus at this address; empty: nowhere")
 	return cmd
 }
 
--- a/cmd/gullrudder/served.go
+++ b/cmd/gullrudder/served.go
@@ -13,7 +13,7 @@
 	return userCommand("served", "Show which class and which team is served least",
 		"DONE counts jobs of the last minutes, what is longer ago counting ever less; LATE are jobs that can keep none of their\n"+
 			"aims any more. Below the least share (floor-least) a class or team has room ahead of others (floor-share).", cobra.NoArgs,
-		func(a *api, _ []string) error {
+		func(a *apiClient, _ []string) error {
 			var list requests.ServiceShares
 			if err := a.get("/served", &list); err != nil {
 				return err
--- a/cmd/gullrudder/site.go
+++ b/cmd/gullrudder/site.go
@@ -99,7 +99,7 @@
 	}()
 	began := time.Now()
 	go func() {
-		a := &api{servers: []string{h.Controllers[0].Public}, client: httpwire.NewClient(1, 1, httpwire.MaxBody), patience: time.Minute}
+		a := &apiClient{servers: []string{h.Controllers[0].Public}, client: httpwire.NewClient(1, 1, httpwire.MaxBody), patience: time.Minute}
 		for {
 			var st node.Status
 			if a.get("/status", &st) == nil && st.Leader != "" {
@@ -178,7 +178,7 @@
 }
 
 // siteCall asks the pool of the site on this machine.
-func (a *api) siteCall(method, path string, v any) error {
+func (a *apiClient) siteCall(method, path string, v any) error {
 	if a.home == nil {
 		return &failure{2, errors.New("this is for a site on this machine: use --data, and no --server")}
 	}
@@ -192,7 +192,7 @@
 	var wait bool
 	cmd := userCommand("drain", "Start nothing more on this site; what runs goes on to its end",
 		"Start nothing more on this site; what runs goes on to its end. Jobs are accepted still, and wait. It lasts over\n"+
-			"restarts, until undrain.", cobra.NoArgs, func(a *api, _ []string) error {
+			"restarts, until undrain.", cobra.NoArgs, func(a *apiClient, _ []string) error {
 			var o pool.Overview
 			if err := a.siteCall("POST", "/site/drain", &o); err != nil {
 				return err
@@ -228,7 +228,7 @@
 }
 
 func undrainCommand() *cobra.Command {
-	return userCommand("undrain", "Use this site again after a drain", "", cobra.NoArgs, func(a *api, _ []string) error {
+	return userCommand("undrain", "Use this site again after a drain", "", cobra.NoArgs, func(a *apiClient, _ []string) error {
 		var o pool.Overview
 		if err := a.siteCall("POST", "/site/undrain", &o); err != nil {
 			return err
@@ -383,7 +383,7 @@
 		add(p.name, state, do, err == nil && up)
 	}
 	if up {
-		a := &api{servers: []string{h.Controllers[0].Public}, client: httpwire.NewClient(1, 1, httpwire.MaxBody), patience: 3 * time.Second}
+		a := &apiClient{servers: []string{h.Controllers[0].Public}, client: httpwire.NewClient(1, 1, httpwire.MaxBody), patience: 3 * time.Second}
 		var st node.Status
 		err := a.get("/status", &st)
 		add("leader", orDash(st.Leader), "see "+h.Dir("log", h.Controllers[0].Name+".log"), err == nil && st.Leader != "")
--- a/cmd/gullrudder/state.go
+++ b/cmd/gullrudder/state.go
@@ -63,7 +63,7 @@
 	var keys bool
 	cmd := &cobra.Command{Use: "inspect DIR", Short: "Show what a store's directory holds, and what is damaged", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			a := api{output: output, out: cmd.OutOrStdout()}
+			a := apiClient{output: output, out: cmd.OutOrStdout()}
 			if output != "table" && output != "json" {
 				return &failure{2, fmt.Errorf("--output %s: not table or json", output)}
 			}
--- a/cmd/gullrudder/submit.go
+++ b/cmd/gullrudder/submit.go
@@ -33,7 +33,7 @@
 			"in which {task} stands for the task's number. In a file, 'command' (a list), 'env', 'workdir', 'retries' and\n"+
 			"'save_s' say what its tasks run on a site of one's own. The same file may be submitted again: the id makes it\n"+
 			"one job; with another command it is refused.",
-		cobra.MinimumNArgs(1), func(a *api, args []string) error {
+		cobra.MinimumNArgs(1), func(a *apiClient, args []string) error {
 			fields, err := f.fields(args)
 			if err != nil {
 				return &failure{2, err}
@@ -107,7 +107,7 @@
 var descriptionFields = []string{"command", "env", "workdir", "retries", "save_s"}
 
 // submit uploads the description first: a task must never start before it is there.
-func (a *api) submit(fields map[string]any, wait bool) error {
+func (a *apiClient) submit(fields map[string]any, wait bool) error {
 	if fields["command"] != nil {
 		if a.home == nil {
 			return &failure{2, errors.New("a command needs a site of one's own: use --data")}
--- a/cmd/gullrudder/zones.go
+++ b/cmd/gullrudder/zones.go
@@ -13,7 +13,7 @@
 	return userCommand("zones", "Show what is known of each zone's connection",
 		"A zone is cut when nothing is heard of it while other zones are heard: what is there is not counted on. One that\n"+
 			"returns is trusted by steps, later after each cut of the last ten minutes.", cobra.NoArgs,
-		func(a *api, _ []string) error {
+		func(a *apiClient, _ []string) error {
 			var list requests.Zones
 			if err := a.get("/zones", &list); err != nil {
 				return err
--- a/internal/site/agent/runner.go
+++ b/internal/site/agent/runner.go
@@ -45,12 +45,12 @@
 	ended   func(e Ended, failed bool) // failed: the pool is to be told of its result
 
 	mu    sync.Mutex
-	procs map[key]*process
-	sweep chan *process
+	procs map[key]*taskProcess
+	sweep chan *taskProcess
 }
 
-// process is a task's, from its launch until nothing of it is left.
-type process struct {
+// taskProcess is a task's, from its launch until nothing of it is left.
+type taskProcess struct {
 	key
 	desc    *Description
 	group   int
@@ -61,7 +61,7 @@
 
 // newRunner ends what an earlier process of this worker has left, and makes a new one.
 func newRunner(dir string, as *syscall.Credential, log *slog.Logger, ended func(e Ended, failed bool)) (*Runner, error) {
-	r := &Runner{dir: dir, as: as, log: log, ended: ended, procs: map[key]*process{}, sweep: make(chan *process, 1024)}
+	r := &Runner{dir: dir, as: as, log: log, ended: ended, procs: map[key]*taskProcess{}, sweep: make(chan *taskProcess, 1024)}
 	for _, sub := range []string{"running", "work", "save"} {
 		if err := os.MkdirAll(filepath.Join(dir, sub), 0o755); err != nil {
 			return nil, fmt.Errorf("worker's directory: %w", err)
@@ -116,7 +116,7 @@
 
 // Launch starts a task; what becomes of it is told through ended.
 func (r *Runner) Launch(l Launch) {
-	p := &process{key: key{l.Task, l.Attempt}, desc: l.Description, gone: make(chan struct{})}
+	p := &taskProcess{key: key{l.Task, l.Attempt}, desc: l.Description, gone: make(chan struct{})}
 	r.mu.Lock()
 	r.procs[p.key] = p
 	r.mu.Unlock()
@@ -124,7 +124,7 @@
 }
 
 // run takes a task from its start to its end, with the repetitions that its user allows.
-func (r *Runner) run(p *process) {
+func (r *Runner) run(p *taskProcess) {
 	var res Result
 	var err error
 	for try := 0; ; try++ {
@@ -157,14 +157,14 @@
 	r.ended(e, !e.Halted && !e.Failed && res.Exit != 0)
 }
 
-func (r *Runner) wasStopped(p *process) bool {
+func (r *Runner) wasStopped(p *taskProcess) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return p.stopped
 }
 
 // once runs the command. An error is this machine's fault; the user's are in the result.
-func (r *Runner) once(p *process) (Result, error) {
+func (r *Runner) once(p *taskProcess) (Result, error) {
 	job, num, _ := strings.Cut(p.name, "/")
 	res := Result{Task: p.name, Attempt: p.attempt, Began: time.Now()}
 	home := filepath.Join(r.dir, "work", job, num+"."+strconv.FormatUint(p.attempt, 10))
@@ -229,7 +229,7 @@
 
 // start starts the command with its limits and writes its record. A task that was stopped before it
 // started is not started at all.
-func (r *Runner) start(p *process, cmd *exec.Cmd) error {
+func (r *Runner) start(p *taskProcess, cmd *exec.Cmd) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p.stopped {
@@ -309,7 +309,7 @@
 // last sweep at once, since a look at all processes costs some milliseconds.
 func (r *Runner) sweeper() {
 	for p := range r.sweep {
-		batch := []*process{p}
+		batch := []*taskProcess{p}
 		time.Sleep(20 * time.Millisecond)
 		for more := true; more; {
 			select {
@@ -339,7 +339,7 @@
 // owner that has forgotten them.
 func (r *Runner) Clear() {
 	r.mu.Lock()
-	var list []*process
+	var list []*taskProcess
 	groups := map[int]bool{}
 	for _, p := range r.procs {
 		p.stopped, p.killed = true, true
--- a/internal/standin/live/cloud.go
+++ b/internal/standin/live/cloud.go
@@ -35,14 +35,14 @@
 
 	mu       sync.Mutex
 	rng      *rand.Rand
-	machines map[string]*worker
+	machines map[string]*emulatedWorker
 	names    []string
 	charters map[string][]string
 }
 
 // NewCloud starts a cloud on a free port of loopback.
 func NewCloud(opt Options) (*Cloud, error) {
-	c := &Cloud{opt: opt, History: newHistory(), machines: map[string]*worker{}, charters: map[string][]string{}, rng: rand.New(rand.NewPCG(opt.Seed, 11)),
+	c := &Cloud{opt: opt, History: newHistory(), machines: map[string]*emulatedWorker{}, charters: map[string][]string{}, rng: rand.New(rand.NewPCG(opt.Seed, 11)),
 		flavor: fleet.MachineType{Name: "bench", CPUs: 8, MemoryGB: 32, HourlyPrice: 1, SpotHourlyPrice: 0.5, BootSeconds: 0.2, ImageCacheGB: 100, FetchGBPerSecond: 100, Zones: []string{"a"}}}
 	var err error
 	c.front, err = serveFront(c.serve)
