--- a/cmd/gullbench/commits.go
+++ b/cmd/gullbench/commits.go
@@ -221,7 +221,7 @@
 
 // slowDir is a directory on a disk whose syncs take longer.
 type slowDir struct {
-	*store.Dir
+	*store.OSDirectory
 	slower time.Duration
 }
 
@@ -231,12 +231,12 @@
 }
 
 func (d slowDir) Create(name string) (store.File, error) {
-	f, err := d.Dir.Create(name)
+	f, err := d.OSDirectory.Create(name)
 	return slowFile{f, d.slower}, err
 }
 
 func (d slowDir) Open(name string) (store.File, error) {
-	f, err := d.Dir.Open(name)
+	f, err := d.OSDirectory.Open(name)
 	return slowFile{f, d.slower}, err
 }
 
@@ -248,11 +248,11 @@
 
 // serveSlowly runs the service in this process, until that ends.
 func serveSlowly(data, options, listen, metrics string, slower time.Duration) error {
-	opt, err := config.LoadStore(options)
+	opt, err := config.LoadKVServer(options)
 	if err != nil {
 		return err
 	}
-	dir, err := store.LockDir(data)
+	dir, err := store.LockDirectory(data)
 	if err != nil {
 		return err
 	}
@@ -264,6 +264,6 @@
 	watch := store.NewMetrics()
 	ended := func(err error) { fmt.Fprintln(os.Stderr, "the service ended:", err) }
 	go func() { ended(watch.Serve(metrics, log)) }()
-	go func() { ended(store.NewService(state, disk, opt, watch, log).Serve(listen)) }()
+	go func() { ended(store.NewServer(state, disk, opt, watch, log).Serve(listen)) }()
 	return nil
 }
--- a/cmd/gullbench/leaders.go
+++ b/cmd/gullbench/leaders.go
@@ -66,6 +66,6 @@
 
 func leadersWorld() standin.Options {
 	return standin.Options{Nodes: 3, ReportEvery: 2500 * time.Millisecond, Lease: 15 * time.Second, Cancel: 35 * time.Second,
-		Teams:  []config.Team{{Name: "red", CPUs: 8, CPULimit: 14}, {Name: "blue", CPUs: 4, CPULimit: 20}},
+		Teams:  []config.Team{{Name: "red", GuaranteedCPUs: 8, CPULimit: 14}, {Name: "blue", GuaranteedCPUs: 4, CPULimit: 20}},
 		Tuning: config.DefaultOptions()}
 }
--- a/cmd/gullbench/pipelines.go
+++ b/cmd/gullbench/pipelines.go
@@ -25,7 +25,7 @@
 			var broken []string
 			for i := range runs {
 				tuning := config.DefaultOptions()
-				tuning.SealAfter, tuning.SealJobs, tuning.MergeRuns = 0, 2, 2
+				tuning.ArchiveDelay, tuning.MinSegmentJobs, tuning.CompactionFanIn = 0, 2, 2
 				w := standin.New(seed+uint64(i), standin.Options{Nodes: 3, ReportEvery: time.Second, Lease: 8 * time.Second, Cancel: 20 * time.Second,
 					Late: 0.5, Capacity: 12, Sound: true, Tuning: tuning}, slog.New(slog.DiscardHandler))
 				p := w.PipelineDay(each)
--- a/cmd/gullbench/restart.go
+++ b/cmd/gullbench/restart.go
@@ -96,7 +96,7 @@
 	}
 	slices.Sort(took)
 	_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d\t%d\t%.1f\t%.1f\t%d\t%d\n", changes, report.Keys, ms(took[len(took)/2]), ms(took[len(took)-1]),
-		report.SnapBytes, report.LogBytes)
+		report.SnapshotBytes, report.LogBytes)
 	return took[len(took)/2], err
 }
 
--- a/cmd/gullbench/scale.go
+++ b/cmd/gullbench/scale.go
@@ -41,7 +41,7 @@
 func scaleWorld(machines int) standin.Options {
 	return standin.Options{Nodes: 3, ReportEvery: 2500 * time.Millisecond, Lease: 15 * time.Second, Cancel: 35 * time.Second, AskOnce: true,
 		Capacity: (machines + 5) / 6, Unchecked: true, Tuning: config.DefaultOptions(), Settings: func(p *config.Platform) {
-			p.StateWrites, p.ValueBytes, p.TxnOps, p.CloudRate, p.Connections, p.CPUShare = 100, 16384, 16, 9, 10000, 1
-			p.StateRate = 600
+			p.StateWriteRate, p.MaxValueBytes, p.MaxTransactionOps, p.CloudRequestRate, p.MaxConnections, p.CPUQuota = 100, 16384, 16, 9, 10000, 1
+			p.StateRequestRate = 600
 		}}
 }
--- a/cmd/gullbench/upgrade.go
+++ b/cmd/gullbench/upgrade.go
@@ -107,7 +107,7 @@
 // watchPlacing asks all controllers whether they place, until it is told to stop.
 func (f *field) watchPlacing(g *gaps) {
 	defer f.wait.Done()
-	client := httpwire.NewClient(8, 2, httpwire.MaxBody)
+	client := httpwire.NewClient(8, 2, httpwire.MaxBodyBytes)
 	for {
 		select {
 		case <-f.stop:
--- a/cmd/gullbench/users.go
+++ b/cmd/gullbench/users.go
@@ -47,7 +47,7 @@
 
 func (u *users) run() {
 	defer close(u.ended)
-	client := httpwire.NewClient(8, 2, httpwire.MaxBody)
+	client := httpwire.NewClient(8, 2, httpwire.MaxBodyBytes)
 	for n := 0; ; n++ {
 		select {
 		case <-u.stop:
@@ -203,7 +203,7 @@
 func (u *users) drain(within time.Duration) error {
 	close(u.stop)
 	<-u.ended
-	client := httpwire.NewClient(8, 2, httpwire.MaxBody)
+	client := httpwire.NewClient(8, 2, httpwire.MaxBodyBytes)
 	end := time.Now().Add(within)
 	u.mu.Lock()
 	last := len(u.order)
--- a/cmd/gullrudder/client.go
+++ b/cmd/gullrudder/client.go
@@ -44,7 +44,7 @@
 }
 
 func apiFlags(cmd *cobra.Command, a *apiClient) {
-	a.client = httpwire.NewClient(1, 1, httpwire.MaxBody)
+	a.client = httpwire.NewClient(1, 1, httpwire.MaxBodyBytes)
 	cmd.Flags().StringVar(&a.server, "server", os.Getenv("GULLRUDDER_SERVER"), "address of a controller, host:port (or GULLRUDDER_SERVER)")
 	cmd.Flags().StringVar(&a.data, "data", os.Getenv("GULLRUDDER_DATA"), "directory of a site on this machine, as for up (or GULLRUDDER_DATA)")
 	cmd.Flags().StringVar(&a.output, "output", "table", "table or json")
--- a/cmd/gullrudder/serve.go
+++ b/cmd/gullrudder/serve.go
@@ -35,7 +35,7 @@
 }
 
 func load(platform, operators string) (*config.Platform, config.Options, error) {
-	cfg, err := config.Load(platform)
+	cfg, err := config.LoadPlatform(platform)
 	if err != nil {
 		return nil, config.Options{}, &failure{2, err}
 	}
@@ -71,7 +71,7 @@
 			for _, w := range node.ConfigWarnings(cfg) {
 				log.Error("settings", "warning", w)
 			}
-			log.Info("serving", "public", cfg.Public, "peers", cfg.PeerBind)
+			log.Info("serving", "public", cfg.PublicAddr, "peers", cfg.PeerListenAddr)
 			node.NewRuntime(n, cfg, log).Serve()
 			return nil
 		}}
--- a/cmd/gullrudder/site.go
+++ b/cmd/gullrudder/site.go
@@ -99,7 +99,7 @@
 	}()
 	began := time.Now()
 	go func() {
-		a := &apiClient{servers: []string{h.Controllers[0].Public}, client: httpwire.NewClient(1, 1, httpwire.MaxBody), patience: time.Minute}
+		a := &apiClient{servers: []string{h.Controllers[0].Public}, client: httpwire.NewClient(1, 1, httpwire.MaxBodyBytes), patience: time.Minute}
 		for {
 			var st node.Status
 			if a.get("/status", &st) == nil && st.Leader != "" {
@@ -383,7 +383,7 @@
 		add(p.name, state, do, err == nil && up)
 	}
 	if up {
-		a := &apiClient{servers: []string{h.Controllers[0].Public}, client: httpwire.NewClient(1, 1, httpwire.MaxBody), patience: 3 * time.Second}
+		a := &apiClient{servers: []string{h.Controllers[0].Public}, client: httpwire.NewClient(1, 1, httpwire.MaxBodyBytes), patience: 3 * time.Second}
 		var st node.Status
 		err := a.get("/status", &st)
 		add("leader", orDash(st.Leader), "see "+h.Dir("log", h.Controllers[0].Name+".log"), err == nil && st.Leader != "")
--- a/cmd/gullrudder/state.go
+++ b/cmd/gullrudder/state.go
@@ -26,12 +26,12 @@
 			if data == "" || listen == "" {
 				return &failure{2, errors.New("state: --data and --listen are required")}
 			}
-			opt, err := config.LoadStore(operators)
+			opt, err := config.LoadKVServer(operators)
 			if err != nil {
 				return &failure{2, err}
 			}
 			log := logger(os.Stderr, os.Getenv("LOG_LEVEL")).With("state", listen)
-			dir, err := store.LockDir(data)
+			dir, err := store.LockDirectory(data)
 			if err != nil {
 				return &failure{exitDamaged, err}
 			}
@@ -47,7 +47,7 @@
 			if metrics != "" {
 				go func() { ends <- watch.Serve(metrics, log) }()
 			}
-			go func() { ends <- store.NewService(state, disk, opt, watch, log).Serve(listen) }()
+			go func() { ends <- store.NewServer(state, disk, opt, watch, log).Serve(listen) }()
 			return &failure{exitUnavailable, <-ends}
 		}}
 	cmd.Flags().StringVar(&data, "data", "", "the directory that the store is kept in")
@@ -68,14 +68,14 @@
 				return &failure{2, fmt.Errorf("--output %s: not table or json", output)}
 			}
 			report, err := store.Inspect(args[0])
-			var found []store.Key
+			var found []store.KeyInfo
 			if err == nil && keys {
 				found, err = store.Keys(args[0])
 			}
 			view := struct {
-				store.Report
-				Damage string      `json:"damage,omitempty"`
-				All    []store.Key `json:"all_keys,omitempty"`
+				store.Inspection
+				Damage string          `json:"damage,omitempty"`
+				All    []store.KeyInfo `json:"all_keys,omitempty"`
 			}{report, "", found}
 			if err != nil {
 				view.Damage = err.Error()
@@ -93,12 +93,12 @@
 	return cmd
 }
 
-func inspectTable(out io.Writer, r store.Report, damage string, keys []store.Key) {
+func inspectTable(out io.Writer, r store.Inspection, damage string, keys []store.KeyInfo) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "revision\t%d\nkeys\t%d\nleases\t%d\nsnapshot\t%s, %d bytes\nlog\t%d segments, %d frames, %d bytes\n",
-		r.Revision, r.Keys, r.Leases, orDash(r.Snapshot), r.SnapBytes, len(r.Segments), r.Frames, r.LogBytes)
-	if r.Torn > 0 {
-		fmt.Fprintf(w, "unfinished at the end\t%d bytes, never answered\n", r.Torn)
+		r.Revision, r.Keys, r.Leases, orDash(r.Snapshot), r.SnapshotBytes, len(r.Segments), r.Frames, r.LogBytes)
+	if r.TornBytes > 0 {
+		fmt.Fprintf(w, "unfinished at the end\t%d bytes, never answered\n", r.TornBytes)
 	}
 	for _, name := range r.Segments {
 		fmt.Fprintf(w, "segment\t%s\n", name)
@@ -106,10 +106,10 @@
 	for _, name := range r.Snapshots {
 		fmt.Fprintf(w, "snapshot\t%s\n", name)
 	}
-	for _, name := range r.Unused {
+	for _, name := range r.UnfinishedSnapshots {
 		fmt.Fprintf(w, "unfinished snapshot\t%s\n", name)
 	}
-	for _, p := range r.Passed {
+	for _, p := range r.SkippedDamage {
 		fmt.Fprintf(w, "passed over\t%s\n", p)
 	}
 	if damage == "" {
@@ -120,7 +120,7 @@
 		fmt.Fprintln(w, "\nKEY\tBYTES\tMARK\tLEASE")
 	}
 	for _, k := range keys {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", k.Key, k.Bytes, k.Mark, k.Lease)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", k.Key, k.ValueBytes, k.ModRevision, k.LeaseID)
 	}
 	w.Flush()
 }
--- a/cmd/gullrudder/submit.go
+++ b/cmd/gullrudder/submit.go
@@ -120,7 +120,7 @@
 			}
 		}
 		// The order of a map's keys would make every upload another one.
-		body, err := packed.Sorted(desc)
+		body, err := packed.MarshalSorted(desc)
 		if err != nil {
 			return &failure{2, err}
 		}
--- a/internal/controller/book/book.go
+++ b/internal/controller/book/book.go
@@ -144,7 +144,7 @@
 // SetOptions takes other options for the history.
 func (b *Store) SetOptions(opt config.Options) {
 	if b.archive != nil {
-		b.archive.SetThresholds(opt.SealJobs, opt.MergeRuns)
+		b.archive.SetThresholds(opt.MinSegmentJobs, opt.CompactionFanIn)
 	}
 }
 
@@ -161,7 +161,7 @@
 
 // Tick does what is due. Results are saved once a second; cancelled jobs are let go of only once
 // it is known of every machine what runs on it.
-func (b *Store) Tick(now time.Time, box *outbox.Box) {
+func (b *Store) Tick(now time.Time, box *outbox.Outbox) {
 	b.archive.Tick(now, box)
 	b.resolveDependencies(now, box)
 }
@@ -300,11 +300,11 @@
 // were, nobody is answered: an accepted job must not be called unknown.
 func (b *Store) OpenArchive() bool {
 	opened, err := history.New(b.storage, history.Options{
-		ValueBytes: b.platform.ValueBytes, TxnOps: b.platform.TxnOps, WriteRate: b.platform.StateWrites * archiveShare, ReadRate: b.platform.StateRate * archiveShare,
-		MinSegmentJobs: b.options.SealJobs, CompactionFanIn: b.options.MergeRuns,
+		ValueBytes: b.platform.MaxValueBytes, TxnOps: b.platform.MaxTransactionOps, WriteRate: b.platform.StateWriteRate * archiveShare, ReadRate: b.platform.StateRequestRate * archiveShare,
+		MinSegmentJobs: b.options.MinSegmentJobs, CompactionFanIn: b.options.CompactionFanIn,
 		CanArchive: func(now time.Time, id string) bool {
 			f, ok := b.finished[id]
-			return ok && now.Sub(f.finishedAt) >= b.options.SealAfter
+			return ok && now.Sub(f.finishedAt) >= b.options.ArchiveDelay
 		},
 		FinalState: func(id string) (history.FinalState, bool) {
 			f, ok := b.finished[id]
--- a/internal/controller/book/needs.go
+++ b/internal/controller/book/needs.go
@@ -193,7 +193,7 @@
 
 // resolveDependencies asks the history's data what became of needs that its index cannot tell of. Until then nobody is told anything of the jobs
 // that need them: an earlier leader may have called them cancelled.
-func (b *Store) resolveDependencies(now time.Time, box *outbox.Box) {
+func (b *Store) resolveDependencies(now time.Time, box *outbox.Outbox) {
 	if len(b.unresolved) == 0 || now.Before(b.nextResolveAt) {
 		return
 	}
--- a/internal/controller/fleet/fleet.go
+++ b/internal/controller/fleet/fleet.go
@@ -93,7 +93,7 @@
 	requestCount   int
 	log            *slog.Logger
 	callsPerSecond float64
-	limiter        *outbox.Limiter
+	limiter        *outbox.RateLimiter
 	listLag        time.Duration
 	closed         *int
 
@@ -117,16 +117,16 @@
 
 // New makes the dealings of a new leadership.
 func New(fencingToken uint64, callsPerSecond float64, listLag time.Duration, log *slog.Logger) *Client {
-	return &Client{fencingToken: fencingToken, log: log, callsPerSecond: callsPerSecond, limiter: outbox.NewLimiter(callsPerSecond*0.95, rateBurst), listLag: listLag, closed: new(int),
+	return &Client{fencingToken: fencingToken, log: log, callsPerSecond: callsPerSecond, limiter: outbox.NewRateLimiter(callsPerSecond*0.95, rateBurst), listLag: listLag, closed: new(int),
 		MachineTypes: map[string]*MachineType{}, Instances: map[string]*Instance{}, requestStates: map[InstanceKind]*requestState{}, unresolvedByZone: map[string]int{}, queue: newCallQueue(fencingToken, callsPerSecond), bootTimes: boots.New(), deletedIDs: map[string]bool{}}
 }
 
 // Close makes answers that are still to come harmless.
 func (c *Client) Close() { *c.closed = 1 }
 
-func (c *Client) send(box *outbox.Box, call outbox.Call) {
+func (c *Client) send(box *outbox.Outbox, call outbox.Call) {
 	done, epoch := call.Done, c.closed
-	call.Service, call.Timeout = outbox.Cloud, 5*time.Second
+	call.Destination, call.Timeout = outbox.CloudAPI, 5*time.Second
 	call.Done = func(now time.Time, r outbox.Result) {
 		if *epoch == 0 {
 			if r.Status == 429 || r.Status == 503 && len(r.Body) == 0 {
@@ -140,7 +140,7 @@
 }
 
 // Tick reads types and lists, and sends what waits for the cloud's rate.
-func (c *Client) Tick(now time.Time, box *outbox.Box) {
+func (c *Client) Tick(now time.Time, box *outbox.Outbox) {
 	if now.Before(c.pausedUntil) || c.queue.isPaused(now) {
 		return
 	}
@@ -169,7 +169,7 @@
 	c.queue.callSent(now)
 }
 
-func (c *Client) readMachineTypes(now time.Time, box *outbox.Box) {
+func (c *Client) readMachineTypes(now time.Time, box *outbox.Outbox) {
 	c.isReadingTypes = true
 	c.send(box, outbox.Call{Method: "GET", Path: "/flavors", Done: func(now time.Time, r outbox.Result) {
 		c.isReadingTypes = false
@@ -188,7 +188,7 @@
 	}})
 }
 
-func (c *Client) listInstances(now time.Time, box *outbox.Box, from string) {
+func (c *Client) listInstances(now time.Time, box *outbox.Outbox, from string) {
 	c.isListing = true
 	sent := now
 	q := url.Values{"most": {strconv.Itoa(listPageSize)}}
@@ -232,7 +232,7 @@
 		}
 		if a.More && len(a.Hosts) > 0 {
 			c.isListing = true
-			c.queue.add(false, func(box *outbox.Box) { c.listInstances(sent, box, from) })
+			c.queue.add(false, func(box *outbox.Outbox) { c.listInstances(sent, box, from) })
 			return
 		}
 		c.CompletedLists++
@@ -333,11 +333,11 @@
 		c.requestCount++
 		name := fmt.Sprintf("r-%d-%d", c.fencingToken, c.requestCount)
 		c.log.Info("renting", "request", name, "type", k.Type, "zone", k.Zone, "spot", k.Spot, "count", n)
-		c.queue.add(false, func(box *outbox.Box) { c.sendRequest(box, k, n, name, 0) })
+		c.queue.add(false, func(box *outbox.Outbox) { c.sendRequest(box, k, n, name, 0) })
 	}
 }
 
-func (c *Client) sendRequest(box *outbox.Box, kind InstanceKind, count int, name string, retries int) {
+func (c *Client) sendRequest(box *outbox.Outbox, kind InstanceKind, count int, name string, retries int) {
 	c.send(box, outbox.Call{Method: "POST", Path: "/hosts",
 		Body: map[string]any{"charter": name, "keel": kind.Type, "harbour": kind.Zone, "driftwood": kind.Spot, "how_many": count},
 		Done: func(now time.Time, r outbox.Result) {
@@ -375,7 +375,7 @@
 				c.log.Info("rental refused", "request", name, "status", r.Status, "error", a.Error, "again", s.backoff)
 			default:
 				c.unresolvedByZone[kind.Zone]++
-				c.queue.retry(now, false, retries, func(box *outbox.Box) { c.sendRequest(box, kind, count, name, retries+1) })
+				c.queue.retry(now, false, retries, func(box *outbox.Outbox) { c.sendRequest(box, kind, count, name, retries+1) })
 			}
 		}})
 }
@@ -406,11 +406,11 @@
 			c.log.Info("returning a machine", "machine", id, "why", why)
 		}
 		// A machine that is given back frees places elsewhere: first in the queue.
-		c.queue.add(true, func(box *outbox.Box) { c.sendDeletion(box, part, 0) })
+		c.queue.add(true, func(box *outbox.Outbox) { c.sendDeletion(box, part, 0) })
 	}
 }
 
-func (c *Client) sendDeletion(box *outbox.Box, ids []string, retries int) {
+func (c *Client) sendDeletion(box *outbox.Outbox, ids []string, retries int) {
 	c.send(box, outbox.Call{Method: "POST", Path: "/hosts/delete", Body: map[string]any{"oarlocks": ids},
 		Done: func(now time.Time, r outbox.Result) {
 			if r.Status != 200 {
@@ -432,9 +432,9 @@
 	if refused && retries >= maxRefusedDeletions && len(ids) > 1 {
 		c.log.Info("a deletion is halved", "machines", len(ids), "status", r.Status)
 		for _, part := range [][]string{ids[:len(ids)/2], ids[len(ids)/2:]} {
-			c.queue.retry(now, true, retries, func(box *outbox.Box) { c.sendDeletion(box, part, retries) })
+			c.queue.retry(now, true, retries, func(box *outbox.Outbox) { c.sendDeletion(box, part, retries) })
 		}
 		return
 	}
-	c.queue.retry(now, true, retries, func(box *outbox.Box) { c.sendDeletion(box, ids, retries+1) })
+	c.queue.retry(now, true, retries, func(box *outbox.Outbox) { c.sendDeletion(box, ids, retries+1) })
 }
--- a/internal/controller/history/history.go
+++ b/internal/controller/history/history.go
@@ -73,8 +73,8 @@
 	retryAt      time.Time
 	retryDelay   time.Duration
 	building     *segmentBuild
-	writeLimiter *outbox.Limiter
-	readLimiter  *outbox.Limiter
+	writeLimiter *outbox.RateLimiter
+	readLimiter  *outbox.RateLimiter
 
 	lookupsInFlight   int
 	partWaiters       map[string][]func(now time.Time, text string, status int) // parts being read
@@ -116,8 +116,8 @@
 // which jobs there were: then nobody may be answered.
 func New(store *ledger.Store, options Options, log *slog.Logger) (*Store, error) {
 	k := &Store{options: options, storage: store, log: log, partWaiters: map[string][]func(time.Time, string, int){}, cachedParts: map[string]string{},
-		writeLimiter: outbox.NewLimiter(options.WriteRate, time.Duration(float64(options.TxnOps+1)/options.WriteRate*float64(time.Second))),
-		readLimiter:  outbox.NewLimiter(options.ReadRate, time.Second)}
+		writeLimiter: outbox.NewRateLimiter(options.WriteRate, time.Duration(float64(options.TxnOps+1)/options.WriteRate*float64(time.Second))),
+		readLimiter:  outbox.NewRateLimiter(options.ReadRate, time.Second)}
 	index := store.TakeArchiveIndex()
 	for _, name := range store.ArchiveHeadNames() {
 		if name == nextNumberEntry {
@@ -226,7 +226,7 @@
 
 // Resolve asks the data. then is called exactly once, perhaps at once: known is true if the
 // job is in a run; an error means that it cannot be told now.
-func (k *Store) Resolve(now time.Time, box *outbox.Box, id string, done func(now time.Time, state FinalState, found bool, err error)) {
+func (k *Store) Resolve(now time.Time, box *outbox.Outbox, id string, done func(now time.Time, state FinalState, found bool, err error)) {
 	if k.lookupsInFlight >= maxLookups {
 		done(now, FinalState{}, false, ErrBusy)
 		return
@@ -243,7 +243,7 @@
 	})
 }
 
-func (k *Store) resolveKey(now time.Time, box *outbox.Box, id string, key uint64, tried map[uint64]bool, done func(time.Time, FinalState, bool, error)) {
+func (k *Store) resolveKey(now time.Time, box *outbox.Outbox, id string, key uint64, tried map[uint64]bool, done func(time.Time, FinalState, bool, error)) {
 	i := slices.IndexFunc(k.segments, func(segment *Segment) bool { return !tried[segment.Number] && segment.ids.Contains(key) })
 	if i < 0 {
 		done(now, FinalState{}, false, nil)
@@ -277,7 +277,7 @@
 }
 
 // readPart reads a part of the data; questions for the same part share one request.
-func (k *Store) readPart(now time.Time, box *outbox.Box, name string, done func(now time.Time, text string, status int)) {
+func (k *Store) readPart(now time.Time, box *outbox.Outbox, name string, done func(now time.Time, text string, status int)) {
 	if text, ok := k.cachedParts[name]; ok {
 		done(now, text, 200)
 		return
--- a/internal/controller/jobs/submit.go
+++ b/internal/controller/jobs/submit.go
@@ -110,7 +110,7 @@
 
 // ParseSpec reads a submission. A refusal for its form has status 400.
 func ParseSpec(body []byte) (Spec, error) {
-	m, err := packed.Map(body)
+	m, err := packed.UnmarshalMap(body)
 	if err != nil {
 		return Spec{}, invalid("%v", err)
 	}
--- a/internal/controller/leader/leader.go
+++ b/internal/controller/leader/leader.go
@@ -192,7 +192,7 @@
 }
 
 // Tick does what is due.
-func (e *Election) Tick(now time.Time, box *outbox.Box) {
+func (e *Election) Tick(now time.Time, box *outbox.Outbox) {
 	// A renewal that is only late finds the lease alive: then nobody else has led, and what
 	// this leader knows still holds. So the leadership is kept a lease longer, without acting.
 	if e.role == roleLeader && now.Sub(e.LeaseValidUntil()) > e.options.LeaseDuration {
@@ -223,13 +223,13 @@
 }
 
 // probePeers asks the others for a word if none has come of late: between two leaders nobody greets anybody.
-func (e *Election) probePeers(now time.Time, box *outbox.Box) {
+func (e *Election) probePeers(now time.Time, box *outbox.Outbox) {
 	if now.Sub(e.peerContactAt) < peerProbeInterval || now.Before(e.nextPeerProbeAt) {
 		return
 	}
 	e.nextPeerProbeAt = now.Add(peerProbeInterval)
 	for _, peer := range e.options.Peers {
-		box.Add(outbox.Call{Service: outbox.Peer, Addr: peer.Addr, Method: "POST", Path: "/peer/inquiry", Timeout: e.options.GrantDuration / 3,
+		box.Add(outbox.Call{Destination: outbox.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/inquiry", Timeout: e.options.GrantDuration / 3,
 			Done: func(now time.Time, r outbox.Result) { e.recordPeerContact(now, r) }})
 	}
 }
@@ -246,9 +246,9 @@
 	}
 }
 
-func (e *Election) revokeLease(box *outbox.Box) {
+func (e *Election) revokeLease(box *outbox.Outbox) {
 	if e.leaseID != 0 {
-		box.Add(outbox.Call{Service: outbox.State, Method: "DELETE", Path: fmt.Sprintf("/leases/%d", e.leaseID),
+		box.Add(outbox.Call{Destination: outbox.StateService, Method: "DELETE", Path: fmt.Sprintf("/leases/%d", e.leaseID),
 			Timeout: time.Second, Done: func(time.Time, outbox.Result) {}})
 	}
 	e.leaseID = 0
@@ -263,13 +263,13 @@
 	e.nextReadAt = nextReadAt
 }
 
-func (e *Election) renewLease(now time.Time, box *outbox.Box) {
+func (e *Election) renewLease(now time.Time, box *outbox.Outbox) {
 	if e.renewalPending || now.Before(e.nextRenewalAt) {
 		return
 	}
 	e.renewalPending, e.lastRenewalSentAt = true, now
 	epoch, sent := e.epoch, now
-	box.Add(outbox.Call{Service: outbox.State, Method: "POST", Path: fmt.Sprintf("/leases/%d/touch", e.leaseID),
+	box.Add(outbox.Call{Destination: outbox.StateService, Method: "POST", Path: fmt.Sprintf("/leases/%d/touch", e.leaseID),
 		Timeout: e.options.LeaseDuration / 3,
 		Done: func(now time.Time, r outbox.Result) {
 			if e.epoch != epoch {
@@ -296,7 +296,7 @@
 		}})
 }
 
-func (e *Election) stepFollower(now time.Time, box *outbox.Box) {
+func (e *Election) stepFollower(now time.Time, box *outbox.Outbox) {
 	e.queryVotes(now, box)
 	if !e.readPending && !now.Before(e.nextReadAt) {
 		e.readLeaderKey(now, box)
@@ -319,7 +319,7 @@
 // so nobody relies on what an earlier process promised.
 func (e *Election) allPeersNotLeading() bool { return len(e.notLeadingPeers) == len(e.options.Peers) }
 
-func (e *Election) queryVotes(now time.Time, box *outbox.Box) {
+func (e *Election) queryVotes(now time.Time, box *outbox.Outbox) {
 	if e.allPeersNotLeading() || now.Before(e.nextVoteQueryAt) || !now.Before(e.startedAt.Add(e.plusDrift(e.options.GrantDuration))) {
 		return
 	}
@@ -328,7 +328,7 @@
 		if e.notLeadingPeers[peer.Name] {
 			continue
 		}
-		box.Add(outbox.Call{Service: outbox.Peer, Addr: peer.Addr, Method: "POST", Path: "/peer/inquiry",
+		box.Add(outbox.Call{Destination: outbox.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/inquiry",
 			Timeout: e.options.GrantDuration / 3,
 			Done: func(now time.Time, r outbox.Result) {
 				e.recordPeerContact(now, r)
@@ -340,10 +340,10 @@
 	}
 }
 
-func (e *Election) readLeaderKey(now time.Time, box *outbox.Box) {
+func (e *Election) readLeaderKey(now time.Time, box *outbox.Outbox) {
 	e.readPending = true
 	epoch := e.epoch
-	box.Add(outbox.Call{Service: outbox.State, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: time.Second,
+	box.Add(outbox.Call{Destination: outbox.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: time.Second,
 		Done: func(now time.Time, r outbox.Result) {
 			if e.epoch != epoch {
 				return
@@ -395,12 +395,12 @@
 	}
 }
 
-func (e *Election) watchLeaderKey(now time.Time, box *outbox.Box) {
+func (e *Election) watchLeaderKey(now time.Time, box *outbox.Outbox) {
 	e.readPending = true
 	epoch := e.epoch
 	wait := e.options.LeaseDuration * 2
 	query := url.Values{"starts": {LeaderKey}, "from": {strconv.FormatUint(e.revision, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
-	box.Add(outbox.Call{Service: outbox.State, Method: "GET", Path: "/watch?" + query.Encode(), Timeout: wait + time.Second,
+	box.Add(outbox.Call{Destination: outbox.StateService, Method: "GET", Path: "/watch?" + query.Encode(), Timeout: wait + time.Second,
 		Done: func(now time.Time, r outbox.Result) {
 			if e.epoch != epoch {
 				return
@@ -441,12 +441,12 @@
 		}})
 }
 
-func (e *Election) campaign(now time.Time, box *outbox.Box) {
+func (e *Election) campaign(now time.Time, box *outbox.Outbox) {
 	e.role = roleCandidate
 	e.epoch++
 	e.readPending = false
 	epoch, sent := e.epoch, now
-	box.Add(outbox.Call{Service: outbox.State, Method: "POST", Path: "/leases", Timeout: time.Second,
+	box.Add(outbox.Call{Destination: outbox.StateService, Method: "POST", Path: "/leases", Timeout: time.Second,
 		Body: map[string]any{"ttl_ms": e.options.LeaseDuration.Milliseconds()},
 		Done: func(now time.Time, r outbox.Result) {
 			if e.epoch != epoch {
@@ -464,9 +464,9 @@
 		}})
 }
 
-func (e *Election) claimLeaderKey(now time.Time, box *outbox.Box, leased time.Time) {
+func (e *Election) claimLeaderKey(now time.Time, box *outbox.Outbox, leased time.Time) {
 	epoch := e.epoch
-	box.Add(outbox.Call{Service: outbox.State, Method: "POST", Path: "/commit", Timeout: time.Second,
+	box.Add(outbox.Call{Destination: outbox.StateService, Method: "POST", Path: "/commit", Timeout: time.Second,
 		Body: map[string]any{
 			"guards": []any{map[string]any{"path": LeaderKey, "mark": 0}},
 			"apply":  []any{map[string]any{"write": LeaderKey, "value": leaderRecord{e.options.Name, e.leaseID}, "permit": e.leaseID}},
@@ -481,7 +481,7 @@
 			switch {
 			case r.Status == 200 && packed.Unmarshal(r.Body, &response) == nil && response.Tide > 0:
 				e.becomeLeader(now, box, response.Tide, leased)
-			case r.Unknown():
+			case r.IsUncertain():
 				e.verifyClaim(now, box, leased)
 			default:
 				e.revokeLease(box)
@@ -492,9 +492,9 @@
 
 // verifyClaim: no answer came to our claim. If the key is not ours now, our lease is
 // ended, so that a claim that is executed later is refused.
-func (e *Election) verifyClaim(now time.Time, box *outbox.Box, leased time.Time) {
+func (e *Election) verifyClaim(now time.Time, box *outbox.Outbox, leased time.Time) {
 	epoch := e.epoch
-	box.Add(outbox.Call{Service: outbox.State, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: time.Second,
+	box.Add(outbox.Call{Destination: outbox.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: time.Second,
 		Done: func(now time.Time, r outbox.Result) {
 			if e.epoch != epoch {
 				return
@@ -512,7 +512,7 @@
 		}})
 }
 
-func (e *Election) becomeLeader(now time.Time, box *outbox.Box, fencingToken uint64, leased time.Time) {
+func (e *Election) becomeLeader(now time.Time, box *outbox.Outbox, fencingToken uint64, leased time.Time) {
 	until := leased.Add(e.minusDrift(e.options.LeaseDuration))
 	if e.isBoundByGrant(now) || !now.Before(until) {
 		e.revokeLease(box)
--- a/internal/controller/leader/promises.go
+++ b/internal/controller/leader/promises.go
@@ -92,7 +92,7 @@
 	}
 }
 
-func (e *Election) requestGrants(now time.Time, box *outbox.Box) {
+func (e *Election) requestGrants(now time.Time, box *outbox.Outbox) {
 	for _, peer := range e.options.Peers {
 		grant := e.grants[peer.Name]
 		if grant == nil {
@@ -108,7 +108,7 @@
 		if e.stateLoaded && e.HoldsLease(now) {
 			request.StateLoaded, request.OldestCancellationAge, request.EchoedNonce = true, now.Sub(e.oldestCancellation), grant.nonce
 		}
-		box.Add(outbox.Call{Service: outbox.Peer, Addr: peer.Addr, Method: "POST", Path: "/peer/hello",
+		box.Add(outbox.Call{Destination: outbox.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/hello",
 			Body: request, Timeout: e.options.GrantDuration / 3,
 			Done: func(now time.Time, r outbox.Result) {
 				if e.epoch != epoch {
@@ -149,7 +149,7 @@
 // recordPeerServed takes in that the state service answers another controller. If two renewals of ours
 // have failed by then, or one has and the next is without an answer, and that goes on for as long as a
 // renewal needs after an outage that has just ended, the leadership is handed over.
-func (e *Election) recordPeerServed(now time.Time, box *outbox.Box, peerName string) {
+func (e *Election) recordPeerServed(now time.Time, box *outbox.Outbox, peerName string) {
 	if e.role != roleLeader || e.failedRenewals == 0 || e.failedRenewals == 1 && !(e.renewalPending && now.Sub(e.lastRenewalSentAt) > e.options.LeaseDuration/6) {
 		return
 	}
@@ -163,7 +163,7 @@
 
 // transferIfPartitioned ends a leadership that no worker reaches while they reach another controller: their leases
 // run, and each of them is lost with all that runs there unless somebody leads whom they do reach.
-func (e *Election) transferIfPartitioned(now time.Time, box *outbox.Box) {
+func (e *Election) transferIfPartitioned(now time.Time, box *outbox.Outbox) {
 	if e.role != roleLeader {
 		return
 	}
@@ -175,20 +175,20 @@
 
 // transferLeadership hands the leadership over at once, to anybody or to a controller that is named. The others are
 // told that nobody relies on their promises any more, and which lease to end. Waiting for its end and for theirs took three times as long.
-func (e *Election) transferLeadership(now time.Time, box *outbox.Box, reason, successor string) {
+func (e *Election) transferLeadership(now time.Time, box *outbox.Outbox, reason, successor string) {
 	leaseID, fencingToken := e.leaseID, e.fencingToken
 	e.StepDown(now, box, reason)
 	for _, peer := range e.options.Peers {
-		box.Add(outbox.Call{Service: outbox.Peer, Addr: peer.Addr, Method: "POST", Path: "/peer/hello",
+		box.Add(outbox.Call{Destination: outbox.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/hello",
 			Body: PingRequest{Name: e.options.Name, FencingToken: fencingToken, ReleasedLeaseID: leaseID, Successor: successor}, Timeout: e.options.GrantDuration / 3, Done: func(time.Time, outbox.Result) {}})
 	}
 }
 
 // probeStateService asks the state service whether it answers, if the leader wants to know, and ends the lease of a
 // leadership that was handed over.
-func (e *Election) probeStateService(now time.Time, box *outbox.Box) {
+func (e *Election) probeStateService(now time.Time, box *outbox.Outbox) {
 	if e.releasedLeaseID != 0 {
-		box.Add(outbox.Call{Service: outbox.State, Method: "DELETE", Path: fmt.Sprintf("/leases/%d", e.releasedLeaseID),
+		box.Add(outbox.Call{Destination: outbox.StateService, Method: "DELETE", Path: fmt.Sprintf("/leases/%d", e.releasedLeaseID),
 			Timeout: time.Second, Done: func(time.Time, outbox.Result) {}})
 		e.releasedLeaseID = 0
 	}
@@ -196,7 +196,7 @@
 		return
 	}
 	e.probeRequested, e.probePending = false, true
-	box.Add(outbox.Call{Service: outbox.State, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: e.options.GrantDuration / 4,
+	box.Add(outbox.Call{Destination: outbox.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: e.options.GrantDuration / 4,
 		Done: func(now time.Time, r outbox.Result) {
 			e.probePending = false
 			e.recordStateServiceContact(now, r)
@@ -210,7 +210,7 @@
 func (e *Election) ElectionDelay(now time.Time) time.Duration { return max(e.grantedUntil.Sub(now), 0) }
 
 // StepDown gives the leadership up.
-func (e *Election) StepDown(now time.Time, box *outbox.Box, reason string) {
+func (e *Election) StepDown(now time.Time, box *outbox.Outbox, reason string) {
 	if e.role != roleLeader {
 		return
 	}
--- a/internal/controller/ledger/commit.go
+++ b/internal/controller/ledger/commit.go
@@ -12,7 +12,7 @@
 
 // One commit is in flight at a time. What became of one that nobody answered is read back before anything else is sent.
 
-func (l *Store) sendCommit(now time.Time, box *outbox.Box, pages []*page, move *entryMove) {
+func (l *Store) sendCommit(now time.Time, box *outbox.Outbox, pages []*page, move *entryMove) {
 	l.sequence++
 	txn := &transaction{sequence: l.sequence, pages: pages, move: move, guarded: pages}
 	guards := []any{map[string]any{"path": l.options.LeaderKey, "mark": l.fencingToken}}
@@ -51,7 +51,7 @@
 			switch {
 			case r.Status == 200 && packed.Unmarshal(r.Body, &a) == nil && a.Tide > l.fencingToken:
 				l.commitSucceeded(now, a.Tide)
-			case r.Unknown() || r.Status == 200:
+			case r.IsUncertain() || r.Status == 200:
 				l.notifyUncertain(now)
 				l.readBack(now, box, 0, 0)
 			case r.Status == 409:
@@ -101,8 +101,8 @@
 
 // resolveConflict finds out whose write has come before a commit that the guard of a page refused: if the leader's key is as it was,
 // our own, an earlier try that was given up and carried out late. Then the pages are read back like after an unknown outcome.
-func (l *Store) resolveConflict(now time.Time, box *outbox.Box, after time.Duration) {
-	l.call(box, outbox.Call{Method: "GET", Path: "/keys/" + l.options.LeaderKey, After: after, Timeout: time.Second,
+func (l *Store) resolveConflict(now time.Time, box *outbox.Outbox, after time.Duration) {
+	l.call(box, outbox.Call{Method: "GET", Path: "/keys/" + l.options.LeaderKey, Delay: after, Timeout: time.Second,
 		Done: func(now time.Time, r outbox.Result) {
 			var a struct {
 				Mark uint64 `msgpack:"mark"`
@@ -169,10 +169,10 @@
 // marks and may be the one that was executed. mark is the revision at which the attempt
 // was found to be executed: it may be executed between the reading of two pages, so one
 // page that shows it speaks for all.
-func (l *Store) readBack(now time.Time, box *outbox.Box, index int, after time.Duration) {
+func (l *Store) readBack(now time.Time, box *outbox.Outbox, index int, after time.Duration) {
 	txn := l.inFlight
 	checked := txn.guarded[index]
-	l.call(box, outbox.Call{Method: "GET", Path: "/keys/" + checked.key, After: after, Timeout: time.Second,
+	l.call(box, outbox.Call{Method: "GET", Path: "/keys/" + checked.key, Delay: after, Timeout: time.Second,
 		Done: func(now time.Time, r outbox.Result) {
 			var a struct {
 				Value pageValue `msgpack:"value"`
--- a/internal/controller/ledger/ledger.go
+++ b/internal/controller/ledger/ledger.go
@@ -76,7 +76,7 @@
 	entries          map[string]*entry
 	nextPageNumber   int
 	sequence         uint64
-	writeLimiter     *outbox.Limiter
+	writeLimiter     *outbox.RateLimiter
 	inFlight         *transaction
 	loaded           bool
 	fenced           bool // another leader has written: this one has to step down
@@ -98,7 +98,7 @@
 // New makes the ledger of a new leadership. Load has to come first.
 func New(options Options, fencingToken uint64, log *slog.Logger) *Store {
 	return &Store{options: options, log: log, fencingToken: fencingToken, pages: map[string]*page{}, dirtyPages: map[*page]bool{}, entries: map[string]*entry{},
-		writeLimiter: outbox.NewLimiter(options.WriteRate*0.92, time.Second), closed: new(int),
+		writeLimiter: outbox.NewRateLimiter(options.WriteRate*0.92, time.Second), closed: new(int),
 		archiveHead: &page{key: ArchiveHeadKey, entries: map[string]*entry{}, size: pageFrame}, archiveIndex: map[string]string{}}
 }
 
@@ -123,13 +123,13 @@
 }
 
 // Load reads all pages, and the index of the history beside them.
-func (l *Store) Load(box *outbox.Box) {
+func (l *Store) Load(box *outbox.Outbox) {
 	l.pendingLists = 2
 	l.loadKeys(box, PagePrefix, "", 0, l.installPage)
 	l.loadKeys(box, archivePrefix, "", 0, l.installArchiveKey)
 }
 
-func (l *Store) loadKeys(box *outbox.Box, prefix, from string, after time.Duration, install func(keyValue) error) {
+func (l *Store) loadKeys(box *outbox.Outbox, prefix, from string, after time.Duration, install func(keyValue) error) {
 	l.listKeys(box, prefix, from, after, 2*time.Second, func(now time.Time, rows []keyValue, more bool, status int) {
 		if status != 200 {
 			l.loadKeys(box, prefix, from, 200*time.Millisecond, install)
@@ -200,9 +200,9 @@
 }
 
 // call sends a state call whose answer is dropped once the leadership is over.
-func (l *Store) call(box *outbox.Box, request outbox.Call) {
+func (l *Store) call(box *outbox.Outbox, request outbox.Call) {
 	done, epoch := request.Done, l.closed
-	request.Service = outbox.State
+	request.Destination = outbox.StateService
 	request.Done = func(now time.Time, r outbox.Result) {
 		if *epoch == 0 {
 			done(now, r)
@@ -341,7 +341,7 @@
 }
 
 // Flush sends the next commit if one is due.
-func (l *Store) Flush(now time.Time, box *outbox.Box) {
+func (l *Store) Flush(now time.Time, box *outbox.Outbox) {
 	if !l.loaded || l.fenced || l.inFlight != nil || now.Before(l.retryAt) {
 		return
 	}
--- a/internal/controller/ledger/split.go
+++ b/internal/controller/ledger/split.go
@@ -125,7 +125,7 @@
 // invalidateUncertainSplit writes a new page of a split that may be carried out yet, empty: that one guards it to be new. It has to be certain
 // before anything else is written. Carried out later, after a next try with other pages or a change of the page that was to be split, it
 // would leave copies that nobody knows of, and they would bring jobs back that had ended or been sealed since.
-func (l *Store) invalidateUncertainSplit(now time.Time, box *outbox.Box) {
+func (l *Store) invalidateUncertainSplit(now time.Time, box *outbox.Outbox) {
 	if l.writeLimiter.Available(now) < 1 {
 		return
 	}
--- a/internal/controller/node/node.go
+++ b/internal/controller/node/node.go
@@ -50,7 +50,7 @@
 
 // Effects are what a step wants done.
 type Effects struct {
-	Replies []inbox.Reply
+	Replies []inbox.Response
 	Calls   []outbox.Call
 }
 
@@ -69,8 +69,8 @@
 	leaderSeen  bool // a leader has been heard of, or this is one
 	leadership  *leadership
 	holdsLease  bool // the leadership is entitled to act at present
-	outbox      outbox.Box
-	responder   inbox.Answers
+	outbox      outbox.Outbox
+	responder   inbox.Responder
 	nextTick    time.Time
 	latencies   *latencyTable
 }
@@ -101,7 +101,7 @@
 
 // New makes the state of a process that has just started.
 func New(platform *config.Platform, options config.Options, now time.Time, rng *rand.Rand, log *slog.Logger) *Controller {
-	n := &Controller{platform: platform, options: options, log: log, responder: inbox.Answers{Log: log}, teams: platform.TeamsByName(), peers: map[string]string{}, registry: prometheus.NewRegistry(), latencies: newLatencyTable()}
+	n := &Controller{platform: platform, options: options, log: log, responder: inbox.Responder{Log: log}, teams: platform.TeamsByName(), peers: map[string]string{}, registry: prometheus.NewRegistry(), latencies: newLatencyTable()}
 	n.metrics = timeline.NewMetrics(n.registry)
 	n.linkMetrics = reach.NewMetrics(n.registry)
 	var peers []leader.Peer
@@ -109,9 +109,9 @@
 		peers = append(peers, leader.Peer{Name: peer.Name, Addr: peer.Addr})
 		n.peers[peer.Name] = peer.Addr
 	}
-	n.election = leader.New(leader.Options{Name: platform.Name, Peers: peers, LeaseDuration: options.LeaderLease,
-		GrantDuration: options.Promise, SafetyMargin: 100 * time.Millisecond, HeartbeatInterval: platform.ReportEvery,
-		RenewalWindow: horizon.Window(platform.CancelWithin, workers.LeaseExpiry(platform.WorkerLease))}, now, rng, log)
+	n.election = leader.New(leader.Options{Name: platform.Name, Peers: peers, LeaseDuration: options.LeaderLeaseDuration,
+		GrantDuration: options.GrantDuration, SafetyMargin: 100 * time.Millisecond, HeartbeatInterval: platform.HeartbeatInterval,
+		RenewalWindow: horizon.Window(platform.CancelTimeout, workers.LeaseExpiry(platform.WorkerLeaseDuration))}, now, rng, log)
 	return n
 }
 
@@ -146,7 +146,7 @@
 			l.accounting.LeaseLost(now)
 		}
 	}
-	return Effects{Replies: n.responder.Take(), Calls: n.outbox.Take()}
+	return Effects{Replies: n.responder.TakeResponses(), Calls: n.outbox.TakeCalls()}
 }
 
 // followElection makes the leadership's state follow the election.
@@ -186,7 +186,7 @@
 		n.requireMethod(request, "GET", func() { n.handleReady(now, request) })
 	case path == "/status":
 		n.requireMethod(request, "GET", func() { n.handleStatus(now, request) })
-	case path == "/v1/report" && !request.Peer:
+	case path == "/v1/report" && !request.FromPeer:
 		n.requireMethod(request, "POST", func() { n.handleHeartbeat(now, request) })
 	case path == "/settings" && request.Method == "GET":
 		n.serveOrForward(now, request, func() { n.leadership.dynamicConfig.ServeView(now, request) })
@@ -196,12 +196,12 @@
 		})
 	case requests.MethodFor(segments) != "":
 		n.requireMethod(request, requests.MethodFor(segments), func() { n.serveOrForward(now, request, func() { n.leadership.api.Serve(now, request, segments) }) })
-	case path == "/peer/hello" && request.Peer:
+	case path == "/peer/hello" && request.FromPeer:
 		n.requireMethod(request, "POST", func() { n.handlePing(now, request) })
-	case path == "/peer/inquiry" && request.Peer:
-		n.requireMethod(request, "POST", func() { n.responder.Reply(request, 200, n.election.HandleVoteQuery(now), 0) })
+	case path == "/peer/inquiry" && request.FromPeer:
+		n.requireMethod(request, "POST", func() { n.responder.Respond(request, 200, n.election.HandleVoteQuery(now), 0) })
 	default:
-		n.responder.Refuse(request, 404, "no such path", 0)
+		n.responder.RespondError(request, 404, "no such path", 0)
 	}
 }
 
@@ -217,11 +217,11 @@
 		if connectivity.RedirectsSuspended(now) {
 			redirectTo = "" // the leader would not hear it
 		}
-		n.responder.Reply(request, 421, workers.Redirect{Leader: redirectTo}, 0)
+		n.responder.Respond(request, 421, workers.Redirect{Leader: redirectTo}, 0)
 		return
 	}
 	if !n.leadership.failover.CanRenewLeases(now) {
-		n.responder.Refuse(request, 503, "the ledger is not read", 0)
+		n.responder.RespondError(request, 503, "the ledger is not read", 0)
 		return
 	}
 	if n.leadership.heartbeats.HandleHeartbeat(now, request, n.leadership.failover.StateLoaded()) {
@@ -231,7 +231,7 @@
 
 func (n *Controller) requireMethod(request *inbox.Request, method string, handle func()) {
 	if request.Method != method {
-		n.responder.Refuse(request, 405, "wrong method", 0)
+		n.responder.RespondError(request, 405, "wrong method", 0)
 		return
 	}
 	handle()
@@ -240,11 +240,11 @@
 func (n *Controller) handlePing(now time.Time, request *inbox.Request) {
 	var ping leader.PingRequest
 	if err := packed.Unmarshal(request.Body, &ping); err != nil || n.peers[ping.Name] == "" {
-		n.responder.Refuse(request, 400, "no greeting of a known controller", 0)
+		n.responder.RespondError(request, 400, "no greeting of a known controller", 0)
 		return
 	}
 	n.leaderSeen = true
-	n.responder.Reply(request, 200, n.election.HandlePing(now, ping), 0)
+	n.responder.Respond(request, 200, n.election.HandlePing(now, ping), 0)
 }
 
 func (n *Controller) handleReady(now time.Time, request *inbox.Request) {
@@ -252,15 +252,15 @@
 		n.leaderSeen = true
 	}
 	if !n.leaderSeen {
-		n.responder.Refuse(request, 503, "no leader known yet", 0)
+		n.responder.RespondError(request, 503, "no leader known yet", 0)
 		return
 	}
 	if n.election.IsIsolated(now) {
 		// Users who are sent here are all refused until it is over, and others would serve them.
-		n.responder.Refuse(request, 503, "cut off from the state service and the other controllers", 0)
+		n.responder.RespondError(request, 503, "cut off from the state service and the other controllers", 0)
 		return
 	}
-	n.responder.Reply(request, 200, map[string]bool{"ready": true}, 0)
+	n.responder.Respond(request, 200, map[string]bool{"ready": true}, 0)
 }
 
 // tick does the leader's regular work, duty by duty.
@@ -321,7 +321,7 @@
 // waitReasonsInterval is how often it is seen what jobs wait for: twice a second, and more seldom the more
 // jobs there are.
 func (n *Controller) waitReasonsInterval(openJobs int) time.Duration {
-	return max(500*time.Millisecond, time.Duration(float64(openJobs)*float64(waitReasonsCostPerJob)/(waitReasonsCPUShare*n.platform.CPUShare)))
+	return max(500*time.Millisecond, time.Duration(float64(openJobs)*float64(waitReasonsCostPerJob)/(waitReasonsCPUShare*n.platform.CPUQuota)))
 }
 
 // LeadershipState says whether this controller is entitled to act, and whether it places: an entitlement is of
@@ -343,17 +343,17 @@
 // newLeadership makes the slices and introduces them to one another.
 func (n *Controller) newLeadership(now time.Time, fencingToken uint64) *leadership {
 	l := &leadership{fencingToken: fencingToken}
-	l.storage = ledger.New(ledger.Options{LeaderKey: leader.LeaderKey, ValueBytes: n.platform.ValueBytes, TxnOps: n.platform.TxnOps,
-		WriteRate: n.platform.StateWrites, BatchDelay: 500 * time.Millisecond}, fencingToken, n.log)
+	l.storage = ledger.New(ledger.Options{LeaderKey: leader.LeaderKey, ValueBytes: n.platform.MaxValueBytes, TxnOps: n.platform.MaxTransactionOps,
+		WriteRate: n.platform.StateWriteRate, BatchDelay: 500 * time.Millisecond}, fencingToken, n.log)
 	l.dynamicConfig = settings.New(n.options, l.storage, &n.responder, n.log)
 	options := l.dynamicConfig.Options()
-	l.cloud = fleet.New(fencingToken, n.platform.CloudRate, n.platform.ListLag, n.log)
-	l.workers = workers.NewRegistry(workers.LeaseExpiry(n.platform.WorkerLease), n.log)
+	l.cloud = fleet.New(fencingToken, n.platform.CloudRequestRate, n.platform.CloudListLag, n.log)
+	l.workers = workers.NewRegistry(workers.LeaseExpiry(n.platform.WorkerLeaseDuration), n.log)
 	l.planner = plan.New(n.options, n.platform)
 	l.accounting = timeline.New(n.metrics, n.log)
-	l.zones = zones.New(n.platform.ReportEvery, now, n.log)
-	stragglers := pace.NewDetector(n.platform.ReportEvery)
-	machineLinks := reach.NewTracker(fencingToken, n.platform.WorkerLease, n.linkMetrics, n.log)
+	l.zones = zones.New(n.platform.HeartbeatInterval, now, n.log)
+	stragglers := pace.NewDetector(n.platform.HeartbeatInterval)
+	machineLinks := reach.NewTracker(fencingToken, n.platform.WorkerLeaseDuration, n.linkMetrics, n.log)
 	failureHistory := blame.NewTracker()
 	l.jobStore = book.New(book.Components{Platform: n.platform, Options: options, Storage: l.storage, Workers: l.workers, Accounting: l.accounting, Log: n.log})
 	l.placer = place.New(place.Components{Platform: n.platform, FencingToken: fencingToken, Jobs: l.jobStore.Unfinished, Workers: l.workers, Planner: l.planner,
@@ -374,7 +374,7 @@
 		l.heartbeats.ForgetJob(job)
 	})
 	l.jobStore.OnWaiting(func(job *jobs.Job) {
-		l.jobStore.DependencyGraph().PropagateDeadline(job, l.planner.TaskRunTime, 2*n.platform.ReportEvery, job.Guaranteed)
+		l.jobStore.DependencyGraph().PropagateDeadline(job, l.planner.TaskRunTime, 2*n.platform.HeartbeatInterval, job.Guaranteed)
 	})
 	l.jobStore.OnReady(func(now time.Time, job *jobs.Job) {
 		l.placer.InvalidateOrder()
--- a/internal/controller/node/run.go
+++ b/internal/controller/node/run.go
@@ -31,7 +31,7 @@
 	// Answers to our calls, the renewal's among them, do not queue behind requests.
 	queue    chan Command
 	outcomes chan Command
-	clients  map[outbox.Service]*httpwire.Client
+	clients  map[outbox.Destination]*httpwire.Client
 }
 
 // NewRuntime makes the runtime of a node.
@@ -39,13 +39,13 @@
 	// The server has three quarters of the sockets. Each far side has a part of the rest, so
 	// that no bulk work leaves the renewal or the other controllers without one. Questions to
 	// workers are asked once: their connections are not kept.
-	socketsPerService := max(platform.Connections/12, 4)
+	socketsPerService := max(platform.MaxConnections/12, 4)
 	return &Runtime{controller: n, platform: platform, log: log, queue: make(chan Command, commandQueueLength), outcomes: make(chan Command, commandQueueLength),
-		clients: map[outbox.Service]*httpwire.Client{
-			outbox.State:  httpwire.NewClient(max(socketsPerService/4, 4), 4, maxResponseBytes),
-			outbox.Cloud:  httpwire.NewClient(max(socketsPerService/4, 4), 4, maxResponseBytes),
-			outbox.Peer:   httpwire.NewClient(socketsPerService, 8, maxResponseBytes),
-			outbox.Worker: httpwire.NewClient(socketsPerService, 0, maxResponseBytes),
+		clients: map[outbox.Destination]*httpwire.Client{
+			outbox.StateService:   httpwire.NewClient(max(socketsPerService/4, 4), 4, maxResponseBytes),
+			outbox.CloudAPI:       httpwire.NewClient(max(socketsPerService/4, 4), 4, maxResponseBytes),
+			outbox.PeerController: httpwire.NewClient(socketsPerService, 8, maxResponseBytes),
+			outbox.WorkerAgent:    httpwire.NewClient(socketsPerService, 0, maxResponseBytes),
 		}}
 }
 
@@ -57,7 +57,7 @@
 	// The collector runs seldom as long as there is memory: it takes from the same processor.
 	// Two fifths of the memory that is ours are left to what the collector does not count.
 	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(int64(rt.platform.MemoryMB * 0.6 * (1 << 20)))
+	debug.SetMemoryLimit(int64(rt.platform.MemoryQuotaMB * 0.6 * (1 << 20)))
 	go rt.listen()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -91,9 +91,9 @@
 }
 
 func (rt *Runtime) listen() {
-	server := httpwire.NewServer(httpwire.ServerOptions{Public: rt.platform.Public, Peer: rt.platform.PeerBind,
-		MaxConns: max(rt.platform.Connections*3/4, 8), Idle: 75 * time.Second, Slow: 10 * time.Second,
-		Handle: rt.handle})
+	server := httpwire.NewServer(httpwire.ServerOptions{PublicAddr: rt.platform.PublicAddr, PeerAddr: rt.platform.PeerListenAddr,
+		MaxConnections: max(rt.platform.MaxConnections*3/4, 8), IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second,
+		Handler: rt.handle})
 	for {
 		err := server.Run()
 		rt.log.Error("the server stopped and is started again", "error", err)
@@ -103,16 +103,16 @@
 
 func (rt *Runtime) handle(r *httpwire.Request) {
 	select {
-	case rt.queue <- Command{Request: &inbox.Request{Ref: receivedRequest{r, time.Now()}, Peer: r.Peer, Method: r.Method, Target: r.Target, Body: r.Body}}:
+	case rt.queue <- Command{Request: &inbox.Request{Handle: receivedRequest{r, time.Now()}, FromPeer: r.FromPeer, Method: r.Method, Target: r.Target, Body: r.Body}}:
 	default:
-		r.Reply(503, nil, time.Second)
+		r.Respond(503, nil, time.Second)
 	}
 }
 
 func (rt *Runtime) execute(e Effects) {
 	for _, r := range e.Replies {
-		if received, ok := r.Ref.(receivedRequest); ok {
-			received.Reply(r.Status, r.Body, r.Retry)
+		if received, ok := r.Handle.(receivedRequest); ok {
+			received.Respond(r.Status, r.Body, r.RetryAfter)
 			rt.controller.RecordLatency(requestKind(received.Method, received.Target, r.Status), time.Since(received.receivedAt))
 		}
 	}
@@ -133,18 +133,18 @@
 }
 
 func (rt *Runtime) call(c outbox.Call) {
-	if c.After > 0 {
-		time.Sleep(c.After)
+	if c.Delay > 0 {
+		time.Sleep(c.Delay)
 	}
 	rt.outcomes <- Command{Outcome: &Outcome{Call: c, Result: rt.exchange(c)}}
 }
 
 func (rt *Runtime) exchange(call outbox.Call) outbox.Result {
 	address := call.Addr
-	switch call.Service {
-	case outbox.State:
+	switch call.Destination {
+	case outbox.StateService:
 		address = rt.platform.StateAddr
-	case outbox.Cloud:
+	case outbox.CloudAPI:
 		address = rt.platform.CloudAddr
 	}
 	body, ok := ForwardedBody(call.Body)
@@ -155,7 +155,7 @@
 			return outbox.Result{Err: err}
 		}
 	}
-	response, err := rt.clients[call.Service].Do(address, call.Method, call.Path, body, call.Timeout)
+	response, err := rt.clients[call.Destination].Do(address, call.Method, call.Path, body, call.Timeout)
 	if err != nil {
 		rt.log.Debug("a call failed", "error", err)
 		return outbox.Result{Err: err}
--- a/internal/controller/node/status.go
+++ b/internal/controller/node/status.go
@@ -83,8 +83,8 @@
 
 func (n *Controller) handleStatus(now time.Time, request *inbox.Request) {
 	status := Status{Controller: n.platform.Name, Leader: n.election.Leader(now), Budgets: Budgets{
-		StateRequestRate: n.platform.StateRate, StateWriteRate: n.platform.StateWrites, CloudRequestRate: n.platform.CloudRate,
-		Connections: n.platform.Connections, MemoryMB: n.platform.MemoryMB}}
+		StateRequestRate: n.platform.StateRequestRate, StateWriteRate: n.platform.StateWriteRate, CloudRequestRate: n.platform.CloudRequestRate,
+		Connections: n.platform.MaxConnections, MemoryMB: n.platform.MemoryQuotaMB}}
 	for _, kind := range slices.Sorted(maps.Keys(n.latencies.byRequestKind)) {
 		histogram := n.latencies.byRequestKind[kind]
 		status.Latencies = append(status.Latencies, Latency{kind, histogram.TotalCount(), histogram.ValueAtQuantile(50), histogram.ValueAtQuantile(99), histogram.Max()})
@@ -115,5 +115,5 @@
 			status.Machines = append(status.Machines, MachineStatus{machine.ID, machine.Type, machine.Zone, machine.Spot, state, len(machine.Attempts), machine.UsedCPUs})
 		}
 	}
-	n.responder.Reply(request, 200, status, 0)
+	n.responder.Respond(request, 200, status, 0)
 }
--- a/internal/controller/node/users.go
+++ b/internal/controller/node/users.go
@@ -14,16 +14,16 @@
 func (n *Controller) serveOrForward(now time.Time, request *inbox.Request, serve func()) {
 	if n.holdsLease {
 		if !n.leadership.failover.StateLoaded() {
-			n.responder.Refuse(request, 503, "the ledger is being read", noLeaderRetryAfter)
+			n.responder.RespondError(request, 503, "the ledger is being read", noLeaderRetryAfter)
 			return
 		}
 		serve()
 		return
 	}
 	leaderAddress := n.peers[n.election.Leader(now)]
-	if request.Peer || leaderAddress == "" {
+	if request.FromPeer || leaderAddress == "" {
 		// What is known of when there can be one: a promise has to be over, and users count from a second.
-		n.responder.Refuse(request, 503, "no leader at present", max(noLeaderRetryAfter, n.election.ElectionDelay(now)+noLeaderRetryAfter/10))
+		n.responder.RespondError(request, 503, "no leader at present", max(noLeaderRetryAfter, n.election.ElectionDelay(now)+noLeaderRetryAfter/10))
 		return
 	}
 	timeout := 1800 * time.Millisecond
@@ -31,18 +31,18 @@
 		timeout = 4 * time.Second
 	}
 	followedToken := n.election.FollowedToken()
-	n.outbox.Add(outbox.Call{Service: outbox.Peer, Addr: leaderAddress, Method: request.Method, Path: request.Target, Body: forwardedBody(request.Body), Timeout: timeout,
+	n.outbox.Add(outbox.Call{Destination: outbox.PeerController, Addr: leaderAddress, Method: request.Method, Path: request.Target, Body: forwardedBody(request.Body), Timeout: timeout,
 		Done: func(now time.Time, result outbox.Result) {
 			if n.holdsLease || n.election.FollowedToken() != followedToken {
 				// It was held up, and another leads since, who may have told the user something newer.
-				n.responder.Refuse(request, 503, "another controller leads since", noLeaderRetryAfter)
+				n.responder.RespondError(request, 503, "another controller leads since", noLeaderRetryAfter)
 				return
 			}
-			if result.Unknown() {
-				n.responder.Refuse(request, 503, "the leader does not answer", noLeaderRetryAfter)
+			if result.IsUncertain() {
+				n.responder.RespondError(request, 503, "the leader does not answer", noLeaderRetryAfter)
 				return
 			}
-			n.responder.Pass(request, result.Status, result.Body, result.RetryAfter)
+			n.responder.RespondRaw(request, result.Status, result.Body, result.RetryAfter)
 		}})
 }
 
--- a/internal/controller/place/gangs.go
+++ b/internal/controller/place/gangs.go
@@ -33,7 +33,7 @@
 		switch {
 		case machine.Attempts[attempt.Task] != attempt:
 			delete(p.pendingGangStarts, attempt) // its machine is gone
-		case machine.DrainReason != workers.NotDraining || !attempt.Job.IsSchedulable() || now.Sub(attempt.AssignedAt) > 2*p.platform.ReportEvery+time.Second:
+		case machine.DrainReason != workers.NotDraining || !attempt.Job.IsSchedulable() || now.Sub(attempt.AssignedAt) > 2*p.platform.HeartbeatInterval+time.Second:
 			delete(p.pendingGangStarts, attempt)
 			p.workers.Unassign(machine, attempt)
 			attempt.Job.Requeue(attempt.Task.Index)
@@ -62,7 +62,7 @@
 	byZone := map[string][]*workers.Machine{}
 	var zones []string
 	for _, m := range p.workers.MachinesByName() {
-		if m.Reconciled && m.Registered && IsEligible(job, m) && now.Sub(m.LastContactAt) < 2*p.platform.ReportEvery && m.TasksThatFit(job) > 0 {
+		if m.Reconciled && m.Registered && IsEligible(job, m) && now.Sub(m.LastContactAt) < 2*p.platform.HeartbeatInterval && m.TasksThatFit(job) > 0 {
 			if byZone[m.Zone] == nil {
 				zones = append(zones, m.Zone)
 			}
--- a/internal/controller/place/place.go
+++ b/internal/controller/place/place.go
@@ -68,8 +68,8 @@
 	if team.CPULimit > 0 && job.CPUs > 0 {
 		tasks = min(tasks, int(math.Floor((team.CPULimit-usage.CPUs+resourceTolerance)/job.CPUs)))
 	}
-	if team.CardsLimit > 0 && job.GPUs > 0 {
-		tasks = min(tasks, int(math.Floor((team.CardsLimit-usage.GPUs+resourceTolerance)/job.GPUs)))
+	if team.GPULimit > 0 && job.GPUs > 0 {
+		tasks = min(tasks, int(math.Floor((team.GPULimit-usage.GPUs+resourceTolerance)/job.GPUs)))
 	}
 	return max(tasks, 0)
 }
@@ -80,7 +80,7 @@
 	if job.IsService || job.IsGang {
 		tasks = float64(job.Tasks)
 	}
-	return team.CPULimit > 0 && tasks*job.CPUs > team.CPULimit+resourceTolerance || team.CardsLimit > 0 && tasks*job.GPUs > team.CardsLimit+resourceTolerance
+	return team.CPULimit > 0 && tasks*job.CPUs > team.CPULimit+resourceTolerance || team.GPULimit > 0 && tasks*job.GPUs > team.GPULimit+resourceTolerance
 }
 
 // MachineKind is the kind of a machine.
--- a/internal/controller/place/placer.go
+++ b/internal/controller/place/placer.go
@@ -22,7 +22,7 @@
 	platform       *config.Platform
 	teams          map[string]config.Team
 	log            *slog.Logger
-	outbox         *outbox.Box
+	outbox         *outbox.Outbox
 	fencingToken   uint64
 	attemptCounter uint64
 	jobs           map[string]*jobs.Job // the book's, for looking only
@@ -55,7 +55,7 @@
 	Workers      *workers.Registry
 	Planner      *plan.Planner
 	Capacity     func(time.Time) plan.Capacity // the machines that the plan counts on
-	Outbox       *outbox.Box
+	Outbox       *outbox.Outbox
 	Log          *slog.Logger
 }
 
@@ -113,7 +113,7 @@
 
 // minOrderInterval is how often the order is made anew at most.
 func (p *Placer) minOrderInterval() time.Duration {
-	return max(100*time.Millisecond, time.Duration(float64(len(p.jobs))*float64(orderingCostPerJob)/(orderingCPUShare*p.platform.CPUShare)))
+	return max(100*time.Millisecond, time.Duration(float64(len(p.jobs))*float64(orderingCostPerJob)/(orderingCPUShare*p.platform.CPUQuota)))
 }
 
 // refreshOrder makes the order and the holds anew if something has changed.
@@ -299,7 +299,7 @@
 		job := order[i].Job
 		tasks[i] = job.WaitingTasks()
 		team := p.teams[job.Team]
-		if tasks[i] == 0 || team.CPULimit <= 0 && team.CardsLimit <= 0 {
+		if tasks[i] == 0 || team.CPULimit <= 0 && team.GPULimit <= 0 {
 			continue
 		}
 		quota, ok := quotaLeft[job.Team]
@@ -309,8 +309,8 @@
 			if team.CPULimit > 0 {
 				quota.CPUs = team.CPULimit - used.CPUs
 			}
-			if team.CardsLimit > 0 {
-				quota.GPUs = team.CardsLimit - used.GPUs
+			if team.GPULimit > 0 {
+				quota.GPUs = team.GPULimit - used.GPUs
 			}
 		}
 		tasks[i] = min(tasks[i], quota.TasksThatFit(job))
--- a/internal/controller/place/preempt.go
+++ b/internal/controller/place/preempt.go
@@ -33,7 +33,7 @@
 	surveyed := false
 	for _, e := range p.candidates {
 		job := e.Job
-		if !e.Planned || !isUrgent(now, e.Entry, p.platform.ReportEvery) {
+		if !e.Planned || !isUrgent(now, e.Entry, p.platform.HeartbeatInterval) {
 			continue
 		}
 		want := p.StartableTasksOf(job)
@@ -75,7 +75,7 @@
 		if !machine.Reconciled {
 			continue
 		}
-		heardRecently := now.Sub(machine.LastContactAt) <= 2*p.platform.ReportEvery
+		heardRecently := now.Sub(machine.LastContactAt) <= 2*p.platform.HeartbeatInterval
 		o := freeableMachine{machine: machine}
 		for _, a := range machine.Attempts {
 			switch {
--- a/internal/controller/place/starts.go
+++ b/internal/controller/place/starts.go
@@ -136,7 +136,7 @@
 			if maxMachines--; maxMachines < 0 || tasks >= want {
 				return min(tasks, want)
 			}
-			if other != machine && other.Reconciled && other.Registered && now.Sub(other.LastContactAt) < 2*p.platform.ReportEvery && !now.Before(other.StartsNotBefore) &&
+			if other != machine && other.Reconciled && other.Registered && now.Sub(other.LastContactAt) < 2*p.platform.HeartbeatInterval && !now.Before(other.StartsNotBefore) &&
 				(level > machine.UtilizationBucket() || IsFuller(other, machine)) && IsEligible(job, other) && (other.ReservedFor == nil || other.ReservedFor == job) {
 				tasks += min(other.TasksThatFit(job), TasksAllowedInZone(job, other.Zone))
 			}
--- a/internal/controller/plan/plan.go
+++ b/internal/controller/plan/plan.go
@@ -45,11 +45,11 @@
 	for _, objective := range platform.Objectives {
 		switch objective.Kind {
 		case "wait":
-			planner.startObjectives[objective.Class] = append(planner.startObjectives[objective.Class], objective.Within)
+			planner.startObjectives[objective.Class] = append(planner.startObjectives[objective.Class], objective.TimeLimit)
 		case "guarantee":
-			planner.guaranteeObjective = max(planner.guaranteeObjective, objective.Within)
+			planner.guaranteeObjective = max(planner.guaranteeObjective, objective.TimeLimit)
 		case "finished":
-			planner.finishObjectives[objective.Class] = append(planner.finishObjectives[objective.Class], objective.Within)
+			planner.finishObjectives[objective.Class] = append(planner.finishObjectives[objective.Class], objective.TimeLimit)
 		}
 	}
 	for _, byClass := range []map[string][]time.Duration{planner.startObjectives, planner.finishObjectives} {
@@ -67,7 +67,7 @@
 }
 
 func fairSharePolicy(options config.Options) floor.Policy {
-	return floor.Policy{Window: options.FloorWindow, MinServedShare: options.FloorLeast, CatchUpCPUShare: options.FloorShare, OverdueCPUShare: options.LateShare}
+	return floor.Policy{Window: options.FairShareWindow, MinServedShare: options.MinServedShare, CatchUpCPUShare: options.FairShareCapacity, OverdueCPUShare: options.OverdueShare}
 }
 
 // FairShare is what is known of how each class and team was served.
@@ -202,7 +202,7 @@
 	share := cpus
 	recent := p.recentSubmissions[:0]
 	for _, plan := range p.recentSubmissions {
-		if now.Sub(plan.submittedAt) < p.options.SubmitLease {
+		if now.Sub(plan.submittedAt) < p.options.SubmissionWindow {
 			recent = append(recent, plan)
 			if plan.team == job.Team {
 				share += plan.cpus
@@ -210,7 +210,7 @@
 		}
 	}
 	p.recentSubmissions = append(recent, submission{now, job.Team, cpus})
-	if job.Deadline <= 0 || job.IsService || share > p.options.TeamShare*(capacity.CPUs+capacity.GrowthCPUs) {
+	if job.Deadline <= 0 || job.IsService || share > p.options.SubmissionShare*(capacity.CPUs+capacity.GrowthCPUs) {
 		return false
 	}
 	var guaranteed []*jobs.Job
@@ -247,7 +247,7 @@
 		}
 		return guaranteed[a].ID < guaranteed[b].ID
 	})
-	plan := &schedule{term: p.options.Term, now: now, capacity: capacity, withheldShare: p.options.AgedShare + p.fairShare.ReservedCPUShare()}
+	plan := &schedule{term: p.options.PlanningInterval, now: now, capacity: capacity, withheldShare: p.options.AgedShare + p.fairShare.ReservedCPUShare()}
 	for _, job := range guaranteed {
 		if plan.reserve(job, p.TaskRunTime(job), p.RemainingCPUSeconds(job, now)) && planned != nil {
 			planned[job] = true
@@ -263,7 +263,7 @@
 	if lateness <= 0 {
 		return 0
 	}
-	return -1 - int(lateness/p.options.PayoffStep)
+	return -1 - int(lateness/p.options.LatenessStep)
 }
 
 // Entry is a job in the order, with what the packing needs to know.
@@ -397,10 +397,10 @@
 // class was done of late. A guest's six jobs, with wide aims, were nobody's concern until the age bound, and two of
 // them were done by the end of the day (hunt day a4e2-15).
 func (p *Planner) overdueAfter(now time.Time, job *jobs.Job) time.Duration {
-	if p.options.BeginBound > 0 && p.fairShare.NoneDoneRecently(now, job.Class) {
-		wait := 8 * p.options.BeginBound / 5
-		if p.TaskRunTime(job) > p.options.BeginBound {
-			wait = p.options.BeginBound // its tasks take so long that who waits longer is done late, or not at all
+	if p.options.StartBound > 0 && p.fairShare.NoneDoneRecently(now, job.Class) {
+		wait := 8 * p.options.StartBound / 5
+		if p.TaskRunTime(job) > p.options.StartBound {
+			wait = p.options.StartBound // its tasks take so long that who waits longer is done late, or not at all
 		}
 		return min(wait, p.options.AgeBound)
 	}
@@ -421,12 +421,12 @@
 // jobsAwaitingStart finds the jobs of which nothing has begun within the bound, the oldest first, as far as their share goes.
 // Shortest remaining time first puts the largest last, and they began after more than four minutes.
 func (p *Planner) jobsAwaitingStart(now time.Time, live []*jobs.Job, capacity Capacity) map[*jobs.Job]bool {
-	if p.options.BeginBound <= 0 {
+	if p.options.StartBound <= 0 {
 		return nil
 	}
 	var awaiting []*jobs.Job
 	for _, job := range live {
-		if !job.IsService && !job.CrashLooping && job.DoneTasks+len(job.ActiveAttempts) == 0 && now.Sub(job.EligibleSince()) > p.options.BeginBound && capacity.startableTasks(job) > 0 {
+		if !job.IsService && !job.CrashLooping && job.DoneTasks+len(job.ActiveAttempts) == 0 && now.Sub(job.EligibleSince()) > p.options.StartBound && capacity.startableTasks(job) > 0 {
 			awaiting = append(awaiting, job)
 		}
 	}
@@ -518,7 +518,7 @@
 func (p *Planner) jobsWithinQuota(live []*jobs.Job) map[*jobs.Job]bool {
 	byTeam := map[string][]*jobs.Job{}
 	for _, job := range live {
-		if team := p.teams[job.Team]; team.CPUs > 0 || team.Cards > 0 {
+		if team := p.teams[job.Team]; team.GuaranteedCPUs > 0 || team.GuaranteedGPUs > 0 {
 			byTeam[job.Team] = append(byTeam[job.Team], job)
 		}
 	}
@@ -535,7 +535,7 @@
 		for _, job := range list {
 			cpus += float64(job.Tasks) * job.CPUs
 			gpus += float64(job.Tasks) * job.GPUs
-			if cpus > team.CPUs+1e-6 || gpus > team.Cards+1e-6 {
+			if cpus > team.GuaranteedCPUs+1e-6 || gpus > team.GuaranteedGPUs+1e-6 {
 				break
 			}
 			marked[job] = true
--- a/internal/controller/rental/back.go
+++ b/internal/controller/rental/back.go
@@ -76,7 +76,7 @@
 		case m.DrainReason.LeadsToTermination() && len(m.Attempts) == 0:
 			reason = string(m.DrainReason)
 		case m.DrainReason != workers.NotDraining || len(m.Attempts) > 0 || d.prepaidTime(now, id) > 0:
-		case waiting == 0 && now.Sub(m.IdleSince) > d.options.IdleAfter, now.Sub(m.IdleSince) > 3*d.options.IdleAfter:
+		case waiting == 0 && now.Sub(m.IdleSince) > d.options.IdleTimeout, now.Sub(m.IdleSince) > 3*d.options.IdleTimeout:
 			reason = "idle"
 		}
 		if reason == "" {
--- a/internal/controller/rental/dearer.go
+++ b/internal/controller/rental/dearer.go
@@ -158,7 +158,7 @@
 
 // newObjectiveForecast gathers what a forecast needs.
 func (d *Scaler) newObjectiveForecast(now time.Time, order []plan.Entry) *objectiveForecast {
-	o := &objectiveForecast{objectives: d.objectives, history: d.history, costWeight: d.options.Thrift}
+	o := &objectiveForecast{objectives: d.objectives, history: d.history, costWeight: d.options.CostWeight}
 	byTime := map[int]float64{}
 	for i := range d.instances {
 		h, t, m := d.instances[i].instance, d.instances[i].machineType, d.instances[i].machine
--- a/internal/controller/rental/desk.go
+++ b/internal/controller/rental/desk.go
@@ -28,7 +28,7 @@
 	options       *config.Options
 	teams         map[string]config.Team
 	log           *slog.Logger
-	outbox        *outbox.Box
+	outbox        *outbox.Outbox
 	fencingToken  uint64
 	electedAt     time.Time // when the leadership began
 	isFirstLeader func() bool
@@ -88,7 +88,7 @@
 	Placer        *place.Placer
 	Stragglers    *pace.Detector
 	Zones         *zones.Tracker
-	Outbox        *outbox.Box
+	Outbox        *outbox.Outbox
 	Log           *slog.Logger
 }
 
@@ -163,7 +163,7 @@
 	d.terminateUnneeded(now, wants)
 	// What an earlier leader has rented last is not listed yet; only where the ledger
 	// holds nothing at all is there no earlier leader.
-	if len(d.cloud.MachineTypes) == 0 || !d.isFirstLeader() && (d.cloud.CompletedLists == 0 || now.Sub(d.electedAt) < d.platform.ListLag) {
+	if len(d.cloud.MachineTypes) == 0 || !d.isFirstLeader() && (d.cloud.CompletedLists == 0 || now.Sub(d.electedAt) < d.platform.CloudListLag) {
 		return
 	}
 	opts := d.offerings()
@@ -276,7 +276,7 @@
 // requiredBacklog is how long, in seconds, the work at hand must last for a kind to be rented: the
 // dearer it is, the longer. Where the platform states aims, that is for the cheap kinds only.
 func (d *Scaler) requiredBacklog(price, cheapest float64) float64 {
-	return d.options.Backlog.Seconds() * priceRatio(price, cheapest) / 3
+	return d.options.ScaleOutBacklog.Seconds() * priceRatio(price, cheapest) / 3
 }
 
 // priceRatio is how many times as dear a price is; what costs nothing is not dearer than anything.
--- a/internal/controller/rental/thin.go
+++ b/internal/controller/rental/thin.go
@@ -59,7 +59,7 @@
 		}
 		switch {
 		case len(m.Attempts) == 0:
-			if now.Sub(m.IdleSince) > d.options.IdleAfter/2 {
+			if now.Sub(m.IdleSince) > d.options.IdleTimeout/2 {
 				slack -= m.CPUs
 				m.DrainReason = workers.DrainConsolidated
 			}
@@ -82,7 +82,7 @@
 		}
 		perTask := d.planner.TaskRunTime(a.Job)
 		last = max(last, perTask-now.Sub(a.RunningSince), perTask/4)
-		cost += a.Job.CPUs * (a.Job.CheckpointDuration + m.ImageCache.FetchTime(a.Job.ImageGB) + d.platform.ReportEvery).Seconds()
+		cost += a.Job.CPUs * (a.Job.CheckpointDuration + m.ImageCache.FetchTime(a.Job.ImageGB) + d.platform.HeartbeatInterval).Seconds()
 	}
 	return last.Seconds()*m.CPUs > moveGain*cost
 }
--- a/internal/controller/rental/worth.go
+++ b/internal/controller/rental/worth.go
@@ -35,13 +35,13 @@
 func objectivesOf(objectives []config.Objective) []objective {
 	var list []objective
 	for _, o := range objectives {
-		s := objective{class: o.Class, within: o.Within, allowedMissShare: max(1-o.Share, minAllowedMissShare)}
+		s := objective{class: o.Class, within: o.TimeLimit, allowedMissShare: max(1-o.TargetShare, minAllowedMissShare)}
 		switch o.Kind {
 		case "wait":
 			s.isStart = true
 		case "finished":
 		case "deadline":
-			s.deadlineFactor = max(o.Times, 1)
+			s.deadlineFactor = max(o.DeadlineFactor, 1)
 		default:
 			continue
 		}
--- a/internal/controller/reports/answer.go
+++ b/internal/controller/reports/answer.go
@@ -30,7 +30,7 @@
 			if h.ignoresKills(now, pending.machine) {
 				// Its lease is what ends them in time.
 				h.log.Info("a machine does not end what was cancelled: it gets no more leases", "machine", pending.machine.ID)
-				h.responder.Refuse(pending.request, 503, "tasks of cancelled jobs are still there", 0)
+				h.responder.RespondError(pending.request, 503, "tasks of cancelled jobs are still there", 0)
 				continue
 			}
 			h.checkpointBeforeReclaim(now, pending.machine)
@@ -43,7 +43,7 @@
 			}
 		}
 		pending.machine.LeaseRenewedAt = now
-		h.responder.Reply(pending.request, 200, response, 0)
+		h.responder.Respond(pending.request, 200, response, 0)
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 	for _, attempt := range machine.Attempts {
 		if job := attempt.Job; job != nil && job.CheckpointInterval > 0 && attempt.StopSentAt.IsZero() && !attempt.RunningSince.IsZero() &&
-			machine.ReclaimAt.Sub(now) < job.CheckpointDuration+3*h.platform.ReportEvery+time.Second {
+			machine.ReclaimAt.Sub(now) < job.CheckpointDuration+3*h.platform.HeartbeatInterval+time.Second {
 			attempt.StopSentAt = now
 		}
 	}
--- a/internal/controller/reports/clerk.go
+++ b/internal/controller/reports/clerk.go
@@ -47,7 +47,7 @@
 type Handler struct {
 	platform     *config.Platform
 	log          *slog.Logger
-	responder    *inbox.Answers
+	responder    *inbox.Responder
 	fencingToken uint64
 	storage      *ledger.Store
 	jobStore     *book.Store
@@ -77,7 +77,7 @@
 	Stragglers   *pace.Detector
 	Failures     *blame.Tracker
 	Reachability *reach.Tracker
-	Responder    *inbox.Answers
+	Responder    *inbox.Responder
 	Log          *slog.Logger
 }
 
@@ -85,13 +85,13 @@
 func NewHandler(components Components) *Handler {
 	return &Handler{platform: components.Platform, log: components.Log, responder: components.Responder, fencingToken: components.FencingToken, storage: components.Storage, jobStore: components.JobStore, workers: components.Workers, cloud: components.Cloud,
 		planner: components.Planner, placer: components.Placer, accounting: components.Accounting, stragglers: components.Stragglers, failures: components.Failures, reachability: components.Reachability,
-		cancelWindow: horizon.Window(components.Platform.CancelWithin, components.Workers.Lease())}
+		cancelWindow: horizon.Window(components.Platform.CancelTimeout, components.Workers.Lease())}
 }
 
 // RejectPending refuses the reports that still wait for an answer.
 func (h *Handler) RejectPending() {
 	for _, pending := range h.pending {
-		h.responder.Reply(pending.request, 503, nil, 0)
+		h.responder.Respond(pending.request, 503, nil, 0)
 	}
 	h.pending = nil
 }
@@ -104,11 +104,11 @@
 func (h *Handler) HandleHeartbeat(now time.Time, request *inbox.Request, stateLoaded bool) (isAlive bool) {
 	var heartbeat workers.Heartbeat
 	if err := packed.Unmarshal(request.Body, &heartbeat); err != nil || heartbeat.Machine == "" || len(heartbeat.Machine) > workers.MaxNameBytes || heartbeat.Incarnation == 0 {
-		h.responder.Refuse(request, 400, "no report", 0)
+		h.responder.RespondError(request, 400, "no report", 0)
 		return false
 	}
 	if heartbeat.FencingToken > h.fencingToken || h.cloud.IsDeleted(heartbeat.Machine) || len(h.workers.Machines) > 20000 {
-		h.responder.Refuse(request, 503, "not now", 0)
+		h.responder.RespondError(request, 503, "not now", 0)
 		return false
 	}
 	machine := h.workers.GetOrAdd(heartbeat.Machine)
@@ -118,7 +118,7 @@
 	}
 	if freshness == reach.Stale {
 		// With a 200 a machine that is no more would keep its tasks for as long as copies of its reports come.
-		h.responder.Refuse(request, 503, "an older report", 0)
+		h.responder.RespondError(request, 503, "an older report", 0)
 		return false
 	}
 	machine.LeaseRenewedAt = now
--- a/internal/controller/requests/account.go
+++ b/internal/controller/requests/account.go
@@ -55,12 +55,12 @@
 		}
 	}
 	if err != nil {
-		d.responder.Refuse(r, 400, "since_s is a number of seconds, team and class are names", 0)
+		d.responder.RespondError(r, 400, "since_s is a number of seconds, team and class are names", 0)
 		return
 	}
 	a := Accounts{Accounts: []ClassAccount{}, OpenJobs: d.accounting.OpenCount()}
 	for _, t := range d.accounting.Totals(q.Get("team"), q.Get("class"), since) {
 		a.Accounts = append(a.Accounts, ClassAccount{t.Team, t.Class, t.JobCount, t.Breakdown.Total(), newTimeShares(&t.Breakdown)})
 	}
-	d.responder.Reply(r, 200, a, 0)
+	d.responder.Respond(r, 200, a, 0)
 }
--- a/internal/controller/requests/desk.go
+++ b/internal/controller/requests/desk.go
@@ -33,8 +33,8 @@
 	options             *config.Options
 	teams               map[string]config.Team
 	logger              *slog.Logger
-	responder           *inbox.Answers
-	outbox              *outbox.Box
+	responder           *inbox.Responder
+	outbox              *outbox.Outbox
 	storage             *ledger.Store
 	jobStore            *book.Store
 	workers             *workers.Registry
@@ -67,8 +67,8 @@
 	Failures   *blame.Tracker
 	Zones      *zones.Tracker
 	HoldsLease func() bool
-	Responder  *inbox.Answers
-	Outbox     *outbox.Box
+	Responder  *inbox.Responder
+	Outbox     *outbox.Outbox
 	Logger     *slog.Logger
 }
 
@@ -76,9 +76,9 @@
 func NewHandler(w Components) *Handler {
 	d := &Handler{platform: w.Platform, options: w.Options, teams: w.Platform.TeamsByName(), logger: w.Logger, responder: w.Responder, outbox: w.Outbox, storage: w.Storage,
 		jobStore: w.JobStore, workers: w.Workers, cloud: w.Cloud, planner: w.Planner, placer: w.Placer, autoscaler: w.Autoscaler, failover: w.Failover, accounting: w.Accounting, failures: w.Failures, zoneTracker: w.Zones, holdsLease: w.HoldsLease}
-	d.leaseOutlastsCancel = horizon.Window(d.platform.CancelWithin, d.workers.Lease()) <= 0
+	d.leaseOutlastsCancel = horizon.Window(d.platform.CancelTimeout, d.workers.Lease()) <= 0
 	// What two seconds' changes hold may wait for a commit.
-	rate := d.platform.StateWrites * float64(max(d.platform.ValueBytes/typicalRecordBytes, 1))
+	rate := d.platform.StateWriteRate * float64(max(d.platform.MaxValueBytes/typicalRecordBytes, 1))
 	d.submissionGate = standing.NewSubmissionLimiter(int(2*rate), rate)
 	return d
 }
@@ -159,7 +159,7 @@
 // replyIfSubmitted answers the repetition of a submission whose job is not sealed.
 func (d *Handler) replyIfSubmitted(now time.Time, r *inbox.Request, id string) bool {
 	if f, ok := d.jobStore.FinalState(id); ok {
-		d.responder.Reply(r, 200, finalResponse(id, f, false), 0)
+		d.responder.Respond(r, 200, finalResponse(id, f, false), 0)
 		return true
 	}
 	j := d.jobStore.Find(id)
@@ -176,21 +176,21 @@
 	}
 	var refusal *jobs.ValidationError
 	if errors.As(err, &refusal) {
-		d.responder.Refuse(r, refusal.Status, refusal.Reason, 0)
+		d.responder.RespondError(r, refusal.Status, refusal.Reason, 0)
 		return
 	}
 	if len(d.cloud.MachineTypes) == 0 {
-		d.responder.Refuse(r, 503, "the machine types are not known yet", retryDelay)
+		d.responder.RespondError(r, 503, "the machine types are not known yet", retryDelay)
 		return
 	}
 	j := jobs.New(spec, now)
 	if reason := d.unsatisfiableReason(j); reason != "" {
 		d.logger.Info("job refused", "job", j.ID, "why", reason)
-		d.responder.Refuse(r, 422, reason, 0)
+		d.responder.RespondError(r, 422, reason, 0)
 		return
 	}
 	if !d.storage.IsHealthy() {
-		d.responder.Refuse(r, 503, "the state service does not take changes", 2*retryDelay)
+		d.responder.RespondError(r, 503, "the state service does not take changes", 2*retryDelay)
 		return
 	}
 	missing, void, ok := d.checkDependencies(now, r, spec, resolved)
@@ -198,7 +198,7 @@
 		return
 	}
 	if ok, retry := d.submissionGate.Acquire(now, j.Team, j.ID); !ok {
-		d.responder.Refuse(r, 429, "too many submissions at once; there is a place for this one after the time given", retry)
+		d.responder.RespondError(r, 429, "too many submissions at once; there is a place for this one after the time given", retry)
 		return
 	}
 	record := jobs.NewFinalRecord(jobs.Cancelled, j.Tasks)
@@ -228,15 +228,15 @@
 		}
 		answered = true
 		if ok {
-			d.responder.Reply(r, 201, jobResponse{ID: j.ID, State: j.StateName(), Label: labelOf(j.Guaranteed)}, 0)
+			d.responder.Respond(r, 201, jobResponse{ID: j.ID, State: j.StateName(), Label: labelOf(j.Guaranteed)}, 0)
 		} else {
-			d.responder.Refuse(r, 503, "not saved yet", 2*retryDelay)
+			d.responder.RespondError(r, 503, "not saved yet", 2*retryDelay)
 		}
 	})
 	if err != nil {
 		d.submissionGate.Release(j.Team)
 		d.jobStore.DependencyGraph().Remove(j)
-		d.responder.Refuse(r, 400, "too large to be kept", 0)
+		d.responder.RespondError(r, 400, "too large to be kept", 0)
 		return
 	}
 	d.jobStore.Add(j)
@@ -247,7 +247,7 @@
 	if d.refuseUndecided(r, j) {
 		return
 	}
-	d.responder.Reply(r, 200, jobResponse{ID: j.ID, State: j.StateName(), Label: labelOf(j.Guaranteed)}, 0)
+	d.responder.Respond(r, 200, jobResponse{ID: j.ID, State: j.StateName(), Label: labelOf(j.Guaranteed)}, 0)
 }
 
 // unsatisfiableReason says why a job can never run, empty if it can.
--- a/internal/controller/requests/explain.go
+++ b/internal/controller/requests/explain.go
@@ -20,7 +20,7 @@
 // startDelay is how long it takes from free room to a running task, besides its image: two reports,
 // and the stop of what had the room.
 func (d *Handler) startDelay(j *jobs.Job) time.Duration {
-	return 2*d.platform.ReportEvery + j.CheckpointDuration + d.options.Term
+	return 2*d.platform.HeartbeatInterval + j.CheckpointDuration + d.options.PlanningInterval
 }
 
 // workAhead is what is known of the work that can stand before a job.
@@ -135,7 +135,7 @@
 	_, raw, _ := strings.Cut(r.Target, "?")
 	q, err := url.ParseQuery(raw)
 	if err != nil {
-		d.responder.Refuse(r, 400, "a query that cannot be read", 0)
+		d.responder.RespondError(r, 400, "a query that cannot be read", 0)
 		return
 	}
 	most, err := strconv.Atoi(q.Get("most"))
@@ -143,7 +143,7 @@
 		most, err = maxQueuedJobs, nil
 	}
 	if err != nil || most < 1 || most > maxQueuedJobs {
-		d.responder.Refuse(r, 400, fmt.Sprintf("most is not between 1 and %d", maxQueuedJobs), 0)
+		d.responder.RespondError(r, 400, fmt.Sprintf("most is not between 1 and %d", maxQueuedJobs), 0)
 		return
 	}
 	order := d.placer.Order(now)
@@ -165,19 +165,19 @@
 	for _, j := range d.jobStore.WaitingJobs() {
 		show(j, fmt.Sprintf("waits for %d other jobs", j.UnmetDependencies))
 	}
-	d.responder.Reply(r, 200, a, 0)
+	d.responder.Respond(r, 200, a, 0)
 }
 
 // serveExplanation says why a job waits, what stands before it, and what would change that.
 func (d *Handler) serveExplanation(now time.Time, r *inbox.Request, id string) {
 	if e, ok := d.accounting.FinishedAccount(id); ok {
 		// Also if it is sealed by now: what ended under this leader is known without a look back.
-		d.responder.Reply(r, 200, Explanation{QueuedJob: QueuedJob{ID: id, Team: e.Team, Class: e.Class}, State: finalResponse(id, book.FinalState{Done: e.IsDone}, false).State,
+		d.responder.Respond(r, 200, Explanation{QueuedJob: QueuedJob{ID: id, Team: e.Team, Class: e.Class}, State: finalResponse(id, book.FinalState{Done: e.IsDone}, false).State,
 			Reasons: []string{"it is over"}, TimeShares: newTimeShares(&e.Breakdown)}, 0)
 		return
 	}
 	if f, ok := d.jobStore.FinalState(id); ok {
-		d.responder.Reply(r, 200, Explanation{QueuedJob: QueuedJob{ID: id}, State: finalResponse(id, f, false).State,
+		d.responder.Respond(r, 200, Explanation{QueuedJob: QueuedJob{ID: id}, State: finalResponse(id, f, false).State,
 			Reasons: []string{"it is over, under an earlier leader"}}, 0)
 		return
 	}
@@ -212,7 +212,7 @@
 		x.Position, x.JobsAhead, x.CPUSecondsAhead = 0, []QueuedJob{}, 0
 	}
 	d.explainWait(now, j, &x)
-	d.responder.Reply(r, 200, x, 0)
+	d.responder.Respond(r, 200, x, 0)
 }
 
 func (x *Explanation) addReason(format string, args ...any) {
@@ -263,7 +263,7 @@
 	}
 	team := d.teams[j.Team]
 	if place.TasksAllowedByQuota(j, team, d.workers.TeamUsage(j.Team)) == 0 {
-		x.addReason("team %s uses all that its limit allows (%g CPUs, %g cards)", j.Team, team.CPULimit, team.CardsLimit)
+		x.addReason("team %s uses all that its limit allows (%g CPUs, %g cards)", j.Team, team.CPULimit, team.GPULimit)
 		x.addRemedy("a higher limit of team %s, or the end of a task of the team", j.Team)
 	}
 	may, room, held, zones, fetched, deaf := 0, 0, 0, 0, 0, 0
@@ -316,7 +316,7 @@
 	if deaf > 0 {
 		x.addReason("%d machines report and seem to hear nothing of us: they start nothing, and are given back if they answer no question", deaf)
 	}
-	if bound := d.options.BeginBound; bound > 0 && !j.IsService && !j.IsGang && j.DoneTasks+len(j.ActiveAttempts) == 0 && now.Sub(j.EligibleSince()) < bound {
+	if bound := d.options.StartBound; bound > 0 && !j.IsService && !j.IsGang && j.DoneTasks+len(j.ActiveAttempts) == 0 && now.Sub(j.EligibleSince()) < bound {
 		x.addRemedy("waiting: if nothing of it has begun in %.0f s, some of its tasks go before others", (bound - now.Sub(j.EligibleSince())).Seconds())
 	}
 	if zones > 0 {
--- a/internal/controller/requests/needs.go
+++ b/internal/controller/requests/needs.go
@@ -27,16 +27,16 @@
 		case book.DependencyOpen:
 			missing = append(missing, id)
 		case book.DependencyUndecided:
-			d.responder.Refuse(r, 503, dependencyUndecided, retryDelay)
+			d.responder.RespondError(r, 503, dependencyUndecided, retryDelay)
 			return nil, false, false
 		case book.DependencyService:
-			d.responder.Refuse(r, 422, "needs "+id+", a service, which is never done", 0)
+			d.responder.RespondError(r, 422, "needs "+id+", a service, which is never done", 0)
 			return nil, false, false
 		case book.DependencyArchived:
 			d.lookUpDependency(now, r, spec, id, resolved)
 			return nil, false, false
 		default:
-			d.responder.Refuse(r, 422, "needs "+id+", which was never accepted", 0)
+			d.responder.RespondError(r, 422, "needs "+id+", which was never accepted", 0)
 			return nil, false, false
 		}
 	}
@@ -47,7 +47,7 @@
 func (d *Handler) lookUpDependency(now time.Time, r *inbox.Request, spec jobs.Spec, id string, resolved map[string]book.DependencyState) {
 	d.jobStore.Archive().Resolve(now, d.outbox, id, func(now time.Time, f history.FinalState, known bool, err error) {
 		if !d.holdsLease() || err != nil {
-			d.responder.Refuse(r, 503, dependencyUndecided, archiveRetryDelay)
+			d.responder.RespondError(r, 503, dependencyUndecided, archiveRetryDelay)
 			return
 		}
 		next := maps.Clone(resolved)
--- a/internal/controller/requests/query.go
+++ b/internal/controller/requests/query.go
@@ -29,7 +29,7 @@
 
 func (d *Handler) serveQuery(now time.Time, r *inbox.Request, id string) {
 	if f, ok := d.jobStore.FinalState(id); ok {
-		d.responder.Reply(r, 200, finalResponse(id, f, true), 0)
+		d.responder.Respond(r, 200, finalResponse(id, f, true), 0)
 		return
 	}
 	j := d.jobStore.Find(id)
@@ -45,18 +45,18 @@
 	if _, cause, ok := d.accounting.Account(now, j); ok {
 		because = cause.String()
 	}
-	d.responder.Reply(r, 200, jobResponse{WaitReason: because, ID: id, State: j.StateName(), Label: labelOf(j.Guaranteed), Done: &j.DoneTasks, Running: &running}, 0)
+	d.responder.Respond(r, 200, jobResponse{WaitReason: because, ID: id, State: j.StateName(), Label: labelOf(j.Guaranteed), Done: &j.DoneTasks, Running: &running}, 0)
 }
 
 // refuseUndecided refuses to say anything of a job whose state cannot be told now; false if it can.
 func (d *Handler) refuseUndecided(r *inbox.Request, j *jobs.Job) bool {
 	switch {
 	case j.State == jobs.Pending:
-		d.responder.Refuse(r, 503, "not saved yet", retryDelay)
+		d.responder.RespondError(r, 503, "not saved yet", retryDelay)
 	case d.hasUnconfirmedTasks(j):
-		d.responder.Refuse(r, 503, tasksStillRunning, retryDelay)
+		d.responder.RespondError(r, 503, tasksStillRunning, retryDelay)
 	case j.HasUndecidedDependency:
-		d.responder.Refuse(r, 503, dependencyUndecided, archiveRetryDelay)
+		d.responder.RespondError(r, 503, dependencyUndecided, archiveRetryDelay)
 	default:
 		return false
 	}
@@ -71,7 +71,7 @@
 			serve(now, r, id)
 			return
 		}
-		d.responder.Refuse(r, 404, "no such job", 0)
+		d.responder.RespondError(r, 404, "no such job", 0)
 	}
 	if !d.replyFromArchive(now, r, id, counts, absent) {
 		absent(now)
@@ -80,7 +80,7 @@
 
 func (d *Handler) serveCancellation(now time.Time, r *inbox.Request, id string) {
 	if f, ok := d.jobStore.FinalState(id); ok {
-		d.responder.Reply(r, 200, finalResponse(id, f, false), 0)
+		d.responder.Respond(r, 200, finalResponse(id, f, false), 0)
 		return
 	}
 	j := d.jobStore.Find(id)
@@ -89,20 +89,20 @@
 		d.serveArchived(now, r, id, false, d.serveCancellation)
 		return
 	case j.State == jobs.Pending:
-		d.responder.Refuse(r, 503, "not saved yet", retryDelay)
+		d.responder.RespondError(r, 503, "not saved yet", retryDelay)
 		return
 	case d.hasUnconfirmedTasks(j):
-		d.responder.Refuse(r, 503, tasksStillRunning, retryDelay)
+		d.responder.RespondError(r, 503, tasksStillRunning, retryDelay)
 		return
 	case j.State == jobs.Cancelled:
-		d.responder.Reply(r, 200, jobResponse{ID: id, State: "cancelled"}, 0)
+		d.responder.Respond(r, 200, jobResponse{ID: id, State: "cancelled"}, 0)
 		return
 	case j.IsFinishing || j.IsCancelling || !d.storage.IsHealthy():
 		// What is on its way into the ledger decides; the user asks again.
 		if !j.IsFinishing && !j.IsCancelling {
 			d.commitCancellation(now, j, nil)
 		}
-		d.responder.Refuse(r, 503, "not saved yet", retryDelay)
+		d.responder.RespondError(r, 503, "not saved yet", retryDelay)
 		return
 	}
 	d.commitCancellation(now, j, r)
@@ -133,11 +133,11 @@
 		}
 		switch {
 		case !ok:
-			d.responder.Refuse(r, 503, "not saved yet", retryDelay)
+			d.responder.RespondError(r, 503, "not saved yet", retryDelay)
 		case d.hasUnconfirmedTasks(j):
-			d.responder.Refuse(r, 503, tasksStillRunning, retryDelay)
+			d.responder.RespondError(r, 503, tasksStillRunning, retryDelay)
 		default:
-			d.responder.Reply(r, 200, jobResponse{ID: j.ID, State: "cancelled"}, 0)
+			d.responder.Respond(r, 200, jobResponse{ID: j.ID, State: "cancelled"}, 0)
 		}
 		r = nil
 	})
@@ -155,28 +155,28 @@
 	case known == history.Absent:
 		return false
 	case known == history.Cancelled:
-		d.responder.Reply(r, 200, finalResponse(id, book.FinalState{}, counts), 0)
+		d.responder.Respond(r, 200, finalResponse(id, book.FinalState{}, counts), 0)
 		return true
 	case known == history.Done && !counts:
-		d.responder.Reply(r, 200, finalResponse(id, book.FinalState{Done: true}, false), 0)
+		d.responder.Respond(r, 200, finalResponse(id, book.FinalState{Done: true}, false), 0)
 		return true
 	}
 	d.jobStore.Archive().Resolve(now, d.outbox, id, func(now time.Time, f history.FinalState, found bool, err error) {
 		switch {
 		case !d.holdsLease():
-			d.responder.Refuse(r, 503, "no leader at present", retryDelay)
+			d.responder.RespondError(r, 503, "no leader at present", retryDelay)
 		case found:
-			d.responder.Reply(r, 200, finalResponse(id, book.FinalState{Done: !f.Cancelled, Tasks: f.Tasks}, counts), 0)
+			d.responder.Respond(r, 200, finalResponse(id, book.FinalState{Done: !f.Cancelled, Tasks: f.Tasks}, counts), 0)
 		case err == nil && known == history.Undetermined:
 			absent(now)
 		case known == history.Done && d.jobStore.Archive().IsUnreachable(now):
 			// Its state is certain; the counts are for display and would keep it from the user.
-			d.responder.Reply(r, 200, finalResponse(id, book.FinalState{Done: true}, false), 0)
+			d.responder.Respond(r, 200, finalResponse(id, book.FinalState{Done: true}, false), 0)
 		default:
 			if err != nil {
 				d.logger.Info("an old job cannot be looked up", "job", id, "error", err)
 			}
-			d.responder.Refuse(r, 503, "finished jobs cannot be looked up now", archiveRetryDelay)
+			d.responder.RespondError(r, 503, "finished jobs cannot be looked up now", archiveRetryDelay)
 		}
 	})
 	return true
--- a/internal/controller/requests/served.go
+++ b/internal/controller/requests/served.go
@@ -26,9 +26,9 @@
 // serveServiceShares tells how each class and team was served.
 func (d *Handler) serveServiceShares(now time.Time, r *inbox.Request) {
 	d.placer.Order(now) // what is told is as of the last order
-	a := ServiceShares{Groups: []ServiceShare{}, MinShare: d.options.FloorLeast}
+	a := ServiceShares{Groups: []ServiceShare{}, MinShare: d.options.MinServedShare}
 	for _, s := range d.planner.FairShare().Status(now) {
 		a.Groups = append(a.Groups, ServiceShare{s.IsTeam, s.Name, s.Done, s.Unserved, s.Allocated, s.ServedShare, s.IsLargest})
 	}
-	d.responder.Reply(r, 200, a, 0)
+	d.responder.Respond(r, 200, a, 0)
 }
--- a/internal/controller/requests/zones.go
+++ b/internal/controller/requests/zones.go
@@ -29,5 +29,5 @@
 		a.Zones = append(a.Zones, ZoneStatus{v.Name, v.State.String(), now.Sub(v.Since).Round(time.Second).Seconds(),
 			now.Sub(v.LastHeartbeat).Round(100 * time.Millisecond).Seconds(), v.Machines, v.Overdue, v.Outages})
 	}
-	d.responder.Reply(r, 200, a, 0)
+	d.responder.Respond(r, 200, a, 0)
 }
--- a/internal/controller/settings/settings.go
+++ b/internal/controller/settings/settings.go
@@ -22,13 +22,13 @@
 	applied      *record        // those that were applied, with their record
 	isCommitting bool           // others are on their way into the ledger
 	logger       *slog.Logger
-	responder    *inbox.Answers
+	responder    *inbox.Responder
 	storage      *ledger.Store
 	onChange     func(config.Options)
 }
 
 // New makes the settings of a new leadership.
-func New(file config.Options, led *ledger.Store, out *inbox.Answers, log *slog.Logger) *Store {
+func New(file config.Options, led *ledger.Store, out *inbox.Responder, log *slog.Logger) *Store {
 	return &Store{fileOptions: file, current: file, logger: log, responder: out, storage: led, onChange: func(config.Options) {}}
 }
 
@@ -84,9 +84,9 @@
 
 // View is what `gullrudder settings` shows. Version 0: the controllers' own files.
 type View struct {
-	Version int            `msgpack:"version" json:"version"`
-	Values  []config.Value `msgpack:"values" json:"values"`
-	Changes []Change       `msgpack:"changes" json:"changes"`
+	Version int                  `msgpack:"version" json:"version"`
+	Values  []config.OptionValue `msgpack:"values" json:"values"`
+	Changes []Change             `msgpack:"changes" json:"changes"`
 }
 
 // ChangeRequest asks for other settings.
@@ -95,7 +95,7 @@
 	Text   string `msgpack:"text"`
 }
 
-func (s *Store) ServeView(_ time.Time, r *inbox.Request) { s.responder.Reply(r, 200, s.View(), 0) }
+func (s *Store) ServeView(_ time.Time, r *inbox.Request) { s.responder.Respond(r, 200, s.View(), 0) }
 
 func (s *Store) View() View {
 	v := View{Values: s.current.Values(), Changes: []Change{}}
@@ -112,26 +112,26 @@
 func (s *Store) ServeChange(now time.Time, r *inbox.Request) {
 	var a ChangeRequest
 	if err := packed.Unmarshal(r.Body, &a); err != nil || len(a.Text) > maxTextBytes || a.Author == "" || len(a.Author) > maxAuthorBytes {
-		s.responder.Refuse(r, 400, "settings have a text of at most 1 KiB, and the name of who changes them", 0)
+		s.responder.RespondError(r, 400, "settings have a text of at most 1 KiB, and the name of who changes them", 0)
 		return
 	}
 	opt, err := config.ParseOptions([]byte(a.Text))
 	if err != nil {
-		s.responder.Refuse(r, 400, err.Error(), 0)
+		s.responder.RespondError(r, 400, err.Error(), 0)
 		return
 	}
-	if opt.LeaderLease != s.fileOptions.LeaderLease || opt.Promise != s.fileOptions.Promise {
+	if opt.LeaderLeaseDuration != s.fileOptions.LeaderLeaseDuration || opt.GrantDuration != s.fileOptions.GrantDuration {
 		// Every controller relies on the others' having the same, from its start.
-		s.responder.Refuse(r, 400, "leader-lease and promise are read when a controller starts, from its own file", 0)
+		s.responder.RespondError(r, 400, "leader-lease and promise are read when a controller starts, from its own file", 0)
 		return
 	}
-	changes := s.current.Changes(opt)
+	changes := s.current.DescribeChanges(opt)
 	if len(changes) == 0 {
-		s.responder.Reply(r, 200, s.View(), 0)
+		s.responder.Respond(r, 200, s.View(), 0)
 		return
 	}
 	if s.isCommitting || !s.storage.IsHealthy() {
-		s.responder.Refuse(r, 503, "the state service does not take changes, or others are being saved", time.Second)
+		s.responder.RespondError(r, 503, "the state service does not take changes, or others are being saved", time.Second)
 		return
 	}
 	e := &record{Text: a.Text, Version: 1}
@@ -153,20 +153,20 @@
 		}
 		answered = true
 		if ok {
-			s.responder.Reply(r, 200, s.View(), 0)
+			s.responder.Respond(r, 200, s.View(), 0)
 		} else {
-			s.responder.Refuse(r, 503, "not saved yet", 2*time.Second)
+			s.responder.RespondError(r, 503, "not saved yet", 2*time.Second)
 		}
 	})
 	if err != nil {
 		s.isCommitting = false
-		s.responder.Refuse(r, 400, "too large to be kept: "+err.Error(), 0)
+		s.responder.RespondError(r, 400, "too large to be kept: "+err.Error(), 0)
 	}
 }
 
 // activate takes other options. The election's stay as they are.
 func (s *Store) activate(opt config.Options) {
-	opt.LeaderLease, opt.Promise = s.fileOptions.LeaderLease, s.fileOptions.Promise
+	opt.LeaderLeaseDuration, opt.GrantDuration = s.fileOptions.LeaderLeaseDuration, s.fileOptions.GrantDuration
 	s.current = opt
 	s.onChange(opt)
 }
--- a/internal/controller/takeover/silence.go
+++ b/internal/controller/takeover/silence.go
@@ -22,8 +22,8 @@
 
 // refillProbeBudget lets the budget for direct questions grow, for so much time.
 func (t *Reconciler) refillProbeBudget(elapsed time.Duration) {
-	rate := probesPerCPU * t.platform.CPUShare
-	t.probeBudget = min(t.probeBudget+rate*elapsed.Seconds(), float64(t.platform.Connections)/24)
+	rate := probesPerCPU * t.platform.CPUQuota
+	t.probeBudget = min(t.probeBudget+rate*elapsed.Seconds(), float64(t.platform.MaxConnections)/24)
 }
 
 // probe sends a worker the empty command, unless it was asked shortly before; false if the budget
@@ -44,14 +44,14 @@
 // canProbe reports whether the budget lets a question go: one that finds no socket of ours must not look like a
 // worker's silence.
 func (t *Reconciler) canProbe() bool {
-	return t.probeBudget >= 1 && t.probesInFlight < t.platform.Connections/16
+	return t.probeBudget >= 1 && t.probesInFlight < t.platform.MaxConnections/16
 }
 
 // sendProbe asks; told learns whether an answer came.
 func (t *Reconciler) sendProbe(now time.Time, machine *workers.Machine, session uint64, tries int, onResult func(now time.Time, answered bool)) {
 	t.probesInFlight++
 	probeID := t.reachability.StartProbe(now, machine)
-	t.outbox.Add(outbox.Call{Service: outbox.Worker, Addr: machine.Addr, Method: "POST", Path: "/commands",
+	t.outbox.Add(outbox.Call{Destination: outbox.WorkerAgent, Addr: machine.Addr, Method: "POST", Path: "/commands",
 		Body: workers.DirectCommands{FencingToken: t.fencingToken, Incarnation: session, Commands: []workers.Command{}}, Timeout: probeTimeout,
 		Done: func(now time.Time, result outbox.Result) {
 			if t.closed {
@@ -80,7 +80,7 @@
 
 // isHeartbeatOverdue reports whether nothing certain has come of the machine for longer than its reports take.
 func (t *Reconciler) isHeartbeatOverdue(now time.Time, machine *workers.Machine) bool {
-	return now.Sub(machine.LastContactAt) >= t.platform.ReportEvery*5/4+time.Second
+	return now.Sub(machine.LastContactAt) >= t.platform.HeartbeatInterval*5/4+time.Second
 }
 
 // probeRequested asks the machines of which it is in doubt whether they hear us.
--- a/internal/controller/takeover/takeover.go
+++ b/internal/controller/takeover/takeover.go
@@ -30,7 +30,7 @@
 type Reconciler struct {
 	platform      *config.Platform
 	log           *slog.Logger
-	outbox        *outbox.Box
+	outbox        *outbox.Outbox
 	fencingToken  uint64
 	electedAt     time.Time
 	storage       *ledger.Store
@@ -80,7 +80,7 @@
 	Reachability  *reach.Tracker
 	Connectivity  *hearing.Monitor // whether the workers reach this controller
 	RenewalLimit  *horizon.Limit   // which cancellations can be open that an earlier leader has confirmed
-	Outbox        *outbox.Box
+	Outbox        *outbox.Outbox
 	Log           *slog.Logger
 }
 
--- a/internal/controller/workers/messages.go
+++ b/internal/controller/workers/messages.go
@@ -93,8 +93,8 @@
 
 // SendCommands sends a machine commands at once. What became of them its next report tells; the answer to
 // that repeats them if need be. No start is ever sent this way.
-func SendCommands(calls *outbox.Box, fencingToken uint64, machine *Machine, commands []Command) {
-	calls.Add(outbox.Call{Service: outbox.Worker, Addr: machine.Addr, Method: "POST", Path: "/commands",
+func SendCommands(calls *outbox.Outbox, fencingToken uint64, machine *Machine, commands []Command) {
+	calls.Add(outbox.Call{Destination: outbox.WorkerAgent, Addr: machine.Addr, Method: "POST", Path: "/commands",
 		Body:    DirectCommands{FencingToken: fencingToken, Incarnation: machine.Incarnation, Commands: commands},
 		Timeout: time.Second, Done: func(time.Time, outbox.Result) {}})
 }
--- a/internal/goldenbytes/goldenbytes.go
+++ b/internal/goldenbytes/goldenbytes.go
@@ -34,7 +34,7 @@
 	err    error
 }
 
-type codec struct {
+type encoding struct {
 	name   string
 	encode func(any) ([]byte, error)
 	decode func([]byte, any) error
@@ -42,17 +42,17 @@
 
 // MessagePack is a case of a value with every field set, as it is sent and stored in MessagePack.
 func MessagePack[T any](name string, filled T) Case {
-	return newCase(codec{"msgpack", packed.Marshal, packed.Unmarshal}, name, filled)
+	return newCase(encoding{"msgpack", packed.Marshal, packed.Unmarshal}, name, filled)
 }
 
 // JSON is a case of a value with every field set, as it is written in JSON.
 func JSON[T any](name string, filled T) Case {
-	return newCase(codec{"json", json.Marshal, json.Unmarshal}, name, filled)
+	return newCase(encoding{"json", json.Marshal, json.Unmarshal}, name, filled)
 }
 
 // XML is a case of a value with every field set, as it is written in XML.
 func XML[T any](name string, filled T) Case {
-	return newCase(codec{"xml", xml.Marshal, xml.Unmarshal}, name, filled)
+	return newCase(encoding{"xml", xml.Marshal, xml.Unmarshal}, name, filled)
 }
 
 // Bytes is a case of a format of the package's own. Again decodes the bytes and encodes them again.
@@ -60,7 +60,7 @@
 	return Case{name: "bytes " + name, filled: filled, again: again}
 }
 
-func newCase[T any](by codec, name string, filled T) Case {
+func newCase[T any](by encoding, name string, filled T) Case {
 	c := Case{name: by.name + " " + name}
 	if c.filled, c.err = by.encode(filled); c.err != nil {
 		return c
--- a/internal/site/agent/runtime.go
+++ b/internal/site/agent/runtime.go
@@ -121,8 +121,8 @@
 func (r *Runtime) Run() error {
 	go r.own()
 	go r.greet()
-	server := httpwire.NewServer(httpwire.ServerOptions{Public: r.opt.Addr, MaxConns: 64, Idle: 75 * time.Second, Slow: 10 * time.Second, Handle: r.handle})
-	return server.Keep(r.log)
+	server := httpwire.NewServer(httpwire.ServerOptions{PublicAddr: r.opt.Addr, MaxConnections: 64, IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second, Handler: r.handle})
+	return server.RunWithRestart(r.log)
 }
 
 // Close ends all tasks.
@@ -136,23 +136,23 @@
 		case r.look <- struct{}{}:
 		default: // it is going to be asked anyway
 		}
-		q.Reply(200, nil, 0)
+		q.Respond(200, nil, 0)
 	case path == "/status" && q.Method == "GET", path == "/commands" && q.Method == "POST":
 		select {
 		case r.queue <- Input{Direct: &Direct{Ref: q, Commands: path == "/commands", Body: q.Body}}:
 		default:
-			q.Reply(503, nil, time.Second)
+			q.Respond(503, nil, time.Second)
 		}
 	default:
-		q.Reply(404, nil, 0)
+		q.Respond(404, nil, 0)
 	}
 }
 
 func (r *Runtime) own() {
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
-	reports := httpwire.NewClient(4, 1, httpwire.MaxBody)
-	calls := httpwire.NewClient(64, 4, httpwire.MaxBody)
+	reports := httpwire.NewClient(4, 1, httpwire.MaxBodyBytes)
+	calls := httpwire.NewClient(64, 4, httpwire.MaxBodyBytes)
 	batch := make([]Input, 0, 64)
 	for {
 		batch = batch[:0]
@@ -177,7 +177,7 @@
 			continue
 		}
 		if q, ok := p.Ref.(*httpwire.Request); ok {
-			q.Reply(p.Status, raw, 0)
+			q.Respond(p.Status, raw, 0)
 		}
 	}
 	for _, s := range e.Stop {
@@ -282,7 +282,7 @@
 // greet tells the pool what this is, and learns what it is to be. While the pool is away everything
 // stays as it is: the lease is the controllers'.
 func (r *Runtime) greet() {
-	client := httpwire.NewClient(1, 1, httpwire.MaxBody)
+	client := httpwire.NewClient(1, 1, httpwire.MaxBodyBytes)
 	for {
 		r.mu.Lock()
 		g := r.seen
--- a/internal/site/pool/service.go
+++ b/internal/site/pool/service.go
@@ -79,14 +79,14 @@
 			}
 		}()
 	}
-	server := httpwire.NewServer(httpwire.ServerOptions{Public: addr, MaxConns: 512, Idle: 75 * time.Second, Slow: 10 * time.Second, Handle: s.handle})
-	return server.Keep(s.log)
+	server := httpwire.NewServer(httpwire.ServerOptions{PublicAddr: addr, MaxConnections: 512, IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second, Handler: s.handle})
+	return server.RunWithRestart(s.log)
 }
 
 func (s *Service) handle(r *httpwire.Request) {
 	path, query, _ := strings.Cut(r.Target, "?")
 	job, isDesc := strings.CutPrefix(path, "/descriptions/")
-	full := func() { r.Reply(503, nil, time.Second) }
+	full := func() { r.Respond(503, nil, time.Second) }
 	switch {
 	case isDesc:
 		select {
@@ -119,10 +119,10 @@
 		case raw == nil:
 			s.answer(r, 404, map[string]string{"error": "no such job"}, 0)
 		default:
-			r.Reply(200, raw, 0)
+			r.Respond(200, raw, 0)
 		}
 	case "POST":
-		if job == "" || len(job) > 64 || packed.Check(r.Body) != nil {
+		if job == "" || len(job) > 64 || packed.Validate(r.Body) != nil {
 			s.answer(r, 400, map[string]string{"error": "no description"}, 0)
 			return
 		}
@@ -145,7 +145,7 @@
 	if err != nil {
 		s.log.Error("an answer cannot be encoded", "error", err)
 	}
-	r.Reply(status, raw, retry)
+	r.Respond(status, raw, retry)
 }
 
 func (s *Service) own() {
@@ -250,7 +250,7 @@
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		c := tx.Bucket([]byte("failures")).Cursor()
 		size := 0
-		for k, v := c.Last(); k != nil && len(f.List) < most && size < httpwire.MaxBody/2; k, v = c.Prev() {
+		for k, v := c.Last(); k != nil && len(f.List) < most && size < httpwire.MaxBodyBytes/2; k, v = c.Prev() {
 			f.List = append(f.List, string(v))
 			size += len(v)
 		}
@@ -265,7 +265,7 @@
 
 // poke has workers ask at once what they are to be.
 func (s *Service) poke() {
-	client := httpwire.NewClient(4, 2, httpwire.MaxBody)
+	client := httpwire.NewClient(4, 2, httpwire.MaxBodyBytes)
 	for addr := range s.look {
 		if _, err := client.Do(addr, "POST", "/site/look", nil, 500*time.Millisecond); err != nil {
 			s.log.Debug("a worker is not told to ask", "worker", addr, "error", err)
