--- a/cmd/gullbench/appliance.go
+++ b/cmd/faulttest/appliance.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"gullrudder/internal/standin/appliance"
+	"gullrudder/internal/simulator/sitetest"
 )
 
 func applianceCommand() *cobra.Command {
@@ -27,7 +27,7 @@
 				if err != nil {
 					return err
 				}
-				rep, err := appliance.Run{Program: program, Dir: dir, Tasks: tasks, Seed: seed + uint64(i), Log: func(string, ...any) {}}.Play()
+				rep, err := sitetest.Run{Program: program, Dir: dir, Tasks: tasks, Seed: seed + uint64(i), Log: func(string, ...any) {}}.Play()
 				if err != nil {
 					return fmt.Errorf("run %d, kept in %s: %w", i, dir, err)
 				}
--- a/cmd/gullbench/commits.go
+++ b/cmd/faulttest/commits.go
@@ -15,9 +15,9 @@
 	"github.com/spf13/cobra"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/site/store"
-	"gullrudder/internal/standin/crash"
-	"gullrudder/internal/wire/httpwire"
+	"gullrudder/internal/simulator/crashtest"
+	"gullrudder/internal/site/kvserver"
+	"gullrudder/internal/wire/http1"
 )
 
 func commitsCommand() *cobra.Command {
@@ -41,7 +41,7 @@
 }
 
 func measureCommits(cmd *cobra.Command, path, dir, counts string, span, sync time.Duration, bytes int) error {
-	root, err := os.MkdirTemp(dir, "gullbench-commits-")
+	root, err := os.MkdirTemp(dir, "faulttest-commits-")
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 // figures are a running service's own.
 type figures map[string]float64
 
-func readFigures(c *httpwire.Client, addr string) (figures, error) {
+func readFigures(c *http1.Client, addr string) (figures, error) {
 	m, err := c.Do(addr, "GET", "/metrics", nil, 5*time.Second)
 	if err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 		return err
 	}
 	defer p.kill()
-	client := httpwire.NewClient(clients+2, clients+2, 1<<20)
+	client := http1.NewClient(clients+2, clients+2, 1<<20)
 	if err := await(client, ports[0], "/ready", 200, 10*time.Second); err != nil {
 		return err
 	}
@@ -143,13 +143,13 @@
 }
 
 // fill writes so many keys.
-func fill(c *httpwire.Client, addr string, keys, bytes int) error {
+func fill(c *http1.Client, addr string, keys, bytes int) error {
 	for from := 0; from < keys; from += 100 {
-		var ops []crash.Op
+		var ops []crashtest.Op
 		for i := from; i < min(from+100, keys); i++ {
-			ops = append(ops, crash.Op{Key: fmt.Sprintf("fill/%08d", i), Value: value(i, bytes)})
+			ops = append(ops, crashtest.Op{Key: fmt.Sprintf("fill/%08d", i), Value: value(i, bytes)})
 		}
-		r := crash.Commit(nil, ops)
+		r := crashtest.Commit(nil, ops)
 		if m, err := c.Do(addr, r.Method, r.Target, r.Body, 10*time.Second); err != nil || m.Status != 200 {
 			return fmt.Errorf("fill: %v, %w", m, err)
 		}
@@ -160,7 +160,7 @@
 func value(i, bytes int) string { return fmt.Sprintf("%0*d", bytes, i) }
 
 // load commits from so many clients, each as fast as it is answered.
-func load(c *httpwire.Client, addr string, clients int, span time.Duration, bytes int) (*hdrhistogram.Histogram, int, time.Duration, error) {
+func load(c *http1.Client, addr string, clients int, span time.Duration, bytes int) (*hdrhistogram.Histogram, int, time.Duration, error) {
 	hist := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var wait sync.WaitGroup
@@ -173,7 +173,7 @@
 			defer wait.Done()
 			var took []int64
 			for n := 0; time.Now().Before(end); n++ {
-				r := crash.Commit(nil, []crash.Op{{Key: fmt.Sprintf("load/%03d/%04d", i, n%100), Value: value(n, bytes)}})
+				r := crashtest.Commit(nil, []crashtest.Op{{Key: fmt.Sprintf("load/%03d/%04d", i, n%100), Value: value(n, bytes)}})
 				sent := time.Now()
 				m, err := c.Do(addr, r.Method, r.Target, r.Body, 10*time.Second)
 				if err != nil || m.Status != 200 {
@@ -221,21 +221,21 @@
 
 // slowDir is a directory on a disk whose syncs take longer.
 type slowDir struct {
-	*store.OSDirectory
+	*kvserver.OSDirectory
 	slower time.Duration
 }
 
 type slowFile struct {
-	store.File
+	kvserver.File
 	slower time.Duration
 }
 
-func (d slowDir) Create(name string) (store.File, error) {
+func (d slowDir) Create(name string) (kvserver.File, error) {
 	f, err := d.OSDirectory.Create(name)
 	return slowFile{f, d.slower}, err
 }
 
-func (d slowDir) Open(name string) (store.File, error) {
+func (d slowDir) Open(name string) (kvserver.File, error) {
 	f, err := d.OSDirectory.Open(name)
 	return slowFile{f, d.slower}, err
 }
@@ -252,18 +252,18 @@
 	if err != nil {
 		return err
 	}
-	dir, err := store.LockDirectory(data)
+	dir, err := kvserver.LockDirectory(data)
 	if err != nil {
 		return err
 	}
 	log := slog.New(slog.DiscardHandler)
-	state, disk, _, err := store.Open(slowDir{dir, slower}, opt, time.Now(), log)
+	state, disk, _, err := kvserver.Open(slowDir{dir, slower}, opt, time.Now(), log)
 	if err != nil {
 		return err
 	}
-	watch := store.NewMetrics()
+	watch := kvserver.NewMetrics()
 	ended := func(err error) { fmt.Fprintln(os.Stderr, "the service ended:", err) }
 	go func() { ended(watch.Serve(metrics, log)) }()
-	go func() { ended(store.NewServer(state, disk, opt, watch, log).Serve(listen)) }()
+	go func() { ended(kvserver.NewServer(state, disk, opt, watch, log).Serve(listen)) }()
 	return nil
 }
--- a/cmd/gullbench/crash.go
+++ b/cmd/faulttest/crash.go
@@ -12,9 +12,9 @@
 
 	"github.com/spf13/cobra"
 
-	"gullrudder/internal/standin/crash"
-	"gullrudder/internal/standin/live"
-	"gullrudder/internal/wire/httpwire"
+	"gullrudder/internal/simulator/crashtest"
+	"gullrudder/internal/simulator/emulator"
+	"gullrudder/internal/wire/http1"
 )
 
 func crashCommand() *cobra.Command {
@@ -48,7 +48,7 @@
 func crashPoints(cmd *cobra.Command, seed uint64, runs, steps int) error {
 	points, tries := 0, 0
 	for i := range runs {
-		r, err := crash.Points(seed+uint64(i), steps)
+		r, err := crashtest.Points(seed+uint64(i), steps)
 		points, tries = points+r.Points, tries+r.Runs
 		if err != nil {
 			return err
@@ -64,12 +64,12 @@
 type field struct {
 	seed   uint64
 	rng    *rand.Rand
-	client *httpwire.Client
+	client *http1.Client
 	addr   string // of the state service
 	state  *process
 	serve  []*process
 	public []string
-	cloud  *live.Cloud
+	cloud  *emulator.Cloud
 	probes []*probe
 	users  *users
 	hot    [2]chan *process // a process that is in the middle of something: the state service, a controller
@@ -149,7 +149,7 @@
 )
 
 func newField(seed uint64, path, dir string, verbose bool) (*field, error) {
-	f := &field{seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), client: httpwire.NewClient(64, 8, 16<<20), hot: [2]chan *process{make(chan *process, 1), make(chan *process, 1)},
+	f := &field{seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), client: http1.NewClient(64, 8, 16<<20), hot: [2]chan *process{make(chan *process, 1), make(chan *process, 1)},
 		stop: make(chan struct{}), hits: map[string]int{}}
 	ports, err := freePorts(2*nodes + 1)
 	if err != nil {
@@ -161,7 +161,7 @@
 	for i, addr := range f.public {
 		names[fmt.Sprintf("node-%d", i)] = addr
 	}
-	if f.cloud, err = live.NewCloud(live.Options{Controllers: names, Report: 250 * time.Millisecond, Lease: 4 * time.Second, Capacity: 6,
+	if f.cloud, err = emulator.NewCloud(emulator.Options{Controllers: names, Report: 250 * time.Millisecond, Lease: 4 * time.Second, Capacity: 6,
 		TaskTime: 150 * time.Millisecond, Seed: seed}); err != nil {
 		return nil, err
 	}
@@ -266,7 +266,7 @@
 func crashRuns(cmd *cobra.Command, seed uint64, runs int, path, dir string, verbose bool) error {
 	if dir == "" {
 		var err error
-		if dir, err = os.MkdirTemp("", "gullbench-crash-"); err != nil {
+		if dir, err = os.MkdirTemp("", "faulttest-crash-"); err != nil {
 			return err
 		}
 		defer os.RemoveAll(dir)
--- a/cmd/gullbench/famine.go
+++ b/cmd/faulttest/famine.go
@@ -10,11 +10,11 @@
 	"github.com/spf13/cobra"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/standin"
+	"gullrudder/internal/simulator"
 )
 
 // all are the shares of all classes.
-func all(served map[string]standin.Portion) string {
+func all(served map[string]simulator.Portion) string {
 	list := ""
 	for _, name := range slices.Sorted(maps.Keys(served)) {
 		list += fmt.Sprintf(" %s %.2f", name, served[name].Share())
@@ -29,7 +29,7 @@
 	tuning := config.DefaultOptions()
 	cmd := &cobra.Command{Use: "famine", Short: "Who is served when most machines are lost for minutes, in virtual time", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			days, broken := make([]standin.Famine, runs), make([][]string, runs)
+			days, broken := make([]simulator.Famine, runs), make([][]string, runs)
 			var wait sync.WaitGroup
 			slots := make(chan struct{}, jobs)
 			for i := range days {
@@ -37,7 +37,7 @@
 				slots <- struct{}{}
 				go func() {
 					defer func() { <-slots; wait.Done() }()
-					w := standin.New(seed+uint64(i), standin.FamineOptions(tuning), slog.New(slog.DiscardHandler))
+					w := simulator.New(seed+uint64(i), simulator.FamineOptions(tuning), slog.New(slog.DiscardHandler))
 					days[i] = w.Famine()
 					broken[i] = w.Broken
 				}()
@@ -46,8 +46,8 @@
 			out := cmd.OutOrStdout()
 			rules, leastClass, leastTeam, class, team := 0, 2.0, 2.0, "", ""
 			for i, f := range days {
-				c, cs := standin.Least(f.Classes)
-				t, ts := standin.Least(f.Teams)
+				c, cs := simulator.Least(f.Classes)
+				t, ts := simulator.Least(f.Teams)
 				fmt.Fprintf(out, "seed %d: %d machines, then %d; least served %s %.2f, team %s %.2f;%s\n", seed+uint64(i), f.Seats, f.Left, c, cs, t, ts, all(f.Classes))
 				if cs < leastClass {
 					class, leastClass = c, cs
--- a/cmd/gullbench/leaders.go
+++ b/cmd/faulttest/leaders.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/standin"
+	"gullrudder/internal/simulator"
 )
 
 func leadersCommand() *cobra.Command {
@@ -19,10 +19,10 @@
 	var seed uint64
 	cmd := &cobra.Command{Use: "leaders", Short: "How long nobody acts after a failure of the leader, by cause, in virtual time", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			names := standin.New(0, leadersWorld(), slog.New(slog.DiscardHandler)).Failures()
+			names := simulator.New(0, leadersWorld(), slog.New(slog.DiscardHandler)).Failures()
 			slices.Sort(names)
 			each := max(failures/len(names), 1)
-			gaps, broken := make([]standin.Gap, each*len(names)), make([][]string, each*len(names))
+			gaps, broken := make([]simulator.Gap, each*len(names)), make([][]string, each*len(names))
 			var wait sync.WaitGroup
 			slots := make(chan struct{}, jobs)
 			for i := range gaps {
@@ -30,7 +30,7 @@
 				slots <- struct{}{}
 				go func() {
 					defer func() { <-slots; wait.Done() }()
-					w := standin.New(seed+uint64(i), leadersWorld(), slog.New(slog.DiscardHandler))
+					w := simulator.New(seed+uint64(i), leadersWorld(), slog.New(slog.DiscardHandler))
 					gaps[i] = w.FailLeader(names[i/each], 40*time.Second)
 					broken[i] = w.Broken
 				}()
@@ -64,8 +64,8 @@
 	return cmd
 }
 
-func leadersWorld() standin.Options {
-	return standin.Options{Nodes: 3, ReportEvery: 2500 * time.Millisecond, Lease: 15 * time.Second, Cancel: 35 * time.Second,
+func leadersWorld() simulator.Options {
+	return simulator.Options{Nodes: 3, ReportEvery: 2500 * time.Millisecond, Lease: 15 * time.Second, Cancel: 35 * time.Second,
 		Teams:  []config.Team{{Name: "red", GuaranteedCPUs: 8, CPULimit: 14}, {Name: "blue", GuaranteedCPUs: 4, CPULimit: 20}},
 		Tuning: config.DefaultOptions()}
 }
--- a/cmd/gullbench/pipelines.go
+++ b/cmd/faulttest/pipelines.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/standin"
+	"gullrudder/internal/simulator"
 )
 
 func pipelinesCommand() *cobra.Command {
@@ -26,7 +26,7 @@
 			for i := range runs {
 				tuning := config.DefaultOptions()
 				tuning.ArchiveDelay, tuning.MinSegmentJobs, tuning.CompactionFanIn = 0, 2, 2
-				w := standin.New(seed+uint64(i), standin.Options{Nodes: 3, ReportEvery: time.Second, Lease: 8 * time.Second, Cancel: 20 * time.Second,
+				w := simulator.New(seed+uint64(i), simulator.Options{Nodes: 3, ReportEvery: time.Second, Lease: 8 * time.Second, Cancel: 20 * time.Second,
 					Late: 0.5, Capacity: 12, Sound: true, Tuning: tuning}, slog.New(slog.DiscardHandler))
 				p := w.PipelineDay(each)
 				played, lost, late = played+p.Played, lost+p.Lost, append(late, p.Late...)
--- a/cmd/gullbench/probe.go
+++ b/cmd/faulttest/probe.go
@@ -6,8 +6,8 @@
 	"net/url"
 	"time"
 
-	"gullrudder/internal/standin/crash"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/simulator/crashtest"
+	"gullrudder/internal/wire/codec"
 )
 
 // probe commits to keys of its own and knows what has to be there.
@@ -16,8 +16,8 @@
 	id      int
 	rng     *rand.Rand
 	model   map[string]probeKey
-	open    []crash.Op // of a commit that nobody answered
-	tide    uint64     // the highest revision that was answered
+	open    []crashtest.Op // of a commit that nobody answered
+	tide    uint64         // the highest revision that was answered
 	n       int
 	commits int
 	doubts  int
@@ -50,8 +50,8 @@
 }
 
 func (p *probe) commit() {
-	var guards []crash.Guard
-	var ops []crash.Op
+	var guards []crashtest.Guard
+	var ops []crashtest.Op
 	seen := map[string]bool{}
 	for range 1 + p.rng.IntN(4) {
 		key := fmt.Sprintf("%s%02d", p.prefix(), p.rng.IntN(40))
@@ -60,14 +60,14 @@
 		}
 		seen[key] = true
 		p.n++
-		o := crash.Op{Key: key, Value: fmt.Sprintf("%d-%0*d", p.n, 1+p.rng.IntN(400), 0)}
+		o := crashtest.Op{Key: key, Value: fmt.Sprintf("%d-%0*d", p.n, 1+p.rng.IntN(400), 0)}
 		if p.rng.IntN(5) == 0 && p.model[key].mark > 0 {
 			o.Value = ""
 		}
-		guards = append(guards, crash.Guard{Key: key, Mark: p.model[key].mark})
+		guards = append(guards, crashtest.Guard{Key: key, Mark: p.model[key].mark})
 		ops = append(ops, o)
 	}
-	r := crash.Commit(guards, ops)
+	r := crashtest.Commit(guards, ops)
 	m, err := p.f.client.Do(p.f.addr, r.Method, r.Target, r.Body, 2*time.Second)
 	var a struct {
 		Tide uint64 `msgpack:"tide"`
@@ -76,7 +76,7 @@
 	case err != nil:
 		p.open = ops
 		p.doubts++
-	case m.Status == 200 && packed.Unmarshal(m.Body, &a) == nil:
+	case m.Status == 200 && codec.Unmarshal(m.Body, &a) == nil:
 		if a.Tide <= p.tide {
 			p.f.broke("probe %d: revision %d after %d", p.id, a.Tide, p.tide)
 		}
@@ -88,7 +88,7 @@
 	}
 }
 
-func (p *probe) settle(ops []crash.Op, tide uint64) {
+func (p *probe) settle(ops []crashtest.Op, tide uint64) {
 	p.tide = max(p.tide, tide)
 	p.open = nil
 	for _, o := range ops {
@@ -158,7 +158,7 @@
 		} `msgpack:"entries"`
 		Tide uint64 `msgpack:"tide"`
 	}
-	if err != nil || m.Status != 200 || packed.Unmarshal(m.Body, &a) != nil {
+	if err != nil || m.Status != 200 || codec.Unmarshal(m.Body, &a) != nil {
 		return nil, 0, false
 	}
 	for _, e := range a.Entries {
--- a/cmd/gullbench/process.go
+++ b/cmd/faulttest/process.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"gullrudder/internal/wire/httpwire"
+	"gullrudder/internal/wire/http1"
 )
 
 // process is a child of this program that is started, killed and started again.
@@ -83,7 +83,7 @@
 }
 
 // await asks until the service answers with the status.
-func await(c *httpwire.Client, addr, target string, status int, within time.Duration) error {
+func await(c *http1.Client, addr, target string, status int, within time.Duration) error {
 	end := time.Now().Add(within)
 	for {
 		m, err := c.Do(addr, "GET", target, nil, time.Second)
--- a/cmd/gullbench/restart.go
+++ b/cmd/faulttest/restart.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
-	"gullrudder/internal/site/store"
-	"gullrudder/internal/standin/crash"
-	"gullrudder/internal/wire/httpwire"
+	"gullrudder/internal/simulator/crashtest"
+	"gullrudder/internal/site/kvserver"
+	"gullrudder/internal/wire/http1"
 )
 
 func restartCommand() *cobra.Command {
@@ -19,7 +19,7 @@
 	var changes, keys, times, bytes int
 	cmd := &cobra.Command{Use: "restart", Short: "How long a state service takes to come back, with and without a history", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			root, err := os.MkdirTemp(dir, "gullbench-restart-")
+			root, err := os.MkdirTemp(dir, "faulttest-restart-")
 			if err != nil {
 				return err
 			}
@@ -63,22 +63,22 @@
 		return 0, err
 	}
 	defer p.kill()
-	client := httpwire.NewClient(4, 4, 1<<20)
+	client := http1.NewClient(4, 4, 1<<20)
 	if err := await(client, ports[0], "/ready", 200, 10*time.Second); err != nil {
 		return 0, err
 	}
 	for n := 0; n < changes; n += 100 {
-		var ops []crash.Op
+		var ops []crashtest.Op
 		for i := n; i < min(n+100, changes); i++ {
-			ops = append(ops, crash.Op{Key: fmt.Sprintf("k/%08d", i%keys), Value: value(i, bytes)})
+			ops = append(ops, crashtest.Op{Key: fmt.Sprintf("k/%08d", i%keys), Value: value(i, bytes)})
 		}
-		r := crash.Commit(nil, ops)
+		r := crashtest.Commit(nil, ops)
 		if m, err := client.Do(ports[0], r.Method, r.Target, r.Body, 10*time.Second); err != nil || m.Status != 200 {
 			return 0, fmt.Errorf("a commit: %v, %w", m, err)
 		}
 	}
 	p.kill()
-	report, err := store.Inspect(data)
+	report, err := kvserver.Inspect(data)
 	if err != nil {
 		return 0, err
 	}
@@ -88,7 +88,7 @@
 		if err := p.start(); err != nil {
 			return 0, err
 		}
-		if err := await(httpwire.NewClient(1, 0, 1<<20), ports[0], "/ready", 200, 30*time.Second); err != nil {
+		if err := await(http1.NewClient(1, 0, 1<<20), ports[0], "/ready", 200, 30*time.Second); err != nil {
 			return 0, err
 		}
 		took = append(took, time.Since(began))
--- a/cmd/gullbench/scale.go
+++ b/cmd/faulttest/scale.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/standin"
+	"gullrudder/internal/simulator"
 )
 
 func scaleCommand() *cobra.Command {
@@ -20,7 +20,7 @@
 			out := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(out, "machines\ttasks\tsteps a second\ta step\tlongest\tof a processor\tstate changes/s\theap MB\tplacing after\tfull again after")
 			for _, n := range sizes {
-				w := standin.New(seed, scaleWorld(n), slog.New(slog.DiscardHandler))
+				w := simulator.New(seed, scaleWorld(n), slog.New(slog.DiscardHandler))
 				s, err := w.Scale(n)
 				fmt.Fprintf(out, "%d\t%d\t%.0f\t%v\t%v\t%.3f\t%.1f\t%d\t%v\t%v\n", s.Machines, s.Tasks, float64(s.Steps)/60, s.Step.Round(time.Microsecond),
 					s.Longest.Round(100*time.Microsecond), s.Busy, s.Writes, s.Heap, s.Placing, s.Again)
@@ -38,8 +38,8 @@
 	return cmd
 }
 
-func scaleWorld(machines int) standin.Options {
-	return standin.Options{Nodes: 3, ReportEvery: 2500 * time.Millisecond, Lease: 15 * time.Second, Cancel: 35 * time.Second, AskOnce: true,
+func scaleWorld(machines int) simulator.Options {
+	return simulator.Options{Nodes: 3, ReportEvery: 2500 * time.Millisecond, Lease: 15 * time.Second, Cancel: 35 * time.Second, AskOnce: true,
 		Capacity: (machines + 5) / 6, Unchecked: true, Tuning: config.DefaultOptions(), Settings: func(p *config.Platform) {
 			p.StateWriteRate, p.MaxValueBytes, p.MaxTransactionOps, p.CloudRequestRate, p.MaxConnections, p.CPUQuota = 100, 16384, 16, 9, 10000, 1
 			p.StateRequestRate = 600
--- a/cmd/gullbench/troubles.go
+++ b/cmd/faulttest/troubles.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/standin"
+	"gullrudder/internal/simulator"
 )
 
 func troublesCommand() *cobra.Command {
@@ -22,16 +22,16 @@
 	cmd := &cobra.Command{Use: "troubles", Short: "Rules and who is served on days of troubles, several at once, in virtual time", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			tuning.StartBound = begin
-			opt := standin.FamineOptions(tuning)
+			opt := simulator.FamineOptions(tuning)
 			opt.Capacity, opt.Late, opt.Loss = capacity, 0.5, 0.002
-			days, broken, fails := make([]standin.Day, runs), make([][]string, runs), make([]error, runs)
+			days, broken, fails := make([]simulator.Day, runs), make([][]string, runs), make([]error, runs)
 			var wait sync.WaitGroup
 			slots := make(chan struct{}, jobs)
 			for i := range days {
 				slots <- struct{}{}
 				wait.Go(func() {
 					defer func() { <-slots }()
-					w := standin.New(seed+uint64(i), opt, slog.New(slog.DiscardHandler))
+					w := simulator.New(seed+uint64(i), opt, slog.New(slog.DiscardHandler))
 					days[i], fails[i] = w.Day(kinds)
 					broken[i] = w.Broken
 				})
@@ -79,7 +79,7 @@
 	cmd.Flags().IntVar(&jobs, "jobs", 8, "how many days at a time; the result does not depend on it")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the first day")
 	cmd.Flags().IntVar(&capacity, "capacity", 36, "machines of each of the six kinds")
-	cmd.Flags().StringSliceVar(&kinds, "kinds", standin.Strikes(), "which troubles: "+strings.Join(standin.Strikes(), ", "))
+	cmd.Flags().StringSliceVar(&kinds, "kinds", simulator.Strikes(), "which troubles: "+strings.Join(simulator.Strikes(), ", "))
 	cmd.Flags().DurationVar(&begin, "begin-bound", tuning.StartBound, "a job of which nothing has begun after this begins ahead of others; 0: none does")
 	return cmd
 }
--- a/cmd/gullbench/upgrade.go
+++ b/cmd/faulttest/upgrade.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"gullrudder/internal/wire/httpwire"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/http1"
 )
 
 func upgradeCommand() *cobra.Command {
@@ -29,7 +29,7 @@
 			if older == "" {
 				return errors.New("--program-old is missing: the README tells how it is built from the history")
 			}
-			dir, err := os.MkdirTemp("", "gullbench-upgrade-")
+			dir, err := os.MkdirTemp("", "faulttest-upgrade-")
 			if err != nil {
 				return err
 			}
@@ -107,7 +107,7 @@
 // watchPlacing asks all controllers whether they place, until it is told to stop.
 func (f *field) watchPlacing(g *gaps) {
 	defer f.wait.Done()
-	client := httpwire.NewClient(8, 2, httpwire.MaxBodyBytes)
+	client := http1.NewClient(8, 2, http1.MaxBodyBytes)
 	for {
 		select {
 		case <-f.stop:
@@ -118,7 +118,7 @@
 			var s struct {
 				Placing bool `msgpack:"placing"`
 			}
-			if m, err := client.Do(addr, "GET", "/status", nil, 200*time.Millisecond); err == nil && m.Status == 200 && packed.Unmarshal(m.Body, &s) == nil && s.Placing {
+			if m, err := client.Do(addr, "GET", "/status", nil, 200*time.Millisecond); err == nil && m.Status == 200 && codec.Unmarshal(m.Body, &s) == nil && s.Placing {
 				g.seen(time.Now())
 			}
 		}
--- a/cmd/gullbench/users.go
+++ b/cmd/faulttest/users.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/standin"
-	"gullrudder/internal/wire/httpwire"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/simulator"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/http1"
 )
 
 // users submit jobs with many short tasks, cancel some, and ask about all of them for ever.
@@ -47,7 +47,7 @@
 
 func (u *users) run() {
 	defer close(u.ended)
-	client := httpwire.NewClient(8, 2, httpwire.MaxBodyBytes)
+	client := http1.NewClient(8, 2, http1.MaxBodyBytes)
 	for n := 0; ; n++ {
 		select {
 		case <-u.stop:
@@ -100,7 +100,7 @@
 }
 func (u *users) finished() int { return u.count(func(j *userJob) bool { return j.done }) }
 
-func (u *users) submit(c *httpwire.Client, n int) {
+func (u *users) submit(c *http1.Client, n int) {
 	// Some ids are longer than the history's index knows exactly.
 	id := fmt.Sprintf("job-%06d", n)
 	if u.rng.IntN(3) == 0 {
@@ -122,8 +122,8 @@
 	u.send(c, j)
 }
 
-func (u *users) send(c *httpwire.Client, j *userJob) {
-	raw, err := packed.Marshal(standin.Wire(j.spec))
+func (u *users) send(c *http1.Client, j *userJob) {
+	raw, err := codec.Marshal(simulator.Wire(j.spec))
 	if err != nil {
 		u.f.broke("a submission cannot be encoded: %v", err)
 		return
@@ -132,7 +132,7 @@
 }
 
 // ask polls a job, submits one again, or cancels one.
-func (u *users) ask(c *httpwire.Client) {
+func (u *users) ask(c *http1.Client) {
 	if j := u.pick(func(j *userJob) bool { return !j.accepted }); j != nil {
 		u.send(c, j)
 	}
@@ -157,7 +157,7 @@
 	}
 }
 
-func (u *users) do(c *httpwire.Client, j *userJob, method, target string, body []byte) {
+func (u *users) do(c *http1.Client, j *userJob, method, target string, body []byte) {
 	m, err := c.Do(u.f.public[u.rng.IntN(nodes)], method, target, body, 2*time.Second)
 	if err != nil {
 		return
@@ -173,7 +173,7 @@
 		if j.accepted {
 			u.f.broke("forgotten: %s %s gets %d though the job was accepted", method, target, m.Status)
 		}
-	case m.Status/100 == 2 && packed.Unmarshal(m.Body, &a) == nil:
+	case m.Status/100 == 2 && codec.Unmarshal(m.Body, &a) == nil:
 		j.accepted = true
 		u.heard.seen(time.Now())
 		switch {
@@ -203,7 +203,7 @@
 func (u *users) drain(within time.Duration) error {
 	close(u.stop)
 	<-u.ended
-	client := httpwire.NewClient(8, 2, httpwire.MaxBodyBytes)
+	client := http1.NewClient(8, 2, http1.MaxBodyBytes)
 	end := time.Now().Add(within)
 	u.mu.Lock()
 	last := len(u.order)
--- a/cmd/gullrudder/account.go
+++ b/cmd/gullrudder/account.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"gullrudder/internal/controller/requests"
+	"gullrudder/internal/controller/api"
 )
 
 func milliseconds(ms int64) string {
@@ -22,7 +22,7 @@
 }
 
 // shareText lists causes with their times.
-func shareText(list []requests.TimeShare) string {
+func shareText(list []api.TimeShare) string {
 	var parts []string
 	for _, s := range list {
 		parts = append(parts, s.Reason+" "+milliseconds(s.Milliseconds))
@@ -46,7 +46,7 @@
 			if since > 0 {
 				q.Set("since_s", strconv.FormatFloat(since.Seconds(), 'f', -1, 64))
 			}
-			var all requests.Accounts
+			var all api.Accounts
 			if err := a.get("/account?"+q.Encode(), &all); err != nil {
 				return err
 			}
@@ -58,7 +58,7 @@
 	return cmd
 }
 
-func accountTable(w io.Writer, all requests.Accounts) {
+func accountTable(w io.Writer, all api.Accounts) {
 	fmt.Fprintf(w, "%d jobs are not finished and not counted\n", all.OpenJobs)
 	for _, a := range all.Accounts {
 		fmt.Fprintf(w, "\nTEAM %s, CLASS %s\t%d JOBS\tSHARE\tA JOB\n", a.Team, a.Class, a.JobCount)
--- a/cmd/gullrudder/client.go
+++ b/cmd/gullrudder/client.go
@@ -11,10 +11,10 @@
 
 	"github.com/spf13/cobra"
 
-	"gullrudder/internal/controller/node"
-	"gullrudder/internal/site/home"
-	"gullrudder/internal/wire/httpwire"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/controller"
+	"gullrudder/internal/site/datadir"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/http1"
 )
 
 // Exit codes, besides 0 and 2 for wrong usage or settings.
@@ -29,8 +29,8 @@
 	server, output string
 	data           string // of a site on this machine
 	patience       time.Duration
-	client         *httpwire.Client
-	home           *home.Home // of the site on this machine, if no controller was named
+	client         *http1.Client
+	home           *datadir.Home // of the site on this machine, if no controller was named
 	out            io.Writer
 }
 
@@ -44,7 +44,7 @@
 }
 
 func apiFlags(cmd *cobra.Command, a *apiClient) {
-	a.client = httpwire.NewClient(1, 1, httpwire.MaxBodyBytes)
+	a.client = http1.NewClient(1, 1, http1.MaxBodyBytes)
 	cmd.Flags().StringVar(&a.server, "server", os.Getenv("GULLRUDDER_SERVER"), "address of a controller, host:port (or GULLRUDDER_SERVER)")
 	cmd.Flags().StringVar(&a.data, "data", os.Getenv("GULLRUDDER_DATA"), "directory of a site on this machine, as for up (or GULLRUDDER_DATA)")
 	cmd.Flags().StringVar(&a.output, "output", "table", "table or json")
@@ -55,7 +55,7 @@
 	if a.server != "" {
 		a.servers = []string{a.server}
 	} else {
-		h, err := home.Open(siteDir(a.data))
+		h, err := datadir.Open(siteDir(a.data))
 		if err != nil {
 			return &failure{2, fmt.Errorf("no controller is named with --server or GULLRUDDER_SERVER, and %w", err)}
 		}
@@ -71,11 +71,11 @@
 }
 
 // ask sends a request, and again for as long as the protocol has users do.
-func (a *apiClient) ask(method, path string, body []byte) (*httpwire.Message, error) {
+func (a *apiClient) ask(method, path string, body []byte) (*http1.Message, error) {
 	return a.askAt(a.servers, method, path, body)
 }
 
-func (a *apiClient) askAt(servers []string, method, path string, body []byte) (*httpwire.Message, error) {
+func (a *apiClient) askAt(servers []string, method, path string, body []byte) (*http1.Message, error) {
 	end := time.Now().Add(a.patience)
 	for try := 0; ; try++ {
 		msg, err := a.client.Do(servers[try%len(servers)], method, path, body, 5*time.Second)
@@ -98,7 +98,7 @@
 	var e struct {
 		Error string `msgpack:"error"`
 	}
-	if packed.Unmarshal(body, &e) != nil || e.Error == "" {
+	if codec.Unmarshal(body, &e) != nil || e.Error == "" {
 		return ""
 	}
 	return ": " + e.Error
@@ -195,15 +195,15 @@
 			if err != nil {
 				return err
 			}
-			var s node.Status
-			if err := packed.Unmarshal(msg.Body, &s); err != nil {
+			var s controller.Status
+			if err := codec.Unmarshal(msg.Body, &s); err != nil {
 				return &failure{exitUnavailable, fmt.Errorf("the answer cannot be read: %w", err)}
 			}
 			return a.show(s, func(w io.Writer) { statusTable(w, s) })
 		})
 }
 
-func statusTable(w io.Writer, s node.Status) {
+func statusTable(w io.Writer, s controller.Status) {
 	fmt.Fprintf(w, "node\t%s\nleader\t%s\n", s.Controller, orDash(s.Leader))
 	if s.FencingToken > 0 {
 		fmt.Fprintf(w, "token\t%d\nplacing\t%v\nstate service ok\t%v\njobs\t%d\njobs finished\t%d, %d runs sealed\ntasks waiting\t%d\ntasks placed\t%d\n",
--- a/cmd/gullrudder/console.go
+++ b/cmd/gullrudder/console.go
@@ -10,8 +10,8 @@
 	"github.com/spf13/cobra"
 
 	"gullrudder/internal/console"
-	"gullrudder/internal/site/home"
-	"gullrudder/internal/site/pool"
+	"gullrudder/internal/site/datadir"
+	"gullrudder/internal/site/machinepool"
 )
 
 // lookPatience is how long a look of the console waits for an answer.
@@ -38,7 +38,7 @@
 	var err error
 	snap.Failures, err = s.failures()
 	problem("failures", err)
-	if free, err := home.FreeDisk(s.home.Dir()); err == nil {
+	if free, err := datadir.FreeDisk(s.home.Dir()); err == nil {
 		snap.FreeMB, snap.KeepMB = free>>20, s.home.KeepFreeMB
 	}
 	return snap
@@ -49,7 +49,7 @@
 }
 
 func (s site) Drain(on bool) error {
-	var o pool.Overview
+	var o machinepool.Overview
 	return s.siteCall("POST", map[bool]string{true: "/site/drain", false: "/site/undrain"}[on], &o)
 }
 
@@ -84,14 +84,14 @@
 }
 
 // failures are those that the pool of the site on this machine keeps, the newest first.
-func (a *apiClient) failures() ([]pool.Failure, error) {
-	var f pool.Failures
+func (a *apiClient) failures() ([]machinepool.Failure, error) {
+	var f machinepool.Failures
 	if err := a.siteCall("GET", "/site/failures", &f); err != nil {
 		return nil, err
 	}
-	list := []pool.Failure{}
+	list := []machinepool.Failure{}
 	for _, raw := range f.List {
-		var one pool.Failure
+		var one machinepool.Failure
 		if err := json.Unmarshal([]byte(raw), &one); err != nil {
 			return nil, &failure{exitUnavailable, err}
 		}
--- a/cmd/gullrudder/queue.go
+++ b/cmd/gullrudder/queue.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"gullrudder/internal/controller/requests"
-	"gullrudder/internal/controller/settings"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/controller/api"
+	"gullrudder/internal/controller/dynamicconfig"
+	"gullrudder/internal/wire/codec"
 )
 
 // get asks for something that is answered with v.
@@ -31,7 +31,7 @@
 	if msg.Status >= 300 {
 		return &failure{exitRefused, fmt.Errorf("refused with %d%s", msg.Status, why(msg.Body))}
 	}
-	if err := packed.Unmarshal(msg.Body, v); err != nil {
+	if err := codec.Unmarshal(msg.Body, v); err != nil {
 		return &failure{exitUnavailable, fmt.Errorf("the answer cannot be read: %w", err)}
 	}
 	return nil
@@ -47,7 +47,7 @@
 func explainCommand() *cobra.Command {
 	return userCommand("explain JOB", "Show why a job waits, what stands before it, and how long it can wait at worst", "",
 		cobra.ExactArgs(1), func(a *apiClient, args []string) error {
-			var x requests.Explanation
+			var x api.Explanation
 			if err := a.get("/work/"+segment(args[0])+"/explain", &x); err != nil {
 				return err
 			}
@@ -55,7 +55,7 @@
 		})
 }
 
-func explainTable(w io.Writer, x requests.Explanation) {
+func explainTable(w io.Writer, x api.Explanation) {
 	fmt.Fprintf(w, "job\t%s, %s\n", x.ID, x.State)
 	if x.Team != "" {
 		fmt.Fprintf(w, "team, class\t%s, %s\ntasks\t%d wait, %d run, %d done\nwaits since\t%s\n", x.Team, x.Class, x.QueuedJob.WaitingTasks, x.RunningTasks, x.DoneTasks,
@@ -97,7 +97,7 @@
 			if class != "" {
 				q.Set("class", class)
 			}
-			var queue requests.Queue
+			var queue api.Queue
 			if err := a.get("/queue?"+q.Encode(), &queue); err != nil {
 				return err
 			}
@@ -112,7 +112,7 @@
 	return cmd
 }
 
-func queueRows(w io.Writer, rows []requests.QueuedJob, title string) {
+func queueRows(w io.Writer, rows []api.QueuedJob, title string) {
 	if len(rows) == 0 {
 		return
 	}
@@ -124,7 +124,7 @@
 
 func settingsCommand() *cobra.Command {
 	cmd := userCommand("settings", "Show the settings that count, and who changed what", "", cobra.NoArgs, func(a *apiClient, _ []string) error {
-		var s settings.View
+		var s dynamicconfig.View
 		if err := a.get("/settings", &s); err != nil {
 			return err
 		}
@@ -138,11 +138,11 @@
 			if err != nil {
 				return &failure{2, fmt.Errorf("settings: %w", err)}
 			}
-			body, err := packed.Marshal(settings.ChangeRequest{Author: who, Text: string(text)})
+			body, err := codec.Marshal(dynamicconfig.ChangeRequest{Author: who, Text: string(text)})
 			if err != nil {
 				return err
 			}
-			var s settings.View
+			var s dynamicconfig.View
 			if err := a.send("POST", "/settings", body, &s); err != nil {
 				return err
 			}
@@ -153,7 +153,7 @@
 	return cmd
 }
 
-func settingsTable(w io.Writer, s settings.View) {
+func settingsTable(w io.Writer, s dynamicconfig.View) {
 	from := "the controllers' own files"
 	if s.Version > 0 {
 		from = fmt.Sprintf("version %d", s.Version)
--- a/cmd/gullrudder/serve.go
+++ b/cmd/gullrudder/serve.go
@@ -12,8 +12,8 @@
 	"github.com/spf13/cobra"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/node"
-	"gullrudder/internal/wire/scrape"
+	"gullrudder/internal/controller"
+	"gullrudder/internal/wire/metrics"
 )
 
 // version is set by the release build.
@@ -59,20 +59,20 @@
 			log := logger(os.Stderr, os.Getenv("LOG_LEVEL")).With("node", cfg.Name)
 			now := time.Now()
 			rng := rand.New(rand.NewPCG(uint64(now.UnixNano()), uint64(os.Getpid())))
-			n := node.New(cfg, opt, now, rng, log)
+			n := controller.New(cfg, opt, now, rng, log)
 			if metricsAddress != "" {
 				go func() {
 					for {
-						log.Error("metrics are not served, and tried again", "error", scrape.Serve(n.Registry(), metricsAddress, log))
+						log.Error("metrics are not served, and tried again", "error", metrics.Serve(n.Registry(), metricsAddress, log))
 						time.Sleep(time.Second)
 					}
 				}()
 			}
-			for _, w := range node.ConfigWarnings(cfg) {
+			for _, w := range controller.ConfigWarnings(cfg) {
 				log.Error("settings", "warning", w)
 			}
 			log.Info("serving", "public", cfg.PublicAddr, "peers", cfg.PeerListenAddr)
-			node.NewRuntime(n, cfg, log).Serve()
+			controller.NewRuntime(n, cfg, log).Serve()
 			return nil
 		}}
 	settingsFlags(cmd, &platform, &operators)
@@ -99,7 +99,7 @@
 			if err != nil {
 				return err
 			}
-			for _, w := range node.ConfigWarnings(cfg) {
+			for _, w := range controller.ConfigWarnings(cfg) {
 				fmt.Fprintln(cmd.OutOrStdout(), "warning:", w)
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "ok: %s, %d other controllers, %d teams\n", cfg.Name, len(cfg.Peers), len(cfg.Teams))
--- a/cmd/gullrudder/served.go
+++ b/cmd/gullrudder/served.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"gullrudder/internal/controller/requests"
+	"gullrudder/internal/controller/api"
 )
 
 func servedCommand() *cobra.Command {
@@ -14,7 +14,7 @@
 		"DONE counts jobs of the last minutes, what is longer ago counting ever less; LATE are jobs that can keep none of their\n"+
 			"aims any more. Below the least share (floor-least) a class or team has room ahead of others (floor-share).", cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
-			var list requests.ServiceShares
+			var list api.ServiceShares
 			if err := a.get("/served", &list); err != nil {
 				return err
 			}
@@ -22,7 +22,7 @@
 		})
 }
 
-func servedTable(w io.Writer, list requests.ServiceShares) {
+func servedTable(w io.Writer, list api.ServiceShares) {
 	fmt.Fprintln(w, "\tNAME\tSERVED\tDONE\tLATE\tWITH ROOM OF THEIR OWN")
 	for _, g := range list.Groups {
 		kind, mark := "class", ""
--- a/cmd/gullrudder/site.go
+++ b/cmd/gullrudder/site.go
@@ -16,12 +16,12 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sys/unix"
 
-	"gullrudder/internal/controller/node"
+	"gullrudder/internal/controller"
 	"gullrudder/internal/site/agent"
-	"gullrudder/internal/site/home"
-	"gullrudder/internal/site/pool"
-	"gullrudder/internal/site/supervise"
-	"gullrudder/internal/wire/httpwire"
+	"gullrudder/internal/site/datadir"
+	"gullrudder/internal/site/machinepool"
+	"gullrudder/internal/site/supervisor"
+	"gullrudder/internal/wire/http1"
 )
 
 // siteDir is the directory of a site on this machine.
@@ -42,12 +42,12 @@
 
 func upCommand() *cobra.Command {
 	var data string
-	var w home.Wishes
+	var w datadir.Wishes
 	cmd := &cobra.Command{Use: "up", Short: "Run a whole site on this machine, in the foreground", Args: cobra.NoArgs,
 		Long: "Run a whole site on this machine: state service, pool, controllers and a worker, each started again when it ends.\n" +
 			"The first run makes the directory; the flags besides --data count only then. SIGTERM or an interrupt ends it.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			h, err := home.Make(siteDir(data), w, version)
+			h, err := datadir.Make(siteDir(data), w, version)
 			if err != nil {
 				return &failure{exitUnavailable, err}
 			}
@@ -62,7 +62,7 @@
 }
 
 // up runs the parts of a site until it is told to end.
-func up(out io.Writer, h *home.Home) error {
+func up(out io.Writer, h *datadir.Home) error {
 	lock, err := h.Lock()
 	if err != nil {
 		return &failure{exitUnavailable, err}
@@ -75,15 +75,15 @@
 	if err != nil {
 		return err
 	}
-	parts := []supervise.Part{
+	parts := []supervisor.Part{
 		{Name: "state", Args: []string{"state", "--data", h.Dir("state"), "--listen", h.State}},
 		{Name: "pool", Args: []string{"pool", "--data", h.Dir()}}}
 	for i, n := range h.Controllers {
-		parts = append(parts, supervise.Part{Name: n.Name, Args: []string{"serve", "--config", h.Controller(i), "--options", h.Options()}})
+		parts = append(parts, supervisor.Part{Name: n.Name, Args: []string{"serve", "--config", h.Controller(i), "--options", h.Options()}})
 	}
-	parts = append(parts, supervise.Part{Name: "worker", Args: []string{"worker", "--data", h.Dir()}})
+	parts = append(parts, supervisor.Part{Name: "worker", Args: []string{"worker", "--data", h.Dir()}})
 	log := logger(os.Stderr, "info")
-	s, err := supervise.New(program, h.Dir(), h.ID, parts, log)
+	s, err := supervisor.New(program, h.Dir(), h.ID, parts, log)
 	if err != nil {
 		return &failure{exitUnavailable, err}
 	}
@@ -99,9 +99,9 @@
 	}()
 	began := time.Now()
 	go func() {
-		a := &apiClient{servers: []string{h.Controllers[0].Public}, client: httpwire.NewClient(1, 1, httpwire.MaxBodyBytes), patience: time.Minute}
+		a := &apiClient{servers: []string{h.Controllers[0].Public}, client: http1.NewClient(1, 1, http1.MaxBodyBytes), patience: time.Minute}
 		for {
-			var st node.Status
+			var st controller.Status
 			if a.get("/status", &st) == nil && st.Leader != "" {
 				break
 			}
@@ -115,7 +115,7 @@
 }
 
 // reachable reports whether the user that tasks run as can get to the site's directory.
-func reachable(h *home.Home) error {
+func reachable(h *datadir.Home) error {
 	as, err := taskUser(h)
 	if err != nil || as == nil {
 		return err
@@ -133,7 +133,7 @@
 }
 
 // taskUser is whom tasks run as: nil for the user that the site runs as.
-func taskUser(h *home.Home) (*syscall.Credential, error) {
+func taskUser(h *datadir.Home) (*syscall.Credential, error) {
 	if os.Getuid() != 0 || h.As == "root" {
 		return nil, nil
 	}
@@ -153,7 +153,7 @@
 	var data string
 	cmd := &cobra.Command{Use: "down", Short: "End the site on this machine; tasks that run start again with the next up", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			h, err := home.Open(siteDir(data))
+			h, err := datadir.Open(siteDir(data))
 			if err != nil {
 				return &failure{2, err}
 			}
@@ -193,7 +193,7 @@
 	cmd := userCommand("drain", "Start nothing more on this site; what runs goes on to its end",
 		"Start nothing more on this site; what runs goes on to its end. Jobs are accepted still, and wait. It lasts over\n"+
 			"restarts, until undrain.", cobra.NoArgs, func(a *apiClient, _ []string) error {
-			var o pool.Overview
+			var o machinepool.Overview
 			if err := a.siteCall("POST", "/site/drain", &o); err != nil {
 				return err
 			}
@@ -217,7 +217,7 @@
 	return cmd
 }
 
-func drained(o pool.Overview) string {
+func drained(o machinepool.Overview) string {
 	switch {
 	case !o.Draining:
 		return "in use"
@@ -229,7 +229,7 @@
 
 func undrainCommand() *cobra.Command {
 	return userCommand("undrain", "Use this site again after a drain", "", cobra.NoArgs, func(a *apiClient, _ []string) error {
-		var o pool.Overview
+		var o machinepool.Overview
 		if err := a.siteCall("POST", "/site/undrain", &o); err != nil {
 			return err
 		}
@@ -241,11 +241,11 @@
 	var data string
 	cmd := &cobra.Command{Use: "pool", Short: "Run a site's pool: its machines as a cloud, and the jobs' descriptions", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			h, err := home.Open(siteDir(data))
+			h, err := datadir.Open(siteDir(data))
 			if err != nil {
 				return &failure{2, err}
 			}
-			s, err := pool.NewService(h.Dir(), pool.Options{Zone: h.Zone, Price: h.Price}, h.KeepFreeMB<<20, logger(os.Stderr, logLevel()).With("part", "pool"))
+			s, err := machinepool.NewService(h.Dir(), machinepool.Options{Zone: h.Zone, Price: h.Price}, h.KeepFreeMB<<20, logger(os.Stderr, logLevel()).With("part", "pool"))
 			if err != nil {
 				return &failure{exitUnavailable, err}
 			}
@@ -267,7 +267,7 @@
 	var data string
 	cmd := &cobra.Command{Use: "worker", Short: "Run a site's worker: it runs the tasks", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			h, err := home.Open(siteDir(data))
+			h, err := datadir.Open(siteDir(data))
 			if err != nil {
 				return &failure{2, err}
 			}
@@ -337,7 +337,7 @@
 
 // examine looks at everything that a site needs.
 func examine(dir string) []finding {
-	h, err := home.Open(dir)
+	h, err := datadir.Open(dir)
 	if err != nil {
 		return []finding{{"site", err.Error(), "gullrudder up --data " + dir}}
 	}
@@ -348,7 +348,7 @@
 		}
 		list = append(list, finding{what, state, do})
 	}
-	if free, err := home.FreeDisk(h.Dir()); err != nil {
+	if free, err := datadir.FreeDisk(h.Dir()); err != nil {
 		add("disk", err.Error(), "see that the directory can be read", false)
 	} else {
 		free >>= 20
@@ -383,8 +383,8 @@
 		add(p.name, state, do, err == nil && up)
 	}
 	if up {
-		a := &apiClient{servers: []string{h.Controllers[0].Public}, client: httpwire.NewClient(1, 1, httpwire.MaxBodyBytes), patience: 3 * time.Second}
-		var st node.Status
+		a := &apiClient{servers: []string{h.Controllers[0].Public}, client: http1.NewClient(1, 1, http1.MaxBodyBytes), patience: 3 * time.Second}
+		var st controller.Status
 		err := a.get("/status", &st)
 		add("leader", orDash(st.Leader), "see "+h.Dir("log", h.Controllers[0].Name+".log"), err == nil && st.Leader != "")
 	}
--- a/cmd/gullrudder/state.go
+++ b/cmd/gullrudder/state.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/site/store"
+	"gullrudder/internal/site/kvserver"
 )
 
 // exitDamaged ends a state service whose directory cannot be trusted.
@@ -31,23 +31,23 @@
 				return &failure{2, err}
 			}
 			log := logger(os.Stderr, os.Getenv("LOG_LEVEL")).With("state", listen)
-			dir, err := store.LockDirectory(data)
+			dir, err := kvserver.LockDirectory(data)
 			if err != nil {
 				return &failure{exitDamaged, err}
 			}
 			began := time.Now()
-			state, disk, report, err := store.Open(dir, opt, began, log)
+			state, disk, report, err := kvserver.Open(dir, opt, began, log)
 			if err != nil {
 				return &failure{exitDamaged, err}
 			}
 			log.Info("serving", "revision", report.Revision, "keys", report.Keys, "snapshot", report.Snapshot,
 				"frames", report.Frames, "read", time.Since(began).Round(time.Microsecond))
-			watch := store.NewMetrics()
+			watch := kvserver.NewMetrics()
 			ends := make(chan error, 2)
 			if metrics != "" {
 				go func() { ends <- watch.Serve(metrics, log) }()
 			}
-			go func() { ends <- store.NewServer(state, disk, opt, watch, log).Serve(listen) }()
+			go func() { ends <- kvserver.NewServer(state, disk, opt, watch, log).Serve(listen) }()
 			return &failure{exitUnavailable, <-ends}
 		}}
 	cmd.Flags().StringVar(&data, "data", "", "the directory that the store is kept in")
@@ -67,15 +67,15 @@
 			if output != "table" && output != "json" {
 				return &failure{2, fmt.Errorf("--output %s: not table or json", output)}
 			}
-			report, err := store.Inspect(args[0])
-			var found []store.KeyInfo
+			report, err := kvserver.Inspect(args[0])
+			var found []kvserver.KeyInfo
 			if err == nil && keys {
-				found, err = store.Keys(args[0])
+				found, err = kvserver.Keys(args[0])
 			}
 			view := struct {
-				store.Inspection
-				Damage string          `json:"damage,omitempty"`
-				All    []store.KeyInfo `json:"all_keys,omitempty"`
+				kvserver.Inspection
+				Damage string             `json:"damage,omitempty"`
+				All    []kvserver.KeyInfo `json:"all_keys,omitempty"`
 			}{report, "", found}
 			if err != nil {
 				view.Damage = err.Error()
@@ -93,7 +93,7 @@
 	return cmd
 }
 
-func inspectTable(out io.Writer, r store.Inspection, damage string, keys []store.KeyInfo) {
+func inspectTable(out io.Writer, r kvserver.Inspection, damage string, keys []kvserver.KeyInfo) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "revision\t%d\nkeys\t%d\nleases\t%d\nsnapshot\t%s, %d bytes\nlog\t%d segments, %d frames, %d bytes\n",
 		r.Revision, r.Keys, r.Leases, orDash(r.Snapshot), r.SnapshotBytes, len(r.Segments), r.Frames, r.LogBytes)
@@ -129,7 +129,7 @@
 	return &cobra.Command{Use: "backup DIR FILE", Short: "Write what a store's directory holds to a file", Args: cobra.ExactArgs(2),
 		Long: "Write what a store's directory holds to a file, which appears only once it is whole. The service may run.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			report, err := store.Backup(args[0], args[1])
+			report, err := kvserver.Backup(args[0], args[1])
 			if err != nil {
 				return &failure{exitDamaged, err}
 			}
@@ -143,7 +143,7 @@
 		Long: "Make a store's directory of a backup. The directory must hold nothing. Revisions go on far above the backup's,\n" +
 			"so that no token is given out twice.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			report, err := store.Restore(args[0], args[1])
+			report, err := kvserver.Restore(args[0], args[1])
 			if err != nil {
 				return &failure{exitDamaged, err}
 			}
--- a/cmd/gullrudder/submit.go
+++ b/cmd/gullrudder/submit.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"gullrudder/internal/site/home"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/site/datadir"
+	"gullrudder/internal/wire/codec"
 )
 
 // jobFlags are a job's, for those who write no job file.
@@ -42,7 +42,7 @@
 		})
 	cmd.Flags().StringVar(&f.id, "id", "", "id of the job, like job-000412; empty: one that is made from the time")
 	cmd.Flags().StringVar(&f.class, "class", "job", "class of jobs")
-	cmd.Flags().StringVar(&f.team, "team", home.Team, "team whose limit applies")
+	cmd.Flags().StringVar(&f.team, "team", datadir.Team, "team whose limit applies")
 	cmd.Flags().StringVar(&f.priority, "priority", "standard", "critical, high, standard or best_effort")
 	cmd.Flags().StringVar(&f.dir, "workdir", "", "directory that the tasks run in; empty: one for each")
 	cmd.Flags().IntVar(&f.tasks, "tasks", 1, "number of tasks")
@@ -120,7 +120,7 @@
 			}
 		}
 		// The order of a map's keys would make every upload another one.
-		body, err := packed.MarshalSorted(desc)
+		body, err := codec.MarshalSorted(desc)
 		if err != nil {
 			return &failure{2, err}
 		}
@@ -135,7 +135,7 @@
 	for _, name := range descriptionFields {
 		delete(fields, name)
 	}
-	body, err := packed.Marshal(fields)
+	body, err := codec.Marshal(fields)
 	if err != nil {
 		return &failure{2, err}
 	}
--- a/cmd/gullrudder/zones.go
+++ b/cmd/gullrudder/zones.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"gullrudder/internal/controller/requests"
+	"gullrudder/internal/controller/api"
 )
 
 func zonesCommand() *cobra.Command {
@@ -14,7 +14,7 @@
 		"A zone is cut when nothing is heard of it while other zones are heard: what is there is not counted on. One that\n"+
 			"returns is trusted by steps, later after each cut of the last ten minutes.", cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
-			var list requests.Zones
+			var list api.Zones
 			if err := a.get("/zones", &list); err != nil {
 				return err
 			}
--- a/internal/console/view.go
+++ b/internal/console/view.go
@@ -8,18 +8,18 @@
 	"strings"
 	"time"
 
-	"gullrudder/internal/controller/node"
-	"gullrudder/internal/controller/requests"
-	"gullrudder/internal/site/pool"
+	"gullrudder/internal/controller"
+	"gullrudder/internal/controller/api"
+	"gullrudder/internal/site/machinepool"
 )
 
 // Snapshot is all that was learnt at one look. What could not be asked has its error.
 type Snapshot struct {
 	At       time.Time
-	Status   node.Status
-	Queue    requests.Queue
-	Site     pool.Overview
-	Failures []pool.Failure
+	Status   controller.Status
+	Queue    api.Queue
+	Site     machinepool.Overview
+	Failures []machinepool.Failure
 	FreeMB   uint64 // of the disk that the site is on
 	KeepMB   uint64
 	Problems []string // what could not be asked, in words
--- a/internal/controller/timeline/golden_bytes_test.go
+++ b/internal/controller/accounting/golden_bytes_test.go
@@ -1,4 +1,4 @@
-package timeline
+package accounting
 
 import (
 	"testing"
--- a/internal/controller/timeline/look.go
+++ b/internal/controller/accounting/look.go
@@ -1,15 +1,15 @@
-package timeline
+package accounting
 
 import (
 	"strings"
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/fleet"
+	"gullrudder/internal/controller/admission"
+	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/place"
-	"gullrudder/internal/controller/plan"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/worker"
 )
 
 // ClusterState is what a look sees of the other slices.
@@ -17,17 +17,17 @@
 	FailoverCompleted bool // a takeover is complete
 	StorageHealthy    bool // the state service takes changes
 	Teams             map[string]config.Team
-	Workers           *workers.Registry
-	Cloud             *fleet.Client
-	Queue             []plan.Entry // in which jobs get room
+	Workers           *worker.Registry
+	Cloud             *cloud.Client
+	Queue             []admission.Entry // in which jobs get room
 }
 
 // sample is one look: what it found for a shape of job holds for all that have it.
 type sample struct {
 	ClusterState
-	upMachines   []*workers.Machine
+	upMachines   []*worker.Machine
 	byShape      map[resourceShape]availability
-	bootingKinds []fleet.InstanceKind  // of machines that are rented and not up
+	bootingKinds []cloud.InstanceKind  // of machines that are rented and not up
 	freeCPUs     float64               // CPUs that are free, and not held
 	reservedCPUs float64               // free and held
 	cpusAhead    map[*jobs.Job]float64 // CPUs that wait before a job in the order
@@ -51,7 +51,7 @@
 	s := &sample{ClusterState: v, upMachines: v.Workers.ReportingMachines(), byShape: map[resourceShape]availability{}, cpusAhead: map[*jobs.Job]float64{}}
 	for _, m := range s.upMachines {
 		switch {
-		case m.DrainReason != workers.NotDraining:
+		case m.DrainReason != worker.NotDraining:
 		case m.ReservedFor == nil:
 			s.freeCPUs += m.CPUs - m.UsedCPUs
 		default:
@@ -64,9 +64,9 @@
 		s.cpusAhead[j] = ahead
 		ahead += float64(j.WaitingTasks()) * j.CPUs
 	}
-	kinds := map[fleet.InstanceKind]bool{}
+	kinds := map[cloud.InstanceKind]bool{}
 	for id, h := range v.Cloud.Instances {
-		if m := v.Workers.Machines[id]; !h.Deleting && h.State != fleet.StateFailed && m == nil && !kinds[h.Kind] {
+		if m := v.Workers.Machines[id]; !h.Deleting && h.State != cloud.StateFailed && m == nil && !kinds[h.Kind] {
 			kinds[h.Kind] = true
 			s.bootingKinds = append(s.bootingKinds, h.Kind)
 		}
@@ -81,7 +81,7 @@
 	}
 	r := availability{reservedFor: map[*jobs.Job]bool{}}
 	for _, m := range s.upMachines {
-		if !place.IsEligible(j, m) || m.TasksThatFitWhenEmpty(j) == 0 {
+		if !placement.IsEligible(j, m) || m.TasksThatFitWhenEmpty(j) == 0 {
 			continue
 		}
 		r.hasUsable = true
@@ -97,7 +97,7 @@
 	}
 	for _, kind := range s.bootingKinds {
 		t := s.Cloud.MachineTypes[kind.Type]
-		r.hasBooting = r.hasBooting || t != nil && place.KindAllowed(j, kind) && place.FitsType(j, t)
+		r.hasBooting = r.hasBooting || t != nil && placement.KindAllowed(j, kind) && placement.FitsType(j, t)
 	}
 	if j.FailureCount == 0 {
 		s.byShape[k] = r
@@ -150,7 +150,7 @@
 	if now.Before(j.NotBefore) {
 		return AttemptFailed
 	}
-	if place.TasksAllowedByQuota(j, s.Teams[j.Team], s.Workers.TeamUsage(j.Team)) == 0 {
+	if placement.TasksAllowedByQuota(j, s.Teams[j.Team], s.Workers.TeamUsage(j.Team)) == 0 {
 		return TeamQuota
 	}
 	r := s.availabilityFor(j)
--- a/internal/controller/timeline/metrics.go
+++ b/internal/controller/accounting/metrics.go
@@ -1,4 +1,4 @@
-package timeline
+package accounting
 
 import (
 	"github.com/prometheus/client_golang/prometheus"
--- a/internal/controller/timeline/timeline.go
+++ b/internal/controller/accounting/timeline.go
@@ -1,8 +1,8 @@
-// Package timeline counts each moment of a job, from its submission to its final state, to one
+// Package accounting counts each moment of a job, from its submission to its final state, to one
 // cause: what kept it from being done just then. Its Log owns the accounts of a leadership's jobs
 // and the sums by team and class. It looks at the jobs and the machines now and then and decides
 // nothing; docs/design/timeline.md says which cause a moment belongs to.
-package timeline
+package accounting
 
 import (
 	"cmp"
--- a/internal/controller/plan/plan.go
+++ b/internal/controller/admission/plan.go
@@ -1,6 +1,6 @@
-// Package plan is the term-by-term plan: which deadline jobs are guaranteed, and in
+// Package admission is the term-by-term plan: which deadline jobs are guaranteed, and in
 // which order the waiting tasks get room.
-package plan
+package admission
 
 import (
 	"math"
@@ -9,9 +9,9 @@
 	"time"
 
 	"gullrudder/internal/config"
+	"gullrudder/internal/controller/ageing"
+	"gullrudder/internal/controller/fairshare"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/standing"
-	"gullrudder/internal/controller/standing/floor"
 )
 
 // Planner holds what the plan is made from.
@@ -23,7 +23,7 @@
 	guaranteeObjective time.Duration              // aim for starting what a team's guarantee covers; 0: none
 	runTimes           map[string]*classRunTimes
 	recentSubmissions  []submission
-	fairShare          *floor.Allocator
+	fairShare          *fairshare.Allocator
 }
 
 type classRunTimes struct {
@@ -41,7 +41,7 @@
 func New(options config.Options, platform *config.Platform) *Planner {
 	planner := &Planner{options: options, teams: platform.TeamsByName(), startObjectives: map[string][]time.Duration{},
 		finishObjectives: map[string][]time.Duration{}, runTimes: map[string]*classRunTimes{},
-		fairShare: floor.New(fairSharePolicy(options))}
+		fairShare: fairshare.New(fairSharePolicy(options))}
 	for _, objective := range platform.Objectives {
 		switch objective.Kind {
 		case "wait":
@@ -66,12 +66,12 @@
 	p.fairShare.SetPolicy(fairSharePolicy(options))
 }
 
-func fairSharePolicy(options config.Options) floor.Policy {
-	return floor.Policy{Window: options.FairShareWindow, MinServedShare: options.MinServedShare, CatchUpCPUShare: options.FairShareCapacity, OverdueCPUShare: options.OverdueShare}
+func fairSharePolicy(options config.Options) fairshare.Policy {
+	return fairshare.Policy{Window: options.FairShareWindow, MinServedShare: options.MinServedShare, CatchUpCPUShare: options.FairShareCapacity, OverdueCPUShare: options.OverdueShare}
 }
 
 // FairShare is what is known of how each class and team was served.
-func (p *Planner) FairShare() *floor.Allocator { return p.fairShare }
+func (p *Planner) FairShare() *fairshare.Allocator { return p.fairShare }
 
 // ObserveRunTime takes in how long a task of the job has run.
 func (p *Planner) ObserveRunTime(job *jobs.Job, ran time.Duration) {
@@ -298,8 +298,8 @@
 )
 
 // AgeingPolicy are those of the aged.
-func (p *Planner) AgeingPolicy() standing.Policy {
-	return standing.Policy{AgeBound: p.options.AgeBound, Share: p.options.AgedShare, EstimateError: p.options.EstimateError}
+func (p *Planner) AgeingPolicy() ageing.Policy {
+	return ageing.Policy{AgeBound: p.options.AgeBound, Share: p.options.AgedShare, EstimateError: p.options.EstimateError}
 }
 
 // Order ranks the jobs that may run: the oldest of the aged, as far as the share goes that is
@@ -338,7 +338,7 @@
 			entry.Rank, entry.sortKey, entry.MayReserve = rankService, -float64(job.Priority), true
 		case awaitingStart[job]:
 			entry.Rank, entry.sortKey, entry.MayReserve, entry.MaxTasks = rankInitialTasks, -age.Seconds(), true, initialTaskCount(job)
-		case allocations[job] == floor.BelowMinShare:
+		case allocations[job] == fairshare.BelowMinShare:
 			entry.Rank, entry.sortKey, entry.MayReserve = rankBelowShare, remainingTime, true
 		case entry.Planned:
 			entry.Rank, entry.sortKey, entry.MayReserve = rankPlanned, DueAt(job).Sub(now).Seconds(), true
@@ -347,7 +347,7 @@
 			entry.Rank, entry.sortKey, entry.MayReserve = rankQuotaInTime, entry.RemainingCPUSeconds, true
 		case entry.WithinQuota:
 			entry.Rank, entry.sortKey, entry.MayReserve = rankQuotaOverdue, -age.Seconds(), true
-		case allocations[job] == floor.Overdue:
+		case allocations[job] == fairshare.Overdue:
 			entry.Rank, entry.sortKey, entry.MayReserve = rankOverdue, remainingTime, true
 		case age > p.options.AgeBound:
 			entry.Rank, entry.sortKey, entry.MayReserve = rankAged, -age.Seconds(), true
@@ -380,14 +380,14 @@
 
 // allocateOverdue finds the jobs that can keep none of their aims any more, or are past the age bound, and which of
 // them have room of their own now. Those that go ahead in any case are none of them.
-func (p *Planner) allocateOverdue(now time.Time, live []*jobs.Job, capacity Capacity, hasPrecedence func(*jobs.Job) bool) map[*jobs.Job]floor.Reason {
-	var overdue []floor.OverdueJob
+func (p *Planner) allocateOverdue(now time.Time, live []*jobs.Job, capacity Capacity, hasPrecedence func(*jobs.Job) bool) map[*jobs.Job]fairshare.Reason {
+	var overdue []fairshare.OverdueJob
 	for _, job := range live {
 		age := now.Sub(job.EligibleSince())
 		if job.IsService || job.CrashLooping || hasPrecedence(job) || age <= p.overdueAfter(now, job) && !p.objectivesMissed(job, age, p.TaskRunTime(job)) {
 			continue
 		}
-		overdue = append(overdue, floor.OverdueJob{Job: job, RemainingCPUSeconds: p.RemainingCPUSeconds(job, now), StartableTasks: capacity.startableTasks(job),
+		overdue = append(overdue, fairshare.OverdueJob{Job: job, RemainingCPUSeconds: p.RemainingCPUSeconds(job, now), StartableTasks: capacity.startableTasks(job),
 			IsUnserved: age > min(5*p.longestAllowed(job)/4, p.overdueAfter(now, job))})
 	}
 	return p.fairShare.Allocate(now, overdue, live, capacity.CPUs)
@@ -431,7 +431,7 @@
 		}
 	}
 	slices.SortFunc(awaiting, func(a, b *jobs.Job) int {
-		if standing.IsOlder(a, b) {
+		if ageing.IsOlder(a, b) {
 			return -1
 		}
 		return 1
--- a/internal/controller/plan/plan_test.go
+++ b/internal/controller/admission/plan_test.go
@@ -1,4 +1,4 @@
-package plan
+package admission
 
 import (
 	"fmt"
--- a/internal/controller/standing/model_test.go
+++ b/internal/controller/ageing/model_test.go
@@ -1,4 +1,4 @@
-package standing
+package ageing
 
 import (
 	"fmt"
--- a/internal/controller/standing/standing.go
+++ b/internal/controller/ageing/standing.go
@@ -1,4 +1,4 @@
-// Package standing says which waiting work has waited so long that a share of the fleet is its
+// Package ageing says which waiting work has waited so long that a share of the fleet is its
 // own, and how long a job can wait at worst. It owns no state: the planner asks it anew for each
 // order, from times that the ledger keeps. It never decides where a task runs.
 //
@@ -6,7 +6,7 @@
 // before everything else, until tasks of aged jobs hold the share of the fleet. Nothing that is
 // accepted later ever comes before a job in that row, so the work that can stand before it is
 // known when it is accepted: docs/design/standing.md has the bound and its proof.
-package standing
+package ageing
 
 import (
 	"slices"
--- a/internal/controller/requests/account.go
+++ b/internal/controller/api/account.go
@@ -1,4 +1,4 @@
-package requests
+package api
 
 import (
 	"net/url"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"gullrudder/internal/controller/timeline"
-	"gullrudder/internal/wire/inbox"
+	"gullrudder/internal/controller/accounting"
+	"gullrudder/internal/wire/server"
 )
 
 // TimeShare is the time that was counted to one cause.
@@ -31,18 +31,18 @@
 	OpenJobs int            `msgpack:"open" json:"open"` // jobs that are not finished, and not counted
 }
 
-func newTimeShares(s *timeline.Breakdown) []TimeShare {
+func newTimeShares(s *accounting.Breakdown) []TimeShare {
 	list := []TimeShare{}
 	for c, ms := range s {
 		if ms > 0 {
-			list = append(list, TimeShare{timeline.WaitReason(c).String(), ms})
+			list = append(list, TimeShare{accounting.WaitReason(c).String(), ms})
 		}
 	}
 	return list
 }
 
 // serveAccounts tells where the time of finished jobs went, by team and class.
-func (d *Handler) serveAccounts(now time.Time, r *inbox.Request) {
+func (d *Handler) serveAccounts(now time.Time, r *server.Request) {
 	_, raw, _ := strings.Cut(r.Target, "?")
 	q, err := url.ParseQuery(raw)
 	since := time.Time{}
--- a/internal/controller/requests/desk.go
+++ b/internal/controller/api/desk.go
@@ -1,7 +1,7 @@
-// Package requests serves the users: submissions, questions and cancellations, why a job waits and
+// Package api serves the users: submissions, questions and cancellations, why a job waits and
 // what waits before it. Its Desk owns the gate that bounds submissions which are not durable yet.
 // What it answers comes from the book and the order; it changes nothing but the book.
-package requests
+package api
 
 import (
 	"errors"
@@ -9,22 +9,22 @@
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/book"
-	"gullrudder/internal/controller/fleet"
+	"gullrudder/internal/controller/accounting"
+	"gullrudder/internal/controller/admission"
+	"gullrudder/internal/controller/ageing"
+	"gullrudder/internal/controller/autoscaler"
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/election/renewal"
+	"gullrudder/internal/controller/failover"
+	"gullrudder/internal/controller/failures"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/leader/horizon"
-	"gullrudder/internal/controller/ledger"
-	"gullrudder/internal/controller/place"
-	"gullrudder/internal/controller/plan"
-	"gullrudder/internal/controller/rental"
-	"gullrudder/internal/controller/reports/blame"
-	"gullrudder/internal/controller/standing"
-	"gullrudder/internal/controller/takeover"
-	"gullrudder/internal/controller/timeline"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/jobstore"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/controller/zones"
-	"gullrudder/internal/wire/inbox"
-	"gullrudder/internal/wire/outbox"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/server"
 )
 
 // Handler serves users on behalf of a leader.
@@ -33,42 +33,42 @@
 	options             *config.Options
 	teams               map[string]config.Team
 	logger              *slog.Logger
-	responder           *inbox.Responder
-	outbox              *outbox.Outbox
-	storage             *ledger.Store
-	jobStore            *book.Store
-	workers             *workers.Registry
-	cloud               *fleet.Client
-	planner             *plan.Planner
-	placer              *place.Placer
-	autoscaler          *rental.Scaler
-	failover            *takeover.Reconciler
-	accounting          *timeline.Tracker
-	failures            *blame.Tracker
+	responder           *server.Responder
+	outbox              *client.Outbox
+	storage             *storage.Store
+	jobStore            *jobstore.Store
+	workers             *worker.Registry
+	cloud               *cloud.Client
+	planner             *admission.Planner
+	placer              *placement.Placer
+	autoscaler          *autoscaler.Scaler
+	failover            *failover.Reconciler
+	accounting          *accounting.Tracker
+	failures            *failures.Tracker
 	zoneTracker         *zones.Tracker
-	submissionGate      *standing.SubmissionLimiter // bounds the submissions that are not durable yet
-	holdsLease          func() bool                 // the leadership is entitled to act
-	leaseOutlastsCancel bool                        // a lease that was just renewed may outlast the time that users are told for a cancellation
+	submissionGate      *ageing.SubmissionLimiter // bounds the submissions that are not durable yet
+	holdsLease          func() bool               // the leadership is entitled to act
+	leaseOutlastsCancel bool                      // a lease that was just renewed may outlast the time that users are told for a cancellation
 }
 
 // Components is what a desk sees of its neighbours.
 type Components struct {
 	Platform   *config.Platform
 	Options    *config.Options
-	Storage    *ledger.Store
-	JobStore   *book.Store
-	Workers    *workers.Registry
-	Cloud      *fleet.Client
-	Planner    *plan.Planner
-	Placer     *place.Placer
-	Autoscaler *rental.Scaler
-	Failover   *takeover.Reconciler
-	Accounting *timeline.Tracker
-	Failures   *blame.Tracker
+	Storage    *storage.Store
+	JobStore   *jobstore.Store
+	Workers    *worker.Registry
+	Cloud      *cloud.Client
+	Planner    *admission.Planner
+	Placer     *placement.Placer
+	Autoscaler *autoscaler.Scaler
+	Failover   *failover.Reconciler
+	Accounting *accounting.Tracker
+	Failures   *failures.Tracker
 	Zones      *zones.Tracker
 	HoldsLease func() bool
-	Responder  *inbox.Responder
-	Outbox     *outbox.Outbox
+	Responder  *server.Responder
+	Outbox     *client.Outbox
 	Logger     *slog.Logger
 }
 
@@ -76,10 +76,10 @@
 func NewHandler(w Components) *Handler {
 	d := &Handler{platform: w.Platform, options: w.Options, teams: w.Platform.TeamsByName(), logger: w.Logger, responder: w.Responder, outbox: w.Outbox, storage: w.Storage,
 		jobStore: w.JobStore, workers: w.Workers, cloud: w.Cloud, planner: w.Planner, placer: w.Placer, autoscaler: w.Autoscaler, failover: w.Failover, accounting: w.Accounting, failures: w.Failures, zoneTracker: w.Zones, holdsLease: w.HoldsLease}
-	d.leaseOutlastsCancel = horizon.Window(d.platform.CancelTimeout, d.workers.Lease()) <= 0
+	d.leaseOutlastsCancel = renewal.Window(d.platform.CancelTimeout, d.workers.Lease()) <= 0
 	// What two seconds' changes hold may wait for a commit.
 	rate := d.platform.StateWriteRate * float64(max(d.platform.MaxValueBytes/typicalRecordBytes, 1))
-	d.submissionGate = standing.NewSubmissionLimiter(int(2*rate), rate)
+	d.submissionGate = ageing.NewSubmissionLimiter(int(2*rate), rate)
 	return d
 }
 
@@ -97,7 +97,7 @@
 }
 
 // Serve answers a user's request, whose path and method fit.
-func (d *Handler) Serve(now time.Time, r *inbox.Request, parts []string) {
+func (d *Handler) Serve(now time.Time, r *server.Request, parts []string) {
 	switch {
 	case parts[0] == "queue":
 		d.serveQueue(now, r)
@@ -144,7 +144,7 @@
 	return labelBestEffort
 }
 
-func (d *Handler) serveSubmission(now time.Time, r *inbox.Request) {
+func (d *Handler) serveSubmission(now time.Time, r *server.Request) {
 	spec, err := jobs.ParseSpec(r.Body)
 	// A known id is never refused, whatever else the request says.
 	if jobs.ValidID(spec.ID) {
@@ -157,7 +157,7 @@
 }
 
 // replyIfSubmitted answers the repetition of a submission whose job is not sealed.
-func (d *Handler) replyIfSubmitted(now time.Time, r *inbox.Request, id string) bool {
+func (d *Handler) replyIfSubmitted(now time.Time, r *server.Request, id string) bool {
 	if f, ok := d.jobStore.FinalState(id); ok {
 		d.responder.Respond(r, 200, finalResponse(id, f, false), 0)
 		return true
@@ -170,7 +170,7 @@
 }
 
 // acceptSubmission takes a job that the history does not hold. told has what the history's data have told of jobs that it needs.
-func (d *Handler) acceptSubmission(now time.Time, r *inbox.Request, spec jobs.Spec, err error, resolved map[string]book.DependencyState) {
+func (d *Handler) acceptSubmission(now time.Time, r *server.Request, spec jobs.Spec, err error, resolved map[string]jobstore.DependencyState) {
 	if d.replyIfSubmitted(now, r, spec.ID) {
 		return // the same submission came again while the history was asked
 	}
@@ -243,7 +243,7 @@
 }
 
 // replyIfDecided answers the repetition of a submission.
-func (d *Handler) replyIfDecided(now time.Time, r *inbox.Request, j *jobs.Job) {
+func (d *Handler) replyIfDecided(now time.Time, r *server.Request, j *jobs.Job) {
 	if d.refuseUndecided(r, j) {
 		return
 	}
@@ -256,12 +256,12 @@
 	if len(d.teams) > 0 && !ok {
 		return "unknown team"
 	}
-	if place.ExceedsQuota(j, team) {
+	if placement.ExceedsQuota(j, team) {
 		return "needs more than its team's limit"
 	}
 	for _, t := range d.cloud.MachineTypes {
 		for _, z := range t.Zones {
-			if place.FitsType(j, t) && place.KindAllowed(j, fleet.InstanceKindOf(t, z, false)) {
+			if placement.FitsType(j, t) && placement.KindAllowed(j, cloud.InstanceKindOf(t, z, false)) {
 				return ""
 			}
 		}
--- a/internal/controller/requests/explain.go
+++ b/internal/controller/api/explain.go
@@ -1,4 +1,4 @@
-package requests
+package api
 
 import (
 	"fmt"
@@ -7,14 +7,14 @@
 	"strings"
 	"time"
 
-	"gullrudder/internal/controller/book"
-	"gullrudder/internal/controller/fleet"
+	"gullrudder/internal/controller/ageing"
+	"gullrudder/internal/controller/autoscaler"
+	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/place"
-	"gullrudder/internal/controller/rental"
-	"gullrudder/internal/controller/standing"
-	"gullrudder/internal/controller/workers"
-	"gullrudder/internal/wire/inbox"
+	"gullrudder/internal/controller/jobstore"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/server"
 )
 
 // startDelay is how long it takes from free room to a running task, besides its image: two reports,
@@ -24,15 +24,15 @@
 }
 
 // workAhead is what is known of the work that can stand before a job.
-func (d *Handler) workAhead(now time.Time, j *jobs.Job) standing.WorkAhead {
-	a := standing.WorkAhead{TeamCPULimit: d.teams[j.Team].CPULimit, TaskCPUs: j.CPUs, LongestTask: d.planner.TaskRunTime(j), StartDelay: d.startDelay(j)}
+func (d *Handler) workAhead(now time.Time, j *jobs.Job) ageing.WorkAhead {
+	a := ageing.WorkAhead{TeamCPULimit: d.teams[j.Team].CPULimit, TaskCPUs: j.CPUs, LongestTask: d.planner.TaskRunTime(j), StartDelay: d.startDelay(j)}
 	a.Own.Add(j, d.planner.RemainingCPUSeconds(j, now))
 	for _, o := range d.jobStore.Unfinished {
 		if o == j || o.IsService || !o.IsSchedulable() {
 			continue
 		}
 		a.LongestTask = max(a.LongestTask, d.planner.TaskRunTime(o))
-		if !standing.IsOlder(o, j) {
+		if !ageing.IsOlder(o, j) {
 			continue
 		}
 		w := d.planner.RemainingCPUSeconds(o, now)
@@ -42,13 +42,13 @@
 		}
 	}
 	for _, h := range d.cloud.Instances {
-		if t := d.cloud.MachineTypes[h.Kind.Type]; t != nil && !h.Deleting && place.KindAllowed(j, h.Kind) && place.FitsType(j, t) {
+		if t := d.cloud.MachineTypes[h.Kind.Type]; t != nil && !h.Deleting && placement.KindAllowed(j, h.Kind) && placement.FitsType(j, t) {
 			a.UsableCPUs += t.CPUs
 		}
 	}
 	fetch, least, boot := 0.0, 0.0, time.Duration(0)
 	for _, t := range d.cloud.MachineTypes {
-		if !place.FitsType(j, t) {
+		if !placement.FitsType(j, t) {
 			continue
 		}
 		if t.FetchGBPerSecond > 0 {
@@ -56,8 +56,8 @@
 		}
 		for _, z := range t.Zones {
 			for _, spot := range []bool{false, true} {
-				if k := fleet.InstanceKindOf(t, z, spot); d.cloud.CanRequest(now, k) && place.KindAllowed(j, k) {
-					if cpus := float64(rental.AssumedGrowth) * t.CPUs; least == 0 || cpus < least {
+				if k := cloud.InstanceKindOf(t, z, spot); d.cloud.CanRequest(now, k) && placement.KindAllowed(j, k) {
+					if cpus := float64(autoscaler.AssumedGrowth) * t.CPUs; least == 0 || cpus < least {
 						least = cpus
 					}
 					boot = max(boot, d.cloud.ExpectedBootTime(t))
@@ -131,7 +131,7 @@
 
 // serveQueue lists the jobs that wait, by team and class if these are named; with all=1 those too of which
 // every task that is left runs.
-func (d *Handler) serveQueue(now time.Time, r *inbox.Request) {
+func (d *Handler) serveQueue(now time.Time, r *server.Request) {
 	_, raw, _ := strings.Cut(r.Target, "?")
 	q, err := url.ParseQuery(raw)
 	if err != nil {
@@ -169,10 +169,10 @@
 }
 
 // serveExplanation says why a job waits, what stands before it, and what would change that.
-func (d *Handler) serveExplanation(now time.Time, r *inbox.Request, id string) {
+func (d *Handler) serveExplanation(now time.Time, r *server.Request, id string) {
 	if e, ok := d.accounting.FinishedAccount(id); ok {
 		// Also if it is sealed by now: what ended under this leader is known without a look back.
-		d.responder.Respond(r, 200, Explanation{QueuedJob: QueuedJob{ID: id, Team: e.Team, Class: e.Class}, State: finalResponse(id, book.FinalState{Done: e.IsDone}, false).State,
+		d.responder.Respond(r, 200, Explanation{QueuedJob: QueuedJob{ID: id, Team: e.Team, Class: e.Class}, State: finalResponse(id, jobstore.FinalState{Done: e.IsDone}, false).State,
 			Reasons: []string{"it is over"}, TimeShares: newTimeShares(&e.Breakdown)}, 0)
 		return
 	}
@@ -262,7 +262,7 @@
 		x.addReason("its tasks failed or were refused lately: it is tried again in %.0f s", j.NotBefore.Sub(now).Seconds())
 	}
 	team := d.teams[j.Team]
-	if place.TasksAllowedByQuota(j, team, d.workers.TeamUsage(j.Team)) == 0 {
+	if placement.TasksAllowedByQuota(j, team, d.workers.TeamUsage(j.Team)) == 0 {
 		x.addReason("team %s uses all that its limit allows (%g CPUs, %g cards)", j.Team, team.CPULimit, team.GPULimit)
 		x.addRemedy("a higher limit of team %s, or the end of a task of the team", j.Team)
 	}
@@ -271,7 +271,7 @@
 		if m.IsUnreachable {
 			deaf++
 		}
-		if !place.IsEligible(j, m) || m.DrainReason != workers.NotDraining {
+		if !placement.IsEligible(j, m) || m.DrainReason != worker.NotDraining {
 			continue
 		}
 		may++
@@ -280,7 +280,7 @@
 			continue
 		}
 		switch {
-		case place.TasksAllowedInZone(j, m.Zone) == 0:
+		case placement.TasksAllowedInZone(j, m.Zone) == 0:
 			zones++
 		case m.ReservedFor != nil && m.ReservedFor != j:
 			held++
--- a/internal/controller/requests/golden_bytes_test.go
+++ b/internal/controller/api/golden_bytes_test.go
@@ -1,4 +1,4 @@
-package requests
+package api
 
 import (
 	"testing"
--- a/internal/controller/requests/needs.go
+++ b/internal/controller/api/needs.go
@@ -1,38 +1,38 @@
-package requests
+package api
 
 import (
 	"maps"
 	"time"
 
-	"gullrudder/internal/controller/book"
-	"gullrudder/internal/controller/history"
+	"gullrudder/internal/controller/archive"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/wire/inbox"
+	"gullrudder/internal/controller/jobstore"
+	"gullrudder/internal/wire/server"
 )
 
 const dependencyUndecided = "it cannot be told yet what became of a job that it needs"
 
 // checkDependencies looks at the jobs that a submission names: those that it is to wait for, and whether one of them is cancelled. Not ok:
 // it is answered, or will be once the history's data have told of one of them.
-func (d *Handler) checkDependencies(now time.Time, r *inbox.Request, spec jobs.Spec, resolved map[string]book.DependencyState) (missing []string, void, ok bool) {
+func (d *Handler) checkDependencies(now time.Time, r *server.Request, spec jobs.Spec, resolved map[string]jobstore.DependencyState) (missing []string, void, ok bool) {
 	for _, id := range spec.Dependencies {
 		need := d.jobStore.DependencyState(id)
-		if t, known := resolved[id]; known && need == book.DependencyArchived {
+		if t, known := resolved[id]; known && need == jobstore.DependencyArchived {
 			need = t
 		}
 		switch need {
-		case book.DependencyMet:
-		case book.DependencyCancelled:
+		case jobstore.DependencyMet:
+		case jobstore.DependencyCancelled:
 			void = true
-		case book.DependencyOpen:
+		case jobstore.DependencyOpen:
 			missing = append(missing, id)
-		case book.DependencyUndecided:
+		case jobstore.DependencyUndecided:
 			d.responder.RespondError(r, 503, dependencyUndecided, retryDelay)
 			return nil, false, false
-		case book.DependencyService:
+		case jobstore.DependencyService:
 			d.responder.RespondError(r, 422, "needs "+id+", a service, which is never done", 0)
 			return nil, false, false
-		case book.DependencyArchived:
+		case jobstore.DependencyArchived:
 			d.lookUpDependency(now, r, spec, id, resolved)
 			return nil, false, false
 		default:
@@ -44,23 +44,23 @@
 }
 
 // lookUpDependency asks the history's data of a job that a submission names, and goes on with it then.
-func (d *Handler) lookUpDependency(now time.Time, r *inbox.Request, spec jobs.Spec, id string, resolved map[string]book.DependencyState) {
-	d.jobStore.Archive().Resolve(now, d.outbox, id, func(now time.Time, f history.FinalState, known bool, err error) {
+func (d *Handler) lookUpDependency(now time.Time, r *server.Request, spec jobs.Spec, id string, resolved map[string]jobstore.DependencyState) {
+	d.jobStore.Archive().Resolve(now, d.outbox, id, func(now time.Time, f archive.FinalState, known bool, err error) {
 		if !d.holdsLease() || err != nil {
 			d.responder.RespondError(r, 503, dependencyUndecided, archiveRetryDelay)
 			return
 		}
 		next := maps.Clone(resolved)
 		if next == nil {
-			next = map[string]book.DependencyState{}
+			next = map[string]jobstore.DependencyState{}
 		}
 		switch {
 		case !known:
-			next[id] = book.DependencyNeverAccepted
+			next[id] = jobstore.DependencyNeverAccepted
 		case f.Cancelled:
-			next[id] = book.DependencyCancelled
+			next[id] = jobstore.DependencyCancelled
 		default:
-			next[id] = book.DependencyMet
+			next[id] = jobstore.DependencyMet
 		}
 		d.acceptSubmission(now, r, spec, nil, next)
 	})
--- a/internal/controller/requests/query.go
+++ b/internal/controller/api/query.go
@@ -1,18 +1,18 @@
-package requests
+package api
 
 import (
 	"time"
 
-	"gullrudder/internal/controller/book"
-	"gullrudder/internal/controller/history"
+	"gullrudder/internal/controller/archive"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/wire/inbox"
+	"gullrudder/internal/controller/jobstore"
+	"gullrudder/internal/wire/server"
 )
 
 // archiveRetryDelay is when a user is told to ask again about an old job that cannot be looked up.
 const archiveRetryDelay = time.Second
 
-func finalResponse(id string, f book.FinalState, counts bool) jobResponse {
+func finalResponse(id string, f jobstore.FinalState, counts bool) jobResponse {
 	a := jobResponse{ID: id, State: "cancelled"}
 	zero := 0
 	if f.Done {
@@ -27,7 +27,7 @@
 	return a
 }
 
-func (d *Handler) serveQuery(now time.Time, r *inbox.Request, id string) {
+func (d *Handler) serveQuery(now time.Time, r *server.Request, id string) {
 	if f, ok := d.jobStore.FinalState(id); ok {
 		d.responder.Respond(r, 200, finalResponse(id, f, true), 0)
 		return
@@ -49,7 +49,7 @@
 }
 
 // refuseUndecided refuses to say anything of a job whose state cannot be told now; false if it can.
-func (d *Handler) refuseUndecided(r *inbox.Request, j *jobs.Job) bool {
+func (d *Handler) refuseUndecided(r *server.Request, j *jobs.Job) bool {
 	switch {
 	case j.State == jobs.Pending:
 		d.responder.RespondError(r, 503, "not saved yet", retryDelay)
@@ -65,7 +65,7 @@
 
 // serveArchived answers for a job that is neither live nor final in the pages: from the history, or
 // 404. If it was submitted while the history was asked, it is served as usual.
-func (d *Handler) serveArchived(now time.Time, r *inbox.Request, id string, counts bool, serve func(time.Time, *inbox.Request, string)) {
+func (d *Handler) serveArchived(now time.Time, r *server.Request, id string, counts bool, serve func(time.Time, *server.Request, string)) {
 	absent := func(now time.Time) {
 		if _, over := d.jobStore.FinalState(id); over || d.jobStore.Find(id) != nil {
 			serve(now, r, id)
@@ -78,7 +78,7 @@
 	}
 }
 
-func (d *Handler) serveCancellation(now time.Time, r *inbox.Request, id string) {
+func (d *Handler) serveCancellation(now time.Time, r *server.Request, id string) {
 	if f, ok := d.jobStore.FinalState(id); ok {
 		d.responder.Respond(r, 200, finalResponse(id, f, false), 0)
 		return
@@ -118,7 +118,7 @@
 
 // commitCancellation writes the cancellation down; the user is told once it is durable. From now on
 // nothing of the job starts.
-func (d *Handler) commitCancellation(now time.Time, j *jobs.Job, r *inbox.Request) {
+func (d *Handler) commitCancellation(now time.Time, j *jobs.Job, r *server.Request) {
 	j.IsCancelling = true
 	d.placer.InvalidateOrder()
 	rec := j.Record()
@@ -149,29 +149,29 @@
 // replyFromArchive answers a request for a job that is finished and sealed. It returns false if no run of
 // the history holds the job. If only the data of the history can tell, it is read first, and
 // absent goes on if the job is not there; until then nobody knows it.
-func (d *Handler) replyFromArchive(now time.Time, r *inbox.Request, id string, counts bool, absent func(now time.Time)) bool {
+func (d *Handler) replyFromArchive(now time.Time, r *server.Request, id string, counts bool, absent func(now time.Time)) bool {
 	known := d.jobStore.Archive().LookupIndex(id)
 	switch {
-	case known == history.Absent:
+	case known == archive.Absent:
 		return false
-	case known == history.Cancelled:
-		d.responder.Respond(r, 200, finalResponse(id, book.FinalState{}, counts), 0)
+	case known == archive.Cancelled:
+		d.responder.Respond(r, 200, finalResponse(id, jobstore.FinalState{}, counts), 0)
 		return true
-	case known == history.Done && !counts:
-		d.responder.Respond(r, 200, finalResponse(id, book.FinalState{Done: true}, false), 0)
+	case known == archive.Done && !counts:
+		d.responder.Respond(r, 200, finalResponse(id, jobstore.FinalState{Done: true}, false), 0)
 		return true
 	}
-	d.jobStore.Archive().Resolve(now, d.outbox, id, func(now time.Time, f history.FinalState, found bool, err error) {
+	d.jobStore.Archive().Resolve(now, d.outbox, id, func(now time.Time, f archive.FinalState, found bool, err error) {
 		switch {
 		case !d.holdsLease():
 			d.responder.RespondError(r, 503, "no leader at present", retryDelay)
 		case found:
-			d.responder.Respond(r, 200, finalResponse(id, book.FinalState{Done: !f.Cancelled, Tasks: f.Tasks}, counts), 0)
-		case err == nil && known == history.Undetermined:
+			d.responder.Respond(r, 200, finalResponse(id, jobstore.FinalState{Done: !f.Cancelled, Tasks: f.Tasks}, counts), 0)
+		case err == nil && known == archive.Undetermined:
 			absent(now)
-		case known == history.Done && d.jobStore.Archive().IsUnreachable(now):
+		case known == archive.Done && d.jobStore.Archive().IsUnreachable(now):
 			// Its state is certain; the counts are for display and would keep it from the user.
-			d.responder.Respond(r, 200, finalResponse(id, book.FinalState{Done: true}, false), 0)
+			d.responder.Respond(r, 200, finalResponse(id, jobstore.FinalState{Done: true}, false), 0)
 		default:
 			if err != nil {
 				d.logger.Info("an old job cannot be looked up", "job", id, "error", err)
--- a/internal/controller/requests/served.go
+++ b/internal/controller/api/served.go
@@ -1,9 +1,9 @@
-package requests
+package api
 
 import (
 	"time"
 
-	"gullrudder/internal/wire/inbox"
+	"gullrudder/internal/wire/server"
 )
 
 // ServiceShare is how a class or a team was served of late.
@@ -24,7 +24,7 @@
 }
 
 // serveServiceShares tells how each class and team was served.
-func (d *Handler) serveServiceShares(now time.Time, r *inbox.Request) {
+func (d *Handler) serveServiceShares(now time.Time, r *server.Request) {
 	d.placer.Order(now) // what is told is as of the last order
 	a := ServiceShares{Groups: []ServiceShare{}, MinShare: d.options.MinServedShare}
 	for _, s := range d.planner.FairShare().Status(now) {
--- a/internal/controller/requests/zones.go
+++ b/internal/controller/api/zones.go
@@ -1,9 +1,9 @@
-package requests
+package api
 
 import (
 	"time"
 
-	"gullrudder/internal/wire/inbox"
+	"gullrudder/internal/wire/server"
 )
 
 // ZoneStatus is what is known of a zone. Times are in seconds.
@@ -23,7 +23,7 @@
 }
 
 // serveZones tells what is known of each zone.
-func (d *Handler) serveZones(now time.Time, r *inbox.Request) {
+func (d *Handler) serveZones(now time.Time, r *server.Request) {
 	a := Zones{Zones: []ZoneStatus{}}
 	for _, v := range d.zoneTracker.Views() {
 		a.Zones = append(a.Zones, ZoneStatus{v.Name, v.State.String(), now.Sub(v.Since).Round(time.Second).Seconds(),
--- a/internal/controller/history/history.go
+++ b/internal/controller/archive/history.go
@@ -1,11 +1,11 @@
-// Package history keeps finished jobs out of the way of a takeover. They leave the ledger's
+// Package archive keeps finished jobs out of the way of a takeover. They leave the ledger's
 // live pages for sealed runs: each has an index, which a leader reads and holds, and data,
 // which is read when somebody asks for an old job's counts. Small runs are merged into larger
 // ones. The Keeper owns all of this for one leadership; what it writes goes through the
 // ledger's guarded commits, after everything that a user waits for.
 //
 // The package never decides when a job is finished, and never answers a user.
-package history
+package archive
 
 import (
 	"errors"
@@ -17,8 +17,8 @@
 	"strings"
 	"time"
 
-	"gullrudder/internal/controller/ledger"
-	"gullrudder/internal/wire/outbox"
+	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/wire/client"
 )
 
 const (
@@ -61,7 +61,7 @@
 // Store is the history of one leadership.
 type Store struct {
 	options    Options
-	storage    *ledger.Store
+	storage    *storage.Store
 	log        *slog.Logger
 	segments   []*Segment // by number
 	nextNumber uint64     // number of the run that is, or may have been, under construction
@@ -73,8 +73,8 @@
 	retryAt      time.Time
 	retryDelay   time.Duration
 	building     *segmentBuild
-	writeLimiter *outbox.RateLimiter
-	readLimiter  *outbox.RateLimiter
+	writeLimiter *client.RateLimiter
+	readLimiter  *client.RateLimiter
 
 	lookupsInFlight   int
 	partWaiters       map[string][]func(now time.Time, text string, status int) // parts being read
@@ -86,8 +86,8 @@
 // garbageSegment are the parts of a run that counts no more, or never did.
 type garbageSegment struct {
 	number uint64
-	inHead bool                 // in the head
-	parts  []ledger.ArchivePart // those that were listed last
+	inHead bool                  // in the head
+	parts  []storage.ArchivePart // those that were listed last
 }
 
 // segmentBuild is the run under construction.
@@ -97,12 +97,12 @@
 	sourceData     [][]string
 	compaction     *compaction
 	segment        *Segment
-	unwrittenParts []ledger.ArchivePart
+	unwrittenParts []storage.ArchivePart
 	attemptedParts int // how many of them went out together in a try that failed
 }
 
-func indexPrefix(run uint64) string { return fmt.Sprintf("%s%08d/", ledger.ArchiveIndexPrefix, run) }
-func dataPrefix(run uint64) string  { return fmt.Sprintf("%s%08d/", ledger.ArchiveDataPrefix, run) }
+func indexPrefix(run uint64) string { return fmt.Sprintf("%s%08d/", storage.ArchiveIndexPrefix, run) }
+func dataPrefix(run uint64) string  { return fmt.Sprintf("%s%08d/", storage.ArchiveDataPrefix, run) }
 
 func indexKey(run uint64, part int) string { return fmt.Sprintf("%s%05d", indexPrefix(run), part) }
 func dataKey(run uint64, part int) string  { return fmt.Sprintf("%s%05d", dataPrefix(run), part) }
@@ -114,10 +114,10 @@
 
 // New reads the history that the ledger has loaded. An error means that it cannot be told
 // which jobs there were: then nobody may be answered.
-func New(store *ledger.Store, options Options, log *slog.Logger) (*Store, error) {
+func New(store *storage.Store, options Options, log *slog.Logger) (*Store, error) {
 	k := &Store{options: options, storage: store, log: log, partWaiters: map[string][]func(time.Time, string, int){}, cachedParts: map[string]string{},
-		writeLimiter: outbox.NewRateLimiter(options.WriteRate, time.Duration(float64(options.TxnOps+1)/options.WriteRate*float64(time.Second))),
-		readLimiter:  outbox.NewRateLimiter(options.ReadRate, time.Second)}
+		writeLimiter: client.NewRateLimiter(options.WriteRate, time.Duration(float64(options.TxnOps+1)/options.WriteRate*float64(time.Second))),
+		readLimiter:  client.NewRateLimiter(options.ReadRate, time.Second)}
 	index := store.TakeArchiveIndex()
 	for _, name := range store.ArchiveHeadNames() {
 		if name == nextNumberEntry {
@@ -158,7 +158,7 @@
 	// have left parts of others.
 	unfinished := map[uint64]bool{k.nextNumber: true}
 	for key := range index {
-		number, err := strconv.ParseUint(strings.TrimLeft(strings.Split(strings.TrimPrefix(key, ledger.ArchiveIndexPrefix), "/")[0], "0"), 10, 64)
+		number, err := strconv.ParseUint(strings.TrimLeft(strings.Split(strings.TrimPrefix(key, storage.ArchiveIndexPrefix), "/")[0], "0"), 10, 64)
 		if err == nil && !slices.ContainsFunc(k.garbage, func(g *garbageSegment) bool { return g.number == number }) {
 			unfinished[number] = true
 		}
@@ -226,7 +226,7 @@
 
 // Resolve asks the data. then is called exactly once, perhaps at once: known is true if the
 // job is in a run; an error means that it cannot be told now.
-func (k *Store) Resolve(now time.Time, box *outbox.Outbox, id string, done func(now time.Time, state FinalState, found bool, err error)) {
+func (k *Store) Resolve(now time.Time, box *client.Outbox, id string, done func(now time.Time, state FinalState, found bool, err error)) {
 	if k.lookupsInFlight >= maxLookups {
 		done(now, FinalState{}, false, ErrBusy)
 		return
@@ -243,7 +243,7 @@
 	})
 }
 
-func (k *Store) resolveKey(now time.Time, box *outbox.Outbox, id string, key uint64, tried map[uint64]bool, done func(time.Time, FinalState, bool, error)) {
+func (k *Store) resolveKey(now time.Time, box *client.Outbox, id string, key uint64, tried map[uint64]bool, done func(time.Time, FinalState, bool, error)) {
 	i := slices.IndexFunc(k.segments, func(segment *Segment) bool { return !tried[segment.Number] && segment.ids.Contains(key) })
 	if i < 0 {
 		done(now, FinalState{}, false, nil)
@@ -277,7 +277,7 @@
 }
 
 // readPart reads a part of the data; questions for the same part share one request.
-func (k *Store) readPart(now time.Time, box *outbox.Outbox, name string, done func(now time.Time, text string, status int)) {
+func (k *Store) readPart(now time.Time, box *client.Outbox, name string, done func(now time.Time, text string, status int)) {
 	if text, ok := k.cachedParts[name]; ok {
 		done(now, text, 200)
 		return
--- a/internal/controller/history/keeper.go
+++ b/internal/controller/archive/keeper.go
@@ -1,15 +1,15 @@
-package history
+package archive
 
 import (
 	"slices"
 	"time"
 
-	"gullrudder/internal/controller/ledger"
-	"gullrudder/internal/wire/outbox"
+	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/wire/client"
 )
 
 // Tick does the next bit of what is due, one call at a time.
-func (k *Store) Tick(now time.Time, box *outbox.Outbox) {
+func (k *Store) Tick(now time.Time, box *client.Outbox) {
 	if k.callInFlight || now.Before(k.retryAt) {
 		return
 	}
@@ -38,8 +38,8 @@
 }
 
 // listAllParts reads all parts below a prefix.
-func (k *Store) listAllParts(box *outbox.Outbox, prefix, from string, collected []ledger.ArchivePart, done func(now time.Time, parts []ledger.ArchivePart, ok bool)) {
-	k.storage.ListArchiveParts(box, prefix, from, func(now time.Time, parts []ledger.ArchivePart, more, ok bool) {
+func (k *Store) listAllParts(box *client.Outbox, prefix, from string, collected []storage.ArchivePart, done func(now time.Time, parts []storage.ArchivePart, ok bool)) {
+	k.storage.ListArchiveParts(box, prefix, from, func(now time.Time, parts []storage.ArchivePart, more, ok bool) {
 		collected = append(collected, parts...)
 		if ok && more && len(parts) > 0 {
 			k.listAllParts(box, prefix, parts[len(parts)-1].Key, collected, done)
@@ -58,7 +58,7 @@
 // collectGarbage removes a run's parts: they are listed with their marks, dropped as they were listed,
 // and listed again until there are none. The ledger's guards keep away what an earlier leader
 // has sent, and the marks what this one has.
-func (k *Store) collectGarbage(now time.Time, box *outbox.Outbox) {
+func (k *Store) collectGarbage(now time.Time, box *client.Outbox) {
 	target := k.garbage[0]
 	if len(target.parts) == 0 {
 		k.callInFlight = true
@@ -88,8 +88,8 @@
 	})
 }
 
-func (k *Store) listGarbageParts(box *outbox.Outbox, target *garbageSegment, prefix string, none func(now time.Time)) {
-	k.storage.ListArchiveParts(box, prefix, "", func(now time.Time, parts []ledger.ArchivePart, _, ok bool) {
+func (k *Store) listGarbageParts(box *client.Outbox, target *garbageSegment, prefix string, none func(now time.Time)) {
+	k.storage.ListArchiveParts(box, prefix, "", func(now time.Time, parts []storage.ArchivePart, _, ok bool) {
 		if !k.recordCallResult(now, ok) {
 			return
 		}
@@ -169,16 +169,16 @@
 func (w *segmentBuild) setSegment(segment *Segment, data, index []string) {
 	w.segment = segment
 	for i, text := range data {
-		w.unwrittenParts = append(w.unwrittenParts, ledger.ArchivePart{Key: dataKey(segment.Number, i), Text: text})
+		w.unwrittenParts = append(w.unwrittenParts, storage.ArchivePart{Key: dataKey(segment.Number, i), Text: text})
 	}
 	for i, text := range index {
-		w.unwrittenParts = append(w.unwrittenParts, ledger.ArchivePart{Key: indexKey(segment.Number, i), Text: text})
+		w.unwrittenParts = append(w.unwrittenParts, storage.ArchivePart{Key: indexKey(segment.Number, i), Text: text})
 	}
 }
 
 // advanceBuild takes the run under construction a step further: the data of the runs that are
 // merged, the merge, the new parts, and last the commit that makes them count.
-func (k *Store) advanceBuild(now time.Time, box *outbox.Outbox) {
+func (k *Store) advanceBuild(now time.Time, box *client.Outbox) {
 	build := k.building
 	switch {
 	case build.segment != nil && len(build.unwrittenParts) > 0:
@@ -191,7 +191,7 @@
 		}
 		k.readLimiter.Take(1)
 		k.callInFlight = true
-		k.listAllParts(box, dataPrefix(build.sources[len(build.sourceData)].Number), "", nil, func(now time.Time, parts []ledger.ArchivePart, ok bool) {
+		k.listAllParts(box, dataPrefix(build.sources[len(build.sourceData)].Number), "", nil, func(now time.Time, parts []storage.ArchivePart, ok bool) {
 			if !k.recordCallResult(now, ok) {
 				return
 			}
@@ -244,10 +244,10 @@
 	build.setSegment(segment, data, index)
 }
 
-func (k *Store) writeParts(now time.Time, box *outbox.Outbox) {
+func (k *Store) writeParts(now time.Time, box *client.Outbox) {
 	build := k.building
 	n, bytes, spare := 0, 0, k.availableWrites(now)
-	for most := min(spare, len(build.unwrittenParts)); n < most && bytes+len(build.unwrittenParts[n].Text) < ledger.MaxTxnBytes; n++ {
+	for most := min(spare, len(build.unwrittenParts)); n < most && bytes+len(build.unwrittenParts[n].Text) < storage.MaxTxnBytes; n++ {
 		bytes += len(build.unwrittenParts[n].Text) + partOverhead
 	}
 	if build.attemptedParts > 0 {
--- /dev/null
+++ b/internal/controller/archive/main_test.go
@@ -0,0 +1,9 @@
+package archive_test
+
+import (
+	"testing"
+
+	"gullrudder/internal/testseed"
+)
+
+func TestMain(m *testing.M) { testseed.Main(m) }
--- a/internal/controller/history/run.go
+++ b/internal/controller/archive/run.go
@@ -1,4 +1,4 @@
-package history
+package archive
 
 import (
 	"encoding/base64"
--- a/internal/controller/rental/back.go
+++ b/internal/controller/autoscaler/back.go
@@ -1,11 +1,11 @@
-package rental
+package autoscaler
 
 import (
 	"time"
 
-	"gullrudder/internal/controller/fleet"
-	"gullrudder/internal/controller/place"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/worker"
 )
 
 // silenceGrace is how long after the end of its lease a silent machine is waited for.
@@ -26,10 +26,10 @@
 // cordonExpensive stops to use the dearer kinds once the cheaper machines that are up would get
 // through the work well before the dearer ones were worth renting.
 func (d *Scaler) cordonExpensive(now time.Time, opts []offering, work teamBacklogs) {
-	up := map[fleet.InstanceKind][]*workers.Machine{}
+	up := map[cloud.InstanceKind][]*worker.Machine{}
 	for _, m := range d.workers.Machines {
-		if m.HasReported && (m.DrainReason == workers.NotDraining || m.DrainReason == workers.DrainExpensive) {
-			up[place.MachineKind(m)] = append(up[place.MachineKind(m)], m)
+		if m.HasReported && (m.DrainReason == worker.NotDraining || m.DrainReason == worker.DrainExpensive) {
+			up[placement.MachineKind(m)] = append(up[placement.MachineKind(m)], m)
 		}
 	}
 	cheaper := 0.0
@@ -39,10 +39,10 @@
 		for _, m := range up[o.kind] {
 			cheaper += m.CPUs
 			switch {
-			case spare && m.DrainReason == workers.NotDraining && d.prepaidTime(now, m.ID) == 0:
-				m.DrainReason = workers.DrainExpensive
-			case !spare && m.DrainReason == workers.DrainExpensive:
-				m.DrainReason = workers.NotDraining
+			case spare && m.DrainReason == worker.NotDraining && d.prepaidTime(now, m.ID) == 0:
+				m.DrainReason = worker.DrainExpensive
+			case !spare && m.DrainReason == worker.DrainExpensive:
+				m.DrainReason = worker.NotDraining
 			}
 		}
 	}
@@ -62,7 +62,7 @@
 		}
 		reason := ""
 		switch {
-		case h.State == fleet.StateFailed:
+		case h.State == cloud.StateFailed:
 			reason = "failed"
 		case m == nil:
 			if t != nil && now.Sub(h.RequestedAt) > d.cloud.BootTimeout(t) && now.Sub(d.electedAt) > d.workers.Lease() {
@@ -75,15 +75,15 @@
 		case !m.HasReported: // on the roster of an earlier leader: its tasks are not known yet
 		case m.DrainReason.LeadsToTermination() && len(m.Attempts) == 0:
 			reason = string(m.DrainReason)
-		case m.DrainReason != workers.NotDraining || len(m.Attempts) > 0 || d.prepaidTime(now, id) > 0:
+		case m.DrainReason != worker.NotDraining || len(m.Attempts) > 0 || d.prepaidTime(now, id) > 0:
 		case waiting == 0 && now.Sub(m.IdleSince) > d.options.IdleTimeout, now.Sub(m.IdleSince) > 3*d.options.IdleTimeout:
 			reason = "idle"
 		}
 		if reason == "" {
 			continue
 		}
-		if m != nil && (m.DrainReason == workers.NotDraining || m.DrainReason.LeadsToTermination()) {
-			m.DrainReason = workers.DrainTerminating
+		if m != nil && (m.DrainReason == worker.NotDraining || m.DrainReason.LeadsToTermination()) {
+			m.DrainReason = worker.DrainTerminating
 		}
 		why[reason] = append(why[reason], id)
 	}
--- a/internal/controller/rental/dearer.go
+++ b/internal/controller/autoscaler/dearer.go
@@ -1,14 +1,14 @@
-package rental
+package autoscaler
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"gullrudder/internal/controller/fleet"
-	"gullrudder/internal/controller/place"
-	"gullrudder/internal/controller/plan"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/admission"
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/worker"
 )
 
 const (
@@ -28,12 +28,12 @@
 // worth renting now. Machines of such kinds that are there and not worth their price any more are
 // emptied, and used again before others are rented. A kind that is not in the answer is not weighed:
 // it is cheap, or the platform states no aims.
-func (d *Scaler) weighExpensive(now time.Time, opts []offering, order []plan.Entry, work teamBacklogs) map[fleet.InstanceKind]int {
+func (d *Scaler) weighExpensive(now time.Time, opts []offering, order []admission.Entry, work teamBacklogs) map[cloud.InstanceKind]int {
 	if len(d.objectives) == 0 {
 		d.cordonExpensive(now, opts, work)
 		return nil
 	}
-	pays := map[fleet.InstanceKind]int{}
+	pays := map[cloud.InstanceKind]int{}
 	o := d.newObjectiveForecast(now, order)
 	inUse, cordoned := d.expensiveMachines(now, opts)
 	isDear := expensiveKinds(opts)
@@ -42,7 +42,7 @@
 		list := inUse[opts[i].kind]
 		if n := o.surplusCount(d.candidateOf(opts[i], len(list))); n > 0 {
 			for _, m := range list[:n] {
-				m.DrainReason = workers.DrainExpensive
+				m.DrainReason = worker.DrainExpensive
 			}
 			o.addCapacity(capacityStep{0, -float64(n) * opts[i].machineType.CPUs})
 		}
@@ -73,7 +73,7 @@
 		o.addCapacity(capacityStep{f.bootSeconds, float64(n) * f.cpus})
 		if len(again) > 0 {
 			for _, m := range again[:n] {
-				m.DrainReason = workers.NotDraining
+				m.DrainReason = worker.NotDraining
 			}
 			continue
 		}
@@ -84,8 +84,8 @@
 }
 
 // expensiveKinds marks the kinds that are dear.
-func expensiveKinds(opts []offering) map[fleet.InstanceKind]bool {
-	marked := map[fleet.InstanceKind]bool{}
+func expensiveKinds(opts []offering) map[cloud.InstanceKind]bool {
+	marked := map[cloud.InstanceKind]bool{}
 	for _, o := range opts {
 		if priceRatio(o.price, opts[0].price) > expensiveRatio {
 			marked[o.kind] = true
@@ -106,7 +106,7 @@
 	for i := range d.instances {
 		h, t := d.instances[i].instance, d.instances[i].machineType
 		switch {
-		case t == nil || h.Deleting || h.State == fleet.StateFailed || d.instances[i].leaseExpired:
+		case t == nil || h.Deleting || h.State == cloud.StateFailed || d.instances[i].leaseExpired:
 		case isDear[h.Kind]:
 			room -= t.CPUs
 		default:
@@ -127,16 +127,16 @@
 
 // expensiveMachines lists the machines of dear kinds that are up, the emptiest first: those in use that
 // have been paid for their first minute, and those that are being emptied as surplus.
-func (d *Scaler) expensiveMachines(now time.Time, opts []offering) (inUse, cordoned map[fleet.InstanceKind][]*workers.Machine) {
-	inUse, cordoned = map[fleet.InstanceKind][]*workers.Machine{}, map[fleet.InstanceKind][]*workers.Machine{}
+func (d *Scaler) expensiveMachines(now time.Time, opts []offering) (inUse, cordoned map[cloud.InstanceKind][]*worker.Machine) {
+	inUse, cordoned = map[cloud.InstanceKind][]*worker.Machine{}, map[cloud.InstanceKind][]*worker.Machine{}
 	isDear := expensiveKinds(opts)
 	for _, m := range d.workers.ReportingMachines() {
-		k := place.MachineKind(m)
+		k := placement.MachineKind(m)
 		switch {
 		case !isDear[k] || d.workers.IsLeaseExpired(now, m):
-		case m.DrainReason == workers.DrainExpensive:
+		case m.DrainReason == worker.DrainExpensive:
 			cordoned[k] = append(cordoned[k], m)
-		case m.DrainReason == workers.NotDraining && d.prepaidTime(now, m.ID) == 0:
+		case m.DrainReason == worker.NotDraining && d.prepaidTime(now, m.ID) == 0:
 			inUse[k] = append(inUse[k], m)
 		}
 	}
@@ -157,12 +157,12 @@
 }
 
 // newObjectiveForecast gathers what a forecast needs.
-func (d *Scaler) newObjectiveForecast(now time.Time, order []plan.Entry) *objectiveForecast {
+func (d *Scaler) newObjectiveForecast(now time.Time, order []admission.Entry) *objectiveForecast {
 	o := &objectiveForecast{objectives: d.objectives, history: d.history, costWeight: d.options.CostWeight}
 	byTime := map[int]float64{}
 	for i := range d.instances {
 		h, t, m := d.instances[i].instance, d.instances[i].machineType, d.instances[i].machine
-		if t == nil || h.Deleting || h.State == fleet.StateFailed {
+		if t == nil || h.Deleting || h.State == cloud.StateFailed {
 			continue
 		}
 		switch {
@@ -171,7 +171,7 @@
 		case m == nil:
 			wait := d.cloud.RemainingBootTime(t, now.Sub(h.RequestedAt))
 			byTime[int(wait.Seconds())/bootGridSeconds+1] += t.CPUs
-		case m.DrainReason == workers.NotDraining:
+		case m.DrainReason == worker.NotDraining:
 			byTime[0] += t.CPUs
 		}
 		price := t.HourlyPrice
@@ -190,9 +190,9 @@
 
 // addDemand fills in the queue and what arrives. A task that waits starts when what waits before it has
 // had its room: what runs already only hands that on.
-func (d *Scaler) addDemand(now time.Time, order []plan.Entry, forecast *objectiveForecast) {
+func (d *Scaler) addDemand(now time.Time, order []admission.Entry, forecast *objectiveForecast) {
 	count, total := 0, 0.0
-	waits := func(e *plan.Entry) float64 {
+	waits := func(e *admission.Entry) float64 {
 		if e.Job.IsService {
 			return 0
 		}
--- a/internal/controller/rental/desk.go
+++ b/internal/controller/autoscaler/desk.go
@@ -1,8 +1,8 @@
-// Package rental decides which machines are rented and which are given back. Its Desk looks at the
+// Package autoscaler decides which machines are rented and which are given back. Its Desk looks at the
 // order of the jobs and at the machines that are there or coming; the dealings with the cloud are
 // fleet's. It owns when it looks next, and nothing else: it never starts, stops or places a task
 // except to empty a machine that is hardly used.
-package rental
+package autoscaler
 
 import (
 	"cmp"
@@ -12,14 +12,14 @@
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/fleet"
+	"gullrudder/internal/controller/admission"
+	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/pace"
-	"gullrudder/internal/controller/place"
-	"gullrudder/internal/controller/plan"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/straggler"
+	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/controller/zones"
-	"gullrudder/internal/wire/outbox"
+	"gullrudder/internal/wire/client"
 )
 
 // Scaler is a leader's renting and returning.
@@ -28,15 +28,15 @@
 	options       *config.Options
 	teams         map[string]config.Team
 	log           *slog.Logger
-	outbox        *outbox.Outbox
+	outbox        *client.Outbox
 	fencingToken  uint64
 	electedAt     time.Time // when the leadership began
 	isFirstLeader func() bool
-	cloud         *fleet.Client
-	workers       *workers.Registry
-	planner       *plan.Planner
-	placer        *place.Placer
-	stragglers    *pace.Detector
+	cloud         *cloud.Client
+	workers       *worker.Registry
+	planner       *admission.Planner
+	placer        *placement.Placer
+	stragglers    *straggler.Detector
 
 	lastScaled        time.Time
 	nextScale         time.Time
@@ -52,9 +52,9 @@
 // trackedInstance is a machine that is rented, as far as is known.
 type trackedInstance struct {
 	id           string
-	instance     *fleet.Instance
-	machineType  *fleet.MachineType // nil if it is not known
-	machine      *workers.Machine   // nil before its worker has reported, or the roster named it
+	instance     *cloud.Instance
+	machineType  *cloud.MachineType // nil if it is not known
+	machine      *worker.Machine    // nil before its worker has reported, or the roster named it
 	leaseExpired bool               // its lease has ended: nothing is on it
 }
 
@@ -64,7 +64,7 @@
 	awaited := map[string][]time.Duration{}
 	for id, h := range d.cloud.Instances {
 		m := d.workers.Machines[id]
-		if m == nil && !h.Deleting && h.State != fleet.StateFailed && !d.zones.IsUnavailable(h.Kind.Zone) {
+		if m == nil && !h.Deleting && h.State != cloud.StateFailed && !d.zones.IsUnavailable(h.Kind.Zone) {
 			awaited[h.Kind.Type] = append(awaited[h.Kind.Type], now.Sub(h.RequestedAt))
 		}
 		d.instances = append(d.instances, trackedInstance{id, h, d.cloud.MachineTypes[h.Kind.Type], m, m != nil && d.workers.IsLeaseExpired(now, m)})
@@ -82,13 +82,13 @@
 	FencingToken  uint64
 	ElectedAt     time.Time   // when the leadership began
 	IsFirstLeader func() bool // nobody has led before: the ledger was empty
-	Cloud         *fleet.Client
-	Workers       *workers.Registry
-	Planner       *plan.Planner
-	Placer        *place.Placer
-	Stragglers    *pace.Detector
+	Cloud         *cloud.Client
+	Workers       *worker.Registry
+	Planner       *admission.Planner
+	Placer        *placement.Placer
+	Stragglers    *straggler.Detector
 	Zones         *zones.Tracker
-	Outbox        *outbox.Outbox
+	Outbox        *client.Outbox
 	Log           *slog.Logger
 }
 
@@ -124,8 +124,8 @@
 
 // offering is a kind of machine that can be rented, with its price per CPU.
 type offering struct {
-	kind        fleet.InstanceKind
-	machineType *fleet.MachineType
+	kind        cloud.InstanceKind
+	machineType *cloud.MachineType
 	price       float64
 }
 
@@ -139,7 +139,7 @@
 		// A machine is paid for while it boots: spread over the time it is likely to serve.
 		size *= expectedService.Seconds() / (expectedService + d.cloud.ExpectedBootTime(t)).Seconds()
 		for _, z := range t.Zones {
-			list = append(list, offering{fleet.InstanceKindOf(t, z, false), t, t.HourlyPrice / size}, offering{fleet.InstanceKindOf(t, z, true), t, t.SpotHourlyPrice / size})
+			list = append(list, offering{cloud.InstanceKindOf(t, z, false), t, t.HourlyPrice / size}, offering{cloud.InstanceKindOf(t, z, true), t, t.SpotHourlyPrice / size})
 		}
 	}
 	sort.Slice(list, func(a, b int) bool {
@@ -175,7 +175,7 @@
 	f := d.projectCapacity()
 	work := d.backlogByTeam(order)
 	pays := d.weighExpensive(now, opts, order, work)
-	asked, most := map[fleet.InstanceKind]int{}, map[fleet.InstanceKind]int{}
+	asked, most := map[cloud.InstanceKind]int{}, map[cloud.InstanceKind]int{}
 	for _, o := range opts {
 		most[o.kind] = d.maxRequestable(now, o.kind)
 	}
@@ -199,11 +199,11 @@
 			lacking = max(lacking, want)
 		}
 		for _, o := range opts {
-			per := place.TasksPerMachine(j, o.machineType)
+			per := placement.TasksPerMachine(j, o.machineType)
 			if want <= 0 {
 				break
 			}
-			if per == 0 || !place.KindAllowed(j, o.kind) || most[o.kind] == 0 {
+			if per == 0 || !placement.KindAllowed(j, o.kind) || most[o.kind] == 0 {
 				continue
 			}
 			worth := d.requiredBacklog(o.price, cheapest)
@@ -232,7 +232,7 @@
 }
 
 // maxRequestable is how many machines of a kind may be asked for now.
-func (d *Scaler) maxRequestable(now time.Time, k fleet.InstanceKind) int {
+func (d *Scaler) maxRequestable(now time.Time, k cloud.InstanceKind) int {
 	if !d.cloud.CanRequest(now, k) {
 		return 0
 	}
@@ -244,7 +244,7 @@
 
 type teamBacklog struct{ work, cpuLimit float64 }
 
-func (d *Scaler) backlogByTeam(order []plan.Entry) teamBacklogs {
+func (d *Scaler) backlogByTeam(order []admission.Entry) teamBacklogs {
 	at := map[string]int{}
 	var list teamBacklogs
 	for k := range order {
--- a/internal/controller/rental/forecast.go
+++ b/internal/controller/autoscaler/forecast.go
@@ -1,35 +1,35 @@
-package rental
+package autoscaler
 
 import (
-	"gullrudder/internal/controller/fleet"
+	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/place"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/worker"
 )
 
 // capacityProjection is the room of the machines that are there or booting.
 type capacityProjection struct {
 	totalCPUs        float64
 	slots            []slot // those on which something may still fit
-	byKind           map[fleet.InstanceKind]*kindCapacity
+	byKind           map[cloud.InstanceKind]*kindCapacity
 	smallestTaskCPUs float64 // CPUs of the smallest task that waits
 }
 
 type slot struct {
-	kind fleet.InstanceKind
-	free workers.Resources
+	kind cloud.InstanceKind
+	free worker.Resources
 }
 
 type kindCapacity struct {
-	machineCapacity workers.Resources
+	machineCapacity worker.Resources
 	count           int
 }
 
 func (d *Scaler) projectCapacity() *capacityProjection {
-	f := &capacityProjection{byKind: map[fleet.InstanceKind]*kindCapacity{}, smallestTaskCPUs: d.placer.SmallestTaskCPUs()}
+	f := &capacityProjection{byKind: map[cloud.InstanceKind]*kindCapacity{}, smallestTaskCPUs: d.placer.SmallestTaskCPUs()}
 	for i := range d.instances {
 		h, t, m := d.instances[i].instance, d.instances[i].machineType, d.instances[i].machine
-		if t == nil || h.Deleting || h.State == fleet.StateFailed {
+		if t == nil || h.Deleting || h.State == cloud.StateFailed {
 			continue
 		}
 		switch {
@@ -37,12 +37,12 @@
 			// What is needed instead is rented at once, not once its machines are given up.
 		case m == nil:
 			f.add(h.Kind, t)
-		case d.instances[i].leaseExpired || m.DrainReason != workers.NotDraining:
+		case d.instances[i].leaseExpired || m.DrainReason != worker.NotDraining:
 			// Also one that an earlier leader had: three hundred that had died with it were
 			// taken for booting once, for a minute and a half.
 		case !m.HasReported:
 			f.add(h.Kind, t) // it has said nothing yet: taken for full
-			f.slots[len(f.slots)-1].free = workers.Resources{}
+			f.slots[len(f.slots)-1].free = worker.Resources{}
 		default:
 			f.add(h.Kind, t)
 			f.slots[len(f.slots)-1].free = m.Available()
@@ -51,12 +51,12 @@
 	return f
 }
 
-func (f *capacityProjection) add(k fleet.InstanceKind, t *fleet.MachineType) {
+func (f *capacityProjection) add(k cloud.InstanceKind, t *cloud.MachineType) {
 	f.totalCPUs += t.CPUs
-	f.slots = append(f.slots, slot{k, place.TypeResources(t)})
+	f.slots = append(f.slots, slot{k, placement.TypeResources(t)})
 	r := f.byKind[k]
 	if r == nil {
-		r = &kindCapacity{machineCapacity: place.TypeResources(t)}
+		r = &kindCapacity{machineCapacity: placement.TypeResources(t)}
 		f.byKind[k] = r
 	}
 	r.count++
@@ -80,7 +80,7 @@
 			f.slots = f.slots[:left]
 			return found
 		}
-		if fit := f.slots[i].free.TasksThatFit(job); fit > 0 && place.KindAllowed(job, f.slots[i].kind) {
+		if fit := f.slots[i].free.TasksThatFit(job); fit > 0 && placement.KindAllowed(job, f.slots[i].kind) {
 			found += f.reserve(i, job, min(fit, want-found))
 		}
 		if f.slots[i].free.CPUs >= f.smallestTaskCPUs-1e-6 {
@@ -106,7 +106,7 @@
 func (f *capacityProjection) taskCapacity(j *jobs.Job) int {
 	n := 0
 	for k, r := range f.byKind {
-		if place.KindAllowed(j, k) {
+		if placement.KindAllowed(j, k) {
 			n += r.count * r.machineCapacity.TasksThatFit(j)
 		}
 	}
--- a/internal/controller/rental/slow.go
+++ b/internal/controller/autoscaler/slow.go
@@ -1,9 +1,9 @@
-package rental
+package autoscaler
 
 import (
 	"time"
 
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/worker"
 )
 
 // maxCordonedShare is how much of the fleet may be set aside at a time for being slow: more says something of
@@ -15,7 +15,7 @@
 // nothing is kept, however slow: it would be rented again.
 func (d *Scaler) cordonStragglers(now time.Time) {
 	up, aside := 0, 0
-	var slow []*workers.Machine
+	var slow []*worker.Machine
 	for _, m := range d.workers.MachinesByName() {
 		if !m.HasReported || d.workers.IsLeaseExpired(now, m) {
 			continue
@@ -23,9 +23,9 @@
 		up++
 		t := d.cloud.MachineTypes[m.Type]
 		switch {
-		case m.DrainReason == workers.DrainSlow:
+		case m.DrainReason == worker.DrainSlow:
 			aside++
-		case m.DrainReason == workers.NotDraining && t != nil && t.HourlyPrice > 0 && d.cloud.Instances[m.ID] != nil && d.stragglers.IsSlow(m.ID):
+		case m.DrainReason == worker.NotDraining && t != nil && t.HourlyPrice > 0 && d.cloud.Instances[m.ID] != nil && d.stragglers.IsSlow(m.ID):
 			slow = append(slow, m)
 		}
 	}
@@ -34,7 +34,7 @@
 			return
 		}
 		aside++
-		m.DrainReason = workers.DrainSlow
+		m.DrainReason = worker.DrainSlow
 		d.log.Info("a machine is slow", "machine", m.ID, "times", d.stragglers.Slowdown(m.ID), "tasks", len(m.Attempts))
 	}
 }
--- a/internal/controller/rental/thin.go
+++ b/internal/controller/autoscaler/thin.go
@@ -1,12 +1,12 @@
-package rental
+package autoscaler
 
 import (
 	"slices"
 	"time"
 
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/place"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/worker"
 )
 
 const (
@@ -24,9 +24,9 @@
 // tasks keep many machines to the end of a day. Only tasks that save are moved.
 func (d *Scaler) consolidate(now time.Time) {
 	slack := 0.0
-	var list []*workers.Machine // the emptiest first
+	var list []*worker.Machine // the emptiest first
 	for _, m := range d.workers.ReportingMachines() {
-		if m.DrainReason == workers.NotDraining && m.Reconciled && !d.workers.IsLeaseExpired(now, m) {
+		if m.DrainReason == worker.NotDraining && m.Reconciled && !d.workers.IsLeaseExpired(now, m) {
 			list = append(list, m)
 			slack += (1-freeCPUShare)*m.CPUs - m.UsedCPUs
 		}
@@ -38,20 +38,20 @@
 	if slack <= 0 {
 		return
 	}
-	slices.SortStableFunc(list, func(a, b *workers.Machine) int {
-		if place.IsFuller(b, a) {
+	slices.SortStableFunc(list, func(a, b *worker.Machine) int {
+		if placement.IsFuller(b, a) {
 			return -1
 		}
 		return 1
 	})
-	free := make([]workers.Resources, len(list))
+	free := make([]worker.Resources, len(list))
 	for i, m := range list {
 		free[i] = m.Available()
 	}
 	emptied := 0
 	for i, m := range list {
 		// A tenth of the fleet at a time: what is moved has to start anew elsewhere.
-		if emptied > len(list)/10 || m.UtilizationBucket() > workers.BucketCount/2 {
+		if emptied > len(list)/10 || m.UtilizationBucket() > worker.BucketCount/2 {
 			return
 		}
 		if slack < m.CPUs || d.prepaidTime(now, m.ID) > 0 {
@@ -61,7 +61,7 @@
 		case len(m.Attempts) == 0:
 			if now.Sub(m.IdleSince) > d.options.IdleTimeout/2 {
 				slack -= m.CPUs
-				m.DrainReason = workers.DrainConsolidated
+				m.DrainReason = worker.DrainConsolidated
 			}
 		case d.isMovable(now, m) && fitOnOthers(m, list[i+1:], free[i+1:]):
 			slack -= m.CPUs
@@ -73,7 +73,7 @@
 
 // isMovable reports whether all tasks on the machine save, and whether emptying it is worth
 // what moving them costs.
-func (d *Scaler) isMovable(now time.Time, m *workers.Machine) bool {
+func (d *Scaler) isMovable(now time.Time, m *worker.Machine) bool {
 	var last time.Duration // until the machine would be empty by itself
 	cost := 0.0            // CPU seconds that stand still
 	for _, a := range m.Attempts {
@@ -89,7 +89,7 @@
 
 // fitOnOthers lays all tasks of the machine into the free room of others, the fullest
 // first. If not all fit, nothing is taken.
-func fitOnOthers(machine *workers.Machine, others []*workers.Machine, free []workers.Resources) bool {
+func fitOnOthers(machine *worker.Machine, others []*worker.Machine, free []worker.Resources) bool {
 	type taken struct {
 		i int
 		j *jobs.Job
@@ -98,7 +98,7 @@
 	for _, a := range machine.Attempts {
 		found := false
 		for i := len(others) - 1; i >= 0 && !found; i-- {
-			if free[i].TasksThatFit(a.Job) > 0 && place.IsEligible(a.Job, others[i]) && others[i].ReservedFor == nil {
+			if free[i].TasksThatFit(a.Job) > 0 && placement.IsEligible(a.Job, others[i]) && others[i].ReservedFor == nil {
 				free[i] = free[i].AfterPlacing(a.Job, 1)
 				laid = append(laid, taken{i, a.Job})
 				found = true
@@ -115,13 +115,13 @@
 }
 
 // drain has all tasks of a machine save and stop; it is returned once they have.
-func (d *Scaler) drain(now time.Time, m *workers.Machine) {
-	m.DrainReason = workers.DrainConsolidated
+func (d *Scaler) drain(now time.Time, m *worker.Machine) {
+	m.DrainReason = worker.DrainConsolidated
 	d.log.Info("emptying a machine", "machine", m.ID, "tasks", len(m.Attempts))
-	var list []workers.Command
+	var list []worker.Command
 	for _, a := range m.Attempts {
 		a.StopSentAt = now
-		list = append(list, workers.Kill(a.Task.String(), a.Number, a.Job.CheckpointDuration.Seconds()))
+		list = append(list, worker.Kill(a.Task.String(), a.Number, a.Job.CheckpointDuration.Seconds()))
 	}
-	workers.SendCommands(d.outbox, d.fencingToken, m, list)
+	worker.SendCommands(d.outbox, d.fencingToken, m, list)
 }
--- a/internal/controller/rental/worth.go
+++ b/internal/controller/autoscaler/worth.go
@@ -1,4 +1,4 @@
-package rental
+package autoscaler
 
 import (
 	"math"
--- a/internal/controller/fleet/boots/boots.go
+++ b/internal/controller/cloud/boottime/boots.go
@@ -1,9 +1,9 @@
-// Package boots learns how long machines of each type take to come up, from those that did and from those
+// Package boottime learns how long machines of each type take to come up, from those that did and from those
 // that are still awaited. Its Book owns the last of these; it rents and returns nothing.
 //
 // The cloud names a usual time. At times all machines take a multiple of it, or a twentieth, and some
 // never come up: a constant gives up on all of them when they are late, and rents them anew, later still.
-package boots
+package boottime
 
 import (
 	"slices"
--- a/internal/controller/fleet/boots/boots_test.go
+++ b/internal/controller/cloud/boottime/boots_test.go
@@ -1,4 +1,4 @@
-package boots
+package boottime
 
 import (
 	"math/rand/v2"
--- a/internal/controller/fleet/fleet.go
+++ b/internal/controller/cloud/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet deals with the cloud: which types there are, which machines we hold,
+// Package cloud deals with the cloud: which types there are, which machines we hold,
 // renting more and giving them back.
-package fleet
+package cloud
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"gullrudder/internal/controller/fleet/boots"
-	"gullrudder/internal/wire/outbox"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/controller/cloud/boottime"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
 )
 
 // MachineType is a machine type.
@@ -93,7 +93,7 @@
 	requestCount   int
 	log            *slog.Logger
 	callsPerSecond float64
-	limiter        *outbox.RateLimiter
+	limiter        *client.RateLimiter
 	listLag        time.Duration
 	closed         *int
 
@@ -110,24 +110,24 @@
 	requestAnswered    bool // a rental has been answered
 	queue              callQueue
 	pausedUntil        time.Time
-	bootTimes          *boots.Estimator
+	bootTimes          *boottime.Estimator
 	listedIDs          map[string]bool
 	deletedIDs         map[string]bool // confirmed deletions; lists that lag still show them
 }
 
 // New makes the dealings of a new leadership.
 func New(fencingToken uint64, callsPerSecond float64, listLag time.Duration, log *slog.Logger) *Client {
-	return &Client{fencingToken: fencingToken, log: log, callsPerSecond: callsPerSecond, limiter: outbox.NewRateLimiter(callsPerSecond*0.95, rateBurst), listLag: listLag, closed: new(int),
-		MachineTypes: map[string]*MachineType{}, Instances: map[string]*Instance{}, requestStates: map[InstanceKind]*requestState{}, unresolvedByZone: map[string]int{}, queue: newCallQueue(fencingToken, callsPerSecond), bootTimes: boots.New(), deletedIDs: map[string]bool{}}
+	return &Client{fencingToken: fencingToken, log: log, callsPerSecond: callsPerSecond, limiter: client.NewRateLimiter(callsPerSecond*0.95, rateBurst), listLag: listLag, closed: new(int),
+		MachineTypes: map[string]*MachineType{}, Instances: map[string]*Instance{}, requestStates: map[InstanceKind]*requestState{}, unresolvedByZone: map[string]int{}, queue: newCallQueue(fencingToken, callsPerSecond), bootTimes: boottime.New(), deletedIDs: map[string]bool{}}
 }
 
 // Close makes answers that are still to come harmless.
 func (c *Client) Close() { *c.closed = 1 }
 
-func (c *Client) send(box *outbox.Outbox, call outbox.Call) {
+func (c *Client) send(box *client.Outbox, call client.Call) {
 	done, epoch := call.Done, c.closed
-	call.Destination, call.Timeout = outbox.CloudAPI, 5*time.Second
-	call.Done = func(now time.Time, r outbox.Result) {
+	call.Destination, call.Timeout = client.CloudAPI, 5*time.Second
+	call.Done = func(now time.Time, r client.Result) {
 		if *epoch == 0 {
 			if r.Status == 429 || r.Status == 503 && len(r.Body) == 0 {
 				c.pausedUntil = now.Add(max(r.RetryAfter, 500*time.Millisecond))
@@ -140,7 +140,7 @@
 }
 
 // Tick reads types and lists, and sends what waits for the cloud's rate.
-func (c *Client) Tick(now time.Time, box *outbox.Outbox) {
+func (c *Client) Tick(now time.Time, box *client.Outbox) {
 	if now.Before(c.pausedUntil) || c.queue.isPaused(now) {
 		return
 	}
@@ -169,14 +169,14 @@
 	c.queue.callSent(now)
 }
 
-func (c *Client) readMachineTypes(now time.Time, box *outbox.Outbox) {
+func (c *Client) readMachineTypes(now time.Time, box *client.Outbox) {
 	c.isReadingTypes = true
-	c.send(box, outbox.Call{Method: "GET", Path: "/flavors", Done: func(now time.Time, r outbox.Result) {
+	c.send(box, client.Call{Method: "GET", Path: "/flavors", Done: func(now time.Time, r client.Result) {
 		c.isReadingTypes = false
 		var a struct {
 			Types []*MachineType `msgpack:"keels"`
 		}
-		if r.Status != 200 || packed.Unmarshal(r.Body, &a) != nil || len(a.Types) == 0 {
+		if r.Status != 200 || codec.Unmarshal(r.Body, &a) != nil || len(a.Types) == 0 {
 			c.nextTypesRead = now.Add(time.Second)
 			return
 		}
@@ -188,14 +188,14 @@
 	}})
 }
 
-func (c *Client) listInstances(now time.Time, box *outbox.Outbox, from string) {
+func (c *Client) listInstances(now time.Time, box *client.Outbox, from string) {
 	c.isListing = true
 	sent := now
 	q := url.Values{"most": {strconv.Itoa(listPageSize)}}
 	if from != "" {
 		q.Set("from", from)
 	}
-	c.send(box, outbox.Call{Method: "GET", Path: "/hosts?" + q.Encode(), Done: func(now time.Time, r outbox.Result) {
+	c.send(box, client.Call{Method: "GET", Path: "/hosts?" + q.Encode(), Done: func(now time.Time, r client.Result) {
 		c.isListing = false
 		var a struct {
 			Hosts []struct {
@@ -209,7 +209,7 @@
 			} `msgpack:"oarlocks"`
 			More bool `msgpack:"has_next"`
 		}
-		if r.Status != 200 || packed.Unmarshal(r.Body, &a) != nil {
+		if r.Status != 200 || codec.Unmarshal(r.Body, &a) != nil {
 			c.nextList = now.Add(time.Second)
 			return
 		}
@@ -232,7 +232,7 @@
 		}
 		if a.More && len(a.Hosts) > 0 {
 			c.isListing = true
-			c.queue.add(false, func(box *outbox.Outbox) { c.listInstances(sent, box, from) })
+			c.queue.add(false, func(box *client.Outbox) { c.listInstances(sent, box, from) })
 			return
 		}
 		c.CompletedLists++
@@ -333,14 +333,14 @@
 		c.requestCount++
 		name := fmt.Sprintf("r-%d-%d", c.fencingToken, c.requestCount)
 		c.log.Info("renting", "request", name, "type", k.Type, "zone", k.Zone, "spot", k.Spot, "count", n)
-		c.queue.add(false, func(box *outbox.Outbox) { c.sendRequest(box, k, n, name, 0) })
+		c.queue.add(false, func(box *client.Outbox) { c.sendRequest(box, k, n, name, 0) })
 	}
 }
 
-func (c *Client) sendRequest(box *outbox.Outbox, kind InstanceKind, count int, name string, retries int) {
-	c.send(box, outbox.Call{Method: "POST", Path: "/hosts",
+func (c *Client) sendRequest(box *client.Outbox, kind InstanceKind, count int, name string, retries int) {
+	c.send(box, client.Call{Method: "POST", Path: "/hosts",
 		Body: map[string]any{"charter": name, "keel": kind.Type, "harbour": kind.Zone, "driftwood": kind.Spot, "how_many": count},
-		Done: func(now time.Time, r outbox.Result) {
+		Done: func(now time.Time, r client.Result) {
 			s := c.requestStateOf(kind)
 			var a struct {
 				Hosts []string `msgpack:"oarlocks"`
@@ -350,7 +350,7 @@
 			if retries > 0 {
 				c.unresolvedByZone[kind.Zone]--
 			}
-			if len(r.Body) > 0 && packed.Unmarshal(r.Body, &a) != nil {
+			if len(r.Body) > 0 && codec.Unmarshal(r.Body, &a) != nil {
 				a.Error = "unreadable"
 			}
 			switch {
@@ -375,7 +375,7 @@
 				c.log.Info("rental refused", "request", name, "status", r.Status, "error", a.Error, "again", s.backoff)
 			default:
 				c.unresolvedByZone[kind.Zone]++
-				c.queue.retry(now, false, retries, func(box *outbox.Outbox) { c.sendRequest(box, kind, count, name, retries+1) })
+				c.queue.retry(now, false, retries, func(box *client.Outbox) { c.sendRequest(box, kind, count, name, retries+1) })
 			}
 		}})
 }
@@ -406,13 +406,13 @@
 			c.log.Info("returning a machine", "machine", id, "why", why)
 		}
 		// A machine that is given back frees places elsewhere: first in the queue.
-		c.queue.add(true, func(box *outbox.Outbox) { c.sendDeletion(box, part, 0) })
+		c.queue.add(true, func(box *client.Outbox) { c.sendDeletion(box, part, 0) })
 	}
 }
 
-func (c *Client) sendDeletion(box *outbox.Outbox, ids []string, retries int) {
-	c.send(box, outbox.Call{Method: "POST", Path: "/hosts/delete", Body: map[string]any{"oarlocks": ids},
-		Done: func(now time.Time, r outbox.Result) {
+func (c *Client) sendDeletion(box *client.Outbox, ids []string, retries int) {
+	c.send(box, client.Call{Method: "POST", Path: "/hosts/delete", Body: map[string]any{"oarlocks": ids},
+		Done: func(now time.Time, r client.Result) {
 			if r.Status != 200 {
 				c.retryDeletion(now, ids, retries, r)
 				return
@@ -427,14 +427,14 @@
 
 // retryDeletion repeats a deletion. What the cloud refuses as a whole, time and again, is halved: one
 // machine that it cannot delete once kept ninety-nine others from being given back.
-func (c *Client) retryDeletion(now time.Time, ids []string, retries int, r outbox.Result) {
+func (c *Client) retryDeletion(now time.Time, ids []string, retries int, r client.Result) {
 	refused := r.Status >= 400 && r.Status != 429 && r.Status != 503
 	if refused && retries >= maxRefusedDeletions && len(ids) > 1 {
 		c.log.Info("a deletion is halved", "machines", len(ids), "status", r.Status)
 		for _, part := range [][]string{ids[:len(ids)/2], ids[len(ids)/2:]} {
-			c.queue.retry(now, true, retries, func(box *outbox.Outbox) { c.sendDeletion(box, part, retries) })
+			c.queue.retry(now, true, retries, func(box *client.Outbox) { c.sendDeletion(box, part, retries) })
 		}
 		return
 	}
-	c.queue.retry(now, true, retries, func(box *outbox.Outbox) { c.sendDeletion(box, ids, retries+1) })
+	c.queue.retry(now, true, retries, func(box *client.Outbox) { c.sendDeletion(box, ids, retries+1) })
 }
--- a/internal/controller/fleet/golden_bytes_test.go
+++ b/internal/controller/cloud/golden_bytes_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cloud
 
 import (
 	"testing"
--- a/internal/controller/fleet/queue.go
+++ b/internal/controller/cloud/queue.go
@@ -1,10 +1,10 @@
-package fleet
+package cloud
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"gullrudder/internal/wire/outbox"
+	"gullrudder/internal/wire/client"
 )
 
 const (
@@ -26,25 +26,25 @@
 // call that fails holds up no other call: once a rental in a zone that did not answer paused them all.
 type callQueue struct {
 	urgent, ordinary []queuedCall
-	retryBudget      *outbox.RateLimiter
+	retryBudget      *client.RateLimiter
 	rng              *rand.Rand
 	unansweredInRow  int       // calls in a row that had no answer
 	nextProbe        time.Time // nothing is called before this while the cloud is away
 }
 
 type queuedCall struct {
-	send      func(*outbox.Outbox)
+	send      func(*client.Outbox)
 	notBefore time.Time
 	isRetry   bool
 }
 
 func newCallQueue(fencingToken uint64, callsPerSecond float64) callQueue {
-	return callQueue{retryBudget: outbox.NewRateLimiter(callsPerSecond*retryShare, max(rateBurst, time.Duration(float64(time.Second)/(callsPerSecond*retryShare)))),
+	return callQueue{retryBudget: client.NewRateLimiter(callsPerSecond*retryShare, max(rateBurst, time.Duration(float64(time.Second)/(callsPerSecond*retryShare)))),
 		rng: rand.New(rand.NewPCG(fencingToken, 1))}
 }
 
 // add puts a new call into the queue: one that frees machines before all others.
-func (q *callQueue) add(urgent bool, send func(*outbox.Outbox)) {
+func (q *callQueue) add(urgent bool, send func(*client.Outbox)) {
 	if urgent {
 		q.urgent = append([]queuedCall{{send: send}}, q.urgent...)
 		return
@@ -53,7 +53,7 @@
 }
 
 // retry puts a call back that has failed so many times before.
-func (q *callQueue) retry(now time.Time, urgent bool, retries int, send func(*outbox.Outbox)) {
+func (q *callQueue) retry(now time.Time, urgent bool, retries int, send func(*client.Outbox)) {
 	w := queuedCall{send, now.Add(q.jitter(min(minRetryDelay<<min(retries, 6), maxRetryDelay))), true}
 	if urgent {
 		q.urgent = append(q.urgent, w)
@@ -68,7 +68,7 @@
 }
 
 // next takes the call that goes now, if any does.
-func (q *callQueue) next(now time.Time) func(*outbox.Outbox) {
+func (q *callQueue) next(now time.Time) func(*client.Outbox) {
 	for _, list := range []*[]queuedCall{&q.urgent, &q.ordinary} {
 		for i, w := range *list {
 			if now.Before(w.notBefore) || w.isRetry && q.retryBudget.Available(now) == 0 {
@@ -92,7 +92,7 @@
 }
 
 // observeResult takes in what came of a call.
-func (q *callQueue) observeResult(now time.Time, r outbox.Result) {
+func (q *callQueue) observeResult(now time.Time, r client.Result) {
 	if !r.IsUncertain() {
 		q.unansweredInRow = 0
 		return
--- a/internal/controller/settings/golden_bytes_test.go
+++ b/internal/controller/dynamicconfig/golden_bytes_test.go
@@ -1,4 +1,4 @@
-package settings
+package dynamicconfig
 
 import (
 	"testing"
--- a/internal/controller/settings/settings.go
+++ b/internal/controller/dynamicconfig/settings.go
@@ -1,7 +1,7 @@
-// Package settings keeps the operators' options that count: the controller's own file, or what was
+// Package dynamicconfig keeps the operators' options that count: the controller's own file, or what was
 // applied while the controllers ran, which the ledger keeps. It owns them and their record of
 // changes; everybody else only reads them.
-package settings
+package dynamicconfig
 
 import (
 	"log/slog"
@@ -10,9 +10,9 @@
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/ledger"
-	"gullrudder/internal/wire/inbox"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/server"
 )
 
 // Store are a leader's.
@@ -22,13 +22,13 @@
 	applied      *record        // those that were applied, with their record
 	isCommitting bool           // others are on their way into the ledger
 	logger       *slog.Logger
-	responder    *inbox.Responder
-	storage      *ledger.Store
+	responder    *server.Responder
+	storage      *storage.Store
 	onChange     func(config.Options)
 }
 
 // New makes the settings of a new leadership.
-func New(file config.Options, led *ledger.Store, out *inbox.Responder, log *slog.Logger) *Store {
+func New(file config.Options, led *storage.Store, out *server.Responder, log *slog.Logger) *Store {
 	return &Store{fileOptions: file, current: file, logger: log, responder: out, storage: led, onChange: func(config.Options) {}}
 }
 
@@ -58,11 +58,11 @@
 }
 
 func (e *record) size() int {
-	raw, err := packed.Marshal(e)
+	raw, err := codec.Marshal(e)
 	if err != nil {
 		return math.MaxInt
 	}
-	return packed.JSONSize(raw)
+	return codec.JSONSize(raw)
 }
 
 // addChange puts a change first; the oldest go once there are too many, or no room is left for them.
@@ -95,7 +95,7 @@
 	Text   string `msgpack:"text"`
 }
 
-func (s *Store) ServeView(_ time.Time, r *inbox.Request) { s.responder.Respond(r, 200, s.View(), 0) }
+func (s *Store) ServeView(_ time.Time, r *server.Request) { s.responder.Respond(r, 200, s.View(), 0) }
 
 func (s *Store) View() View {
 	v := View{Values: s.current.Values(), Changes: []Change{}}
@@ -109,9 +109,9 @@
 func (s *Store) recordReserve() int { return min(maxRecordBytes, s.storage.MaxEntryBytes(EntryKey)) }
 
 // ServeChange takes other settings, all or none. They count once they are durable.
-func (s *Store) ServeChange(now time.Time, r *inbox.Request) {
+func (s *Store) ServeChange(now time.Time, r *server.Request) {
 	var a ChangeRequest
-	if err := packed.Unmarshal(r.Body, &a); err != nil || len(a.Text) > maxTextBytes || a.Author == "" || len(a.Author) > maxAuthorBytes {
+	if err := codec.Unmarshal(r.Body, &a); err != nil || len(a.Text) > maxTextBytes || a.Author == "" || len(a.Author) > maxAuthorBytes {
 		s.responder.RespondError(r, 400, "settings have a text of at most 1 KiB, and the name of who changes them", 0)
 		return
 	}
--- a/internal/controller/leader/hearing/hearing.go
+++ b/internal/controller/election/connectivity/hearing.go
@@ -1,4 +1,4 @@
-// Package hearing tells a leader whom no worker reaches from workers that are gone. Its Hearing owns
+// Package connectivity tells a leader whom no worker reaches from workers that are gone. Its Hearing owns
 // when the last report came and who came to which controller; a process has one, whether it leads or
 // not. It hands nothing over: the election asks it whether to, and to whom.
 //
@@ -6,7 +6,7 @@
 // controller is sent back to it. So all leases ended with all that ran, after a third of the machines
 // a tick had been deleted as silent (docs/incidents: both recorded days of the operations sites).
 // That the leader hears nobody is half of the evidence; that others hear the workers is the rest.
-package hearing
+package connectivity
 
 import "time"
 
--- a/internal/controller/leader/golden_bytes_test.go
+++ b/internal/controller/election/golden_bytes_test.go
@@ -1,4 +1,4 @@
-package leader
+package election
 
 import (
 	"testing"
--- a/internal/controller/leader/leader.go
+++ b/internal/controller/election/leader.go
@@ -1,7 +1,7 @@
-// Package leader elects the one controller that decides. The leader holds a key on a
+// Package election elects the one controller that decides. The leader holds a key on a
 // short lease of the state service; the key's mark is its token. What entitles it to
 // act is counted here, and nowhere else.
-package leader
+package election
 
 import (
 	"fmt"
@@ -11,10 +11,10 @@
 	"strconv"
 	"time"
 
-	"gullrudder/internal/controller/leader/hearing"
-	"gullrudder/internal/controller/leader/horizon"
-	"gullrudder/internal/wire/outbox"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/controller/election/connectivity"
+	"gullrudder/internal/controller/election/renewal"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
 )
 
 // LeaderKey is where the leader's name is kept.
@@ -82,8 +82,8 @@
 	leaderName            string
 	leaderPingedAt        time.Time
 	epoch                 int // outdates answers to calls of an earlier mode
-	connectivity          *hearing.Monitor
-	renewalLimit          *horizon.Limit
+	connectivity          *connectivity.Monitor
+	renewalLimit          *renewal.Limit
 	stateLoaded           bool            // as leader: the ledger is read, and oldest is known
 	oldestCancellation    time.Time       // of the confirmed cancellations whose tasks may still be there; the time of asking if there are none
 	peerContactAt         time.Time       // when another controller last spoke to us, or answered
@@ -104,14 +104,14 @@
 // New makes the election of a process that has just started.
 func New(options Options, now time.Time, rng *rand.Rand, log *slog.Logger) *Election {
 	return &Election{options: options, log: log, rng: rng, startedAt: now, peerContactAt: now, stateServiceContactAt: now, notLeadingPeers: map[string]bool{}, loggedMalformed: map[string]bool{}, grants: map[string]*peerGrant{},
-		connectivity: hearing.New(options.HeartbeatInterval), renewalLimit: horizon.New(options.RenewalWindow, rng)}
+		connectivity: connectivity.New(options.HeartbeatInterval), renewalLimit: renewal.New(options.RenewalWindow, rng)}
 }
 
 // Connectivity is what is known of whether the workers reach this controller.
-func (e *Election) Connectivity() *hearing.Monitor { return e.connectivity }
+func (e *Election) Connectivity() *connectivity.Monitor { return e.connectivity }
 
 // RenewalLimit is what is known of the cancellations that other controllers may have confirmed.
-func (e *Election) RenewalLimit() *horizon.Limit { return e.renewalLimit }
+func (e *Election) RenewalLimit() *renewal.Limit { return e.renewalLimit }
 
 // SetOldestCancellation takes in from a leader that has read its ledger that all cancellations which were confirmed before oldest are carried
 // out; not known: there are some of which nobody can tell when they were confirmed. It goes with the next greetings.
@@ -192,7 +192,7 @@
 }
 
 // Tick does what is due.
-func (e *Election) Tick(now time.Time, box *outbox.Outbox) {
+func (e *Election) Tick(now time.Time, box *client.Outbox) {
 	// A renewal that is only late finds the lease alive: then nobody else has led, and what
 	// this leader knows still holds. So the leadership is kept a lease longer, without acting.
 	if e.role == roleLeader && now.Sub(e.LeaseValidUntil()) > e.options.LeaseDuration {
@@ -223,33 +223,33 @@
 }
 
 // probePeers asks the others for a word if none has come of late: between two leaders nobody greets anybody.
-func (e *Election) probePeers(now time.Time, box *outbox.Outbox) {
+func (e *Election) probePeers(now time.Time, box *client.Outbox) {
 	if now.Sub(e.peerContactAt) < peerProbeInterval || now.Before(e.nextPeerProbeAt) {
 		return
 	}
 	e.nextPeerProbeAt = now.Add(peerProbeInterval)
 	for _, peer := range e.options.Peers {
-		box.Add(outbox.Call{Destination: outbox.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/inquiry", Timeout: e.options.GrantDuration / 3,
-			Done: func(now time.Time, r outbox.Result) { e.recordPeerContact(now, r) }})
+		box.Add(client.Call{Destination: client.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/inquiry", Timeout: e.options.GrantDuration / 3,
+			Done: func(now time.Time, r client.Result) { e.recordPeerContact(now, r) }})
 	}
 }
 
-func (e *Election) recordPeerContact(now time.Time, r outbox.Result) {
+func (e *Election) recordPeerContact(now time.Time, r client.Result) {
 	if r.Status != 0 {
 		e.peerContactAt = now
 	}
 }
 
-func (e *Election) recordStateServiceContact(now time.Time, r outbox.Result) {
+func (e *Election) recordStateServiceContact(now time.Time, r client.Result) {
 	if r.Status != 0 {
 		e.stateServiceContactAt = now
 	}
 }
 
-func (e *Election) revokeLease(box *outbox.Outbox) {
+func (e *Election) revokeLease(box *client.Outbox) {
 	if e.leaseID != 0 {
-		box.Add(outbox.Call{Destination: outbox.StateService, Method: "DELETE", Path: fmt.Sprintf("/leases/%d", e.leaseID),
-			Timeout: time.Second, Done: func(time.Time, outbox.Result) {}})
+		box.Add(client.Call{Destination: client.StateService, Method: "DELETE", Path: fmt.Sprintf("/leases/%d", e.leaseID),
+			Timeout: time.Second, Done: func(time.Time, client.Result) {}})
 	}
 	e.leaseID = 0
 }
@@ -263,15 +263,15 @@
 	e.nextReadAt = nextReadAt
 }
 
-func (e *Election) renewLease(now time.Time, box *outbox.Outbox) {
+func (e *Election) renewLease(now time.Time, box *client.Outbox) {
 	if e.renewalPending || now.Before(e.nextRenewalAt) {
 		return
 	}
 	e.renewalPending, e.lastRenewalSentAt = true, now
 	epoch, sent := e.epoch, now
-	box.Add(outbox.Call{Destination: outbox.StateService, Method: "POST", Path: fmt.Sprintf("/leases/%d/touch", e.leaseID),
+	box.Add(client.Call{Destination: client.StateService, Method: "POST", Path: fmt.Sprintf("/leases/%d/touch", e.leaseID),
 		Timeout: e.options.LeaseDuration / 3,
-		Done: func(now time.Time, r outbox.Result) {
+		Done: func(now time.Time, r client.Result) {
 			if e.epoch != epoch {
 				return
 			}
@@ -296,7 +296,7 @@
 		}})
 }
 
-func (e *Election) stepFollower(now time.Time, box *outbox.Outbox) {
+func (e *Election) stepFollower(now time.Time, box *client.Outbox) {
 	e.queryVotes(now, box)
 	if !e.readPending && !now.Before(e.nextReadAt) {
 		e.readLeaderKey(now, box)
@@ -319,7 +319,7 @@
 // so nobody relies on what an earlier process promised.
 func (e *Election) allPeersNotLeading() bool { return len(e.notLeadingPeers) == len(e.options.Peers) }
 
-func (e *Election) queryVotes(now time.Time, box *outbox.Outbox) {
+func (e *Election) queryVotes(now time.Time, box *client.Outbox) {
 	if e.allPeersNotLeading() || now.Before(e.nextVoteQueryAt) || !now.Before(e.startedAt.Add(e.plusDrift(e.options.GrantDuration))) {
 		return
 	}
@@ -328,23 +328,23 @@
 		if e.notLeadingPeers[peer.Name] {
 			continue
 		}
-		box.Add(outbox.Call{Destination: outbox.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/inquiry",
+		box.Add(client.Call{Destination: client.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/inquiry",
 			Timeout: e.options.GrantDuration / 3,
-			Done: func(now time.Time, r outbox.Result) {
+			Done: func(now time.Time, r client.Result) {
 				e.recordPeerContact(now, r)
 				var response VoteQueryResponse
-				if r.Status == 200 && packed.Unmarshal(r.Body, &response) == nil && !response.IsLeader {
+				if r.Status == 200 && codec.Unmarshal(r.Body, &response) == nil && !response.IsLeader {
 					e.notLeadingPeers[peer.Name] = true
 				}
 			}})
 	}
 }
 
-func (e *Election) readLeaderKey(now time.Time, box *outbox.Outbox) {
+func (e *Election) readLeaderKey(now time.Time, box *client.Outbox) {
 	e.readPending = true
 	epoch := e.epoch
-	box.Add(outbox.Call{Destination: outbox.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: time.Second,
-		Done: func(now time.Time, r outbox.Result) {
+	box.Add(client.Call{Destination: client.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: time.Second,
+		Done: func(now time.Time, r client.Result) {
 			if e.epoch != epoch {
 				return
 			}
@@ -356,10 +356,10 @@
 				Tide  uint64       `msgpack:"tide"`
 			}
 			switch {
-			case r.Status == 200 && packed.Unmarshal(r.Body, &response) == nil && response.Mark > 0:
+			case r.Status == 200 && codec.Unmarshal(r.Body, &response) == nil && response.Mark > 0:
 				e.keyAbsent, e.revision = false, response.Mark
 				e.watchLeaderKey(now, box)
-			case r.Status == 404 && packed.Unmarshal(r.Body, &response) == nil:
+			case r.Status == 404 && codec.Unmarshal(r.Body, &response) == nil:
 				e.recordKeyAbsent(now)
 				e.nextReadAt = now.Add(e.options.LeaseDuration / 6)
 			default:
@@ -395,13 +395,13 @@
 	}
 }
 
-func (e *Election) watchLeaderKey(now time.Time, box *outbox.Outbox) {
+func (e *Election) watchLeaderKey(now time.Time, box *client.Outbox) {
 	e.readPending = true
 	epoch := e.epoch
 	wait := e.options.LeaseDuration * 2
 	query := url.Values{"starts": {LeaderKey}, "from": {strconv.FormatUint(e.revision, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
-	box.Add(outbox.Call{Destination: outbox.StateService, Method: "GET", Path: "/watch?" + query.Encode(), Timeout: wait + time.Second,
-		Done: func(now time.Time, r outbox.Result) {
+	box.Add(client.Call{Destination: client.StateService, Method: "GET", Path: "/watch?" + query.Encode(), Timeout: wait + time.Second,
+		Done: func(now time.Time, r client.Result) {
 			if e.epoch != epoch {
 				return
 			}
@@ -414,7 +414,7 @@
 					Drop  string `msgpack:"drop"`
 				} `msgpack:"log"`
 			}
-			if r.Status != 200 || packed.Unmarshal(r.Body, &response) != nil || response.Tide < e.revision {
+			if r.Status != 200 || codec.Unmarshal(r.Body, &response) != nil || response.Tide < e.revision {
 				// A tide that falls would show that the key went, which is long over.
 				if r.Status == 200 {
 					e.logMalformedOnce("changes of the leader's key")
@@ -441,21 +441,21 @@
 		}})
 }
 
-func (e *Election) campaign(now time.Time, box *outbox.Outbox) {
+func (e *Election) campaign(now time.Time, box *client.Outbox) {
 	e.role = roleCandidate
 	e.epoch++
 	e.readPending = false
 	epoch, sent := e.epoch, now
-	box.Add(outbox.Call{Destination: outbox.StateService, Method: "POST", Path: "/leases", Timeout: time.Second,
+	box.Add(client.Call{Destination: client.StateService, Method: "POST", Path: "/leases", Timeout: time.Second,
 		Body: map[string]any{"ttl_ms": e.options.LeaseDuration.Milliseconds()},
-		Done: func(now time.Time, r outbox.Result) {
+		Done: func(now time.Time, r client.Result) {
 			if e.epoch != epoch {
 				return
 			}
 			var response struct {
 				Permit uint64 `msgpack:"permit"`
 			}
-			if r.Status != 200 || packed.Unmarshal(r.Body, &response) != nil || response.Permit == 0 {
+			if r.Status != 200 || codec.Unmarshal(r.Body, &response) != nil || response.Permit == 0 {
 				e.becomeFollower(now, now.Add(e.options.LeaseDuration/8))
 				return
 			}
@@ -464,14 +464,14 @@
 		}})
 }
 
-func (e *Election) claimLeaderKey(now time.Time, box *outbox.Outbox, leased time.Time) {
+func (e *Election) claimLeaderKey(now time.Time, box *client.Outbox, leased time.Time) {
 	epoch := e.epoch
-	box.Add(outbox.Call{Destination: outbox.StateService, Method: "POST", Path: "/commit", Timeout: time.Second,
+	box.Add(client.Call{Destination: client.StateService, Method: "POST", Path: "/commit", Timeout: time.Second,
 		Body: map[string]any{
 			"guards": []any{map[string]any{"path": LeaderKey, "mark": 0}},
 			"apply":  []any{map[string]any{"write": LeaderKey, "value": leaderRecord{e.options.Name, e.leaseID}, "permit": e.leaseID}},
 		},
-		Done: func(now time.Time, r outbox.Result) {
+		Done: func(now time.Time, r client.Result) {
 			if e.epoch != epoch {
 				return
 			}
@@ -479,7 +479,7 @@
 				Tide uint64 `msgpack:"tide"`
 			}
 			switch {
-			case r.Status == 200 && packed.Unmarshal(r.Body, &response) == nil && response.Tide > 0:
+			case r.Status == 200 && codec.Unmarshal(r.Body, &response) == nil && response.Tide > 0:
 				e.becomeLeader(now, box, response.Tide, leased)
 			case r.IsUncertain():
 				e.verifyClaim(now, box, leased)
@@ -492,10 +492,10 @@
 
 // verifyClaim: no answer came to our claim. If the key is not ours now, our lease is
 // ended, so that a claim that is executed later is refused.
-func (e *Election) verifyClaim(now time.Time, box *outbox.Outbox, leased time.Time) {
+func (e *Election) verifyClaim(now time.Time, box *client.Outbox, leased time.Time) {
 	epoch := e.epoch
-	box.Add(outbox.Call{Destination: outbox.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: time.Second,
-		Done: func(now time.Time, r outbox.Result) {
+	box.Add(client.Call{Destination: client.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: time.Second,
+		Done: func(now time.Time, r client.Result) {
 			if e.epoch != epoch {
 				return
 			}
@@ -503,7 +503,7 @@
 				Value leaderRecord `msgpack:"value"`
 				Mark  uint64       `msgpack:"mark"`
 			}
-			if r.Status == 200 && packed.Unmarshal(r.Body, &response) == nil && response.Mark > 0 && response.Value.Name == e.options.Name && response.Value.LeaseID == e.leaseID {
+			if r.Status == 200 && codec.Unmarshal(r.Body, &response) == nil && response.Mark > 0 && response.Value.Name == e.options.Name && response.Value.LeaseID == e.leaseID {
 				e.becomeLeader(now, box, response.Mark, leased)
 				return
 			}
@@ -512,7 +512,7 @@
 		}})
 }
 
-func (e *Election) becomeLeader(now time.Time, box *outbox.Outbox, fencingToken uint64, leased time.Time) {
+func (e *Election) becomeLeader(now time.Time, box *client.Outbox, fencingToken uint64, leased time.Time) {
 	until := leased.Add(e.minusDrift(e.options.LeaseDuration))
 	if e.isBoundByGrant(now) || !now.Before(until) {
 		e.revokeLease(box)
