--- a/internal/controller/leader/promises.go
+++ b/internal/controller/election/promises.go
@@ -1,11 +1,11 @@
-package leader
+package election
 
 import (
 	"fmt"
 	"time"
 
-	"gullrudder/internal/wire/outbox"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
 )
 
 // PingRequest is what the leader sends to each other controller; it asks for a promise. With Doubt it
@@ -92,7 +92,7 @@
 	}
 }
 
-func (e *Election) requestGrants(now time.Time, box *outbox.Outbox) {
+func (e *Election) requestGrants(now time.Time, box *client.Outbox) {
 	for _, peer := range e.options.Peers {
 		grant := e.grants[peer.Name]
 		if grant == nil {
@@ -108,9 +108,9 @@
 		if e.stateLoaded && e.HoldsLease(now) {
 			request.StateLoaded, request.OldestCancellationAge, request.EchoedNonce = true, now.Sub(e.oldestCancellation), grant.nonce
 		}
-		box.Add(outbox.Call{Destination: outbox.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/hello",
+		box.Add(client.Call{Destination: client.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/hello",
 			Body: request, Timeout: e.options.GrantDuration / 3,
-			Done: func(now time.Time, r outbox.Result) {
+			Done: func(now time.Time, r client.Result) {
 				if e.epoch != epoch {
 					return
 				}
@@ -121,7 +121,7 @@
 					grant.nextRequestAt = sent.Add(e.options.GrantDuration / 10)
 				}
 				var response PingResponse
-				if r.Status != 200 || packed.Unmarshal(r.Body, &response) != nil {
+				if r.Status != 200 || codec.Unmarshal(r.Body, &response) != nil {
 					// A peer that does not answer may still be bound by its last
 					// promise, and we by its end.
 					return
@@ -149,7 +149,7 @@
 // recordPeerServed takes in that the state service answers another controller. If two renewals of ours
 // have failed by then, or one has and the next is without an answer, and that goes on for as long as a
 // renewal needs after an outage that has just ended, the leadership is handed over.
-func (e *Election) recordPeerServed(now time.Time, box *outbox.Outbox, peerName string) {
+func (e *Election) recordPeerServed(now time.Time, box *client.Outbox, peerName string) {
 	if e.role != roleLeader || e.failedRenewals == 0 || e.failedRenewals == 1 && !(e.renewalPending && now.Sub(e.lastRenewalSentAt) > e.options.LeaseDuration/6) {
 		return
 	}
@@ -163,7 +163,7 @@
 
 // transferIfPartitioned ends a leadership that no worker reaches while they reach another controller: their leases
 // run, and each of them is lost with all that runs there unless somebody leads whom they do reach.
-func (e *Election) transferIfPartitioned(now time.Time, box *outbox.Outbox) {
+func (e *Election) transferIfPartitioned(now time.Time, box *client.Outbox) {
 	if e.role != roleLeader {
 		return
 	}
@@ -175,29 +175,29 @@
 
 // transferLeadership hands the leadership over at once, to anybody or to a controller that is named. The others are
 // told that nobody relies on their promises any more, and which lease to end. Waiting for its end and for theirs took three times as long.
-func (e *Election) transferLeadership(now time.Time, box *outbox.Outbox, reason, successor string) {
+func (e *Election) transferLeadership(now time.Time, box *client.Outbox, reason, successor string) {
 	leaseID, fencingToken := e.leaseID, e.fencingToken
 	e.StepDown(now, box, reason)
 	for _, peer := range e.options.Peers {
-		box.Add(outbox.Call{Destination: outbox.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/hello",
-			Body: PingRequest{Name: e.options.Name, FencingToken: fencingToken, ReleasedLeaseID: leaseID, Successor: successor}, Timeout: e.options.GrantDuration / 3, Done: func(time.Time, outbox.Result) {}})
+		box.Add(client.Call{Destination: client.PeerController, Addr: peer.Addr, Method: "POST", Path: "/peer/hello",
+			Body: PingRequest{Name: e.options.Name, FencingToken: fencingToken, ReleasedLeaseID: leaseID, Successor: successor}, Timeout: e.options.GrantDuration / 3, Done: func(time.Time, client.Result) {}})
 	}
 }
 
 // probeStateService asks the state service whether it answers, if the leader wants to know, and ends the lease of a
 // leadership that was handed over.
-func (e *Election) probeStateService(now time.Time, box *outbox.Outbox) {
+func (e *Election) probeStateService(now time.Time, box *client.Outbox) {
 	if e.releasedLeaseID != 0 {
-		box.Add(outbox.Call{Destination: outbox.StateService, Method: "DELETE", Path: fmt.Sprintf("/leases/%d", e.releasedLeaseID),
-			Timeout: time.Second, Done: func(time.Time, outbox.Result) {}})
+		box.Add(client.Call{Destination: client.StateService, Method: "DELETE", Path: fmt.Sprintf("/leases/%d", e.releasedLeaseID),
+			Timeout: time.Second, Done: func(time.Time, client.Result) {}})
 		e.releasedLeaseID = 0
 	}
 	if !e.probeRequested || e.probePending {
 		return
 	}
 	e.probeRequested, e.probePending = false, true
-	box.Add(outbox.Call{Destination: outbox.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: e.options.GrantDuration / 4,
-		Done: func(now time.Time, r outbox.Result) {
+	box.Add(client.Call{Destination: client.StateService, Method: "GET", Path: "/keys/" + LeaderKey, Timeout: e.options.GrantDuration / 4,
+		Done: func(now time.Time, r client.Result) {
 			e.probePending = false
 			e.recordStateServiceContact(now, r)
 			if r.Status == 200 || r.Status == 404 {
@@ -210,7 +210,7 @@
 func (e *Election) ElectionDelay(now time.Time) time.Duration { return max(e.grantedUntil.Sub(now), 0) }
 
 // StepDown gives the leadership up.
-func (e *Election) StepDown(now time.Time, box *outbox.Outbox, reason string) {
+func (e *Election) StepDown(now time.Time, box *client.Outbox, reason string) {
 	if e.role != roleLeader {
 		return
 	}
--- a/internal/controller/leader/horizon/horizon.go
+++ b/internal/controller/election/renewal/horizon.go
@@ -1,4 +1,4 @@
-// Package horizon says until when a controller that leads and has not read its ledger may renew workers' leases.
+// Package renewal says until when a controller that leads and has not read its ledger may renew workers' leases.
 // Its Horizon belongs to the election, one for a process, whether it leads or not. It sends nothing: what it tells
 // and what it hears goes with the election's greetings.
 //
@@ -9,7 +9,7 @@
 // confirmation that it may have missed. How early that can be it has from the leader before: every greeting of one that has
 // read its ledger says how old the oldest cancellation is whose tasks may still be there. A greeting may come minutes
 // late, so it counts from when we made the stamp that it brings back, and not from when it came.
-package horizon
+package renewal
 
 import (
 	"math/rand/v2"
--- a/internal/controller/takeover/partly.go
+++ b/internal/controller/failover/partly.go
@@ -1,12 +1,12 @@
-package takeover
+package failover
 
 import (
 	"math"
 	"time"
 
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/place"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/worker"
 )
 
 const (
@@ -44,26 +44,26 @@
 
 // unseenUsage is what each team's tasks may use at most on the machines that are missing: no more than its tasks that are neither
 // done nor seen on a machine, and no more than those machines have. Cancelled jobs count like all others until they are gone.
-func (t *Reconciler) unseenUsage() place.UnseenUsage {
-	capacity := workers.Usage{}
+func (t *Reconciler) unseenUsage() placement.UnseenUsage {
+	capacity := worker.Usage{}
 	for _, machine := range t.unreconciled {
 		cpus, gpus := t.maxCapacity(machine)
 		capacity.CPUs, capacity.GPUs = capacity.CPUs+cpus, capacity.GPUs+gpus
 	}
-	usageByTeam := place.UnseenUsage{}
+	usageByTeam := placement.UnseenUsage{}
 	for _, job := range t.jobStore.Unfinished {
 		if job.AcceptedByThisLeader || job.State == jobs.Pending || job.UnmetDependencies > 0 {
 			continue
 		}
 		usage := usageByTeam[job.Team]
 		unseen := float64(job.Tasks - job.DoneTasks - len(job.ActiveAttempts))
-		usageByTeam[job.Team] = workers.Usage{CPUs: min(usage.CPUs+unseen*job.CPUs, capacity.CPUs), GPUs: min(usage.GPUs+unseen*job.GPUs, capacity.GPUs)}
+		usageByTeam[job.Team] = worker.Usage{CPUs: min(usage.CPUs+unseen*job.CPUs, capacity.CPUs), GPUs: min(usage.GPUs+unseen*job.GPUs, capacity.GPUs)}
 	}
 	return usageByTeam
 }
 
 // maxCapacity is what a machine has at most, as far as it is known.
-func (t *Reconciler) maxCapacity(machine *workers.Machine) (cpus, gpus float64) {
+func (t *Reconciler) maxCapacity(machine *worker.Machine) (cpus, gpus float64) {
 	if machine.CPUs+machine.MemoryGB > 0 {
 		return machine.CPUs, machine.GPUs
 	}
--- a/internal/controller/takeover/silence.go
+++ b/internal/controller/failover/silence.go
@@ -1,14 +1,14 @@
-package takeover
+package failover
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"gullrudder/internal/controller/fleet"
-	"gullrudder/internal/controller/workers"
-	"gullrudder/internal/wire/outbox"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
 )
 
 const (
@@ -29,7 +29,7 @@
 // probe sends a worker the empty command, unless it was asked shortly before; false if the budget
 // is used up. It raises the worker's token, so that nothing of an earlier leader is executed
 // any more, and its answer is the worker's report.
-func (t *Reconciler) probe(now time.Time, machine *workers.Machine) bool {
+func (t *Reconciler) probe(now time.Time, machine *worker.Machine) bool {
 	if !t.canProbe() {
 		return false
 	}
@@ -48,18 +48,18 @@
 }
 
 // sendProbe asks; told learns whether an answer came.
-func (t *Reconciler) sendProbe(now time.Time, machine *workers.Machine, session uint64, tries int, onResult func(now time.Time, answered bool)) {
+func (t *Reconciler) sendProbe(now time.Time, machine *worker.Machine, session uint64, tries int, onResult func(now time.Time, answered bool)) {
 	t.probesInFlight++
 	probeID := t.reachability.StartProbe(now, machine)
-	t.outbox.Add(outbox.Call{Destination: outbox.WorkerAgent, Addr: machine.Addr, Method: "POST", Path: "/commands",
-		Body: workers.DirectCommands{FencingToken: t.fencingToken, Incarnation: session, Commands: []workers.Command{}}, Timeout: probeTimeout,
-		Done: func(now time.Time, result outbox.Result) {
+	t.outbox.Add(client.Call{Destination: client.WorkerAgent, Addr: machine.Addr, Method: "POST", Path: "/commands",
+		Body: worker.DirectCommands{FencingToken: t.fencingToken, Incarnation: session, Commands: []worker.Command{}}, Timeout: probeTimeout,
+		Done: func(now time.Time, result client.Result) {
 			if t.closed {
 				return
 			}
 			t.probesInFlight--
-			var report workers.Heartbeat
-			if result.Status != 200 && result.Status != 409 || packed.Unmarshal(result.Body, &report) != nil || report.Machine != machine.ID {
+			var report worker.Heartbeat
+			if result.Status != 200 && result.Status != 409 || codec.Unmarshal(result.Body, &report) != nil || report.Machine != machine.ID {
 				t.reachability.ProbeFailed(now, machine)
 				onResult(now, false)
 				return
@@ -79,7 +79,7 @@
 }
 
 // isHeartbeatOverdue reports whether nothing certain has come of the machine for longer than its reports take.
-func (t *Reconciler) isHeartbeatOverdue(now time.Time, machine *workers.Machine) bool {
+func (t *Reconciler) isHeartbeatOverdue(now time.Time, machine *worker.Machine) bool {
 	return now.Sub(machine.LastContactAt) >= t.platform.HeartbeatInterval*5/4+time.Second
 }
 
@@ -106,11 +106,11 @@
 	t.nextProbeSample = now.Add(probeTimeout / 2)
 	suspected := t.connectivity.SuspectsPartition(now)
 	machines := t.workers.MachinesByName()
-	up := slices.ContainsFunc(machines, func(machine *workers.Machine) bool { return machine.HasReported })
+	up := slices.ContainsFunc(machines, func(machine *worker.Machine) bool { return machine.HasReported })
 	for remaining, visited := probeSampleSize, 0; remaining > 0 && visited < len(machines); visited++ {
 		t.sampleOffset++
 		machine := machines[t.sampleOffset%len(machines)]
-		if up && !machine.HasReported || machine.Addr == "" || machine.DrainReason != workers.NotDraining || t.workers.IsLeaseExpired(now, machine) || !suspected && t.isHeartbeatOverdue(now, machine) || !t.reachability.IsProbeDue(now, machine) {
+		if up && !machine.HasReported || machine.Addr == "" || machine.DrainReason != worker.NotDraining || t.workers.IsLeaseExpired(now, machine) || !suspected && t.isHeartbeatOverdue(now, machine) || !t.reachability.IsProbeDue(now, machine) {
 			continue
 		}
 		if !t.canProbe() {
@@ -136,7 +136,7 @@
 	t.expectedHeartbeats, t.overdueHeartbeats = 0, 0
 	sentinels := map[string]int{}
 	for id, machine := range t.workers.Machines {
-		if !machine.HasReported && !machine.Registered || machine.DrainReason == workers.DrainUnresponsive || machine.DrainReason == workers.DrainTerminating {
+		if !machine.HasReported && !machine.Registered || machine.DrainReason == worker.DrainUnresponsive || machine.DrainReason == worker.DrainTerminating {
 			continue
 		}
 		machineCount++
@@ -153,8 +153,8 @@
 				t.overdueHeartbeats++
 			}
 		}
-		if instance := t.cloud.Instances[id]; instance != nil && instance.State == fleet.StateFailed && !instance.Deleting && !t.completed {
-			machine.DrainReason = workers.DrainUnresponsive
+		if instance := t.cloud.Instances[id]; instance != nil && instance.State == cloud.StateFailed && !instance.Deleting && !t.completed {
+			machine.DrainReason = worker.DrainUnresponsive
 			failed = append(failed, id)
 			continue
 		}
@@ -178,9 +178,9 @@
 		return
 	}
 	for _, id := range silent {
-		t.workers.Machines[id].DrainReason = workers.DrainUnresponsive
+		t.workers.Machines[id].DrainReason = worker.DrainUnresponsive
 	}
-	t.cloud.Terminate(now, silent, string(workers.DrainUnresponsive))
+	t.cloud.Terminate(now, silent, string(worker.DrainUnresponsive))
 }
 
 // keepSentinels keeps some machines of a zone that is cut, those on which the least was lost: their reports tell
--- a/internal/controller/takeover/takeover.go
+++ b/internal/controller/failover/takeover.go
@@ -1,8 +1,8 @@
-// Package takeover is what a new leader does before it places anything: the ledger is read into the
+// Package failover is what a new leader does before it places anything: the ledger is read into the
 // book and the roster, and every machine that may hold tasks is accounted for. It owns the
 // machines that are missing and the questions that are asked directly; these also find machines
 // that fall silent later.
-package takeover
+package failover
 
 import (
 	"log/slog"
@@ -10,50 +10,50 @@
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/book"
-	"gullrudder/internal/controller/fleet"
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/dynamicconfig"
+	"gullrudder/internal/controller/election/connectivity"
+	"gullrudder/internal/controller/election/renewal"
+	"gullrudder/internal/controller/fairshare"
+	"gullrudder/internal/controller/heartbeat"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/leader/hearing"
-	"gullrudder/internal/controller/leader/horizon"
-	"gullrudder/internal/controller/ledger"
-	"gullrudder/internal/controller/place"
-	"gullrudder/internal/controller/reports"
-	"gullrudder/internal/controller/settings"
-	"gullrudder/internal/controller/standing/floor"
-	"gullrudder/internal/controller/workers"
-	"gullrudder/internal/controller/workers/reach"
+	"gullrudder/internal/controller/jobstore"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/controller/worker/reachability"
 	"gullrudder/internal/controller/zones"
-	"gullrudder/internal/wire/outbox"
+	"gullrudder/internal/wire/client"
 )
 
 // Reconciler is a leader's account of the machines.
 type Reconciler struct {
 	platform      *config.Platform
 	log           *slog.Logger
-	outbox        *outbox.Outbox
+	outbox        *client.Outbox
 	fencingToken  uint64
 	electedAt     time.Time
-	storage       *ledger.Store
-	jobStore      *book.Store
-	dynamicConfig *settings.Store
-	workers       *workers.Registry
-	cloud         *fleet.Client
-	heartbeats    *reports.Handler
-	placer        *place.Placer
-	fairShare     *floor.Allocator
+	storage       *storage.Store
+	jobStore      *jobstore.Store
+	dynamicConfig *dynamicconfig.Store
+	workers       *worker.Registry
+	cloud         *cloud.Client
+	heartbeats    *heartbeat.Handler
+	placer        *placement.Placer
+	fairShare     *fairshare.Allocator
 	zones         *zones.Tracker
-	reachability  *reach.Tracker
-	connectivity  *hearing.Monitor
-	renewalLimit  *horizon.Limit
-
-	isFirstLeader      bool               // the ledger was empty: nobody has led before
-	stateLoaded        bool               // the ledger has been taken over
-	partialStart       bool               // machines are missing, and jobs of this leader start all the same
-	nextUnseenUsage    time.Time          // when it is seen anew what may run out of sight
-	completed          bool               // every machine that may hold tasks is accounted for
-	unreconciled       []*workers.Machine // on the roster and not accounted for yet
-	probeBudget        float64            // workers that may be asked directly now
-	probesInFlight     int                // questions that are not answered yet
+	reachability  *reachability.Tracker
+	connectivity  *connectivity.Monitor
+	renewalLimit  *renewal.Limit
+
+	isFirstLeader      bool              // the ledger was empty: nobody has led before
+	stateLoaded        bool              // the ledger has been taken over
+	partialStart       bool              // machines are missing, and jobs of this leader start all the same
+	nextUnseenUsage    time.Time         // when it is seen anew what may run out of sight
+	completed          bool              // every machine that may hold tasks is accounted for
+	unreconciled       []*worker.Machine // on the roster and not accounted for yet
+	probeBudget        float64           // workers that may be asked directly now
+	probesInFlight     int               // questions that are not answered yet
 	nextSilenceCheck   time.Time
 	sampleOffset       int // where the next sample begins
 	nextProbeSample    time.Time
@@ -68,19 +68,19 @@
 	Platform      *config.Platform
 	FencingToken  uint64
 	ElectedAt     time.Time
-	Storage       *ledger.Store
-	JobStore      *book.Store
-	DynamicConfig *settings.Store
-	Workers       *workers.Registry
-	Cloud         *fleet.Client
-	Heartbeats    *reports.Handler
-	Placer        *place.Placer
-	FairShare     *floor.Allocator
+	Storage       *storage.Store
+	JobStore      *jobstore.Store
+	DynamicConfig *dynamicconfig.Store
+	Workers       *worker.Registry
+	Cloud         *cloud.Client
+	Heartbeats    *heartbeat.Handler
+	Placer        *placement.Placer
+	FairShare     *fairshare.Allocator
 	Zones         *zones.Tracker
-	Reachability  *reach.Tracker
-	Connectivity  *hearing.Monitor // whether the workers reach this controller
-	RenewalLimit  *horizon.Limit   // which cancellations can be open that an earlier leader has confirmed
-	Outbox        *outbox.Outbox
+	Reachability  *reachability.Tracker
+	Connectivity  *connectivity.Monitor // whether the workers reach this controller
+	RenewalLimit  *renewal.Limit        // which cancellations can be open that an earlier leader has confirmed
+	Outbox        *client.Outbox
 	Log           *slog.Logger
 }
 
@@ -157,15 +157,15 @@
 	}
 	var chunks []chunk
 	t.storage.ForEach(func(name string, decode func(any) error) {
-		if id, ok := strings.CutPrefix(name, reports.MachineKeyPrefix); ok {
+		if id, ok := strings.CutPrefix(name, heartbeat.MachineKeyPrefix); ok {
 			t.restoreRosterEntry(id, decode)
 			return
 		}
-		if name == settings.EntryKey {
+		if name == dynamicconfig.EntryKey {
 			t.dynamicConfig.Restore(decode)
 			return
 		}
-		if name == floor.EntryName {
+		if name == fairshare.EntryName {
 			if err := t.fairShare.Restore(now, decode, t.storage); err != nil {
 				t.log.Error("what was served cannot be read", "error", err)
 			}
@@ -202,7 +202,7 @@
 
 // restoreRosterEntry takes in a machine of the roster.
 func (t *Reconciler) restoreRosterEntry(id string, decode func(any) error) {
-	var entry reports.MachineRecord
+	var entry heartbeat.MachineRecord
 	if err := decode(&entry); err != nil {
 		t.log.Error("a roster entry cannot be read", "machine", id, "error", err)
 	}
--- a/internal/controller/reports/blame/blame.go
+++ b/internal/controller/failures/blame.go
@@ -1,11 +1,11 @@
-// Package blame tells a job that was submitted with a mistake, and fails wherever it is tried, from a
+// Package failures tells a job that was submitted with a mistake, and fails wherever it is tried, from a
 // machine on which whatever is tried fails. Its Book owns which jobs have failed on which machines, and
 // when a job that is taken for mistaken is tried again. It stops and starts nothing: the clerk asks it
 // for each failure.
 //
 // Before, a machine on which two jobs had failed was given back, and on a day with mistaken jobs that
 // was five machines that were well, while a job of 667 tasks failed all of them twice.
-package blame
+package failures
 
 import (
 	"maps"
--- a/internal/controller/standing/floor/floor.go
+++ b/internal/controller/fairshare/floor.go
@@ -1,4 +1,4 @@
-// Package floor keeps any one class of jobs, or team, from being left unserved in a long shortage. Its
+// Package fairshare keeps any one class of jobs, or team, from being left unserved in a long shortage. Its
 // Book owns how many jobs of each class and team were done of late, and which jobs have room of their
 // own at present. It is asked for each order of the jobs and decides nothing else: it never starts,
 // stops or places a task.
@@ -9,7 +9,7 @@
 // end, and a larger one while a class or a team has been served less than the least share of its jobs.
 // Of both goes next whoever would otherwise be served least, and of that class or team the job with the
 // least work left. docs/design/floor.md has the ways that were weighed, and what breaks it.
-package floor
+package fairshare
 
 import (
 	"cmp"
--- a/internal/controller/standing/floor/golden_bytes_test.go
+++ b/internal/controller/fairshare/golden_bytes_test.go
@@ -1,4 +1,4 @@
-package floor
+package fairshare
 
 import (
 	"testing"
--- a/internal/controller/standing/floor/record.go
+++ b/internal/controller/fairshare/record.go
@@ -1,4 +1,4 @@
-package floor
+package fairshare
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"gullrudder/internal/controller/ledger"
+	"gullrudder/internal/controller/storage"
 )
 
 // EntryName is the ledger's entry that keeps what was served: without it a leader that is new in a
@@ -35,10 +35,10 @@
 }
 
 // recordSize is the room that the record has in its page.
-func recordSize(store *ledger.Store) int { return min(recordBytes, store.MaxEntryBytes(EntryName)) }
+func recordSize(store *storage.Store) int { return min(recordBytes, store.MaxEntryBytes(EntryName)) }
 
 // Save writes down what was served, if that has changed and it is time.
-func (b *Allocator) Save(now time.Time, store *ledger.Store, log *slog.Logger) {
+func (b *Allocator) Save(now time.Time, store *storage.Store, log *slog.Logger) {
 	if !b.dirty || now.Before(b.nextSave) || !store.IsHealthy() {
 		return
 	}
@@ -59,7 +59,7 @@
 }
 
 // Restore takes over what an earlier leader has written down.
-func (b *Allocator) Restore(now time.Time, decode func(any) error, store *ledger.Store) error {
+func (b *Allocator) Restore(now time.Time, decode func(any) error, store *storage.Store) error {
 	var state savedState
 	if err := decode(&state); err != nil {
 		return err
--- a/internal/controller/reports/answer.go
+++ b/internal/controller/heartbeat/answer.go
@@ -1,11 +1,11 @@
-package reports
+package heartbeat
 
 import (
 	"time"
 
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/workers"
-	"gullrudder/internal/controller/workers/reach"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/controller/worker/reachability"
 )
 
 // maxRegistrationWait is how long a new machine's report may wait for its place on the roster.
@@ -16,17 +16,17 @@
 	batch := h.pending
 	h.pending = nil
 	for _, pending := range batch {
-		if pending.freshness == reach.Fresh && pending.machine.Registering && canStart && now.Sub(pending.receivedAt) < maxRegistrationWait {
+		if pending.freshness == reachability.Fresh && pending.machine.Registering && canStart && now.Sub(pending.receivedAt) < maxRegistrationWait {
 			// Its place on the roster is being written; with that it gets tasks at once.
 			h.pending = append(h.pending, pending)
 			continue
 		}
 		// The same machine may have reported twice; only its newest report gets starts.
-		response := workers.HeartbeatResponse{FencingToken: h.fencingToken, Commands: []workers.Command{}}
+		response := worker.HeartbeatResponse{FencingToken: h.fencingToken, Commands: []worker.Command{}}
 		switch {
-		case pending.freshness != reach.Fresh && pending.stateLoaded:
+		case pending.freshness != reachability.Fresh && pending.stateLoaded:
 			response.Commands = h.killCancelled(pending.heartbeat)
-		case pending.freshness == reach.Fresh:
+		case pending.freshness == reachability.Fresh:
 			if h.ignoresKills(now, pending.machine) {
 				// Its lease is what ends them in time.
 				h.log.Info("a machine does not end what was cancelled: it gets no more leases", "machine", pending.machine.ID)
@@ -49,11 +49,11 @@
 
 // killCancelled ends the tasks of cancelled jobs in a report that is not believed: whether it is old or not, they are to
 // end, and a 200 without that would keep them for another lease.
-func (h *Handler) killCancelled(heartbeat *workers.Heartbeat) []workers.Command {
-	commands := []workers.Command{}
+func (h *Handler) killCancelled(heartbeat *worker.Heartbeat) []worker.Command {
+	commands := []worker.Command{}
 	for _, status := range heartbeat.Tasks {
-		if key, err := jobs.ParseTaskID(status.Task); err == nil && status.State != workers.StateExited && len(commands) < maxCommandsPerResponse && h.jobStore.IsTaskCancelled(key) {
-			commands = append(commands, workers.Kill(status.Task, status.Attempt, 0))
+		if key, err := jobs.ParseTaskID(status.Task); err == nil && status.State != worker.StateExited && len(commands) < maxCommandsPerResponse && h.jobStore.IsTaskCancelled(key) {
+			commands = append(commands, worker.Kill(status.Task, status.Attempt, 0))
 		}
 	}
 	return commands
@@ -61,7 +61,7 @@
 
 // ignoresKills reports whether a task that a machine was told twice to end at once is still there so long after its user was
 // told that it is cancelled that another lease would keep it for too long.
-func (h *Handler) ignoresKills(now time.Time, machine *workers.Machine) bool {
+func (h *Handler) ignoresKills(now time.Time, machine *worker.Machine) bool {
 	for _, attempt := range machine.Attempts {
 		if job := attempt.Job; job != nil && job.State == jobs.Cancelled && attempt.KillsSent >= 2 && !job.CancelConfirmedAt.IsZero() && now.Sub(job.CancelConfirmedAt) >= h.cancelWindow {
 			return true
@@ -71,15 +71,15 @@
 }
 
 // commandsFor lists what the machine is told besides starts.
-func (h *Handler) commandsFor(now time.Time, machine *workers.Machine, heartbeat *workers.Heartbeat) []workers.Command {
-	var commands []workers.Command
+func (h *Handler) commandsFor(now time.Time, machine *worker.Machine, heartbeat *worker.Heartbeat) []worker.Command {
+	var commands []worker.Command
 	for _, status := range heartbeat.Tasks {
-		if status.State != workers.StateExited || len(commands) >= maxCommandsPerResponse {
+		if status.State != worker.StateExited || len(commands) >= maxCommandsPerResponse {
 			continue
 		}
 		key, err := jobs.ParseTaskID(status.Task)
-		if err != nil || status.Reason != workers.ReasonDone || h.jobStore.IsResultDurable(key) {
-			commands = append(commands, workers.Forget(status.Task, status.Attempt))
+		if err != nil || status.Reason != worker.ReasonDone || h.jobStore.IsResultDurable(key) {
+			commands = append(commands, worker.Forget(status.Task, status.Attempt))
 		}
 	}
 	for _, attempt := range machine.Attempts {
@@ -93,9 +93,9 @@
 		switch {
 		case attempt.IsOrphan || job == nil || job.IsCancelling || job.State == jobs.Cancelled:
 			attempt.KillsSent++
-			commands = append(commands, workers.Kill(attempt.Task.String(), attempt.Number, 0))
+			commands = append(commands, worker.Kill(attempt.Task.String(), attempt.Number, 0))
 		case !attempt.StopSentAt.IsZero() && !attempt.IsCheckpointing:
-			commands = append(commands, workers.Kill(attempt.Task.String(), attempt.Number, job.CheckpointDuration.Seconds()))
+			commands = append(commands, worker.Kill(attempt.Task.String(), attempt.Number, job.CheckpointDuration.Seconds()))
 		}
 	}
 	return commands
@@ -103,7 +103,7 @@
 
 // checkpointBeforeReclaim has the tasks that can save do so in time before the cloud takes the
 // machine.
-func (h *Handler) checkpointBeforeReclaim(now time.Time, machine *workers.Machine) {
+func (h *Handler) checkpointBeforeReclaim(now time.Time, machine *worker.Machine) {
 	if machine.ReclaimAt.IsZero() {
 		return
 	}
--- a/internal/controller/reports/clerk.go
+++ b/internal/controller/heartbeat/clerk.go
@@ -1,27 +1,27 @@
-// Package reports takes in what the machines report and answers them: attempts that have ended,
+// Package heartbeat takes in what the machines report and answers them: attempts that have ended,
 // machines that failed, what a machine is told to stop, forget and start. Its Clerk owns the
 // reports that wait for their answers, and the roster of machines that may hold tasks. What
 // starts is place's choice, and what is done is the book's.
-package reports
+package heartbeat
 
 import (
 	"log/slog"
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/book"
-	"gullrudder/internal/controller/fleet"
-	"gullrudder/internal/controller/leader/horizon"
-	"gullrudder/internal/controller/ledger"
-	"gullrudder/internal/controller/pace"
-	"gullrudder/internal/controller/place"
-	"gullrudder/internal/controller/plan"
-	"gullrudder/internal/controller/reports/blame"
-	"gullrudder/internal/controller/timeline"
-	"gullrudder/internal/controller/workers"
-	"gullrudder/internal/controller/workers/reach"
-	"gullrudder/internal/wire/inbox"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/controller/accounting"
+	"gullrudder/internal/controller/admission"
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/election/renewal"
+	"gullrudder/internal/controller/failures"
+	"gullrudder/internal/controller/jobstore"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/controller/straggler"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/controller/worker/reachability"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/server"
 )
 
 // MachineKeyPrefix marks the ledger's entries for machines that may hold tasks.
@@ -34,10 +34,10 @@
 
 // pendingHeartbeat is a report that waits for its answer.
 type pendingHeartbeat struct {
-	request    *inbox.Request
-	machine    *workers.Machine
-	heartbeat  *workers.Heartbeat
-	freshness  reach.Freshness
+	request    *server.Request
+	machine    *worker.Machine
+	heartbeat  *worker.Heartbeat
+	freshness  reachability.Freshness
 	receivedAt time.Time
 
 	stateLoaded bool // the ledger was read when it came
@@ -47,18 +47,18 @@
 type Handler struct {
 	platform     *config.Platform
 	log          *slog.Logger
-	responder    *inbox.Responder
+	responder    *server.Responder
 	fencingToken uint64
-	storage      *ledger.Store
-	jobStore     *book.Store
-	workers      *workers.Registry
-	cloud        *fleet.Client
-	planner      *plan.Planner
-	placer       *place.Placer
-	accounting   *timeline.Tracker
-	stragglers   *pace.Detector
-	failures     *blame.Tracker
-	reachability *reach.Tracker
+	storage      *storage.Store
+	jobStore     *jobstore.Store
+	workers      *worker.Registry
+	cloud        *cloud.Client
+	planner      *admission.Planner
+	placer       *placement.Placer
+	accounting   *accounting.Tracker
+	stragglers   *straggler.Detector
+	failures     *failures.Tracker
+	reachability *reachability.Tracker
 	cancelWindow time.Duration // how long after a cancellation a lease that is given still ends in time
 	pending      []pendingHeartbeat
 }
@@ -67,17 +67,17 @@
 type Components struct {
 	Platform     *config.Platform
 	FencingToken uint64
-	Storage      *ledger.Store
-	JobStore     *book.Store
-	Workers      *workers.Registry
-	Cloud        *fleet.Client
-	Planner      *plan.Planner
-	Placer       *place.Placer
-	Accounting   *timeline.Tracker
-	Stragglers   *pace.Detector
-	Failures     *blame.Tracker
-	Reachability *reach.Tracker
-	Responder    *inbox.Responder
+	Storage      *storage.Store
+	JobStore     *jobstore.Store
+	Workers      *worker.Registry
+	Cloud        *cloud.Client
+	Planner      *admission.Planner
+	Placer       *placement.Placer
+	Accounting   *accounting.Tracker
+	Stragglers   *straggler.Detector
+	Failures     *failures.Tracker
+	Reachability *reachability.Tracker
+	Responder    *server.Responder
 	Log          *slog.Logger
 }
 
@@ -85,7 +85,7 @@
 func NewHandler(components Components) *Handler {
 	return &Handler{platform: components.Platform, log: components.Log, responder: components.Responder, fencingToken: components.FencingToken, storage: components.Storage, jobStore: components.JobStore, workers: components.Workers, cloud: components.Cloud,
 		planner: components.Planner, placer: components.Placer, accounting: components.Accounting, stragglers: components.Stragglers, failures: components.Failures, reachability: components.Reachability,
-		cancelWindow: horizon.Window(components.Platform.CancelTimeout, components.Workers.Lease())}
+		cancelWindow: renewal.Window(components.Platform.CancelTimeout, components.Workers.Lease())}
 }
 
 // RejectPending refuses the reports that still wait for an answer.
@@ -101,9 +101,9 @@
 
 // HandleHeartbeat takes in a report; its answer goes out at the end of the step. Before the ledger is read
 // (built) nothing in it is believed. It says whether the machine lived just now: a copy does not tell.
-func (h *Handler) HandleHeartbeat(now time.Time, request *inbox.Request, stateLoaded bool) (isAlive bool) {
-	var heartbeat workers.Heartbeat
-	if err := packed.Unmarshal(request.Body, &heartbeat); err != nil || heartbeat.Machine == "" || len(heartbeat.Machine) > workers.MaxNameBytes || heartbeat.Incarnation == 0 {
+func (h *Handler) HandleHeartbeat(now time.Time, request *server.Request, stateLoaded bool) (isAlive bool) {
+	var heartbeat worker.Heartbeat
+	if err := codec.Unmarshal(request.Body, &heartbeat); err != nil || heartbeat.Machine == "" || len(heartbeat.Machine) > worker.MaxNameBytes || heartbeat.Incarnation == 0 {
 		h.responder.RespondError(request, 400, "no report", 0)
 		return false
 	}
@@ -112,31 +112,31 @@
 		return false
 	}
 	machine := h.workers.GetOrAdd(heartbeat.Machine)
-	freshness := reach.Unverified
+	freshness := reachability.Unverified
 	if stateLoaded {
 		freshness = h.reachability.Classify(now, machine, &heartbeat)
 	}
-	if freshness == reach.Stale {
+	if freshness == reachability.Stale {
 		// With a 200 a machine that is no more would keep its tasks for as long as copies of its reports come.
 		h.responder.RespondError(request, 503, "an older report", 0)
 		return false
 	}
 	machine.LeaseRenewedAt = now
-	if freshness == reach.Fresh {
+	if freshness == reachability.Fresh {
 		// Only a worker that has seen our token is believed: what an earlier leader still sends it has no
 		// effect any more, and the report was made after that.
 		h.Reconcile(now, machine, &heartbeat, true)
 		h.register(now, machine, &heartbeat)
 	}
 	h.pending = append(h.pending, pendingHeartbeat{request, machine, &heartbeat, freshness, now, stateLoaded})
-	return freshness == reach.Fresh
+	return freshness == reachability.Fresh
 }
 
 // register writes down that the machine may hold tasks, before it gets any.
-func (h *Handler) register(now time.Time, machine *workers.Machine, heartbeat *workers.Heartbeat) {
-	h.cloud.ObserveHeartbeat(now, heartbeat.Machine, heartbeat.Addr, fleet.InstanceKind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot})
+func (h *Handler) register(now time.Time, machine *worker.Machine, heartbeat *worker.Heartbeat) {
+	h.cloud.ObserveHeartbeat(now, heartbeat.Machine, heartbeat.Addr, cloud.InstanceKind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot})
 	if machineType := h.cloud.MachineTypes[heartbeat.Type]; machineType != nil && machine.CPUs+machine.MemoryGB+machine.GPUs == 0 {
-		h.workers.SetCapacity(machine, place.TypeResources(machineType), machineType.ImageCacheGB, machineType.FetchGBPerSecond)
+		h.workers.SetCapacity(machine, placement.TypeResources(machineType), machineType.ImageCacheGB, machineType.FetchGBPerSecond)
 	}
 	if machine.Registered || machine.Registering {
 		return
@@ -157,7 +157,7 @@
 }
 
 // Reconcile takes in what is on a machine; whole is false for the answer to a direct command.
-func (h *Handler) Reconcile(now time.Time, machine *workers.Machine, heartbeat *workers.Heartbeat, complete bool) {
+func (h *Handler) Reconcile(now time.Time, machine *worker.Machine, heartbeat *worker.Heartbeat, complete bool) {
 	ended := h.workers.Reconcile(now, machine, heartbeat, complete, h.jobStore.Find)
 	h.reachability.RecordEnded(now, machine, ended)
 	h.HandleEnded(now, machine, ended)
@@ -168,18 +168,18 @@
 }
 
 // lossCause is the cause that the account of a job gives for an attempt that did not get done.
-func lossCause(ended workers.EndedAttempt) timeline.WaitReason {
+func lossCause(ended worker.EndedAttempt) accounting.WaitReason {
 	switch {
-	case !ended.Attempt.StopSentAt.IsZero() || ended.Reason == workers.ReasonStopped:
-		return timeline.Preempted
-	case ended.Reason == workers.ReasonLost:
-		return timeline.MachineLost
+	case !ended.Attempt.StopSentAt.IsZero() || ended.Reason == worker.ReasonStopped:
+		return accounting.Preempted
+	case ended.Reason == worker.ReasonLost:
+		return accounting.MachineLost
 	}
-	return timeline.AttemptFailed
+	return accounting.AttemptFailed
 }
 
 // HandleEnded takes in the attempts that are known to be gone.
-func (h *Handler) HandleEnded(now time.Time, machine *workers.Machine, endedAttempts []workers.EndedAttempt) {
+func (h *Handler) HandleEnded(now time.Time, machine *worker.Machine, endedAttempts []worker.EndedAttempt) {
 	for _, ended := range endedAttempts {
 		attempt := ended.Attempt
 		job := attempt.Job
@@ -187,11 +187,11 @@
 			continue
 		}
 		h.placer.InvalidateOrder()
-		if ended.Reason != workers.ReasonDone {
+		if ended.Reason != worker.ReasonDone {
 			h.log.Debug("attempt ended", "task", attempt.Task, "attempt", attempt.Number, "machine", machine.ID, "why", ended.Reason)
 		}
 		switch ended.Reason {
-		case workers.ReasonDone:
+		case worker.ReasonDone:
 			if job.IsService {
 				break // a replica runs until its job is cancelled: it is started again
 			}
@@ -207,11 +207,11 @@
 				h.jobStore.FinishIfDone(now, job)
 			}
 			continue
-		case workers.ReasonError:
+		case worker.ReasonError:
 			h.recordFailure(now, machine, job)
-		case workers.ReasonNoCapacity:
+		case worker.ReasonNoCapacity:
 			machine.StartsNotBefore = now.Add(2 * time.Second)
-		case workers.ReasonInUse, workers.ReasonNotFound:
+		case worker.ReasonInUse, worker.ReasonNotFound:
 			job.NotBefore = now.Add(2 * time.Second)
 			h.log.Info("start refused", "task", attempt.Task, "machine", machine.ID, "why", ended.Reason)
 		}
--- a/internal/controller/reports/failed.go
+++ b/internal/controller/heartbeat/failed.go
@@ -1,10 +1,10 @@
-package reports
+package heartbeat
 
 import (
 	"time"
 
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/worker"
 )
 
 const (
@@ -17,7 +17,7 @@
 
 // recordFailure takes in that a task has ended with an error. The job avoids the machine; whether the machine
 // is faulty or the job was submitted with a mistake is for the book of blame.
-func (h *Handler) recordFailure(now time.Time, machine *workers.Machine, job *jobs.Job) {
+func (h *Handler) recordFailure(now time.Time, machine *worker.Machine, job *jobs.Job) {
 	job.FailureCount++
 	h.log.Info("task failed", "job", job.ID, "machine", machine.ID, "errors", job.FailureCount)
 	if job.CrashLooping && !h.failures.IsCrashLooping(job.ID) {
@@ -28,14 +28,14 @@
 	if !job.IsGang && !job.IsService && h.failures.IsCrashLooping(job.ID) {
 		h.throttleCrashLooping(now, job)
 	}
-	if h.failures.IsFaulty(machine.ID) && machine.DrainReason == workers.NotDraining {
-		machine.DrainReason = workers.DrainFaulty
+	if h.failures.IsFaulty(machine.ID) && machine.DrainReason == worker.NotDraining {
+		machine.DrainReason = worker.DrainFaulty
 		h.log.Info("machine quarantined", "machine", machine.ID)
 	}
 }
 
 // avoidMachine keeps the job off the machine, until it has failed on so many that all are tried again, later.
-func (h *Handler) avoidMachine(now time.Time, machine *workers.Machine, job *jobs.Job) {
+func (h *Handler) avoidMachine(now time.Time, machine *worker.Machine, job *jobs.Job) {
 	machine.FailedJobs[job.ID] = true
 	if job.FailedMachines == nil {
 		job.FailedMachines = map[string]bool{}
@@ -78,7 +78,7 @@
 }
 
 // recordCompletion takes in that a task of the job has completed on the machine, which speaks for both.
-func (h *Handler) recordCompletion(now time.Time, machine *workers.Machine, job *jobs.Job) {
+func (h *Handler) recordCompletion(now time.Time, machine *worker.Machine, job *jobs.Job) {
 	h.failures.RecordCompletion(job.ID, machine.ID)
 	if !job.CrashLooping {
 		return
--- a/internal/controller/reports/golden_bytes_test.go
+++ b/internal/controller/heartbeat/golden_bytes_test.go
@@ -1,4 +1,4 @@
-package reports
+package heartbeat
 
 import (
 	"testing"
--- a/internal/controller/jobs/submit.go
+++ b/internal/controller/jobs/submit.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/codec"
 )
 
 // ValidationError is why a submission is not taken.
@@ -110,7 +110,7 @@
 
 // ParseSpec reads a submission. A refusal for its form has status 400.
 func ParseSpec(body []byte) (Spec, error) {
-	m, err := packed.UnmarshalMap(body)
+	m, err := codec.UnmarshalMap(body)
 	if err != nil {
 		return Spec{}, invalid("%v", err)
 	}
--- a/internal/controller/book/book.go
+++ b/internal/controller/jobstore/book.go
@@ -1,20 +1,20 @@
-// Package book keeps the jobs of a leadership: the unfinished ones, the finished ones that are in
+// Package jobstore keeps the jobs of a leadership: the unfinished ones, the finished ones that are in
 // the ledger's live pages, and the history of all others. It owns what is written down of them. It
 // does not decide where or when anything runs.
-package book
+package jobstore
 
 import (
 	"log/slog"
 	"time"
 
 	"gullrudder/internal/config"
+	"gullrudder/internal/controller/accounting"
+	"gullrudder/internal/controller/archive"
 	"gullrudder/internal/controller/dependencies"
-	"gullrudder/internal/controller/history"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/ledger"
-	"gullrudder/internal/controller/timeline"
-	"gullrudder/internal/controller/workers"
-	"gullrudder/internal/wire/outbox"
+	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/client"
 )
 
 // archiveShare is the part of the state service's limits that the history may use.
@@ -32,9 +32,9 @@
 	platform      *config.Platform
 	options       *config.Options
 	log           *slog.Logger
-	storage       *ledger.Store
-	workers       *workers.Registry
-	accounting    *timeline.Tracker
+	storage       *storage.Store
+	workers       *worker.Registry
+	accounting    *accounting.Tracker
 	onOrderChange func() // the order of the jobs is not what it was
 	onDone        func(time.Time, *jobs.Job)
 	onWaiting     func(*jobs.Job)            // a job begins to wait for others
@@ -42,7 +42,7 @@
 
 	Unfinished        map[string]*jobs.Job  // unfinished; for looking only
 	finished          map[string]FinalState // finished jobs that are in the live pages
-	archive           *history.Store        // all others
+	archive           *archive.Store        // all others
 	graph             *dependencies.Graph   // who waits for whom
 	unresolved        []*unresolvedDependency
 	nextResolveAt     time.Time
@@ -56,9 +56,9 @@
 type Components struct {
 	Platform   *config.Platform
 	Options    *config.Options
-	Storage    *ledger.Store
-	Workers    *workers.Registry
-	Accounting *timeline.Tracker
+	Storage    *storage.Store
+	Workers    *worker.Registry
+	Accounting *accounting.Tracker
 	Log        *slog.Logger
 }
 
@@ -120,7 +120,7 @@
 	if f, ok := b.finished[task.JobID]; ok {
 		return !f.Done
 	}
-	return b.archive.LookupIndex(task.JobID) == history.Cancelled
+	return b.archive.LookupIndex(task.JobID) == archive.Cancelled
 }
 
 // FinalState is a finished job that is in the live pages.
@@ -130,7 +130,7 @@
 }
 
 // Archive is the record of all other finished jobs.
-func (b *Store) Archive() *history.Store { return b.archive }
+func (b *Store) Archive() *archive.Store { return b.archive }
 
 // FinishedCount is the number of finished jobs.
 func (b *Store) FinishedCount() int { return len(b.finished) + b.archive.JobCount() }
@@ -161,7 +161,7 @@
 
 // Tick does what is due. Results are saved once a second; cancelled jobs are let go of only once
 // it is known of every machine what runs on it.
-func (b *Store) Tick(now time.Time, box *outbox.Outbox) {
+func (b *Store) Tick(now time.Time, box *client.Outbox) {
 	b.archive.Tick(now, box)
 	b.resolveDependencies(now, box)
 }
@@ -299,16 +299,16 @@
 // OpenArchive makes the keeper of the finished jobs. While it cannot tell which jobs there
 // were, nobody is answered: an accepted job must not be called unknown.
 func (b *Store) OpenArchive() bool {
-	opened, err := history.New(b.storage, history.Options{
+	opened, err := archive.New(b.storage, archive.Options{
 		ValueBytes: b.platform.MaxValueBytes, TxnOps: b.platform.MaxTransactionOps, WriteRate: b.platform.StateWriteRate * archiveShare, ReadRate: b.platform.StateRequestRate * archiveShare,
 		MinSegmentJobs: b.options.MinSegmentJobs, CompactionFanIn: b.options.CompactionFanIn,
 		CanArchive: func(now time.Time, id string) bool {
 			f, ok := b.finished[id]
 			return ok && now.Sub(f.finishedAt) >= b.options.ArchiveDelay
 		},
-		FinalState: func(id string) (history.FinalState, bool) {
+		FinalState: func(id string) (archive.FinalState, bool) {
 			f, ok := b.finished[id]
-			return history.FinalState{Cancelled: !f.Done, Tasks: f.Tasks}, ok
+			return archive.FinalState{Cancelled: !f.Done, Tasks: f.Tasks}, ok
 		},
 		OnArchived: func(ids []string) {
 			for _, id := range ids {
--- a/internal/controller/book/needs.go
+++ b/internal/controller/jobstore/needs.go
@@ -1,14 +1,14 @@
-package book
+package jobstore
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
+	"gullrudder/internal/controller/archive"
 	"gullrudder/internal/controller/dependencies"
-	"gullrudder/internal/controller/history"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/wire/outbox"
+	"gullrudder/internal/wire/client"
 )
 
 // DependencyState is what is known of a job that another one needs.
@@ -48,11 +48,11 @@
 		return DependencyOpen
 	}
 	switch b.archive.LookupIndex(id) {
-	case history.Done:
+	case archive.Done:
 		return DependencyMet
-	case history.Cancelled:
+	case archive.Cancelled:
 		return DependencyCancelled
-	case history.Undetermined:
+	case archive.Undetermined:
 		return DependencyArchived
 	}
 	return DependencyNeverAccepted
@@ -193,7 +193,7 @@
 
 // resolveDependencies asks the history's data what became of needs that its index cannot tell of. Until then nobody is told anything of the jobs
 // that need them: an earlier leader may have called them cancelled.
-func (b *Store) resolveDependencies(now time.Time, box *outbox.Outbox) {
+func (b *Store) resolveDependencies(now time.Time, box *client.Outbox) {
 	if len(b.unresolved) == 0 || now.Before(b.nextResolveAt) {
 		return
 	}
@@ -203,7 +203,7 @@
 			continue
 		}
 		u.resolving = true
-		b.archive.Resolve(now, box, u.dependency, func(now time.Time, state history.FinalState, known bool, err error) {
+		b.archive.Resolve(now, box, u.dependency, func(now time.Time, state archive.FinalState, known bool, err error) {
 			u.resolving = false
 			switch {
 			case err != nil:
--- a/internal/controller/node/node.go
+++ b/internal/controller/node.go
@@ -1,7 +1,7 @@
-// Package node is the owner of all state of a controller. It works through commands in
+// Package controller is the owner of all state of a controller. It works through commands in
 // batches: Step takes the time and what has come in, and gives back the answers and the
 // calls to make. It reads no clock and does no I/O.
-package node
+package controller
 
 import (
 	"log/slog"
@@ -12,46 +12,46 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/book"
-	"gullrudder/internal/controller/fleet"
+	"gullrudder/internal/controller/accounting"
+	"gullrudder/internal/controller/admission"
+	"gullrudder/internal/controller/api"
+	"gullrudder/internal/controller/autoscaler"
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/dynamicconfig"
+	"gullrudder/internal/controller/election"
+	"gullrudder/internal/controller/election/renewal"
+	"gullrudder/internal/controller/failover"
+	"gullrudder/internal/controller/failures"
+	"gullrudder/internal/controller/heartbeat"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/leader"
-	"gullrudder/internal/controller/leader/horizon"
-	"gullrudder/internal/controller/ledger"
-	"gullrudder/internal/controller/pace"
-	"gullrudder/internal/controller/place"
-	"gullrudder/internal/controller/plan"
-	"gullrudder/internal/controller/rental"
-	"gullrudder/internal/controller/reports"
-	"gullrudder/internal/controller/reports/blame"
-	"gullrudder/internal/controller/requests"
-	"gullrudder/internal/controller/settings"
-	"gullrudder/internal/controller/takeover"
-	"gullrudder/internal/controller/timeline"
-	"gullrudder/internal/controller/workers"
-	"gullrudder/internal/controller/workers/reach"
+	"gullrudder/internal/controller/jobstore"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/controller/straggler"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/controller/worker/reachability"
 	"gullrudder/internal/controller/zones"
-	"gullrudder/internal/wire/inbox"
-	"gullrudder/internal/wire/outbox"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/server"
 )
 
 // Outcome is what came of a call.
 type Outcome struct {
-	Call   outbox.Call
-	Result outbox.Result
+	Call   client.Call
+	Result client.Result
 }
 
 // Command is one of Request, Outcome; nothing else comes into the owner's queue.
 type Command struct {
-	Request *inbox.Request
+	Request *server.Request
 	Outcome *Outcome
 }
 
 // Effects are what a step wants done.
 type Effects struct {
-	Replies []inbox.Response
-	Calls   []outbox.Call
+	Replies []server.Response
+	Calls   []client.Call
 }
 
 // Controller is the state of a controller.
@@ -63,14 +63,14 @@
 	teams       map[string]config.Team
 	peers       map[string]string
 	registry    *prometheus.Registry
-	metrics     *timeline.Metrics
-	linkMetrics *reach.Metrics
-	election    *leader.Election
+	metrics     *accounting.Metrics
+	linkMetrics *reachability.Metrics
+	election    *election.Election
 	leaderSeen  bool // a leader has been heard of, or this is one
 	leadership  *leadership
 	holdsLease  bool // the leadership is entitled to act at present
-	outbox      outbox.Outbox
-	responder   inbox.Responder
+	outbox      client.Outbox
+	responder   server.Responder
 	nextTick    time.Time
 	latencies   *latencyTable
 }
@@ -79,19 +79,19 @@
 // state that no other writes. They are made at the election and dropped whole when it ends.
 type leadership struct {
 	fencingToken    uint64
-	storage         *ledger.Store
-	dynamicConfig   *settings.Store
-	jobStore        *book.Store
-	workers         *workers.Registry
-	cloud           *fleet.Client
-	planner         *plan.Planner
-	placer          *place.Placer
-	autoscaler      *rental.Scaler
-	heartbeats      *reports.Handler
-	failover        *takeover.Reconciler
+	storage         *storage.Store
+	dynamicConfig   *dynamicconfig.Store
+	jobStore        *jobstore.Store
+	workers         *worker.Registry
+	cloud           *cloud.Client
+	planner         *admission.Planner
+	placer          *placement.Placer
+	autoscaler      *autoscaler.Scaler
+	heartbeats      *heartbeat.Handler
+	failover        *failover.Reconciler
 	zones           *zones.Tracker
-	accounting      *timeline.Tracker
-	api             *requests.Handler
+	accounting      *accounting.Tracker
+	api             *api.Handler
 	nextExpiryCheck time.Time // for leases that have ended
 	nextWaitReasons time.Time // for the causes that jobs wait for
 }
@@ -101,17 +101,17 @@
 
 // New makes the state of a process that has just started.
 func New(platform *config.Platform, options config.Options, now time.Time, rng *rand.Rand, log *slog.Logger) *Controller {
-	n := &Controller{platform: platform, options: options, log: log, responder: inbox.Responder{Log: log}, teams: platform.TeamsByName(), peers: map[string]string{}, registry: prometheus.NewRegistry(), latencies: newLatencyTable()}
-	n.metrics = timeline.NewMetrics(n.registry)
-	n.linkMetrics = reach.NewMetrics(n.registry)
-	var peers []leader.Peer
+	n := &Controller{platform: platform, options: options, log: log, responder: server.Responder{Log: log}, teams: platform.TeamsByName(), peers: map[string]string{}, registry: prometheus.NewRegistry(), latencies: newLatencyTable()}
+	n.metrics = accounting.NewMetrics(n.registry)
+	n.linkMetrics = reachability.NewMetrics(n.registry)
+	var peers []election.Peer
 	for _, peer := range platform.Peers {
-		peers = append(peers, leader.Peer{Name: peer.Name, Addr: peer.Addr})
+		peers = append(peers, election.Peer{Name: peer.Name, Addr: peer.Addr})
 		n.peers[peer.Name] = peer.Addr
 	}
-	n.election = leader.New(leader.Options{Name: platform.Name, Peers: peers, LeaseDuration: options.LeaderLeaseDuration,
+	n.election = election.New(election.Options{Name: platform.Name, Peers: peers, LeaseDuration: options.LeaderLeaseDuration,
 		GrantDuration: options.GrantDuration, SafetyMargin: 100 * time.Millisecond, HeartbeatInterval: platform.HeartbeatInterval,
-		RenewalWindow: horizon.Window(platform.CancelTimeout, workers.LeaseExpiry(platform.WorkerLeaseDuration))}, now, rng, log)
+		RenewalWindow: renewal.Window(platform.CancelTimeout, worker.LeaseExpiry(platform.WorkerLeaseDuration))}, now, rng, log)
 	return n
 }
 
@@ -178,7 +178,7 @@
 }
 
 // route routes what came in.
-func (n *Controller) route(now time.Time, request *inbox.Request) {
+func (n *Controller) route(now time.Time, request *server.Request) {
 	path, _, _ := strings.Cut(request.Target, "?")
 	segments := strings.Split(strings.TrimPrefix(path, "/"), "/")
 	switch {
@@ -194,8 +194,8 @@
 		n.requireMethod(request, "POST", func() {
 			n.serveOrForward(now, request, func() { n.leadership.dynamicConfig.ServeChange(now, request) })
 		})
-	case requests.MethodFor(segments) != "":
-		n.requireMethod(request, requests.MethodFor(segments), func() { n.serveOrForward(now, request, func() { n.leadership.api.Serve(now, request, segments) }) })
+	case api.MethodFor(segments) != "":
+		n.requireMethod(request, api.MethodFor(segments), func() { n.serveOrForward(now, request, func() { n.leadership.api.Serve(now, request, segments) }) })
 	case path == "/peer/hello" && request.FromPeer:
 		n.requireMethod(request, "POST", func() { n.handlePing(now, request) })
 	case path == "/peer/inquiry" && request.FromPeer:
@@ -206,18 +206,18 @@
 }
 
 // handleHeartbeat hands a machine's report to the clerk. Who is not entitled to act tells it where to go.
-func (n *Controller) handleHeartbeat(now time.Time, request *inbox.Request) {
+func (n *Controller) handleHeartbeat(now time.Time, request *server.Request) {
 	connectivity := n.election.Connectivity()
 	if !n.holdsLease {
 		// That the worker came here is what the leader has to know.
-		if caller, ok := workers.DecodeHeartbeatID(request.Body); ok {
+		if caller, ok := worker.DecodeHeartbeatID(request.Body); ok {
 			connectivity.RecordWorkerContact(now, caller.Machine, caller.Incarnation, caller.Sequence)
 		}
 		redirectTo := n.election.Leader(now)
 		if connectivity.RedirectsSuspended(now) {
 			redirectTo = "" // the leader would not hear it
 		}
-		n.responder.Respond(request, 421, workers.Redirect{Leader: redirectTo}, 0)
+		n.responder.Respond(request, 421, worker.Redirect{Leader: redirectTo}, 0)
 		return
 	}
 	if !n.leadership.failover.CanRenewLeases(now) {
@@ -229,7 +229,7 @@
 	}
 }
 
-func (n *Controller) requireMethod(request *inbox.Request, method string, handle func()) {
+func (n *Controller) requireMethod(request *server.Request, method string, handle func()) {
 	if request.Method != method {
 		n.responder.RespondError(request, 405, "wrong method", 0)
 		return
@@ -237,9 +237,9 @@
 	handle()
 }
 
-func (n *Controller) handlePing(now time.Time, request *inbox.Request) {
-	var ping leader.PingRequest
-	if err := packed.Unmarshal(request.Body, &ping); err != nil || n.peers[ping.Name] == "" {
+func (n *Controller) handlePing(now time.Time, request *server.Request) {
+	var ping election.PingRequest
+	if err := codec.Unmarshal(request.Body, &ping); err != nil || n.peers[ping.Name] == "" {
 		n.responder.RespondError(request, 400, "no greeting of a known controller", 0)
 		return
 	}
@@ -247,7 +247,7 @@
 	n.responder.Respond(request, 200, n.election.HandlePing(now, ping), 0)
 }
 
-func (n *Controller) handleReady(now time.Time, request *inbox.Request) {
+func (n *Controller) handleReady(now time.Time, request *server.Request) {
 	if n.holdsLease {
 		n.leaderSeen = true
 	}
@@ -285,7 +285,7 @@
 	placing := l.failover.Completed()
 	if !now.Before(l.nextWaitReasons) {
 		l.nextWaitReasons = now.Add(n.waitReasonsInterval(l.accounting.OpenCount()))
-		l.accounting.Sample(now, timeline.ClusterState{FailoverCompleted: placing, StorageHealthy: l.storage.IsHealthy(), Teams: n.teams, Workers: l.workers, Cloud: l.cloud, Queue: l.placer.LastOrder()})
+		l.accounting.Sample(now, accounting.ClusterState{FailoverCompleted: placing, StorageHealthy: l.storage.IsHealthy(), Teams: n.teams, Workers: l.workers, Cloud: l.cloud, Queue: l.placer.LastOrder()})
 	}
 	l.jobStore.Save(now, placing)
 	l.planner.FairShare().Save(now, l.storage, n.log)
@@ -307,7 +307,7 @@
 			continue
 		}
 		visit(zones.Machine{Zone: zone, HasReported: m.HasReported, LeaseValid: (m.HasReported || m.Registered) && !l.workers.IsLeaseExpired(now, m), LastHeartbeat: m.LastContactAt,
-			Deleting: m.DrainReason == workers.DrainUnresponsive || m.DrainReason == workers.DrainTerminating, Sentinel: m.IsSentinel})
+			Deleting: m.DrainReason == worker.DrainUnresponsive || m.DrainReason == worker.DrainTerminating, Sentinel: m.IsSentinel})
 	}
 }
 
@@ -343,28 +343,28 @@
 // newLeadership makes the slices and introduces them to one another.
 func (n *Controller) newLeadership(now time.Time, fencingToken uint64) *leadership {
 	l := &leadership{fencingToken: fencingToken}
-	l.storage = ledger.New(ledger.Options{LeaderKey: leader.LeaderKey, ValueBytes: n.platform.MaxValueBytes, TxnOps: n.platform.MaxTransactionOps,
+	l.storage = storage.New(storage.Options{LeaderKey: election.LeaderKey, ValueBytes: n.platform.MaxValueBytes, TxnOps: n.platform.MaxTransactionOps,
 		WriteRate: n.platform.StateWriteRate, BatchDelay: 500 * time.Millisecond}, fencingToken, n.log)
-	l.dynamicConfig = settings.New(n.options, l.storage, &n.responder, n.log)
+	l.dynamicConfig = dynamicconfig.New(n.options, l.storage, &n.responder, n.log)
 	options := l.dynamicConfig.Options()
-	l.cloud = fleet.New(fencingToken, n.platform.CloudRequestRate, n.platform.CloudListLag, n.log)
-	l.workers = workers.NewRegistry(workers.LeaseExpiry(n.platform.WorkerLeaseDuration), n.log)
-	l.planner = plan.New(n.options, n.platform)
-	l.accounting = timeline.New(n.metrics, n.log)
+	l.cloud = cloud.New(fencingToken, n.platform.CloudRequestRate, n.platform.CloudListLag, n.log)
+	l.workers = worker.NewRegistry(worker.LeaseExpiry(n.platform.WorkerLeaseDuration), n.log)
+	l.planner = admission.New(n.options, n.platform)
+	l.accounting = accounting.New(n.metrics, n.log)
 	l.zones = zones.New(n.platform.HeartbeatInterval, now, n.log)
-	stragglers := pace.NewDetector(n.platform.HeartbeatInterval)
-	machineLinks := reach.NewTracker(fencingToken, n.platform.WorkerLeaseDuration, n.linkMetrics, n.log)
-	failureHistory := blame.NewTracker()
-	l.jobStore = book.New(book.Components{Platform: n.platform, Options: options, Storage: l.storage, Workers: l.workers, Accounting: l.accounting, Log: n.log})
-	l.placer = place.New(place.Components{Platform: n.platform, FencingToken: fencingToken, Jobs: l.jobStore.Unfinished, Workers: l.workers, Planner: l.planner,
-		Capacity: func(now time.Time) plan.Capacity { return l.autoscaler.ExpectedCapacity(now) }, Outbox: &n.outbox, Log: n.log})
-	l.autoscaler = rental.New(rental.Components{Platform: n.platform, Options: options, FencingToken: fencingToken, ElectedAt: now, IsFirstLeader: func() bool { return l.failover.IsFirstLeader() },
+	stragglers := straggler.NewDetector(n.platform.HeartbeatInterval)
+	machineLinks := reachability.NewTracker(fencingToken, n.platform.WorkerLeaseDuration, n.linkMetrics, n.log)
+	failureHistory := failures.NewTracker()
+	l.jobStore = jobstore.New(jobstore.Components{Platform: n.platform, Options: options, Storage: l.storage, Workers: l.workers, Accounting: l.accounting, Log: n.log})
+	l.placer = placement.New(placement.Components{Platform: n.platform, FencingToken: fencingToken, Jobs: l.jobStore.Unfinished, Workers: l.workers, Planner: l.planner,
+		Capacity: func(now time.Time) admission.Capacity { return l.autoscaler.ExpectedCapacity(now) }, Outbox: &n.outbox, Log: n.log})
+	l.autoscaler = autoscaler.New(autoscaler.Components{Platform: n.platform, Options: options, FencingToken: fencingToken, ElectedAt: now, IsFirstLeader: func() bool { return l.failover.IsFirstLeader() },
 		Cloud: l.cloud, Workers: l.workers, Planner: l.planner, Placer: l.placer, Stragglers: stragglers, Zones: l.zones, Outbox: &n.outbox, Log: n.log})
-	l.heartbeats = reports.NewHandler(reports.Components{Platform: n.platform, FencingToken: fencingToken, Storage: l.storage, JobStore: l.jobStore, Workers: l.workers, Cloud: l.cloud,
+	l.heartbeats = heartbeat.NewHandler(heartbeat.Components{Platform: n.platform, FencingToken: fencingToken, Storage: l.storage, JobStore: l.jobStore, Workers: l.workers, Cloud: l.cloud,
 		Planner: l.planner, Placer: l.placer, Accounting: l.accounting, Stragglers: stragglers, Failures: failureHistory, Reachability: machineLinks, Responder: &n.responder, Log: n.log})
-	l.failover = takeover.New(takeover.Components{Platform: n.platform, FencingToken: fencingToken, ElectedAt: now, Storage: l.storage, JobStore: l.jobStore, DynamicConfig: l.dynamicConfig,
+	l.failover = failover.New(failover.Components{Platform: n.platform, FencingToken: fencingToken, ElectedAt: now, Storage: l.storage, JobStore: l.jobStore, DynamicConfig: l.dynamicConfig,
 		Workers: l.workers, Cloud: l.cloud, Heartbeats: l.heartbeats, Placer: l.placer, FairShare: l.planner.FairShare(), Zones: l.zones, Reachability: machineLinks, Connectivity: n.election.Connectivity(), RenewalLimit: n.election.RenewalLimit(), Outbox: &n.outbox, Log: n.log})
-	l.api = requests.NewHandler(requests.Components{Platform: n.platform, Options: options, Storage: l.storage, JobStore: l.jobStore, Workers: l.workers, Cloud: l.cloud,
+	l.api = api.NewHandler(api.Components{Platform: n.platform, Options: options, Storage: l.storage, JobStore: l.jobStore, Workers: l.workers, Cloud: l.cloud,
 		Planner: l.planner, Placer: l.placer, Autoscaler: l.autoscaler, Failover: l.failover, Accounting: l.accounting, Failures: failureHistory, Zones: l.zones,
 		HoldsLease: func() bool { return n.leadership == l && n.holdsLease }, Responder: &n.responder, Outbox: &n.outbox, Logger: n.log})
 	l.jobStore.OnOrderChange(l.placer.InvalidateOrder)
--- a/internal/controller/place/gangs.go
+++ b/internal/controller/placement/gangs.go
@@ -1,11 +1,11 @@
-package place
+package placement
 
 import (
 	"sort"
 	"time"
 
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/worker"
 )
 
 // gangCompletionTimeout is how long a gang may be in part on its machines before it is stopped to
@@ -33,7 +33,7 @@
 		switch {
 		case machine.Attempts[attempt.Task] != attempt:
 			delete(p.pendingGangStarts, attempt) // its machine is gone
-		case machine.DrainReason != workers.NotDraining || !attempt.Job.IsSchedulable() || now.Sub(attempt.AssignedAt) > 2*p.platform.HeartbeatInterval+time.Second:
+		case machine.DrainReason != worker.NotDraining || !attempt.Job.IsSchedulable() || now.Sub(attempt.AssignedAt) > 2*p.platform.HeartbeatInterval+time.Second:
 			delete(p.pendingGangStarts, attempt)
 			p.workers.Unassign(machine, attempt)
 			attempt.Job.Requeue(attempt.Task.Index)
@@ -59,7 +59,7 @@
 	if want == 0 || TasksAllowedByQuota(job, p.teams[job.Team], p.workers.TeamUsage(job.Team)) < want {
 		return
 	}
-	byZone := map[string][]*workers.Machine{}
+	byZone := map[string][]*worker.Machine{}
 	var zones []string
 	for _, m := range p.workers.MachinesByName() {
 		if m.Reconciled && m.Registered && IsEligible(job, m) && now.Sub(m.LastContactAt) < 2*p.platform.HeartbeatInterval && m.TasksThatFit(job) > 0 {
@@ -69,7 +69,7 @@
 			byZone[m.Zone] = append(byZone[m.Zone], m)
 		}
 	}
-	zoneCapacity := func(list []*workers.Machine) int {
+	zoneCapacity := func(list []*worker.Machine) int {
 		room := 0
 		for _, m := range list {
 			room += m.TasksThatFit(job)
@@ -78,7 +78,7 @@
 	}
 	sort.SliceStable(zones, func(a, b int) bool { return zoneCapacity(byZone[zones[a]]) > zoneCapacity(byZone[zones[b]]) })
 	type share struct {
-		m     *workers.Machine
+		m     *worker.Machine
 		count int
 	}
 	var shares []share
--- a/internal/controller/place/partial.go
+++ b/internal/controller/placement/partial.go
@@ -1,12 +1,12 @@
-package place
+package placement
 
 import (
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/worker"
 )
 
 // UnseenUsage is, by team, what tasks of earlier leaders may use at most on machines that a takeover has not accounted for.
-type UnseenUsage map[string]workers.Usage
+type UnseenUsage map[string]worker.Usage
 
 // SetPartialStart lets only those jobs start whose acceptance this leader itself has committed, for as long as hidden is not nil: no
 // earlier leader can have started a task of theirs, wherever it is. Their teams' limits hold with what is hidden counted.
@@ -21,5 +21,5 @@
 func (p *Placer) tasksAllowedByQuota(job *jobs.Job) int {
 	used := *p.workers.TeamUsage(job.Team)
 	unseen := p.unseenUsage[job.Team]
-	return TasksAllowedByQuota(job, p.teams[job.Team], &workers.Usage{CPUs: used.CPUs + unseen.CPUs, GPUs: used.GPUs + unseen.GPUs})
+	return TasksAllowedByQuota(job, p.teams[job.Team], &worker.Usage{CPUs: used.CPUs + unseen.CPUs, GPUs: used.GPUs + unseen.GPUs})
 }
--- a/internal/controller/place/place.go
+++ b/internal/controller/placement/place.go
@@ -1,22 +1,22 @@
-// Package place decides where a task may run and which machine it takes: the rules for
+// Package placement decides where a task may run and which machine it takes: the rules for
 // types, zones and kinds, the teams' limits, and the packing. Its Placer owns the order of a
 // leadership, what is held for whom, and the booked places of gangs. It never rents, returns or
 // writes down anything.
-package place
+package placement
 
 import (
 	"math"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/controller/fleet"
+	"gullrudder/internal/controller/cloud"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/worker"
 )
 
 const resourceTolerance = 1e-6
 
 // KindAllowed reports whether the job may run on such machines at all.
-func KindAllowed(job *jobs.Job, kind fleet.InstanceKind) bool {
+func KindAllowed(job *jobs.Job, kind cloud.InstanceKind) bool {
 	if kind.Spot && !job.AllowsSpot || job.Zone != "" && job.Zone != kind.Zone {
 		return false
 	}
@@ -32,17 +32,17 @@
 }
 
 // FitsType reports whether an empty machine of the type holds one task.
-func FitsType(job *jobs.Job, machineType *fleet.MachineType) bool {
+func FitsType(job *jobs.Job, machineType *cloud.MachineType) bool {
 	return job.CPUs <= machineType.CPUs+resourceTolerance && job.GPUs <= machineType.GPUs+resourceTolerance && job.MemoryGB <= machineType.MemoryGB+resourceTolerance
 }
 
 // TypeResources is what an empty machine of the type has.
-func TypeResources(machineType *fleet.MachineType) workers.Resources {
-	return workers.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
+func TypeResources(machineType *cloud.MachineType) worker.Resources {
+	return worker.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 }
 
 // TasksPerMachine is how many tasks an empty machine of the type holds.
-func TasksPerMachine(job *jobs.Job, machineType *fleet.MachineType) int {
+func TasksPerMachine(job *jobs.Job, machineType *cloud.MachineType) int {
 	return TypeResources(machineType).TasksThatFit(job)
 }
 
@@ -63,7 +63,7 @@
 }
 
 // TasksAllowedByQuota is how many more tasks of the job its team's limit allows.
-func TasksAllowedByQuota(job *jobs.Job, team config.Team, usage *workers.Usage) int {
+func TasksAllowedByQuota(job *jobs.Job, team config.Team, usage *worker.Usage) int {
 	tasks := job.Tasks
 	if team.CPULimit > 0 && job.CPUs > 0 {
 		tasks = min(tasks, int(math.Floor((team.CPULimit-usage.CPUs+resourceTolerance)/job.CPUs)))
@@ -84,19 +84,19 @@
 }
 
 // MachineKind is the kind of a machine.
-func MachineKind(machine *workers.Machine) fleet.InstanceKind {
-	return fleet.InstanceKind{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
+func MachineKind(machine *worker.Machine) cloud.InstanceKind {
+	return cloud.InstanceKind{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
 }
 
 // IsEligible reports whether tasks of the job may be started on the machine if there is room. On one that is kept
 // to tell of its zone's return none may: its room looked free, and nothing was held elsewhere for jobs that
 // had waited long. Nor on one that seems to hear nothing of us.
-func IsEligible(job *jobs.Job, machine *workers.Machine) bool {
-	return machine.DrainReason == workers.NotDraining && !machine.IsSentinel && !machine.IsUnreachable && machine.CPUs+machine.MemoryGB > 0 && (len(machine.FailedJobs) == 0 || !machine.FailedJobs[job.ID]) && KindAllowed(job, MachineKind(machine))
+func IsEligible(job *jobs.Job, machine *worker.Machine) bool {
+	return machine.DrainReason == worker.NotDraining && !machine.IsSentinel && !machine.IsUnreachable && machine.CPUs+machine.MemoryGB > 0 && (len(machine.FailedJobs) == 0 || !machine.FailedJobs[job.ID]) && KindAllowed(job, MachineKind(machine))
 }
 
 // IsFuller reports whether a is the better place to pack onto than b.
-func IsFuller(a, b *workers.Machine) bool {
+func IsFuller(a, b *worker.Machine) bool {
 	fa, fb := a.UsedCPUs/max(a.CPUs, resourceTolerance), b.UsedCPUs/max(b.CPUs, resourceTolerance)
 	if math.Abs(fa-fb) > resourceTolerance {
 		return fa > fb
--- a/internal/controller/place/placer.go
+++ b/internal/controller/placement/placer.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"cmp"
@@ -9,10 +9,10 @@
 	"time"
 
 	"gullrudder/internal/config"
+	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/plan"
-	"gullrudder/internal/controller/workers"
-	"gullrudder/internal/wire/outbox"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/wire/client"
 )
 
 // Placer decides where tasks start: the order in which jobs get room, what is held for them, and
@@ -22,15 +22,15 @@
 	platform       *config.Platform
 	teams          map[string]config.Team
 	log            *slog.Logger
-	outbox         *outbox.Outbox
+	outbox         *client.Outbox
 	fencingToken   uint64
 	attemptCounter uint64
 	jobs           map[string]*jobs.Job // the book's, for looking only
-	workers        *workers.Registry
-	planner        *plan.Planner
-	capacity       func(time.Time) plan.Capacity
+	workers        *worker.Registry
+	planner        *admission.Planner
+	capacity       func(time.Time) admission.Capacity
 
-	order              []plan.Entry
+	order              []admission.Entry
 	orderedAt          time.Time
 	isOrderStale       bool
 	candidates         []candidate // those of the order that have tasks to start, gangs aside
@@ -38,11 +38,11 @@
 	shapeNumbers       []int        // by entry of the order: the number of its job's shape
 	shapeChecks        []shapeCheck // by shape, of the machine whose starts are chosen
 	smallestTaskCPUs   float64      // the CPUs of the smallest of their tasks
-	reservedMachines   []*workers.Machine
-	reservingJobs      map[*jobs.Job]bool                 // jobs that machines are held for
-	agedFirst          map[*jobs.Job]bool                 // aged jobs that go before everything else
-	pendingGangStarts  map[*jobs.Attempt]*workers.Machine // starts of gangs that wait for their machines' reports
-	unseenUsage        UnseenUsage                        // not nil: only jobs of this leader start (partial.go)
+	reservedMachines   []*worker.Machine
+	reservingJobs      map[*jobs.Job]bool                // jobs that machines are held for
+	agedFirst          map[*jobs.Job]bool                // aged jobs that go before everything else
+	pendingGangStarts  map[*jobs.Attempt]*worker.Machine // starts of gangs that wait for their machines' reports
+	unseenUsage        UnseenUsage                       // not nil: only jobs of this leader start (partial.go)
 	nextPreemption     time.Time
 	nextGangScheduling time.Time
 }
@@ -52,17 +52,17 @@
 	Platform     *config.Platform
 	FencingToken uint64
 	Jobs         map[string]*jobs.Job // all that are not finished
-	Workers      *workers.Registry
-	Planner      *plan.Planner
-	Capacity     func(time.Time) plan.Capacity // the machines that the plan counts on
-	Outbox       *outbox.Outbox
+	Workers      *worker.Registry
+	Planner      *admission.Planner
+	Capacity     func(time.Time) admission.Capacity // the machines that the plan counts on
+	Outbox       *client.Outbox
 	Log          *slog.Logger
 }
 
 // New makes the placer of a new leadership.
 func New(components Components) *Placer {
 	placer := &Placer{platform: components.Platform, teams: components.Platform.TeamsByName(), log: components.Log, outbox: components.Outbox, fencingToken: components.FencingToken, jobs: components.Jobs, workers: components.Workers,
-		planner: components.Planner, capacity: components.Capacity, shapes: map[shape]int{}, reservingJobs: map[*jobs.Job]bool{}, agedFirst: map[*jobs.Job]bool{}, pendingGangStarts: map[*jobs.Attempt]*workers.Machine{}}
+		planner: components.Planner, capacity: components.Capacity, shapes: map[shape]int{}, reservingJobs: map[*jobs.Job]bool{}, agedFirst: map[*jobs.Job]bool{}, pendingGangStarts: map[*jobs.Attempt]*worker.Machine{}}
 	return placer
 }
 
@@ -89,7 +89,7 @@
 func (p *Placer) InvalidateOrder() { p.isOrderStale = true }
 
 // Order is the jobs that may run, in the order in which they get room. It is for looking only.
-func (p *Placer) Order(now time.Time) []plan.Entry {
+func (p *Placer) Order(now time.Time) []admission.Entry {
 	p.refreshOrder(now)
 	return p.order
 }
@@ -99,7 +99,7 @@
 func (p *Placer) ShapeNumbers() []int { return p.shapeNumbers }
 
 // LastOrder is the order as it was made last. It is for looking only.
-func (p *Placer) LastOrder() []plan.Entry { return p.order }
+func (p *Placer) LastOrder() []admission.Entry { return p.order }
 
 // SmallestTaskCPUs is the CPUs of the smallest task that waits.
 func (p *Placer) SmallestTaskCPUs() float64 { return p.smallestTaskCPUs }
@@ -150,7 +150,7 @@
 }
 
 // reserveMachine keeps the free room of a machine for a job.
-func (p *Placer) reserveMachine(machine *workers.Machine, job *jobs.Job) {
+func (p *Placer) reserveMachine(machine *worker.Machine, job *jobs.Job) {
 	if machine.ReservedFor == nil {
 		p.reservedMachines = append(p.reservedMachines, machine)
 	}
@@ -166,7 +166,7 @@
 	}
 	p.reservedMachines = p.reservedMachines[:0]
 	clear(p.reservingJobs)
-	var free []*workers.Machine // not held for a job, the most room first
+	var free []*worker.Machine // not held for a job, the most room first
 	fits := newShapeFits(len(p.shapes))
 	for i := range p.order {
 		entry, number := &p.order[i], p.shapeNumbers[i]
@@ -250,7 +250,7 @@
 
 // fittingTasks is how many tasks of the job fit on the free machines, which are sorted by what is free;
 // more than it wants are not counted.
-func (r shapeFits) fittingTasks(job *jobs.Job, number int, free []*workers.Machine, want int) int {
+func (r shapeFits) fittingTasks(job *jobs.Job, number int, free []*worker.Machine, want int) int {
 	if job.FailureCount > 0 {
 		return countFittingTasks(job, free, want) // some machines may be left out for this job alone
 	}
@@ -263,7 +263,7 @@
 	return min(entry.fits, want)
 }
 
-func countFittingTasks(job *jobs.Job, free []*workers.Machine, want int) int {
+func countFittingTasks(job *jobs.Job, free []*worker.Machine, want int) int {
 	tasks := 0
 	for _, machine := range free {
 		if tasks >= want || job.CPUs > 0 && machine.CPUs-machine.UsedCPUs < job.CPUs-1e-6 {
@@ -277,23 +277,23 @@
 }
 
 // machinesByFreeCPUs lists the machines that are up, those with the most free CPUs first.
-func (p *Placer) machinesByFreeCPUs() []*workers.Machine {
+func (p *Placer) machinesByFreeCPUs() []*worker.Machine {
 	list := p.workers.ReportingMachines()
-	slices.SortFunc(list, func(a, b *workers.Machine) int {
+	slices.SortFunc(list, func(a, b *worker.Machine) int {
 		return cmp.Or(cmp.Compare(b.CPUs-b.UsedCPUs, a.CPUs-a.UsedCPUs), cmp.Compare(b.CPUs, a.CPUs), compareIDs(a, b))
 	})
 	return list
 }
 
-func compareIDs(a, b *workers.Machine) int { return cmp.Compare(a.ID, b.ID) }
+func compareIDs(a, b *worker.Machine) int { return cmp.Compare(a.ID, b.ID) }
 
 // unlimitedResource is more than any fleet has.
 const unlimitedResource = 1e12
 
 // StartableTasks is, by entry of an order, how many of its tasks need room now. What a team's limit still
 // allows is shared by its jobs, the first in the order first: each for itself would want all of it.
-func (p *Placer) StartableTasks(order []plan.Entry) []int {
-	quotaLeft := map[string]workers.Resources{}
+func (p *Placer) StartableTasks(order []admission.Entry) []int {
+	quotaLeft := map[string]worker.Resources{}
 	tasks := make([]int, len(order))
 	for i := range order {
 		job := order[i].Job
@@ -305,7 +305,7 @@
 		quota, ok := quotaLeft[job.Team]
 		if !ok {
 			used := p.workers.TeamUsage(job.Team)
-			quota = workers.Resources{CPUs: unlimitedResource, GPUs: unlimitedResource, MemoryGB: unlimitedResource}
+			quota = worker.Resources{CPUs: unlimitedResource, GPUs: unlimitedResource, MemoryGB: unlimitedResource}
 			if team.CPULimit > 0 {
 				quota.CPUs = team.CPULimit - used.CPUs
 			}
@@ -327,7 +327,7 @@
 
 // reserveForGang holds machines for a gang that waits, by what they hold when empty, and
 // returns how many of its tasks that covers.
-func (p *Placer) reserveForGang(job *jobs.Job, free []*workers.Machine, want int) int {
+func (p *Placer) reserveForGang(job *jobs.Job, free []*worker.Machine, want int) int {
 	covered := 0
 	for _, machine := range free {
 		if covered >= want {
--- a/internal/controller/place/preempt.go
+++ b/internal/controller/placement/preempt.go
@@ -1,24 +1,24 @@
-package place
+package placement
 
 import (
 	"slices"
 	"sort"
 	"time"
 
+	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/plan"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/worker"
 )
 
 // victim is a running task that may be stopped for another job.
 type victim struct {
-	machine *workers.Machine
+	machine *worker.Machine
 	attempt *jobs.Attempt
 }
 
 // freeableMachine is a machine that has free room or where room is about to come free.
 type freeableMachine struct {
-	machine      *workers.Machine
+	machine      *worker.Machine
 	stoppingCPUs float64 // CPUs of what is being stopped
 }
 
@@ -62,8 +62,8 @@
 }
 
 // isUrgent reports whether waiting for room that comes free by itself would be too late.
-func isUrgent(now time.Time, entry plan.Entry, reportEvery time.Duration) bool {
-	return plan.DueAt(entry.Job).Sub(now) < entry.TaskRunTime+2*reportEvery+5*time.Second
+func isUrgent(now time.Time, entry admission.Entry, reportEvery time.Duration) bool {
+	return admission.DueAt(entry.Job).Sub(now) < entry.TaskRunTime+2*reportEvery+5*time.Second
 }
 
 // findPreemptable walks the machines once for all jobs that need room: where it is or is about
@@ -85,7 +85,7 @@
 				victims = append(victims, victim{machine, a})
 			}
 		}
-		if o.stoppingCPUs > 0 || machine.UtilizationBucket() < workers.BucketCount {
+		if o.stoppingCPUs > 0 || machine.UtilizationBucket() < worker.BucketCount {
 			freeable = append(freeable, o)
 		}
 	}
@@ -113,6 +113,6 @@
 		want -= max(int(v.attempt.Job.CPUs/max(job.CPUs, 0.1)), 1)
 		p.reserveMachine(v.machine, job)
 		p.log.Info("stopping a task for another job", "task", v.attempt.Task, "machine", v.machine.ID, "for", job.ID)
-		workers.SendCommands(p.outbox, p.fencingToken, v.machine, []workers.Command{workers.Kill(v.attempt.Task.String(), v.attempt.Number, v.attempt.Job.CheckpointDuration.Seconds())})
+		worker.SendCommands(p.outbox, p.fencingToken, v.machine, []worker.Command{worker.Kill(v.attempt.Task.String(), v.attempt.Number, v.attempt.Job.CheckpointDuration.Seconds())})
 	}
 }
--- a/internal/controller/place/shapes.go
+++ b/internal/controller/placement/shapes.go
@@ -1,12 +1,12 @@
-package place
+package placement
 
 import (
 	"math"
 	"time"
 
+	"gullrudder/internal/controller/admission"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/plan"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/worker"
 )
 
 // candidate is a job of the order that has tasks to start, with the number of its shape. A queue of
@@ -14,7 +14,7 @@
 // it each report of a machine with room that nobody may take walked the machines for every job, which
 // was the first limit at 5,000 machines.
 type candidate struct {
-	plan.Entry
+	admission.Entry
 	shapeNumber int
 }
 
@@ -54,14 +54,14 @@
 }
 
 // rejects reports that no task of the job may start on the machine for lack of room or by its kind.
-func (p *Placer) rejects(machine *workers.Machine, entry *candidate) bool {
+func (p *Placer) rejects(machine *worker.Machine, entry *candidate) bool {
 	check := &p.shapeChecks[entry.shapeNumber]
 	check.isRejected = check.isRejected || machine.TasksThatFit(entry.Job) == 0 || !KindAllowed(entry.Job, MachineKind(machine))
 	return check.isRejected
 }
 
 // tasksLeftToFuller is how many of the job's waiting tasks are left to fuller machines.
-func (p *Placer) tasksLeftToFuller(now time.Time, entry *candidate, machine *workers.Machine) int {
+func (p *Placer) tasksLeftToFuller(now time.Time, entry *candidate, machine *worker.Machine) int {
 	job := entry.Job
 	if job.SingleZone || job.SpreadAcrossZones || job.FailureCount > 0 || p.reservingJobs[job] {
 		return p.tasksOnFuller(now, job, machine, job.WaitingTasks(), maxMachinesExamined) // not as others of its shape
--- a/internal/controller/place/starts.go
+++ b/internal/controller/placement/starts.go
@@ -1,16 +1,16 @@
-package place
+package placement
 
 import (
 	"time"
 
+	"gullrudder/internal/controller/ageing"
 	"gullrudder/internal/controller/jobs"
-	"gullrudder/internal/controller/standing"
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/worker"
 )
 
 // StartTasks picks what the machine starts now.
-func (p *Placer) StartTasks(now time.Time, machine *workers.Machine, maxStarts int) []workers.Command {
-	if !machine.Reconciled || !machine.Registered || machine.DrainReason != workers.NotDraining || machine.CPUs+machine.MemoryGB == 0 || now.Before(machine.StartsNotBefore) {
+func (p *Placer) StartTasks(now time.Time, machine *worker.Machine, maxStarts int) []worker.Command {
+	if !machine.Reconciled || !machine.Registered || machine.DrainReason != worker.NotDraining || machine.CPUs+machine.MemoryGB == 0 || now.Before(machine.StartsNotBefore) {
 		return nil
 	}
 	p.refreshOrder(now)
@@ -54,18 +54,18 @@
 
 // isImageNear reports whether the job's tasks lose nothing by starting on the machine: their image
 // is there, or they have waited for such a machine as long as fetching takes.
-func (p *Placer) isImageNear(now time.Time, job *jobs.Job, machine *workers.Machine) bool {
+func (p *Placer) isImageNear(now time.Time, job *jobs.Job, machine *worker.Machine) bool {
 	return machine.ImageCache.Has(job.Image) || !job.PassedOverSince.IsZero() && now.Sub(job.PassedOverSince) >= machine.ImageCache.FetchTime(job.ImageGB)
 }
 
 // startTasksOf starts as many tasks of one job on the machine as there is room for.
-func (p *Placer) startTasksOf(now time.Time, machine *workers.Machine, entry *candidate, commands []workers.Command, maxStarts int) []workers.Command {
+func (p *Placer) startTasksOf(now time.Time, machine *worker.Machine, entry *candidate, commands []worker.Command, maxStarts int) []worker.Command {
 	job := entry.Job
 	count := min(machine.TasksThatFit(job), job.WaitingTasks(), maxStarts-len(commands))
 	if count <= 0 || !job.IsSchedulable() || !p.canStart(job) || now.Before(job.NotBefore) || !IsEligible(job, machine) {
 		return commands
 	}
-	if reservedFor := machine.ReservedFor; reservedFor != nil && reservedFor != job && (!entry.MayReserve || p.agedFirst[reservedFor] && !(entry.AgedFirst && standing.IsOlder(job, reservedFor))) {
+	if reservedFor := machine.ReservedFor; reservedFor != nil && reservedFor != job && (!entry.MayReserve || p.agedFirst[reservedFor] && !(entry.AgedFirst && ageing.IsOlder(job, reservedFor))) {
 		// What is held for the oldest is not taken bit by bit by those that are planned.
 		return commands
 	}
@@ -82,15 +82,15 @@
 			break
 		}
 		attempt := p.newAttempt(now, machine, job, task, p.nextAttemptNumber())
-		commands = append(commands, workers.Start(attempt.Task.String(), attempt.Number))
+		commands = append(commands, worker.Start(attempt.Task.String(), attempt.Number))
 		job.PassedOverSince = time.Time{}
 	}
 	return commands
 }
 
 // gangStarts are the starts of gangs that have waited for the machine's report.
-func (p *Placer) gangStarts(now time.Time, machine *workers.Machine, maxStarts int) []workers.Command {
-	var commands []workers.Command
+func (p *Placer) gangStarts(now time.Time, machine *worker.Machine, maxStarts int) []worker.Command {
+	var commands []worker.Command
 	if len(p.pendingGangStarts) == 0 {
 		return nil
 	}
@@ -98,7 +98,7 @@
 		if attempt.IsUnsent && !attempt.IsOrphan && attempt.Job.IsSchedulable() && len(commands) < maxStarts {
 			attempt.IsUnsent, attempt.AssignedAt = false, now
 			delete(p.pendingGangStarts, attempt)
-			commands = append(commands, workers.Start(attempt.Task.String(), attempt.Number))
+			commands = append(commands, worker.Start(attempt.Task.String(), attempt.Number))
 		}
 	}
 	return commands
@@ -112,7 +112,7 @@
 }
 
 // newAttempt records a new attempt on the machine.
-func (p *Placer) newAttempt(now time.Time, machine *workers.Machine, job *jobs.Job, task int, number uint64) *jobs.Attempt {
+func (p *Placer) newAttempt(now time.Time, machine *worker.Machine, job *jobs.Job, task int, number uint64) *jobs.Attempt {
 	attempt := &jobs.Attempt{Task: jobs.TaskID{JobID: job.ID, Index: task}, Number: number, MachineID: machine.ID, Zone: machine.Zone, Job: job, AssignedAt: now}
 	p.workers.Assign(machine, attempt)
 	return attempt
@@ -125,9 +125,9 @@
 
 // tasksOnFuller is how many tasks of the job fit on machines that are fuller than m and report
 // soon: those are left to them. More than it wants are not counted.
-func (p *Placer) tasksOnFuller(now time.Time, job *jobs.Job, machine *workers.Machine, want, maxMachines int) int {
+func (p *Placer) tasksOnFuller(now time.Time, job *jobs.Job, machine *worker.Machine, want, maxMachines int) int {
 	tasks := 0
-	highestLevel := workers.BucketCount
+	highestLevel := worker.BucketCount
 	if job.CPUs > 0 {
 		highestLevel-- // on the last level no CPU is free
 	}
--- a/internal/controller/node/run.go
+++ b/internal/controller/run.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"log/slog"
@@ -7,10 +7,10 @@
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/wire/httpwire"
-	"gullrudder/internal/wire/inbox"
-	"gullrudder/internal/wire/outbox"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/http1"
+	"gullrudder/internal/wire/server"
 )
 
 const (
@@ -19,7 +19,7 @@
 )
 
 type receivedRequest struct {
-	*httpwire.Request
+	*http1.Request
 	receivedAt time.Time
 }
 
@@ -31,7 +31,7 @@
 	// Answers to our calls, the renewal's among them, do not queue behind requests.
 	queue    chan Command
 	outcomes chan Command
-	clients  map[outbox.Destination]*httpwire.Client
+	clients  map[client.Destination]*http1.Client
 }
 
 // NewRuntime makes the runtime of a node.
@@ -41,11 +41,11 @@
 	// workers are asked once: their connections are not kept.
 	socketsPerService := max(platform.MaxConnections/12, 4)
 	return &Runtime{controller: n, platform: platform, log: log, queue: make(chan Command, commandQueueLength), outcomes: make(chan Command, commandQueueLength),
-		clients: map[outbox.Destination]*httpwire.Client{
-			outbox.StateService:   httpwire.NewClient(max(socketsPerService/4, 4), 4, maxResponseBytes),
-			outbox.CloudAPI:       httpwire.NewClient(max(socketsPerService/4, 4), 4, maxResponseBytes),
-			outbox.PeerController: httpwire.NewClient(socketsPerService, 8, maxResponseBytes),
-			outbox.WorkerAgent:    httpwire.NewClient(socketsPerService, 0, maxResponseBytes),
+		clients: map[client.Destination]*http1.Client{
+			client.StateService:   http1.NewClient(max(socketsPerService/4, 4), 4, maxResponseBytes),
+			client.CloudAPI:       http1.NewClient(max(socketsPerService/4, 4), 4, maxResponseBytes),
+			client.PeerController: http1.NewClient(socketsPerService, 8, maxResponseBytes),
+			client.WorkerAgent:    http1.NewClient(socketsPerService, 0, maxResponseBytes),
 		}}
 }
 
@@ -91,7 +91,7 @@
 }
 
 func (rt *Runtime) listen() {
-	server := httpwire.NewServer(httpwire.ServerOptions{PublicAddr: rt.platform.PublicAddr, PeerAddr: rt.platform.PeerListenAddr,
+	server := http1.NewServer(http1.ServerOptions{PublicAddr: rt.platform.PublicAddr, PeerAddr: rt.platform.PeerListenAddr,
 		MaxConnections: max(rt.platform.MaxConnections*3/4, 8), IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second,
 		Handler: rt.handle})
 	for {
@@ -101,9 +101,9 @@
 	}
 }
 
-func (rt *Runtime) handle(r *httpwire.Request) {
+func (rt *Runtime) handle(r *http1.Request) {
 	select {
-	case rt.queue <- Command{Request: &inbox.Request{Handle: receivedRequest{r, time.Now()}, FromPeer: r.FromPeer, Method: r.Method, Target: r.Target, Body: r.Body}}:
+	case rt.queue <- Command{Request: &server.Request{Handle: receivedRequest{r, time.Now()}, FromPeer: r.FromPeer, Method: r.Method, Target: r.Target, Body: r.Body}}:
 	default:
 		r.Respond(503, nil, time.Second)
 	}
@@ -132,33 +132,33 @@
 	return method + " /" + path
 }
 
-func (rt *Runtime) call(c outbox.Call) {
+func (rt *Runtime) call(c client.Call) {
 	if c.Delay > 0 {
 		time.Sleep(c.Delay)
 	}
 	rt.outcomes <- Command{Outcome: &Outcome{Call: c, Result: rt.exchange(c)}}
 }
 
-func (rt *Runtime) exchange(call outbox.Call) outbox.Result {
+func (rt *Runtime) exchange(call client.Call) client.Result {
 	address := call.Addr
 	switch call.Destination {
-	case outbox.StateService:
+	case client.StateService:
 		address = rt.platform.StateAddr
-	case outbox.CloudAPI:
+	case client.CloudAPI:
 		address = rt.platform.CloudAddr
 	}
 	body, ok := ForwardedBody(call.Body)
 	if !ok && call.Body != nil {
 		var err error
-		if body, err = packed.Marshal(call.Body); err != nil {
+		if body, err = codec.Marshal(call.Body); err != nil {
 			rt.log.Error("a request cannot be encoded", "path", call.Path, "error", err)
-			return outbox.Result{Err: err}
+			return client.Result{Err: err}
 		}
 	}
 	response, err := rt.clients[call.Destination].Do(address, call.Method, call.Path, body, call.Timeout)
 	if err != nil {
 		rt.log.Debug("a call failed", "error", err)
-		return outbox.Result{Err: err}
+		return client.Result{Err: err}
 	}
-	return outbox.Result{Status: response.Status, Body: response.Body, RetryAfter: response.RetryAfter}
+	return client.Result{Status: response.Status, Body: response.Body, RetryAfter: response.RetryAfter}
 }
--- a/internal/controller/node/status.go
+++ b/internal/controller/status.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"maps"
@@ -7,7 +7,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"gullrudder/internal/wire/inbox"
+	"gullrudder/internal/wire/server"
 )
 
 // latencyTable keeps how long this node took to answer, per kind of request.
@@ -81,7 +81,7 @@
 
 const maxMachinesShown = 300
 
-func (n *Controller) handleStatus(now time.Time, request *inbox.Request) {
+func (n *Controller) handleStatus(now time.Time, request *server.Request) {
 	status := Status{Controller: n.platform.Name, Leader: n.election.Leader(now), Budgets: Budgets{
 		StateRequestRate: n.platform.StateRequestRate, StateWriteRate: n.platform.StateWriteRate, CloudRequestRate: n.platform.CloudRequestRate,
 		Connections: n.platform.MaxConnections, MemoryMB: n.platform.MemoryQuotaMB}}
--- a/internal/controller/ledger/commit.go
+++ b/internal/controller/storage/commit.go
@@ -1,4 +1,4 @@
-package ledger
+package storage
 
 import (
 	"slices"
@@ -6,13 +6,13 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"gullrudder/internal/wire/outbox"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
 )
 
 // One commit is in flight at a time. What became of one that nobody answered is read back before anything else is sent.
 
-func (l *Store) sendCommit(now time.Time, box *outbox.Outbox, pages []*page, move *entryMove) {
+func (l *Store) sendCommit(now time.Time, box *client.Outbox, pages []*page, move *entryMove) {
 	l.sequence++
 	txn := &transaction{sequence: l.sequence, pages: pages, move: move, guarded: pages}
 	guards := []any{map[string]any{"path": l.options.LeaderKey, "mark": l.fencingToken}}
@@ -42,14 +42,14 @@
 		apply = append(apply, map[string]any{"write": formatKey, "value": formatVersion})
 	}
 	l.inFlight = txn
-	l.call(box, outbox.Call{Method: "POST", Path: "/commit", Timeout: 1500 * time.Millisecond,
+	l.call(box, client.Call{Method: "POST", Path: "/commit", Timeout: 1500 * time.Millisecond,
 		Body: map[string]any{"guards": guards, "apply": apply},
-		Done: func(now time.Time, r outbox.Result) {
+		Done: func(now time.Time, r client.Result) {
 			var a struct {
 				Tide uint64 `msgpack:"tide"`
 			}
 			switch {
-			case r.Status == 200 && packed.Unmarshal(r.Body, &a) == nil && a.Tide > l.fencingToken:
+			case r.Status == 200 && codec.Unmarshal(r.Body, &a) == nil && a.Tide > l.fencingToken:
 				l.commitSucceeded(now, a.Tide)
 			case r.IsUncertain() || r.Status == 200:
 				l.notifyUncertain(now)
@@ -58,7 +58,7 @@
 				var c struct {
 					Failed []string `msgpack:"failed"`
 				}
-				if packed.Unmarshal(r.Body, &c) != nil || slices.Contains(c.Failed, l.options.LeaderKey) {
+				if codec.Unmarshal(r.Body, &c) != nil || slices.Contains(c.Failed, l.options.LeaderKey) {
 					l.commitFenced(len(txn.pages))
 					return
 				}
@@ -101,14 +101,14 @@
 
 // resolveConflict finds out whose write has come before a commit that the guard of a page refused: if the leader's key is as it was,
 // our own, an earlier try that was given up and carried out late. Then the pages are read back like after an unknown outcome.
-func (l *Store) resolveConflict(now time.Time, box *outbox.Outbox, after time.Duration) {
-	l.call(box, outbox.Call{Method: "GET", Path: "/keys/" + l.options.LeaderKey, Delay: after, Timeout: time.Second,
-		Done: func(now time.Time, r outbox.Result) {
+func (l *Store) resolveConflict(now time.Time, box *client.Outbox, after time.Duration) {
+	l.call(box, client.Call{Method: "GET", Path: "/keys/" + l.options.LeaderKey, Delay: after, Timeout: time.Second,
+		Done: func(now time.Time, r client.Result) {
 			var a struct {
 				Mark uint64 `msgpack:"mark"`
 			}
 			switch {
-			case r.Status == 200 && packed.Unmarshal(r.Body, &a) == nil && a.Mark == l.fencingToken:
+			case r.Status == 200 && codec.Unmarshal(r.Body, &a) == nil && a.Mark == l.fencingToken:
 				l.readBack(now, box, 0, 0)
 			case r.Status == 200 && a.Mark > 0, r.Status == 404:
 				l.commitFenced(len(l.inFlight.pages))
@@ -169,17 +169,17 @@
 // marks and may be the one that was executed. mark is the revision at which the attempt
 // was found to be executed: it may be executed between the reading of two pages, so one
 // page that shows it speaks for all.
-func (l *Store) readBack(now time.Time, box *outbox.Outbox, index int, after time.Duration) {
+func (l *Store) readBack(now time.Time, box *client.Outbox, index int, after time.Duration) {
 	txn := l.inFlight
 	checked := txn.guarded[index]
-	l.call(box, outbox.Call{Method: "GET", Path: "/keys/" + checked.key, Delay: after, Timeout: time.Second,
-		Done: func(now time.Time, r outbox.Result) {
+	l.call(box, client.Call{Method: "GET", Path: "/keys/" + checked.key, Delay: after, Timeout: time.Second,
+		Done: func(now time.Time, r client.Result) {
 			var a struct {
 				Value pageValue `msgpack:"value"`
 				Mark  uint64    `msgpack:"mark"`
 			}
 			switch {
-			case r.Status == 200 && packed.Unmarshal(r.Body, &a) == nil && a.Mark > 0:
+			case r.Status == 200 && codec.Unmarshal(r.Body, &a) == nil && a.Mark > 0:
 				if a.Value.Sequence == txn.sequence && a.Value.Leader == l.fencingToken {
 					l.commitSucceeded(now, a.Mark)
 					return
--- a/internal/controller/ledger/golden_bytes_test.go
+++ b/internal/controller/storage/golden_bytes_test.go
@@ -1,4 +1,4 @@
-package ledger
+package storage
 
 import (
 	"testing"
--- a/internal/controller/ledger/ledger.go
+++ b/internal/controller/storage/ledger.go
@@ -1,8 +1,8 @@
-// Package ledger keeps what has to outlive every process in the state service. Entries
+// Package storage keeps what has to outlive every process in the state service. Entries
 // are packed many to a page, a page is one key, and changed pages go out in group
 // commits. Every commit guards the leader's key and the mark of every page it writes,
 // so that one that is executed late or twice changes nothing.
-package ledger
+package storage
 
 import (
 	"encoding/json"
@@ -13,8 +13,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"gullrudder/internal/wire/outbox"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
 )
 
 // PagePrefix is where the pages are.
@@ -76,7 +76,7 @@
 	entries          map[string]*entry
 	nextPageNumber   int
 	sequence         uint64
-	writeLimiter     *outbox.RateLimiter
+	writeLimiter     *client.RateLimiter
 	inFlight         *transaction
 	loaded           bool
 	fenced           bool // another leader has written: this one has to step down
@@ -98,7 +98,7 @@
 // New makes the ledger of a new leadership. Load has to come first.
 func New(options Options, fencingToken uint64, log *slog.Logger) *Store {
 	return &Store{options: options, log: log, fencingToken: fencingToken, pages: map[string]*page{}, dirtyPages: map[*page]bool{}, entries: map[string]*entry{},
-		writeLimiter: outbox.NewRateLimiter(options.WriteRate*0.92, time.Second), closed: new(int),
+		writeLimiter: client.NewRateLimiter(options.WriteRate*0.92, time.Second), closed: new(int),
 		archiveHead: &page{key: ArchiveHeadKey, entries: map[string]*entry{}, size: pageFrame}, archiveIndex: map[string]string{}}
 }
 
@@ -123,13 +123,13 @@
 }
 
 // Load reads all pages, and the index of the history beside them.
-func (l *Store) Load(box *outbox.Outbox) {
+func (l *Store) Load(box *client.Outbox) {
 	l.pendingLists = 2
 	l.loadKeys(box, PagePrefix, "", 0, l.installPage)
 	l.loadKeys(box, archivePrefix, "", 0, l.installArchiveKey)
 }
 
-func (l *Store) loadKeys(box *outbox.Outbox, prefix, from string, after time.Duration, install func(keyValue) error) {
+func (l *Store) loadKeys(box *client.Outbox, prefix, from string, after time.Duration, install func(keyValue) error) {
 	l.listKeys(box, prefix, from, after, 2*time.Second, func(now time.Time, rows []keyValue, more bool, status int) {
 		if status != 200 {
 			l.loadKeys(box, prefix, from, 200*time.Millisecond, install)
@@ -192,7 +192,7 @@
 
 func (l *Store) addEntries(target *page, value pageValue) {
 	for name, raw := range value.Entries {
-		e := &entry{raw: raw, size: packed.JSONSize(raw) + len(name) + entryFrame, page: target}
+		e := &entry{raw: raw, size: codec.JSONSize(raw) + len(name) + entryFrame, page: target}
 		target.entries[name] = e
 		target.size += e.size
 	}
@@ -200,10 +200,10 @@
 }
 
 // call sends a state call whose answer is dropped once the leadership is over.
-func (l *Store) call(box *outbox.Outbox, request outbox.Call) {
+func (l *Store) call(box *client.Outbox, request client.Call) {
 	done, epoch := request.Done, l.closed
-	request.Destination = outbox.StateService
-	request.Done = func(now time.Time, r outbox.Result) {
+	request.Destination = client.StateService
+	request.Done = func(now time.Time, r client.Result) {
 		if *epoch == 0 {
 			done(now, r)
 		}
@@ -234,7 +234,7 @@
 // the change is durable, or with false if that has become doubtful; in that case the
 // change stays and goes on to be written.
 func (l *Store) Set(now time.Time, name string, value any, reserve int, urgent bool, done func(now time.Time, ok bool)) error {
-	raw, err := packed.Marshal(value)
+	raw, err := codec.Marshal(value)
 	if err != nil {
 		return fmt.Errorf("entry %s: %w", name, err)
 	}
@@ -341,7 +341,7 @@
 }
 
 // Flush sends the next commit if one is due.
-func (l *Store) Flush(now time.Time, box *outbox.Outbox) {
+func (l *Store) Flush(now time.Time, box *client.Outbox) {
 	if !l.loaded || l.fenced || l.inFlight != nil || now.Before(l.retryAt) {
 		return
 	}
--- a/internal/controller/ledger/split.go
+++ b/internal/controller/storage/split.go
@@ -1,4 +1,4 @@
-package ledger
+package storage
 
 import (
 	"slices"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"gullrudder/internal/wire/outbox"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
 )
 
 // Pages that are larger than the limits that are to come. A version before wrote them, or this one before the limits were named.
@@ -24,7 +24,7 @@
 func (p *page) encodedSize() int {
 	n := pageFrame
 	for name, e := range p.entries {
-		n += packed.JSONSize(e.raw) + len(name) + entryFrame
+		n += codec.JSONSize(e.raw) + len(name) + entryFrame
 	}
 	return n
 }
@@ -108,7 +108,7 @@
 		}
 		current.size += e.size
 		left -= e.size
-		rest -= packed.JSONSize(e.raw) + len(name) + entryFrame
+		rest -= codec.JSONSize(e.raw) + len(name) + entryFrame
 		move.removed[name] = true
 		move.targets[current] = append(move.targets[current], name)
 	}
@@ -125,7 +125,7 @@
 // invalidateUncertainSplit writes a new page of a split that may be carried out yet, empty: that one guards it to be new. It has to be certain
 // before anything else is written. Carried out later, after a next try with other pages or a change of the page that was to be split, it
 // would leave copies that nobody knows of, and they would bring jobs back that had ended or been sealed since.
-func (l *Store) invalidateUncertainSplit(now time.Time, box *outbox.Outbox) {
+func (l *Store) invalidateUncertainSplit(now time.Time, box *client.Outbox) {
 	if l.writeLimiter.Available(now) < 1 {
 		return
 	}
--- a/internal/controller/pace/pace.go
+++ b/internal/controller/straggler/pace.go
@@ -1,7 +1,7 @@
-// Package pace recognises machines that are slow but report. Its Book owns, by machine, how the tasks
+// Package straggler recognises machines that are slow but report. Its Book owns, by machine, how the tasks
 // that ended there compare with those of the same job elsewhere, and how far such tasks differ by
 // nature. It never drains or returns a machine: it answers whether one is slow.
-package pace
+package straggler
 
 import (
 	"math"
--- a/internal/controller/node/users.go
+++ b/internal/controller/users.go
@@ -1,17 +1,17 @@
-package node
+package controller
 
 import (
 	"time"
 
-	"gullrudder/internal/wire/inbox"
-	"gullrudder/internal/wire/outbox"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/server"
 )
 
 // noLeaderRetryAfter is when a user is told to try again after a refusal for want of a leader.
 const noLeaderRetryAfter = time.Second
 
 // serveOrForward serves a user's request if this node leads, else hands it on to the leader once.
-func (n *Controller) serveOrForward(now time.Time, request *inbox.Request, serve func()) {
+func (n *Controller) serveOrForward(now time.Time, request *server.Request, serve func()) {
 	if n.holdsLease {
 		if !n.leadership.failover.StateLoaded() {
 			n.responder.RespondError(request, 503, "the ledger is being read", noLeaderRetryAfter)
@@ -31,8 +31,8 @@
 		timeout = 4 * time.Second
 	}
 	followedToken := n.election.FollowedToken()
-	n.outbox.Add(outbox.Call{Destination: outbox.PeerController, Addr: leaderAddress, Method: request.Method, Path: request.Target, Body: forwardedBody(request.Body), Timeout: timeout,
-		Done: func(now time.Time, result outbox.Result) {
+	n.outbox.Add(client.Call{Destination: client.PeerController, Addr: leaderAddress, Method: request.Method, Path: request.Target, Body: forwardedBody(request.Body), Timeout: timeout,
+		Done: func(now time.Time, result client.Result) {
 			if n.holdsLease || n.election.FollowedToken() != followedToken {
 				// It was held up, and another leads since, who may have told the user something newer.
 				n.responder.RespondError(request, 503, "another controller leads since", noLeaderRetryAfter)
--- a/internal/controller/workers/drain.go
+++ b/internal/controller/worker/drain.go
@@ -1,4 +1,4 @@
-package workers
+package worker
 
 // DrainReason is why nothing more starts on a machine.
 type DrainReason string
--- a/internal/controller/workers/messages.go
+++ b/internal/controller/worker/messages.go
@@ -1,12 +1,12 @@
-// Package workers keeps what is known of the machines' workers: their reports, their
+// Package worker keeps what is known of the machines' workers: their reports, their
 // leases and the attempts on them.
-package workers
+package worker
 
 import (
 	"time"
 
-	"gullrudder/internal/wire/outbox"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
 )
 
 // MaxNameBytes bounds the name of a machine, in bytes.
@@ -93,10 +93,10 @@
 
 // SendCommands sends a machine commands at once. What became of them its next report tells; the answer to
 // that repeats them if need be. No start is ever sent this way.
-func SendCommands(calls *outbox.Outbox, fencingToken uint64, machine *Machine, commands []Command) {
-	calls.Add(outbox.Call{Destination: outbox.WorkerAgent, Addr: machine.Addr, Method: "POST", Path: "/commands",
+func SendCommands(calls *client.Outbox, fencingToken uint64, machine *Machine, commands []Command) {
+	calls.Add(client.Call{Destination: client.WorkerAgent, Addr: machine.Addr, Method: "POST", Path: "/commands",
 		Body:    DirectCommands{FencingToken: fencingToken, Incarnation: machine.Incarnation, Commands: commands},
-		Timeout: time.Second, Done: func(time.Time, outbox.Result) {}})
+		Timeout: time.Second, Done: func(time.Time, client.Result) {}})
 }
 
 // HeartbeatID is whose report a body is, and which.
@@ -108,7 +108,7 @@
 
 // DecodeHeartbeatID reads whose report a body is; false if it is none. The tasks are not read.
 func DecodeHeartbeatID(body []byte) (id HeartbeatID, ok bool) {
-	if packed.Unmarshal(body, &id) != nil || id.Machine == "" || len(id.Machine) > MaxNameBytes {
+	if codec.Unmarshal(body, &id) != nil || id.Machine == "" || len(id.Machine) > MaxNameBytes {
 		return HeartbeatID{}, false
 	}
 	return id, true
--- a/internal/controller/workers/reach/metrics.go
+++ b/internal/controller/worker/reachability/metrics.go
@@ -1,4 +1,4 @@
-package reach
+package reachability
 
 import "github.com/prometheus/client_golang/prometheus"
 
--- a/internal/controller/workers/reach/reach.go
+++ b/internal/controller/worker/reachability/reach.go
@@ -1,4 +1,4 @@
-// Package reach keeps what each direction of a machine's link has shown: that it is heard, that it hears, since
+// Package reachability keeps what each direction of a machine's link has shown: that it is heard, that it hears, since
 // when and from which evidence. Its Book owns the links of a leadership. It decides which report is a copy and
 // whether a machine gets starts; it sends nothing, and it never says that a task is gone.
 //
@@ -6,13 +6,13 @@
 // is an answer on a connection of our own, made after the question was sent. And a machine that is heard may
 // hear nothing: what it was told to start never appears, its sessions end though it was answered, a question
 // finds no answer. docs/design/reach.md has the ways that were weighed, and what breaks it.
-package reach
+package reachability
 
 import (
 	"log/slog"
 	"time"
 
-	"gullrudder/internal/controller/workers"
+	"gullrudder/internal/controller/worker"
 )
 
 // Freshness is what a report is taken for.
@@ -76,7 +76,7 @@
 	lease         time.Duration
 	log           *slog.Logger
 	links         map[string]*link
-	probeRequests []*workers.Machine // to be asked as soon as can be
+	probeRequests []*worker.Machine // to be asked as soon as can be
 
 	metrics *Metrics
 }
@@ -86,7 +86,7 @@
 	return &Tracker{fencingToken: fencingToken, lease: lease, metrics: metrics, log: log, links: map[string]*link{}}
 }
 
-func (t *Tracker) linkOf(machine *workers.Machine) *link {
+func (t *Tracker) linkOf(machine *worker.Machine) *link {
 	l := t.links[machine.ID]
 	if l == nil {
 		l = &link{suspicion: Unconfirmed}
@@ -99,13 +99,13 @@
 func (t *Tracker) Forget(machineID string) { delete(t.links, machineID) }
 
 // Classify says what a report is. It is told of each before anything else is made of it.
-func (t *Tracker) Classify(now time.Time, machine *workers.Machine, heartbeat *workers.Heartbeat) Freshness {
+func (t *Tracker) Classify(now time.Time, machine *worker.Machine, heartbeat *worker.Heartbeat) Freshness {
 	freshness := t.classify(now, machine, heartbeat)
 	t.metrics.countHeartbeat(freshness)
 	return freshness
 }
 
-func (t *Tracker) classify(now time.Time, machine *workers.Machine, heartbeat *workers.Heartbeat) Freshness {
+func (t *Tracker) classify(now time.Time, machine *worker.Machine, heartbeat *worker.Heartbeat) Freshness {
 	l := t.linkOf(machine)
 	if machine.HasReported && (l.countersReset && heartbeat.Incarnation <= machine.Incarnation || machine.IsNewer(heartbeat) && heartbeat.FencingToken < t.fencingToken) {
 		// A worker never forgets a token that it has seen: this one has begun anew. Until its session is a higher
@@ -137,7 +137,7 @@
 
 // recordCountersReset takes in that the machine counts anew. What runs there is gone once an answer to a question tells so, or
 // its lease is over.
-func (t *Tracker) recordCountersReset(now time.Time, machine *workers.Machine, l *link) {
+func (t *Tracker) recordCountersReset(now time.Time, machine *worker.Machine, l *link) {
 	if !l.countersReset {
 		l.countersReset, l.since = true, now
 		t.log.Info("a machine has begun to count its sessions anew", "machine", machine.ID, "session", machine.Incarnation)
@@ -147,7 +147,7 @@
 }
 
 // recordFresh takes in a report that is newer than all before.
-func (t *Tracker) recordFresh(now time.Time, machine *workers.Machine, l *link, heartbeat *workers.Heartbeat) {
+func (t *Tracker) recordFresh(now time.Time, machine *worker.Machine, l *link, heartbeat *worker.Heartbeat) {
 	sameIncarnation := heartbeat.Incarnation == l.incarnation
 	switch {
 	case machine.HasReported && !sameIncarnation && l.incarnation != 0 && now.Sub(machine.LeaseRenewedAt) < t.lease*4/5 && !l.countersReset:
@@ -166,18 +166,18 @@
 }
 
 // IsNewest reports whether it is the newest report of its machine: only its answer has starts.
-func (t *Tracker) IsNewest(machine *workers.Machine, heartbeat *workers.Heartbeat) bool {
+func (t *Tracker) IsNewest(machine *worker.Machine, heartbeat *worker.Heartbeat) bool {
 	l := t.linkOf(machine)
 	return heartbeat.Incarnation == l.incarnation && heartbeat.Sequence == l.sequence
 }
 
 // RecordAcknowledged takes in that the machine's newest report gets a 200.
-func (t *Tracker) RecordAcknowledged(machine *workers.Machine) { t.linkOf(machine).acknowledged = true }
+func (t *Tracker) RecordAcknowledged(machine *worker.Machine) { t.linkOf(machine).acknowledged = true }
 
 // RecordEnded takes in the attempts that a report of the machine has shown to be gone.
-func (t *Tracker) RecordEnded(now time.Time, machine *workers.Machine, ended []workers.EndedAttempt) {
+func (t *Tracker) RecordEnded(now time.Time, machine *worker.Machine, ended []worker.EndedAttempt) {
 	for _, attempt := range ended {
-		if attempt.Reason == workers.ReasonLost && attempt.Attempt.LastSeenReconcile == 0 && !attempt.Attempt.IsUnsent {
+		if attempt.Reason == worker.ReasonLost && attempt.Attempt.LastSeenReconcile == 0 && !attempt.Attempt.IsUnsent {
 			t.suspect(now, machine, t.linkOf(machine), StartsLost)
 			t.probeRequests = append(t.probeRequests, machine)
 			return
@@ -185,7 +185,7 @@
 	}
 }
 
-func (t *Tracker) suspect(now time.Time, machine *workers.Machine, l *link, suspicion Suspicion) {
+func (t *Tracker) suspect(now time.Time, machine *worker.Machine, l *link, suspicion Suspicion) {
 	if l.suspicion == NotSuspected || l.suspicion == Unconfirmed {
 		l.since = now
 		t.metrics.suspicions.WithLabelValues(suspicion.String()).Inc()
@@ -194,37 +194,37 @@
 	l.suspicion = suspicion
 }
 
-func (t *Tracker) confirmReachable(machine *workers.Machine, l *link) {
+func (t *Tracker) confirmReachable(machine *worker.Machine, l *link) {
 	l.suspicion, l.unansweredProbes, l.ineffectiveResponses = NotSuspected, 0, 0
 	machine.IsUnreachable = l.countersReset
 }
 
 // IsReachable reports whether there is evidence that the machine hears us: if not it gets no starts.
-func (t *Tracker) IsReachable(machine *workers.Machine) bool {
+func (t *Tracker) IsReachable(machine *worker.Machine) bool {
 	l := t.linkOf(machine)
 	return l.suspicion == NotSuspected && !l.countersReset
 }
 
 // IsSuspected reports whether something has shown that the machine may not hear us.
-func (t *Tracker) IsSuspected(machine *workers.Machine) bool {
+func (t *Tracker) IsSuspected(machine *worker.Machine) bool {
 	l := t.links[machine.ID]
 	return l != nil && (l.suspicion > Unconfirmed || l.countersReset)
 }
 
 // TakeProbeRequests are the machines that are to be asked as soon as can be: what they hear is in doubt.
-func (t *Tracker) TakeProbeRequests() []*workers.Machine {
+func (t *Tracker) TakeProbeRequests() []*worker.Machine {
 	machines := t.probeRequests
 	t.probeRequests = nil
 	return machines
 }
 
 // RequestProbe has a machine asked as soon as can be, if it could not be.
-func (t *Tracker) RequestProbe(machine *workers.Machine) {
+func (t *Tracker) RequestProbe(machine *worker.Machine) {
 	t.probeRequests = append(t.probeRequests, machine)
 }
 
 // IsProbeDue reports whether the machine may be asked now: not again before it has had time to answer.
-func (t *Tracker) IsProbeDue(now time.Time, machine *workers.Machine) bool {
+func (t *Tracker) IsProbeDue(now time.Time, machine *worker.Machine) bool {
 	l := t.linkOf(machine)
 	return l.lastProbeAt.IsZero() || now.Sub(l.lastProbeAt) >= probeInterval
 }
@@ -233,7 +233,7 @@
 type Probe struct{ incarnation, sequence uint64 }
 
 // StartProbe takes in that a question is sent to the machine.
-func (t *Tracker) StartProbe(now time.Time, machine *workers.Machine) Probe {
+func (t *Tracker) StartProbe(now time.Time, machine *worker.Machine) Probe {
 	t.linkOf(machine).lastProbeAt = now
 	return Probe{machine.Incarnation, machine.Sequence}
 }
@@ -241,7 +241,7 @@
 // ProbeAnswered takes in a machine's answer to a question: it hears us, and its report is certainly newer than all that
 // was known when the question was sent. If its numbers say otherwise it has begun to count anew, and all that
 // ran there before is gone: no answer to a report of its earlier life reaches it.
-func (t *Tracker) ProbeAnswered(now time.Time, machine *workers.Machine, probe Probe, heartbeat *workers.Heartbeat) (countersReset bool) {
+func (t *Tracker) ProbeAnswered(now time.Time, machine *worker.Machine, probe Probe, heartbeat *worker.Heartbeat) (countersReset bool) {
 	l := t.linkOf(machine)
 	machine.LastContactAt, l.lastProbeAnswerAt = now, now
 	t.metrics.probes.WithLabelValues("answered").Inc()
@@ -257,7 +257,7 @@
 }
 
 // ProbeFailed takes in that a machine did not answer a question.
-func (t *Tracker) ProbeFailed(now time.Time, machine *workers.Machine) {
+func (t *Tracker) ProbeFailed(now time.Time, machine *worker.Machine) {
 	l := t.linkOf(machine)
 	t.metrics.probes.WithLabelValues("not answered").Inc()
 	l.unansweredProbes++
@@ -268,7 +268,7 @@
 
 // IsUnresponsive reports whether the machine answers no questions, or counts anew for so long that it is better given
 // back: sessions that it had before have to end one by one.
-func (t *Tracker) IsUnresponsive(now time.Time, machine *workers.Machine) bool {
+func (t *Tracker) IsUnresponsive(now time.Time, machine *worker.Machine) bool {
 	l := t.links[machine.ID]
 	return l != nil && (l.unansweredProbes >= maxUnansweredProbes || l.countersReset && now.Sub(l.since) > 2*t.lease)
 }
--- a/internal/controller/workers/workers.go
+++ b/internal/controller/worker/workers.go
@@ -1,4 +1,4 @@
-package workers
+package worker
 
 import (
 	"log/slog"
--- a/internal/goldenbytes/goldenbytes.go
+++ b/internal/goldenbytes/goldenbytes.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/codec"
 )
 
 // File is the file beside a package's tests that keeps the bytes, one encoded value a line.
@@ -42,7 +42,7 @@
 
 // MessagePack is a case of a value with every field set, as it is sent and stored in MessagePack.
 func MessagePack[T any](name string, filled T) Case {
-	return newCase(encoding{"msgpack", packed.Marshal, packed.Unmarshal}, name, filled)
+	return newCase(encoding{"msgpack", codec.Marshal, codec.Unmarshal}, name, filled)
 }
 
 // JSON is a case of a value with every field set, as it is written in JSON.
--- a/internal/standin/crash/plain.go
+++ b/internal/simulator/crashtest/plain.go
@@ -1,6 +1,6 @@
-// Package crash plays a store on a disk that loses what it may, ends it at every operation, and
+// Package crashtest plays a store on a disk that loses what it may, ends it at every operation, and
 // compares what comes back with a slow plain history of what was answered.
-package crash
+package crashtest
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"slices"
 	"sort"
 
-	"gullrudder/internal/site/store"
+	"gullrudder/internal/site/kvserver"
 )
 
 // Plain is the plain model of a store: maps, and nothing else.
@@ -112,7 +112,7 @@
 }
 
 // Differs says how a store differs from the model, empty if it does not.
-func (p *Plain) Differs(s *store.State) string {
+func (p *Plain) Differs(s *kvserver.State) string {
 	if s.Revision() != p.Revision || s.LastLeaseID() != p.Granted {
 		return fmt.Sprintf("revision %d and %d leases granted, want %d and %d", s.Revision(), s.LastLeaseID(), p.Revision, p.Granted)
 	}
