--- a/internal/standin/crash/points_test.go
+++ b/internal/simulator/crashtest/points_test.go
@@ -1,4 +1,4 @@
-package crash
+package crashtest
 
 import "testing"
 
--- a/internal/standin/live/history.go
+++ b/internal/simulator/emulator/history.go
@@ -1,4 +1,4 @@
-package live
+package emulator
 
 import (
 	"fmt"
--- a/internal/standin/lossy/lossy.go
+++ b/internal/simulator/faultydisk/lossy.go
@@ -1,8 +1,8 @@
-// Package lossy is a disk that keeps only what it must: what was written and not synced may be
+// Package faultydisk is a disk that keeps only what it must: what was written and not synced may be
 // lost, kept in part, sector by sector and in any order; names that were not synced may be the
 // old ones. It ends at an operation that is chosen, or reports errors there. After a sync that
 // has failed, what it should have kept never lasts, whatever later syncs say.
-package lossy
+package faultydisk
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 	"sort"
 	"syscall"
 
-	"gullrudder/internal/site/store"
+	"gullrudder/internal/site/kvserver"
 )
 
 const sector = 512
@@ -104,7 +104,7 @@
 }
 
 // Create makes a new empty file.
-func (d *Disk) Create(name string) (store.File, error) {
+func (d *Disk) Create(name string) (kvserver.File, error) {
 	err := d.op()
 	if err == nil && (d.fault() == Failed || d.fault() == Short) {
 		err = syscall.ENOSPC
@@ -118,7 +118,7 @@
 }
 
 // Open opens a file.
-func (d *Disk) Open(name string) (store.File, error) {
+func (d *Disk) Open(name string) (kvserver.File, error) {
 	if err := d.op(); err != nil {
 		return nil, err
 	}
--- a/internal/standin/explore/explore.go
+++ b/internal/simulator/modelcheck/explore.go
@@ -1,7 +1,7 @@
-// Package explore plays every schedule of a small world up to a depth: states that were met before are told by
+// Package modelcheck plays every schedule of a small world up to a depth: states that were met before are told by
 // their keys and not played on from again. It knows nothing of what is played. A world cannot be copied, so it
 // is played from its beginning for each state; worlds are small, and that costs little.
-package explore
+package modelcheck
 
 import (
 	"hash/maphash"
--- a/internal/standin/night_test.go
+++ b/internal/simulator/night_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"flag"
@@ -14,7 +14,7 @@
 )
 
 // night is how long the night of TestNight is; it is not played unless a length is given:
-// go test ./internal/standin -run Night -night 12h -seeds 4 -timeout 1h -v
+// go test ./internal/simulator -run Night -night 12h -seeds 4 -timeout 1h -v
 var (
 	night  = flag.Duration("night", 0, "length of the night that TestNight plays; 0: none")
 	seeds  = flag.Int("seeds", 2, "how many nights")
--- a/internal/site/agent/runner.go
+++ b/internal/site/agent/runner.go
@@ -17,7 +17,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"gullrudder/internal/site/processes"
+	"gullrudder/internal/site/process"
 )
 
 const (
@@ -92,12 +92,12 @@
 	}
 	groups := map[int]bool{}
 	for _, path := range records {
-		var id processes.Identity
+		var id process.Identity
 		if raw, err := os.ReadFile(path); err == nil && json.Unmarshal(raw, &id) == nil && id.Alive() {
 			groups[id.PID] = true
 		}
 	}
-	if err := processes.End(map[string]bool{r.mark: true}, groups, endWithin); err != nil {
+	if err := process.End(map[string]bool{r.mark: true}, groups, endWithin); err != nil {
 		return fmt.Errorf("tasks of an earlier process: %w", err)
 	}
 	for _, path := range records {
@@ -239,7 +239,7 @@
 		return err
 	}
 	p.group = cmd.Process.Pid
-	id, err := processes.Identify(p.group)
+	id, err := process.Identify(p.group)
 	if err != nil {
 		r.log.Debug("a task ended at once", "task", p.name)
 		return nil
@@ -326,7 +326,7 @@
 				groups[q.group] = true
 			}
 		}
-		for processes.End(marks, groups, endWithin) != nil {
+		for process.End(marks, groups, endWithin) != nil {
 			r.log.Error("processes of tasks that ended cannot be ended, and are tried again", "tasks", len(batch))
 		}
 		for _, q := range batch {
@@ -352,7 +352,7 @@
 	for group := range groups {
 		r.signal(group, syscall.SIGKILL)
 	}
-	for processes.End(map[string]bool{r.mark: true}, groups, endWithin) != nil {
+	for process.End(map[string]bool{r.mark: true}, groups, endWithin) != nil {
 		r.log.Error("tasks cannot be ended, and are tried again", "tasks", len(list))
 	}
 	for _, p := range list {
--- a/internal/site/agent/runtime.go
+++ b/internal/site/agent/runtime.go
@@ -15,9 +15,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"gullrudder/internal/site/home"
-	"gullrudder/internal/wire/httpwire"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/site/datadir"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/http1"
 )
 
 // Place is where a worker is and whom it works for.
@@ -121,14 +121,14 @@
 func (r *Runtime) Run() error {
 	go r.own()
 	go r.greet()
-	server := httpwire.NewServer(httpwire.ServerOptions{PublicAddr: r.opt.Addr, MaxConnections: 64, IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second, Handler: r.handle})
+	server := http1.NewServer(http1.ServerOptions{PublicAddr: r.opt.Addr, MaxConnections: 64, IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second, Handler: r.handle})
 	return server.RunWithRestart(r.log)
 }
 
 // Close ends all tasks.
 func (r *Runtime) Close() { r.runner.Clear() }
 
-func (r *Runtime) handle(q *httpwire.Request) {
+func (r *Runtime) handle(q *http1.Request) {
 	path, _, _ := strings.Cut(q.Target, "?")
 	switch {
 	case path == "/site/look" && q.Method == "POST":
@@ -151,8 +151,8 @@
 func (r *Runtime) own() {
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
-	reports := httpwire.NewClient(4, 1, httpwire.MaxBodyBytes)
-	calls := httpwire.NewClient(64, 4, httpwire.MaxBodyBytes)
+	reports := http1.NewClient(4, 1, http1.MaxBodyBytes)
+	calls := http1.NewClient(64, 4, http1.MaxBodyBytes)
 	batch := make([]Input, 0, 64)
 	for {
 		batch = batch[:0]
@@ -169,14 +169,14 @@
 	}
 }
 
-func (r *Runtime) do(e Effects, reports, calls *httpwire.Client) {
+func (r *Runtime) do(e Effects, reports, calls *http1.Client) {
 	for _, p := range e.Replies {
-		raw, err := packed.Marshal(p.Body)
+		raw, err := codec.Marshal(p.Body)
 		if err != nil {
 			r.log.Error("a report cannot be encoded", "error", err)
 			continue
 		}
-		if q, ok := p.Ref.(*httpwire.Request); ok {
+		if q, ok := p.Ref.(*http1.Request); ok {
 			q.Respond(p.Status, raw, 0)
 		}
 	}
@@ -203,7 +203,7 @@
 }
 
 // describe finds what a task runs: nothing, if its result is kept here already.
-func (r *Runtime) describe(l Launch, calls *httpwire.Client) *Described {
+func (r *Runtime) describe(l Launch, calls *http1.Client) *Described {
 	d := &Described{Task: l.Task, Attempt: l.Attempt}
 	switch _, err := r.runner.results.get(l.Task); {
 	case err == nil:
@@ -241,8 +241,8 @@
 	return d
 }
 
-func (r *Runtime) send(s *Sending, client *httpwire.Client) *Answered {
-	raw, err := packed.Marshal(s.Body)
+func (r *Runtime) send(s *Sending, client *http1.Client) *Answered {
+	raw, err := codec.Marshal(s.Body)
 	if err != nil {
 		r.log.Error("a report cannot be encoded", "error", err)
 		return &Answered{}
@@ -263,7 +263,7 @@
 }
 
 func (r *Runtime) freeDisk() uint64 {
-	left, err := home.FreeDisk(r.place.Dir)
+	left, err := datadir.FreeDisk(r.place.Dir)
 	if err != nil {
 		r.log.Error("the disk counts as full", "error", err)
 	}
@@ -282,7 +282,7 @@
 // greet tells the pool what this is, and learns what it is to be. While the pool is away everything
 // stays as it is: the lease is the controllers'.
 func (r *Runtime) greet() {
-	client := httpwire.NewClient(1, 1, httpwire.MaxBodyBytes)
+	client := http1.NewClient(1, 1, http1.MaxBodyBytes)
 	for {
 		r.mu.Lock()
 		g := r.seen
@@ -294,10 +294,10 @@
 				g.Failures = append(g.Failures, string(raw))
 			}
 		}
-		if raw, err := packed.Marshal(g); err == nil {
+		if raw, err := codec.Marshal(g); err == nil {
 			msg, err := client.Do(r.place.Pool, "POST", "/site/greet", raw, 2*time.Second)
 			var c Charge
-			if err == nil && msg.Status == 200 && packed.Unmarshal(msg.Body, &c) == nil {
+			if err == nil && msg.Status == 200 && codec.Unmarshal(msg.Body, &c) == nil {
 				if err := r.runner.results.told(told); err != nil {
 					r.log.Error("failures will be told again", "error", err)
 				}
--- a/internal/site/agent/state.go
+++ b/internal/site/agent/state.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/codec"
 )
 
 // Options of a worker.
@@ -193,7 +193,7 @@
 	s.flying = false
 	s.nextAt = s.sent.Add(s.opt.Report)
 	var got answer
-	readable := a.Status != 0 && packed.Unmarshal(a.Body, &got) == nil
+	readable := a.Status != 0 && codec.Unmarshal(a.Body, &got) == nil
 	switch {
 	case a.Status == 200:
 		if !readable || got.Token == nil || *got.Token < s.token || s.clearing || s.flown != s.session || now.Sub(s.sent) > patience {
@@ -229,7 +229,7 @@
 		return
 	}
 	var got answer
-	if packed.Unmarshal(d.Body, &got) != nil || got.Token == nil || got.Session == nil {
+	if codec.Unmarshal(d.Body, &got) != nil || got.Token == nil || got.Session == nil {
 		reply(400)
 		return
 	}
@@ -312,7 +312,7 @@
 		exit(whyNoSuch)
 	case d.Status != 200:
 		t.askAt = now.Add(describeAgain)
-	case packed.Unmarshal(d.Body, &desc) != nil || len(desc.Command) == 0 || !inJob(d.Task, desc):
+	case codec.Unmarshal(d.Body, &desc) != nil || len(desc.Command) == 0 || !inJob(d.Task, desc):
 		exit(whyNoSuch)
 	case !s.fits(t, desc):
 		exit(whyNoRoom)
--- a/internal/site/home/golden_bytes_test.go
+++ b/internal/site/datadir/golden_bytes_test.go
@@ -1,4 +1,4 @@
-package home
+package datadir
 
 import (
 	"testing"
--- a/internal/site/home/home.go
+++ b/internal/site/datadir/home.go
@@ -1,7 +1,7 @@
-// Package home is the directory of a site that runs on its own machine: which addresses its parts have,
+// Package datadir is the directory of a site that runs on its own machine: which addresses its parts have,
 // how large it is, and the controllers' settings. It is made at the first run and never edited by hand.
 // It owns the files in the directory's root; the parts own their own directories.
-package home
+package datadir
 
 import (
 	"crypto/rand"
@@ -22,7 +22,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"gullrudder/internal/site/processes"
+	"gullrudder/internal/site/process"
 )
 
 // Home is a site's directory.
@@ -263,8 +263,8 @@
 }
 
 // Running is the process that supervises the site, if one does.
-func (h *Home) Running() (processes.Identity, bool) {
-	var id processes.Identity
+func (h *Home) Running() (process.Identity, bool) {
+	var id process.Identity
 	raw, err := os.ReadFile(h.Supervisor())
 	if err != nil || json.Unmarshal(raw, &id) != nil {
 		return id, false
@@ -274,7 +274,7 @@
 
 // Supervised leaves word that this process supervises the site.
 func (h *Home) Supervised() error {
-	id, err := processes.Identify(os.Getpid())
+	id, err := process.Identify(os.Getpid())
 	if err != nil {
 		return err
 	}
--- a/internal/site/descriptions/descriptions.go
+++ b/internal/site/jobspec/descriptions.go
@@ -1,6 +1,6 @@
-// Package descriptions keeps what jobs run, as their users uploaded it: by job, on disk, never changed.
+// Package jobspec keeps what jobs run, as their users uploaded it: by job, on disk, never changed.
 // It knows nothing of jobs' states and never reads a description but for its size.
-package descriptions
+package jobspec
 
 import (
 	"bytes"
--- a/internal/site/descriptions/descriptions_test.go
+++ b/internal/site/jobspec/descriptions_test.go
@@ -1,4 +1,4 @@
-package descriptions
+package jobspec
 
 import (
 	"errors"
--- a/internal/site/store/content.go
+++ b/internal/site/kvserver/content.go
@@ -1,4 +1,4 @@
-package store
+package kvserver
 
 import (
 	"slices"
@@ -8,7 +8,7 @@
 
 	"github.com/google/btree"
 
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/codec"
 )
 
 // item is a key with its value. Items are never changed, only replaced: a snapshot may still
@@ -22,7 +22,7 @@
 }
 
 func newItem(key string, value []byte, modRevision, leaseID uint64) *item {
-	return &item{key: key, value: value, modRevision: modRevision, leaseID: leaseID, jsonBytes: packed.JSONSize(value)}
+	return &item{key: key, value: value, modRevision: modRevision, leaseID: leaseID, jsonBytes: codec.JSONSize(value)}
 }
 
 func keyLess(a, b *item) bool { return a.key < b.key }
--- a/internal/site/store/messages.go
+++ b/internal/site/kvserver/messages.go
@@ -1,4 +1,4 @@
-package store
+package kvserver
 
 import (
 	"time"
--- a/internal/site/store/metrics.go
+++ b/internal/site/kvserver/metrics.go
@@ -1,4 +1,4 @@
-package store
+package kvserver
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"gullrudder/internal/wire/scrape"
+	"gullrudder/internal/wire/metrics"
 )
 
 // Metrics are the figures of a store, in Prometheus' text form.
@@ -104,5 +104,5 @@
 
 // Serve answers GET /metrics at an address until the listener fails.
 func (m *Metrics) Serve(addr string, log *slog.Logger) error {
-	return scrape.Serve(m.registry, addr, log)
+	return metrics.Serve(m.registry, addr, log)
 }
--- a/internal/site/store/service.go
+++ b/internal/site/kvserver/service.go
@@ -1,4 +1,4 @@
-package store
+package kvserver
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/wire/httpwire"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/http1"
 )
 
 const (
@@ -83,12 +83,12 @@
 			s.sendResponses(steps)
 		}
 	}()
-	server := httpwire.NewServer(httpwire.ServerOptions{PublicAddr: addr, MaxConnections: s.options.MaxConnections, IdleTimeout: 75 * time.Second,
+	server := http1.NewServer(http1.ServerOptions{PublicAddr: addr, MaxConnections: s.options.MaxConnections, IdleTimeout: 75 * time.Second,
 		ReadTimeout: 10 * time.Second, Handler: s.enqueue})
 	return server.RunWithRestart(s.log)
 }
 
-func (s *Server) enqueue(r *httpwire.Request) {
+func (s *Server) enqueue(r *http1.Request) {
 	select {
 	case s.requests <- Request{Handle: r, Method: r.Method, Target: r.Target, Body: r.Body}:
 	default:
@@ -190,12 +190,12 @@
 }
 
 func (s *Server) sendResponse(r Response) {
-	body, err := packed.Marshal(r.Body)
+	body, err := codec.Marshal(r.Body)
 	if err != nil {
 		s.log.Error("an answer cannot be encoded", "error", err)
 		r.Status, body = 503, nil
 	}
-	if req, ok := r.Handle.(*httpwire.Request); ok {
+	if req, ok := r.Handle.(*http1.Request); ok {
 		s.metrics.countResponse(req.Method, req.Target, r.Status)
 		req.Respond(r.Status, body, r.RetryAfter)
 	}
@@ -266,7 +266,7 @@
 	}
 	for _, e := range steps {
 		for _, r := range e.Responses {
-			if req, ok := r.Handle.(*httpwire.Request); ok {
+			if req, ok := r.Handle.(*http1.Request); ok {
 				req.Abort()
 			}
 		}
--- a/internal/site/store/state.go
+++ b/internal/site/kvserver/state.go
@@ -1,9 +1,9 @@
-// Package store is the state service of a site: a small, strongly consistent store of keys, with
+// Package kvserver is the state service of a site: a small, strongly consistent store of keys, with
 // guarded commits, leases and watches, as the protocol describes it. Its State is the owner of
 // all that is kept and steps through requests without I/O and without a clock; the Service
 // brings each step's records into a log before its answers go out, and takes snapshots so that
 // the log stays short. The package knows nothing of what the keys mean.
-package store
+package kvserver
 
 import (
 	"fmt"
@@ -15,8 +15,8 @@
 	"time"
 
 	"gullrudder/internal/config"
-	"gullrudder/internal/wire/outbox"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
 )
 
 // Limits of the protocol.
@@ -38,8 +38,8 @@
 type State struct {
 	*keyspace
 	options        config.KVServer
-	requestLimiter *outbox.RateLimiter // nil: no limit
-	writeLimiter   *outbox.RateLimiter
+	requestLimiter *client.RateLimiter // nil: no limit
+	writeLimiter   *client.RateLimiter
 	watches        []*watch
 	writesFailing  bool // changes cannot be kept at present
 	effects        Effects
@@ -57,10 +57,10 @@
 func newState(data *keyspace, options config.KVServer, now time.Time) *State {
 	s := &State{keyspace: data, options: options}
 	if options.RequestRate > 0 {
-		s.requestLimiter = outbox.NewRateLimiter(options.RequestRate, time.Second)
+		s.requestLimiter = client.NewRateLimiter(options.RequestRate, time.Second)
 	}
 	if options.WriteRate > 0 {
-		s.writeLimiter = outbox.NewRateLimiter(options.WriteRate, time.Second)
+		s.writeLimiter = client.NewRateLimiter(options.WriteRate, time.Second)
 	}
 	s.renewAllLeases(now)
 	return s
@@ -282,7 +282,7 @@
 
 func (s *State) grantLease(request *Request) {
 	var a leaseRequest
-	if err := packed.Unmarshal(request.Body, &a); err != nil {
+	if err := codec.Unmarshal(request.Body, &a); err != nil {
 		s.reject(request.Handle, 400, 0, "%v", err)
 		return
 	}
@@ -347,7 +347,7 @@
 		return fmt.Sprintf("%d changes, at most %d are allowed", len(t.Operations), s.options.MaxTransactionOps)
 	case len(t.Preconditions) > maxPreconditionsPerOp*s.options.MaxTransactionOps:
 		return fmt.Sprintf("%d guards, at most %d are allowed", len(t.Preconditions), maxPreconditionsPerOp*s.options.MaxTransactionOps)
-	case len(body)*maxJSONBytesPerByte > maxTransactionBytes && packed.JSONSize(body) > maxTransactionBytes:
+	case len(body)*maxJSONBytesPerByte > maxTransactionBytes && codec.JSONSize(body) > maxTransactionBytes:
 		return "the transaction is larger than 64 KiB"
 	}
 	for _, g := range t.Preconditions {
@@ -362,7 +362,7 @@
 		if o.WriteKey != "" && len(o.Value) == 0 {
 			return fmt.Sprintf("no value for %s", o.WriteKey)
 		}
-		if size := packed.JSONSize(o.Value); size > s.options.MaxValueBytes {
+		if size := codec.JSONSize(o.Value); size > s.options.MaxValueBytes {
 			return fmt.Sprintf("the value of %s has %d bytes, at most %d are allowed", o.WriteKey, size, s.options.MaxValueBytes)
 		}
 	}
@@ -371,7 +371,7 @@
 
 func (s *State) commitTransaction(request *Request) {
 	var t transaction
-	if err := packed.Unmarshal(request.Body, &t); err != nil {
+	if err := codec.Unmarshal(request.Body, &t); err != nil {
 		s.reject(request.Handle, 400, 0, "%v", err)
 		return
 	}
--- a/internal/site/pool/golden_bytes_test.go
+++ b/internal/site/machinepool/golden_bytes_test.go
@@ -1,4 +1,4 @@
-package pool
+package machinepool
 
 import (
 	"testing"
--- a/internal/site/pool/messages.go
+++ b/internal/site/machinepool/messages.go
@@ -1,8 +1,8 @@
-// Package pool offers the machines that a site owns as a cloud: rent is a hand-out to the worker of a
+// Package machinepool offers the machines that a site owns as a cloud: rent is a hand-out to the worker of a
 // machine, and a deletion is confirmed only once that worker has said that nothing is left. Its State
 // owns what is rented, which worker has which machine, and whether the site is being drained; it is a
 // pure step. Its Service writes every change down before it answers. It never starts or stops a task.
-package pool
+package machinepool
 
 import "time"
 
--- a/internal/site/pool/service.go
+++ b/internal/site/machinepool/service.go
@@ -1,4 +1,4 @@
-package pool
+package machinepool
 
 import (
 	"encoding/json"
@@ -12,10 +12,10 @@
 
 	"go.etcd.io/bbolt"
 
-	"gullrudder/internal/site/descriptions"
-	"gullrudder/internal/site/home"
-	"gullrudder/internal/wire/httpwire"
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/site/datadir"
+	"gullrudder/internal/site/jobspec"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/http1"
 )
 
 // Service connects a State with the clock, the network and the disk, and keeps the descriptions and
@@ -23,7 +23,7 @@
 type Service struct {
 	state *State
 	db    *bbolt.DB
-	descs *descriptions.Keeper
+	descs *jobspec.Keeper
 	log   *slog.Logger
 	queue chan Request
 	look  chan string
@@ -61,8 +61,8 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	s := &Service{state: New(opt, rec), db: db, log: log, queue: make(chan Request, 1024), look: make(chan string, 256), write: make(chan func(), 1024)}
-	s.descs, err = descriptions.New(db, func() bool {
-		left, err := home.FreeDisk(dir)
+	s.descs, err = jobspec.New(db, func() bool {
+		left, err := datadir.FreeDisk(dir)
 		return err == nil && left >= free
 	})
 	return s, err
@@ -79,11 +79,11 @@
 			}
 		}()
 	}
-	server := httpwire.NewServer(httpwire.ServerOptions{PublicAddr: addr, MaxConnections: 512, IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second, Handler: s.handle})
+	server := http1.NewServer(http1.ServerOptions{PublicAddr: addr, MaxConnections: 512, IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second, Handler: s.handle})
 	return server.RunWithRestart(s.log)
 }
 
-func (s *Service) handle(r *httpwire.Request) {
+func (s *Service) handle(r *http1.Request) {
 	path, query, _ := strings.Cut(r.Target, "?")
 	job, isDesc := strings.CutPrefix(path, "/descriptions/")
 	full := func() { r.Respond(503, nil, time.Second) }
@@ -109,7 +109,7 @@
 	}
 }
 
-func (s *Service) describe(r *httpwire.Request, job string) {
+func (s *Service) describe(r *http1.Request, job string) {
 	switch r.Method {
 	case "GET":
 		raw, err := s.descs.Get(job)
@@ -122,14 +122,14 @@
 			r.Respond(200, raw, 0)
 		}
 	case "POST":
-		if job == "" || len(job) > 64 || packed.Validate(r.Body) != nil {
+		if job == "" || len(job) > 64 || codec.Validate(r.Body) != nil {
 			s.answer(r, 400, map[string]string{"error": "no description"}, 0)
 			return
 		}
 		switch err := s.descs.Put(job, r.Body); {
 		case err == nil:
 			s.answer(r, 200, nil, 0)
-		case errors.Is(err, descriptions.ErrOther):
+		case errors.Is(err, jobspec.ErrOther):
 			s.answer(r, 409, map[string]string{"error": err.Error()}, 0)
 		default:
 			s.log.Error("a description is not kept", "job", job, "error", err)
@@ -140,8 +140,8 @@
 	}
 }
 
-func (s *Service) answer(r *httpwire.Request, status int, body any, retry time.Duration) {
-	raw, err := packed.Marshal(body)
+func (s *Service) answer(r *http1.Request, status int, body any, retry time.Duration) {
+	raw, err := codec.Marshal(body)
 	if err != nil {
 		s.log.Error("an answer cannot be encoded", "error", err)
 	}
@@ -188,7 +188,7 @@
 		}
 	}
 	for _, r := range e.Replies {
-		if q, ok := r.Ref.(*httpwire.Request); ok {
+		if q, ok := r.Ref.(*http1.Request); ok {
 			s.answer(q, r.Status, r.Body, r.Retry)
 		}
 	}
@@ -241,7 +241,7 @@
 	List []string `msgpack:"list"`
 }
 
-func (s *Service) failures(r *httpwire.Request, query string) {
+func (s *Service) failures(r *http1.Request, query string) {
 	most := mostShown
 	if n, err := strconv.Atoi(strings.TrimPrefix(query, "most=")); err == nil {
 		most = min(max(n, 1), mostShown)
@@ -250,7 +250,7 @@
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		c := tx.Bucket([]byte("failures")).Cursor()
 		size := 0
-		for k, v := c.Last(); k != nil && len(f.List) < most && size < httpwire.MaxBodyBytes/2; k, v = c.Prev() {
+		for k, v := c.Last(); k != nil && len(f.List) < most && size < http1.MaxBodyBytes/2; k, v = c.Prev() {
 			f.List = append(f.List, string(v))
 			size += len(v)
 		}
@@ -265,7 +265,7 @@
 
 // poke has workers ask at once what they are to be.
 func (s *Service) poke() {
-	client := httpwire.NewClient(4, 2, httpwire.MaxBodyBytes)
+	client := http1.NewClient(4, 2, http1.MaxBodyBytes)
 	for addr := range s.look {
 		if _, err := client.Do(addr, "POST", "/site/look", nil, 500*time.Millisecond); err != nil {
 			s.log.Debug("a worker is not told to ask", "worker", addr, "error", err)
--- a/internal/site/pool/state.go
+++ b/internal/site/machinepool/state.go
@@ -1,4 +1,4 @@
-package pool
+package machinepool
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/codec"
 )
 
 const (
@@ -161,7 +161,7 @@
 		Spot    bool   `msgpack:"driftwood"`
 		Count   int    `msgpack:"how_many"`
 	}
-	if packed.Unmarshal(r.Body, &a) != nil || a.Charter == "" || len(a.Charter) > 200 || a.Count < 1 || a.Count > mostRent {
+	if codec.Unmarshal(r.Body, &a) != nil || a.Charter == "" || len(a.Charter) > 200 || a.Count < 1 || a.Count > mostRent {
 		s.reply(r.Ref, 400, map[string]string{"error": "malformed"})
 		return
 	}
@@ -222,7 +222,7 @@
 	var a struct {
 		IDs []string `msgpack:"oarlocks"`
 	}
-	if packed.Unmarshal(r.Body, &a) != nil || len(a.IDs) > mostDelete {
+	if codec.Unmarshal(r.Body, &a) != nil || len(a.IDs) > mostDelete {
 		s.reply(r.Ref, 400, map[string]string{"error": "malformed"})
 		return
 	}
@@ -264,7 +264,7 @@
 // greet takes in what a worker says of itself, and tells it what it is to be.
 func (s *State) greet(now time.Time, r Request) {
 	var g greeting
-	if packed.Unmarshal(r.Body, &g) != nil || g.Name == "" || g.Addr == "" || g.Type == "" {
+	if codec.Unmarshal(r.Body, &g) != nil || g.Name == "" || g.Addr == "" || g.Type == "" {
 		s.reply(r.Ref, 400, map[string]string{"error": "no greeting"})
 		return
 	}
--- a/internal/site/processes/golden_bytes_test.go
+++ b/internal/site/process/golden_bytes_test.go
@@ -1,4 +1,4 @@
-package processes
+package process
 
 import (
 	"testing"
--- a/internal/site/processes/processes.go
+++ b/internal/site/process/processes.go
@@ -1,7 +1,7 @@
-// Package processes finds and ends processes of the operating system for certain. It owns nothing: a
+// Package process finds and ends processes of the operating system for certain. It owns nothing: a
 // process is known by a variable of its environment (a mark), which its children inherit, and by the
 // time at which it began, so that a number that was given out anew is never signalled.
-package processes
+package process
 
 import (
 	"bytes"
--- a/internal/site/supervise/supervise.go
+++ b/internal/site/supervisor/supervise.go
@@ -1,7 +1,7 @@
-// Package supervise runs the processes of a site: each is started again when it ends, ever later if it
+// Package supervisor runs the processes of a site: each is started again when it ends, ever later if it
 // ends soon, and all are ended in order. It owns the processes and the file that says which they are,
 // so that a successor ends what is left of a supervisor that was killed.
-package supervise
+package supervisor
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"gullrudder/internal/site/processes"
+	"gullrudder/internal/site/process"
 )
 
 const (
@@ -61,7 +61,7 @@
 		return nil, fmt.Errorf("logs: %w", err)
 	}
 	// Only the parts carry the mark; tasks have an environment of their own, and are the worker's.
-	if err := processes.End(map[string]bool{s.mark: true}, nil, patience); err != nil {
+	if err := process.End(map[string]bool{s.mark: true}, nil, patience); err != nil {
 		return nil, fmt.Errorf("parts of an earlier start: %w", err)
 	}
 	return s, nil
--- a/internal/steady/steady.go
+++ b/internal/testseed/steady.go
@@ -1,6 +1,6 @@
-// Package steady makes the random tests of a package draw the same cases in every run, so
+// Package testseed makes the random tests of a package draw the same cases in every run, so
 // that a verdict does not change by itself.
-package steady
+package testseed
 
 import (
 	"flag"
--- a/internal/wire/outbox/outbox.go
+++ b/internal/wire/client/outbox.go
@@ -1,7 +1,7 @@
-// Package outbox carries what the owner loop wants done outside of it: the slices
+// Package client carries what the owner loop wants done outside of it: the slices
 // add calls, the runtime (or the stand-in world of the tests) carries them out and
 // hands each result back to the owner, which then runs the call's Done.
-package outbox
+package client
 
 import "time"
 
--- a/internal/wire/packed/packed.go
+++ b/internal/wire/codec/packed.go
@@ -1,7 +1,7 @@
-// Package packed reads and writes the MessagePack bodies that all sides exchange.
+// Package codec reads and writes the MessagePack bodies that all sides exchange.
 // What comes from outside is walked once before it is decoded, so that neither deep
 // nesting nor a huge declared length costs memory.
-package packed
+package codec
 
 import (
 	"bytes"
--- a/internal/wire/packed/packed_test.go
+++ b/internal/wire/codec/packed_test.go
@@ -1,4 +1,4 @@
-package packed
+package codec
 
 import (
 	"bytes"
--- a/internal/wire/httpwire/parse.go
+++ b/internal/wire/http1/parse.go
@@ -1,6 +1,6 @@
-// Package httpwire is the project's own HTTP/1.1: one strict and bounded codec, an
+// Package http1 is the project's own HTTP/1.1: one strict and bounded codec, an
 // evio server and a client that keeps its connections.
-package httpwire
+package http1
 
 import (
 	"bytes"
--- a/internal/wire/httpwire/server.go
+++ b/internal/wire/http1/server.go
@@ -1,4 +1,4 @@
-package httpwire
+package http1
 
 import (
 	"errors"
--- a/internal/wire/scrape/scrape.go
+++ b/internal/wire/metrics/scrape.go
@@ -1,6 +1,6 @@
-// Package scrape serves figures in Prometheus' text form. What it serves is a registry, whose
+// Package metrics serves figures in Prometheus' text form. What it serves is a registry, whose
 // figures are safe to read while their owner counts on.
-package scrape
+package metrics
 
 import (
 	"bytes"
@@ -11,13 +11,13 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/common/expfmt"
 
-	"gullrudder/internal/wire/httpwire"
+	"gullrudder/internal/wire/http1"
 )
 
 // Serve answers GET /metrics at an address until the listener fails.
 func Serve(registry *prometheus.Registry, addr string, log *slog.Logger) error {
-	server := httpwire.NewServer(httpwire.ServerOptions{PublicAddr: addr, MaxConnections: 16, IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second,
-		Handler: func(r *httpwire.Request) {
+	server := http1.NewServer(http1.ServerOptions{PublicAddr: addr, MaxConnections: 16, IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second,
+		Handler: func(r *http1.Request) {
 			if r.Method != "GET" || r.Target != "/metrics" {
 				r.Respond(404, nil, 0)
 				return
--- a/internal/wire/inbox/inbox.go
+++ b/internal/wire/server/inbox.go
@@ -1,12 +1,12 @@
-// Package inbox carries what comes in to the owner loop and the answers that go out: the runtime
+// Package server carries what comes in to the owner loop and the answers that go out: the runtime
 // (or the stand-in world of the tests) fills in requests, the slices answer them.
-package inbox
+package server
 
 import (
 	"log/slog"
 	"time"
 
-	"gullrudder/internal/wire/packed"
+	"gullrudder/internal/wire/codec"
 )
 
 // Request is a request that came in. Ref is the runtime's own.
@@ -37,7 +37,7 @@
 	var raw []byte
 	if body != nil {
 		var err error
-		if raw, err = packed.Marshal(body); err != nil {
+		if raw, err = codec.Marshal(body); err != nil {
 			a.Log.Error("an answer cannot be encoded", "error", err)
 			status, raw = 503, nil
 		}
