--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -6,11 +6,10 @@
 import (
 	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"strings"
 	"time"
 
-	"github.com/prometheus/client_golang/prometheus"
-
 	"gullrudder/internal/config"
 	"gullrudder/internal/controller/accounting"
 	"gullrudder/internal/controller/admission"
@@ -34,6 +33,8 @@
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/server"
+
+	"github.com/prometheus/client_golang/prometheus"
 )
 
 // Outcome is what came of a call.
@@ -101,7 +102,16 @@
 
 // New makes the state of a process that has just started.
 func New(platform *config.Platform, options config.Options, now time.Time, rng *rand.Rand, log *slog.Logger) *Controller {
-	n := &Controller{platform: platform, options: options, log: log, responder: server.Responder{Log: log}, teams: platform.TeamsByName(), peers: map[string]string{}, registry: prometheus.NewRegistry(), latencies: newLatencyTable()}
+	n := &Controller{
+		platform:  platform,
+		options:   options,
+		log:       log,
+		responder: server.Responder{Log: log},
+		teams:     platform.TeamsByName(),
+		peers:     map[string]string{},
+		registry:  prometheus.NewRegistry(),
+		latencies: newLatencyTable(),
+	}
 	n.metrics = accounting.NewMetrics(n.registry)
 	n.linkMetrics = reachability.NewMetrics(n.registry)
 	var peers []election.Peer
@@ -109,9 +119,11 @@
 		peers = append(peers, election.Peer{Name: peer.Name, Addr: peer.Addr})
 		n.peers[peer.Name] = peer.Addr
 	}
-	n.election = election.New(election.Options{Name: platform.Name, Peers: peers, LeaseDuration: options.LeaderLeaseDuration,
+	n.election = election.New(election.Options{
+		Name: platform.Name, Peers: peers, LeaseDuration: options.LeaderLeaseDuration,
 		GrantDuration: options.GrantDuration, SafetyMargin: 100 * time.Millisecond, HeartbeatInterval: platform.HeartbeatInterval,
-		RenewalWindow: renewal.Window(platform.CancelTimeout, worker.LeaseExpiry(platform.WorkerLeaseDuration))}, now, rng, log)
+		RenewalWindow: renewal.Window(platform.CancelTimeout, worker.LeaseExpiry(platform.WorkerLeaseDuration)),
+	}, now, rng, log)
 	return n
 }
 
@@ -188,14 +200,18 @@
 		n.requireMethod(request, "GET", func() { n.handleStatus(now, request) })
 	case path == "/v1/report" && !request.FromPeer:
 		n.requireMethod(request, "POST", func() { n.handleHeartbeat(now, request) })
-	case path == "/settings" && request.Method == "GET":
+	case path == "/settings" && request.Method == http.MethodGet:
 		n.serveOrForward(now, request, func() { n.leadership.dynamicConfig.ServeView(now, request) })
 	case path == "/settings":
 		n.requireMethod(request, "POST", func() {
 			n.serveOrForward(now, request, func() { n.leadership.dynamicConfig.ServeChange(now, request) })
 		})
 	case api.MethodFor(segments) != "":
-		n.requireMethod(request, api.MethodFor(segments), func() { n.serveOrForward(now, request, func() { n.leadership.api.Serve(now, request, segments) }) })
+		n.requireMethod(
+			request,
+			api.MethodFor(segments),
+			func() { n.serveOrForward(now, request, func() { n.leadership.api.Serve(now, request, segments) }) },
+		)
 	case path == "/peer/hello" && request.FromPeer:
 		n.requireMethod(request, "POST", func() { n.handlePing(now, request) })
 	case path == "/peer/inquiry" && request.FromPeer:
@@ -285,7 +301,17 @@
 	placing := l.failover.Completed()
 	if !now.Before(l.nextWaitReasons) {
 		l.nextWaitReasons = now.Add(n.waitReasonsInterval(l.accounting.OpenCount()))
-		l.accounting.Sample(now, accounting.ClusterState{FailoverCompleted: placing, StorageHealthy: l.storage.IsHealthy(), Teams: n.teams, Workers: l.workers, Cloud: l.cloud, Queue: l.placer.LastOrder()})
+		l.accounting.Sample(
+			now,
+			accounting.ClusterState{
+				FailoverCompleted: placing,
+				StorageHealthy:    l.storage.IsHealthy(),
+				Teams:             n.teams,
+				Workers:           l.workers,
+				Cloud:             l.cloud,
+				Queue:             l.placer.LastOrder(),
+			},
+		)
 	}
 	l.jobStore.Save(now, placing)
 	l.planner.FairShare().Save(now, l.storage, n.log)
@@ -306,8 +332,14 @@
 		if zone == "" {
 			continue
 		}
-		visit(zones.Machine{Zone: zone, HasReported: m.HasReported, LeaseValid: (m.HasReported || m.Registered) && !l.workers.IsLeaseExpired(now, m), LastHeartbeat: m.LastContactAt,
-			Deleting: m.DrainReason == worker.DrainUnresponsive || m.DrainReason == worker.DrainTerminating, Sentinel: m.IsSentinel})
+		visit(zones.Machine{
+			Zone:          zone,
+			HasReported:   m.HasReported,
+			LeaseValid:    (m.HasReported || m.Registered) && !l.workers.IsLeaseExpired(now, m),
+			LastHeartbeat: m.LastContactAt,
+			Deleting:      m.DrainReason == worker.DrainUnresponsive || m.DrainReason == worker.DrainTerminating,
+			Sentinel:      m.IsSentinel,
+		})
 	}
 }
 
@@ -343,8 +375,10 @@
 // newLeadership makes the slices and introduces them to one another.
 func (n *Controller) newLeadership(now time.Time, fencingToken uint64) *leadership {
 	l := &leadership{fencingToken: fencingToken}
-	l.storage = storage.New(storage.Options{LeaderKey: election.LeaderKey, ValueBytes: n.platform.MaxValueBytes, TxnOps: n.platform.MaxTransactionOps,
-		WriteRate: n.platform.StateWriteRate, BatchDelay: 500 * time.Millisecond}, fencingToken, n.log)
+	l.storage = storage.New(storage.Options{
+		LeaderKey: election.LeaderKey, ValueBytes: n.platform.MaxValueBytes, TxnOps: n.platform.MaxTransactionOps,
+		WriteRate: n.platform.StateWriteRate, BatchDelay: 500 * time.Millisecond,
+	}, fencingToken, n.log)
 	l.dynamicConfig = dynamicconfig.New(n.options, l.storage, &n.responder, n.log)
 	options := l.dynamicConfig.Options()
 	l.cloud = cloud.New(fencingToken, n.platform.CloudRequestRate, n.platform.CloudListLag, n.log)
@@ -355,18 +389,82 @@
 	stragglers := straggler.NewDetector(n.platform.HeartbeatInterval)
 	machineLinks := reachability.NewTracker(fencingToken, n.platform.WorkerLeaseDuration, n.linkMetrics, n.log)
 	failureHistory := failures.NewTracker()
-	l.jobStore = jobstore.New(jobstore.Components{Platform: n.platform, Options: options, Storage: l.storage, Workers: l.workers, Accounting: l.accounting, Log: n.log})
-	l.placer = placement.New(placement.Components{Platform: n.platform, FencingToken: fencingToken, Jobs: l.jobStore.Unfinished, Workers: l.workers, Planner: l.planner,
-		Capacity: func(now time.Time) admission.Capacity { return l.autoscaler.ExpectedCapacity(now) }, Outbox: &n.outbox, Log: n.log})
-	l.autoscaler = autoscaler.New(autoscaler.Components{Platform: n.platform, Options: options, FencingToken: fencingToken, ElectedAt: now, IsFirstLeader: func() bool { return l.failover.IsFirstLeader() },
-		Cloud: l.cloud, Workers: l.workers, Planner: l.planner, Placer: l.placer, Stragglers: stragglers, Zones: l.zones, Outbox: &n.outbox, Log: n.log})
-	l.heartbeats = heartbeat.NewHandler(heartbeat.Components{Platform: n.platform, FencingToken: fencingToken, Storage: l.storage, JobStore: l.jobStore, Workers: l.workers, Cloud: l.cloud,
-		Planner: l.planner, Placer: l.placer, Accounting: l.accounting, Stragglers: stragglers, Failures: failureHistory, Reachability: machineLinks, Responder: &n.responder, Log: n.log})
-	l.failover = failover.New(failover.Components{Platform: n.platform, FencingToken: fencingToken, ElectedAt: now, Storage: l.storage, JobStore: l.jobStore, DynamicConfig: l.dynamicConfig,
-		Workers: l.workers, Cloud: l.cloud, Heartbeats: l.heartbeats, Placer: l.placer, FairShare: l.planner.FairShare(), Zones: l.zones, Reachability: machineLinks, Connectivity: n.election.Connectivity(), RenewalLimit: n.election.RenewalLimit(), Outbox: &n.outbox, Log: n.log})
-	l.api = api.NewHandler(api.Components{Platform: n.platform, Options: options, Storage: l.storage, JobStore: l.jobStore, Workers: l.workers, Cloud: l.cloud,
-		Planner: l.planner, Placer: l.placer, Autoscaler: l.autoscaler, Failover: l.failover, Accounting: l.accounting, Failures: failureHistory, Zones: l.zones,
-		HoldsLease: func() bool { return n.leadership == l && n.holdsLease }, Responder: &n.responder, Outbox: &n.outbox, Logger: n.log})
+	l.jobStore = jobstore.New(
+		jobstore.Components{Platform: n.platform, Options: options, Storage: l.storage, Workers: l.workers, Accounting: l.accounting, Log: n.log},
+	)
+	l.placer = placement.New(placement.Components{
+		Platform: n.platform, FencingToken: fencingToken, Jobs: l.jobStore.Unfinished, Workers: l.workers, Planner: l.planner,
+		Capacity: func(now time.Time) admission.Capacity { return l.autoscaler.ExpectedCapacity(now) }, Outbox: &n.outbox, Log: n.log,
+	})
+	l.autoscaler = autoscaler.New(autoscaler.Components{
+		Platform:      n.platform,
+		Options:       options,
+		FencingToken:  fencingToken,
+		ElectedAt:     now,
+		IsFirstLeader: func() bool { return l.failover.IsFirstLeader() },
+		Cloud:         l.cloud,
+		Workers:       l.workers,
+		Planner:       l.planner,
+		Placer:        l.placer,
+		Stragglers:    stragglers,
+		Zones:         l.zones,
+		Outbox:        &n.outbox,
+		Log:           n.log,
+	})
+	l.heartbeats = heartbeat.NewHandler(heartbeat.Components{
+		Platform:     n.platform,
+		FencingToken: fencingToken,
+		Storage:      l.storage,
+		JobStore:     l.jobStore,
+		Workers:      l.workers,
+		Cloud:        l.cloud,
+		Planner:      l.planner,
+		Placer:       l.placer,
+		Accounting:   l.accounting,
+		Stragglers:   stragglers,
+		Failures:     failureHistory,
+		Reachability: machineLinks,
+		Responder:    &n.responder,
+		Log:          n.log,
+	})
+	l.failover = failover.New(failover.Components{
+		Platform:      n.platform,
+		FencingToken:  fencingToken,
+		ElectedAt:     now,
+		Storage:       l.storage,
+		JobStore:      l.jobStore,
+		DynamicConfig: l.dynamicConfig,
+		Workers:       l.workers,
+		Cloud:         l.cloud,
+		Heartbeats:    l.heartbeats,
+		Placer:        l.placer,
+		FairShare:     l.planner.FairShare(),
+		Zones:         l.zones,
+		Reachability:  machineLinks,
+		Connectivity:  n.election.Connectivity(),
+		RenewalLimit:  n.election.RenewalLimit(),
+		Outbox:        &n.outbox,
+		Log:           n.log,
+	})
+	l.api = api.NewHandler(api.Components{
+		Platform:   n.platform,
+		Options:    options,
+		Storage:    l.storage,
+		JobStore:   l.jobStore,
+		Workers:    l.workers,
+		Cloud:      l.cloud,
+		Planner:    l.planner,
+		Placer:     l.placer,
+		Autoscaler: l.autoscaler,
+		Failover:   l.failover,
+		Accounting: l.accounting,
+		Failures:   failureHistory,
+		Zones:      l.zones,
+		HoldsLease: func() bool { return n.leadership == l && n.holdsLease },
+		Responder:  &n.responder,
+		Outbox:     &n.outbox,
+		Logger:     n.log,
+	})
 	l.jobStore.OnOrderChange(l.placer.InvalidateOrder)
 	l.jobStore.OnDone(func(now time.Time, job *jobs.Job) {
 		l.autoscaler.JobEnded(now, job)
--- a/internal/controller/placement/gangs.go
+++ b/internal/controller/placement/gangs.go
@@ -62,7 +62,8 @@
 	byZone := map[string][]*worker.Machine{}
 	var zones []string
 	for _, m := range p.workers.MachinesByName() {
-		if m.Reconciled && m.Registered && IsEligible(job, m) && now.Sub(m.LastContactAt) < 2*p.platform.HeartbeatInterval && m.TasksThatFit(job) > 0 {
+		if m.Reconciled && m.Registered && IsEligible(job, m) && now.Sub(m.LastContactAt) < 2*p.platform.HeartbeatInterval &&
+			m.TasksThatFit(job) > 0 {
 			if byZone[m.Zone] == nil {
 				zones = append(zones, m.Zone)
 			}
--- a/internal/controller/placement/place.go
+++ b/internal/controller/placement/place.go
@@ -33,7 +33,8 @@
 
 // FitsType reports whether an empty machine of the type holds one task.
 func FitsType(job *jobs.Job, machineType *cloud.MachineType) bool {
-	return job.CPUs <= machineType.CPUs+resourceTolerance && job.GPUs <= machineType.GPUs+resourceTolerance && job.MemoryGB <= machineType.MemoryGB+resourceTolerance
+	return job.CPUs <= machineType.CPUs+resourceTolerance && job.GPUs <= machineType.GPUs+resourceTolerance &&
+		job.MemoryGB <= machineType.MemoryGB+resourceTolerance
 }
 
 // TypeResources is what an empty machine of the type has.
@@ -80,7 +81,8 @@
 	if job.IsService || job.IsGang {
 		tasks = float64(job.Tasks)
 	}
-	return team.CPULimit > 0 && tasks*job.CPUs > team.CPULimit+resourceTolerance || team.GPULimit > 0 && tasks*job.GPUs > team.GPULimit+resourceTolerance
+	return team.CPULimit > 0 && tasks*job.CPUs > team.CPULimit+resourceTolerance ||
+		team.GPULimit > 0 && tasks*job.GPUs > team.GPULimit+resourceTolerance
 }
 
 // MachineKind is the kind of a machine.
@@ -92,7 +94,9 @@
 // to tell of its zone's return none may: its room looked free, and nothing was held elsewhere for jobs that
 // had waited long. Nor on one that seems to hear nothing of us.
 func IsEligible(job *jobs.Job, machine *worker.Machine) bool {
-	return machine.DrainReason == worker.NotDraining && !machine.IsSentinel && !machine.IsUnreachable && machine.CPUs+machine.MemoryGB > 0 && (len(machine.FailedJobs) == 0 || !machine.FailedJobs[job.ID]) && KindAllowed(job, MachineKind(machine))
+	return machine.DrainReason == worker.NotDraining && !machine.IsSentinel && !machine.IsUnreachable && machine.CPUs+machine.MemoryGB > 0 &&
+		(len(machine.FailedJobs) == 0 || !machine.FailedJobs[job.ID]) &&
+		KindAllowed(job, MachineKind(machine))
 }
 
 // IsFuller reports whether a is the better place to pack onto than b.
--- a/internal/controller/placement/placer.go
+++ b/internal/controller/placement/placer.go
@@ -61,8 +61,21 @@
 
 // New makes the placer of a new leadership.
 func New(components Components) *Placer {
-	placer := &Placer{platform: components.Platform, teams: components.Platform.TeamsByName(), log: components.Log, outbox: components.Outbox, fencingToken: components.FencingToken, jobs: components.Jobs, workers: components.Workers,
-		planner: components.Planner, capacity: components.Capacity, shapes: map[shape]int{}, reservingJobs: map[*jobs.Job]bool{}, agedFirst: map[*jobs.Job]bool{}, pendingGangStarts: map[*jobs.Attempt]*worker.Machine{}}
+	placer := &Placer{
+		platform:          components.Platform,
+		teams:             components.Platform.TeamsByName(),
+		log:               components.Log,
+		outbox:            components.Outbox,
+		fencingToken:      components.FencingToken,
+		jobs:              components.Jobs,
+		workers:           components.Workers,
+		planner:           components.Planner,
+		capacity:          components.Capacity,
+		shapes:            map[shape]int{},
+		reservingJobs:     map[*jobs.Job]bool{},
+		agedFirst:         map[*jobs.Job]bool{},
+		pendingGangStarts: map[*jobs.Attempt]*worker.Machine{},
+	}
 	return placer
 }
 
@@ -194,7 +207,8 @@
 			unreserved := free[:0]
 			before := want
 			for _, machine := range free {
-				if want > 0 && machine.ReservedFor == nil && IsEligible(job, machine) && machine.TasksThatFit(job) == 0 && machine.CPUs >= job.CPUs && machine.MemoryGB >= job.MemoryGB {
+				if want > 0 && machine.ReservedFor == nil && IsEligible(job, machine) && machine.TasksThatFit(job) == 0 && machine.CPUs >= job.CPUs &&
+					machine.MemoryGB >= job.MemoryGB {
 					p.reserveMachine(machine, job)
 					want--
 				}
--- a/internal/controller/placement/preempt.go
+++ b/internal/controller/placement/preempt.go
@@ -106,13 +106,19 @@
 		if want <= 0 {
 			return
 		}
-		if !v.attempt.StopSentAt.IsZero() || v.attempt.Job.EffectivePriority() >= job.EffectivePriority() || !IsEligible(job, v.machine) || TasksAllowedInZone(job, v.machine.Zone) == 0 {
+		if !v.attempt.StopSentAt.IsZero() || v.attempt.Job.EffectivePriority() >= job.EffectivePriority() || !IsEligible(job, v.machine) ||
+			TasksAllowedInZone(job, v.machine.Zone) == 0 {
 			continue
 		}
 		v.attempt.StopSentAt = now
 		want -= max(int(v.attempt.Job.CPUs/max(job.CPUs, 0.1)), 1)
 		p.reserveMachine(v.machine, job)
 		p.log.Info("stopping a task for another job", "task", v.attempt.Task, "machine", v.machine.ID, "for", job.ID)
-		worker.SendCommands(p.outbox, p.fencingToken, v.machine, []worker.Command{worker.Kill(v.attempt.Task.String(), v.attempt.Number, v.attempt.Job.CheckpointDuration.Seconds())})
+		worker.SendCommands(
+			p.outbox,
+			p.fencingToken,
+			v.machine,
+			[]worker.Command{worker.Kill(v.attempt.Task.String(), v.attempt.Number, v.attempt.Job.CheckpointDuration.Seconds())},
+		)
 	}
 }
--- a/internal/controller/placement/starts.go
+++ b/internal/controller/placement/starts.go
@@ -10,7 +10,8 @@
 
 // StartTasks picks what the machine starts now.
 func (p *Placer) StartTasks(now time.Time, machine *worker.Machine, maxStarts int) []worker.Command {
-	if !machine.Reconciled || !machine.Registered || machine.DrainReason != worker.NotDraining || machine.CPUs+machine.MemoryGB == 0 || now.Before(machine.StartsNotBefore) {
+	if !machine.Reconciled || !machine.Registered || machine.DrainReason != worker.NotDraining || machine.CPUs+machine.MemoryGB == 0 ||
+		now.Before(machine.StartsNotBefore) {
 		return nil
 	}
 	p.refreshOrder(now)
@@ -55,17 +56,25 @@
 // isImageNear reports whether the job's tasks lose nothing by starting on the machine: their image
 // is there, or they have waited for such a machine as long as fetching takes.
 func (p *Placer) isImageNear(now time.Time, job *jobs.Job, machine *worker.Machine) bool {
-	return machine.ImageCache.Has(job.Image) || !job.PassedOverSince.IsZero() && now.Sub(job.PassedOverSince) >= machine.ImageCache.FetchTime(job.ImageGB)
+	return machine.ImageCache.Has(job.Image) ||
+		!job.PassedOverSince.IsZero() && now.Sub(job.PassedOverSince) >= machine.ImageCache.FetchTime(job.ImageGB)
 }
 
 // startTasksOf starts as many tasks of one job on the machine as there is room for.
-func (p *Placer) startTasksOf(now time.Time, machine *worker.Machine, entry *candidate, commands []worker.Command, maxStarts int) []worker.Command {
+func (p *Placer) startTasksOf(
+	now time.Time,
+	machine *worker.Machine,
+	entry *candidate,
+	commands []worker.Command,
+	maxStarts int,
+) []worker.Command {
 	job := entry.Job
 	count := min(machine.TasksThatFit(job), job.WaitingTasks(), maxStarts-len(commands))
 	if count <= 0 || !job.IsSchedulable() || !p.canStart(job) || now.Before(job.NotBefore) || !IsEligible(job, machine) {
 		return commands
 	}
-	if reservedFor := machine.ReservedFor; reservedFor != nil && reservedFor != job && (!entry.MayReserve || p.agedFirst[reservedFor] && !(entry.AgedFirst && ageing.IsOlder(job, reservedFor))) {
+	if reservedFor := machine.ReservedFor; reservedFor != nil && reservedFor != job &&
+		(!entry.MayReserve || p.agedFirst[reservedFor] && !(entry.AgedFirst && ageing.IsOlder(job, reservedFor))) {
 		// What is held for the oldest is not taken bit by bit by those that are planned.
 		return commands
 	}
@@ -113,7 +122,14 @@
 
 // newAttempt records a new attempt on the machine.
 func (p *Placer) newAttempt(now time.Time, machine *worker.Machine, job *jobs.Job, task int, number uint64) *jobs.Attempt {
-	attempt := &jobs.Attempt{Task: jobs.TaskID{JobID: job.ID, Index: task}, Number: number, MachineID: machine.ID, Zone: machine.Zone, Job: job, AssignedAt: now}
+	attempt := &jobs.Attempt{
+		Task:       jobs.TaskID{JobID: job.ID, Index: task},
+		Number:     number,
+		MachineID:  machine.ID,
+		Zone:       machine.Zone,
+		Job:        job,
+		AssignedAt: now,
+	}
 	p.workers.Assign(machine, attempt)
 	return attempt
 }
@@ -137,7 +153,8 @@
 				return min(tasks, want)
 			}
 			if other != machine && other.Reconciled && other.Registered && now.Sub(other.LastContactAt) < 2*p.platform.HeartbeatInterval && !now.Before(other.StartsNotBefore) &&
-				(level > machine.UtilizationBucket() || IsFuller(other, machine)) && IsEligible(job, other) && (other.ReservedFor == nil || other.ReservedFor == job) {
+				(level > machine.UtilizationBucket() || IsFuller(other, machine)) && IsEligible(job, other) &&
+				(other.ReservedFor == nil || other.ReservedFor == job) {
 				tasks += min(other.TasksThatFit(job), TasksAllowedInZone(job, other.Zone))
 			}
 		}
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -40,13 +40,19 @@
 	// that no bulk work leaves the renewal or the other controllers without one. Questions to
 	// workers are asked once: their connections are not kept.
 	socketsPerService := max(platform.MaxConnections/12, 4)
-	return &Runtime{controller: n, platform: platform, log: log, queue: make(chan Command, commandQueueLength), outcomes: make(chan Command, commandQueueLength),
+	return &Runtime{
+		controller: n,
+		platform:   platform,
+		log:        log,
+		queue:      make(chan Command, commandQueueLength),
+		outcomes:   make(chan Command, commandQueueLength),
 		clients: map[client.Destination]*http1.Client{
 			client.StateService:   http1.NewClient(max(socketsPerService/4, 4), 4, maxResponseBytes),
 			client.CloudAPI:       http1.NewClient(max(socketsPerService/4, 4), 4, maxResponseBytes),
 			client.PeerController: http1.NewClient(socketsPerService, 8, maxResponseBytes),
 			client.WorkerAgent:    http1.NewClient(socketsPerService, 0, maxResponseBytes),
-		}}
+		},
+	}
 }
 
 // maxResponseBytes bounds the answers that are read: the cloud's lists and the ledger's pages.
@@ -91,9 +97,11 @@
 }
 
 func (rt *Runtime) listen() {
-	server := http1.NewServer(http1.ServerOptions{PublicAddr: rt.platform.PublicAddr, PeerAddr: rt.platform.PeerListenAddr,
+	server := http1.NewServer(http1.ServerOptions{
+		PublicAddr: rt.platform.PublicAddr, PeerAddr: rt.platform.PeerListenAddr,
 		MaxConnections: max(rt.platform.MaxConnections*3/4, 8), IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second,
-		Handler: rt.handle})
+		Handler: rt.handle,
+	})
 	for {
 		err := server.Run()
 		rt.log.Error("the server stopped and is started again", "error", err)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"gullrudder/internal/wire/server"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
 // latencyTable keeps how long this node took to answer, per kind of request.
@@ -84,13 +84,19 @@
 func (n *Controller) handleStatus(now time.Time, request *server.Request) {
 	status := Status{Controller: n.platform.Name, Leader: n.election.Leader(now), Budgets: Budgets{
 		StateRequestRate: n.platform.StateRequestRate, StateWriteRate: n.platform.StateWriteRate, CloudRequestRate: n.platform.CloudRequestRate,
-		Connections: n.platform.MaxConnections, MemoryMB: n.platform.MemoryQuotaMB}}
+		Connections: n.platform.MaxConnections, MemoryMB: n.platform.MemoryQuotaMB,
+	}}
 	for _, kind := range slices.Sorted(maps.Keys(n.latencies.byRequestKind)) {
 		histogram := n.latencies.byRequestKind[kind]
-		status.Latencies = append(status.Latencies, Latency{kind, histogram.TotalCount(), histogram.ValueAtQuantile(50), histogram.ValueAtQuantile(99), histogram.Max()})
+		status.Latencies = append(
+			status.Latencies,
+			Latency{kind, histogram.TotalCount(), histogram.ValueAtQuantile(50), histogram.ValueAtQuantile(99), histogram.Max()},
+		)
 	}
 	if leadership := n.leadership; leadership != nil {
-		status.FencingToken, status.Placing, status.StateServiceHealthy, status.Jobs = leadership.fencingToken, leadership.failover.Completed(), leadership.storage.IsHealthy(), len(leadership.jobStore.Unfinished)
+		status.FencingToken, status.Placing, status.StateServiceHealthy, status.Jobs = leadership.fencingToken, leadership.failover.Completed(), leadership.storage.IsHealthy(), len(
+			leadership.jobStore.Unfinished,
+		)
 		if leadership.failover.StateLoaded() {
 			status.FinishedJobs, status.ArchiveSegments = leadership.jobStore.FinishedCount(), leadership.jobStore.Archive().SegmentCount()
 		}
@@ -112,7 +118,10 @@
 			default:
 				state = "ok"
 			}
-			status.Machines = append(status.Machines, MachineStatus{machine.ID, machine.Type, machine.Zone, machine.Spot, state, len(machine.Attempts), machine.UsedCPUs})
+			status.Machines = append(
+				status.Machines,
+				MachineStatus{machine.ID, machine.Type, machine.Zone, machine.Spot, state, len(machine.Attempts), machine.UsedCPUs},
+			)
 		}
 	}
 	n.responder.Respond(request, 200, status, 0)
--- a/internal/controller/storage/commit.go
+++ b/internal/controller/storage/commit.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
-	"github.com/vmihailenco/msgpack/v5"
-
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
+
+	"github.com/vmihailenco/msgpack/v5"
 )
 
 // One commit is in flight at a time. What became of one that nobody answered is read back before anything else is sent.
@@ -42,7 +42,8 @@
 		apply = append(apply, map[string]any{"write": formatKey, "value": formatVersion})
 	}
 	l.inFlight = txn
-	l.call(box, client.Call{Method: "POST", Path: "/commit", Timeout: 1500 * time.Millisecond,
+	l.call(box, client.Call{
+		Method: "POST", Path: "/commit", Timeout: 1500 * time.Millisecond,
 		Body: map[string]any{"guards": guards, "apply": apply},
 		Done: func(now time.Time, r client.Result) {
 			var a struct {
@@ -71,7 +72,8 @@
 				l.log.Info("a commit was not executed", "status", r.Status)
 				l.requeue(now, r.RetryAfter)
 			}
-		}})
+		},
+	})
 }
 
 func (l *Store) commitSucceeded(now time.Time, modRevision uint64) {
@@ -102,7 +104,8 @@
 // resolveConflict finds out whose write has come before a commit that the guard of a page refused: if the leader's key is as it was,
 // our own, an earlier try that was given up and carried out late. Then the pages are read back like after an unknown outcome.
 func (l *Store) resolveConflict(now time.Time, box *client.Outbox, after time.Duration) {
-	l.call(box, client.Call{Method: "GET", Path: "/keys/" + l.options.LeaderKey, Delay: after, Timeout: time.Second,
+	l.call(box, client.Call{
+		Method: "GET", Path: "/keys/" + l.options.LeaderKey, Delay: after, Timeout: time.Second,
 		Done: func(now time.Time, r client.Result) {
 			var a struct {
 				Mark uint64 `msgpack:"mark"`
@@ -115,7 +118,8 @@
 			default:
 				l.resolveConflict(now, box, l.nextRetryDelay())
 			}
-		}})
+		},
+	})
 }
 
 // nextRetryDelay is how long to wait after one more call that came to nothing.
@@ -172,7 +176,8 @@
 func (l *Store) readBack(now time.Time, box *client.Outbox, index int, after time.Duration) {
 	txn := l.inFlight
 	checked := txn.guarded[index]
-	l.call(box, client.Call{Method: "GET", Path: "/keys/" + checked.key, Delay: after, Timeout: time.Second,
+	l.call(box, client.Call{
+		Method: "GET", Path: "/keys/" + checked.key, Delay: after, Timeout: time.Second,
 		Done: func(now time.Time, r client.Result) {
 			var a struct {
 				Value pageValue `msgpack:"value"`
@@ -203,5 +208,6 @@
 			}
 			l.hasUncertainMove = l.hasUncertainMove || txn.move != nil
 			l.requeue(now, 0)
-		}})
+		},
+	})
 }
--- a/internal/controller/storage/golden_bytes_test.go
+++ b/internal/controller/storage/golden_bytes_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"github.com/vmihailenco/msgpack/v5"
-
 	"gullrudder/internal/goldenbytes"
+
+	"github.com/vmihailenco/msgpack/v5"
 )
 
 func TestGoldenBytes(t *testing.T) {
--- a/internal/controller/storage/history.go
+++ b/internal/controller/storage/history.go
@@ -8,10 +8,10 @@
 	"strconv"
 	"time"
 
-	"github.com/vmihailenco/msgpack/v5"
-
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
+
+	"github.com/vmihailenco/msgpack/v5"
 )
 
 // Where the history of finished jobs is kept: the head, which names its runs, and their index
@@ -58,12 +58,18 @@
 // 512 KiB.
 const maxListedKeys = 60
 
-func (l *Store) listKeys(box *client.Outbox, prefix, from string, after, timeout time.Duration, done func(now time.Time, rows []keyValue, more bool, status int)) {
+func (l *Store) listKeys(
+	box *client.Outbox,
+	prefix, from string,
+	after, timeout time.Duration,
+	done func(now time.Time, rows []keyValue, more bool, status int),
+) {
 	query := url.Values{"starts": {prefix}, "most": {strconv.Itoa(maxListedKeys)}}
 	if from != "" {
 		query.Set("from", from)
 	}
-	l.call(box, client.Call{Method: "GET", Path: "/keys?" + query.Encode(), Delay: after, Timeout: timeout,
+	l.call(box, client.Call{
+		Method: "GET", Path: "/keys?" + query.Encode(), Delay: after, Timeout: timeout,
 		Done: func(now time.Time, r client.Result) {
 			var a struct {
 				Entries []keyValue `msgpack:"entries"`
@@ -79,7 +85,8 @@
 				}
 			}
 			done(now, a.Entries, a.More, r.Status)
-		}})
+		},
+	})
 }
 
 func (l *Store) installArchiveKey(row keyValue) error {
@@ -383,6 +390,8 @@
 
 func (l *Store) sendArchiveCommit(box *client.Outbox, guards, apply []any, done func(now time.Time, r client.Result)) {
 	l.writeLimiter.Take(len(apply))
-	l.call(box, client.Call{Method: "POST", Path: "/commit", Timeout: 1500 * time.Millisecond,
-		Body: map[string]any{"guards": guards, "apply": apply}, Done: done})
+	l.call(box, client.Call{
+		Method: "POST", Path: "/commit", Timeout: 1500 * time.Millisecond,
+		Body: map[string]any{"guards": guards, "apply": apply}, Done: done,
+	})
 }
--- a/internal/controller/storage/ledger.go
+++ b/internal/controller/storage/ledger.go
@@ -11,10 +11,10 @@
 	"sort"
 	"time"
 
-	"github.com/vmihailenco/msgpack/v5"
-
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
+
+	"github.com/vmihailenco/msgpack/v5"
 )
 
 // PagePrefix is where the pages are.
@@ -97,9 +97,18 @@
 
 // New makes the ledger of a new leadership. Load has to come first.
 func New(options Options, fencingToken uint64, log *slog.Logger) *Store {
-	return &Store{options: options, log: log, fencingToken: fencingToken, pages: map[string]*page{}, dirtyPages: map[*page]bool{}, entries: map[string]*entry{},
-		writeLimiter: client.NewRateLimiter(options.WriteRate*0.92, time.Second), closed: new(int),
-		archiveHead: &page{key: ArchiveHeadKey, entries: map[string]*entry{}, size: pageFrame}, archiveIndex: map[string]string{}}
+	return &Store{
+		options:      options,
+		log:          log,
+		fencingToken: fencingToken,
+		pages:        map[string]*page{},
+		dirtyPages:   map[*page]bool{},
+		entries:      map[string]*entry{},
+		writeLimiter: client.NewRateLimiter(options.WriteRate*0.92, time.Second),
+		closed:       new(int),
+		archiveHead:  &page{key: ArchiveHeadKey, entries: map[string]*entry{}, size: pageFrame},
+		archiveIndex: map[string]string{},
+	}
 }
 
 // Close makes answers that are still to come harmless.
--- a/internal/controller/storage/split.go
+++ b/internal/controller/storage/split.go
@@ -210,7 +210,13 @@
 	}
 	if l.options.TxnOps > 1 {
 		l.options.TxnOps = max(l.options.TxnOps/2, 1)
-		l.log.Error("the state service calls a commit malformed: fewer changes are made at once", "pages", len(pages), "at most", l.options.TxnOps)
+		l.log.Error(
+			"the state service calls a commit malformed: fewer changes are made at once",
+			"pages",
+			len(pages),
+			"at most",
+			l.options.TxnOps,
+		)
 		return
 	}
 	keys := make([]string, 0, len(pages))
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"time"
 
 	"gullrudder/internal/wire/client"
@@ -23,15 +24,26 @@
 	leaderAddress := n.peers[n.election.Leader(now)]
 	if request.FromPeer || leaderAddress == "" {
 		// What is known of when there can be one: a promise has to be over, and users count from a second.
-		n.responder.RespondError(request, 503, "no leader at present", max(noLeaderRetryAfter, n.election.ElectionDelay(now)+noLeaderRetryAfter/10))
+		n.responder.RespondError(
+			request,
+			503,
+			"no leader at present",
+			max(noLeaderRetryAfter, n.election.ElectionDelay(now)+noLeaderRetryAfter/10),
+		)
 		return
 	}
 	timeout := 1800 * time.Millisecond
-	if request.Method == "POST" {
+	if request.Method == http.MethodPost {
 		timeout = 4 * time.Second
 	}
 	followedToken := n.election.FollowedToken()
-	n.outbox.Add(client.Call{Destination: client.PeerController, Addr: leaderAddress, Method: request.Method, Path: request.Target, Body: forwardedBody(request.Body), Timeout: timeout,
+	n.outbox.Add(client.Call{
+		Destination: client.PeerController,
+		Addr:        leaderAddress,
+		Method:      request.Method,
+		Path:        request.Target,
+		Body:        forwardedBody(request.Body),
+		Timeout:     timeout,
 		Done: func(now time.Time, result client.Result) {
 			if n.holdsLease || n.election.FollowedToken() != followedToken {
 				// It was held up, and another leads since, who may have told the user something newer.
@@ -43,7 +55,8 @@
 				return
 			}
 			n.responder.RespondRaw(request, result.Status, result.Body, result.RetryAfter)
-		}})
+		},
+	})
 }
 
 // forwardedBody is a body that is handed on as it came.
--- a/internal/controller/worker/messages.go
+++ b/internal/controller/worker/messages.go
@@ -94,9 +94,11 @@
 // SendCommands sends a machine commands at once. What became of them its next report tells; the answer to
 // that repeats them if need be. No start is ever sent this way.
 func SendCommands(calls *client.Outbox, fencingToken uint64, machine *Machine, commands []Command) {
-	calls.Add(client.Call{Destination: client.WorkerAgent, Addr: machine.Addr, Method: "POST", Path: "/commands",
+	calls.Add(client.Call{
+		Destination: client.WorkerAgent, Addr: machine.Addr, Method: "POST", Path: "/commands",
 		Body:    DirectCommands{FencingToken: fencingToken, Incarnation: machine.Incarnation, Commands: commands},
-		Timeout: time.Second, Done: func(time.Time, client.Result) {}})
+		Timeout: time.Second, Done: func(time.Time, client.Result) {},
+	})
 }
 
 // HeartbeatID is whose report a body is, and which.
--- a/internal/controller/worker/reachability/reach.go
+++ b/internal/controller/worker/reachability/reach.go
@@ -107,7 +107,8 @@
 
 func (t *Tracker) classify(now time.Time, machine *worker.Machine, heartbeat *worker.Heartbeat) Freshness {
 	l := t.linkOf(machine)
-	if machine.HasReported && (l.countersReset && heartbeat.Incarnation <= machine.Incarnation || machine.IsNewer(heartbeat) && heartbeat.FencingToken < t.fencingToken) {
+	if machine.HasReported &&
+		(l.countersReset && heartbeat.Incarnation <= machine.Incarnation || machine.IsNewer(heartbeat) && heartbeat.FencingToken < t.fencingToken) {
 		// A worker never forgets a token that it has seen: this one has begun anew. Until its session is a higher
 		// one nothing tells what it sends from what is late of its earlier life, so it gets no 200 and its
 		// session ends.
@@ -115,7 +116,9 @@
 		return Stale
 	}
 	if machine.HasReported && !machine.IsNewer(heartbeat) {
-		if heartbeat.Incarnation == machine.Incarnation && (heartbeat.Incarnation > l.incarnation || heartbeat.Incarnation == l.incarnation && heartbeat.Sequence > l.sequence) && now.Sub(l.lastProbeAnswerAt) < workerResponseTimeout {
+		if heartbeat.Incarnation == machine.Incarnation &&
+			(heartbeat.Incarnation > l.incarnation || heartbeat.Incarnation == l.incarnation && heartbeat.Sequence > l.sequence) &&
+			now.Sub(l.lastProbeAnswerAt) < workerResponseTimeout {
 			return Superseded
 		}
 		return Stale
@@ -246,7 +249,8 @@
 	machine.LastContactAt, l.lastProbeAnswerAt = now, now
 	t.metrics.probes.WithLabelValues("answered").Inc()
 	l.unansweredProbes = 0
-	if machine.HasReported && (heartbeat.Incarnation < probe.incarnation || heartbeat.Incarnation == probe.incarnation && heartbeat.Sequence <= probe.sequence) {
+	if machine.HasReported &&
+		(heartbeat.Incarnation < probe.incarnation || heartbeat.Incarnation == probe.incarnation && heartbeat.Sequence <= probe.sequence) {
 		t.recordCountersReset(now, machine, l)
 		return true
 	}
--- a/internal/controller/worker/store_test.go
+++ b/internal/controller/worker/store_test.go
@@ -5,9 +5,9 @@
 	"slices"
 	"testing"
 
-	"pgregory.net/rapid"
-
 	"gullrudder/internal/testseed"
+
+	"pgregory.net/rapid"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
--- a/internal/controller/worker/workers.go
+++ b/internal/controller/worker/workers.go
@@ -293,7 +293,14 @@
 			} else if status.Reason == ReasonDone {
 				// Done by an attempt of which we hold nothing, such as one that an
 				// earlier leader started: its result counts all the same.
-				ended = append(ended, EndedAttempt{&jobs.Attempt{Task: key, Number: status.Attempt, MachineID: machine.ID, Zone: machine.Zone, Job: findJob(key.JobID)}, ReasonDone, false})
+				ended = append(
+					ended,
+					EndedAttempt{
+						&jobs.Attempt{Task: key, Number: status.Attempt, MachineID: machine.ID, Zone: machine.Zone, Job: findJob(key.JobID)},
+						ReasonDone,
+						false,
+					},
+				)
 			}
 			continue
 		}
@@ -344,7 +351,8 @@
 func (r *Registry) adopt(now time.Time, machine *Machine, key jobs.TaskID, number uint64, findJob JobLookup) *jobs.Attempt {
 	job := findJob(key.JobID)
 	attempt := &jobs.Attempt{Task: key, Number: number, MachineID: machine.ID, Zone: machine.Zone, Job: job, AssignedAt: now}
-	attempt.IsOrphan = job == nil || key.Index >= job.Tasks || !job.IsSchedulable() || job.IsTaskDone(key.Index) || job.ActiveAttempts[key.Index] != nil
+	attempt.IsOrphan = job == nil || key.Index >= job.Tasks || !job.IsSchedulable() || job.IsTaskDone(key.Index) ||
+		job.ActiveAttempts[key.Index] != nil
 	if job != nil && key.Index >= job.Tasks {
 		attempt.Job = nil
 	}
--- a/internal/controller/zones/zones.go
+++ b/internal/controller/zones/zones.go
@@ -232,8 +232,23 @@
 	if z.state == s {
 		return
 	}
-	b.log.Info("a zone's connection", "zone", name, "was", z.state.String(), "is", s.String(), "machines", z.lastKnownMachines, "overdue", z.overdue,
-		"silent", now.Sub(z.lastHeartbeat).Round(time.Millisecond), "cuts", len(z.outages))
+	b.log.Info(
+		"a zone's connection",
+		"zone",
+		name,
+		"was",
+		z.state.String(),
+		"is",
+		s.String(),
+		"machines",
+		z.lastKnownMachines,
+		"overdue",
+		z.overdue,
+		"silent",
+		now.Sub(z.lastHeartbeat).Round(time.Millisecond),
+		"cuts",
+		len(z.outages),
+	)
 	z.state, z.stateSince = s, now
 }
 
--- /dev/null
+++ b/internal/logkeys/logkeys.go
@@ -0,0 +1,34 @@
+// Package logkeys has the attribute keys of log lines: one key for one thing in all packages, so that an operator can search
+// the log by it. It holds no state. docs/operations/log-messages.md lists the messages.
+package logkeys
+
+// Keys of what a log line is about.
+const (
+	Controller   = "controller"    // name of a controller
+	Peer         = "peer"          // name of another controller
+	Job          = "job"           // job ID
+	Task         = "task"          // index of a task in its job
+	Attempt      = "attempt"       // ID of one run of a task
+	Machine      = "machine"       // machine ID, as its worker reports it
+	Instance     = "instance"      // instance ID, as the cloud lists it
+	InstanceType = "instance_type" // name of a machine type
+	Zone         = "zone"          // name of a zone
+	Team         = "team"          // name of a team
+	Class        = "class"         // name of a class of jobs
+	Key          = "key"           // key in the state service
+	FencingToken = "fencing_token" // revision at which a leader was elected
+	Incarnation  = "incarnation"   // start of a worker process
+	Revision     = "revision"      // revision of the state service
+	LeaseID      = "lease_id"      // lease of the state service
+)
+
+// Keys of what happened.
+const (
+	Count    = "count"    // how many the message is about
+	Duration = "duration" // a span of time
+	Err      = "err"      // an error
+	Path     = "path"     // path of a request or a file
+	Reason   = "reason"   // why, in the program's own words
+	State    = "state"    // state entered
+	Status   = "status"   // HTTP status code
+)
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -66,10 +66,16 @@
 }
 
 func newCloud(w *World) *Cloud {
-	c := &Cloud{w: w, machines: map[string]*machine{}, charters: map[string][]string{}, capacity: cmp.Or(w.Opt.Capacity, 6), flavors: map[string]cloud.MachineType{
-		"small": {Name: "small", CPUs: 4, MemoryGB: 16, HourlyPrice: 0.2, SpotHourlyPrice: 0.06, BootSeconds: 3, Zones: []string{"a", "b"}},
-		"large": {Name: "large", CPUs: 16, GPUs: 2, MemoryGB: 64, HourlyPrice: 0.9, SpotHourlyPrice: 0.3, BootSeconds: 4, Zones: []string{"b"}},
-	}}
+	c := &Cloud{
+		w:        w,
+		machines: map[string]*machine{},
+		charters: map[string][]string{},
+		capacity: cmp.Or(w.Opt.Capacity, 6),
+		flavors: map[string]cloud.MachineType{
+			"small": {Name: "small", CPUs: 4, MemoryGB: 16, HourlyPrice: 0.2, SpotHourlyPrice: 0.06, BootSeconds: 3, Zones: []string{"a", "b"}},
+			"large": {Name: "large", CPUs: 16, GPUs: 2, MemoryGB: 64, HourlyPrice: 0.9, SpotHourlyPrice: 0.3, BootSeconds: 4, Zones: []string{"b"}},
+		},
+	}
 	var snap func()
 	snap = func() {
 		c.history = append(c.history, listing{w.Now, c.rows()})
@@ -96,8 +102,10 @@
 		case m.up:
 			state = "running"
 		}
-		rows = append(rows, map[string]any{"id": m.id, "addr": m.id, "keel": m.flavor.Name, "harbour": m.zone,
-			"driftwood": m.spot, "trim": state, "age_s": c.w.Now.Sub(m.born).Seconds()})
+		rows = append(rows, map[string]any{
+			"id": m.id, "addr": m.id, "keel": m.flavor.Name, "harbour": m.zone,
+			"driftwood": m.spot, "trim": state, "age_s": c.w.Now.Sub(m.born).Seconds(),
+		})
 	}
 	return rows
 }
@@ -159,8 +167,10 @@
 	}
 	var ids []string
 	for range count {
-		m := &machine{w: c.w, id: fmt.Sprintf("vm-%06d", c.next), flavor: c.flavors[typ], zone: zone, spot: spot, born: c.w.Now,
-			tasks: map[string]*onMachine{}, failed: map[string]bool{}, session: 1, target: c.w.Rng.IntN(c.w.Opt.Nodes)}
+		m := &machine{
+			w: c.w, id: fmt.Sprintf("vm-%06d", c.next), flavor: c.flavors[typ], zone: zone, spot: spot, born: c.w.Now,
+			tasks: map[string]*onMachine{}, failed: map[string]bool{}, session: 1, target: c.w.Rng.IntN(c.w.Opt.Nodes),
+		}
 		c.next++
 		c.machines[m.id] = m
 		c.names = append(c.names, m.id)
@@ -328,15 +338,20 @@
 }
 
 func (m *machine) report() worker.Heartbeat {
-	r := worker.Heartbeat{Machine: m.id, Addr: m.id, Type: m.flavor.Name, Zone: m.zone, Spot: m.spot,
-		Incarnation: m.session, Sequence: m.seq, FencingToken: m.token, Tasks: []worker.TaskStatus{}}
+	r := worker.Heartbeat{
+		Machine: m.id, Addr: m.id, Type: m.flavor.Name, Zone: m.zone, Spot: m.spot,
+		Incarnation: m.session, Sequence: m.seq, FencingToken: m.token, Tasks: []worker.TaskStatus{},
+	}
 	if !m.notice.IsZero() {
 		left := m.notice.Sub(m.w.Now).Seconds()
 		r.ReclaimInSeconds = &left
 	}
 	for _, n := range m.sorted() {
 		t := m.tasks[n]
-		r.Tasks = append(r.Tasks, worker.TaskStatus{Task: t.key.String(), Attempt: t.attempt, State: t.state, Reason: t.why, CheckpointSaved: t.saved})
+		r.Tasks = append(
+			r.Tasks,
+			worker.TaskStatus{Task: t.key.String(), Attempt: t.attempt, State: t.state, Reason: t.why, CheckpointSaved: t.saved},
+		)
 	}
 	return r
 }
--- a/internal/simulator/crashtest/play.go
+++ b/internal/simulator/crashtest/play.go
@@ -9,12 +9,12 @@
 	"slices"
 	"time"
 
-	"github.com/vmihailenco/msgpack/v5"
-
 	"gullrudder/internal/config"
 	"gullrudder/internal/simulator/faultydisk"
 	"gullrudder/internal/site/kvserver"
 	"gullrudder/internal/wire/codec"
+
+	"github.com/vmihailenco/msgpack/v5"
 )
 
 func text(value []byte) string {
--- a/internal/simulator/emulator/cloud.go
+++ b/internal/simulator/emulator/cloud.go
@@ -8,6 +8,7 @@
 	"io"
 	"math/rand/v2"
 	"net"
+	"net/http"
 	"sync"
 	"time"
 
@@ -42,8 +43,24 @@
 
 // NewCloud starts a cloud on a free port of loopback.
 func NewCloud(opt Options) (*Cloud, error) {
-	c := &Cloud{opt: opt, History: newHistory(), machines: map[string]*emulatedWorker{}, charters: map[string][]string{}, rng: rand.New(rand.NewPCG(opt.Seed, 11)),
-		flavor: cloud.MachineType{Name: "bench", CPUs: 8, MemoryGB: 32, HourlyPrice: 1, SpotHourlyPrice: 0.5, BootSeconds: 0.2, ImageCacheGB: 100, FetchGBPerSecond: 100, Zones: []string{"a"}}}
+	c := &Cloud{
+		opt:      opt,
+		History:  newHistory(),
+		machines: map[string]*emulatedWorker{},
+		charters: map[string][]string{},
+		rng:      rand.New(rand.NewPCG(opt.Seed, 11)),
+		flavor: cloud.MachineType{
+			Name:             "bench",
+			CPUs:             8,
+			MemoryGB:         32,
+			HourlyPrice:      1,
+			SpotHourlyPrice:  0.5,
+			BootSeconds:      0.2,
+			ImageCacheGB:     100,
+			FetchGBPerSecond: 100,
+			Zones:            []string{"a"},
+		},
+	}
 	var err error
 	c.front, err = serveFront(c.serve)
 	return c, err
@@ -69,12 +86,14 @@
 	switch {
 	case path == "/flavors":
 		return 200, map[string]any{"keels": []cloud.MachineType{c.flavor}}
-	case path == "/hosts" && m.Method == "GET":
+	case path == "/hosts" && m.Method == http.MethodGet:
 		rows := []any{}
 		for _, id := range c.names {
 			if w := c.machines[id]; w != nil {
-				rows = append(rows, map[string]any{"id": id, "addr": w.front.addr(), "keel": c.flavor.Name, "harbour": "a", "driftwood": w.spot,
-					"trim": "running", "age_s": time.Since(w.born).Seconds()})
+				rows = append(rows, map[string]any{
+					"id": id, "addr": w.front.addr(), "keel": c.flavor.Name, "harbour": "a", "driftwood": w.spot,
+					"trim": "running", "age_s": time.Since(w.born).Seconds(),
+				})
 			}
 		}
 		return 200, map[string]any{"oarlocks": rows, "has_next": false}
--- a/internal/simulator/emulator/history.go
+++ b/internal/simulator/emulator/history.go
@@ -29,7 +29,13 @@
 }
 
 func newHistory() *History {
-	return &History{where: map[jobs.TaskID]string{}, attempts: map[uint64]string{}, done: map[jobs.TaskID]bool{}, over: map[jobs.TaskID]bool{}, needs: map[string][]need{}}
+	return &History{
+		where:    map[jobs.TaskID]string{},
+		attempts: map[uint64]string{},
+		done:     map[jobs.TaskID]bool{},
+		over:     map[jobs.TaskID]bool{},
+		needs:    map[string][]need{},
+	}
 }
 
 func (h *History) broke(format string, args ...any) {
--- a/internal/simulator/emulator/worker.go
+++ b/internal/simulator/emulator/worker.go
@@ -43,8 +43,10 @@
 }
 
 func newWorker(c *Cloud, id string, spot bool, rng *rand.Rand) (*emulatedWorker, error) {
-	w := &emulatedWorker{cloud: c, id: id, spot: spot, born: time.Now(), wake: make(chan struct{}, 1), ended: make(chan struct{}), rng: rng,
-		session: 1, granted: time.Now(), tasks: map[string]*task{}}
+	w := &emulatedWorker{
+		cloud: c, id: id, spot: spot, born: time.Now(), wake: make(chan struct{}, 1), ended: make(chan struct{}), rng: rng,
+		session: 1, granted: time.Now(), tasks: map[string]*task{},
+	}
 	var err error
 	if w.front, err = serveFront(w.direct); err != nil {
 		return nil, err
@@ -83,8 +85,10 @@
 
 func (w *emulatedWorker) report() worker.Heartbeat {
 	w.seq++
-	r := worker.Heartbeat{Machine: w.id, Addr: w.front.addr(), Type: w.cloud.flavor.Name, Zone: "a", Spot: w.spot, Incarnation: w.session, Sequence: w.seq,
-		FencingToken: w.token, Tasks: []worker.TaskStatus{}}
+	r := worker.Heartbeat{
+		Machine: w.id, Addr: w.front.addr(), Type: w.cloud.flavor.Name, Zone: "a", Spot: w.spot, Incarnation: w.session, Sequence: w.seq,
+		FencingToken: w.token, Tasks: []worker.TaskStatus{},
+	}
 	for _, t := range w.tasks {
 		r.Tasks = append(r.Tasks, worker.TaskStatus{Task: t.key.String(), Attempt: t.attempt, State: t.state, Reason: t.why})
 	}
--- a/internal/simulator/state.go
+++ b/internal/simulator/state.go
@@ -8,14 +8,14 @@
 	"strings"
 	"time"
 
-	"github.com/vmihailenco/msgpack/v5"
-
 	"gullrudder/internal/controller/archive"
 	"gullrudder/internal/controller/election"
 	"gullrudder/internal/controller/jobs"
 	"gullrudder/internal/controller/storage"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
+
+	"github.com/vmihailenco/msgpack/v5"
 )
 
 // StateService is the small consistent store.
--- a/internal/simulator/troubles.go
+++ b/internal/simulator/troubles.go
@@ -1,6 +1,7 @@
 package simulator
 
 import (
+	"net/http"
 	"strings"
 	"time"
 
@@ -205,7 +206,7 @@
 // momentOf is the moment of an election that a call is, -1 for none.
 func momentOf(call client.Call, body []byte) int {
 	switch {
-	case call.Destination == client.StateService && call.Path == "/leases" && call.Method == "POST":
+	case call.Destination == client.StateService && call.Path == "/leases" && call.Method == http.MethodPost:
 		return campaignSent
 	case call.Destination == client.StateService && call.Path == "/commit":
 		var t struct {
--- a/internal/site/agent/runner.go
+++ b/internal/site/agent/runner.go
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"gullrudder/internal/site/process"
+
+	"golang.org/x/sys/unix"
 )
 
 const (
@@ -199,8 +199,10 @@
 	if p.desc.Dir != "" {
 		cmd.Dir = strings.ReplaceAll(p.desc.Dir, "{task}", num)
 	}
-	cmd.Env = []string{r.mark, p.mark(), "GULLRUDDER_JOB=" + job, "GULLRUDDER_TASK=" + num, "GULLRUDDER_SAVE=" + save,
-		"PATH=" + os.Getenv("PATH"), "HOME=" + home, "LANG=" + os.Getenv("LANG")}
+	cmd.Env = []string{
+		r.mark, p.mark(), "GULLRUDDER_JOB=" + job, "GULLRUDDER_TASK=" + num, "GULLRUDDER_SAVE=" + save,
+		"PATH=" + os.Getenv("PATH"), "HOME=" + home, "LANG=" + os.Getenv("LANG"),
+	}
 	for k, v := range p.desc.Env {
 		cmd.Env = append(cmd.Env, k+"="+v)
 	}
--- a/internal/site/agent/runtime.go
+++ b/internal/site/agent/runtime.go
@@ -7,17 +7,18 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"net/http"
 	"os"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"gullrudder/internal/site/datadir"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/http1"
+
+	"golang.org/x/sys/unix"
 )
 
 // Place is where a worker is and whom it works for.
@@ -98,8 +99,10 @@
 
 // NewRuntime ends what an earlier process left and makes the worker.
 func NewRuntime(opt Options, place Place, log *slog.Logger) (*Runtime, error) {
-	r := &Runtime{opt: opt, place: place, log: log, state: New(opt), queue: make(chan Input, 4096), look: make(chan struct{}, 1),
-		epoch: uint64(time.Now().UnixNano()), descs: map[string][]byte{}}
+	r := &Runtime{
+		opt: opt, place: place, log: log, state: New(opt), queue: make(chan Input, 4096), look: make(chan struct{}, 1),
+		epoch: uint64(time.Now().UnixNano()), descs: map[string][]byte{},
+	}
 	if err := os.MkdirAll(place.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("worker's directory: %w", err)
 	}
@@ -121,7 +124,15 @@
 func (r *Runtime) Run() error {
 	go r.own()
 	go r.greet()
-	server := http1.NewServer(http1.ServerOptions{PublicAddr: r.opt.Addr, MaxConnections: 64, IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second, Handler: r.handle})
+	server := http1.NewServer(
+		http1.ServerOptions{
+			PublicAddr:     r.opt.Addr,
+			MaxConnections: 64,
+			IdleTimeout:    75 * time.Second,
+			ReadTimeout:    10 * time.Second,
+			Handler:        r.handle,
+		},
+	)
 	return server.RunWithRestart(r.log)
 }
 
@@ -131,13 +142,13 @@
 func (r *Runtime) handle(q *http1.Request) {
 	path, _, _ := strings.Cut(q.Target, "?")
 	switch {
-	case path == "/site/look" && q.Method == "POST":
+	case path == "/site/look" && q.Method == http.MethodPost:
 		select {
 		case r.look <- struct{}{}:
 		default: // it is going to be asked anyway
 		}
 		q.Respond(200, nil, 0)
-	case path == "/status" && q.Method == "GET", path == "/commands" && q.Method == "POST":
+	case path == "/status" && q.Method == http.MethodGet, path == "/commands" && q.Method == http.MethodPost:
 		select {
 		case r.queue <- Input{Direct: &Direct{Ref: q, Commands: path == "/commands", Body: q.Body}}:
 		default:
@@ -274,8 +285,10 @@
 func (r *Runtime) publish() {
 	name, applied := r.state.Machine()
 	r.mu.Lock()
-	r.seen = Greeting{Name: r.place.Name, Addr: r.opt.Addr, Type: r.opt.Type, Zone: r.opt.Zone, CPUs: r.opt.CPUs, MemGB: r.opt.MemGB,
-		Epoch: r.epoch, Holding: name, Applied: applied, Busy: r.state.Busy()}
+	r.seen = Greeting{
+		Name: r.place.Name, Addr: r.opt.Addr, Type: r.opt.Type, Zone: r.opt.Zone, CPUs: r.opt.CPUs, MemGB: r.opt.MemGB,
+		Epoch: r.epoch, Holding: name, Applied: applied, Busy: r.state.Busy(),
+	}
 	r.mu.Unlock()
 }
 
--- a/internal/site/agent/state.go
+++ b/internal/site/agent/state.go
@@ -168,8 +168,10 @@
 
 func (s *State) compose() Report {
 	s.seq++
-	r := Report{Machine: s.machine, Addr: s.opt.Addr, Type: s.opt.Type, Zone: s.opt.Zone, Session: s.session, Seq: s.seq, Token: s.token,
-		Tasks: make([]TaskReport, 0, len(s.tasks))}
+	r := Report{
+		Machine: s.machine, Addr: s.opt.Addr, Type: s.opt.Type, Zone: s.opt.Zone, Session: s.session, Seq: s.seq, Token: s.token,
+		Tasks: make([]TaskReport, 0, len(s.tasks)),
+	}
 	if s.notice {
 		left := noticeLeft
 		r.Notice = &left
--- a/internal/site/datadir/home.go
+++ b/internal/site/datadir/home.go
@@ -20,9 +20,9 @@
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"gullrudder/internal/site/process"
+
+	"golang.org/x/sys/unix"
 )
 
 // Home is a site's directory.
@@ -106,7 +106,17 @@
 	if _, err := rand.Read(id); err != nil {
 		return nil, err
 	}
-	h = &Home{ID: hex.EncodeToString(id), Program: version, Zone: "here", CPUs: w.CPUs, MemGB: w.MemGB, Price: 1, As: w.As, KeepFreeMB: keepFree, dir: dir}
+	h = &Home{
+		ID:         hex.EncodeToString(id),
+		Program:    version,
+		Zone:       "here",
+		CPUs:       w.CPUs,
+		MemGB:      w.MemGB,
+		Price:      1,
+		As:         w.As,
+		KeepFreeMB: keepFree,
+		dir:        dir,
+	}
 	if h.As == "" {
 		h.As = "nobody"
 	}
@@ -206,13 +216,15 @@
 	raw, err := json.MarshalIndent(map[string]any{
 		"host_name": n.Name, "domain": h.Zone, "public_addr": n.Public, "peer_bind": n.Peer, "others": others,
 		"outside": map[string]any{"cloud": h.Pool, "state": h.State},
-		"cluster": map[string]any{"zones": []string{h.Zone},
+		"cluster": map[string]any{
+			"zones":          []string{h.Zone},
 			"teams":          []any{map[string]any{"name": Team, "cpus": h.CPUs}},
 			"workers":        map[string]any{"report_s": report.Seconds(), "lease_s": lease.Seconds(), "cancel_s": 2 * lease.Seconds()},
 			"state":          map[string]any{"rps": 2000, "write_rps": 2000, "value_kb": 32, "txn_ops": 64},
 			"cloud":          map[string]any{"rps": 20, "list_lag_s": 0.5},
 			"quota":          map[string]any{"cpu": 1, "ram_mb": 512, "max_connections": 512},
-			"clock_error_ms": 100},
+			"clock_error_ms": 100,
+		},
 	}, "", "  ")
 	if err != nil {
 		return err
--- a/internal/site/kvserver/content.go
+++ b/internal/site/kvserver/content.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"github.com/google/btree"
-
 	"gullrudder/internal/wire/codec"
+
+	"github.com/google/btree"
 )
 
 // item is a key with its value. Items are never changed, only replaced: a snapshot may still
--- a/internal/site/kvserver/disk.go
+++ b/internal/site/kvserver/disk.go
@@ -38,7 +38,13 @@
 	if err := recovered.removeLeftovers(files); err != nil {
 		log.Error("what a snapshot covers cannot be removed", "error", err)
 	}
-	storage := &Storage{files: files, wal: wal, options: options, uncoveredLogBytes: recovered.inspection.LogBytes, lastSnapshotBytes: recovered.inspection.SnapshotBytes}
+	storage := &Storage{
+		files:             files,
+		wal:               wal,
+		options:           options,
+		uncoveredLogBytes: recovered.inspection.LogBytes,
+		lastSnapshotBytes: recovered.inspection.SnapshotBytes,
+	}
 	return newState(recovered.keyspace, options, now), storage, recovered.inspection, nil
 }
 
--- a/internal/site/kvserver/metrics.go
+++ b/internal/site/kvserver/metrics.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"github.com/prometheus/client_golang/prometheus"
-
 	"gullrudder/internal/wire/metrics"
+
+	"github.com/prometheus/client_golang/prometheus"
 )
 
 // Metrics are the figures of a store, in Prometheus' text form.
@@ -40,15 +40,21 @@
 	}
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
-		requestCount: prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "gullrudder", Subsystem: "state", Name: "requests_total",
-			Help: "Requests answered, by method, kind and status."}, []string{"method", "kind", "status"}),
+		requestCount: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Namespace: "gullrudder", Subsystem: "state", Name: "requests_total",
+			Help: "Requests answered, by method, kind and status.",
+		}, []string{"method", "kind", "status"}),
 		shedCount:           counter("shed_total", "Requests refused because the queue was full."),
 		failedWriteCount:    counter("failed_writes_total", "Writes or syncs of the log that failed."),
 		failedSnapshotCount: counter("failed_snapshots_total", "Snapshots that failed."),
-		snapshotSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "gullrudder", Subsystem: "state", Name: "snapshot_seconds",
-			Help: "Time that a snapshot took.", Buckets: prometheus.ExponentialBuckets(0.001, 4, 10)}),
-		syncSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "gullrudder", Subsystem: "state", Name: "sync_seconds",
-			Help: "Time to write and sync one step's records.", Buckets: prometheus.ExponentialBuckets(0.00005, 2, 16)}),
+		snapshotSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
+			Namespace: "gullrudder", Subsystem: "state", Name: "snapshot_seconds",
+			Help: "Time that a snapshot took.", Buckets: prometheus.ExponentialBuckets(0.001, 4, 10),
+		}),
+		syncSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
+			Namespace: "gullrudder", Subsystem: "state", Name: "sync_seconds",
+			Help: "Time to write and sync one step's records.", Buckets: prometheus.ExponentialBuckets(0.00005, 2, 16),
+		}),
 		snapshotBytes: gauge("snapshot_bytes", "Size of the last snapshot."),
 		revision:      gauge("revision", "Revision of the last change."),
 		keys:          gauge("keys", "Keys that are there."),
@@ -58,8 +64,22 @@
 		failing:       gauge("failing", "1 while changes cannot be kept."),
 		logBytes:      gauge("log_bytes", "Bytes of log that no snapshot covers."),
 	}
-	m.registry.MustRegister(m.requestCount, m.shedCount, m.failedWriteCount, m.failedSnapshotCount, m.snapshotSeconds, m.syncSeconds, m.snapshotBytes, m.revision, m.keys,
-		m.leases, m.watches, m.queueLength, m.failing, m.logBytes)
+	m.registry.MustRegister(
+		m.requestCount,
+		m.shedCount,
+		m.failedWriteCount,
+		m.failedSnapshotCount,
+		m.snapshotSeconds,
+		m.syncSeconds,
+		m.snapshotBytes,
+		m.revision,
+		m.keys,
+		m.leases,
+		m.watches,
+		m.queueLength,
+		m.failing,
+		m.logBytes,
+	)
 	return m
 }
 
--- a/internal/site/kvserver/service.go
+++ b/internal/site/kvserver/service.go
@@ -70,8 +70,21 @@
 
 // NewServer makes the service of a store that was opened.
 func NewServer(state *State, storage *Storage, options config.KVServer, metrics *Metrics, log *slog.Logger) *Server {
-	return &Server{state: state, storage: storage, options: options, log: log, metrics: metrics, requests: make(chan Request, requestQueueLength),
-		writeResults: make(chan writeResult, 1), writeJobs: make(chan writeJob, 1), snapshotResults: make(chan snapshotResult, 1), responses: make(chan []Effects, responseQueueLength)}
+	return &Server{
+		state:    state,
+		storage:  storage,
+		options:  options,
+		log:      log,
+		metrics:  metrics,
+		requests: make(chan Request, requestQueueLength),
+		writeResults: make(
+			chan writeResult,
+			1,
+		),
+		writeJobs:       make(chan writeJob, 1),
+		snapshotResults: make(chan snapshotResult, 1),
+		responses:       make(chan []Effects, responseQueueLength),
+	}
 }
 
 // Serve runs the service at an address; it returns only if that cannot be had.
@@ -83,8 +96,10 @@
 			s.sendResponses(steps)
 		}
 	}()
-	server := http1.NewServer(http1.ServerOptions{PublicAddr: addr, MaxConnections: s.options.MaxConnections, IdleTimeout: 75 * time.Second,
-		ReadTimeout: 10 * time.Second, Handler: s.enqueue})
+	server := http1.NewServer(http1.ServerOptions{
+		PublicAddr: addr, MaxConnections: s.options.MaxConnections, IdleTimeout: 75 * time.Second,
+		ReadTimeout: 10 * time.Second, Handler: s.enqueue,
+	})
 	return server.RunWithRestart(s.log)
 }
 
@@ -254,7 +269,9 @@
 	refuse := func(list []Effects) {
 		for _, e := range list {
 			for _, r := range e.Responses {
-				s.sendResponse(Response{Handle: r.Handle, Status: 503, Body: errorResponse{"changes cannot be kept"}, RetryAfter: s.options.DiskRetryInterval})
+				s.sendResponse(
+					Response{Handle: r.Handle, Status: 503, Body: errorResponse{"changes cannot be kept"}, RetryAfter: s.options.DiskRetryInterval},
+				)
 			}
 		}
 	}
@@ -309,5 +326,13 @@
 	}
 	s.snapshotRunning = false
 	s.metrics.observeSnapshot(result.duration, result.snapshot.offset)
-	s.log.Info("snapshot done", "snapshot", result.snapshot.fileName(), "bytes", result.snapshot.offset, "took", result.duration.Round(time.Millisecond))
+	s.log.Info(
+		"snapshot done",
+		"snapshot",
+		result.snapshot.fileName(),
+		"bytes",
+		result.snapshot.offset,
+		"took",
+		result.duration.Round(time.Millisecond),
+	)
 }
--- a/internal/site/kvserver/snapshot.go
+++ b/internal/site/kvserver/snapshot.go
@@ -227,7 +227,9 @@
 			return fail(start, err)
 		}
 	}
-	if len(raw) != position+16 || binary.LittleEndian.Uint32(raw[position:]) != 8 || crc32.Checksum(raw[position+8:], castagnoli()) != binary.LittleEndian.Uint32(raw[position+4:]) || binary.LittleEndian.Uint64(raw[position+8:]) != keyCount {
+	if len(raw) != position+16 || binary.LittleEndian.Uint32(raw[position:]) != 8 ||
+		crc32.Checksum(raw[position+8:], castagnoli()) != binary.LittleEndian.Uint32(raw[position+4:]) ||
+		binary.LittleEndian.Uint64(raw[position+8:]) != keyCount {
 		return fail(position, errBlockDamaged)
 	}
 	return data, segment, nextFrame, nil
--- a/internal/site/kvserver/state.go
+++ b/internal/site/kvserver/state.go
@@ -8,6 +8,7 @@
 import (
 	"fmt"
 	"maps"
+	"net/http"
 	"net/url"
 	"slices"
 	"strconv"
@@ -122,7 +123,10 @@
 }
 
 func (s *State) reject(handle any, status int, retryAfter time.Duration, format string, args ...any) {
-	s.effects.Responses = append(s.effects.Responses, Response{Handle: handle, Status: status, Body: errorResponse{fmt.Sprintf(format, args...)}, RetryAfter: retryAfter})
+	s.effects.Responses = append(
+		s.effects.Responses,
+		Response{Handle: handle, Status: status, Body: errorResponse{fmt.Sprintf(format, args...)}, RetryAfter: retryAfter},
+	)
 }
 
 // expireLeases ends the leases whose time is over.
@@ -204,19 +208,19 @@
 	id, isLeasePath := strings.CutPrefix(target.Path, "/leases/")
 	id, isTouch := strings.CutSuffix(id, "/touch")
 	switch {
-	case target.Path == "/commit" && request.Method == "POST":
+	case target.Path == "/commit" && request.Method == http.MethodPost:
 		s.commitTransaction(request)
-	case isKeyPath && request.Method == "GET":
+	case isKeyPath && request.Method == http.MethodGet:
 		s.getKey(request, key)
-	case target.Path == "/keys" && request.Method == "GET":
+	case target.Path == "/keys" && request.Method == http.MethodGet:
 		s.listKeys(request, target.Query())
-	case target.Path == "/leases" && request.Method == "POST":
+	case target.Path == "/leases" && request.Method == http.MethodPost:
 		s.grantLease(request)
-	case isLeasePath && (isTouch && request.Method == "POST" || !isTouch && request.Method == "DELETE"):
+	case isLeasePath && (isTouch && request.Method == http.MethodPost || !isTouch && request.Method == http.MethodDelete):
 		s.handleLease(request, id, isTouch)
-	case target.Path == "/watch" && request.Method == "GET":
+	case target.Path == "/watch" && request.Method == http.MethodGet:
 		s.openWatch(request, target.Query())
-	case target.Path == "/ready" && request.Method == "GET":
+	case target.Path == "/ready" && request.Method == http.MethodGet:
 		s.respond(request.Handle, 200, revisionResponse{s.revision})
 	default:
 		s.reject(request.Handle, 400, 0, "no such path or method")
--- a/internal/site/machinepool/service.go
+++ b/internal/site/machinepool/service.go
@@ -5,17 +5,18 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"net/http"
 	"path/filepath"
 	"strconv"
 	"strings"
 	"time"
 
-	"go.etcd.io/bbolt"
-
 	"gullrudder/internal/site/datadir"
 	"gullrudder/internal/site/jobspec"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/http1"
+
+	"go.etcd.io/bbolt"
 )
 
 // Service connects a State with the clock, the network and the disk, and keeps the descriptions and
@@ -60,7 +61,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	s := &Service{state: New(opt, rec), db: db, log: log, queue: make(chan Request, 1024), look: make(chan string, 256), write: make(chan func(), 1024)}
+	s := &Service{
+		state: New(opt, rec),
+		db:    db,
+		log:   log,
+		queue: make(chan Request, 1024),
+		look:  make(chan string, 256),
+		write: make(chan func(), 1024),
+	}
 	s.descs, err = jobspec.New(db, func() bool {
 		left, err := datadir.FreeDisk(dir)
 		return err == nil && left >= free
@@ -79,7 +87,15 @@
 			}
 		}()
 	}
-	server := http1.NewServer(http1.ServerOptions{PublicAddr: addr, MaxConnections: 512, IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second, Handler: s.handle})
+	server := http1.NewServer(
+		http1.ServerOptions{
+			PublicAddr:     addr,
+			MaxConnections: 512,
+			IdleTimeout:    75 * time.Second,
+			ReadTimeout:    10 * time.Second,
+			Handler:        s.handle,
+		},
+	)
 	return server.RunWithRestart(s.log)
 }
 
@@ -111,7 +127,7 @@
 
 func (s *Service) describe(r *http1.Request, job string) {
 	switch r.Method {
-	case "GET":
+	case http.MethodGet:
 		raw, err := s.descs.Get(job)
 		switch {
 		case err != nil:
@@ -121,7 +137,7 @@
 		default:
 			r.Respond(200, raw, 0)
 		}
-	case "POST":
+	case http.MethodPost:
 		if job == "" || len(job) > 64 || codec.Validate(r.Body) != nil {
 			s.answer(r, 400, map[string]string{"error": "no description"}, 0)
 			return
--- a/internal/site/machinepool/state.go
+++ b/internal/site/machinepool/state.go
@@ -107,8 +107,10 @@
 func (s *State) flavors() []flavor {
 	types := map[string]flavor{}
 	for _, w := range s.workers {
-		types[w.Type] = flavor{Name: w.Type, CPUs: w.CPUs, Mem: w.MemGB, Price: s.opt.Price, SpotPrice: never * max(s.opt.Price, 1), Ready: 1,
-			CacheGB: 1000, FetchRate: 1000, Zones: []string{s.opt.Zone}}
+		types[w.Type] = flavor{
+			Name: w.Type, CPUs: w.CPUs, Mem: w.MemGB, Price: s.opt.Price, SpotPrice: never * max(s.opt.Price, 1), Ready: 1,
+			CacheGB: 1000, FetchRate: 1000, Zones: []string{s.opt.Zone},
+		}
 	}
 	list := []flavor{}
 	for _, name := range slices.Sorted(maps.Keys(types)) {
--- a/internal/site/supervisor/supervise.go
+++ b/internal/site/supervisor/supervise.go
@@ -94,7 +94,17 @@
 		if time.Since(began) > settled {
 			wait = soonest
 		}
-		s.log.Error("a part ended and is started again", "part", p.Name, "after", time.Since(began).Round(time.Millisecond), "error", err, "in", wait)
+		s.log.Error(
+			"a part ended and is started again",
+			"part",
+			p.Name,
+			"after",
+			time.Since(began).Round(time.Millisecond),
+			"error",
+			err,
+			"in",
+			wait,
+		)
 		select {
 		case <-p.stop:
 			return
--- a/internal/wire/http1/client.go
+++ b/internal/wire/http1/client.go
@@ -27,7 +27,12 @@
 // NewClient bounds the open requests, the idle connections for one address and the
 // size of a response.
 func NewClient(maxOpenRequests, maxIdlePerAddr, maxBodyBytes int) *Client {
-	return &Client{maxIdlePerAddr: maxIdlePerAddr, maxBodyBytes: maxBodyBytes, openRequests: make(chan struct{}, maxOpenRequests), idle: map[string][]idleConn{}}
+	return &Client{
+		maxIdlePerAddr: maxIdlePerAddr,
+		maxBodyBytes:   maxBodyBytes,
+		openRequests:   make(chan struct{}, maxOpenRequests),
+		idle:           map[string][]idleConn{},
+	}
 }
 
 // Do sends one request. An error means that no whole answer came and that nobody knows
--- a/internal/wire/http1/parse.go
+++ b/internal/wire/http1/parse.go
@@ -5,6 +5,7 @@
 import (
 	"bytes"
 	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
 	"time"
@@ -98,7 +99,8 @@
 	if isResponse && !head.hasContentLength && head.message.Status != 204 && head.message.Status != 304 {
 		return nil, newProtocolError(400, "response without Content-Length")
 	}
-	if !isResponse && !head.hasContentLength && head.message.Method != "GET" && head.message.Method != "DELETE" && head.message.Method != "HEAD" {
+	if !isResponse && !head.hasContentLength && head.message.Method != http.MethodGet && head.message.Method != http.MethodDelete &&
+		head.message.Method != http.MethodHead {
 		head.contentLength = 0
 	}
 	return head, nil
--- a/internal/wire/metrics/scrape.go
+++ b/internal/wire/metrics/scrape.go
@@ -6,19 +6,21 @@
 	"bytes"
 	"fmt"
 	"log/slog"
+	"net/http"
 	"time"
 
+	"gullrudder/internal/wire/http1"
+
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/common/expfmt"
-
-	"gullrudder/internal/wire/http1"
 )
 
 // Serve answers GET /metrics at an address until the listener fails.
 func Serve(registry *prometheus.Registry, addr string, log *slog.Logger) error {
-	server := http1.NewServer(http1.ServerOptions{PublicAddr: addr, MaxConnections: 16, IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second,
+	server := http1.NewServer(http1.ServerOptions{
+		PublicAddr: addr, MaxConnections: 16, IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second,
 		Handler: func(r *http1.Request) {
-			if r.Method != "GET" || r.Target != "/metrics" {
+			if r.Method != http.MethodGet || r.Target != "/metrics" {
 				r.Respond(404, nil, 0)
 				return
 			}
@@ -35,7 +37,8 @@
 				return
 			}
 			r.RespondText(200, string(expfmt.NewFormat(expfmt.TypeTextPlain)), text.Bytes())
-		}})
+		},
+	})
 	if err := server.Run(); err != nil {
 		return fmt.Errorf("serve metrics at %s: %w", addr, err)
 	}
