--- a/internal/controller/config_warnings.go
+++ b/internal/controller/config_warnings.go
@@ -8,18 +8,15 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// ConfigWarnings tells of settings with which every rule is kept and less is served.
+// shortCancelTimeout is the warning about a cancel timeout that is too short for new leaders to renew leases.
+const shortCancelTimeout = "cluster.workers.cancel_s: %v is not above lease_s with its margin (%v): a cancellation is confirmed " +
+	"only once the job's tasks are gone, and a new leader renews no lease before it has read its ledger"
+
+// ConfigWarnings lists settings with which every guarantee is kept, but less is served.
 func ConfigWarnings(platform *config.Platform) []string {
-	var warnings []string
-	if leaseEnd := worker.LeaseExpiry(platform.WorkerLeaseDuration); renewal.Window(platform.CancelTimeout, leaseEnd) <= 0 {
-		warnings = append(
-			warnings,
-			fmt.Sprintf(
-				"cluster.workers.cancel_s: %v is not above lease_s with its margin (%v): a cancellation is confirmed only once the job's tasks are gone, and a new leader renews no lease before it has read its ledger",
-				platform.CancelTimeout,
-				leaseEnd,
-			),
-		)
+	leaseExpiry := worker.LeaseExpiry(platform.WorkerLeaseDuration)
+	if renewal.Window(platform.CancelTimeout, leaseExpiry) > 0 {
+		return nil
 	}
-	return warnings
+	return []string{fmt.Sprintf(shortCancelTimeout, platform.CancelTimeout, leaseExpiry)}
 }
--- /dev/null
+++ b/internal/controller/fake_state_service_test.go
@@ -0,0 +1,118 @@
+package controller
+
+import (
+	"log/slog"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/server"
+)
+
+// fakeStateService is a state service of keys with their modification revisions. It answers calls at once, with 503 while it
+// is unavailable.
+type fakeStateService struct {
+	revision     uint64
+	values       map[string]any
+	modRevisions map[string]uint64
+	unavailable  bool
+}
+
+func newFakeStateService() *fakeStateService {
+	return &fakeStateService{values: map[string]any{}, modRevisions: map[string]uint64{}}
+}
+
+func (service *fakeStateService) exchange(t *testing.T, call client.Call) client.Result {
+	t.Helper()
+	if service.unavailable {
+		return client.Result{Status: 503}
+	}
+	body := any(map[string]any{"entries": []any{}, "has_next": false})
+	if call.Path == "/commit" {
+		service.commit(call.Body)
+		body = map[string]uint64{"tide": service.revision}
+	} else if key, ok := strings.CutPrefix(call.Path, "/keys/"); ok && key != "" {
+		value, ok := service.values[key]
+		if !ok {
+			return client.Result{Status: 404}
+		}
+		body = map[string]any{"value": value, "mark": service.modRevisions[key]}
+	}
+	return client.Result{Status: 200, Body: marshal(t, body)}
+}
+
+// commit applies the writes of a transaction. Its preconditions are not checked.
+func (service *fakeStateService) commit(transaction any) {
+	service.revision++
+	for _, action := range transaction.(map[string]any)["apply"].([]any) {
+		if key, ok := action.(map[string]any)["write"].(string); ok {
+			service.values[key], service.modRevisions[key] = action.(map[string]any)["value"], service.revision
+		}
+	}
+}
+
+// answerCalls answers the calls of the controller once; answerAllCalls also those that the answers lead to.
+func (service *fakeStateService) answerCalls(t *testing.T, now time.Time, controller *Controller) (answered int) {
+	t.Helper()
+	calls := controller.outbox.TakeCalls()
+	for _, call := range calls {
+		call.Done(now, service.exchange(t, call))
+	}
+	return len(calls)
+}
+
+func (service *fakeStateService) answerAllCalls(t *testing.T, now time.Time, controller *Controller) {
+	t.Helper()
+	for service.answerCalls(t, now, controller) > 0 {
+		continue
+	}
+}
+
+func marshal(t *testing.T, message any) []byte {
+	t.Helper()
+	body, err := codec.Marshal(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return body
+}
+
+func unmarshal(t *testing.T, body []byte, message any) {
+	t.Helper()
+	if err := codec.Unmarshal(body, message); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// newTestLeader is a controller at the start of a leadership, before its state is loaded.
+func newTestLeader(now time.Time, options config.Options) *Controller {
+	platform := &config.Platform{
+		Name: "n", HeartbeatInterval: 4 * time.Second, WorkerLeaseDuration: 20 * time.Second, CPUQuota: 0.2, MaxConnections: 1000,
+		StateWriteRate: 1000, StateRequestRate: 200, MaxValueBytes: 4096, MaxTransactionOps: 8, CloudRequestRate: 2,
+	}
+	controller := New(platform, options, now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	controller.leadership = controller.newLeadership(now, 1)
+	return controller
+}
+
+// loadState loads the state from the service and restores it.
+func (c *Controller) loadState(t *testing.T, now time.Time, service *fakeStateService) {
+	t.Helper()
+	c.leadership.storage.Load(&c.outbox)
+	service.answerCalls(t, now, c)
+	c.leadership.failover.LoadState(now)
+}
+
+// takeResponse returns the response to the only request.
+func (c *Controller) takeResponse(t *testing.T) server.Response {
+	t.Helper()
+	responses := c.responder.TakeResponses()
+	if len(responses) != 1 {
+		t.Fatalf("%d responses", len(responses))
+	}
+	return responses[0]
+}
--- /dev/null
+++ b/internal/controller/leadership.go
@@ -0,0 +1,251 @@
+package controller
+
+import (
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/controller/accounting"
+	"gullrudder/internal/controller/admission"
+	"gullrudder/internal/controller/api"
+	"gullrudder/internal/controller/autoscaler"
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/dynamicconfig"
+	"gullrudder/internal/controller/election"
+	"gullrudder/internal/controller/failover"
+	"gullrudder/internal/controller/failures"
+	"gullrudder/internal/controller/heartbeat"
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/controller/jobstore"
+	"gullrudder/internal/controller/placement"
+	"gullrudder/internal/controller/storage"
+	"gullrudder/internal/controller/straggler"
+	"gullrudder/internal/controller/worker"
+	"gullrudder/internal/controller/worker/reachability"
+	"gullrudder/internal/controller/zones"
+)
+
+// commitBatchDelay is how long a change that nobody waits for may wait for others to be committed with it.
+const commitBatchDelay = 500 * time.Millisecond
+
+// leadership is everything that ends with the leader lease: one component for each duty, each with state that no other
+// writes. The components are made at the election and dropped whole when the leadership ends.
+type leadership struct {
+	fencingToken uint64
+	persistentState
+	machineState
+	scheduling
+	services
+
+	nextLeaseCheck time.Time // when worker leases are checked for expiry next
+	nextWaitSample time.Time // when the reasons that jobs wait for are sampled next
+}
+
+// persistentState are the components whose state is committed to the state service, or derived from it.
+type persistentState struct {
+	storage       *storage.Store
+	dynamicConfig *dynamicconfig.Store
+	jobStore      *jobstore.Store
+	accounting    *accounting.Tracker
+}
+
+// machineState are the components that keep what is known of the machines.
+type machineState struct {
+	workers      *worker.Registry
+	cloud        *cloud.Client
+	zones        *zones.Tracker
+	reachability *reachability.Tracker
+	stragglers   *straggler.Detector
+	failures     *failures.Tracker
+}
+
+// scheduling are the components that decide what runs where, and on how many machines.
+type scheduling struct {
+	planner    *admission.Planner
+	placer     *placement.Placer
+	autoscaler *autoscaler.Scaler
+}
+
+// services are the components that answer workers and users.
+type services struct {
+	heartbeats *heartbeat.Handler
+	failover   *failover.Reconciler
+	api        *api.Handler
+}
+
+// beginLeadership starts a leadership and the load of persistent state.
+func (c *Controller) beginLeadership(now time.Time) {
+	c.leadership = c.newLeadership(now, c.election.FencingToken())
+	c.leadership.storage.Load(&c.outbox)
+}
+
+// endLeadership drops everything that belonged to the leadership. Users and workers that wait for an answer are told to try
+// again.
+func (c *Controller) endLeadership() {
+	leader := c.leadership
+	c.leadership = nil
+	leader.storage.Close()
+	leader.cloud.Close()
+	leader.failover.Close()
+	leader.accounting.End()
+	leader.heartbeats.RejectPending()
+}
+
+// newLeadership makes the components and connects them with one another.
+func (c *Controller) newLeadership(now time.Time, fencingToken uint64) *leadership {
+	leader := &leadership{fencingToken: fencingToken}
+	leader.storage = storage.New(storage.Options{
+		LeaderKey:  election.LeaderKey,
+		ValueBytes: c.platform.MaxValueBytes,
+		TxnOps:     c.platform.MaxTransactionOps,
+		WriteRate:  c.platform.StateWriteRate,
+		BatchDelay: commitBatchDelay,
+	}, fencingToken, c.log)
+	leader.dynamicConfig = dynamicconfig.New(c.options, leader.storage, &c.responder, c.log)
+	leader.accounting = accounting.New(c.metrics.accounting, c.log)
+	leader.machineState = c.newMachineState(now, fencingToken)
+	leader.jobStore = jobstore.New(jobstore.Components{
+		Platform:   c.platform,
+		Options:    leader.dynamicConfig.Options(),
+		Storage:    leader.storage,
+		Workers:    leader.workers,
+		Accounting: leader.accounting,
+		Log:        c.log,
+	})
+	leader.scheduling = c.newScheduling(now, leader)
+	leader.heartbeats = c.newHeartbeatHandler(leader)
+	leader.failover = c.newReconciler(now, leader)
+	leader.api = c.newAPIHandler(leader)
+	c.connect(leader)
+	return leader
+}
+
+func (c *Controller) newMachineState(now time.Time, fencingToken uint64) machineState {
+	return machineState{
+		workers:      worker.NewRegistry(worker.LeaseExpiry(c.platform.WorkerLeaseDuration), c.log),
+		cloud:        cloud.New(fencingToken, c.platform.CloudRequestRate, c.platform.CloudListLag, c.log),
+		zones:        zones.New(c.platform.HeartbeatInterval, now, c.log),
+		reachability: reachability.NewTracker(fencingToken, c.platform.WorkerLeaseDuration, c.metrics.reachability, c.log),
+		stragglers:   straggler.NewDetector(c.platform.HeartbeatInterval),
+		failures:     failures.NewTracker(),
+	}
+}
+
+// newScheduling makes the planner, the placer and the autoscaler. The last two ask for each other's results.
+func (c *Controller) newScheduling(now time.Time, leader *leadership) scheduling {
+	planner := admission.New(c.options, c.platform)
+	placer := placement.New(placement.Components{
+		Platform:     c.platform,
+		FencingToken: leader.fencingToken,
+		Jobs:         leader.jobStore.Unfinished,
+		Workers:      leader.workers,
+		Planner:      planner,
+		Capacity:     func(now time.Time) admission.Capacity { return leader.autoscaler.ExpectedCapacity(now) },
+		Outbox:       &c.outbox,
+		Log:          c.log,
+	})
+	scaler := autoscaler.New(autoscaler.Components{
+		Platform:      c.platform,
+		Options:       leader.dynamicConfig.Options(),
+		FencingToken:  leader.fencingToken,
+		ElectedAt:     now,
+		IsFirstLeader: func() bool { return leader.failover.IsFirstLeader() },
+		Cloud:         leader.cloud,
+		Workers:       leader.workers,
+		Planner:       planner,
+		Placer:        placer,
+		Stragglers:    leader.stragglers,
+		Zones:         leader.zones,
+		Outbox:        &c.outbox,
+		Log:           c.log,
+	})
+	return scheduling{planner: planner, placer: placer, autoscaler: scaler}
+}
+
+func (c *Controller) newHeartbeatHandler(leader *leadership) *heartbeat.Handler {
+	return heartbeat.NewHandler(heartbeat.Components{
+		Platform:     c.platform,
+		FencingToken: leader.fencingToken,
+		Storage:      leader.storage,
+		JobStore:     leader.jobStore,
+		Workers:      leader.workers,
+		Cloud:        leader.cloud,
+		Planner:      leader.planner,
+		Placer:       leader.placer,
+		Accounting:   leader.accounting,
+		Stragglers:   leader.stragglers,
+		Failures:     leader.failures,
+		Reachability: leader.reachability,
+		Responder:    &c.responder,
+		Log:          c.log,
+	})
+}
+
+func (c *Controller) newReconciler(now time.Time, leader *leadership) *failover.Reconciler {
+	return failover.New(failover.Components{
+		Platform:     c.platform,
+		FencingToken: leader.fencingToken,
+		ElectedAt:    now,
+		Stores: failover.Stores{
+			Storage:       leader.storage,
+			Jobs:          leader.jobStore,
+			DynamicConfig: leader.dynamicConfig,
+			FairShare:     leader.planner.FairShare(),
+		},
+		Machines: failover.Machines{
+			Workers:      leader.workers,
+			Cloud:        leader.cloud,
+			Zones:        leader.zones,
+			Reachability: leader.reachability,
+			Connectivity: c.election.Connectivity(),
+		},
+		Heartbeats:   leader.heartbeats,
+		Placer:       leader.placer,
+		RenewalLimit: c.election.RenewalLimit(),
+		Outbox:       &c.outbox,
+		Log:          c.log,
+	})
+}
+
+func (c *Controller) newAPIHandler(leader *leadership) *api.Handler {
+	return api.NewHandler(api.Components{
+		Platform:   c.platform,
+		Options:    leader.dynamicConfig.Options(),
+		Storage:    leader.storage,
+		JobStore:   leader.jobStore,
+		Workers:    leader.workers,
+		Cloud:      leader.cloud,
+		Planner:    leader.planner,
+		Placer:     leader.placer,
+		Autoscaler: leader.autoscaler,
+		Failover:   leader.failover,
+		Accounting: leader.accounting,
+		Failures:   leader.failures,
+		Zones:      leader.zones,
+		HoldsLease: func() bool { return c.leadership == leader && c.holdsLease },
+		Responder:  &c.responder,
+		Outbox:     &c.outbox,
+		Logger:     c.log,
+	})
+}
+
+// connect tells the components of one another's events. The functions are set once.
+func (c *Controller) connect(leader *leadership) {
+	leader.jobStore.OnOrderChange(leader.placer.InvalidateOrder)
+	leader.jobStore.OnDone(func(now time.Time, job *jobs.Job) {
+		leader.autoscaler.JobEnded(now, job)
+		leader.planner.FairShare().RecordDone(now, job)
+		leader.heartbeats.ForgetJob(job)
+	})
+	leader.jobStore.OnWaiting(func(job *jobs.Job) {
+		leader.jobStore.DependencyGraph().PropagateDeadline(job, leader.planner.TaskRunTime, 2*c.platform.HeartbeatInterval, job.Guaranteed)
+	})
+	leader.jobStore.OnReady(func(now time.Time, job *jobs.Job) {
+		leader.placer.InvalidateOrder()
+		leader.autoscaler.JobAccepted(now, job)
+	})
+	leader.dynamicConfig.OnChange(func(options config.Options) {
+		leader.planner.SetOptions(options)
+		leader.jobStore.SetOptions(options)
+		leader.placer.InvalidateOrder()
+	})
+}
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -2,11 +2,13 @@
 
 import (
 	"log/slog"
+	"net/http"
 	"runtime/debug"
 	"strings"
 	"time"
 
 	"gullrudder/internal/config"
+	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/client"
 	"gullrudder/internal/wire/codec"
 	"gullrudder/internal/wire/http1"
@@ -14,56 +16,71 @@
 )
 
 const (
+	// commandQueueLength bounds the requests that wait for the owner; more are refused with 503.
 	commandQueueLength = 4096
-	maxBatch           = 128
+	// maxBatch bounds the commands of one step, so that a tick is never far away.
+	maxBatch = 128
+	// maxResponseBytes bounds the responses that are read: the cloud's lists and pages of state are the largest.
+	maxResponseBytes = 16 << 20
+	// serverRestartDelay is the time before a server that has stopped is started again.
+	serverRestartDelay = 500 * time.Millisecond
+	// idleTimeout and readTimeout are for the connections of the server.
+	idleTimeout = 75 * time.Second
+	readTimeout = 10 * time.Second
+	// minServerConnections and minConnectionsPerService are kept also under a small connection limit.
+	minServerConnections     = 8
+	minConnectionsPerService = 4
+	// keptConnections and keptPeerConnections are the idle connections kept to the state service and to the cloud, and to
+	// each other controller. Workers are probed seldom: their connections are not kept.
+	keptConnections     = 4
+	keptPeerConnections = 8
+	// gcPercent lets the garbage collector run seldom as long as there is memory: it takes from the same CPU quota.
+	gcPercent = 400
+	// heapShare is the share of the memory quota that the heap may take. The rest is for what the collector does not count.
+	heapShare = 0.6
 )
 
+// receivedRequest is a request with its connection, on which it is answered.
 type receivedRequest struct {
 	*http1.Request
 	receivedAt time.Time
 }
 
-// Runtime connects a node with the clock and the network.
+// Runtime connects a controller with the clock and the network. It runs the owner loop: one goroutine that calls Step. The
+// server and each outgoing call have goroutines of their own, which reach the owner through the queues alone.
 type Runtime struct {
 	controller *Controller
 	platform   *config.Platform
 	log        *slog.Logger
-	// Answers to our calls, the renewal's among them, do not queue behind requests.
-	queue    chan Command
-	outcomes chan Command
-	clients  map[client.Destination]*http1.Client
+	queue      chan Command
+	outcomes   chan Command // of calls, the renewal of the leader lease among them: they do not queue behind requests
+	clients    map[client.Destination]*http1.Client
 }
 
-// NewRuntime makes the runtime of a node.
-func NewRuntime(n *Controller, platform *config.Platform, log *slog.Logger) *Runtime {
-	// The server has three quarters of the sockets. Each far side has a part of the rest, so
-	// that no bulk work leaves the renewal or the other controllers without one. Questions to
-	// workers are asked once: their connections are not kept.
-	socketsPerService := max(platform.MaxConnections/12, 4)
+// NewRuntime makes the runtime of a controller. The server has three quarters of the connections. Each destination of calls
+// has a part of the rest, so that no bulk work leaves the renewal or the other controllers without one.
+func NewRuntime(controller *Controller, platform *config.Platform, log *slog.Logger) *Runtime {
+	perService := max(platform.MaxConnections/12, minConnectionsPerService)
+	perSingleServer := max(perService/4, minConnectionsPerService)
 	return &Runtime{
-		controller: n,
+		controller: controller,
 		platform:   platform,
 		log:        log,
 		queue:      make(chan Command, commandQueueLength),
 		outcomes:   make(chan Command, commandQueueLength),
 		clients: map[client.Destination]*http1.Client{
-			client.StateService:   http1.NewClient(max(socketsPerService/4, 4), 4, maxResponseBytes),
-			client.CloudAPI:       http1.NewClient(max(socketsPerService/4, 4), 4, maxResponseBytes),
-			client.PeerController: http1.NewClient(socketsPerService, 8, maxResponseBytes),
-			client.WorkerAgent:    http1.NewClient(socketsPerService, 0, maxResponseBytes),
+			client.StateService:   http1.NewClient(perSingleServer, keptConnections, maxResponseBytes),
+			client.CloudAPI:       http1.NewClient(perSingleServer, keptConnections, maxResponseBytes),
+			client.PeerController: http1.NewClient(perService, keptPeerConnections, maxResponseBytes),
+			client.WorkerAgent:    http1.NewClient(perService, 0, maxResponseBytes),
 		},
 	}
 }
 
-// maxResponseBytes bounds the answers that are read: the cloud's lists and the ledger's pages.
-const maxResponseBytes = 16 << 20
-
-// Serve runs the node for ever.
+// Serve runs the controller. It does not return; the process ends by a signal.
 func (rt *Runtime) Serve() {
-	// The collector runs seldom as long as there is memory: it takes from the same processor.
-	// Two fifths of the memory that is ours are left to what the collector does not count.
-	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(int64(rt.platform.MemoryQuotaMB * 0.6 * (1 << 20)))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(rt.platform.MemoryQuotaMB * heapShare * (1 << 20)))
 	go rt.listen()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -71,10 +88,10 @@
 	for {
 		commands = commands[:0]
 		select {
-		case c := <-rt.outcomes:
-			commands = append(commands, c)
-		case c := <-rt.queue:
-			commands = append(commands, c)
+		case command := <-rt.outcomes:
+			commands = append(commands, command)
+		case command := <-rt.queue:
+			commands = append(commands, command)
 		case <-ticker.C:
 		}
 		commands = drain(rt.outcomes, commands)
@@ -83,12 +100,12 @@
 	}
 }
 
-// drain takes what waits in a queue, up to a whole batch.
+// drain appends the commands that wait in a queue, up to a whole batch.
 func drain(queue <-chan Command, commands []Command) []Command {
 	for len(commands) < maxBatch {
 		select {
-		case c := <-queue:
-			commands = append(commands, c)
+		case command := <-queue:
+			commands = append(commands, command)
 		default:
 			return commands
 		}
@@ -96,43 +113,57 @@
 	return commands
 }
 
+// listen runs the server. It ends when accept fails, for want of a file descriptor for example, and is then started again.
 func (rt *Runtime) listen() {
-	server := http1.NewServer(http1.ServerOptions{
-		PublicAddr: rt.platform.PublicAddr, PeerAddr: rt.platform.PeerListenAddr,
-		MaxConnections: max(rt.platform.MaxConnections*3/4, 8), IdleTimeout: 75 * time.Second, ReadTimeout: 10 * time.Second,
-		Handler: rt.handle,
+	httpServer := http1.NewServer(http1.ServerOptions{
+		PublicAddr:     rt.platform.PublicAddr,
+		PeerAddr:       rt.platform.PeerListenAddr,
+		MaxConnections: max(rt.platform.MaxConnections*3/4, minServerConnections),
+		IdleTimeout:    idleTimeout,
+		ReadTimeout:    readTimeout,
+		Handler:        rt.handle,
 	})
 	for {
-		err := server.Run()
-		rt.log.Error("the server stopped and is started again", "error", err)
-		time.Sleep(500 * time.Millisecond)
+		err := httpServer.Run()
+		rt.log.Error("server stopped", logkeys.Err, err)
+		time.Sleep(serverRestartDelay)
 	}
 }
 
-func (rt *Runtime) handle(r *http1.Request) {
+// handle puts a request into the owner's queue, or refuses it if the queue is full. It runs on the server's goroutines.
+func (rt *Runtime) handle(request *http1.Request) {
+	command := Command{Request: &server.Request{
+		Handle:   receivedRequest{request, time.Now()},
+		FromPeer: request.FromPeer,
+		Method:   request.Method,
+		Target:   request.Target,
+		Body:     request.Body,
+	}}
 	select {
-	case rt.queue <- Command{Request: &server.Request{Handle: receivedRequest{r, time.Now()}, FromPeer: r.FromPeer, Method: r.Method, Target: r.Target, Body: r.Body}}:
+	case rt.queue <- command:
 	default:
-		r.Respond(503, nil, time.Second)
+		request.Respond(http.StatusServiceUnavailable, nil, time.Second)
 	}
 }
 
-func (rt *Runtime) execute(e Effects) {
-	for _, r := range e.Replies {
-		if received, ok := r.Handle.(receivedRequest); ok {
-			received.Respond(r.Status, r.Body, r.RetryAfter)
-			rt.controller.RecordLatency(requestKind(received.Method, received.Target, r.Status), time.Since(received.receivedAt))
+// execute carries out the effects of a step. Calls do not hold up the owner.
+func (rt *Runtime) execute(effects Effects) {
+	for _, response := range effects.Replies {
+		if received, ok := response.Handle.(receivedRequest); ok {
+			received.Respond(response.Status, response.Body, response.RetryAfter)
+			kind := requestKind(received.Method, received.Target, response.Status)
+			rt.controller.RecordLatency(kind, time.Since(received.receivedAt))
 		}
 	}
-	for _, c := range e.Calls {
-		go rt.call(c)
+	for _, call := range effects.Calls {
+		go rt.call(call)
 	}
 }
 
-// requestKind groups requests for the latency table; what was not understood is one
-// group, so that strangers cannot make the table grow.
+// requestKind groups requests for the latency table by method and first segment of the path. Requests that were not
+// understood are one group, so that clients cannot make the table grow.
 func requestKind(method, target string, status int) string {
-	if status == 404 || status == 405 {
+	if status == http.StatusNotFound || status == http.StatusMethodNotAllowed {
 		return "other"
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(target, "/"), "/")
@@ -140,32 +171,35 @@
 	return method + " /" + path
 }
 
-func (rt *Runtime) call(c client.Call) {
-	if c.Delay > 0 {
-		time.Sleep(c.Delay)
+// call makes a call and puts its outcome into the owner's queue. Its goroutine ends after the delay and the timeout of the call.
+func (rt *Runtime) call(call client.Call) {
+	if call.Delay > 0 {
+		time.Sleep(call.Delay)
 	}
-	rt.outcomes <- Command{Outcome: &Outcome{Call: c, Result: rt.exchange(c)}}
+	rt.outcomes <- Command{Outcome: &Outcome{Call: call, Result: rt.exchange(call)}}
 }
 
+// exchange sends the request of a call and reads the response. An error leaves the result's status 0: nobody knows whether
+// the request was, or will yet be, executed.
 func (rt *Runtime) exchange(call client.Call) client.Result {
-	address := call.Addr
+	addr := call.Addr
 	switch call.Destination {
 	case client.StateService:
-		address = rt.platform.StateAddr
+		addr = rt.platform.StateAddr
 	case client.CloudAPI:
-		address = rt.platform.CloudAddr
+		addr = rt.platform.CloudAddr
 	}
 	body, ok := ForwardedBody(call.Body)
 	if !ok && call.Body != nil {
 		var err error
 		if body, err = codec.Marshal(call.Body); err != nil {
-			rt.log.Error("a request cannot be encoded", "path", call.Path, "error", err)
+			rt.log.Error("request not encodable", logkeys.Path, call.Path, logkeys.Err, err)
 			return client.Result{Err: err}
 		}
 	}
-	response, err := rt.clients[call.Destination].Do(address, call.Method, call.Path, body, call.Timeout)
+	response, err := rt.clients[call.Destination].Do(addr, call.Method, call.Path, body, call.Timeout)
 	if err != nil {
-		rt.log.Debug("a call failed", "error", err)
+		rt.log.Debug("call failed", logkeys.Path, call.Path, logkeys.Err, err)
 		return client.Result{Err: err}
 	}
 	return client.Result{Status: response.Status, Body: response.Body, RetryAfter: response.RetryAfter}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -1,48 +1,24 @@
 package controller
 
 import (
-	"maps"
-	"slices"
+	"net/http"
 	"time"
 
+	"gullrudder/internal/controller/worker"
 	"gullrudder/internal/wire/server"
-
-	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// latencyTable keeps how long this node took to answer, per kind of request.
-type latencyTable struct {
-	byRequestKind map[string]*hdrhistogram.Histogram
-}
-
-func newLatencyTable() *latencyTable { return &latencyTable{map[string]*hdrhistogram.Histogram{}} }
-
-func (l *latencyTable) record(kind string, duration time.Duration) {
-	h := l.byRequestKind[kind]
-	if h == nil {
-		h = hdrhistogram.New(1, 60_000, 2)
-		l.byRequestKind[kind] = h
-	}
-	if err := h.RecordValue(min(max(duration.Milliseconds(), 1), 60_000)); err != nil {
-		return
-	}
-}
-
-// RecordLatency records the latency of an answered request, in milliseconds.
-func (n *Controller) RecordLatency(kind string, duration time.Duration) {
-	n.latencies.record(kind, duration)
-}
-
-// Latency is one line of the latency table.
+// Latency is one row of the latency table. Its quantiles are in milliseconds.
 type Latency struct {
 	Kind  string `msgpack:"kind" json:"kind"`
-	Count int64  `msgpack:"count" json:"count"`
+	Count int64  `msgpack:"count" json:"count"` // requests answered since the process started
 	P50   int64  `msgpack:"p50_ms" json:"p50_ms"`
 	P99   int64  `msgpack:"p99_ms" json:"p99_ms"`
 	Max   int64  `msgpack:"max_ms" json:"max_ms"`
 }
 
-// MachineStatus is one machine in the status.
+// MachineStatus is one machine in the status. State is "ok", "silent" (its lease has expired), "does not hear" (it does not
+// receive the leader's responses), or the reason why it is drained.
 type MachineStatus struct {
 	ID       string  `msgpack:"id" json:"id"`
 	Type     string  `msgpack:"type" json:"type"`
@@ -53,7 +29,7 @@
 	UsedCPUs float64 `msgpack:"cpus_used" json:"cpus_used"`
 }
 
-// Status is what `gullrudder status` shows.
+// Status is what `gullrudder status` shows. A follower fills only Controller, Leader, Budgets and Latencies.
 type Status struct {
 	Controller          string          `msgpack:"node" json:"node"`
 	Leader              string          `msgpack:"leader" json:"leader"`
@@ -70,7 +46,7 @@
 	Latencies           []Latency       `msgpack:"latencies" json:"latencies"`
 }
 
-// Budgets are the limits that the node keeps to.
+// Budgets are the limits that the controller keeps: requests per second, connections, and memory in MB.
 type Budgets struct {
 	StateRequestRate float64 `msgpack:"state_rps" json:"state_rps"`
 	StateWriteRate   float64 `msgpack:"state_write_rps" json:"state_write_rps"`
@@ -79,50 +55,75 @@
 	MemoryMB         float64 `msgpack:"memory_mb" json:"memory_mb"`
 }
 
+// maxMachinesShown bounds the list of machines in the status.
 const maxMachinesShown = 300
 
-func (n *Controller) handleStatus(now time.Time, request *server.Request) {
-	status := Status{Controller: n.platform.Name, Leader: n.election.Leader(now), Budgets: Budgets{
-		StateRequestRate: n.platform.StateRequestRate, StateWriteRate: n.platform.StateWriteRate, CloudRequestRate: n.platform.CloudRequestRate,
-		Connections: n.platform.MaxConnections, MemoryMB: n.platform.MemoryQuotaMB,
-	}}
-	for _, kind := range slices.Sorted(maps.Keys(n.latencies.byRequestKind)) {
-		histogram := n.latencies.byRequestKind[kind]
-		status.Latencies = append(
-			status.Latencies,
-			Latency{kind, histogram.TotalCount(), histogram.ValueAtQuantile(50), histogram.ValueAtQuantile(99), histogram.Max()},
-		)
+// Machine states in the status besides the reasons for draining.
+const (
+	machineOK          = "ok"
+	machineExpired     = "silent"
+	machineUnreachable = "does not hear"
+)
+
+// handleStatus answers with the status of this controller, and of the cluster if it leads.
+func (c *Controller) handleStatus(now time.Time, request *server.Request) {
+	status := Status{
+		Controller: c.platform.Name,
+		Leader:     c.election.Leader(now),
+		Budgets: Budgets{
+			StateRequestRate: c.platform.StateRequestRate,
+			StateWriteRate:   c.platform.StateWriteRate,
+			CloudRequestRate: c.platform.CloudRequestRate,
+			Connections:      c.platform.MaxConnections,
+			MemoryMB:         c.platform.MemoryQuotaMB,
+		},
+		Latencies: c.latencies.rows(),
 	}
-	if leadership := n.leadership; leadership != nil {
-		status.FencingToken, status.Placing, status.StateServiceHealthy, status.Jobs = leadership.fencingToken, leadership.failover.Completed(), leadership.storage.IsHealthy(), len(
-			leadership.jobStore.Unfinished,
-		)
-		if leadership.failover.StateLoaded() {
-			status.FinishedJobs, status.ArchiveSegments = leadership.jobStore.FinishedCount(), leadership.jobStore.Archive().SegmentCount()
-		}
-		for _, job := range leadership.jobStore.Unfinished {
-			status.WaitingTasks += job.WaitingTasks()
-			status.PlacedTasks += len(job.ActiveAttempts)
-		}
-		for _, machine := range leadership.workers.MachinesByName() {
-			if len(status.Machines) == maxMachinesShown {
-				break
-			}
-			state := string(machine.DrainReason)
-			switch {
-			case state != "":
-			case leadership.workers.IsLeaseExpired(now, machine):
-				state = "silent"
-			case machine.IsUnreachable:
-				state = "does not hear"
-			default:
-				state = "ok"
-			}
-			status.Machines = append(
-				status.Machines,
-				MachineStatus{machine.ID, machine.Type, machine.Zone, machine.Spot, state, len(machine.Attempts), machine.UsedCPUs},
-			)
+	if c.leadership != nil {
+		c.leadership.fillStatus(now, &status)
+	}
+	c.responder.Respond(request, http.StatusOK, status, 0)
+}
+
+// fillStatus fills in what only a leader knows.
+func (l *leadership) fillStatus(now time.Time, status *Status) {
+	status.FencingToken = l.fencingToken
+	status.Placing = l.failover.Completed()
+	status.StateServiceHealthy = l.storage.IsHealthy()
+	status.Jobs = len(l.jobStore.Unfinished)
+	if l.failover.StateLoaded() {
+		status.FinishedJobs = l.jobStore.FinishedCount()
+		status.ArchiveSegments = l.jobStore.Archive().SegmentCount()
+	}
+	for _, job := range l.jobStore.Unfinished {
+		status.WaitingTasks += job.WaitingTasks()
+		status.PlacedTasks += len(job.ActiveAttempts)
+	}
+	for _, machine := range l.workers.MachinesByName() {
+		if len(status.Machines) == maxMachinesShown {
+			break
 		}
+		status.Machines = append(status.Machines, MachineStatus{
+			ID:       machine.ID,
+			Type:     machine.Type,
+			Zone:     machine.Zone,
+			Spot:     machine.Spot,
+			State:    l.stateOf(now, machine),
+			Tasks:    len(machine.Attempts),
+			UsedCPUs: machine.UsedCPUs,
+		})
+	}
+}
+
+// stateOf is the state of a machine as the status shows it.
+func (s *machineState) stateOf(now time.Time, machine *worker.Machine) string {
+	switch {
+	case machine.DrainReason != worker.NotDraining:
+		return string(machine.DrainReason)
+	case s.workers.IsLeaseExpired(now, machine):
+		return machineExpired
+	case machine.IsUnreachable:
+		return machineUnreachable
 	}
-	n.responder.Respond(request, 200, status, 0)
+	return machineOK
 }
