--- /dev/null
+++ b/internal/controller/archived_jobs_test.go
@@ -0,0 +1,156 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/controller/cloud"
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/wire/server"
+)
+
+// userClient sends requests of users to a leader and reads what a user reads of the responses.
+type userClient struct {
+	controller *Controller
+	service    *fakeStateService
+}
+
+// userResponse is what a user reads of a response.
+type userResponse struct {
+	Status    int    `msgpack:"-"`
+	State     string `msgpack:"trim"`
+	DoneTasks *int   `msgpack:"done"`
+}
+
+func (u userClient) send(t *testing.T, now time.Time, method, target string, body any) userResponse {
+	t.Helper()
+	u.controller.holdsLease = true
+	u.controller.route(now, &server.Request{Method: method, Target: target, Body: marshal(t, body)})
+	u.service.answerAllCalls(t, now, u.controller)
+	reply := u.controller.takeResponse(t)
+	var response userResponse
+	unmarshal(t, reply.Body, &response)
+	response.Status = reply.Status
+	return response
+}
+
+// query asks for a job.
+func (u userClient) query(t *testing.T, now time.Time, id string) userResponse {
+	t.Helper()
+	return u.send(t, now, "GET", "/work/"+id, nil)
+}
+
+// archivedJob is a job of these tests: the odd ones are cancelled, with nothing left of them on any machine.
+type archivedJob struct {
+	id        string
+	tasks     int
+	cancelled bool
+}
+
+func (j archivedJob) state() string {
+	if j.cancelled {
+		return "cancelled"
+	}
+	return "done"
+}
+
+func (j archivedJob) doneTasks() int {
+	if j.cancelled {
+		return 0
+	}
+	return j.tasks
+}
+
+var archivedJobs = []archivedJob{
+	{id: "job-000001", tasks: 7},
+	{id: "job-000002", tasks: 8, cancelled: true},
+	{id: "job-20261201121026", tasks: 9},
+	{id: "job-20261201121027", tasks: 10, cancelled: true},
+}
+
+// archiveJobs finishes the jobs and returns the time by which they are archived.
+func archiveJobs(t *testing.T, now time.Time, controller *Controller, service *fakeStateService) time.Time {
+	t.Helper()
+	l := controller.leadership
+	for _, archived := range archivedJobs {
+		job := jobs.New(jobs.Spec{ID: archived.id, Tasks: archived.tasks}, now)
+		l.jobStore.Add(job)
+		job.State = jobs.Accepted
+		for task := range job.Tasks {
+			job.RecordTaskDone(task)
+		}
+		if archived.cancelled {
+			job.State = jobs.Cancelled
+		}
+		l.jobStore.FinishIfDone(now, job)
+	}
+	for range 20 {
+		now = now.Add(2 * time.Second)
+		l.jobStore.Tick(now, &controller.outbox)
+		l.jobStore.Save(now, true)
+		l.storage.Flush(now, &controller.outbox)
+		service.answerCalls(t, now, controller)
+	}
+	if finished, inArchive := l.jobStore.FinishedCount(), l.jobStore.Archive().JobCount(); finished != len(archivedJobs) ||
+		inArchive != len(archivedJobs) {
+		t.Fatalf("%d jobs are finished, %d are archived", finished, inArchive)
+	}
+	return now
+}
+
+// Archived jobs are answered as before, with their counts read back. While these cannot be read the user is told to ask
+// again, and in a long outage the state alone is given: after 90 s of failing queries a job would count as forgotten.
+func TestArchivedJobsAreAnswered(t *testing.T) {
+	now := time.Unix(10_000, 0)
+	options := config.DefaultOptions()
+	options.ArchiveDelay, options.MinSegmentJobs = time.Second, 2
+	controller, service := newTestLeader(now, options), newFakeStateService()
+	controller.holdsLease = true
+	controller.loadState(t, now, service)
+	controller.leadership.cloud.MachineTypes = map[string]*cloud.MachineType{
+		"small": {Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}},
+	}
+	now = archiveJobs(t, now, controller, service)
+	user := userClient{controller, service}
+
+	service.unavailable = true
+	if response := user.query(t, now, "job-000001"); response.Status != 503 {
+		t.Errorf("counts that cannot be read: %+v", response)
+	}
+	now = now.Add(25 * time.Second)
+	if response := user.query(t, now, "job-000001"); response.Status != 200 || response.State != "done" || response.DoneTasks != nil {
+		t.Errorf("25 s into an outage: %+v", response)
+	}
+	if response := user.query(t, now, "job-000002"); response.Status != 200 || response.State != "cancelled" {
+		t.Errorf("a cancelled job in an outage: %+v", response)
+	}
+
+	service.unavailable = false
+	for _, job := range archivedJobs {
+		checkArchivedJob(t, now, user, job)
+	}
+
+	now = now.Add(time.Second) // reads are limited
+	for _, id := range []string{"job-1", "job-01", "job-0000001", "job-20261201121028"} {
+		if response := user.query(t, now, id); response.Status != 404 {
+			t.Errorf("%s, which nobody submitted: %+v", id, response)
+		}
+	}
+}
+
+// checkArchivedJob queries, cancels and submits an archived job: none of it changes what is answered.
+func checkArchivedJob(t *testing.T, now time.Time, user userClient, job archivedJob) {
+	t.Helper()
+	response := user.query(t, now, job.id)
+	if response.Status != 200 || response.State != job.state() || response.DoneTasks == nil || *response.DoneTasks != job.doneTasks() {
+		t.Errorf("%s: %+v", job.id, response)
+	}
+	if response := user.send(t, now, "POST", "/work/"+job.id+"/withdraw", nil); response.Status != 200 || response.State != job.state() {
+		t.Errorf("cancelling %s: %+v", job.id, response)
+	}
+	submission := map[string]any{"id": job.id}
+	if response := user.send(t, now, "POST", "/work", submission); response.Status != 200 || response.State != job.state() {
+		t.Errorf("%s submitted again: %+v", job.id, response)
+	}
+}
