--- a/cmd/faulttest/famine.go
+++ b/cmd/faulttest/famine.go
@@ -14,7 +14,7 @@
 )
 
 // all are the shares of all classes.
-func all(served map[string]simulator.Portion) string {
+func all(served map[string]simulator.Served) string {
 	list := ""
 	for _, name := range slices.Sorted(maps.Keys(served)) {
 		list += fmt.Sprintf(" %s %.2f", name, served[name].Share())
@@ -30,7 +30,7 @@
 	cmd := &cobra.Command{
 		Use: "famine", Short: "Who is served when most machines are lost for minutes, in virtual time", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			days, broken := make([]simulator.Famine, runs), make([][]string, runs)
+			days, broken := make([]simulator.CapacityLoss, runs), make([][]string, runs)
 			var wait sync.WaitGroup
 			slots := make(chan struct{}, jobs)
 			for i := range days {
@@ -38,23 +38,23 @@
 				slots <- struct{}{}
 				go func() {
 					defer func() { <-slots; wait.Done() }()
-					w := simulator.New(seed+uint64(i), simulator.FamineOptions(tuning), slog.New(slog.DiscardHandler))
-					days[i] = w.Famine()
-					broken[i] = w.Broken
+					w := simulator.New(seed+uint64(i), simulator.CapacityLossOptions(tuning), slog.New(slog.DiscardHandler))
+					days[i] = w.RunCapacityLoss()
+					broken[i] = w.Violations
 				}()
 			}
 			wait.Wait()
 			out := cmd.OutOrStdout()
 			rules, leastClass, leastTeam, class, team := 0, 2.0, 2.0, "", ""
 			for i, f := range days {
-				c, cs := simulator.Least(f.Classes)
-				t, ts := simulator.Least(f.Teams)
+				c, cs := simulator.LeastServed(f.Classes)
+				t, ts := simulator.LeastServed(f.Teams)
 				fmt.Fprintf(
 					out,
 					"seed %d: %d machines, then %d; least served %s %.2f, team %s %.2f;%s\n",
 					seed+uint64(i),
-					f.Seats,
-					f.Left,
+					f.MachinesBefore,
+					f.MachinesDuring,
 					c,
 					cs,
 					t,
--- a/cmd/faulttest/leaders.go
+++ b/cmd/faulttest/leaders.go
@@ -20,10 +20,10 @@
 	cmd := &cobra.Command{
 		Use: "leaders", Short: "How long nobody acts after a failure of the leader, by cause, in virtual time", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			names := simulator.New(0, leadersWorld(), slog.New(slog.DiscardHandler)).Failures()
+			names := simulator.New(0, leadersWorld(), slog.New(slog.DiscardHandler)).LeaderFailures()
 			slices.Sort(names)
 			each := max(failures/len(names), 1)
-			gaps, broken := make([]simulator.Gap, each*len(names)), make([][]string, each*len(names))
+			gaps, broken := make([]simulator.LeaderGap, each*len(names)), make([][]string, each*len(names))
 			var wait sync.WaitGroup
 			slots := make(chan struct{}, jobs)
 			for i := range gaps {
@@ -33,7 +33,7 @@
 					defer func() { <-slots; wait.Done() }()
 					w := simulator.New(seed+uint64(i), leadersWorld(), slog.New(slog.DiscardHandler))
 					gaps[i] = w.FailLeader(names[i/each], 40*time.Second)
-					broken[i] = w.Broken
+					broken[i] = w.Violations
 				}()
 			}
 			wait.Wait()
@@ -42,7 +42,7 @@
 			for k, name := range names {
 				var acting, placing, accepting []time.Duration
 				for _, g := range gaps[k*each : (k+1)*each] {
-					acting, placing, accepting = append(acting, g.Acting), append(placing, g.Placing), append(accepting, g.Accepting)
+					acting, placing, accepting = append(acting, g.WithoutLeader), append(placing, g.WithoutPlacement), append(accepting, g.WithoutAcceptance)
 				}
 				slices.Sort(acting)
 				slices.Sort(placing)
@@ -79,7 +79,7 @@
 
 func leadersWorld() simulator.Options {
 	return simulator.Options{
-		Nodes: 3, ReportEvery: 2500 * time.Millisecond, Lease: 15 * time.Second, Cancel: 35 * time.Second,
+		Controllers: 3, HeartbeatInterval: 2500 * time.Millisecond, WorkerLease: 15 * time.Second, CancelTimeout: 35 * time.Second,
 		Teams:  []config.Team{{Name: "red", GuaranteedCPUs: 8, CPULimit: 14}, {Name: "blue", GuaranteedCPUs: 4, CPULimit: 20}},
 		Tuning: config.DefaultOptions(),
 	}
--- a/cmd/faulttest/pipelines.go
+++ b/cmd/faulttest/pipelines.go
@@ -30,12 +30,12 @@
 				tuning := config.DefaultOptions()
 				tuning.ArchiveDelay, tuning.MinSegmentJobs, tuning.CompactionFanIn = 0, 2, 2
 				w := simulator.New(seed+uint64(i), simulator.Options{
-					Nodes: 3, ReportEvery: time.Second, Lease: 8 * time.Second, Cancel: 20 * time.Second,
-					Late: 0.5, Capacity: 12, Sound: true, Tuning: tuning,
+					Controllers: 3, HeartbeatInterval: time.Second, WorkerLease: 8 * time.Second, CancelTimeout: 20 * time.Second,
+					LateShare: 0.5, MachinesPerKind: 12, NoTaskFailures: true, Tuning: tuning,
 				}, slog.New(slog.DiscardHandler))
-				p := w.PipelineDay(each)
-				played, lost, late = played+p.Played, lost+p.Lost, append(late, p.Late...)
-				for _, b := range w.Broken {
+				p := w.RunPipelines(each)
+				played, lost, late = played+p.Played, lost+p.Lost, append(late, p.Lateness...)
+				for _, b := range w.Violations {
 					broken = append(broken, fmt.Sprintf("seed %d: %s", seed+uint64(i), b))
 					if strings.Contains(b, "too_early") {
 						early++
--- a/cmd/faulttest/scale.go
+++ b/cmd/faulttest/scale.go
@@ -25,20 +25,20 @@
 			)
 			for _, n := range sizes {
 				w := simulator.New(seed, scaleWorld(n), slog.New(slog.DiscardHandler))
-				s, err := w.Scale(n)
+				s, err := w.RunScale(n)
 				fmt.Fprintf(
 					out,
 					"%d\t%d\t%.0f\t%v\t%v\t%.3f\t%.1f\t%d\t%v\t%v\n",
 					s.Machines,
 					s.Tasks,
 					float64(s.Steps)/60,
-					s.Step.Round(time.Microsecond),
-					s.Longest.Round(100*time.Microsecond),
-					s.Busy,
-					s.Writes,
-					s.Heap,
-					s.Placing,
-					s.Again,
+					s.MeanStep.Round(time.Microsecond),
+					s.LongestStep.Round(100*time.Microsecond),
+					s.CPUShare,
+					s.WritesPerSecond,
+					s.HeapMB,
+					s.PlacingAfter,
+					s.RecoveredAfter,
 				)
 				if err != nil {
 					return fmt.Errorf("%d machines: %w", n, err)
@@ -57,8 +57,8 @@
 
 func scaleWorld(machines int) simulator.Options {
 	return simulator.Options{
-		Nodes: 3, ReportEvery: 2500 * time.Millisecond, Lease: 15 * time.Second, Cancel: 35 * time.Second, AskOnce: true,
-		Capacity: (machines + 5) / 6, Unchecked: true, Tuning: config.DefaultOptions(), Settings: func(p *config.Platform) {
+		Controllers: 3, HeartbeatInterval: 2500 * time.Millisecond, WorkerLease: 15 * time.Second, CancelTimeout: 35 * time.Second, StopPollingFinished: true,
+		MachinesPerKind: (machines + 5) / 6, SkipCostlyChecks: true, Tuning: config.DefaultOptions(), AdjustPlatform: func(p *config.Platform) {
 			p.StateWriteRate, p.MaxValueBytes, p.MaxTransactionOps, p.CloudRequestRate, p.MaxConnections, p.CPUQuota = 100, 16384, 16, 9, 10000, 1
 			p.StateRequestRate = 600
 		},
--- a/cmd/faulttest/troubles.go
+++ b/cmd/faulttest/troubles.go
@@ -23,9 +23,9 @@
 		Use: "troubles", Short: "Rules and who is served on days of troubles, several at once, in virtual time", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			tuning.StartBound = begin
-			opt := simulator.FamineOptions(tuning)
-			opt.Capacity, opt.Late, opt.Loss = capacity, 0.5, 0.002
-			days, broken, fails := make([]simulator.Day, runs), make([][]string, runs), make([]error, runs)
+			opt := simulator.CapacityLossOptions(tuning)
+			opt.MachinesPerKind, opt.LateShare, opt.LossShare = capacity, 0.5, 0.002
+			days, broken, fails := make([]simulator.FaultDay, runs), make([][]string, runs), make([]error, runs)
 			var wait sync.WaitGroup
 			slots := make(chan struct{}, jobs)
 			for i := range days {
@@ -33,8 +33,8 @@
 				wait.Go(func() {
 					defer func() { <-slots }()
 					w := simulator.New(seed+uint64(i), opt, slog.New(slog.DiscardHandler))
-					days[i], fails[i] = w.Day(kinds)
-					broken[i] = w.Broken
+					days[i], fails[i] = w.RunFaultDay(kinds)
+					broken[i] = w.Violations
 				})
 			}
 			wait.Wait()
@@ -47,37 +47,37 @@
 				}
 				if len(broken[i]) > 0 {
 					rules++
-					if d.Forgotten {
+					if d.IsForgotten {
 						forgotten++
 					}
 					fmt.Fprintf(out, "seed %d: a rule is broken: %v\n", seed+uint64(i), broken[i])
 					continue
 				}
-				class, team, largest := d.Least()
-				if min(class, team, largest) < 0.5 || d.FirstStart > 4*time.Minute {
+				class, team, largest := d.LeastServed()
+				if min(class, team, largest) < 0.5 || d.LatestFirstStart > 4*time.Minute {
 					fmt.Fprintf(
 						out,
 						"seed %d: %d machines, least served %.2f (class) %.2f (team) %.2f (largest), latest first start %.0f s; %.0f CPU seconds asked for, %.0f there: possible %v\n",
 						seed+uint64(i),
-						d.Machines,
+						d.MaxMachines,
 						class,
 						team,
 						largest,
-						d.FirstStart.Seconds(),
-						d.Asked,
-						d.Had,
-						d.Possible(),
+						d.LatestFirstStart.Seconds(),
+						d.RequestedCPUSeconds,
+						d.AvailableCPUSeconds,
+						d.IsFeasible(),
 					)
-					if !d.Possible() {
+					if !d.IsFeasible() {
 						continue
 					}
 				}
 				least = [3]float64{min(least[0], class), min(least[1], team), min(least[2], largest)}
-				latest = max(latest, d.FirstStart)
+				latest = max(latest, d.LatestFirstStart)
 			}
-			fewest, most := days[0].Machines, 0
+			fewest, most := days[0].MaxMachines, 0
 			for _, d := range days {
-				fewest, most = min(fewest, d.Machines), max(most, d.Machines)
+				fewest, most = min(fewest, d.MaxMachines), max(most, d.MaxMachines)
 			}
 			fmt.Fprintf(out, "%d to %d machines at a time\n", fewest, most)
 			fmt.Fprintf(
@@ -101,7 +101,7 @@
 	cmd.Flags().IntVar(&jobs, "jobs", 8, "how many days at a time; the result does not depend on it")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the first day")
 	cmd.Flags().IntVar(&capacity, "capacity", 36, "machines of each of the six kinds")
-	cmd.Flags().StringSliceVar(&kinds, "kinds", simulator.Strikes(), "which troubles: "+strings.Join(simulator.Strikes(), ", "))
+	cmd.Flags().StringSliceVar(&kinds, "kinds", simulator.FaultKinds(), "which troubles: "+strings.Join(simulator.FaultKinds(), ", "))
 	cmd.Flags().DurationVar(
 		&begin,
 		"begin-bound",
--- a/cmd/faulttest/users.go
+++ b/cmd/faulttest/users.go
@@ -125,7 +125,7 @@
 }
 
 func (u *users) send(c *http1.Client, j *userJob) {
-	raw, err := codec.Marshal(simulator.Wire(j.spec))
+	raw, err := codec.Marshal(simulator.SubmissionFields(j.spec))
 	if err != nil {
 		u.f.broke("a submission cannot be encoded: %v", err)
 		return
