--- a/cmd/faulttest/capacityloss.go
+++ b/cmd/faulttest/capacityloss.go
@@ -13,8 +13,8 @@
 	"github.com/spf13/cobra"
 )
 
-// all are the shares of all classes.
-func all(served map[string]simulator.Served) string {
+// formatShares lists the share of done jobs of each class.
+func formatShares(served map[string]simulator.Served) string {
 	list := ""
 	for _, name := range slices.Sorted(maps.Keys(served)) {
 		list += fmt.Sprintf(" %s %.2f", name, served[name].Share())
@@ -22,7 +22,7 @@
 	return list
 }
 
-func famineCommand() *cobra.Command {
+func capacityLossCommand() *cobra.Command {
 	var runs, jobs int
 	var seed uint64
 	var atLeast float64
@@ -59,7 +59,7 @@
 					cs,
 					t,
 					ts,
-					all(f.Classes),
+					formatShares(f.Classes),
 				)
 				if cs < leastClass {
 					class, leastClass = c, cs
--- a/cmd/faulttest/commits.go
+++ b/cmd/faulttest/commits.go
@@ -64,7 +64,7 @@
 			return fmt.Errorf("--clients %s: not between 1 and 900", text)
 		}
 		for _, snaps := range []bool{false, true} {
-			if err := commitsWith(cmd, path, root, n, snaps, span, sync, bytes); err != nil {
+			if err := measureWithClients(cmd, path, root, n, snaps, span, sync, bytes); err != nil {
 				return err
 			}
 		}
@@ -72,15 +72,15 @@
 	return nil
 }
 
-// figures are a running service's own.
-type figures map[string]float64
+// stateMetrics are the metrics of a running state service, by name without prefix.
+type stateMetrics map[string]float64
 
-func readFigures(c *http1.Client, addr string) (figures, error) {
+func readMetrics(c *http1.Client, addr string) (stateMetrics, error) {
 	m, err := c.Do(addr, "GET", "/metrics", nil, 5*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	f := figures{}
+	f := stateMetrics{}
 	for _, line := range strings.Split(string(m.Body), "\n") {
 		name, value, ok := strings.Cut(line, " ")
 		if v, err := strconv.ParseFloat(value, 64); ok && err == nil {
@@ -90,7 +90,7 @@
 	return f, nil
 }
 
-func commitsWith(cmd *cobra.Command, path, root string, clients int, snaps bool, span, sync time.Duration, bytes int) error {
+func measureWithClients(cmd *cobra.Command, path, root string, clients int, snaps bool, span, sync time.Duration, bytes int) error {
 	data := filepath.Join(root, fmt.Sprintf("data-%d-%v", clients, snaps))
 	options := filepath.Join(root, "state.xml")
 	text := "<state><connections>2000</connections><snapshot-kb>1048576</snapshot-kb></state>"
@@ -125,25 +125,25 @@
 	if err := await(client, ports[1], "/metrics", 200, 10*time.Second); err != nil {
 		return err
 	}
-	if err := fill(client, ports[0], 10_000, bytes); err != nil {
+	if err := writeKeys(client, ports[0], 10_000, bytes); err != nil {
 		return err
 	}
-	before, err := readFigures(client, ports[1])
+	before, err := readMetrics(client, ports[1])
 	if err != nil {
 		return err
 	}
-	hist, done, took, err := load(client, ports[0], clients, span, bytes)
+	hist, done, took, err := commitLoad(client, ports[0], clients, span, bytes)
 	if err != nil {
 		return err
 	}
-	after, err := readFigures(client, ports[1])
+	after, err := readMetrics(client, ports[1])
 	if err != nil {
 		return err
 	}
 	syncs := after["sync_seconds_count"] - before["sync_seconds_count"]
 	p.kill()
-	// What the log got: a record of a commit is its key and value and about 16 bytes.
-	least, err := bareDisk(filepath.Join(root, "bare"), int(syncs), int(float64(done)*float64(bytes+40)/syncs)+20, sync)
+	// What was appended to the log: the record of a commit is its key and value and about 16 bytes.
+	least, err := measureBareDisk(filepath.Join(root, "bare"), int(syncs), int(float64(done)*float64(bytes+40)/syncs)+20, sync)
 	if err != nil {
 		return err
 	}
@@ -153,14 +153,14 @@
 	return err
 }
 
-// fill writes so many keys.
-func fill(c *http1.Client, addr string, keys, bytes int) error {
+// writeKeys writes a number of keys.
+func writeKeys(c *http1.Client, addr string, keys, bytes int) error {
 	for from := 0; from < keys; from += 100 {
-		var ops []crashtest.Op
+		var ops []crashtest.Operation
 		for i := from; i < min(from+100, keys); i++ {
-			ops = append(ops, crashtest.Op{Key: fmt.Sprintf("fill/%08d", i), Value: value(i, bytes)})
+			ops = append(ops, crashtest.Operation{Key: fmt.Sprintf("fill/%08d", i), Value: value(i, bytes)})
 		}
-		r := crashtest.Commit(nil, ops)
+		r := crashtest.CommitRequest(nil, ops)
 		if m, err := c.Do(addr, r.Method, r.Target, r.Body, 10*time.Second); err != nil || m.Status != 200 {
 			return fmt.Errorf("fill: %v, %w", m, err)
 		}
@@ -170,8 +170,8 @@
 
 func value(i, bytes int) string { return fmt.Sprintf("%0*d", bytes, i) }
 
-// load commits from so many clients, each as fast as it is answered.
-func load(c *http1.Client, addr string, clients int, span time.Duration, bytes int) (*hdrhistogram.Histogram, int, time.Duration, error) {
+// commitLoad commits from a number of clients, each as fast as it gets responses.
+func commitLoad(c *http1.Client, addr string, clients int, span time.Duration, bytes int) (*hdrhistogram.Histogram, int, time.Duration, error) {
 	hist := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var wait sync.WaitGroup
@@ -184,7 +184,7 @@
 			defer wait.Done()
 			var took []int64
 			for n := 0; time.Now().Before(end); n++ {
-				r := crashtest.Commit(nil, []crashtest.Op{{Key: fmt.Sprintf("load/%03d/%04d", i, n%100), Value: value(n, bytes)}})
+				r := crashtest.CommitRequest(nil, []crashtest.Operation{{Key: fmt.Sprintf("load/%03d/%04d", i, n%100), Value: value(n, bytes)}})
 				sent := time.Now()
 				m, err := c.Do(addr, r.Method, r.Target, r.Body, 10*time.Second)
 				if err != nil || m.Status != 200 {
@@ -208,8 +208,8 @@
 	return hist, int(hist.TotalCount()), time.Since(began), failed
 }
 
-// bareDisk is the time for so many writes of so many bytes, each synced.
-func bareDisk(name string, syncs, bytes int, slower time.Duration) (time.Duration, error) {
+// measureBareDisk is the time for a number of writes of one size, each synced.
+func measureBareDisk(name string, syncs, bytes int, slower time.Duration) (time.Duration, error) {
 	f, err := os.Create(name)
 	if err != nil {
 		return 0, err
@@ -230,8 +230,8 @@
 	return time.Since(began), nil
 }
 
-// slowDir is a directory on a disk whose syncs take longer.
-type slowDir struct {
+// slowDirectory is a directory on a disk whose syncs take longer.
+type slowDirectory struct {
 	*kvserver.OSDirectory
 	slower time.Duration
 }
@@ -241,12 +241,12 @@
 	slower time.Duration
 }
 
-func (d slowDir) Create(name string) (kvserver.File, error) {
+func (d slowDirectory) Create(name string) (kvserver.File, error) {
 	f, err := d.OSDirectory.Create(name)
 	return slowFile{f, d.slower}, err
 }
 
-func (d slowDir) Open(name string) (kvserver.File, error) {
+func (d slowDirectory) Open(name string) (kvserver.File, error) {
 	f, err := d.OSDirectory.Open(name)
 	return slowFile{f, d.slower}, err
 }
@@ -257,7 +257,7 @@
 	return err
 }
 
-// serveSlowly runs the service in this process, until that ends.
+// serveSlowly runs the state service in this process until that exits.
 func serveSlowly(data, options, listen, metrics string, slower time.Duration) error {
 	opt, err := config.LoadKVServer(options)
 	if err != nil {
@@ -268,7 +268,7 @@
 		return err
 	}
 	log := slog.New(slog.DiscardHandler)
-	state, disk, _, err := kvserver.Open(slowDir{dir, slower}, opt, time.Now(), log)
+	state, disk, _, err := kvserver.Open(slowDirectory{dir, slower}, opt, time.Now(), log)
 	if err != nil {
 		return err
 	}
--- a/cmd/faulttest/crash.go
+++ b/cmd/faulttest/crash.go
@@ -32,9 +32,9 @@
 				seed = uint64(time.Now().UnixNano())
 			}
 			if points {
-				return crashPoints(cmd, seed, runs, steps)
+				return runCrashPoints(cmd, seed, runs, steps)
 			}
-			return crashRuns(cmd, seed, runs, path, dir, verbose)
+			return runKills(cmd, seed, runs, path, dir, verbose)
 		},
 	}
 	cmd.Flags().IntVar(&runs, "runs", 20, "how many kills, or with --points how many short runs")
@@ -47,11 +47,11 @@
 	return cmd
 }
 
-func crashPoints(cmd *cobra.Command, seed uint64, runs, steps int) error {
+func runCrashPoints(cmd *cobra.Command, seed uint64, runs, steps int) error {
 	points, tries := 0, 0
 	for i := range runs {
-		r, err := crashtest.Points(seed+uint64(i), steps)
-		points, tries = points+r.Points, tries+r.Runs
+		r, err := crashtest.RunCrashPoints(seed+uint64(i), steps)
+		points, tries = points+r.CrashPoints, tries+r.Runs
 		if err != nil {
 			return err
 		}
@@ -68,82 +68,85 @@
 	return nil
 }
 
-const nodes = 3
+const controllerCount = 3
 
-// field is a state service and its controllers, under fire.
-type field struct {
-	seed   uint64
-	rng    *rand.Rand
-	client *http1.Client
-	addr   string // of the state service
-	state  *process
-	serve  []*process
-	public []string
-	cloud  *emulator.Cloud
-	probes []*probe
-	users  *users
-	hot    [2]chan *process // a process that is in the middle of something: the state service, a controller
-	stop   chan struct{}
-	wait   sync.WaitGroup
-	pause  sync.RWMutex // held while the probes are checked
+// testbed is a state service and its controllers, as real processes that are killed.
+type testbed struct {
+	seed          uint64
+	rng           *rand.Rand
+	client        *http1.Client
+	stateAddr     string // address of the state service
+	state         *process
+	controllers   []*process
+	publicAddrs   []string
+	cloud         *emulator.Cloud
+	probes        []*storeProbe
+	users         *users
+	busyProcesses [2]chan *process // processes that logged a line of killMoments: the state service, a controller
+	stopping      chan struct{}
+	wait          sync.WaitGroup
+	pause         sync.RWMutex // write-locked while the probes are checked
 
-	mu     sync.Mutex
-	broken []string
-	hits   map[string]int
-	seals  int
-	merges int
+	mu                sync.Mutex
+	violations        []string
+	killCounts        map[string]int
+	archivedSegments  int
+	compactedSegments int
 }
 
-func (f *field) broke(format string, args ...any) {
+func (f *testbed) reportViolation(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.broken = append(f.broken, fmt.Sprintf(format, args...))
+	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
-// moments are the lines of the logs after which a kill is worth most, and what they are called.
-var moments = []struct{ line, name string }{
+// segmentCommitted is logged when an archive segment is committed; its level is 0 unless it is the result of a compaction.
+const segmentCommitted = `msg="segment committed"`
+
+// killMoments are the log lines after which a kill is most likely to find faults, with a name for each.
+var killMoments = []struct{ line, name string }{
 	{"snapshot begins", "in a snapshot"},
 	{"snapshot written", "before the sync of a snapshot"},
 	{"snapshot synced", "before a rename"},
 	{"snapshot renamed", "after a rename"},
 	{"deleting the log", "in a log's deletion"},
-	{"msg=sealing", "in a sealing"},
-	{"msg=merging", "in a merge"},
-	{"msg=sealed", "after a sealing"},
+	{`msg="archiving started"`, "while a segment is archived"},
+	{`msg="compaction started"`, "in a compaction"},
+	{segmentCommitted, "after a segment was committed"},
 }
 
-func (f *field) sealed() (sealings, merges int) {
+func (f *testbed) segmentCounts() (sealings, merges int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seals, f.merges
+	return f.archivedSegments, f.compactedSegments
 }
 
-func (f *field) saw(p *process, line string) {
+func (f *testbed) observeLog(p *process, line string) {
 	f.mu.Lock()
 	switch {
-	case strings.Contains(line, "msg=sealed") && strings.Contains(line, "level=0"):
-		f.seals++
-	case strings.Contains(line, "msg=sealed"):
-		f.merges++
+	case strings.Contains(line, segmentCommitted) && strings.Contains(line, "level=0"):
+		f.archivedSegments++
+	case strings.Contains(line, segmentCommitted):
+		f.compactedSegments++
 	}
 	f.mu.Unlock()
-	for _, m := range moments {
+	for _, m := range killMoments {
 		if strings.Contains(line, m.line) {
 			kind := 1
 			if p == f.state {
 				kind = 0
 			}
 			select {
-			case f.hot[kind] <- p:
+			case f.busyProcesses[kind] <- p:
 			default:
 			}
 		}
 	}
 }
 
-func settings(i int, public, peers []string, state, cloud string) string {
+func platformJSON(i int, public, peers []string, state, cloud string) string {
 	var others []string
-	for j := range nodes {
+	for j := range controllerCount {
 		if j != i {
 			others = append(others, fmt.Sprintf(`{"host_name":"node-%d","domain":"a","addr":%q}`, j, peers[j]))
 		}
@@ -158,112 +161,112 @@
 }
 
 const (
-	storeOptions = "<state><snapshot-kb>48</snapshot-kb><snapshot-share>0</snapshot-share><retry-after>50ms</retry-after></state>"
-	nodeOptions  = "<gullrudder><leader-lease>1</leader-lease><promise>1</promise><seal-after>0.2</seal-after><seal-jobs>4</seal-jobs>" +
+	storeOptions      = "<state><snapshot-kb>48</snapshot-kb><snapshot-share>0</snapshot-share><retry-after>50ms</retry-after></state>"
+	controllerOptions = "<gullrudder><leader-lease>1</leader-lease><promise>1</promise><seal-after>0.2</seal-after><seal-jobs>4</seal-jobs>" +
 		"<merge-runs>2</merge-runs><idle-after>20</idle-after></gullrudder>"
 )
 
-func newField(seed uint64, path, dir string, verbose bool) (*field, error) {
-	f := &field{
-		seed:   seed,
-		rng:    rand.New(rand.NewPCG(seed, 1)),
-		client: http1.NewClient(64, 8, 16<<20),
-		hot:    [2]chan *process{make(chan *process, 1), make(chan *process, 1)},
-		stop:   make(chan struct{}),
-		hits:   map[string]int{},
-	}
-	ports, err := freePorts(2*nodes + 1)
+func newTestbed(seed uint64, path, dir string, verbose bool) (*testbed, error) {
+	f := &testbed{
+		seed:          seed,
+		rng:           rand.New(rand.NewPCG(seed, 1)),
+		client:        http1.NewClient(64, 8, 16<<20),
+		busyProcesses: [2]chan *process{make(chan *process, 1), make(chan *process, 1)},
+		stopping:      make(chan struct{}),
+		killCounts:    map[string]int{},
+	}
+	ports, err := freePorts(2*controllerCount + 1)
 	if err != nil {
 		return nil, err
 	}
-	f.addr, f.public = ports[0], ports[1:1+nodes]
-	peers := ports[1+nodes:]
+	f.stateAddr, f.publicAddrs = ports[0], ports[1:1+controllerCount]
+	peers := ports[1+controllerCount:]
 	names := map[string]string{}
-	for i, addr := range f.public {
+	for i, addr := range f.publicAddrs {
 		names[fmt.Sprintf("node-%d", i)] = addr
 	}
 	if f.cloud, err = emulator.NewCloud(emulator.Options{
-		Controllers: names, Report: 250 * time.Millisecond, Lease: 4 * time.Second, Capacity: 6,
-		TaskTime: 150 * time.Millisecond, Seed: seed,
+		Controllers: names, HeartbeatInterval: 250 * time.Millisecond, WorkerLease: 4 * time.Second, MaxMachines: 6,
+		MaxRunTime: 150 * time.Millisecond, Seed: seed,
 	}); err != nil {
 		return nil, err
 	}
-	for name, text := range map[string]string{"state.xml": storeOptions, "node.xml": nodeOptions} {
+	for name, text := range map[string]string{"state.xml": storeOptions, "node.xml": controllerOptions} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			return nil, err
 		}
 	}
 	make := func(name string, args ...string) *process {
-		p := &process{name: name, path: path, args: args, env: []string{"LOG_LEVEL=info"}, seen: f.saw}
+		p := &process{name: name, path: path, args: args, env: []string{"LOG_LEVEL=info"}, seen: f.observeLog}
 		if verbose {
 			p.logs = os.Stderr
 		}
 		return p
 	}
-	f.state = make("state", "state", "--data", filepath.Join(dir, "data"), "--listen", f.addr, "--options", filepath.Join(dir, "state.xml"))
-	for i := range nodes {
+	f.state = make("state", "state", "--data", filepath.Join(dir, "data"), "--listen", f.stateAddr, "--options", filepath.Join(dir, "state.xml"))
+	for i := range controllerCount {
 		file := filepath.Join(dir, fmt.Sprintf("node-%d.json", i))
-		if err := os.WriteFile(file, []byte(settings(i, f.public, peers, f.addr, f.cloud.Addr())), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(platformJSON(i, f.publicAddrs, peers, f.stateAddr, f.cloud.Addr())), 0o600); err != nil {
 			return nil, err
 		}
-		f.serve = append(f.serve, make(fmt.Sprintf("node-%d", i), "serve", "--config", file, "--options", filepath.Join(dir, "node.xml")))
+		f.controllers = append(f.controllers, make(fmt.Sprintf("node-%d", i), "serve", "--config", file, "--options", filepath.Join(dir, "node.xml")))
 	}
 	return f, nil
 }
 
-func (f *field) begin() error {
-	for _, p := range append([]*process{f.state}, f.serve...) {
+func (f *testbed) start() error {
+	for _, p := range append([]*process{f.state}, f.controllers...) {
 		if err := p.start(); err != nil {
 			return err
 		}
 	}
-	if err := await(f.client, f.addr, "/ready", 200, 10*time.Second); err != nil {
+	if err := await(f.client, f.stateAddr, "/ready", 200, 10*time.Second); err != nil {
 		return err
 	}
 	for i := range 4 {
-		p := &probe{f: f, id: i, rng: rand.New(rand.NewPCG(f.seed, 100+uint64(i))), model: map[string]probeKey{}}
+		p := &storeProbe{testbed: f, id: i, rng: rand.New(rand.NewPCG(f.seed, 100+uint64(i))), model: map[string]probeKey{}}
 		f.probes = append(f.probes, p)
 		f.wait.Add(1)
 		go p.run()
 	}
 	f.users = &users{
-		f:     f,
-		rng:   rand.New(rand.NewPCG(f.seed, 7)),
-		jobs:  map[string]*userJob{},
-		stop:  make(chan struct{}),
-		ended: make(chan struct{}),
+		testbed: f,
+		rng:     rand.New(rand.NewPCG(f.seed, 7)),
+		jobs:    map[string]*userJob{},
+		stop:    make(chan struct{}),
+		ended:   make(chan struct{}),
 	}
 	go f.users.run()
 	return nil
 }
 
-func (f *field) end() {
-	for _, p := range append([]*process{f.state}, f.serve...) {
+func (f *testbed) stop() {
+	for _, p := range append([]*process{f.state}, f.controllers...) {
 		p.kill()
 	}
 	f.cloud.Close()
 }
 
-// killOne ends one process, in the middle of something if that comes soon, and starts it again.
-func (f *field) killOne() error {
+// killRandomProcess kills a process, at one of killMoments if that comes soon, and starts it again.
+func (f *testbed) killRandomProcess() error {
 	victim, name := f.state, "state at any moment"
 	if f.rng.IntN(4) == 0 {
-		victim, name = f.serve[f.rng.IntN(nodes)], "a controller at any moment"
+		victim, name = f.controllers[f.rng.IntN(controllerCount)], "a controller at any moment"
 	}
 	wait := time.Duration(20+f.rng.IntN(250)) * time.Millisecond
 	if f.rng.IntN(10) == 0 {
-		time.Sleep(time.Duration(1000+f.rng.IntN(1500)) * time.Millisecond) // let them come to something
+		time.Sleep(time.Duration(1000+f.rng.IntN(1500)) * time.Millisecond) // let work accumulate
 	}
 	switch kind := f.rng.IntN(3); kind {
 	case 2:
 		time.Sleep(wait)
 	default:
 		select {
-		case <-f.hot[kind]: // what was hot a while ago is not now
+		case <-f.busyProcesses[kind]: // an entry of a while ago is out of date
 		default:
 		}
 		select {
-		case p := <-f.hot[kind]:
+		case p := <-f.busyProcesses[kind]:
 			victim, name = p, "state in the middle"
 			if kind == 1 {
 				name = "a controller in the middle"
@@ -276,7 +279,7 @@
 		}
 	}
 	victim.kill()
-	f.hits[name]++
+	f.killCounts[name]++
 	if f.rng.IntN(4) == 0 {
 		time.Sleep(time.Duration(f.rng.IntN(120)) * time.Millisecond)
 	}
@@ -286,13 +289,13 @@
 	if victim != f.state {
 		return nil
 	}
-	if err := await(f.client, f.addr, "/ready", 200, 10*time.Second); err != nil {
+	if err := await(f.client, f.stateAddr, "/ready", 200, 10*time.Second); err != nil {
 		return fmt.Errorf("the state service does not come back: %w", err)
 	}
 	return nil
 }
 
-func crashRuns(cmd *cobra.Command, seed uint64, runs int, path, dir string, verbose bool) error {
+func runKills(cmd *cobra.Command, seed uint64, runs int, path, dir string, verbose bool) error {
 	if dir == "" {
 		var err error
 		if dir, err = os.MkdirTemp("", "faulttest-crash-"); err != nil {
@@ -304,19 +307,19 @@
 	if err != nil {
 		return err
 	}
-	f, err := newField(seed, path, dir, verbose)
+	f, err := newTestbed(seed, path, dir, verbose)
 	if err != nil {
 		return err
 	}
-	defer f.end()
+	defer f.stop()
 	began := time.Now()
-	err = f.begin()
+	err = f.start()
 	kills := 0
 	for ; err == nil && kills < runs; kills++ {
-		if err = f.killOne(); err == nil {
-			f.check()
+		if err = f.killRandomProcess(); err == nil {
+			f.checkProbes()
 		}
-		if _, _, broken := f.cloud.History.Report(); len(broken)+len(f.broken) > 0 {
+		if _, _, broken := f.cloud.History.Summary(); len(broken)+len(f.violations) > 0 {
 			kills++
 			break
 		}
@@ -327,22 +330,22 @@
 	if err == nil {
 		err = f.users.drain(90 * time.Second)
 	}
-	close(f.stop)
+	close(f.stopping)
 	f.wait.Wait()
-	f.check()
+	f.checkProbes()
 	out := cmd.OutOrStdout()
-	started, duplicated, broken := f.cloud.History.Report()
-	broken = append(broken, f.broken...)
+	started, duplicated, broken := f.cloud.History.Summary()
+	broken = append(broken, f.violations...)
 	if err != nil {
 		broken = append(broken, err.Error())
 	}
 	commits, doubts := 0, 0
 	for _, p := range f.probes {
-		commits, doubts = commits+p.commits, doubts+p.doubts
+		commits, doubts = commits+p.commits, doubts+p.uncertainCommits
 	}
 	fmt.Fprintf(out, "%v; %d commits of the probes, %d without an answer; %d jobs accepted, %d done; %d tasks started\n",
-		time.Since(began).Round(time.Second), commits, doubts, f.users.accepted(), f.users.finished(), started)
-	for name, n := range f.hits {
+		time.Since(began).Round(time.Second), commits, doubts, f.users.acceptedCount(), f.users.doneCount(), started)
+	for name, n := range f.killCounts {
 		fmt.Fprintf(out, "%d kills of %s\n", n, name)
 	}
 	for i, b := range broken {
@@ -354,7 +357,7 @@
 	if len(broken) > 0 {
 		fmt.Fprintf(out, "seed %d\n", seed)
 	}
-	runs, merged := f.sealed()
+	runs, merged := f.segmentCounts()
 	fmt.Fprintf(out, "%d sealings and %d merges were seen\n", runs, merged)
 	lost := len(broken) - duplicated
 	fmt.Fprintf(out, "%d kills, %d lost, %d duplicated\n", kills, max(lost, 0), duplicated)
--- a/cmd/faulttest/faults.go
+++ b/cmd/faulttest/faults.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 )
 
-func troublesCommand() *cobra.Command {
+func faultsCommand() *cobra.Command {
 	var runs, jobs, capacity int
 	var seed uint64
 	var kinds []string
--- a/cmd/faulttest/leaders.go
+++ b/cmd/faulttest/leaders.go
@@ -20,7 +20,7 @@
 	cmd := &cobra.Command{
 		Use: "leaders", Short: "How long nobody acts after a failure of the leader, by cause, in virtual time", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			names := simulator.New(0, leadersWorld(), slog.New(slog.DiscardHandler)).LeaderFailures()
+			names := simulator.New(0, leadersOptions(), slog.New(slog.DiscardHandler)).LeaderFailures()
 			slices.Sort(names)
 			each := max(failures/len(names), 1)
 			gaps, broken := make([]simulator.LeaderGap, each*len(names)), make([][]string, each*len(names))
@@ -31,7 +31,7 @@
 				slots <- struct{}{}
 				go func() {
 					defer func() { <-slots; wait.Done() }()
-					w := simulator.New(seed+uint64(i), leadersWorld(), slog.New(slog.DiscardHandler))
+					w := simulator.New(seed+uint64(i), leadersOptions(), slog.New(slog.DiscardHandler))
 					gaps[i] = w.FailLeader(names[i/each], 40*time.Second)
 					broken[i] = w.Violations
 				}()
@@ -77,7 +77,7 @@
 	return cmd
 }
 
-func leadersWorld() simulator.Options {
+func leadersOptions() simulator.Options {
 	return simulator.Options{
 		Controllers: 3, HeartbeatInterval: 2500 * time.Millisecond, WorkerLease: 15 * time.Second, CancelTimeout: 35 * time.Second,
 		Teams:  []config.Team{{Name: "red", GuaranteedCPUs: 8, CPULimit: 14}, {Name: "blue", GuaranteedCPUs: 4, CPULimit: 20}},
--- a/cmd/faulttest/main.go
+++ b/cmd/faulttest/main.go
@@ -1,5 +1,5 @@
-// Command faulttest is home of long measurements, experiments and random faults. It starts only
-// processes of this project, on loopback, and ends only those.
+// Command faulttest runs load and fault-injection tests and long measurements. It starts only
+// processes of this project, on loopback, and kills only those.
 package main
 
 import (
@@ -16,10 +16,10 @@
 		commitsCommand(),
 		restartCommand(),
 		leadersCommand(),
-		applianceCommand(),
+		siteCommand(),
 		scaleCommand(),
-		famineCommand(),
-		troublesCommand(),
+		capacityLossCommand(),
+		faultsCommand(),
 		upgradeCommand(),
 		pipelinesCommand(),
 	)
--- a/cmd/faulttest/process.go
+++ b/cmd/faulttest/process.go
@@ -14,7 +14,7 @@
 	"gullrudder/internal/wire/http1"
 )
 
-// process is a child of this program that is started, killed and started again.
+// process is a child process that is started, killed and started again.
 type process struct {
 	name string
 	path string
@@ -55,20 +55,20 @@
 	return nil
 }
 
-// kill ends the child at once and waits until it is gone.
+// kill sends SIGKILL to the child and waits for it.
 func (p *process) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return
 	}
-	// A child that has ended by itself is as gone as one that is killed.
+	// A child that has exited by itself is no error here.
 	_ = p.cmd.Process.Kill()
 	_ = p.cmd.Wait()
 	p.cmd = nil
 }
 
-// freePorts are ports of loopback that nobody listens at.
+// freePorts returns addresses of loopback with free ports.
 func freePorts(n int) ([]string, error) {
 	var addrs []string
 	for range n {
@@ -82,7 +82,7 @@
 	return addrs, nil
 }
 
-// await asks until the service answers with the status.
+// await polls until the service responds with the status.
 func await(c *http1.Client, addr, target string, status int, within time.Duration) error {
 	end := time.Now().Add(within)
 	for {
@@ -97,7 +97,7 @@
 	}
 }
 
-// program finds or builds the program that is measured.
+// program returns the path of the program that is tested, built if none is given.
 func program(path, dir string) (string, error) {
 	if path != "" {
 		return filepath.Abs(path)
--- a/cmd/faulttest/restart.go
+++ b/cmd/faulttest/restart.go
@@ -31,7 +31,7 @@
 			fmt.Fprintln(cmd.OutOrStdout(), "changes\tkeys\tmedian ms\tmost ms\tsnapshot bytes\tlog bytes")
 			var first time.Duration
 			for _, n := range []int{keys, changes} {
-				took, err := restartAfter(cmd, path, filepath.Join(root, fmt.Sprint(n)), n, keys, times, bytes)
+				took, err := measureRestart(cmd, path, filepath.Join(root, fmt.Sprint(n)), n, keys, times, bytes)
 				if err != nil {
 					return err
 				}
@@ -53,9 +53,9 @@
 	return cmd
 }
 
-// restartAfter makes a history, kills the service, and times it from its start to its first
-// answer.
-func restartAfter(cmd *cobra.Command, path, data string, changes, keys, times, bytes int) (time.Duration, error) {
+// measureRestart writes keys, kills the service, and measures the time from its start to its first
+// response.
+func measureRestart(cmd *cobra.Command, path, data string, changes, keys, times, bytes int) (time.Duration, error) {
 	ports, err := freePorts(1)
 	if err != nil {
 		return 0, err
@@ -70,11 +70,11 @@
 		return 0, err
 	}
 	for n := 0; n < changes; n += 100 {
-		var ops []crashtest.Op
+		var ops []crashtest.Operation
 		for i := n; i < min(n+100, changes); i++ {
-			ops = append(ops, crashtest.Op{Key: fmt.Sprintf("k/%08d", i%keys), Value: value(i, bytes)})
+			ops = append(ops, crashtest.Operation{Key: fmt.Sprintf("k/%08d", i%keys), Value: value(i, bytes)})
 		}
-		r := crashtest.Commit(nil, ops)
+		r := crashtest.CommitRequest(nil, ops)
 		if m, err := client.Do(ports[0], r.Method, r.Target, r.Body, 10*time.Second); err != nil || m.Status != 200 {
 			return 0, fmt.Errorf("a commit: %v, %w", m, err)
 		}
--- a/cmd/faulttest/scale.go
+++ b/cmd/faulttest/scale.go
@@ -24,7 +24,7 @@
 				"machines\ttasks\tsteps a second\ta step\tlongest\tof a processor\tstate changes/s\theap MB\tplacing after\tfull again after",
 			)
 			for _, n := range sizes {
-				w := simulator.New(seed, scaleWorld(n), slog.New(slog.DiscardHandler))
+				w := simulator.New(seed, scaleOptions(n), slog.New(slog.DiscardHandler))
 				s, err := w.RunScale(n)
 				fmt.Fprintf(
 					out,
@@ -55,7 +55,7 @@
 	return cmd
 }
 
-func scaleWorld(machines int) simulator.Options {
+func scaleOptions(machines int) simulator.Options {
 	return simulator.Options{
 		Controllers: 3, HeartbeatInterval: 2500 * time.Millisecond, WorkerLease: 15 * time.Second, CancelTimeout: 35 * time.Second, StopPollingFinished: true,
 		MachinesPerKind: (machines + 5) / 6, SkipCostlyChecks: true, Tuning: config.DefaultOptions(), AdjustPlatform: func(p *config.Platform) {
--- a/cmd/faulttest/site.go
+++ b/cmd/faulttest/site.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 )
 
-func applianceCommand() *cobra.Command {
+func siteCommand() *cobra.Command {
 	var runs, tasks int
 	var seed uint64
 	var program string
@@ -28,21 +28,21 @@
 				if err != nil {
 					return err
 				}
-				rep, err := sitetest.Run{Program: program, Dir: dir, Tasks: tasks, Seed: seed + uint64(i), Log: func(string, ...any) {}}.Play()
+				rep, err := sitetest.Run{Program: program, Dir: dir, Tasks: tasks, Seed: seed + uint64(i), Log: func(string, ...any) {}}.Execute()
 				if err != nil {
 					return fmt.Errorf("run %d, kept in %s: %w", i, dir, err)
 				}
 				if err := os.RemoveAll(dir); err != nil {
 					return err
 				}
-				worst, sum = max(worst, rep.First), sum+rep.First
+				worst, sum = max(worst, rep.FirstTaskAfter), sum+rep.FirstTaskAfter
 				fmt.Fprintf(
 					cmd.OutOrStdout(),
 					"run %d: first task after %.2f s, %d tasks done after %.1f s with %d parts killed, then all\n",
 					i,
-					rep.First.Seconds(),
+					rep.FirstTaskAfter.Seconds(),
 					tasks,
-					rep.All.Seconds(),
+					rep.AllDoneAfter.Seconds(),
 					rep.Kills,
 				)
 			}
--- a/cmd/faulttest/storeprobe.go
+++ b/cmd/faulttest/storeprobe.go
@@ -10,48 +10,48 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// probe commits to keys of its own and knows what has to be there.
-type probe struct {
-	f       *field
-	id      int
-	rng     *rand.Rand
-	model   map[string]probeKey
-	open    []crashtest.Op // of a commit that nobody answered
-	tide    uint64         // the highest revision that was answered
-	n       int
-	commits int
-	doubts  int
+// storeProbe commits to keys of its own and checks that the state service keeps what it acknowledged.
+type storeProbe struct {
+	testbed          *testbed
+	id               int
+	rng              *rand.Rand
+	model            map[string]probeKey
+	uncertainCommit  []crashtest.Operation // operations of a commit of unknown outcome
+	revision         uint64                // highest revision in a response
+	valueNumber      int
+	commits          int
+	uncertainCommits int
 }
 
 type probeKey struct {
-	value string
-	mark  uint64
+	value       string
+	modRevision uint64
 }
 
-func (p *probe) prefix() string { return fmt.Sprintf("probe/%d/", p.id) }
+func (p *storeProbe) prefix() string { return fmt.Sprintf("probe/%d/", p.id) }
 
-func (p *probe) run() {
-	defer p.f.wait.Done()
+func (p *storeProbe) run() {
+	defer p.testbed.wait.Done()
 	for {
 		select {
-		case <-p.f.stop:
+		case <-p.testbed.stopping:
 			return
 		default:
 		}
-		p.f.pause.RLock()
-		if p.open == nil {
+		p.testbed.pause.RLock()
+		if p.uncertainCommit == nil {
 			p.commit()
 		} else {
-			p.look()
+			p.compare()
 		}
-		p.f.pause.RUnlock()
+		p.testbed.pause.RUnlock()
 		time.Sleep(time.Duration(p.rng.IntN(3000)) * time.Microsecond)
 	}
 }
 
-func (p *probe) commit() {
-	var guards []crashtest.Guard
-	var ops []crashtest.Op
+func (p *storeProbe) commit() {
+	var guards []crashtest.Precondition
+	var ops []crashtest.Operation
 	seen := map[string]bool{}
 	for range 1 + p.rng.IntN(4) {
 		key := fmt.Sprintf("%s%02d", p.prefix(), p.rng.IntN(40))
@@ -59,38 +59,38 @@
 			continue
 		}
 		seen[key] = true
-		p.n++
-		o := crashtest.Op{Key: key, Value: fmt.Sprintf("%d-%0*d", p.n, 1+p.rng.IntN(400), 0)}
-		if p.rng.IntN(5) == 0 && p.model[key].mark > 0 {
+		p.valueNumber++
+		o := crashtest.Operation{Key: key, Value: fmt.Sprintf("%d-%0*d", p.valueNumber, 1+p.rng.IntN(400), 0)}
+		if p.rng.IntN(5) == 0 && p.model[key].modRevision > 0 {
 			o.Value = ""
 		}
-		guards = append(guards, crashtest.Guard{Key: key, Mark: p.model[key].mark})
+		guards = append(guards, crashtest.Precondition{Key: key, ModRevision: p.model[key].modRevision})
 		ops = append(ops, o)
 	}
-	r := crashtest.Commit(guards, ops)
-	m, err := p.f.client.Do(p.f.addr, r.Method, r.Target, r.Body, 2*time.Second)
+	r := crashtest.CommitRequest(guards, ops)
+	m, err := p.testbed.client.Do(p.testbed.stateAddr, r.Method, r.Target, r.Body, 2*time.Second)
 	var a struct {
 		Tide uint64 `msgpack:"tide"`
 	}
 	switch {
 	case err != nil:
-		p.open = ops
-		p.doubts++
+		p.uncertainCommit = ops
+		p.uncertainCommits++
 	case m.Status == 200 && codec.Unmarshal(m.Body, &a) == nil:
-		if a.Tide <= p.tide {
-			p.f.broke("probe %d: revision %d after %d", p.id, a.Tide, p.tide)
+		if a.Tide <= p.revision {
+			p.testbed.reportViolation("probe %d: revision %d after %d", p.id, a.Tide, p.revision)
 		}
 		p.commits++
-		p.settle(ops, a.Tide)
+		p.applyCommit(ops, a.Tide)
 	case m.Status == 503:
 	default:
-		p.f.broke("probe %d: a commit with the marks that were answered gets %d", p.id, m.Status)
+		p.testbed.reportViolation("probe %d: a commit with the marks that were answered gets %d", p.id, m.Status)
 	}
 }
 
-func (p *probe) settle(ops []crashtest.Op, tide uint64) {
-	p.tide = max(p.tide, tide)
-	p.open = nil
+func (p *storeProbe) applyCommit(ops []crashtest.Operation, tide uint64) {
+	p.revision = max(p.revision, tide)
+	p.uncertainCommit = nil
 	for _, o := range ops {
 		if o.Value == "" {
 			delete(p.model, o.Key)
@@ -100,35 +100,35 @@
 	}
 }
 
-// look compares what is there with what was answered. A commit without an answer is there as a
+// compare compares what is stored with what was acknowledged. A commit of unknown outcome is stored as a
 // whole or not at all.
-func (p *probe) look() {
-	there, tide, ok := p.list()
+func (p *storeProbe) compare() {
+	there, tide, ok := p.listKeys()
 	if !ok {
 		return
 	}
-	if tide < p.tide {
-		p.f.broke("probe %d: revision %d, answered was %d", p.id, tide, p.tide)
+	if tide < p.revision {
+		p.testbed.reportViolation("probe %d: revision %d, answered was %d", p.id, tide, p.revision)
 	}
-	if p.open != nil {
+	if p.uncertainCommit != nil {
 		executed := false
-		for _, o := range p.open {
+		for _, o := range p.uncertainCommit {
 			now, have := there[o.Key]
 			if o.Value != "" && have && now.value == o.Value {
 				executed = true
-				tide = now.mark
+				tide = now.modRevision
 			}
 			if o.Value == "" && !have {
 				executed = true
 			}
 		}
-		ops := p.open
-		p.open = nil
+		ops := p.uncertainCommit
+		p.uncertainCommit = nil
 		if executed {
-			p.settle(ops, tide)
-			for _, o := range ops { // drops alone have no mark to be seen
+			p.applyCommit(ops, tide)
+			for _, o := range ops { // a commit of drops alone leaves no mod revision to read
 				if k, ok := p.model[o.Key]; ok {
-					k.mark = there[o.Key].mark
+					k.modRevision = there[o.Key].modRevision
 					p.model[o.Key] = k
 				}
 			}
@@ -136,20 +136,20 @@
 	}
 	for key, want := range p.model {
 		if there[key] != want {
-			p.f.broke("probe %d: %s is %.20q at %d, answered was %.20q at %d", p.id, key, there[key].value, there[key].mark, want.value, want.mark)
+			p.testbed.reportViolation("probe %d: %s is %.20q at %d, answered was %.20q at %d", p.id, key, there[key].value, there[key].modRevision, want.value, want.modRevision)
 		}
 	}
 	for key, k := range there {
 		if _, ok := p.model[key]; !ok {
-			p.f.broke("probe %d: %s has come back at %d", p.id, key, k.mark)
+			p.testbed.reportViolation("probe %d: %s has come back at %d", p.id, key, k.modRevision)
 		}
 	}
 }
 
-func (p *probe) list() (map[string]probeKey, uint64, bool) {
+func (p *storeProbe) listKeys() (map[string]probeKey, uint64, bool) {
 	there := map[string]probeKey{}
 	q := url.Values{"starts": {p.prefix()}}
-	m, err := p.f.client.Do(p.f.addr, "GET", "/keys?"+q.Encode(), nil, 2*time.Second)
+	m, err := p.testbed.client.Do(p.testbed.stateAddr, "GET", "/keys?"+q.Encode(), nil, 2*time.Second)
 	var a struct {
 		Entries []struct {
 			Key   string `msgpack:"path"`
@@ -167,11 +167,11 @@
 	return there, a.Tide, true
 }
 
-// check has every probe look, with nothing under way.
-func (f *field) check() {
+// checkProbes makes every probe compare while no commit is in flight.
+func (f *testbed) checkProbes() {
 	f.pause.Lock()
 	defer f.pause.Unlock()
 	for _, p := range f.probes {
-		p.look()
+		p.compare()
 	}
 }
--- a/cmd/faulttest/upgrade.go
+++ b/cmd/faulttest/upgrade.go
@@ -43,9 +43,9 @@
 			if newer, err = program(newer, dir); err != nil {
 				return err
 			}
-			var sum upgraded
+			var sum upgradeResult
 			for i := range runs {
-				r, err := upgradeRun(seed+uint64(i), older, newer, filepath.Join(dir, fmt.Sprint(i)), verbose)
+				r, err := runUpgrade(seed+uint64(i), older, newer, filepath.Join(dir, fmt.Sprint(i)), verbose)
 				if err != nil {
 					return fmt.Errorf("seed %d: %w", seed+uint64(i), err)
 				}
@@ -54,16 +54,16 @@
 				}
 				sum.add(r)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d jobs accepted, %d of them with needs, %d done\n", sum.accepted, sum.dependants, sum.done)
+			fmt.Fprintf(cmd.OutOrStdout(), "%d jobs accepted, %d of them with needs, %d done\n", sum.accepted, sum.dependents, sum.done)
 			fmt.Fprintf(
 				cmd.OutOrStdout(),
 				"%d upgrades, %d rules broken, %d lost, %d doubled, no answer for at most %.1f s, no placing for at most %.1f s\n",
 				runs,
 				len(sum.broken),
 				sum.lost,
-				sum.doubled,
-				sum.silent.Seconds(),
-				sum.idle.Seconds(),
+				sum.duplicated,
+				sum.longestUnanswered.Seconds(),
+				sum.longestWithoutPlacement.Seconds(),
 			)
 			if len(sum.broken) > 0 {
 				return errors.New("a rule was broken")
@@ -79,29 +79,29 @@
 	return cmd
 }
 
-// upgraded is what came of an upgrade.
-type upgraded struct {
-	broken                     []string
-	lost, doubled              int
-	accepted, done, dependants int
-	silent, idle               time.Duration // the longest without an answer to a user, without anybody placing
+// upgradeResult is the result of one rolling upgrade.
+type upgradeResult struct {
+	broken                                     []string
+	lost, duplicated                           int
+	accepted, done, dependents                 int
+	longestUnanswered, longestWithoutPlacement time.Duration // longest time without a response to a user, without a controller that places tasks
 }
 
-func (u *upgraded) add(r upgraded) {
+func (u *upgradeResult) add(r upgradeResult) {
 	u.broken = append(u.broken, r.broken...)
-	u.lost, u.doubled = u.lost+r.lost, u.doubled+r.doubled
-	u.accepted, u.done, u.dependants = u.accepted+r.accepted, u.done+r.done, u.dependants+r.dependants
-	u.silent, u.idle = max(u.silent, r.silent), max(u.idle, r.idle)
+	u.lost, u.duplicated = u.lost+r.lost, u.duplicated+r.duplicated
+	u.accepted, u.done, u.dependents = u.accepted+r.accepted, u.done+r.done, u.dependents+r.dependents
+	u.longestUnanswered, u.longestWithoutPlacement = max(u.longestUnanswered, r.longestUnanswered), max(u.longestWithoutPlacement, r.longestWithoutPlacement)
 }
 
-// gaps watches for how long something is not seen.
-type gaps struct {
+// gapTimer measures the longest time between two events.
+type gapTimer struct {
 	mu      sync.Mutex
 	last    time.Time
 	longest time.Duration
 }
 
-func (g *gaps) seen(now time.Time) {
+func (g *gapTimer) seen(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.last.IsZero() {
@@ -110,23 +110,23 @@
 	g.last = now
 }
 
-func (g *gaps) most() time.Duration {
+func (g *gapTimer) longestGap() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.longest
 }
 
-// watchPlacing asks all controllers whether they place, until it is told to stop.
-func (f *field) watchPlacing(g *gaps) {
+// watchPlacing polls all controllers for whether they place tasks, until the testbed stops.
+func (f *testbed) watchPlacing(g *gapTimer) {
 	defer f.wait.Done()
 	client := http1.NewClient(8, 2, http1.MaxBodyBytes)
 	for {
 		select {
-		case <-f.stop:
+		case <-f.stopping:
 			return
 		case <-time.After(20 * time.Millisecond):
 		}
-		for _, addr := range f.public {
+		for _, addr := range f.publicAddrs {
 			var s struct {
 				Placing bool `msgpack:"placing"`
 			}
@@ -144,8 +144,8 @@
 	}
 }
 
-// withNext names limits that are to come in a controller's settings; the older version ignores them.
-func withNext(file string) error {
+// announceLimits adds the limits to come to a controller's configuration; the older version ignores them.
+func announceLimits(file string) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -154,26 +154,26 @@
 	return os.WriteFile(file, []byte(text), 0o600)
 }
 
-func upgradeRun(seed uint64, older, newer, dir string, verbose bool) (upgraded, error) {
-	var out upgraded
+func runUpgrade(seed uint64, older, newer, dir string, verbose bool) (upgradeResult, error) {
+	var out upgradeResult
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return out, err
 	}
-	f, err := newField(seed, older, dir, verbose)
+	f, err := newTestbed(seed, older, dir, verbose)
 	if err != nil {
 		return out, err
 	}
-	f.state.path = newer // the platform's, not ours to roll
-	for i := range nodes {
-		if err := withNext(filepath.Join(dir, fmt.Sprintf("node-%d.json", i))); err != nil {
+	f.state.path = newer // it belongs to the platform and is not upgraded here
+	for i := range controllerCount {
+		if err := announceLimits(filepath.Join(dir, fmt.Sprintf("node-%d.json", i))); err != nil {
 			return out, err
 		}
 	}
-	defer f.end()
-	if err := f.begin(); err != nil {
+	defer f.stop()
+	if err := f.start(); err != nil {
 		return out, err
 	}
-	var placing gaps
+	var placing gapTimer
 	f.wait.Add(1)
 	go f.watchPlacing(&placing)
 	pause := func(least, more int) { time.Sleep(time.Duration(least+f.rng.IntN(more)) * time.Millisecond) }
@@ -183,29 +183,29 @@
 		return p.start()
 	}
 	pause(2500, 1000)
-	order := f.rng.Perm(nodes)
+	order := f.rng.Perm(controllerCount)
 	for k, i := range order {
-		if f.rng.IntN(2) == 0 { // one dies before its turn, or after it
-			if err := bounce(f.serve[order[f.rng.IntN(nodes)]]); err != nil {
+		if f.rng.IntN(2) == 0 { // one crashes before or after its turn
+			if err := bounce(f.controllers[order[f.rng.IntN(controllerCount)]]); err != nil {
 				return out, err
 			}
 			pause(200, 1500)
 		}
-		if k == 1 && f.rng.IntN(3) == 0 { // the state service too, in mid-roll
+		if k == 1 && f.rng.IntN(3) == 0 { // the state service too, during the upgrade
 			if err := bounce(f.state); err != nil {
 				return out, err
 			}
 		}
-		f.serve[i].path = newer
-		if err := bounce(f.serve[i]); err != nil {
+		f.controllers[i].path = newer
+		if err := bounce(f.controllers[i]); err != nil {
 			return out, err
 		}
 		pause(300, 2500)
 	}
-	f.users.needs.Store(true)
+	f.users.useDependencies.Store(true)
 	for range 2 {
 		pause(1000, 1500)
-		if err := bounce(f.serve[f.rng.IntN(nodes)]); err != nil {
+		if err := bounce(f.controllers[f.rng.IntN(controllerCount)]); err != nil {
 			return out, err
 		}
 	}
@@ -214,13 +214,13 @@
 		out.lost++
 		out.broken = append(out.broken, err.Error())
 	}
-	close(f.stop)
+	close(f.stopping)
 	f.wait.Wait()
-	f.check()
-	_, doubled, broken := f.cloud.History.Report()
-	out.broken = slices.Concat(out.broken, broken, f.broken)
-	out.doubled = doubled
-	out.accepted, out.done, out.dependants = f.users.accepted(), f.users.finished(), f.users.dependants()
-	out.silent, out.idle = f.users.heard.most(), placing.most()
+	f.checkProbes()
+	_, doubled, broken := f.cloud.History.Summary()
+	out.broken = slices.Concat(out.broken, broken, f.violations)
+	out.duplicated = doubled
+	out.accepted, out.done, out.dependents = f.users.acceptedCount(), f.users.doneCount(), f.users.dependentCount()
+	out.longestUnanswered, out.longestWithoutPlacement = f.users.answers.longestGap(), placing.longestGap()
 	return out, nil
 }
--- a/cmd/faulttest/users.go
+++ b/cmd/faulttest/users.go
@@ -14,15 +14,15 @@
 	"gullrudder/internal/wire/http1"
 )
 
-// users submit jobs with many short tasks, cancel some, and ask about all of them for ever.
+// users submit jobs with many short tasks, cancel some, and poll all of them for ever.
 type users struct {
-	f   *field
-	rng *rand.Rand
+	testbed *testbed
+	rng     *rand.Rand
 
-	stop  chan struct{}
-	ended chan struct{}
-	needs atomic.Bool // jobs name others that they need
-	heard gaps        // answers that say something
+	stop            chan struct{}
+	ended           chan struct{}
+	useDependencies atomic.Bool // whether new jobs depend on others
+	answers         gapTimer    // successful responses
 
 	mu    sync.Mutex
 	jobs  map[string]*userJob
@@ -30,20 +30,20 @@
 }
 
 type userJob struct {
-	spec      jobs.Spec
-	accepted  bool
-	done      bool
-	cancelled bool
-	asked     bool // to be cancelled
-	needs     []*userJob
+	spec            jobs.Spec
+	accepted        bool
+	done            bool
+	cancelled       bool
+	cancelRequested bool // its user asked to cancel it
+	dependencies    []*userJob
 }
 
-// cancelledAbove reports whether it, or a job that it needs, directly or through others, was asked to be cancelled.
-func (j *userJob) cancelledAbove() bool {
-	return j.asked || slices.ContainsFunc(j.needs, (*userJob).cancelledAbove)
+// isCancellationExpected reports whether the cancellation of the job, or of a direct or indirect dependency, was requested.
+func (j *userJob) isCancellationExpected() bool {
+	return j.cancelRequested || slices.ContainsFunc(j.dependencies, (*userJob).isCancellationExpected)
 }
 
-const mostOpen = 24
+const maxOpenJobs = 24
 
 func (u *users) run() {
 	defer close(u.ended)
@@ -54,17 +54,17 @@
 			return
 		default:
 		}
-		if u.open() < mostOpen {
+		if u.openCount() < maxOpenJobs {
 			u.submit(client, n)
 		}
 		for range 6 {
-			u.ask(client)
+			u.sendRandomRequest(client)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-func (u *users) pick(of func(*userJob) bool) *userJob {
+func (u *users) randomJob(of func(*userJob) bool) *userJob {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.order) == 0 {
@@ -91,17 +91,17 @@
 	return n
 }
 
-func (u *users) open() int {
+func (u *users) openCount() int {
 	return u.count(func(j *userJob) bool { return !j.done && !j.cancelled })
 }
-func (u *users) accepted() int { return u.count(func(j *userJob) bool { return j.accepted }) }
-func (u *users) dependants() int {
-	return u.count(func(j *userJob) bool { return j.accepted && len(j.needs) > 0 })
+func (u *users) acceptedCount() int { return u.count(func(j *userJob) bool { return j.accepted }) }
+func (u *users) dependentCount() int {
+	return u.count(func(j *userJob) bool { return j.accepted && len(j.dependencies) > 0 })
 }
-func (u *users) finished() int { return u.count(func(j *userJob) bool { return j.done }) }
+func (u *users) doneCount() int { return u.count(func(j *userJob) bool { return j.done }) }
 
 func (u *users) submit(c *http1.Client, n int) {
-	// Some ids are longer than the history's index knows exactly.
+	// Some IDs are longer than what the archive's index holds exactly.
 	id := fmt.Sprintf("job-%06d", n)
 	if u.rng.IntN(3) == 0 {
 		id = fmt.Sprintf("job-2026%010d", n)
@@ -111,10 +111,10 @@
 		Image: "i", ImageGB: 0.1, AllowsSpot: true, RunTimeEstimate: 200 * time.Millisecond,
 	}}
 	for range u.rng.IntN(3) {
-		if need := u.pick(func(o *userJob) bool { return o.accepted }); need != nil && u.needs.Load() {
-			j.needs = append(j.needs, need)
+		if need := u.randomJob(func(o *userJob) bool { return o.accepted }); need != nil && u.useDependencies.Load() {
+			j.dependencies = append(j.dependencies, need)
 			j.spec.Dependencies = append(j.spec.Dependencies, need.spec.ID)
-			u.f.cloud.History.Needs(id, need.spec.ID, need.spec.Tasks)
+			u.testbed.cloud.History.AddDependency(id, need.spec.ID, need.spec.Tasks)
 		}
 	}
 	u.mu.Lock()
@@ -127,40 +127,40 @@
 func (u *users) send(c *http1.Client, j *userJob) {
 	raw, err := codec.Marshal(simulator.SubmissionFields(j.spec))
 	if err != nil {
-		u.f.broke("a submission cannot be encoded: %v", err)
+		u.testbed.reportViolation("a submission cannot be encoded: %v", err)
 		return
 	}
-	u.do(c, j, "POST", "/work", raw)
+	u.exchange(c, j, "POST", "/work", raw)
 }
 
-// ask polls a job, submits one again, or cancels one.
-func (u *users) ask(c *http1.Client) {
-	if j := u.pick(func(j *userJob) bool { return !j.accepted }); j != nil {
+// sendRandomRequest polls a job, submits one again, or cancels one.
+func (u *users) sendRandomRequest(c *http1.Client) {
+	if j := u.randomJob(func(j *userJob) bool { return !j.accepted }); j != nil {
 		u.send(c, j)
 	}
 	switch u.rng.IntN(12) {
 	case 0:
-		if j := u.pick(func(j *userJob) bool { return j.accepted }); j != nil {
+		if j := u.randomJob(func(j *userJob) bool { return j.accepted }); j != nil {
 			u.send(c, j)
 		}
 	case 1:
-		if j := u.pick(func(j *userJob) bool { return j.accepted && !j.done && u.rng.IntN(10) == 0 }); j != nil {
-			j.asked = true
-			u.do(c, j, "POST", "/work/"+j.spec.ID+"/withdraw", nil)
+		if j := u.randomJob(func(j *userJob) bool { return j.accepted && !j.done && u.rng.IntN(10) == 0 }); j != nil {
+			j.cancelRequested = true
+			u.exchange(c, j, "POST", "/work/"+j.spec.ID+"/withdraw", nil)
 		}
-	case 2, 3, 4: // an old one
-		if j := u.pick(func(j *userJob) bool { return j.done || j.cancelled }); j != nil {
-			u.do(c, j, "GET", "/work/"+j.spec.ID, nil)
+	case 2, 3, 4: // a finished job
+		if j := u.randomJob(func(j *userJob) bool { return j.done || j.cancelled }); j != nil {
+			u.exchange(c, j, "GET", "/work/"+j.spec.ID, nil)
 		}
 	default:
-		if j := u.pick(func(j *userJob) bool { return j.accepted && !j.done && !j.cancelled }); j != nil {
-			u.do(c, j, "GET", "/work/"+j.spec.ID, nil)
+		if j := u.randomJob(func(j *userJob) bool { return j.accepted && !j.done && !j.cancelled }); j != nil {
+			u.exchange(c, j, "GET", "/work/"+j.spec.ID, nil)
 		}
 	}
 }
 
-func (u *users) do(c *http1.Client, j *userJob, method, target string, body []byte) {
-	m, err := c.Do(u.f.public[u.rng.IntN(nodes)], method, target, body, 2*time.Second)
+func (u *users) exchange(c *http1.Client, j *userJob, method, target string, body []byte) {
+	m, err := c.Do(u.testbed.publicAddrs[u.rng.IntN(controllerCount)], method, target, body, 2*time.Second)
 	if err != nil {
 		return
 	}
@@ -173,34 +173,34 @@
 	switch {
 	case m.Status == 404 || m.Status == 400 || m.Status == 422:
 		if j.accepted {
-			u.f.broke("forgotten: %s %s gets %d though the job was accepted", method, target, m.Status)
+			u.testbed.reportViolation("forgotten: %s %s gets %d though the job was accepted", method, target, m.Status)
 		}
 	case m.Status/100 == 2 && codec.Unmarshal(m.Body, &a) == nil:
 		j.accepted = true
-		u.heard.seen(time.Now())
+		u.answers.seen(time.Now())
 		switch {
 		case a.State == "done" && !j.done:
 			j.done = true
-			if n := u.f.cloud.History.Done(j.spec.ID, j.spec.Tasks); n < j.spec.Tasks {
-				u.f.broke("not_done: %s is called done with %d of %d tasks", j.spec.ID, n, j.spec.Tasks)
+			if n := u.testbed.cloud.History.CompletedTasks(j.spec.ID, j.spec.Tasks); n < j.spec.Tasks {
+				u.testbed.reportViolation("not_done: %s is called done with %d of %d tasks", j.spec.ID, n, j.spec.Tasks)
 			}
 			if j.cancelled {
-				u.f.broke("went_back: %s was cancelled and is done", j.spec.ID)
+				u.testbed.reportViolation("went_back: %s was cancelled and is done", j.spec.ID)
 			}
 		case a.State == "cancelled":
-			if !j.cancelledAbove() || j.done {
-				u.f.broke("went_back: %s is cancelled; asked %v, done %v", j.spec.ID, j.asked, j.done)
+			if !j.isCancellationExpected() || j.done {
+				u.testbed.reportViolation("went_back: %s is cancelled; asked %v, done %v", j.spec.ID, j.cancelRequested, j.done)
 			}
 			j.cancelled = true
 		case a.State != "done" && (j.done || j.cancelled):
-			u.f.broke("went_back: %s is %s; done %v, cancelled %v", j.spec.ID, a.State, j.done, j.cancelled)
+			u.testbed.reportViolation("went_back: %s is %s; done %v, cancelled %v", j.spec.ID, a.State, j.done, j.cancelled)
 		case a.State == "done" && a.Done != nil && method == "GET" && *a.Done != j.spec.Tasks:
-			u.f.broke("%s has %d tasks done of %d", j.spec.ID, *a.Done, j.spec.Tasks)
+			u.testbed.reportViolation("%s has %d tasks done of %d", j.spec.ID, *a.Done, j.spec.Tasks)
 		}
 	}
 }
 
-// drain waits until all that was accepted is done or cancelled, and then asks about every job
+// drain waits until every accepted job is done or cancelled, and then polls every job
 // once more.
 func (u *users) drain(within time.Duration) error {
 	close(u.stop)
@@ -225,12 +225,12 @@
 		if !j.accepted {
 			u.send(client, j)
 		} else {
-			u.do(client, j, "GET", "/work/"+j.spec.ID, nil)
+			u.exchange(client, j, "GET", "/work/"+j.spec.ID, nil)
 		}
 		time.Sleep(time.Millisecond)
 	}
 	for _, id := range u.order[:last] {
-		u.do(client, u.jobs[id], "GET", "/work/"+id, nil)
+		u.exchange(client, u.jobs[id], "GET", "/work/"+id, nil)
 	}
 	return nil
 }
--- a/internal/simulator/capacityloss.go
+++ b/internal/simulator/capacityloss.go
@@ -8,20 +8,20 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// CapacityLoss is how each class and team was served on a day on which most machines are lost for minutes.
+// CapacityLoss is how each class and team was served by a fleet that lost four in ten of its machines for minutes.
 type CapacityLoss struct {
 	Classes, Teams map[string]Served
-	MachinesBefore int // machines before, and
-	MachinesDuring int // during the famine
+	MachinesBefore int // machines up before the loss
+	MachinesDuring int // machines up right after it
 }
 
-// Served is how many of the jobs were done by the end.
+// Served counts the jobs of a class, a team or another group, and those of them that were done at the end of the run.
 type Served struct{ Done, All int }
 
-// Share is the part that was done.
+// Share is the share of the jobs that was done, 0 to 1.
 func (p Served) Share() float64 { return float64(p.Done) / float64(max(p.All, 1)) }
 
-// LeastServed is the least share of any.
+// LeastServed names the group with the smallest share of done jobs, the first by name if several have it.
 func LeastServed(served map[string]Served) (name string, share float64) {
 	share = 2
 	for n, p := range served {
@@ -32,8 +32,8 @@
 	return name, share
 }
 
-// CapacityLossOptions are a world for a famine: three teams, one of which has no guarantee and the work of
-// lowest priority only, and aims for the classes of the others.
+// CapacityLossOptions are the options for RunCapacityLoss: three teams, one of which has no guaranteed quota and the jobs of
+// lowest priority only, and objectives for the classes of the others.
 func CapacityLossOptions(tuning config.Options) Options {
 	return Options{
 		Controllers:         3,
@@ -62,7 +62,7 @@
 	}
 }
 
-// capacityLossWorkload is what is submitted: about as much as all machines can do, one class three times as often
+// capacityLossWorkload is what is submitted: about as much as all machines can run. One class is submitted three times as often
 // for a minute.
 var capacityLossWorkload = []struct {
 	spec  jobs.Spec
@@ -93,8 +93,8 @@
 	{jobs.Spec{Class: "scan", Team: "guests", Priority: jobs.Low, Tasks: 400, CPUs: 0.25, MemoryGB: 0.5}, 40 * time.Second, time.Hour},
 }
 
-// RunCapacityLoss plays the day: from the first minute on for seven, six in ten of the machines are to be had, the
-// others are taken, machines die, and the leader ends three times.
+// RunCapacityLoss simulates eight and a half minutes. For seven of them, from the first on, the cloud has six in ten of the machines,
+// the others are reclaimed, machines fail, and the leader crashes three times.
 func (sim *Cluster) RunCapacityLoss() CapacityLoss {
 	const begins, lasts, submits, day = time.Minute, 7 * time.Minute, 7 * time.Minute, 510 * time.Second
 	n := 0
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -10,7 +10,7 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// Far sides that a controller can be cut off from, alone or together.
+// Groups of hosts that a controller can be cut off from, as bits of a set.
 const (
 	FromState = 1 << iota
 	FromControllers
@@ -20,13 +20,13 @@
 	farSideCount = iota
 )
 
-// isolation is a controller that is cut off from some far sides.
+// isolation cuts a controller off from a set of far sides.
 type isolation struct {
 	farSides int
 	until    time.Time
 }
 
-// farSideOf is which far side of a controller a host is.
+// farSideOf is the group to which a host belongs, as a controller sees it.
 func farSideOf(host string) int {
 	switch {
 	case host == "state":
@@ -41,13 +41,13 @@
 	return FromControllers
 }
 
-// IsolateController cuts a controller off from any set of far sides, both ways.
+// IsolateController cuts a controller off from a set of far sides in both directions.
 func (sim *Cluster) IsolateController(i, from int, span time.Duration) {
 	sim.isolations[controllerName(i)] = isolation{from, sim.Now.Add(span)}
 	sim.extendFaults(span)
 }
 
-// linkCutUntil is until when what goes from one host to the other does not get through.
+// linkCutUntil is until when messages from one host to another do not get through.
 func (sim *Cluster) linkCutUntil(from, to string) time.Time {
 	until := sim.linkCuts[from+"|"+to]
 	for _, ends := range [...][2]string{{from, to}, {to, from}} {
@@ -58,14 +58,14 @@
 	return until
 }
 
-// extendFaults notes that something is wrong for so long.
+// extendFaults records that a fault lasts for a span from now on. What the checker expects of a healthy cluster counts from its end.
 func (sim *Cluster) extendFaults(span time.Duration) {
 	if until := sim.Now.Add(span); until.After(sim.faultsUntil) {
 		sim.faultsUntil = until
 	}
 }
 
-// LeaderIndex is the index of the controller that holds the leader's key; -1: none does.
+// LeaderIndex is the index of the controller that holds the leader's key, -1 if none does.
 func (sim *Cluster) LeaderIndex() int {
 	for i := range sim.controllers {
 		if controllerName(i) == sim.State.leaderName() {
@@ -75,21 +75,21 @@
 	return -1
 }
 
-// CutLinkOneWay cuts what goes from one host to another; the way back stays open.
+// CutLinkOneWay loses or delays all messages from one host to another, but not those in the other direction.
 func (sim *Cluster) CutLinkOneWay(from, to string, span time.Duration) {
 	sim.linkCuts[from+"|"+to] = sim.Now.Add(span)
 	sim.extendFaults(span)
 }
 
-// randomMachines draws up to so many of the machines whose workers are there.
+// randomMachines draws up to count of the running machines.
 func (c *Cloud) randomMachines(count int) []*machine {
 	list := c.runningMachines()
 	c.sim.Rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(count, len(list))]
 }
 
-// CutInbound lets up to so many machines hear nobody: their reports arrive, answers and commands do not reach
-// them. leaderOnly: only what the leader sends is lost.
+// CutInbound makes up to count machines inbound unreachable: their heartbeats arrive, responses and commands do not reach
+// them. With leaderOnly only the leader's messages are lost.
 func (c *Cloud) CutInbound(count int, leaderOnly bool, span time.Duration) {
 	for _, m := range c.randomMachines(count) {
 		for i := range c.sim.Options.Controllers {
@@ -100,14 +100,14 @@
 	}
 }
 
-// DuplicateHeartbeats delivers half of the reports that are sent from now on for a while once more, up to four leases later, to any
+// DuplicateHeartbeats delivers half of the heartbeats that are sent during the span once more, up to four leases later, to a random
 // controller.
 func (c *Cloud) DuplicateHeartbeats(span time.Duration) {
 	c.duplicatingUntil = c.sim.Now.Add(span)
 	c.sim.extendFaults(span + 4*c.sim.Options.WorkerLease + time.Second)
 }
 
-// DelayMachines holds up what some machines are sent, or all that goes on there, for some seconds each, one after the other.
+// DelayMachines makes up to count machines hang, or cuts off their inbound messages, one after the other, for a span each.
 func (c *Cloud) DelayMachines(count int, span time.Duration) {
 	for k, m := range c.randomMachines(count) {
 		c.sim.At(time.Duration(k)*200*time.Millisecond, func() {
@@ -123,7 +123,7 @@
 	c.sim.extendFaults(span + time.Duration(count)*200*time.Millisecond)
 }
 
-// deliverDuplicate delivers a report again, if reports are copied at present. Nobody hears the answer.
+// deliverDuplicate may deliver a heartbeat again while heartbeats are duplicated. The response is dropped.
 func (c *Cloud) deliverDuplicate(raw []byte) {
 	if !c.sim.Now.Before(c.duplicatingUntil) || c.sim.Rand.IntN(2) == 0 {
 		return
@@ -133,8 +133,8 @@
 	c.sim.At(late, func() { c.sim.deliverRequest(host, false, "POST", "/v1/report", raw, func(int, any) {}) })
 }
 
-// RestartMachine ends a machine with all that is on it and starts it again soon, under its name. It goes on counting
-// its sessions, or begins again at the first.
+// RestartMachine kills all tasks of a random machine and boots it again under the same name. Its incarnation goes on from
+// the last one, or begins again at the first.
 func (c *Cloud) RestartMachine(back time.Duration, counts bool) {
 	if list := c.runningMachines(); len(list) > 0 {
 		list[c.sim.Rand.IntN(len(list))].restart(back, counts)
@@ -155,35 +155,35 @@
 	m.sim.At(back, m.start)
 }
 
-// Moments of an election at which a controller can end.
+// Events of an election at which a fault can be injected.
 const (
 	campaignSent = iota
-	keyWritten   // and the answer is lost
+	keyWritten   // the response is lost
 	grantSent
 	leadershipReleased
 	electionEventCount
 )
 
-// electionTrigger ends a controller at a moment of an election, once.
+// electionTrigger injects a fault once, at the next event of its kind.
 type electionTrigger struct {
 	event        int
 	until        time.Time
 	restartAfter time.Duration
-	action       func(name string) // instead of ending it
+	action       func(name string) // replaces the crash
 }
 
-// CrashAtElectionEvent ends the first controller that comes to the moment within a while; it is back soon.
+// CrashAtElectionEvent crashes the first controller that comes to the event within a span and restarts it after a while.
 func (sim *Cluster) CrashAtElectionEvent(moment int, within, back time.Duration) {
 	sim.electionTriggers = append(sim.electionTriggers, electionTrigger{event: moment, until: sim.Now.Add(within), restartAfter: back})
 	sim.extendFaults(within + back)
 }
 
-// OnElectionEvent does something when a controller comes to a moment of an election next.
+// OnElectionEvent calls action with the name of the next controller that comes to the event.
 func (sim *Cluster) OnElectionEvent(moment int, do func(name string)) {
 	sim.electionTriggers = append(sim.electionTriggers, electionTrigger{event: moment, until: sim.Now.Add(time.Hour), action: do})
 }
 
-// electionEventReached is told of the moments; who comes to one with a trap ends.
+// electionEventReached runs the first trigger that waits for the event.
 func (sim *Cluster) electionEventReached(moment int, name string) {
 	for k, t := range sim.electionTriggers {
 		if t.event != moment || sim.Now.After(t.until) {
@@ -203,7 +203,7 @@
 	}
 }
 
-// electionEventOf is the moment of an election that a call is, -1 for none.
+// electionEventOf classifies a call as an event of an election, -1 if it is none.
 func electionEventOf(call client.Call, body []byte) int {
 	switch {
 	case call.Destination == client.StateService && call.Path == "/leases" && call.Method == http.MethodPost:
--- a/internal/simulator/leaderfailures.go
+++ b/internal/simulator/leaderfailures.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Failures of a leader, by name, as they are brought about.
+// leaderFailures are the ways in which a leader can fail, by name.
 func (sim *Cluster) leaderFailures() map[string]func(leader int) {
 	const long = 12 * time.Second
 	apart := func(leader int, hosts ...string) {
@@ -44,16 +44,16 @@
 	}
 }
 
-// LeaderGap is how long nobody acted after a failure of the leader.
+// LeaderGap is the result of FailLeader: for how long the cluster was without a service after the leader failed.
 type LeaderGap struct {
 	Cause string
-	// Without anybody entitled to act, to place, and to act with the state service within reach, so that
-	// submissions are accepted.
+	// Time without a controller that holds the leader lease, without one that places tasks, and without a leader that reaches the
+	// state service, so that it can accept jobs.
 	WithoutLeader, WithoutPlacement, WithoutAcceptance time.Duration
 }
 
-// FailLeader plays a world with some work and machines, brings about one failure of the leader and
-// counts for how long in the time after it nobody is entitled to act, and nobody places.
+// FailLeader simulates a cluster with some jobs and machines, injects one failure of the leader and
+// measures the gaps that follow it.
 func (sim *Cluster) FailLeader(cause string, watch time.Duration) LeaderGap {
 	for i := range 20 {
 		sim.At(time.Duration(i)*500*time.Millisecond, sim.Users.SubmitRandom)
@@ -92,7 +92,7 @@
 	return g
 }
 
-// LeaderFailures lists the names of the failures that FailLeader knows.
+// LeaderFailures lists the causes that FailLeader knows, in no order.
 func (sim *Cluster) LeaderFailures() []string {
 	var list []string
 	for name := range sim.leaderFailures() {
