--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,5 +1,5 @@
-// Package testseed makes the random tests of a package draw the same cases in every run, so
-// that a verdict does not change by itself.
+// Package testseed makes the property tests of a package draw the same cases in every run, so
+// that their outcome changes only with the code.
 package testseed
 
 import (
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Main runs a package's tests with rapid's seed fixed; a seed of one's own is given with
+// Main runs a package's tests with a fixed seed of rapid. Another seed is given with
 // -rapid.seed.
 func Main(m *testing.M) {
 	flag.Parse()
