--- /dev/null
+++ b/internal/controller/forwarding_test.go
@@ -0,0 +1,65 @@
+package controller
+
+import (
+	"log/slog"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/controller/election"
+	"gullrudder/internal/wire/client"
+	"gullrudder/internal/wire/server"
+)
+
+// A response that a follower has asked the leader for is delayed; another controller leads since, and may have told the user
+// that the job is cancelled. The older response is not passed on any more.
+func TestResponseOfAnEarlierLeaderIsNotForwarded(t *testing.T) {
+	now := time.Unix(10_000, 0)
+	platform := &config.Platform{
+		Name:                "a",
+		Peers:               []config.Peer{{Name: "b", Addr: "b"}, {Name: "c", Addr: "c"}},
+		HeartbeatInterval:   time.Second,
+		WorkerLeaseDuration: 10 * time.Second,
+		CancelTimeout:       30 * time.Second,
+		StateWriteRate:      10,
+		StateRequestRate:    100,
+		MaxValueBytes:       4096,
+		MaxTransactionOps:   8,
+		CloudRequestRate:    2,
+		CPUQuota:            1,
+	}
+	controller := New(platform, config.DefaultOptions(), now, rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler))
+	pingFrom := func(name string, fencingToken uint64) {
+		body := marshal(t, election.PingRequest{Name: name, FencingToken: fencingToken})
+		ping := &server.Request{FromPeer: true, Method: "POST", Target: "/peer/hello", Body: body}
+		controller.Step(now, []Command{{Request: ping}})
+	}
+	forwardRequest := func() client.Call {
+		request := &server.Request{Handle: "user", Method: "GET", Target: "/work/job-1"}
+		for _, call := range controller.Step(now, []Command{{Request: request}}).Calls {
+			if call.Path == "/work/job-1" {
+				return call
+			}
+		}
+		t.Fatal("not forwarded")
+		return client.Call{}
+	}
+	respond := func(call client.Call) (status int) {
+		outcome := &Outcome{Call: call, Result: client.Result{Status: 200}}
+		replies := controller.Step(now, []Command{{Outcome: outcome}}).Replies
+		if len(replies) != 1 {
+			t.Fatalf("%d replies", len(replies))
+		}
+		return replies[0].Status
+	}
+	pingFrom("b", 4)
+	if status := respond(forwardRequest()); status != 200 {
+		t.Errorf("the leader's response becomes %d", status)
+	}
+	delayed := forwardRequest()
+	pingFrom("c", 9)
+	if status := respond(delayed); status != 503 {
+		t.Errorf("an earlier leader's response is passed on: %d", status)
+	}
+}
