--- a/cmd/gullrudder/account.go
+++ b/cmd/gullrudder/account.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 )
 
-func milliseconds(ms int64) string {
+func formatMilliseconds(ms int64) string {
 	d := time.Duration(ms) * time.Millisecond
 	if d < 10*time.Second {
 		return d.String()
@@ -21,11 +21,11 @@
 	return d.Round(time.Second).String()
 }
 
-// shareText lists causes with their times.
-func shareText(list []api.TimeShare) string {
+// formatTimeShares lists causes with their times.
+func formatTimeShares(list []api.TimeShare) string {
 	var parts []string
 	for _, s := range list {
-		parts = append(parts, s.Reason+" "+milliseconds(s.Milliseconds))
+		parts = append(parts, s.Reason+" "+formatMilliseconds(s.Milliseconds))
 	}
 	return strings.Join(parts, ", ")
 }
@@ -67,11 +67,11 @@
 				w,
 				"%s\t%s\t%.1f %%\t%s\n",
 				s.Reason,
-				milliseconds(s.Milliseconds),
+				formatMilliseconds(s.Milliseconds),
 				100*float64(s.Milliseconds)/float64(max(a.Milliseconds, 1)),
-				milliseconds(s.Milliseconds/int64(max(a.JobCount, 1))),
+				formatMilliseconds(s.Milliseconds/int64(max(a.JobCount, 1))),
 			)
 		}
-		fmt.Fprintf(w, "sum\t%s\t100 %%\t%s\n", milliseconds(a.Milliseconds), milliseconds(a.Milliseconds/int64(max(a.JobCount, 1))))
+		fmt.Fprintf(w, "sum\t%s\t100 %%\t%s\n", formatMilliseconds(a.Milliseconds), formatMilliseconds(a.Milliseconds/int64(max(a.JobCount, 1))))
 	}
 }
--- a/cmd/gullrudder/console.go
+++ b/cmd/gullrudder/console.go
@@ -14,43 +14,43 @@
 	"github.com/spf13/cobra"
 )
 
-// lookPatience is how long a look of the console waits for an answer.
-const lookPatience = 2 * time.Second
+// consoleTimeout is how long a look of the console waits for an answer.
+const consoleTimeout = 2 * time.Second
 
-// site is the console's side of the service.
-type site struct{ *apiClient }
+// consoleSite is the console's side of the service.
+type consoleSite struct{ *apiClient }
 
-func (s site) Look() console.Snapshot {
-	snap := console.Snapshot{At: time.Now()}
+func (s consoleSite) Snapshot() console.Snapshot {
+	snapshot := console.Snapshot{TakenAt: time.Now()}
 	problem := func(what string, err error) {
 		if err != nil {
-			snap.Problems = append(snap.Problems, what+": "+err.Error())
+			snapshot.Problems = append(snapshot.Problems, what+": "+err.Error())
 		}
 	}
-	problem("controllers", s.get("/status", &snap.Status))
-	if len(snap.Problems) == 0 {
-		problem("jobs", s.get("/queue?all=1&most=200", &snap.Queue))
+	problem("controllers", s.get("/status", &snapshot.Status))
+	if len(snapshot.Problems) == 0 {
+		problem("jobs", s.get("/queue?all=1&most=200", &snapshot.Queue))
 	}
-	if s.home == nil {
-		return snap
+	if s.site == nil {
+		return snapshot
 	}
-	problem("pool", s.siteCall("GET", "/site", &snap.Site))
+	problem("pool", s.callMachinePool("GET", "/site", &snapshot.MachinePool))
 	var err error
-	snap.Failures, err = s.failures()
+	snapshot.Failures, err = s.listFailures()
 	problem("failures", err)
-	if free, err := datadir.FreeDisk(s.home.Dir()); err == nil {
-		snap.FreeMB, snap.KeepMB = free>>20, s.home.KeepFreeMB
+	if free, err := datadir.FreeDisk(s.site.Path()); err == nil {
+		snapshot.FreeDiskMB, snapshot.MinFreeDiskMB = free>>20, s.site.MinFreeDiskMB
 	}
-	return snap
+	return snapshot
 }
 
-func (s site) Cancel(job string) error {
-	return s.send("POST", "/work/"+segment(job)+"/withdraw", nil, &struct{}{})
+func (s consoleSite) Cancel(job string) error {
+	return s.send("POST", "/work/"+escapePathSegment(job)+"/withdraw", nil, &struct{}{})
 }
 
-func (s site) Drain(on bool) error {
+func (s consoleSite) Drain(on bool) error {
 	var o machinepool.Overview
-	return s.siteCall("POST", map[bool]string{true: "/site/drain", false: "/site/undrain"}[on], &o)
+	return s.callMachinePool("POST", map[bool]string{true: "/site/drain", false: "/site/undrain"}[on], &o)
 }
 
 func consoleCommand() *cobra.Command {
@@ -60,8 +60,8 @@
 		"Watch and run the site from a terminal. ? shows the keys. It keeps no state.",
 		cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
-			a.patience = lookPatience
-			_, err := tea.NewProgram(console.New(site{a}, time.Second), tea.WithAltScreen()).Run()
+			a.retryTimeout = consoleTimeout
+			_, err := tea.NewProgram(console.New(consoleSite{a}, time.Second), tea.WithAltScreen()).Run()
 			return err
 		},
 	)
@@ -71,9 +71,9 @@
 	var once bool
 	var every time.Duration
 	cmd := userCommand("top", "Print what the console shows, as text", "", cobra.NoArgs, func(a *apiClient, _ []string) error {
-		a.patience = lookPatience
+		a.retryTimeout = consoleTimeout
 		for {
-			snap := site{a}.Look()
+			snap := consoleSite{a}.Snapshot()
 			if _, err := fmt.Fprint(a.out, snap.Text()); err != nil {
 				return err
 			}
@@ -88,17 +88,17 @@
 	return cmd
 }
 
-// failures are those that the pool of the site on this machine keeps, the newest first.
-func (a *apiClient) failures() ([]machinepool.Failure, error) {
-	var f machinepool.Failures
-	if err := a.siteCall("GET", "/site/failures", &f); err != nil {
+// listFailures are those that the pool of the site on this machine keeps, the newest first.
+func (a *apiClient) listFailures() ([]machinepool.Failure, error) {
+	var f machinepool.FailureList
+	if err := a.callMachinePool("GET", "/site/failures", &f); err != nil {
 		return nil, err
 	}
 	list := []machinepool.Failure{}
-	for _, raw := range f.List {
+	for _, raw := range f.EncodedFailures {
 		var one machinepool.Failure
 		if err := json.Unmarshal([]byte(raw), &one); err != nil {
-			return nil, &failure{exitUnavailable, err}
+			return nil, &exitError{exitUnavailable, err}
 		}
 		list = append(list, one)
 	}
@@ -108,15 +108,15 @@
 func failuresCommand() *cobra.Command {
 	return userCommand("failures", "Show the tasks of this site that failed last, with the end of their error output", "", cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
-			list, err := a.failures()
+			list, err := a.listFailures()
 			if err != nil {
 				return err
 			}
 			return a.show(list, func(w io.Writer) {
 				for _, one := range list {
-					fmt.Fprintf(w, "%s\texit %d\t%s\t%s\n", one.Task, one.Exit, one.Finished.UTC().Format(time.DateTime), one.Reason)
-					if one.Tail != "" {
-						fmt.Fprintln(w, one.Tail)
+					fmt.Fprintf(w, "%s\texit %d\t%s\t%s\n", one.Task, one.ExitCode, one.FinishedAt.UTC().Format(time.DateTime), one.Reason)
+					if one.ErrorOutput != "" {
+						fmt.Fprintln(w, one.ErrorOutput)
 					}
 				}
 			})
--- a/cmd/gullrudder/main.go
+++ b/cmd/gullrudder/main.go
@@ -8,19 +8,19 @@
 	"os"
 )
 
-// failure is an error with the exit code it ends the program with.
-type failure struct {
+// exitError is an error with the exit code it ends the program with.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (f *failure) Error() string { return f.err.Error() }
-func (f *failure) Unwrap() error { return f.err }
+func (f *exitError) Error() string { return f.err.Error() }
+func (f *exitError) Unwrap() error { return f.err }
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "gullrudder:", err)
-		var f *failure
+		var f *exitError
 		if errors.As(err, &f) {
 			os.Exit(f.code)
 		}
--- a/cmd/gullrudder/serve.go
+++ b/cmd/gullrudder/serve.go
@@ -19,7 +19,7 @@
 // version is set by the release build.
 var version = "development"
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "gullrudder", Short: "A cluster scheduler for deadline jobs",
 		SilenceUsage: true, SilenceErrors: true,
@@ -63,14 +63,14 @@
 	}
 }
 
-func load(platform, operators string) (*config.Platform, config.Options, error) {
+func loadSettings(platform, operators string) (*config.Platform, config.Options, error) {
 	cfg, err := config.LoadPlatform(platform)
 	if err != nil {
-		return nil, config.Options{}, &failure{2, err}
+		return nil, config.Options{}, &exitError{2, err}
 	}
 	opt, err := config.LoadOptions(operators)
 	if err != nil {
-		return nil, config.Options{}, &failure{2, err}
+		return nil, config.Options{}, &exitError{2, err}
 	}
 	return cfg, opt, nil
 }
@@ -80,13 +80,13 @@
 	cmd := &cobra.Command{
 		Use: "serve", Short: "Run a controller", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			cfg, opt, err := load(platform, operators)
+			cfg, opt, err := loadSettings(platform, operators)
 			if err != nil {
 				return err
 			}
 			// The platform gives the process a share of one core.
 			runtime.GOMAXPROCS(1)
-			log := logger(os.Stderr, os.Getenv("LOG_LEVEL")).With("node", cfg.Name)
+			log := newLogger(os.Stderr, os.Getenv("LOG_LEVEL")).With("node", cfg.Name)
 			now := time.Now()
 			rng := rand.New(rand.NewPCG(uint64(now.UnixNano()), uint64(os.Getpid())))
 			n := controller.New(cfg, opt, now, rng, log)
@@ -111,7 +111,7 @@
 	return cmd
 }
 
-func logger(w io.Writer, level string) *slog.Logger {
+func newLogger(w io.Writer, level string) *slog.Logger {
 	l := slog.LevelError
 	switch level {
 	case "info":
@@ -127,7 +127,7 @@
 	cmd := &cobra.Command{
 		Use: "check", Short: "Check the settings files", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, _, err := load(platform, operators)
+			cfg, _, err := loadSettings(platform, operators)
 			if err != nil {
 				return err
 			}
--- a/internal/console/view.go
+++ b/internal/console/view.go
@@ -15,14 +15,14 @@
 
 // Snapshot is all that was learnt at one look. What could not be asked has its error.
 type Snapshot struct {
-	At       time.Time
-	Status   controller.Status
-	Queue    api.Queue
-	Site     machinepool.Overview
-	Failures []machinepool.Failure
-	FreeMB   uint64 // of the disk that the site is on
-	KeepMB   uint64
-	Problems []string // what could not be asked, in words
+	TakenAt       time.Time
+	Status        controller.Status
+	Queue         api.Queue
+	MachinePool   machinepool.Overview
+	Failures      []machinepool.Failure
+	FreeDiskMB    uint64 // of the disk that the site is on
+	MinFreeDiskMB uint64
+	Problems      []string // what could not be asked, in words
 }
 
 // Screen is one of the console's.
@@ -48,13 +48,13 @@
 				lines,
 				fmt.Sprintf(
 					"%-26s %-10s %6d %6d %6d %8s  %s",
-					clip(j.ID, 26),
-					clip(j.Class, 10),
+					truncate(j.ID, 26),
+					truncate(j.Class, 10),
 					j.WaitingTasks,
 					j.RunningTasks,
 					j.DoneTasks,
-					span(j.AgeSeconds),
-					span(j.FirstStartBoundSeconds),
+					formatSeconds(j.AgeSeconds),
+					formatSeconds(j.FirstStartBoundSeconds),
 				),
 			)
 			ids = append(ids, j.ID)
@@ -67,14 +67,14 @@
 		}
 	case Workers:
 		head = fmt.Sprintf("%-20s %-12s %8s %8s %6s %10s  %s", "WORKER", "MACHINE", "CPUS", "GB", "TASKS", "FREE MB", "HEARD")
-		for _, w := range s.Site.Workers {
+		for _, w := range s.MachinePool.Workers {
 			heard := "now"
-			if w.Silent > 5 {
-				heard = span(w.Silent) + " ago"
+			if w.SilentSeconds > 5 {
+				heard = formatSeconds(w.SilentSeconds) + " ago"
 			}
 			lines = append(
 				lines,
-				fmt.Sprintf("%-20s %-12s %8g %8g %6d %10d  %s", clip(w.Name, 20), orDash(w.Machine), w.CPUs, w.MemGB, w.Busy, w.FreeMB, heard),
+				fmt.Sprintf("%-20s %-12s %8g %8g %6d %10d  %s", truncate(w.Name, 20), orDash(w.Machine), w.CPUs, w.MemoryGB, w.RunningTasks, w.FreeDiskMB, heard),
 			)
 			ids = append(ids, w.Name)
 		}
@@ -86,7 +86,7 @@
 		for _, f := range s.Failures {
 			lines = append(
 				lines,
-				fmt.Sprintf("%-32s %5d  %-20s %s", clip(f.Task, 32), f.Exit, f.Finished.UTC().Format(time.DateTime), clip(f.Reason, 20)),
+				fmt.Sprintf("%-32s %5d  %-20s %s", truncate(f.Task, 32), f.ExitCode, f.FinishedAt.UTC().Format(time.DateTime), truncate(f.Reason, 20)),
 			)
 			ids = append(ids, f.Task)
 		}
@@ -124,19 +124,19 @@
 			s.Status.Jobs,
 			s.Status.WaitingTasks,
 			s.Status.PlacedTasks,
-			s.At.UTC().Format("15:04:05"),
+			s.TakenAt.UTC().Format("15:04:05"),
 		),
 	}
 	switch {
-	case s.Site.Draining && s.Site.Rented > 0:
-		lines = append(lines, fmt.Sprintf("DRAINING: %d tasks run still; nothing more starts until undrain", s.Site.Busy))
-	case s.Site.Draining:
+	case s.MachinePool.IsDraining && s.MachinePool.MachineCount > 0:
+		lines = append(lines, fmt.Sprintf("DRAINING: %d tasks run still; nothing more starts until undrain", s.MachinePool.RunningTasks))
+	case s.MachinePool.IsDraining:
 		lines = append(lines, "DRAINED: nothing runs; nothing starts until undrain")
 	}
-	if s.KeepMB > 0 && s.FreeMB < s.KeepMB {
+	if s.MinFreeDiskMB > 0 && s.FreeDiskMB < s.MinFreeDiskMB {
 		lines = append(
 			lines,
-			fmt.Sprintf("DISK: %d MB free, below %d MB nothing is accepted: delete old outputs (gullrudder doctor)", s.FreeMB, s.KeepMB),
+			fmt.Sprintf("DISK: %d MB free, below %d MB nothing is accepted: delete old outputs (gullrudder doctor)", s.FreeDiskMB, s.MinFreeDiskMB),
 		)
 	}
 	for _, p := range s.Problems {
@@ -151,7 +151,7 @@
 		return nil
 	}
 	f := s.Failures[row]
-	tail := strings.Split(strings.TrimRight(f.Tail, "\n"), "\n")
+	tail := strings.Split(strings.TrimRight(f.ErrorOutput, "\n"), "\n")
 	return append([]string{"", "end of the error output of " + f.Task + ":"}, tail[max(len(tail)-6, 0):]...)
 }
 
@@ -171,8 +171,8 @@
 	return b.String()
 }
 
-// draw is one screen, no wider and no higher than the terminal.
-func (s *Snapshot) draw(screen Screen, row, width, height int, note string) string {
+// render is one screen, no wider and no higher than the terminal.
+func (s *Snapshot) render(screen Screen, row, width, height int, message string) string {
 	lines := s.summary()
 	bar := ""
 	for i := Jobs; i <= Help; i++ {
@@ -204,15 +204,15 @@
 	for len(lines) < height-1 {
 		lines = append(lines, "")
 	}
-	lines = append(lines[:min(len(lines), max(height-1, 1))], note)
+	lines = append(lines[:min(len(lines), max(height-1, 1))], message)
 	for i, l := range lines {
-		lines[i] = clip(l, width)
+		lines[i] = truncate(l, width)
 	}
 	return strings.Join(lines, "\n")
 }
 
-// clip cuts a line, and keeps what a terminal would take for a command from getting there.
-func clip(s string, width int) string {
+// truncate cuts a line, and keeps what a terminal would take for a command from getting there.
+func truncate(s string, width int) string {
 	out := make([]rune, 0, width)
 	for _, r := range s {
 		if len(out) == width {
@@ -226,7 +226,7 @@
 	return string(out)
 }
 
-func span(s float64) string {
+func formatSeconds(s float64) string {
 	if s <= 0 {
 		return "-"
 	}
--- a/internal/site/jobspec/store.go
+++ b/internal/site/jobspec/store.go
@@ -10,20 +10,20 @@
 	"go.etcd.io/bbolt"
 )
 
-// ErrOther says that the job has another description already.
-var ErrOther = errors.New("the job has another description")
+// ErrConflict says that the job has another description already.
+var ErrConflict = errors.New("the job has another description")
 
-// ErrFull says that there is too little room on the disk for more.
-var ErrFull = errors.New("the disk is nearly full")
+// ErrDiskFull says that there is too little room on the disk for more.
+var ErrDiskFull = errors.New("the disk is nearly full")
 
-// Keeper keeps descriptions in a database that others use too.
-type Keeper struct {
-	db   *bbolt.DB
-	room func() bool // there is enough room on the disk
+// Store keeps descriptions in a database that others use too.
+type Store struct {
+	db      *bbolt.DB
+	hasRoom func() bool // there is enough room on the disk
 }
 
 // New makes a keeper.
-func New(db *bbolt.DB, room func() bool) (*Keeper, error) {
+func New(db *bbolt.DB, hasRoom func() bool) (*Store, error) {
 	err := db.Update(func(tx *bbolt.Tx) error {
 		_, err := tx.CreateBucketIfNotExists([]byte("descriptions"))
 		return err
@@ -31,36 +31,36 @@
 	if err != nil {
 		return nil, fmt.Errorf("descriptions: %w", err)
 	}
-	return &Keeper{db, room}, nil
+	return &Store{db, hasRoom}, nil
 }
 
 // Put keeps a description: it is there once Put returns. The same one may be put again.
-func (k *Keeper) Put(job string, raw []byte) error {
-	old, err := k.Get(job)
+func (k *Store) Put(job string, encoded []byte) error {
+	stored, err := k.Get(job)
 	switch {
 	case err != nil:
 		return err
-	case old != nil && bytes.Equal(old, raw):
+	case stored != nil && bytes.Equal(stored, encoded):
 		return nil
-	case old != nil:
-		return ErrOther
-	case !k.room():
-		return ErrFull
+	case stored != nil:
+		return ErrConflict
+	case !k.hasRoom():
+		return ErrDiskFull
 	}
 	return k.db.Batch(func(tx *bbolt.Tx) error {
-		b := tx.Bucket([]byte("descriptions"))
-		if old := b.Get([]byte(job)); old != nil && !bytes.Equal(old, raw) {
-			return ErrOther
+		bucket := tx.Bucket([]byte("descriptions"))
+		if stored := bucket.Get([]byte(job)); stored != nil && !bytes.Equal(stored, encoded) {
+			return ErrConflict
 		}
-		return b.Put([]byte(job), raw)
+		return bucket.Put([]byte(job), encoded)
 	})
 }
 
 // Get is a job's description: nil if it has none.
-func (k *Keeper) Get(job string) (raw []byte, err error) {
+func (k *Store) Get(job string) (encoded []byte, err error) {
 	err = k.db.View(func(tx *bbolt.Tx) error {
-		raw = bytes.Clone(tx.Bucket([]byte("descriptions")).Get([]byte(job)))
+		encoded = bytes.Clone(tx.Bucket([]byte("descriptions")).Get([]byte(job)))
 		return nil
 	})
-	return raw, err
+	return encoded, err
 }
