--- a/internal/controller/api/archived.go
+++ b/internal/controller/api/archived.go
@@ -49,7 +49,7 @@
 		h.respondFinal(archived, jobstore.FinalState{Done: true}, false)
 		return true
 	}
-	h.jobStore.Archive().Resolve(now, h.outbox, archived.jobID, func(now time.Time, final archive.FinalState, found bool, err error) {
+	h.jobStore.Archive().LookupData(now, h.outbox, archived.jobID, func(now time.Time, final archive.FinalState, found bool, err error) {
 		switch {
 		case !h.holdsLease():
 			h.responder.RespondError(archived.request, http.StatusServiceUnavailable, "no leader at present", retryDelay)
--- a/internal/controller/api/dependencies.go
+++ b/internal/controller/api/dependencies.go
@@ -55,7 +55,7 @@
 
 // lookUpDependency reads from the archive's data what became of a job that a submission names, and then serves the submission again.
 func (h *submissionHandler) lookUpDependency(now time.Time, submitted jobSubmission, jobID string) {
-	h.jobStore.Archive().Resolve(now, h.outbox, jobID, func(now time.Time, final archive.FinalState, found bool, err error) {
+	h.jobStore.Archive().LookupData(now, h.outbox, jobID, func(now time.Time, final archive.FinalState, found bool, err error) {
 		if !h.holdsLease() || err != nil {
 			h.responder.RespondError(submitted.request, http.StatusServiceUnavailable, textDependencyUndecided, archiveRetryDelay)
 			return
--- a/internal/controller/api/handler.go
+++ b/internal/controller/api/handler.go
@@ -102,7 +102,7 @@
 	return &jobHandler{
 		responder: c.Responder, outbox: c.Outbox, logger: c.Log, holdsLease: c.HoldsLease,
 		storage: c.Stores.Storage, jobStore: c.Stores.Jobs, placer: c.Queueing.Placer, accounting: c.Stores.Accounting,
-		leaseOutlastsCancel: renewal.Window(c.Platform.CancelTimeout, c.Machines.Workers.Lease()) <= 0,
+		leaseOutlastsCancel: renewal.Window(c.Platform.CancelTimeout, c.Machines.Workers.LeaseExpiry()) <= 0,
 	}
 }
 
--- a/internal/controller/archive/build.go
+++ b/internal/controller/archive/build.go
@@ -47,11 +47,11 @@
 	}
 }
 
-func (s *Store) maxPartBytes() int { return s.options.ValueBytes - partOverhead }
+func (s *Store) maxPartBytes() int { return s.options.MaxValueBytes - partOverhead }
 
 // maxSegments is how many segments the head may name and still take those that a compaction adds for a while.
 func (s *Store) maxSegments() int {
-	return max((s.options.ValueBytes-headReserve)/headEntryBytes-s.options.CompactionFanIn-2, s.options.CompactionFanIn+2)
+	return max((s.options.MaxValueBytes-headReserve)/headEntryBytes-s.options.CompactionFanIn-2, s.options.CompactionFanIn+2)
 }
 
 // beginCompaction picks segments of one level, the oldest first. It reports whether there is something to compact.
@@ -198,7 +198,7 @@
 	n, bytes, available := 0, 0, s.availableWrites(now)
 	for most := min(available, len(build.unwrittenParts)); n < most; n++ {
 		text := build.unwrittenParts[n].Text
-		if bytes+len(text) >= storage.MaxTxnBytes {
+		if bytes+len(text) >= storage.MaxTransactionBytes {
 			break
 		}
 		bytes += len(text) + partOverhead
--- a/internal/controller/archive/encoding.go
+++ b/internal/controller/archive/encoding.go
@@ -181,13 +181,13 @@
 
 // findJob reads one job from a part of the data: place is how many keys of the part come before the job's key. found is false if the
 // key's jobs are others.
-func findJob(text string, place int, key uint64, jobID string) (state FinalState, found bool, err error) {
+func findJob(text string, position int, key uint64, jobID string) (state FinalState, found bool, err error) {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
 		return FinalState{}, false, fmt.Errorf("decode base64: %w", err)
 	}
 	hashed := key >= hashedKeyBit
-	for range place {
+	for range position {
 		if _, raw, err = splitPayload(raw, hashed); err != nil {
 			return FinalState{}, false, err
 		}
--- a/internal/controller/archive/lookup.go
+++ b/internal/controller/archive/lookup.go
@@ -71,12 +71,12 @@
 // IsUnreachable reports whether the data could not be read for a while.
 func (s *Store) IsUnreachable(now time.Time) bool { return s.reader.isUnreachable(now) }
 
-// ResolveFunc is told what the data says of a job: found is true if the job is in a segment; an error means that it cannot be told
+// LookupFunc is told what the data says of a job: found is true if the job is in a segment; an error means that it cannot be told
 // now, ErrBusy or ReadError among others.
-type ResolveFunc func(now time.Time, state FinalState, found bool, err error)
+type LookupFunc func(now time.Time, state FinalState, found bool, err error)
 
-// Resolve looks a job up in the data. done is called exactly once, perhaps before Resolve returns.
-func (s *Store) Resolve(
+// LookupData looks a job up in the data. done is called exactly once, perhaps before Resolve returns.
+func (s *Store) LookupData(
 	now time.Time, outbox *client.Outbox, jobID string, done func(now time.Time, state FinalState, found bool, err error),
 ) {
 	if s.reader.lookups >= maxLookups {
@@ -104,7 +104,7 @@
 	id     string
 	key    uint64
 	tried  map[uint64]bool // numbers of the segments that do not hold it
-	done   ResolveFunc
+	done   LookupFunc
 }
 
 // next reads the job's part in the next segment that may hold it.
@@ -117,7 +117,7 @@
 		return
 	}
 	segment := l.store.segments[i]
-	part, place := segment.locate(segment.rank(l.key))
+	part, position := segment.locate(segment.rank(l.key))
 	name := dataKey(segment.Number, part)
 	l.store.reader.read(now, l.outbox, name, func(now time.Time, text string, status int) {
 		switch {
@@ -128,14 +128,14 @@
 		case status != http.StatusOK:
 			l.done(now, FinalState{}, false, &ReadError{Key: name, Status: status})
 		default:
-			l.search(now, segment, name, text, place)
+			l.search(now, segment, name, text, position)
 		}
 	})
 }
 
 // search looks for the job in the text of a part.
-func (l *lookup) search(now time.Time, segment *Segment, name, text string, place int) {
-	state, found, err := findJob(text, place, l.key, l.id)
+func (l *lookup) search(now time.Time, segment *Segment, name, text string, position int) {
+	state, found, err := findJob(text, position, l.key, l.id)
 	if err != nil {
 		err = fmt.Errorf("decode %s: %w", name, err)
 		l.store.log.Error("archive part unreadable", logkeys.Key, name, logkeys.Err, err)
--- a/internal/controller/archive/segment.go
+++ b/internal/controller/archive/segment.go
@@ -82,7 +82,7 @@
 func (s *Segment) rank(key uint64) uint64 { return s.ids.Rank(key) - 1 }
 
 // locate is the part of the data that holds a rank, and the rank's place in it.
-func (s *Segment) locate(rank uint64) (part, place int) {
+func (s *Segment) locate(rank uint64) (part, position int) {
 	i := sort.Search(len(s.partStarts), func(i int) bool { return s.partStarts[i] > rank }) - 1
 	return i, int(rank - s.partStarts[i])
 }
--- a/internal/controller/archive/store.go
+++ b/internal/controller/archive/store.go
@@ -52,12 +52,12 @@
 
 // Options of a Store.
 type Options struct {
-	ValueBytes      int     // JSON bytes that a value of the state service may have
-	TxnOps          int     // changes that a transaction may make
-	WriteRate       float64 // changes per second that the archive may make
-	ReadRate        float64 // reads per second that the archive may make
-	MinSegmentJobs  int     // finished jobs that are worth a segment
-	CompactionFanIn int     // segments of a level that are compacted into one
+	MaxValueBytes     int     // JSON bytes that a value of the state service may have
+	MaxTransactionOps int     // changes that a transaction may make
+	WriteRate         float64 // changes per second that the archive may make
+	ReadRate          float64 // reads per second that the archive may make
+	MinSegmentJobs    int     // finished jobs that are worth a segment
+	CompactionFanIn   int     // segments of a level that are compacted into one
 	// CanArchive reports whether a finished job may leave the pages by now.
 	CanArchive func(now time.Time, id string) bool
 	// FinalState is what to keep of a finished job.
@@ -105,7 +105,7 @@
 
 // burstOfTransaction is how long writes are saved up: until they are enough for one transaction.
 func burstOfTransaction(options Options) time.Duration {
-	return time.Duration(float64(options.TxnOps+1) / options.WriteRate * float64(time.Second))
+	return time.Duration(float64(options.MaxTransactionOps+1) / options.WriteRate * float64(time.Second))
 }
 
 // loadHeadEntry takes in an entry of the archive's head. The parts of a segment's index are taken out of index.
--- a/internal/controller/archive/tick.go
+++ b/internal/controller/archive/tick.go
@@ -54,7 +54,7 @@
 // availableWrites is how many changes may be made now: the archive's share at most, and none that somebody else's change would have
 // to wait for.
 func (s *Store) availableWrites(now time.Time) int {
-	return min(s.calls.writeLimiter.Available(now), s.storage.SpareWrites(now), s.options.TxnOps)
+	return min(s.calls.writeLimiter.Available(now), s.storage.SpareWrites(now), s.options.MaxTransactionOps)
 }
 
 // commitHead has the archive's head changed and jobs taken off their pages in one commit, once the budget allows it. Garbage that was
--- a/internal/controller/autoscaler/stragglers.go
+++ b/internal/controller/autoscaler/stragglers.go
@@ -16,7 +16,7 @@
 func (s *Scaler) cordonStragglers(now time.Time) {
 	reporting, cordoned := 0, 0
 	var slow []*worker.Machine
-	for _, machine := range s.workers.MachinesByName() {
+	for _, machine := range s.workers.SortedMachines() {
 		if !machine.HasReported || s.workers.IsLeaseExpired(now, machine) {
 			continue
 		}
--- a/internal/controller/autoscaler/terminate.go
+++ b/internal/controller/autoscaler/terminate.go
@@ -78,7 +78,7 @@
 // its heartbeats may have gone to the earlier leader.
 func (s *Scaler) hasBootTimedOut(now time.Time, tracked *trackedInstance) bool {
 	return tracked.machineType != nil && now.Sub(tracked.RequestedAt) > s.cloud.BootTimeout(tracked.machineType) &&
-		now.Sub(s.electedAt) > s.workers.Lease()
+		now.Sub(s.electedAt) > s.workers.LeaseExpiry()
 }
 
 // isLost reports whether a machine whose lease has expired is given up. Sentinels of an unavailable zone are kept.
@@ -86,7 +86,7 @@
 	if tracked.machine.IsSentinel && s.zones.IsUnavailable(tracked.Kind.Zone) {
 		return false
 	}
-	return now.Sub(tracked.machine.LeaseRenewedAt) > s.workers.Lease()+silenceGrace
+	return now.Sub(tracked.machine.LeaseRenewedAt) > s.workers.LeaseExpiry()+silenceGrace
 }
 
 // isIdle reports whether a machine has been without tasks for so long that it is not needed.
--- a/internal/controller/config_warnings.go
+++ b/internal/controller/config_warnings.go
@@ -8,8 +8,8 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// shortCancelTimeout is the warning about a cancel timeout that is too short for new leaders to renew leases.
-const shortCancelTimeout = "cluster.workers.cancel_s: %v is not above lease_s with its margin (%v): a cancellation is confirmed " +
+// shortCancelTimeoutWarning is the warning about a cancel timeout that is too short for new leaders to renew leases.
+const shortCancelTimeoutWarning = "cluster.workers.cancel_s: %v is not above lease_s with its margin (%v): a cancellation is confirmed " +
 	"only once the job's tasks are gone, and a new leader renews no lease before it has read its ledger"
 
 // ConfigWarnings lists settings with which every guarantee is kept, but less is served.
@@ -18,5 +18,5 @@
 	if renewal.Window(platform.CancelTimeout, leaseExpiry) > 0 {
 		return nil
 	}
-	return []string{fmt.Sprintf(shortCancelTimeout, platform.CancelTimeout, leaseExpiry)}
+	return []string{fmt.Sprintf(shortCancelTimeoutWarning, platform.CancelTimeout, leaseExpiry)}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -94,17 +94,17 @@
 
 // Step works through a batch of commands: first the outcomes of calls, then the requests, then what is due by the time.
 // Responses to heartbeats and the commit of state come last, so that one step's changes go out together.
-func (c *Controller) Step(now time.Time, commands []Command) Effects {
+func (c *Controller) Step(now time.Time, inputs []Input) Effects {
 	c.followElection(now)
-	for _, command := range commands {
-		if outcome := command.Outcome; outcome != nil {
+	for _, input := range inputs {
+		if outcome := input.Outcome; outcome != nil {
 			outcome.Call.Done(now, outcome.Result)
 			c.followElection(now)
 		}
 	}
-	for _, command := range commands {
-		if command.Request != nil {
-			c.route(now, command.Request)
+	for _, input := range inputs {
+		if input.Request != nil {
+			c.route(now, input.Request)
 		}
 	}
 	if !now.Before(c.nextTick) {
@@ -114,7 +114,7 @@
 	if c.leadership != nil {
 		c.finishStep(now)
 	}
-	return Effects{Replies: c.responder.TakeResponses(), Calls: c.outbox.TakeCalls()}
+	return Effects{Responses: c.responder.TakeResponses(), Calls: c.outbox.TakeCalls()}
 }
 
 // tick does what is due by the time.
--- a/internal/controller/election/connectivity/monitor.go
+++ b/internal/controller/election/connectivity/monitor.go
@@ -82,7 +82,7 @@
 
 // RecordProbe records whether a machine answered a probe, and whether its heartbeat was overdue at that time.
 func (m *Monitor) RecordProbe(now time.Time, heartbeatOverdue, answered bool) {
-	m.probes.add(probe{now, heartbeatOverdue, answered})
+	m.probes.add(probeResult{now, heartbeatOverdue, answered})
 }
 
 // SuspectsPartition reports whether the leader receives no heartbeats for longer than by chance, at most for as long
@@ -98,9 +98,9 @@
 // suspiciousSilence returns for how long no heartbeat may come before a partition is suspected. The more machines
 // there are, the shorter it is.
 func (m *Monitor) suspiciousSilence() time.Duration {
-	everyMachine := m.heartbeatInterval*5/4 + minSilence/2
-	improbable := missedHeartbeats * m.heartbeatInterval / time.Duration(m.expectedMachines)
-	return max(min(improbable, everyMachine), minSilence)
+	fullRound := m.heartbeatInterval*5/4 + minSilence/2
+	improbableGap := missedHeartbeats * m.heartbeatInterval / time.Duration(m.expectedMachines)
+	return max(min(improbableGap, fullRound), minSilence)
 }
 
 // NeedsProbes reports whether some machines should be probed directly, since this leader may be the one that is not
@@ -112,7 +112,7 @@
 // ShouldSuspendRedirects reports whether workers should not be redirected to this leader for now: the silence is not
 // explained yet.
 func (m *Monitor) ShouldSuspendRedirects(now time.Time) bool {
-	anyProbe := func(probe) bool { return true }
+	anyProbe := func(probeResult) bool { return true }
 	return m.SuspectsPartition(now) && m.probes.mostlyUnanswered(now, anyProbe) || m.IsPartitioned(now)
 }
 
@@ -121,7 +121,7 @@
 // contact a peer. Without probes a new leader took the time in which the workers waited for the one before for a
 // failure of its own, and transferred a sound leadership (docs/incidents: inc-1518, inc-98a2).
 func (m *Monitor) IsPartitioned(now time.Time) bool {
-	return m.SuspectsPartition(now) && m.probes.prove(now, true) || m.manyWorkersAtPeer() && m.probes.prove(now, false)
+	return m.SuspectsPartition(now) && m.probes.provePartition(now, true) || m.manyWorkersAtPeer() && m.probes.provePartition(now, false)
 }
 
 // RecordPeerWorkers records how many workers contacted a peer recently.
--- a/internal/controller/failover/probe.go
+++ b/internal/controller/failover/probe.go
@@ -16,9 +16,9 @@
 const (
 	// probeTimeout is how long a worker has to answer a probe.
 	probeTimeout = time.Second
-	// probesPerCPU is how many probes a second a whole processor could send. A probe is a connection and two messages,
+	// probeRatePerCPU is how many probes a second a whole processor could send. A probe is a connection and two messages,
 	// which take half a millisecond at most; at this rate half of the CPU quota is left to heartbeats, users and the renewal.
-	probesPerCPU = 1000
+	probeRatePerCPU = 1000
 	// maxProbeRetries is how often a probe is repeated that the worker refused because of its incarnation.
 	maxProbeRetries = 3
 	// connectionsPerBurst and connectionsPerProbe divide the connection limit: the result is how many probes may be sent at
@@ -62,7 +62,7 @@
 
 // refillBudget adds the probes of the time that has passed to the budget.
 func (p *prober) refillBudget(elapsed time.Duration) {
-	rate := probesPerCPU * p.platform.CPUQuota
+	rate := probeRatePerCPU * p.platform.CPUQuota
 	p.budget = min(p.budget+rate*elapsed.Seconds(), float64(p.platform.MaxConnections)/connectionsPerBurst)
 }
 
--- a/internal/controller/failover/probe_sample.go
+++ b/internal/controller/failover/probe_sample.go
@@ -49,7 +49,7 @@
 	}
 	s.nextSample = now.Add(probeSampleInterval)
 	suspected := s.connectivity.SuspectsPartition(now)
-	machines := s.workers.MachinesByName()
+	machines := s.workers.SortedMachines()
 	anyReported := slices.ContainsFunc(machines, func(machine *worker.Machine) bool { return machine.HasReported })
 	for remaining, visited := probeSampleSize, 0; remaining > 0 && visited < len(machines); visited++ {
 		s.offset++
--- a/internal/controller/failover/restore.go
+++ b/internal/controller/failover/restore.go
@@ -99,7 +99,7 @@
 
 // collectUnreconciled lists the machines that may hold tasks of an earlier leader.
 func (r *Reconciler) collectUnreconciled() {
-	for _, machine := range r.workers.MachinesByName() {
+	for _, machine := range r.workers.SortedMachines() {
 		if machine.Registered {
 			r.unreconciled = append(r.unreconciled, machine)
 		}
--- a/internal/controller/failover/unresponsive.go
+++ b/internal/controller/failover/unresponsive.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// survey is what one look at all machines has found.
-type survey struct {
+// surveyResult is what one look at all machines has found.
+type surveyResult struct {
 	machines     int            // machines that may be there
 	failed       []string       // listed as failed by the cloud
 	unresponsive []string       // without an answer to their probes
@@ -93,12 +93,12 @@
 }
 
 // survey classifies all machines, counts expected and overdue heartbeats, and probes the machines with overdue ones.
-func (u *unresponsiveMonitor) survey(now time.Time, failoverCompleted bool) survey {
-	found := survey{sentinels: map[string]int{}}
+func (u *unresponsiveMonitor) survey(now time.Time, failoverCompleted bool) surveyResult {
+	found := surveyResult{sentinels: map[string]int{}}
 	suspected := u.connectivity.SuspectsPartition(now)
 	u.expectedHeartbeats, u.overdueHeartbeats = 0, 0
 	for id, machine := range u.workers.Machines {
-		if !mayBeThere(machine) {
+		if !mayBeRunning(machine) {
 			continue
 		}
 		found.machines++
@@ -162,8 +162,8 @@
 	})
 }
 
-// mayBeThere reports whether the machine may be running: it has reported or is registered, and is not being terminated.
-func mayBeThere(machine *worker.Machine) bool {
+// mayBeRunning reports whether the machine may be running: it has reported or is registered, and is not being terminated.
+func mayBeRunning(machine *worker.Machine) bool {
 	return (machine.HasReported || machine.Registered) &&
 		machine.DrainReason != worker.DrainUnresponsive && machine.DrainReason != worker.DrainTerminating
 }
--- a/internal/controller/heartbeat/handler.go
+++ b/internal/controller/heartbeat/handler.go
@@ -95,7 +95,7 @@
 		responder:         components.Responder,
 		fencingToken:      components.FencingToken,
 		heartbeatInterval: components.Platform.HeartbeatInterval,
-		cancelWindow:      renewal.Window(components.Platform.CancelTimeout, components.Workers.Lease()),
+		cancelWindow:      renewal.Window(components.Platform.CancelTimeout, components.Workers.LeaseExpiry()),
 		storage:           components.Storage,
 		jobStore:          components.JobStore,
 		workers:           components.Workers,
@@ -112,9 +112,9 @@
 }
 
 // HandleHeartbeat takes in a heartbeat, to which SendResponses responds at the end of the step. Nothing in it is believed before
-// the persistent state is loaded. isAlive reports whether the heartbeat proves that its machine lived just now, which a duplicate
+// the persistent state is loaded. provesAlive reports whether the heartbeat proves that its machine lived just now, which a duplicate
 // does not.
-func (h *Handler) HandleHeartbeat(now time.Time, request *server.Request, stateLoaded bool) (isAlive bool) {
+func (h *Handler) HandleHeartbeat(now time.Time, request *server.Request, stateLoaded bool) (provesAlive bool) {
 	heartbeat, ok := decodeHeartbeat(request.Body)
 	if !ok {
 		h.responder.RespondError(request, http.StatusBadRequest, "no report", 0)
@@ -150,7 +150,7 @@
 	if codec.Unmarshal(body, heartbeat) != nil {
 		return nil, false
 	}
-	isNamed := heartbeat.Machine != "" && len(heartbeat.Machine) <= workerapi.MaxNameBytes
+	isNamed := heartbeat.Machine != "" && len(heartbeat.Machine) <= workerapi.MaxMachineIDBytes
 	return heartbeat, isNamed && heartbeat.Incarnation != 0
 }
 
--- a/internal/controller/heartbeat/response.go
+++ b/internal/controller/heartbeat/response.go
@@ -65,7 +65,7 @@
 		}
 		commands = h.commandsFor(now, pending, canStart)
 	case pending.stateLoaded:
-		commands = h.killCancelled(pending.heartbeat)
+		commands = h.killCommands(pending.heartbeat)
 	}
 	pending.machine.LeaseRenewedAt = now
 	response := workerapi.HeartbeatResponse{FencingToken: h.fencingToken, Commands: commands}
@@ -77,7 +77,7 @@
 func (h *Handler) commandsFor(now time.Time, pending pendingHeartbeat, canStart bool) []workerapi.Command {
 	machine, heartbeat := pending.machine, pending.heartbeat
 	checkpointBeforeReclaim(now, machine, reclaimHeartbeats*h.heartbeatInterval+reclaimSlack)
-	commands := appendKills(h.forgetExited(heartbeat), machine)
+	commands := appendKills(h.forgetCommands(heartbeat), machine)
 	if !h.reachability.IsNewest(machine, heartbeat) {
 		return commands
 	}
@@ -88,9 +88,9 @@
 	return commands
 }
 
-// killCancelled returns the commands that kill the tasks of cancelled jobs in a heartbeat that is not believed. Whatever its age
+// killCommands returns the commands that kill the tasks of cancelled jobs in a heartbeat that is not believed. Whatever its age
 // they are to end, and a 200 without that would keep them for another lease.
-func (h *Handler) killCancelled(heartbeat *workerapi.Heartbeat) []workerapi.Command {
+func (h *Handler) killCommands(heartbeat *workerapi.Heartbeat) []workerapi.Command {
 	commands := []workerapi.Command{}
 	for _, status := range heartbeat.Tasks {
 		if len(commands) >= maxCommandsPerResponse {
@@ -119,9 +119,9 @@
 	return false
 }
 
-// forgetExited returns the commands to forget the exited attempts in a heartbeat. One that is done must not be forgotten before
+// forgetCommands returns the commands to forget the exited attempts in a heartbeat. One that is done must not be forgotten before
 // its result is durable.
-func (h *Handler) forgetExited(heartbeat *workerapi.Heartbeat) []workerapi.Command {
+func (h *Handler) forgetCommands(heartbeat *workerapi.Heartbeat) []workerapi.Command {
 	commands := []workerapi.Command{}
 	for _, status := range heartbeat.Tasks {
 		if status.State != workerapi.StateExited || len(commands) >= maxCommandsPerResponse {
--- a/internal/controller/jobstore/archive.go
+++ b/internal/controller/jobstore/archive.go
@@ -35,15 +35,15 @@
 // jobs there were, and no request may be answered: an accepted job must not be called unknown.
 func (s *Store) OpenArchive() bool {
 	store, err := archive.New(s.storage, archive.Options{
-		ValueBytes:      s.platform.MaxValueBytes,
-		TxnOps:          s.platform.MaxTransactionOps,
-		WriteRate:       s.platform.StateWriteRate * archiveShare,
-		ReadRate:        s.platform.StateRequestRate * archiveShare,
-		MinSegmentJobs:  s.options.MinSegmentJobs,
-		CompactionFanIn: s.options.CompactionFanIn,
-		CanArchive:      s.canArchive,
-		FinalState:      s.stateToArchive,
-		OnArchived:      s.forgetArchived,
+		MaxValueBytes:     s.platform.MaxValueBytes,
+		MaxTransactionOps: s.platform.MaxTransactionOps,
+		WriteRate:         s.platform.StateWriteRate * archiveShare,
+		ReadRate:          s.platform.StateRequestRate * archiveShare,
+		MinSegmentJobs:    s.options.MinSegmentJobs,
+		CompactionFanIn:   s.options.CompactionFanIn,
+		CanArchive:        s.canArchive,
+		FinalState:        s.stateToArchive,
+		OnArchived:        s.forgetArchived,
 	}, s.log)
 	if err != nil {
 		s.archive.unreadable = true
--- a/internal/controller/jobstore/dependencies.go
+++ b/internal/controller/jobstore/dependencies.go
@@ -224,7 +224,7 @@
 			continue
 		}
 		unresolved.resolving = true
-		s.archive.store.Resolve(now, outbox, unresolved.dependency,
+		s.archive.store.LookupData(now, outbox, unresolved.dependency,
 			func(now time.Time, state archive.FinalState, found bool, err error) {
 				unresolved.resolving = false
 				if err == nil {
--- a/internal/controller/latency.go
+++ b/internal/controller/latency.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	minLatencyMillis      = 1
-	maxLatencyMillis      = 60_000
-	latencySignificantDig = 2 // significant digits that the histograms keep
+	minLatencyMillis         = 1
+	maxLatencyMillis         = 60_000
+	latencySignificantDigits = 2 // significant digits that the histograms keep
 )
 
 // latencyTable keeps how long this controller took to answer, by kind of request.
@@ -24,7 +24,7 @@
 func (t *latencyTable) record(kind string, duration time.Duration) {
 	histogram := t.byRequestKind[kind]
 	if histogram == nil {
-		histogram = hdrhistogram.New(minLatencyMillis, maxLatencyMillis, latencySignificantDig)
+		histogram = hdrhistogram.New(minLatencyMillis, maxLatencyMillis, latencySignificantDigits)
 		t.byRequestKind[kind] = histogram
 	}
 	// The only error is a value out of range, which the bounds exclude.
@@ -47,7 +47,7 @@
 	return rows
 }
 
-// RecordLatency records how long a request took to be answered. kind groups requests, see requestKind.
-func (c *Controller) RecordLatency(kind string, duration time.Duration) {
+// recordLatency records how long a request took to be answered. kind groups requests, see requestKind.
+func (c *Controller) recordLatency(kind string, duration time.Duration) {
 	c.latencies.record(kind, duration)
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -98,11 +98,11 @@
 func (c *Controller) newLeadership(now time.Time, fencingToken uint64) *leadership {
 	leader := &leadership{fencingToken: fencingToken}
 	leader.storage = storage.New(storage.Options{
-		LeaderKey:  election.LeaderKey,
-		ValueBytes: c.platform.MaxValueBytes,
-		TxnOps:     c.platform.MaxTransactionOps,
-		WriteRate:  c.platform.StateWriteRate,
-		BatchDelay: commitBatchDelay,
+		LeaderKey:         election.LeaderKey,
+		MaxValueBytes:     c.platform.MaxValueBytes,
+		MaxTransactionOps: c.platform.MaxTransactionOps,
+		WriteRate:         c.platform.StateWriteRate,
+		BatchDelay:        commitBatchDelay,
 	}, fencingToken, c.log)
 	leader.dynamicConfig = dynamicconfig.New(c.options, leader.storage, &c.responder, c.log)
 	leader.accounting = accounting.New(c.metrics.accounting, c.log)
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -5,9 +5,9 @@
 	"gullrudder/internal/wire/server"
 )
 
-// Command is one item of the owner's queue: either a request that has come in or the outcome of a call. Exactly one of the
+// Input is one item of the owner's queue: either a request that has come in or the outcome of a call. Exactly one of the
 // fields is set.
-type Command struct {
+type Input struct {
 	Request *server.Request
 	Outcome *Outcome
 }
@@ -20,6 +20,6 @@
 
 // Effects are what a step wants done: the responses to send and the calls to make. The caller of Step carries them out.
 type Effects struct {
-	Replies []server.Response
-	Calls   []client.Call
+	Responses []server.Response
+	Calls     []client.Call
 }
--- a/internal/controller/placement/gangs.go
+++ b/internal/controller/placement/gangs.go
@@ -131,7 +131,7 @@
 // gangZones lists the machines on which tasks of the gang fit, by zone, those zones first in which the most tasks fit.
 func (p *Placer) gangZones(now time.Time, job *jobs.Job) []gangZone {
 	var zones []gangZone
-	for _, machine := range p.workers.MachinesByName() {
+	for _, machine := range p.workers.SortedMachines() {
 		tasks := machine.TasksThatFit(job)
 		if !machine.Reconciled || !machine.Registered || !p.heartbeatIsRecent(now, machine) || tasks == 0 || !IsEligible(job, machine) {
 			continue
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// commandQueueLength bounds the requests that wait for the owner; more are refused with 503.
-	commandQueueLength = 4096
-	// maxBatch bounds the commands of one step, so that a tick is never far away.
-	maxBatch = 128
+	// inputQueueLength bounds the requests that wait for the owner; more are refused with 503.
+	inputQueueLength = 4096
+	// maxBatchSize bounds the commands of one step, so that a tick is never far away.
+	maxBatchSize = 128
 	// maxResponseBytes bounds the responses that are read: the cloud's lists and pages of state are the largest.
 	maxResponseBytes = 16 << 20
 	// serverRestartDelay is the time before a server that has stopped is started again.
@@ -52,8 +52,8 @@
 	controller *Controller
 	platform   *config.Platform
 	log        *slog.Logger
-	queue      chan Command
-	outcomes   chan Command // of calls, the renewal of the leader lease among them: they do not queue behind requests
+	queue      chan Input
+	outcomes   chan Input // of calls, the renewal of the leader lease among them: they do not queue behind requests
 	clients    map[client.Destination]*http1.Client
 }
 
@@ -66,8 +66,8 @@
 		controller: controller,
 		platform:   platform,
 		log:        log,
-		queue:      make(chan Command, commandQueueLength),
-		outcomes:   make(chan Command, commandQueueLength),
+		queue:      make(chan Input, inputQueueLength),
+		outcomes:   make(chan Input, inputQueueLength),
 		clients: map[client.Destination]*http1.Client{
 			client.StateService:   http1.NewClient(perSingleServer, keptConnections, maxResponseBytes),
 			client.CloudAPI:       http1.NewClient(perSingleServer, keptConnections, maxResponseBytes),
@@ -84,33 +84,33 @@
 	go rt.listen()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	commands := make([]Command, 0, maxBatch)
+	inputs := make([]Input, 0, maxBatchSize)
 	for {
-		commands = commands[:0]
+		inputs = inputs[:0]
 		select {
-		case command := <-rt.outcomes:
-			commands = append(commands, command)
-		case command := <-rt.queue:
-			commands = append(commands, command)
+		case input := <-rt.outcomes:
+			inputs = append(inputs, input)
+		case input := <-rt.queue:
+			inputs = append(inputs, input)
 		case <-ticker.C:
 		}
-		commands = drain(rt.outcomes, commands)
-		commands = drain(rt.queue, commands)
-		rt.execute(rt.controller.Step(time.Now(), commands))
+		inputs = drain(rt.outcomes, inputs)
+		inputs = drain(rt.queue, inputs)
+		rt.execute(rt.controller.Step(time.Now(), inputs))
 	}
 }
 
 // drain appends the commands that wait in a queue, up to a whole batch.
-func drain(queue <-chan Command, commands []Command) []Command {
-	for len(commands) < maxBatch {
+func drain(queue <-chan Input, inputs []Input) []Input {
+	for len(inputs) < maxBatchSize {
 		select {
-		case command := <-queue:
-			commands = append(commands, command)
+		case input := <-queue:
+			inputs = append(inputs, input)
 		default:
-			return commands
+			return inputs
 		}
 	}
-	return commands
+	return inputs
 }
 
 // listen runs the server. It ends when accept fails, for want of a file descriptor for example, and is then started again.
@@ -132,7 +132,7 @@
 
 // handle puts a request into the owner's queue, or refuses it if the queue is full. It runs on the server's goroutines.
 func (rt *Runtime) handle(request *http1.Request) {
-	command := Command{Request: &server.Request{
+	input := Input{Request: &server.Request{
 		Handle:   receivedRequest{request, time.Now()},
 		FromPeer: request.FromPeer,
 		Method:   request.Method,
@@ -140,7 +140,7 @@
 		Body:     request.Body,
 	}}
 	select {
-	case rt.queue <- command:
+	case rt.queue <- input:
 	default:
 		request.Respond(http.StatusServiceUnavailable, nil, time.Second)
 	}
@@ -148,11 +148,11 @@
 
 // execute carries out the effects of a step. Calls do not hold up the owner.
 func (rt *Runtime) execute(effects Effects) {
-	for _, response := range effects.Replies {
+	for _, response := range effects.Responses {
 		if received, ok := response.Handle.(receivedRequest); ok {
 			received.Respond(response.Status, response.Body, response.RetryAfter)
 			kind := requestKind(received.Method, received.Target, response.Status)
-			rt.controller.RecordLatency(kind, time.Since(received.receivedAt))
+			rt.controller.recordLatency(kind, time.Since(received.receivedAt))
 		}
 	}
 	for _, call := range effects.Calls {
@@ -176,7 +176,7 @@
 	if call.Delay > 0 {
 		time.Sleep(call.Delay)
 	}
-	rt.outcomes <- Command{Outcome: &Outcome{Call: call, Result: rt.exchange(call)}}
+	rt.outcomes <- Input{Outcome: &Outcome{Call: call, Result: rt.exchange(call)}}
 }
 
 // exchange sends the request of a call and reads the response. An error leaves the result's status 0: nobody knows whether
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -99,7 +99,7 @@
 		status.WaitingTasks += job.WaitingTasks()
 		status.PlacedTasks += len(job.ActiveAttempts)
 	}
-	for _, machine := range l.workers.MachinesByName() {
+	for _, machine := range l.workers.SortedMachines() {
 		if len(status.Machines) == maxMachinesShown {
 			break
 		}
--- a/internal/controller/storage/archive.go
+++ b/internal/controller/storage/archive.go
@@ -77,7 +77,7 @@
 func (s *Store) ListArchiveParts(
 	outbox *client.Outbox, prefix, from string, done func(now time.Time, list ArchivePartList, ok bool),
 ) {
-	s.listKeys(outbox, list{prefix: prefix, from: from, timeout: listTimeout},
+	s.listKeys(outbox, listRequest{prefix: prefix, from: from, timeout: listTimeout},
 		func(now time.Time, response listResponse, status int) {
 			result := ArchivePartList{HasMore: response.HasMore}
 			for _, row := range response.Keys {
@@ -98,9 +98,9 @@
 		return nil
 	}
 	var names []string
-	bytes, count := s.options.ValueBytes, 0
+	bytes, count := s.options.MaxValueBytes, 0
 	for _, p := range s.pagesWithFinishedJobs() {
-		if bytes+p.size > MaxTxnBytes || count+2 >= s.options.TxnOps {
+		if bytes+p.size > MaxTransactionBytes || count+2 >= s.options.MaxTransactionOps {
 			break
 		}
 		before := len(names)
@@ -187,7 +187,7 @@
 	if s.archive.head.modRevision == 0 {
 		writes++ // the format key
 	}
-	if writes > s.options.TxnOps || bytes > MaxTxnBytes || len(all) > len(chosen) && s.SpareWrites(now) < writes {
+	if writes > s.options.MaxTransactionOps || bytes > MaxTransactionBytes || len(all) > len(chosen) && s.SpareWrites(now) < writes {
 		return chosen, nil
 	}
 	s.archive.pendingMove = nil
--- a/internal/controller/storage/commit.go
+++ b/internal/controller/storage/commit.go
@@ -102,7 +102,7 @@
 		s.notifyUncertain(now)
 		s.resolveConflict(outbox, 0)
 	case result.Status == http.StatusBadRequest:
-		s.handleMalformed(txn.pages)
+		s.handleMalformedCommit(txn.pages)
 		s.requeue(now, result.RetryAfter)
 	default:
 		s.log.Info("commit not executed", logkeys.Status, result.Status)
--- a/internal/controller/storage/flush.go
+++ b/internal/controller/storage/flush.go
@@ -66,7 +66,7 @@
 		if !p.urgent && (now.Sub(p.dirtySince) < s.options.BatchDelay || float64(budget-len(chosen)) < s.options.WriteRate/2) {
 			continue
 		}
-		if len(chosen) >= min(budget, s.options.TxnOps) || len(chosen) > 0 && bytes+p.size > MaxTxnBytes {
+		if len(chosen) >= min(budget, s.options.MaxTransactionOps) || len(chosen) > 0 && bytes+p.size > MaxTransactionBytes {
 			break
 		}
 		chosen = append(chosen, p)
--- a/internal/controller/storage/load.go
+++ b/internal/controller/storage/load.go
@@ -30,8 +30,8 @@
 	loggedUnreadable bool // a value that cannot be read has been logged
 }
 
-// list is a list of keys that is read part by part.
-type list struct {
+// listRequest is a list of keys that is read part by part.
+type listRequest struct {
 	prefix  string
 	from    string // key after which the next part begins
 	delay   time.Duration
@@ -41,11 +41,11 @@
 // Load reads all pages and the archive's head and index. IsLoaded reports when that has been done; failures are retried until then.
 func (s *Store) Load(outbox *client.Outbox) {
 	s.loading.pendingLists = 2
-	s.load(outbox, list{prefix: PagePrefix, timeout: listTimeout}, s.installPage)
-	s.load(outbox, list{prefix: archivePrefix, timeout: listTimeout}, s.installArchiveKey)
+	s.load(outbox, listRequest{prefix: PagePrefix, timeout: listTimeout}, s.installPage)
+	s.load(outbox, listRequest{prefix: archivePrefix, timeout: listTimeout}, s.installArchiveKey)
 }
 
-func (s *Store) load(outbox *client.Outbox, request list, install func(keyValue) error) {
+func (s *Store) load(outbox *client.Outbox, request listRequest, install func(keyValue) error) {
 	s.listKeys(outbox, request, func(_ time.Time, response listResponse, status int) {
 		request.delay = 0
 		if status != http.StatusOK {
@@ -82,7 +82,7 @@
 }
 
 // listKeys reads one part of a list. status is 0 if there was no response, or none that can be read.
-func (s *Store) listKeys(outbox *client.Outbox, request list, done func(now time.Time, response listResponse, status int)) {
+func (s *Store) listKeys(outbox *client.Outbox, request listRequest, done func(now time.Time, response listResponse, status int)) {
 	query := url.Values{"starts": {request.prefix}, "most": {strconv.Itoa(maxListedKeys)}}
 	if request.from != "" {
 		query.Set("from", request.from)
--- a/internal/controller/storage/split.go
+++ b/internal/controller/storage/split.go
@@ -29,7 +29,7 @@
 
 // isUnwritable reports whether a page cannot be written as it is, because the state service refuses values of its size.
 func (s *Store) isUnwritable(p *page) bool {
-	return s.splits.limitsLowered && s.pages.isOversized(p) && p.encodedSize() > s.options.ValueBytes
+	return s.splits.limitsLowered && s.pages.isOversized(p) && p.encodedSize() > s.options.MaxValueBytes
 }
 
 // nextSplit is the next transaction that makes a page smaller, nil if none is due or the budget does not allow it. Writes that
@@ -47,7 +47,7 @@
 	if len(plan.move.removed) == 0 {
 		largest.unsplittable = true
 		s.log.Error("entry larger than value limit",
-			logkeys.Key, largest.key, logkeys.Bytes, largest.size, logkeys.Limit, s.options.ValueBytes)
+			logkeys.Key, largest.key, logkeys.Bytes, largest.size, logkeys.Limit, s.options.MaxValueBytes)
 		return nil
 	}
 	writes := len(plan.move.pages)
@@ -94,16 +94,16 @@
 		remaining:  source.size,
 		encoded:    source.encodedSize(),
 	}
-	maxTargets := s.options.TxnOps - 1
+	maxTargets := s.options.MaxTransactionOps - 1
 	if s.splits.limitsLowered {
-		maxTargets = s.options.TxnOps // the page itself may be too large to be written beside them
+		maxTargets = s.options.MaxTransactionOps // the page itself may be too large to be written beside them
 	}
 	for _, name := range slices.Sorted(maps.Keys(source.entries)) {
 		e := source.entries[name]
-		if plan.remaining <= s.options.ValueBytes || e.size+pageOverhead > s.options.ValueBytes {
+		if plan.remaining <= s.options.MaxValueBytes || e.size+pageOverhead > s.options.MaxValueBytes {
 			continue
 		}
-		if !plan.add(name, e, s.options.ValueBytes, max(maxTargets, 1)) {
+		if !plan.add(name, e, s.options.MaxValueBytes, max(maxTargets, 1)) {
 			break
 		}
 	}
@@ -111,7 +111,7 @@
 		target.size = pageOverhead // counted again when the entries move
 	}
 	plan.move.pages = plan.targets
-	if plan.encoded <= s.options.ValueBytes && len(plan.targets) < s.options.TxnOps || !s.splits.limitsLowered {
+	if plan.encoded <= s.options.MaxValueBytes && len(plan.targets) < s.options.MaxTransactionOps || !s.splits.limitsLowered {
 		plan.move.pages = append([]*page{source}, plan.targets...)
 	}
 	plan.move.done = func(_ time.Time, ok bool) {
@@ -197,20 +197,20 @@
 	}
 }
 
-// handleMalformed takes note that the state service has refused a commit as malformed: it takes no values of that size any more, or
+// handleMalformedCommit takes note that the state service has refused a commit as malformed: it takes no values of that size any more, or
 // not so many changes at once. Nothing is sent again as it was.
-func (s *Store) handleMalformed(pages []*page) {
-	if slices.ContainsFunc(pages, func(p *page) bool { return p.encodedSize() > s.options.ValueBytes }) {
+func (s *Store) handleMalformedCommit(pages []*page) {
+	if slices.ContainsFunc(pages, func(p *page) bool { return p.encodedSize() > s.options.MaxValueBytes }) {
 		if !s.splits.limitsLowered {
-			s.log.Error("value limit lowered, splitting pages", logkeys.Limit, s.options.ValueBytes)
+			s.log.Error("value limit lowered, splitting pages", logkeys.Limit, s.options.MaxValueBytes)
 		}
 		s.splits.limitsLowered = true
 		return
 	}
-	if s.options.TxnOps > 1 {
-		s.options.TxnOps = max(s.options.TxnOps/2, 1)
+	if s.options.MaxTransactionOps > 1 {
+		s.options.MaxTransactionOps = max(s.options.MaxTransactionOps/2, 1)
 		s.log.Error("commit rejected as malformed, transaction limit lowered",
-			logkeys.Count, len(pages), logkeys.Limit, s.options.TxnOps)
+			logkeys.Count, len(pages), logkeys.Limit, s.options.MaxTransactionOps)
 		return
 	}
 	keys := make([]string, 0, len(pages))
--- a/internal/controller/storage/store.go
+++ b/internal/controller/storage/store.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// MaxTxnBytes is how many JSON bytes of values go into one transaction.
-	MaxTxnBytes = 56 << 10
+	// MaxTransactionBytes is how many JSON bytes of values go into one transaction.
+	MaxTransactionBytes = 56 << 10
 
 	// writeRateShare is the share of the state service's write limit that is used. The rest is a margin: both sides count the
 	// same writes, but not at the same instants.
@@ -33,11 +33,11 @@
 
 // Options are the limits that a Store keeps.
 type Options struct {
-	LeaderKey  string        // key that names the leader; every commit requires its revision
-	ValueBytes int           // JSON bytes that a value may have
-	TxnOps     int           // changes that a transaction may make
-	WriteRate  float64       // changes per second that the state service takes
-	BatchDelay time.Duration // how long a change that nobody waits for may be gathered
+	LeaderKey         string        // key that names the leader; every commit requires its revision
+	MaxValueBytes     int           // JSON bytes that a value may have
+	MaxTransactionOps int           // changes that a transaction may make
+	WriteRate         float64       // changes per second that the state service takes
+	BatchDelay        time.Duration // how long a change that nobody waits for may be gathered
 }
 
 // Store is a leader's copy of the pages and what of it is still to be written. It belongs to the controller's owner loop and is not
@@ -64,7 +64,7 @@
 		log:          log,
 		fencingToken: fencingToken,
 		writeLimiter: client.NewRateLimiter(options.WriteRate*writeRateShare, writeBurst),
-		pages:        newPageTable(options.ValueBytes),
+		pages:        newPageTable(options.MaxValueBytes),
 		archive:      archiveState{head: newPage(ArchiveHeadKey), index: map[string]string{}},
 	}
 }
@@ -103,7 +103,7 @@
 
 // MaxEntryBytes is how many JSON bytes the value of an entry may have at most, with a page to itself.
 func (s *Store) MaxEntryBytes(name string) int {
-	return s.options.ValueBytes - pageOverhead - len(name) - entryOverhead
+	return s.options.MaxValueBytes - pageOverhead - len(name) - entryOverhead
 }
 
 // EntryTooLargeError reports that an entry does not fit its page, or any page. Its text is part of answers to users.
@@ -149,7 +149,7 @@
 		s.pages.entries[name] = e
 		target.entries[name] = e
 	}
-	if size > e.size && e.page.size+size-e.size > s.options.ValueBytes {
+	if size > e.size && e.page.size+size-e.size > s.options.MaxValueBytes {
 		return &EntryTooLargeError{Name: name, Bytes: size, OnPage: true}
 	}
 	e.page.grow(e, size)
@@ -159,27 +159,27 @@
 }
 
 // encodeEntry returns an entry's encoded value and the JSON bytes that name and value take in a page.
-func encodeEntry(name string, value any, reserve int) (raw msgpack.RawMessage, size int, err error) {
+func encodeEntry(name string, value any, reservedBytes int) (raw msgpack.RawMessage, size int, err error) {
 	if raw, err = codec.Marshal(value); err != nil {
 		return nil, 0, fmt.Errorf("entry %s: %w", name, err)
 	}
-	if reserve == 0 {
+	if reservedBytes == 0 {
 		text, err := json.Marshal(value)
 		if err != nil {
 			return nil, 0, fmt.Errorf("entry %s: %w", name, err)
 		}
-		reserve = len(text)
+		reservedBytes = len(text)
 	}
-	return raw, reserve + len(name) + entryOverhead, nil
+	return raw, reservedBytes + len(name) + entryOverhead, nil
 }
 
 // Reserve reserves the space of an entry that was loaded. What is stored tells only how large it is, not how large it may become.
-func (s *Store) Reserve(name string, reserve int) {
+func (s *Store) Reserve(name string, reservedBytes int) {
 	e := s.pages.entries[name]
 	if e == nil {
 		return
 	}
-	if size := reserve + len(name) + entryOverhead; size > e.size {
+	if size := reservedBytes + len(name) + entryOverhead; size > e.size {
 		e.page.grow(e, size)
 	}
 }
--- a/internal/controller/worker/commands.go
+++ b/internal/controller/worker/commands.go
@@ -13,8 +13,8 @@
 
 // SendCommands sends commands to a machine's own address at once. Their outcome is seen in the machine's next heartbeat, and the
 // response to that repeats them if need be. Starts must not be sent this way: they go in heartbeat responses only.
-func SendCommands(calls *client.Outbox, fencingToken uint64, machine *Machine, commands []workerapi.Command) {
-	calls.Add(client.Call{
+func SendCommands(outbox *client.Outbox, fencingToken uint64, machine *Machine, commands []workerapi.Command) {
+	outbox.Add(client.Call{
 		Destination: client.WorkerAgent, Addr: machine.Addr, Method: http.MethodPost, Path: "/commands",
 		Body:    workerapi.DirectCommands{FencingToken: fencingToken, Incarnation: machine.Incarnation, Commands: commands},
 		Timeout: commandTimeout, Done: func(time.Time, client.Result) {},
--- a/internal/controller/worker/reachability/freshness.go
+++ b/internal/controller/worker/reachability/freshness.go
@@ -96,13 +96,13 @@
 // lostLeaseDespiteResponses reports whether a new incarnation of the machine shows that its lease expired although it was sent a
 // 200 that should have renewed it.
 func (t *Tracker) lostLeaseDespiteResponses(now time.Time, machine *worker.Machine, link *linkState) bool {
-	return machine.HasReported && link.incarnation != 0 && now.Sub(machine.LeaseRenewedAt) < t.lease*4/5 && !link.countersReset
+	return machine.HasReported && link.incarnation != 0 && now.Sub(machine.LeaseRenewedAt) < t.leaseDuration*4/5 && !link.countersReset
 }
 
 // isPrompt reports whether a heartbeat that arrives now follows the last one so soon that the worker must have received the
 // response to that, and whether that one arrived after the suspicion arose.
 func (l *linkState) isPrompt(now time.Time) bool {
-	return l.acknowledged && now.Sub(l.lastHeartbeatAt) < promptInterval && l.lastHeartbeatAt.After(l.since)
+	return l.acknowledged && now.Sub(l.lastHeartbeatAt) < promptInterval && l.lastHeartbeatAt.After(l.suspectSince)
 }
 
 // IsNewest reports whether this is the newest heartbeat of its machine: starts go in the response to that one only.
--- a/internal/controller/worker/reachability/suspicion.go
+++ b/internal/controller/worker/reachability/suspicion.go
@@ -48,7 +48,7 @@
 
 func (t *Tracker) suspect(now time.Time, machine *worker.Machine, link *linkState, suspicion Suspicion) {
 	if link.suspicion == NotSuspected || link.suspicion == Unconfirmed {
-		link.since = now
+		link.suspectSince = now
 		t.metrics.suspicions.WithLabelValues(suspicion.String()).Inc()
 		t.log.Debug("machine suspected unreachable", logkeys.Machine, machine.ID, logkeys.Reason, suspicion.String())
 	}
@@ -64,7 +64,7 @@
 // shows so, or the lease has expired.
 func (t *Tracker) recordCountersReset(now time.Time, machine *worker.Machine, link *linkState) {
 	if !link.countersReset {
-		link.countersReset, link.since = true, now
+		link.countersReset, link.suspectSince = true, now
 		t.log.Info("worker counters reset", logkeys.Machine, machine.ID, logkeys.Incarnation, machine.Incarnation)
 		t.RequestProbe(machine)
 	}
@@ -87,5 +87,5 @@
 // incarnations, which have to end one by one, do not reach those of before.
 func (t *Tracker) IsUnresponsive(now time.Time, machine *worker.Machine) bool {
 	link := t.links[machine.ID]
-	return link != nil && (link.unansweredProbes >= maxUnansweredProbes || link.countersReset && now.Sub(link.since) > 2*t.lease)
+	return link != nil && (link.unansweredProbes >= maxUnansweredProbes || link.countersReset && now.Sub(link.suspectSince) > 2*t.leaseDuration)
 }
--- a/internal/controller/worker/reachability/tracker.go
+++ b/internal/controller/worker/reachability/tracker.go
@@ -34,7 +34,7 @@
 // linkState is what is known of the link to one machine.
 type linkState struct {
 	suspicion     Suspicion
-	since         time.Time // when the suspicion arose, or the counters were reset
+	suspectSince  time.Time // when the suspicion arose, or the counters were reset
 	countersReset bool      // the worker lost its counters: its heartbeats cannot be told from late ones until its incarnation is higher
 
 	incarnation, sequence uint64    // of the newest heartbeat
@@ -50,7 +50,7 @@
 // Tracker keeps the state of the links to all machines. Only the owner's loop may call it.
 type Tracker struct {
 	fencingToken  uint64
-	lease         time.Duration
+	leaseDuration time.Duration
 	log           *slog.Logger
 	metrics       *Metrics
 	links         map[string]*linkState // by machine ID
@@ -59,8 +59,8 @@
 
 // NewTracker returns the Tracker of a leader that was elected with this fencing token. lease is the duration of a worker's lease,
 // without a margin.
-func NewTracker(fencingToken uint64, lease time.Duration, metrics *Metrics, log *slog.Logger) *Tracker {
-	return &Tracker{fencingToken: fencingToken, lease: lease, metrics: metrics, log: log, links: map[string]*linkState{}}
+func NewTracker(fencingToken uint64, leaseDuration time.Duration, metrics *Metrics, log *slog.Logger) *Tracker {
+	return &Tracker{fencingToken: fencingToken, leaseDuration: leaseDuration, metrics: metrics, log: log, links: map[string]*linkState{}}
 }
 
 // Forget drops the link of a machine that is gone.
--- a/internal/controller/worker/registry.go
+++ b/internal/controller/worker/registry.go
@@ -18,14 +18,14 @@
 const (
 	// leaseMargin covers what is not measured between the leader's clock and the end of a worker's tasks.
 	leaseMargin = 500 * time.Millisecond
-	// clockDriftShare is the share of a lease, as a divisor, by which the worker's clock may run slow: 0.2 %.
-	clockDriftShare = 500
+	// driftDivisor is the share of a lease, as a divisor, by which the worker's clock may run slow: 0.2 %.
+	driftDivisor = 500
 )
 
 // LeaseExpiry returns how long after the leader's last 200 a worker's tasks may still run, given the duration of its lease. The
 // worker counts the lease from when it sent the heartbeat, which was before; its clock may run slow.
 func LeaseExpiry(lease time.Duration) time.Duration {
-	return lease + lease/clockDriftShare + leaseMargin
+	return lease + lease/driftDivisor + leaseMargin
 }
 
 // Registry is all machines that the leader knows. Machines are added by GetOrAdd and removed by Remove only.
@@ -34,18 +34,18 @@
 	UsageByTeam    map[string]*Usage           // by name of the team
 	buckets        [BucketCount + 1][]*Machine // the reporting machines by utilization; index 0 is not used
 	reconcileCount uint64                      // heartbeats taken in; jobs.Attempt.LastSeenReconcile refers to it
-	lease          time.Duration
+	leaseExpiry    time.Duration
 	log            *slog.Logger
 }
 
 // NewRegistry returns an empty Registry. lease is how long a machine's tasks may outlive the last 200 that it was sent, margin
 // included: see LeaseExpiry.
-func NewRegistry(lease time.Duration, log *slog.Logger) *Registry {
-	return &Registry{Machines: map[string]*Machine{}, UsageByTeam: map[string]*Usage{}, lease: lease, log: log}
+func NewRegistry(leaseExpiry time.Duration, log *slog.Logger) *Registry {
+	return &Registry{Machines: map[string]*Machine{}, UsageByTeam: map[string]*Usage{}, leaseExpiry: leaseExpiry, log: log}
 }
 
-// Lease returns how long a machine's tasks may outlive the last 200 that it was sent, margin included.
-func (r *Registry) Lease() time.Duration { return r.lease }
+// LeaseExpiry returns how long a machine's tasks may outlive the last 200 that it was sent, margin included.
+func (r *Registry) LeaseExpiry() time.Duration { return r.leaseExpiry }
 
 // GetOrAdd returns the machine with this ID, which is added if there is none.
 func (r *Registry) GetOrAdd(id string) *Machine {
@@ -58,8 +58,8 @@
 	return machine
 }
 
-// MachinesByName returns all machines, sorted by ID.
-func (r *Registry) MachinesByName() []*Machine {
+// SortedMachines returns all machines, sorted by ID.
+func (r *Registry) SortedMachines() []*Machine {
 	machines := make([]*Machine, 0, len(r.Machines))
 	for _, machine := range r.Machines {
 		machines = append(machines, machine)
@@ -134,5 +134,5 @@
 
 // IsLeaseExpired reports whether the worker's lease has expired for certain, so that no task is left on the machine.
 func (r *Registry) IsLeaseExpired(now time.Time, machine *Machine) bool {
-	return now.Sub(machine.LeaseRenewedAt) > r.lease
+	return now.Sub(machine.LeaseRenewedAt) > r.leaseExpiry
 }
--- a/internal/wire/workerapi/messages.go
+++ b/internal/wire/workerapi/messages.go
@@ -6,8 +6,8 @@
 
 import "gullrudder/internal/wire/codec"
 
-// MaxNameBytes bounds the length of a machine's name.
-const MaxNameBytes = 100
+// MaxMachineIDBytes bounds the length of a machine's name.
+const MaxMachineIDBytes = 100
 
 // Heartbeat is what a worker sends to the leader at an interval, and answers to commands at its own address. Incarnation and
 // Sequence order the heartbeats of one worker: the sequence number counts within an incarnation, and a worker begins a new
@@ -122,7 +122,7 @@
 
 // DecodeHeartbeatID decodes the identity of a heartbeat without its tasks. ok is false if body is no heartbeat.
 func DecodeHeartbeatID(body []byte) (id HeartbeatID, ok bool) {
-	if codec.Unmarshal(body, &id) != nil || id.Machine == "" || len(id.Machine) > MaxNameBytes {
+	if codec.Unmarshal(body, &id) != nil || id.Machine == "" || len(id.Machine) > MaxMachineIDBytes {
 		return HeartbeatID{}, false
 	}
 	return id, true
