--- a/cmd/gullrudder/account.go
+++ b/cmd/gullrudder/account.go
@@ -1,11 +1,8 @@
 package main
 
 import (
-	"fmt"
-	"io"
 	"net/url"
 	"strconv"
-	"strings"
 	"time"
 
 	"gullrudder/internal/controller/api"
@@ -13,23 +10,6 @@
 	"github.com/spf13/cobra"
 )
 
-func formatMilliseconds(ms int64) string {
-	d := time.Duration(ms) * time.Millisecond
-	if d < 10*time.Second {
-		return d.String()
-	}
-	return d.Round(time.Second).String()
-}
-
-// formatTimeShares lists causes with their times.
-func formatTimeShares(list []api.TimeShare) string {
-	var parts []string
-	for _, s := range list {
-		parts = append(parts, s.Reason+" "+formatMilliseconds(s.Milliseconds))
-	}
-	return strings.Join(parts, ", ")
-}
-
 func accountCommand() *cobra.Command {
 	var team, class string
 	var since time.Duration
@@ -37,20 +17,17 @@
 		"Each moment of a job, from its submission to its final state, is counted to one cause. Only jobs that ended under the\n"+
 			"present leader are counted; `gullrudder explain JOB` shows the account of one.", cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
-			q := url.Values{}
-			for name, v := range map[string]string{"team": team, "class": class} {
-				if v != "" {
-					q.Set(name, v)
-				}
-			}
+			query := url.Values{}
+			setIfGiven(query, "team", team)
+			setIfGiven(query, "class", class)
 			if since > 0 {
-				q.Set("since_s", strconv.FormatFloat(since.Seconds(), 'f', -1, 64))
+				query.Set("since_s", strconv.FormatFloat(since.Seconds(), 'f', -1, 64))
 			}
-			var all api.Accounts
-			if err := a.get("/account?"+q.Encode(), &all); err != nil {
+			var accounts api.Accounts
+			if err := a.get("/account?"+query.Encode(), &accounts); err != nil {
 				return err
 			}
-			return a.show(all, func(w io.Writer) { accountTable(w, all) })
+			return a.show(accounts, func(p *printer) { printAccounts(p, accounts) })
 		})
 	cmd.Flags().StringVar(&team, "team", "", "only those of a team")
 	cmd.Flags().StringVar(&class, "class", "", "only those of a class")
@@ -58,20 +35,16 @@
 	return cmd
 }
 
-func accountTable(w io.Writer, all api.Accounts) {
-	fmt.Fprintf(w, "%d jobs are not finished and not counted\n", all.OpenJobs)
-	for _, a := range all.Accounts {
-		fmt.Fprintf(w, "\nTEAM %s, CLASS %s\t%d JOBS\tSHARE\tA JOB\n", a.Team, a.Class, a.JobCount)
-		for _, s := range a.Shares {
-			fmt.Fprintf(
-				w,
-				"%s\t%s\t%.1f %%\t%s\n",
-				s.Reason,
-				formatMilliseconds(s.Milliseconds),
-				100*float64(s.Milliseconds)/float64(max(a.Milliseconds, 1)),
-				formatMilliseconds(s.Milliseconds/int64(max(a.JobCount, 1))),
-			)
+func printAccounts(out *printer, accounts api.Accounts) {
+	out.printf("%d jobs are not finished and not counted\n", accounts.OpenJobs)
+	for _, account := range accounts.Accounts {
+		jobs, total := int64(max(account.JobCount, 1)), account.Milliseconds
+		out.printf("\nTEAM %s, CLASS %s\t%d JOBS\tSHARE\tA JOB\n", account.Team, account.Class, account.JobCount)
+		for _, share := range account.Shares {
+			percent := 100 * float64(share.Milliseconds) / float64(max(total, 1))
+			out.printf("%s\t%s\t%.1f %%\t%s\n",
+				share.Reason, formatMilliseconds(share.Milliseconds), percent, formatMilliseconds(share.Milliseconds/jobs))
 		}
-		fmt.Fprintf(w, "sum\t%s\t100 %%\t%s\n", formatMilliseconds(a.Milliseconds), formatMilliseconds(a.Milliseconds/int64(max(a.JobCount, 1))))
+		out.printf("sum\t%s\t100 %%\t%s\n", formatMilliseconds(total), formatMilliseconds(total/jobs))
 	}
 }
--- /dev/null
+++ b/cmd/gullrudder/apiclient.go
@@ -0,0 +1,214 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"gullrudder/internal/site/datadir"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/http1"
+
+	"github.com/spf13/cobra"
+)
+
+const (
+	requestTimeout = 5 * time.Second
+	minRetryDelay  = time.Second
+	maxRetryDelay  = 30 * time.Second
+)
+
+// Values of --output.
+const (
+	outputTable = "table"
+	outputJSON  = "json"
+)
+
+// tableColumnGap is the number of spaces between two columns of a table.
+const tableColumnGap = 2
+
+// apiClient sends a user's requests to the controllers and prints the responses.
+type apiClient struct {
+	servers      []string // addresses of controllers, asked in turn
+	server       string   // --server
+	dataDir      string   // --data
+	output       string   // --output
+	retryTimeout time.Duration
+	client       *http1.Client
+	site         *datadir.Site // the site on this machine; nil if a controller was named
+	out          io.Writer
+}
+
+// newServerClient returns a client of one controller, which prints nothing.
+func newServerClient(server string, retryTimeout time.Duration) *apiClient {
+	return &apiClient{servers: []string{server}, client: newHTTPClient(), retryTimeout: retryTimeout}
+}
+
+func newHTTPClient() *http1.Client { return http1.NewClient(1, 1, http1.MaxBodyBytes) }
+
+// userCommand makes a command that speaks to a controller.
+func userCommand(use, short, long string, args cobra.PositionalArgs, run func(a *apiClient, args []string) error) *cobra.Command {
+	a := &apiClient{client: newHTTPClient()}
+	cmd := &cobra.Command{Use: use, Short: short, Long: long, Args: args, RunE: func(cmd *cobra.Command, args []string) error {
+		if err := a.resolveServers(); err != nil {
+			return err
+		}
+		a.out = cmd.OutOrStdout()
+		return run(a, args)
+	}}
+	apiFlags(cmd, a)
+	return cmd
+}
+
+func apiFlags(cmd *cobra.Command, a *apiClient) {
+	cmd.Flags().StringVar(&a.server, "server", os.Getenv("GULLRUDDER_SERVER"), "address of a controller, host:port (or GULLRUDDER_SERVER)")
+	cmd.Flags().StringVar(&a.dataDir, "data", os.Getenv("GULLRUDDER_DATA"),
+		"directory of a site on this machine, as for up (or GULLRUDDER_DATA)")
+	cmd.Flags().StringVar(&a.output, "output", outputTable, "table or json")
+	cmd.Flags().DurationVar(&a.retryTimeout, "patience", time.Minute, "how long to go on asking when the service cannot answer")
+}
+
+// resolveServers finds the controllers to ask from the flags.
+func (a *apiClient) resolveServers() error {
+	if a.server != "" {
+		a.servers = []string{a.server}
+		return checkOutput(a.output)
+	}
+	site, err := datadir.Open(siteDir(a.dataDir))
+	if err != nil {
+		return &exitError{exitUsage, fmt.Errorf("no controller is named with --server or GULLRUDDER_SERVER, and %w", err)}
+	}
+	a.site = site
+	for _, controller := range site.Controllers {
+		a.servers = append(a.servers, controller.PublicAddr)
+	}
+	return checkOutput(a.output)
+}
+
+func checkOutput(output string) error {
+	if output != outputTable && output != outputJSON {
+		return &exitError{exitUsage, fmt.Errorf("--output %s: not table or json", output)}
+	}
+	return nil
+}
+
+// get sends a GET request and decodes the response.
+func (a *apiClient) get(path string, response any) error {
+	return a.send(http.MethodGet, path, nil, response)
+}
+
+// send sends a request to the controllers and decodes the response.
+func (a *apiClient) send(method, path string, body []byte, response any) error {
+	return a.sendTo(a.servers, method, path, body, response)
+}
+
+// callMachinePool sends a request without a body to the machine pool of the site on this machine, and decodes the response.
+func (a *apiClient) callMachinePool(method, path string, response any) error {
+	if a.site == nil {
+		return &exitError{exitUsage, errors.New("this is for a site on this machine: use --data, and no --server")}
+	}
+	return a.sendTo([]string{a.site.MachinePoolAddr}, method, path, nil, response)
+}
+
+func (a *apiClient) sendTo(servers []string, method, path string, body []byte, response any) error {
+	msg, err := a.requestFrom(servers, method, path, body)
+	if err != nil {
+		return err
+	}
+	if isRefused(msg.Status) {
+		return &exitError{exitRefused, fmt.Errorf("refused with %d%s", msg.Status, errorDetail(msg.Body))}
+	}
+	return decode(msg, response)
+}
+
+func decode(msg *http1.Message, response any) error {
+	if err := codec.Unmarshal(msg.Body, response); err != nil {
+		return &exitError{exitUnavailable, fmt.Errorf("the answer cannot be read: %w", err)}
+	}
+	return nil
+}
+
+// requestFrom sends a request to the servers in turn until one gives a final answer, or retryTimeout has passed. All requests
+// of the protocol may be repeated.
+func (a *apiClient) requestFrom(servers []string, method, path string, body []byte) (*http1.Message, error) {
+	deadline := time.Now().Add(a.retryTimeout)
+	for attempt := 0; ; attempt++ {
+		msg, err := a.client.Do(servers[attempt%len(servers)], method, path, body, requestTimeout)
+		if err == nil && isFinal(msg.Status) {
+			return msg, nil
+		}
+		delay := minRetryDelay
+		if err == nil {
+			delay = min(max(minRetryDelay, msg.RetryAfter), maxRetryDelay)
+			err = fmt.Errorf("the service answers %d%s", msg.Status, errorDetail(msg.Body))
+		}
+		if time.Now().Add(delay).After(deadline) {
+			return nil, &exitError{exitUnavailable, err}
+		}
+		time.Sleep(delay)
+	}
+}
+
+func isRefused(status int) bool { return status >= http.StatusMultipleChoices }
+
+// isFinal reports whether another request would get the same answer.
+func isFinal(status int) bool {
+	switch status {
+	case http.StatusBadRequest, http.StatusNotFound, http.StatusMethodNotAllowed, http.StatusConflict, http.StatusUnprocessableEntity:
+		return true
+	}
+	return !isRefused(status)
+}
+
+// errorResponse is the body of a response that refuses a request.
+type errorResponse struct {
+	Error string `msgpack:"error"`
+}
+
+// errorDetail returns the reason in the body of a refusal, to be added to a message, or "" if there is none.
+func errorDetail(body []byte) string {
+	var response errorResponse
+	if codec.Unmarshal(body, &response) != nil || response.Error == "" {
+		return ""
+	}
+	return ": " + response.Error
+}
+
+// show prints the value: as JSON, or by means of table if that is asked for.
+func (a *apiClient) show(value any, table func(*printer)) error {
+	if a.output == outputJSON {
+		encoder := json.NewEncoder(a.out)
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(value)
+	}
+	columns := newTabWriter(a.out)
+	p := newPrinter(columns)
+	table(p)
+	if err := p.firstError(); err != nil {
+		return err
+	}
+	if err := columns.Flush(); err != nil {
+		return fmt.Errorf("write output: %w", err)
+	}
+	return nil
+}
+
+func newTabWriter(out io.Writer) *tabwriter.Writer {
+	return tabwriter.NewWriter(out, 0, 4, tableColumnGap, ' ', 0)
+}
+
+// escapePathSegment replaces the characters by which an invalid ID would change the path of a request.
+func escapePathSegment(id string) string {
+	return strings.Map(func(char rune) rune {
+		if char <= ' ' || char >= 0x7f || strings.ContainsRune("/?#%", char) {
+			return '_'
+		}
+		return char
+	}, id)
+}
--- a/cmd/gullrudder/console.go
+++ b/cmd/gullrudder/console.go
@@ -1,9 +1,7 @@
 package main
 
 import (
-	"encoding/json"
-	"fmt"
-	"io"
+	"net/http"
 	"time"
 
 	"gullrudder/internal/console"
@@ -14,111 +12,83 @@
 	"github.com/spf13/cobra"
 )
 
-// consoleTimeout is how long a look of the console waits for an answer.
-const consoleTimeout = 2 * time.Second
-
-// consoleSite is the console's side of the service.
-type consoleSite struct{ *apiClient }
-
-func (s consoleSite) Snapshot() console.Snapshot {
-	snapshot := console.Snapshot{TakenAt: time.Now()}
-	problem := func(what string, err error) {
-		if err != nil {
-			snapshot.Problems = append(snapshot.Problems, what+": "+err.Error())
-		}
-	}
-	problem("controllers", s.get("/status", &snapshot.Status))
-	if len(snapshot.Problems) == 0 {
-		problem("jobs", s.get("/queue?all=1&most=200", &snapshot.Queue))
-	}
-	if s.site == nil {
-		return snapshot
-	}
-	problem("pool", s.callMachinePool("GET", "/site", &snapshot.MachinePool))
-	var err error
-	snapshot.Failures, err = s.listFailures()
-	problem("failures", err)
-	if free, err := datadir.FreeDisk(s.site.Path()); err == nil {
-		snapshot.FreeDiskMB, snapshot.MinFreeDiskMB = free>>20, s.site.MinFreeDiskMB
-	}
-	return snapshot
-}
-
-func (s consoleSite) Cancel(job string) error {
-	return s.send("POST", "/work/"+escapePathSegment(job)+"/withdraw", nil, &struct{}{})
-}
-
-func (s consoleSite) Drain(on bool) error {
-	var o machinepool.Overview
-	return s.callMachinePool("POST", map[bool]string{true: "/site/drain", false: "/site/undrain"}[on], &o)
-}
+const (
+	// consoleTimeout is how long the console waits for one answer.
+	consoleTimeout = 2 * time.Second
+	// consoleInterval is the time between two snapshots of the console, defaultTopInterval that of top.
+	consoleInterval    = time.Second
+	defaultTopInterval = 2 * time.Second
+)
 
 func consoleCommand() *cobra.Command {
-	return userCommand(
-		"console",
-		"Watch and run the site from a terminal",
-		"Watch and run the site from a terminal. ? shows the keys. It keeps no state.",
-		cobra.NoArgs,
+	return userCommand("console", "Watch and run the site from a terminal",
+		"Watch and run the site from a terminal. ? shows the keys. It keeps no state.", cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
 			a.retryTimeout = consoleTimeout
-			_, err := tea.NewProgram(console.New(consoleSite{a}, time.Second), tea.WithAltScreen()).Run()
+			_, err := tea.NewProgram(console.New(consoleSite{a}, consoleInterval), tea.WithAltScreen()).Run()
 			return err
-		},
-	)
+		})
 }
 
 func topCommand() *cobra.Command {
 	var once bool
-	var every time.Duration
+	var interval time.Duration
 	cmd := userCommand("top", "Print what the console shows, as text", "", cobra.NoArgs, func(a *apiClient, _ []string) error {
 		a.retryTimeout = consoleTimeout
+		p := newPrinter(a.out)
 		for {
-			snap := consoleSite{a}.Snapshot()
-			if _, err := fmt.Fprint(a.out, snap.Text()); err != nil {
+			snapshot := consoleSite{a}.Snapshot()
+			p.print(snapshot.Text())
+			if err := p.firstError(); err != nil || once {
 				return err
 			}
-			if once {
-				return nil
-			}
-			time.Sleep(every)
+			time.Sleep(interval)
 		}
 	})
 	cmd.Flags().BoolVar(&once, "once", false, "print it once")
-	cmd.Flags().DurationVar(&every, "every", 2*time.Second, "otherwise, how often")
+	cmd.Flags().DurationVar(&interval, "every", defaultTopInterval, "otherwise, how often")
 	return cmd
 }
 
-// listFailures are those that the pool of the site on this machine keeps, the newest first.
-func (a *apiClient) listFailures() ([]machinepool.Failure, error) {
-	var f machinepool.FailureList
-	if err := a.callMachinePool("GET", "/site/failures", &f); err != nil {
-		return nil, err
-	}
-	list := []machinepool.Failure{}
-	for _, raw := range f.EncodedFailures {
-		var one machinepool.Failure
-		if err := json.Unmarshal([]byte(raw), &one); err != nil {
-			return nil, &exitError{exitUnavailable, err}
+// consoleSite is the console.Site of a client.
+type consoleSite struct{ *apiClient }
+
+// Snapshot implements console.Site.
+func (s consoleSite) Snapshot() console.Snapshot {
+	snapshot := console.Snapshot{TakenAt: time.Now()}
+	addProblem := func(subject string, err error) {
+		if err != nil {
+			snapshot.Problems = append(snapshot.Problems, subject+": "+err.Error())
 		}
-		list = append(list, one)
 	}
-	return list, nil
+	addProblem("controllers", s.get("/status", &snapshot.Status))
+	if len(snapshot.Problems) == 0 {
+		addProblem("jobs", s.get("/queue?all=1&most=200", &snapshot.Queue))
+	}
+	if s.site == nil {
+		return snapshot
+	}
+	addProblem("pool", s.callMachinePool(http.MethodGet, overviewPath, &snapshot.MachinePool))
+	var err error
+	snapshot.Failures, err = s.listFailures()
+	addProblem("failures", err)
+	if freeBytes, err := datadir.FreeDisk(s.site.Path()); err == nil {
+		snapshot.FreeDiskMB, snapshot.MinFreeDiskMB = freeBytes/bytesPerMB, s.site.MinFreeDiskMB
+	}
+	return snapshot
 }
 
-func failuresCommand() *cobra.Command {
-	return userCommand("failures", "Show the tasks of this site that failed last, with the end of their error output", "", cobra.NoArgs,
-		func(a *apiClient, _ []string) error {
-			list, err := a.listFailures()
-			if err != nil {
-				return err
-			}
-			return a.show(list, func(w io.Writer) {
-				for _, one := range list {
-					fmt.Fprintf(w, "%s\texit %d\t%s\t%s\n", one.Task, one.ExitCode, one.FinishedAt.UTC().Format(time.DateTime), one.Reason)
-					if one.ErrorOutput != "" {
-						fmt.Fprintln(w, one.ErrorOutput)
-					}
-				}
-			})
-		})
+// Cancel implements console.Site.
+func (s consoleSite) Cancel(job string) error {
+	return s.send(http.MethodPost, cancelPath(job), nil, &struct{}{})
+}
+
+// Drain implements console.Site.
+func (s consoleSite) Drain(isDraining bool) error {
+	path := undrainPath
+	if isDraining {
+		path = drainPath
+	}
+	var overview machinepool.Overview
+	return s.callMachinePool(http.MethodPost, path, &overview)
 }
--- /dev/null
+++ b/cmd/gullrudder/down.go
@@ -0,0 +1,59 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"syscall"
+	"time"
+
+	"gullrudder/internal/site/process"
+
+	"github.com/spf13/cobra"
+)
+
+const (
+	downTimeout      = time.Minute
+	downPollInterval = 50 * time.Millisecond
+)
+
+func downCommand() *cobra.Command {
+	var data string
+	cmd := &cobra.Command{
+		Use: "down", Short: "End the site on this machine; tasks that run start again with the next up", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			site, err := openSite(data)
+			if err != nil {
+				return err
+			}
+			p := newPrinter(cmd.OutOrStdout())
+			supervisor, isRunning := site.RunningSupervisor()
+			if !isRunning {
+				p.println("the site is not up")
+				return p.firstError()
+			}
+			if err := terminateAndWait(supervisor); err != nil {
+				return &exitError{exitUnavailable, err}
+			}
+			p.println("the site has ended")
+			return p.firstError()
+		},
+	}
+	dataFlag(cmd, &data)
+	return cmd
+}
+
+// terminateAndWait sends SIGTERM to a process and waits until it has exited.
+func terminateAndWait(id process.Identity) error {
+	if err := id.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		return fmt.Errorf("end process %d: %w", id.PID, err)
+	}
+	deadline := time.Now().Add(downTimeout)
+	for id.IsRunning() {
+		if time.Now().After(deadline) {
+			return fmt.Errorf("process %d does not end", id.PID)
+		}
+		time.Sleep(downPollInterval)
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/gullrudder/install.go
@@ -0,0 +1,51 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"github.com/spf13/cobra"
+)
+
+// unitTemplate is a systemd unit; its values are the program and the site's directory.
+const unitTemplate = `[Unit]
+Description=gullrudder, a cluster scheduler for small sites
+After=network.target
+
+[Service]
+ExecStart=%s up --data %s
+Restart=on-failure
+KillMode=mixed
+TimeoutStopSec=60
+
+[Install]
+WantedBy=multi-user.target
+`
+
+func installCommand() *cobra.Command {
+	var data string
+	cmd := &cobra.Command{
+		Use:   "install FILE",
+		Short: "Write a service unit that runs the site, to the file that is named and nothing else",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			program, err := os.Executable()
+			if err != nil {
+				return err
+			}
+			dir, err := filepath.Abs(siteDir(data))
+			if err != nil {
+				return err
+			}
+			if err := os.WriteFile(args[0], fmt.Appendf(nil, unitTemplate, program, dir), 0o644); err != nil {
+				return &exitError{exitUsage, err}
+			}
+			p := newPrinter(cmd.OutOrStdout())
+			p.printf("written: %s\n", args[0])
+			return p.firstError()
+		},
+	}
+	dataFlag(cmd, &data)
+	return cmd
+}
--- /dev/null
+++ b/cmd/gullrudder/pool.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"os"
+
+	"gullrudder/internal/logkeys"
+	"gullrudder/internal/site/machinepool"
+
+	"github.com/spf13/cobra"
+)
+
+// bytesPerMB is the factor from a site's MinFreeDiskMB to bytes.
+const bytesPerMB = 1 << 20
+
+func poolCommand() *cobra.Command {
+	var data string
+	cmd := &cobra.Command{
+		Use: "pool", Short: "Run a site's pool: its machines as a cloud, and the jobs' descriptions", Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error {
+			site, err := openSite(data)
+			if err != nil {
+				return err
+			}
+			log := newLogger(os.Stderr, siteLogLevel()).With(logkeys.Process, "pool")
+			options := machinepool.Options{Zone: site.Zone, HourlyPrice: site.HourlyPrice}
+			service, err := machinepool.NewService(site.Path(), options, site.MinFreeDiskMB*bytesPerMB, log)
+			if err != nil {
+				return &exitError{exitUnavailable, err}
+			}
+			return &exitError{exitUnavailable, service.Serve(site.MachinePoolAddr)}
+		},
+	}
+	dataFlag(cmd, &data)
+	return cmd
+}
--- a/cmd/gullrudder/serve.go
+++ b/cmd/gullrudder/serve.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"fmt"
 	"io"
 	"log/slog"
 	"math/rand/v2"
@@ -11,143 +10,113 @@
 
 	"gullrudder/internal/config"
 	"gullrudder/internal/controller"
+	"gullrudder/internal/logkeys"
 	"gullrudder/internal/wire/metrics"
 
 	"github.com/spf13/cobra"
 )
 
-// version is set by the release build.
-var version = "development"
+// metricsRestartDelay is the time after which the metrics' address is opened again.
+const metricsRestartDelay = time.Second
 
-func rootCommand() *cobra.Command {
-	cmd := &cobra.Command{
-		Use: "gullrudder", Short: "A cluster scheduler for deadline jobs",
-		SilenceUsage: true, SilenceErrors: true,
-	}
-	cmd.AddCommand(
-		serveCommand(),
-		checkCommand(),
-		submitCommand(),
-		showCommand(),
-		cancelCommand(false),
-		cancelCommand(true),
-		explainCommand(),
-		queueCommand(),
-		accountCommand(),
-		servedCommand(),
-		zonesCommand(),
-		settingsCommand(),
-		statusCommand(),
-		stateCommand(),
-		upCommand(),
-		downCommand(),
-		drainCommand(),
-		undrainCommand(),
-		doctorCommand(),
-		installCommand(),
-		topCommand(),
-		consoleCommand(),
-		failuresCommand(),
-		workerCommand(),
-		poolCommand(),
-		versionCommand(),
-	)
-	return cmd
-}
+// configFiles are the settings files of a controller.
+type configFiles struct{ platform, operators string }
 
-func settingsFlags(cmd *cobra.Command, platform, operators *string) {
-	cmd.Flags().StringVar(platform, "config", "", "the platform's settings file (JSON)")
-	cmd.Flags().StringVar(operators, "options", "", "the operators' own settings (XML)")
+func (f *configFiles) addFlags(cmd *cobra.Command) {
+	cmd.Flags().StringVar(&f.platform, "config", "", "the platform's settings file (JSON)")
+	cmd.Flags().StringVar(&f.operators, "options", "", "the operators' own settings (XML)")
 	if err := cmd.MarkFlagRequired("config"); err != nil {
-		panic(err)
+		panic(err) // the flag does not exist: a fault of the program
 	}
 }
 
-func loadSettings(platform, operators string) (*config.Platform, config.Options, error) {
-	cfg, err := config.LoadPlatform(platform)
+func (f *configFiles) load() (*config.Platform, config.Options, error) {
+	platform, err := config.LoadPlatform(f.platform)
 	if err != nil {
-		return nil, config.Options{}, &exitError{2, err}
+		return nil, config.Options{}, &exitError{exitUsage, err}
 	}
-	opt, err := config.LoadOptions(operators)
+	options, err := config.LoadOptions(f.operators)
 	if err != nil {
-		return nil, config.Options{}, &exitError{2, err}
+		return nil, config.Options{}, &exitError{exitUsage, err}
 	}
-	return cfg, opt, nil
+	return platform, options, nil
 }
 
 func serveCommand() *cobra.Command {
-	var platform, operators, metricsAddress string
+	var files configFiles
+	var metricsAddr string
 	cmd := &cobra.Command{
 		Use: "serve", Short: "Run a controller", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			cfg, opt, err := loadSettings(platform, operators)
+			platform, options, err := files.load()
 			if err != nil {
 				return err
 			}
-			// The platform gives the process a share of one core.
-			runtime.GOMAXPROCS(1)
-			log := newLogger(os.Stderr, os.Getenv("LOG_LEVEL")).With("node", cfg.Name)
-			now := time.Now()
-			rng := rand.New(rand.NewPCG(uint64(now.UnixNano()), uint64(os.Getpid())))
-			n := controller.New(cfg, opt, now, rng, log)
-			if metricsAddress != "" {
-				go func() {
-					for {
-						log.Error("metrics are not served, and tried again", "error", metrics.Serve(n.Registry(), metricsAddress, log))
-						time.Sleep(time.Second)
-					}
-				}()
-			}
-			for _, w := range controller.ConfigWarnings(cfg) {
-				log.Error("settings", "warning", w)
-			}
-			log.Info("serving", "public", cfg.PublicAddr, "peers", cfg.PeerListenAddr)
-			controller.NewRuntime(n, cfg, log).Serve()
+			serve(platform, options, metricsAddr)
 			return nil
 		},
 	}
-	settingsFlags(cmd, &platform, &operators)
-	cmd.Flags().StringVar(&metricsAddress, "metrics", "", "serve figures for Prometheus at this address; empty: nowhere")
+	files.addFlags(cmd)
+	cmd.Flags().StringVar(&metricsAddr, "metrics", "", "serve figures for Prometheus at this address; empty: nowhere")
 	return cmd
 }
 
-func newLogger(w io.Writer, level string) *slog.Logger {
-	l := slog.LevelError
+// serve runs a controller until the process ends.
+func serve(platform *config.Platform, options config.Options, metricsAddr string) {
+	// The platform gives the process a share of one core.
+	runtime.GOMAXPROCS(1)
+	log := newLogger(os.Stderr, os.Getenv("LOG_LEVEL")).With(logkeys.Controller, platform.Name)
+	now := time.Now()
+	rng := rand.New(rand.NewPCG(uint64(now.UnixNano()), uint64(os.Getpid())))
+	node := controller.New(platform, options, now, rng, log)
+	if metricsAddr != "" {
+		go serveMetrics(node, metricsAddr, log)
+	}
+	for _, warning := range controller.ConfigWarnings(platform) {
+		log.Error("settings", "warning", warning)
+	}
+	log.Info("serving", "public", platform.PublicAddr, "peers", platform.PeerListenAddr)
+	controller.NewRuntime(node, platform, log).Serve()
+}
+
+// serveMetrics serves the metrics until the process ends, and opens the address again if that fails.
+func serveMetrics(node *controller.Controller, addr string, log *slog.Logger) {
+	for {
+		err := metrics.Serve(node.Registry(), addr, log)
+		log.Error("metrics are not served, and tried again", logkeys.Err, err)
+		time.Sleep(metricsRestartDelay)
+	}
+}
+
+// newLogger returns a logger of the level "info" or "debug"; any other one is error.
+func newLogger(out io.Writer, level string) *slog.Logger {
+	minLevel := slog.LevelError
 	switch level {
 	case "info":
-		l = slog.LevelInfo
+		minLevel = slog.LevelInfo
 	case "debug":
-		l = slog.LevelDebug
+		minLevel = slog.LevelDebug
 	}
-	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: l}))
+	return slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: minLevel}))
 }
 
 func checkCommand() *cobra.Command {
-	var platform, operators string
+	var files configFiles
 	cmd := &cobra.Command{
 		Use: "check", Short: "Check the settings files", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, _, err := loadSettings(platform, operators)
+			platform, _, err := files.load()
 			if err != nil {
 				return err
 			}
-			for _, w := range controller.ConfigWarnings(cfg) {
-				fmt.Fprintln(cmd.OutOrStdout(), "warning:", w)
+			p := newPrinter(cmd.OutOrStdout())
+			for _, warning := range controller.ConfigWarnings(platform) {
+				p.println("warning: " + warning)
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "ok: %s, %d other controllers, %d teams\n", cfg.Name, len(cfg.Peers), len(cfg.Teams))
-			return err
+			p.printf("ok: %s, %d other controllers, %d teams\n", platform.Name, len(platform.Peers), len(platform.Teams))
+			return p.firstError()
 		},
 	}
-	settingsFlags(cmd, &platform, &operators)
+	files.addFlags(cmd)
 	return cmd
 }
-
-func versionCommand() *cobra.Command {
-	return &cobra.Command{
-		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			_, err := fmt.Fprintf(cmd.OutOrStdout(), "gullrudder %s (%s)\n", version, runtime.Version())
-			return err
-		},
-	}
-}
--- a/cmd/gullrudder/served.go
+++ b/cmd/gullrudder/served.go
@@ -1,9 +1,6 @@
 package main
 
 import (
-	"fmt"
-	"io"
-
 	"gullrudder/internal/controller/api"
 
 	"github.com/spf13/cobra"
@@ -14,27 +11,28 @@
 		"DONE counts jobs of the last minutes, what is longer ago counting ever less; LATE are jobs that can keep none of their\n"+
 			"aims any more. Below the least share (floor-least) a class or team has room ahead of others (floor-share).", cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
-			var list api.ServiceShares
-			if err := a.get("/served", &list); err != nil {
+			var shares api.ServiceShares
+			if err := a.get("/served", &shares); err != nil {
 				return err
 			}
-			return a.show(list, func(w io.Writer) { servedTable(w, list) })
+			return a.show(shares, func(p *printer) { printServiceShares(p, shares) })
 		})
 }
 
-func servedTable(w io.Writer, list api.ServiceShares) {
-	fmt.Fprintln(w, "\tNAME\tSERVED\tDONE\tLATE\tWITH ROOM OF THEIR OWN")
-	for _, g := range list.Groups {
-		kind, mark := "class", ""
+func printServiceShares(out *printer, shares api.ServiceShares) {
+	out.println("\tNAME\tSERVED\tDONE\tLATE\tWITH ROOM OF THEIR OWN")
+	for _, group := range shares.Groups {
+		kind, behind := "class", ""
 		switch {
-		case g.IsTeam:
+		case group.IsTeam:
 			kind = "team"
-		case g.IsLargestJobs:
+		case group.IsLargestJobs:
 			kind = "largest of class"
 		}
-		if g.Share < list.MinShare {
-			mark = "behind"
+		if group.Share < shares.MinShare {
+			behind = "behind"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.0f %%\t%.1f\t%d\t%d\t%s\n", kind, g.Name, 100*g.Share, g.DoneJobs, g.OverdueJobs, g.OverdueReserved, mark)
+		out.printf("%s\t%s\t%.0f %%\t%.1f\t%d\t%d\t%s\n",
+			kind, group.Name, 100*group.Share, group.DoneJobs, group.OverdueJobs, group.OverdueReserved, behind)
 	}
 }
--- /dev/null
+++ b/cmd/gullrudder/stateinspect.go
@@ -0,0 +1,87 @@
+package main
+
+import (
+	"gullrudder/internal/site/kvserver"
+
+	"github.com/spf13/cobra"
+)
+
+// inspectionView is what inspect prints as JSON.
+type inspectionView struct {
+	kvserver.Inspection
+	Damage  string             `json:"damage,omitempty"` // why the directory cannot be opened
+	AllKeys []kvserver.KeyInfo `json:"all_keys,omitempty"`
+}
+
+func stateInspectCommand() *cobra.Command {
+	var output string
+	var listKeys bool
+	cmd := &cobra.Command{
+		Use: "inspect DIR", Short: "Show what a store's directory holds, and what is damaged", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			if err := checkOutput(output); err != nil {
+				return err
+			}
+			a := apiClient{output: output, out: cmd.OutOrStdout()}
+			view, damage := inspect(args[0], listKeys)
+			if err := a.show(view, func(p *printer) { printInspectionView(p, view) }); err != nil {
+				return err
+			}
+			if damage != nil {
+				return &exitError{exitDamaged, damage}
+			}
+			return nil
+		},
+	}
+	cmd.Flags().StringVar(&output, "output", outputTable, "table or json")
+	cmd.Flags().BoolVar(&listKeys, "keys", false, "list the keys too")
+	return cmd
+}
+
+// inspect reads a store's directory. The view holds what could be read, also if the directory is damaged.
+func inspect(dir string, listKeys bool) (view inspectionView, damage error) {
+	view.Inspection, damage = kvserver.Inspect(dir)
+	if damage == nil && listKeys {
+		view.AllKeys, damage = kvserver.Keys(dir)
+	}
+	if damage != nil {
+		view.Damage = damage.Error()
+	}
+	return view, damage
+}
+
+func printInspectionView(out *printer, view inspectionView) {
+	out.printf("revision\t%d\nkeys\t%d\nleases\t%d\nsnapshot\t%s, %d bytes\nlog\t%d segments, %d frames, %d bytes\n",
+		view.Revision, view.Keys, view.Leases, orDash(view.Snapshot), view.SnapshotBytes,
+		len(view.Segments), view.Frames, view.LogBytes)
+	if view.TornBytes > 0 {
+		out.printf("unfinished at the end\t%d bytes, never answered\n", view.TornBytes)
+	}
+	for _, name := range view.Segments {
+		out.printf("segment\t%s\n", name)
+	}
+	for _, name := range view.Snapshots {
+		out.printf("snapshot\t%s\n", name)
+	}
+	for _, name := range view.UnfinishedSnapshots {
+		out.printf("unfinished snapshot\t%s\n", name)
+	}
+	for _, skipped := range view.SkippedDamage {
+		out.printf("passed over\t%s\n", skipped)
+	}
+	damage := view.Damage
+	if damage == "" {
+		damage = "none"
+	}
+	out.printf("damage\t%s\n", damage)
+	printKeys(out, view.AllKeys)
+}
+
+func printKeys(out *printer, keys []kvserver.KeyInfo) {
+	if len(keys) > 0 {
+		out.println("\nKEY\tBYTES\tMARK\tLEASE")
+	}
+	for _, key := range keys {
+		out.printf("%s\t%d\t%d\t%d\n", key.Key, key.ValueBytes, key.ModRevision, key.LeaseID)
+	}
+}
--- a/cmd/gullrudder/submit.go
+++ b/cmd/gullrudder/submit.go
@@ -4,9 +4,12 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
+	"maps"
+	"net/http"
 	"os"
+	"slices"
 	"strconv"
+	"strings"
 	"time"
 
 	"gullrudder/internal/site/datadir"
@@ -15,7 +18,7 @@
 	"github.com/spf13/cobra"
 )
 
-// jobFlags are a job's, for those who write no job file.
+// jobFlags describe a job without a job file.
 type jobFlags struct {
 	id, class, team, priority, workingDir  string
 	tasks, retries                         int
@@ -26,6 +29,18 @@
 	after                                  []string
 }
 
+// Names of job files.
+const (
+	stdinName     = "-"
+	jobFileSuffix = ".json"
+)
+
+// specFields are the fields of a job file that only the workers of a site read.
+var specFields = []string{"command", "env", "workdir", "retries", "save_s"}
+
+// submitPollInterval is the time between two questions of submit --wait.
+const submitPollInterval = 200 * time.Millisecond
+
 func submitCommand() *cobra.Command {
 	var f jobFlags
 	cmd := userCommand("submit FILE | submit [flags] -- COMMAND...", "Submit a job",
@@ -34,9 +49,9 @@
 			"'save_s' say what its tasks run on a site of one's own. The same file may be submitted again: the id makes it\n"+
 			"one job; with another command it is refused.",
 		cobra.MinimumNArgs(1), func(a *apiClient, args []string) error {
-			fields, err := f.fields(args)
+			fields, err := f.jobFields(args)
 			if err != nil {
-				return &exitError{2, err}
+				return &exitError{exitUsage, err}
 			}
 			return a.submit(fields, f.wait)
 		})
@@ -56,22 +71,31 @@
 	cmd.Flags().StringSliceVar(&f.after, "after", nil,
 		"jobs that have to be done before any task of this one starts; if one is cancelled, so is this one")
 	cmd.Flags().BoolVar(&f.wait, "wait", false, "wait until the job is over")
-	// What stands after the first word is the command's own: its flags are not ours.
+	// Flags after the first word belong to the command that the tasks run.
 	cmd.Flags().SetInterspersed(false)
 	return cmd
 }
 
-// fields are those of a job file, or what the flags make of a command. A single word that names a file
-// ending in .json, or '-', is a job file.
-func (f *jobFlags) fields(args []string) (map[string]any, error) {
-	if len(args) == 1 && (args[0] == "-" || len(args[0]) > 5 && args[0][len(args[0])-5:] == ".json") {
+// jobFields returns the fields of the job to submit: those of a job file if the only argument is "-" or ends in .json, and
+// otherwise those of a job that runs the arguments as a command.
+func (f *jobFlags) jobFields(args []string) (codec.Object, error) {
+	if len(args) == 1 && isJobFile(args[0]) {
 		return readJobFile(args[0])
 	}
+	return f.commandFields(args), nil
+}
+
+func isJobFile(arg string) bool {
+	return arg == stdinName || len(arg) > len(jobFileSuffix) && strings.HasSuffix(arg, jobFileSuffix)
+}
+
+// commandFields returns the fields of a job that runs a command, under the names of the protocol.
+func (f *jobFlags) commandFields(command []string) codec.Object {
 	id := f.id
 	if id == "" {
 		id = "job-" + strconv.FormatInt(time.Now().UnixNano(), 10)
 	}
-	fields := map[string]any{
+	fields := codec.Object{
 		"id":         id,
 		"berth":      f.class,
 		"crew":       f.team,
@@ -92,7 +116,7 @@
 		"mooring_s":  0.0,
 		"tieup_s":    f.checkpointDuration.Seconds(),
 		"landfall_s": nil,
-		"command":    args,
+		"command":    command,
 		"env":        f.env,
 		"workdir":    f.workingDir,
 		"retries":    f.retries,
@@ -107,74 +131,87 @@
 	if len(f.after) > 0 {
 		fields["tows"] = f.after
 	}
-	return fields, nil
+	return fields
 }
 
-func readJobFile(path string) (map[string]any, error) {
-	in := io.Reader(os.Stdin)
-	if path != "-" {
-		f, err := os.Open(path)
+func readJobFile(path string) (fields codec.Object, err error) {
+	input := os.Stdin
+	if path != stdinName {
+		file, err := os.Open(path)
 		if err != nil {
 			return nil, fmt.Errorf("job file: %w", err)
 		}
-		defer f.Close()
-		in = f
+		defer func() { _ = file.Close() }() // it was only read
+		input = file
 	}
-	var fields map[string]any
-	if err := json.NewDecoder(in).Decode(&fields); err != nil {
+	if err := json.NewDecoder(input).Decode(&fields); err != nil {
 		return nil, fmt.Errorf("job file %s: %w", path, err)
 	}
 	return fields, nil
 }
 
-// specFields are what a site's workers run; the controllers do not read them.
-var specFields = []string{"command", "env", "workdir", "retries", "save_s"}
-
-// submit uploads the description first: a task must never start before it is there.
-func (a *apiClient) submit(fields map[string]any, wait bool) error {
+// submit uploads the spec and then submits the job: a task must not start before its spec is there. With wait it then waits
+// until the job is finished.
+func (a *apiClient) submit(fields codec.Object, wait bool) error {
 	if fields["command"] != nil {
-		if a.site == nil {
-			return &exitError{2, errors.New("a command needs a site of one's own: use --data")}
-		}
-		id, _ := fields["id"].(string)
-		desc := map[string]any{"id": id, "tasks": fields["strokes"], "cpus": fields["cpus"], "mem_gb": fields["mem_gb"]}
-		for _, name := range specFields {
-			if fields[name] != nil {
-				desc[name] = fields[name]
-			}
-		}
-		// The order of a map's keys would make every upload another one.
-		body, err := codec.MarshalSorted(desc)
-		if err != nil {
-			return &exitError{2, err}
-		}
-		msg, err := a.requestFrom([]string{a.site.MachinePoolAddr}, "POST", "/descriptions/"+escapePathSegment(id), body)
-		if err != nil {
+		if err := a.uploadSpec(fields); err != nil {
 			return err
 		}
-		if msg.Status >= 300 {
-			return &exitError{exitRefused, fmt.Errorf("the description is refused with %d%s", msg.Status, errorDetail(msg.Body))}
-		}
-	}
-	for _, name := range specFields {
-		delete(fields, name)
 	}
+	maps.DeleteFunc(fields, func(name string, _ any) bool { return slices.Contains(specFields, name) })
 	body, err := codec.Marshal(fields)
 	if err != nil {
-		return &exitError{2, err}
+		return &exitError{exitUsage, err}
 	}
 	if !wait {
-		return a.showJobFrom("POST", "/work", body)
+		return a.showJobFrom(http.MethodPost, "/work", body)
+	}
+	var job jobStatus
+	if err := a.send(http.MethodPost, "/work", body, &job); err != nil {
+		return err
+	}
+	return a.waitForJob(job)
+}
+
+// uploadSpec sends what the tasks of the job run to the machine pool.
+func (a *apiClient) uploadSpec(fields codec.Object) error {
+	if a.site == nil {
+		return &exitError{exitUsage, errors.New("a command needs a site of one's own: use --data")}
+	}
+	id, _ := fields["id"].(string) // a job file without an ID is refused by the controllers
+	// With the keys in no fixed order the same spec would be refused as another one when it is uploaded again.
+	body, err := codec.MarshalSorted(specObject(id, fields))
+	if err != nil {
+		return &exitError{exitUsage, err}
 	}
-	var j jobStatus
-	if err := a.send("POST", "/work", body, &j); err != nil {
+	msg, err := a.requestFrom([]string{a.site.MachinePoolAddr}, http.MethodPost, "/descriptions/"+escapePathSegment(id), body)
+	if err != nil {
 		return err
 	}
-	for j.State != "done" && j.State != "cancelled" {
-		time.Sleep(200 * time.Millisecond)
-		if err := a.get("/work/"+escapePathSegment(j.ID), &j); err != nil {
+	if isRefused(msg.Status) {
+		return &exitError{exitRefused, fmt.Errorf("the description is refused with %d%s", msg.Status, errorDetail(msg.Body))}
+	}
+	return nil
+}
+
+// specObject returns the spec of a job with these fields; see agent.Spec.
+func specObject(id string, fields codec.Object) codec.Object {
+	spec := codec.Object{"id": id, "tasks": fields["strokes"], "cpus": fields["cpus"], "mem_gb": fields["mem_gb"]}
+	for _, name := range specFields {
+		if fields[name] != nil {
+			spec[name] = fields[name]
+		}
+	}
+	return spec
+}
+
+// waitForJob asks for the job until it is finished, and prints it.
+func (a *apiClient) waitForJob(job jobStatus) error {
+	for !job.isFinished() {
+		time.Sleep(submitPollInterval)
+		if err := a.get("/work/"+escapePathSegment(job.ID), &job); err != nil {
 			return err
 		}
 	}
-	return a.showJob(j)
+	return a.showJob(job)
 }
--- /dev/null
+++ b/cmd/gullrudder/up.go
@@ -0,0 +1,137 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"gullrudder/internal/controller"
+	"gullrudder/internal/site/datadir"
+	"gullrudder/internal/site/supervisor"
+
+	"github.com/spf13/cobra"
+)
+
+const (
+	leaderPollInterval = 50 * time.Millisecond
+	// leaderPollTimeout is how long one question for the leader is repeated.
+	leaderPollTimeout = time.Minute
+	// othersMaySearch is the permission of others to enter a directory.
+	othersMaySearch = 0o001
+)
+
+func upCommand() *cobra.Command {
+	var data string
+	var options datadir.CreateOptions
+	cmd := &cobra.Command{
+		Use: "up", Short: "Run a whole site on this machine, in the foreground", Args: cobra.NoArgs,
+		Long: "Run a whole site on this machine: state service, pool, controllers and a worker, each started again when it ends.\n" +
+			"The first run makes the directory; the flags besides --data count only then. SIGTERM or an interrupt ends it.",
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			site, err := datadir.OpenOrCreate(siteDir(data), options, version)
+			if err != nil {
+				return &exitError{exitUnavailable, err}
+			}
+			return runSite(newPrinter(cmd.OutOrStdout()), site)
+		},
+	}
+	dataFlag(cmd, &data)
+	cmd.Flags().Float64Var(&options.CPUs, "cpus", 0, "CPUs that tasks may take; 0: all")
+	cmd.Flags().Float64Var(&options.MemoryGB, "mem", 0, "memory that tasks may take, in GB; 0: all but one")
+	cmd.Flags().IntVar(&options.Controllers, "controllers", 1, "controllers, 1 or 3")
+	cmd.Flags().StringVar(&options.TaskUser, "as", "", "user that tasks run as where the site runs as root; empty: nobody")
+	return cmd
+}
+
+// runSite runs the processes of a site until a signal ends it.
+func runSite(out *printer, site *datadir.Site) (err error) {
+	lock, err := site.Lock()
+	if err != nil {
+		return &exitError{exitUnavailable, err}
+	}
+	defer func() { err = errors.Join(err, lock.Close()) }()
+	if err := checkTaskUserAccess(site); err != nil {
+		return &exitError{exitUsage, err}
+	}
+	processes, err := newSupervisor(site, newLogger(os.Stderr, "info"))
+	if err != nil {
+		return err
+	}
+	if err := site.RecordSupervisor(); err != nil {
+		return err
+	}
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
+	go func() {
+		<-signals
+		out.println("ending")
+		processes.Stop()
+	}()
+	go announceLeader(out, site, time.Now())
+	processes.Run()
+	return out.firstError()
+}
+
+// newSupervisor returns a supervisor of the site's processes, and ends those that an earlier one has left.
+func newSupervisor(site *datadir.Site, log *slog.Logger) (*supervisor.Supervisor, error) {
+	program, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	processes, err := supervisor.New(program, site.Path(), site.ID, siteProcesses(site), log)
+	if err != nil {
+		return nil, &exitError{exitUnavailable, err}
+	}
+	return processes, nil
+}
+
+// siteProcesses returns the processes of a site in the order of their start.
+func siteProcesses(site *datadir.Site) []supervisor.ProcessSpec {
+	specs := []supervisor.ProcessSpec{
+		{Name: "state", Args: []string{"state", "--data", site.Path("state"), "--listen", site.StateAddr}},
+		{Name: "pool", Args: []string{"pool", "--data", site.Path()}},
+	}
+	for i, node := range site.Controllers {
+		args := []string{"serve", "--config", site.ControllerConfig(i), "--options", site.OptionsFile()}
+		specs = append(specs, supervisor.ProcessSpec{Name: node.Name, Args: args})
+	}
+	return append(specs, supervisor.ProcessSpec{Name: "worker", Args: []string{"worker", "--data", site.Path()}})
+}
+
+// announceLeader waits until the first controller knows a leader, and prints how the site can be used.
+func announceLeader(out *printer, site *datadir.Site, startedAt time.Time) {
+	addr := site.Controllers[0].PublicAddr
+	client := newServerClient(addr, leaderPollTimeout)
+	for {
+		var status controller.Status
+		if client.get("/status", &status) == nil && status.Leader != "" {
+			break
+		}
+		time.Sleep(leaderPollInterval)
+	}
+	out.printf("up after %.1f s: %g CPUs, %g GB, controller at %s\ntry: gullrudder submit --data %s --wait -- echo hello\n",
+		time.Since(startedAt).Seconds(), site.CPUs, site.MemoryGB, addr, site.Path())
+}
+
+// checkTaskUserAccess returns an error if the user that tasks run as cannot enter the site's directory.
+func checkTaskUserAccess(site *datadir.Site) error {
+	credential, err := taskCredential(site)
+	if err != nil || credential == nil {
+		return err
+	}
+	for dir := site.Path(); dir != filepath.Dir(dir); dir = filepath.Dir(dir) {
+		info, err := os.Stat(dir)
+		if err != nil {
+			return err
+		}
+		if info.Mode().Perm()&othersMaySearch == 0 {
+			return fmt.Errorf("tasks run as %s, who cannot get into %s: use another --data, or up --as root", site.TaskUser, dir)
+		}
+	}
+	return nil
+}
