--- a/internal/controller/jobs/spec.go
+++ b/internal/controller/jobs/spec.go
@@ -8,7 +8,7 @@
 // Priority orders jobs by urgency: the higher, the more urgent.
 type Priority int
 
-// Priorities that a submission may ask for.
+// Priorities of a submission.
 const (
 	Low Priority = iota
 	Normal
@@ -24,6 +24,9 @@
 	// maxIDDigits is how many digits the number in a job ID may have.
 	maxIDDigits = 32
 
+	// ResourceTolerance absorbs rounding errors where amounts of resources are compared.
+	ResourceTolerance = 1e-6
+
 	idPrefix = "job-"
 )
 
--- a/internal/controller/worker/resources.go
+++ b/internal/controller/worker/resources.go
@@ -2,9 +2,6 @@
 
 import "gullrudder/internal/controller/jobs"
 
-// resourceEpsilon is the largest rounding error of a sum of resources.
-const resourceEpsilon = 1e-6
-
 // Resources are quantities of CPUs, GPUs and memory, used by tasks or available on a machine.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
@@ -20,7 +17,7 @@
 	if need <= 0 {
 		return count
 	}
-	return min(count, int((available+resourceEpsilon)/need))
+	return min(count, int((available+jobs.ResourceTolerance)/need))
 }
 
 // AfterPlacing returns the resources left after placing a number of tasks of the job. A negative number adds their resources.
--- /dev/null
+++ b/internal/simulator/accounting_test.go
@@ -0,0 +1,223 @@
+package simulator
+
+import (
+	"testing"
+	"time"
+
+	"gullrudder/internal/controller/accounting"
+	"gullrudder/internal/controller/api"
+	"gullrudder/internal/controller/jobs"
+	"gullrudder/internal/wire/codec"
+	"gullrudder/internal/wire/workerapi"
+)
+
+// phase is what the world sees of a job: a plain walk over its tasks and the machines.
+type phase int
+
+const (
+	waitingForMachine phase = iota // a task that is not done is on no machine
+	fetchingImage
+	runningOnMachine
+	retrying  // all that is left has failed before
+	completed // all tasks are done
+	phaseCount
+)
+
+// phaseRecord is the world's own account of a job.
+type phaseRecord struct {
+	phase   phase
+	spent   [phaseCount]time.Duration
+	changes [phaseCount]int
+	failed  map[int]bool
+}
+
+// currentPhase walks all machines for each task of a job.
+func (sim *Cluster) currentPhase(job *observedJob, record *phaseRecord) phase {
+	if len(job.completedTasks) == job.spec.Tasks {
+		return completed
+	}
+	p, failed := runningOnMachine, 0
+	for task := range job.spec.Tasks {
+		if job.completedTasks[task] {
+			continue
+		}
+		key, state := (jobs.TaskID{JobID: job.spec.ID, Index: task}).String(), workerapi.TaskState("")
+		for _, m := range sim.Cloud.runningMachines() {
+			if t := m.tasks[key]; t != nil && t.state == workerapi.StateExited && t.reason != workerapi.ReasonDone {
+				record.failed[task] = true
+			} else if t != nil && t.state != workerapi.StateExited {
+				state = t.state
+			}
+		}
+		if record.failed[task] {
+			failed++
+		}
+		switch {
+		case state == "":
+			p = waitingForMachine
+		case state == workerapi.StateFetching && p == runningOnMachine:
+			p = fetchingImage
+		}
+	}
+	if failed == job.spec.Tasks-len(job.completedTasks) {
+		return retrying
+	}
+	return p
+}
+
+// recordPhases keeps the world's record of all jobs.
+func (sim *Cluster) recordPhases(records map[string]*phaseRecord) {
+	const every = 20 * time.Millisecond
+	var look func()
+	look = func() {
+		for id, j := range sim.checker.jobs {
+			r := records[id]
+			if r == nil {
+				r = &phaseRecord{failed: map[int]bool{}}
+				records[id] = r
+			}
+			if !j.finishedAt.IsZero() || !j.cancelledAt.IsZero() {
+				continue
+			}
+			p := sim.currentPhase(j, r)
+			if p != r.phase {
+				r.changes[p]++
+				r.changes[r.phase]++
+				r.phase = p
+			}
+			r.spent[p] += every
+		}
+		sim.At(every, look)
+	}
+	look()
+}
+
+// timeAccount asks the leader where the time of a job went.
+func (sim *Cluster) timeAccount(jobID string) (spent map[string]time.Duration, sum time.Duration) {
+	sim.deliverRequest(sim.State.leaderName(), false, "GET", "/work/"+jobID+"/explain", nil, func(status int, body any) {
+		var x api.Explanation
+		raw, err := encode(body)
+		if err != nil || status != 200 || codec.Unmarshal(raw, &x) != nil {
+			return
+		}
+		spent = map[string]time.Duration{}
+		for _, s := range x.TimeShares {
+			spent[s.Reason] += time.Duration(s.Milliseconds) * time.Millisecond
+			sum += time.Duration(s.Milliseconds) * time.Millisecond
+		}
+	})
+	sim.Run(5 * time.Millisecond)
+	return spent, sum
+}
+
+// Where the owner says that a job's time went is where the world's own record has it, but for one
+// report and one look at each change; and it sums to the time from acceptance to the end.
+func TestTimeAccountingMatchesSimulation(t *testing.T) {
+	t.Parallel()
+	for seed := range uint64(3) {
+		t.Run(seedName(seed), func(t *testing.T) {
+			opt := testOptions()
+			opt.LossShare, opt.LateShare = 0, 0
+			sim := New(seed, opt, testLogger())
+			records := map[string]*phaseRecord{}
+			sim.recordPhases(records)
+			for i := range 30 {
+				sim.At(time.Duration(i)*2*time.Second, sim.Users.SubmitRandom)
+			}
+			sim.Run(4 * time.Minute)
+			expectNoViolations(t, sim)
+			checked := 0
+			slack := opt.HeartbeatInterval*5/4 + 1100*time.Millisecond // a report, a look, a message that takes long
+			for id, j := range sim.checker.jobs {
+				r := records[id]
+				if j.finishedAt.IsZero() || j.cancelRequested || j.spec.IsService {
+					continue
+				}
+				spent, sum := sim.timeAccount(id)
+				if spent == nil {
+					t.Fatalf("no account of %s", id)
+				}
+				mine := [phaseCount]time.Duration{
+					fetchingImage: spent[accounting.FetchingImage.String()], runningOnMachine: spent[accounting.Running.String()],
+					retrying:  spent[accounting.AttemptFailed.String()] + spent[accounting.MachineLost.String()] + spent[accounting.Preempted.String()],
+					completed: spent[accounting.NotDurable.String()],
+				}
+				mine[waitingForMachine] = sum - mine[fetchingImage] - mine[runningOnMachine] - mine[retrying] - mine[completed]
+				for p := range phaseCount {
+					// The world counts until its user was told, the owner until the result was durable.
+					if p == completed {
+						continue
+					}
+					if diff := (mine[p] - r.spent[p]).Abs(); diff > slack*time.Duration(max(r.changes[p], 1)) {
+						t.Errorf(
+							"%s: phase %d: %v by the owner, %v by the world, %d changes\n%v",
+							id,
+							p,
+							mine[p],
+							r.spent[p],
+							r.changes[p],
+							spent,
+						)
+					}
+				}
+				checked++
+			}
+			if checked < 10 {
+				t.Errorf("only %d jobs were checked", checked)
+			}
+		})
+	}
+}
+
+// Over several leaders, machines that die and a state service that is away, an account still sums to
+// the job's time as its record has it, and says how much nobody knows.
+func TestTimeAccountingAcrossFailovers(t *testing.T) {
+	unknown := 0
+	t.Parallel()
+	for seed := range uint64(3) {
+		t.Run(seedName(seed), func(t *testing.T) {
+			sim := New(seed, testOptions(), testLogger())
+			for i := range 20 {
+				sim.At(time.Duration(i)*time.Second, func() {
+					sim.Users.SubmitRandom()
+					for _, j := range sim.checker.jobs {
+						j.runTime = max(j.runTime, 8*time.Second)
+					}
+				})
+			}
+			sim.At(15*time.Second, sim.Cloud.FailMachine)
+			sim.At(25*time.Second, func() { sim.State.Outage(4 * time.Second) })
+			for _, at := range []time.Duration{20, 35, 45} {
+				sim.At(at*time.Second, func() {
+					for i := range sim.Options.Controllers {
+						if controllerName(i) == sim.State.leaderName() {
+							sim.Crash(i, 3*time.Second)
+						}
+					}
+				})
+			}
+			for range 12 {
+				sim.Run(10 * time.Second)
+				expectNoViolations(t, sim)
+				for id, j := range sim.checker.jobs {
+					rec, ok := sim.State.record(id)
+					if !ok || j.acceptedAt.IsZero() || rec.SubmittedMs == 0 || j.cancelRequested || !j.finishedAt.IsZero() ||
+						sim.checker.anyAncestor(id, func(x *observedJob) bool { return x.cancelRequested }) {
+						continue // an account ends with a cancellation, also with that of a job that is needed
+					}
+					spent, sum := sim.timeAccount(id)
+					age := sim.Now.Sub(time.UnixMilli(rec.SubmittedMs))
+					if len(spent) > 0 && (sum-age).Abs() > 150*time.Millisecond {
+						t.Errorf("%s: its account sums to %v, its age is %v: %v", id, sum, age, spent)
+					}
+					if spent[accounting.EarlierLeader.String()] > 0 {
+						unknown++
+					}
+				}
+			}
+		})
+	}
+	if unknown == 0 {
+		t.Error("no account of a job over several leaders says that something is not known")
+	}
+}
--- /dev/null
+++ b/internal/simulator/capacityloss.go
@@ -0,0 +1,181 @@
+package simulator
+
+import (
+	"fmt"
+	"time"
+
+	"gullrudder/internal/config"
+	"gullrudder/internal/controller/jobs"
+)
+
+// CapacityLoss is how each class and team was served by a fleet that lost four in ten of its machines for minutes.
+type CapacityLoss struct {
+	Classes, Teams map[string]Served
+	MachinesBefore int // machines up before the loss
+	MachinesDuring int // machines up right after it
+}
+
+// Served counts the jobs of a class, a team or another group, and those of them that were done at the end of the run.
+type Served struct{ Done, All int }
+
+// Share is the share of the jobs that was done, 0 to 1.
+func (p Served) Share() float64 { return float64(p.Done) / float64(max(p.All, 1)) }
+
+// LeastServed names the group with the smallest share of done jobs, the first by name if several have it.
+func LeastServed(served map[string]Served) (name string, share float64) {
+	share = 2
+	for n, p := range served {
+		if s := p.Share(); s < share || s == share && n < name {
+			name, share = n, s
+		}
+	}
+	return name, share
+}
+
+// CapacityLossOptions are the options for RunCapacityLoss: three teams, one of which has no guaranteed quota and the jobs of
+// lowest priority only, and objectives for the classes of the others.
+func CapacityLossOptions(tuning config.Options) Options {
+	return Options{
+		Controllers:         3,
+		HeartbeatInterval:   2 * time.Second,
+		WorkerLease:         12 * time.Second,
+		CancelTimeout:       30 * time.Second,
+		MachinesPerKind:     12,
+		StopPollingFinished: true,
+		NoTaskFailures:      true,
+		SkipCostlyChecks:    true,
+		Tuning:              tuning,
+		Teams: []config.Team{
+			{Name: "red", GuaranteedCPUs: 80},
+			{Name: "blue", GuaranteedCPUs: 40, CPULimit: 400},
+			{Name: "guests", CPULimit: 400},
+		},
+		AdjustPlatform: func(p *config.Platform) {
+			p.StateRequestRate, p.StateWriteRate = 400, 60
+			p.Objectives = []config.Objective{
+				{Kind: "deadline", Class: "urgent", TargetShare: 0.95, DeadlineFactor: 1.5},
+				{Kind: "finished", Class: "batch", TimeLimit: 90 * time.Second, TargetShare: 0.95},
+				{Kind: "finished", Class: "flood", TimeLimit: 120 * time.Second, TargetShare: 0.95},
+				{Kind: "wait", Class: "archive", TimeLimit: 150 * time.Second, TargetShare: 0.9},
+			}
+		},
+	}
+}
+
+// workload is a job that is submitted again and again.
+type workload struct {
+	spec  jobs.Spec
+	run   time.Duration // expected run time of a task
+	every time.Duration
+}
+
+// jobSpec is the n-th job of the run.
+func (w workload) jobSpec(n int) jobs.Spec {
+	spec := w.spec
+	spec.ID, spec.Image, spec.ImageGB, spec.AllowsSpot, spec.RunTimeEstimate = fmt.Sprintf("job-%07d", n), spec.Class, 0.5, true, w.run
+	return spec
+}
+
+// randomRunTime is between 0.7 and 1.3 times the expected run time.
+func (sim *Cluster) randomRunTime(expected time.Duration) time.Duration {
+	return time.Duration(float64(expected) * (0.7 + 0.6*sim.Rand.Float64()))
+}
+
+func (sim *Cluster) randomDelay(limit time.Duration) time.Duration {
+	return time.Duration(sim.Rand.Int64N(int64(limit)))
+}
+
+// capacityLossWorkload is about as much as all machines can run.
+var capacityLossWorkload = []workload{
+	{
+		jobs.Spec{Class: "urgent", Team: "red", Priority: jobs.High, Tasks: 8, CPUs: 1, MemoryGB: 1, Deadline: 40 * time.Second},
+		10 * time.Second,
+		time.Second,
+	},
+	{jobs.Spec{Class: "batch", Team: "red", Priority: jobs.Normal, Tasks: 30, CPUs: 1, MemoryGB: 1}, 12 * time.Second, 6 * time.Second},
+	{jobs.Spec{Class: "flood", Team: "blue", Priority: jobs.Normal, Tasks: 20, CPUs: 2, MemoryGB: 2}, 15 * time.Second, 8 * time.Second},
+	{
+		jobs.Spec{
+			Class:              "archive",
+			Team:               "guests",
+			Priority:           jobs.Low,
+			Tasks:              10,
+			CPUs:               4,
+			MemoryGB:           4,
+			CheckpointInterval: 10 * time.Second,
+			CheckpointDuration: time.Second,
+		},
+		30 * time.Second,
+		24 * time.Second,
+	},
+	{jobs.Spec{Class: "scan", Team: "guests", Priority: jobs.Low, Tasks: 400, CPUs: 0.25, MemoryGB: 0.5}, 40 * time.Second, time.Hour},
+}
+
+// The phases of RunCapacityLoss, from its beginning.
+const (
+	capacityLossBegins = time.Minute
+	capacityLossLasts  = 7 * time.Minute
+	capacityLossLength = 510 * time.Second
+	submissionsEnd     = 7 * time.Minute
+	// tenthsLeft of the machines, in tenths, remain during the loss.
+	tenthsLeft = 6
+)
+
+// RunCapacityLoss simulates eight and a half minutes. For seven of them, from the first on, the cloud has six in ten of the machines,
+// the others are reclaimed, machines fail, and the leader crashes three times. One class is submitted three times as often for the
+// first minute of the loss.
+func (sim *Cluster) RunCapacityLoss() CapacityLoss {
+	result := CapacityLoss{Classes: map[string]Served{}, Teams: map[string]Served{}}
+	sim.scheduleCapacityLossJobs()
+	capacity := sim.Cloud.machinesPerKind
+	sim.At(capacityLossBegins, func() {
+		result.MachinesBefore = len(sim.Cloud.runningMachines())
+		sim.Cloud.machinesPerKind = capacity * tenthsLeft / 10
+		for len(sim.Cloud.runningMachines()) > result.MachinesBefore*tenthsLeft/10 {
+			sim.Cloud.ReclaimMachine(0)
+		}
+		result.MachinesDuring = len(sim.Cloud.runningMachines())
+	})
+	sim.At(capacityLossBegins+capacityLossLasts, func() { sim.Cloud.machinesPerKind = capacity })
+	for at := capacityLossBegins + 20*time.Second; at < capacityLossBegins+capacityLossLasts; at += 70 * time.Second {
+		sim.At(at, sim.Cloud.FailMachine)
+		sim.At(at, sim.Cloud.FailMachine)
+	}
+	for _, after := range []time.Duration{30 * time.Second, 150 * time.Second, 260 * time.Second} {
+		sim.At(capacityLossBegins+after, func() { sim.crashActing(4 * time.Second) })
+	}
+	sim.Run(capacityLossLength)
+	for _, jobID := range sim.Users.jobIDs {
+		job := sim.checker.jobs[jobID]
+		result.Classes[job.spec.Class] = result.Classes[job.spec.Class].with(job)
+		result.Teams[job.spec.Team] = result.Teams[job.spec.Team].with(job)
+	}
+	return result
+}
+
+func (sim *Cluster) scheduleCapacityLossJobs() {
+	n := 0
+	for _, work := range capacityLossWorkload {
+		for at := time.Duration(0); at < submissionsEnd; at += work.every {
+			copies := 1
+			if work.spec.Class == "flood" && at >= capacityLossBegins && at < capacityLossBegins+time.Minute {
+				copies = 3
+			}
+			for range copies {
+				spec := work.jobSpec(n)
+				n++
+				run := sim.randomRunTime(work.run)
+				sim.At(at+sim.randomDelay(time.Second), func() { sim.Users.SubmitJob(spec, run) })
+			}
+		}
+	}
+}
+
+// crashActing crashes every controller that holds the leader lease.
+func (sim *Cluster) crashActing(restartAfter time.Duration) {
+	for i := range sim.controllers {
+		if acting, _ := sim.leadershipOf(i); acting {
+			sim.Crash(i, restartAfter)
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulator/leaderfailures.go
@@ -0,0 +1,110 @@
+package simulator
+
+import "time"
+
+// leaderFailures are the ways in which a leader can fail, by name.
+func (sim *Cluster) leaderFailures() map[string]func(leader int) {
+	const long = 12 * time.Second
+	apart := func(leader int, hosts ...string) {
+		for _, h := range hosts {
+			sim.CutLink(controllerName(leader), h, long)
+		}
+	}
+	fromWorkers := func(leader int) {
+		for _, m := range sim.Cloud.runningMachines() {
+			sim.CutLink(controllerName(leader), m.id, 2*sim.Options.WorkerLease)
+		}
+	}
+	others := func(leader int) (list []string) {
+		for i := range sim.Options.Controllers {
+			if i != leader {
+				list = append(list, controllerName(i))
+			}
+		}
+		return list
+	}
+	return map[string]func(int){
+		"it ends":                                    func(l int) { sim.Crash(l, 3*time.Second) },
+		"refused by the state service alone":         func(l int) { sim.State.Refuse(controllerName(l), long) },
+		"cut from the state service":                 func(l int) { apart(l, "state") },
+		"cut from everything":                        func(l int) { apart(l, append(others(l), "state", userHost)...) },
+		"cut from the workers":                       fromWorkers,
+		"cut from the other controllers":             func(l int) { apart(l, others(l)...) },
+		"it stands still for 4 s":                    func(l int) { sim.Pause(l, 4*time.Second) },
+		"the state service is away for 4 s":          func(int) { sim.State.Outage(4 * time.Second) },
+		"it ends while the state service is away":    func(l int) { sim.State.Outage(4 * time.Second); sim.Crash(l, 3*time.Second) },
+		"all controllers end, one after the other":   func(l int) { sim.rollingRestart(l, 9*time.Second) },
+		"refused by the state service, peers refuse": func(l int) { sim.State.Refuse(controllerName(l), long); apart(l, others(l)...) },
+	}
+}
+
+func (sim *Cluster) rollingRestart(first int, every time.Duration) {
+	for i := range sim.Options.Controllers {
+		sim.At(time.Duration(i)*every, func() { sim.Crash((first+i)%sim.Options.Controllers, 3*time.Second) })
+	}
+}
+
+// LeaderGap is the result of FailLeader: for how long the cluster was without a service after the leader failed.
+type LeaderGap struct {
+	Cause string
+	// Time without a controller that holds the leader lease, without one that places tasks, and without a leader that reaches the
+	// state service, so that it can accept jobs.
+	WithoutLeader, WithoutPlacement, WithoutAcceptance time.Duration
+}
+
+// FailLeader simulates a cluster with some jobs and machines, injects one failure of the leader and
+// measures the gaps that follow it.
+func (sim *Cluster) FailLeader(cause string, watch time.Duration) LeaderGap {
+	for i := range 20 {
+		sim.At(time.Duration(i)*500*time.Millisecond, sim.Users.SubmitRandom)
+	}
+	sim.Run(15*time.Second + time.Duration(sim.Rand.IntN(3000))*time.Millisecond)
+	leader := -1
+	for i := range sim.controllers {
+		if acting, _ := sim.leadershipOf(i); acting {
+			leader = i
+		}
+	}
+	g := LeaderGap{Cause: cause}
+	if leader < 0 {
+		return g
+	}
+	sim.leaderFailures()[cause](leader)
+	const step = 5 * time.Millisecond
+	for range int(watch / step) {
+		sim.Run(step)
+		someActs, somePlaces, someAccept := false, false, false
+		for i := range sim.controllers {
+			acting, placing := sim.leadershipOf(i)
+			someActs, somePlaces = someActs || acting, somePlaces || placing
+			someAccept = someAccept || acting && !sim.State.isRefusing(controllerName(i)) && !sim.Now.Before(sim.linkCutUntil(controllerName(i), stateHost))
+		}
+		if !someActs {
+			g.WithoutLeader += step
+		}
+		if !someAccept {
+			g.WithoutAcceptance += step
+		}
+		if !somePlaces {
+			g.WithoutPlacement += step
+		}
+	}
+	return g
+}
+
+// LeaderFailures lists the causes that FailLeader knows, in no order.
+func (sim *Cluster) LeaderFailures() []string {
+	var list []string
+	for name := range sim.leaderFailures() {
+		list = append(list, name)
+	}
+	return list
+}
+
+func (sim *Cluster) leadershipOf(i int) (acting, placing bool) {
+	c := sim.controllers[i]
+	if c.controller == nil || sim.Now.Before(c.pausedUntil) {
+		return false, false
+	}
+	return c.controller.LeadershipState(sim.localTime(c))
+}
--- /dev/null
+++ b/internal/simulator/userfaults.go
@@ -0,0 +1,121 @@
+package simulator
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+
+	"gullrudder/internal/controller/jobs"
+)
+
+// CancelAsJobsEnd makes users cancel a share of the jobs whose last task completes within the span, at that moment.
+func (u *Users) CancelAsJobsEnd(share float64, span time.Duration) {
+	u.cancelAtEndShare, u.cancelAtEndUntil = share, u.sim.Now.Add(span)
+	u.sim.extendFaults(span)
+}
+
+// jobEnded may cancel a job whose last task has just completed.
+func (u *Users) jobEnded(jobID string) {
+	if j := u.sim.checker.jobs[jobID]; u.sim.Now.Before(u.cancelAtEndUntil) && !j.acceptedAt.IsZero() && !j.cancelRequested && u.sim.Rand.Float64() < u.cancelAtEndShare {
+		u.sim.At(time.Duration(u.sim.Rand.IntN(700))*time.Millisecond, func() { u.cancel(jobID) })
+	}
+}
+
+// CancelLongest cancels up to most running jobs, those with the most work left, within 0.2 s; up to
+// eight of their machines then hang for a while.
+func (u *Users) CancelLongest(most int, hang time.Duration) {
+	left := func(id string) time.Duration {
+		j := u.sim.checker.jobs[id]
+		return time.Duration(j.spec.Tasks-len(j.completedTasks)) * j.runTime
+	}
+	var list []string
+	on := map[string][]*machine{}
+	for _, id := range u.jobIDs {
+		j := u.sim.checker.jobs[id]
+		if j.acceptedAt.IsZero() || j.cancelRequested || len(j.completedTasks) == j.spec.Tasks {
+			continue
+		}
+		for t := range j.spec.Tasks {
+			on[id] = append(on[id], u.sim.checker.placements[jobs.TaskID{JobID: id, Index: t}]...)
+		}
+		if len(on[id]) > 0 {
+			list = append(list, id)
+		}
+	}
+	slices.SortStableFunc(list, func(a, b string) int { return cmp.Compare(left(b), left(a)) })
+	hung := 0
+	for _, id := range list[:min(most, len(list))] {
+		u.sim.At(time.Duration(u.sim.Rand.IntN(200))*time.Millisecond, func() { u.cancel(id) })
+		for _, m := range on[id] {
+			if hung < 8 && hang > 0 && u.sim.Now.After(m.hangsUntil) {
+				hung++
+				u.sim.At(200*time.Millisecond, func() { m.hangsUntil = u.sim.Now.Add(hang) })
+			}
+		}
+	}
+	if hung > 0 {
+		u.sim.extendFaults(hang + 200*time.Millisecond)
+	}
+}
+
+// SendInvalidRequest sends a random request that has no effect or has to be rejected: a repeated submission, the cancellation of a job that is
+// done, a job that fits no machine, a job that lacks a field.
+func (u *Users) SendInvalidRequest() {
+	r := u.sim.Rand
+	pick := func(counts func(*observedJob) bool) string {
+		for range 8 {
+			if len(u.jobIDs) > 0 {
+				if id := u.jobIDs[r.IntN(len(u.jobIDs))]; counts(u.sim.checker.jobs[id]) {
+					return id
+				}
+			}
+		}
+		return ""
+	}
+	s := jobs.Spec{
+		ID:              fmt.Sprintf("job-8%06d", u.invalidRequests),
+		Class:           "odd",
+		Team:            "none",
+		Tasks:           1,
+		CPUs:            1,
+		MemoryGB:        1,
+		Image:           "i",
+		AllowsSpot:      true,
+		RunTimeEstimate: time.Second,
+	}
+	if len(u.sim.Options.Teams) > 0 {
+		s.Team = u.sim.Options.Teams[0].Name
+	}
+	u.invalidRequests++
+	switch r.IntN(4) {
+	case 0:
+		if id := pick(func(j *observedJob) bool { return !j.acceptedAt.IsZero() && j.finishedAt.IsZero() }); id != "" {
+			u.sendSubmission(u.sim.checker.jobs[id].spec, u.sim.Now)
+		}
+	case 1:
+		if id := pick(func(j *observedJob) bool { return !j.finishedAt.IsZero() }); id != "" {
+			u.cancel(id)
+		}
+	case 2:
+		s.CPUs = 1000
+		u.mustReject(s.ID, SubmissionFields(s), 422)
+	default:
+		fields := SubmissionFields(s)
+		names := []string{
+			"berth", "crew", "rig", "heading", "strokes", "cpus", "cards", "mem_gb", "hull", "image_gb", "one_zone", "spread",
+			"driftwood", "voyage_s", "mooring_s", "tieup_s",
+		}
+		delete(fields, names[r.IntN(len(names))])
+		u.mustReject(s.ID, fields, 400)
+	}
+}
+
+// mustReject submits a job that has to be rejected with the final status, or with one that asks to retry.
+func (u *Users) mustReject(jobID string, fields Submission, final int) {
+	u.request("POST", "/work", fields, func(status int, _ string, _ time.Time) {
+		if status != 0 && status != 503 && status != 429 && status != final {
+			u.sim.reportViolation(RuleInvalidAccepted, "accepted though it cannot run, or refused wrongly: %s is answered %d, not %d", jobID, status, final)
+		}
+	})
+}
