--- /dev/null
+++ b/internal/simulator/faultday.go
@@ -0,0 +1,146 @@
+package simulator
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+)
+
+// FaultDay is the result of RunFaultDay: how every class and team was served.
+type FaultDay struct {
+	Classes, Teams                           map[string]Served
+	Largest                                  map[string]Served // the largest tenth of each class, at least one job, by work and by number of tasks
+	LatestFirstStart                         time.Duration     // from submission to first start, the longest of the largest jobs
+	IsForgotten                              bool              // the first violation was one of RuleForgotten
+	MaxMachines                              int               // the most machines that were up at a time
+	RequestedCPUSeconds, AvailableCPUSeconds float64           // by all jobs that were not cancelled; of all machines that were up
+}
+
+// LeastServed returns the smallest share of done jobs of any class, any team and any group of largest jobs.
+func (d FaultDay) LeastServed() (class, team, largest float64) {
+	_, class = LeastServed(d.Classes)
+	_, team = LeastServed(d.Teams)
+	_, largest = LeastServed(d.Largest)
+	return class, team, largest
+}
+
+// IsFeasible reports whether the machines that were up could have run all jobs, with a fifth to spare for lost work. It ignores
+// placement and time.
+func (d FaultDay) IsFeasible() bool { return d.RequestedCPUSeconds*1.2 <= d.AvailableCPUSeconds }
+
+// The phases of a fault day, from its beginning.
+const (
+	faultDaySubmissions = 240 * time.Second // jobs are submitted until then
+	faultDayFirstFault  = 40 * time.Second
+	faultDayFaultsLast  = 240 * time.Second
+	faultDayLength      = 640 * time.Second
+	faultDayRate        = 4 // times the submissions of RunCapacityLoss
+	faultDaySampling    = 5 * time.Second
+)
+
+// RunFaultDay simulates the workload of RunCapacityLoss at four times its rate. For four minutes it injects ten faults of the given
+// kinds, two at about the same time, and then runs on without faults.
+func (sim *Cluster) RunFaultDay(kinds []string) (FaultDay, error) {
+	for _, name := range kinds {
+		if _, ok := findFaultKind(dayFaults, name); !ok {
+			return FaultDay{}, fmt.Errorf("no fault is called %q", name)
+		}
+	}
+	day := FaultDay{Classes: map[string]Served{}, Teams: map[string]Served{}, Largest: map[string]Served{}}
+	sim.scheduleFaultDayJobs()
+	sim.scheduleDayFaults(kinds)
+	for at := faultDaySampling; at < faultDayLength; at += faultDaySampling {
+		sim.At(at, func() {
+			machines := sim.Cloud.runningMachines()
+			day.MaxMachines = max(day.MaxMachines, len(machines))
+			for _, m := range machines {
+				day.AvailableCPUSeconds += faultDaySampling.Seconds() * m.machineType.CPUs
+			}
+		})
+	}
+	sim.Run(faultDayLength)
+	day.IsForgotten = len(sim.Violations) > 0 && sim.Violations[0].Rule == RuleForgotten
+	day.countServed(sim)
+	return day, nil
+}
+
+func (sim *Cluster) scheduleFaultDayJobs() {
+	n := 0
+	for _, work := range capacityLossWorkload {
+		for at := time.Duration(0); at < faultDaySubmissions; at += work.every / faultDayRate {
+			spec := work.jobSpec(n)
+			if n++; n%25 == 0 {
+				spec.Tasks *= 10
+			}
+			run := sim.randomRunTime(work.run)
+			sim.At(at+sim.randomDelay(time.Second), func() { sim.Users.SubmitJob(spec, run) })
+		}
+	}
+}
+
+func (sim *Cluster) scheduleDayFaults(kinds []string) {
+	const times, together = 5, 2
+	for i := range times {
+		at := faultDayFirstFault + time.Duration(i)*faultDayFaultsLast/times
+		for range together {
+			kind, _ := findFaultKind(dayFaults, kinds[sim.Rand.IntN(len(kinds))])
+			fault := Fault{
+				Kind:         kind.Name,
+				Span:         time.Duration(3000+sim.Rand.IntN(40_000)) * time.Millisecond,
+				Severity:     1 + sim.Rand.IntN(3),
+				FarSides:     1 + sim.Rand.IntN(1<<farSideCount-1),
+				RestartAfter: time.Duration(1+sim.Rand.IntN(900)) * time.Millisecond,
+			}
+			sim.At(at+time.Duration(sim.Rand.IntN(8000))*time.Millisecond, func() { kind.inject(sim, fault) })
+		}
+	}
+}
+
+// countServed counts the jobs that were accepted and not cancelled by their users.
+func (d *FaultDay) countServed(sim *Cluster) {
+	byClass := map[string][]*observedJob{}
+	for _, jobID := range sim.Users.jobIDs {
+		job := sim.checker.jobs[jobID]
+		if job.acceptedAt.IsZero() || job.cancelRequested {
+			continue
+		}
+		class, team := job.spec.Class, job.spec.Team
+		d.RequestedCPUSeconds += float64(job.spec.Tasks) * job.spec.CPUs * job.runTime.Seconds()
+		byClass[class] = append(byClass[class], job)
+		d.Classes[class] = d.Classes[class].with(job)
+		d.Teams[team] = d.Teams[team].with(job)
+	}
+	sizes := map[string]func(*observedJob) float64{
+		"by work": func(job *observedJob) float64 {
+			return float64(job.spec.Tasks) * job.spec.RunTimeEstimate.Seconds() * job.spec.CPUs
+		},
+		"by tasks": func(job *observedJob) float64 { return float64(job.spec.Tasks) },
+	}
+	for class, list := range byClass {
+		for name, size := range sizes {
+			slices.SortStableFunc(list, func(a, b *observedJob) int { return cmp.Compare(size(b), size(a)) })
+			for _, job := range list[:max(len(list)/10, 1)] {
+				group := class + " " + name
+				d.Largest[group] = d.Largest[group].with(job)
+				d.LatestFirstStart = max(d.LatestFirstStart, timeToFirstStart(job))
+			}
+		}
+	}
+}
+
+// timeToFirstStart is the time from submission to the first start, the whole day if there was none.
+func timeToFirstStart(job *observedJob) time.Duration {
+	if job.firstStartedAt.IsZero() {
+		return faultDayLength
+	}
+	return job.firstStartedAt.Sub(job.submittedAt)
+}
+
+// with counts a job.
+func (s Served) with(job *observedJob) Served {
+	if len(job.completedTasks) == job.spec.Tasks {
+		s.Done++
+	}
+	return Served{s.Done, s.All + 1}
+}
