--- a/internal/simulator/ageing_test.go
+++ b/internal/simulator/ageing_test.go
@@ -10,13 +10,13 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// overloadedCluster is a world in which deadline jobs that fit one by one keep all room, all the time, after
-// a few tasks of low priority were queued. Their tasks need four times the room of the others.
+// overloadedCluster is a cluster that urgent jobs with deadlines keep full all the time, after a few tasks of low priority were queued
+// that need four times the resources.
 func overloadedCluster(seed uint64, share float64) *Cluster {
 	opt := testOptions()
 	opt.Teams, opt.LossShare, opt.MachinesPerKind = nil, 0, 1
 	opt.Tuning.AgeBound, opt.Tuning.AgedShare, opt.Tuning.PlanningInterval, opt.Tuning.SubmissionShare = time.Minute, share, 5*time.Second, 1000
-	// The floor and the beginnings serve the same work by shares of their own.
+	// The minimum served share and the start bound would serve the same jobs.
 	opt.Tuning.FairShareCapacity, opt.Tuning.OverdueShare, opt.Tuning.StartBound = 0, 0, 0
 	sim := New(seed, opt, testLogger())
 	urgent := func(i int) {
@@ -50,9 +50,8 @@
 	return x
 }
 
-// A flood of urgent work does not hold up what was queued before it: everything starts within
-// the bound that was stated when it was accepted. Without a share for the aged the same work
-// waits beyond it.
+// Urgent jobs that overload the cluster do not delay earlier jobs beyond the bound that was stated at acceptance. Without an aged
+// share the same jobs wait for longer than that.
 func TestAgeingBoundsWaitUnderOverload(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
--- a/internal/simulator/bench_test.go
+++ b/internal/simulator/bench_test.go
@@ -8,8 +8,8 @@
 	"gullrudder/internal/config"
 )
 
-// BenchmarkLargeCluster plays a minute of a large fleet: the real owners in a world without troubles.
-// With -cpuprofile, what lies below node.Step is what a leader pays.
+// BenchmarkLargeCluster simulates a minute of a large fleet without faults. With -cpuprofile, what is below Controller.Step is the cost
+// of a leader.
 func BenchmarkLargeCluster(b *testing.B) {
 	for _, machines := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
--- a/internal/simulator/failover_test.go
+++ b/internal/simulator/failover_test.go
@@ -8,8 +8,8 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// A leader ends while half of the machines are away for longer than their leases. Jobs that the next one accepts start on the others
-// before those leases are over; nothing that may run out of sight starts again, and a team at its limit stays within it.
+// A leader crashes while half of the machines hang for longer than their leases. Jobs that the next leader accepts start on the other
+// machines before those leases expire; nothing that may still run elsewhere starts again, and a team at its quota stays within it.
 func TestAcceptedJobsStartDuringFailover(t *testing.T) {
 	forEachSeed(t, 4, clusterAtQuota, func(sim scenario) {
 		for _, m := range sim.Cloud.randomMachines(len(sim.Cloud.runningMachines()) / 2) {
@@ -30,8 +30,8 @@
 	})
 }
 
-// A team is at its limit when the leader changes, twice in a row, some of its machines cannot be asked, and jobs of it are cancelled
-// in that spell: what may still run counts, also of the cancelled ones, until it is gone.
+// A team is at its quota during two failovers in a row, some of its machines are unreachable, and jobs of it are cancelled meanwhile:
+// tasks that may still run count, those of cancelled jobs too, until they are known to have stopped.
 func TestQuotaDuringFailover(t *testing.T) {
 	forEachSeed(t, 4, clusterAtQuota, func(sim scenario) {
 		for _, m := range sim.Cloud.randomMachines(len(sim.Cloud.runningMachines()) / 2) {
@@ -52,8 +52,8 @@
 	})
 }
 
-// Machines reach no controller, while commands reach them. The tasks of cancelled jobs there are gone in time, through a takeover, and
-// when a machine is back within a second of its lease's end; nothing runs twice.
+// Heartbeats of machines reach no controller, while commands reach the machines. Tasks of cancelled jobs stop there in time, through a
+// failover too, and when a machine reports again within a second of its lease's expiry; nothing runs twice.
 func TestOutboundUnreachableMachines(t *testing.T) {
 	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		sim.Cloud.CutOutbound(
@@ -72,8 +72,8 @@
 	})
 }
 
-// All controllers are away for longer than a lease, just after cancellations: every session is a new one, results that came to
-// an end meanwhile are lost with it and their tasks run again, and there is no flood of machines or starts.
+// All controllers are down for longer than a lease just after cancellations: every worker begins a new incarnation, tasks whose results
+// were lost with the old one run again, and neither instances nor starts are requested in excess.
 func TestAllControllersDownPastLease(t *testing.T) {
 	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		sim.Cloud.DuplicateHeartbeats(30 * time.Second)
@@ -93,7 +93,7 @@
 	})
 }
 
-// A report is held up until the next leader has acted, and then arrives there, with what that one has replaced or cancelled.
+// Heartbeats are delayed until the next leader has acted, and then list tasks that it has replaced or cancelled.
 func TestHeartbeatDelayedPastFailover(t *testing.T) {
 	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		late := 0
@@ -124,8 +124,8 @@
 	})
 }
 
-// Cancellations, questions and repeated submissions meet the end of a job's last task: one final state in every answer, of every
-// controller, also after the job is sealed; without other troubles, and with commits of unknown outcome.
+// Cancellations, polls and repeated submissions arrive as the last task of a job completes: every response of every controller has the
+// same final state, after the job is archived too; without other faults, with transactions of unknown outcome, and through failovers.
 func TestCancellationAsJobsEnd(t *testing.T) {
 	forEachSeed(t, 6, busyCluster, func(sim scenario) {
 		sim.Users.CancelAsJobsEnd(1, time.Minute)
@@ -151,7 +151,7 @@
 	})
 }
 
-// Leaders change ten times in two minutes, some of it inside an outage; then all end, and one returns within a second.
+// The leader changes ten times in two minutes, partly during an outage; then all controllers crash, and one returns within a second.
 func TestTenFailoversInTwoMinutes(t *testing.T) {
 	forEachSeed(t, 3, busyCluster, func(sim scenario) {
 		sim.watchSingleLeader()
@@ -183,8 +183,8 @@
 	})
 }
 
-// Jobs bound to one zone, arrays too, lose machines, some of them out of sight and not gone, while the leader ends: no task starts in
-// another zone while one may still be in the first, and all are done in the end.
+// Jobs that are bound to one zone, or spread, lose machines, some of which are unreachable but may still run tasks, while the leader
+// crashes: no task starts in another zone while one may still run in the first, and all jobs finish.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	forEachSeed(t, 4, clusterWithoutTaskFailures, func(sim scenario) {
 		for i := range 10 {
@@ -226,8 +226,8 @@
 	})
 }
 
-// Jobs are cancelled at the very moment at which the state service refuses the leader alone; their machines hang, and a second later
-// it is away for all for longer than users are told.
+// Jobs are cancelled at the moment at which the state service refuses the leader alone; their machines hang, and a second later the
+// state service has an outage of more than the cancellation timeout.
 func TestCancellationAsLeaderIsRefused(t *testing.T) {
 	forEachSeed(t, 6, busyCluster, func(sim scenario) {
 		sim.Users.CancelLongest(5, time.Duration(sim.seed)*3*time.Second)
@@ -237,7 +237,7 @@
 	})
 }
 
-// A zone with workers and a controller is cut off for longer than a lease: the leader is in it, or it is not.
+// A zone with workers and a controller is cut off for longer than a lease; the leader is inside or outside.
 func TestPartitionedZoneWithController(t *testing.T) {
 	forEachSeed(t, 6, busyCluster, func(sim scenario) {
 		sim.watchSingleLeader()
@@ -254,7 +254,7 @@
 	})
 }
 
-// More work than there is room for, urgent and not, over links that lose and hold up much: every rule, and an end.
+// More jobs than the cluster can run, of all priorities, over slow and lossy links: no rule is broken and all jobs finish.
 func TestOverloadOverLossyLinks(t *testing.T) {
 	forEachSeed(t, 3, overloadedLossyCluster, func(sim scenario) {
 		for i := range 60 {
@@ -283,7 +283,7 @@
 	})
 }
 
-// The checker itself: jobs that wait while machines have room are told of, and what was accepted though it cannot run.
+// The checker itself: it reports jobs that wait although machines have capacity, and an invalid job that is accepted.
 func TestCheckerReportsStartableJobsLeftWaiting(t *testing.T) {
 	t.Parallel()
 	sim := busyCluster(t, 1).Cluster
--- a/internal/simulator/failures_test.go
+++ b/internal/simulator/failures_test.go
@@ -11,7 +11,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// quarantinedMachines are the machines that the log calls faulty.
+// quarantinedMachines is a log handler that collects the machines that are quarantined.
 type quarantinedMachines map[string]bool
 
 func (m quarantinedMachines) Enabled(context.Context, slog.Level) bool { return true }
@@ -30,10 +30,9 @@
 	return nil
 }
 
-// Mistaken jobs and faulty machines at the same time, while machines die and two leaders end: the faulty
-// machines are given back and no others are, each mistaken job is tried a few times after its first wave,
-// also under the next leaders, and everything else gets done. With the code before, each of the three was
-// started 310 to 340 times, and nine or more machines a world that were well were given back as faulty.
+// Jobs whose tasks always fail and faulty machines at the same time, while machines fail and the leader crashes twice: exactly the faulty
+// machines are quarantined, each failing job is retried a few times only, under later leaders too, and all other jobs finish. Before
+// failure attribution each failing job was started 310 to 340 times, and nine or more healthy machines of a run were terminated.
 func TestFailingJobsAndFaultyMachines(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
@@ -94,7 +93,7 @@
 			sim.Run(5 * time.Minute)
 			expectNoViolations(t, sim)
 			for _, id := range mistaken {
-				// The first wave, what was on its way when it was found, and one at a time since.
+				// The first wave, the starts that were in flight when the job was found to fail, and one at a time since.
 				if n := sim.checker.jobs[id].startCount; n > 90 || n-at70[id] > 20 {
 					t.Errorf("seed %d: %s was started %d times, %d of these under later leaders", seed, id, n, n-at70[id])
 				}
--- a/internal/simulator/largecluster_test.go
+++ b/internal/simulator/largecluster_test.go
@@ -7,7 +7,7 @@
 	"gullrudder/internal/config"
 )
 
-// largeOptions is a world of about a hundred machines.
+// largeOptions are those of a cluster of about a hundred machines.
 func largeOptions() Options {
 	o := testOptions()
 	o.MachinesPerKind, o.MaxTasks = 25, 60
@@ -15,8 +15,8 @@
 	return o
 }
 
-// At a hundred machines and with pages that fill up, the rules hold through the end of every
-// controller, an outage, and a cut of a quarter of the machines, and all work gets done.
+// With a hundred machines and full pages the rules hold through a crash of every controller, an outage and a partition of a quarter of
+// the machines, and all jobs finish.
 func TestInvariantsWithHundredMachines(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// Ten times the submissions at once, and many cancellations: what cannot be taken is refused
-// at once, the leadership holds, and afterwards everything accepted is done or cancelled.
+// Ten times the usual submissions at once, and many cancellations: what cannot be accepted is rejected at once, the leader keeps its
+// lease, and afterwards all accepted jobs finish.
 func TestBurstOfSubmissionsAndCancellations(t *testing.T) {
 	t.Parallel()
 	opt := largeOptions()
--- a/internal/simulator/workercut_test.go
+++ b/internal/simulator/workercut_test.go
@@ -8,9 +8,8 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// A leader that loses the workers, and nothing else, hands over to a controller that they reach: what
-// runs goes on. Before, it deleted a third of them a tick and then all leases ended. Machines fail at the
-// same time, and on half of the seeds the successor ends soon after.
+// A leader that loses only its workers hands over to a controller that they reach, and running tasks are kept. Machines fail at the same
+// time, and on half of the seeds the successor crashes soon after. Before, the leader terminated a third of the machines on each step.
 func TestLeaderCutFromWorkersHandsOver(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -61,7 +60,7 @@
 			if sim.State.leaderName() == first {
 				t.Errorf("seed %d: %s still leads, whom no worker reaches", seed, first)
 			}
-			// Two machines died, with up to 16 tasks each; some starts are refused in this world.
+			// Two machines failed, with up to 16 tasks each; some starts are refused.
 			if again := sim.checker.TaskStarts - ran; again > 45 {
 				t.Errorf(
 					"seed %d: %d of %d tasks were started again, %d machines before, %d now",
