--- a/internal/controller/archive/build_test.go
+++ b/internal/controller/archive/build_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// A write of several parts that nobody answered is tried again unchanged: what was executed late may be less than what could be written
+// A write of several parts without a response is retried unchanged: what was executed late may be less than what could be written
 // by now, and its first part speaks for all.
 func TestFailedWriteIsRetriedUnchanged(t *testing.T) {
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
--- a/internal/controller/archived_jobs_test.go
+++ b/internal/controller/archived_jobs_test.go
@@ -99,7 +99,7 @@
 	return now
 }
 
-// Archived jobs are answered as before, with their counts read back. While these cannot be read the user is told to ask
+// Archived jobs are answered as before, with their counts read back. While these cannot be read the user gets 503 and asks
 // again, and in a long outage the state alone is given: after 90 s of failing queries a job would count as forgotten.
 func TestArchivedJobsAreAnswered(t *testing.T) {
 	now := time.Unix(10_000, 0)
--- a/internal/controller/dynamicconfig/record_test.go
+++ b/internal/controller/dynamicconfig/record_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// However many changes there are and whoever made them, the record stays within the bytes reserved for it in its page, and the
+// Whatever the number of changes and their authors, the record stays within the bytes reserved for it in its page, and the
 // newest change is kept.
 func TestRecordSizeIsBounded(t *testing.T) {
 	const bytesOfSmallPage = 1900 // with a state service whose values hold 2 KiB
--- a/internal/controller/election/model_links_test.go
+++ b/internal/controller/election/model_links_test.go
@@ -32,7 +32,7 @@
 	settled                 bool
 }
 
-// delayedMessage is one that a link holds. The key tells states of the model apart.
+// delayedMessage is one that a link holds. The key distinguishes states of the model.
 type delayedMessage struct {
 	key     string
 	deliver func()
--- a/internal/controller/election/renewal_limit_test.go
+++ b/internal/controller/election/renewal_limit_test.go
@@ -49,7 +49,7 @@
 	})
 }
 
-// TestCancellationAgeInPings checks that a leader tells the age of the oldest cancellation only once it has loaded its
+// TestCancellationAgeInPings checks that a leader sends the age of the oldest cancellation only once it has loaded its
 // state, and only while it can tell when every cancellation was confirmed.
 func TestCancellationAgeInPings(t *testing.T) {
 	f := newFixture(t)
--- a/internal/controller/election/transfer_test.go
+++ b/internal/controller/election/transfer_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestStalePings checks that late messages of a leadership that is over bind nobody, and name nobody as leader or
+// TestStalePings checks that late messages of a leadership that is over bind no controller, and name none as leader or
 // successor.
 func TestStalePings(t *testing.T) {
 	f := newFixture(t)
--- a/internal/controller/storage/move_test.go
+++ b/internal/controller/storage/move_test.go
@@ -32,7 +32,7 @@
 	return nil, false
 }
 
-// A move that nobody answered, and that was not found, may still be executed. If a page shows another commit than the one that was
+// A move without a response that was not found may still be executed. If a page shows another commit than the one that was
 // made after it, that page may have lost entries that memory still has: the store is fenced rather than write them again.
 func TestUncertainMoveFencesStore(t *testing.T) {
 	f := newLoadedFixture(t)
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// forgetReceived is called when a worker is told to forget an exited task.
+// forgetReceived is called when a worker is sent a forget command for an exited task.
 func (checker *invariantChecker) forgetReceived(task *machineTask) {
 	if !checker.sim.Options.SkipCostlyChecks {
 		checker.checkResultDurable(task)
--- a/internal/simulator/emulator/cloud.go
+++ b/internal/simulator/emulator/cloud.go
@@ -1,5 +1,5 @@
 // Package emulator runs a cloud with its workers on loopback, in real time, for controllers that are
-// real processes. It records what its workers are told and do, and checks the protocol's rules on it.
+// real processes. It records the commands to its workers and their execution, and checks the protocol's rules on it.
 package emulator
 
 import (
--- a/internal/simulator/modelcheck/modelcheck.go
+++ b/internal/simulator/modelcheck/modelcheck.go
@@ -1,4 +1,4 @@
-// Package modelcheck explores every schedule of a small model up to a depth. States are told apart by
+// Package modelcheck explores every schedule of a small model up to a depth. States are distinguished by
 // their keys, and each is expanded once. It knows nothing of what is modelled. A model need not be copyable: it
 // is replayed from its beginning for each state, which costs little for small models.
 package modelcheck
--- a/internal/simulator/rulechecks.go
+++ b/internal/simulator/rulechecks.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// checkInvented checks that a job which nobody submitted does not get 200. It returns false if the rule is broken.
+// checkInvented checks that a job which no user submitted does not get 200. It returns false if the rule is broken.
 func (checker *invariantChecker) checkInvented(jobID, state string) bool {
 	if job := checker.jobs[jobID]; job != nil && job.isSubmitted {
 		return true
@@ -209,7 +209,8 @@
 	return true
 }
 
-// checkResultDurable is called when a worker is told to forget a task: the result has to be durable, unless the job was cancelled.
+// checkResultDurable is called when a worker is sent a forget command for a task: the result has to be durable, unless the job was
+// cancelled.
 func (checker *invariantChecker) checkResultDurable(task *machineTask) {
 	job := checker.jobs[task.key.JobID]
 	if job == nil || task.reason != workerapi.ReasonDone || job.cancelRequested {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -268,7 +268,7 @@
 	return n
 }
 
-// QueryUnknownJob polls a job that nobody has submitted.
+// QueryUnknownJob polls a job that no user has submitted.
 func (u *Users) QueryUnknownJob() {
 	id := fmt.Sprintf("job-9%05d", u.sim.Rand.IntN(100000))
 	u.request("GET", "/work/"+id, nil, func(status int, state string, asked time.Time) {
--- a/internal/site/agent/runtime.go
+++ b/internal/site/agent/runtime.go
@@ -294,7 +294,7 @@
 	return left
 }
 
-// publishStatus updates the report to the machine pool. The State's owner calls it after each step.
+// publishStatus updates the report to the machine pool. The event loop calls it after each step.
 func (r *Runtime) publishStatus() {
 	name, applied := r.state.Machine()
 	r.mu.Lock()
--- a/internal/site/kvserver/server.go
+++ b/internal/site/kvserver/server.go
@@ -28,7 +28,7 @@
 )
 
 // Server connects a State with the network, the clock and the disk. Four kinds of goroutines share the work, each with its own
-// state: the owner steps the State, the writer appends to the log, the sender encodes and sends responses, and one writes
+// state: the event loop steps the State, the writer appends to the log, the sender encodes and sends responses, and one writes
 // a snapshot when one is due. While the disk syncs the records of some steps, the following steps are collected. Their responses wait for
 // the next sync, also those of reads: a read may return changes that are not durable yet, and a crash would revert them. The goroutines
 // run until the process ends.
@@ -58,7 +58,7 @@
 // Serve runs the server; it returns only if it cannot listen on the address.
 func (s *Server) Serve(addr string) error {
 	go s.runWriter()
-	go s.runOwner()
+	go s.runEventLoop()
 	go s.runSender()
 	server := http1.NewServer(http1.ServerOptions{
 		PublicAddr: addr, MaxConnections: s.options.MaxConnections, IdleTimeout: idleTimeout, ReadTimeout: readTimeout,
@@ -67,7 +67,7 @@
 	return server.RunWithRestart(s.log)
 }
 
-// enqueue queues a request for the owner. It runs on the goroutine of the connections.
+// enqueue queues a request for the event loop. It runs on the goroutine of the connections.
 func (s *Server) enqueue(r *http1.Request) {
 	select {
 	case s.requests <- Request{Handle: r, Method: r.Method, Target: r.Target, Body: r.Body}:
@@ -77,8 +77,8 @@
 	}
 }
 
-// runOwner steps the state through the requests and the results of the other goroutines.
-func (s *Server) runOwner() {
+// runEventLoop steps the state through the requests and the results of the other goroutines.
+func (s *Server) runEventLoop() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	batch := make([]Request, 0, maxBatchRequests)
--- a/internal/site/kvserver/snapshot_schedule.go
+++ b/internal/site/kvserver/snapshot_schedule.go
@@ -11,7 +11,7 @@
 // commit, and is not urgent, since the log has all changes.
 const snapshotRetryIntervals = 10
 
-// snapshotSchedule is the owner's state of snapshots, of which one is written at a time.
+// snapshotSchedule is the event loop's state of snapshots, of which one is written at a time.
 type snapshotSchedule struct {
 	isRunning   bool      // from the decision to write a snapshot until its result
 	isScheduled bool      // it begins after the records in flight
--- a/internal/site/kvserver/storage.go
+++ b/internal/site/kvserver/storage.go
@@ -10,7 +10,7 @@
 
 // Storage is the directory of a running store: the write-ahead log, and the sizes that decide when a snapshot is due. Append,
 // BeginSnapshot, Repair and IsBroken access the log and belong to the writer's goroutine, Prune to the snapshot's, and the other
-// methods to the owner's.
+// methods to the event loop's.
 type Storage struct {
 	files                   Directory
 	wal                     *WAL
--- a/internal/site/kvserver/writer.go
+++ b/internal/site/kvserver/writer.go
@@ -9,7 +9,7 @@
 	"gullrudder/internal/wire/http1"
 )
 
-// writePipeline is the owner's state of the writer, which has one job at a time.
+// writePipeline is the event loop's state of the writer, which has one job at a time.
 type writePipeline struct {
 	pending         []Effects // steps whose records were not passed to the writer yet
 	inFlight        []Effects // steps whose records are being written; nil: none
--- a/internal/site/machinepool/service.go
+++ b/internal/site/machinepool/service.go
@@ -78,7 +78,7 @@
 // Serve serves requests at the address. It returns only if the address cannot be opened. Its goroutines run until the process
 // ends; Serve is called once.
 func (s *Service) Serve(addr string) error {
-	go s.runOwner()
+	go s.runEventLoop()
 	go s.notifyWorkers()
 	for range databaseWorkers {
 		go func() {
@@ -97,8 +97,8 @@
 	return server.RunWithRestart(s.log)
 }
 
-// runOwner runs the steps of the State, one after another.
-func (s *Service) runOwner() {
+// runEventLoop runs the steps of the State, one after another.
+func (s *Service) runEventLoop() {
 	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	batch := make([]Request, 0, maxBatchRequests)
--- a/internal/wire/client/outbox.go
+++ b/internal/wire/client/outbox.go
@@ -1,5 +1,5 @@
 // Package client has the calls from the owner of a component's state to other services: the components of a step add calls to an
-// Outbox, the runtime (or a simulated cluster) executes them, and the owner runs each call's Done with its result. The package does no
+// Outbox, the runtime (or a simulated cluster) executes them, and the event loop runs each call's Done with its result. The package does no
 // I/O and owns only the calls of one step and the tokens of its rate limiters. Design note: docs/design.md.
 package client
 
@@ -37,7 +37,7 @@
 	Body        any    // encoded in MessagePack; nil: none
 	Delay       time.Duration
 	Timeout     time.Duration
-	Done        func(now time.Time, r Result) // runs on the owner's goroutine, exactly once
+	Done        func(now time.Time, r Result) // runs on the event loop's goroutine, exactly once
 }
 
 // Outbox collects the calls of one step. It belongs to the goroutine that runs the step.
--- a/internal/wire/client/rate_limiter.go
+++ b/internal/wire/client/rate_limiter.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RateLimiter is a token bucket. It reads no clock; its owner passes the time.
+// RateLimiter is a token bucket. It reads no clock; its caller passes the time.
 type RateLimiter struct {
 	rate      float64 // tokens a second
 	capacity  float64
--- a/internal/wire/server/server.go
+++ b/internal/wire/server/server.go
@@ -1,5 +1,5 @@
 // Package server has the requests to the owner of a component's state, and its responses. The runtime (or a simulated cluster) makes a
-// Request of each HTTP request; the owner's step answers through a Responder; the runtime then sends the collected responses. The
+// Request of each HTTP request; the event loop's step answers through a Responder; the runtime then sends the collected responses. The
 // package does no I/O and owns only the responses of one step. Design note: docs/design.md.
 package server
 
@@ -29,7 +29,7 @@
 	RetryAfter time.Duration // 0: not given
 }
 
-// ValueResponse is a Response whose body is not encoded yet: the sender encodes it, off the owner's goroutine.
+// ValueResponse is a Response whose body is not encoded yet: the sender encodes it, off the event loop's goroutine.
 type ValueResponse struct {
 	Handle     any
 	Status     int
