--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -96,22 +96,22 @@
 	return s.sim.Now.Before(s.outageUntil) || s.sim.Now.Before(s.refusedUntil[node])
 }
 
-func (s *StateService) serve(node, method, target string, body []byte, answer func(int, any)) {
+func (s *StateService) serve(node, method, target string, body []byte, respond responder) {
 	if s.isRefusing(node) {
-		answer(503, nil)
+		respond(503, nil)
 		return
 	}
 	if u, err := url.Parse(target); err == nil && u.Path == "/watch" {
 		q := u.Query()
 		from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
 		wait, _ := strconv.Atoi(q.Get("wait_ms"))
-		s.watch(node, q.Get("starts"), from, s.sim.Now.Add(time.Duration(wait)*time.Millisecond), answer)
+		s.watch(node, q.Get("starts"), from, s.sim.Now.Add(time.Duration(wait)*time.Millisecond), respond)
 		return
 	}
 	if target == "/commit" && s.sim.Now.Before(s.lateUntil) && s.sim.Rand.Float64() < s.lateShare {
 		s.sim.At(2*time.Second+time.Duration(s.sim.Rand.IntN(10_000))*time.Millisecond, func() {
 			if !s.sim.Now.Before(s.outageUntil) {
-				s.execute(method, target, body, func(int, any) {})
+				s.execute(method, target, body, ignoreResponse)
 			}
 		})
 		return
@@ -120,14 +120,14 @@
 		half := time.Duration(s.sim.Rand.IntN(1500)) * time.Millisecond
 		s.sim.At(half, func() {
 			if s.isRefusing(node) {
-				answer(503, nil)
+				respond(503, nil)
 				return
 			}
-			s.execute(method, target, body, func(status int, body any) { s.sim.At(half, func() { answer(status, body) }) })
+			s.execute(method, target, body, func(status int, body any) { s.sim.At(half, func() { respond(status, body) }) })
 		})
 		return
 	}
-	s.execute(method, target, body, answer)
+	s.execute(method, target, body, respond)
 }
 
 // Exchange serves a call at once, without a simulated network.
@@ -147,10 +147,10 @@
 }
 
 // execute serves every request but a watch.
-func (s *StateService) execute(method, target string, body []byte, answer func(int, any)) {
+func (s *StateService) execute(method, target string, body []byte, respond responder) {
 	u, err := url.Parse(target)
 	if err != nil {
-		answer(400, nil)
+		respond(400, nil)
 		return
 	}
 	q := u.Query()
@@ -160,48 +160,48 @@
 			TTL int64 `msgpack:"ttl_ms"`
 		}
 		if codec.Unmarshal(body, &a) != nil {
-			answer(400, nil)
+			respond(400, nil)
 			return
 		}
 		s.lastLeaseID++
 		id, ttl := s.lastLeaseID, time.Duration(a.TTL)*time.Millisecond
 		s.leases[id] = &stateLease{ttl, s.sim.Now.Add(ttl)}
 		s.sim.At(ttl, func() { s.expire(id) })
-		answer(200, map[string]uint64{"permit": id})
+		respond(200, map[string]uint64{"permit": id})
 	case strings.HasPrefix(u.Path, "/leases/"):
-		s.serveLease(strings.TrimPrefix(u.Path, "/leases/"), method, answer)
+		s.serveLease(strings.TrimPrefix(u.Path, "/leases/"), method, respond)
 	case u.Path == "/commit":
-		s.commit(body, answer)
+		s.commit(body, respond)
 	case strings.HasPrefix(u.Path, "/keys/"):
 		k := s.keys[strings.TrimPrefix(u.Path, "/keys/")]
 		if k == nil {
-			answer(404, map[string]uint64{"tide": s.revision})
+			respond(404, map[string]uint64{"tide": s.revision})
 			return
 		}
-		answer(200, map[string]any{"path": u.Path[6:], "value": k.value, "mark": k.modRevision})
+		respond(200, map[string]any{"path": u.Path[6:], "value": k.value, "mark": k.modRevision})
 	case u.Path == "/keys":
-		s.listKeys(q, answer)
+		s.listKeys(q, respond)
 	default:
-		answer(400, nil)
+		respond(400, nil)
 	}
 }
 
-func (s *StateService) serveLease(rest, method string, answer func(int, any)) {
+func (s *StateService) serveLease(rest, method string, respond responder) {
 	num, _, touch := strings.Cut(rest, "/touch")
 	id, err := strconv.ParseUint(num, 10, 64)
 	l := s.leases[id]
 	switch {
 	case err != nil:
-		answer(400, nil)
+		respond(400, nil)
 	case l == nil:
-		answer(404, nil)
+		respond(404, nil)
 	case touch:
 		l.expiresAt = s.sim.Now.Add(l.ttl)
 		s.sim.At(l.ttl, func() { s.expire(id) })
-		answer(200, nil)
+		respond(200, nil)
 	case method == "DELETE":
 		s.endLease(id)
-		answer(200, nil)
+		respond(200, nil)
 	}
 }
 
@@ -226,7 +226,7 @@
 	maxTransactionBytes      = 64 << 10
 )
 
-func (s *StateService) commit(body []byte, answer func(int, any)) {
+func (s *StateService) commit(body []byte, respond responder) {
 	var t transaction
 	if err := codec.Unmarshal(body, &t); err != nil {
 		s.sim.reportViolation(RuleMalformed, "the state service got a malformed transaction: %v", err)
@@ -238,15 +238,15 @@
 		return
 	}
 	if refusal := s.refusal(t); refusal != "" {
-		answer(400, map[string]string{"error": refusal})
+		respond(400, map[string]string{"error": refusal})
 		return
 	}
 	if key, ok := s.failedPrecondition(t); ok {
-		answer(409, map[string]any{"failed": []string{key}, "tide": s.revision})
+		respond(409, map[string]any{"failed": []string{key}, "tide": s.revision})
 		return
 	}
 	s.apply(t)
-	answer(200, map[string]uint64{"tide": s.revision})
+	respond(200, map[string]uint64{"tide": s.revision})
 	s.wakeWatches()
 }
 
@@ -292,7 +292,7 @@
 	}
 }
 
-func (s *StateService) listKeys(query url.Values, answer func(int, any)) {
+func (s *StateService) listKeys(query url.Values, respond responder) {
 	most, _ := strconv.Atoi(query.Get("most"))
 	var names []string
 	for k := range s.keys {
@@ -309,10 +309,10 @@
 	for _, k := range names {
 		list = append(list, map[string]any{"path": k, "value": s.keys[k].value, "mark": s.keys[k].modRevision})
 	}
-	answer(200, map[string]any{"entries": list, "has_next": more, "tide": s.revision})
+	respond(200, map[string]any{"entries": list, "has_next": more, "tide": s.revision})
 }
 
-func (s *StateService) watch(node, prefix string, from uint64, until time.Time, answer func(int, any)) {
+func (s *StateService) watch(node, prefix string, from uint64, until time.Time, respond responder) {
 	var found []stateChange
 	for _, c := range s.changeLog {
 		if c.ModRevision > from && strings.HasPrefix(c.Write+c.Drop, prefix) {
@@ -320,10 +320,10 @@
 		}
 	}
 	if !s.isRefusing(node) && (len(found) > 0 || !s.sim.Now.Before(until)) {
-		answer(200, map[string]any{"tide": s.revision, "log": found})
+		respond(200, map[string]any{"tide": s.revision, "log": found})
 		return
 	}
-	again := func() { s.watch(node, prefix, from, until, answer) }
+	again := func() { s.watch(node, prefix, from, until, respond) }
 	if s.sim.Now.Before(until) {
 		fired := false
 		once := func() {
--- a/internal/simulator/userfaults.go
+++ b/internal/simulator/userfaults.go
@@ -78,7 +78,7 @@
 	s := jobs.Spec{
 		ID:              fmt.Sprintf("job-8%06d", u.invalidRequests),
 		Class:           "odd",
-		Team:            "none",
+		Team:            noTeam,
 		Tasks:           1,
 		CPUs:            1,
 		MemoryGB:        1,
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -20,6 +20,9 @@
 	slowestAnswer    time.Duration // longest time from request to response
 }
 
+// noTeam is the team of jobs in clusters whose platform names no teams.
+const noTeam = "none"
+
 func newUsers(sim *Cluster) *Users { return &Users{sim: sim} }
 
 // Submission is the body of a submission by the names of its fields on the wire. It is a map so that tests can leave fields out and
@@ -100,7 +103,7 @@
 		AllowsSpot:      r.IntN(3) > 0,
 		SingleZone:      r.IntN(6) == 0,
 		RunTimeEstimate: run,
-		Team:            "none",
+		Team:            noTeam,
 	}
 	if u.nextJob%3 == 0 { // longer than what the archive's index holds exactly
 		spec.ID = fmt.Sprintf("job-%014d", u.nextJob)
@@ -163,7 +166,8 @@
 		return
 	}
 	u.sim.At(there, func() {
-		u.sim.deliverRequest(name, false, method, path, raw, func(status int, body any) {
+		request := controllerRequest{controller: name, method: method, path: path, body: raw}
+		u.sim.deliverRequest(request, func(status int, body any) {
 			back, ok := u.sim.messageDelay(name, userHost)
 			if !ok {
 				return
