--- a/cmd/faulttest/crash.go
+++ b/cmd/faulttest/crash.go
@@ -46,6 +46,7 @@
 	return cmd
 }
 
+// runCrashPoints runs the command with --points.
 func (o crashRuns) runCrashPoints(cmd *cobra.Command) error {
 	points, tries := 0, 0
 	for i := range o.runs {
@@ -60,6 +61,7 @@
 	return out.err
 }
 
+// runKills runs the command without --points.
 func (o crashRuns) runKills(cmd *cobra.Command) (err error) {
 	dir := o.dir
 	if dir == "" {
@@ -72,26 +74,26 @@
 	if err != nil {
 		return err
 	}
-	f, err := newTestbed(o.seed, path, dir, o.verbose)
+	bed, err := newTestbed(o.seed, path, dir, o.verbose)
 	if err != nil {
 		return err
 	}
-	defer f.stop()
+	defer bed.stop()
 	began := time.Now()
-	kills, err := o.killUntilBroken(cmd, f)
+	kills, err := o.killUntilBroken(cmd, bed)
 	if err == nil {
-		err = f.users.drain(90 * time.Second)
+		err = bed.users.drain(90 * time.Second)
 	}
-	close(f.stopping)
-	f.wait.Wait()
-	f.checkProbes()
-	_, _, violations := f.cloud.History.Summary()
-	violations = append(violations, f.violations...)
+	close(bed.stopping)
+	bed.wait.Wait()
+	bed.checkProbes()
+	_, _, violations := bed.cloud.History.Summary()
+	violations = append(violations, bed.violations...)
 	if err != nil {
 		violations = append(violations, err.Error())
 	}
 	out := output{w: cmd.OutOrStdout()}
-	f.printSummary(&out, time.Since(began), kills, violations)
+	bed.printSummary(&out, time.Since(began), kills, violations)
 	if len(violations) > 0 {
 		return errors.New("something was not as it was answered")
 	}
@@ -99,15 +101,15 @@
 }
 
 // killUntilBroken starts the testbed and kills processes until a rule is broken or all runs are made.
-func (o crashRuns) killUntilBroken(cmd *cobra.Command, f *testbed) (kills int, err error) {
+func (o crashRuns) killUntilBroken(cmd *cobra.Command, bed *testbed) (kills int, err error) {
 	began := time.Now()
 	progress := output{w: cmd.ErrOrStderr()}
-	for err = f.start(); err == nil && kills < o.runs; {
+	for err = bed.start(); err == nil && kills < o.runs; {
 		kills++
-		if err = f.killRandomProcess(); err == nil {
-			f.checkProbes()
+		if err = bed.killRandomProcess(); err == nil {
+			bed.checkProbes()
 		}
-		if _, _, violations := f.cloud.History.Summary(); len(violations)+len(f.violations) > 0 {
+		if _, _, violations := bed.cloud.History.Summary(); len(violations)+len(bed.violations) > 0 {
 			break
 		}
 		if kills%100 == 0 {
@@ -121,24 +123,24 @@
 const maxPrintedViolations = 10
 
 // printSummary prints what the run did and found. The last line is what scripts read.
-func (f *testbed) printSummary(out *output, took time.Duration, kills int, violations []string) {
-	started, duplicated, _ := f.cloud.History.Summary()
+func (bed *testbed) printSummary(out *output, took time.Duration, kills int, violations []string) {
+	started, duplicated, _ := bed.cloud.History.Summary()
 	commits, uncertain := 0, 0
-	for _, p := range f.probes {
+	for _, p := range bed.probes {
 		commits, uncertain = commits+p.commits, uncertain+p.uncertainCommits
 	}
 	out.printf("%v; %d commits of the probes, %d without an answer; %d jobs accepted, %d done; %d tasks started\n",
-		took.Round(time.Second), commits, uncertain, f.users.acceptedCount(), f.users.doneCount(), started)
-	for name, n := range f.killCounts {
+		took.Round(time.Second), commits, uncertain, bed.users.acceptedCount(), bed.users.doneCount(), started)
+	for name, n := range bed.killCounts {
 		out.printf("%d kills of %s\n", n, name)
 	}
 	for _, violation := range violations[:min(len(violations), maxPrintedViolations)] {
 		out.printf("broken: %s\n", violation)
 	}
 	if len(violations) > 0 {
-		out.printf("seed %d\n", f.seed)
+		out.printf("seed %d\n", bed.seed)
 	}
-	archived, compacted := f.segmentCounts()
+	archived, compacted := bed.segmentCounts()
 	out.printf("%d archived segments and %d compactions were seen\n", archived, compacted)
 	out.printf("%d kills, %d lost, %d duplicated\n", kills, max(len(violations)-duplicated, 0), duplicated)
 }
--- a/cmd/faulttest/leaders.go
+++ b/cmd/faulttest/leaders.go
@@ -79,6 +79,7 @@
 	out.printf("\t%v\t%v", lengths[len(lengths)/2], lengths[len(lengths)-1])
 }
 
+// leadersOptions are those of the simulated clusters.
 func leadersOptions() simulator.Options {
 	return simulator.Options{
 		Controllers: 3, HeartbeatInterval: 2500 * time.Millisecond, WorkerLease: 15 * time.Second, CancelTimeout: 35 * time.Second,
--- a/cmd/faulttest/pipelines.go
+++ b/cmd/faulttest/pipelines.go
@@ -59,6 +59,7 @@
 	return out.err
 }
 
+// pipelinesOptions are those of the simulated clusters.
 func pipelinesOptions() simulator.Options {
 	tuning := config.DefaultOptions()
 	tuning.ArchiveDelay, tuning.MinSegmentJobs, tuning.CompactionFanIn = 0, 2, 2
--- a/cmd/faulttest/process.go
+++ b/cmd/faulttest/process.go
@@ -28,6 +28,7 @@
 	cmd *exec.Cmd
 }
 
+// start starts the child and reads its log.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,11 +84,11 @@
 }
 
 // await polls until the service responds with 200.
-func await(c *http1.Client, addr, target string, within time.Duration) error {
+func await(client *http1.Client, addr, target string, within time.Duration) error {
 	end := time.Now().Add(within)
 	for {
-		m, err := c.Do(addr, "GET", target, nil, time.Second)
-		if err == nil && m.Status == 200 {
+		response, err := client.Do(addr, "GET", target, nil, time.Second)
+		if err == nil && response.Status == 200 {
 			return nil
 		}
 		if time.Now().After(end) {
--- a/cmd/faulttest/restart.go
+++ b/cmd/faulttest/restart.go
@@ -80,12 +80,13 @@
 		return 0, err
 	}
 	for n := 0; n < changes; n += 100 {
-		var ops []crashtest.Operation
+		var operations []crashtest.Operation
 		for i := n; i < min(n+100, changes); i++ {
-			ops = append(ops, crashtest.Operation{Key: fmt.Sprintf("k/%08d", i%m.keys), Value: value(i, m.valueBytes)})
+			operations = append(operations, crashtest.Operation{Key: fmt.Sprintf("k/%08d", i%m.keys), Value: value(i, m.valueBytes)})
 		}
-		r := crashtest.CommitRequest(nil, ops)
-		if response, err := client.Do(ports[0], r.Method, r.Target, r.Body, 10*time.Second); err != nil || response.Status != 200 {
+		request := crashtest.CommitRequest(nil, operations)
+		response, err := client.Do(ports[0], request.Method, request.Target, request.Body, 10*time.Second)
+		if err != nil || response.Status != 200 {
 			return 0, fmt.Errorf("a commit: %v, %w", response, err)
 		}
 	}
@@ -113,4 +114,5 @@
 	return median, out.err
 }
 
+// milliseconds is a duration as a number with fractions.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/cmd/faulttest/storeprobe.go
+++ b/cmd/faulttest/storeprobe.go
@@ -23,13 +23,16 @@
 	uncertainCommits int
 }
 
+// probeKey is the value of a key and the revision of its last write.
 type probeKey struct {
 	value       string
 	modRevision uint64
 }
 
+// prefix is the prefix of the probe's keys.
 func (p *storeProbe) prefix() string { return fmt.Sprintf("probe/%d/", p.id) }
 
+// run commits, and compares after a commit of unknown outcome, until the testbed stops.
 func (p *storeProbe) run() {
 	defer p.testbed.wait.Done()
 	for {
@@ -49,53 +52,55 @@
 	}
 }
 
+// commit commits random changes of a few keys.
 func (p *storeProbe) commit() {
-	var guards []crashtest.Precondition
-	var ops []crashtest.Operation
-	seen := map[string]bool{}
+	var preconditions []crashtest.Precondition
+	var operations []crashtest.Operation
+	drawn := map[string]bool{}
 	for range 1 + p.rng.IntN(4) {
 		key := fmt.Sprintf("%s%02d", p.prefix(), p.rng.IntN(40))
-		if seen[key] {
+		if drawn[key] {
 			continue
 		}
-		seen[key] = true
+		drawn[key] = true
 		p.valueNumber++
-		o := crashtest.Operation{Key: key, Value: fmt.Sprintf("%d-%0*d", p.valueNumber, 1+p.rng.IntN(400), 0)}
+		operation := crashtest.Operation{Key: key, Value: fmt.Sprintf("%d-%0*d", p.valueNumber, 1+p.rng.IntN(400), 0)}
 		if p.rng.IntN(5) == 0 && p.model[key].modRevision > 0 {
-			o.Value = ""
+			operation.Value = ""
 		}
-		guards = append(guards, crashtest.Precondition{Key: key, ModRevision: p.model[key].modRevision})
-		ops = append(ops, o)
+		preconditions = append(preconditions, crashtest.Precondition{Key: key, ModRevision: p.model[key].modRevision})
+		operations = append(operations, operation)
 	}
-	r := crashtest.CommitRequest(guards, ops)
-	m, err := p.testbed.client.Do(p.testbed.stateAddr, r.Method, r.Target, r.Body, 2*time.Second)
-	var a struct {
+	request := crashtest.CommitRequest(preconditions, operations)
+	response, err := p.testbed.client.Do(p.testbed.stateAddr, request.Method, request.Target, request.Body, 2*time.Second)
+	var answer struct {
 		Revision uint64 `msgpack:"tide"`
 	}
 	switch {
 	case err != nil:
-		p.uncertainCommit = ops
+		p.uncertainCommit = operations
 		p.uncertainCommits++
-	case m.Status == 200 && codec.Unmarshal(m.Body, &a) == nil:
-		if a.Revision <= p.revision {
-			p.testbed.reportViolation("probe %d: revision %d after %d", p.id, a.Revision, p.revision)
+	case response.Status == 200 && codec.Unmarshal(response.Body, &answer) == nil:
+		if answer.Revision <= p.revision {
+			p.testbed.reportViolation("probe %d: revision %d after %d", p.id, answer.Revision, p.revision)
 		}
 		p.commits++
-		p.applyCommit(ops, a.Revision)
-	case m.Status == 503:
+		p.applyCommit(operations, answer.Revision)
+	case response.Status == 503:
 	default:
-		p.testbed.reportViolation("probe %d: a commit with the mod revisions that were answered gets %d", p.id, m.Status)
+		p.testbed.reportViolation("probe %d: a commit with the mod revisions that were answered gets %d", p.id, response.Status)
 	}
 }
 
-func (p *storeProbe) applyCommit(ops []crashtest.Operation, revision uint64) {
+// applyCommit applies a commit that was executed at a revision to the model.
+func (p *storeProbe) applyCommit(operations []crashtest.Operation, revision uint64) {
 	p.revision = max(p.revision, revision)
 	p.uncertainCommit = nil
-	for _, o := range ops {
-		if o.Value == "" {
-			delete(p.model, o.Key)
+	for _, operation := range operations {
+		if operation.Value == "" {
+			delete(p.model, operation.Key)
 		} else {
-			p.model[o.Key] = probeKey{o.Value, revision}
+			p.model[operation.Key] = probeKey{operation.Value, revision}
 		}
 	}
 }
@@ -153,11 +158,12 @@
 	}
 }
 
+// listKeys reads the probe's keys and the revision. It returns false if the state service does not respond.
 func (p *storeProbe) listKeys() (map[string]probeKey, uint64, bool) {
-	there := map[string]probeKey{}
-	q := url.Values{"starts": {p.prefix()}}
-	m, err := p.testbed.client.Do(p.testbed.stateAddr, "GET", "/keys?"+q.Encode(), nil, 2*time.Second)
-	var a struct {
+	keys := map[string]probeKey{}
+	query := url.Values{"starts": {p.prefix()}}
+	response, err := p.testbed.client.Do(p.testbed.stateAddr, "GET", "/keys?"+query.Encode(), nil, 2*time.Second)
+	var answer struct {
 		Entries []struct {
 			Key         string `msgpack:"path"`
 			Value       string `msgpack:"value"`
@@ -165,20 +171,20 @@
 		} `msgpack:"entries"`
 		Revision uint64 `msgpack:"tide"`
 	}
-	if err != nil || m.Status != 200 || codec.Unmarshal(m.Body, &a) != nil {
+	if err != nil || response.Status != 200 || codec.Unmarshal(response.Body, &answer) != nil {
 		return nil, 0, false
 	}
-	for _, e := range a.Entries {
-		there[e.Key] = probeKey{e.Value, e.ModRevision}
+	for _, entry := range answer.Entries {
+		keys[entry.Key] = probeKey{entry.Value, entry.ModRevision}
 	}
-	return there, a.Revision, true
+	return keys, answer.Revision, true
 }
 
 // checkProbes makes every probe compare while no commit is in flight.
-func (f *testbed) checkProbes() {
-	f.probing.Lock()
-	defer f.probing.Unlock()
-	for _, p := range f.probes {
+func (bed *testbed) checkProbes() {
+	bed.probing.Lock()
+	defer bed.probing.Unlock()
+	for _, p := range bed.probes {
 		p.compare()
 	}
 }
--- a/cmd/faulttest/testbed.go
+++ b/cmd/faulttest/testbed.go
@@ -39,10 +39,11 @@
 	compactedSegments int
 }
 
-func (f *testbed) reportViolation(format string, args ...any) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.violations = append(f.violations, fmt.Sprintf(format, args...))
+// reportViolation records that a rule is broken.
+func (bed *testbed) reportViolation(format string, args ...any) {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	bed.violations = append(bed.violations, fmt.Sprintf(format, args...))
 }
 
 // segmentCommitted is logged when an archive segment is committed; its level is 0 unless it is the result of a compaction.
@@ -60,40 +61,43 @@
 	{segmentCommitted, "after a segment was committed"},
 }
 
-func (f *testbed) segmentCounts() (archived, compacted int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.archivedSegments, f.compactedSegments
+// segmentCounts counts the segments that were archived, and those that were compacted, as the logs say.
+func (bed *testbed) segmentCounts() (archived, compacted int) {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	return bed.archivedSegments, bed.compactedSegments
 }
 
-func (f *testbed) observeLog(p *process, line string) {
-	f.mu.Lock()
+// observeLog takes in a line that a process logged.
+func (bed *testbed) observeLog(source *process, line string) {
+	bed.mu.Lock()
 	switch {
 	case strings.Contains(line, segmentCommitted) && strings.Contains(line, "level=0"):
-		f.archivedSegments++
+		bed.archivedSegments++
 	case strings.Contains(line, segmentCommitted):
-		f.compactedSegments++
+		bed.compactedSegments++
 	}
-	f.mu.Unlock()
-	for _, m := range killMoments {
-		if strings.Contains(line, m.line) {
+	bed.mu.Unlock()
+	for _, moment := range killMoments {
+		if strings.Contains(line, moment.line) {
 			kind := 1
-			if p == f.state {
+			if source == bed.state {
 				kind = 0
 			}
 			select {
-			case f.busyProcesses[kind] <- p:
+			case bed.busyProcesses[kind] <- source:
 			default:
 			}
 		}
 	}
 }
 
-func platformJSON(i int, public, peers []string, state, cloud string) string {
+// platformJSON is the configuration of the controller with an index.
+func platformJSON(index int, public, peers []string, state, cloud string) string {
 	var others []string
-	for j := range controllerCount {
-		if j != i {
-			others = append(others, fmt.Sprintf(`{"host_name":"node-%d","domain":"a","addr":%q}`, j, peers[j]))
+	for other := range controllerCount {
+		if other != index {
+			others = append(others, fmt.Sprintf(`{"host_name":"node-%d","domain":"a","addr":%q}`, other, peers[other]))
 		}
 	}
 	return fmt.Sprintf(`{"host_name":"node-%d","domain":"a","public_addr":%q,"peer_bind":%q,"others":[%s],
@@ -102,7 +106,7 @@
   "objectives":[],"workers":{"report_s":0.25,"lease_s":4,"cancel_s":15},
   "state":{"rps":3000,"write_rps":800,"value_kb":4,"txn_ops":12},"cloud":{"rps":20,"list_lag_s":0.2},
   "quota":{"cpu":1,"ram_mb":200,"max_connections":400},"clock_error_ms":500}}`,
-		i, public[i], peers[i], strings.Join(others, ","), cloud, state)
+		index, public[index], peers[index], strings.Join(others, ","), cloud, state)
 }
 
 const (
@@ -111,8 +115,9 @@
 		"<merge-runs>2</merge-runs><idle-after>20</idle-after></gullrudder>"
 )
 
+// newTestbed prepares the processes of a testbed with files in a directory; start starts them.
 func newTestbed(seed uint64, path, dir string, verbose bool) (*testbed, error) {
-	f := &testbed{
+	bed := &testbed{
 		seed:          seed,
 		rng:           rand.New(rand.NewPCG(seed, 1)),
 		client:        http1.NewClient(64, 8, 16<<20),
@@ -124,13 +129,13 @@
 	if err != nil {
 		return nil, err
 	}
-	f.stateAddr, f.publicAddrs = ports[0], ports[1:1+controllerCount]
+	bed.stateAddr, bed.publicAddrs = ports[0], ports[1:1+controllerCount]
 	peers := ports[1+controllerCount:]
 	names := map[string]string{}
-	for i, addr := range f.publicAddrs {
+	for i, addr := range bed.publicAddrs {
 		names[fmt.Sprintf("node-%d", i)] = addr
 	}
-	if f.cloud, err = emulator.NewCloud(emulator.Options{
+	if bed.cloud, err = emulator.NewCloud(emulator.Options{
 		Controllers: names, HeartbeatInterval: 250 * time.Millisecond, WorkerLease: 4 * time.Second, MaxMachines: 6,
 		MaxRunTime: 150 * time.Millisecond, Seed: seed,
 	}); err != nil {
@@ -142,101 +147,103 @@
 		}
 	}
 	newProcess := func(name string, args ...string) *process {
-		p := &process{name: name, path: path, args: args, env: []string{"LOG_LEVEL=info"}, seen: f.observeLog}
+		p := &process{name: name, path: path, args: args, env: []string{"LOG_LEVEL=info"}, seen: bed.observeLog}
 		if verbose {
 			p.logs = os.Stderr
 		}
 		return p
 	}
-	f.state = newProcess("state", "state", "--data", filepath.Join(dir, "data"), "--listen", f.stateAddr,
+	bed.state = newProcess("state", "state", "--data", filepath.Join(dir, "data"), "--listen", bed.stateAddr,
 		"--options", filepath.Join(dir, "state.xml"))
 	for i := range controllerCount {
 		file := filepath.Join(dir, fmt.Sprintf("node-%d.json", i))
-		if err := os.WriteFile(file, []byte(platformJSON(i, f.publicAddrs, peers, f.stateAddr, f.cloud.Addr())), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(platformJSON(i, bed.publicAddrs, peers, bed.stateAddr, bed.cloud.Addr())), 0o600); err != nil {
 			return nil, err
 		}
 		controller := newProcess(fmt.Sprintf("node-%d", i), "serve", "--config", file, "--options", filepath.Join(dir, "node.xml"))
-		f.controllers = append(f.controllers, controller)
+		bed.controllers = append(bed.controllers, controller)
 	}
-	return f, nil
+	return bed, nil
 }
 
-func (f *testbed) start() error {
-	for _, p := range append([]*process{f.state}, f.controllers...) {
+// start starts the processes, the probes and the users.
+func (bed *testbed) start() error {
+	for _, p := range append([]*process{bed.state}, bed.controllers...) {
 		if err := p.start(); err != nil {
 			return err
 		}
 	}
-	if err := await(f.client, f.stateAddr, "/ready", 10*time.Second); err != nil {
+	if err := await(bed.client, bed.stateAddr, "/ready", 10*time.Second); err != nil {
 		return err
 	}
 	for i := range 4 {
-		p := &storeProbe{testbed: f, id: i, rng: rand.New(rand.NewPCG(f.seed, 100+uint64(i))), model: map[string]probeKey{}}
-		f.probes = append(f.probes, p)
-		f.wait.Add(1)
+		p := &storeProbe{testbed: bed, id: i, rng: rand.New(rand.NewPCG(bed.seed, 100+uint64(i))), model: map[string]probeKey{}}
+		bed.probes = append(bed.probes, p)
+		bed.wait.Add(1)
 		go p.run()
 	}
-	f.users = &users{
-		testbed: f,
-		rng:     rand.New(rand.NewPCG(f.seed, 7)),
+	bed.users = &users{
+		testbed: bed,
+		rng:     rand.New(rand.NewPCG(bed.seed, 7)),
 		jobs:    map[string]*userJob{},
 		stop:    make(chan struct{}),
 		ended:   make(chan struct{}),
 	}
-	go f.users.run()
+	go bed.users.run()
 	return nil
 }
 
-func (f *testbed) stop() {
-	for _, p := range append([]*process{f.state}, f.controllers...) {
+// stop kills all processes and closes the cloud.
+func (bed *testbed) stop() {
+	for _, p := range append([]*process{bed.state}, bed.controllers...) {
 		p.kill()
 	}
-	f.cloud.Close()
+	bed.cloud.Close()
 }
 
 // killRandomProcess kills a process, at one of killMoments if that comes soon, and starts it again.
-func (f *testbed) killRandomProcess() error {
-	victim, name := f.state, "state at any moment"
-	if f.rng.IntN(4) == 0 {
-		victim, name = f.controllers[f.rng.IntN(controllerCount)], "a controller at any moment"
+func (bed *testbed) killRandomProcess() error {
+	victim, name := bed.state, "state at any moment"
+	if bed.rng.IntN(4) == 0 {
+		victim, name = bed.controllers[bed.rng.IntN(controllerCount)], "a controller at any moment"
 	}
-	wait := time.Duration(20+f.rng.IntN(250)) * time.Millisecond
-	if f.rng.IntN(10) == 0 {
-		time.Sleep(time.Duration(1000+f.rng.IntN(1500)) * time.Millisecond) // let work accumulate
+	wait := time.Duration(20+bed.rng.IntN(250)) * time.Millisecond
+	if bed.rng.IntN(10) == 0 {
+		time.Sleep(time.Duration(1000+bed.rng.IntN(1500)) * time.Millisecond) // let work accumulate
 	}
-	switch kind := f.rng.IntN(3); kind {
+	switch kind := bed.rng.IntN(3); kind {
 	case 2:
 		time.Sleep(wait)
 	default:
 		select {
-		case <-f.busyProcesses[kind]: // an entry of a while ago is out of date
+		case <-bed.busyProcesses[kind]: // an entry of a while ago is out of date
 		default:
 		}
 		select {
-		case p := <-f.busyProcesses[kind]:
+		case p := <-bed.busyProcesses[kind]:
 			victim, name = p, "state in the middle"
 			if kind == 1 {
 				name = "a controller in the middle"
-				if f.rng.IntN(3) == 0 {
-					victim, name = f.state, "state, with a controller in the middle"
+				if bed.rng.IntN(3) == 0 {
+					victim, name = bed.state, "state, with a controller in the middle"
 				}
 			}
-			time.Sleep(time.Duration(f.rng.IntN(1500)) * time.Microsecond)
+			time.Sleep(time.Duration(bed.rng.IntN(1500)) * time.Microsecond)
 		case <-time.After(wait + time.Duration(kind)*700*time.Millisecond):
 		}
 	}
 	victim.kill()
-	f.killCounts[name]++
-	if f.rng.IntN(4) == 0 {
-		time.Sleep(time.Duration(f.rng.IntN(120)) * time.Millisecond)
+	bed.killCounts[name]++
+	if bed.rng.IntN(4) == 0 {
+		time.Sleep(time.Duration(bed.rng.IntN(120)) * time.Millisecond)
 	}
 	if err := victim.start(); err != nil {
 		return err
 	}
-	if victim != f.state {
+	if victim != bed.state {
 		return nil
 	}
-	if err := await(f.client, f.stateAddr, "/ready", 10*time.Second); err != nil {
+	if err := await(bed.client, bed.stateAddr, "/ready", 10*time.Second); err != nil {
 		return fmt.Errorf("the state service does not come back: %w", err)
 	}
 	return nil
--- a/cmd/faulttest/upgrade.go
+++ b/cmd/faulttest/upgrade.go
@@ -92,6 +92,7 @@
 	longestWithoutPlacement    time.Duration // longest time without a controller that places tasks
 }
 
+// add takes in the result of another upgrade.
 func (u *upgradeResult) add(r upgradeResult) {
 	u.broken = append(u.broken, r.broken...)
 	u.lost, u.duplicated = u.lost+r.lost, u.duplicated+r.duplicated
@@ -109,6 +110,7 @@
 	longest time.Duration
 }
 
+// seen records an event.
 func (g *gapTimer) seen(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -118,6 +120,7 @@
 	g.last = now
 }
 
+// longestGap is the longest time between two events so far.
 func (g *gapTimer) longestGap() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -125,28 +128,22 @@
 }
 
 // watchPlacing polls all controllers for whether they place tasks, until the testbed stops.
-func (f *testbed) watchPlacing(g *gapTimer) {
-	defer f.wait.Done()
+func (bed *testbed) watchPlacing(placements *gapTimer) {
+	defer bed.wait.Done()
 	client := http1.NewClient(8, 2, http1.MaxBodyBytes)
 	for {
 		select {
-		case <-f.stopping:
+		case <-bed.stopping:
 			return
 		case <-time.After(20 * time.Millisecond):
 		}
-		for _, addr := range f.publicAddrs {
-			var s struct {
+		for _, addr := range bed.publicAddrs {
+			var status struct {
 				Placing bool `msgpack:"placing"`
 			}
-			if m, err := client.Do(
-				addr,
-				"GET",
-				"/status",
-				nil,
-				200*time.Millisecond,
-			); err == nil && m.Status == 200 && codec.Unmarshal(m.Body, &s) == nil &&
-				s.Placing {
-				g.seen(time.Now())
+			response, err := client.Do(addr, "GET", "/status", nil, 200*time.Millisecond)
+			if err == nil && response.Status == 200 && codec.Unmarshal(response.Body, &status) == nil && status.Placing {
+				placements.seen(time.Now())
 			}
 		}
 	}
@@ -168,83 +165,83 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return result, err
 	}
-	f, err := newTestbed(seed, o.older, dir, o.verbose)
+	bed, err := newTestbed(seed, o.older, dir, o.verbose)
 	if err != nil {
 		return result, err
 	}
-	f.state.path = o.newer // it belongs to the platform and is not upgraded here
+	bed.state.path = o.newer // it belongs to the platform and is not upgraded here
 	for i := range controllerCount {
 		if err := announceLimits(filepath.Join(dir, fmt.Sprintf("node-%d.json", i))); err != nil {
 			return result, err
 		}
 	}
-	defer f.stop()
-	if err := f.start(); err != nil {
+	defer bed.stop()
+	if err := bed.start(); err != nil {
 		return result, err
 	}
-	var placing gapTimer
-	f.wait.Add(1)
-	go f.watchPlacing(&placing)
-	if err := f.rollControllers(o.newer); err != nil {
+	var placements gapTimer
+	bed.wait.Add(1)
+	go bed.watchPlacing(&placements)
+	if err := bed.rollControllers(o.newer); err != nil {
 		return result, err
 	}
-	if err := f.users.drain(60 * time.Second); err != nil {
+	if err := bed.users.drain(60 * time.Second); err != nil {
 		result.lost++
 		result.broken = append(result.broken, err.Error())
 	}
-	close(f.stopping)
-	f.wait.Wait()
-	f.checkProbes()
-	_, duplicated, broken := f.cloud.History.Summary()
-	result.broken = slices.Concat(result.broken, broken, f.violations)
+	close(bed.stopping)
+	bed.wait.Wait()
+	bed.checkProbes()
+	_, duplicated, broken := bed.cloud.History.Summary()
+	result.broken = slices.Concat(result.broken, broken, bed.violations)
 	result.duplicated = duplicated
-	result.accepted, result.done, result.dependents = f.users.acceptedCount(), f.users.doneCount(), f.users.dependentCount()
-	result.longestUnanswered, result.longestWithoutPlacement = f.users.answers.longestGap(), placing.longestGap()
+	result.accepted, result.done, result.dependents = bed.users.acceptedCount(), bed.users.doneCount(), bed.users.dependentCount()
+	result.longestUnanswered, result.longestWithoutPlacement = bed.users.answers.longestGap(), placements.longestGap()
 	return result, nil
 }
 
 // pause sleeps for a random time, in milliseconds.
-func (f *testbed) pause(least, more int) {
-	time.Sleep(time.Duration(least+f.rng.IntN(more)) * time.Millisecond)
+func (bed *testbed) pause(least, more int) {
+	time.Sleep(time.Duration(least+bed.rng.IntN(more)) * time.Millisecond)
 }
 
 // restart kills a process and starts it again after a short random time.
-func (f *testbed) restart(p *process) error {
+func (bed *testbed) restart(p *process) error {
 	p.kill()
-	f.pause(0, 400)
+	bed.pause(0, 400)
 	return p.start()
 }
 
 // rollControllers brings the controllers back with another program in a random order, restarts others in between, and lets users
 // submit jobs with dependencies once all are new.
-func (f *testbed) rollControllers(newer string) error {
-	f.pause(2500, 1000)
-	order := f.rng.Perm(controllerCount)
+func (bed *testbed) rollControllers(newer string) error {
+	bed.pause(2500, 1000)
+	order := bed.rng.Perm(controllerCount)
 	for k, i := range order {
-		if f.rng.IntN(2) == 0 { // one crashes before or after its turn
-			if err := f.restart(f.controllers[order[f.rng.IntN(controllerCount)]]); err != nil {
+		if bed.rng.IntN(2) == 0 { // one crashes before or after its turn
+			if err := bed.restart(bed.controllers[order[bed.rng.IntN(controllerCount)]]); err != nil {
 				return err
 			}
-			f.pause(200, 1500)
+			bed.pause(200, 1500)
 		}
-		if k == 1 && f.rng.IntN(3) == 0 { // the state service too, during the upgrade
-			if err := f.restart(f.state); err != nil {
+		if k == 1 && bed.rng.IntN(3) == 0 { // the state service too, during the upgrade
+			if err := bed.restart(bed.state); err != nil {
 				return err
 			}
 		}
-		f.controllers[i].path = newer
-		if err := f.restart(f.controllers[i]); err != nil {
+		bed.controllers[i].path = newer
+		if err := bed.restart(bed.controllers[i]); err != nil {
 			return err
 		}
-		f.pause(300, 2500)
+		bed.pause(300, 2500)
 	}
-	f.users.useDependencies.Store(true)
+	bed.users.useDependencies.Store(true)
 	for range 2 {
-		f.pause(1000, 1500)
-		if err := f.restart(f.controllers[f.rng.IntN(controllerCount)]); err != nil {
+		bed.pause(1000, 1500)
+		if err := bed.restart(bed.controllers[bed.rng.IntN(controllerCount)]); err != nil {
 			return err
 		}
 	}
-	f.pause(1500, 500)
+	bed.pause(1500, 500)
 	return nil
 }
--- a/cmd/faulttest/users.go
+++ b/cmd/faulttest/users.go
@@ -29,6 +29,7 @@
 	order []string
 }
 
+// userJob is a job as its user knows it.
 type userJob struct {
 	spec            jobs.Spec
 	accepted        bool
@@ -43,8 +44,10 @@
 	return j.cancelRequested || slices.ContainsFunc(j.dependencies, (*userJob).isCancellationExpected)
 }
 
+// maxOpenJobs is how many jobs may be unfinished at a time.
 const maxOpenJobs = 24
 
+// run submits jobs and sends requests until the users are stopped.
 func (u *users) run() {
 	defer close(u.ended)
 	client := http1.NewClient(8, 2, http1.MaxBodyBytes)
@@ -64,7 +67,8 @@
 	}
 }
 
-func (u *users) randomJob(of func(*userJob) bool) *userJob {
+// randomJob draws a job that matches, nil if none does.
+func (u *users) randomJob(matches func(*userJob) bool) *userJob {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.order) == 0 {
@@ -72,19 +76,20 @@
 	}
 	from := u.rng.IntN(len(u.order))
 	for i := range u.order {
-		if j := u.jobs[u.order[(from+i)%len(u.order)]]; of(j) {
+		if j := u.jobs[u.order[(from+i)%len(u.order)]]; matches(j) {
 			return j
 		}
 	}
 	return nil
 }
 
-func (u *users) count(of func(*userJob) bool) int {
+// count counts the jobs that match.
+func (u *users) count(matches func(*userJob) bool) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	n := 0
 	for _, j := range u.jobs {
-		if of(j) {
+		if matches(j) {
 			n++
 		}
 	}
@@ -100,61 +105,63 @@
 }
 func (u *users) doneCount() int { return u.count(func(j *userJob) bool { return j.done }) }
 
-func (u *users) submit(c *http1.Client, n int) {
+// submit submits a new job.
+func (u *users) submit(client *http1.Client, number int) {
 	// Some IDs are longer than what the archive's index holds exactly.
-	id := fmt.Sprintf("job-%06d", n)
+	id := fmt.Sprintf("job-%06d", number)
 	if u.rng.IntN(3) == 0 {
-		id = fmt.Sprintf("job-2026%010d", n)
+		id = fmt.Sprintf("job-2026%010d", number)
 	}
-	j := &userJob{spec: jobs.Spec{
+	job := &userJob{spec: jobs.Spec{
 		ID: id, Class: "short", Team: "red", Priority: jobs.Normal, Tasks: 1 + u.rng.IntN(12), CPUs: 0.5, MemoryGB: 1,
 		Image: "i", ImageGB: 0.1, AllowsSpot: true, RunTimeEstimate: 200 * time.Millisecond,
 	}}
 	for range u.rng.IntN(3) {
-		if need := u.randomJob(func(o *userJob) bool { return o.accepted }); need != nil && u.useDependencies.Load() {
-			j.dependencies = append(j.dependencies, need)
-			j.spec.Dependencies = append(j.spec.Dependencies, need.spec.ID)
-			u.testbed.cloud.History.AddDependency(id, need.spec.ID, need.spec.Tasks)
+		if dependency := u.randomJob(func(other *userJob) bool { return other.accepted }); dependency != nil && u.useDependencies.Load() {
+			job.dependencies = append(job.dependencies, dependency)
+			job.spec.Dependencies = append(job.spec.Dependencies, dependency.spec.ID)
+			u.testbed.cloud.History.AddDependency(id, dependency.spec.ID, dependency.spec.Tasks)
 		}
 	}
 	u.mu.Lock()
-	u.jobs[id] = j
+	u.jobs[id] = job
 	u.order = append(u.order, id)
 	u.mu.Unlock()
-	u.send(c, j)
+	u.send(client, job)
 }
 
-func (u *users) send(c *http1.Client, j *userJob) {
-	raw, err := codec.Marshal(simulator.SubmissionFields(j.spec))
+// send sends the submission of a job.
+func (u *users) send(client *http1.Client, job *userJob) {
+	raw, err := codec.Marshal(simulator.SubmissionFields(job.spec))
 	if err != nil {
 		u.testbed.reportViolation("a submission cannot be encoded: %v", err)
 		return
 	}
-	u.exchange(c, j, "POST", "/work", raw)
+	u.exchange(client, job, "POST", "/work", raw)
 }
 
 // sendRandomRequest polls a job, submits one again, or cancels one.
-func (u *users) sendRandomRequest(c *http1.Client) {
+func (u *users) sendRandomRequest(client *http1.Client) {
 	if j := u.randomJob(func(j *userJob) bool { return !j.accepted }); j != nil {
-		u.send(c, j)
+		u.send(client, j)
 	}
 	switch u.rng.IntN(12) {
 	case 0:
 		if j := u.randomJob(func(j *userJob) bool { return j.accepted }); j != nil {
-			u.send(c, j)
+			u.send(client, j)
 		}
 	case 1:
 		if j := u.randomJob(func(j *userJob) bool { return j.accepted && !j.done && u.rng.IntN(10) == 0 }); j != nil {
 			j.cancelRequested = true
-			u.exchange(c, j, "POST", "/work/"+j.spec.ID+"/withdraw", nil)
+			u.exchange(client, j, "POST", "/work/"+j.spec.ID+"/withdraw", nil)
 		}
 	case 2, 3, 4: // a finished job
 		if j := u.randomJob(func(j *userJob) bool { return j.done || j.cancelled }); j != nil {
-			u.exchange(c, j, "GET", "/work/"+j.spec.ID, nil)
+			u.exchange(client, j, "GET", "/work/"+j.spec.ID, nil)
 		}
 	default:
 		if j := u.randomJob(func(j *userJob) bool { return j.accepted && !j.done && !j.cancelled }); j != nil {
-			u.exchange(c, j, "GET", "/work/"+j.spec.ID, nil)
+			u.exchange(client, j, "GET", "/work/"+j.spec.ID, nil)
 		}
 	}
 }
