--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -8,7 +8,7 @@
 // event is an action that is scheduled for a moment of virtual time.
 type event struct {
 	at       time.Time
-	sequence int
+	sequence int // order of the events of the same moment
 	action   func()
 }
 
@@ -35,13 +35,13 @@
 // Pop is called by package heap only.
 func (h *eventHeap) Pop() any {
 	old := *h
-	e := old[len(old)-1]
+	last := old[len(old)-1]
 	*h = old[:len(old)-1]
-	return e
+	return last
 }
 
 // At schedules action after a delay in virtual time. Actions of the same moment run in the order in which they were scheduled.
-func (sim *Cluster) At(d time.Duration, do func()) {
+func (sim *Cluster) At(delay time.Duration, action func()) {
 	sim.lastSequence++
-	heap.Push(&sim.events, event{sim.Now.Add(max(d, 0)), sim.lastSequence, do})
+	heap.Push(&sim.events, event{sim.Now.Add(max(delay, 0)), sim.lastSequence, action})
 }
--- a/internal/simulator/faultday.go
+++ b/internal/simulator/faultday.go
@@ -66,6 +66,7 @@
 	return day, nil
 }
 
+// scheduleFaultDayJobs submits the jobs of RunFaultDay; every 25th has ten times the tasks.
 func (sim *Cluster) scheduleFaultDayJobs() {
 	n := 0
 	for _, work := range capacityLossWorkload {
@@ -80,6 +81,7 @@
 	}
 }
 
+// scheduleDayFaults injects random faults of the given kinds, two at about the same time.
 func (sim *Cluster) scheduleDayFaults(kinds []string) {
 	const times, together = 5, 2
 	for i := range times {
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -61,6 +61,7 @@
 	m.tasks = map[string]*machineTask{}
 }
 
+// taskNames lists the IDs of the machine's tasks, sorted.
 func (m *machine) taskNames() []string {
 	names := make([]string, 0, len(m.tasks))
 	for n := range m.tasks {
@@ -70,19 +71,21 @@
 	return names
 }
 
+// isAlive reports whether the machine is up, though it may hang.
 func (m *machine) isAlive() bool { return m.isUp && !m.isTerminated && !m.hasFailed }
 
-// whenAwake calls do now, or once the machine no longer hangs.
-func (m *machine) whenAwake(do func()) {
+// whenAwake runs an action now, or once the machine no longer hangs.
+func (m *machine) whenAwake(action func()) {
 	if m.sim.Now.Before(m.hangsUntil) {
-		m.sim.At(m.hangsUntil.Sub(m.sim.Now), func() { m.whenAwake(do) })
+		m.sim.At(m.hangsUntil.Sub(m.sim.Now), func() { m.whenAwake(action) })
 		return
 	}
 	if m.isAlive() {
-		do()
+		action()
 	}
 }
 
+// start lets the machine boot: its worker sends heartbeats from now on.
 func (m *machine) start() {
 	if m.isTerminated || m.hasFailed {
 		return
@@ -110,15 +113,15 @@
 }
 
 // restart kills all tasks and boots the machine again. A worker that keeps its incarnation counter goes on counting.
-func (m *machine) restart(back time.Duration, counts bool) {
+func (m *machine) restart(restartAfter time.Duration, keepsIncarnation bool) {
 	m.dropTasks()
 	m.isUp, m.awaitsResponse, m.fencingToken, m.sequence = false, false, 0, 0
 	m.bootCount++
 	m.requestNumber++
-	if counts {
+	if keepsIncarnation {
 		m.incarnation++
 	} else {
 		m.incarnation = 1
 	}
-	m.sim.At(back, m.start)
+	m.sim.At(restartAfter, m.start)
 }
--- a/internal/simulator/machinefaults.go
+++ b/internal/simulator/machinefaults.go
@@ -101,11 +101,11 @@
 
 // RestartMachine kills all tasks of a random machine and boots it again under the same name. Its incarnation goes on from
 // the last one, or begins again at the first.
-func (c *Cloud) RestartMachine(back time.Duration, counts bool) {
+func (c *Cloud) RestartMachine(restartAfter time.Duration, keepsIncarnation bool) {
 	if list := c.runningMachines(); len(list) > 0 {
-		list[c.sim.Rand.IntN(len(list))].restart(back, counts)
+		list[c.sim.Rand.IntN(len(list))].restart(restartAfter, keepsIncarnation)
 	}
-	c.sim.extendFaults(back)
+	c.sim.extendFaults(restartAfter)
 }
 
 // CutOutbound makes up to count machines outbound unreachable: no heartbeat of theirs arrives, direct commands reach them and are answered.
--- a/internal/simulator/statefaults.go
+++ b/internal/simulator/statefaults.go
@@ -17,8 +17,8 @@
 }
 
 // Refuse answers one controller with 503 for a span.
-func (s *StateService) Refuse(node string, span time.Duration) {
-	s.refusedUntil[node] = s.sim.Now.Add(span)
+func (s *StateService) Refuse(controller string, span time.Duration) {
+	s.refusedUntil[controller] = s.sim.Now.Add(span)
 	s.sim.extendFaults(span)
 }
 
@@ -36,8 +36,8 @@
 }
 
 // LowerLimits refuses larger values and transactions from now on; what is stored stays readable.
-func (s *StateService) LowerLimits(values, changes int) {
-	s.maxValueBytes, s.maxOperations = values, changes
+func (s *StateService) LowerLimits(maxValueBytes, maxOperations int) {
+	s.maxValueBytes, s.maxOperations = maxValueBytes, maxOperations
 }
 
 // HandOverLeadership refuses the present leader alone for a span, a number of times in a row.
@@ -47,7 +47,7 @@
 	}
 }
 
-// RefuseLeaderThenAll refuses the leader alone and then everybody: a combination of two faults.
+// RefuseLeaderThenAll refuses the leader alone and then all controllers: a combination of two faults.
 func (s *StateService) RefuseLeaderThenAll(alone, span time.Duration) {
 	s.Refuse(s.leaderName(), alone+span)
 	s.sim.At(alone, func() { s.Outage(span) })
