--- a/cmd/faulttest/commits.go
+++ b/cmd/faulttest/commits.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"net/http"
 	"os"
 	"path/filepath"
 	"strconv"
@@ -180,7 +181,7 @@
 		}
 		request := crashtest.CommitRequest(nil, operations)
 		response, err := client.Do(addr, request.Method, request.Target, request.Body, 10*time.Second)
-		if err != nil || response.Status != 200 {
+		if err != nil || response.Status != http.StatusOK {
 			return fmt.Errorf("fill: %v, %w", response, err)
 		}
 	}
@@ -217,7 +218,7 @@
 		request := crashtest.CommitRequest(nil, []crashtest.Operation{operation})
 		sent := time.Now()
 		response, err := client.Do(addr, request.Method, request.Target, request.Body, 10*time.Second)
-		if err != nil || response.Status != 200 {
+		if err != nil || response.Status != http.StatusOK {
 			return nil, fmt.Errorf("a commit: %v, %w", response, err)
 		}
 		latencies = append(latencies, time.Since(sent).Microseconds())
--- a/cmd/faulttest/process.go
+++ b/cmd/faulttest/process.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"net"
+	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -88,7 +89,7 @@
 	end := time.Now().Add(within)
 	for {
 		response, err := client.Do(addr, "GET", target, nil, time.Second)
-		if err == nil && response.Status == 200 {
+		if err == nil && response.Status == http.StatusOK {
 			return nil
 		}
 		if time.Now().After(end) {
--- a/cmd/faulttest/restart.go
+++ b/cmd/faulttest/restart.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"net/http"
 	"os"
 	"path/filepath"
 	"slices"
@@ -86,7 +87,7 @@
 		}
 		request := crashtest.CommitRequest(nil, operations)
 		response, err := client.Do(ports[0], request.Method, request.Target, request.Body, 10*time.Second)
-		if err != nil || response.Status != 200 {
+		if err != nil || response.Status != http.StatusOK {
 			return 0, fmt.Errorf("a commit: %v, %w", response, err)
 		}
 	}
--- a/cmd/faulttest/storeprobe.go
+++ b/cmd/faulttest/storeprobe.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"net/url"
 	"time"
 
@@ -80,13 +81,13 @@
 	case err != nil:
 		p.uncertainCommit = operations
 		p.uncertainCommits++
-	case response.Status == 200 && codec.Unmarshal(response.Body, &answer) == nil:
+	case response.Status == http.StatusOK && codec.Unmarshal(response.Body, &answer) == nil:
 		if answer.Revision <= p.revision {
 			p.testbed.reportViolation("probe %d: revision %d after %d", p.id, answer.Revision, p.revision)
 		}
 		p.commits++
 		p.applyCommit(operations, answer.Revision)
-	case response.Status == 503:
+	case response.Status == http.StatusServiceUnavailable:
 	default:
 		p.testbed.reportViolation("probe %d: a commit with the mod revisions that were answered gets %d", p.id, response.Status)
 	}
@@ -171,7 +172,7 @@
 		} `msgpack:"entries"`
 		Revision uint64 `msgpack:"tide"`
 	}
-	if err != nil || response.Status != 200 || codec.Unmarshal(response.Body, &answer) != nil {
+	if err != nil || response.Status != http.StatusOK || codec.Unmarshal(response.Body, &answer) != nil {
 		return nil, 0, false
 	}
 	for _, entry := range answer.Entries {
--- a/cmd/faulttest/upgrade.go
+++ b/cmd/faulttest/upgrade.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"net/http"
 	"os"
 	"path/filepath"
 	"slices"
@@ -142,7 +143,7 @@
 				Placing bool `msgpack:"placing"`
 			}
 			response, err := client.Do(addr, "GET", "/status", nil, 200*time.Millisecond)
-			if err == nil && response.Status == 200 && codec.Unmarshal(response.Body, &status) == nil && status.Placing {
+			if err == nil && response.Status == http.StatusOK && codec.Unmarshal(response.Body, &status) == nil && status.Placing {
 				placements.seen(time.Now())
 			}
 		}
--- a/cmd/faulttest/users.go
+++ b/cmd/faulttest/users.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -182,7 +183,8 @@
 	defer u.mu.Unlock()
 	var answer jobAnswer
 	switch {
-	case response.Status == 404 || response.Status == 400 || response.Status == 422:
+	case response.Status == http.StatusNotFound, response.Status == http.StatusBadRequest,
+		response.Status == http.StatusUnprocessableEntity:
 		if job.accepted {
 			u.testbed.reportViolation("forgotten: %s %s gets %d though the job was accepted", method, target, response.Status)
 		}
--- a/internal/simulator/crashtest/model.go
+++ b/internal/simulator/crashtest/model.go
@@ -5,6 +5,7 @@
 import (
 	"fmt"
 	"maps"
+	"net/http"
 	"slices"
 	"sort"
 	"strings"
@@ -51,7 +52,7 @@
 func (m *Model) Commit(preconditions []Precondition, operations []Operation) (status int, failed []string) {
 	for _, operation := range operations {
 		if operation.LeaseID != 0 && !m.Leases[operation.LeaseID] {
-			return 400, nil
+			return http.StatusBadRequest, nil
 		}
 	}
 	for _, precondition := range preconditions {
@@ -60,7 +61,7 @@
 		}
 	}
 	if failed != nil {
-		return 409, failed
+		return http.StatusConflict, failed
 	}
 	if len(operations) > 0 {
 		m.Revision++
@@ -72,7 +73,7 @@
 			m.Keys[operation.Key] = ModelKey{operation.Value, m.Revision, operation.LeaseID}
 		}
 	}
-	return 200, nil
+	return http.StatusOK, nil
 }
 
 // GrantLease grants the next lease.
--- a/internal/simulator/faultkinds.go
+++ b/internal/simulator/faultkinds.go
@@ -62,7 +62,7 @@
 		}
 	}},
 	{"election", func(sim *Cluster, fault Fault) {
-		sim.CrashAtElectionEvent(fault.FarSides%electionEventCount, fault.Span, fault.RestartAfter)
+		sim.CrashAtElectionEvent(electionEvent(fault.FarSides%electionEventCount), fault.Span, fault.RestartAfter)
 		sim.State.Refuse(sim.State.leaderName(), 3*time.Second)
 	}},
 	{"gap", func(sim *Cluster, fault Fault) {
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -82,38 +82,44 @@
 	sim.extendFaults(span)
 }
 
-// Events of an election at which a fault can be injected.
+// electionEvent is a moment of an election at which a fault can be injected.
+type electionEvent int
+
+// Events of an election, in their order.
 const (
-	campaignSent = iota
-	keyWritten   // the response is lost
-	grantSent
-	leadershipReleased
-	electionEventCount
+	noElectionEvent    electionEvent = iota - 1
+	campaignSent                     // a controller asks the state service for a lease
+	keyWritten                       // the leader's key is written, and the response is lost
+	grantSent                        // a controller grants the leader a lease
+	leadershipReleased               // a leader tells the others that it gives up
 )
 
+// electionEventCount is the number of events.
+const electionEventCount = int(leadershipReleased) + 1
+
 // electionTrigger injects a fault once, at the next event of its kind.
 type electionTrigger struct {
-	event        int
+	event        electionEvent
 	until        time.Time
 	restartAfter time.Duration
 	action       func(name string) // replaces the crash
 }
 
 // CrashAtElectionEvent crashes the first controller that comes to the event within a span and restarts it after a delay.
-func (sim *Cluster) CrashAtElectionEvent(event int, within, restartAfter time.Duration) {
+func (sim *Cluster) CrashAtElectionEvent(event electionEvent, within, restartAfter time.Duration) {
 	trigger := electionTrigger{event: event, until: sim.Now.Add(within), restartAfter: restartAfter}
 	sim.electionTriggers = append(sim.electionTriggers, trigger)
 	sim.extendFaults(within + restartAfter)
 }
 
 // OnElectionEvent calls action with the name of the next controller that comes to the event.
-func (sim *Cluster) OnElectionEvent(event int, action func(name string)) {
+func (sim *Cluster) OnElectionEvent(event electionEvent, action func(name string)) {
 	trigger := electionTrigger{event: event, until: sim.Now.Add(time.Hour), action: action}
 	sim.electionTriggers = append(sim.electionTriggers, trigger)
 }
 
 // electionEventReached runs the first trigger that waits for the event.
-func (sim *Cluster) electionEventReached(event int, name string) {
+func (sim *Cluster) electionEventReached(event electionEvent, name string) {
 	for k, trigger := range sim.electionTriggers {
 		if trigger.event != event || sim.Now.After(trigger.until) {
 			continue
@@ -132,8 +138,8 @@
 	}
 }
 
-// electionEventOf classifies a call as an event of an election, -1 if it is none.
-func electionEventOf(call client.Call, body []byte) int {
+// electionEventOf classifies a call as an event of an election.
+func electionEventOf(call client.Call, body []byte) electionEvent {
 	switch {
 	case call.Destination == client.StateService && call.Path == "/leases" && call.Method == http.MethodPost:
 		return campaignSent
@@ -153,7 +159,7 @@
 		}
 		return grantSent
 	}
-	return -1
+	return noElectionEvent
 }
 
 // watchSingleLeader checks from now on, a hundred times a second, that no two controllers hold the leader lease at once.
