--- a/internal/controller/election/campaign.go
+++ b/internal/controller/election/campaign.go
@@ -9,16 +9,17 @@
 	"gullrudder/internal/wire/stateapi"
 )
 
-// maxCampaignJitter spreads the campaigns of several followers, so that one of them wins without a conflict.
+// maxCampaignJitter is the maximum random delay of a campaign. It spreads the campaigns of several followers, so that one
+// of them wins without a conflict.
 const maxCampaignJitter = 60 * time.Millisecond
 
-// candidacy is when a follower campaigns next, and for whom it holds back.
+// candidacy states when a follower may campaign, and which other controller is preferred.
 type candidacy struct {
 	campaignAt         time.Time
-	preferredSuccessor string // controller that the last leader named as its successor; empty: any
+	preferredSuccessor string // the controller that the last leader named as its successor; empty if any may lead
 }
 
-// campaignDelay returns how long this controller waits after it has found the leader's key absent before it campaigns.
+// campaignDelay returns the time between finding the leader's key absent and campaigning.
 func (e *Election) campaignDelay(now time.Time) time.Duration {
 	jitter := time.Duration(e.rng.Int64N(int64(maxCampaignJitter)))
 	successor := e.follower.candidacy.preferredSuccessor
@@ -70,8 +71,8 @@
 	})
 }
 
-// verifyClaim reads the leader's key after a claim whose outcome is unknown. If the key is not this candidate's, its
-// lease is revoked, so that a claim that is carried out later is refused.
+// verifyClaim reads the leader's key after a claim whose outcome is unknown. If the key does not belong to this candidate,
+// its lease is revoked, so that the state service refuses the claim if it arrives later.
 func (e *Election) verifyClaim(outbox *client.Outbox, leaseSentAt time.Time) {
 	outbox.Add(client.Call{
 		Destination: client.StateService, Method: http.MethodGet, Path: leaderKeyPath, Timeout: stateCallTimeout,
@@ -88,7 +89,7 @@
 	})
 }
 
-// leaderRecord returns the value with which this controller claims the leader's key under its present lease.
+// leaderRecord returns the value with which this controller claims the leader's key under its current lease.
 func (e *Election) leaderRecord() leaderRecord {
 	return leaderRecord{Name: e.options.Name, LeaseID: e.lease.id}
 }
--- a/internal/controller/election/connectivity/contacts.go
+++ b/internal/controller/election/connectivity/contacts.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// contactWindow is how long a contact counts as recent: a worker tries every controller within that time.
+	// contactWindow is how long a contact counts as recent. A worker tries every controller within this time.
 	contactWindow = 10 * time.Second
-	// sequenceRetention is how long the position of a contact is kept, to recognize duplicates of its heartbeats.
+	// sequenceRetention is how long a contact is kept, to recognize late duplicates of its heartbeats by their position.
 	sequenceRetention = 2 * time.Minute
-	// maxContacts bounds the number of contacts that are kept.
+	// maxContacts limits the number of machines in a contactTable.
 	maxContacts = 20_000
 )
 
@@ -24,7 +24,8 @@
 // contactTable holds the newest contact of each worker, by the ID of its machine.
 type contactTable map[string]contact
 
-// record adds a contact unless it is a duplicate of an earlier one. A full table takes no new machines.
+// record stores a contact unless its heartbeat is a duplicate or older than the stored one. A full table ignores new
+// machines.
 func (t contactTable) record(machine string, newest contact) {
 	previous, known := t[machine]
 	if known && !newest.position.IsAfter(previous.position) || !known && len(t) >= maxContacts {
@@ -33,7 +34,7 @@
 	t[machine] = newest
 }
 
-// countRecent counts the recent contacts and drops those past their retention.
+// countRecent counts the recent contacts and deletes those older than sequenceRetention.
 func (t contactTable) countRecent(now time.Time) int {
 	count := 0
 	for machine, last := range t {
--- a/internal/controller/election/connectivity/monitor.go
+++ b/internal/controller/election/connectivity/monitor.go
@@ -1,14 +1,15 @@
 // Package connectivity detects asymmetric partitions: it distinguishes a leader that workers cannot reach from workers
-// that are gone.
+// that have failed.
 //
-// A leader that is partitioned from the workers alone keeps its key, and every worker that contacts another controller
-// is redirected to it. Then the leader deletes the machines as unresponsive, a third at a time, and the leases of the
-// others expire with their tasks (docs/incidents: both recorded days of the operations sites). The evidence of a
-// partition is that the leader receives no heartbeats, and that the workers contact other controllers.
+// A leader that is partitioned from the workers, but not from the state service, keeps the leader's key. Every worker that
+// contacts another controller is redirected to this leader. Without this package the leader would delete the machines as
+// unresponsive, a third at a time, and the leases of the others would expire and their tasks end (docs/incidents: both
+// recorded days of the operations sites). Evidence of a partition is that the leader receives no heartbeats, and that the
+// workers contact other controllers.
 //
-// The package owns one Monitor for each process, which belongs to the election whether the controller leads or not:
-// the time of the last heartbeat, which machines answered probes, and which workers contacted which controller. It
-// never sends anything and never transfers a leadership: the election does, to the successor that the Monitor returns.
+// Each process has one Monitor, which the election uses in every role. It holds the time of the last heartbeat, the
+// results of probes, and the workers that contacted each controller. It never sends anything and never transfers the
+// leadership: the election does that, to the successor that the Monitor returns.
 // Design note: docs/design/connectivity.md.
 package connectivity
 
@@ -19,50 +20,52 @@
 )
 
 const (
-	// missedHeartbeats is after how many mean intervals between two heartbeats of any machines a partition is suspected.
-	// By chance, such a silence happens once in a hundred thousand times.
+	// missedHeartbeats is the number of heartbeats, expected from all machines together, whose absence makes a partition
+	// suspected. The probability of such a silence by chance is about 1 in 100 000.
 	missedHeartbeats = 12
-	// minSilence is the shortest silence that counts, since high load may delay all heartbeats for as long.
+	// minSilence is the shortest silence that makes a partition suspected. High load may delay all heartbeats by up to this time.
 	minSilence = time.Second
-	// pauseThreshold is the time between two calls of Tick after which this process counts as paused.
+	// pauseThreshold is the time between two calls of Tick above which this process counts as paused.
 	pauseThreshold = 300 * time.Millisecond
-	// minPeerShare is the least share, and minWorkers the least number, of the expected machines that have to contact
+	// minPeerShare is the minimum share of the expected machines, and minWorkers their minimum number, that have to contact
 	// another controller for evidence of a partition.
 	minPeerShare = 0.125
 	minWorkers   = 3
-	// overdueShare is the share of machines with overdue heartbeats from which the leader suspects a partition although
-	// it receives some heartbeats, for example of newly booted machines. An unavailable zone may be half of a site.
+	// overdueShare is the share of machines with overdue heartbeats at which the leader suspects a partition although it
+	// receives some heartbeats, for example from newly booted machines. It exceeds one half, since an unavailable zone may
+	// contain half of the machines of a site.
 	overdueShare = 2.0 / 3
-	// redirectSuspension is how long a follower suspends redirects after the last ping that asked for it.
+	// redirectSuspension is how long a follower suspends redirects after the last ping that requested it.
 	redirectSuspension = 2 * time.Second
-	// campaignDeferral is how long a controller defers its campaigns after a transfer because of a partition.
+	// campaignDeferral is how long a controller defers its campaigns after it transferred its leadership because of a
+	// partition.
 	campaignDeferral = 30 * time.Second
 )
 
 // Monitor observes the connections between workers and controllers. It is not safe for concurrent use.
 type Monitor struct {
-	heartbeatInterval time.Duration // of a worker
+	heartbeatInterval time.Duration // time between two heartbeats of a worker
 
-	// As leader.
+	// State of a leader.
 	lastHeartbeatAt  time.Time
 	lastTickAt       time.Time
 	expectedMachines int            // machines that should send heartbeats
-	overdueMachines  int            // of these, those whose heartbeats are overdue
-	workersByPeer    map[string]int // number of workers that contacted a peer recently, by its name
+	overdueMachines  int            // expected machines whose heartbeats are overdue
+	workersByPeer    map[string]int // number of workers that contacted a peer recently, by the peer's name
 	probes           probeHistory
-	transferredAt    time.Time // when a leadership was last transferred because of a partition
+	transferredAt    time.Time // when this controller last transferred its leadership because of a partition; zero if never
 
-	// As follower.
+	// State of a follower.
 	redirectsSuspendedUntil time.Time
 	contacts                contactTable
 }
 
-// New returns the monitor of a process. heartbeatInterval is the interval of each worker.
+// New returns the monitor of a process. heartbeatInterval is the time between two heartbeats of a worker.
 func New(heartbeatInterval time.Duration) *Monitor {
 	return &Monitor{heartbeatInterval: heartbeatInterval, workersByPeer: map[string]int{}, contacts: contactTable{}}
 }
 
-// StartLeadership drops the evidence of an earlier leadership.
+// StartLeadership resets the evidence when this controller is elected. The silence counts from now.
 func (m *Monitor) StartLeadership(now time.Time) {
 	m.lastHeartbeatAt, m.lastTickAt = now, now
 	m.expectedMachines, m.overdueMachines = 0, 0
@@ -72,11 +75,11 @@
 	clear(m.contacts)
 }
 
-// RecordHeartbeat records that a new heartbeat has reached this leader.
+// RecordHeartbeat records that the leader received a heartbeat that is not a duplicate.
 func (m *Monitor) RecordHeartbeat(now time.Time) { m.lastHeartbeatAt = now }
 
-// Tick records how many machines the leader expects heartbeats from, and how many of these are overdue. A pause of this
-// process does not count as silence.
+// Tick records how many machines should send heartbeats, and how many of these are overdue. The leader calls it at every
+// tick of the event loop. The time in which this process was paused does not count as silence.
 func (m *Monitor) Tick(now time.Time, expectedMachines, overdueMachines int) {
 	if gap := now.Sub(m.lastTickAt); gap > pauseThreshold {
 		m.lastHeartbeatAt = m.lastHeartbeatAt.Add(gap)
@@ -84,97 +87,101 @@
 	m.lastTickAt, m.expectedMachines, m.overdueMachines = now, expectedMachines, overdueMachines
 }
 
-// RecordProbe records whether a machine answered a probe, and whether its heartbeat was overdue at that time.
-func (m *Monitor) RecordProbe(now time.Time, heartbeatOverdue, answered bool) {
-	m.probes.add(probeResult{now, heartbeatOverdue, answered})
+// RecordProbe records whether a machine answered a probe. partitionSuspected states whether SuspectsPartition was true when the
+// probe was sent. If it was not, the machine had no overdue heartbeat.
+func (m *Monitor) RecordProbe(now time.Time, partitionSuspected, answered bool) {
+	m.probes.add(probeResult{now, partitionSuspected, answered})
 }
 
-// SuspectsPartition reports whether the leader has received no heartbeats for longer than is probable by chance, or
-// whether the heartbeats of so many machines are overdue that these cannot all be lost.
+// SuspectsPartition reports whether the leader has received no heartbeats for so long that chance is improbable, or the
+// heartbeats of so many machines are overdue that it is improbable that all of them failed. It is false with fewer than
+// minWorkers expected machines.
 func (m *Monitor) SuspectsPartition(now time.Time) bool {
 	if m.expectedMachines < minWorkers {
-		return false // a worker contacts another controller after one lost heartbeat, which is no partition
+		return false // one lost heartbeat, after which a worker contacts another controller, does not indicate a partition
 	}
-	overdue := float64(m.overdueMachines) >= overdueShare*float64(m.expectedMachines)
-	return now.Sub(m.lastHeartbeatAt) >= m.suspiciousSilence() || overdue
+	manyOverdue := float64(m.overdueMachines) >= overdueShare*float64(m.expectedMachines)
+	return now.Sub(m.lastHeartbeatAt) >= m.suspiciousSilence() || manyOverdue
 }
 
-// suspiciousSilence returns the time without heartbeats after which a partition is suspected. It gets shorter with the
-// number of machines, and is at most the time in which every machine should have sent a heartbeat.
+// suspiciousSilence returns the time without heartbeats after which a partition is suspected. The more machines there are,
+// the shorter it is. It is at least minSilence and at most the time in which every machine should have sent a heartbeat.
 func (m *Monitor) suspiciousSilence() time.Duration {
 	fullRound := m.heartbeatInterval*5/4 + minSilence/2
 	improbableGap := missedHeartbeats * m.heartbeatInterval / time.Duration(m.expectedMachines)
 	return max(min(improbableGap, fullRound), minSilence)
 }
 
-// NeedsProbes reports whether a sample of machines should be probed, since this leader may be partitioned from them:
-// heartbeats are missing, or workers contact another controller since they do not receive this leader's responses.
+// NeedsProbes reports whether a sample of machines should be probed because this leader may be partitioned from them. That
+// is the case if heartbeats are missing, or if many workers contact another controller, as they do when they do not
+// receive this leader's responses.
 func (m *Monitor) NeedsProbes(now time.Time) bool {
 	return m.SuspectsPartition(now) || m.manyWorkersAtPeer()
 }
 
-// ShouldSuspendRedirects reports whether peers should not redirect workers to this leader for now, since it is, or may
-// be, partitioned from them.
+// ShouldSuspendRedirects reports whether peers should not redirect workers to this leader, since it is or may be
+// partitioned from the workers.
 func (m *Monitor) ShouldSuspendRedirects(now time.Time) bool {
 	anyProbe := func(probeResult) bool { return true }
 	return m.SuspectsPartition(now) && m.probes.mostlyUnanswered(now, anyProbe) || m.IsPartitioned(now)
 }
 
-// IsPartitioned reports whether this leader is partitioned from the workers in at least one direction: probed machines
-// do not answer. If heartbeats are missing, the probes of machines with overdue heartbeats count; if many workers
-// contact a peer, the other probes count. Without the probes a new leader took the time in which the workers still
-// waited for the previous leader for a partition, and transferred its leadership (docs/incidents: inc-1518, inc-98a2).
+// IsPartitioned reports whether this leader is partitioned from the workers in at least one direction, so that machines do
+// not answer its probes. If a partition is suspected, the probes that were sent under suspicion count. If many workers
+// contact a peer, the other probes count. After an election the workers first wait for the previous leader. Without probes
+// a new leader mistook this time for a partition and transferred its leadership (docs/incidents: inc-1518, inc-98a2).
 func (m *Monitor) IsPartitioned(now time.Time) bool {
 	return m.SuspectsPartition(now) && m.probes.provePartition(now, true) || m.manyWorkersAtPeer() && m.probes.provePartition(now, false)
 }
 
-// RecordPeerWorkers records how many workers contacted a peer recently.
+// RecordPeerWorkers records how many workers contacted a peer recently. It replaces the peer's earlier number.
 func (m *Monitor) RecordPeerWorkers(peer string, workers int) { m.workersByPeer[peer] = workers }
 
-// Successor returns the peer that most workers contact, if this leader is partitioned from the workers and enough of
-// them contact that peer; otherwise "".
+// Successor returns the name of the peer to which the leadership should be transferred: the one that most workers contact.
+// It is "" unless this leader is partitioned from the workers and enough workers contact that peer.
 func (m *Monitor) Successor(now time.Time) string {
 	if !m.IsPartitioned(now) {
 		return ""
 	}
-	peer, workers := m.busiestPeer()
+	peer, workers := m.mostContactedPeer()
 	if workers < m.requiredWorkers() {
 		return ""
 	}
 	return peer
 }
 
-// manyWorkersAtPeer reports whether many workers contact another controller.
+// manyWorkersAtPeer reports whether the workers that contact one of the other controllers are enough for evidence.
 func (m *Monitor) manyWorkersAtPeer() bool {
-	_, workers := m.busiestPeer()
+	_, workers := m.mostContactedPeer()
 	return m.expectedMachines >= minWorkers && workers >= m.requiredWorkers()
 }
 
-// requiredWorkers returns how many workers have to contact a peer before that is evidence.
+// requiredWorkers returns the number of workers at one peer that is evidence of a partition.
 func (m *Monitor) requiredWorkers() int {
 	return max(minWorkers, int(minPeerShare*float64(m.expectedMachines)))
 }
 
-// busiestPeer returns the peer that most workers contacted recently, and their number. Of equal peers it is the first by name.
-func (m *Monitor) busiestPeer() (busiest string, most int) {
+// mostContactedPeer returns the peer that most workers contacted recently, and their number. Among equal peers it returns
+// the first by name.
+func (m *Monitor) mostContactedPeer() (mostContacted string, most int) {
 	for peer, workers := range m.workersByPeer {
-		if workers > most || workers == most && peer < busiest {
-			busiest, most = peer, workers
+		if workers > most || workers == most && peer < mostContacted {
+			mostContacted, most = peer, workers
 		}
 	}
-	return busiest, most
+	return mostContacted, most
 }
 
-// RecordTransfer records that a leadership was transferred because of a partition.
+// RecordTransfer records that this controller transferred its leadership because of a partition.
 func (m *Monitor) RecordTransfer(now time.Time) { m.transferredAt = now }
 
-// ShouldDeferCampaign reports whether this controller transferred its leadership recently because of a partition, and
-// should let another controller be elected.
+// ShouldDeferCampaign reports whether this controller should let another controller be elected, since it recently
+// transferred its leadership because of a partition.
 func (m *Monitor) ShouldDeferCampaign(now time.Time) bool {
 	return !m.transferredAt.IsZero() && now.Sub(m.transferredAt) < campaignDeferral
 }
 
-// RecordLeaderStatus records whether the leader asked in its last ping not to redirect workers to it.
+// RecordLeaderStatus records whether the leader's last ping requested that workers are not redirected to the leader.
 func (m *Monitor) RecordLeaderStatus(now time.Time, suspendRedirects bool) {
 	if !suspendRedirects {
 		m.redirectsSuspendedUntil = time.Time{}
@@ -183,16 +190,17 @@
 	m.redirectsSuspendedUntil = now.Add(redirectSuspension)
 }
 
-// RedirectsSuspended reports whether workers must not be redirected to the leader, as the leader has requested.
+// RedirectsSuspended reports whether the leader has requested, within redirectSuspension, that workers are not redirected
+// to it.
 func (m *Monitor) RedirectsSuspended(now time.Time) bool {
 	return now.Before(m.redirectsSuspendedUntil)
 }
 
-// RecordWorkerContact records a heartbeat that this controller received as a follower. Duplicates and older heartbeats do
-// not count: their machine may be gone.
+// RecordWorkerContact records a heartbeat that this controller received as a follower. Duplicates and heartbeats older than
+// the last one are ignored, since their machine may no longer exist.
 func (m *Monitor) RecordWorkerContact(now time.Time, machine string, incarnation, sequence uint64) {
 	m.contacts.record(machine, contact{now, workerapi.Position{Incarnation: incarnation, Sequence: sequence}})
 }
 
-// RecentWorkers returns how many workers contacted this controller recently.
+// RecentWorkers returns how many workers contacted this controller within contactWindow. It deletes outdated contacts.
 func (m *Monitor) RecentWorkers(now time.Time) int { return m.contacts.countRecent(now) }
--- a/internal/controller/election/connectivity/monitor_test.go
+++ b/internal/controller/election/connectivity/monitor_test.go
@@ -9,7 +9,7 @@
 
 const heartbeatInterval = 4 * time.Second
 
-// newLeaderMonitor returns the monitor of a leader that expects heartbeats of a number of machines.
+// newLeaderMonitor returns the monitor of a leader that expects heartbeats from a number of machines, some of them overdue.
 func newLeaderMonitor(now time.Time, machines, overdue int) *Monitor {
 	m := New(heartbeatInterval)
 	m.StartLeadership(now)
@@ -17,9 +17,9 @@
 	return m
 }
 
-// TestPartitionDetection checks that a leader of a thousand machines suspects within a second or so that none reaches
-// it, and one of three within the time in which all should have sent a heartbeat. A leader that receives heartbeats
-// never does, whatever their jitter.
+// TestPartitionDetection checks the time until a leader that machines no longer reach suspects a partition: about a second
+// with a thousand machines, and the time in which all should have sent a heartbeat with three. A leader that receives
+// heartbeats with jitter does not suspect a partition.
 func TestPartitionDetection(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, test := range []struct {
@@ -33,45 +33,50 @@
 		t.Run(fmt.Sprint(test.machines, " machines"), func(t *testing.T) {
 			m := New(heartbeatInterval)
 			startedAt := time.Unix(1000, 0)
-			cutAt := startedAt.Add(10 * time.Minute)
-			suspectedAt, ok := simulateCut(m, test.machines, startedAt, cutAt, rng)
-			if took := suspectedAt.Sub(cutAt); !ok || took < 0 || took > test.limit {
-				t.Errorf("partition suspected: got %v, %v after the cut, want within %v", ok, took, test.limit)
+			partitionedAt := startedAt.Add(10 * time.Minute)
+			suspectedAt, ok := simulatePartition(m, test.machines, startedAt, partitionedAt, rng)
+			if took := suspectedAt.Sub(partitionedAt); !ok || took < 0 || took > test.limit {
+				t.Errorf("partition suspected: got %v, %v after it began, want within %v", ok, took, test.limit)
 			}
 			if m.IsPartitioned(suspectedAt) {
-				t.Error("partitioned before any machine was probed, want connected")
+				t.Error("got partitioned before any machine was probed, want connected")
 			}
 			for range 3 {
 				m.RecordProbe(suspectedAt, true, false)
 			}
 			if !m.IsPartitioned(suspectedAt) || m.IsPartitioned(suspectedAt.Add(probeWindow+1)) {
 				t.Errorf(
-					"three unanswered probes: partitioned %v, after the window %v, want true, false",
+					"three unanswered probes: got partitioned %v, after the window %v, want true, false",
 					m.IsPartitioned(suspectedAt), m.IsPartitioned(suspectedAt.Add(probeWindow+1)),
 				)
 			}
 			if m.RecordProbe(suspectedAt, true, true); m.IsPartitioned(suspectedAt) {
-				t.Error("partitioned after an answered probe, want connected")
+				t.Error("got partitioned after an answered probe, want connected")
 			}
 		})
 	}
 }
 
-// simulateCut lets machines send heartbeats with jitter, which reach the leader until cutAt. It returns when the leader
-// first suspects a partition; ok is false if it does not within a minute of the cut.
-func simulateCut(monitor *Monitor, machines int, startedAt, cutAt time.Time, rng *rand.Rand) (suspectedAt time.Time, ok bool) {
+// simulatePartition simulates machines that send heartbeats with jitter, which reach the leader until partitionedAt. It
+// returns when the leader first suspects a partition. ok is false if it does not within a minute of partitionedAt.
+func simulatePartition(
+	monitor *Monitor,
+	machines int,
+	startedAt, partitionedAt time.Time,
+	rng *rand.Rand,
+) (suspectedAt time.Time, ok bool) {
 	monitor.StartLeadership(startedAt)
 	next := make([]time.Time, machines)
 	for i := range next {
 		next[i] = startedAt.Add(time.Duration(rng.Int64N(int64(heartbeatInterval))))
 	}
-	for now := startedAt; now.Before(cutAt.Add(time.Minute)); now = now.Add(50 * time.Millisecond) {
+	for now := startedAt; now.Before(partitionedAt.Add(time.Minute)); now = now.Add(50 * time.Millisecond) {
 		for i, at := range next {
 			if !at.Before(now) {
 				continue
 			}
 			next[i] = at.Add(heartbeatInterval*3/4 + time.Duration(rng.Int64N(int64(heartbeatInterval/2))))
-			if now.Before(cutAt) {
+			if now.Before(partitionedAt) {
 				monitor.RecordHeartbeat(now)
 			}
 		}
@@ -82,8 +87,8 @@
 	return time.Time{}, false
 }
 
-// TestOverdueShare checks that a leader suspects a partition if most machines are overdue, though those that have
-// booted since send heartbeats. Half of a site is rather a zone.
+// TestOverdueShare checks that a leader suspects a partition if at least two thirds of the machines are overdue, although
+// it receives heartbeats. If only half are overdue, it does not: they may be in an unavailable zone.
 func TestOverdueShare(t *testing.T) {
 	for _, test := range []struct {
 		name              string
@@ -108,12 +113,12 @@
 	}
 }
 
-// TestAsymmetricPartition checks a leader that receives heartbeats and whose responses are lost: machines do not answer
-// probes, and many of them contact another controller. Neither alone is enough for a transfer.
+// TestAsymmetricPartition checks the detection of a partition in which the leader receives heartbeats but its responses are
+// lost. Machines then do not answer probes, and many workers contact another controller. Only both together prove it.
 func TestAsymmetricPartition(t *testing.T) {
 	for _, test := range []struct {
 		name                          string
-		workers, answered, unanswered int // workers at the peer, probes
+		workers, answered, unanswered int // workers that contact the peer, probes
 		want                          bool
 	}{
 		{"no probe answered", 60, 0, 8, true},
@@ -132,7 +137,7 @@
 			}
 			for range test.unanswered {
 				m.RecordProbe(now, false, false)
-				m.RecordProbe(now, true, false) // of machines with overdue heartbeats: no evidence here
+				m.RecordProbe(now, true, false) // probes sent under suspicion do not count here
 			}
 			if got := m.IsPartitioned(now); got != test.want {
 				t.Errorf("partitioned: got %v, want %v", got, test.want)
@@ -141,18 +146,18 @@
 	}
 }
 
-// TestPauseIsNotSilence checks that a process does not suspect a partition for a time in which it was paused.
+// TestPauseIsNotSilence checks that a process does not suspect a partition after it was paused.
 func TestPauseIsNotSilence(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := newLeaderMonitor(now, 100, 0)
 	now = now.Add(20 * time.Second)
 	m.Tick(now, 100, 0)
 	if m.SuspectsPartition(now) {
-		t.Error("partition suspected after a pause of the process, want none")
+		t.Error("partition suspected after a pause of the process, want not suspected")
 	}
 }
 
-// TestSuccessor checks to whom a leader that no worker reaches transfers its leadership.
+// TestSuccessor checks to which peer a leader that is partitioned from the workers transfers its leadership.
 func TestSuccessor(t *testing.T) {
 	for _, test := range []struct {
 		name                         string
@@ -161,10 +166,10 @@
 	}{
 		{"less than an eighth at a peer", 400, 49, 10, ""},
 		{"an eighth at peer a", 400, 50, 10, "a"},
-		{"more at peer b", 400, 10, 90, "b"},
+		{"more workers at peer b", 400, 10, 90, "b"},
 		{"two of four", 4, 2, 0, ""},
 		{"three of four", 4, 3, 0, "a"},
-		{"two machines, a lost heartbeat each", 2, 0, 2, ""},
+		{"one lost heartbeat from each of two machines", 2, 0, 2, ""},
 		{"no machine expected", 0, 9, 9, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -187,7 +192,7 @@
 	}
 }
 
-// TestRecentWorkers checks that a follower counts the workers that contacted it recently.
+// TestRecentWorkers checks that a follower counts each worker that contacted it recently once.
 func TestRecentWorkers(t *testing.T) {
 	m, now := New(heartbeatInterval), time.Unix(1000, 0)
 	for i := range 7 {
@@ -196,15 +201,15 @@
 		m.RecordWorkerContact(now.Add(time.Second), machine, 1, 2)
 	}
 	if n := m.RecentWorkers(now.Add(time.Second)); n != 7 || m.RedirectsSuspended(now) {
-		t.Errorf("recent workers %d, redirects suspended %v, want 7, false", n, m.RedirectsSuspended(now))
+		t.Errorf("got recent workers %d, redirects suspended %v, want 7, false", n, m.RedirectsSuspended(now))
 	}
 	if n := m.RecentWorkers(now.Add(time.Second + contactWindow + 1)); n != 0 {
 		t.Errorf("recent workers after the contact window: got %d, want 0", n)
 	}
 }
 
-// TestRedirectsSuspended checks that a follower redirects no workers to a leader that asks for that, until it asks no
-// more or has been silent itself.
+// TestRedirectsSuspended checks that redirects are suspended after a ping that requests it, until redirectSuspension has
+// passed or a ping does not request it.
 func TestRedirectsSuspended(t *testing.T) {
 	m, now := New(heartbeatInterval), time.Unix(1000, 0)
 	m.RecordLeaderStatus(now, true)
@@ -216,11 +221,12 @@
 	}
 	m.RecordLeaderStatus(now, false)
 	if m.RedirectsSuspended(now) {
-		t.Error("redirects suspended though the leader receives heartbeats, want allowed")
+		t.Error("redirects suspended although the last ping does not request it, want allowed")
 	}
 }
 
-// TestDuplicateHeartbeatsNotCounted checks that duplicates of earlier heartbeats are no contacts, however late they come.
+// TestDuplicateHeartbeatsNotCounted checks that late duplicates and heartbeats of an earlier incarnation do not count as
+// contacts.
 func TestDuplicateHeartbeatsNotCounted(t *testing.T) {
 	m, now := New(time.Second), time.Unix(1000, 0)
 	for i := range 5 {
--- a/internal/controller/election/connectivity/probes.go
+++ b/internal/controller/election/connectivity/probes.go
@@ -5,22 +5,22 @@
 const (
 	// probeWindow is how long the result of a probe counts as evidence.
 	probeWindow = 3 * time.Second
-	// maxProbes bounds the number of results that are kept.
+	// maxProbes limits the number of results that are kept.
 	maxProbes = 256
-	// minUnanswered is the least number of unanswered probes for evidence of a partition.
-	minUnanswered = 3
-	// unansweredPerAnswered is the least number of unanswered probes for each answered one.
-	unansweredPerAnswered = 4
+	// minUnansweredProbes is the minimum number of unanswered probes for evidence of a partition.
+	minUnansweredProbes = 3
+	// minUnansweredPerAnswered is the minimum number of unanswered probes for each answered one.
+	minUnansweredPerAnswered = 4
 )
 
-// probeResult is the result of a probe, which the leader sent to the machine's own address.
+// probeResult is the result of a probe that the leader sent to the address of a machine.
 type probeResult struct {
-	at               time.Time
-	heartbeatOverdue bool // the heartbeat of the machine was overdue when it was probed
-	answered         bool
+	at                 time.Time
+	partitionSuspected bool // SuspectsPartition was true when the probe was sent
+	answered           bool
 }
 
-// probeHistory has the latest results, the oldest first.
+// probeHistory holds the latest results in order of time.
 type probeHistory []probeResult
 
 // add appends a result and drops those that are too old or too many.
@@ -32,18 +32,18 @@
 	*h = list
 }
 
-// provePartition reports whether enough recent probes were not answered, of the machines whose heartbeats were overdue
-// (heartbeatOverdue) or of those whose heartbeats were not.
-func (h probeHistory) provePartition(now time.Time, heartbeatOverdue bool) bool {
-	matches := func(p probeResult) bool { return p.heartbeatOverdue == heartbeatOverdue }
+// provePartition reports whether enough recent probes were not answered. It counts only the probes that were sent
+// while a partition was suspected, or only the other probes if partitionSuspected is false.
+func (h probeHistory) provePartition(now time.Time, partitionSuspected bool) bool {
+	matches := func(p probeResult) bool { return p.partitionSuspected == partitionSuspected }
 	_, unanswered := h.count(now, matches)
-	return unanswered >= minUnanswered && h.mostlyUnanswered(now, matches)
+	return unanswered >= minUnansweredProbes && h.mostlyUnanswered(now, matches)
 }
 
 // mostlyUnanswered reports whether at most one in five of the matching recent probes was answered.
 func (h probeHistory) mostlyUnanswered(now time.Time, matches func(probeResult) bool) bool {
 	answered, unanswered := h.count(now, matches)
-	return unansweredPerAnswered*answered <= unanswered
+	return minUnansweredPerAnswered*answered <= unanswered
 }
 
 // count counts the matching recent probes.
--- a/internal/controller/election/fixture_test.go
+++ b/internal/controller/election/fixture_test.go
@@ -16,7 +16,7 @@
 	grantDuration = 2 * time.Second
 )
 
-// fixture is the election of controller a, whose peers are b and c. The test answers its calls.
+// fixture is the election of controller a, whose peers are b and c. The test responds to its calls.
 type fixture struct {
 	t        *testing.T
 	election *Election
@@ -35,15 +35,15 @@
 	return &fixture{t: t, now: now, election: election}
 }
 
-// tick lets time pass and returns the calls made.
+// tick advances time by d and returns the calls that are made then.
 func (f *fixture) tick(d time.Duration) []client.Call {
 	f.now = f.now.Add(d)
 	f.election.Tick(f.now, &f.outbox)
 	return f.outbox.TakeCalls()
 }
 
-// answer settles the calls whose path begins with prefix and returns how many there were. A response of nil has no body.
-func (f *fixture) answer(calls []client.Call, prefix string, status int, response any) int {
+// respond completes the calls whose path begins with prefix and returns their number. A nil response has no body.
+func (f *fixture) respond(calls []client.Call, prefix string, status int, response any) int {
 	f.t.Helper()
 	count := 0
 	for _, call := range calls {
@@ -60,13 +60,13 @@
 	return count
 }
 
-// answerKeyAbsent answers reads of the leader's key.
-func (f *fixture) answerKeyAbsent(calls []client.Call) {
+// respondKeyAbsent responds to reads of the leader's key that it is absent.
+func (f *fixture) respondKeyAbsent(calls []client.Call) {
 	f.t.Helper()
-	f.answer(calls, "/keys/", http.StatusNotFound, map[string]int{"tide": 5})
+	f.respond(calls, "/keys/", http.StatusNotFound, map[string]int{"tide": 5})
 }
 
-// hasCampaign reports whether a lease is requested.
+// hasCampaign reports whether one of the calls requests a lease, which is the first call of a campaign.
 func hasCampaign(calls []client.Call) bool {
 	for _, call := range calls {
 		if call.Method == http.MethodPost && call.Path == "/leases" {
@@ -76,15 +76,15 @@
 	return false
 }
 
-// campaignWithLease makes the controller a candidate that holds lease 3; no peer leads.
+// campaignWithLease makes the controller a candidate that holds lease 3. The peers respond that they do not lead.
 func (f *fixture) campaignWithLease() {
 	f.t.Helper()
 	calls := f.tick(0)
-	f.answer(calls, "/peer/inquiry", http.StatusOK, VoteQueryResponse{})
-	f.answerKeyAbsent(calls)
+	f.respond(calls, "/peer/inquiry", http.StatusOK, VoteQueryResponse{})
+	f.respondKeyAbsent(calls)
 	calls = f.tick(100 * time.Millisecond)
-	if f.answer(calls, "/leases", http.StatusOK, map[string]int{"permit": 3}) != 1 {
-		f.t.Fatal("no request of a lease, want one campaign")
+	if f.respond(calls, "/leases", http.StatusOK, map[string]int{"permit": 3}) != 1 {
+		f.t.Fatal("no request for a lease, want one campaign")
 	}
 }
 
@@ -92,10 +92,10 @@
 func (f *fixture) elect() {
 	f.t.Helper()
 	f.campaignWithLease()
-	if f.answer(f.outbox.TakeCalls(), "/commit", http.StatusOK, map[string]int{"tide": 6}) != 1 {
+	if f.respond(f.outbox.TakeCalls(), "/commit", http.StatusOK, map[string]int{"tide": 6}) != 1 {
 		f.t.Fatal("no commit, want one claim of the leader's key")
 	}
 	if !f.election.HoldsLease(f.now) || f.election.FencingToken() != 6 {
-		f.t.Fatalf("election: holds lease %v, fencing token %d, want true, 6", f.election.HoldsLease(f.now), f.election.FencingToken())
+		f.t.Fatalf("election: got holds lease %v, fencing token %d, want true, 6", f.election.HoldsLease(f.now), f.election.FencingToken())
 	}
 }
--- a/internal/controller/election/given_grant.go
+++ b/internal/controller/election/given_grant.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// givenGrant is the leader-lease grant that a follower has given, its undertaking not to campaign, and the leader that
-// requested it.
+// givenGrant is the leader-lease grant that a follower has given, which is its promise not to campaign, and the leader
+// that requested it.
 type givenGrant struct {
-	until        time.Time // this controller neither campaigns nor acts before
-	fencingToken uint64    // the highest of the leaders that a grant was given to
+	until        time.Time // this controller does not campaign or become leader before this time
+	fencingToken uint64    // highest fencing token of the leaders that received a grant
 	leaderName   string
-	pingedAt     time.Time // when the leader's last ping came
+	pingedAt     time.Time // when the leader's last ping arrived
 }
 
-// give extends the grant to the sender of a request that was received at now.
+// give extends the grant until the given time for the sender of a ping that arrived at now.
 func (g *givenGrant) give(now, until time.Time, request PingRequest) {
 	g.leaderName, g.pingedAt = request.Name, now
 	if until.After(g.until) {
@@ -20,8 +20,8 @@
 	g.fencingToken = max(g.fencingToken, request.FencingToken)
 }
 
-// HandlePing returns the response to the ping of a peer that leads, or that has transferred its leadership. Pings may
-// be delayed and duplicated.
+// HandlePing returns the response to the ping of a peer that leads, or that has transferred its leadership, and records
+// the grant or the transfer. Pings may be delayed and duplicated.
 func (e *Election) HandlePing(now time.Time, request PingRequest) PingResponse {
 	e.contact.peerAt = now
 	if request.ReleasedLeaseID != 0 {
@@ -29,18 +29,18 @@
 		return PingResponse{}
 	}
 	if request.FencingToken < e.follower.grant.fencingToken {
-		return PingResponse{} // a delayed ping of an earlier leadership, which no longer waits for the response
+		return PingResponse{} // a delayed ping of an earlier leadership, which ignores the response
 	}
 	if e.role != roleFollower || e.follower.key.absent {
-		// This controller campaigns, leads, or has read from the state service that the key is absent: the sender has
-		// lost its lease, and a grant must not extend its leadership.
+		// This controller campaigns, leads, or has read that the leader's key is absent. So the sender has lost its lease,
+		// and a grant must not extend its leadership.
 		return PingResponse{StateServiceOK: e.role == roleFollower}
 	}
-	e.follower.grant.give(now, now.Add(e.options.boundDuration(e.options.GrantDuration)), request)
+	e.follower.grant.give(now, now.Add(e.options.extendForDrift(e.options.GrantDuration)), request)
 	e.follower.stateProbe.requested = e.follower.stateProbe.requested || request.ProbeStateService
 	e.connectivity.RecordLeaderStatus(now, request.SuspendRedirects)
 	if request.StateLoaded {
-		e.renewalLimit.RecordLeaderProgress(request.EchoedNonce, request.OldestCancellationAge)
+		e.renewalLimit.RecordLeaderPing(request.EchoedNonce, request.OldestCancellationAge)
 	}
 	return PingResponse{
 		Granted:        true,
@@ -50,8 +50,8 @@
 	}
 }
 
-// isBoundByGrant reports whether a grant forbids this controller to campaign: one that it has given, or one that its
-// earlier process may have given shortly before this one started.
+// isBoundByGrant reports whether a grant forbids this controller to campaign. The grant is one that it has given, or one
+// that its previous process may have given before the restart.
 func (e *Election) isBoundByGrant(now time.Time) bool {
-	return now.Before(e.follower.grant.until) || e.isBoundByRestart(now)
+	return now.Before(e.follower.grant.until) || e.isRestartGuardActive(now)
 }
--- a/internal/controller/election/golden_bytes_test.go
+++ b/internal/controller/election/golden_bytes_test.go
@@ -7,6 +7,7 @@
 	"gullrudder/internal/goldenbytes"
 )
 
+// TestGoldenBytes checks that the encoding of the messages between controllers and of the leader's key does not change.
 func TestGoldenBytes(t *testing.T) {
 	goldenbytes.Check(t,
 		goldenbytes.MessagePack("peer hello", PingRequest{
--- a/internal/controller/election/held_grants.go
+++ b/internal/controller/election/held_grants.go
@@ -8,23 +8,24 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// heldGrant is the leader-lease grant of one peer, its undertaking not to campaign, as the leader that relies on it sees it.
+// heldGrant is the leader's record of the leader-lease grant of one peer, which is the peer's promise not to campaign.
 type heldGrant struct {
 	requestPending bool
 	nextRequestAt  time.Time
 	granted        bool
-	sentAt         time.Time // when the ping was sent that the grant responds to; its duration counts from then
-	nonce          uint64    // in the peer's last response
+	sentAt         time.Time // when the granted ping was sent; the duration of the grant counts from then
+	nonce          uint64    // nonce of the peer's last response
 }
 
-// grantsValidUntil returns when the first of the grants expires. ok is false unless every peer has given one.
+// grantsValidUntil returns when the first of the peers' grants expires. ok is false unless there are peers and every peer
+// has given a grant.
 func (e *Election) grantsValidUntil() (earliest time.Time, ok bool) {
 	for _, peer := range e.options.Peers {
 		grant := e.leader.grants[peer.Name]
 		if grant == nil || !grant.granted {
 			return time.Time{}, false
 		}
-		end := grant.sentAt.Add(e.options.reliedDuration(e.options.GrantDuration))
+		end := grant.sentAt.Add(e.options.shortenForDrift(e.options.GrantDuration))
 		if earliest.IsZero() || end.Before(earliest) {
 			earliest = end
 		}
@@ -54,7 +55,7 @@
 				grant.nextRequestAt = sentAt.Add(e.pingInterval(now))
 				var response PingResponse
 				if result.Status != http.StatusOK || codec.Unmarshal(result.Body, &response) != nil {
-					// The peer may still be bound by its last grant, and this leader relies on it until it expires.
+					// The last grant of the peer stays valid until it expires.
 					return
 				}
 				e.recordPingResponse(now, grant, sentAt, response)
@@ -90,8 +91,8 @@
 
 // recordPingResponse records the grant in the response to a ping that was sent at sentAt.
 func (e *Election) recordPingResponse(now time.Time, grant *heldGrant, sentAt time.Time, response PingResponse) {
-	// Once the leader lease has expired, only a renewal at the state service proves that there was no other leader
-	// since: the peers may have given grants to a later leader.
+	// Once the leader lease has expired, the peers may have given grants to a later leader. Only a renewal at the state
+	// service proves that there was none.
 	if response.Granted && e.HoldsLease(now) {
 		grant.granted, grant.sentAt = true, sentAt
 	}
--- a/internal/controller/election/leader_key.go
+++ b/internal/controller/election/leader_key.go
@@ -19,13 +19,13 @@
 
 // keyState is the leader's key as a follower last read it.
 type keyState struct {
-	readPending bool // a read or a watch is under way
+	readPending bool // a read or a watch is pending
 	nextReadAt  time.Time
 	absent      bool   // the state service responded that the key is absent
-	revision    uint64 // from which the key is watched
+	revision    uint64 // revision from which the key is watched
 }
 
-// readLeaderKey reads the leader's key. If it exists, it is watched from then on.
+// readLeaderKey reads the leader's key. If the key exists, a watch follows.
 func (e *Election) readLeaderKey(outbox *client.Outbox) {
 	e.follower.key.readPending = true
 	outbox.Add(client.Call{
@@ -55,7 +55,8 @@
 	}
 }
 
-// watchLeaderKey waits for changes of the leader's key.
+// watchLeaderKey sends a watch request, to which the state service responds when the leader's key changes or after
+// watchDuration.
 func (e *Election) watchLeaderKey(outbox *client.Outbox) {
 	e.follower.key.readPending = true
 	wait := e.options.watchDuration()
@@ -76,7 +77,7 @@
 	e.contact.recordStateService(now, result)
 	var response watchResponse
 	if result.Status != http.StatusOK || codec.Unmarshal(result.Body, &response) != nil || response.Revision < key.revision {
-		// A response with a lower revision than the last one is outdated.
+		// A response with a lower revision than the last one is outdated and ignored.
 		if result.Status == http.StatusOK {
 			e.logMalformedOnce(watchPath)
 		}
@@ -92,7 +93,8 @@
 	e.watchLeaderKey(outbox)
 }
 
-// recordKeyAbsent records that there is no leader, and decides when to campaign.
+// recordKeyAbsent records that the leader's key is absent and schedules the campaign. The preferred successor applies to
+// this campaign only.
 func (e *Election) recordKeyAbsent(now time.Time) {
 	if e.follower.key.absent {
 		return
@@ -102,7 +104,7 @@
 	e.follower.candidacy.preferredSuccessor = ""
 }
 
-// logMalformedOnce logs, once for each path, a malformed response, which is treated like a missing one.
+// logMalformedOnce logs a malformed response, which is handled like a failed call. It logs once for each path.
 func (e *Election) logMalformedOnce(path string) {
 	if e.loggedMalformed[path] {
 		return
--- a/internal/controller/election/lease.go
+++ b/internal/controller/election/lease.go
@@ -8,20 +8,20 @@
 	"gullrudder/internal/wire/client"
 )
 
-// stateLease is the lease of the state service that the leader's key is bound to.
+// stateLease is the lease in the state service that the leader's key is bound to.
 type stateLease struct {
-	id         uint64 // 0: none is held
+	id         uint64 // 0 if no lease is held
 	validUntil time.Time
 
 	renewalPending bool
 	nextRenewalAt  time.Time
-	renewalSentAt  time.Time // of the last renewal
+	renewalSentAt  time.Time // when the last renewal was sent
 
-	failedRenewals     int       // in a row
-	firstFailureSentAt time.Time // when the first of them was sent
+	failedRenewals     int       // consecutive failures
+	firstFailureSentAt time.Time // when the first of these renewals was sent
 }
 
-// resetRenewal drops the renewals of an earlier leadership.
+// resetRenewal clears the state of renewals of an earlier leadership.
 func (l *stateLease) resetRenewal() {
 	l.renewalPending = false
 	l.failedRenewals = 0
@@ -32,7 +32,7 @@
 	return l.renewalPending && now.Sub(l.renewalSentAt) > limit
 }
 
-// recordFailure counts a renewal, sent at sentAt, that did not succeed.
+// recordFailure counts the failure of a renewal that was sent at sentAt.
 func (l *stateLease) recordFailure(sentAt time.Time) {
 	l.failedRenewals++
 	if l.failedRenewals == 1 {
@@ -40,7 +40,7 @@
 	}
 }
 
-// renewLease renews the leader's lease when that is due.
+// renewLease sends a renewal of the leader's lease if one is due.
 func (e *Election) renewLease(now time.Time, outbox *client.Outbox) {
 	lease := &e.lease
 	if lease.renewalPending || now.Before(lease.nextRenewalAt) {
@@ -65,8 +65,8 @@
 	switch result.Status {
 	case http.StatusOK:
 		lease.failedRenewals = 0
-		e.leader.peerServedSince = time.Time{}
-		lease.validUntil = sentAt.Add(e.options.reliedDuration(e.options.LeaseDuration))
+		e.leader.peerReachesStateSince = time.Time{}
+		lease.validUntil = sentAt.Add(e.options.shortenForDrift(e.options.LeaseDuration))
 		lease.nextRenewalAt = sentAt.Add(e.options.renewalInterval())
 	case http.StatusNotFound:
 		lease.id = 0
@@ -82,7 +82,7 @@
 	return e.lease.failedRenewals > 0 || e.isRenewalSlow(now)
 }
 
-// isRenewalSlow reports whether the pending renewal takes longer than slowRenewalThreshold.
+// isRenewalSlow reports whether a renewal has been pending for longer than slowRenewalThreshold.
 func (e *Election) isRenewalSlow(now time.Time) bool {
 	return e.lease.isRenewalSlow(now, e.options.slowRenewalThreshold())
 }
@@ -95,7 +95,7 @@
 	e.lease.id = 0
 }
 
-// revocation returns the call that revokes a lease. Its result does not matter: if it fails the lease expires.
+// revocation returns the call that revokes a lease. Its result does not matter: if the call fails, the lease expires.
 func revocation(leaseID uint64) client.Call {
 	return client.Call{
 		Destination: client.StateService, Method: http.MethodDelete, Path: fmt.Sprintf("/leases/%d", leaseID),
--- a/internal/controller/election/lease_test.go
+++ b/internal/controller/election/lease_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestLeaseExtensionNeedsEveryGrant checks that without the state service the leader lease expires one lease duration,
-// less drift and margin, after the last renewal was sent, unless every peer has given a grant.
+// less clock drift and safety margin, after the last renewal was sent. Only grants of all peers extend it.
 func TestLeaseExtensionNeedsEveryGrant(t *testing.T) {
 	for _, test := range []struct {
 		name, grantedBy string
@@ -33,7 +33,7 @@
 						call.Done(f.now, client.Result{})
 					}
 				}
-				f.answer(calls, "/leases/3/touch", http.StatusServiceUnavailable, nil)
+				f.respond(calls, "/leases/3/touch", http.StatusServiceUnavailable, nil)
 			}
 			if held := f.election.HoldsLease(f.now); held != test.want {
 				t.Errorf("holds the leader lease one lease duration after the last renewal: got %v, want %v", held, test.want)
@@ -42,23 +42,23 @@
 	}
 }
 
-// TestGrantCountsFromSending checks that a grant counts from when the ping was sent, not from when its response came.
+// TestGrantCountsFromSending checks that a grant counts from when the ping was sent, not from when its response arrived.
 func TestGrantCountsFromSending(t *testing.T) {
 	f := newFixture(t)
 	f.elect()
 	calls := f.tick(50 * time.Millisecond)
 	sentAt := f.now
 	f.now = f.now.Add(600 * time.Millisecond)
-	f.answer(calls, "/peer/hello", http.StatusOK, PingResponse{Granted: true})
+	f.respond(calls, "/peer/hello", http.StatusOK, PingResponse{Granted: true})
 	if limit := sentAt.Add(grantDuration - 100*time.Millisecond); f.election.leaseValidUntil().After(limit) {
 		t.Errorf("end of the leader lease: got %v, want at most %v", f.election.leaseValidUntil(), limit)
 	}
 }
 
-// TestLateRenewal checks that a leadership continues with its state after a late renewal, as on a slow processor, if
-// the state service confirms the lease. The grants of the peers do not suffice for that. Without such a renewal the leadership
-// ends one more lease duration later. When it was built anew under the same fencing token instead, its attempt numbers
-// and instance names began anew with it.
+// TestLateRenewal checks that a leadership keeps its state after a late renewal, for example on a slow processor, if the
+// state service confirms the lease. Grants of the peers are not enough. Without such a renewal the leadership ends one lease
+// duration after the leader lease has expired. It guards against rebuilding the state under the same fencing token: attempt
+// numbers and instance names then started again from the beginning.
 func TestLateRenewal(t *testing.T) {
 	f := newFixture(t)
 	f.elect()
@@ -67,18 +67,21 @@
 	if f.election.HoldsLease(f.now) {
 		t.Fatal("holds the leader lease after the lease in the state service has expired, want expired")
 	}
-	f.answer(calls, "/peer/hello", http.StatusOK, PingResponse{Granted: true})
+	f.respond(calls, "/peer/hello", http.StatusOK, PingResponse{Granted: true})
 	if f.election.HoldsLease(f.now) {
-		t.Error("grants given after the leader lease had expired extended it, want expired")
+		t.Error("grants after the expiry of the leader lease extended it, want expired")
 	}
-	f.answer(calls, "/leases/3/touch", http.StatusOK, nil)
+	f.respond(calls, "/leases/3/touch", http.StatusOK, nil)
 	if !f.election.HoldsLease(f.now) || f.election.FencingToken() != 6 {
-		t.Errorf("after a late renewal: holds lease %v, fencing token %d, want true, 6", f.election.HoldsLease(f.now), f.election.FencingToken())
+		t.Errorf(
+			"after a late renewal: got holds lease %v, fencing token %d, want true, 6",
+			f.election.HoldsLease(f.now), f.election.FencingToken(),
+		)
 	}
 	f.tick(leaseDuration)
 	if !f.election.IsLeader() || f.election.HoldsLease(f.now) {
 		t.Errorf(
-			"while the next renewal is late: leader %v, holds lease %v, want true, false",
+			"while the next renewal is late: got leader %v, holds lease %v, want true, false",
 			f.election.IsLeader(), f.election.HoldsLease(f.now),
 		)
 	}
@@ -87,18 +90,21 @@
 	}
 }
 
-// TestVoteQueryDuringLateRenewal checks that a leader whose renewal is late says that it leads, for as long as the
-// renewal may let it act again, and with it a grant whose response was under way when the peer that gave it ended. To
-// the new process of that peer it still leads.
-func TestVoteQueryDuringLateRenewal(t *testing.T) {
+// TestLeaderQueryDuringLateRenewal checks that a leader whose renewal is late responds that it leads until it steps down.
+// If the renewal succeeds, the leader acts again. It may then rely on a grant that was in transit when the peer that gave
+// it restarted, and the new process of that peer must be bound by that grant.
+func TestLeaderQueryDuringLateRenewal(t *testing.T) {
 	f := newFixture(t)
 	f.elect()
 	f.now = f.now.Add(leaseDuration)
 	if f.election.HoldsLease(f.now) || !f.election.HandleVoteQuery(f.now).IsLeader {
-		t.Errorf("late renewal: holds lease %v, vote %+v, want no lease, leader", f.election.HoldsLease(f.now), f.election.HandleVoteQuery(f.now))
+		t.Errorf(
+			"late renewal: got holds lease %v, response %+v, want no lease, leader",
+			f.election.HoldsLease(f.now), f.election.HandleVoteQuery(f.now),
+		)
 	}
 	f.tick(2 * leaseDuration)
 	if f.election.HandleVoteQuery(f.now).IsLeader {
-		t.Error("vote query after stepping down: answered as leader, want not leader")
+		t.Error("leader query after stepping down: got leader, want not leader")
 	}
 }
--- a/internal/controller/election/messages.go
+++ b/internal/controller/election/messages.go
@@ -2,51 +2,53 @@
 
 import "time"
 
-// Paths of the peer link, which a controller serves on its peer address.
+// Paths that a controller serves on its peer address.
 const (
 	PingPath      = "/peer/hello"
 	VoteQueryPath = "/peer/inquiry"
 )
 
-// PingRequest is the ping of a leader to each peer, which requests a leader-lease grant. A former leader sends it as
-// the notice that its leadership was transferred.
+// PingRequest is the ping that a leader sends to each peer to request a leader-lease grant. A former leader also sends
+// it, with ReleasedLeaseID set, to announce that its leadership was transferred.
 type PingRequest struct {
 	Name         string `msgpack:"name"`
 	FencingToken uint64 `msgpack:"token"`
 
-	// ProbeStateService asks the peer to check whether the state service answers it.
+	// ProbeStateService requests that the peer checks whether it can reach the state service.
 	ProbeStateService bool `msgpack:"doubt,omitempty"`
 
-	// ReleasedLeaseID is set once the leadership was transferred: grants to it no longer bind, and the peers are to
-	// revoke this lease.
+	// ReleasedLeaseID is the lease of a leadership that was transferred; 0 if it was not. Grants to that leadership no
+	// longer bind the peers, and the peers revoke this lease.
 	ReleasedLeaseID uint64 `msgpack:"yield,omitempty"`
-	// Successor is the name of the controller that should lead next; empty: the one that campaigns first.
+	// Successor is the name of the controller that should lead next. If it is empty, any controller may.
 	Successor string `msgpack:"to,omitempty"`
 
-	// SuspendRedirects asks not to redirect workers to the leader, since their heartbeats may not reach it.
+	// SuspendRedirects requests that the peer does not redirect workers to the leader, since their heartbeats may not
+	// reach it.
 	SuspendRedirects bool `msgpack:"deaf,omitempty"`
 
-	// StateLoaded is set if the leader has loaded its state. Then every cancellation confirmed longer than
-	// OldestCancellationAge ago is completed.
-	StateLoaded           bool          `msgpack:"read,omitempty"`
+	// StateLoaded is set if the leader has loaded its state and OldestCancellationAge is valid.
+	StateLoaded bool `msgpack:"read,omitempty"`
+	// OldestCancellationAge is an age: every cancellation that was confirmed longer ago is completed.
 	OldestCancellationAge time.Duration `msgpack:"age,omitempty"`
-	// EchoedNonce is the nonce of the peer's last response.
+	// EchoedNonce is the nonce of the peer's last response to this leader.
 	EchoedNonce uint64 `msgpack:"echo,omitempty"`
 }
 
 // PingResponse is a peer's response to a PingRequest.
 type PingResponse struct {
-	// Granted is set if the peer undertakes not to campaign for a GrantDuration.
+	// Granted is set if the peer promises not to campaign for Options.GrantDuration.
 	Granted bool `msgpack:"promised"`
-	// StateServiceOK is set if the state service has answered the peer recently.
+	// StateServiceOK is set if the peer has probed the state service successfully a short time ago.
 	StateServiceOK bool `msgpack:"sees,omitempty"`
-	// RecentWorkers counts the workers that contacted the peer recently, though it does not lead.
+	// RecentWorkers is the number of workers that contacted the peer recently although it is not the leader.
 	RecentWorkers int `msgpack:"callers,omitempty"`
-	// Nonce identifies this response: the ping that echoes it was sent after the response was made.
+	// Nonce identifies this response. A ping that echoes it was sent after the response was created.
 	Nonce uint64 `msgpack:"stamp,omitempty"`
 }
 
-// VoteQueryResponse is the response to a restarted controller, whose earlier grant a leader may still rely on.
+// VoteQueryResponse is the response to a controller that asks whether its peer leads. A restarted controller asks
+// because a leader may still rely on a grant that it gave before the restart.
 type VoteQueryResponse struct {
 	IsLeader bool `msgpack:"leading"`
 }
--- a/internal/controller/election/model_links_test.go
+++ b/internal/controller/election/model_links_test.go
@@ -11,16 +11,16 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// linkMode is what a link does with messages. What is delayed arrives once the link is open again; a response counts
-// only if its call has not timed out.
+// linkMode is what a link does with messages. Delayed messages arrive once the link is open again. A delayed response is
+// ignored if its call has timed out.
 type linkMode int
 
 const (
 	linkOpen linkMode = iota
 	linkDropping
-	linkHolding          // requests wait until the link is open
-	linkHoldingResponses // requests arrive at once, responses wait until the link is open
-	linkModes            // the number of modes
+	linkDelaying          // requests are delayed until the link is open
+	linkDelayingResponses // requests arrive at once, responses are delayed until the link is open
+	linkModeCount         // number of modes
 )
 
 // pendingCall is a call whose Done has not run yet.
@@ -32,108 +32,108 @@
 	settled                 bool
 }
 
-// delayedMessage is one that a link holds. The key distinguishes states of the model.
+// delayedMessage is a message that a link delays. The key identifies it in the state of the model.
 type delayedMessage struct {
 	key     string
 	deliver func()
 }
 
-// changeLink counts a fault; opening a link is none, and delivers what was delayed.
-func (w *electionModel) changeLink(mode linkMode) {
+// changeLink counts a fault if the new mode is not linkOpen. Opening a link delivers all delayed messages.
+func (m *electionModel) changeLink(mode linkMode) {
 	if mode != linkOpen {
-		w.faultsLeft--
+		m.faultsLeft--
 		return
 	}
-	list := w.delayed
-	w.delayed = nil
+	list := m.delayed
+	m.delayed = nil
 	for _, message := range list {
 		message.deliver()
 	}
 }
 
-// send carries out the calls that a controller has made.
-func (w *electionModel) send(controller int) {
-	for _, call := range w.outboxes[controller].TakeCalls() {
+// send transmits the calls that a controller has made, except watches, which settlePending completes.
+func (m *electionModel) send(controller int) {
+	for _, call := range m.outboxes[controller].TakeCalls() {
 		p := &pendingCall{
-			controller: controller, incarnation: w.incarnations[controller], call: call,
-			expiresAt: w.now.Add(call.Timeout), isWatch: strings.HasPrefix(call.Path, "/watch"),
+			controller: controller, incarnation: m.incarnations[controller], call: call,
+			expiresAt: m.now.Add(call.Timeout), isWatch: strings.HasPrefix(call.Path, "/watch"),
 		}
-		w.pending = append(w.pending, p)
+		m.pending = append(m.pending, p)
 		if !p.isWatch {
-			w.transmit(p)
+			m.transmit(p)
 		}
 	}
 }
 
-// transmit brings a call to its receiver and the result back, as the link allows.
-func (w *electionModel) transmit(pending *pendingCall) {
-	mode := w.stateLinks[pending.controller]
+// transmit delivers a call and its result according to the mode of the link.
+func (m *electionModel) transmit(pending *pendingCall) {
+	mode := m.stateLinks[pending.controller]
 	if pending.call.Destination == client.PeerController {
-		mode = w.peerLinks[pending.controller]
+		mode = m.peerLinks[pending.controller]
 	}
 	switch mode {
-	case linkHolding:
-		w.delay(pending, func() { w.settle(pending, w.execute(pending.call)) })
-	case linkHoldingResponses:
-		result := w.execute(pending.call)
-		w.delay(pending, func() { w.settle(pending, result) })
+	case linkDelaying:
+		m.delay(pending, func() { m.settle(pending, m.execute(pending.call)) })
+	case linkDelayingResponses:
+		result := m.execute(pending.call)
+		m.delay(pending, func() { m.settle(pending, result) })
 	case linkDropping:
 	default:
-		w.settle(pending, w.execute(pending.call))
+		m.settle(pending, m.execute(pending.call))
 	}
 }
 
-// execute brings a call to its receiver and returns the response.
-func (w *electionModel) execute(call client.Call) client.Result {
+// execute delivers a call to its receiver and returns the result.
+func (m *electionModel) execute(call client.Call) client.Result {
 	if call.Destination == client.PeerController {
-		return w.deliverToPeer(call)
+		return m.deliverToPeer(call)
 	}
-	return w.service.execute(w.now, call)
+	return m.service.execute(m.now, call)
 }
 
-func (w *electionModel) delay(pending *pendingCall, deliver func()) {
+func (m *electionModel) delay(pending *pendingCall, deliver func()) {
 	key := fmt.Sprint(pending.controller, pending.call.Path, pending.call.Body)
-	w.delayed = append(w.delayed, delayedMessage{key, deliver})
+	m.delayed = append(m.delayed, delayedMessage{key, deliver})
 }
 
-// settlePending answers watches of the leader's key once it is absent, and gives up the calls that have timed out.
-func (w *electionModel) settlePending() {
-	for _, p := range slices.Clone(w.pending) {
-		isCurrent := w.incarnations[p.controller] == p.incarnation
-		if p.isWatch && isCurrent && w.service.holder.LeaseID == 0 && w.stateLinks[p.controller] == linkOpen {
-			w.settle(p, w.service.keyDeleted())
+// settlePending completes watches of the leader's key once the key is absent, and fails the calls that have timed out.
+func (m *electionModel) settlePending() {
+	for _, p := range slices.Clone(m.pending) {
+		isCurrent := m.incarnations[p.controller] == p.incarnation
+		if p.isWatch && isCurrent && m.service.holder.LeaseID == 0 && m.stateLinks[p.controller] == linkOpen {
+			m.settle(p, m.service.keyDeleted())
 		}
-		if !w.now.Before(p.expiresAt) {
-			w.settle(p, client.Result{})
+		if !m.now.Before(p.expiresAt) {
+			m.settle(p, client.Result{})
 		}
 	}
-	w.pending = slices.DeleteFunc(w.pending, func(p *pendingCall) bool {
-		return p.settled || w.incarnations[p.controller] != p.incarnation
+	m.pending = slices.DeleteFunc(m.pending, func(p *pendingCall) bool {
+		return p.settled || m.incarnations[p.controller] != p.incarnation
 	})
 }
 
-// settle runs a call's Done, once, unless the process that made it has ended.
-func (w *electionModel) settle(pending *pendingCall, result client.Result) {
+// settle runs Done of a call, at most once, and only if the process that made the call has not restarted.
+func (m *electionModel) settle(pending *pendingCall, result client.Result) {
 	if pending.settled {
 		return
 	}
 	pending.settled = true
-	if w.incarnations[pending.controller] != pending.incarnation {
+	if m.incarnations[pending.controller] != pending.incarnation {
 		return
 	}
-	pending.call.Done(w.now, result)
-	w.mutateResult(pending, result)
-	w.send(pending.controller)
+	pending.call.Done(m.now, result)
+	m.mutateResult(pending, result)
+	m.send(pending.controller)
 }
 
-// mutateResult makes the mistakes of the mutants that misinterpret a result.
-func (w *electionModel) mutateResult(pending *pendingCall, result client.Result) {
-	e := w.controllers[pending.controller]
+// mutateResult changes the state of the leader like a mutant that misinterprets the result of a call.
+func (m *electionModel) mutateResult(pending *pendingCall, result client.Result) {
+	e := m.controllers[pending.controller]
 	if result.Status != http.StatusOK || e.role != roleLeader {
 		return
 	}
-	if strings.HasSuffix(pending.call.Path, "/touch") && w.mutant == renewalFromResponse {
-		e.lease.validUntil = w.now.Add(e.options.reliedDuration(e.options.LeaseDuration))
+	if strings.HasSuffix(pending.call.Path, "/touch") && m.mutant == leaseCountsFromResponse {
+		e.lease.validUntil = m.now.Add(e.options.shortenForDrift(e.options.LeaseDuration))
 	}
 	var response PingResponse
 	if pending.call.Path != "/peer/hello" || codec.Unmarshal(result.Body, &response) != nil || !response.Granted {
@@ -142,37 +142,38 @@
 	grant := e.leader.grants[pending.call.Addr]
 	switch {
 	case grant == nil:
-	case w.mutant == grantCountsFromResponse:
-		grant.sentAt = w.now
-	case w.mutant == oneGrantSuffices:
+	case m.mutant == grantCountsFromResponse:
+		grant.sentAt = m.now
+	case m.mutant == singleGrantExtendsLease:
 		for _, other := range e.leader.grants {
 			other.sentAt, other.granted = grant.sentAt, grant.granted
 		}
 	}
 }
 
-// deliverToPeer brings a message to another controller. Its response uses the link of that one.
-func (w *electionModel) deliverToPeer(call client.Call) client.Result {
+// deliverToPeer delivers a call to another controller and returns its result. The call fails unless the receiver's link to
+// its peers is open.
+func (m *electionModel) deliverToPeer(call client.Call) client.Result {
 	peer := int(call.Addr[0] - '0')
-	if w.peerLinks[peer] != linkOpen {
+	if m.peerLinks[peer] != linkOpen {
 		return client.Result{}
 	}
-	e := w.controllers[peer]
+	e := m.controllers[peer]
 	if call.Path == "/peer/inquiry" {
-		return success(w.t, e.HandleVoteQuery(w.now))
+		return success(m.t, e.HandleVoteQuery(m.now))
 	}
 	request := call.Body.(PingRequest)
-	if w.mutant == grantByNonFollower && e.role != roleFollower {
-		return success(w.t, PingResponse{Granted: true})
+	if m.mutant == grantByNonFollower && e.role != roleFollower {
+		return success(m.t, PingResponse{Granted: true})
 	}
 	isCurrent := request.StateLoaded && request.FencingToken >= e.follower.grant.fencingToken && request.EchoedNonce != 0
-	if w.mutant == ageCountsFromArrival && isCurrent {
-		e.renewalLimit.RecordLoaded(w.now.Add(-request.OldestCancellationAge))
+	if m.mutant == ageCountsFromArrival && isCurrent {
+		e.renewalLimit.RecordLoaded(m.now.Add(-request.OldestCancellationAge))
 	}
 	grantedUntil := e.follower.grant.until
-	response := e.HandlePing(w.now, request)
-	if w.mutant == grantDoesNotBind {
+	response := e.HandlePing(m.now, request)
+	if m.mutant == grantNotRecorded {
 		e.follower.grant.until = grantedUntil
 	}
-	return success(w.t, response)
+	return success(m.t, response)
 }
--- a/internal/controller/election/renewal_limit_test.go
+++ b/internal/controller/election/renewal_limit_test.go
@@ -10,47 +10,48 @@
 	"gullrudder/internal/wire/client"
 )
 
+// renewalWalkLength is the number of moves in a random walk of the renewal model.
 const renewalWalkLength = 90
 
-// TestRenewalLimitSchedules checks that no schedule of dropped and delayed messages, restarts, outages of the state
-// service and a cancellation keeps a cancelled task running for longer than its user is told, though leaders that have
-// not loaded their state renew leases meanwhile.
+// TestRenewalLimitSchedules checks that a cancelled task never runs for longer than the cancel timeout although leaders
+// that have not loaded their state renew leases. The schedules contain dropped and delayed messages, restarts, outages of
+// the state service and one cancellation.
 func TestRenewalLimitSchedules(t *testing.T) {
 	var models []*renewalModel
 	rng := rand.New(rand.NewPCG(2, 1))
 	newModel := func() modelcheck.Model {
-		w := newFaultCombination(t, "", rng)
-		models = append(models, w)
-		return w
+		m := newFaultCombinationModel(t, "", rng)
+		models = append(models, m)
+		return m
 	}
 	r := modelcheck.RandomWalks(newModel, renewalWalkLength, 150, rng)
 	if r.Violation != "" {
 		t.Errorf("violation: got %q after %q, want none", r.Violation, r.Schedule)
 	}
 	cancelled, renewals, refusals := 0, 0, 0
-	for _, w := range models {
-		if !w.cancelledAt.IsZero() {
+	for _, m := range models {
+		if !m.cancelledAt.IsZero() {
 			cancelled++
 		}
-		renewals += w.unloadedRenewals
-		refusals += w.unloadedRefusals
+		renewals += m.renewalsBeforeLoad
+		refusals += m.refusalsBeforeLoad
 	}
 	t.Logf("%d states, %d of %d cancelled, %d renewals before loading, %d refused", r.States, cancelled, len(models), renewals, refusals)
 	if cancelled < 100 || renewals == 0 || refusals == 0 {
-		t.Errorf("coverage: %d cancelled, %d renewals, %d refusals, want at least 100, 1, 1", cancelled, renewals, refusals)
+		t.Errorf("coverage: got %d cancelled, %d renewals, %d refusals, want at least 100, 1, 1", cancelled, renewals, refusals)
 	}
 }
 
-// TestRenewalLimitMutants checks that each mistake is found by some schedule.
+// TestRenewalLimitMutants checks that some schedule finds each mutant of the renewal limit.
 func TestRenewalLimitMutants(t *testing.T) {
 	seeds := map[mutant]uint64{renewalBeforeLoading: 1, ageCountsFromArrival: 1, forgetsEarlierConfirmation: 1}
 	checkMutants(t, seeds, renewalWalkLength, 1500, func(mutant mutant, rng *rand.Rand) modelcheck.Model {
-		return newFaultCombination(t, mutant, rng)
+		return newFaultCombinationModel(t, mutant, rng)
 	})
 }
 
-// TestCancellationAgeInPings checks that a leader sends the age of the oldest cancellation only once it has loaded its
-// state, and only while it can tell when every cancellation was confirmed.
+// TestCancellationAgeInPings checks that the pings of a leader contain the age of the oldest cancellation only after the
+// leader has loaded its state, and only if it knows when every cancellation was confirmed.
 func TestCancellationAgeInPings(t *testing.T) {
 	f := newFixture(t)
 	f.elect()
@@ -67,7 +68,8 @@
 	}
 }
 
-// pingPeerB lets a quarter of a grant pass, answers every call, and returns the leader's ping to peer b.
+// pingPeerB advances time by a quarter of the grant duration, responds to every call, and returns the leader's ping to
+// peer b.
 func (f *fixture) pingPeerB() (ping PingRequest) {
 	f.t.Helper()
 	for _, call := range f.tick(grantDuration / 4) {
@@ -78,14 +80,14 @@
 		case call.Path == "/peer/hello":
 			call.Done(f.now, success(f.t, PingResponse{Granted: true}))
 		case call.Path == "/leases/3/touch":
-			f.answer([]client.Call{call}, "/leases", http.StatusOK, nil)
+			f.respond([]client.Call{call}, "/leases", http.StatusOK, nil)
 		}
 	}
 	return ping
 }
 
-// TestCancellationAgeCountsFromNonce checks that the age in a ping counts from when the nonce was issued that the ping
-// brings back, and that a process accepts no ping that was meant for an earlier one.
+// TestCancellationAgeCountsFromNonce checks that the age in a ping counts from when the echoed nonce was issued, and that
+// a process ignores the age in a ping that echoes a nonce of an earlier process.
 func TestCancellationAgeCountsFromNonce(t *testing.T) {
 	f := newFixture(t)
 	nonce := f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 4, StateLoaded: true, EchoedNonce: 5}).Nonce
@@ -98,7 +100,7 @@
 	f.election.HandlePing(f.now, ping)
 	completedBefore := f.election.RenewalLimit().CompletedBefore()
 	if completedBefore.After(issuedAt.Add(-time.Second)) || completedBefore.Before(issuedAt.Add(-1100*time.Millisecond)) {
-		t.Errorf("limit after the nonce: got %v, want between -1.1s and -1s", completedBefore.Sub(issuedAt))
+		t.Errorf("completed before, relative to the nonce: got %v, want between -1.1s and -1s", completedBefore.Sub(issuedAt))
 	}
 
 	restarted := newFixture(t)
--- a/internal/controller/election/renewal_model_test.go
+++ b/internal/controller/election/renewal_model_test.go
@@ -21,35 +21,35 @@
 const (
 	workerLeaseDuration = 40 * modelStep
 	cancelTimeout       = 64 * modelStep
-	stepTolerance       = modelStep // how inexact times are in the model
+	stepTolerance       = modelStep // maximum error of times in the model
 )
 
-// renewalModel adds to the model of the election a worker with a task, state that a new leader has to load, and a
-// cancellation. The task has to end in time after its cancellation was confirmed, whoever renewed the worker's lease.
+// renewalModel adds to electionModel a worker with a task, state that a new leader has to load, and a cancellation. Its
+// invariant is that the task ends within cancelTimeout of the confirmation of its cancellation.
 type renewalModel struct {
 	*electionModel
 	leaders     [3]modelLeader
 	worker      modelWorker
 	cancelledAt time.Time // when the cancellation was confirmed
 
-	unloadedRenewals int // by leaders that had not loaded their state
-	unloadedRefusals int // by these
+	renewalsBeforeLoad int // lease renewals by leaders that had not loaded their state
+	refusalsBeforeLoad int // lease renewals that such leaders refused
 }
 
 // modelLeader is the state of a leadership.
 type modelLeader struct {
-	fencingToken         uint64 // 0: it does not lead
+	fencingToken         uint64 // 0 if the controller does not lead
 	stateLoaded          bool
-	cancellationDone     bool      // it has observed that no task of the cancelled job runs
-	earliestConfirmation time.Time // the earliest that it may have been confirmed
-	lastRenewalAt        time.Time // when it last renewed the worker's lease, or began to lead
+	cancellationDone     bool      // the leader knows that no task of the cancelled job runs
+	earliestConfirmation time.Time // earliest time at which the cancellation may have been confirmed
+	lastRenewalAt        time.Time // when the leader last renewed the worker's lease, or was elected
 }
 
-// modelWorker is a worker that sends heartbeats to one controller after the other until one leads.
+// modelWorker is a worker with one task. It sends heartbeats to one controller after the other until it finds the leader.
 type modelWorker struct {
-	isolated        bool // it reaches no controller
+	isolated        bool // the worker reaches no controller
 	taskRunning     bool
-	target          int // the controller that gets the next heartbeat
+	target          int // controller that receives the next heartbeat
 	nextHeartbeatAt time.Time
 	leaseRenewedAt  time.Time
 }
@@ -57,71 +57,71 @@
 // newRenewalModel returns a model in which one of the controllers leads.
 func newRenewalModel(t *testing.T, mutant mutant, faults int) *renewalModel {
 	t.Helper()
-	w := &renewalModel{electionModel: newElectionModel(t, mutant, faults)}
-	w.renewalWindow = cancelTimeout - workerLeaseDuration - 2*stepTolerance
+	m := &renewalModel{electionModel: newElectionModel(t, mutant, faults)}
+	m.renewalWindow = cancelTimeout - workerLeaseDuration - 2*stepTolerance
 	if mutant == renewalBeforeLoading {
-		w.renewalWindow = time.Hour
+		m.renewalWindow = time.Hour
 	}
-	for i := range w.controllers {
-		w.startLongAgo(i)
+	for i := range m.controllers {
+		m.startWithoutRestartGuard(i)
 	}
-	w.service.holder.LeaseID, w.service.leaseExpiry = 0, map[uint64]time.Time{}
-	w.worker = modelWorker{taskRunning: true, leaseRenewedAt: w.now, nextHeartbeatAt: w.now}
-	w.steps(16)
-	return w
+	m.service.holder.LeaseID, m.service.leaseExpiry = 0, map[uint64]time.Time{}
+	m.worker = modelWorker{taskRunning: true, leaseRenewedAt: m.now, nextHeartbeatAt: m.now}
+	m.steps(16)
+	return m
 }
 
-func (w *renewalModel) steps(count int) {
+func (m *renewalModel) steps(count int) {
 	for range count {
-		w.Do("step")
+		m.Do("step")
 	}
 }
 
-// Moves lists what can happen next.
-func (w *renewalModel) Moves() []string {
-	list := slices.Concat(slices.Repeat([]string{"step"}, 80), w.electionModel.Moves())
-	if w.worker.isolated {
+// Moves lists the possible next moves. A step is much more likely than the others.
+func (m *renewalModel) Moves() []string {
+	list := slices.Concat(slices.Repeat([]string{"step"}, 80), m.electionModel.Moves())
+	if m.worker.isolated {
 		list = append(list, "worker connected")
 	}
-	for i, e := range w.controllers {
-		if w.cancelledAt.IsZero() && w.leaders[i].stateLoaded && e.HoldsLease(w.now) && w.stateLinks[i] == linkOpen {
+	for i, e := range m.controllers {
+		if m.cancelledAt.IsZero() && m.leaders[i].stateLoaded && e.HoldsLease(m.now) && m.stateLinks[i] == linkOpen {
 			list = append(list, fmt.Sprintf("cancel %d", i))
 		}
 	}
 	return list
 }
 
-// Do makes a move. After a step the leaders and the worker do what is due.
-func (w *renewalModel) Do(move string) {
+// Do makes a move and checks the invariants. A step also advances the leaders and the worker.
+func (m *renewalModel) Do(move string) {
 	var controller int
 	switch word, _, _ := strings.Cut(move, " "); word {
 	case "cancel":
-		scan(w.t, move, "cancel %d", &controller)
-		w.cancelledAt, w.leaders[controller].earliestConfirmation = w.now, w.now
+		scan(m.t, move, "cancel %d", &controller)
+		m.cancelledAt, m.leaders[controller].earliestConfirmation = m.now, m.now
 		return
 	case "worker":
-		w.worker.isolated = move == "worker isolated"
+		m.worker.isolated = move == "worker isolated"
 		return
 	case "crash":
-		scan(w.t, move, "crash %d", &controller)
-		w.leaders[controller].stateLoaded, w.leaders[controller].fencingToken = false, 0
+		scan(m.t, move, "crash %d", &controller)
+		m.leaders[controller].stateLoaded, m.leaders[controller].fencingToken = false, 0
 	}
-	w.electionModel.Do(move)
+	m.electionModel.Do(move)
 	if move != "step" {
 		return
 	}
-	for i := range w.controllers {
-		w.stepLeader(i)
+	for i := range m.controllers {
+		m.stepLeader(i)
 	}
-	w.stepWorker()
-	if !w.cancelledAt.IsZero() && w.worker.taskRunning && w.now.Sub(w.cancelledAt) > cancelTimeout && w.violated == "" {
-		w.violated = "a cancelled task still runs"
+	m.stepWorker()
+	if !m.cancelledAt.IsZero() && m.worker.taskRunning && m.now.Sub(m.cancelledAt) > cancelTimeout && m.violation == "" {
+		m.violation = "a cancelled task still runs"
 	}
 }
 
-// stepLeader starts or ends the leadership of a controller as its election says, and loads its state.
-func (w *renewalModel) stepLeader(controller int) {
-	e, leader := w.controllers[controller], &w.leaders[controller]
+// stepLeader starts or ends the leadership of a controller according to its election, and loads its state.
+func (m *renewalModel) stepLeader(controller int) {
+	e, leader := m.controllers[controller], &m.leaders[controller]
 	if e.role != roleLeader || e.leader.fencingToken != leader.fencingToken {
 		*leader = modelLeader{earliestConfirmation: leader.earliestConfirmation}
 	}
@@ -129,72 +129,72 @@
 		return
 	}
 	if leader.fencingToken == 0 {
-		leader.fencingToken, leader.lastRenewalAt = e.leader.fencingToken, w.now
-	} else if !leader.stateLoaded && w.stateLinks[controller] == linkOpen { // the response comes a step after the request
+		leader.fencingToken, leader.lastRenewalAt = e.leader.fencingToken, m.now
+	} else if !leader.stateLoaded && m.stateLinks[controller] == linkOpen { // the response arrives a step after the request
 		leader.stateLoaded, leader.earliestConfirmation = true, e.RenewalLimit().CompletedBefore()
 	}
 	if leader.stateLoaded {
-		w.reportCancellations(e, leader)
+		m.reportCancellations(e, leader)
 	}
 }
 
-// reportCancellations sets the oldest cancellation of the election, as the controller does at each tick.
-func (w *renewalModel) reportCancellations(e *Election, leader *modelLeader) {
-	if w.now.Sub(leader.lastRenewalAt) > workerLeaseDuration+stepTolerance {
+// reportCancellations passes the oldest cancellation to the election, as the controller does at each tick.
+func (m *renewalModel) reportCancellations(e *Election, leader *modelLeader) {
+	if m.now.Sub(leader.lastRenewalAt) > workerLeaseDuration+stepTolerance {
 		leader.cancellationDone = true
 	}
-	oldest, known := w.now, true
-	if !w.cancelledAt.IsZero() && !leader.cancellationDone && w.mutant != forgetsEarlierConfirmation {
+	oldest, known := m.now, true
+	if !m.cancelledAt.IsZero() && !leader.cancellationDone && m.mutant != forgetsEarlierConfirmation {
 		oldest, known = leader.earliestConfirmation, !leader.earliestConfirmation.IsZero()
 	}
-	e.SetOldestCancellation(w.now, oldest, known)
+	e.SetOldestCancellation(m.now, oldest, known)
 }
 
 // stepWorker ends the task if the worker's lease has expired, and sends a heartbeat if one is due.
-func (w *renewalModel) stepWorker() {
-	worker := &w.worker
-	if w.now.Sub(worker.leaseRenewedAt) > workerLeaseDuration {
+func (m *renewalModel) stepWorker() {
+	worker := &m.worker
+	if m.now.Sub(worker.leaseRenewedAt) > workerLeaseDuration {
 		worker.taskRunning = false
 	}
-	if !worker.taskRunning || worker.isolated || w.now.Before(worker.nextHeartbeatAt) {
+	if !worker.taskRunning || worker.isolated || m.now.Before(worker.nextHeartbeatAt) {
 		return
 	}
 	target := worker.target
-	e, leader := w.controllers[target], &w.leaders[target]
-	worker.target, worker.nextHeartbeatAt = (target+1)%3, w.now.Add(2*modelStep)
+	e, leader := m.controllers[target], &m.leaders[target]
+	worker.target, worker.nextHeartbeatAt = (target+1)%3, m.now.Add(2*modelStep)
 	switch {
-	case !e.HoldsLease(w.now):
-		for i := range w.controllers {
-			if fmt.Sprint(i) == e.Leader(w.now) {
-				worker.target, worker.nextHeartbeatAt = i, w.now
+	case !e.HoldsLease(m.now):
+		for i := range m.controllers {
+			if fmt.Sprint(i) == e.Leader(m.now) {
+				worker.target, worker.nextHeartbeatAt = i, m.now
 			}
 		}
 	case leader.stateLoaded:
-		worker.target, worker.leaseRenewedAt, leader.lastRenewalAt = target, w.now, w.now
-		if !w.cancelledAt.IsZero() {
+		worker.target, worker.leaseRenewedAt, leader.lastRenewalAt = target, m.now, m.now
+		if !m.cancelledAt.IsZero() {
 			worker.taskRunning, leader.cancellationDone = false, true // the response has ended the task
 		}
-	case w.now.Before(e.RenewalLimit().RenewUntil()):
-		worker.target, worker.leaseRenewedAt, leader.lastRenewalAt = target, w.now, w.now
-		w.unloadedRenewals++
+	case m.now.Before(e.RenewalLimit().RenewUntil()):
+		worker.target, worker.leaseRenewedAt, leader.lastRenewalAt = target, m.now, m.now
+		m.renewalsBeforeLoad++
 	default:
-		w.unloadedRefusals++
+		m.refusalsBeforeLoad++
 	}
 }
 
-// Key returns everything that the future of the model depends on.
-func (w *renewalModel) Key() string {
+// Key encodes everything that the further behavior of the model depends on.
+func (m *renewalModel) Key() string {
 	offset := func(t time.Time) int {
 		if t.IsZero() {
 			return zeroTime
 		}
-		return int(max(t.Sub(w.now), -3*time.Second) / time.Millisecond)
+		return int(max(t.Sub(m.now), -3*time.Second) / time.Millisecond)
 	}
-	worker := &w.worker
-	key := fmt.Sprint(w.electionModel.Key(), worker.target, worker.isolated, worker.taskRunning,
-		offset(worker.nextHeartbeatAt), offset(worker.leaseRenewedAt), offset(w.cancelledAt))
-	for i, e := range w.controllers {
-		leader := &w.leaders[i]
+	worker := &m.worker
+	key := fmt.Sprint(m.electionModel.Key(), worker.target, worker.isolated, worker.taskRunning,
+		offset(worker.nextHeartbeatAt), offset(worker.leaseRenewedAt), offset(m.cancelledAt))
+	for i, e := range m.controllers {
+		leader := &m.leaders[i]
 		key += fmt.Sprint(" ", leader.stateLoaded, leader.cancellationDone, offset(leader.earliestConfirmation),
 			offset(leader.lastRenewalAt), offset(e.renewalLimit.CompletedBefore()), e.leader.stateLoaded, offset(e.leader.oldestCancellation))
 	}
@@ -203,67 +203,68 @@
 
 var _ modelcheck.Model = (*renewalModel)(nil)
 
-// newFaultCombination returns a model at the point where faults coincide: the worker reaches no controller, its job is
-// cancelled, one or two leaders end or lose the state service, and as the next one wins the key, the state service
-// becomes unavailable to all.
-func newFaultCombination(t *testing.T, mutant mutant, rng *rand.Rand) *renewalModel {
+// newFaultCombinationModel returns a model after a combination of faults. The worker was isolated
+// while its job was cancelled, and is connected again. One or two leaders restarted or lost the state service. Now no controller
+// reaches the state service.
+func newFaultCombinationModel(t *testing.T, mutant mutant, rng *rand.Rand) *renewalModel {
 	t.Helper()
-	w := newRenewalModel(t, mutant, 100)
-	w.steps(rng.IntN(5))
-	w.Do("worker isolated")
-	leader := w.awaitLeader()
-	pingsDelayed := rng.IntN(2) == 0 // pings of the leader are delayed meanwhile
+	m := newRenewalModel(t, mutant, 100)
+	m.steps(rng.IntN(5))
+	m.Do("worker isolated")
+	leader := m.awaitLeader()
+	pingsDelayed := rng.IntN(2) == 0 // pings of the leader are delayed until its leadership ends
 	if pingsDelayed {
-		w.Do(fmt.Sprintf("peers %d %d", leader, linkHolding))
+		m.Do(fmt.Sprintf("peers %d %d", leader, linkDelaying))
 	}
-	w.steps(rng.IntN(7))
-	w.Do(fmt.Sprintf("cancel %d", leader))
+	m.steps(rng.IntN(7))
+	m.Do(fmt.Sprintf("cancel %d", leader))
 	for range 1 + rng.IntN(2) {
-		w.steps(rng.IntN(8))
-		leader = w.awaitLeader()
-		w.endLeadership(leader, rng, pingsDelayed)
+		m.steps(rng.IntN(8))
+		leader = m.awaitLeader()
+		m.endLeadership(leader, rng, pingsDelayed)
 		pingsDelayed = false
 		if rng.IntN(3) > 0 {
 			break
 		}
-		w.steps(rng.IntN(5))
+		m.steps(rng.IntN(5))
 	}
-	if w.stateLinks == [3]linkMode{} {
-		w.Do(fmt.Sprintf("outage %d", linkDropping))
+	if m.stateLinks == [3]linkMode{} {
+		m.Do(fmt.Sprintf("outage %d", linkDropping))
 	}
-	w.Do("worker connected")
-	w.faultsLeft = 2
-	return w
+	m.Do("worker connected")
+	m.faultsLeft = 2
+	return m
 }
 
-// awaitLeader returns the controller that leads, after some steps if need be.
-func (w *renewalModel) awaitLeader() int {
+// awaitLeader makes steps until a controller holds the leader lease and returns it. It returns 0 if none does within 40
+// steps.
+func (m *renewalModel) awaitLeader() int {
 	for range 40 {
-		for i, e := range w.controllers {
-			if e.HoldsLease(w.now) {
+		for i, e := range m.controllers {
+			if e.HoldsLease(m.now) {
 				return i
 			}
 		}
-		w.Do("step")
+		m.Do("step")
 	}
 	return 0
 }
 
-// endLeadership restarts the leader or takes the state service from it, and waits until another one leads.
-func (w *renewalModel) endLeadership(leader int, rng *rand.Rand, pingsDelayed bool) {
+// endLeadership restarts the leader or drops its messages to the state service, and waits until another controller leads.
+func (m *renewalModel) endLeadership(leader int, rng *rand.Rand, pingsDelayed bool) {
 	if rng.IntN(2) == 0 {
-		w.Do(fmt.Sprintf("crash %d", leader))
+		m.Do(fmt.Sprintf("crash %d", leader))
 	} else {
-		w.Do(fmt.Sprintf("state %d %d", leader, linkDropping))
+		m.Do(fmt.Sprintf("state %d %d", leader, linkDropping))
 	}
-	w.Do("step")
+	m.Do("step")
 	if pingsDelayed {
-		w.Do(fmt.Sprintf("peers %d %d", leader, linkOpen))
+		m.Do(fmt.Sprintf("peers %d %d", leader, linkOpen))
 	}
-	for attempt := 0; attempt < 30 && w.awaitLeader() == leader; attempt++ {
-		w.Do("step")
+	for attempt := 0; attempt < 30 && m.awaitLeader() == leader; attempt++ {
+		m.Do("step")
 	}
-	if w.stateLinks[leader] != linkOpen {
-		w.Do(fmt.Sprintf("state %d %d", leader, linkOpen))
+	if m.stateLinks[leader] != linkOpen {
+		m.Do(fmt.Sprintf("state %d %d", leader, linkOpen))
 	}
 }
--- a/internal/controller/election/state_machine.go
+++ b/internal/controller/election/state_machine.go
@@ -16,21 +16,21 @@
 	roleLeader
 )
 
-// leaderState is the state of a leader. becomeFollower clears it, except for the fencing token
-// and the time of election, which stay until the next one.
+// leaderState is the state of a leader. becomeFollower clears it, except for fencingToken and electedAt, which keep their
+// values until the next election.
 type leaderState struct {
 	fencingToken uint64
 	electedAt    time.Time
 	grants       map[string]*heldGrant // by the name of the peer that gave it
 
-	// peerServedSince is when a peer first responded that the state service answers it while this leader's renewals
-	// fail; zero: no peer has.
-	peerServedSince time.Time
+	// peerReachesStateSince is when a peer first responded that it reaches the state service, while this leader's
+	// renewals fail. It is zero if no peer has.
+	peerReachesStateSince time.Time
 
-	// stateLoaded is set if oldestCancellation is known.
+	// stateLoaded is set if oldestCancellation is valid.
 	stateLoaded bool
-	// oldestCancellation is the earliest confirmation of a cancellation whose tasks may still run. If there is no such
-	// cancellation it is the time of the check.
+	// oldestCancellation is when the oldest cancellation whose tasks may still run was confirmed. If there is no such
+	// cancellation, it is the time of the check.
 	oldestCancellation time.Time
 }
 
@@ -42,34 +42,34 @@
 	candidacy  candidacy
 	stateProbe stateProbe
 
-	// releasedLeaseID is the lease of a transferred leadership, which this controller is to revoke; 0: none.
+	// releasedLeaseID is the lease of a transferred leadership that this controller has to revoke; 0 if there is none.
 	releasedLeaseID uint64
 }
 
-// becomeFollower makes this controller a follower, which reads the leader's key at nextReadAt.
+// becomeFollower makes this controller a follower that reads the leader's key at nextReadAt.
 func (e *Election) becomeFollower(nextReadAt time.Time) {
 	e.role = roleFollower
 	e.epoch++
 	e.lease.resetRenewal()
 	e.leader.grants = map[string]*heldGrant{}
-	e.leader.peerServedSince = time.Time{}
+	e.leader.peerReachesStateSince = time.Time{}
 	e.leader.stateLoaded = false
 	e.follower.key.readPending = false
 	e.follower.key.absent = false
 	e.follower.key.nextReadAt = nextReadAt
 }
 
-// becomeCandidate makes this controller a candidate, which does not watch the leader's key.
+// becomeCandidate makes this controller a candidate. A candidate does not watch the leader's key.
 func (e *Election) becomeCandidate() {
 	e.role = roleCandidate
 	e.epoch++
 	e.follower.key.readPending = false
 }
 
-// becomeLeader starts a leadership, unless a grant was given or the lease expired in the meantime. The duration of the
-// lease counts from leaseSentAt, when it was requested.
+// becomeLeader starts a leadership. If a grant was given or the lease expired in the meantime, this controller revokes the
+// lease and becomes a follower instead. The duration of the lease counts from leaseSentAt, when the lease was requested.
 func (e *Election) becomeLeader(now time.Time, outbox *client.Outbox, fencingToken uint64, leaseSentAt time.Time) {
-	validUntil := leaseSentAt.Add(e.options.reliedDuration(e.options.LeaseDuration))
+	validUntil := leaseSentAt.Add(e.options.shortenForDrift(e.options.LeaseDuration))
 	if e.isBoundByGrant(now) || !now.Before(validUntil) {
 		e.revokeLease(outbox)
 		e.becomeFollower(now.Add(e.options.readRetryInterval()))
@@ -89,7 +89,7 @@
 	e.log.Info("leader elected", logkeys.FencingToken, fencingToken)
 }
 
-// StepDown ends the leadership, if there is one, and revokes its lease. The reason is logged.
+// StepDown ends the leadership, revokes its lease and logs the reason. It has no effect unless this controller leads.
 func (e *Election) StepDown(now time.Time, outbox *client.Outbox, reason string) {
 	if e.role != roleLeader {
 		return
@@ -100,7 +100,7 @@
 	e.becomeFollower(now)
 }
 
-// inEpoch returns a Done function that calls done unless the role has changed since.
+// inEpoch returns a Done function that calls done only if the role has not changed in the meantime.
 func (e *Election) inEpoch(done func(now time.Time, result client.Result)) func(time.Time, client.Result) {
 	epoch := e.epoch
 	return func(now time.Time, result client.Result) {
--- a/internal/controller/election/state_messages_test.go
+++ b/internal/controller/election/state_messages_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestStateMessageEncoding checks the bytes of the requests to the state service. They are those that earlier versions
-// sent; of a claim, whose keys these sent in any order, the most frequent.
+// TestStateMessageEncoding checks that the requests to the state service have the same bytes as in earlier versions. Those
+// sent the keys of a claim in varying order; the test expects the most frequent one.
 func TestStateMessageEncoding(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/controller/election/transfer.go
+++ b/internal/controller/election/transfer.go
@@ -7,33 +7,35 @@
 	"gullrudder/internal/wire/client"
 )
 
-// considerTransfer transfers the leadership if the peer's response shows that a peer is better connected.
+// considerTransfer records a peer's view of its connections. It transfers the leadership if a peer is better connected
+// than this leader.
 func (e *Election) considerTransfer(now time.Time, outbox *client.Outbox, peerName string, response PingResponse) {
 	if response.StateServiceOK {
-		e.recordPeerServed(now, outbox, peerName)
+		e.recordPeerReachesState(now, outbox, peerName)
 	}
 	e.connectivity.RecordPeerWorkers(peerName, response.RecentWorkers)
 	e.transferIfPartitioned(now, outbox)
 }
 
-// recordPeerServed records that the state service answers a peer. If by then two renewals of this leader have
-// failed, or one has failed and the next one is slow, for long enough, its leadership is transferred.
-func (e *Election) recordPeerServed(now time.Time, outbox *client.Outbox, peerName string) {
+// recordPeerReachesState records that a peer reaches the state service. It has no effect until two renewals of this leader
+// have failed, or one has failed and the next one is slow. The leadership is transferred once this has lasted for
+// peerReachesStateThreshold and the renewals have failed for failedRenewalThreshold.
+func (e *Election) recordPeerReachesState(now time.Time, outbox *client.Outbox, peerName string) {
 	failed := e.lease.failedRenewals
 	if e.role != roleLeader || failed == 0 || failed == 1 && !e.isRenewalSlow(now) {
 		return
 	}
-	if e.leader.peerServedSince.IsZero() {
-		e.leader.peerServedSince = now
+	if e.leader.peerReachesStateSince.IsZero() {
+		e.leader.peerReachesStateSince = now
 	}
-	if now.Sub(e.leader.peerServedSince) >= e.options.servedPeerThreshold() &&
+	if now.Sub(e.leader.peerReachesStateSince) >= e.options.peerReachesStateThreshold() &&
 		now.Sub(e.lease.firstFailureSentAt) >= e.options.failedRenewalThreshold() {
 		e.transferLeadership(now, outbox, "state service answers "+peerName+" and not this controller", "")
 	}
 }
 
-// transferIfPartitioned transfers the leadership if the workers reach a peer and not this leader. Otherwise their
-// leases would expire, and their tasks would be lost.
+// transferIfPartitioned transfers the leadership if the workers reach a peer and not this leader. Without the transfer the
+// worker leases would expire, and the tasks of the workers would be lost.
 func (e *Election) transferIfPartitioned(now time.Time, outbox *client.Outbox) {
 	if e.role != roleLeader {
 		return
@@ -46,9 +48,9 @@
 	e.connectivity.RecordTransfer(now)
 }
 
-// transferLeadership steps down at once in favor of the successor, or of any peer if that is empty. The notice to the
-// peers releases their grants and names the lease to revoke: waiting for the lease and the grants to expire took three
-// times as long.
+// transferLeadership steps down at once in favor of the successor, or of any peer if successor is empty. A ping to the
+// peers releases their grants and names the lease to revoke. Without it, the next election would wait until the lease and
+// the grants expire, which took three times as long.
 func (e *Election) transferLeadership(now time.Time, outbox *client.Outbox, reason, successor string) {
 	request := PingRequest{
 		Name:            e.options.Name,
@@ -65,13 +67,13 @@
 	}
 }
 
-// acceptTransfer records that a leadership was transferred. Its grant no longer binds this controller, unless a later
-// leader has been given one since: the notice may be delayed by minutes.
+// acceptTransfer records that a leadership was transferred and releases the grant to it. A grant to a later leader stays in
+// force, since the request may be delayed by minutes.
 func (e *Election) acceptTransfer(now time.Time, request PingRequest) {
 	e.follower.releasedLeaseID = request.ReleasedLeaseID
 	grant := &e.follower.grant
 	if request.FencingToken < grant.fencingToken {
-		return // another controller has led since: the notice says nothing about its successor
+		return // another controller has led in the meantime, so the named successor is outdated
 	}
 	e.follower.candidacy.preferredSuccessor = request.Successor
 	if e.role == roleFollower && request.FencingToken == grant.fencingToken {
@@ -80,7 +82,7 @@
 	}
 }
 
-// revokeReleasedLease revokes the lease of a leadership that was transferred.
+// revokeReleasedLease revokes the lease of a transferred leadership, if there is one to revoke.
 func (e *Election) revokeReleasedLease(outbox *client.Outbox) {
 	if e.follower.releasedLeaseID == 0 {
 		return
--- a/internal/controller/failover/lease_renewal_test.go
+++ b/internal/controller/failover/lease_renewal_test.go
@@ -43,7 +43,7 @@
 	if reconciler.progress.stateLoaded = false; reconciler.CanRenewLeases(now) {
 		t.Error("leases renewed before anything is known, want no renewal")
 	}
-	reconciler.renewalLimit.RecordLeaderProgress(reconciler.renewalLimit.NewNonce(now), 3*time.Second)
+	reconciler.renewalLimit.RecordLeaderPing(reconciler.renewalLimit.NewNonce(now), 3*time.Second)
 	for after, want := range map[time.Duration]bool{
 		0: true,
 		testRenewalWindow() - 3100*time.Millisecond: true,
