--- a/internal/controller/failover/partial_start.go
+++ b/internal/controller/failover/partial_start.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// partialStartDelay is the least age of a leadership for a partial start. Most failovers are completed by then, and all jobs
-	// start in the order of the queue.
+	// partialStartDelay is the minimum age of a leadership for a partial start. Most failovers are completed within it, and then all
+	// jobs start in the order of the queue.
 	partialStartDelay = 2 * time.Second
-	// unseenUsageInterval is the time between two computations of the unseen usage. An outdated result is safe, since the usage
-	// only decreases: new tasks start on reconciled machines.
+	// unseenUsageInterval is the time between two computations of the unseen usage. An outdated result is safe: the unseen usage only
+	// decreases, since new tasks start on reconciled machines.
 	unseenUsageInterval = time.Second
 )
 
-// partialStart is the state of the exception by which some jobs start before the failover is completed.
+// partialStart is the state of a partial start, in which some jobs start before the failover is completed.
 type partialStart struct {
-	active     bool      // machines are unreconciled, and jobs accepted by this leader may start
-	nextUpdate time.Time // when the unseen usage is computed next
+	active     bool      // jobs accepted by this leader may start although machines are unreconciled
+	nextUpdate time.Time // time of the next computation of the unseen usage
 }
 
-// CanStartTasks reports whether tasks may start. Before the failover is completed these are only tasks of jobs whose acceptance was
-// committed by this leader, which no earlier leader can have started. Without this exception, a series of leaderships of 37 s, each
-// with half of the machines unreachable for a lease, placed no tasks for two thirds of the time.
+// CanStartTasks reports whether tasks may start. Before the failover is completed, only jobs whose acceptance this leader committed may
+// start, since no earlier leader can have started them. Without this partial start, no tasks were placed for two thirds of the time in
+// a series of leaderships of 37 s, in each of which half of the machines were unreachable for a worker lease.
 func (r *Reconciler) CanStartTasks() bool { return r.progress.completed || r.partialStart.active }
 
-// updatePartialStart sets the unseen usage of the placer, which subtracts it from the quotas, and clears it after the failover.
+// updatePartialStart passes the unseen usage to the placer, which subtracts it from the quotas. It clears the unseen usage once all
+// machines are reconciled.
 func (r *Reconciler) updatePartialStart(now time.Time) {
 	if len(r.unreconciled) == 0 {
 		r.partialStart.active = false
@@ -49,9 +50,9 @@
 	}
 }
 
-// unseenUsage returns an upper bound of each team's usage on the unreconciled machines: the resources of its tasks that are neither
-// done nor on a reconciled machine, and at most the capacity of the unreconciled machines. Cancelled jobs count until their tasks are
-// gone.
+// unseenUsage returns an upper bound of each team's usage on the unreconciled machines. It is the sum of the resources of the team's
+// tasks that are neither done nor on a reconciled machine, limited by the capacity of the unreconciled machines. Cancelled jobs count
+// until their tasks have ended.
 func (r *Reconciler) unseenUsage() placement.UnseenUsage {
 	capacity := worker.Usage{}
 	for _, machine := range r.unreconciled {
@@ -73,8 +74,8 @@
 	return usageByTeam
 }
 
-// maxCapacity returns an upper bound of the capacity of a machine: its own if it is known, else that of its machine type, else the
-// largest of all types. Without any machine type there is no bound.
+// maxCapacity returns an upper bound of the CPUs and GPUs of a machine: its own capacity if it is known, else that of its machine type,
+// else the largest of all types. Without any machine type it returns infinity.
 func (r *Reconciler) maxCapacity(machine *worker.Machine) (cpus, gpus float64) {
 	if machine.CPUs+machine.MemoryGB > 0 {
 		return machine.CPUs, machine.GPUs
--- a/internal/controller/failover/probe.go
+++ b/internal/controller/failover/probe.go
@@ -14,21 +14,23 @@
 )
 
 const (
-	// probeTimeout limits the wait for the answer to a probe.
+	// probeTimeout limits the wait for the response to a probe.
 	probeTimeout = time.Second
-	// probeRatePerCPU is the rate of probes per second for each CPU of the quota. A probe is a connection and two messages, which
-	// take half a millisecond at most; at this rate half of the CPU quota is left to heartbeats, users and the renewal.
+	// probeRatePerCPU is the number of probes per second for each CPU of this process's quota. A probe consists of a connection and two
+	// messages, which take at most half a millisecond of CPU time. At this rate half of the quota is left for heartbeats, users and
+	// the renewal of the leader's lease.
 	probeRatePerCPU = 1000
-	// maxProbeRetries bounds the retries of a probe that the worker refused because of its incarnation.
+	// maxProbeRetries limits the retries of a probe that the worker refused because it has another incarnation.
 	maxProbeRetries = 3
-	// connectionsPerBurst and connectionsPerProbe divide the connection limit: the results are how many probes may be sent at once,
-	// and how many may be in flight. The other connections belong to the server and the other clients.
-	connectionsPerBurst = 24
-	connectionsPerProbe = 16
+	// connectionsPerBurstProbe divides the connection limit of this process into the maximum budget, which is the number of probes that
+	// may be sent at once. connectionsPerInFlightProbe divides it into the maximum number of probes in flight. The other connections
+	// are left for the server and the other clients.
+	connectionsPerBurstProbe    = 24
+	connectionsPerInFlightProbe = 16
 )
 
-// prober sends probes, which are empty direct commands. A probe raises the worker's fencing token, so that the worker no longer
-// executes commands of an earlier leader, and the answer is the worker's state. The prober owns the budget of probes.
+// prober sends probes and owns their budget. A probe is a direct-command request without commands. It raises the worker's fencing
+// token, so that the worker no longer executes commands of an earlier leader. The response contains the worker's state.
 type prober struct {
 	platform     *config.Platform
 	fencingToken uint64
@@ -37,15 +39,15 @@
 	reachability *reachability.Tracker
 	heartbeats   *heartbeat.Handler
 
-	budget   float64 // probes that may be sent now
-	inFlight int     // probes whose result has not arrived
-	closed   bool    // the leadership has ended: later results are ignored
+	budget   float64 // number of probes that may be sent now
+	inFlight int     // number of probes without a result yet
+	closed   bool    // the leadership has ended, and later results are ignored
 }
 
-// probeOptions say how a probe is sent.
+// probeOptions are the parameters of one probe.
 type probeOptions struct {
-	incarnation uint64
-	retries     int
+	incarnation uint64                             // expected incarnation of the worker
+	retries     int                                // remaining retries if the worker refuses the probe
 	onResult    func(now time.Time, answered bool) // may be nil
 }
 
@@ -60,20 +62,20 @@
 	}
 }
 
-// refillBudget adds the probes of the elapsed time to the budget.
+// refillBudget increases the budget by the probe rate times the elapsed time, up to its maximum.
 func (p *prober) refillBudget(elapsed time.Duration) {
 	rate := probeRatePerCPU * p.platform.CPUQuota
-	p.budget = min(p.budget+rate*elapsed.Seconds(), float64(p.platform.MaxConnections)/connectionsPerBurst)
+	p.budget = min(p.budget+rate*elapsed.Seconds(), float64(p.platform.MaxConnections)/connectionsPerBurstProbe)
 }
 
-// canProbe reports whether the budget allows a probe. A probe that failed because this process had no connection left would look like
-// an unresponsive worker.
+// canProbe reports whether the budget and the limit of probes in flight allow a probe. If this process ran out of connections, the
+// failed probe would look like an unresponsive worker.
 func (p *prober) canProbe() bool {
-	return p.budget >= 1 && p.inFlight < p.platform.MaxConnections/connectionsPerProbe
+	return p.budget >= 1 && p.inFlight < p.platform.MaxConnections/connectionsPerInFlightProbe
 }
 
-// probe sends a probe to the machine, unless it has no address or was probed a short time ago. It returns false if the budget is
-// exhausted.
+// probe sends a probe to the machine. It returns false if canProbe is false. If the machine has no address or was probed a short time
+// ago, it sends nothing and returns true.
 func (p *prober) probe(now time.Time, machine *worker.Machine) bool {
 	if !p.canProbe() {
 		return false
@@ -85,7 +87,8 @@
 	return true
 }
 
-// probeRequested probes the machines that the reachability tracker suspects. Probes that exceed the budget are requested again.
+// probeRequested probes the machines for which the reachability tracker has requested a probe. Probes that exceed the budget are
+// requested again.
 func (p *prober) probeRequested(now time.Time) {
 	for _, machine := range p.reachability.TakeProbeRequests() {
 		if p.workers.Machines[machine.ID] == machine && !p.probe(now, machine) {
@@ -94,13 +97,13 @@
 	}
 }
 
-// send sends a probe, which is deducted from the budget. onResult may be nil.
+// send sends a probe and deducts it from the budget. onResult is called with the result unless it is nil.
 func (p *prober) send(now time.Time, machine *worker.Machine, onResult func(now time.Time, answered bool)) {
 	p.budget--
-	p.sendWith(now, machine, probeOptions{incarnation: max(machine.Incarnation, 1), retries: maxProbeRetries, onResult: onResult})
+	p.sendWithOptions(now, machine, probeOptions{incarnation: max(machine.Incarnation, 1), retries: maxProbeRetries, onResult: onResult})
 }
 
-func (p *prober) sendWith(now time.Time, machine *worker.Machine, options probeOptions) {
+func (p *prober) sendWithOptions(now time.Time, machine *worker.Machine, options probeOptions) {
 	p.inFlight++
 	probe := p.reachability.StartProbe(now, machine)
 	p.outbox.Add(client.Call{
@@ -124,12 +127,12 @@
 	})
 }
 
-// handleResult processes the result of a probe. With status 409 a worker of another incarnation, or with a higher fencing token, has
-// refused the probe; like status 200 it comes with the worker's state and proves that the worker answers.
+// handleResult processes the result of a probe. Status 409 means that the worker refused the probe, because it has another incarnation
+// or a higher fencing token. Like status 200 it comes with the worker's state and proves that the worker answers.
 //
-// The machine may have been removed since the probe was sent: its deletion was confirmed or its lease expired. No task is left on it
-// then, whatever the answer lists. Reconciling it would assign tasks to a machine that the registry does not know, where nothing would
-// ever end them.
+// The machine may have been removed after the probe was sent, because its deletion was confirmed or its lease expired. Then no task
+// runs on it, whatever the response lists. Reconciling it would assign tasks to a machine that is not in the registry, and these tasks
+// would never end.
 func (p *prober) handleResult(
 	now time.Time,
 	machine *worker.Machine,
@@ -156,7 +159,7 @@
 		p.heartbeats.HandleEnded(now, machine, p.workers.ReleaseAll(machine))
 	case refused:
 		if options.retries > 0 && state.FencingToken <= p.fencingToken && !machine.Reconciled {
-			p.sendWith(now, machine, probeOptions{incarnation: state.Incarnation, retries: options.retries - 1})
+			p.sendWithOptions(now, machine, probeOptions{incarnation: state.Incarnation, retries: options.retries - 1})
 		}
 	case !machine.Reconciled && state.FencingToken == p.fencingToken && machine.IsNewer(&state):
 		p.heartbeats.Reconcile(now, machine, &state, false)
--- a/internal/controller/failover/probe_sample.go
+++ b/internal/controller/failover/probe_sample.go
@@ -16,8 +16,8 @@
 	probeSampleInterval = probeTimeout / 2
 )
 
-// sampler probes a few machines, different ones each time, while this controller may be partitioned from the workers. Package
-// connectivity decides by the answers whether it is.
+// sampler periodically probes a few machines in rotation while this controller may be partitioned from the workers. Package connectivity
+// uses the results to decide whether it is.
 type sampler struct {
 	heartbeatInterval time.Duration
 	workers           *worker.Registry
@@ -25,7 +25,7 @@
 	connectivity      *connectivity.Monitor
 	prober            *prober
 
-	offset     int // index of the last candidate
+	offset     int // position in the rotation: its remainder is the index of the last machine considered
 	nextSample time.Time
 }
 
@@ -39,9 +39,9 @@
 	}
 }
 
-// probeSample probes the next few machines if connectivity needs probes. If any machines have reported to this leadership, only these
-// are probed: otherwise a leader that has lost a zone would count the machines that no longer exist as evidence of a partition. If the
-// only evidence is that workers contact other controllers, machines whose heartbeats are in time are probed.
+// probeSample probes the next few machines if the connectivity monitor needs probes. If any machines have reported to this leadership,
+// only these are probed. Otherwise a leader that has lost a zone would count machines that no longer exist as evidence of a partition.
+// If the only sign of a partition is that workers contact other controllers, only machines without overdue heartbeats are probed.
 func (s *sampler) probeSample(now time.Time) {
 	if now.Before(s.nextSample) || !s.connectivity.NeedsProbes(now) {
 		return
@@ -64,7 +64,8 @@
 	}
 }
 
-// isCandidate reports whether a probe of the machine is evidence about the link.
+// isCandidate reports whether a probe of the machine is due, and its result is evidence about the link to the workers. suspected states
+// whether heartbeats are missing.
 func (s *sampler) isCandidate(now time.Time, machine *worker.Machine, suspected bool) bool {
 	if machine.Addr == "" || machine.DrainReason != worker.NotDraining || s.workers.IsLeaseExpired(now, machine) {
 		return false
--- a/internal/controller/failover/reconciler.go
+++ b/internal/controller/failover/reconciler.go
@@ -1,9 +1,9 @@
 // Package failover prepares a new leader to place tasks: it restores the jobs and the registered machines from persistent state, and
-// reconciles every machine that may hold tasks of an earlier leader.
+// reconciles every machine that may run tasks of an earlier leader.
 //
-// Its Reconciler owns the list of unreconciled machines and the budget of probes. After the failover it continues to probe machines
-// whose heartbeats are overdue, and terminates those that do not answer. It never decides that a task is gone: it waits for a newer
-// heartbeat without the task, for the cloud's confirmation of the deletion, or for the expiry of the machine's lease.
+// The Reconciler owns the list of unreconciled machines and the budget of probes. After the failover it continues to probe machines
+// whose heartbeats are overdue, and terminates those that do not answer. It never assumes that a task has ended: it waits for a newer
+// heartbeat without the task, for the cloud's confirmation that the machine is deleted, or for the expiry of the machine's lease.
 // Design notes: docs/design/fault-combinations.md, docs/design/reachability.md.
 package failover
 
@@ -28,8 +28,8 @@
 	"gullrudder/internal/wire/client"
 )
 
-// Reconciler carries out the failover of one leadership. It is made at the election, used by the event loop alone, and
-// closed when the leadership ends.
+// Reconciler performs the failover of one leadership. It is created at the election and closed when the leadership ends. It is not
+// safe for concurrent use: only the event loop calls it.
 type Reconciler struct {
 	log          *slog.Logger
 	fencingToken uint64
@@ -42,22 +42,22 @@
 
 	progress     progress
 	partialStart partialStart
-	unreconciled []*worker.Machine // registered by an earlier leader and not reconciled yet
+	unreconciled []*worker.Machine // machines registered by an earlier leader and not reconciled yet
 	prober       *prober
 	sampler      *sampler
 	unresponsive *unresponsiveMonitor
 }
 
-// progress is how far the failover has come.
+// progress records which stages of the failover are completed.
 type progress struct {
 	stateLoaded    bool // jobs and registered machines are restored from persistent state
 	isFirstLeader  bool // persistent state was empty: there was no earlier leader
-	completed      bool // every machine that may hold tasks is reconciled
-	renewalRefused bool // the refusal of heartbeats before the state is loaded was logged
+	completed      bool // every machine that may run tasks of an earlier leader is reconciled
+	renewalRefused bool // the first refusal of a renewal before the state is loaded was logged
 }
 
-// Components are the components that a Reconciler uses. All of them belong to the same leadership, except Connectivity and
-// RenewalLimit, which belong to the election and outlive it.
+// Components are the components that a Reconciler uses. They belong to the same leadership, except Connectivity and RenewalLimit,
+// which belong to the election and exist for the whole process.
 type Components struct {
 	Platform     *config.Platform
 	FencingToken uint64
@@ -66,7 +66,7 @@
 	Machines     Machines
 	Heartbeats   *heartbeat.Handler
 	Placer       *placement.Placer
-	RenewalLimit *renewal.Limit // until when leases may be renewed before the state is loaded
+	RenewalLimit *renewal.Limit // limits the renewal of leases before the state is loaded
 	Outbox       *client.Outbox
 	Log          *slog.Logger
 }
@@ -79,16 +79,16 @@
 	FairShare     *fairshare.Allocator
 }
 
-// Machines are the components with the state of the machines, and of the links between them and this controller.
+// Machines are the components that hold the state of the machines, and of the links between them and this controller.
 type Machines struct {
 	Workers      *worker.Registry
 	Cloud        *cloud.Client
 	Zones        *zones.Tracker
 	Reachability *reachability.Tracker
-	Connectivity *connectivity.Monitor // whether this controller is partitioned from the workers
+	Connectivity *connectivity.Monitor // detects whether this controller is partitioned from the workers
 }
 
-// New returns the Reconciler of a new leadership. The failover begins when LoadState finds the persistent state loaded.
+// New returns the Reconciler of a new leadership. The failover starts once LoadState has restored the state.
 func New(components Components) *Reconciler {
 	machines := components.Machines
 	prober := newProber(components)
@@ -107,30 +107,32 @@
 	}
 }
 
-// Close ends the failover: later results of probes are ignored.
+// Close ends the failover. Results of probes that arrive later are ignored.
 func (r *Reconciler) Close() { r.prober.closed = true }
 
 // StateLoaded reports whether jobs and registered machines are restored from persistent state.
 func (r *Reconciler) StateLoaded() bool { return r.progress.stateLoaded }
 
-// Completed reports whether every machine that may hold tasks of an earlier leader is reconciled.
+// Completed reports whether every machine that may run tasks of an earlier leader is reconciled.
 func (r *Reconciler) Completed() bool { return r.progress.completed }
 
-// UnreconciledMachines returns the number of machines that are not reconciled yet.
+// UnreconciledMachines returns the number of machines that are not reconciled yet. It is 0 before the state is loaded.
 func (r *Reconciler) UnreconciledMachines() int { return len(r.unreconciled) }
 
-// ExpectedHeartbeats returns the number of machines that should send heartbeats: those whose lease has not expired.
+// ExpectedHeartbeats returns the number of machines that should send heartbeats, which are those whose lease has not expired. It is
+// updated at each check of the machines, every unresponsiveCheckInterval.
 func (r *Reconciler) ExpectedHeartbeats() int { return r.unresponsive.expectedHeartbeats }
 
-// OverdueHeartbeats returns the number of expected heartbeats that are overdue.
+// OverdueHeartbeats returns how many of the ExpectedHeartbeats are overdue, or come from machines that do not receive this
+// controller's responses.
 func (r *Reconciler) OverdueHeartbeats() int { return r.unresponsive.overdueHeartbeats }
 
-// IsFirstLeader reports whether there was no earlier leader: persistent state was empty.
+// IsFirstLeader reports whether the persistent state was empty when it was loaded, so that there was no earlier leader.
 func (r *Reconciler) IsFirstLeader() bool { return r.progress.isFirstLeader }
 
-// CanRenewLeases reports whether a heartbeat may be answered with status 200 now, which renews the lease of its machine. Before the
-// state is loaded this could keep tasks running whose cancellation this leader does not know. It is allowed only as long as the renewed
-// lease still expires within the cancel timeout (package renewal).
+// CanRenewLeases reports whether the response to a heartbeat may have status 200 at now, which renews the lease of the machine. Before
+// the state is loaded, a renewal could keep tasks running whose cancellation this leader does not know. It is then allowed only while
+// the renewed lease expires within the cancel timeout (package renewal). The first refusal is logged.
 func (r *Reconciler) CanRenewLeases(now time.Time) bool {
 	if r.progress.stateLoaded || now.Before(r.renewalLimit.RenewUntil()) {
 		return true
@@ -143,7 +145,7 @@
 }
 
 // Tick sends the probes that are due, reconciles machines until the failover is completed, and terminates unresponsive machines.
-// elapsed is the time since the last tick, by which the budget of probes is refilled.
+// The event loop calls it at every tick. elapsed is the time since the last tick, for which the budget of probes is refilled.
 func (r *Reconciler) Tick(now time.Time, elapsed time.Duration) {
 	r.prober.refillBudget(elapsed)
 	r.prober.probeRequested(now)
@@ -154,11 +156,11 @@
 	r.unresponsive.tick(now, r.progress.completed)
 }
 
-// reconcileMachines probes the unreconciled machines, and completes the failover once there are none.
+// reconcileMachines probes the unreconciled machines. It completes the failover once there are none.
 func (r *Reconciler) reconcileMachines(now time.Time) {
-	r.unreconciled = r.stillUnreconciled(now)
+	r.unreconciled = r.filterUnreconciled(now)
 	for _, machine := range r.unreconciled {
-		// A machine that has just received its first response sends its next heartbeat at once and needs no probe.
+		// A machine that has just received its first response of this leader sends its next heartbeat at once and needs no probe.
 		if machine.LeaseRenewedAt.Equal(r.electedAt) || now.Sub(machine.LeaseRenewedAt) > probeTimeout {
 			r.prober.probe(now, machine)
 		}
@@ -171,9 +173,10 @@
 	}
 }
 
-// stillUnreconciled filters the list of unreconciled machines in place. A machine is removed once its worker has answered under this
-// leader's fencing token, or no task can run on it: its deletion is confirmed or its lease has expired.
-func (r *Reconciler) stillUnreconciled(now time.Time) []*worker.Machine {
+// filterUnreconciled filters the list of unreconciled machines in place. A machine is removed once it is reconciled, which requires a
+// heartbeat or a probe response with this leader's fencing token. It is also removed once no task can run on it, because its deletion
+// is confirmed or its lease has expired.
+func (r *Reconciler) filterUnreconciled(now time.Time) []*worker.Machine {
 	remaining := r.unreconciled[:0]
 	for _, machine := range r.unreconciled {
 		if !machine.Registered || machine.Reconciled || r.cloud.IsDeleted(machine.ID) || r.workers.IsLeaseExpired(now, machine) {
--- a/internal/controller/failover/reconciler_test.go
+++ b/internal/controller/failover/reconciler_test.go
@@ -13,34 +13,33 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// TestHeartbeatUnderOlderFencingTokenIsNotReconciled checks that a registered machine is reconciled only once its
-// worker has received the new fencing token: a heartbeat under an older token may be older than starts that an earlier
-// leader has sent since.
+// TestHeartbeatUnderOlderFencingTokenIsNotReconciled checks that a registered machine is reconciled only once its worker has
+// received the new fencing token. A heartbeat with an older token may have been sent before the worker executed the last
+// start commands of an earlier leader.
 func TestHeartbeatUnderOlderFencingTokenIsNotReconciled(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
 	reconciler.progress.completed = false
 	machine := reconciler.addUnreconciled(now, "vm-1")
-	report := workerapi.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8}
-	if response := reconciler.sendHeartbeat(t, now, report); response.FencingToken != 9 || machine.Reconciled {
-		t.Errorf("heartbeat under an older token: response token %d, reconciled %v, want 9, false", response.FencingToken, machine.Reconciled)
+	heartbeat := workerapi.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", Incarnation: 1, Sequence: 4, FencingToken: 8}
+	if response := reconciler.sendHeartbeat(t, now, heartbeat); response.FencingToken != 9 || machine.Reconciled {
+		t.Errorf("heartbeat with an older token: got response token %d, reconciled %v, want 9, false", response.FencingToken, machine.Reconciled)
 	}
 	reconciler.reconcileMachines(now)
 	if reconciler.Completed() {
-		t.Error("failover completed before the machine is reconciled, want open")
+		t.Error("failover completed before the machine is reconciled, want not completed")
 	}
-	report.Sequence, report.FencingToken = 5, 9
-	if reconciler.sendHeartbeat(t, now, report); !machine.Reconciled {
-		t.Error("machine not reconciled by a heartbeat under the token, want reconciled")
+	heartbeat.Sequence, heartbeat.FencingToken = 5, 9
+	if reconciler.sendHeartbeat(t, now, heartbeat); !machine.Reconciled {
+		t.Error("machine not reconciled by a heartbeat with the new token, want reconciled")
 	}
 	if reconciler.reconcileMachines(now); !reconciler.Completed() {
 		t.Error("failover not completed after the machine is reconciled, want completed")
 	}
 }
 
-// TestFailedInstancesAreTerminatedDuringFailover checks that during a failover an instance that the cloud lists as
-// failed is terminated at once, also if it is the only one, and that one listed as running is not while its lease may
-// be valid.
+// TestFailedInstancesAreTerminatedDuringFailover checks that during a failover an instance that the cloud lists as failed is
+// terminated at once, and that an instance listed as running is not terminated while its lease may be valid.
 func TestFailedInstancesAreTerminatedDuringFailover(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
@@ -52,20 +51,19 @@
 	reconciler.unresponsive.check(now, reconciler.Completed())
 	if !reconciler.cloud.Instances["vm-1"].Deleting || reconciler.cloud.Instances["vm-2"].Deleting {
 		t.Errorf(
-			"deleting: got vm-1 %v, vm-2 %v, want only vm-1, which has failed",
+			"deleting: got vm-1 %v, vm-2 %v, want true for the failed vm-1, false for vm-2",
 			reconciler.cloud.Instances["vm-1"].Deleting, reconciler.cloud.Instances["vm-2"].Deleting,
 		)
 	}
 	if reconciler.reconcileMachines(now); reconciler.Completed() {
-		t.Error("failover completed before the deletion is confirmed, want open")
+		t.Error("failover completed before the deletion is confirmed, want not completed")
 	}
 }
 
-// TestTerminatedMachinesAreNoEvidenceOfPartition checks that unanswered probes of registered machines that no longer
-// exist are not taken for a partition while machines that have reported answer, and that it is one if no machine
-// answers.
-func TestTerminatedMachinesAreNoEvidenceOfPartition(t *testing.T) {
-	for name, alive := range map[string]int{"half of them are there": 20, "none answers": 0} {
+// TestTerminatedMachinesDoNotIndicatePartition checks that unanswered probes of registered machines that no longer exist do
+// not count as evidence of a partition while other machines answer. If no machine answers, a partition is detected.
+func TestTerminatedMachinesDoNotIndicatePartition(t *testing.T) {
+	for name, alive := range map[string]int{"half of the machines answer": 20, "no machine answers": 0} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(10_000, 0)
 			reconciler := newTestReconciler(now, 9)
@@ -74,26 +72,26 @@
 				machine := reconciler.addUnreconciled(now, fmt.Sprintf("vm-%06d", i))
 				machine.Addr = machine.ID
 			}
-			inboundLost := false
-			reconciler.connectivity.RecordPeerWorkers("b", 40) // workers that waited for the leader before contact b
+			partitioned := false
+			reconciler.connectivity.RecordPeerWorkers("b", 40) // workers that waited for the earlier leader contact b
 			for range 80 {
 				now = now.Add(50 * time.Millisecond)
 				reconciler.Tick(now, 50*time.Millisecond)
 				reconciler.connectivity.Tick(now, reconciler.ExpectedHeartbeats(), reconciler.OverdueHeartbeats())
-				reconciler.answerProbes(t, now, alive)
-				inboundLost = inboundLost || reconciler.connectivity.IsPartitioned(now)
+				reconciler.respondToProbes(t, now, alive)
+				partitioned = partitioned || reconciler.connectivity.IsPartitioned(now)
 			}
-			if inboundLost != (alive == 0) {
-				t.Errorf("inbound connectivity lost: got %v, want %v", inboundLost, alive == 0)
+			if partitioned != (alive == 0) {
+				t.Errorf("partition detected: got %v, want %v", partitioned, alive == 0)
 			}
 		})
 	}
 }
 
-// TestProbeAnswerOfRemovedMachineIsIgnored checks that the answer to a probe is ignored if the deletion of its machine
-// was confirmed before. The tasks that it lists no longer exist: if they were assigned to the machine again, no lease
-// and no deletion would ever end them, and their job would never complete.
-func TestProbeAnswerOfRemovedMachineIsIgnored(t *testing.T) {
+// TestProbeResponseOfRemovedMachineIsIgnored checks that the response to a probe is ignored if the deletion of its machine was
+// confirmed before it arrived. The tasks that it lists no longer run. If they were assigned to the machine again, no lease
+// expiry and no deletion would end them, and their job would never complete.
+func TestProbeResponseOfRemovedMachineIsIgnored(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
 	reconciler.progress.completed = false
@@ -128,7 +126,7 @@
 	}
 }
 
-// confirmDeletion terminates an instance, has the cloud confirm the deletion, and removes the machine.
+// confirmDeletion terminates an instance, confirms the deletion on behalf of the cloud, and checks that the machine is removed.
 func (reconciler *testReconciler) confirmDeletion(t *testing.T, now time.Time, machineID string) {
 	t.Helper()
 	reconciler.cloud.Terminate([]string{machineID}, string(worker.DrainUnresponsive))
@@ -141,12 +139,12 @@
 	}
 	reconciler.heartbeats.RemoveDeleted(now)
 	if reconciler.workers.Machines[machineID] != nil {
-		t.Fatalf("machine %s: still registered, want removed", machineID)
+		t.Fatalf("machine %s: still in the registry, want removed", machineID)
 	}
 }
 
-// answerProbes answers the probes of the machines with the first numbers; the others do not answer.
-func (reconciler *testReconciler) answerProbes(t *testing.T, now time.Time, alive int) {
+// respondToProbes responds to the probes of the machines with numbers below alive. The other probes fail.
+func (reconciler *testReconciler) respondToProbes(t *testing.T, now time.Time, alive int) {
 	t.Helper()
 	for _, call := range reconciler.outbox.TakeCalls() {
 		var number int
--- a/internal/controller/failover/restore.go
+++ b/internal/controller/failover/restore.go
@@ -11,7 +11,7 @@
 	"gullrudder/internal/logkeys"
 )
 
-// chunkEntry is a stored entry with the results of some of a job's tasks. Chunks are restored after all jobs.
+// chunkEntry is an entry of persistent state with the results of some tasks of a job. Chunks are restored after all jobs.
 type chunkEntry struct {
 	key   string
 	jobID string
@@ -19,8 +19,8 @@
 	chunk jobs.Chunk
 }
 
-// LoadState restores jobs and registered machines if the persistent state is loaded and the archive can be read. It has no effect
-// after that. The controller calls it at every tick until StateLoaded.
+// LoadState restores jobs and registered machines once the persistent state is loaded and the archive can be read. The controller
+// calls it at every tick. It has no effect once StateLoaded is true.
 func (r *Reconciler) LoadState(now time.Time) {
 	if r.progress.stateLoaded || !r.stores.Storage.IsLoaded() {
 		return
@@ -37,7 +37,7 @@
 	r.reconcileMachines(now)
 }
 
-// restoreEntries restores each entry of persistent state into the component that owns it.
+// restoreEntries restores each entry of persistent state to the component that owns it.
 func (r *Reconciler) restoreEntries(now time.Time) {
 	var chunks []chunkEntry
 	r.stores.Storage.ForEach(func(key string, decode func(any) error) {
@@ -51,8 +51,8 @@
 	r.stores.Jobs.FinishRestore(now)
 }
 
-// restoreEntry restores one entry of persistent state. A chunk of task results is returned instead: its job may not be
-// restored yet. An entry that cannot be decoded is logged and skipped.
+// restoreEntry restores one entry of persistent state. A chunk of task results is returned instead, since its job may not be
+// restored yet. An entry that cannot be decoded is logged.
 func (r *Reconciler) restoreEntry(now time.Time, key string, decode func(any) error) (entry chunkEntry, isChunk bool) {
 	if machineID, ok := strings.CutPrefix(key, heartbeat.MachineKeyPrefix); ok {
 		r.restoreMachine(machineID, decode)
@@ -80,8 +80,9 @@
 	return chunkEntry{}, false
 }
 
-// restoreMachine restores a machine that an earlier leader registered. Without contact since the election, its lease counts from the
-// election, since the earlier leader may have renewed it just before.
+// restoreMachine restores a machine that an earlier leader registered. If the machine has had no contact since the election, its lease
+// counts from the election, since the earlier leader may have renewed it just before. A machine whose record cannot be decoded is
+// restored without an address.
 func (r *Reconciler) restoreMachine(machineID string, decode func(any) error) {
 	var record heartbeat.MachineRecord
 	if err := decode(&record); err != nil {
@@ -97,7 +98,7 @@
 	}
 }
 
-// collectUnreconciled adds the registered machines, which may hold tasks of an earlier leader, to the list of unreconciled ones.
+// collectUnreconciled adds the registered machines to the list of unreconciled ones, since they may run tasks of an earlier leader.
 func (r *Reconciler) collectUnreconciled() {
 	for _, machine := range r.workers.SortedMachines() {
 		if machine.Registered {
--- a/internal/controller/failover/setup_test.go
+++ b/internal/controller/failover/setup_test.go
@@ -42,12 +42,12 @@
 	testCancelTimeout     = 45 * time.Second
 )
 
-// testRenewalWindow is how long after a cancellation a lease may be renewed.
+// testRenewalWindow returns how long after the confirmation of a cancellation a lease may be renewed.
 func testRenewalWindow() time.Duration {
 	return renewal.Window(testCancelTimeout, worker.LeaseExpiry(testWorkerLease))
 }
 
-// testReconciler is a reconciler with the components around it, whose state is loaded and whose failover is completed.
+// testReconciler is a Reconciler with its components. Its state is loaded and its failover is completed.
 type testReconciler struct {
 	*Reconciler
 	jobs         *jobstore.Store
@@ -162,16 +162,16 @@
 	})
 }
 
-// addMachine adds a machine whose last contact is at the given time, reconciled and registered.
+// addMachine adds a registered and reconciled machine whose last contact was at now.
 func (reconciler *testReconciler) addMachine(now time.Time, id, zone string) *worker.Machine {
 	machine := reconciler.workers.GetOrAdd(id)
-	report := workerapi.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: zone, Incarnation: 1, Sequence: 1}
-	reconciler.workers.Reconcile(now, machine, &report, true, reconciler.jobs.Find)
+	heartbeat := workerapi.Heartbeat{Machine: id, Addr: id, Type: "small", Zone: zone, Incarnation: 1, Sequence: 1}
+	reconciler.workers.Reconcile(now, machine, &heartbeat, true, reconciler.jobs.Find)
 	machine.Reconciled, machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = true, true, now, now
 	return machine
 }
 
-// addUnreconciled adds a machine that an earlier leader registered.
+// addUnreconciled adds an unreconciled machine that an earlier leader registered.
 func (reconciler *testReconciler) addUnreconciled(now time.Time, id string) *worker.Machine {
 	machine := reconciler.workers.GetOrAdd(id)
 	machine.Registered, machine.LeaseRenewedAt, machine.LastContactAt = true, now, now
@@ -179,7 +179,7 @@
 	return machine
 }
 
-// checkUnresponsive looks at all machines with a large probe budget; no probe is answered.
+// checkUnresponsive checks all machines with a large probe budget. All probes fail.
 func (reconciler *testReconciler) checkUnresponsive(now time.Time) {
 	reconciler.prober.refillBudget(50 * time.Millisecond)
 	reconciler.prober.budget = 100
@@ -196,15 +196,15 @@
 	return reconciler.responder.TakeResponses()
 }
 
-// sendHeartbeat delivers a heartbeat, which must be answered with 200, and returns the response.
+// sendHeartbeat delivers a heartbeat and returns the response. It fails the test unless the status is 200.
 func (reconciler *testReconciler) sendHeartbeat(t *testing.T, now time.Time, heartbeat workerapi.Heartbeat) workerapi.HeartbeatResponse {
 	t.Helper()
-	replies := reconciler.exchangeHeartbeat(now, marshal(t, heartbeat))
-	if len(replies) != 1 || replies[0].Status != 200 {
-		t.Fatalf("responses: got %+v, want one with status 200", replies)
+	responses := reconciler.exchangeHeartbeat(now, marshal(t, heartbeat))
+	if len(responses) != 1 || responses[0].Status != 200 {
+		t.Fatalf("responses: got %+v, want one with status 200", responses)
 	}
 	var response workerapi.HeartbeatResponse
-	if err := codec.Unmarshal(replies[0].Body, &response); err != nil {
+	if err := codec.Unmarshal(responses[0].Body, &response); err != nil {
 		t.Fatal(err)
 	}
 	return response
@@ -219,8 +219,8 @@
 	return body
 }
 
-// newReconcilerWithCancelledJob returns a reconciler that knows a job with one task, cancelled a second ago, and a heartbeat
-// of a machine on which that task runs.
+// newReconcilerWithCancelledJob returns a reconciler with a job of one task that was cancelled a second ago, and a heartbeat of
+// the machine on which that task runs.
 func newReconcilerWithCancelledJob(t *testing.T, now time.Time) (reconciler *testReconciler, heartbeat workerapi.Heartbeat) {
 	t.Helper()
 	reconciler = newTestReconciler(now, 9)
@@ -237,7 +237,7 @@
 	}
 }
 
-// countKills counts the commands that end attempt 5 of job-1's task at once.
+// countKills counts the kill commands for attempt 5 of task job-1/0 without a grace period.
 func countKills(response workerapi.HeartbeatResponse) int {
 	count := 0
 	for _, command := range response.Commands {
--- a/internal/controller/failover/unresponsive.go
+++ b/internal/controller/failover/unresponsive.go
@@ -15,16 +15,16 @@
 const (
 	// unresponsiveCheckInterval is the time between two checks of all machines.
 	unresponsiveCheckInterval = 500 * time.Millisecond
-	// minMachinesPerUnresponsive is the least number of machines for each unresponsive one. If more than one in so many is
-	// unresponsive, this controller is probably the unreachable one: none is terminated, and their leases may expire.
+	// minMachinesPerUnresponsive is the minimum ratio of all machines to unresponsive ones for a termination. If a larger share is
+	// unresponsive, this controller itself is probably unreachable. Then no machine is terminated, and leases may expire.
 	minMachinesPerUnresponsive = 3
-	// heartbeatGrace is added to the time after which a heartbeat is overdue, for delays on the link.
+	// heartbeatGrace is added to the time after which a heartbeat is overdue, to allow for delays on the link.
 	heartbeatGrace = time.Second
 )
 
 // unresponsiveMonitor probes the machines whose heartbeats are overdue and terminates those that do not answer. The cloud confirms the
-// deletion long before their leases expire, so that their tasks can be restarted and a failover need not wait for them: one machine
-// that was reclaimed without notice had delayed a failover of a thousand machines by 15 s.
+// deletion long before their leases expire. So their tasks can be restarted sooner, and a failover does not wait for the leases: one
+// machine that was reclaimed without notice had delayed a failover of a thousand machines by 15 s.
 type unresponsiveMonitor struct {
 	heartbeatInterval time.Duration
 	workers           *worker.Registry
@@ -36,7 +36,7 @@
 
 	nextCheck          time.Time
 	expectedHeartbeats int // machines that should send heartbeats: their leases have not expired
-	overdueHeartbeats  int // of these, machines whose heartbeat is overdue
+	overdueHeartbeats  int // expected machines whose heartbeat is overdue or that do not receive responses
 }
 
 func newUnresponsiveMonitor(machines Machines, heartbeatInterval time.Duration, prober *prober) *unresponsiveMonitor {
@@ -51,12 +51,12 @@
 	}
 }
 
-// surveyResult is the result of one check of all machines.
-type surveyResult struct {
-	machines     int            // machines that may be running
+// classification is the result of classifying all machines in one check.
+type classification struct {
+	machines     int            // number of machines that may be running
 	failed       []string       // IDs of machines that the cloud lists as failed
-	unresponsive []string       // IDs of machines that do not answer their probes
-	sentinels    map[string]int // number of sentinels by zone
+	unresponsive []string       // IDs of machines that do not answer probes
+	sentinels    map[string]int // number of sentinels, by zone
 }
 
 // tick checks the machines if a check is due.
@@ -68,21 +68,21 @@
 	u.check(now, failoverCompleted)
 }
 
-// check surveys all machines, probes those whose heartbeats are overdue, and terminates failed and unresponsive ones.
+// check classifies all machines, probes those whose heartbeats are overdue, and terminates failed and unresponsive ones.
 //
-// Machines that the cloud lists as failed have stopped, however many others are unresponsive. They are terminated during a failover
-// only: a site of one machine, all of whose processes had been killed, waited for the lease of the deleted machine. No other machine
-// is terminated while a partition is suspected (package connectivity): on two recorded days all machines were terminated, a third at a
-// time, though they were healthy.
+// Machines that the cloud lists as failed have certainly stopped. They are terminated during a failover only, however many others are
+// unresponsive. Without this, a site of one machine whose processes had all been killed waited for the lease of that machine. No other
+// machine is terminated while a partition is suspected (package connectivity): on two recorded days all machines were terminated, a
+// third at a time, although they were healthy.
 func (u *unresponsiveMonitor) check(now time.Time, failoverCompleted bool) {
-	found := u.survey(now, failoverCompleted)
-	if len(found.failed) > 0 {
-		u.cloud.Terminate(found.failed, "failed")
+	result := u.classifyMachines(now, failoverCompleted)
+	if len(result.failed) > 0 {
+		u.cloud.Terminate(result.failed, "failed")
 	}
-	if len(found.unresponsive) == 0 || len(found.unresponsive)*minMachinesPerUnresponsive > found.machines {
+	if len(result.unresponsive) == 0 || len(result.unresponsive)*minMachinesPerUnresponsive > result.machines {
 		return
 	}
-	unresponsive := u.keepSentinels(found.unresponsive, found.sentinels)
+	unresponsive := u.keepSentinels(result.unresponsive, result.sentinels)
 	if len(unresponsive) == 0 {
 		return
 	}
@@ -92,25 +92,26 @@
 	u.cloud.Terminate(unresponsive, string(worker.DrainUnresponsive))
 }
 
-// survey classifies all machines, counts expected and overdue heartbeats, and probes machines with overdue ones.
-func (u *unresponsiveMonitor) survey(now time.Time, failoverCompleted bool) surveyResult {
-	found := surveyResult{sentinels: map[string]int{}}
+// classifyMachines classifies all machines, counts expected and overdue heartbeats, and probes machines with overdue heartbeats unless a
+// partition is suspected.
+func (u *unresponsiveMonitor) classifyMachines(now time.Time, failoverCompleted bool) classification {
+	result := classification{sentinels: map[string]int{}}
 	suspected := u.connectivity.SuspectsPartition(now)
 	u.expectedHeartbeats, u.overdueHeartbeats = 0, 0
 	for id, machine := range u.workers.Machines {
 		if !mayBeRunning(machine) {
 			continue
 		}
-		found.machines++
+		result.machines++
 		if machine.IsSentinel = machine.IsSentinel && u.zones.IsUnavailable(machine.Zone); machine.IsSentinel {
-			found.sentinels[machine.Zone]++
+			result.sentinels[machine.Zone]++
 			continue
 		}
 		overdue := isHeartbeatOverdue(now, machine, u.heartbeatInterval)
 		u.countHeartbeat(now, machine, overdue)
 		if !failoverCompleted && u.isListedAsFailed(id) {
 			machine.DrainReason = worker.DrainUnresponsive
-			found.failed = append(found.failed, id)
+			result.failed = append(result.failed, id)
 			continue
 		}
 		if suspected {
@@ -120,14 +121,14 @@
 			u.prober.probe(now, machine)
 		}
 		if u.reachability.IsUnresponsive(now, machine) {
-			found.unresponsive = append(found.unresponsive, id)
+			result.unresponsive = append(result.unresponsive, id)
 		}
 	}
-	return found
+	return result
 }
 
-// countHeartbeat counts the heartbeat of a machine whose lease has not expired as expected. It counts as overdue, too, if it is or if
-// the machine does not receive this controller's responses.
+// countHeartbeat counts a machine as expected if its lease has not expired. It also counts the machine as overdue if its heartbeat is,
+// or if the machine does not receive this controller's responses.
 func (u *unresponsiveMonitor) countHeartbeat(now time.Time, machine *worker.Machine, overdue bool) {
 	if u.workers.IsLeaseExpired(now, machine) {
 		return
@@ -138,14 +139,15 @@
 	}
 }
 
-// isListedAsFailed reports whether the cloud lists the instance as failed and it is not being deleted yet.
+// isListedAsFailed reports whether the cloud lists the instance as failed and its deletion was not requested yet.
 func (u *unresponsiveMonitor) isListedAsFailed(id string) bool {
 	instance := u.cloud.Instances[id]
 	return instance != nil && instance.State == cloud.StateFailed && !instance.Deleting
 }
 
-// keepSentinels removes some machines of each unavailable zone from the list of those to be terminated, and marks them as sentinels:
-// their heartbeats show at once that the zone has recovered, and they need not boot then. The least used machines are kept first.
+// keepSentinels removes some machines of each unavailable zone from the list of machines to terminate, and marks them as sentinels.
+// Their heartbeats show at once that the zone has recovered, and they are available then without a boot. The least used machines are
+// kept first.
 func (u *unresponsiveMonitor) keepSentinels(ids []string, sentinels map[string]int) []string {
 	slices.SortFunc(ids, func(a, b string) int {
 		return cmp.Or(cmp.Compare(u.workers.Machines[a].UsedCPUs, u.workers.Machines[b].UsedCPUs), cmp.Compare(a, b))
@@ -167,7 +169,8 @@
 		machine.DrainReason != worker.DrainUnresponsive && machine.DrainReason != worker.DrainTerminating
 }
 
-// isHeartbeatOverdue reports whether the last contact with the machine is longer ago than the time in which a heartbeat should arrive.
+// isHeartbeatOverdue reports whether the time since the last contact with the machine exceeds the time in which a heartbeat should
+// arrive.
 func isHeartbeatOverdue(now time.Time, machine *worker.Machine, heartbeatInterval time.Duration) bool {
 	return now.Sub(machine.LastContactAt) >= heartbeatInterval*5/4+heartbeatGrace
 }
--- a/internal/controller/failover/unresponsive_test.go
+++ b/internal/controller/failover/unresponsive_test.go
@@ -11,9 +11,8 @@
 	"gullrudder/internal/controller/zones"
 )
 
-// TestSentinelsAreKeptInUnavailableZone checks that the machines of an unavailable zone on which the least runs are
-// kept as sentinels. Nothing is placed on sentinels, and they are terminated like other machines once the zone is
-// available again.
+// TestSentinelsAreKeptInUnavailableZone checks that a tenth of the machines of an unavailable zone are kept as sentinels and
+// the others are terminated. No task is placed on sentinels. Once the zone is available again, no machine is a sentinel.
 func TestSentinelsAreKeptInUnavailableZone(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 1)
@@ -43,7 +42,10 @@
 		sentinels, terminated = step(true)
 	}
 	if sentinels != silent/10 || terminated != silent-silent/10 {
-		t.Fatalf("of %d silent machines: %d sentinels, %d terminated, want %d, %d", silent, sentinels, terminated, silent/10, silent-silent/10)
+		t.Fatalf(
+			"of %d silent machines: got %d sentinels, %d terminated, want %d, %d",
+			silent, sentinels, terminated, silent/10, silent-silent/10,
+		)
 	}
 	for _, machine := range reconciler.workers.SortedMachines() { // one sentinel sends a heartbeat again, the other does not
 		if machine.IsSentinel {
@@ -59,7 +61,7 @@
 	}
 }
 
-// observeZones shows all machines to the zone tracker.
+// observeZones passes the state of all machines to the zone tracker.
 func (reconciler *testReconciler) observeZones(now time.Time) {
 	reconciler.zones.Observe(now, false, func(visit func(zones.Machine)) {
 		for _, machine := range reconciler.workers.SortedMachines() {
@@ -75,14 +77,15 @@
 	})
 }
 
-// countSentinels counts the sentinels, on which no task may be placed, and the machines that are being terminated.
+// countSentinels counts the sentinels and the machines that are being terminated. It checks that no task may be placed on a
+// sentinel.
 func (reconciler *testReconciler) countSentinels(t *testing.T, now time.Time) (sentinels, terminated int) {
 	t.Helper()
 	for _, machine := range reconciler.workers.SortedMachines() {
 		if machine.IsSentinel {
 			sentinels++
 			if placement.IsEligible(jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1, AllowsSpot: true}, now), machine) {
-				t.Errorf("sentinel %s eligible for a task, want not eligible", machine.ID)
+				t.Errorf("sentinel %s is eligible for a task, want not eligible", machine.ID)
 			}
 		}
 		if machine.DrainReason == worker.DrainUnresponsive {
@@ -92,9 +95,9 @@
 	return sentinels, terminated
 }
 
-// TestSilentMachinesAreTerminated checks that a machine is terminated after two unanswered probes, unless more than a
-// third of all machines are unresponsive or no heartbeat at all reaches this controller. On two recorded days one third
-// of the machines after the other was terminated.
+// TestSilentMachinesAreTerminated checks that a machine is terminated after two unanswered probes, unless more than a third of
+// all machines are unresponsive or this controller receives no heartbeats at all. It guards against a fault of two recorded
+// days, on which healthy machines were terminated, a third at a time.
 func TestSilentMachinesAreTerminated(t *testing.T) {
 	for name, test := range map[string]struct {
 		machines, silent, terminated int
@@ -117,7 +120,7 @@
 				if !test.noHeartbeats {
 					reconciler.connectivity.RecordHeartbeat(now)
 				}
-				reconciler.connectivity.Tick(now.Add(-250*time.Millisecond), test.machines, 0) // a longer gap would be a pause of this process
+				reconciler.connectivity.Tick(now.Add(-250*time.Millisecond), test.machines, 0) // a longer interval would count as a pause
 				reconciler.connectivity.Tick(now, test.machines, 0)
 				reconciler.checkUnresponsive(now)
 			}
@@ -128,7 +131,7 @@
 	}
 }
 
-// countTerminated counts the machines that are being terminated. Only the first ones, which are silent, may be.
+// countTerminated counts the machines that are being terminated. It checks that only silent machines are, which come first.
 func (reconciler *testReconciler) countTerminated(t *testing.T, silent int) int {
 	t.Helper()
 	terminated := 0
@@ -138,7 +141,7 @@
 		}
 		terminated++
 		if i >= silent {
-			t.Errorf("%s terminated though it sends heartbeats, want kept", machine.ID)
+			t.Errorf("%s terminated although it sends heartbeats, want not terminated", machine.ID)
 		}
 	}
 	return terminated
