--- a/internal/controller/election/schedules_test.go
+++ b/internal/controller/election/schedules_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestElectionMutants checks that some schedule finds each mutant. Each seed finds its mutant within a few walks. Half a
-// million walks did not find two more faults, which have their own tests: to count grants that were given after the leader
-// lease expired (TestLateRenewal), and to respond to a leader query according to HoldsLease
+// TestElectionMutants checks that some schedule finds each mutant. Each seed finds its mutant soon. Half a million
+// walks did not find two more faults, which have their own tests: to count grants that were given after the leader lease
+// expired (TestLateRenewal), and to respond to a leader query according to HoldsLease
 // (TestLeaderQueryDuringLateRenewal).
 func TestElectionMutants(t *testing.T) {
 	seeds := map[mutant]uint64{
