--- a/internal/controller/storage/archive.go
+++ b/internal/controller/storage/archive.go
@@ -18,21 +18,21 @@
 // archiveState is the part of the store that package archive uses.
 type archiveState struct {
 	head             *page             // has an entry for each segment
-	index            map[string]string // parts of the index by key, until TakeArchiveIndex
-	pendingMove      *entryMove        // waits for a commit with enough space
+	index            map[string]string // loaded parts of the index by key; nil after TakeArchiveIndex
+	pendingMove      *entryMove        // move that waits for a commit with enough space, or nil
 	hasUncertainMove bool              // a move without a response may still be executed
 }
 
-// ArchivePart is one value of the archive.
+// ArchivePart is a part of a segment's index or data, which is stored as one key.
 type ArchivePart struct {
 	Key, Text   string
-	ModRevision uint64 // set only in parts that were read
+	ModRevision uint64 // revision at which the part was read; 0 in parts that were not read
 }
 
-// ArchiveHeadNames returns the names of the entries of the archive's head, sorted.
+// ArchiveHeadNames returns the sorted names of the entries of the archive's head.
 func (s *Store) ArchiveHeadNames() []string { return slices.Sorted(maps.Keys(s.archive.head.entries)) }
 
-// ArchiveHeadEntry decodes an entry of the archive's head into v.
+// ArchiveHeadEntry decodes an entry of the archive's head into v, which must be a pointer. It returns an error if there is no such entry.
 func (s *Store) ArchiveHeadEntry(name string, v any) error {
 	e := s.archive.head.entries[name]
 	if e == nil {
@@ -44,14 +44,15 @@
 	return nil
 }
 
-// TakeArchiveIndex returns the loaded parts of the archive's index by key, and removes them from the store.
+// TakeArchiveIndex returns the loaded parts of the archive's index by key, and removes them from the store. A second call returns nil.
 func (s *Store) TakeArchiveIndex() map[string]string {
 	index := s.archive.index
 	s.archive.index = nil
 	return index
 }
 
-// ReadArchivePart reads one part of the archive. status is that of the response, 0 if there was none or it cannot be decoded.
+// ReadArchivePart reads one part of the archive. done gets the HTTP status of the response, which is 0 if there is none or it cannot be
+// decoded. text is valid only if the status is 200.
 func (s *Store) ReadArchivePart(
 	outbox *client.Outbox, key string, timeout time.Duration, done func(now time.Time, text string, status int),
 ) {
@@ -67,18 +68,18 @@
 	})
 }
 
-// ArchivePartList is one page of a list of archive parts. If HasMore is true, the next page begins after the last part.
+// ArchivePartList is one response of a list of archive parts. If HasMore is true, the list continues after the last part.
 type ArchivePartList struct {
 	Parts   []ArchivePart
 	HasMore bool
 }
 
-// ListArchiveParts reads the archive parts with a key prefix after the key from, as many as fit in one response. ok is false if the list
-// could not be read.
+// ListArchiveParts reads the archive parts with a key prefix, beginning after afterKey, as many as fit in one response. ok is false if the
+// list could not be read.
 func (s *Store) ListArchiveParts(
-	outbox *client.Outbox, prefix, from string, done func(now time.Time, list ArchivePartList, ok bool),
+	outbox *client.Outbox, prefix, afterKey string, done func(now time.Time, list ArchivePartList, ok bool),
 ) {
-	s.listKeys(outbox, listRequest{prefix: prefix, from: from, timeout: listTimeout},
+	s.listKeys(outbox, listRequest{prefix: prefix, afterKey: afterKey, timeout: listTimeout},
 		func(now time.Time, response listResponse, status int) {
 			result := ArchivePartList{HasMore: response.HasMore}
 			for _, row := range response.Keys {
@@ -92,8 +93,9 @@
 		})
 }
 
-// ArchivableEntries returns the names of finished jobs for which canArchive is true, sorted. They are on the pages with the most bytes
-// of finished jobs, as many pages as one transaction can write together with the archive's head.
+// ArchivableEntries returns the sorted names of finished jobs for which canArchive returns true. It considers the pages with the most bytes
+// of finished jobs, at most as many as one transaction can write together with the archive's head. It returns nil while a stored page has
+// stale copies of entries.
 func (s *Store) ArchivableEntries(canArchive func(name string) bool) []string {
 	if s.pages.hasStaleCopies() {
 		return nil
@@ -119,7 +121,7 @@
 	return names
 }
 
-// pagesWithFinishedJobs returns the pages with finished jobs, those with the most bytes of them first.
+// pagesWithFinishedJobs returns the pages with finished jobs, beginning with the most bytes of finished jobs.
 func (s *Store) pagesWithFinishedJobs() []*page {
 	var pages []*page
 	for _, p := range s.pages.byKey {
@@ -136,18 +138,19 @@
 	return pages
 }
 
-// HeadChange sets an entry of the archive's head, or deletes it if Value is nil.
+// HeadChange sets an entry of the archive's head. A nil Value deletes the entry.
 type HeadChange struct {
 	Name  string
 	Value any
 }
 
-// CommitArchiveCost returns the number of keys that CommitArchive writes for these entries.
+// CommitArchiveCost returns the number of keys that CommitArchive writes to remove these entries.
 func (s *Store) CommitArchiveCost(names []string) int { return len(s.pages.pagesHolding(names)) + 1 }
 
-// CommitArchive removes entries from their pages and changes the archive's head, in one commit. The changes join the next commit with
-// enough space left by urgent pages, or are committed alone. done is called once the outcome is certain, with true if the commit was
-// executed. Only one such change may be pending. The error says that a value cannot be encoded; then done is not called.
+// CommitArchive removes entries from their pages and changes the archive's head, in one commit. The changes are added to the next commit
+// in which urgent pages leave enough space, or are committed alone. done is called with true once the commit was executed, and with false
+// once the attempt is given up. Only one such change may be pending. If a value cannot be encoded, it returns an error and done is not
+// called.
 func (s *Store) CommitArchive(removed []string, headChanges []HeadChange, done func(now time.Time, ok bool)) error {
 	move := &entryMove{removed: map[string]bool{}, headChanges: map[string]msgpack.RawMessage{}, done: done}
 	for _, name := range removed {
@@ -169,7 +172,8 @@
 	return nil
 }
 
-// joinPendingMove adds the pending move to the pages of a commit if there is enough space and spare budget.
+// joinPendingMove adds the pages of the pending move to a commit if it has enough space and the write budget allows it. It returns the
+// pages of the commit, and the move if it was added.
 func (s *Store) joinPendingMove(now time.Time, chosen []*page) ([]*page, *entryMove) {
 	move := s.archive.pendingMove
 	if move == nil || !s.IsHealthy() {
@@ -195,9 +199,9 @@
 	return all, move
 }
 
-// CreateArchiveParts writes new parts of the archive. It may run concurrently with a commit of pages, since it writes none of them. The
-// transaction requires the leader's key, as all commits do, and that no part exists. After an uncertain outcome the first part is read
-// back, which shows whether all of them were written; so a retry must have the same parts.
+// CreateArchiveParts writes new parts of the archive in one transaction. It may run concurrently with a commit of pages, since it writes
+// no page. Its preconditions are the revision of the leader's key and that no part exists. After an uncertain outcome the first part is
+// read back. It shows whether all parts were written, so a retry must have the same parts. done is not called if the store is fenced.
 func (s *Store) CreateArchiveParts(outbox *client.Outbox, parts []ArchivePart, done func(now time.Time, ok bool)) {
 	request := stateapi.CommitRequest{Preconditions: []stateapi.Precondition{s.requireLeadership()}}
 	for _, part := range parts {
@@ -213,15 +217,15 @@
 	})
 }
 
-// readBackArchiveParts checks whether parts were written by a commit that was refused or has no response.
+// readBackArchiveParts checks whether parts were written after their commit was rejected or got no response.
 func (s *Store) readBackArchiveParts(
-	outbox *client.Outbox, parts []ArchivePart, refused bool, done func(now time.Time, ok bool),
+	outbox *client.Outbox, parts []ArchivePart, rejected bool, done func(now time.Time, ok bool),
 ) {
 	s.ReadArchivePart(outbox, parts[0].Key, readTimeout, func(now time.Time, text string, status int) {
 		switch {
 		case status == http.StatusOK && text == parts[0].Text:
-			done(now, true) // an earlier try was executed later
-		case refused && (status == http.StatusOK || status == http.StatusNotFound):
+			done(now, true) // an earlier attempt was executed late
+		case rejected && (status == http.StatusOK || status == http.StatusNotFound):
 			s.commitFenced(len(parts))
 		default:
 			done(now, false)
@@ -229,8 +233,8 @@
 	})
 }
 
-// DeleteArchiveParts deletes parts at the revisions at which they were read, so that a late execution cannot delete newer parts. If it
-// fails, the parts have to be read again.
+// DeleteArchiveParts deletes parts in one transaction. Its preconditions include the revisions at which the parts were read, so a late
+// execution cannot delete newer parts. If ok is false, the parts must be listed again before the next attempt.
 func (s *Store) DeleteArchiveParts(outbox *client.Outbox, parts []ArchivePart, done func(now time.Time, ok bool)) {
 	request := stateapi.CommitRequest{Preconditions: []stateapi.Precondition{s.requireLeadership()}}
 	for _, part := range parts {
--- a/internal/controller/storage/commit.go
+++ b/internal/controller/storage/commit.go
@@ -14,19 +14,17 @@
 const (
 	keyPath     = "/keys/"
 	readTimeout = time.Second
-	// commitTimeout is longer than readTimeout: the state service syncs its disk before it answers a commit.
+	// commitTimeout is longer than readTimeout because the state service syncs its disk before it responds to a commit.
 	commitTimeout = 1500 * time.Millisecond
 
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = time.Second
-	// maxRequeueDelay bounds the Retry-After of the state service that is respected after a commit that was not executed.
+	// maxRequeueDelay is the maximum delay after a commit that was not executed, even if the state service's Retry-After is longer.
 	maxRequeueDelay = 2 * time.Second
 )
 
-// commitState is the state of the commits.
-//
-// One commit is in flight at a time. A commit without a response may be executed at any later time, so its outcome is read back before
-// anything else is written.
+// commitState tracks the commits. One commit is in flight at a time. A commit without a response may be executed at any later time, so its
+// outcome is read back before anything else is written.
 type commitState struct {
 	sequence     uint64 // of the last commit
 	inFlight     *transaction
@@ -37,18 +35,19 @@
 
 // transaction is a commit in flight.
 type transaction struct {
-	sequence uint64
-	pages    []*page // pages that it writes
-	wasDirty []bool  // which of them had unsaved changes
-	waiters  [][]DoneFunc
-	move     *entryMove // entries that are moved in the same commit, or nil
-	guarded  []*page    // pages whose revision it requires
+	sequence          uint64
+	pages             []*page // pages to write
+	wasDirty          []bool  // for each page: it had unsaved changes
+	waiters           [][]DoneFunc
+	move              *entryMove // entries moved in the same commit, or nil
+	preconditionPages []*page    // pages whose revisions are preconditions
 }
 
-// sendCommit sends a commit of the present contents of the pages, after the move if there is one.
+// sendCommit sends a commit of the current contents of the pages. If move is not nil, it is applied to the written contents only; the pages
+// in memory change once the commit succeeds.
 func (s *Store) sendCommit(outbox *client.Outbox, pages []*page, move *entryMove) {
 	s.commits.sequence++
-	txn := &transaction{sequence: s.commits.sequence, pages: pages, move: move, guarded: pages}
+	txn := &transaction{sequence: s.commits.sequence, pages: pages, move: move, preconditionPages: pages}
 	request := stateapi.CommitRequest{Preconditions: []stateapi.Precondition{s.requireLeadership()}}
 	for _, p := range pages {
 		request.Preconditions = append(request.Preconditions, stateapi.Precondition{Key: p.key, ModRevision: p.modRevision})
@@ -63,10 +62,10 @@
 		delete(s.pages.dirty, p)
 	}
 	if move != nil && move.source != nil && !slices.Contains(pages, move.source) {
-		// The copied page must be unchanged: an earlier commit that is executed late would change it.
+		// The source page is not written, but it must be unchanged: an earlier commit that is executed late would change it.
 		source := stateapi.Precondition{Key: move.source.key, ModRevision: move.source.modRevision}
 		request.Preconditions = append(request.Preconditions, source)
-		txn.guarded = append(slices.Clone(pages), move.source)
+		txn.preconditionPages = append(slices.Clone(pages), move.source)
 	}
 	if move != nil && move.source == nil && s.archive.head.modRevision == 0 {
 		request.Preconditions = append(request.Preconditions, stateapi.RequireAbsent(formatKey))
@@ -79,17 +78,17 @@
 	})
 }
 
-// requireLeadership returns the precondition that no other leader was elected since.
+// requireLeadership returns the precondition that no other leader was elected after this one.
 func (s *Store) requireLeadership() stateapi.Precondition {
 	return stateapi.Precondition{Key: s.options.LeaderKey, ModRevision: s.fencingToken}
 }
 
 func (s *Store) handleCommitResult(now time.Time, outbox *client.Outbox, result client.Result) {
 	txn := s.commits.inFlight
-	var executed stateapi.CommitResponse
+	var response stateapi.CommitResponse
 	switch {
-	case result.Status == http.StatusOK && codec.Unmarshal(result.Body, &executed) == nil && executed.Revision > s.fencingToken:
-		s.commitSucceeded(now, executed.Revision)
+	case result.Status == http.StatusOK && codec.Unmarshal(result.Body, &response) == nil && response.Revision > s.fencingToken:
+		s.commitSucceeded(now, response.Revision)
 	case result.IsUncertain() || result.Status == http.StatusOK:
 		s.notifyUncertain(now)
 		s.readBack(outbox, 0, 0)
@@ -110,7 +109,7 @@
 	}
 }
 
-// commitSucceeded records that the commit in flight was executed at a revision.
+// commitSucceeded records that the commit in flight was executed. revision is the one at which it was.
 func (s *Store) commitSucceeded(now time.Time, revision uint64) {
 	txn := s.commits.inFlight
 	s.commits.inFlight = nil
@@ -135,14 +134,15 @@
 	}
 }
 
-// commitFenced ends the leadership: another leader has written.
+// commitFenced records that another leader has written, which ends this leadership.
 func (s *Store) commitFenced(writes int) {
 	s.log.Error("commit rejected by its preconditions", logkeys.FencingToken, s.fencingToken, logkeys.Count, writes)
 	s.fenced = true
 }
 
-// resolveConflict finds out who changed a page after a commit was refused for that. If the leader's key is unchanged, it was an earlier
-// commit of this leader that was abandoned and executed later. Then the pages are read back as after an uncertain outcome.
+// resolveConflict determines who changed a page after a commit was rejected by the page's precondition. If the leader's key is unchanged,
+// the change was an earlier commit of this leader that was given up and executed later. The pages are then read back as after an uncertain
+// outcome. If the leader's key has changed, the store is fenced.
 func (s *Store) resolveConflict(outbox *client.Outbox, delay time.Duration) {
 	s.send(outbox, client.Call{
 		Method: http.MethodGet, Path: keyPath + s.options.LeaderKey, Delay: delay, Timeout: readTimeout,
@@ -160,14 +160,14 @@
 	})
 }
 
-// nextRetryDelay returns the delay after another failed call, which doubles up to maxRetryDelay.
+// nextRetryDelay returns the delay after a failed call. It doubles with each failure, up to maxRetryDelay.
 func (s *Store) nextRetryDelay() time.Duration {
 	s.commits.retryDelay = min(max(2*s.commits.retryDelay, minRetryDelay), maxRetryDelay)
 	return s.commits.retryDelay
 }
 
-// notifyUncertain calls the waiters of the commit in flight, and of later changes, with false: their changes are uncertain. No other
-// commit is sent until this one has been read back, so without this call they would wait for the whole length of an outage.
+// notifyUncertain tells the waiters of the commit in flight, and those of later changes, that their changes are uncertain. No other commit
+// is sent until this one has been read back. Without the notification they would wait for the whole length of an outage.
 func (s *Store) notifyUncertain(now time.Time) {
 	if s.commits.failingSince.IsZero() {
 		s.commits.failingSince = now
@@ -180,7 +180,7 @@
 	}
 }
 
-// requeue abandons the commit in flight, which was not executed, and marks its pages to be written again.
+// requeue gives up the commit in flight, which was not executed so far, and marks its pages to be written again.
 func (s *Store) requeue(now time.Time, retryAfter time.Duration) {
 	s.notifyUncertain(now)
 	txn := s.commits.inFlight
@@ -189,7 +189,7 @@
 	for i, p := range txn.pages {
 		p.waiters = append(txn.waiters[i], p.waiters...)
 		if !txn.wasDirty[i] {
-			continue // it was written only because of the move
+			continue // the page was in the commit only because of the move
 		}
 		if !s.pages.dirty[p] {
 			s.pages.dirty[p], p.dirtySince = true, now
@@ -201,12 +201,13 @@
 	}
 }
 
-// readBack finds out the outcome of a commit without a response: it reads the pages that the commit requires, from index on.
+// readBack determines the outcome of a commit without a response. It reads the pages in the commit's preconditions one after the other,
+// beginning at index.
 //
-// Each try has its own sequence number. An earlier try that was delayed requires the same revisions, so it may be the one that was
-// executed. The commit may be executed between the reads of two pages, so one page that shows it proves its execution.
+// Each attempt to commit has its own sequence number. A delayed earlier attempt has the same preconditions, so that attempt may have been
+// executed instead. The commit may be executed between the reads of two pages, so one page that shows it proves its execution.
 func (s *Store) readBack(outbox *client.Outbox, index int, delay time.Duration) {
-	checked := s.commits.inFlight.guarded[index]
+	checked := s.commits.inFlight.preconditionPages[index]
 	s.send(outbox, client.Call{
 		Method: http.MethodGet, Path: keyPath + checked.key, Delay: delay, Timeout: readTimeout,
 		Done: func(now time.Time, r client.Result) { s.handleReadBack(now, outbox, index, r) },
@@ -215,7 +216,7 @@
 
 func (s *Store) handleReadBack(now time.Time, outbox *client.Outbox, index int, result client.Result) {
 	txn := s.commits.inFlight
-	checked := txn.guarded[index]
+	checked := txn.preconditionPages[index]
 	var stored pageResponse
 	switch {
 	case result.Status == http.StatusOK && codec.Unmarshal(result.Body, &stored) == nil && stored.ModRevision > 0:
@@ -224,8 +225,8 @@
 			return
 		}
 		if stored.ModRevision != checked.modRevision && s.archive.hasUncertainMove {
-			// An earlier uncertain move may have been executed and is not applied in memory. Writing this page again would
-			// restore the entries that were moved.
+			// An earlier uncertain move may have been executed, but it is not applied in memory. Writing this page again would
+			// restore the moved entries.
 			s.commitFenced(len(txn.pages))
 			return
 		}
@@ -236,7 +237,7 @@
 		s.readBack(outbox, index, s.nextRetryDelay())
 		return
 	}
-	if index+1 < len(txn.guarded) {
+	if index+1 < len(txn.preconditionPages) {
 		s.readBack(outbox, index+1, 0)
 		return
 	}
--- a/internal/controller/storage/commit_test.go
+++ b/internal/controller/storage/commit_test.go
@@ -14,11 +14,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-type value struct {
+type testValue struct {
 	N int `msgpack:"n" json:"n"`
 }
 
-// fixture is a store whose calls are answered by the test.
+// fixture is a store whose calls the test responds to.
 type fixture struct {
 	t      *testing.T
 	store  *Store
@@ -26,7 +26,7 @@
 	now    time.Time
 }
 
-// newLoadedFixture returns a store without entries that has read everything.
+// newLoadedFixture returns an empty store that has completed loading.
 func newLoadedFixture(t *testing.T) *fixture {
 	t.Helper()
 	options := Options{LeaderKey: "leader", MaxValueBytes: 1024, MaxTransactionOps: 4, WriteRate: 50}
@@ -62,13 +62,13 @@
 	return f.singleCall()
 }
 
-// commitBody is a commit as the state service decodes it.
+// commitBody is the body of a commit as the state service decodes it.
 type commitBody struct {
-	Guards []struct {
-		Path        string `msgpack:"path"`
+	Preconditions []struct {
+		Key         string `msgpack:"path"`
 		ModRevision uint64 `msgpack:"mark"`
 	} `msgpack:"guards"`
-	Apply []struct {
+	Operations []struct {
 		Write string    `msgpack:"write"`
 		Value pageValue `msgpack:"value"`
 	} `msgpack:"apply"`
@@ -79,7 +79,7 @@
 	return decodeCommitCall(f.t, c)
 }
 
-// fataler is the part of testing.T and rapid.T that decodeCommitCall uses.
+// fataler is the common part of testing.T and rapid.T that decodeCommitCall needs.
 type fataler interface{ Fatal(args ...any) }
 
 func decodeCommitCall(t fataler, c client.Call) commitBody {
@@ -96,44 +96,44 @@
 
 func (f *fixture) set(name string, n int, done func(time.Time, bool)) {
 	f.t.Helper()
-	if err := f.store.Set(f.now, name, value{n}, SetOptions{Urgent: true, Done: done}); err != nil {
+	if err := f.store.Set(f.now, name, testValue{n}, SetOptions{Urgent: true, Done: done}); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// TestCommitGuardsLeaderAndPages checks that every commit requires the revision of the leader's key and of every page
-// that it writes, so that it changes nothing if it is executed after a commit of another leader, or twice.
-func TestCommitGuardsLeaderAndPages(t *testing.T) {
+// TestCommitRequiresLeaderAndPageRevisions checks that every commit has preconditions on the revisions of the leader's key
+// and of every page that it writes. Without them a commit could take effect after a commit of another leader, or twice.
+func TestCommitRequiresLeaderAndPageRevisions(t *testing.T) {
 	f := newLoadedFixture(t)
 	for round, modRevision := range []uint64{0, 20, 21} {
 		f.set("job-1", round, nil)
 		c := f.flush()
 		got := f.decodeCommit(c)
-		guards := map[string]uint64{}
-		for _, g := range got.Guards {
-			guards[g.Path] = g.ModRevision
+		required := map[string]uint64{}
+		for _, precondition := range got.Preconditions {
+			required[precondition.Key] = precondition.ModRevision
 		}
-		if guards["leader"] != 7 {
-			t.Fatalf("round %d: guards %v, want the leader's key at revision 7", round, got.Guards)
+		if required["leader"] != 7 {
+			t.Fatalf("round %d: preconditions %v, want the leader's key at revision 7", round, got.Preconditions)
 		}
-		for _, a := range got.Apply {
-			if g, ok := guards[a.Write]; !ok || g != modRevision {
-				t.Fatalf("round %d: guard of page %s: got %d (present %v), want %d", round, a.Write, g, ok, modRevision)
+		for _, operation := range got.Operations {
+			if revision, ok := required[operation.Write]; !ok || revision != modRevision {
+				t.Fatalf("round %d: precondition on page %s: got revision %d (present %v), want %d", round, operation.Write, revision, ok, modRevision)
 			}
 		}
 		c.Done(f.now, f.response(200, map[string]any{"tide": 20 + round}))
 	}
 }
 
-// TestReadBackDistinguishesAttempts checks that a page is read back after an uncertain outcome. If an earlier attempt
-// with fewer entries was executed, the change that came with the later attempt is not durable yet.
+// TestReadBackDistinguishesAttempts checks that the read-back after an uncertain outcome tells attempts apart. If an
+// earlier attempt with fewer entries was executed, the change that only the later attempt contains is not durable yet.
 func TestReadBackDistinguishesAttempts(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
 	first := f.flush()
 	firstBody := f.decodeCommit(first)
 	first.Done(f.now, client.Result{})
-	// Not there: the first attempt may still be executed later.
+	// The page does not exist: the first attempt may still be executed later.
 	f.singleCall().Done(f.now, f.response(404, map[string]any{"tide": 8}))
 	durable := 0
 	f.set("job-2", 2, func(_ time.Time, ok bool) {
@@ -143,15 +143,19 @@
 	})
 	second := f.flush()
 	second.Done(f.now, client.Result{})
-	// Now the first attempt was executed, and the second refused for its precondition.
-	f.singleCall().Done(f.now, f.response(200, map[string]any{"path": firstBody.Apply[0].Write, "value": firstBody.Apply[0].Value, "mark": 9}))
+	// The first attempt has now been executed, and the second was rejected by its precondition.
+	f.singleCall().Done(
+		f.now,
+		f.response(200, map[string]any{"path": firstBody.Operations[0].Write, "value": firstBody.Operations[0].Value, "mark": 9}),
+	)
 	if durable != 0 {
 		t.Fatalf("second change durable %d times after only the first attempt was executed, want 0", durable)
 	}
 	third := f.flush()
 	got := f.decodeCommit(third)
-	if got.Guards[1].ModRevision != 9 || len(got.Apply[0].Value.Entries) != 2 {
-		t.Fatalf("third attempt: guard %d, %d entries, want 9, 2", got.Guards[1].ModRevision, len(got.Apply[0].Value.Entries))
+	if got.Preconditions[1].ModRevision != 9 || len(got.Operations[0].Value.Entries) != 2 {
+		t.Fatalf("third attempt: precondition on revision %d, %d entries, want 9, 2",
+			got.Preconditions[1].ModRevision, len(got.Operations[0].Value.Entries))
 	}
 	third.Done(f.now, f.response(200, map[string]any{"tide": 10}))
 	if durable != 1 {
@@ -159,13 +163,13 @@
 	}
 }
 
-// TestLeaderKeyConflictFencesStore checks that the store is fenced if a commit is refused because the leader's key has
-// changed: there is another leader.
+// TestLeaderKeyConflictFencesStore checks that the store is fenced if a commit is rejected because the leader's key has
+// changed, which shows that another leader was elected.
 func TestLeaderKeyConflictFencesStore(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, func(_ time.Time, ok bool) {
 		if ok {
-			t.Error("change of a refused commit reported as durable, want not durable")
+			t.Error("change of a rejected commit reported as durable, want not durable")
 		}
 	})
 	f.flush().Done(f.now, f.response(409, map[string]any{"failed": []string{"leader"}, "tide": 9}))
@@ -174,8 +178,8 @@
 	}
 }
 
-// TestWaitersBehindUncertainCommitAreNotified checks that nothing is sent while the outcome of a commit is uncertain.
-// Callers that wait for a later change are notified at once that it is not durable, and again when it is.
+// TestWaitersBehindUncertainCommitAreNotified checks that no other commit is sent while the outcome of one is uncertain.
+// Callers that wait for a later change are notified at once that it is uncertain, and again when it is durable.
 func TestWaitersBehindUncertainCommitAreNotified(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
@@ -193,15 +197,15 @@
 	}
 }
 
-// TestInvalidResponsesAreRejected checks that a revision below the fencing token and a page without a revision are not
-// accepted as responses: the commit is read back, and the page is read again.
+// TestInvalidResponsesAreRejected checks that two kinds of invalid responses are not accepted. After a commit response
+// with a revision below the fencing token, the commit is read back. A page without a revision is read again.
 func TestInvalidResponsesAreRejected(t *testing.T) {
 	f := newLoadedFixture(t)
 	done := false
 	f.set("job-1", 1, func(_ time.Time, ok bool) { done = ok })
 	f.flush().Done(f.now, f.response(200, map[string]any{"tide": 3}))
 	if done {
-		t.Error("durable by a response whose revision is below the fencing token, want not durable")
+		t.Error("change durable after a response with a revision below the fencing token, want not durable")
 	}
 	back := f.singleCall()
 	if back.Method != http.MethodGet {
@@ -209,7 +213,7 @@
 	}
 	back.Done(f.now, f.response(200, map[string]any{"value": pageValue{Sequence: 1, Leader: 7}}))
 	if done {
-		t.Error("durable by a page without a revision, want not durable")
+		t.Error("change durable after a page without a revision, want not durable")
 	}
 	f.singleCall().Done(f.now, f.response(200, map[string]any{"value": pageValue{Sequence: 1, Leader: 7}, "mark": 12}))
 	if !done || f.store.pages.byKey[PagePrefix+"000000"].modRevision != 12 {
@@ -224,42 +228,42 @@
 	}
 }
 
-// TestLatePageCreationIsRefused checks that a commit that creates a page is refused by its preconditions if it is
-// executed late, after the page was written, and again after newer commits: pages are never deleted, so the revision of
-// a page is never 0 again.
-func TestLatePageCreationIsRefused(t *testing.T) {
+// TestLatePageCreationIsRejected checks that a commit that creates a page is rejected by its preconditions if it is
+// executed late, after the page was written by later commits. Pages are never deleted, so the revision of a page is
+// never 0 again.
+func TestLatePageCreationIsRejected(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
 	late := f.decodeCommit(f.flush())
 	modRevisions := map[string]uint64{"leader": 7}
 	executes := func(c commitBody) bool {
-		for _, g := range c.Guards {
-			if modRevisions[g.Path] != g.ModRevision {
+		for _, precondition := range c.Preconditions {
+			if modRevisions[precondition.Key] != precondition.ModRevision {
 				return false
 			}
 		}
 		return true
 	}
 	if !executes(late) {
-		t.Fatal("first attempt refused by its preconditions, want executed")
+		t.Fatal("first attempt rejected by its preconditions, want executed")
 	}
-	f.store.requeue(f.now, 0) // it was not answered, and read back as not carried out
+	f.store.requeue(f.now, 0) // it got no response, and the read-back did not find it
 	for round := uint64(20); round < 24; round++ {
 		f.store.Delete(f.now, "job-1")
 		f.set("job-1", int(round), nil)
 		c := f.flush()
-		for _, a := range f.decodeCommit(c).Apply {
-			modRevisions[a.Write] = round
+		for _, operation := range f.decodeCommit(c).Operations {
+			modRevisions[operation.Write] = round
 		}
 		c.Done(f.now, f.response(200, map[string]any{"tide": round}))
 		if executes(late) {
-			t.Fatalf("late attempt executed after revision %d, want refused", round)
+			t.Fatalf("late attempt executed after revision %d, want rejected", round)
 		}
 	}
 }
 
-// TestCommitOfAnotherLeaderIsNotOwn checks that a commit of the next leader is not taken for this leader's commit with
-// the same sequence number, whose response was lost, and that no waiter is notified of success.
+// TestCommitOfAnotherLeaderIsNotOwn checks that a commit of the next leader is not mistaken for this leader's commit
+// with the same sequence number, whose response was lost. No waiter may be notified that its change is durable.
 func TestCommitOfAnotherLeaderIsNotOwn(t *testing.T) {
 	f := newLoadedFixture(t)
 	var notifications []bool
@@ -278,9 +282,9 @@
 	}
 }
 
-// TestOwnLateCommitDoesNotFence checks a commit that was given up, read back as not executed, and executed a moment
-// later, so that the next commit fails by its preconditions. The revision of the leader's key shows that the commit was
-// the leader's own: the store is not fenced, and in the end the stored entries are those of the leader.
+// TestOwnLateCommitDoesNotFence checks that a late commit of the leader itself does not fence the store. The commit was
+// read back as not executed and is executed afterwards, so the next commit is rejected by its preconditions. The
+// unchanged revision of the leader's key shows that there is no other leader. In the end the change is durable.
 func TestOwnLateCommitDoesNotFence(t *testing.T) {
 	f := newLoadedFixture(t)
 	done := false
@@ -295,10 +299,10 @@
 	}
 	leaderRead.Done(f.now, f.response(503, nil))
 	f.singleCall().Done(f.now, f.response(200, map[string]any{"value": map[string]any{}, "mark": 7}))
-	f.singleCall().Done(f.now, f.response(200, map[string]any{"value": f.decodeCommit(late).Apply[0].Value, "mark": 9}))
+	f.singleCall().Done(f.now, f.response(200, map[string]any{"value": f.decodeCommit(late).Operations[0].Value, "mark": 9}))
 	c := f.flush()
-	if g := f.decodeCommit(c).Guards; f.store.IsFenced() || g[1].ModRevision != 9 {
-		t.Fatalf("after the read-back: fenced %v, guards %v, want false and the page at revision 9", f.store.IsFenced(), g)
+	if preconditions := f.decodeCommit(c).Preconditions; f.store.IsFenced() || preconditions[1].ModRevision != 9 {
+		t.Fatalf("after the read-back: fenced %v, preconditions %v, want false and the page at revision 9", f.store.IsFenced(), preconditions)
 	}
 	c.Done(f.now, f.response(200, map[string]any{"tide": 10}))
 	if !done {
--- a/internal/controller/storage/flush.go
+++ b/internal/controller/storage/flush.go
@@ -7,12 +7,12 @@
 	"gullrudder/internal/wire/client"
 )
 
-// Flush sends the next commit if one is due. One commit is in flight at a time.
+// Flush sends the next commit if one is due and none is in flight. The caller must execute the calls in outbox.
 func (s *Store) Flush(now time.Time, outbox *client.Outbox) {
 	if !s.loading.completed || s.fenced || s.commits.inFlight != nil || now.Before(s.commits.retryAt) {
 		return
 	}
-	if s.splits.uncertainPage != nil {
+	if s.splits.uncertainTarget != nil {
 		s.invalidateUncertainSplit(now, outbox)
 		return
 	}
@@ -36,7 +36,7 @@
 	s.sendCommit(outbox, pages, move)
 }
 
-// writablePages returns the pages with unsaved changes that can be written: urgent pages first, then those with the oldest changes.
+// writablePages returns the dirty pages that can be written: urgent pages first, then those with the oldest changes.
 func (s *Store) writablePages() []*page {
 	var due []*page
 	for p := range s.pages.dirty {
@@ -56,7 +56,7 @@
 	return due
 }
 
-// choosePages returns the pages of the next commit. Pages that are not urgent leave half of the budget to urgent ones.
+// choosePages returns the pages of the next commit. Pages that are not urgent leave the writes of half a second to urgent ones.
 func (s *Store) choosePages(now time.Time, due []*page) []*page {
 	budget := s.writeLimiter.Available(now)
 	var chosen []*page
--- a/internal/controller/storage/load.go
+++ b/internal/controller/storage/load.go
@@ -15,56 +15,58 @@
 )
 
 const (
-	// maxListedKeys is the number of keys requested at a time. The state service truncates a response at 512 KiB.
+	// maxListedKeys is the maximum number of keys per list response. The state service truncates a response at 512 KiB.
 	maxListedKeys = 60
 
 	listTimeout         = 2 * time.Second
-	listRetryDelay      = 200 * time.Millisecond // after a list that failed
+	listRetryDelay      = 200 * time.Millisecond // after a failed list request
 	unreadableListDelay = time.Second            // after a list with a value that cannot be decoded
 )
 
-// loadProgress is the progress of Load.
 type loadProgress struct {
-	pendingLists     int // lists that are not read to their end
+	pendingLists     int // number of lists that are not completely read
 	completed        bool
-	loggedUnreadable bool // a value that cannot be decoded was logged
+	loggedUnreadable bool // the first undecodable value was logged
 }
 
-// listRequest is a request for the keys with a prefix, which are read in several responses.
+// listRequest is a request for the next keys with a prefix. A complete list takes several requests.
 type listRequest struct {
-	prefix  string
-	from    string // the next response begins after this key
-	delay   time.Duration
-	timeout time.Duration
+	prefix   string
+	afterKey string // the response begins after this key; empty: with the first key
+	delay    time.Duration
+	timeout  time.Duration
 }
 
-// Load starts to read all pages and the archive's head and index. Failures are retried until IsLoaded.
+// Load starts reading all pages and the archive's head and index. Failed requests are retried until everything is read, which IsLoaded
+// reports.
 func (s *Store) Load(outbox *client.Outbox) {
 	s.loading.pendingLists = 2
-	s.load(outbox, listRequest{prefix: PagePrefix, timeout: listTimeout}, s.installPage)
-	s.load(outbox, listRequest{prefix: archivePrefix, timeout: listTimeout}, s.installArchiveKey)
+	s.loadList(outbox, listRequest{prefix: PagePrefix, timeout: listTimeout}, s.installPage)
+	s.loadList(outbox, listRequest{prefix: archivePrefix, timeout: listTimeout}, s.installArchiveKey)
 }
 
-func (s *Store) load(outbox *client.Outbox, request listRequest, install func(keyValue) error) {
+// loadList reads a list to its end, and passes each key to install. Failed requests are retried.
+func (s *Store) loadList(outbox *client.Outbox, request listRequest, install func(keyValue) error) {
 	s.listKeys(outbox, request, func(_ time.Time, response listResponse, status int) {
 		request.delay = 0
 		if status != http.StatusOK {
 			request.delay = listRetryDelay
-			s.load(outbox, request, install)
+			s.loadList(outbox, request, install)
 			return
 		}
 		for _, row := range response.Keys {
 			if err := install(row); err != nil {
-				// Without this value the jobs are not all known, so no request is answered until it can be decoded.
+				// Without this value some accepted jobs are unknown. Loading does not complete until it can be decoded, so no request is
+				// answered before.
 				s.logUnreadable(row.Key, err)
 				request.delay = unreadableListDelay
-				s.load(outbox, request, install)
+				s.loadList(outbox, request, install)
 				return
 			}
-			request.from = row.Key
+			request.afterKey = row.Key
 		}
 		if response.HasMore && len(response.Keys) > 0 {
-			s.load(outbox, request, install)
+			s.loadList(outbox, request, install)
 			return
 		}
 		s.loading.pendingLists--
@@ -72,7 +74,7 @@
 	})
 }
 
-// logUnreadable logs the first key, or prefix of keys, that cannot be decoded. Reading it is retried.
+// logUnreadable logs the first key, or key prefix, whose value cannot be decoded. Later ones are not logged, since reading is retried.
 func (s *Store) logUnreadable(key string, err error) {
 	if s.loading.loggedUnreadable {
 		return
@@ -81,11 +83,11 @@
 	s.log.Error("state unreadable", logkeys.Key, key, logkeys.Err, err)
 }
 
-// listKeys reads the next keys of a list. status is 0 if there was no response or it cannot be decoded.
+// listKeys reads the next keys of a list. done gets status 0 if there is no response or it cannot be decoded.
 func (s *Store) listKeys(outbox *client.Outbox, request listRequest, done func(now time.Time, response listResponse, status int)) {
 	query := url.Values{"starts": {request.prefix}, "most": {strconv.Itoa(maxListedKeys)}}
-	if request.from != "" {
-		query.Set("from", request.from)
+	if request.afterKey != "" {
+		query.Set("from", request.afterKey)
 	}
 	s.send(outbox, client.Call{
 		Method: http.MethodGet, Path: "/keys?" + query.Encode(), Delay: request.delay, Timeout: request.timeout,
@@ -104,7 +106,7 @@
 
 func (s *Store) installPage(row keyValue) error {
 	if row.ModRevision == 0 {
-		return fmt.Errorf("key %s has no revision", row.Key)
+		return fmt.Errorf("key %s: got revision 0, expected a revision above 0", row.Key)
 	}
 	if row.Key == formatKey {
 		return checkFormat(row.Value)
--- a/internal/controller/storage/load_test.go
+++ b/internal/controller/storage/load_test.go
@@ -20,7 +20,7 @@
 	valueBytes = 8192
 )
 
-// populate returns a cluster whose state service holds count finished jobs and liveJobs unfinished ones, written by the stores.
+// populate returns a cluster whose state service holds count finished jobs and liveJobs unfinished jobs. The stores under test wrote them.
 func populate(b *testing.B, count int, newID func(i int) string) *simulator.Cluster {
 	b.Helper()
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
@@ -75,11 +75,11 @@
 ) (*storage.Store, *archive.Store, map[string]jobs.FinalState) {
 	b.Helper()
 	log := slog.New(slog.DiscardHandler)
-	put := cluster.State.Exchange(
+	response := cluster.State.Exchange(
 		client.Call{Method: "POST", Path: "/commit", Body: map[string]any{"apply": []any{map[string]any{"write": "leader", "value": 1}}}},
 	)
-	if put.Status != 200 {
-		b.Fatalf("write the leader's key: got status %d, want 200", put.Status)
+	if response.Status != 200 {
+		b.Fatalf("write the leader's key: got status %d, want 200", response.Status)
 	}
 	store := storage.New(
 		storage.Options{LeaderKey: "leader", MaxValueBytes: valueBytes, MaxTransactionOps: 8, WriteRate: 1e6},
@@ -111,8 +111,8 @@
 	}
 }
 
-// recordedLoad is the loading of a populated state service. The first time its responses are recorded, then they are replayed, so that
-// only the work of the leader is measured.
+// recordedLoad loads the state of a populated state service. The first load records the responses and later ones replay them, so that only
+// the leader's work is measured.
 type recordedLoad struct {
 	b         *testing.B
 	cluster   *simulator.Cluster // nil once the responses have been recorded
@@ -125,14 +125,14 @@
 	log := slog.New(slog.DiscardHandler)
 	store := storage.New(storage.Options{LeaderKey: "leader", MaxValueBytes: valueBytes, MaxTransactionOps: 8, WriteRate: 1e6}, 1, log)
 	store.Load(&outbox)
-	at := 0
+	next := 0
 	for calls := outbox.TakeCalls(); len(calls) > 0; calls = outbox.TakeCalls() {
 		for _, call := range calls {
 			if r.cluster != nil {
 				r.responses = append(r.responses, r.cluster.State.Exchange(call))
 			}
-			call.Done(time.Unix(2000, 0), r.responses[at])
-			at++
+			call.Done(time.Unix(2000, 0), r.responses[next])
+			next++
 		}
 	}
 	options := archive.Options{MaxValueBytes: valueBytes, MaxTransactionOps: 8, WriteRate: 1, ReadRate: 1, CompactionFanIn: 8}
@@ -143,8 +143,8 @@
 	return store, archiveStore
 }
 
-// heapOf is how many bytes of the heap the result of load holds.
-func heapOf(load func() (*storage.Store, *archive.Store)) (store *storage.Store, archiveStore *archive.Store, held int64) {
+// measureHeap returns the result of load and the number of heap bytes that it holds.
+func measureHeap(load func() (*storage.Store, *archive.Store)) (store *storage.Store, archiveStore *archive.Store, heapBytes int64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -154,24 +154,24 @@
 	return store, archiveStore, int64(after.HeapAlloc) - int64(before.HeapAlloc)
 }
 
-// BenchmarkLoad is what a leader does at a failover with the responses of the state service, which holds 2,000 unfinished jobs and so
-// many finished ones. IDs are spread over ten times as many numbers, and in the last case over all of 14 digits.
+// BenchmarkLoad measures how a leader processes the responses of the state service at a failover. The service holds 2,000 unfinished jobs
+// and the given number of finished jobs. Job IDs are drawn from ten times as many numbers, and in the last case from all 14-digit numbers.
 func BenchmarkLoad(b *testing.B) {
-	spread := func(n int) func(int) string {
+	spreadIDs := func(n int) func(int) string {
 		perm := rand.New(rand.NewPCG(1, 2)).Perm(10 * n)
 		return func(i int) string { return fmt.Sprintf("job-%07d", perm[i]) }
 	}
 	random := rand.New(rand.NewPCG(3, 4))
-	anywhere := func(int) string { return fmt.Sprintf("job-%014d", random.Uint64N(1e14)) }
+	randomIDs := func(int) string { return fmt.Sprintf("job-%014d", random.Uint64N(1e14)) }
 	for _, testCase := range []struct {
 		name     string
 		finished int
 		id       func(int) string
 	}{
-		{"1000", 1000, spread(1000)},
-		{"100000", 100_000, spread(100_000)},
-		{"1000000", 1_000_000, spread(1_000_000)},
-		{"1000000 of 14 digits", 1_000_000, anywhere},
+		{"1000", 1000, spreadIDs(1000)},
+		{"100000", 100_000, spreadIDs(100_000)},
+		{"1000000", 1_000_000, spreadIDs(1_000_000)},
+		{"1000000 of 14 digits", 1_000_000, randomIDs},
 	} {
 		b.Run(testCase.name, func(b *testing.B) { benchmarkLoad(b, testCase.finished, testCase.id) })
 	}
@@ -182,12 +182,12 @@
 	recorded := &recordedLoad{b: b, cluster: populate(b, finished, newID)}
 	recorded.load()
 	recorded.cluster = nil
-	store, archiveStore, held := heapOf(recorded.load)
-	archived, segments := archiveStore.JobCount(), archiveStore.SegmentCount()
-	left := 0
-	store.ForEach(func(string, func(any) error) { left++ })
-	if archived+left < finished*99/100+liveJobs {
-		b.Fatalf("jobs kept: got %d archived and %d in pages, want at least %d", archived, left, finished*99/100+liveJobs)
+	store, archiveStore, heapBytes := measureHeap(recorded.load)
+	archivedCount, segments := archiveStore.JobCount(), archiveStore.SegmentCount()
+	unarchived := 0
+	store.ForEach(func(string, func(any) error) { unarchived++ })
+	if archivedCount+unarchived < finished*99/100+liveJobs {
+		b.Fatalf("jobs kept: got %d archived and %d in pages, want at least %d", archivedCount, unarchived, finished*99/100+liveJobs)
 	}
 	bytes := 0
 	for _, response := range recorded.responses {
@@ -198,7 +198,7 @@
 	}
 	b.ReportMetric(float64(len(recorded.responses)), "requests")
 	b.ReportMetric(float64(bytes)/1e6, "MB-read")
-	b.ReportMetric(float64(held)/(1<<20), "MB-held")
+	b.ReportMetric(float64(heapBytes)/(1<<20), "MB-held")
 	b.ReportMetric(float64(segments), "runs")
-	b.ReportMetric(float64(left-liveJobs), "unsealed")
+	b.ReportMetric(float64(unarchived-liveJobs), "unsealed")
 }
--- a/internal/controller/storage/messages.go
+++ b/internal/controller/storage/messages.go
@@ -8,39 +8,39 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Keys of the state service below which a Store writes.
+// Keys and key prefixes of the state service that a Store writes.
 const (
 	// PagePrefix is the prefix of the keys of the pages.
 	PagePrefix = "page/"
 
 	archivePrefix = "history/"
-	// ArchiveHeadKey is the key of the archive's head, which lists its segments. It is read at a failover.
+	// ArchiveHeadKey is the key of the archive's head, which lists the segments. It is read at a failover.
 	ArchiveHeadKey = archivePrefix + "head"
-	// ArchiveIndexPrefix is the prefix of the segments' indexes, which are read at a failover.
+	// ArchiveIndexPrefix is the key prefix of the segments' indexes, which are read at a failover.
 	ArchiveIndexPrefix = archivePrefix + "i/"
-	// ArchiveDataPrefix is the prefix of the segments' data, which are read only for requests about archived jobs.
+	// ArchiveDataPrefix is the key prefix of the segments' data, which is read only for requests about archived jobs and for compactions.
 	ArchiveDataPrefix = "results/"
 )
 
-// The format key prevents versions without an archive from serving requests: archived jobs are unknown to them. They cannot decode a
-// value below PagePrefix that is not a map, and serve no request until they have read all pages.
+// The format key prevents versions without an archive from serving requests, because they do not know the archived jobs. Such a version
+// serves no request until it has read all values below PagePrefix, and it cannot decode a value that is not a map.
 const (
 	formatKey     = PagePrefix + "~format"
 	formatVersion = "history 1"
 )
 
-// FormatError is the error that the stored state was written by a newer version.
+// FormatError reports that the stored state was written by a newer version.
 type FormatError struct {
-	Found string // value of the format key, empty if it is not a string
+	Found string // value of the format key; empty if it is not a string
 	Err   error  // why the value cannot be decoded, or nil
 }
 
-// Error returns the text with the format that was found.
+// Error returns a message with the found and the expected format.
 func (e *FormatError) Error() string {
 	return fmt.Sprintf("state was written by a newer version: format %q, this version reads %q", e.Found, formatVersion)
 }
 
-// Unwrap returns why the format cannot be decoded, or nil.
+// Unwrap returns the error of decoding the format key, or nil.
 func (e *FormatError) Unwrap() error { return e.Err }
 
 func checkFormat(raw msgpack.RawMessage) error {
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// pageValue is the stored form of a page. Leader and Sequence identify the commit that wrote it. Sequence alone is not unique: the next
-// leader continues from the highest number that it has read, and may use numbers again.
+// pageValue is the stored form of a page. Leader and Sequence together identify the commit that wrote it. Sequence alone is not unique: a
+// new leader continues from the highest number that it has read, and may reuse numbers.
 type pageValue struct {
 	Sequence uint64                        `msgpack:"n"`
 	Leader   uint64                        `msgpack:"l,omitempty"` // fencing token
@@ -65,36 +65,36 @@
 	Text string `msgpack:"p"`
 }
 
-// keyValue is one key of a list.
+// keyValue is a key in a list response.
 type keyValue struct {
 	Key         string             `msgpack:"path"`
 	Value       msgpack.RawMessage `msgpack:"value"`
 	ModRevision uint64             `msgpack:"mark"`
 }
 
-// listResponse is the response to a list of keys.
+// listResponse is the response to a list request.
 type listResponse struct {
 	Keys    []keyValue `msgpack:"entries"`
 	HasMore bool       `msgpack:"has_next"`
 }
 
-// leaderKeyResponse is the response to a read of the leader's key, as far as it is used.
+// leaderKeyResponse is the used part of the response to a read of the leader's key.
 type leaderKeyResponse struct {
 	ModRevision uint64 `msgpack:"mark"`
 }
 
-// pageResponse is the response to a read of one page.
+// pageResponse is the response to a read of a page.
 type pageResponse struct {
 	Value       pageValue `msgpack:"value"`
 	ModRevision uint64    `msgpack:"mark"`
 }
 
-// archivePartResponse is the response to a read of one part of the archive.
+// archivePartResponse is the response to a read of a part of the archive.
 type archivePartResponse struct {
 	Value archivePartValue `msgpack:"value"`
 }
 
-// entrySize returns the JSON bytes of a stored entry in its page.
+// entrySize returns the size of a stored entry in its page, in JSON bytes.
 func entrySize(name string, raw msgpack.RawMessage) int {
 	return codec.JSONSize(raw) + len(name) + entryOverhead
 }
--- a/internal/controller/storage/messages_test.go
+++ b/internal/controller/storage/messages_test.go
@@ -9,8 +9,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestFormatOfAnotherVersionIsRefused checks that only the format of this version is read.
-func TestFormatOfAnotherVersionIsRefused(t *testing.T) {
+// TestFormatOfAnotherVersionIsRejected checks that checkFormat accepts only the format of this version.
+func TestFormatOfAnotherVersionIsRejected(t *testing.T) {
 	encode := func(v any) msgpack.RawMessage {
 		raw, err := codec.Marshal(v)
 		if err != nil {
@@ -19,9 +19,9 @@
 		return raw
 	}
 	if err := checkFormat(encode(formatVersion)); err != nil {
-		t.Errorf("check of the own format: got %v, want no error", err)
+		t.Errorf("format of this version: got error %v, want no error", err)
 	}
-	for name, raw := range map[string]msgpack.RawMessage{"newer text": encode("history 2"), "no text": encode(7)} {
+	for name, raw := range map[string]msgpack.RawMessage{"newer format": encode("history 2"), "not a string": encode(7)} {
 		var formatError *FormatError
 		if err := checkFormat(raw); !errors.As(err, &formatError) {
 			t.Errorf("%s: got error %v, want a FormatError", name, err)
--- a/internal/controller/storage/model_test.go
+++ b/internal/controller/storage/model_test.go
@@ -15,7 +15,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// modelStore is a model of the state service that has only preconditions and limits.
+// modelStore is a model of the state service. It implements reads, commits with preconditions, and limits.
 type modelStore struct {
 	revision       uint64
 	pages          map[string]pageValue
@@ -26,31 +26,31 @@
 }
 
 func (s *modelStore) commit(body commitBody) (int, any) {
-	if len(body.Apply) > s.maxOps {
+	if len(body.Operations) > s.maxOps {
 		return 400, nil
 	}
-	for _, a := range body.Apply {
-		if jsonSize(a.Value) > s.valueBytes {
+	for _, operation := range body.Operations {
+		if jsonSize(operation.Value) > s.valueBytes {
 			return 400, nil
 		}
 	}
-	for _, g := range body.Guards {
-		modRevision := s.modRevisions[g.Path]
-		if g.Path == "leader" {
+	for _, precondition := range body.Preconditions {
+		modRevision := s.modRevisions[precondition.Key]
+		if precondition.Key == "leader" {
 			modRevision = s.leaderRevision
 		}
-		if modRevision != g.ModRevision {
-			return 409, map[string]any{"failed": []string{g.Path}, "tide": s.revision}
+		if modRevision != precondition.ModRevision {
+			return 409, map[string]any{"failed": []string{precondition.Key}, "tide": s.revision}
 		}
 	}
 	s.revision++
-	for _, a := range body.Apply {
-		s.pages[a.Write], s.modRevisions[a.Write] = a.Value, s.revision
+	for _, operation := range body.Operations {
+		s.pages[operation.Write], s.modRevisions[operation.Write] = operation.Value, s.revision
 	}
 	return 200, map[string]any{"tide": s.revision}
 }
 
-// jsonSize is the JSON size of a page as the service counts it.
+// jsonSize returns the JSON size of a page as the state service counts it, or 1 << 30 if the page cannot be decoded.
 func jsonSize(stored pageValue) int {
 	plain := map[string]any{"n": stored.Sequence, "l": stored.Leader}
 	entries := map[string]any{}
@@ -69,8 +69,9 @@
 	return len(text)
 }
 
-// readEntries reads the entries as a leader does: pages in the order of their keys, and of two entries of a name the last.
-func (s *modelStore) readEntries(t fataler) (entries map[string]int, twice bool) {
+// readEntries reads the entries as a leader does: pages in the order of their keys, the last of two entries with the same
+// name is valid. duplicated reports whether there are two entries with the same name.
+func (s *modelStore) readEntries(t fataler) (entries map[string]int, duplicated bool) {
 	entries = map[string]int{}
 	for _, key := range slices.Sorted(maps.Keys(s.pages)) {
 		for name, raw := range s.pages[key].Entries {
@@ -79,14 +80,14 @@
 				t.Fatal(err)
 			}
 			_, before := entries[name]
-			twice = twice || before
+			duplicated = duplicated || before
 			entries[name] = v.N
 		}
 	}
-	return entries, twice
+	return entries, duplicated
 }
 
-// newLeader returns the store of a new leader, which has loaded all pages.
+// newLeader returns the store of a new leader that has loaded all pages.
 func (s *modelStore) newLeader(t fataler, now time.Time, outbox *client.Outbox, valueBytes, ops int) *Store {
 	outbox.TakeCalls()
 	s.revision++
@@ -126,13 +127,13 @@
 	return client.Result{Status: status, Body: raw}
 }
 
-// padded is a value that takes some room.
+// padded is a value with padding of any length.
 type padded struct {
-	N    int    `msgpack:"n" json:"n"`
-	Room string `msgpack:"r" json:"r"`
+	N       int    `msgpack:"n" json:"n"`
+	Padding string `msgpack:"r" json:"r"`
 }
 
-// Limits of the model before and after they are lowered.
+// Limits of the model before and after lowerLimits.
 const (
 	oldValueBytes, oldTxnOps = 8192, 8
 	newValueBytes, newTxnOps = 1024, 4
--- a/internal/controller/storage/move.go
+++ b/internal/controller/storage/move.go
@@ -6,18 +6,18 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// entryMove is an atomic change of several pages, which is made in one commit: either entries are removed from their pages and the
-// archive's head changes, or entries move from a page that is split to new pages.
+// entryMove is an atomic change of several pages in one commit. There are two kinds: archiving removes entries from their pages and changes
+// the archive's head, and a split moves entries from a page to new pages.
 type entryMove struct {
 	pages       []*page // pages that the commit writes
 	removed     map[string]bool
-	source      *page                         // page that is split, or nil
-	targets     map[*page][]string            // new pages of the split with their entries
-	headChanges map[string]msgpack.RawMessage // new entries of the archive's head; nil: the entry is deleted
+	source      *page                         // page that is split; nil for archiving
+	targets     map[*page][]string            // new pages of the split with the names of their entries
+	headChanges map[string]msgpack.RawMessage // new values of entries of the archive's head; nil deletes the entry
 	done        DoneFunc
 }
 
-// applyTo applies the move to the entries of one page that are written. current has the present value of every entry.
+// applyTo applies the move to the entries that a commit writes for one page. current has the current value of every entry.
 func (m *entryMove) applyTo(target *page, isHead bool, entries map[string]msgpack.RawMessage, current map[string]*entry) {
 	switch names := m.targets[target]; {
 	case isHead:
@@ -45,8 +45,8 @@
 	}
 }
 
-// applyMove applies a move in memory. It must be durable: if its commit was not executed, the pages have to be written again as they
-// were.
+// applyMove applies a move to the pages in memory. It must be called only once the move is durable: after a commit that was not executed,
+// the unchanged pages must be written again.
 func (s *Store) applyMove(now time.Time, move *entryMove) {
 	if move.source != nil {
 		s.applySplit(now, move)
--- a/internal/controller/storage/move_test.go
+++ b/internal/controller/storage/move_test.go
@@ -13,8 +13,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// requires returns the revision at which a commit requires a key.
-func requires(call client.Call, key string) (modRevision uint64, ok bool) {
+// requiredRevision returns the revision that a commit's precondition requires of a key. ok is false if there is no such precondition.
+func requiredRevision(call client.Call, key string) (modRevision uint64, ok bool) {
 	for _, precondition := range call.Body.(stateapi.CommitRequest).Preconditions {
 		if precondition.Key == key {
 			return precondition.ModRevision, true
@@ -23,8 +23,8 @@
 	return 0, false
 }
 
-// writes returns the entries that a commit writes to a page.
-func writes(call client.Call, key string) (entries map[string]msgpack.RawMessage, ok bool) {
+// writtenEntries returns the entries that a commit writes to a page. ok is false if it does not write the page.
+func writtenEntries(call client.Call, key string) (entries map[string]msgpack.RawMessage, ok bool) {
 	for _, operation := range call.Body.(stateapi.CommitRequest).Operations {
 		if operation.Write == key {
 			return operation.Value.(pageValue).Entries, true
@@ -33,9 +33,9 @@
 	return nil, false
 }
 
-// TestUncertainMoveFencesStore checks a move without a response that was not found and may still be executed. If a page
-// shows another commit than the one made after the move, the page may have lost entries that are still in memory: the
-// store is fenced and does not write them again.
+// TestUncertainMoveFencesStore checks that the store is fenced if an uncertain move may have been executed late. The move
+// got no response, and the read-back did not find it. A later read-back shows a commit on the page that is not the one
+// expected. The page may have lost entries that are still in memory, and these must not be written again.
 func TestUncertainMoveFencesStore(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
@@ -47,31 +47,31 @@
 		t.Fatal(err)
 	}
 	move := f.flush()
-	if _, ok := writes(move, ArchiveHeadKey); !ok {
+	if _, ok := writtenEntries(move, ArchiveHeadKey); !ok {
 		t.Fatalf("move %+v: want a write of the archive's head", move.Body)
 	}
 	move.Done(f.now, client.Result{})
 	page := map[string]any{"value": pageValue{Sequence: 1, Leader: 7}, "mark": 20}
-	f.singleCall().Done(f.now, f.response(200, page))                       // the page is as before
-	f.singleCall().Done(f.now, f.response(404, map[string]any{"tide": 20})) // and there is no head
+	f.singleCall().Done(f.now, f.response(200, page))                       // the page is unchanged
+	f.singleCall().Done(f.now, f.response(404, map[string]any{"tide": 20})) // the head does not exist
 	if !slices.Equal(outcomes, []bool{false}) {
 		t.Fatalf("outcomes of the move: got %v, want [false]", outcomes)
 	}
 	f.set("job-1", 2, nil)
 	f.flush().Done(f.now, client.Result{})
 	moved := map[string]any{"value": pageValue{Sequence: 2, Leader: 7}, "mark": 21}
-	f.singleCall().Done(f.now, f.response(200, moved)) // by now the move has been executed
+	f.singleCall().Done(f.now, f.response(200, moved)) // the move has been executed since
 	if !f.store.IsFenced() {
-		t.Error("store not fenced after a page shows the late move, want fenced")
+		t.Error("store not fenced after the read-back showed the late move, want fenced")
 	}
 }
 
-// TestStaleCopyIsRemoved checks that of two entries with one name the one on the page with the higher number counts.
-// The other page is written without its stale copy, and no finished job leaves that page before.
+// TestStaleCopyIsRemoved checks that of two entries with the same name the one on the page with the higher number is
+// valid. The other page is written without its stale copy, and no finished job may be archived before that.
 func TestStaleCopyIsRemoved(t *testing.T) {
 	f := newLoadedFixture(t)
 	raw := func(n int) msgpack.RawMessage {
-		encoded, err := codec.Marshal(value{n})
+		encoded, err := codec.Marshal(testValue{n})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -84,7 +84,7 @@
 		t.Errorf("archivable entries while a page has a stale copy: got %v, want none", names)
 	}
 	call := f.flush()
-	entries, ok := writes(call, pageKey(0))
+	entries, ok := writtenEntries(call, pageKey(0))
 	if !ok || len(entries) != 1 || entries["job-2"] == nil {
 		t.Fatalf("write of the page with the stale copy: got %v (written %v), want job-2 only", entries, ok)
 	}
@@ -94,10 +94,10 @@
 	}
 }
 
-// TestCopyRequiresItsSource checks that a page that is too large to be written is copied to new pages, and that the
-// copy requires the page at the revision that was read: an earlier commit of the page that is executed late would
-// change what is copied.
-func TestCopyRequiresItsSource(t *testing.T) {
+// TestCopyRequiresSourceRevision checks that entries of a page that is too large to be written are copied to new pages.
+// The copy must have a precondition on the source page's revision: an earlier commit of that page that is executed late
+// would change the copied entries.
+func TestCopyRequiresSourceRevision(t *testing.T) {
 	f := newLoadedFixture(t)
 	entries := map[string]msgpack.RawMessage{}
 	for _, name := range strings.Fields("job-1 job-2 job-3 job-4 job-5 job-6 job-7 job-8") {
@@ -110,10 +110,10 @@
 	f.store.addPage(pageKey(0), 8, pageValue{Sequence: 1, Entries: entries})
 	f.store.splits.limitsLowered = true
 	call := f.flush()
-	if _, ok := writes(call, pageKey(0)); ok {
+	if _, ok := writtenEntries(call, pageKey(0)); ok {
 		t.Fatal("first commit writes the page that is too large, want a copy to new pages only")
 	}
-	if modRevision, ok := requires(call, pageKey(0)); !ok || modRevision != 8 {
+	if modRevision, ok := requiredRevision(call, pageKey(0)); !ok || modRevision != 8 {
 		t.Errorf("revision required of the source page: got %d (present %v), want 8", modRevision, ok)
 	}
 }
--- a/internal/controller/storage/page.go
+++ b/internal/controller/storage/page.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	pageOverhead  = 64 // JSON bytes of a page in addition to its entries
-	entryOverhead = 8  // JSON bytes of an entry in addition to its name and value
+	pageOverhead  = 64 // JSON bytes of a page apart from its entries
+	entryOverhead = 8  // JSON bytes of an entry apart from its name and value
 )
 
-// DoneFunc is called with the outcome of a change: ok is true once the change is durable, and false if that is uncertain.
+// DoneFunc is called with the outcome of a change. ok is true if the change is durable, and false if its outcome is uncertain.
 type DoneFunc func(now time.Time, ok bool)
 
-// entry is one named value.
+// entry is a named value on a page.
 type entry struct {
 	raw      msgpack.RawMessage
-	size     int // JSON bytes of name and value, or the space reserved for them if that is more
+	size     int // JSON bytes of name and value, or the space reserved for them if it is larger
 	page     *page
 	finished bool // record of a finished job, which may be archived
 }
 
-// page is a group of entries that is written as one key.
+// page is a group of entries that are written as the value of one key.
 type page struct {
 	key            string
 	modRevision    uint64 // 0: never written
@@ -36,8 +36,8 @@
 	urgent         bool
 	dirtySince     time.Time // when the oldest unsaved change was made
 	waiters        []DoneFunc
-	hasStaleCopies bool // the stored page has entries that have moved to other pages
-	unsplittable   bool // a single entry exceeds the limit of a page
+	hasStaleCopies bool // the stored page has copies of entries that were moved to other pages
+	unsplittable   bool // a single entry exceeds the size limit of a page
 }
 
 func newPage(key string) *page {
@@ -46,7 +46,7 @@
 
 func pageKey(number int) string { return fmt.Sprintf("%s%06d", PagePrefix, number) }
 
-// addStored adds the entries of the stored page.
+// addStored adds the entries of a page as it is stored.
 func (p *page) addStored(value pageValue) {
 	for name, raw := range value.Entries {
 		p.add(name, raw)
@@ -69,7 +69,7 @@
 	return size
 }
 
-// value returns the stored form of the page for the commit of this leader and sequence number.
+// value returns the stored form of the page for a commit. leader is the fencing token, sequence the number of the commit.
 func (p *page) value(leader, sequence uint64) pageValue {
 	value := pageValue{Sequence: sequence, Leader: leader, Entries: make(map[string]msgpack.RawMessage, len(p.entries))}
 	for name, e := range p.entries {
@@ -78,13 +78,13 @@
 	return value
 }
 
-// grow sets the size of an entry on this page.
-func (p *page) grow(e *entry, size int) {
+// resizeEntry changes the size of an entry on this page.
+func (p *page) resizeEntry(e *entry, size int) {
 	p.size += size - e.size
 	e.size = size
 }
 
-// moveEntry moves an entry from this page to another.
+// moveEntry moves an entry to another page, together with the space reserved for it.
 func (p *page) moveEntry(name string, target *page) {
 	e := p.entries[name]
 	delete(p.entries, name)
@@ -115,8 +115,8 @@
 	}
 }
 
-// addStored adds a page that was read. Pages must be added in the order of their numbers: if an entry is on two of them, an earlier
-// leader has copied it to the one with the higher number, which is valid.
+// addStored adds a page that was read. Pages must be added in the order of their numbers. If an entry is on two pages, an earlier leader
+// copied it to the page with the higher number, and that copy is the valid one.
 func (t *pageTable) addStored(key string, modRevision uint64, value pageValue) {
 	added := newPage(key)
 	added.modRevision = modRevision
@@ -136,10 +136,10 @@
 	}
 }
 
-// names returns the names of all entries, sorted.
+// names returns the sorted names of all entries.
 func (t *pageTable) names() []string { return slices.Sorted(maps.Keys(t.entries)) }
 
-// remove removes an entry from its page.
+// remove removes an entry from its page and from the table. The caller marks the page as dirty if it must be written.
 func (t *pageTable) remove(name string, e *entry) {
 	delete(t.entries, name)
 	delete(e.page.entries, name)
@@ -160,8 +160,8 @@
 	}
 }
 
-// choosePage returns a page for a new entry: one that has to be written anyway, else the fullest one with enough space, else a new one.
-// It returns nil if the entry exceeds the limit of a page.
+// choosePage returns the page for a new entry: a dirty page (urgent ones first), else the fullest page with enough space, else a new page.
+// It returns nil if the entry exceeds the size limit of a page.
 func (t *pageTable) choosePage(size int) *page {
 	if size+pageOverhead > t.maxPageBytes {
 		return nil
@@ -180,7 +180,7 @@
 	return best
 }
 
-// isPreferred reports whether a new entry goes to page a rather than to b.
+// isPreferred reports whether page a is preferred to page b for a new entry.
 func (t *pageTable) isPreferred(a, b *page) bool {
 	dirtyA, dirtyB := t.dirty[a], t.dirty[b]
 	if (dirtyA && a.urgent) != (dirtyB && b.urgent) {
@@ -209,10 +209,10 @@
 	return pages
 }
 
-// isOversized reports whether a page exceeds the limit of a page.
+// isOversized reports whether a page, including reserved space, exceeds the size limit.
 func (t *pageTable) isOversized(p *page) bool { return p.size > t.maxPageBytes }
 
-// hasStaleCopies reports whether some page holds stale copies of entries.
+// hasStaleCopies reports whether any stored page has stale copies of entries.
 func (t *pageTable) hasStaleCopies() bool {
 	for _, p := range t.byKey {
 		if p.hasStaleCopies {
@@ -222,7 +222,7 @@
 	return false
 }
 
-// largestOversized returns the largest page that exceeds the limit and can be split, or nil.
+// largestOversized returns the largest page that exceeds the size limit and can be split, or nil.
 func (t *pageTable) largestOversized() *page {
 	var largest *page
 	for _, p := range t.byKey {
--- a/internal/controller/storage/split.go
+++ b/internal/controller/storage/split.go
@@ -10,30 +10,31 @@
 	"gullrudder/internal/wire/client"
 )
 
-// maxSplitDelay is how long a split yields to urgent writes.
+// maxSplitDelay is the maximum time for which a split waits in favour of urgent writes.
 const maxSplitDelay = 2 * time.Second
 
-// splitState is the state of the splits of oversized pages: pages that an earlier version wrote, or this one before lower limits were
-// configured.
+// splitState tracks the splitting of oversized pages. An earlier version wrote them, or this version before lower limits were configured.
 //
-// They are split as soon as they have been read. One transaction moves entries from a page to new pages, so each entry is on one page
-// at any time and both versions can read all of them. Once the state service refuses values of the old size, a page can be so large
-// that it cannot be written even without the moved entries. Then its entries are copied first, to some new pages at a time, and the
-// page is written last, without them. Until then the stored page has stale copies: of two entries with the same name, the one on the
-// page with the higher number is valid, and no finished job is archived, since its stale copy would then become valid again.
+// Pages are split as soon as all of them have been read. One transaction moves entries from a page to new pages. Each entry is therefore
+// on one page at any time, and both versions can read all entries.
+//
+// Once the state service rejects values of the old size, a page may be too large to be written even without the moved entries. Its entries
+// are then copied in several transactions, each to a few new pages, and the page is written last, without them. Until then the stored page
+// has stale copies. Of two entries with the same name, the one on the page with the higher number is valid. No finished job is archived
+// during this time, because its stale copy would become valid again.
 type splitState struct {
-	dueSince      time.Time // when the present split became due
-	limitsLowered bool      // the state service refuses values of the old size
-	uncertainPage *page     // a new page of a split that failed or may still be executed
+	dueSince        time.Time // when the current split became due
+	limitsLowered   bool      // the state service rejects values of the old size
+	uncertainTarget *page     // new page of a failed split, which may still be executed
 }
 
-// isUnwritable reports whether the state service refuses values of the present size of a page.
+// isUnwritable reports whether the state service would reject a page because of its current size.
 func (s *Store) isUnwritable(p *page) bool {
 	return s.splits.limitsLowered && s.pages.isOversized(p) && p.encodedSize() > s.options.MaxValueBytes
 }
 
-// nextSplit returns the next transaction that makes a page smaller, or nil if none is due or the budget does not allow it. Urgent writes
-// go first, for up to maxSplitDelay.
+// nextSplit returns the next move that makes an oversized page smaller. It returns nil if no split is due, or if the write budget does not
+// allow one. A split waits for urgent writes for up to maxSplitDelay.
 func (s *Store) nextSplit(now time.Time) *entryMove {
 	largest := s.pages.largestOversized()
 	if largest == nil {
@@ -59,16 +60,16 @@
 	return plan.move
 }
 
-// splitPlan is a split under construction.
+// splitPlan is a split that is being planned.
 type splitPlan struct {
-	move       *entryMove
-	targets    []*page
-	nextNumber int // of the page after the new ones
-	remaining  int // JSON bytes left on the page, including reserved space
-	encoded    int // JSON bytes left on the page without reserved space
+	move              *entryMove
+	targets           []*page
+	nextNumber        int // number of the next page after the targets
+	sourceSize        int // JSON bytes that stay on the source page, including reserved space
+	sourceEncodedSize int // JSON bytes that stay on the source page, without reserved space
 }
 
-// add moves an entry to the last target, or to a new one if it does not fit. It returns false if maxTargets is reached.
+// add plans to move an entry to the last target, or to a new target if it does not fit. It returns false if that would exceed maxTargets.
 func (p *splitPlan) add(name string, moved *entry, maxPageBytes, maxTargets int) bool {
 	if len(p.targets) == 0 || p.targets[len(p.targets)-1].size+moved.size > maxPageBytes {
 		if len(p.targets) == maxTargets {
@@ -79,28 +80,28 @@
 	}
 	target := p.targets[len(p.targets)-1]
 	target.size += moved.size
-	p.remaining -= moved.size
-	p.encoded -= entrySize(name, moved.raw)
+	p.sourceSize -= moved.size
+	p.sourceEncodedSize -= entrySize(name, moved.raw)
 	p.move.removed[name] = true
 	p.move.targets[target] = append(p.move.targets[target], name)
 	return true
 }
 
-// planSplit chooses the entries to move from a page, and their new pages, as many as one transaction can write.
+// planSplit chooses the entries to move from a page and their new pages, at most as many as one transaction can write.
 func (s *Store) planSplit(source *page) *splitPlan {
 	plan := &splitPlan{
-		move:       &entryMove{removed: map[string]bool{}, source: source, targets: map[*page][]string{}},
-		nextNumber: s.pages.nextNumber,
-		remaining:  source.size,
-		encoded:    source.encodedSize(),
+		move:              &entryMove{removed: map[string]bool{}, source: source, targets: map[*page][]string{}},
+		nextNumber:        s.pages.nextNumber,
+		sourceSize:        source.size,
+		sourceEncodedSize: source.encodedSize(),
 	}
 	maxTargets := s.options.MaxTransactionOps - 1
 	if s.splits.limitsLowered {
-		maxTargets = s.options.MaxTransactionOps // the page itself may be too large to be written with them
+		maxTargets = s.options.MaxTransactionOps // the source page itself may be too large to be written
 	}
 	for _, name := range slices.Sorted(maps.Keys(source.entries)) {
 		e := source.entries[name]
-		if plan.remaining <= s.options.MaxValueBytes || e.size+pageOverhead > s.options.MaxValueBytes {
+		if plan.sourceSize <= s.options.MaxValueBytes || e.size+pageOverhead > s.options.MaxValueBytes {
 			continue
 		}
 		if !plan.add(name, e, s.options.MaxValueBytes, max(maxTargets, 1)) {
@@ -108,41 +109,42 @@
 		}
 	}
 	for _, target := range plan.targets {
-		target.size = pageOverhead // counted again when the entries move
+		target.size = pageOverhead // the entries are counted again when they are moved
 	}
 	plan.move.pages = plan.targets
-	if plan.encoded <= s.options.MaxValueBytes && len(plan.targets) < s.options.MaxTransactionOps || !s.splits.limitsLowered {
+	if plan.sourceEncodedSize <= s.options.MaxValueBytes && len(plan.targets) < s.options.MaxTransactionOps || !s.splits.limitsLowered {
 		plan.move.pages = append([]*page{source}, plan.targets...)
 	}
 	plan.move.done = func(_ time.Time, ok bool) {
 		if !ok {
 			written := plan.move.pages
-			s.splits.uncertainPage = newPage(written[len(written)-1].key)
+			s.splits.uncertainTarget = newPage(written[len(written)-1].key)
 		}
 	}
 	return plan
 }
 
-// invalidateUncertainSplit writes a new page of a split that may still be executed, without entries. The split requires that this page
-// does not exist, so it fails from then on. This has to be certain before anything else is written: if the split was executed after
-// another try, or after a change of the source page, it would leave unknown copies of entries, which would restore jobs that had ended
-// or been archived since.
+// invalidateUncertainSplit ensures that an uncertain split can no longer be executed. It writes one of the split's new pages without
+// entries. The split has the precondition that this page does not exist, so it fails from then on.
+//
+// Nothing else is written before that. If the split was executed after another attempt, or after a change of the source page, it would
+// leave copies of entries that the leader does not know. These would restore jobs that have ended or been archived since.
 func (s *Store) invalidateUncertainSplit(now time.Time, outbox *client.Outbox) {
 	if s.writeLimiter.Available(now) < 1 {
 		return
 	}
-	empty := s.splits.uncertainPage
+	empty := s.splits.uncertainTarget
 	empty.waiters = []DoneFunc{func(_ time.Time, ok bool) {
 		if ok {
-			s.pages.byKey[empty.key], s.splits.uncertainPage = empty, nil
+			s.pages.byKey[empty.key], s.splits.uncertainTarget = empty, nil
 		}
 	}}
 	s.writeLimiter.Take(1)
 	s.sendCommit(outbox, []*page{empty}, nil)
 }
 
-// applySplit applies a durable split in memory. Changes of the source page since the commit have to be written on the pages that have its
-// entries now, and its waiters wait for all of these.
+// applySplit applies a durable split in memory. If the source page was changed after the commit was sent, all pages that now have its
+// entries are marked as dirty, and the waiters of these changes are notified once all of them are durable.
 func (s *Store) applySplit(now time.Time, move *entryMove) {
 	source := move.source
 	all := []*page{source}
@@ -169,19 +171,19 @@
 	}
 }
 
-// moveToTarget moves entries to a new page of a split.
+// moveToTarget moves entries in memory to a new page of a split.
 func (s *Store) moveToTarget(now time.Time, move *entryMove, target *page) {
 	s.pages.byKey[target.key] = target
 	for _, name := range move.targets[target] {
 		if move.source.entries[name] == nil {
-			s.pages.setDirty(now, target, false, nil) // it was deleted meanwhile
+			s.pages.setDirty(now, target, false, nil) // the entry was deleted after the commit was sent
 			continue
 		}
 		move.source.moveEntry(name, target)
 	}
 }
 
-// notifyWhenAllDurable calls done with true once all pages are durable, and with false whenever one of them is uncertain.
+// notifyWhenAllDurable calls done with true once all pages are durable, and with false each time that the outcome for a page is uncertain.
 func notifyWhenAllDurable(pages []*page, done DoneFunc) {
 	durable := map[*page]bool{}
 	for _, p := range pages {
@@ -197,8 +199,8 @@
 	}
 }
 
-// handleMalformedCommit handles that the state service refused a commit as malformed: it no longer accepts values of that size, or that
-// many changes in a transaction. The limits are lowered for the next commits.
+// handleMalformedCommit handles a commit that the state service rejected as malformed. The service no longer accepts values of that size,
+// or that many operations in a transaction. The limits for the next commits are lowered accordingly.
 func (s *Store) handleMalformedCommit(pages []*page) {
 	if slices.ContainsFunc(pages, func(p *page) bool { return p.encodedSize() > s.options.MaxValueBytes }) {
 		if !s.splits.limitsLowered {
--- a/internal/controller/storage/store.go
+++ b/internal/controller/storage/store.go
@@ -1,9 +1,9 @@
-// Package storage keeps the persistent state in the state service. A page is one key with many entries, and changed pages are written in
-// group commits. Every commit requires the known revisions of the leader's key and of every page that it writes, so a commit that is
-// executed late or twice has no effect.
+// Package storage keeps the controllers' persistent state in the state service. Entries are grouped into pages, and each page is one key.
+// Changed pages are written in group commits. Every commit has preconditions on the revisions of the leader's key and of every page that
+// it writes. A commit that is executed late or twice therefore has no effect.
 //
-// A Store owns one leadership's copy of the pages. It is made at the election and dropped whole when the leadership ends. It also writes
-// the keys of package archive, by the same rules. It never interprets an entry, and never answers a user.
+// A Store holds one leadership's copy of the pages. It is created at the election and discarded when the leadership ends. It also writes
+// the keys of package archive, with the same preconditions. It does not interpret entries and does not answer users.
 // Design notes: docs/design/storage.md, and docs/design/upgrade.md for splits.
 package storage
 
@@ -20,34 +20,34 @@
 )
 
 const (
-	// MaxTransactionBytes bounds the JSON bytes of the values of one transaction.
+	// MaxTransactionBytes is the limit of the total size of the values in one transaction, in JSON bytes.
 	MaxTransactionBytes = 56 << 10
 
-	// writeRateShare is the share of the state service's write limit that is used. The rest is a margin, since both sides do not count
-	// a write at the same instant.
+	// writeRateShare is the share of the state service's write limit that is used. The rest is a margin: the two sides count a write at
+	// different instants.
 	writeRateShare = 0.92
-	// writeBurst is the time for which unused writes accumulate.
+	// writeBurst is the maximum time over which unused writes accumulate.
 	writeBurst = time.Second
 )
 
 // Options are the parameters and limits of a Store.
 type Options struct {
-	LeaderKey         string        // key that names the leader; every commit requires its revision
-	MaxValueBytes     int           // limit of a value in JSON bytes
-	MaxTransactionOps int           // limit of the operations of a transaction
-	WriteRate         float64       // limit of the state service in operations per second
-	BatchDelay        time.Duration // how long a change that is not urgent may wait for others
+	LeaderKey         string        // key that names the leader; every commit has a precondition on its revision
+	MaxValueBytes     int           // limit of the size of a value, in JSON bytes
+	MaxTransactionOps int           // limit of the number of operations in a transaction
+	WriteRate         float64       // write limit of the state service, in operations per second
+	BatchDelay        time.Duration // minimum age of a change that is not urgent before it is written
 }
 
-// Store is a leader's copy of the pages, with the changes that are not written yet. It belongs to the controller's event loop and is
-// not safe for concurrent use.
+// Store is a leader's copy of the pages, including changes that are not written yet. It must be used only from the controller's event
+// loop: it is not safe for concurrent use.
 type Store struct {
 	options      Options
 	log          *slog.Logger
 	fencingToken uint64
 	writeLimiter *client.RateLimiter
-	closed       bool // responses are dropped
-	fenced       bool // another leader has written: this one has to step down
+	closed       bool // responses are ignored
+	fenced       bool // another leader has written, so this one must step down
 
 	pages   pageTable
 	loading loadProgress
@@ -56,7 +56,8 @@
 	archive archiveState
 }
 
-// New returns the store of a new leadership. Load has to be called first.
+// New returns the store of a new leadership. Load must be called before any other method. fencingToken is the revision of the leader's key
+// at the election.
 func New(options Options, fencingToken uint64, log *slog.Logger) *Store {
 	return &Store{
 		options:      options,
@@ -68,19 +69,19 @@
 	}
 }
 
-// Close makes the store ignore all later responses.
+// Close makes the store ignore all responses that arrive later. It does not cancel calls that were sent.
 func (s *Store) Close() { s.closed = true }
 
-// IsLoaded reports whether all pages have been read.
+// IsLoaded reports whether all pages and the archive's head and index have been read.
 func (s *Store) IsLoaded() bool { return s.loading.completed }
 
-// IsFenced reports whether another leader has written, so that this leadership is over.
+// IsFenced reports whether another leader has written. This leadership is then over, and Flush sends nothing more.
 func (s *Store) IsFenced() bool { return s.fenced }
 
-// IsHealthy reports whether commits succeed.
+// IsHealthy reports whether no commit has failed or become uncertain since the last successful one.
 func (s *Store) IsHealthy() bool { return s.commits.failingSince.IsZero() }
 
-// send sends a request to the state service. Its response is dropped once the leadership is over.
+// send queues a request to the state service. Its response is ignored once the store is closed.
 func (s *Store) send(outbox *client.Outbox, request client.Call) {
 	done := request.Done
 	request.Destination = client.StateService
@@ -92,7 +93,7 @@
 	outbox.Add(request)
 }
 
-// ForEach calls f with every entry, sorted by name.
+// ForEach calls f for every entry, in the order of their names. decode decodes the value into the given pointer.
 func (s *Store) ForEach(f func(name string, decode func(any) error)) {
 	for _, name := range s.pages.names() {
 		e := s.pages.entries[name]
@@ -100,19 +101,19 @@
 	}
 }
 
-// MaxEntryBytes returns the limit in JSON bytes of the value of an entry that has a page to itself.
+// MaxEntryBytes returns the maximum size of the value of an entry that is alone on its page, in JSON bytes.
 func (s *Store) MaxEntryBytes(name string) int {
 	return s.options.MaxValueBytes - pageOverhead - len(name) - entryOverhead
 }
 
-// EntryTooLargeError is the error that an entry does not fit on its page, or on any page. Its text is part of answers to users.
+// EntryTooLargeError reports an entry that does not fit on its page, or on any page. Its text is part of responses to users.
 type EntryTooLargeError struct {
 	Name   string
 	Bytes  int  // JSON bytes of name and value
-	OnPage bool // the entry is on a page that it would outgrow
+	OnPage bool // the entry is already on a page, which would exceed its limit
 }
 
-// Error returns the text with the size of the entry.
+// Error returns a message with the name and the size of the entry.
 func (e *EntryTooLargeError) Error() string {
 	if e.OnPage {
 		return fmt.Sprintf("entry %s: grows to %d bytes, more than its page holds", e.Name, e.Bytes)
@@ -120,19 +121,20 @@
 	return fmt.Sprintf("entry %s: %d bytes are more than a page holds", e.Name, e.Bytes)
 }
 
-// SetOptions say how an entry is written.
+// SetOptions are the options of Set.
 type SetOptions struct {
-	// ReservedBytes is the largest size in JSON bytes that the value may reach; 0: its present size. An entry never changes its page
-	// because it grows.
+	// ReservedBytes is the maximum size that the value may reach, in JSON bytes. 0 stands for the current size. A growing entry stays on
+	// its page.
 	ReservedBytes int
-	// Urgent is set if a request waits for the change: it is written with the next commit.
+	// Urgent is set if a request waits for the change. An urgent change is written with the next commit.
 	Urgent bool
-	// Done, unless nil, is called with true once the change is durable, and with false if that is uncertain. In that case the change
-	// stays, is written again, and Done is called again.
+	// Done is called with true once the change is durable, and with false if its outcome is uncertain. After false the change is kept and
+	// written again, and Done is called again. Done may be nil.
 	Done DoneFunc
 }
 
-// Set adds or changes an entry. On error, an EntryTooLargeError or an encoding error, nothing is changed.
+// Set adds or changes an entry in memory. A later Flush writes it. The error is an EntryTooLargeError or an encoding error; the entry is
+// then unchanged.
 func (s *Store) Set(now time.Time, name string, value any, options SetOptions) error {
 	raw, size, err := encodeEntry(name, value, options.ReservedBytes)
 	if err != nil {
@@ -151,13 +153,13 @@
 	if size > e.size && e.page.size+size-e.size > s.options.MaxValueBytes {
 		return &EntryTooLargeError{Name: name, Bytes: size, OnPage: true}
 	}
-	e.page.grow(e, size)
+	e.page.resizeEntry(e, size)
 	e.raw = raw
 	s.pages.setDirty(now, e.page, options.Urgent, options.Done)
 	return nil
 }
 
-// encodeEntry returns an entry's encoded value and the JSON bytes that name and value take in a page.
+// encodeEntry returns an entry's encoded value, and the size of its name and value in a page, in JSON bytes.
 func encodeEntry(name string, value any, reservedBytes int) (raw msgpack.RawMessage, size int, err error) {
 	if raw, err = codec.Marshal(value); err != nil {
 		return nil, 0, fmt.Errorf("entry %s: %w", name, err)
@@ -172,18 +174,19 @@
 	return raw, reservedBytes + len(name) + entryOverhead, nil
 }
 
-// Reserve reserves space for the growth of an entry that was loaded, since the stored value shows only its present size.
+// Reserve reserves space for the growth of a loaded entry, in JSON bytes of its value. The stored value shows only its current size.
+// Reserve does nothing if there is no such entry.
 func (s *Store) Reserve(name string, reservedBytes int) {
 	e := s.pages.entries[name]
 	if e == nil {
 		return
 	}
 	if size := reservedBytes + len(name) + entryOverhead; size > e.size {
-		e.page.grow(e, size)
+		e.page.resizeEntry(e, size)
 	}
 }
 
-// Delete removes an entry.
+// Delete removes an entry in memory. A later Flush writes its page. It does nothing if there is no such entry.
 func (s *Store) Delete(now time.Time, name string) {
 	e := s.pages.entries[name]
 	if e == nil {
@@ -193,7 +196,7 @@
 	s.pages.setDirty(now, e.page, false, nil)
 }
 
-// SetFinished marks an entry as the record of a finished job, which may be archived.
+// SetFinished marks an entry as the record of a finished job, which may be archived. It does nothing if there is no such entry.
 func (s *Store) SetFinished(name string) {
 	if e := s.pages.entries[name]; e != nil && !e.finished {
 		e.finished = true
@@ -201,8 +204,8 @@
 	}
 }
 
-// SpareWrites returns the number of writes that are available now for changes that are not urgent. Half of the budget is left to urgent
-// ones.
+// SpareWrites returns the number of writes that are available now for changes that are not urgent. The writes of half a second stay
+// reserved for urgent changes.
 func (s *Store) SpareWrites(now time.Time) int {
 	return max(s.writeLimiter.Available(now)-int(s.options.WriteRate/2), 0)
 }
