--- a/internal/controller/jobstore/cancellation.go
+++ b/internal/controller/jobstore/cancellation.go
@@ -7,7 +7,8 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// ApplyCancellation records that the cancellation of a job is durable. All jobs that depend on it are cancelled, too.
+// ApplyCancellation records that the cancellation of a job is durable, and cancels all jobs that depend on it, directly or through others.
+// The job stays in Unfinished until none of its tasks runs.
 func (s *Store) ApplyCancellation(now time.Time, job *jobs.Job) {
 	job.State, job.CancelConfirmedAt = jobs.Cancelled, now
 	s.stopping[job] = true
@@ -16,15 +17,16 @@
 	s.cancelDependents(now, s.dependencies.graph.Dependents(job.ID))
 }
 
-// RetireCancelled records that a job was accepted after one of its dependencies had been cancelled: its final state is cancelled.
+// RetireCancelled records that a job is cancelled because one of its dependencies had been cancelled before it was accepted. It is retired
+// at once, with the final state cancelled.
 func (s *Store) RetireCancelled(now time.Time, job *jobs.Job) {
 	job.State, job.CancelConfirmedAt = jobs.Cancelled, now
 	s.accounting.Finish(now, job)
 	s.retire(now, job)
 }
 
-// CancellationsCompletedBefore returns the time before which every confirmed cancellation is completed, which is now if all are. known
-// is false if the time at which an earlier leader confirmed one of them is unknown.
+// CancellationsCompletedBefore returns the confirmation time of the oldest cancellation that is not completed, or now if there is none.
+// known is false if an earlier leader confirmed one of them at an unknown time.
 func (s *Store) CancellationsCompletedBefore(now time.Time) (oldest time.Time, known bool) {
 	oldest = now
 	for job := range s.stopping {
@@ -38,11 +40,10 @@
 	return oldest, true
 }
 
-// IsStopping reports whether the job is cancelled and some of its tasks may still run.
+// IsStopping reports whether the job is cancelled but some of its tasks may still run.
 func (s *Store) IsStopping(job *jobs.Job) bool { return s.stopping[job] }
 
-// IsTaskCancelled reports whether a task belongs to a job that is cancelled, or is being cancelled. Such a task must be killed in any
-// case.
+// IsTaskCancelled reports whether a task belongs to a job that is cancelled or is being cancelled. Such a task must be killed.
 func (s *Store) IsTaskCancelled(task jobs.TaskID) bool {
 	if job := s.Unfinished[task.JobID]; job != nil {
 		return job.IsCancelling || job.State == jobs.Cancelled
--- a/internal/controller/jobstore/dependencies.go
+++ b/internal/controller/jobstore/dependencies.go
@@ -12,39 +12,39 @@
 	"gullrudder/internal/wire/client"
 )
 
-// resolveInterval is the time between two lookups in the archive's data for dependencies that its index cannot decide.
+// resolveInterval is the minimum time between two rounds of lookups in the archive's data for unresolved dependencies.
 const resolveInterval = 500 * time.Millisecond
 
-// DependencyState is the durable state of a job that another one depends on.
+// DependencyState is the durable state of a job on which another job depends.
 type DependencyState int
 
 // States of a dependency.
 const (
-	DependencyNeverAccepted DependencyState = iota
-	DependencyOpen                          // accepted, and neither done nor cancelled
-	DependencyMet                           // done, durably
-	DependencyCancelled                     // cancelled, durably
-	DependencyUndecided                     // its acceptance or cancellation is being written
-	DependencyService                       // a service, which is never done
-	DependencyArchived                      // perhaps in the archive, which only its data can decide
+	DependencyNeverAccepted DependencyState = iota // unknown to pages and archive
+	DependencyOpen                                 // accepted, neither done nor cancelled
+	DependencyMet                                  // durably done
+	DependencyCancelled                            // durably cancelled
+	DependencyUndecided                            // its acceptance or cancellation is being written, or one of its dependencies is unresolved
+	DependencyService                              // a service, which is never done
+	DependencyArchived                             // may be in the archive; the index does not tell, only the data does
 )
 
-// dependencyState is the state of the dependencies between jobs.
+// dependencyState is the graph of unmet dependencies and the progress of resolving dependencies in the archive's data.
 type dependencyState struct {
 	graph         *dependencies.Graph
 	unresolved    []*unresolvedDependency
 	nextResolveAt time.Time
 }
 
-// unresolvedDependency is a dependency that only the archive's data can decide.
+// unresolvedDependency is a dependency whose state must be looked up in the archive's data.
 type unresolvedDependency struct {
 	job        *jobs.Job
-	dependency string // ID of the job that it depends on, empty once it is resolved
-	resolving  bool
+	dependency string // ID of the job that it depends on; empty once resolved
+	resolving  bool   // a lookup is in flight
 }
 
-// DependencyState returns the state of a job that another one depends on. Only durable changes count: those in the pages, by this leader
-// or an earlier one, or in the archive.
+// DependencyState returns the state of a job on which another job depends. Only durable changes count. They may be in the pages, written by
+// this leader or an earlier one, or in the archive.
 func (s *Store) DependencyState(jobID string) DependencyState {
 	if finished, ok := s.finished[jobID]; ok {
 		if finished.State == jobs.Cancelled {
@@ -80,7 +80,7 @@
 	return DependencyOpen
 }
 
-// WaitingJobs returns the accepted jobs with unmet dependencies, the oldest first.
+// WaitingJobs returns the accepted jobs with unmet dependencies, in the order of their submission.
 func (s *Store) WaitingJobs() []*jobs.Job {
 	var waiting []*jobs.Job
 	for _, job := range s.Unfinished {
@@ -94,10 +94,11 @@
 	return waiting
 }
 
-// DependencyGraph returns the graph of the unmet dependencies. Other packages must not change it.
+// DependencyGraph returns the graph of unmet dependencies. Other packages must not modify it.
 func (s *Store) DependencyGraph() *dependencies.Graph { return s.dependencies.graph }
 
-// WaitForDependencies adds the missing dependencies of a job that is about to be accepted to the graph.
+// WaitForDependencies adds the unmet dependencies of a job that is about to be accepted to the graph. missing has the IDs of the jobs on
+// which it waits. A job whose dependencies are all met is marked as ready.
 func (s *Store) WaitForDependencies(now time.Time, job *jobs.Job, missing []string) {
 	if len(job.Dependencies) == 0 {
 		return
@@ -109,8 +110,8 @@
 	s.dependencies.graph.Add(job, missing)
 }
 
-// ApplyAcceptance records that the acceptance of a job is durable, and applies changes of its dependencies since the commit was sent: if
-// one was cancelled the job is cancelled, too, and if the last one was done the time of that is written.
+// ApplyAcceptance records that the acceptance of a job is durable, and applies changes of its dependencies since the commit was sent. If
+// one of them was cancelled, the job is cancelled too. If the last one was done meanwhile, the time at which the job became ready is saved.
 func (s *Store) ApplyAcceptance(now time.Time, job *jobs.Job) {
 	for _, id := range s.dependencies.graph.Unmet(job) {
 		if s.DependencyState(id) == DependencyCancelled {
@@ -119,7 +120,7 @@
 		}
 	}
 	if job.UnmetDependencies > 0 {
-		s.observer.JobWaiting(job) // only now, since the job is not known to be guaranteed before
+		s.observer.JobWaiting(job) // not called earlier: only now it is known whether the job is guaranteed
 		return
 	}
 	if job.ReadyAt.After(job.SubmittedAt) {
@@ -128,11 +129,11 @@
 	s.observer.JobReady(now, job)
 }
 
-// releaseDependents makes the jobs ready whose last unmet dependency is a job that is now done, durably.
+// releaseDependents marks the jobs as ready whose last unmet dependency was the job with this ID, which is now durably done.
 func (s *Store) releaseDependents(now time.Time, id string) {
 	for _, job := range s.dependencies.graph.RecordDone(now, id) {
 		if job.State != jobs.Accepted {
-			continue // its acceptance is being written
+			continue // its acceptance is being written; ApplyAcceptance will report it as ready
 		}
 		s.SaveRecord(now, job)
 		s.observer.JobReady(now, job)
@@ -141,14 +142,14 @@
 	}
 }
 
-// withDependents returns a job and all that depend on it.
+// withDependents returns a job and all jobs that depend on it, directly or through others.
 func (s *Store) withDependents(job *jobs.Job) []*jobs.Job {
 	return append([]*jobs.Job{job}, s.dependencies.graph.Dependents(job.ID)...)
 }
 
-// cancelDependents cancels jobs that depend, directly or through others, on one whose cancellation is durable. None of them has a task on
-// any machine, since their dependencies were never done. Their cancellation is durable by the record of that one job, from which every
-// leader derives it; their own records are written later.
+// cancelDependents cancels jobs that depend, directly or through others, on a job whose cancellation is durable. None of them has a task on
+// any machine, since their dependencies were never done. Their own records are written later. Their cancellation is durable nevertheless:
+// every leader derives it from the record of the job on which they depend.
 func (s *Store) cancelDependents(now time.Time, dependents []*jobs.Job) {
 	if len(dependents) == 0 {
 		return
@@ -165,12 +166,12 @@
 	s.observer.OrderChanged()
 }
 
-// restoreDependencies adds the unmet dependencies of restored jobs to the graph, once all jobs are restored.
+// restoreDependencies adds the unmet dependencies of restored jobs to the graph. All jobs must have been restored before.
 func (s *Store) restoreDependencies(now time.Time) {
 	var cancelled []*jobs.Job
 	for _, job := range s.Unfinished {
 		if len(job.Dependencies) == 0 || job.State != jobs.Accepted || !job.ReadyAt.IsZero() {
-			continue // it has no unmet dependency
+			continue // it has no unmet dependencies
 		}
 		missing, hasCancelled := s.unmetDependencies(job)
 		if hasCancelled {
@@ -179,7 +180,7 @@
 		if len(missing) > 0 {
 			s.dependencies.graph.Add(job, missing)
 		} else {
-			job.ReadyAt = now // its dependencies were done under an earlier leader, which did not write ReadyAt
+			job.ReadyAt = now // its dependencies were done under an earlier leader, which did not save ReadyAt
 		}
 	}
 	for _, job := range cancelled {
@@ -192,8 +193,8 @@
 	}
 }
 
-// unmetDependencies returns the dependencies of a restored job that are not done, and whether one is cancelled. Those that only the
-// archive's data can decide are added to the unresolved ones.
+// unmetDependencies returns the IDs of the dependencies of a restored job that are not done, and whether one of them is cancelled.
+// Dependencies that must be looked up in the archive's data are added to the unresolved ones.
 func (s *Store) unmetDependencies(job *jobs.Job) (missing []string, hasCancelled bool) {
 	for _, id := range job.Dependencies {
 		switch s.DependencyState(id) {
@@ -212,8 +213,8 @@
 	return missing, hasCancelled
 }
 
-// resolveDependencies looks up unresolved dependencies in the archive's data. Until they are resolved no request about the jobs that
-// depend on them is answered: an earlier leader may have reported these as cancelled.
+// resolveDependencies looks up unresolved dependencies in the archive's data. Until a dependency is resolved, no request about the jobs
+// that depend on it is answered, since an earlier leader may have reported these jobs as cancelled.
 func (s *Store) resolveDependencies(now time.Time, outbox *client.Outbox) {
 	if len(s.dependencies.unresolved) == 0 || now.Before(s.dependencies.nextResolveAt) {
 		return
@@ -232,10 +233,10 @@
 				}
 			})
 	}
-	s.forgetResolved()
+	s.dropResolved()
 }
 
-// resolveDependency records the result of the lookup of a dependency in the archive's data.
+// resolveDependency applies the result of a lookup in the archive's data.
 func (s *Store) resolveDependency(now time.Time, resolved *unresolvedDependency, final jobs.FinalState, found bool) {
 	switch {
 	case found && final.State == jobs.Cancelled:
@@ -248,8 +249,8 @@
 	resolved.dependency = ""
 }
 
-// forgetResolved drops the resolved dependencies. A job stays undecided as long as one of its dependencies is unresolved.
-func (s *Store) forgetResolved() {
+// dropResolved removes the resolved dependencies from the list. A job stays undecided while any of its dependencies is unresolved.
+func (s *Store) dropResolved() {
 	unresolved := s.dependencies.unresolved[:0]
 	for _, u := range s.dependencies.unresolved {
 		u.job.HasUndecidedDependency = false
--- a/internal/controller/jobstore/restore.go
+++ b/internal/controller/jobstore/restore.go
@@ -7,8 +7,9 @@
 	"gullrudder/internal/logkeys"
 )
 
-// RestoreJob restores a job from its record at a failover. leaderSince is when the leadership began. confirmedAt is the earliest time at
-// which a cancellation that is not completed may have been confirmed, zero if it is unknown.
+// RestoreJob restores a job from its record at a failover. It logs an error and skips a record that is invalid. leaderSince is the start of
+// the leadership. confirmedAt is the earliest time at which a cancellation that is not completed may have been confirmed, or zero if that
+// is unknown.
 func (s *Store) RestoreJob(now, leaderSince, confirmedAt time.Time, name string, decode func(any) error) {
 	var record jobs.Record
 	if err := decode(&record); err != nil {
@@ -36,11 +37,12 @@
 	}
 }
 
-// RestoreChunk restores the results of some tasks of a large array. All jobs must have been restored before.
+// RestoreChunk restores one chunk of the task results of a large array. It deletes the chunk if there is no unfinished job with this ID.
+// RestoreJob must have been called for all jobs before.
 func (s *Store) RestoreChunk(now time.Time, name, jobID string, chunk int, results jobs.Chunk) {
 	job := s.Unfinished[jobID]
 	if job == nil {
-		// An earlier leader ended after the job was done and before its chunks were deleted.
+		// The job is finished, but the earlier leader's leadership ended before it had deleted the chunks.
 		s.storage.Delete(now, name)
 		return
 	}
@@ -49,8 +51,8 @@
 	}
 }
 
-// FinishRestore restores the dependencies, reserves space for the growth of the jobs' records, and finishes the jobs whose tasks are all
-// done. All jobs and chunks must have been restored before.
+// FinishRestore completes a restore. It restores the dependencies, reserves space for the growth of the jobs' records, and finishes the
+// jobs whose tasks are all done. All jobs and chunks must have been restored before.
 func (s *Store) FinishRestore(now time.Time) {
 	s.restoreDependencies(now)
 	for _, job := range s.Unfinished {
--- a/internal/controller/jobstore/save.go
+++ b/internal/controller/jobstore/save.go
@@ -8,35 +8,35 @@
 	"gullrudder/internal/logkeys"
 )
 
-// saveInterval is the time between two writes of task results. No request waits for them, so they are batched.
+// saveInterval is the minimum time between two writes of task results. They are batched because no request waits for them.
 const saveInterval = time.Second
 
-// saveState is when task results are written next, and the counter of the checks made with that.
+// saveState is the state of the periodic work of Save.
 type saveState struct {
-	nextAt            time.Time
+	nextAt            time.Time // earliest time of the next save
 	missedStartBounds int
 }
 
-// MissedStartBounds returns the number of jobs whose first task did not start within the bound stated at their acceptance.
+// MissedStartBounds returns the number of jobs whose first task did not start within FirstStartBound, as counted by this leadership.
 func (s *Store) MissedStartBounds() int { return s.saving.missedStartBounds }
 
-// Save writes unsaved task results and retires stopped jobs, at most once in a saveInterval. placing is true once the failover is
-// completed, so that all attempts are known: a cancelled job must not be retired before that.
-func (s *Store) Save(now time.Time, placing bool) {
+// Save writes unsaved task results and retires cancelled jobs whose tasks have ended, at most once per saveInterval. allAttemptsKnown must
+// be false until the failover is completed. Until then some attempts are unknown, so no cancelled job may be retired.
+func (s *Store) Save(now time.Time, allAttemptsKnown bool) {
 	if now.Before(s.saving.nextAt) {
 		return
 	}
 	s.saving.nextAt = now.Add(saveInterval)
-	s.saveJobs(now, placing)
+	s.saveJobs(now, allAttemptsKnown)
 	s.checkStartBounds(now)
 }
 
-// saveJobs writes results of tasks, and retires cancelled jobs whose tasks have all ended.
-func (s *Store) saveJobs(now time.Time, placing bool) {
+// saveJobs writes unsaved task results and retires cancelled jobs whose tasks have all ended.
+func (s *Store) saveJobs(now time.Time, allAttemptsKnown bool) {
 	var running map[*jobs.Job]bool
 	for _, job := range s.Unfinished {
 		switch {
-		case job.State == jobs.Cancelled && len(job.ActiveAttempts) == 0 && placing:
+		case job.State == jobs.Cancelled && len(job.ActiveAttempts) == 0 && allAttemptsKnown:
 			if running == nil {
 				running = s.jobsWithAttempts()
 			}
@@ -50,12 +50,12 @@
 	}
 }
 
-// isWritable reports whether the record of a job may be written in its present state: no other state of it is being written.
+// isWritable reports whether the record of an accepted job may be written. It may not while a change of the job's state is being written.
 func isWritable(job *jobs.Job) bool {
 	return !job.IsFinishing && !job.IsCancelling && job.State == jobs.Accepted
 }
 
-// retireStopped retires a cancelled job whose tasks have all ended.
+// retireStopped writes the final record of a cancelled job whose tasks have all ended, and retires the job.
 func (s *Store) retireStopped(now time.Time, job *jobs.Job) {
 	if err := s.storage.Set(now, job.ID, jobs.NewFinalRecord(jobs.Cancelled, job.Tasks), storage.SetOptions{}); err != nil {
 		s.log.Error("final record not written", logkeys.Job, job.ID, logkeys.Err, err)
@@ -63,16 +63,17 @@
 	s.retire(now, job)
 }
 
-// saveResults writes the results of a job's tasks into its record, or into chunks if the job is a large array.
+// saveResults writes a job's unsaved task results to its record, or to chunks if the job is a large array. The results are marked as
+// durable once all writes are.
 func (s *Store) saveResults(now time.Time, job *jobs.Job) {
 	tasks, chunks := job.TakeUnsaved()
 	var err error
-	unwritten := max(len(chunks), 1)
+	pendingWrites := max(len(chunks), 1)
 	done := func(_ time.Time, ok bool) {
 		if !ok {
 			return
 		}
-		if unwritten--; unwritten == 0 {
+		if pendingWrites--; pendingWrites == 0 {
 			job.RecordDurable(tasks)
 		}
 	}
@@ -89,7 +90,7 @@
 	}
 }
 
-// jobsWithAttempts returns the set of jobs with an attempt on some machine.
+// jobsWithAttempts returns the set of jobs that have an attempt on any machine.
 func (s *Store) jobsWithAttempts() map[*jobs.Job]bool {
 	set := map[*jobs.Job]bool{}
 	for _, machine := range s.workers.Machines {
@@ -102,7 +103,8 @@
 	return set
 }
 
-// SaveRecord writes the present record of a job with the next commit. It is for changes other than task results.
+// SaveRecord stores the current record of a job after a change other than task results. It does nothing while a change of the job's state
+// is being written. An error is logged.
 func (s *Store) SaveRecord(now time.Time, job *jobs.Job) {
 	if !isWritable(job) {
 		return
@@ -112,14 +114,14 @@
 	}
 }
 
-// writeRecord sets the stored record of a job to its present one.
+// writeRecord stores the current record of a job. done may be nil.
 func (s *Store) writeRecord(now time.Time, job *jobs.Job, done func(time.Time, bool)) error {
 	record := job.Record()
 	record.TimeAccount = s.accounting.EncodedAccount(job)
 	return s.storage.Set(now, job.ID, record, storage.SetOptions{ReservedBytes: job.MaxRecordBytes(), Done: done})
 }
 
-// IsResultDurable reports whether the result of a completed task is durable or not needed, so that its worker may forget it.
+// IsResultDurable reports whether the result of a completed task is durable or no longer needed. Its worker may then discard it.
 func (s *Store) IsResultDurable(task jobs.TaskID) bool {
 	job := s.Unfinished[task.JobID]
 	if job == nil || job.State == jobs.Cancelled || task.Index >= job.Tasks {
@@ -128,7 +130,8 @@
 	return job.IsTaskDurable(task.Index)
 }
 
-// FinishIfDone writes the final record of a job if all its tasks are done.
+// FinishIfDone writes the final record of a job if all its tasks are done. The job is finished once that record is durable. It does nothing
+// for a service, or while another change of the job's state is being written.
 func (s *Store) FinishIfDone(now time.Time, job *jobs.Job) {
 	if job.IsService || job.DoneTasks < job.Tasks || !isWritable(job) {
 		return
@@ -145,7 +148,7 @@
 	}
 }
 
-// applyDone records that the final record of a done job is durable.
+// applyDone finishes a done job after its final record became durable.
 func (s *Store) applyDone(now time.Time, job *jobs.Job) {
 	job.State = jobs.Done
 	s.accounting.Finish(now, job)
@@ -155,7 +158,7 @@
 	s.log.Info("job done", logkeys.Job, job.ID, logkeys.Duration, now.Sub(job.SubmittedAt).Round(time.Millisecond))
 }
 
-// retire keeps only the final state of a finished job.
+// retire removes a finished job from the unfinished ones, keeps its final state, and deletes its chunks.
 func (s *Store) retire(now time.Time, job *jobs.Job) {
 	s.finished[job.ID] = newFinishedJob(now, job)
 	s.storage.SetFinished(job.ID)
@@ -167,7 +170,7 @@
 	s.observer.OrderChanged()
 }
 
-// checkStartBounds logs and counts jobs that have missed their start bound.
+// checkStartBounds logs and counts the jobs whose first task did not start within FirstStartBound. Each job is counted once.
 func (s *Store) checkStartBounds(now time.Time) {
 	for _, job := range s.Unfinished {
 		if job.FirstStartBound <= 0 || job.MissedStartBound || !job.IsSchedulable() || job.DoneTasks+len(job.ActiveAttempts) > 0 {
--- a/internal/controller/jobstore/store.go
+++ b/internal/controller/jobstore/store.go
@@ -1,7 +1,7 @@
-// Package jobstore keeps the jobs of a leadership: the unfinished ones, the finished ones that are still in the pages of package storage,
-// and the archive of all others. A Store owns the records of jobs and the graph of their dependencies, and is the only writer of both.
-// It is made at the election and dropped whole when the leadership ends. The package never decides where or when a task runs, and sends
-// nothing to workers or users. Design notes: docs/design/archive.md, docs/design/dependencies.md.
+// Package jobstore keeps the jobs of a leadership: unfinished jobs, finished jobs that are still in the pages of package storage, and the
+// archive of all other finished jobs. A Store owns the job records and the dependency graph, and is the only writer of both. It is created
+// at the election and discarded when the leadership ends. The package does not decide where or when a task runs, and sends nothing to
+// workers or users. Design notes: docs/design/archive.md, docs/design/dependencies.md.
 package jobstore
 
 import (
@@ -20,14 +20,14 @@
 // finishedJob is a finished job that is not archived yet.
 type finishedJob struct {
 	jobs.FinalState
-	finishedAt time.Time
+	finishedAt time.Time // for a restored job, the time of the restore
 }
 
 func newFinishedJob(now time.Time, job *jobs.Job) finishedJob {
 	return finishedJob{FinalState: jobs.FinalState{State: job.State, Tasks: job.Tasks}, finishedAt: now}
 }
 
-// Components are the components of the leadership that a Store uses.
+// Components are the parts of a leadership that a Store uses. All of them are required.
 type Components struct {
 	Platform   *config.Platform
 	Options    *config.Options
@@ -37,34 +37,30 @@
 	Log        *slog.Logger
 }
 
-// Observer is notified of changes of jobs, during the call that makes the change.
+// Observer is notified of changes of jobs. Its methods are called synchronously by the Store method that makes the change.
 type Observer interface {
-	// OrderChanged is called after jobs have left the queue.
+	// OrderChanged is called after jobs have left the queue, which changes its order.
 	OrderChanged()
-	// JobDone is called once it is durable that a job is done.
+	// JobDone is called once the final record of a done job is durable.
 	JobDone(now time.Time, job *jobs.Job)
 	// JobWaiting is called for an accepted job with unmet dependencies.
 	JobWaiting(job *jobs.Job)
-	// JobReady is called once an accepted job has no unmet dependency.
+	// JobReady is called once an accepted job has no unmet dependencies.
 	JobReady(now time.Time, job *jobs.Job)
 }
 
-// noObserver is the observer until another is set.
+// noObserver ignores all notifications. It is the default until SetObserver is called.
 type noObserver struct{}
 
-// OrderChanged does nothing.
 func (noObserver) OrderChanged() {}
 
-// JobDone does nothing.
 func (noObserver) JobDone(time.Time, *jobs.Job) {}
 
-// JobWaiting does nothing.
 func (noObserver) JobWaiting(*jobs.Job) {}
 
-// JobReady does nothing.
 func (noObserver) JobReady(time.Time, *jobs.Job) {}
 
-// Store has all jobs of a leadership. It belongs to the controller's event loop and is not safe for concurrent use.
+// Store holds all jobs of a leadership. It must be used only from the controller's event loop: it is not safe for concurrent use.
 type Store struct {
 	platform   *config.Platform
 	options    *config.Options
@@ -74,17 +70,17 @@
 	accounting *accounting.Tracker
 	observer   Observer
 
-	// Unfinished has the jobs that are neither done nor completely cancelled, by ID. Other packages must not change it.
+	// Unfinished holds, by ID, the jobs that are neither done nor completely cancelled. Other packages must not modify the map.
 	Unfinished map[string]*jobs.Job
 
-	finished     map[string]finishedJob // jobs in the pages, by ID
+	finished     map[string]finishedJob // finished jobs that are still in the pages, by ID
 	stopping     map[*jobs.Job]bool     // cancelled jobs whose tasks may still run
 	archive      archiveState
 	dependencies dependencyState
 	saving       saveState
 }
 
-// New returns the store of a new leadership, which is empty.
+// New returns the empty store of a new leadership. OpenArchive must succeed before jobs are looked up.
 func New(components Components) *Store {
 	s := &Store{
 		platform:   components.Platform,
@@ -102,22 +98,23 @@
 	return s
 }
 
-// SetObserver sets the observer. It is called once, before the state is restored.
+// SetObserver sets the observer. It must be called at most once, before the state is restored.
 func (s *Store) SetObserver(observer Observer) { s.observer = observer }
 
-// Find returns an unfinished job, or nil.
+// Find returns the unfinished job with an ID, or nil.
 func (s *Store) Find(id string) *jobs.Job { return s.Unfinished[id] }
 
-// FinalState returns the final state of a finished job, and false if the job is unfinished, archived or unknown.
+// FinalState returns the final state of a finished job. It returns false if the job is unfinished, archived or unknown.
 func (s *Store) FinalState(id string) (jobs.FinalState, bool) {
 	finished, ok := s.finished[id]
 	return finished.FinalState, ok
 }
 
-// FinishedCount returns the number of finished jobs, archived ones included.
+// FinishedCount returns the number of finished jobs, including archived jobs.
 func (s *Store) FinishedCount() int { return len(s.finished) + s.archive.store.JobCount() }
 
-// StartableJobs returns the unfinished jobs whose tasks may be started, and those whose acceptance is being written.
+// StartableJobs returns, in no particular order, the unfinished jobs whose tasks may be started, and the jobs without unmet dependencies
+// whose acceptance is being written.
 func (s *Store) StartableJobs() []*jobs.Job {
 	list := make([]*jobs.Job, 0, len(s.Unfinished))
 	for _, job := range s.Unfinished {
@@ -128,13 +125,13 @@
 	return list
 }
 
-// Add adds a job whose acceptance is being written.
+// Add adds a job whose acceptance is being written, and opens its time account.
 func (s *Store) Add(job *jobs.Job) {
 	s.Unfinished[job.ID] = job
 	s.accounting.Open(job)
 }
 
-// Tick does the next step of archiving, and looks up unresolved dependencies.
+// Tick performs the next step of archiving and looks up unresolved dependencies. The caller must execute the calls in outbox.
 func (s *Store) Tick(now time.Time, outbox *client.Outbox) {
 	s.archive.store.Tick(now, outbox)
 	s.resolveDependencies(now, outbox)
--- a/internal/controller/jobstore/store_test.go
+++ b/internal/controller/jobstore/store_test.go
@@ -16,7 +16,7 @@
 
 var now = time.Unix(1000, 0)
 
-// newTestStore returns a store with an archive without jobs.
+// newTestStore returns a store without jobs, with an empty archive.
 func newTestStore(t *testing.T) *Store {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -37,7 +37,7 @@
 	return store
 }
 
-// addJob adds a job of one task in a state.
+// addJob adds a job with one task in the given state.
 func addJob(store *Store, id string, state jobs.State, dependencies ...string) *jobs.Job {
 	job := jobs.New(jobs.Spec{Tasks: 1, Dependencies: dependencies}, now)
 	job.ID, job.State = id, state
@@ -45,7 +45,7 @@
 	return job
 }
 
-// TestDependencyState checks the state of a dependency for finished, unfinished and unknown jobs.
+// TestDependencyState checks the dependency state of finished, unfinished and unknown jobs.
 func TestDependencyState(t *testing.T) {
 	store := newTestStore(t)
 	store.finished["job-1"] = finishedJob{FinalState: jobs.FinalState{State: jobs.Done, Tasks: 1}}
@@ -67,9 +67,9 @@
 		{"accepted", "job-3", DependencyOpen},
 		{"acceptance being written", "job-4", DependencyUndecided},
 		{"cancellation being written", "job-5", DependencyUndecided},
-		{"undecided itself", "job-6", DependencyUndecided},
+		{"own dependency unresolved", "job-6", DependencyUndecided},
 		{"service", "job-7", DependencyService},
-		{"done, not retired", "job-8", DependencyMet},
+		{"done, not retired yet", "job-8", DependencyMet},
 		{"cancelled, tasks stopping", "job-9", DependencyCancelled},
 		{"unknown", "job-10", DependencyNeverAccepted},
 	} {
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestCancellationsCompletedBefore checks that a cancellation is completed once the job is retired, and that one
-// confirmed by an earlier leader has no known time.
+// TestCancellationsCompletedBefore checks that a cancellation is completed once the job is retired, and that a
+// cancellation which an earlier leader confirmed has no known time.
 func TestCancellationsCompletedBefore(t *testing.T) {
 	store := newTestStore(t)
 	if got, known := store.CancellationsCompletedBefore(now); !known || !got.Equal(now) {
@@ -125,7 +125,8 @@
 	job := addJob(store, "job-1", jobs.Accepted)
 	store.ApplyCancellation(now.Add(-time.Minute), job)
 	if got, known := store.CancellationsCompletedBefore(now); !known || !got.Equal(now.Add(-time.Minute)) || !store.IsStopping(job) {
-		t.Errorf("job stopping %v: completed before %v (known %v), want true, %v", store.IsStopping(job), got, known, now.Add(-time.Minute))
+		t.Errorf("while the job stops (stopping %v): completed before %v (known %v), want true, %v",
+			store.IsStopping(job), got, known, now.Add(-time.Minute))
 	}
 	store.Save(now, false)
 	if store.Find("job-1") == nil {
@@ -145,7 +146,7 @@
 	}
 }
 
-// TestRestoreJob checks that a final record is restored as a final state and any other record as an unfinished job.
+// TestRestoreJob checks that a final record is restored as a final state, and any other record as an unfinished job.
 func TestRestoreJob(t *testing.T) {
 	accepted := jobs.New(jobs.Spec{Tasks: 3, CPUs: 2}, now).Record()
 	cancelled := accepted
@@ -154,7 +155,7 @@
 		name     string
 		record   jobs.Record
 		final    bool
-		state    jobs.State // if it is final
+		state    jobs.State // if final
 		stopping bool
 	}{
 		{name: "done", record: jobs.NewFinalRecord(jobs.Done, 3), final: true, state: jobs.Done},
@@ -175,7 +176,7 @@
 			}
 			job := store.Find("job-1")
 			if (job == nil) != test.final {
-				t.Fatalf("unfinished job: got %v, want one %v", job, !test.final)
+				t.Fatalf("unfinished job: got %v, want one: %v", job, !test.final)
 			}
 			if test.stopping && (!store.IsStopping(job) || !job.CancelConfirmedAt.Equal(confirmedAt)) {
 				t.Errorf("stopping %v, confirmed at %v, want true, %v", store.IsStopping(job), job.CancelConfirmedAt, confirmedAt)
