--- a/internal/controller/archive/build.go
+++ b/internal/controller/archive/build.go
@@ -10,51 +10,51 @@
 )
 
 const (
-	// scanInterval is the time between two searches of the pages for finished jobs.
+	// scanInterval is the minimum time between two searches of the pages for finished jobs.
 	scanInterval = time.Second
-	// maxCompactedJobs bounds the jobs of a compacted segment while the head has space for segments, and with it the size of a
-	// compaction.
+	// maxCompactedJobs is the maximum number of jobs in a compacted segment, which limits the size of a compaction. It is ignored once the
+	// head has half of its maximum number of segments.
 	maxCompactedJobs = 1 << 17
-	// compactionKeysPerStep bounds the keys that a compaction merges in one step, which takes about half a millisecond.
+	// compactionKeysPerStep is the maximum number of keys that a compaction merges in one step. Such a step takes about half a millisecond.
 	compactionKeysPerStep = 2000
 	// compactionRetryDelay is the delay after a compaction that failed because a segment cannot be decoded.
 	compactionRetryDelay = time.Minute
 
-	headReserve    = 256 // JSON bytes of the head that are not used for segments
-	headEntryBytes = 64  // limit of an entry of the head in JSON bytes
+	headReservedBytes = 256 // JSON bytes of the head that are not available for segment entries
+	maxHeadEntryBytes = 64  // maximum size of an entry of the head in JSON bytes
 )
 
-// segmentBuild is the segment under construction. Its parts are not valid until the head has an entry for the segment. The commit that
-// adds this entry also removes the jobs from their pages, or the compacted segments from the head.
+// segmentBuild is a segment under construction. Its parts are not valid until the head has an entry for the segment. The commit that adds
+// this entry also removes the jobs from their pages, or the compacted segments from the head.
 type segmentBuild struct {
-	jobIDs         []string   // jobs that are archived; empty for a compaction
-	sources        []*Segment // segments that are compacted
-	sourceData     [][]string // data of the first sources, as far as it was read
+	jobIDs         []string   // jobs to archive; empty for a compaction
+	sources        []*Segment // segments to compact; empty when jobs are archived
+	sourceData     [][]string // texts of the data parts of the sources that have been read, in the same order
 	compaction     *compaction
 	segment        *Segment // the result; nil until it is complete
 	unwrittenParts []storage.ArchivePart
-	attemptedParts int // number of parts in the last transaction, if it failed
+	attemptedParts int // number of parts in the last transaction; 0 once it succeeded
 }
 
-// complete records the result. The parts are written in this order: data, then index.
+// complete records the resulting segment. The data parts are written before the index parts.
 func (b *segmentBuild) complete(result builtSegment) {
 	b.segment = result.segment
 	for i, text := range result.data {
-		b.unwrittenParts = append(b.unwrittenParts, storage.ArchivePart{Key: dataKey(b.segment.Number, i), Text: text})
+		b.unwrittenParts = append(b.unwrittenParts, storage.ArchivePart{Key: dataPartKey(b.segment.Number, i), Text: text})
 	}
 	for i, text := range result.index {
-		b.unwrittenParts = append(b.unwrittenParts, storage.ArchivePart{Key: indexKey(b.segment.Number, i), Text: text})
+		b.unwrittenParts = append(b.unwrittenParts, storage.ArchivePart{Key: indexPartKey(b.segment.Number, i), Text: text})
 	}
 }
 
 func (s *Store) maxPartBytes() int { return s.options.MaxValueBytes - partOverhead }
 
-// maxSegments returns the limit of segments in the head, which leaves space for the entries that a compaction adds temporarily.
+// maxSegments returns the maximum number of segments in the head. It leaves space for the entries that a compaction adds temporarily.
 func (s *Store) maxSegments() int {
-	return max((s.options.MaxValueBytes-headReserve)/headEntryBytes-s.options.CompactionFanIn-2, s.options.CompactionFanIn+2)
+	return max((s.options.MaxValueBytes-headReservedBytes)/maxHeadEntryBytes-s.options.CompactionFanIn-2, s.options.CompactionFanIn+2)
 }
 
-// beginCompaction chooses segments of one level to compact, the oldest first. It returns false if there are not enough.
+// beginCompaction starts a compaction of the oldest segments of a level that has enough of them. It returns false if no level has.
 func (s *Store) beginCompaction() bool {
 	byLevel := map[int][]*Segment{}
 	levels := 0
@@ -68,43 +68,44 @@
 			continue
 		}
 		sources = sources[:s.options.CompactionFanIn]
-		jobs := 0
+		jobCount := 0
 		for _, segment := range sources {
-			jobs += segment.JobCount
+			jobCount += segment.JobCount
 		}
-		if jobs > maxCompactedJobs && len(s.segments) < s.maxSegments()/2 {
+		if jobCount > maxCompactedJobs && len(s.segments) < s.maxSegments()/2 {
 			continue
 		}
-		s.log.Info("compaction started", logkeys.Segment, s.nextNumber, logkeys.Level, level+1, logkeys.Count, jobs)
+		s.log.Info("compaction started", logkeys.Segment, s.nextNumber, logkeys.Level, level+1, logkeys.Count, jobCount)
 		s.building = &segmentBuild{sources: slices.Clone(sources)}
 		return true
 	}
 	return false
 }
 
-// beginArchiving chooses finished jobs to archive and builds their segment. It returns false if there are not enough.
+// beginArchiving chooses finished jobs to archive and builds their segment. It returns false if there are not enough jobs, the head is
+// full, or the segment cannot be built.
 func (s *Store) beginArchiving(now time.Time) bool {
 	if now.Before(s.nextScanAt) || len(s.segments)+len(s.garbage.collected) >= s.maxSegments() {
 		return false
 	}
 	s.nextScanAt = now.Add(scanInterval)
 	jobIDs := s.storage.ArchivableEntries(func(id string) bool {
-		_, ok := keyOf(id)
+		_, ok := jobKey(id)
 		return ok && s.options.CanArchive(now, id)
 	})
 	if len(jobIDs) < s.options.MinSegmentJobs {
 		return false
 	}
-	jobs := make([]finishedJob, 0, len(jobIDs))
+	finishedJobs := make([]finishedJob, 0, len(jobIDs))
 	for _, id := range jobIDs {
 		state, ok := s.options.FinalState(id)
 		if !ok {
 			s.log.Error("job to be archived is not finished", logkeys.Job, id)
 			return false
 		}
-		jobs = append(jobs, finishedJob{id, state})
+		finishedJobs = append(finishedJobs, finishedJob{id, state})
 	}
-	result, err := buildSegment(s.nextNumber, jobs, s.maxPartBytes())
+	result, err := buildSegment(s.nextNumber, finishedJobs, s.maxPartBytes())
 	if err != nil {
 		s.log.Error("archiving failed", logkeys.Segment, s.nextNumber, logkeys.Err, err)
 		return false
@@ -115,8 +116,8 @@
 	return true
 }
 
-// advanceBuild does the next step of the segment under construction: read the data of the compacted segments, merge them, write the new
-// parts, and commit the segment.
+// advanceBuild performs the next step of the segment under construction. The steps are: read the data of the sources, merge them, write
+// the new parts, and commit the segment.
 func (s *Store) advanceBuild(now time.Time, outbox *client.Outbox) {
 	build := s.building
 	switch {
@@ -131,7 +132,7 @@
 	}
 }
 
-// readSource reads the data of the next source of a compaction.
+// readSource reads the data of the next source of a compaction, if the read budget allows it.
 func (s *Store) readSource(now time.Time, outbox *client.Outbox) {
 	if s.calls.readLimiter.Available(now) < 1 {
 		return
@@ -141,17 +142,17 @@
 	build := s.building
 	prefix := dataPrefix(build.sources[len(build.sourceData)].Number)
 	s.listAllTexts(outbox, prefix, "", []string{}, func(now time.Time, texts []string, ok bool) {
-		if s.calls.end(now, ok) {
+		if s.calls.recordResult(now, ok) {
 			build.sourceData = append(build.sourceData, texts)
 		}
 	})
 }
 
-// listAllTexts reads all parts with a key prefix after the key from, and appends their texts to texts.
+// listAllTexts reads all parts with a key prefix, beginning after afterKey, and appends their texts to texts.
 func (s *Store) listAllTexts(
-	outbox *client.Outbox, prefix, from string, texts []string, done func(now time.Time, texts []string, ok bool),
+	outbox *client.Outbox, prefix, afterKey string, texts []string, done func(now time.Time, texts []string, ok bool),
 ) {
-	s.storage.ListArchiveParts(outbox, prefix, from, func(now time.Time, list storage.ArchivePartList, ok bool) {
+	s.storage.ListArchiveParts(outbox, prefix, afterKey, func(now time.Time, list storage.ArchivePartList, ok bool) {
 		for _, part := range list.Parts {
 			texts = append(texts, part.Text)
 		}
@@ -163,7 +164,8 @@
 	})
 }
 
-// advanceCompaction merges the next keys. If it fails, the sources stay as they are and it is tried again later.
+// advanceCompaction merges the next keys. If that fails, the build is discarded, the sources stay valid, and the next attempt follows after
+// compactionRetryDelay.
 func (s *Store) advanceCompaction(now time.Time) {
 	result, done, err := s.stepCompaction()
 	if err != nil {
@@ -191,12 +193,12 @@
 	return result, err == nil, err
 }
 
-// writeParts writes as many parts as one transaction and the budget allow. A failed try may still be executed, so its retry has the same
-// parts.
+// writeParts writes as many parts as one transaction and the write budget allow. A failed transaction may still be executed, so its retry
+// has the same parts.
 func (s *Store) writeParts(now time.Time, outbox *client.Outbox) {
 	build := s.building
 	n, bytes, available := 0, 0, s.availableWrites(now)
-	for most := min(available, len(build.unwrittenParts)); n < most; n++ {
+	for limit := min(available, len(build.unwrittenParts)); n < limit; n++ {
 		text := build.unwrittenParts[n].Text
 		if bytes+len(text) >= storage.MaxTransactionBytes {
 			break
@@ -213,13 +215,13 @@
 	s.calls.inFlight = true
 	build.attemptedParts = n
 	s.storage.CreateArchiveParts(outbox, build.unwrittenParts[:n], func(now time.Time, ok bool) {
-		if s.calls.end(now, ok) {
+		if s.calls.recordResult(now, ok) {
 			build.unwrittenParts, build.attemptedParts = build.unwrittenParts[n:], 0
 		}
 	})
 }
 
-// commitSegment makes the segment valid: one transaction adds it to the head, and removes the jobs from their pages or the compacted
+// commitSegment makes the segment valid. One transaction adds it to the head, and removes the jobs from their pages or the compacted
 // segments from the head.
 func (s *Store) commitSegment(now time.Time) {
 	build := s.building
@@ -235,7 +237,7 @@
 	s.commitHead(now, build.jobIDs, changes, func() { s.endBuild(build) })
 }
 
-// endBuild records that the commit of a segment was executed.
+// endBuild adds a committed segment in memory, and makes its sources garbage.
 func (s *Store) endBuild(build *segmentBuild) {
 	isSource := func(segment *Segment) bool { return slices.Contains(build.sources, segment) }
 	s.segments = append(slices.DeleteFunc(s.segments, isSource), build.segment)
--- a/internal/controller/archive/compaction.go
+++ b/internal/controller/archive/compaction.go
@@ -8,19 +8,19 @@
 	"github.com/RoaringBitmap/roaring/v2/roaring64"
 )
 
-// segmentReader reads the keys of one segment in order, with their payloads.
+// segmentReader reads the keys of a segment in ascending order, with their payloads.
 type segmentReader struct {
 	segment   *Segment
 	ids       roaring64.IntPeekable64
 	parts     []string
-	remaining []byte // rest of the present part
+	remaining []byte // unread rest of the current part
 	nextPart  int
-	rank      uint64
+	rank      uint64 // of the next key
 }
 
 func newSegmentReader(segment *Segment, parts []string) (*segmentReader, error) {
 	if len(parts) != len(segment.partStarts) {
-		return nil, fmt.Errorf("segment %d: %d parts of %d", segment.Number, len(parts), len(segment.partStarts))
+		return nil, fmt.Errorf("segment %d: read %d data parts, expected %d", segment.Number, len(parts), len(segment.partStarts))
 	}
 	return &segmentReader{segment: segment, ids: segment.ids.Iterator(), parts: parts}, nil
 }
@@ -28,11 +28,11 @@
 // isAt reports whether the next key is key.
 func (r *segmentReader) isAt(key uint64) bool { return r.ids.HasNext() && r.ids.PeekNext() == key }
 
-// next returns the payload of the next key.
+// next returns the payload of the next key and advances the reader. There must be a next key.
 func (r *segmentReader) next() (payload []byte, err error) {
 	if r.nextPart < len(r.parts) && r.segment.partStarts[r.nextPart] == r.rank {
 		if r.remaining, err = base64.RawStdEncoding.DecodeString(r.parts[r.nextPart]); err != nil {
-			return nil, fmt.Errorf("segment %d: %w", r.segment.Number, err)
+			return nil, fmt.Errorf("segment %d: decode data part %d: %w", r.segment.Number, r.nextPart, err)
 		}
 		r.nextPart++
 	}
@@ -44,8 +44,8 @@
 	return payload, nil
 }
 
-// compaction merges segments into one of the next level. It merges a bounded number of keys at a time, so as not to block the event
-// loop.
+// compaction merges segments into one segment of the next level. Each step merges a limited number of keys, so that it does not block the
+// event loop.
 type compaction struct {
 	sources []*segmentReader
 	builder *segmentBuilder
@@ -66,7 +66,7 @@
 	return c, nil
 }
 
-// step merges up to the given number of keys. done is true once all keys are merged.
+// step merges at most the given number of keys. done is true once all keys are merged.
 func (c *compaction) step(keys int) (done bool, err error) {
 	for range keys {
 		key, ok := c.leastKey()
@@ -80,7 +80,7 @@
 	return false, nil
 }
 
-// leastKey returns the least key that is not merged yet; ok is false if there is none.
+// leastKey returns the smallest key that is not merged yet. ok is false if all keys are merged.
 func (c *compaction) leastKey() (least uint64, ok bool) {
 	for _, source := range c.sources {
 		if !source.ids.HasNext() {
@@ -98,16 +98,16 @@
 	if key >= hashedKeyBit {
 		merge = c.mergeHashed
 	}
-	payload, jobs, err := merge(key)
+	payload, jobCount, err := merge(key)
 	if err != nil {
 		return err
 	}
-	c.builder.add(key, payload, jobs)
+	c.builder.add(key, payload, jobCount)
 	return nil
 }
 
-// mergeExact returns the payload of an exact key, which belongs to one job. Only one segment may have it.
-func (c *compaction) mergeExact(key uint64) (payload []byte, jobs int, err error) {
+// mergeExact returns the payload of an exact key, which belongs to one job. It returns an error if more than one segment has the key.
+func (c *compaction) mergeExact(key uint64) (payload []byte, jobCount int, err error) {
 	for _, source := range c.sources {
 		if !source.isAt(key) {
 			continue
@@ -116,16 +116,16 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		if jobs > 0 {
-			return nil, 0, fmt.Errorf("key %d is in segment %d and in another", key, source.segment.Number)
+		if jobCount > 0 {
+			return nil, 0, fmt.Errorf("key %d: in segment %d and in another source, expected in one", key, source.segment.Number)
 		}
-		payload, jobs = next, 1
+		payload, jobCount = next, 1
 	}
-	return payload, jobs, nil
+	return payload, jobCount, nil
 }
 
-// mergeHashed concatenates the payloads of a hashed key, which belongs to all jobs whose IDs have this hash.
-func (c *compaction) mergeHashed(key uint64) (payload []byte, jobs int, err error) {
+// mergeHashed combines the payloads of a hashed key, which belongs to all jobs whose IDs have this hash. Several segments may have the key.
+func (c *compaction) mergeHashed(key uint64) (payload []byte, jobCount int, err error) {
 	var all []byte
 	var count uint64
 	for _, source := range c.sources {
--- a/internal/controller/archive/encoding.go
+++ b/internal/controller/archive/encoding.go
@@ -12,29 +12,29 @@
 	"github.com/RoaringBitmap/roaring/v2/roaring64"
 )
 
-// The encoding of a segment, before base64:
+// A segment is encoded as follows, before base64:
 //
-//	index    number of data parts, the ranks at which they begin as differences, the keys, the keys of cancelled jobs;
-//	         the last two are roaring bitmaps, each after its size
-//	data     the payloads of the keys in order, cut into parts between two keys
+//	index    number of data parts; for each part the difference between the rank of its first key and that of the part before;
+//	         bitmap of all keys; bitmap of the exact keys of cancelled jobs (roaring bitmaps, each preceded by its size)
+//	data     the payloads in the order of the keys, divided into parts between two payloads
 //	payload  of an exact key: the job's final state
-//	         of a hashed key: how many jobs share it, and for each the length of its digits, the digits, its final state
+//	         of a hashed key: the number of jobs; for each job the number of its digits, the digits, the final state
 //
-// All numbers are varints, except the length of the digits, which is one byte.
+// All numbers are unsigned varints, except the number of digits, which is one byte.
 
-// cancelledBit is the bit of an encoded final state that is set if the job was cancelled. The higher bits are the task count.
+// cancelledBit is set in an encoded final state if the job was cancelled. The higher bits are the task count.
 const cancelledBit = 1
 
-// errTruncated is the error that an encoded segment ends early.
+// errTruncated reports that an encoded segment ends early.
 var errTruncated = errors.New("truncated")
 
-// IndexError is the error that a segment's index cannot be encoded or decoded.
+// IndexError reports that a segment's index cannot be encoded or decoded.
 type IndexError struct {
-	Segment uint64 // number
+	Segment uint64 // number of the segment
 	Err     error
 }
 
-// Error returns the text with the number of the segment.
+// Error returns a message with the number of the segment and the reason.
 func (e *IndexError) Error() string { return fmt.Sprintf("index of segment %d: %v", e.Segment, e.Err) }
 
 // Unwrap returns why the index cannot be encoded or decoded.
@@ -42,10 +42,10 @@
 
 func encodeIndex(segment *Segment) ([]byte, error) {
 	raw := binary.AppendUvarint(nil, uint64(len(segment.partStarts)))
-	before := uint64(0)
+	previous := uint64(0)
 	for _, start := range segment.partStarts {
-		raw = binary.AppendUvarint(raw, start-before)
-		before = start
+		raw = binary.AppendUvarint(raw, start-previous)
+		previous = start
 	}
 	for _, bitmap := range []*roaring64.Bitmap{segment.ids, segment.cancelled} {
 		bytes, err := bitmap.ToBytes()
@@ -58,14 +58,14 @@
 	return raw, nil
 }
 
-// parseSegment decodes a segment's index. The error is an IndexError.
+// parseSegment decodes a segment's index from its parts. An error is an *IndexError.
 func parseSegment(number uint64, record SegmentRecord, index []string) (*Segment, error) {
 	segment := &Segment{Number: number, Level: record.Level, JobCount: record.JobCount, indexParts: len(index)}
 	if err := segment.decodeIndex(strings.Join(index, "")); err != nil {
 		return nil, &IndexError{Segment: number, Err: err}
 	}
 	if len(index) != record.IndexParts || len(segment.partStarts) != record.DataParts {
-		err := fmt.Errorf("%d and %d parts, the head says %d and %d",
+		err := fmt.Errorf("%d index parts and %d data parts, the archive head has %d and %d",
 			len(index), len(segment.partStarts), record.IndexParts, record.DataParts)
 		return nil, &IndexError{Segment: number, Err: err}
 	}
@@ -117,7 +117,7 @@
 	return value, raw[n:], nil
 }
 
-// encodePayload encodes the jobs that share a key.
+// encodePayload encodes the jobs that share a key. An exact key has one job.
 func encodePayload(key uint64, finishedJobs []finishedJob) []byte {
 	if key < hashedKeyBit {
 		return appendFinalState(nil, finishedJobs[0].FinalState)
@@ -158,7 +158,7 @@
 	return raw[1:end], raw[end:], nil
 }
 
-// readJobCount reads the number of jobs in the payload of a key.
+// readJobCount reads the number of jobs at the beginning of a payload. It is not encoded in the payload of an exact key, which has one job.
 func readJobCount(raw []byte, hashed bool) (count uint64, rest []byte, err error) {
 	if !hashed {
 		return 1, raw, nil
@@ -166,7 +166,7 @@
 	return readUvarint(raw)
 }
 
-// splitPayload splits a part after the payload of its first key.
+// splitPayload returns the first payload of an encoded part, and the rest of the part.
 func splitPayload(raw []byte, hashed bool) (payload, rest []byte, err error) {
 	count, rest, err := readJobCount(raw, hashed)
 	if err != nil {
@@ -185,8 +185,8 @@
 	return raw[:len(raw)-len(rest)], rest, nil
 }
 
-// findJob reads one job from a part of the data: place is the number of keys of the part before the job's key. found is false
-// if the key belongs to other jobs only.
+// findJob returns the final state of a job from the text of a data part. position is the number of keys in the part before the job's key.
+// found is false if the key belongs only to other jobs.
 func findJob(text string, position int, key uint64, jobID string) (state jobs.FinalState, found bool, err error) {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
--- a/internal/controller/archive/garbage.go
+++ b/internal/controller/archive/garbage.go
@@ -8,26 +8,26 @@
 	"gullrudder/internal/wire/client"
 )
 
-// garbageCollection is the state of the deletion of parts that belong to no valid segment.
+// garbageCollection tracks the deletion of parts that belong to no valid segment.
 type garbageCollection struct {
-	segments  []*garbageSegment
-	collected []uint64 // numbers of deleted segments whose garbage entry is still in the head
+	segments  []*garbageSegment // segments whose parts must be deleted
+	collected []uint64          // numbers of segments without parts whose garbage entries must be removed from the head
 }
 
-// garbageSegment is a segment that is no longer valid, or never was.
+// garbageSegment is a segment that is no longer valid, or that never became valid.
 type garbageSegment struct {
 	number uint64
 	inHead bool                  // the head has a garbage entry for it
-	parts  []storage.ArchivePart // listed parts that are not deleted yet
+	parts  []storage.ArchivePart // parts that were listed and are not deleted yet
 }
 
 func (g *garbageCollection) has(number uint64) bool {
 	return slices.ContainsFunc(g.segments, func(segment *garbageSegment) bool { return segment.number == number })
 }
 
-// collectGarbage deletes the parts of a segment: they are listed with their revisions, deleted at these revisions, and listed again
-// until there are none. The transactions require the leader's key, so delayed ones of an earlier leader fail, and the revisions of the
-// parts, so delayed ones of this leader fail.
+// collectGarbage performs the next step of deleting a segment's parts. The parts are listed with their revisions, deleted at these
+// revisions, and listed again until there are none. A deletion has preconditions on the revisions of the leader's key and of the parts. The
+// former rejects delayed deletions of an earlier leader, the latter delayed deletions of this leader.
 func (s *Store) collectGarbage(now time.Time, outbox *client.Outbox) {
 	target := s.garbage.segments[0]
 	if len(target.parts) == 0 {
@@ -43,7 +43,7 @@
 	s.calls.writeLimiter.Take(n)
 	s.calls.inFlight = true
 	s.storage.DeleteArchiveParts(outbox, target.parts[:n], func(now time.Time, ok bool) {
-		if s.calls.end(now, ok) {
+		if s.calls.recordResult(now, ok) {
 			target.parts = target.parts[n:]
 		} else {
 			target.parts = nil
@@ -51,7 +51,7 @@
 	})
 }
 
-// endCollection records that all parts of a segment are deleted.
+// endCollection records that a segment has no parts left.
 func (s *Store) endCollection(target *garbageSegment) {
 	if target.inHead {
 		s.garbage.collected = append(s.garbage.collected, target.number)
@@ -59,15 +59,15 @@
 	s.garbage.segments = s.garbage.segments[1:]
 }
 
-// listGarbageParts lists the parts of a segment with a key prefix. It calls none if there are no parts.
-func (s *Store) listGarbageParts(outbox *client.Outbox, target *garbageSegment, prefix string, none func()) {
+// listGarbageParts lists the parts of a segment with a key prefix. It calls onEmpty if there are no parts.
+func (s *Store) listGarbageParts(outbox *client.Outbox, target *garbageSegment, prefix string, onEmpty func()) {
 	s.calls.inFlight = true
 	s.storage.ListArchiveParts(outbox, prefix, "", func(now time.Time, list storage.ArchivePartList, ok bool) {
-		if !s.calls.end(now, ok) {
+		if !s.calls.recordResult(now, ok) {
 			return
 		}
 		if target.parts = list.Parts; len(list.Parts) == 0 {
-			none()
+			onEmpty()
 		}
 	})
 }
--- a/internal/controller/archive/golden_bytes_test.go
+++ b/internal/controller/archive/golden_bytes_test.go
@@ -8,16 +8,16 @@
 	"gullrudder/internal/goldenbytes"
 )
 
-// partBytes is short, so that the segment of the test has several parts of data and of index.
+// partBytes is small, so that the segment of the test has several data parts and several index parts.
 const partBytes = 24
 
-// encodeSegment is the text of a segment's data and index, one part a line.
+// encodeSegment returns the text of a segment: its data parts and its index parts, one part per line, with an empty line between them.
 func encodeSegment(finishedJobs []finishedJob) ([]byte, error) {
 	built, err := buildSegment(3, finishedJobs, partBytes)
 	return []byte(strings.Join(built.data, "\n") + "\n\n" + strings.Join(built.index, "\n")), err
 }
 
-// decodeSegment reads the jobs with these IDs from the text of a segment.
+// decodeSegment returns the jobs with these IDs from the text of a segment.
 func decodeSegment(t *testing.T, text string, ids []string) []finishedJob {
 	t.Helper()
 	dataText, indexText, _ := strings.Cut(text, "\n\n")
@@ -28,12 +28,12 @@
 	}
 	var finishedJobs []finishedJob
 	for _, id := range ids {
-		key, ok := keyOf(id)
+		key, ok := jobKey(id)
 		if !ok || !segment.ids.Contains(key) {
-			t.Fatalf("%s: not in the index, want it there", id)
+			t.Fatalf("%s: not in the index, want it in the index", id)
 		}
-		part, place := segment.locate(segment.rank(key))
-		final, known, err := findJob(data[part], place, key, id)
+		part, position := segment.locate(segment.rank(key))
+		final, known, err := findJob(data[part], position, key, id)
 		if err != nil || !known {
 			t.Fatalf("find %s in part %d: known %v, error %v, want known", id, part, known, err)
 		}
--- a/internal/controller/archive/leadership_test.go
+++ b/internal/controller/archive/leadership_test.go
@@ -16,7 +16,7 @@
 
 const leaderKey = "leader"
 
-// leadership is a leader with its storage and archive only.
+// leadership is a leader that consists only of its storage and its archive.
 type leadership struct {
 	cluster  *simulator.Cluster
 	storage  *storage.Store
@@ -26,7 +26,7 @@
 	now      time.Time
 }
 
-// executeAll has the state service execute all calls, and those that follow from them.
+// executeAll executes all calls, including those that their responses cause.
 func (r *leadership) executeAll() {
 	for calls := r.outbox.TakeCalls(); len(calls) > 0; calls = r.outbox.TakeCalls() {
 		for _, call := range calls {
@@ -35,15 +35,15 @@
 	}
 }
 
-// becomeLeader begins a leadership: the leader's key gets a new revision, and all pages are read.
+// becomeLeader begins a leadership. It writes the leader's key, which gets a new revision, and loads all pages and the archive.
 func becomeLeader(t fataler, cluster *simulator.Cluster, now time.Time, leaderNumber uint64, rate float64) *leadership {
 	t.Helper()
-	put := cluster.State.Exchange(client.Call{Method: "POST", Path: "/commit", Body: map[string]any{
+	response := cluster.State.Exchange(client.Call{Method: "POST", Path: "/commit", Body: map[string]any{
 		"guards": []any{},
 		"apply":  []any{map[string]any{"write": leaderKey, "value": map[string]any{"n": leaderNumber}}},
 	}})
-	if put.Status != 200 {
-		t.Fatalf("write the leader's key: got status %d, want 200", put.Status)
+	if response.Status != 200 {
+		t.Fatalf("write the leader's key: got status %d, want 200", response.Status)
 	}
 	r := &leadership{cluster: cluster, now: now, finished: map[string]jobs.FinalState{}}
 	log := slog.New(slog.DiscardHandler)
@@ -72,25 +72,25 @@
 		t.Fatalf("open the archive: %v", err)
 	}
 	r.storage.ForEach(func(name string, decode func(any) error) {
-		var rec jobs.Record
-		if err := decode(&rec); err != nil {
+		var record jobs.Record
+		if err := decode(&record); err != nil {
 			t.Fatalf("decode the record of %s: %v", name, err)
 		}
-		r.finished[name] = finalState(rec)
+		r.finished[name] = finalState(record)
 		r.storage.SetFinished(name)
 	})
 	return r
 }
 
-// finalState returns what the record of a finished job says.
-func finalState(rec jobs.Record) jobs.FinalState {
-	if rec.State == "c" {
-		return jobs.FinalState{State: jobs.Cancelled, Tasks: rec.Tasks}
+// finalState returns the final state in the record of a finished job.
+func finalState(record jobs.Record) jobs.FinalState {
+	if record.State == "c" {
+		return jobs.FinalState{State: jobs.Cancelled, Tasks: record.Tasks}
 	}
-	return jobs.FinalState{State: jobs.Done, Tasks: rec.Tasks}
+	return jobs.FinalState{State: jobs.Done, Tasks: record.Tasks}
 }
 
-// requiresLeaderKey reports whether a commit is refused once another leader was elected.
+// requiresLeaderKey reports whether a commit has a precondition on the leader's key, so that it is rejected once another leader is elected.
 func requiresLeaderKey(c client.Call) bool {
 	for _, precondition := range c.Body.(stateapi.CommitRequest).Preconditions {
 		if precondition.Key == leaderKey {
@@ -127,22 +127,22 @@
 	r.storage.Flush(r.now, &r.outbox)
 }
 
-// lookUp returns what a user can read of the job; ok is false if the lookup has to be retried.
+// lookUp returns the final state of a job as users see it. ok is false if the lookup must be retried.
 func (r *leadership) lookUp(id string) (finalState jobs.FinalState, found, ok bool) {
-	if finalState, there := r.finished[id]; there {
+	if finalState, known := r.finished[id]; known {
 		return finalState, true, true
 	}
 	if r.archive.LookupIndex(id) == archive.Absent {
 		return finalState, false, true
 	}
-	r.archive.LookupData(r.now, &r.outbox, id, func(_ time.Time, got jobs.FinalState, there bool, err error) {
-		finalState, found, ok = got, there, err == nil
+	r.archive.LookupData(r.now, &r.outbox, id, func(_ time.Time, got jobs.FinalState, known bool, err error) {
+		finalState, found, ok = got, known, err == nil
 	})
 	r.executeAll()
 	return finalState, found, ok
 }
 
-// collidingIDs returns two IDs with the same key in the index.
+// collidingIDs returns two job IDs that have the same key in the index.
 func collidingIDs() (string, string) {
 	seen := map[uint32]string{}
 	for i := 0; ; i++ {
--- a/internal/controller/archive/lookup.go
+++ b/internal/controller/archive/lookup.go
@@ -14,43 +14,43 @@
 )
 
 const (
-	// maxLookups bounds the lookups that wait for a response of the state service.
+	// maxLookups is the maximum number of pending lookups, which wait for a response of the state service.
 	maxLookups = 64
-	// maxCachedParts bounds the parts of data that are cached for further lookups.
+	// maxCachedParts is the maximum number of data parts that are cached for further lookups.
 	maxCachedParts = 64
-	// unreachableAfter is the time of failed reads after which archived jobs are reported without their task counts.
+	// unreachableAfter is the duration of failing reads after which archived jobs are reported without their task counts.
 	unreachableAfter = 20 * time.Second
 	readTimeout      = 1200 * time.Millisecond
 )
 
-// ErrBusy is the error that too many lookups are pending. The lookup may be retried.
+// ErrBusy reports that too many lookups are pending. The lookup may be retried.
 var ErrBusy = errors.New("too many questions about old jobs")
 
-// ReadError is the error that a part of the archive's data could not be read. The lookup may be retried.
+// ReadError reports that a part of the archive's data could not be read. The lookup may be retried.
 type ReadError struct {
 	Key    string
-	Status int // HTTP status of the response, 0 if there was none or it cannot be decoded
+	Status int // HTTP status of the response, 0 if there is none or it cannot be decoded, 429 if the read limit was reached
 }
 
-// Error returns the text with the key and the status.
+// Error returns a message with the key and the status.
 func (e *ReadError) Error() string {
-	return fmt.Sprintf("%s cannot be read: status %d", e.Key, e.Status)
+	return fmt.Sprintf("read archive part %s: status %d", e.Key, e.Status)
 }
 
-// IndexResult is the result of a lookup in the index alone.
+// IndexResult is the result of a lookup in the index only.
 type IndexResult int
 
 // The results of a lookup in the index.
 const (
 	Absent       IndexResult = iota // no segment has the job
-	Done                            // a segment has the job as done; its task count is in the data
-	Cancelled                       // a segment has the job as cancelled
-	Undetermined                    // a segment may have the job; only the data can decide
+	Done                            // the job is archived as done; its task count is in the data
+	Cancelled                       // the job is archived as cancelled; its task count is in the data
+	Undetermined                    // a segment may have the job; LookupData decides
 )
 
-// LookupIndex looks a job up in the index, which is in memory.
+// LookupIndex looks up a job in the index. It needs no request, since the index is in memory. An invalid job ID is Absent.
 func (s *Store) LookupIndex(jobID string) IndexResult {
-	key, ok := keyOf(jobID)
+	key, ok := jobKey(jobID)
 	if !ok {
 		return Absent
 	}
@@ -69,29 +69,29 @@
 	return Absent
 }
 
-// IsUnreachable reports whether reads of the data have failed for longer than unreachableAfter.
+// IsUnreachable reports whether reads of the archive's data have been failing for longer than unreachableAfter.
 func (s *Store) IsUnreachable(now time.Time) bool { return s.reader.isUnreachable(now) }
 
-// LookupFunc takes the result of a lookup in the data: found is true if the job is in a segment; an error means that it is unknown
-// now, ErrBusy or ReadError among others.
+// LookupFunc is called with the result of a lookup in the data. found is true if a segment has the job. After an error, such as ErrBusy or
+// a *ReadError, it is unknown whether a segment has the job.
 type LookupFunc func(now time.Time, state jobs.FinalState, found bool, err error)
 
-// LookupData looks a job up in the data, which takes a read of the state service unless the part is cached. done is called exactly
-// once, perhaps before LookupData returns.
+// LookupData looks up a job in the data. This takes a request to the state service unless the part is cached. done is called exactly once,
+// possibly before LookupData returns.
 func (s *Store) LookupData(now time.Time, outbox *client.Outbox, jobID string, done LookupFunc) {
-	if s.reader.lookups >= maxLookups {
+	if s.reader.pendingLookups >= maxLookups {
 		done(now, jobs.FinalState{}, false, ErrBusy)
 		return
 	}
-	key, ok := keyOf(jobID)
+	key, ok := jobKey(jobID)
 	if !ok {
 		done(now, jobs.FinalState{}, false, nil)
 		return
 	}
-	s.reader.lookups++
-	l := &lookup{store: s, outbox: outbox, id: jobID, key: key, tried: map[uint64]bool{}}
+	s.reader.pendingLookups++
+	l := &lookup{store: s, outbox: outbox, id: jobID, key: key, searched: map[uint64]bool{}}
 	l.done = func(now time.Time, state jobs.FinalState, found bool, err error) {
-		s.reader.lookups--
+		s.reader.pendingLookups--
 		done(now, state, found, err)
 	}
 	l.next(now)
@@ -99,18 +99,18 @@
 
 // lookup is a search for one job in the data of the segments that may have it.
 type lookup struct {
-	store  *Store
-	outbox *client.Outbox
-	id     string
-	key    uint64
-	tried  map[uint64]bool // numbers of the segments that do not have it
-	done   LookupFunc
+	store    *Store
+	outbox   *client.Outbox
+	id       string
+	key      uint64
+	searched map[uint64]bool // numbers of the segments that do not have the job
+	done     LookupFunc
 }
 
 // next reads the part of the next segment that may have the job.
 func (l *lookup) next(now time.Time) {
 	i := slices.IndexFunc(l.store.segments, func(segment *Segment) bool {
-		return !l.tried[segment.Number] && segment.ids.Contains(l.key)
+		return !l.searched[segment.Number] && segment.ids.Contains(l.key)
 	})
 	if i < 0 {
 		l.done(now, jobs.FinalState{}, false, nil)
@@ -118,48 +118,48 @@
 	}
 	segment := l.store.segments[i]
 	part, position := segment.locate(segment.rank(l.key))
-	name := dataKey(segment.Number, part)
-	l.store.reader.read(now, l.outbox, name, func(now time.Time, text string, status int) {
+	partKey := dataPartKey(segment.Number, part)
+	l.store.reader.read(now, l.outbox, partKey, func(now time.Time, text string, status int) {
 		switch {
 		case status == http.StatusNotFound && !slices.Contains(l.store.segments, segment):
-			// The segment was compacted into another one and its parts were deleted.
-			l.tried[segment.Number] = true
+			// The segment was compacted into another one, and its parts were deleted since the request was sent.
+			l.searched[segment.Number] = true
 			l.next(now)
 		case status != http.StatusOK:
-			l.done(now, jobs.FinalState{}, false, &ReadError{Key: name, Status: status})
+			l.done(now, jobs.FinalState{}, false, &ReadError{Key: partKey, Status: status})
 		default:
-			l.search(now, segment, name, text, position)
+			l.search(now, segment, partKey, text, position)
 		}
 	})
 }
 
-// search looks for the job in the text of a part.
-func (l *lookup) search(now time.Time, segment *Segment, name, text string, position int) {
+// search looks for the job in the text of a part, and continues with the next segment if it is not there.
+func (l *lookup) search(now time.Time, segment *Segment, partKey, text string, position int) {
 	state, found, err := findJob(text, position, l.key, l.id)
 	if err != nil {
-		err = fmt.Errorf("decode %s: %w", name, err)
-		l.store.log.Error("archive part unreadable", logkeys.Key, name, logkeys.Err, err)
+		err = fmt.Errorf("decode %s: %w", partKey, err)
+		l.store.log.Error("archive part unreadable", logkeys.Key, partKey, logkeys.Err, err)
 	}
 	if err != nil || found {
 		l.done(now, state, found, err)
 		return
 	}
-	l.tried[segment.Number] = true
+	l.searched[segment.Number] = true
 	l.next(now)
 }
 
-// partReader reads parts of the data. It caches the last ones, and lookups in the same part share one request.
+// partReader reads parts of the data. It caches the parts that were read last. Concurrent lookups in the same part share one request.
 type partReader struct {
-	storage      *storage.Store
-	limiter      *client.RateLimiter
-	lookups      int                   // pending lookups
-	waiters      map[string][]partFunc // by the key of a part that is being read
-	cache        map[string]string
-	cacheOrder   []string // keys of the cache, the oldest first
-	failingSince time.Time
+	storage        *storage.Store
+	limiter        *client.RateLimiter
+	pendingLookups int
+	waiters        map[string][]partFunc // by the key of the part that is being read
+	cache          map[string]string
+	cacheOrder     []string  // keys in the cache, oldest first
+	failingSince   time.Time // zero while reads succeed
 }
 
-// partFunc is called with the text of a part if status is 200, else with the status as in ReadError.
+// partFunc is called with the text of a part. If status is not 200, text is not valid, and status is as in ReadError.
 type partFunc func(now time.Time, text string, status int)
 
 func newPartReader(store *storage.Store, limiter *client.RateLimiter) partReader {
@@ -194,7 +194,7 @@
 	switch {
 	case status == http.StatusOK:
 		r.failingSince = time.Time{}
-		r.keep(key, text)
+		r.cachePart(key, text)
 	case status != http.StatusNotFound && r.failingSince.IsZero():
 		r.failingSince = now
 	}
@@ -205,8 +205,8 @@
 	}
 }
 
-// keep adds a part to the cache, which evicts the oldest one if it is full.
-func (r *partReader) keep(key, text string) {
+// cachePart adds a part to the cache. If the cache is full, the oldest part is evicted.
+func (r *partReader) cachePart(key, text string) {
 	if len(r.cacheOrder) >= maxCachedParts {
 		delete(r.cache, r.cacheOrder[0])
 		r.cacheOrder = append(r.cacheOrder[:0], r.cacheOrder[1:]...)
--- a/internal/controller/archive/model_test.go
+++ b/internal/controller/archive/model_test.go
@@ -33,16 +33,16 @@
 	}
 }
 
-// archiveSchedule is a random schedule of finished jobs, lost and late commits, and changes of the leader.
+// archiveSchedule is a random schedule of finished jobs, rejected, lost and late commits, and changes of the leader.
 type archiveSchedule struct {
 	t             *rapid.T
 	first, second string // IDs with the same key in the index
 	cluster       *simulator.Cluster
 	rate          float64
 	leader        *leadership
-	durable       map[string]jobs.FinalState // the plain model
-	attempted     map[string]jobs.FinalState // jobs that may have finished durably
-	late          []client.Call              // on their way: executed later, or never
+	durable       map[string]jobs.FinalState // the model: jobs that have durably finished
+	attempted     map[string]jobs.FinalState // jobs that may have durably finished
+	lateCalls     []client.Call              // calls in transit, which are executed later or never
 }
 
 func newArchiveSchedule(t *rapid.T, first, second string) *archiveSchedule {
@@ -64,7 +64,7 @@
 	s.leader = becomeLeader(s.t, s.cluster, s.leader.now, number, s.rate)
 }
 
-// step performs a random action, lets time pass and executes the calls.
+// step performs a random action, advances the time, executes the calls and checks one lookup.
 func (s *archiveSchedule) step(index int) {
 	s.t.Helper()
 	switch rapid.IntRange(0, 9).Draw(s.t, "what") {
@@ -73,9 +73,9 @@
 			return
 		}
 	case 4:
-		if len(s.late) > 0 {
-			s.cluster.State.Exchange(s.late[0])
-			s.late = s.late[1:]
+		if len(s.lateCalls) > 0 {
+			s.cluster.State.Exchange(s.lateCalls[0])
+			s.lateCalls = s.lateCalls[1:]
 		}
 	case 5:
 		if rapid.IntRange(0, 3).Draw(s.t, "deposed") == 0 {
@@ -85,7 +85,7 @@
 	}
 	s.leader.tick()
 	for _, call := range s.leader.outbox.TakeCalls() {
-		s.carryOut(call)
+		s.executeOrLose(call)
 	}
 	if s.leader.storage.IsFenced() {
 		s.changeLeader(uint64(index) + 2)
@@ -109,8 +109,8 @@
 	return true
 }
 
-// carryOut executes a call, refuses it, or loses it on the way there or back.
-func (s *archiveSchedule) carryOut(call client.Call) {
+// executeOrLose executes a call, rejects it, or loses the request or the response.
+func (s *archiveSchedule) executeOrLose(call client.Call) {
 	s.t.Helper()
 	if call.Path == "/commit" && !requiresLeaderKey(call) {
 		s.t.Fatalf("commit without a precondition on the leader's key: %+v", call.Body)
@@ -126,7 +126,7 @@
 		call.Done(now, client.Result{})
 	case 3:
 		if call.Method == http.MethodPost {
-			s.late = append(s.late, call)
+			s.lateCalls = append(s.lateCalls, call)
 		}
 		call.Done(now, client.Result{})
 	default:
@@ -140,9 +140,9 @@
 	want, isDurable := s.durable[jobID]
 	attempted, isAttempted := s.attempted[jobID]
 	result := s.leader.archive.LookupIndex(jobID)
-	saysDone := result == archive.Done && (want.State == jobs.Cancelled || !isDurable && attempted.State == jobs.Cancelled)
-	saysCancelled := result == archive.Cancelled && isDurable && want.State != jobs.Cancelled
-	if saysDone || saysCancelled {
+	falselyDone := result == archive.Done && (want.State == jobs.Cancelled || !isDurable && attempted.State == jobs.Cancelled)
+	falselyCancelled := result == archive.Cancelled && isDurable && want.State != jobs.Cancelled
+	if falselyDone || falselyCancelled {
 		s.t.Fatalf("%s in the index: got %v, want %+v (durable %v)", jobID, result, want, isDurable)
 	}
 	state, found, ok := s.leader.lookUp(jobID)
@@ -151,10 +151,10 @@
 	}
 }
 
-// end delivers all calls in transit, and has another leader finish the pending work.
+// end executes all calls in transit, has another leader finish the pending work, and changes the leader once more.
 func (s *archiveSchedule) end() {
 	s.t.Helper()
-	for _, call := range s.late {
+	for _, call := range s.lateCalls {
 		s.cluster.State.Exchange(call)
 	}
 	s.changeLeader(9999)
@@ -165,7 +165,7 @@
 	s.changeLeader(10_000)
 }
 
-// checkEnd checks that in the end each job is in one place.
+// checkEnd checks that in the end each finished job is found, and is either in the pages or in one segment.
 func (s *archiveSchedule) checkEnd() {
 	s.t.Helper()
 	for id, state := range s.attempted {
@@ -184,15 +184,15 @@
 	}
 }
 
-// hasCompacted reports whether there are so many jobs in so few segments that some were compacted.
+// hasCompacted reports whether so many jobs are in so few segments that a compaction must have taken place.
 func (s *archiveSchedule) hasCompacted() bool {
 	segments := s.leader.archive.SegmentCount()
 	return segments > 0 && segments < 3 && s.leader.archive.JobCount() > 12
 }
 
-// TestEveryFinishedJobIsStoredOnce checks that every finished job is in exactly one place and is found with its state
-// and counts, and that no other job is found, whether its commits are refused, lost on the way there or back, executed
-// late, or sent by a deposed leader. The model is a map.
+// TestEveryFinishedJobIsStoredOnce checks that every finished job is in exactly one place and is found with its state and
+// task count, and that no other job is found. Commits are rejected, lost before or after their execution, executed late,
+// or sent by a deposed leader. The model is a map.
 func TestEveryFinishedJobIsStoredOnce(t *testing.T) {
 	first, second := collidingIDs()
 	compacted := 0
--- a/internal/controller/archive/older_version_test.go
+++ b/internal/controller/archive/older_version_test.go
@@ -14,7 +14,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// readPagesAsOlderVersion reads pages as the last version without an archive did.
+// readPagesAsOlderVersion decodes pages as the last version without an archive did.
 func readPagesAsOlderVersion(body []byte) error {
 	var a struct {
 		Entries []struct {
@@ -30,8 +30,9 @@
 	return codec.Unmarshal(body, &a)
 }
 
-// TestOlderVersionCannotLoadPages checks that a version without an archive cannot lead, since it would report archived
-// jobs as unknown: it reads all values below page/ as maps, and answers no request before it has read them.
+// TestOlderVersionCannotLoadPages checks that a version without an archive cannot decode the pages. It would report
+// archived jobs as unknown. It answers no request before it has decoded all values below page/ as maps, so the format key
+// keeps it from leading.
 func TestOlderVersionCannotLoadPages(t *testing.T) {
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
 	leader := becomeLeader(t, cluster, time.Unix(5000, 0), 1, 1000)
--- a/internal/controller/archive/segment.go
+++ b/internal/controller/archive/segment.go
@@ -14,28 +14,29 @@
 	"github.com/RoaringBitmap/roaring/v2/roaring64"
 )
 
-// finishedJob is a finished job.
+// finishedJob is a finished job that is archived.
 type finishedJob struct {
 	ID string
 	jobs.FinalState
 }
 
 const (
-	// maxExactDigits is the largest number of digits with which an ID is mapped to a key of its own. Longer IDs are hashed: for these
-	// the index shows only that a segment may have the job, and the data decides.
+	// maxExactDigits is the maximum number of digits of an ID that has an index key of its own, an exact key. Longer IDs are hashed. For
+	// a hashed ID the index shows only that a segment may have the job; its data must be read to decide.
 	maxExactDigits = 9
-	// hashedKeyBit is set in the keys of hashed IDs, so that they sort after all others.
+	// hashedKeyBit is set in the keys of hashed IDs, so that these sort after all exact keys.
 	hashedKeyBit = uint64(1) << 32
 	// hashBits is the number of bits of a hash that are kept. With fewer bits more submissions would need a lookup in the data (1 in
-	// 270 with a million jobs); with more bits the containers of a segment's bitmap would be larger than the IDs.
+	// 270 with a million jobs). With more bits the containers of a segment's bitmap would be larger than the IDs.
 	hashBits = 28
 
 	jobIDPrefix = "job-"
 	maxDigits   = 32
 )
 
-// keyOf maps an ID to its key. Two IDs of up to maxExactDigits digits never share one.
-func keyOf(id string) (key uint64, ok bool) {
+// jobKey returns the index key of a job ID. ok is false if the ID is invalid. Only IDs with more than maxExactDigits digits can share a
+// key.
+func jobKey(id string) (key uint64, ok bool) {
 	digits, found := strings.CutPrefix(id, jobIDPrefix)
 	if !found || digits == "" || len(digits) > maxDigits {
 		return 0, false
@@ -49,19 +50,19 @@
 	return hashedKeyBit | uint64(h.Sum32()>>(32-hashBits)), true
 }
 
-// Segment is an immutable set of finished jobs: its index, which a leader has in memory, and its data, which is read from the state
-// service when it is needed.
+// Segment is the index of an immutable set of finished jobs. A leader keeps the index in memory. The data of the segment is read from the
+// state service when it is needed.
 type Segment struct {
 	Number     uint64
-	Level      int // number of compactions of its jobs
+	Level      int // 0 for a new segment, else one more than the highest level that was compacted into it
 	JobCount   int // may exceed the number of keys, since hashed IDs can share a key
 	indexParts int
-	ids        *roaring64.Bitmap // keys
-	cancelled  *roaring64.Bitmap // keys of cancelled jobs that are not hashed
-	partStarts []uint64          // rank of the first key of each part of the data
+	ids        *roaring64.Bitmap // keys of all jobs
+	cancelled  *roaring64.Bitmap // exact keys of cancelled jobs
+	partStarts []uint64          // for each data part, the rank of its first key
 }
 
-// SegmentRecord is the entry of a segment in the archive's head.
+// SegmentRecord is the stored entry of a segment in the archive's head.
 type SegmentRecord struct {
 	Level      int `msgpack:"l" json:"l"`
 	JobCount   int `msgpack:"c" json:"c"`
@@ -69,34 +70,34 @@
 	DataParts  int `msgpack:"d" json:"d"`
 }
 
-// record returns the entry of the segment in the head.
+// record returns the segment's entry in the archive's head.
 func (s *Segment) record() SegmentRecord {
 	return SegmentRecord{Level: s.Level, JobCount: s.JobCount, IndexParts: s.indexParts, DataParts: len(s.partStarts)}
 }
 
-// rank returns the position of a key among the segment's keys, from 0.
+// rank returns the position of a key among the segment's sorted keys, counted from 0. The segment must have the key.
 func (s *Segment) rank(key uint64) uint64 { return s.ids.Rank(key) - 1 }
 
-// locate is the part of the data that has a rank, and the rank's place in it.
+// locate returns the index of the data part that has the key with this rank, and the position of the key in that part.
 func (s *Segment) locate(rank uint64) (part, position int) {
 	i := sort.Search(len(s.partStarts), func(i int) bool { return s.partStarts[i] > rank }) - 1
 	return i, int(rank - s.partStarts[i])
 }
 
-// builtSegment is a new segment with the texts of its parts.
+// builtSegment is a new segment with the texts of its data and index parts.
 type builtSegment struct {
 	segment *Segment
 	data    []string
 	index   []string
 }
 
-// segmentBuilder builds a segment from keys in ascending order.
+// segmentBuilder builds a segment from keys that are added in ascending order.
 type segmentBuilder struct {
-	maxPartBytes int // limit of the text of a part
+	maxPartBytes int // maximum length of the text of a part
 	segment      *Segment
 	nextRank     uint64
 	lastKey      uint64
-	partOpen     bool // part is in use, though it may be empty
+	partOpen     bool // part was begun and is not closed, though it may be empty
 	part         []byte
 	dataParts    []string
 }
@@ -108,7 +109,7 @@
 	}
 }
 
-// add adds a key with the payload of its jobs. Exact and hashed keys are never in the same part.
+// add adds a key with the payload of its jobs. Exact and hashed keys go to different parts, since their payloads are encoded differently.
 func (b *segmentBuilder) add(key uint64, payload []byte, jobCount int) {
 	isFirstHashed := key >= hashedKeyBit && b.lastKey < hashedKeyBit
 	if b.partOpen && (isFirstHashed || base64.RawStdEncoding.EncodedLen(len(b.part)+len(payload)) > b.maxPartBytes) {
@@ -133,7 +134,7 @@
 	b.part, b.partOpen = b.part[:0], false
 }
 
-// finish returns the segment. Nothing may be added after that.
+// finish completes the segment and returns it. No key may be added afterwards.
 func (b *segmentBuilder) finish() (builtSegment, error) {
 	if b.partOpen {
 		b.closePart()
@@ -155,13 +156,13 @@
 	return builtSegment{segment: b.segment, data: b.dataParts, index: index}, nil
 }
 
-// buildSegment builds a segment of finished jobs.
+// buildSegment builds a segment of level 0 from finished jobs, which may be in any order.
 func buildSegment(number uint64, finishedJobs []finishedJob, maxPartBytes int) (builtSegment, error) {
 	keys := make(map[string]uint64, len(finishedJobs))
 	for _, job := range finishedJobs {
-		key, ok := keyOf(job.ID)
+		key, ok := jobKey(job.ID)
 		if !ok {
-			return builtSegment{}, fmt.Errorf("segment %d: %q is no job", number, job.ID)
+			return builtSegment{}, fmt.Errorf("segment %d: job ID %q: expected %q and 1 to %d digits", number, job.ID, jobIDPrefix, maxDigits)
 		}
 		keys[job.ID] = key
 	}
@@ -180,7 +181,7 @@
 			n++
 		}
 		if key < hashedKeyBit && n > 1 {
-			return builtSegment{}, fmt.Errorf("segment %d: %s is there twice", number, sorted[0].ID)
+			return builtSegment{}, fmt.Errorf("segment %d: job %s occurs %d times, expected once", number, sorted[0].ID, n)
 		}
 		builder.add(key, encodePayload(key, sorted[:n]), n)
 		sorted = sorted[n:]
--- a/internal/controller/archive/tick.go
+++ b/internal/controller/archive/tick.go
@@ -13,7 +13,7 @@
 	maxRetryDelay = 10 * time.Second
 )
 
-// backgroundCalls limits the calls of the background work: one at a time, at the rates in Options.
+// backgroundCalls limits the calls of the background work to one at a time, at the rates in Options.
 type backgroundCalls struct {
 	inFlight     bool
 	retryAt      time.Time
@@ -22,8 +22,8 @@
 	readLimiter  *client.RateLimiter
 }
 
-// end records the result of a call and returns ok. After a failure the next call is delayed, by a delay that doubles.
-func (c *backgroundCalls) end(now time.Time, ok bool) bool {
+// recordResult records the result of a call and returns ok. A failure delays the next call. The delay doubles with each failure.
+func (c *backgroundCalls) recordResult(now time.Time, ok bool) bool {
 	c.inFlight = false
 	if ok {
 		c.retryDelay = 0
@@ -34,7 +34,8 @@
 	return false
 }
 
-// Tick does the next step of the background work, at most one call at a time.
+// Tick performs the next step of the background work: building a segment, collecting garbage, or choosing jobs or segments for the next
+// build. It adds at most one call to outbox, which the caller must execute. It does nothing while a call is in flight.
 func (s *Store) Tick(now time.Time, outbox *client.Outbox) {
 	if s.calls.inFlight || now.Before(s.calls.retryAt) {
 		return
@@ -51,14 +52,14 @@
 	}
 }
 
-// availableWrites returns the number of operations that are available now: at most the archive's share, and only what urgent changes do
-// not need.
+// availableWrites returns the number of operations that the archive may write now in one transaction. It leaves writes for urgent changes.
 func (s *Store) availableWrites(now time.Time) int {
 	return min(s.calls.writeLimiter.Available(now), s.storage.SpareWrites(now), s.options.MaxTransactionOps)
 }
 
-// commitHead changes the archive's head and removes jobs from their pages in one commit, if the budget allows it. The same commit removes
-// the entries of collected garbage from the head. done, unless nil, is called once the commit was executed.
+// commitHead changes the archive's head and removes jobs from their pages in one commit. The same commit removes the entries of collected
+// garbage from the head. If the write budget does not allow the commit, it does nothing. done is called once the commit was executed; it
+// may be nil.
 func (s *Store) commitHead(now time.Time, jobIDs []string, changes []storage.HeadChange, done func()) {
 	collected := len(s.garbage.collected)
 	for _, number := range s.garbage.collected {
@@ -71,7 +72,7 @@
 	s.calls.writeLimiter.Take(cost)
 	s.calls.inFlight = true
 	err := s.storage.CommitArchive(jobIDs, changes, func(now time.Time, ok bool) {
-		if !s.calls.end(now, ok) {
+		if !s.calls.recordResult(now, ok) {
 			return
 		}
 		s.garbage.collected = s.garbage.collected[collected:]
@@ -81,6 +82,6 @@
 	})
 	if err != nil {
 		s.log.Error("archive head not written", logkeys.Err, err)
-		s.calls.end(now, false)
+		s.calls.recordResult(now, false)
 	}
 }
