--- a/internal/controller/storage/split_test.go
+++ b/internal/controller/storage/split_test.go
@@ -67,11 +67,11 @@
 	s.now = s.now.Add(time.Duration(100+rapid.IntRange(0, 900).Draw(s.t, "ms")) * time.Millisecond)
 	s.store.Flush(s.now, &s.outbox)
 	for _, call := range s.outbox.TakeCalls() {
-		fate := 0
+		outcome := 0
 		if lossy && call.Method == http.MethodPost {
-			fate = rapid.IntRange(0, 5).Draw(s.t, "fate")
+			outcome = rapid.IntRange(0, 5).Draw(s.t, "fate")
 		}
-		switch fate {
+		switch outcome {
 		case 1: // executed, but the response is lost
 			s.service.serve(s.t, call)
 			call.Done(s.now, client.Result{})
