--- a/internal/controller/heartbeat/ended.go
+++ b/internal/controller/heartbeat/ended.go
@@ -49,15 +49,15 @@
 }
 
 func (h *Handler) logEnded(machine *worker.Machine, ended worker.EndedAttempt) {
-	if ended.Reason == workerapi.ReasonDone { // a replica of a service, which is restarted until its job is cancelled
+	if ended.Reason == workerapi.ReasonDone { // replicas of a service are restarted until their job is cancelled
 		return
 	}
 	h.log.Debug("attempt ended", logkeys.Task, ended.Attempt.Task, logkeys.Attempt, ended.Attempt.Number,
 		logkeys.Machine, machine.ID, logkeys.Reason, ended.Reason)
 }
 
-// completeTask records that an attempt has completed its task. Its run time is measured only if the leader observed its start and it
-// did not resume from a checkpoint.
+// completeTask records that an attempt has completed its task. The run time counts only if the leader observed the start of the
+// attempt, and the attempt did not resume from a checkpoint.
 func (h *Handler) completeTask(now time.Time, machine *worker.Machine, attempt *jobs.Attempt) {
 	job, task := attempt.Job, attempt.Task.Index
 	if !attempt.RunningSince.IsZero() && !job.ResumedTasks[task] {
@@ -78,7 +78,7 @@
 	h.observers.estimator.ObserveRunTime(job, runTime)
 }
 
-// lossCause returns the wait reason in the time accounting for an attempt that did not complete its task.
+// lossCause returns the wait reason to which the accounting attributes an attempt that did not complete its task.
 func lossCause(ended worker.EndedAttempt) accounting.WaitReason {
 	switch {
 	case !ended.Attempt.StopSentAt.IsZero() || ended.Reason == workerapi.ReasonStopped:
--- a/internal/controller/heartbeat/expiry.go
+++ b/internal/controller/heartbeat/expiry.go
@@ -7,8 +7,8 @@
 	"gullrudder/internal/logkeys"
 )
 
-// ExpireLeases ends the attempts on machines whose worker lease has expired: no task is left there. A machine without a fresh
-// heartbeat or a registration is removed, since its heartbeats may have been duplicates of those to an earlier leader.
+// ExpireLeases ends the attempts on machines whose worker lease has expired, since no task can be left there. It removes machines that
+// have neither a fresh heartbeat nor a registration: their heartbeats may have been duplicates of heartbeats to an earlier leader.
 func (h *Handler) ExpireLeases(now time.Time) {
 	for _, machine := range h.workers.Machines {
 		if h.workers.IsLeaseExpired(now, machine) {
--- a/internal/controller/heartbeat/failure.go
+++ b/internal/controller/heartbeat/failure.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxAvoidedMachines is the number of machines on which a job has failed after which it is tried on all of them again, since a
-	// small site may have no others.
+	// maxAvoidedMachines is the number of failed machines at which a job may run on all of them again. A small site may have no
+	// other machines.
 	maxAvoidedMachines = 3
-	// maxRetryDelay bounds the delay between two tries of a job that fails and has completed no task.
+	// maxRetryDelay bounds the delay between two attempts of a failing job that has not completed any task.
 	maxRetryDelay = time.Minute
 )
 
-// recordFailure records that a task has ended with an error. The job avoids the machine from now on. The failure tracker decides
-// whether the job is crash-looping or the machine is faulty.
+// recordFailure records that a task has ended with an error. The job then avoids the machine. The failure tracker decides whether the
+// job is crash-looping or the machine is faulty.
 func (h *Handler) recordFailure(now time.Time, machine *worker.Machine, job *jobs.Job) {
 	job.FailureCount++
 	h.log.Info("task failed", logkeys.Job, job.ID, logkeys.Machine, machine.ID, logkeys.Count, job.FailureCount)
@@ -36,7 +36,7 @@
 	}
 }
 
-// avoidMachine makes the job avoid the machine. After maxAvoidedMachines it may run on all of them again, after a delay.
+// avoidMachine makes the job avoid the machine. A job that avoids maxAvoidedMachines may run on all of them again after a delay.
 func (h *Handler) avoidMachine(now time.Time, machine *worker.Machine, job *jobs.Job) {
 	machine.FailedJobs[job.ID] = true
 	if job.FailedMachines == nil {
@@ -58,9 +58,9 @@
 	job.FailedMachines = nil
 }
 
-// throttleCrashLooping limits a crash-looping job to one task at a time, with growing delays. Its other attempts are stopped: they
-// would fail as well, and use resources until then. The verdict is part of the job's record, so that the next leader does not start
-// all of its tasks again.
+// throttleCrashLooping limits a crash-looping job to one task at a time, with growing delays. Its other attempts are stopped,
+// since they would use resources until they fail as well. The verdict is stored in the job's record, so that the next leader does not
+// start all tasks again.
 func (h *Handler) throttleCrashLooping(now time.Time, job *jobs.Job) {
 	job.NotBefore = h.observers.failures.ScheduleRetry(now, job.ID)
 	if job.CrashLooping {
@@ -74,13 +74,13 @@
 			stopped++
 		}
 	}
-	h.log.Info("job crash-looping", logkeys.Job, job.ID, logkeys.Team, job.Team, logkeys.Class, job.Class,
+	h.log.Info("job marked as crash-looping", logkeys.Job, job.ID, logkeys.Team, job.Team, logkeys.Class, job.Class,
 		logkeys.FailedMachines, h.observers.failures.FailedMachineCount(job.ID), logkeys.StoppedAttempts, stopped)
 	h.jobStore.SaveRecord(now, job)
 	h.placer.InvalidateOrder()
 }
 
-// recordCompletion records that a task of the job has completed on the machine, which revokes the verdict on the job.
+// recordCompletion records that a task of the job has completed on the machine, which revokes its verdict of crash-looping.
 func (h *Handler) recordCompletion(now time.Time, machine *worker.Machine, job *jobs.Job) {
 	h.observers.failures.RecordCompletion(job.ID, machine.ID)
 	if !job.CrashLooping {
--- a/internal/controller/heartbeat/handler.go
+++ b/internal/controller/heartbeat/handler.go
@@ -1,9 +1,9 @@
 // Package heartbeat handles the heartbeats of workers. A Handler reconciles the leader's state with each heartbeat, and responds with
 // the commands to kill, forget and start attempts on the machine. It owns the heartbeats that wait for their response and the records
-// of registered machines in the state service. It is made at each election.
+// of registered machines in the state service. A Handler is created at each election.
 //
-// Starts are sent in heartbeat responses only, and the placer decides what starts. The Handler reconciles only heartbeats that the
-// reachability tracker classifies as fresh, and never treats an attempt as gone except by the rules of package worker.
+// Start commands are sent in heartbeat responses only, and the placer chooses them. The Handler reconciles only heartbeats that the
+// reachability tracker classifies as fresh. The rules of package worker alone decide when an attempt is gone.
 // Design notes: docs/design/reachability.md, docs/design/failure-attribution.md.
 package heartbeat
 
@@ -30,7 +30,7 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// maxMachines bounds the number of machines that the leader keeps, whatever machine IDs appear in heartbeats.
+// maxMachines bounds the number of machines that the leader keeps, however many machine IDs appear in heartbeats.
 const maxMachines = 20000
 
 // Components are the parts of a leader that a Handler works with.
@@ -57,7 +57,7 @@
 	responder         *server.Responder
 	fencingToken      uint64
 	heartbeatInterval time.Duration
-	cancelWindow      time.Duration // see renewal.Window
+	cancelWindow      time.Duration // how long after a cancellation is confirmed leases may be renewed, see renewal.Window
 
 	storage      *storage.Store
 	jobStore     *jobstore.Store
@@ -111,8 +111,8 @@
 	}
 }
 
-// HandleHeartbeat processes a heartbeat; SendResponses sends the response at the end of the step. No heartbeat is reconciled before
-// the persistent state is loaded. provesAlive reports whether the heartbeat is fresh, and so proves that its machine is alive.
+// HandleHeartbeat processes a heartbeat. SendResponses sends the response at the end of the step. Heartbeats are not reconciled before
+// the persistent state is loaded. provesAlive reports whether the heartbeat is fresh, which proves that its machine is alive.
 func (h *Handler) HandleHeartbeat(now time.Time, request *server.Request, stateLoaded bool) (provesAlive bool) {
 	heartbeat, ok := decodeHeartbeat(request.Body)
 	if !ok {
@@ -129,14 +129,14 @@
 		freshness = h.reachability.Classify(now, machine, heartbeat)
 	}
 	if freshness == reachability.Stale {
-		// Status 200 would renew the lease of a machine that is gone as long as duplicates of its heartbeats arrive.
+		// Status 200 would keep renewing the lease of a machine that is gone while duplicates of its heartbeats arrive.
 		h.responder.RespondError(request, http.StatusServiceUnavailable, "an older report", 0)
 		return false
 	}
 	machine.LeaseRenewedAt = now
 	if freshness == reachability.Fresh {
-		// The worker has received this leader's fencing token, and sent the heartbeat after that: it no longer executes commands of
-		// an earlier leader.
+		// The worker sent the heartbeat after it received this leader's fencing token, so it no longer executes commands of an
+		// earlier leader.
 		h.Reconcile(now, machine, heartbeat, true)
 		h.register(now, machine, heartbeat)
 	}
@@ -149,12 +149,12 @@
 	if codec.Unmarshal(body, heartbeat) != nil {
 		return nil, false
 	}
-	isNamed := heartbeat.Machine != "" && len(heartbeat.Machine) <= workerapi.MaxMachineIDBytes
-	return heartbeat, isNamed && heartbeat.Incarnation != 0
+	hasValidID := heartbeat.Machine != "" && len(heartbeat.Machine) <= workerapi.MaxMachineIDBytes
+	return heartbeat, hasValidID && heartbeat.Incarnation != 0
 }
 
-// Reconcile reconciles the attempts of a machine with a heartbeat that is newer than all before. complete is false for the response
-// to direct commands (see worker.Registry.Reconcile).
+// Reconcile reconciles the attempts of a machine with a heartbeat that is newer than all earlier ones. complete is false for the
+// response to direct commands (see worker.Registry.Reconcile).
 func (h *Handler) Reconcile(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat, complete bool) {
 	ended := h.workers.Reconcile(now, machine, heartbeat, complete, h.jobStore.Find)
 	h.reachability.RecordEnded(now, machine, ended)
--- a/internal/controller/heartbeat/registration.go
+++ b/internal/controller/heartbeat/registration.go
@@ -11,7 +11,7 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// MachineKeyPrefix is the prefix of the keys of MachineRecords in the state service; the machine's ID follows.
+// MachineKeyPrefix is the prefix of the keys of MachineRecords in the state service. The machine's ID follows it.
 const MachineKeyPrefix = "m:"
 
 // MachineRecord is the stored record of a machine that may hold tasks. It is written before the first start is sent to the machine,
--- a/internal/controller/heartbeat/response.go
+++ b/internal/controller/heartbeat/response.go
@@ -16,17 +16,17 @@
 	maxRegistrationWait = 700 * time.Millisecond
 	// maxCommandsPerResponse bounds the commands of one response, whose body must stay below 64 KiB.
 	maxCommandsPerResponse = 300
-	// minKillsSent is the least number of responses with the command to kill a task after which the machine may count as ignoring
-	// them: one may still be in transit.
+	// minKillsSent is the number of kill commands for an attempt from which on the machine counts as ignoring them. One may still
+	// be in transit.
 	minKillsSent = 2
-	// reclaimSlack and reclaimHeartbeats, a number of heartbeat intervals, are added to the checkpoint duration of a task: that long
-	// before a reclaim the command to save a checkpoint is sent.
+	// Before a reclaim, the command to save a checkpoint is sent earlier than the checkpoint duration of the task requires: by
+	// reclaimSlack and reclaimHeartbeats heartbeat intervals.
 	reclaimSlack      = time.Second
 	reclaimHeartbeats = 3
 )
 
-// SendResponses responds to the heartbeats of this step. The tasks that start on their machines are chosen now, if canStart allows
-// any starts.
+// SendResponses responds to the heartbeats of this step. If canStart is true, it also chooses the tasks that start on their machines.
+// Responses to machines that are being registered may be delayed to a later step.
 func (h *Handler) SendResponses(now time.Time, canStart bool) {
 	batch := h.pending
 	h.pending = nil
@@ -47,7 +47,7 @@
 	h.pending = nil
 }
 
-// awaitsRegistration reports whether the response is held back until the machine is registered and may be sent starts.
+// awaitsRegistration reports whether the response is held back until the machine is registered and may be sent start commands.
 func (p pendingHeartbeat) awaitsRegistration(now time.Time) bool {
 	return p.freshness == reachability.Fresh && p.machine.Registering && now.Sub(p.receivedAt) < maxRegistrationWait
 }
@@ -73,7 +73,7 @@
 }
 
 // commandsFor returns the commands in the response to a fresh heartbeat. If a machine has several heartbeats in this step, only the
-// response to the newest contains starts.
+// response to the newest contains start commands.
 func (h *Handler) commandsFor(now time.Time, pending pendingHeartbeat, canStart bool) []workerapi.Command {
 	machine, heartbeat := pending.machine, pending.heartbeat
 	checkpointBeforeReclaim(now, machine, reclaimHeartbeats*h.heartbeatInterval+reclaimSlack)
@@ -88,8 +88,8 @@
 	return commands
 }
 
-// killCommands returns the commands to kill the tasks of cancelled jobs that appear in a heartbeat that is not fresh. They have to end
-// whatever the age of the heartbeat, and a response without the commands would keep them for another lease.
+// killCommands returns the commands to kill the tasks of cancelled jobs that appear in a heartbeat that is not fresh. They
+// must end however old the heartbeat is: a response without the commands would keep them running for another lease.
 func (h *Handler) killCommands(heartbeat *workerapi.Heartbeat) []workerapi.Command {
 	commands := []workerapi.Command{}
 	for _, status := range heartbeat.Tasks {
@@ -104,8 +104,8 @@
 	return commands
 }
 
-// ignoresKills reports whether a task of a cancelled job is still on the machine in spite of repeated kill commands, so long after the
-// confirmation of the cancellation that renewing the lease would keep it beyond the cancel timeout.
+// ignoresKills reports whether a task of a cancelled job is still on the machine after repeated kill commands, and renewing the lease
+// now could keep it running beyond the cancel timeout.
 func (h *Handler) ignoresKills(now time.Time, machine *worker.Machine) bool {
 	for _, attempt := range machine.Attempts {
 		job := attempt.Job
@@ -119,8 +119,8 @@
 	return false
 }
 
-// forgetCommands returns the commands to forget the exited attempts in a heartbeat. The worker must not forget an attempt that is done
-// before its result is durable.
+// forgetCommands returns the commands to forget the exited attempts in a heartbeat. A worker must keep a completed attempt until its
+// result is durable.
 func (h *Handler) forgetCommands(heartbeat *workerapi.Heartbeat) []workerapi.Command {
 	commands := []workerapi.Command{}
 	for _, status := range heartbeat.Tasks {
@@ -135,7 +135,8 @@
 	return commands
 }
 
-// appendKills appends the commands to kill attempts that must not run on the machine, and to stop attempts that are preempted.
+// appendKills appends the commands to kill attempts that must not run on the machine, and to checkpoint and stop attempts that are
+// preempted.
 func appendKills(commands []workerapi.Command, machine *worker.Machine) []workerapi.Command {
 	for _, attempt := range machine.Attempts {
 		if len(commands) >= maxCommandsPerResponse {
@@ -154,8 +155,8 @@
 	return commands
 }
 
-// checkpointBeforeReclaim marks the attempts that can save a checkpoint to be stopped before the cloud reclaims the machine. leadTime
-// is added to the checkpoint duration.
+// checkpointBeforeReclaim marks the attempts that can save a checkpoint as stopping before the cloud reclaims the machine. leadTime is
+// added to the checkpoint duration.
 func checkpointBeforeReclaim(now time.Time, machine *worker.Machine, leadTime time.Duration) {
 	if machine.ReclaimAt.IsZero() {
 		return
