--- a/internal/controller/worker/commands.go
+++ b/internal/controller/worker/commands.go
@@ -11,8 +11,8 @@
 // commandTimeout limits the wait for the response to direct commands, which is ignored.
 const commandTimeout = time.Second
 
-// SendCommands sends commands to a machine's own address at once. The machine's next heartbeat shows their outcome, and the response
-// to it repeats them if necessary. Start commands must not be sent this way, only in heartbeat responses.
+// SendCommands sends commands to a machine's own address without waiting for its next heartbeat. That heartbeat shows their outcome,
+// and the response to it repeats them if necessary. Start commands must be sent in heartbeat responses only, not this way.
 func SendCommands(outbox *client.Outbox, fencingToken uint64, machine *Machine, commands []workerapi.Command) {
 	outbox.Add(client.Call{
 		Destination: client.WorkerAgent, Addr: machine.Addr, Method: http.MethodPost, Path: "/commands",
--- a/internal/controller/worker/drain_reason.go
+++ b/internal/controller/worker/drain_reason.go
@@ -1,6 +1,6 @@
 package worker
 
-// DrainReason is why a machine drains: no more tasks start on it. Its values are part of the status that users see.
+// DrainReason is why a machine drains. No more tasks start on a draining machine. The values are part of the status that users see.
 type DrainReason string
 
 // The drain reasons.
@@ -9,9 +9,9 @@
 	DrainReclaimed    DrainReason = "notice"   // the cloud has given notice that it reclaims the machine
 	DrainFaulty       DrainReason = "faulty"   // tasks of several jobs failed on it (package failures)
 	DrainSlow         DrainReason = "slow"     // tasks take longer on it than elsewhere (package straggler)
-	DrainExpensive    DrainReason = "surplus"  // cheaper machines suffice
-	DrainConsolidated DrainReason = "thin"     // it is little used, and its tasks fit on other machines
-	DrainUnresponsive DrainReason = "silent"   // no heartbeats, or no answer to probes
+	DrainExpensive    DrainReason = "surplus"  // cheaper machines are sufficient
+	DrainConsolidated DrainReason = "thin"     // its utilization is low, and its tasks fit on other machines
+	DrainUnresponsive DrainReason = "silent"   // it sends no heartbeats, or does not respond to probes
 	DrainTerminating  DrainReason = "returned" // its termination was requested
 )
 
--- a/internal/controller/worker/image_cache.go
+++ b/internal/controller/worker/image_cache.go
@@ -6,8 +6,8 @@
 	"gullrudder/internal/units"
 )
 
-// ImageCache is the leader's estimate of which images are in the cache of a machine: the most recently used ones of the attempts
-// that were assigned to it, as far as they fit.
+// ImageCache is the leader's estimate of the images in the cache of a machine: the images of the attempts that were assigned to it,
+// the most recently used first, up to the size of the cache.
 type ImageCache struct {
 	SizeGB    float64
 	FetchRate float64 // GB/s
@@ -22,13 +22,13 @@
 	lastUse uint64 // useCount at its last use
 }
 
-// Has reports whether a task with this image starts without fetching it.
+// Has reports whether the image is in the cache, so that a task starts without fetching it.
 func (c *ImageCache) Has(image string) bool {
 	_, ok := c.images[image]
 	return ok
 }
 
-// RecordUse records that a task with this image is on the machine, and evicts what no longer fits.
+// RecordUse records that a task with this image is on the machine. It evicts the least recently used images that no longer fit.
 func (c *ImageCache) RecordUse(image string, sizeGB float64) {
 	if c.images == nil {
 		c.images = map[string]cachedImage{}
--- a/internal/controller/worker/image_cache_test.go
+++ b/internal/controller/worker/image_cache_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// imageModel is a model of a cache of 10 GB: image numbers, the newest last. An image is as many GB large as its number.
+// imageModel is a model of a cache of 10 GB: the numbers of its images, the most recently used last. Image n has a size of n GB.
 type imageModel []int
 
 func (m imageModel) use(image int) imageModel {
@@ -28,7 +28,7 @@
 	return m
 }
 
-// TestImageCacheKeepsMostRecentlyUsed compares the cache with a list of the most recently used images that fit.
+// TestImageCacheKeepsMostRecentlyUsed compares the cache with a model that lists the most recently used images that fit.
 func TestImageCacheKeepsMostRecentlyUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cache := ImageCache{SizeGB: 10}
--- a/internal/controller/worker/machine.go
+++ b/internal/controller/worker/machine.go
@@ -7,8 +7,8 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// Machine is the leader's view of one worker's machine. Its attempts and used resources are changed by the Registry only, which
-// updates team usage and utilization buckets with them.
+// Machine is the leader's view of a worker's machine. Only the Registry may change its attempts and used resources: it also updates
+// the usage of teams and the utilization buckets.
 type Machine struct {
 	ID, Addr, Type, Zone string
 	Spot                 bool
@@ -23,21 +23,21 @@
 	Registration
 	Constraints
 
-	bucket, bucketIndex int // position in Registry.buckets; bucket 0: not in any bucket
+	bucket, bucketIndex int // position in Registry.buckets; bucket 0: in none
 }
 
 // Contact is the state of the exchange of heartbeats and responses with a machine.
 type Contact struct {
 	workerapi.Position // of the newest heartbeat that was accepted
 
-	HasReported    bool      // a heartbeat was accepted since the leader's election
-	Reconciled     bool      // the leader has reconciled all attempts that may run on it
+	HasReported    bool      // a heartbeat was accepted since this leader was elected
+	Reconciled     bool      // the leader knows all attempts that may run on it
 	LeaseRenewedAt time.Time // when the leader last sent it a response with status 200
-	LastContactAt  time.Time // last fresh heartbeat or answer to a probe, which prove that the machine is alive (set by reachability)
-	IsUnreachable  bool      // its heartbeats arrive, and it probably receives no responses (set by reachability)
+	LastContactAt  time.Time // last proof that it is alive: a fresh heartbeat or a response to a probe (set by reachability)
+	IsUnreachable  bool      // its heartbeats arrive, but it probably receives no responses (set by reachability)
 }
 
-// Registration is whether the state service has a record of the machine. No start is sent to a machine before that.
+// Registration is whether the state service has a record of the machine. A machine without a record is sent no start commands.
 type Registration struct {
 	Registered  bool
 	Registering bool // the record is being written
@@ -45,16 +45,16 @@
 
 // Constraints keep tasks from being placed on a machine.
 type Constraints struct {
-	ReclaimAt       time.Time // when the cloud reclaims the machine; zero: no notice was given
+	ReclaimAt       time.Time // when the cloud reclaims the machine; zero: it has given no notice
 	DrainReason     DrainReason
 	IdleSince       time.Time       // when it last held a task
-	StartsNotBefore time.Time       // no starts before, since the machine refused one for lack of resources
-	FailedJobs      map[string]bool // IDs of the jobs that avoid the machine, since a task of each failed on it
+	StartsNotBefore time.Time       // no start commands before this time: the machine refused one for lack of resources
+	FailedJobs      map[string]bool // IDs of the jobs that avoid the machine because a task of theirs failed on it
 	ReservedFor     *jobs.Job       // the job for which its free capacity is reserved
-	IsSentinel      bool            // kept, though silent, to detect the recovery of its zone
+	IsSentinel      bool            // kept, although silent, to detect the recovery of its zone
 }
 
-// Available returns the resources that no attempt uses.
+// Available returns the resources that no attempt uses. They are negative if the attempts exceed the capacity.
 func (m *Machine) Available() Resources {
 	return Resources{m.CPUs - m.UsedCPUs, m.GPUs - m.UsedGPUs, m.MemoryGB - m.UsedMemoryGB}
 }
@@ -67,7 +67,7 @@
 	return Resources{m.CPUs, m.GPUs, m.MemoryGB}.TasksThatFit(job)
 }
 
-// IsNewer reports whether the heartbeat is newer than the newest that was accepted from its machine.
+// IsNewer reports whether the heartbeat is newer than all that were accepted from the machine.
 func (m *Machine) IsNewer(heartbeat *workerapi.Heartbeat) bool {
 	return !m.HasReported || heartbeat.Position().IsAfter(m.Position)
 }
@@ -92,7 +92,7 @@
 		m.UsedGPUs -= attempt.Job.GPUs
 		m.UsedMemoryGB -= attempt.Job.MemoryGB
 	}
-	if len(m.Attempts) == 0 { // no rounding error outlives the last attempt
+	if len(m.Attempts) == 0 { // discard accumulated rounding errors
 		m.UsedCPUs, m.UsedGPUs, m.UsedMemoryGB = 0, 0, 0
 	}
 }
--- a/internal/controller/worker/reachability/freshness.go
+++ b/internal/controller/worker/reachability/freshness.go
@@ -10,15 +10,15 @@
 // Freshness is what a heartbeat proves about its machine.
 type Freshness int
 
-// The degrees of freshness. Only Stale heartbeats are refused, and only Fresh ones are reconciled.
+// The values of Freshness. Only Stale heartbeats are refused, and only Fresh ones are reconciled.
 const (
 	Stale      Freshness = iota // a duplicate, older than an accepted one, or of a worker process that has ended
-	Superseded                  // overtaken by the machine's answer to a probe, which is newer
-	Unverified                  // of unknown age; the response contains the fencing token, which the next heartbeat has to echo
-	Fresh                       // newer than all accepted heartbeats and answers of the machine
+	Superseded                  // older than the machine's response to a probe, which arrived before it
+	Unverified                  // of unknown age; the next heartbeat must contain the fencing token of the response
+	Fresh                       // newer than all accepted heartbeats and probe responses of the machine
 )
 
-// Classify returns the freshness of a heartbeat. It must be called once for each heartbeat, before it is processed otherwise.
+// Classify returns the freshness of a heartbeat. It must be called once for each heartbeat, before any other processing of it.
 func (t *Tracker) Classify(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) Freshness {
 	freshness := t.classify(now, machine, heartbeat)
 	t.metrics.countHeartbeat(freshness)
@@ -44,18 +44,18 @@
 }
 
 // showsCountersReset reports whether the heartbeat shows that the machine's worker has lost its counters. A worker process keeps the
-// highest fencing token that it has seen, so one that reports a lower token has restarted. From then on its heartbeats cannot be
-// distinguished from delayed ones of the earlier process until its incarnation is higher. They are refused, so that its lease expires
-// and a new incarnation begins.
+// highest fencing token that it has received, so a worker that reports a lower one has restarted. Until its incarnation is higher, its
+// heartbeats cannot be distinguished from delayed ones of the earlier process. They are refused, so that its lease expires and a new
+// incarnation begins.
 func (t *Tracker) showsCountersReset(machine *worker.Machine, link *linkState, heartbeat *workerapi.Heartbeat) bool {
 	return link.countersReset && heartbeat.Incarnation <= machine.Incarnation ||
 		machine.IsNewer(heartbeat) && heartbeat.FencingToken < t.fencingToken
 }
 
-// classifyUnverified classifies a heartbeat without the leader's token, of a machine that has not reported to this leader. It may be
-// from before the election, and its machine may be gone. The response contains the token, and a live machine echoes it at once. If
-// neither responses nor probes reach the machine, its heartbeats are refused: otherwise its lease would never expire, and the
-// failover, which waits for that, would never be completed.
+// classifyUnverified classifies a heartbeat without the leader's fencing token, from a machine that has not reported to this leader.
+// The heartbeat may have been sent before the election, and its machine may be gone. The response contains the token, and a live
+// machine sends it in its next heartbeat. If neither responses nor probes reach the machine, its heartbeats are refused. Otherwise its
+// lease would never expire, and the failover, which waits for that, would never be completed.
 func (l *linkState) classifyUnverified() Freshness {
 	if l.unansweredProbes >= maxUnansweredProbes && l.ineffectiveResponses >= maxIneffectiveResponses {
 		return Stale
@@ -64,14 +64,14 @@
 	return Unverified
 }
 
-// isSuperseded reports whether a heartbeat that is not newer than the last accepted one was overtaken by the machine's answer to a
-// probe, which counted as a newer heartbeat. The worker still waits for the response.
+// isSuperseded reports whether a heartbeat that is not newer than the last accepted one arrived after the machine's response to a
+// probe, which counted as a newer heartbeat. The worker still waits for the response to this heartbeat.
 func (l *linkState) isSuperseded(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) bool {
 	isNewerOnLink := heartbeat.Position().IsAfter(l.position)
-	return heartbeat.Incarnation == machine.Incarnation && isNewerOnLink && now.Sub(l.lastProbeAnswerAt) < workerResponseTimeout
+	return heartbeat.Incarnation == machine.Incarnation && isNewerOnLink && now.Sub(l.lastProbeResponseAt) < workerResponseTimeout
 }
 
-// recordFresh updates the link by a fresh heartbeat: it may confirm that the machine is reachable, or raise a suspicion.
+// recordFresh updates the link from a fresh heartbeat, which may confirm that the machine is reachable or raise a suspicion.
 func (t *Tracker) recordFresh(now time.Time, machine *worker.Machine, link *linkState, heartbeat *workerapi.Heartbeat) {
 	isSameIncarnation := heartbeat.Incarnation == link.position.Incarnation
 	switch {
@@ -92,8 +92,8 @@
 	machine.IsUnreachable = link.suspicion != notSuspected && link.unansweredProbes > 0
 }
 
-// lostLeaseDespiteResponses reports whether a new incarnation of the machine shows that its lease expired although a response with
-// status 200 should have renewed it.
+// lostLeaseDespiteResponses reports whether the lease of the machine's last incarnation expired although a response with status 200
+// should have renewed it.
 func (t *Tracker) lostLeaseDespiteResponses(now time.Time, machine *worker.Machine, link *linkState) bool {
 	hasHeartbeat := machine.HasReported && link.position.Incarnation != 0
 	isLeaseRecent := now.Sub(machine.LeaseRenewedAt) < t.leaseDuration*4/5
@@ -101,12 +101,12 @@
 }
 
 // isPrompt reports whether a heartbeat that arrives now follows the last one so soon that the worker must have received the response
-// to the last one, which must also have arrived after the suspicion arose.
+// to the last one. The last one must also have arrived after the suspicion arose.
 func (l *linkState) isPrompt(now time.Time) bool {
 	return l.acknowledged && now.Sub(l.lastHeartbeatAt) < promptInterval && l.lastHeartbeatAt.After(l.suspectSince)
 }
 
-// IsNewest reports whether this is the newest heartbeat of its machine. Starts are sent only in the response to the newest one.
+// IsNewest reports whether this is the newest heartbeat of its machine. Only the response to the newest one may contain start commands.
 func (t *Tracker) IsNewest(machine *worker.Machine, heartbeat *workerapi.Heartbeat) bool {
 	return heartbeat.Position() == t.linkOf(machine).position
 }
--- a/internal/controller/worker/reachability/model_test.go
+++ b/internal/controller/worker/reachability/model_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// workerModel is a model of a machine's worker: its counters, and all heartbeats that it has sent.
+// workerModel is a model of a machine's worker: its counters and all heartbeats that it has sent.
 type workerModel struct {
 	incarnation, sequence, fencingToken uint64
-	process                             int // counts the starts of the worker
+	process                             int // number of restarts of the worker
 	sent                                []sentHeartbeat
 }
 
@@ -42,12 +42,12 @@
 	machine  *worker.Machine
 	registry *worker.Registry
 
-	newestSentAt        time.Time    // when the newest heartbeat that was taken for fresh was sent
+	newestSentAt        time.Time    // when the last heartbeat that was classified as fresh was sent
 	hasReceivedAnything bool         // the worker has received something since the election
 	classifiedFresh     map[int]bool // by index in worker.sent
 }
 
-// restartWorker has the worker forget its counters. It may find a higher incarnation to begin with.
+// restartWorker restarts the worker, which loses its counters. Its incarnation may be reset or increased.
 func (l *lossyLink) restartWorker() {
 	l.worker.process++
 	l.worker.fencingToken, l.worker.sequence, l.worker.incarnation = 0, 0, 1
@@ -66,7 +66,7 @@
 	l.machine.Reconciled, l.newestSentAt = true, sent.sentAt
 }
 
-// probeWorker sends a probe, which is answered or lost.
+// probeWorker sends a probe. The probe is lost, or the worker responds.
 func (l *lossyLink) probeWorker() {
 	probe := l.tracker.StartProbe(l.now, l.machine)
 	if rapid.Bool().Draw(l.T, "lost") {
@@ -84,7 +84,7 @@
 	}
 }
 
-// deliverHeartbeat delivers a new heartbeat, or one that was sent before.
+// deliverHeartbeat delivers a new heartbeat, or delivers an earlier one again.
 func (l *lossyLink) deliverHeartbeat() {
 	index := rapid.IntRange(0, 2*len(l.worker.sent)).Draw(l.T, "which")
 	if index >= len(l.worker.sent) {
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestStaleHeartbeatIsNeverFresh checks over lost, late and repeated messages and restarts of the worker that a fresh
-// heartbeat was sent after all earlier fresh ones, that a duplicate is never fresh, and that a machine that has
-// received nothing since the election gets no starts.
+// TestStaleHeartbeatIsNeverFresh runs a worker with lost, delayed and repeated messages, and with restarts. It checks that
+// heartbeats are classified as fresh only in the order in which they were sent. A duplicate must never be fresh, and a
+// machine that has received nothing since the election must not count as reachable.
 func TestStaleHeartbeatIsNeverFresh(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		link := &lossyLink{
--- a/internal/controller/worker/reachability/probe.go
+++ b/internal/controller/worker/reachability/probe.go
@@ -7,13 +7,13 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// Probe is a direct request to a machine's own address.
+// Probe is a request that was sent to a machine's own address.
 type Probe struct {
 	position workerapi.Position // of the newest heartbeat that was known when the probe was sent
 }
 
-// TakeProbeRequests returns the machines that should be probed as soon as possible, and clears the list. It may contain a machine
-// more than once.
+// TakeProbeRequests returns the machines that should be probed as soon as possible, and clears the list. A machine may be listed more
+// than once.
 func (t *Tracker) TakeProbeRequests() []*worker.Machine {
 	machines := t.probeRequests
 	t.probeRequests = nil
@@ -37,17 +37,17 @@
 	return Probe{position: machine.Position}
 }
 
-// ProbeAnswered records a machine's answer to a probe: the machine receives the leader's messages, and the heartbeat in the answer is
-// certainly newer than those known when the probe was sent. If its position is not, the worker has lost its counters: countersReset
-// is true, and all earlier attempts on the machine are gone.
+// ProbeAnswered records a machine's response to a probe. It proves that the machine receives the leader's messages, and its heartbeat
+// is certainly newer than those known when the probe was sent. If the position of the heartbeat is not newer, the worker has lost its
+// counters: countersReset is true, and all earlier attempts on the machine are gone.
 func (t *Tracker) ProbeAnswered(
 	now time.Time, machine *worker.Machine, probe Probe, heartbeat *workerapi.Heartbeat,
 ) (countersReset bool) {
 	link := t.linkOf(machine)
-	machine.LastContactAt, link.lastProbeAnswerAt = now, now
+	machine.LastContactAt, link.lastProbeResponseAt = now, now
 	t.metrics.probes.WithLabelValues(probeAnswered).Inc()
 	link.unansweredProbes = 0
-	if machine.HasReported && !probe.isBefore(heartbeat) {
+	if machine.HasReported && !probe.isOlderThan(heartbeat) {
 		t.recordCountersReset(now, machine, link)
 		return true
 	}
@@ -57,12 +57,12 @@
 	return false
 }
 
-// isBefore reports whether the heartbeat is newer than those known when the probe was sent.
-func (p Probe) isBefore(heartbeat *workerapi.Heartbeat) bool {
+// isOlderThan reports whether the heartbeat's position is newer than those known when the probe was sent.
+func (p Probe) isOlderThan(heartbeat *workerapi.Heartbeat) bool {
 	return heartbeat.Position().IsAfter(p.position)
 }
 
-// ProbeFailed records that a machine did not answer a probe.
+// ProbeFailed records that a machine did not respond to a probe.
 func (t *Tracker) ProbeFailed(now time.Time, machine *worker.Machine) {
 	link := t.linkOf(machine)
 	t.metrics.probes.WithLabelValues(probeNotAnswered).Inc()
--- a/internal/controller/worker/reachability/suspicion.go
+++ b/internal/controller/worker/reachability/suspicion.go
@@ -7,19 +7,19 @@
 	"gullrudder/internal/logkeys"
 )
 
-// suspicionReason is why a machine is suspected of not receiving the leader's messages. A suspected machine is sent no starts.
+// suspicionReason is why a machine is suspected of not receiving the leader's messages. A suspected machine is sent no start commands.
 type suspicionReason int
 
-// The suspicions.
+// The reasons of suspicion.
 const (
 	notSuspected     suspicionReason = iota
-	unconfirmed                      // there is no evidence yet that it receives messages
-	startsLost                       // an attempt that it was sent to start did not appear in its next heartbeat
-	incarnationEnded                 // its lease expired although its heartbeats were answered with status 200
+	unconfirmed                      // there is no evidence yet that the machine receives messages
+	startsLost                       // an attempt did not appear in the heartbeat after its start command
+	incarnationEnded                 // the lease expired although heartbeats were answered with status 200
 	probeUnanswered
 )
 
-// String returns the suspicion as the label of a metric has it.
+// String returns the value of the metric label and the log attribute for the reason.
 func (s suspicionReason) String() string {
 	return [...]string{
 		notSuspected:     "none",
@@ -30,11 +30,11 @@
 	}[s]
 }
 
-// RecordAcknowledged records that the machine's newest heartbeat is answered with status 200.
+// RecordAcknowledged records that a response with status 200 is sent to the machine's newest heartbeat.
 func (t *Tracker) RecordAcknowledged(machine *worker.Machine) { t.linkOf(machine).acknowledged = true }
 
-// RecordEnded records the attempts that are gone by a heartbeat of the machine. If the start of one of them was sent and the attempt
-// never appeared, the response with the start was lost.
+// RecordEnded records the attempts that are gone according to a heartbeat of the machine. If the start command of one was sent and
+// the attempt never appeared, the response with the command was lost.
 func (t *Tracker) RecordEnded(now time.Time, machine *worker.Machine, endedAttempts []worker.EndedAttempt) {
 	for _, ended := range endedAttempts {
 		wasNeverSeen := ended.Attempt.LastSeenReconcile == 0 && !ended.Attempt.IsUnsent
@@ -60,8 +60,8 @@
 	machine.IsUnreachable = l.countersReset
 }
 
-// recordCountersReset records that the machine's worker has lost its counters. Its earlier attempts are gone once the answer to a
-// probe shows that, or the lease has expired.
+// recordCountersReset records that the machine's worker has lost its counters. Its earlier attempts count as gone once the response to
+// a probe proves it, or the lease has expired.
 func (t *Tracker) recordCountersReset(now time.Time, machine *worker.Machine, link *linkState) {
 	if !link.countersReset {
 		link.countersReset, link.suspectSince = true, now
@@ -71,7 +71,8 @@
 	machine.IsUnreachable = true
 }
 
-// IsReachable reports whether there is evidence that the machine receives the leader's messages. If not, it must be sent no starts.
+// IsReachable reports whether there is evidence that the machine receives the leader's messages. An unreachable machine must not be
+// sent start commands.
 func (t *Tracker) IsReachable(machine *worker.Machine) bool {
 	link := t.linkOf(machine)
 	return link.suspicion == notSuspected && !link.countersReset
@@ -83,8 +84,8 @@
 	return link != nil && (link.suspicion > unconfirmed || link.countersReset)
 }
 
-// IsUnresponsive reports whether the machine should be terminated: it does not answer probes, or it lost its counters so long ago
-// that its incarnation is not expected to exceed the earlier one soon.
+// IsUnresponsive reports whether the machine should be terminated. Either it does not respond to probes, or it lost its counters so
+// long ago that its incarnation is not expected to exceed the earlier one soon.
 func (t *Tracker) IsUnresponsive(now time.Time, machine *worker.Machine) bool {
 	link := t.links[machine.ID]
 	if link == nil {
--- a/internal/controller/worker/reachability/tracker_test.go
+++ b/internal/controller/worker/reachability/tracker_test.go
@@ -38,7 +38,7 @@
 	return workerapi.Heartbeat{Machine: "vm-1", Incarnation: incarnation, Sequence: sequence, FencingToken: fencingToken}
 }
 
-// TestClassify checks the freshness of heartbeats in the order of their arrival.
+// TestClassify checks the freshness of sequences of heartbeats, listed in the order of their arrival.
 func TestClassify(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
@@ -52,17 +52,17 @@
 			},
 			[]Freshness{Fresh, Fresh, Stale, Stale, Fresh},
 		},
-		"with an older fencing token it may be of any age": {
+		"older fencing token, age unknown": {
 			[]workerapi.Heartbeat{newHeartbeat(4, 9, testFencingToken-1), newHeartbeat(4, 10, testFencingToken)},
 			[]Freshness{Unverified, Fresh},
 		},
-		"a new incarnation": {
+		"new incarnation": {
 			[]workerapi.Heartbeat{
 				newHeartbeat(1, 8, testFencingToken), newHeartbeat(2, 1, testFencingToken), newHeartbeat(1, 9, testFencingToken),
 			},
 			[]Freshness{Fresh, Fresh, Stale},
 		},
-		"counters are reset, and the incarnation ends": {
+		"counters reset, then a new incarnation": {
 			[]workerapi.Heartbeat{
 				newHeartbeat(1, 3, testFencingToken), newHeartbeat(1, 1, 0), newHeartbeat(1, 4, 0),
 				newHeartbeat(1, 5, testFencingToken), newHeartbeat(2, 1, testFencingToken),
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestReportingMachineMayBeUnreachable checks a machine whose heartbeats arrive and that receives nothing. Its first
-// start is lost, it gets no more, and after two unanswered probes it is unresponsive although its heartbeats are
-// punctual. Once it answers a probe it gets starts again.
+// TestReportingMachineMayBeUnreachable checks a machine whose heartbeats arrive and that receives nothing. Its first start
+// command is lost, and it counts as unreachable. After two failed probes it is unresponsive although its heartbeats arrive
+// on time. Once it responds to a probe it is reachable again.
 func TestReportingMachineMayBeUnreachable(t *testing.T) {
 	tracker, now := newTestTracker(), time.Unix(1000, 0)
 	machine, registry := newTestMachine(true), newTestRegistry()
@@ -107,7 +107,7 @@
 	}
 	sendHeartbeat()
 	if !tracker.IsReachable(machine) {
-		t.Fatal("machine that has reported the fencing token: unreachable, want reachable")
+		t.Fatal("machine that has reported the fencing token: got unreachable, want reachable")
 	}
 	job := jobs.New(jobs.Spec{ID: "job-1", Tasks: 1, CPUs: 1}, now)
 	registry.Assign(machine, &jobs.Attempt{Task: jobs.TaskID{JobID: "job-1"}, Number: 1, MachineID: machine.ID, Job: job, AssignedAt: now})
@@ -115,7 +115,7 @@
 	suspicion := tracker.linkOf(machine).suspicion
 	if tracker.IsReachable(machine) || suspicion != startsLost || len(tracker.TakeProbeRequests()) == 0 {
 		t.Errorf(
-			"lost start: suspicion %v, reachable %v, want %v, false and a probe request",
+			"lost start command: got suspicion %v, reachable %v, want %v, false and a probe request",
 			suspicion, tracker.IsReachable(machine), startsLost,
 		)
 	}
@@ -125,15 +125,15 @@
 		sendHeartbeat()
 	}
 	if !tracker.IsUnresponsive(now, machine) || !machine.IsUnreachable {
-		t.Errorf("two failed probes: unresponsive %v, unreachable %v, want both", tracker.IsUnresponsive(now, machine), machine.IsUnreachable)
+		t.Errorf("two failed probes: got unresponsive %v, unreachable %v, want true", tracker.IsUnresponsive(now, machine), machine.IsUnreachable)
 	}
 	probe := tracker.StartProbe(now, machine)
 	sequence++
-	answer := newHeartbeat(1, sequence, testFencingToken)
-	tracker.ProbeAnswered(now, machine, probe, &answer)
+	response := newHeartbeat(1, sequence, testFencingToken)
+	tracker.ProbeAnswered(now, machine, probe, &response)
 	if tracker.IsUnresponsive(now, machine) || machine.IsUnreachable || !tracker.IsReachable(machine) {
 		t.Errorf(
-			"answered probe: unresponsive %v, unreachable %v, reachable %v, want false, false, true",
+			"answered probe: got unresponsive %v, unreachable %v, reachable %v, want false, false, true",
 			tracker.IsUnresponsive(now, machine), machine.IsUnreachable, tracker.IsReachable(machine),
 		)
 	}
--- a/internal/controller/worker/reconcile.go
+++ b/internal/controller/worker/reconcile.go
@@ -9,13 +9,13 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// ReasonLost is the exit reason of an attempt that is gone and whose worker did not report its exit. It is not used on the wire.
+// ReasonLost is the exit reason of an attempt that is gone without a reported exit. It is not used on the wire.
 const ReasonLost workerapi.ExitReason = "lost"
 
-// maxReclaimNotice is the longest time to the reclaim that is accepted from a reclaim notice.
+// maxReclaimNotice bounds the time to the reclaim. Longer times in reclaim notices are shortened to it.
 const maxReclaimNotice = time.Hour
 
-// JobLookup returns the unfinished job with an ID, or nil.
+// JobLookup returns the unfinished job with this ID, or nil if there is none.
 type JobLookup func(id string) *jobs.Job
 
 // EndedAttempt is an attempt that is known to be gone.
@@ -25,9 +25,9 @@
 	CheckpointSaved bool
 }
 
-// Reconcile updates the machine from a heartbeat that is newer than all before (Machine.IsNewer), and returns the attempts that are
-// gone. complete is false for the response to direct commands: the worker may have sent it before it received the starts in a
-// heartbeat response that is still in transit, so attempts that are missing in it may still start.
+// Reconcile updates the machine from a heartbeat that is newer than all earlier ones (Machine.IsNewer), and returns the attempts that
+// are gone. complete is false for the response to direct commands. The worker may have sent that before it received a heartbeat
+// response with start commands, so attempts that are missing in it may still start.
 func (r *Registry) Reconcile(
 	now time.Time, machine *Machine, heartbeat *workerapi.Heartbeat, complete bool, findJob JobLookup,
 ) []EndedAttempt {
@@ -92,13 +92,13 @@
 	if status.Reason != workerapi.ReasonDone {
 		return nil
 	}
-	// The leader does not know this attempt, for example because an earlier leader started it. Its result counts as well.
+	// The leader does not know this attempt, for example because an earlier leader started it. Its result counts.
 	unknown := &jobs.Attempt{Task: task, Number: status.Attempt, MachineID: machine.ID, Zone: machine.Zone, Job: findJob(task.JobID)}
 	return []EndedAttempt{{unknown, workerapi.ReasonDone, false}}
 }
 
-// reconcileActive processes the status of an attempt that has not exited. Any other attempt of the same task on this machine is
-// gone.
+// reconcileActive processes the status of an attempt that has not exited. A different attempt of the task that was recorded on this
+// machine is gone.
 func (r *Registry) reconcileActive(
 	now time.Time, machine *Machine, task jobs.TaskID, status *workerapi.TaskStatus, findJob JobLookup,
 ) []EndedAttempt {
@@ -120,7 +120,7 @@
 	return ended
 }
 
-// releaseMissing releases the attempts that are missing in the present heartbeat, except those whose start was not sent yet.
+// releaseMissing releases the attempts that are missing in the present heartbeat, except those whose start command was not sent yet.
 func (r *Registry) releaseMissing(machine *Machine) []EndedAttempt {
 	var ended []EndedAttempt
 	for _, attempt := range machine.Attempts {
@@ -136,8 +136,8 @@
 	return EndedAttempt{attempt, ReasonLost, false}
 }
 
-// adopt records an attempt that a worker reports and the leader does not know. It is an orphan unless its task may run here: an
-// orphan has to be killed, and occupies its resources until it is gone.
+// adopt records an attempt that a worker reports and the leader does not know. It is an orphan unless its task may run. An orphan has
+// to be killed and uses its resources until it is gone.
 func (r *Registry) adopt(now time.Time, machine *Machine, task jobs.TaskID, number uint64, job *jobs.Job) *jobs.Attempt {
 	attempt := &jobs.Attempt{Task: task, Number: number, MachineID: machine.ID, Zone: machine.Zone, Job: job, AssignedAt: now}
 	attempt.IsOrphan = job == nil || !mayRun(job, task.Index)
@@ -148,7 +148,7 @@
 	return attempt
 }
 
-// mayRun reports whether a task of the job may have an attempt, and has none.
+// mayRun reports whether the task may have an attempt and has none yet.
 func mayRun(job *jobs.Job, index int) bool {
 	return index < job.Tasks && job.IsSchedulable() && !job.IsTaskDone(index) && job.ActiveAttempts[index] == nil
 }
--- a/internal/controller/worker/reconcile_test.go
+++ b/internal/controller/worker/reconcile_test.go
@@ -26,7 +26,7 @@
 	return &reconcileTest{registry, machine, job, time.Unix(100, 0)}
 }
 
-// reconcile gives the registry a heartbeat, if it is newer than those before.
+// reconcile passes a heartbeat to the registry if it is newer than the earlier ones.
 func (c *reconcileTest) reconcile(machine *Machine, complete bool, heartbeat workerapi.Heartbeat) []EndedAttempt {
 	heartbeat.Machine = machine.ID
 	if !machine.IsNewer(&heartbeat) {
@@ -35,9 +35,9 @@
 	return c.registry.Reconcile(c.now, machine, &heartbeat, complete, func(string) *jobs.Job { return c.job })
 }
 
-// TestAttemptIsLostOnlyByNewerCompleteHeartbeat checks that an attempt is lost only if a newer heartbeat lacks it, not
-// by an older heartbeat, one of an earlier incarnation, or the response to direct commands, which may precede a start
-// that is still in transit.
+// TestAttemptIsLostOnlyByNewerCompleteHeartbeat checks that an attempt is lost only if it is missing in a newer heartbeat.
+// It must not be lost by an older heartbeat, by one of an earlier incarnation, or by the response to direct commands. The
+// latter may precede a start command that is still in transit.
 func TestAttemptIsLostOnlyByNewerCompleteHeartbeat(t *testing.T) {
 	c := newReconcileTest()
 	c.reconcile(c.machine, true, workerapi.Heartbeat{Incarnation: 2, Sequence: 5})
@@ -52,7 +52,7 @@
 		{"same heartbeat again", true, 2, 5, 0},
 		{"older heartbeat", true, 2, 4, 0},
 		{"earlier incarnation", true, 1, 99, 0},
-		{"answer to direct commands", false, 2, 6, 0},
+		{"response to direct commands", false, 2, 6, 0},
 		{"newer heartbeat", true, 2, 7, 1},
 	} {
 		heartbeat := workerapi.Heartbeat{Incarnation: step.incarnation, Sequence: step.sequence}
@@ -65,16 +65,16 @@
 	}
 }
 
-// TestOrphansTakeResources checks that a reported attempt that must not run on its machine uses resources until it has
-// ended.
-func TestOrphansTakeResources(t *testing.T) {
+// TestOrphansUseResources checks that a reported attempt that must not run on its machine uses resources until it has
+// ended. An attempt whose task may run is adopted.
+func TestOrphansUseResources(t *testing.T) {
 	c := newReconcileTest()
 	c.reconcile(c.machine, true, workerapi.Heartbeat{
 		Incarnation: 1, Sequence: 1, Tasks: []workerapi.TaskStatus{{Task: "job-1/2", Attempt: 3, State: workerapi.StateRunning}},
 	})
 	if c.registry.TeamUsage("t").CPUs != 1 || c.job.ActiveAttempts[2] == nil {
 		t.Fatalf(
-			"running task: team usage %v CPUs, attempt %v, want 1 CPU and an adopted attempt",
+			"running task: got team usage %v CPUs, attempt %v, want 1 CPU and an adopted attempt",
 			c.registry.TeamUsage("t").CPUs, c.job.ActiveAttempts[2],
 		)
 	}
@@ -87,7 +87,7 @@
 	}})
 	for _, attempt := range other.Attempts {
 		if !attempt.IsOrphan {
-			t.Errorf("attempt of %v: not an orphan, want an orphan", attempt.Task)
+			t.Errorf("attempt of %v: got no orphan, want an orphan", attempt.Task)
 		}
 	}
 	if c.registry.TeamUsage("t").CPUs != 2 {
--- a/internal/controller/worker/registry.go
+++ b/internal/controller/worker/registry.go
@@ -1,10 +1,10 @@
 // Package worker is the leader's view of the machines of its workers. A Registry owns the machines, the attempts on them and the
-// usage of each team. It is made at each election and kept in memory only; the heartbeat handler keeps a record of each machine that
-// may hold tasks in the state service. Only the event loop may call it.
+// usage of each team. A Registry is created at each election and kept in memory only. The heartbeat handler stores a record of each
+// machine that may hold tasks in the state service. Only the event loop may call the package.
 //
-// An attempt leaves the Registry only when it is certainly gone: it is missing in a newer heartbeat, the deletion of its machine was
-// confirmed, or the worker's lease has expired with its margin. The package never decides what starts, and sends nothing except in
-// SendCommands. Design notes: docs/architecture.md, docs/design/reachability.md.
+// An attempt leaves the Registry only when it is certainly gone: it has exited or is missing in a newer heartbeat, the deletion of its
+// machine was confirmed, or the worker's lease has expired with its margin. The package does not decide which tasks start. Only
+// SendCommands sends anything. Design notes: docs/architecture.md, docs/design/reachability.md.
 package worker
 
 import (
@@ -16,11 +16,11 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// leaseMargin is a margin for delays that are not measured, such as the end of the tasks after the worker's lease has expired.
+// leaseMargin allows for delays that are not measured, such as the time in which tasks end after the worker's lease has expired.
 const leaseMargin = 500 * time.Millisecond
 
-// LeaseExpiry returns how long after the leader's last response with status 200 a worker's tasks may still run, given the duration of
-// its lease. The worker counts the lease from when it sent the heartbeat, which was before the response; its clock may run slow.
+// LeaseExpiry returns how long a worker's tasks may still run after the leader's last response with status 200. lease is the duration
+// of the worker's lease, which begins when the worker sends the heartbeat, before the response. The worker's clock may run slow.
 func LeaseExpiry(lease time.Duration) time.Duration {
 	return lease + clockdrift.Bound(lease) + leaseMargin
 }
@@ -29,8 +29,8 @@
 type Registry struct {
 	Machines       map[string]*Machine         // by ID
 	UsageByTeam    map[string]*Usage           // by name of the team
-	buckets        [BucketCount + 1][]*Machine // the reporting machines by utilization; index 0 is not used
-	reconcileCount uint64                      // reconciled heartbeats; jobs.Attempt.LastSeenReconcile refers to it
+	buckets        [BucketCount + 1][]*Machine // reporting machines by utilization; index 0 is not used
+	reconcileCount uint64                      // number of reconciled heartbeats; see jobs.Attempt.LastSeenReconcile
 	leaseExpiry    time.Duration
 	log            *slog.Logger
 }
@@ -43,7 +43,7 @@
 // LeaseExpiry returns the time after Contact.LeaseRenewedAt at which the lease of a machine has certainly expired.
 func (r *Registry) LeaseExpiry() time.Duration { return r.leaseExpiry }
 
-// GetOrAdd returns the machine with this ID, and adds it if there is none.
+// GetOrAdd returns the machine with this ID. It adds one if there is none.
 func (r *Registry) GetOrAdd(id string) *Machine {
 	machine := r.Machines[id]
 	if machine == nil {
@@ -71,14 +71,14 @@
 	r.updateBucket(machine)
 }
 
-// Remove drops a machine that is gone. ReleaseAll must have been called before.
+// Remove drops a machine that is gone. The caller must have released its attempts (ReleaseAll).
 func (r *Registry) Remove(machine *Machine) {
 	machine.HasReported = false
 	r.updateBucket(machine)
 	delete(r.Machines, machine.ID)
 }
 
-// TeamUsage returns the usage of a team. The Registry updates it with each attempt; the caller must not change it.
+// TeamUsage returns the usage of a team, which is never nil. The Registry updates it with each attempt. The caller must not change it.
 func (r *Registry) TeamUsage(name string) *Usage {
 	usage := r.UsageByTeam[name]
 	if usage == nil {
@@ -88,7 +88,7 @@
 	return usage
 }
 
-// Assign records an attempt on a machine. It uses resources of the machine and of its team's quota until it is released.
+// Assign records an attempt on a machine. The attempt uses resources of the machine and of its team's quota until it is released.
 func (r *Registry) Assign(machine *Machine, attempt *jobs.Attempt) {
 	machine.addAttempt(attempt)
 	r.updateBucket(machine)
@@ -103,10 +103,10 @@
 	}
 }
 
-// Unassign reverts Assign for an attempt whose start was not sent.
+// Unassign reverts Assign for an attempt whose start command was not sent.
 func (r *Registry) Unassign(machine *Machine, attempt *jobs.Attempt) { r.release(machine, attempt) }
 
-// ReleaseAll releases all attempts of a machine on which none can be left, and returns them.
+// ReleaseAll releases all attempts of a machine on which none can be left. It returns them with ReasonLost.
 func (r *Registry) ReleaseAll(machine *Machine) []EndedAttempt {
 	var ended []EndedAttempt
 	for _, attempt := range machine.Attempts {
@@ -115,7 +115,7 @@
 	return ended
 }
 
-// release removes an attempt that is gone from its machine and its job.
+// release removes an attempt from its machine, its job and the usage of its team.
 func (r *Registry) release(machine *Machine, attempt *jobs.Attempt) {
 	machine.removeAttempt(attempt)
 	r.updateBucket(machine)
--- a/internal/controller/worker/resources.go
+++ b/internal/controller/worker/resources.go
@@ -8,26 +8,26 @@
 // Resources are quantities of CPUs, GPUs and memory, used by tasks or available on a machine.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// TasksThatFit returns for how many tasks of the job these resources suffice, at most all of its tasks.
+// TasksThatFit returns how many tasks of the job fit into these resources, at most job.Tasks.
 func (r Resources) TasksThatFit(job *jobs.Job) int {
 	count := limitByResource(job.Tasks, job.CPUs, r.CPUs)
 	count = limitByResource(count, job.GPUs, r.GPUs)
 	return max(limitByResource(count, job.MemoryGB, r.MemoryGB), 0)
 }
 
-// limitByResource returns how many of count tasks fit by one resource, of which each task needs need.
-func limitByResource(count int, need, available float64) int {
-	if need <= 0 {
+// limitByResource returns how many of count tasks fit into the available quantity of one resource. Each task requires perTask of it.
+func limitByResource(count int, perTask, available float64) int {
+	if perTask <= 0 {
 		return count
 	}
-	return min(count, int((available+units.ResourceTolerance)/need))
+	return min(count, int((available+units.ResourceTolerance)/perTask))
 }
 
-// AfterPlacing returns the resources left after placing a number of tasks of the job. A negative number adds their resources.
+// AfterPlacing returns the resources left after placing a number of tasks of the job. A negative number releases their resources.
 func (r Resources) AfterPlacing(job *jobs.Job, tasks int) Resources {
 	count := float64(tasks)
 	return Resources{r.CPUs - count*job.CPUs, r.GPUs - count*job.GPUs, r.MemoryGB - count*job.MemoryGB}
 }
 
-// Usage is the resources that a team's attempts use, including attempts that may be gone already.
+// Usage is the resources that a team's attempts use. It includes attempts that may be gone already.
 type Usage struct{ CPUs, GPUs float64 }
--- a/internal/controller/worker/utilization.go
+++ b/internal/controller/worker/utilization.go
@@ -6,12 +6,12 @@
 	"gullrudder/internal/units"
 )
 
-// BucketCount is the number of buckets of reporting machines by CPU utilization. Machines in the last one have no CPU available. The
-// placer searches buckets, so that its work for one heartbeat does not grow with the number of machines.
+// BucketCount is the number of buckets of reporting machines by CPU utilization. Machines in the last bucket have no CPUs available.
+// The placer searches by bucket, so that its work for a heartbeat does not grow with the number of machines.
 const BucketCount = 17
 
 // MachinesInBucket returns the machines in a bucket, from 1 (emptiest) to BucketCount, in no particular order. The caller must
-// not change the slice, nor keep it.
+// not change or keep the slice.
 func (r *Registry) MachinesInBucket(bucket int) []*Machine { return r.buckets[bucket] }
 
 // ReportingMachines returns the machines that have reported and whose capacity is known, the emptiest buckets first.
