--- a/internal/controller/failures/tracker.go
+++ b/internal/controller/failures/tracker.go
@@ -1,7 +1,7 @@
-// Package failures attributes task failures: it distinguishes crash-looping jobs, which fail on every machine, from faulty machines, on
-// which most jobs fail. A Tracker owns the failures of jobs on machines and the retry budget of the crash-looping jobs. It is made at
-// each election and kept in memory; the verdict on a job is part of the job's record and is restored by the next leader. The package
-// never stops or starts a task: the heartbeat handler acts on its verdicts. Design note, with the model and its limits:
+// Package failures attributes task failures. It distinguishes crash-looping jobs, which fail on every machine, from faulty machines, on
+// which most jobs fail. A Tracker owns the failures of jobs on machines and the retry budget of the crash-looping jobs. It is created
+// at each election and kept in memory. The verdict on a job is stored in the job's record, and the next leader restores it. The
+// heartbeat handler acts on the verdicts; this package does not start or stop tasks. Design note, with the model and its limits:
 // docs/design/failure-attribution.md.
 package failures
 
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// The probabilistic model. The tests compute the exact posterior of small cases with the same figures.
+// The probabilistic model. The tests compute the exact posterior of small cases with the same parameters.
 const (
 	// crashLoopPrior is the share of all jobs that fail on every machine.
 	crashLoopPrior = 0.02
@@ -20,50 +20,51 @@
 	faultPrior = 0.005
 	// faultyMachineFailureRate is the probability that a job's tasks fail on a faulty machine.
 	faultyMachineFailureRate = 0.7
-	// healthyFailureRate is the probability that they fail although neither job nor machine is at fault.
+	// healthyFailureRate is the probability that a job's tasks fail on a machine although neither is at fault.
 	healthyFailureRate = 0.003
-	// maxCompletions bounds the number of completed tasks that count in favor of a machine, so that a machine that becomes faulty is
-	// detected in spite of a long history.
+	// maxCompletions bounds the number of completed tasks that count in favor of a machine. Otherwise a machine with a long history
+	// that becomes faulty would not be detected.
 	maxCompletions = 3
-	// crashLoopThreshold is the probability above which a job is called crash-looping. The verdict reduces the job to one
-	// task at a time, and one completed task revokes it.
+	// crashLoopThreshold is the probability above which a job counts as crash-looping. The verdict limits the job to one task at a
+	// time. One completed task revokes it.
 	crashLoopThreshold = 0.95
-	// faultThreshold is the probability above which a machine is called faulty. The verdict costs the machine.
+	// faultThreshold is the probability above which a machine counts as faulty. A faulty machine is drained and terminated.
 	faultThreshold = 0.8
-	// crashLoopCertainty is the assumed probability that a job with the verdict is crash-looping.
+	// crashLoopCertainty is the probability with which a job that has the verdict is assumed to be crash-looping.
 	crashLoopCertainty = 0.995
-	// minFailures is the least number of different machines, or jobs, with failures for a verdict.
+	// minFailures is the minimum number of different machines with failures of a job, or of jobs with failures on a machine, for a
+	// verdict.
 	minFailures = 2
 )
 
-// Bounds of the evidence, so that the cost of a computation does not grow with the number of failures.
+// Bounds of the evidence. They keep the cost of a computation independent of the number of failures.
 const (
-	// maxDepth is how many steps evidence is followed from job to machine to job.
+	// maxDepth is the number of steps from job to machine to job over which evidence is followed.
 	maxDepth = 3
-	// maxNeighbours is how many neighbours count at each step: the newest ones.
+	// maxNeighbours is the number of neighbours that count at each step. The newest are used.
 	maxNeighbours = 8
-	// maxStoredNeighbours is how many are kept, so that enough are left when some are excluded or forgotten.
+	// maxStoredNeighbours is the number of neighbours that are kept, so that enough are left if some are excluded or forgotten.
 	maxStoredNeighbours = 4 * maxNeighbours
 	// retention is how long a job or a machine is kept after its last failure.
 	retention = 10 * time.Minute
-	// pruneInterval is how often those past their retention are dropped.
+	// pruneInterval is the time between two removals of jobs and machines past their retention.
 	pruneInterval = retention / 10
 )
 
-// Retries of crash-looping jobs. A retry uses capacity that another job could use, so all such jobs share one budget.
+// Retries of crash-looping jobs. A retry uses capacity that other jobs could use, so all crash-looping jobs share one budget.
 const (
-	// firstRetryDelay is the delay before the first retry; it doubles with each one.
+	// firstRetryDelay is the delay before the first retry. The delay doubles with each retry.
 	firstRetryDelay = 2 * time.Second
 	// maxRetryDelay is the delay after maxDoublings retries.
 	maxRetryDelay = time.Minute
 	maxDoublings  = 5
-	// retryRefillInterval is the time in which the budget grows by one retry.
+	// retryRefillInterval is the time after which the budget grows by one retry.
 	retryRefillInterval = 500 * time.Millisecond
-	// maxStoredRetries bounds the budget.
+	// maxStoredRetries is the maximum budget.
 	maxStoredRetries = 6
 )
 
-// job is the evidence about a job of which a task has failed.
+// job is the evidence about a job with a failed task.
 type job struct {
 	failedOn       []string // IDs of the machines on which it failed, the newest last
 	hasCompleted   bool     // a task has completed, so the job is not crash-looping
@@ -72,7 +73,7 @@
 	isCrashLooping bool
 }
 
-// machine is the evidence about a machine on which a task has failed.
+// machine is the evidence about a machine with a failed task.
 type machine struct {
 	failedJobs    []string // IDs of the jobs that failed on it, the newest last
 	completions   int      // tasks completed since the last failure, maxCompletions at most
@@ -83,7 +84,7 @@
 type Tracker struct {
 	jobs        map[string]*job     // by job ID
 	machines    map[string]*machine // by machine ID
-	retryBudget float64             // negative: retries that are scheduled ahead of the refill
+	retryBudget float64             // retries; negative if retries are scheduled ahead of the refill
 	refilledAt  time.Time
 	prunedAt    time.Time
 }
@@ -102,8 +103,8 @@
 	return names[max(len(names)-maxStoredNeighbours, 0):]
 }
 
-// RecordFailure records that a task of the job failed on the machine, and decides whether the job is crash-looping. completed
-// is how many tasks of the job have completed so far.
+// RecordFailure records that a task of the job failed on the machine, and decides whether the job is crash-looping. completed is the
+// number of tasks of the job that have completed so far.
 func (t *Tracker) RecordFailure(now time.Time, jobID, machineID string, completed int) {
 	t.prune(now)
 	j, m := t.getOrAddJob(jobID), t.getOrAddMachine(machineID)
@@ -164,8 +165,8 @@
 	return 0
 }
 
-// IsFaulty reports whether the verdict on the machine is that it is faulty: different jobs have failed on it that complete elsewhere,
-// or about which there is no other evidence.
+// IsFaulty reports whether the verdict on the machine is that it is faulty. This takes failures of different jobs that complete tasks
+// elsewhere, or that have no other evidence against them.
 func (t *Tracker) IsFaulty(machineID string) bool {
 	m := t.machines[machineID]
 	return m != nil && len(m.failedJobs) >= minFailures && t.faultProbability(machineID, "", maxDepth) > faultThreshold
@@ -174,8 +175,8 @@
 // ForgetMachine drops the evidence about a deleted machine.
 func (t *Tracker) ForgetMachine(machineID string) { delete(t.machines, machineID) }
 
-// ScheduleRetry returns when a crash-looping job may be tried again, and counts that retry. The delay doubles with each retry
-// of the job, and it is extended if the shared budget is exhausted.
+// ScheduleRetry returns when a crash-looping job may be retried, and counts the retry. The delay doubles with each retry of the job. It
+// is extended if the shared budget is exhausted.
 func (t *Tracker) ScheduleRetry(now time.Time, jobID string) time.Time {
 	j := t.jobs[jobID]
 	if j == nil {
@@ -189,8 +190,8 @@
 	return now.Add(max(delay, t.reserveRetry(now)))
 }
 
-// reserveRetry takes one retry from the shared budget and returns the delay until the budget covers it, after the retries that were
-// reserved before.
+// reserveRetry takes one retry from the shared budget. It returns the delay until the budget covers this retry and all that were
+// reserved before it.
 func (t *Tracker) reserveRetry(now time.Time) time.Duration {
 	t.retryBudget = min(t.retryBudget+now.Sub(t.refilledAt).Seconds()/retryRefillInterval.Seconds(), maxStoredRetries)
 	t.refilledAt = now
@@ -204,7 +205,7 @@
 // logistic returns the probability of log odds.
 func logistic(logOdds float64) float64 { return 1 / (1 + math.Exp(-logOdds)) }
 
-// newestExcept returns the newest maxNeighbours names without the excluded one, the newest first.
+// newestExcept returns the newest maxNeighbours names other than the excluded one, the newest first.
 func newestExcept(names []string, excluded string) []string {
 	kept := make([]string, 0, maxNeighbours)
 	for i := len(names) - 1; i >= 0 && len(kept) < maxNeighbours; i-- {
@@ -215,8 +216,8 @@
 	return kept
 }
 
-// crashLoopProbability returns the probability that the job is crash-looping, given the machines on which it failed other than the
-// excluded one. A failure counts less the more probable it is, by other jobs, that the machine is faulty.
+// crashLoopProbability returns the probability that the job is crash-looping, given its failures on machines other than the excluded
+// one. A failure has less weight if failures of other jobs show that its machine is probably faulty.
 func (t *Tracker) crashLoopProbability(jobID, excludedMachine string, depth int) float64 {
 	j := t.jobs[jobID]
 	if j == nil {
@@ -226,7 +227,7 @@
 	case j.hasCompleted:
 		return 0
 	case j.isCrashLooping:
-		return crashLoopCertainty // the evidence may be an earlier leader's, or no longer kept
+		return crashLoopCertainty // the evidence may have been an earlier leader's, or was pruned
 	}
 	logOdds := logit(crashLoopPrior)
 	for _, machineID := range newestExcept(j.failedOn, excludedMachine) {
@@ -239,7 +240,7 @@
 	return logistic(logOdds)
 }
 
-// faultProbability returns the probability that the machine is faulty, given the jobs that failed on it other than the excluded one.
+// faultProbability returns the probability that the machine is faulty, given the failures on it of jobs other than the excluded one.
 func (t *Tracker) faultProbability(machineID, excludedJob string, depth int) float64 {
 	m := t.machines[machineID]
 	if m == nil {
@@ -260,7 +261,7 @@
 	return logistic(logOdds)
 }
 
-// prune drops jobs and machines without a failure within the retention.
+// prune drops jobs and machines that had no failure within the retention. It runs at most once in pruneInterval.
 func (t *Tracker) prune(now time.Time) {
 	if now.Sub(t.prunedAt) < pruneInterval {
 		return
--- a/internal/controller/failures/tracker_test.go
+++ b/internal/controller/failures/tracker_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// attributionCase is a small case: which job failed on which machine, and what completed.
+// attributionCase is a small set of observations: which job failed on which machine, and what completed.
 type attributionCase struct {
 	jobs, machines int
 	failed         [][]bool // by job and machine
@@ -23,7 +23,7 @@
 	completions    []int    // by machine: tasks completed after its last failure
 }
 
-// assignment says of each job whether it is crash-looping, and after these of each machine whether it is faulty, one bit each.
+// assignment is a bit set: first a bit for each job (crash-looping), then a bit for each machine (faulty).
 type assignment int
 
 func (a assignment) isSet(bit int) bool { return a>>bit&1 == 1 }
@@ -125,13 +125,13 @@
 	for range completions {
 		tracker.RecordCompletion("another", machineName(m))
 	}
-	if tracker.machines[machineName(m)] != nil { // else nothing has failed there, and nothing is kept
+	if tracker.machines[machineName(m)] != nil { // else nothing has failed on the machine, and the tracker does not know it
 		c.completions[m] = completions
 	}
 }
 
-// recomputeVerdicts decides about every job by all that is known in the end. A verdict from an earlier state of knowledge
-// stays until a task completes, and may have been right then.
+// recomputeVerdicts decides about every job with all recorded evidence. The tracker itself keeps a verdict until a task of the
+// job completes, even if later evidence no longer supports it.
 func recomputeVerdicts(tracker *Tracker) {
 	for _, j := range tracker.jobs {
 		j.isCrashLooping = false
@@ -146,7 +146,7 @@
 	}
 }
 
-// verdicts lists the jobs that are called crash-looping and the machines that are called faulty, by name.
+// verdicts returns the sorted IDs of the crash-looping jobs and of the faulty machines.
 func (t *Tracker) verdicts() (crashLooping, faulty []string) {
 	for jobID, j := range t.jobs {
 		if j.isCrashLooping {
@@ -163,7 +163,7 @@
 	return crashLooping, faulty
 }
 
-// verdictCounts counts over all cases.
+// verdictCounts counts verdicts on jobs over all cases: all, those that are nearly certain, and how many of the latter are missed.
 type verdictCounts struct{ crashLooping, certain, missed int }
 
 // compare checks the tracker's verdicts against the exact posterior of the case.
@@ -191,8 +191,8 @@
 	}
 }
 
-// TestVerdictsMatchExactPosterior checks on small cases that every verdict is supported by the exact posterior, and
-// that crash loops that are nearly certain are found.
+// TestVerdictsMatchExactPosterior checks on small cases that the exact posterior supports every verdict, and that nearly
+// certain crash loops are found.
 func TestVerdictsMatchExactPosterior(t *testing.T) {
 	var counts verdictCounts
 	rapid.Check(t, func(t *rapid.T) {
@@ -209,9 +209,8 @@
 	}
 }
 
-// TestCrashLoopingJobsAndFaultyMachinesTogether checks that two of ten machines that fail every task and two of ten
-// jobs that crash on every machine are found, and nothing else. Each job is tried on machines that it has not failed
-// on.
+// TestCrashLoopingJobsAndFaultyMachinesTogether checks a cluster where all tasks fail on two of ten machines, and two of ten
+// jobs fail on every machine. Exactly these are found. Each job is tried on machines on which it has not failed.
 func TestCrashLoopingJobsAndFaultyMachinesTogether(t *testing.T) {
 	tracker, now := New(), time.Unix(1000, 0)
 	done := map[int]int{}
@@ -237,8 +236,8 @@
 	}
 }
 
-// TestCrashLoopingJobsDoNotMakeMachineFaulty checks that two crash-looping jobs that fail on the same machines do not
-// make these faulty.
+// TestCrashLoopingJobsDoNotMakeMachineFaulty checks that machines on which two crash-looping jobs fail do not count as
+// faulty.
 func TestCrashLoopingJobsDoNotMakeMachineFaulty(t *testing.T) {
 	tracker, now := New(), time.Unix(1000, 0)
 	for i := range 6 {
@@ -250,7 +249,7 @@
 	}
 	tracker.RecordCompletion("job-1", "vm-9")
 	if tracker.IsCrashLooping("job-1") {
-		t.Error("job that has completed a task: crash-looping, want not")
+		t.Error("job that has completed a task: got crash-looping, want not")
 	}
 }
 
@@ -263,17 +262,17 @@
 	}
 	tracker.RecordFailure(now, "job-1", "sick", 0)
 	if tracker.IsFaulty("sick") {
-		t.Error("machine with failures of one job only: faulty, want not")
+		t.Error("machine with failures of one job only: got faulty, want not")
 	}
 	tracker.RecordFailure(now, "job-2", "sick", 5)
 	tracker.RecordFailure(now, "job-3", "sick", 7)
 	if !tracker.IsFaulty("sick") || tracker.IsFaulty("vm-0") {
-		t.Errorf("faulty: machine sick %v, vm-0 %v, want true, false", tracker.IsFaulty("sick"), tracker.IsFaulty("vm-0"))
+		t.Errorf("faulty: got %v for machine sick, %v for vm-0, want true, false", tracker.IsFaulty("sick"), tracker.IsFaulty("vm-0"))
 	}
 }
 
-// TestRetriesShareBudget checks that retries are delayed longer each time and share a budget, whatever the number of
-// crash-looping jobs.
+// TestRetriesShareBudget checks that retries continue and that the shared budget bounds them, however many jobs are
+// crash-looping.
 func TestRetriesShareBudget(t *testing.T) {
 	tracker, now := New(), time.Unix(1000, 0)
 	const jobs = 200
@@ -292,7 +291,7 @@
 			}
 		}
 	}
-	// Each is tried once at first; from then on the budget bounds the retries.
+	// Each job is tried once at first. From then on the budget bounds the retries.
 	if most := jobs + maxStoredRetries + int(2*time.Minute/retryRefillInterval); tried > most || tried < jobs+60 {
 		t.Errorf("retries of %d jobs in two minutes: got %d, want %d to %d", jobs, tried, jobs+60, most)
 	}
@@ -308,7 +307,7 @@
 	}
 	if n := len(tracker.jobs) + len(tracker.machines); n > 2000 || len(tracker.machines["vm-0"].failedJobs) > maxStoredNeighbours {
 		t.Errorf(
-			"jobs and machines kept: got %d, neighbours of vm-0 %d, want at most 2000, %d",
+			"got %d jobs and machines kept, %d neighbours of vm-0, want at most 2000, %d",
 			n, len(tracker.machines["vm-0"].failedJobs), maxStoredNeighbours,
 		)
 	}
@@ -316,7 +315,7 @@
 	tracker.ForgetMachine("vm-0")
 	if tracker.FailedMachineCount("job-1") != 0 || tracker.IsFaulty("vm-0") {
 		t.Errorf(
-			"dropped entries: failed machines of job-1 %d, vm-0 faulty %v, want 0, false",
+			"dropped entries: got %d failed machines of job-1, vm-0 faulty %v, want 0, false",
 			tracker.FailedMachineCount("job-1"), tracker.IsFaulty("vm-0"),
 		)
 	}
--- a/internal/controller/straggler/detector_test.go
+++ b/internal/controller/straggler/detector_test.go
@@ -12,9 +12,9 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// TestFindsSlowMachines checks that all of 10 slow machines out of 400 are found within forty tasks each, with at most
-// two false positives. The slow machines take twice as long, the run times of a job's tasks vary by half, and owners'
-// estimates play no part.
+// TestFindsSlowMachines checks that 10 slow machines among 400 are found within 40 tasks each, with at most two false
+// positives. Tasks take twice as long on slow machines. The run times of a job's tasks vary by about half, and users'
+// estimates are not used.
 func TestFindsSlowMachines(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	detector := New(time.Second)
@@ -43,7 +43,7 @@
 	}
 }
 
-// recordRuns records a number of tasks on each of 20 machines, of which the first takes slowdown times as long.
+// recordRuns records a number of tasks on each of 20 machines. On the first machine they take slowdown times as long.
 func recordRuns(detector *Detector, rng *rand.Rand, tasks int, slowdown float64) {
 	for range tasks {
 		for machine := range 20 {
@@ -57,17 +57,17 @@
 	}
 }
 
-// TestMachineRecovers checks that a slow machine that recovers is used again.
+// TestMachineRecovers checks that a slow machine that recovers no longer counts as slow.
 func TestMachineRecovers(t *testing.T) {
 	detector := New(time.Second)
 	rng := rand.New(rand.NewPCG(3, 4))
 	recordRuns(detector, rng, 20, 3)
 	if !detector.IsSlow("0") || detector.Slowdown("0") < 2 {
-		t.Fatalf("machine of threefold run times: slow %v, slowdown %.2f, want true, at least 2", detector.IsSlow("0"), detector.Slowdown("0"))
+		t.Fatalf("threefold run times: got slow %v, slowdown %.2f, want true, at least 2", detector.IsSlow("0"), detector.Slowdown("0"))
 	}
 	recordRuns(detector, rng, 200, 1)
 	if detector.IsSlow("0") {
-		t.Error("recovered machine: slow, want not slow")
+		t.Error("recovered machine: got slow, want not slow")
 	}
 }
 
@@ -81,13 +81,13 @@
 	}
 	for machine := range 10 {
 		if detector.IsSlow(fmt.Sprint(machine)) {
-			t.Errorf("machine %d: slow though all take as long, want not slow", machine)
+			t.Errorf("machine %d: got slow though all machines are equally slow, want not slow", machine)
 		}
 	}
 }
 
-// TestNoMachineIsSlowWithoutEvidence checks that run times below the resolution and jobs with too few completed tasks
-// are no evidence.
+// TestNoMachineIsSlowWithoutEvidence checks that run times of about the resolution and jobs with too few completed tasks do
+// not count as evidence.
 func TestNoMachineIsSlowWithoutEvidence(t *testing.T) {
 	detector := New(10 * time.Second)
 	for range 50 {
@@ -96,7 +96,7 @@
 	}
 	for _, machine := range []string{"below resolution", "too few tasks"} {
 		if detector.IsSlow(machine) {
-			t.Errorf("machine %s: slow without evidence, want not slow", machine)
+			t.Errorf("machine %s: got slow without evidence, want not slow", machine)
 		}
 	}
 }
