--- a/internal/controller/clustertest/cluster.go
+++ b/internal/controller/clustertest/cluster.go
@@ -1,6 +1,5 @@
-// Package clustertest has a cluster for tests of the packages that place tasks and request instances: machine types, a platform,
-// and a Cluster with machines, jobs and a clock. The tests of placement and autoscaler share it. It is imported by tests only and
-// holds no rules of the scheduler.
+// Package clustertest provides a cluster for tests: machine types, a platform, and a Cluster with machines, jobs and a clock. The tests
+// of placement and autoscaler share it. Only tests import it. It does not implement any scheduling.
 package clustertest
 
 import (
@@ -24,7 +23,7 @@
 
 const platformName = "n"
 
-// Cluster is machines and jobs at a time that the test sets.
+// Cluster has machines and jobs, and a clock that the test sets.
 type Cluster struct {
 	Now          time.Time
 	Platform     *config.Platform
@@ -36,7 +35,7 @@
 	Log          *slog.Logger // discards all lines
 }
 
-// New returns a cluster without machines and jobs.
+// New returns a Cluster without machines and jobs.
 func New() *Cluster {
 	platform := &config.Platform{
 		Name:         platformName,
@@ -71,7 +70,7 @@
 	}
 }
 
-// AddMachine adds an empty machine that has just sent a heartbeat.
+// AddMachine adds a machine without tasks that has just sent a heartbeat. typeName must be in MachineTypes.
 func (c *Cluster) AddMachine(number int, typeName, zone string, spot bool) *worker.Machine {
 	machine := c.Workers.GetOrAdd(fmt.Sprintf("vm-%06d", number))
 	machine.Type, machine.Zone, machine.Spot = typeName, zone, spot
@@ -90,7 +89,7 @@
 	}
 }
 
-// SendHeartbeat takes in a heartbeat with exactly the tasks that are on the machine, all of them running.
+// SendHeartbeat reconciles a heartbeat in which exactly the tasks on the machine are running. It also renews the lease.
 func (c *Cluster) SendHeartbeat(machine *worker.Machine) {
 	heartbeat := NextHeartbeat(machine)
 	for _, attempt := range machine.Attempts {
@@ -102,15 +101,15 @@
 	c.RenewLease(machine)
 }
 
-// RenewLease renews the lease of the machine.
+// RenewLease renews the lease of the machine, and records that the machine is alive.
 func (c *Cluster) RenewLease(machine *worker.Machine) {
 	machine.LeaseRenewedAt, machine.LastContactAt = c.Now, c.Now
 }
 
-// FindJob returns a job by its ID, nil if there is none.
+// FindJob returns the job with this ID, or nil if there is none.
 func (c *Cluster) FindJob(id string) *jobs.Job { return c.Jobs[id] }
 
-// AddJob adds an accepted job. Its number selects its deadline and its constraints. The caller invalidates the placer's order.
+// AddJob adds an accepted job. The number determines its ID, deadline and constraints. The caller must invalidate the placer's order.
 func (c *Cluster) AddJob(number, tasks int, cpus float64) *jobs.Job {
 	job := jobs.New(jobs.Spec{
 		ID:                fmt.Sprintf("job-%06d", number),
--- a/internal/controller/zones/recovery.go
+++ b/internal/controller/zones/recovery.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	// probeInterval is how often an instance is requested in an unavailable zone, to find out whether it is back, if no
-	// machine is left there whose heartbeat would show it.
+	// probeInterval is the time between two requests for a probe instance, which shows whether an unavailable zone has recovered. A
+	// zone is probed only if it has no machine left whose heartbeat would show that.
 	probeInterval = 20 * time.Second
-	// sentinelShare is the share of an unavailable zone's machines that are kept although they are silent: their first
-	// heartbeat shows at once that the zone is back, while a probe takes up to probeInterval and a boot.
+	// sentinelShare is the share of an unavailable zone's machines that are kept although they are silent (sentinels), at least
+	// minSentinels. Their first heartbeat shows the recovery at once, while a probe takes up to probeInterval and a boot.
 	sentinelShare = 0.03
 	minSentinels  = 2
-	// firstRecoveryStep is how many instances may be requested at once in a zone that recovers. The limit doubles every
-	// recoveryStepInterval, up to maxRecoveryStep.
+	// firstRecoveryStep is the number of instances that may be requested in the first step of a zone's recovery. The limit doubles
+	// every recoveryStepInterval, up to maxRecoveryStep.
 	firstRecoveryStep    = 8
 	recoveryStepInterval = 2 * time.Second
 	maxRecoveryStep      = 1 << 16
-	// recoveryHeartbeats is the number of heartbeat intervals that a zone must be reachable until it is Healthy again.
+	// recoveryHeartbeats is the number of heartbeat intervals for which a zone must be reachable before it is Healthy again.
 	recoveryHeartbeats = 4
 )
 
-// MaxRequestable returns how many instances may be requested in the zone now, of maxCount that the cloud takes: in a zone that is
-// Unavailable one at a time, and only if no machine is left there to show that it is back; in one that is Recovering by steps.
+// MaxRequestable returns how many instances may be requested in the zone now, at most maxCount. In an Unavailable zone this is one
+// instance in each probeInterval, and only if no machine there would show its recovery. In a Recovering zone it is what the present
+// step still allows.
 func (t *Tracker) MaxRequestable(now time.Time, name string, maxCount int) int {
 	z := t.zones[name]
 	if z == nil {
@@ -40,7 +41,7 @@
 	return maxCount
 }
 
-// RecordRequest records that instances are requested in the zone.
+// RecordRequest records that instances are requested in the zone. It must be called for each request.
 func (t *Tracker) RecordRequest(now time.Time, name string, count int) {
 	z := t.zones[name]
 	switch {
@@ -52,7 +53,7 @@
 	}
 }
 
-// SentinelCount returns how many silent machines of the zone are to be kept to show that it is back. It is 0 unless the zone is
+// SentinelCount returns how many silent machines of the zone must be kept to detect its recovery. It is 0 unless the zone is
 // Unavailable.
 func (t *Tracker) SentinelCount(name string) int {
 	z := t.zones[name]
@@ -62,7 +63,7 @@
 	return max(int(sentinelShare*float64(z.machinesBeforeOutage)), minSentinels)
 }
 
-// recoveryPeriod returns how long the zone must be reachable until it is Healthy again.
+// recoveryPeriod returns how long the zone must be reachable before it is Healthy again.
 func (t *Tracker) recoveryPeriod(z *zone) time.Duration {
 	return recoveryHeartbeats * t.heartbeatInterval << z.repeatedOutages()
 }
--- a/internal/controller/zones/state.go
+++ b/internal/controller/zones/state.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// State is the state of a zone's connection with the leader, judged by the heartbeats from its machines.
+// State is the state of a zone's connection with the leader, derived from the heartbeats of its machines.
 type State int
 
-// States of a zone.
+// The states of a zone.
 const (
 	Healthy     State = iota // heartbeats arrive
-	Suspected                // heartbeats of many machines are overdue; not certain yet
+	Suspected                // heartbeats of many machines are overdue; it may become Unavailable
 	Degraded                 // heartbeats of many machines are overdue, those of others arrive
 	Unavailable              // no heartbeat arrives
-	Recovering               // heartbeats arrive again; the number of instances requested there grows in steps
+	Recovering               // heartbeats arrive again; the limit of requested instances grows in steps
 )
 
-// String returns the state's name in responses to users.
+// String returns the name of the state in responses to users and in the log.
 func (s State) String() string {
 	return [...]string{"bright", "doubtful", "partly away", "cut", "returning"}[s]
 }
 
-// Machine is what the tracker observes of a machine.
+// Machine is what a Tracker needs to know about a machine.
 type Machine struct {
 	Zone          string
 	HasReported   bool      // to this leader
-	LeaseValid    bool      // a heartbeat is expected
-	LastHeartbeat time.Time // or the election, if there was none since
-	Deleting      bool      // its silence is no evidence
-	Sentinel      bool      // it is kept although it is silent, to show that its zone is back
+	LeaseValid    bool      // heartbeats are expected
+	LastHeartbeat time.Time // or the election, if there was none since then
+	Deleting      bool      // its silence is not evidence
+	Sentinel      bool      // kept although it is silent, to detect the recovery of its zone
 }
 
-// View is a zone as it is shown to users.
+// View is the state of a zone as users see it.
 type View struct {
 	Name          string
 	State         State
 	Since         time.Time // when the state began
-	LastHeartbeat time.Time // of any machine
+	LastHeartbeat time.Time // of any machine of the zone
 	Machines      int       // with valid leases
-	Overdue       int       // of these, those whose heartbeats are overdue
-	Outages       int       // in the last ten minutes
+	Overdue       int       // machines among these whose heartbeats are overdue
+	Outages       int       // in the last ten minutes, at most maxRememberedOutages
 }
 
 // zone is the state of one zone.
@@ -45,10 +45,10 @@
 	state         State
 	stateSince    time.Time
 	lastHeartbeat time.Time   // of any machine, or the election
-	outages       []time.Time // the last ones, at most maxRememberedOutages
+	outages       []time.Time // start times of the latest outages, at most maxRememberedOutages
 	machines      machineCounts
-	// machinesBeforeOutage is the number of machines with valid leases when the zone was last not Unavailable. The silent ones
-	// are given up soon after.
+	// machinesBeforeOutage is the number of machines with valid leases when the zone was last in a state other than Unavailable.
+	// Silent machines are given up soon after an outage begins.
 	machinesBeforeOutage int
 	recovery             recovery
 }
@@ -56,13 +56,13 @@
 // machineCounts are the zone's machines at the last observation.
 type machineCounts struct {
 	expected  int // with valid leases
-	overdue   int // of these, those whose heartbeats are overdue
+	overdue   int // machines among these whose heartbeats are overdue
 	sentinels int
 }
 
 // recovery limits the requests for instances in a zone that is Unavailable or Recovering.
 type recovery struct {
-	lastProbe time.Time // when an instance was last requested to find out whether the zone is back
+	lastProbe time.Time // when an instance was last requested as a probe, or the outage began
 	stepStart time.Time
 	limit     int // instances that may be requested in the present step
 	requested int // in the present step
@@ -74,5 +74,5 @@
 	return overdue >= overdueShare*expected && z.machines.overdue >= minSilentMachines
 }
 
-// repeatedOutages is the number of the remembered outages beyond the first. Each doubles the time until the zone is trusted.
+// repeatedOutages returns the number of remembered outages after the first. Each doubles the times of the recovery.
 func (z *zone) repeatedOutages() int { return max(len(z.outages)-1, 0) }
--- a/internal/controller/zones/tracker.go
+++ b/internal/controller/zones/tracker.go
@@ -1,9 +1,9 @@
-// Package zones detects unavailable zones, and limits the requests for instances there and the machines that are kept. Its Tracker owns
-// the state of each zone. It never requests, terminates or places anything.
+// Package zones detects unavailable zones. For these it limits the requests for instances and the number of silent machines that are
+// kept. A Tracker owns the state of each zone. It does not request or terminate instances, or place tasks.
 //
-// A zone is Unavailable when none of its heartbeats arrive, for longer than chance explains, while those of other zones do. If no
-// heartbeat arrives from any zone, this controller's own network has failed (package election/connectivity), which is no evidence
-// against a zone. Design note, with the alternatives and the limits: docs/design/zones.md.
+// A zone is Unavailable when none of its heartbeats have arrived for longer than chance explains, while those of other zones arrive.
+// If no heartbeats arrive from any zone, this controller's own network has failed (package election/connectivity). That is not
+// evidence of a zone's outage. Design note, with alternatives and limits: docs/design/zones.md.
 package zones
 
 import (
@@ -17,29 +17,30 @@
 )
 
 const (
-	// minSilentMachines is the number of machines that must be silent for a zone to be suspected.
+	// minSilentMachines is the number of machines whose heartbeats must be overdue for a zone to be suspected.
 	minSilentMachines = 3
-	// minMissedHeartbeats is the number of consecutive heartbeats, of all machines of the zone together, that are not missing by
-	// chance alone.
+	// minMissedHeartbeats is the number of heartbeats in a row, over all machines of a zone, whose absence chance alone does not
+	// explain.
 	minMissedHeartbeats = 12
-	// minSilence is the shortest silence that counts: the network alone may delay everything that long.
+	// minSilence is the shortest silence that counts as evidence. The network alone may delay all heartbeats by this time.
 	minSilence = 1500 * time.Millisecond
 	// overdueShare is the share of a zone's machines whose heartbeats must be overdue for the zone to be suspected.
 	overdueShare = 0.25
-	// maxOverdueInOtherZones is the share of overdue machines in the other zones from which on this controller is more likely
-	// to have failed than the zone.
+	// maxOverdueInOtherZones is the share of overdue machines in the other zones above which a failure of this controller is more
+	// likely than one of the zone.
 	maxOverdueInOtherZones = 0.25
-	// maxDelay is how late a heartbeat may arrive because of the network.
+	// maxDelay is the time by which the network may delay a heartbeat.
 	maxDelay = 500 * time.Millisecond
-	// pauseThreshold is the gap between two observations that shows that this process was paused.
-	pauseThreshold  = time.Second
+	// pauseThreshold is the time between two observations above which this process counts as paused.
+	pauseThreshold = time.Second
+	// observeInterval is the minimum time between two observations.
 	observeInterval = 250 * time.Millisecond
-	// outageMemory is how long an outage counts against a zone, and maxRememberedOutages how many do.
+	// outageMemory is how long an outage delays the recovery from later ones. maxRememberedOutages bounds the number that count.
 	outageMemory         = 10 * time.Minute
 	maxRememberedOutages = 5
 )
 
-// Tracker tracks the state of the zones. It is used on the controller's goroutine only.
+// Tracker tracks the state of the zones. Only the event loop may call it.
 type Tracker struct {
 	heartbeatInterval time.Duration // of each machine
 	startedAt         time.Time
@@ -48,12 +49,12 @@
 	lastObserved      time.Time
 }
 
-// New returns the tracker of a new leadership, which begins now.
+// New returns the Tracker of a leadership that begins now. heartbeatInterval is that of each machine.
 func New(heartbeatInterval time.Duration, now time.Time, log *slog.Logger) *Tracker {
 	return &Tracker{heartbeatInterval: heartbeatInterval, startedAt: now, log: log, zones: map[string]*zone{}, lastObserved: now}
 }
 
-func (t *Tracker) zoneNamed(name string) *zone {
+func (t *Tracker) getOrAddZone(name string) *zone {
 	z := t.zones[name]
 	if z == nil {
 		z = &zone{lastHeartbeat: t.startedAt, stateSince: t.startedAt}
@@ -62,12 +63,12 @@
 	return z
 }
 
-// overdueAfter returns the age of a machine's last heartbeat from which the next one is overdue: heartbeats are sent with up to a
-// quarter of their interval as jitter.
+// overdueAfter returns the age of a machine's last heartbeat above which the next one is overdue. Workers add up to a quarter of the
+// interval as jitter.
 func (t *Tracker) overdueAfter() time.Duration { return t.heartbeatInterval*5/4 + maxDelay }
 
-// Observe takes in the machines, at most once in observeInterval. inboundUnreachable says that no heartbeat arrives from any
-// machine; then the zones keep their states.
+// Observe updates the states of the zones from all machines. It does nothing if the last observation was less than observeInterval
+// ago. If inboundUnreachable is true, no heartbeats arrive from any machine, and the zones keep their states.
 func (t *Tracker) Observe(now time.Time, inboundUnreachable bool, forEachMachine func(func(Machine))) {
 	gap := now.Sub(t.lastObserved)
 	if gap < observeInterval {
@@ -77,7 +78,7 @@
 	for _, z := range t.zones {
 		z.machines = machineCounts{}
 		if gap > pauseThreshold {
-			z.lastHeartbeat = z.lastHeartbeat.Add(gap) // the machines were not silent while this process was paused
+			z.lastHeartbeat = z.lastHeartbeat.Add(gap) // a pause of this process is not silence of the machines
 		}
 	}
 	overdueAfter := t.overdueAfter() + max(gap-pauseThreshold, 0)
@@ -92,7 +93,7 @@
 
 // count adds a machine to the counts of its zone.
 func (t *Tracker) count(now time.Time, machine Machine, overdueAfter time.Duration) {
-	z := t.zoneNamed(machine.Zone)
+	z := t.getOrAddZone(machine.Zone)
 	if machine.HasReported && machine.LastHeartbeat.After(z.lastHeartbeat) {
 		z.lastHeartbeat = machine.LastHeartbeat
 	}
@@ -111,8 +112,8 @@
 	}
 }
 
-// othersReachable reports whether the other zones show that this controller receives heartbeats: one of them is reachable, and
-// few of their machines are overdue. Zones that are Unavailable do not count.
+// othersReachable reports whether the other zones prove that this controller receives heartbeats: at least one is reachable, and few
+// of their machines are overdue. Unavailable zones do not count.
 func (t *Tracker) othersReachable(now time.Time, excluded *zone) bool {
 	expected, overdue, anyReachable := 0, 0, false
 	for _, z := range t.zones {
@@ -129,15 +130,15 @@
 	return anyReachable && float64(overdue)/float64(expected) < maxOverdueInOtherZones
 }
 
-// isSilent reports whether the zone has been silent for longer than chance explains: for the time of minMissedHeartbeats, but no
-// longer than it takes until all heartbeats are overdue.
+// isSilent reports whether the zone has been silent for longer than chance explains. This is the time of minMissedHeartbeats, but not
+// longer than the time until the heartbeats of all machines are overdue.
 func (t *Tracker) isSilent(now time.Time, z *zone) bool {
 	untilAllOverdue := t.overdueAfter() + maxDelay
 	untilEnoughMissed := minMissedHeartbeats * t.heartbeatInterval / time.Duration(max(z.machines.expected, 1))
 	return now.Sub(z.lastHeartbeat) >= max(min(untilEnoughMissed, untilAllOverdue), minSilence)
 }
 
-// evaluate sets the state of a zone by its overdue heartbeats and those of the other zones.
+// evaluate sets the state of a zone according to its overdue heartbeats and those of the other zones.
 func (t *Tracker) evaluate(now time.Time, name string, current *zone) {
 	if current.state != Unavailable {
 		current.machinesBeforeOutage = current.machines.expected
@@ -169,7 +170,7 @@
 	current.advanceRecovery(now)
 }
 
-// evaluateRecovery ends the recovery of a zone once it was reachable for long enough.
+// evaluateRecovery sets a reachable zone to Recovering, and to Healthy once it has been reachable for long enough.
 func (t *Tracker) evaluateRecovery(now time.Time, name string, z *zone) {
 	if now.Sub(z.stateSince) >= t.recoveryPeriod(z) {
 		t.setState(now, name, z, Healthy)
@@ -196,10 +197,10 @@
 	return Healthy
 }
 
-// IsUnavailable reports whether the machines of the zone are not to be counted on.
+// IsUnavailable reports whether the zone is Unavailable, so that its machines must not be relied on. It is false for unknown zones.
 func (t *Tracker) IsUnavailable(name string) bool { return t.stateOf(name) == Unavailable }
 
-// Views returns the zones by name.
+// Views returns all zones, sorted by name.
 func (t *Tracker) Views() []View {
 	var views []View
 	for _, name := range slices.SortedFunc(maps.Keys(t.zones), cmp.Compare[string]) {
--- a/internal/controller/zones/tracker_test.go
+++ b/internal/controller/zones/tracker_test.go
@@ -12,7 +12,7 @@
 	"gullrudder/internal/testseed"
 )
 
-// rememberedOutages returns the number of outages that are remembered, of all zones.
+// rememberedOutages returns the number of remembered outages of all zones.
 func (t *Tracker) rememberedOutages() int {
 	count := 0
 	for _, z := range t.zones {
@@ -31,19 +31,19 @@
 
 var modelZones = []string{"a", "b", "c"}
 
-// model is a simple cluster: machines that send heartbeats, zones that become unavailable, and a leader that pauses or receives
+// model is a simple cluster: machines that send heartbeats, zones that become unavailable, and a leader that may be paused or receive
 // nothing. It records which zones are unavailable.
 type model struct {
 	rng              *rand.Rand
 	now              time.Time
 	tracker          *Tracker
 	machines         []*modelMachine
-	unavailableSince map[string]time.Time // the zones that are unavailable
-	recoveredAt      map[string]time.Time // the last recovery of each zone
+	unavailableSince map[string]time.Time // start of the outage, by zone; only zones that are unavailable
+	recoveredAt      map[string]time.Time // end of the last outage, by zone
 	pausedUntil      time.Time            // the leader is paused until then
-	lastPaused       time.Time            // the last time that it was
-	inboundLost      bool                 // no heartbeat reaches the leader
-	lastInboundLost  time.Time            // the last time that it was so
+	lastPaused       time.Time            // the last time at which the leader was paused
+	inboundLost      bool                 // no heartbeats reach the leader
+	lastInboundLost  time.Time            // the last time at which inboundLost was true
 }
 
 type modelMachine struct {
@@ -79,7 +79,7 @@
 	}
 }
 
-// run lets a span pass and calls check after each observation of the tracker.
+// run simulates a time span and calls check after each observation of the tracker.
 func (m *model) run(span time.Duration, check func()) {
 	for end := m.now.Add(span); m.now.Before(end); {
 		m.now = m.now.Add(modelTick)
@@ -99,7 +99,7 @@
 				machine.lastHeartbeat = m.now
 			}
 		}
-		// Package election/connectivity detects that within a second.
+		// Package election/connectivity detects lost inbound connections within a second.
 		inboundUnreachable := m.inboundLost && m.now.Sub(m.lastInboundLost) == 0
 		m.tracker.Observe(m.now, inboundUnreachable, func(visit func(Machine)) {
 			for _, machine := range m.machines {
@@ -110,14 +110,14 @@
 	}
 }
 
-// detectionBound is the time within which an outage must be detected, recoveryBound the time after its end from which on the
-// zone must not be Unavailable.
+// detectionBound is the time within which an outage must be detected. recoveryBound is the time after its end after which the zone
+// must not be Unavailable.
 const (
 	detectionBound = heartbeatInterval*5/4 + time.Second + 2*observeInterval
 	recoveryBound  = heartbeatInterval*5/4 + minSilence + 2*observeInterval
 )
 
-// reachableZones returns the number of zones that have machines and were reachable for long enough.
+// reachableZones returns the number of zones that have machines and have been reachable for longer than recoveryBound.
 func (m *model) reachableZones() int {
 	count := 0
 	for _, name := range modelZones {
@@ -132,7 +132,7 @@
 	return count
 }
 
-// checkZone compares the state of a zone with the model.
+// checkZone compares the state of a zone in the tracker with the model.
 func (m *model) checkZone(t *rapid.T, name string, reachableZones int) {
 	z := m.tracker.zones[name]
 	if z == nil {
@@ -170,14 +170,14 @@
 		m.inboundLost = true
 		m.run(span/4, check)
 		m.inboundLost = false
-		// The observation begins once each machine has sent a heartbeat.
+		// Checks begin again once each machine has sent a heartbeat.
 		m.run(heartbeatInterval*5/4+time.Second, func() {})
 	}
 }
 
-// TestTrackerMatchesModel checks over random outages, recoveries, pauses and lost connections of the leader that an
-// outage is detected within detectionBound and its end within recoveryBound, and that a zone that was reachable all the
-// time is never Unavailable.
+// TestTrackerMatchesModel runs random outages, recoveries, pauses of the leader and losses of its inbound connections. An
+// outage must be detected within detectionBound and its end within recoveryBound. A zone without an outage must never be
+// Unavailable.
 func TestTrackerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.Uint64().Draw(t, "seed"), map[string]int{
@@ -199,7 +199,7 @@
 }
 
 // TestDetectionTimeBySize checks that the outage of a large zone is detected sooner than that of a small one, and that
-// jitter alone is never taken for an outage.
+// jitter alone is not classified as an outage.
 func TestDetectionTimeBySize(t *testing.T) {
 	for _, machines := range []int{6, 60, 600} {
 		m := newModel(uint64(machines), map[string]int{"a": machines, "b": machines})
@@ -223,8 +223,8 @@
 	}
 }
 
-// recoverByRequests ends the outage of zone b and requests all that may be requested until it is Healthy. It returns the limit of
-// the first step and how long the recovery took.
+// recoverByRequests ends the outage of zone b, and requests as many instances as possible until it is Healthy. It returns the limit of
+// the first step and the duration of the recovery.
 func (m *model) recoverByRequests(t *testing.T) (firstLimit int, took time.Duration) {
 	t.Helper()
 	delete(m.unavailableSince, "b")
@@ -240,14 +240,14 @@
 		}
 		m.tracker.RecordRequest(m.now, "b", count)
 		if m.tracker.MaxRequestable(m.now, "b", 1<<20) > 0 && m.tracker.stateOf("b") == Recovering {
-			t.Fatalf("instances requestable beyond the limit of a recovery step: got %d, want 0", m.tracker.MaxRequestable(m.now, "b", 1<<20))
+			t.Fatalf("instances requestable after a whole recovery step: got %d, want 0", m.tracker.MaxRequestable(m.now, "b", 1<<20))
 		}
 	}
 	return firstLimit, m.now.Sub(start)
 }
 
-// TestRecoveryStepsAndFlapping checks that a zone that recovers gets instances in steps that double, that after
-// repeated outages it takes longer each time until it is Healthy, and that the outages are forgotten after ten minutes.
+// TestRecoveryStepsAndFlapping checks that instances in a recovering zone are limited by steps. After repeated outages each
+// recovery must take longer. Outages are forgotten after ten minutes.
 func TestRecoveryStepsAndFlapping(t *testing.T) {
 	m := newModel(1, map[string]int{"a": 40, "b": 40})
 	m.run(20*time.Second, func() {})
@@ -260,7 +260,7 @@
 		m.run(30*time.Second, func() {})
 		if m.tracker.stateOf("b") != Unavailable || m.tracker.MaxRequestable(m.now, "b", 500) != 1 {
 			t.Fatalf(
-				"round %d: state %v, %d instances requestable, want Unavailable, 1",
+				"round %d: got state %v, %d instances requestable, want Unavailable, 1",
 				round, m.tracker.stateOf("b"), m.tracker.MaxRequestable(m.now, "b", 500),
 			)
 		}
@@ -271,7 +271,7 @@
 		recoveries = append(recoveries, took)
 	}
 	if recoveries[1] < recoveries[0]*3/2 || recoveries[2] < recoveries[1]*3/2 {
-		t.Errorf("recovery times: got %v, want each at least half again as long as the one before", recoveries)
+		t.Errorf("recovery times: got %v, want each at least 1.5 times the one before", recoveries)
 	}
 	m.run(outageMemory, func() {})
 	if v := m.tracker.Views(); v[1].Name != "b" || v[1].Outages != 0 || v[1].State != Healthy {
@@ -279,8 +279,8 @@
 	}
 }
 
-// TestIncompleteEvidenceIsNoOutage checks that the silence of a third of a zone's machines, of a zone of two machines,
-// or of the only zone is not taken for an outage.
+// TestIncompleteEvidenceIsNoOutage checks three cases that must not be classified as an outage: a third of a zone's machines
+// is silent, a zone of two machines is silent, or the only zone is silent.
 func TestIncompleteEvidenceIsNoOutage(t *testing.T) {
 	m := newModel(2, map[string]int{"a": 30, "b": 30, "c": 2})
 	for i, machine := range m.machines {
@@ -302,8 +302,8 @@
 	}
 }
 
-// TestSentinelsReplaceProbes checks that some machines of an unavailable zone are kept as sentinels, and that no
-// instance is requested as a probe while there are any.
+// TestSentinelsReplaceProbes checks that some machines of an unavailable zone are kept as sentinels, and that no instances may
+// be requested as probes while there are any.
 func TestSentinelsReplaceProbes(t *testing.T) {
 	m := newModel(4, map[string]int{"a": 50, "b": 50})
 	m.run(10*time.Second, func() {})
@@ -333,6 +333,6 @@
 		}
 	})
 	if n := m.tracker.MaxRequestable(m.now, "b", 500); n != 0 {
-		t.Errorf("instances requestable beside two sentinels: got %d, want 0", n)
+		t.Errorf("instances requestable in a zone with two sentinels: got %d, want 0", n)
 	}
 }
