--- a/internal/controller/archived_jobs_test.go
+++ b/internal/controller/archived_jobs_test.go
@@ -100,8 +100,8 @@
 }
 
 // TestQueriesOfArchivedJobs checks that queries of archived jobs get the same responses as before the jobs were
-// archived. The task counts are read back from the state service. While that fails, the response is 503 at first. In a long outage it has
-// the state without counts, since a job whose queries fail for 90 s is considered lost.
+// archived. The task counts are read back from the state service. While that fails, the response is 503 at first. In a
+// long outage it has the state without counts, since a job whose queries fail for 90 s is considered lost.
 func TestQueriesOfArchivedJobs(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	options := config.DefaultOptions()
--- a/internal/controller/zones/tracker.go
+++ b/internal/controller/zones/tracker.go
@@ -26,8 +26,8 @@
 	minSilence = 1500 * time.Millisecond
 	// overdueShare is the share of a zone's machines whose heartbeats must be overdue for the zone to be suspected.
 	overdueShare = 0.25
-	// maxOverdueInOtherZones is the share of overdue machines in the other zones above which a failure of this controller is more
-	// likely than one of the zone.
+	// maxOverdueInOtherZones is the share of overdue machines in the other zones from which on a failure of this controller is
+	// more likely than one of the zone.
 	maxOverdueInOtherZones = 0.25
 	// maxDelay is the time by which the network may delay a heartbeat.
 	maxDelay = 500 * time.Millisecond
