--- a/internal/controller/heartbeat/failure.go
+++ b/internal/controller/heartbeat/failure.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// maxAvoidedMachines is the number of failed machines at which a job may run on all of them again. A small site may have no
-	// other machines.
+	// maxAvoidedMachines bounds the machines that a job avoids after failures. A job that has failed on this many may run on all of
+	// them again, since a small site may have no others.
 	maxAvoidedMachines = 3
 	// maxRetryDelay bounds the delay between two attempts of a failing job that has not completed any task.
 	maxRetryDelay = time.Minute
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -60,7 +60,8 @@
 }
 
 // NewRuntime returns the runtime of a controller. The server may use three quarters of the connections. Each destination of calls has
-// a fixed part of the rest, so that many calls to one destination cannot block the renewal of the leader lease or the pings.
+// a fixed part of the rest, so that many calls to one destination cannot block the renewal of the leader lease or the pings. The peers and
+// the workers, which are many servers, have a larger part than the state service and the cloud API.
 func NewRuntime(controller *Controller, platform *config.Platform, log *slog.Logger) *Runtime {
 	multiServerConnections := max(platform.MaxConnections/12, minClientConnections)
 	singleServerConnections := max(multiServerConnections/4, minClientConnections)
