--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -1,6 +1,8 @@
-// Package admission decides which deadline jobs are guaranteed: those whose work fits into a plan of the cluster's capacity
-// before their deadlines (§3.3.2). A Planner owns the submissions of the last submission window, by which it limits each
-// team; it computes everything else from the jobs. It never orders jobs and never starts or stops a task.
+// Package admission decides which deadline jobs are guaranteed. A job is guaranteed if its work fits into a plan of the
+// cluster's capacity before its deadline (§3.3.2).
+//
+// A Planner owns the submissions of the last submission window and uses them to limit each team. It computes everything
+// else from the jobs. It never orders jobs and never starts or stops a task.
 //
 // Design note: docs/design/queue.md.
 package admission
@@ -16,7 +18,8 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// Planner admits deadline jobs and computes which guarantees can still be kept. It is not safe for concurrent use.
+// Planner admits deadline jobs and computes which guaranteed jobs can still meet their deadlines. It is not safe for
+// concurrent use.
 type Planner struct {
 	options           config.Options
 	estimator         *estimate.Estimator
@@ -24,35 +27,39 @@
 	recentSubmissions []submission // of the last submission window
 }
 
-// submission is what one submitted job counts against its team's share.
+// submission records the CPUs of one submitted job, which count against its team's share.
 type submission struct {
 	submittedAt time.Time
 	team        string
 	cpus        float64
 }
 
-// New returns a planner without submissions.
+// New returns a planner that has recorded no submissions. The planner keeps the estimator and the allocator and reads them
+// at each call.
 func New(options config.Options, estimator *estimate.Estimator, fairShare *fairshare.Allocator) *Planner {
 	return &Planner{options: options, estimator: estimator, fairShare: fairShare}
 }
 
-// SetOptions replaces the operators' settings.
+// SetOptions replaces the operators' settings. The recorded submissions stay.
 func (p *Planner) SetOptions(options config.Options) { p.options = options }
 
 // Request is a request for a guarantee for a job that is about to be accepted.
 type Request struct {
 	Job      *jobs.Job
-	Live     []*jobs.Job // the jobs that may run
+	Live     []*jobs.Job // all jobs that may run
 	Capacity Capacity
-	// Dependencies are the unfinished jobs that the job depends on, directly or not.
+	// Dependencies are the unfinished jobs that the job depends on, directly or indirectly.
 	Dependencies []*jobs.Job
-	// DependencyRunTime is the least time that the dependencies take, by their critical path.
+	// DependencyRunTime is the shortest time in which the dependencies can finish, that is, their critical path.
 	DependencyRunTime time.Duration
 }
 
-// Admit decides whether a new deadline job is guaranteed: its work fits before its deadline beside the work of all
-// guaranteed jobs, the work of its dependencies fits before it, and its team stays within its share of the cluster.
-// Each call counts against the team's share, also if the job is not guaranteed.
+// Admit reports whether a new deadline job is guaranteed. Three conditions apply:
+//   - The job's work fits before its deadline, in addition to the work of all guaranteed jobs.
+//   - The work of its dependencies fits before the job.
+//   - Its team stays within its share of the cluster.
+//
+// Each call counts against the team's share, even if the job is not guaranteed.
 func (p *Planner) Admit(now time.Time, request Request) bool {
 	job := request.Job
 	submittedCPUs := p.recordSubmission(now, job)
@@ -66,7 +73,7 @@
 	plan, _ := p.planGuaranteed(now, guaranteedJobs(request.Live), capacity)
 	for _, dependency := range request.Dependencies {
 		if dependency.HasGuarantee() {
-			continue // planGuaranteed has planned it
+			continue // already in the plan
 		}
 		if !p.reserve(plan, p.withEarlierDeadline(dependency, job)) {
 			return false
@@ -95,7 +102,7 @@
 	return teamCPUs
 }
 
-// withEarlierDeadline returns a copy of the dependency that is due early enough for a task of the job to follow.
+// withEarlierDeadline returns a copy of the dependency with an inherited deadline that leaves time for one task of the job.
 func (p *Planner) withEarlierDeadline(dependency, job *jobs.Job) *jobs.Job {
 	early := *dependency
 	deadline := job.DueAt().Add(-p.estimator.TaskRunTime(job))
@@ -105,21 +112,21 @@
 	return &early
 }
 
-// Feasible returns the guaranteed jobs whose work still fits before their deadlines if the earliest deadline goes first. Jobs
-// whose deadline has passed are left out.
+// Feasible returns the guaranteed jobs whose work still fits before their deadlines if jobs are served by earliest deadline
+// first. Jobs whose deadline has passed are left out.
 func (p *Planner) Feasible(now time.Time, live []*jobs.Job, capacity Capacity) map[*jobs.Job]bool {
 	inTime := slices.DeleteFunc(guaranteedJobs(live), func(entry guaranteedJob) bool { return now.After(entry.dueAt) })
 	_, feasible := p.planGuaranteed(now, inTime, capacity)
 	return feasible
 }
 
-// guaranteedJob is a job for which capacity is planned, with its due time: the jobs are sorted by it, so it is computed once.
+// guaranteedJob is a job for which capacity is planned. Its due time is computed once, since the jobs are sorted by it.
 type guaranteedJob struct {
 	job   *jobs.Job
 	dueAt time.Time
 }
 
-// guaranteedJobs returns the jobs for which capacity is planned.
+// guaranteedJobs returns the jobs for which capacity is planned. Crash-looping jobs are not planned.
 func guaranteedJobs(live []*jobs.Job) []guaranteedJob {
 	guaranteed := make([]guaranteedJob, 0, len(live))
 	for _, job := range live {
@@ -130,7 +137,7 @@
 	return guaranteed
 }
 
-// compareDeadlines orders jobs by due time, the earliest first, and by ID.
+// compareDeadlines orders jobs by due time, the earliest first, and then by ID.
 func compareDeadlines(a, b guaranteedJob) int {
 	if byDueTime := a.dueAt.Compare(b.dueAt); byDueTime != 0 {
 		return byDueTime
--- a/internal/controller/admission/admission_test.go
+++ b/internal/controller/admission/admission_test.go
@@ -24,8 +24,8 @@
 	return job
 }
 
-// TestAdmitBesideOverdueGuaranteedJob checks that a job is admitted beside a guaranteed one that is overdue by more
-// than two planning intervals. This once stopped the controller.
+// TestAdmitBesideOverdueGuaranteedJob checks that a job is admitted while a guaranteed job is overdue by more than two
+// planning intervals. Such a job has a negative number of intervals left, which once stopped the controller.
 func TestAdmitBesideOverdueGuaranteedJob(t *testing.T) {
 	planner := newTestPlanner(config.DefaultOptions())
 	now := time.Unix(10_000, 0)
@@ -34,23 +34,23 @@
 	newJob := deadlineJob("job-2", now, 2*time.Minute, 4, 20*time.Second)
 	capacity := Capacity{CPUs: 16, MachineCPUs: 8}
 	if !planner.Admit(now, Request{Job: newJob, Live: []*jobs.Job{overdue}, Capacity: capacity}) {
-		t.Error("job that fits beside an overdue one: refused, want admitted")
+		t.Error("job that fits although another job is overdue: refused, want admitted")
 	}
 	newJob.Guaranteed = true
 	feasible := planner.Feasible(now, []*jobs.Job{overdue, newJob}, capacity)
 	if feasible[overdue] || !feasible[newJob] {
-		t.Errorf("feasible: overdue job %v, new job %v, want false, true", feasible[overdue], feasible[newJob])
+		t.Errorf("feasible jobs: got overdue job %v, new job %v, want false, true", feasible[overdue], feasible[newJob])
 	}
 }
 
-// TestAdmitWithDependencies checks that a job with dependencies is guaranteed only if they fit before it.
+// TestAdmitWithDependencies checks that a job with dependencies is guaranteed only if the dependencies fit before it.
 func TestAdmitWithDependencies(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	for _, c := range []struct {
-		name     string
-		runTime  time.Duration // of each of the dependency's 16 tasks
-		critical time.Duration
-		want     bool
+		name              string
+		runTime           time.Duration // of each of the 16 tasks of the dependency
+		dependencyRunTime time.Duration
+		want              bool
 	}{
 		{"dependency fits before the job", 20 * time.Second, 20 * time.Second, true},
 		{"critical path is too long", 20 * time.Second, 50 * time.Second, false},
@@ -62,7 +62,7 @@
 				Job:               deadlineJob("job-2", now, time.Minute, 4, 20*time.Second),
 				Capacity:          Capacity{CPUs: 16, MachineCPUs: 8},
 				Dependencies:      []*jobs.Job{deadlineJob("job-1", now, 0, 16, c.runTime)},
-				DependencyRunTime: c.critical,
+				DependencyRunTime: c.dependencyRunTime,
 			}
 			if got := planner.Admit(now, request); got != c.want {
 				t.Errorf("admitted: got %v, want %v", got, c.want)
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestRoundUp checks to which number of CPUs demand is rounded up for a size of machine.
+// TestRoundUp checks how a number of CPUs is rounded up for a machine size.
 func TestRoundUp(t *testing.T) {
 	for _, c := range []struct{ cpus, machineCPUs, want float64 }{
 		{0, 16, 0},
--- a/internal/controller/admission/round_up.go
+++ b/internal/controller/admission/round_up.go
@@ -6,8 +6,9 @@
 	"gullrudder/internal/units"
 )
 
-// RoundUp returns the CPUs with which a guaranteed job is planned (§3.4.1): the job's CPUs, rounded up to a machine of the
-// given size divided by a power of two, or to whole machines.
+// RoundUp rounds up the CPUs of a guaranteed job for planning (§3.4.1). A job of at least one machine is rounded up to whole
+// machines, a smaller one to the machine size divided by a power of two. A value of 0 or less for either argument turns
+// rounding off.
 func RoundUp(cpus, machineCPUs float64) float64 {
 	if machineCPUs <= 0 || cpus <= 0 {
 		return cpus
@@ -15,9 +16,9 @@
 	if cpus >= machineCPUs {
 		return math.Ceil(cpus/machineCPUs-units.ResourceTolerance) * machineCPUs
 	}
-	share := machineCPUs
-	for share/2 >= cpus-units.ResourceTolerance {
-		share /= 2
+	rounded := machineCPUs
+	for rounded/2 >= cpus-units.ResourceTolerance {
+		rounded /= 2
 	}
-	return share
+	return rounded
 }
