--- a/internal/controller/estimate/estimate_test.go
+++ b/internal/controller/estimate/estimate_test.go
@@ -14,26 +14,26 @@
 // TestTaskRunTime checks how run times of the class and of the job itself adjust the owner's estimate.
 func TestTaskRunTime(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		class    []time.Duration // run times measured of another job of the class, estimated at 100 s
-		job      []time.Duration // run times measured of the job itself
-		estimate time.Duration
-		want     time.Duration
+		name          string
+		classRunTimes []time.Duration // measured for another job of the class, estimated at 100 s
+		jobRunTimes   []time.Duration // measured for the job itself
+		estimate      time.Duration
+		want          time.Duration
 	}{
 		{"owner's estimate", nil, nil, 100 * time.Second, 100 * time.Second},
 		{"at least a second", nil, nil, 0, time.Second},
-		{"first sample of the class counts a fifth", []time.Duration{200 * time.Second}, nil, 100 * time.Second, 120 * time.Second},
-		{"one sample counts ten times the estimate at most", []time.Duration{time.Hour}, nil, 100 * time.Second, 280 * time.Second},
-		{"one run of the job against a prior of two", nil, []time.Duration{40 * time.Second}, 0, 13333333333 * time.Nanosecond},
-		{"at most eight runs count", nil, repeat(40*time.Second, 20), 0, 32 * time.Second},
+		{"first sample of the class has a weight of one fifth", []time.Duration{200 * time.Second}, nil, 100 * time.Second, 120 * time.Second},
+		{"one sample counts at most ten times the estimate", []time.Duration{time.Hour}, nil, 100 * time.Second, 280 * time.Second},
+		{"one run of the job against a prior weight of two", nil, []time.Duration{40 * time.Second}, 0, 13333333333 * time.Nanosecond},
+		{"mean of the job has a weight of at most eight", nil, repeat(40*time.Second, 20), 0, 32 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			estimator, now := New(), time.Unix(1000, 0)
 			other, job := newJob("c", 100*time.Second, 1, 1, now), newJob("c", c.estimate, 1, 1, now)
-			for _, ran := range c.class {
+			for _, ran := range c.classRunTimes {
 				estimator.ObserveRunTime(other, ran)
 			}
-			for _, ran := range c.job {
+			for _, ran := range c.jobRunTimes {
 				estimator.ObserveRunTime(job, ran)
 			}
 			if got := estimator.TaskRunTime(job); got != c.want {
@@ -51,7 +51,7 @@
 	return list
 }
 
-// TestRemainingCPUSeconds checks the remaining CPU seconds of jobs with and without CPUs.
+// TestRemainingCPUSeconds checks the remaining CPU seconds of jobs whose tasks request CPUs or none.
 func TestRemainingCPUSeconds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
