--- a/internal/controller/queue/benchmark_test.go
+++ b/internal/controller/queue/benchmark_test.go
@@ -11,7 +11,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// benchmarkPlatform has objectives of each kind, and teams with and without a quota.
+// benchmarkPlatform returns a platform with objectives of each kind, and with teams with and without quotas.
 func benchmarkPlatform() *config.Platform {
 	return &config.Platform{
 		Teams: []config.Team{
@@ -29,7 +29,7 @@
 	}
 }
 
-// benchmarkQueue is a queue of jobs of all kinds and ages.
+// benchmarkQueue returns a queue of jobs of all kinds and ages. It is the same at each call.
 func benchmarkQueue(now time.Time, size int) []*jobs.Job {
 	random := rand.New(rand.NewPCG(1, 2))
 	queue := make([]*jobs.Job, 0, size)
@@ -60,7 +60,7 @@
 	return queue
 }
 
-// BenchmarkOrder is the order of a queue, without the reservations that are made for it.
+// BenchmarkOrder measures the ordering of a queue, without the reservation of machines.
 func BenchmarkOrder(b *testing.B) {
 	now := time.Unix(10_000, 0)
 	for _, size := range []int{250, 1000, 5000} {
--- a/internal/controller/queue/candidate.go
+++ b/internal/controller/queue/candidate.go
@@ -8,42 +8,41 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// orderFacts is what is computed once for an order from all jobs. The rules read it.
-type orderFacts struct {
+// orderInputs are values that are computed from all jobs, once per call of Order. The rules read them.
+type orderInputs struct {
 	now         time.Time
 	clusterCPUs float64         // at least 1
-	limitBound  map[string]bool // teams whose work is delayed by their quota
+	limitBound  map[string]bool // teams whose work is delayed by their quota; see limitBoundTeams
 }
 
-// candidate is a job that is being ranked, with what the rules read of it. Estimates and times are computed once for an
-// order.
+// candidate is a job that is being ranked, with the values that the rules read. They are computed once per call of Order.
 type candidate struct {
-	*orderFacts
+	*orderInputs
 	job                 *jobs.Job
 	age                 time.Duration
 	taskRunTime         time.Duration
 	remainingCPUSeconds float64
-	remainingSeconds    float64 // on the whole cluster
+	remainingSeconds    float64 // if the whole cluster worked on the job
 
-	isPlanned     bool             // guaranteed, and the work fits before the deadline
-	isWithinQuota bool             // within the team's guaranteed quota
-	isAgedFirst   bool             // aged, and served before everything else
-	awaitsStart   bool             // nothing was started for long, and its initial tasks have capacity of their own
-	overdueReason fairshare.Reason // why an overdue job has capacity of its own; 0: it has none, or is not overdue
+	isPlanned     bool             // guaranteed, and its work fits before its deadline
+	isWithinQuota bool             // fits into the team's guaranteed quota
+	isAgedFirst   bool             // aged, and served before all other jobs
+	awaitsStart   bool             // no task was started within StartBound; capacity is set aside for its initial tasks
+	overdueReason fairshare.Reason // why capacity is set aside for an overdue job; 0: none is, or the job is not overdue
 
 	position position // set by Ranker.rank
 }
 
-// makeCandidates returns the candidates of one order. They are valid until the next call.
+// makeCandidates returns one candidate for each job, not ranked yet. They are valid until the next call.
 func (r *Ranker) makeCandidates(now time.Time, live []*jobs.Job, capacity admission.Capacity) []candidate {
-	facts := &orderFacts{now: now, clusterCPUs: max(capacity.CPUs, 1)}
-	clear(r.candidates) // the jobs of the last order may have ended
+	inputs := &orderInputs{now: now, clusterCPUs: max(capacity.CPUs, 1)}
+	clear(r.candidates) // releases jobs that have ended since the last call
 	r.candidates = r.candidates[:0]
 	for _, job := range live {
-		r.candidates = append(r.candidates, r.newCandidate(facts, job))
+		r.candidates = append(r.candidates, r.newCandidate(inputs, job))
 	}
 	candidates := r.candidates
-	facts.limitBound = r.limitBoundTeams(candidates, facts.clusterCPUs)
+	inputs.limitBound = r.limitBoundTeams(candidates, inputs.clusterCPUs)
 	r.setWithinQuota(candidates)
 	r.setAwaitingStart(candidates, capacity)
 	planned := r.planner.Feasible(now, live, capacity)
@@ -56,20 +55,19 @@
 	return candidates
 }
 
-// newCandidate returns a candidate with what depends on the job alone.
-func (r *Ranker) newCandidate(facts *orderFacts, job *jobs.Job) candidate {
-	remainingCPUSeconds := r.estimator.RemainingCPUSeconds(job, facts.now)
+// newCandidate returns a candidate with the values that depend on the job alone.
+func (r *Ranker) newCandidate(inputs *orderInputs, job *jobs.Job) candidate {
+	remainingCPUSeconds := r.estimator.RemainingCPUSeconds(job, inputs.now)
 	return candidate{
-		orderFacts:          facts,
+		orderInputs:         inputs,
 		job:                 job,
-		age:                 facts.now.Sub(job.EligibleSince()),
+		age:                 inputs.now.Sub(job.EligibleSince()),
 		taskRunTime:         r.estimator.TaskRunTime(job),
 		remainingCPUSeconds: remainingCPUSeconds,
-		remainingSeconds:    remainingCPUSeconds / facts.clusterCPUs,
+		remainingSeconds:    remainingCPUSeconds / inputs.clusterCPUs,
 	}
 }
 
-// entry returns the candidate's entry in the order.
 func (c *candidate) entry() Entry {
 	return Entry{
 		Job:                 c.job,
--- a/internal/controller/queue/initial_tasks.go
+++ b/internal/controller/queue/initial_tasks.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// initialTasksShare is the share of the cluster for the initial tasks of all jobs that await their first start.
+	// initialTasksShare is the share of the cluster's CPUs for the initial tasks of all jobs that await their first start.
 	initialTasksShare = 0.05
-	// maxInitialTasks bounds the initial tasks of one array, of which they are a hundredth.
+	// maxInitialTasks is the maximum number of initial tasks of one array.
 	maxInitialTasks = 8
-	// initialTaskDivisor is how many tasks of an array there are to one initial task.
+	// initialTaskDivisor is the number of tasks of an array per initial task.
 	initialTaskDivisor = 100
 )
 
-// initialTaskCount is the number of tasks that the first start of a job needs at a time. A gang starts as a whole.
+// initialTaskCount returns how many tasks of a job run at a time for its first start. All tasks of a gang start together.
 func initialTaskCount(job *jobs.Job) int {
 	if job.IsGang {
 		return job.Tasks
@@ -26,9 +26,9 @@
 	return min(max(job.Tasks/initialTaskDivisor, 1), maxInitialTasks)
 }
 
-// setAwaitingStart selects the jobs of which nothing was started within the bound for first starts, the oldest first, as far
-// as the share for initial tasks goes. Without this rule the order by shortest remaining time started the largest jobs last,
-// after more than four minutes.
+// setAwaitingStart selects jobs that had no task started within StartBound, the oldest first, until their initial tasks use
+// up initialTasksShare. Without this rule, the order by shortest remaining time started the largest jobs last, after more
+// than four minutes.
 func (r *Ranker) setAwaitingStart(candidates []candidate, capacity admission.Capacity) {
 	if r.options.StartBound <= 0 {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-// isUnstarted reports whether nothing was started of a job that has a first start to wait for.
+// isUnstarted reports whether no task of the job was started. Services and crash-looping jobs never count as unstarted.
 func isUnstarted(job *jobs.Job) bool {
 	return !job.IsService && !job.CrashLooping && job.DoneTasks+len(job.ActiveAttempts) == 0
 }
--- a/internal/controller/queue/legacy_order_test.go
+++ b/internal/controller/queue/legacy_order_test.go
@@ -11,7 +11,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// legacyEntry is an entry of the former order, kept as the plain model of Ranker.Order.
+// legacyEntry is an entry of the former implementation of the order, the reference model for Ranker.Order.
 type legacyEntry struct {
 	Job                 *jobs.Job
 	MayReserve          bool
@@ -25,7 +25,7 @@
 	sortKey             float64
 }
 
-// The ranks, in the order in which they are served.
+// The ranks, in serving order.
 const (
 	legacyRankAgedFirst = iota
 	legacyRankService
@@ -42,8 +42,8 @@
 	legacyRankCrashLooping
 )
 
-// legacyFacts are what the former order computed once from all jobs.
-type legacyFacts struct {
+// legacyInputs are values that are computed from all jobs, once per call of Order.
+type legacyInputs struct {
 	now           time.Time
 	clusterCPUs   float64
 	planned       map[*jobs.Job]bool
@@ -54,7 +54,7 @@
 	allocations   map[*jobs.Job]fairshare.Reason
 }
 
-// Order ranks the jobs that may run, as the former implementation did.
+// Order ranks the jobs that may run in the way of the former implementation.
 func (p *legacyPlanner) Order(now time.Time, live []*jobs.Job, capacity admission.Capacity) []legacyEntry {
 	var guaranteed []*jobs.Job
 	for _, job := range live {
@@ -62,17 +62,17 @@
 			guaranteed = append(guaranteed, job)
 		}
 	}
-	f := legacyFacts{now: now, clusterCPUs: max(capacity.CPUs, 1), planned: map[*jobs.Job]bool{}}
-	p.planGuaranteed(now, guaranteed, capacity, f.planned)
-	f.withinQuota = p.jobsWithinQuota(live)
-	f.limitBound = p.limitBoundTeams(now, live, capacity)
-	f.agedFirst = ageing.PolicyOf(p.options).FirstJobs(now, live, capacity.CPUs, capacity.StartableTasks)
-	f.awaitingStart = p.jobsAwaitingStart(now, live, capacity)
-	hasPrecedence := func(job *jobs.Job) bool { return f.planned[job] || f.agedFirst[job] }
-	f.allocations = p.allocateOverdue(now, live, capacity, hasPrecedence)
+	inputs := legacyInputs{now: now, clusterCPUs: max(capacity.CPUs, 1), planned: map[*jobs.Job]bool{}}
+	p.planGuaranteed(now, guaranteed, capacity, inputs.planned)
+	inputs.withinQuota = p.jobsWithinQuota(live)
+	inputs.limitBound = p.limitBoundTeams(now, live, capacity)
+	inputs.agedFirst = ageing.PolicyOf(p.options).FirstJobs(now, live, capacity.CPUs, capacity.StartableTasks)
+	inputs.awaitingStart = p.jobsAwaitingStart(now, live, capacity)
+	hasPrecedence := func(job *jobs.Job) bool { return inputs.planned[job] || inputs.agedFirst[job] }
+	inputs.allocations = p.allocateOverdue(now, live, capacity, hasPrecedence)
 	entries := make([]legacyEntry, 0, len(live))
 	for _, job := range live {
-		entries = append(entries, p.entry(&f, job))
+		entries = append(entries, p.entry(&inputs, job))
 	}
 	sort.Slice(entries, func(a, b int) bool {
 		x, y := &entries[a], &entries[b]
@@ -87,55 +87,55 @@
 	return entries
 }
 
-// entry ranks one job, by the switch that the rules replaced.
-func (p *legacyPlanner) entry(facts *legacyFacts, job *jobs.Job) legacyEntry {
-	entry := legacyEntry{Job: job, TaskRunTime: p.TaskRunTime(job), RemainingCPUSeconds: p.RemainingCPUSeconds(job, facts.now)}
-	entry.Planned, entry.WithinQuota = facts.planned[job], facts.withinQuota[job]
-	age := facts.now.Sub(job.EligibleSince())
+// entry ranks one job by the switch statement that the rules replaced.
+func (p *legacyPlanner) entry(inputs *legacyInputs, job *jobs.Job) legacyEntry {
+	entry := legacyEntry{Job: job, TaskRunTime: p.TaskRunTime(job), RemainingCPUSeconds: p.RemainingCPUSeconds(job, inputs.now)}
+	entry.Planned, entry.WithinQuota = inputs.planned[job], inputs.withinQuota[job]
+	age := inputs.now.Sub(job.EligibleSince())
 	startObjective := legacyFirstObjectiveAfter(p.startObjectives[job.Class], age)
-	remainingTime := entry.RemainingCPUSeconds / facts.clusterCPUs
+	remainingTime := entry.RemainingCPUSeconds / inputs.clusterCPUs
 	switch {
 	case job.CrashLooping:
-		// One of its tasks is retried at a time, behind all other jobs.
+		// Its tasks are retried one at a time, after all other jobs.
 		entry.Rank, entry.sortKey = legacyRankCrashLooping, remainingTime
-	case facts.agedFirst[job]:
+	case inputs.agedFirst[job]:
 		entry.Rank, entry.sortKey, entry.MayReserve, entry.AgedFirst = legacyRankAgedFirst, -age.Seconds(), true, true
 	case job.IsService:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankService, -float64(job.Priority), true
-	case facts.awaitingStart[job]:
+	case inputs.awaitingStart[job]:
 		entry.Rank, entry.sortKey, entry.MayReserve, entry.MaxTasks = legacyRankInitialTasks, -age.Seconds(), true, legacyInitialTaskCount(
 			job,
 		)
-	case facts.allocations[job] == fairshare.BelowMinShare:
+	case inputs.allocations[job] == fairshare.BelowMinShare:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankBelowShare, remainingTime, true
 	case entry.Planned:
-		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankPlanned, job.DueAt().Sub(facts.now).Seconds(), true
+		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankPlanned, job.DueAt().Sub(inputs.now).Seconds(), true
 	case entry.WithinQuota && age < p.guaranteeObjective:
-		// It can still start in the time that the guarantee is for.
+		// It can still meet the objective of the guarantee.
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankQuotaInTime, entry.RemainingCPUSeconds, true
 	case entry.WithinQuota:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankQuotaOverdue, -age.Seconds(), true
-	case facts.allocations[job] == fairshare.Overdue:
+	case inputs.allocations[job] == fairshare.Overdue:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankOverdue, remainingTime, true
 	case age > p.options.AgeBound:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankAged, -age.Seconds(), true
 	case p.objectivesMissed(job, age, entry.TaskRunTime):
 		entry.Rank, entry.sortKey = legacyRankObjectivesMissed, remainingTime
 	case startObjective > 0 && age > startObjective*2/3:
-		// Two thirds of the time in which its tasks are to start have passed.
+		// It has used two thirds of the time limit for starting its tasks.
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankAged, (startObjective - age).Seconds(), true
-	case facts.limitBound[job.Team]:
+	case inputs.limitBound[job.Team]:
 		entry.Rank, entry.sortKey, entry.MayReserve = legacyRankLimitBound, remainingTime-age.Seconds()/p.options.AgeBound.Seconds(), true
 	default:
-		// Ageing within the bound: the remaining time counts less the longer the job has waited.
+		// Ageing within the bound: the longer a job has waited, the less its remaining time counts.
 		entry.Rank, entry.sortKey = legacyRankBestEffort, remainingTime-age.Seconds()/p.options.AgeBound.Seconds()
 	}
 	entry.MayReserve = entry.MayReserve || job.IsGang
 	return entry
 }
 
-// allocateOverdue finds the jobs that can meet none of their objectives any more, or are past the age bound, and those of
-// them that have capacity of their own now. Jobs that are served before them in any case are left out.
+// allocateOverdue finds the overdue jobs and returns those that capacity is set aside for, each with the reason. A job is
+// overdue if it can no longer meet any of its objectives or is past the age bound. Jobs with precedence are left out.
 func (p *legacyPlanner) allocateOverdue(
 	now time.Time,
 	live []*jobs.Job,
@@ -157,24 +157,24 @@
 	return p.fairShare.Allocate(now, overdue, live, capacity.CPUs)
 }
 
-// overdueAfter is the age from which a job is overdue even if it can still meet its objectives: the age bound, or less if
-// no job of its class was done recently. Without the shorter age, two of six jobs with long objectives were done by the end
-// of the simulated day (a4e2-15).
+// overdueAfter returns the age after which a job is overdue even if it can still meet its objectives: the age bound, or less
+// if no job of its class was done recently. Without the shorter age, only two of six jobs with long objectives were done by
+// the end of the simulated day (a4e2-15).
 func (p *legacyPlanner) overdueAfter(now time.Time, job *jobs.Job) time.Duration {
 	if p.options.StartBound > 0 && p.fairShare.NoneDoneRecently(now, job.Class) {
 		wait := 8 * p.options.StartBound / 5
 		if p.TaskRunTime(job) > p.options.StartBound {
-			wait = p.options.StartBound // its tasks take so long that who waits longer is done late, or not at all
+			wait = p.options.StartBound // with tasks this long, a later start would finish late or not at all
 		}
 		return min(wait, p.options.AgeBound)
 	}
 	return p.options.AgeBound
 }
 
-// legacyInitialTasksShare is the share of the cluster for the initial tasks of all jobs that await their first start.
+// legacyInitialTasksShare is the share of the cluster's CPUs for the initial tasks of all jobs that await their first start.
 const legacyInitialTasksShare = 0.05
 
-// legacyInitialTaskCount is the number of tasks that the first start of a job needs at a time. A gang starts as a whole.
+// legacyInitialTaskCount returns how many tasks of a job run at a time for its first start. All tasks of a gang start together.
 func legacyInitialTaskCount(job *jobs.Job) int {
 	if job.IsGang {
 		return job.Tasks
@@ -182,8 +182,8 @@
 	return min(max(job.Tasks/100, 1), 8)
 }
 
-// jobsAwaitingStart finds the jobs of which nothing was started within the bound, the oldest first, as far as their share
-// goes.
+// jobsAwaitingStart returns jobs that had no task started within StartBound, the oldest first, until their initial tasks use
+// up their share.
 func (p *legacyPlanner) jobsAwaitingStart(now time.Time, live []*jobs.Job, capacity admission.Capacity) map[*jobs.Job]bool {
 	if p.options.StartBound <= 0 {
 		return nil
@@ -214,7 +214,7 @@
 	return marked
 }
 
-// longestAllowed is the longest time that the job may take by any of its objectives; the age bound if it has none.
+// longestAllowed returns the longest time in which the job meets one of its objectives; the age bound if it has none.
 func (p *legacyPlanner) longestAllowed(job *jobs.Job) time.Duration {
 	longest := 3 * job.TimeToDeadline() / 2
 	if finishObjectives := p.finishObjectives[job.Class]; len(finishObjectives) > 0 {
@@ -229,7 +229,7 @@
 	return longest
 }
 
-// RankReason returns the text that explains the rank to users.
+// RankReason returns the explanation of the rank that users see.
 func (e *legacyEntry) RankReason() string {
 	return [...]string{
 		"aged, within the share that is kept",
@@ -248,11 +248,11 @@
 	}[e.Rank]
 }
 
-// legacyMinLimitedWork is how long a team's work must last at its quota for the team to be limit-bound.
+// legacyMinLimitedWork is the time that a team's work at its quota has to exceed for the team to be limit-bound.
 const legacyMinLimitedWork = time.Minute
 
-// limitBoundTeams returns the teams whose work lasts long at their quota, and longer than the cluster needs for the work
-// of all teams.
+// limitBoundTeams returns the teams whose work, at their quota, takes longer than legacyMinLimitedWork and longer than the
+// cluster needs for the work of all teams.
 func (p *legacyPlanner) limitBoundTeams(now time.Time, live []*jobs.Job, capacity admission.Capacity) map[string]bool {
 	workByTeam, totalWork := map[string]float64{}, 0.0
 	for _, job := range live {
@@ -270,7 +270,7 @@
 	return marked
 }
 
-// legacyFirstObjectiveAfter is the first of the sorted limits that is longer than age, or 0.
+// legacyFirstObjectiveAfter returns the first of the sorted time limits that is longer than age, or 0.
 func legacyFirstObjectiveAfter(objectives []time.Duration, age time.Duration) time.Duration {
 	for _, objective := range objectives {
 		if objective > age {
@@ -280,19 +280,19 @@
 	return 0
 }
 
-// objectivesMissed reports whether the job has objectives and can meet none of them any more.
-func (p *legacyPlanner) objectivesMissed(job *jobs.Job, age, perTask time.Duration) bool {
+// objectivesMissed reports whether the job has objectives or a deadline and can no longer meet any of them.
+func (p *legacyPlanner) objectivesMissed(job *jobs.Job, age, taskRunTime time.Duration) bool {
 	startObjectives, finishObjectives := p.startObjectives[job.Class], p.finishObjectives[job.Class]
 	if len(startObjectives)+len(finishObjectives) == 0 && job.TimeToDeadline() <= 0 {
 		return false
 	}
-	earliestFinish := age + perTask
+	earliestFinish := age + taskRunTime
 	return legacyFirstObjectiveAfter(startObjectives, age) == 0 && legacyFirstObjectiveAfter(finishObjectives, earliestFinish) == 0 &&
 		(job.TimeToDeadline() <= 0 || job.TimeToDeadline() <= earliestFinish)
 }
 
-// jobsWithinQuota returns the jobs that fit into their team's guaranteed quota together with the team's earlier unfinished
-// jobs.
+// jobsWithinQuota returns the jobs that fit into their team's guaranteed quota together with all earlier unfinished jobs of
+// the team.
 func (p *legacyPlanner) jobsWithinQuota(live []*jobs.Job) map[*jobs.Job]bool {
 	byTeam := map[string][]*jobs.Job{}
 	for _, job := range live {
--- a/internal/controller/queue/legacy_plan_test.go
+++ b/internal/controller/queue/legacy_plan_test.go
@@ -12,21 +12,21 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// legacyPlanner is the former implementation of estimates, admission and order in one, kept as the reference model of the
-// packages estimate, admission and queue.
+// legacyPlanner is the former implementation of estimates, admission and order in one type. It is the reference model for
+// the packages estimate, admission and queue.
 type legacyPlanner struct {
 	options            config.Options
 	teams              map[string]config.Team
-	startObjectives    map[string][]time.Duration // aims of a class for starting, earliest first
-	finishObjectives   map[string][]time.Duration // aims of a class for finishing, earliest first
-	guaranteeObjective time.Duration              // aim for starting what a team's guarantee covers; 0: none
+	startObjectives    map[string][]time.Duration // by class, time limits for starting, shortest first
+	finishObjectives   map[string][]time.Duration // by class, time limits for finishing, shortest first
+	guaranteeObjective time.Duration              // time limit for starting jobs within a team's guarantee; 0: none
 	runTimes           map[string]*legacyRunTimes
 	recentSubmissions  []legacySubmission
 	fairShare          *fairshare.Allocator
 }
 
 type legacyRunTimes struct {
-	estimateRatio float64 // actual run time over the owners' estimates
+	estimateRatio float64 // mean of measured divided by estimated run time
 	samples       int
 }
 
@@ -36,7 +36,6 @@
 	cpus        float64
 }
 
-// New returns a planner.
 func newLegacyPlanner(options config.Options, platform *config.Platform) *legacyPlanner {
 	planner := &legacyPlanner{
 		options: options, teams: platform.TeamsByName(), startObjectives: map[string][]time.Duration{},
@@ -67,7 +66,7 @@
 	p.fairShare.SetPolicy(fairshare.PolicyOf(options))
 }
 
-// ObserveRunTime records the run time of a completed task.
+// ObserveRunTime records the run time of a completed task in the job and for its class.
 func (p *legacyPlanner) ObserveRunTime(job *jobs.Job, ran time.Duration) {
 	job.CompletedRunTime += ran
 	job.CompletedRuns++
@@ -84,7 +83,7 @@
 	s.estimateRatio += weight * (min(ran.Seconds()/job.RunTimeEstimate.Seconds(), 10) - s.estimateRatio)
 }
 
-// TaskRunTime is the expected run time of one of the job's tasks: the owner's estimate,
+// TaskRunTime returns the expected run time of one task of the job: the owner's estimate,
 // corrected by the measured run times of its class and of the job itself.
 func (p *legacyPlanner) TaskRunTime(job *jobs.Job) time.Duration {
 	estimate := job.RunTimeEstimate
@@ -92,71 +91,70 @@
 		estimate = time.Duration(float64(estimate) * s.estimateRatio)
 	}
 	if job.CompletedRuns > 0 {
-		// The first tasks to end are the short ones, so the job's own mean weighs more
-		// the more of them there are.
+		// The weight of the job's own mean grows with the number of ended tasks, since
+		// the first tasks to end are the short ones.
 		weight := time.Duration(min(job.CompletedRuns, 8))
 		estimate = (estimate*2 + job.CompletedRunTime/time.Duration(job.CompletedRuns)*weight) / (2 + weight)
 	}
 	return max(estimate, time.Second)
 }
 
-// RemainingCPUSeconds is the CPU time that the job still needs; a task without CPUs counts a little.
+// RemainingCPUSeconds returns the CPU time that the job still needs. A task without CPUs counts 0.1 CPUs.
 func (p *legacyPlanner) RemainingCPUSeconds(job *jobs.Job, now time.Time) float64 {
 	return job.RemainingWork(p.TaskRunTime(job), now).Seconds() * max(job.CPUs, 0.1)
 }
 
-const legacyMaxTerms = 240 // terms that are planned at most
+const legacyMaxIntervals = 240 // maximum number of intervals of a plan
 
-// legacySchedule is a plan of equal intervals for deadline jobs, the earliest deadline first. If not all fit before their
-// deadlines, the jobs with the lowest payoff are dropped; lost has the dropped jobs.
+// legacySchedule is a plan that reserves CPUs for deadline jobs in intervals of equal length, the earliest deadline first.
 type legacySchedule struct {
-	term          time.Duration
+	interval      time.Duration
 	now           time.Time
 	reservedCPUs  []float64
 	capacity      admission.Capacity
-	withheldShare float64 // share of the capacity that is reserved for aged jobs
+	withheldShare float64 // share of the capacity that deadline jobs cannot use
 }
 
-// reserve reserves capacity for a job and reports whether it fits; if not, it reserves nothing.
-func (s *legacySchedule) reserve(job *jobs.Job, perTask time.Duration, work float64) bool {
+// reserve reserves CPUs for a job. If its work does not fit, it reserves nothing and returns false.
+func (s *legacySchedule) reserve(job *jobs.Job, taskRunTime time.Duration, work float64) bool {
 	remaining := job.DueAt().Sub(s.now)
 	if remaining <= 0 {
-		// An overdue job has no intervals left. A negative number of them once ended the process.
+		// An overdue job has no intervals left. A negative number of intervals once crashed the process.
 		return work <= 1e-9
 	}
 	width := admission.RoundUp(float64(job.Tasks-job.DoneTasks)*max(job.CPUs, 0.1), s.capacity.MachineCPUs)
-	terms := int(remaining / s.term)
-	if terms > legacyMaxTerms {
-		terms = legacyMaxTerms
+	intervals := int(remaining / s.interval)
+	if intervals > legacyMaxIntervals {
+		intervals = legacyMaxIntervals
 	}
-	if len(job.ActiveAttempts) == 0 && remaining < perTask {
+	if len(job.ActiveAttempts) == 0 && remaining < taskRunTime {
 		return false
 	}
-	// Of the last interval only the part before the deadline counts.
-	lastTermSeconds := (remaining - time.Duration(terms)*s.term).Seconds()
-	reserved := make([]float64, 0, terms+1)
-	for t := 0; t <= terms && work > 1e-9; t++ {
-		span := s.term.Seconds()
-		if t == terms {
-			span = max(lastTermSeconds, 0)
+	// Only the part of the last interval before the deadline counts.
+	lastIntervalSeconds := (remaining - time.Duration(intervals)*s.interval).Seconds()
+	reserved := make([]float64, 0, intervals+1)
+	for t := 0; t <= intervals && work > 1e-9; t++ {
+		seconds := s.interval.Seconds()
+		if t == intervals {
+			seconds = max(lastIntervalSeconds, 0)
 		}
-		if span <= 0 {
+		if seconds <= 0 {
 			break
 		}
 		for len(s.reservedCPUs) <= t {
 			s.reservedCPUs = append(s.reservedCPUs, 0)
 		}
 		cpus := s.capacity.CPUs
-		if time.Duration(t)*s.term >= s.capacity.BootTime {
+		if time.Duration(t)*s.interval >= s.capacity.BootTime {
 			cpus += s.capacity.GrowthCPUs
 		}
 		granted := min(
 			width,
 			max(cpus*(1-s.withheldShare)-s.reservedCPUs[t], 0),
-			math.Ceil(work/span/max(job.CPUs, 0.1)-1e-9)*max(job.CPUs, 0.1),
+			math.Ceil(work/seconds/max(job.CPUs, 0.1)-1e-9)*max(job.CPUs, 0.1),
 		)
 		reserved = append(reserved, granted)
-		work -= granted * span
+		work -= granted * seconds
 	}
 	if work > 1e-9 {
 		return false
@@ -167,29 +165,29 @@
 	return true
 }
 
-// recordShare counts the job against its team and returns the CPUs that the team submitted lately.
-func (p *legacyPlanner) recordShare(now time.Time, job *jobs.Job) float64 {
+// recordSubmission counts the job against its team and returns the CPUs that the team submitted within the submission window.
+func (p *legacyPlanner) recordSubmission(now time.Time, job *jobs.Job) float64 {
 	cpus := float64(job.Tasks) * job.CPUs
-	share := cpus
+	teamCPUs := cpus
 	var recent []legacySubmission
-	for _, plan := range p.recentSubmissions {
-		if now.Sub(plan.submittedAt) < p.options.SubmissionWindow {
-			recent = append(recent, plan)
-			if plan.team == job.Team {
-				share += plan.cpus
+	for _, earlier := range p.recentSubmissions {
+		if now.Sub(earlier.submittedAt) < p.options.SubmissionWindow {
+			recent = append(recent, earlier)
+			if earlier.team == job.Team {
+				teamCPUs += earlier.cpus
 			}
 		}
 	}
 	recent = append(recent, legacySubmission{now, job.Team, cpus})
 	p.recentSubmissions = recent
-	return share
+	return teamCPUs
 }
 
 // Admit decides whether a new deadline job is guaranteed.
 func (p *legacyPlanner) Admit(now time.Time, request admission.Request) bool {
 	job, capacity := request.Job, request.Capacity
-	share := p.recordShare(now, job)
-	if job.Deadline <= 0 || job.IsService || share > p.options.SubmissionShare*(capacity.CPUs+capacity.GrowthCPUs) {
+	submittedCPUs := p.recordSubmission(now, job)
+	if job.Deadline <= 0 || job.IsService || submittedCPUs > p.options.SubmissionShare*(capacity.CPUs+capacity.GrowthCPUs) {
 		return false
 	}
 	var guaranteed []*jobs.Job
@@ -204,7 +202,7 @@
 	}
 	for _, dependency := range request.Dependencies {
 		if dependency.HasGuarantee() {
-			continue // in the list
+			continue // already in the plan
 		}
 		early := *dependency
 		if deadline := job.DueAt().
@@ -219,7 +217,7 @@
 	return plan.reserve(job, p.TaskRunTime(job), p.RemainingCPUSeconds(job, now))
 }
 
-// planGuaranteed reserves capacity for the guaranteed jobs. planned, if not nil, gets those that fit.
+// planGuaranteed reserves CPUs for the guaranteed jobs and adds those that fit to planned, unless it is nil.
 func (p *legacyPlanner) planGuaranteed(
 	now time.Time,
 	guaranteed []*jobs.Job,
@@ -234,7 +232,7 @@
 		return guaranteed[a].ID < guaranteed[b].ID
 	})
 	plan := &legacySchedule{
-		term:          p.options.PlanningInterval,
+		interval:      p.options.PlanningInterval,
 		now:           now,
 		capacity:      capacity,
 		withheldShare: p.options.AgedShare + p.fairShare.ReservedCPUShare(),
@@ -247,7 +245,8 @@
 	return plan
 }
 
-// payoff is the value of completing a job, in steps: one less for every LatenessStep that it is late.
+// payoff returns the value of completing a job now: 0 before its deadline, -1 after it, and 1 less for each LatenessStep
+// that it is late.
 func (p *legacyPlanner) payoff(now time.Time, job *jobs.Job) int {
 	lateness := now.Sub(job.DueAt())
 	if lateness <= 0 {
--- a/internal/controller/queue/model_test.go
+++ b/internal/controller/queue/model_test.go
@@ -13,13 +13,13 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// comparison runs the same commands on the ranker and on the legacy model. Each has its own jobs, estimates and served
-// counts, since both change them.
+// comparison applies the same actions to the ranker and to the legacy model. Each of them has its own jobs, estimates and
+// counts of done jobs, since both change them.
 type comparison struct {
 	now      time.Time
 	options  config.Options
 	capacity admission.Capacity
-	quota    map[string]int // tasks that a team's quota allows
+	quota    map[string]int // by team, how many more tasks of a job may run
 
 	components Components
 	ranker     *Ranker
@@ -28,7 +28,7 @@
 	legacyJobs []*jobs.Job // the same jobs, for the model
 
 	submitted int
-	ranks     map[Rank]int // how often each rank was compared
+	ranks     map[Rank]int // number of compared entries of each rank
 }
 
 func newComparison(t *rapid.T, ranks map[Rank]int) *comparison {
@@ -45,7 +45,7 @@
 	return c
 }
 
-// testPlatform has objectives of each kind, and teams with and without quotas.
+// testPlatform returns a platform with objectives of each kind, and with teams with and without quotas.
 func testPlatform() *config.Platform {
 	return &config.Platform{
 		Teams: []config.Team{
@@ -77,7 +77,7 @@
 	}
 }
 
-// drawSpec draws a job of any kind.
+// drawSpec draws a job of any kind with a new ID.
 func (c *comparison) drawSpec(t *rapid.T) jobs.Spec {
 	c.submitted++
 	spec := jobs.Spec{
@@ -99,7 +99,7 @@
 	return spec
 }
 
-// submit submits a job, which may depend on jobs that are live.
+// submit submits a job, which may depend on a live job, and compares the decisions on its guarantee.
 func (c *comparison) submit(t *rapid.T) {
 	spec := c.drawSpec(t)
 	job, legacyJob := jobs.New(spec, c.now), jobs.New(spec, c.now)
@@ -114,7 +114,7 @@
 	got := c.components.Planner.Admit(c.now, request)
 	want := c.legacy.Admit(c.now, legacyRequest)
 	if got != want {
-		t.Fatalf("%s is admitted %v, by the model %v", spec.ID, got, want)
+		t.Fatalf("admission of %s: got %v, model says %v", spec.ID, got, want)
 	}
 	for _, j := range []*jobs.Job{job, legacyJob} {
 		j.State, j.Guaranteed = jobs.Accepted, got
@@ -122,7 +122,7 @@
 	c.jobs, c.legacyJobs = append(c.jobs, job), append(c.legacyJobs, legacyJob)
 }
 
-// changeJob changes one live job.
+// changeJob applies a random change to one live job: a task is started or done, or the job changes or ends.
 func (c *comparison) changeJob(t *rapid.T) {
 	if len(c.jobs) == 0 {
 		return
@@ -174,7 +174,7 @@
 	return append(list[:i:i], list[i+1:]...)
 }
 
-// changeOptions draws other settings of the operators.
+// changeOptions draws new operators' settings.
 func (c *comparison) changeOptions(t *rapid.T) {
 	c.options.StartBound = rapid.SampledFrom([]time.Duration{0, 30 * time.Second, 150 * time.Second}).Draw(t, "start bound")
 	c.options.AgeBound = rapid.SampledFrom([]time.Duration{time.Minute, 420 * time.Second}).Draw(t, "age bound")
@@ -186,21 +186,21 @@
 	c.legacy.SetOptions(c.options)
 }
 
-// compare orders the jobs and compares each entry with the model's.
+// compare orders the jobs and compares each entry with that of the model.
 func (c *comparison) compare(t *rapid.T) {
 	got, want := c.ranker.Order(c.now, c.jobs, c.capacity), c.legacy.Order(c.now, c.legacyJobs, c.capacity)
 	if len(got) != len(want) {
-		t.Fatalf("%d entries, want %d", len(got), len(want))
+		t.Fatalf("entries in the order: got %d, want %d", len(got), len(want))
 	}
 	for i := range got {
 		if g, w := describeEntry(&got[i]), describeLegacyEntry(&want[i]); g != w {
-			t.Fatalf("entry %d is\n%+v, want\n%+v", i, g, w)
+			t.Fatalf("entry %d:\ngot  %+v\nwant %+v", i, g, w)
 		}
 		c.ranks[got[i].Rank]++
 	}
 }
 
-// comparedEntry has the fields of an entry that the ranker and the model both have.
+// comparedEntry holds the fields that entries of the ranker and of the model have in common.
 type comparedEntry struct {
 	JobID                          string
 	Rank                           int
@@ -241,8 +241,8 @@
 	}
 }
 
-// On random queues the rules order as the switch that they replaced, and the planner admits as the former one. Every rank
-// occurs in the compared orders.
+// TestOrderMatchesLegacy checks that, on random queues, the rules rank jobs like the switch statement that they replaced, and
+// that the planner admits the same jobs as the former one. Each rank has to occur in the compared orders.
 func TestOrderMatchesLegacy(t *testing.T) {
 	ranks := map[Rank]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -265,7 +265,7 @@
 	})
 	for rank := range Rank(len(reasons)) {
 		if ranks[rank] == 0 {
-			t.Errorf("no job of rank %d (%s) was compared", rank, rank.Reason())
+			t.Errorf("rank %d (%s): no job was compared, want at least one", rank, rank.Reason())
 		}
 	}
 	t.Logf("entries compared by rank: %v", ranks)
--- a/internal/controller/queue/objectives.go
+++ b/internal/controller/queue/objectives.go
@@ -8,11 +8,11 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// objectives are the service level objectives of the job classes, each the longest time from eligibility.
+// objectives are the service level objectives of the job classes. Each is a time limit that counts from Job.EligibleSince.
 type objectives struct {
-	start     map[string][]time.Duration // by class, until the job's tasks are started, the shortest first
-	finish    map[string][]time.Duration // by class, until the job is complete, the shortest first
-	guarantee time.Duration              // until what a team's guaranteed quota covers is started; 0: none
+	start     map[string][]time.Duration // by class, for starting the job's tasks, shortest first
+	finish    map[string][]time.Duration // by class, for completing the job, shortest first
+	guarantee time.Duration              // for starting jobs within their team's guaranteed quota; 0: none
 }
 
 func newObjectives(list []config.Objective) objectives {
@@ -35,12 +35,12 @@
 	return o
 }
 
-// nextStart is the first start objective of the class that a job of the given age can still meet, or 0.
+// nextStart returns the shortest start objective of the class that a job of the given age can still meet, or 0.
 func (o *objectives) nextStart(class string, age time.Duration) time.Duration {
 	return firstAfter(o.start[class], age)
 }
 
-// areMissed reports whether the job has objectives or a deadline and can meet none of them any more.
+// areMissed reports whether the job has objectives or a deadline and can no longer meet any of them.
 func (o *objectives) areMissed(job *jobs.Job, age, taskRunTime time.Duration) bool {
 	start, finish, deadline := o.start[job.Class], o.finish[job.Class], job.TimeToDeadline()
 	if len(start)+len(finish) == 0 && deadline <= 0 {
@@ -50,8 +50,8 @@
 	return firstAfter(start, age) == 0 && firstAfter(finish, earliestFinish) == 0 && (deadline <= 0 || deadline <= earliestFinish)
 }
 
-// longestAllowed is the longest time that the job may take by any of its objectives or, half as long again, by its
-// deadline; 0 if it has neither.
+// longestAllowed returns the longest time limit of the job's objectives and its deadline, or 0 if it has neither. The
+// deadline counts one and a half times, a start objective together with the run time of a task.
 func (o *objectives) longestAllowed(job *jobs.Job, taskRunTime time.Duration) time.Duration {
 	longest := 3 * job.TimeToDeadline() / 2
 	if finish := o.finish[job.Class]; len(finish) > 0 {
@@ -63,7 +63,7 @@
 	return longest
 }
 
-// firstAfter is the first of the sorted limits that is longer than elapsed, or 0.
+// firstAfter returns the first of the sorted limits that is longer than elapsed, or 0.
 func firstAfter(limits []time.Duration, elapsed time.Duration) time.Duration {
 	for _, limit := range limits {
 		if limit > elapsed {
--- a/internal/controller/queue/overdue.go
+++ b/internal/controller/queue/overdue.go
@@ -8,8 +8,8 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// setOverdueReasons sets the reason of the overdue jobs that may use the capacity of overdue jobs now. Jobs that are served before
-// them in any case are not among them.
+// setOverdueReasons sets overdueReason of the overdue jobs that capacity is set aside for now. Services, crash-looping jobs and
+// jobs that are planned or served first are left out.
 func (r *Ranker) setOverdueReasons(now time.Time, candidates []candidate, live []*jobs.Job, capacity admission.Capacity) {
 	var overdue []fairshare.OverdueJob
 	for i := range candidates {
@@ -21,7 +21,7 @@
 			Job:                 c.job,
 			RemainingCPUSeconds: c.remainingCPUSeconds,
 			StartableTasks:      capacity.StartableTasks(c.job),
-			IsUnserved:          r.isUnserved(c),
+			IsUnserved:          r.isStarved(c),
 		})
 	}
 	reasons := r.fairShare.Allocate(now, overdue, live, capacity.CPUs)
@@ -30,14 +30,14 @@
 	}
 }
 
-// isOverdue reports whether the job can meet none of its objectives any more, or has waited too long without any.
+// isOverdue reports whether the job can no longer meet any of its objectives, or has waited longer than overdueAfter.
 func (r *Ranker) isOverdue(c *candidate) bool {
 	return c.age > r.overdueAfter(c) || r.objectives.areMissed(c.job, c.age, c.taskRunTime)
 }
 
-// isUnserved reports whether an overdue job counts against the served share of its class and team: it is late by a
-// quarter of what the longest of its objectives allowed.
-func (r *Ranker) isUnserved(c *candidate) bool {
+// isStarved reports whether an overdue job counts against the served share of its class and team. It does once it has
+// waited a quarter longer than its longest objective allows, or longer than overdueAfter.
+func (r *Ranker) isStarved(c *candidate) bool {
 	longest := r.objectives.longestAllowed(c.job, c.taskRunTime)
 	if longest <= 0 {
 		longest = r.options.AgeBound
@@ -45,8 +45,8 @@
 	return c.age > min(5*longest/4, r.overdueAfter(c))
 }
 
-// overdueAfter is the age from which a job is overdue even if it can still meet its objectives: the age bound, or less if
-// no job of its class was done recently. Without the shorter age, six jobs of a class with long objectives got no capacity
+// overdueAfter returns the age after which a job is overdue even if it can still meet its objectives: the age bound, or less
+// if no job of its class was done recently. Without the shorter age, six jobs of a class with long objectives got no capacity
 // before the age bound, and only two were done by the end of the simulated day (a4e2-15).
 func (r *Ranker) overdueAfter(c *candidate) time.Duration {
 	startBound := r.options.StartBound
@@ -54,7 +54,7 @@
 		return r.options.AgeBound
 	}
 	if c.taskRunTime > startBound {
-		return min(startBound, r.options.AgeBound) // longer than this, such tasks would be done late or not at all
+		return min(startBound, r.options.AgeBound) // with tasks this long, a later start would finish late or not at all
 	}
 	return min(8*startBound/5, r.options.AgeBound)
 }
--- a/internal/controller/queue/queue.go
+++ b/internal/controller/queue/queue.go
@@ -1,9 +1,8 @@
 // Package queue orders the jobs that may run. A Ranker owns the objectives of the job classes and the list of rules. Run
-// times, guarantees and served shares come from the packages estimate, admission and fairshare. It never places, starts or
-// stops a task.
+// times, guarantees and served shares come from the packages estimate, admission and fairshare. The package never places,
+// starts or stops a task.
 //
-// The order is by rank, and within a rank by a key. Each rank is given by a rule; the first rule that matches a job ranks
-// it.
+// Jobs are ordered by rank, then by a sort key within the rank. The first rule that matches a job sets both.
 //
 // Design note: docs/design/queue.md.
 package queue
@@ -21,22 +20,22 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// Entry is a job in the order.
+// Entry is a job in the order, with the values that placement needs.
 type Entry struct {
 	Job                 *jobs.Job
 	Rank                Rank
-	MayReserve          bool // machines may be reserved for the job's waiting tasks
-	Planned             bool // the job is guaranteed and its work fits before its deadline
-	MaxTasks            int  // tasks that the job is to run at a time; 0: no limit
-	TaskRunTime         time.Duration
-	RemainingCPUSeconds float64
-	sortKey             float64 // order within the rank, the lowest first
+	MayReserve          bool          // machines may be reserved for the job's waiting tasks
+	Planned             bool          // the job is guaranteed and its work fits before its deadline
+	MaxTasks            int           // maximum number of tasks that run at a time; 0: no limit
+	TaskRunTime         time.Duration // estimate for one task
+	RemainingCPUSeconds float64       // estimate for the whole job
+	sortKey             float64       // order within the rank, lowest first
 }
 
-// IsAgedFirst reports whether the job is aged and served before everything else.
+// IsAgedFirst reports whether the job is aged and served before all other jobs.
 func (e *Entry) IsAgedFirst() bool { return e.Rank == RankAgedFirst }
 
-// Ranker orders jobs. It is not safe for concurrent use.
+// Ranker orders jobs by rank and sort key. It is not safe for concurrent use.
 type Ranker struct {
 	options    config.Options
 	teams      map[string]config.Team
@@ -46,23 +45,23 @@
 	planner    *admission.Planner
 	fairShare  *fairshare.Allocator
 
-	candidates []candidate // of the last order; the next one reuses the memory
+	candidates []candidate // of the last call of Order; the next call reuses the memory
 }
 
-// Components are the parts of the controller that a Ranker uses.
+// Components are the parts of the controller that a Ranker uses. The caller keeps them up to date.
 type Components struct {
 	Estimator *estimate.Estimator
 	Planner   *admission.Planner
 	FairShare *fairshare.Allocator
 }
 
-// NewComponents returns the components of a new leader, without data of earlier jobs.
+// NewComponents returns the components of a new leader. They hold no data of earlier jobs.
 func NewComponents(options config.Options) Components {
 	estimator, fairShare := estimate.New(), fairshare.New(fairshare.PolicyOf(options))
 	return Components{Estimator: estimator, Planner: admission.New(options, estimator, fairShare), FairShare: fairShare}
 }
 
-// NewRanker makes a ranker for the platform's teams and objectives.
+// NewRanker returns a ranker for the platform's teams and objectives.
 func NewRanker(options config.Options, platform *config.Platform, components Components) *Ranker {
 	r := &Ranker{
 		teams:      platform.TeamsByName(),
@@ -75,16 +74,16 @@
 	return r
 }
 
-// SetOptions replaces the operators' settings.
+// SetOptions replaces the operators' settings of the ranker, but not those of its components.
 func (r *Ranker) SetOptions(options config.Options) {
 	r.options = options
 	r.rules = newRules(options, &r.objectives)
 }
 
-// AgeingPolicy is the policy for aged jobs by the present settings.
+// AgeingPolicy returns the policy for aged jobs by the current settings.
 func (r *Ranker) AgeingPolicy() ageing.Policy { return ageing.PolicyOf(r.options) }
 
-// Order returns the jobs in the order in which they get capacity. live are all jobs that may run.
+// Order returns the jobs in the order in which they get capacity. live are all jobs that may run. The caller owns the result.
 func (r *Ranker) Order(now time.Time, live []*jobs.Job, capacity admission.Capacity) []Entry {
 	candidates := r.makeCandidates(now, live, capacity)
 	order := make([]*candidate, len(candidates))
@@ -100,7 +99,7 @@
 	return entries
 }
 
-// rank sets the candidate's position by the first rule that matches it.
+// rank sets the candidate's position by the first rule that matches.
 func (r *Ranker) rank(c *candidate) {
 	for _, rule := range r.rules {
 		if rule.matches(c) {
--- a/internal/controller/queue/queue_test.go
+++ b/internal/controller/queue/queue_test.go
@@ -23,7 +23,8 @@
 	return job
 }
 
-// A guaranteed job that is overdue by more than two planning intervals stays in the order.
+// TestOrderWithOverdueGuaranteedJob checks that a guaranteed job that is overdue by more than two planning intervals stays in
+// the order.
 func TestOrderWithOverdueGuaranteedJob(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	ranker := newTestRanker(&config.Platform{})
@@ -34,12 +35,12 @@
 	overdue.Guaranteed = true
 	fresh := newJob(jobs.Spec{ID: "job-2", Class: "c", Tasks: 4, RunTimeEstimate: 20 * time.Second, Deadline: 2 * time.Minute}, now)
 	if got := ranker.Order(now, []*jobs.Job{overdue, fresh}, admission.Capacity{CPUs: 16, MachineCPUs: 8}); len(got) != 2 {
-		t.Errorf("the order holds %d jobs, want 2", len(got))
+		t.Errorf("jobs in the order: got %d, want 2", len(got))
 	}
 }
 
-// A team is limit-bound if its work waits for its quota, not for the cluster. Without the comparison with the cluster the
-// score of the earlier, smaller varga fell from 0.80 to 0.78 on three seeds.
+// TestLimitBoundTeams checks that a team is limit-bound if its work is delayed by its quota rather than by the cluster.
+// Without the comparison with the cluster, the score of a simulated load fell from 0.80 to 0.78 on three seeds.
 func TestLimitBoundTeams(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	ranker := newTestRanker(&config.Platform{Teams: []config.Team{{Name: "t", CPULimit: 10}, {Name: "u"}}})
@@ -55,49 +56,49 @@
 		cpus float64
 		want bool
 	}{
-		{"more machines than it may use", []*jobs.Job{limited, other}, 40, true},
-		{"a cluster that takes longer for all", []*jobs.Job{limited, other}, 10, false},
-		{"less than a minute of work", []*jobs.Job{small}, 40, false},
+		{"cluster is larger than the quota", []*jobs.Job{limited, other}, 40, true},
+		{"cluster takes longer for the work of all teams", []*jobs.Job{limited, other}, 10, false},
+		{"less than a minute of work at the quota", []*jobs.Job{small}, 40, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			candidates := ranker.makeCandidates(now, c.live, admission.Capacity{CPUs: c.cpus})
 			if got := candidates[0].limitBound["t"]; got != c.want {
-				t.Errorf("limit-bound %v", got)
+				t.Errorf("team is limit-bound: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A job of which nothing was started within the bound gets initial tasks ahead of the planned jobs, the oldest first, as
-// far as the share of the cluster goes.
+// TestInitialTasksForJobsAwaitingStart checks that jobs without a started task get initial tasks ahead of other jobs once
+// they are older than StartBound, the oldest first, until the share of the cluster for initial tasks is used up.
 func TestInitialTasksForJobsAwaitingStart(t *testing.T) {
 	now := time.Unix(100_000, 0)
 	startBound := config.DefaultOptions().StartBound
 	ranker := newTestRanker(&config.Platform{})
-	ofAge := func(id string, age time.Duration, tasks int) *jobs.Job {
+	jobOfAge := func(id string, age time.Duration, tasks int) *jobs.Job {
 		return newJob(jobs.Spec{ID: id, Class: "c", Team: "t", Tasks: tasks, RunTimeEstimate: time.Minute}, now.Add(-age))
 	}
-	huge := ofAge("job-1", startBound+2*time.Second, 25_000)
-	second := ofAge("job-2", startBound+time.Second, 10)
-	third := ofAge("job-3", startBound+time.Second/2, 10)
-	young := ofAge("job-4", startBound-time.Second, 1)
+	huge := jobOfAge("job-1", startBound+2*time.Second, 25_000)
+	second := jobOfAge("job-2", startBound+time.Second, 10)
+	third := jobOfAge("job-3", startBound+time.Second/2, 10)
+	young := jobOfAge("job-4", startBound-time.Second, 1)
 	capacity := admission.Capacity{CPUs: 100, MachineCPUs: 16}
 	got := ""
 	for _, entry := range ranker.Order(now, []*jobs.Job{young, third, second, huge}, capacity) {
 		got += fmt.Sprintf("%s:%d ", entry.Job.ID, entry.MaxTasks)
 	}
 	if want := "job-1:8 job-4:0 job-2:0 job-3:0 "; got != want {
-		t.Errorf("order %q, want %q", got, want)
+		t.Errorf("order: got %q, want %q", got, want)
 	}
 	huge.ActiveAttempts[0] = &jobs.Attempt{Job: huge, RunningSince: now}
 	entries := ranker.Order(now, []*jobs.Job{second, huge}, capacity)
 	if entries[0].Job != second || entries[0].MaxTasks != 1 || entries[1].MaxTasks != 0 {
-		t.Error("a job that has started is still ahead of one that has not")
+		t.Errorf("order after job-1 has started: got %+v, want job-2 with initial tasks first", entries)
 	}
 }
 
-// A job without objectives, of a class of which no job was done recently, is overdue after the bound for first starts if
-// its tasks are long, and later if they are short.
+// TestLongTasksAreOverdueSooner checks when a job without objectives is overdue if no job of its class was done recently:
+// after StartBound if its tasks are long, after eight fifths of it if they are short.
 func TestLongTasksAreOverdueSooner(t *testing.T) {
 	now := time.Unix(100_000, 0)
 	startBound := config.DefaultOptions().StartBound
@@ -114,10 +115,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			ranker := newTestRanker(&config.Platform{})
 			job := newJob(jobs.Spec{ID: "job-1", Class: "guest", Team: "t", Tasks: 30, RunTimeEstimate: c.runTime}, now.Add(-c.age))
-			job.ActiveAttempts[0] = &jobs.Attempt{Job: job, RunningSince: now} // it has started
+			job.ActiveAttempts[0] = &jobs.Attempt{Job: job, RunningSince: now} // started, so that it needs no initial tasks
 			entry := ranker.Order(now, []*jobs.Job{job}, admission.Capacity{CPUs: 100, MachineCPUs: 16})[0]
 			if (entry.Rank == RankBelowMinShare) != c.want {
-				t.Errorf("rank: %s", entry.Rank.Reason())
+				t.Errorf("overdue below the minimum share: got rank %q, want %v", entry.Rank.Reason(), c.want)
 			}
 		})
 	}
--- a/internal/controller/queue/quota.go
+++ b/internal/controller/queue/quota.go
@@ -9,12 +9,12 @@
 	"gullrudder/internal/units"
 )
 
-// minLimitedWork is how long a team's work must last at its quota for the team to be limit-bound.
+// minLimitedWork is the time that a team's work at its quota has to exceed for the team to be limit-bound.
 const minLimitedWork = time.Minute
 
-// limitBoundTeams returns the teams whose work is delayed by their quota rather than by the cluster: at its quota it lasts
-// long, and longer than the cluster needs for the work of all teams. Such a team can never make up for what it does not
-// use of its quota now, however many machines are added.
+// limitBoundTeams returns the teams whose work is delayed by their quota rather than by the cluster. At the team's quota, the
+// work takes longer than minLimitedWork and longer than the cluster needs for the work of all teams. Such a team can never
+// catch up on quota that it leaves unused now, however many machines are added.
 func (r *Ranker) limitBoundTeams(candidates []candidate, clusterCPUs float64) map[string]bool {
 	workByTeam, totalWork := map[string]float64{}, 0.0
 	for i := range candidates {
@@ -32,8 +32,8 @@
 	return bound
 }
 
-// setWithinQuota selects the jobs that fit into their team's guaranteed quota together with the team's earlier unfinished
-// jobs.
+// setWithinQuota selects the jobs that fit into their team's guaranteed quota together with all earlier unfinished jobs of
+// the team.
 func (r *Ranker) setWithinQuota(candidates []candidate) {
 	byTeam := map[string][]*candidate{}
 	for i := range candidates {
@@ -50,7 +50,7 @@
 	}
 }
 
-// countWithinQuota is the number of jobs, from the first on, that fit into the team's guaranteed quota together.
+// countWithinQuota returns how many jobs from the start of the list fit together into the team's guaranteed quota.
 func countWithinQuota(team config.Team, list []*candidate) int {
 	var cpus, gpus float64
 	for i, c := range list {
@@ -63,7 +63,7 @@
 	return len(list)
 }
 
-// compareSubmission orders candidates by the submission of their jobs, the earliest first, and by ID.
+// compareSubmission orders candidates by the submission time of their jobs, the earliest first, and then by ID.
 func compareSubmission(a, b *candidate) int {
 	if bySubmission := a.job.SubmittedAt.Compare(b.job.SubmittedAt); bySubmission != 0 {
 		return bySubmission
--- a/internal/controller/queue/rank.go
+++ b/internal/controller/queue/rank.go
@@ -1,26 +1,26 @@
 package queue
 
-// Rank is the first sort key of the order: jobs of a lower rank go first.
+// Rank is the first sort key of the order. Jobs of a lower rank go first.
 type Rank int
 
-// The ranks, in the order in which they are served.
+// The ranks, in serving order.
 const (
-	RankAgedFirst        Rank = iota // aged, within the share that is served before everything else
-	RankService                      // service
-	RankInitialTasks                 // nothing of the job was started for long: its first few tasks
-	RankBelowMinShare                // overdue, of a class or team that is served less than the minimum share
+	RankAgedFirst        Rank = iota // aged, within the share for aged jobs that is served first
+	RankService                      // services
+	RankInitialTasks                 // no task was started within StartBound: the first few tasks
+	RankBelowMinShare                // overdue, and its class or team is served less than the minimum share
 	RankPlanned                      // guaranteed, and its work fits before its deadline
 	RankQuotaInTime                  // within the team's guaranteed quota, and can still start in time
-	RankQuotaOverdue                 // within the team's guaranteed quota
+	RankQuotaOverdue                 // within the team's guaranteed quota, but past the objective for starting
 	RankOverdue                      // overdue, within the share of overdue jobs
-	RankAged                         // past the age bound, or about to miss its start objective
+	RankAged                         // past the age bound, or past two thirds of its start objective
 	RankLimitBound                   // of a team whose work is delayed by its quota
 	RankBestEffort                   // shortest remaining time first
-	RankObjectivesMissed             // all objectives missed
+	RankObjectivesMissed             // can no longer meet any of its objectives
 	RankCrashLooping                 // its tasks fail on every machine
 )
 
-// reasons are the users' texts, by rank.
+// reasons are the explanations that users see, by rank.
 var reasons = [...]string{
 	RankAgedFirst:        "aged, within the share that is kept",
 	RankService:          "service",
@@ -37,5 +37,5 @@
 	RankCrashLooping:     "its tasks fail wherever they are tried",
 }
 
-// Reason returns the text that explains the rank to users. The texts are part of the API.
+// Reason returns the explanation of the rank that users see. The texts are part of the API.
 func (r Rank) Reason() string { return reasons[r] }
--- a/internal/controller/queue/rules.go
+++ b/internal/controller/queue/rules.go
@@ -7,24 +7,24 @@
 	"gullrudder/internal/controller/fairshare"
 )
 
-// rule ranks the jobs that it matches. A rule only reads the candidate.
+// rule ranks the jobs that it matches. A rule never changes the candidate.
 type rule interface {
-	// matches reports whether the rule ranks the job, if no earlier rule does.
+	// matches reports whether the rule applies to the job. It is called only if no earlier rule matched.
 	matches(c *candidate) bool
-	// position returns the place of a job that the rule matches.
+	// position returns the position of a job that the rule matches.
 	position(c *candidate) position
 }
 
-// position is a job's place in the order.
+// position is the position of a job in the order.
 type position struct {
 	rank       Rank
-	sortKey    float64 // within the rank, the lowest first
+	sortKey    float64 // order within the rank, lowest first
 	mayReserve bool    // machines may be reserved for the job
-	maxTasks   int     // tasks that the job is to run at a time; 0: no limit
+	maxTasks   int     // maximum number of tasks that run at a time; 0: no limit
 }
 
 // newRules returns the rules in the order in which they are tried. The last one matches every job. The order of the rules
-// is not that of the ranks.
+// differs from that of the ranks.
 func newRules(options config.Options, objectives *objectives) []rule {
 	return []rule{
 		crashLoopingRule{},
@@ -44,7 +44,7 @@
 	}
 }
 
-// crashLoopingRule ranks jobs whose tasks fail on every machine last. One of their tasks is retried at a time.
+// crashLoopingRule ranks jobs last whose tasks fail on every machine. Their tasks are retried one at a time.
 type crashLoopingRule struct{}
 
 func (crashLoopingRule) matches(c *candidate) bool { return c.job.CrashLooping }
@@ -53,7 +53,7 @@
 	return position{rank: RankCrashLooping, sortKey: c.remainingSeconds}
 }
 
-// agedFirstRule ranks the oldest of the aged jobs before everything else, as far as their share goes.
+// agedFirstRule ranks the oldest aged jobs before all other jobs, until their share of the cluster is used up.
 type agedFirstRule struct{}
 
 func (agedFirstRule) matches(c *candidate) bool { return c.isAgedFirst }
@@ -62,7 +62,7 @@
 	return position{rank: RankAgedFirst, sortKey: -c.age.Seconds(), mayReserve: true}
 }
 
-// serviceRule ranks services by their priority.
+// serviceRule ranks services by priority, the highest first.
 type serviceRule struct{}
 
 func (serviceRule) matches(c *candidate) bool { return c.job.IsService }
@@ -71,7 +71,7 @@
 	return position{rank: RankService, sortKey: -float64(c.job.Priority), mayReserve: true}
 }
 
-// initialTasksRule starts the first few tasks of jobs of which nothing was started for long, the oldest job first.
+// initialTasksRule ranks jobs that had no task started within StartBound, for their first few tasks, the oldest job first.
 type initialTasksRule struct{}
 
 func (initialTasksRule) matches(c *candidate) bool { return c.awaitsStart }
@@ -80,7 +80,8 @@
 	return position{rank: RankInitialTasks, sortKey: -c.age.Seconds(), mayReserve: true, maxTasks: initialTaskCount(c.job)}
 }
 
-// belowMinShareRule ranks overdue jobs of classes and teams that are served less than the minimum share.
+// belowMinShareRule ranks overdue jobs of classes and teams that are served less than the minimum share, the shortest
+// remaining time first.
 type belowMinShareRule struct{}
 
 func (belowMinShareRule) matches(c *candidate) bool {
@@ -91,7 +92,7 @@
 	return position{rank: RankBelowMinShare, sortKey: c.remainingSeconds, mayReserve: true}
 }
 
-// plannedRule ranks the guaranteed jobs whose work fits before their deadlines, the earliest deadline first.
+// plannedRule ranks guaranteed jobs whose work fits before their deadlines, the earliest deadline first.
 type plannedRule struct{}
 
 func (plannedRule) matches(c *candidate) bool { return c.isPlanned }
@@ -100,8 +101,8 @@
 	return position{rank: RankPlanned, sortKey: c.job.DueAt().Sub(c.now).Seconds(), mayReserve: true}
 }
 
-// quotaInTimeRule ranks jobs within their team's guaranteed quota that can still start in the time that the guarantee is
-// for, the least work first.
+// quotaInTimeRule ranks jobs within their team's guaranteed quota that can still meet the objective of the guarantee, the
+// least remaining work first.
 type quotaInTimeRule struct{ objectives *objectives }
 
 func (r quotaInTimeRule) matches(c *candidate) bool {
@@ -121,7 +122,7 @@
 	return position{rank: RankQuotaOverdue, sortKey: -c.age.Seconds(), mayReserve: true}
 }
 
-// overdueRule ranks overdue jobs within the share of overdue jobs.
+// overdueRule ranks overdue jobs within the share for overdue jobs, the shortest remaining time first.
 type overdueRule struct{}
 
 func (overdueRule) matches(c *candidate) bool { return c.overdueReason == fairshare.Overdue }
@@ -139,8 +140,8 @@
 	return position{rank: RankAged, sortKey: -c.age.Seconds(), mayReserve: true}
 }
 
-// objectivesMissedRule ranks jobs that can meet none of their objectives any more behind those that can, since an early
-// start gains nothing for them.
+// objectivesMissedRule ranks jobs that can no longer meet any of their objectives after those that can, since starting them
+// early gains nothing.
 type objectivesMissedRule struct{ objectives *objectives }
 
 func (r objectivesMissedRule) matches(c *candidate) bool {
@@ -151,8 +152,8 @@
 	return position{rank: RankObjectivesMissed, sortKey: c.remainingSeconds}
 }
 
-// startObjectiveRule ranks jobs that have used two thirds of the time in which their tasks are to start, those with the
-// least time left first.
+// startObjectiveRule ranks jobs that have used two thirds of the time limit for starting their tasks, the least time left
+// first.
 type startObjectiveRule struct{ objectives *objectives }
 
 func (r startObjectiveRule) matches(c *candidate) bool {
@@ -165,7 +166,7 @@
 	return position{rank: RankAged, sortKey: left.Seconds(), mayReserve: true}
 }
 
-// limitBoundRule ranks the jobs of teams whose work is delayed by their quota, by shortest remaining time with ageing.
+// limitBoundRule ranks jobs of teams whose work is delayed by their quota, by shortest remaining time with ageing.
 type limitBoundRule struct{ ageBound time.Duration }
 
 func (limitBoundRule) matches(c *candidate) bool { return c.limitBound[c.job.Team] }
@@ -183,7 +184,7 @@
 	return position{rank: RankBestEffort, sortKey: c.agedRemainingSeconds(r.ageBound)}
 }
 
-// agedRemainingSeconds is the job's remaining time on the whole cluster, less a second for each age bound that it has
+// agedRemainingSeconds returns the job's remaining time on the whole cluster, minus one second per age bound that the job has
 // waited.
 func (c *candidate) agedRemainingSeconds(ageBound time.Duration) float64 {
 	return c.remainingSeconds - c.age.Seconds()/ageBound.Seconds()
