--- a/internal/controller/submission/limiter.go
+++ b/internal/controller/submission/limiter.go
@@ -1,6 +1,6 @@
 // Package submission limits how many submissions wait to be written to persistent state. A Limiter owns the count of
-// pending submissions and the retry tickets of each team. It never reads or changes a job, and the tickets of an earlier
-// leader are lost.
+// pending submissions and the retry tickets of each team. It never reads or changes a job. The tickets are lost at a
+// failover.
 //
 // Design note: docs/design/ageing.md, "The submission limiter".
 package submission
@@ -10,44 +10,44 @@
 )
 
 const (
-	// sharingWindow is how long after its last submission a team counts among those that share the limit.
+	// sharingWindow is how long after its last submission a team counts as active. Active teams share the limit.
 	sharingWindow = 10 * time.Second
-	// ticketLifetime is how long a ticket is valid after its notBefore. Users retry for 60 s in all.
+	// ticketLifetime is how long a ticket stays valid after its notBefore. Users stop retrying after 60 s.
 	ticketLifetime = 30 * time.Second
-	// minRetryAfter and maxRetryAfter bound the Retry-After of an answer. Clients cut a longer one to 30 s.
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a response. Clients cut longer values to 30 s.
 	minRetryAfter = time.Second
 	maxRetryAfter = 30 * time.Second
-	// maxTicketsPerTeam bounds the memory for a team whose users never retry.
+	// maxTicketsPerTeam bounds the memory used for a team whose users never retry.
 	maxTicketsPerTeam = 2000
-	// minSaveRate keeps the distance between two tickets finite, in submissions a second.
+	// minSaveRate, in submissions a second, keeps the interval between two tickets finite.
 	minSaveRate = 0.1
 )
 
-// Limiter bounds the submissions that are pending at a time, fairly between teams. A refused submission gets a ticket:
-// the time from which a retry is accepted, in the order of the first submissions. Retrying earlier gains nothing. A Limiter is
-// not safe for concurrent use.
+// Limiter bounds the number of pending submissions and shares the limit fairly between teams. A refused submission gets a
+// ticket with the time from which a retry is accepted. Tickets are issued in the order of the first submissions, so retrying
+// early gains nothing. A Limiter is not safe for concurrent use.
 type Limiter struct {
-	maxPending int
-	saveRate   float64 // submissions a second that persistent state takes
-	teams      map[string]*team
-	pending    int
-	sweptAt    time.Time
+	maxPending  int
+	saveRate    float64 // submissions a second that persistent state can save
+	teams       map[string]*team
+	pending     int
+	lastCleanup time.Time
 }
 
-// team is the state of one team.
 type team struct {
 	pending        int
 	lastSubmission time.Time
 	tickets        ticketQueue
 }
 
-// New returns a Limiter that allows maxPending submissions at a time, of which saveRate a second are expected to be saved.
+// New returns a Limiter that allows maxPending pending submissions, at least 1. saveRate is the expected number of submissions
+// that are saved a second, at least 0.1.
 func New(maxPending int, saveRate float64) *Limiter {
 	return &Limiter{maxPending: max(maxPending, 1), saveRate: max(saveRate, minSaveRate), teams: map[string]*team{}}
 }
 
-// Acquire takes the place of one pending submission. If it is refused, retryAfter is when to try again. Each accepted
-// submission is to be followed by one Release.
+// Acquire counts a submission as pending if the limit allows it. If it is refused, retryAfter is how long to wait before the
+// next attempt, from 1 s to 30 s. The caller calls Release once for each accepted submission.
 func (l *Limiter) Acquire(now time.Time, teamName, jobID string) (accepted bool, retryAfter time.Duration) {
 	l.removeIdleTeams(now)
 	t := l.team(now, teamName)
@@ -56,7 +56,7 @@
 	notBefore, hasTicket := t.tickets.notBefore[jobID]
 	free := share - t.pending
 	if !hasTicket {
-		free -= t.tickets.unusedDue // tickets whose time has come go first
+		free -= t.tickets.unusedDue // due tickets go first
 	}
 	if l.pending < l.maxPending && free > 0 && (!hasTicket || !now.Before(notBefore)) {
 		t.tickets.remove(jobID)
@@ -68,12 +68,12 @@
 		if t.tickets.isFull() {
 			return false, maxRetryAfter
 		}
-		notBefore = t.tickets.add(now, jobID, time.Duration(float64(time.Second)/l.saveRate))
+		notBefore = t.tickets.issue(now, jobID, time.Duration(float64(time.Second)/l.saveRate))
 	}
 	return false, min(max(notBefore.Sub(now), minRetryAfter), maxRetryAfter)
 }
 
-// Release frees the place of a pending submission of the team, which was saved or refused.
+// Release ends a pending submission of the team after it was saved or refused. It does nothing if the team has none.
 func (l *Limiter) Release(teamName string) {
 	if t := l.teams[teamName]; t != nil && t.pending > 0 {
 		t.pending--
@@ -81,7 +81,7 @@
 	}
 }
 
-// team returns the named team and records that it submits now.
+// team returns the named team, new if necessary, and records that it submits now.
 func (l *Limiter) team(now time.Time, name string) *team {
 	t := l.teams[name]
 	if t == nil {
@@ -92,8 +92,8 @@
 	return t
 }
 
-// teamShare is the number of submissions that one team may have pending. Teams are not limited while less than half of
-// maxPending is used.
+// teamShare returns how many pending submissions one team may have. A team may use the whole limit while less than half of
+// it is used.
 func (l *Limiter) teamShare(now time.Time) int {
 	if l.pending < l.maxPending/2 {
 		return l.maxPending
@@ -101,7 +101,7 @@
 	return max(l.maxPending/l.activeTeams(now), 1)
 }
 
-// activeTeams counts the teams that submit at present, one at least.
+// activeTeams returns the number of teams with pending or recent submissions, at least 1.
 func (l *Limiter) activeTeams(now time.Time) int {
 	active := 0
 	for _, t := range l.teams {
@@ -112,12 +112,13 @@
 	return max(active, 1)
 }
 
-// removeIdleTeams drops expired tickets, and the teams that have neither tickets nor recent submissions.
+// removeIdleTeams drops expired tickets and teams without pending submissions, tickets or recent submissions. It runs at most
+// once a second.
 func (l *Limiter) removeIdleTeams(now time.Time) {
-	if now.Sub(l.sweptAt) < time.Second {
+	if now.Sub(l.lastCleanup) < time.Second {
 		return
 	}
-	l.sweptAt = now
+	l.lastCleanup = now
 	for name, t := range l.teams {
 		t.tickets.expire(now)
 		if t.pending == 0 && t.tickets.isEmpty() && now.Sub(t.lastSubmission) > ticketLifetime {
--- a/internal/controller/submission/limiter_test.go
+++ b/internal/controller/submission/limiter_test.go
@@ -20,21 +20,21 @@
 	nextAt      time.Time
 }
 
-// twoTeams simulates the users of two teams at a limiter. The team "flood" submits ten times what can be saved for 20 s,
-// the team "calm" two jobs a second for 40 s.
-type twoTeams struct {
+// simulation simulates the users of two teams that share a limiter. For 20 s, team "flood" submits ten times as many jobs as
+// can be saved. For 40 s, team "calm" submits two jobs a second.
+type simulation struct {
 	limiter       *Limiter
-	retriesAtOnce bool // the users of flood ignore Retry-After
+	retriesAtOnce bool // users of flood ignore Retry-After
 	now           time.Time
 	users         []*user
-	pending       []string // teams of the pending submissions, the oldest first
-	waits         map[string][]time.Duration
-	floodOrder    []int // numbers of the users of flood in the order in which they were accepted
+	pending       []string                   // teams of the pending submissions, oldest first
+	waits         map[string][]time.Duration // of accepted submissions, by team
+	floodOrder    []int                      // numbers of accepted users of flood, in the order of acceptance
 }
 
-func runTwoTeams(t *testing.T, retriesAtOnce bool) *twoTeams {
+func simulateTwoTeams(t *testing.T, retriesAtOnce bool) *simulation {
 	t.Helper()
-	s := &twoTeams{
+	s := &simulation{
 		limiter:       New(testMaxPending, testSaveRate),
 		retriesAtOnce: retriesAtOnce,
 		now:           time.Unix(1000, 0),
@@ -55,7 +55,7 @@
 	return s
 }
 
-func (s *twoTeams) addUsers(tick int) {
+func (s *simulation) addUsers(tick int) {
 	if tick < 2000 && tick%10 == 0 {
 		for range 10 {
 			s.users = append(
@@ -69,8 +69,8 @@
 	}
 }
 
-// submit submits or retries for each user whose time has come.
-func (s *twoTeams) submit(t *testing.T) {
+// submit submits or retries the job of each user that is due.
+func (s *simulation) submit(t *testing.T) {
 	t.Helper()
 	remaining := s.users[:0]
 	for _, u := range s.users {
@@ -97,7 +97,7 @@
 	s.users = remaining
 }
 
-func (s *twoTeams) accept(u *user) {
+func (s *simulation) accept(u *user) {
 	s.pending = append(s.pending, u.team)
 	s.waits[u.team] = append(s.waits[u.team], s.now.Sub(u.firstAt))
 	if u.team == "flood" {
@@ -105,26 +105,26 @@
 	}
 }
 
-// outOfOrder counts the users of flood that were accepted after users that came clearly later.
-func (s *twoTeams) outOfOrder() int {
+// outOfOrder counts the users of flood that were accepted right after a user that first submitted more than 300 ms later.
+func (s *simulation) outOfOrder() int {
 	count := 0
 	for i := 1; i < len(s.floodOrder); i++ {
-		if s.floodOrder[i] < s.floodOrder[i-1]-30 { // thirty users arrive within 300 ms
+		if s.floodOrder[i] < s.floodOrder[i-1]-30 { // 30 users arrive within 300 ms
 			count++
 		}
 	}
 	return count
 }
 
-// TestTeamsShareTheLimiter checks that a team that floods the limiter does not keep another one out, whether or not its
-// users obey Retry-After, and that users of one team who obey it are accepted in the order of their first submissions.
+// TestTeamsShareTheLimiter checks that a team that floods the limiter does not block another team, whether or not its users
+// obey Retry-After. Users of the flooding team who obey it are accepted in the order of their first submissions.
 func TestTeamsShareTheLimiter(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		retriesAtOnce bool
-	}{{"users wait as told", false}, {"users of the flood retry at once", true}} {
+	}{{"users of the flooding team obey Retry-After", false}, {"users of the flooding team retry at once", true}} {
 		t.Run(c.name, func(t *testing.T) {
-			s := runTwoTeams(t, c.retriesAtOnce)
+			s := simulateTwoTeams(t, c.retriesAtOnce)
 			if n := len(s.waits["calm"]); n < 76 {
 				t.Errorf("accepted submissions of the calm team: got %d of 80, want at least 76", n)
 			}
@@ -144,16 +144,16 @@
 	}
 }
 
-// TestRetryingAtOnceGainsNothing checks that retrying at once gains at most a tenth.
+// TestRetryingAtOnceGainsNothing checks that retrying at once increases the accepted submissions by at most a tenth.
 func TestRetryingAtOnceGainsNothing(t *testing.T) {
-	waiting, retrying := len(runTwoTeams(t, false).waits["flood"]), len(runTwoTeams(t, true).waits["flood"])
+	waiting, retrying := len(simulateTwoTeams(t, false).waits["flood"]), len(simulateTwoTeams(t, true).waits["flood"])
 	if retrying > waiting*11/10 {
 		t.Errorf("accepted with immediate retries: got %d, want at most a tenth more than %d", retrying, waiting)
 	}
 }
 
-// TestTicketsExpire checks that the tickets of a team whose users never retry are bounded and expire, and that the team
-// is removed.
+// TestTicketsExpire checks a team whose users never retry: the number of its tickets is bounded, the tickets expire, and then
+// the team is removed.
 func TestTicketsExpire(t *testing.T) {
 	limiter := New(1, 1)
 	now := time.Unix(1000, 0)
@@ -170,6 +170,6 @@
 	now = now.Add(2 * maxTicketsPerTeam * time.Second)
 	limiter.Acquire(now, "c", "job-2")
 	if limiter.teams["b"] != nil {
-		t.Error("team without tickets: kept, want dropped")
+		t.Error("team with expired tickets: kept, want removed")
 	}
 }
--- a/internal/controller/submission/tickets.go
+++ b/internal/controller/submission/tickets.go
@@ -4,10 +4,10 @@
 
 // ticketQueue holds the retry tickets of one team.
 type ticketQueue struct {
-	notBefore map[string]time.Time // by job, the time from which a retry is accepted
-	queue     []ticket             // all tickets given, by that time; used ones are dropped when they expire
-	due       int                  // tickets of the queue whose notBefore is less than minRetryAfter ahead
-	unusedDue int                  // due tickets that have not been used
+	notBefore map[string]time.Time // unused tickets: by job ID, the time from which a retry is accepted
+	queue     []ticket             // used and unused tickets that have not expired, by notBefore
+	due       int                  // number of tickets in queue whose notBefore has passed or is less than minRetryAfter away
+	unusedDue int                  // number of due tickets that have not been used
 }
 
 type ticket struct {
@@ -21,8 +21,8 @@
 
 func (q *ticketQueue) isFull() bool { return len(q.queue) >= maxTicketsPerTeam }
 
-// add gives the job a ticket, one interval after the last one, and returns its time.
-func (q *ticketQueue) add(now time.Time, jobID string, interval time.Duration) time.Time {
+// issue adds a ticket for the job and returns its notBefore, which is at least one interval after that of the last ticket.
+func (q *ticketQueue) issue(now time.Time, jobID string, interval time.Duration) time.Time {
 	notBefore := now.Add(minRetryAfter)
 	if !q.isEmpty() {
 		if next := q.queue[len(q.queue)-1].notBefore.Add(interval); next.After(notBefore) {
@@ -34,7 +34,7 @@
 	return notBefore
 }
 
-// expire counts the tickets that have become due and drops those that are past their lifetime.
+// expire counts tickets that have become due and drops tickets that are past their lifetime.
 func (q *ticketQueue) expire(now time.Time) {
 	for q.due < len(q.queue) && q.queue[q.due].notBefore.Sub(now) < minRetryAfter {
 		if _, isUnused := q.notBefore[q.queue[q.due].jobID]; isUnused {
@@ -49,7 +49,7 @@
 	}
 }
 
-// remove marks the job's ticket as used. Its place in the queue stays until it expires.
+// remove marks the job's ticket as used, if it has one. The ticket stays in the queue until it expires.
 func (q *ticketQueue) remove(jobID string) {
 	notBefore, ok := q.notBefore[jobID]
 	if !ok {
