--- a/internal/controller/jobs/attempt_test.go
+++ b/internal/controller/jobs/attempt_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestCanBePreempted checks that each condition alone prevents the preemption of an attempt.
+// TestCanBePreempted checks that each condition on its own prevents the preemption of an attempt.
 func TestCanBePreempted(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	cases := map[string]struct {
@@ -13,7 +13,7 @@
 		want   bool
 	}{
 		"long run with checkpoints": {func(*Job, *Attempt) {}, true},
-		"job is not known":          {func(_ *Job, attempt *Attempt) { attempt.Job = nil }, false},
+		"job not in the job store":  {func(_ *Job, attempt *Attempt) { attempt.Job = nil }, false},
 		"orphan":                    {func(_ *Job, attempt *Attempt) { attempt.IsOrphan = true }, false},
 		"start not sent":            {func(_ *Job, attempt *Attempt) { attempt.IsUnsent = true }, false},
 		"not running yet":           {func(_ *Job, attempt *Attempt) { attempt.RunningSince = time.Time{} }, false},
@@ -22,7 +22,7 @@
 		"service":                   {func(job *Job, _ *Attempt) { job.IsService = true }, false},
 		"guaranteed":                {func(job *Job, _ *Attempt) { job.Guaranteed = true }, false},
 		"no checkpoints":            {func(job *Job, _ *Attempt) { job.CheckpointInterval = 0 }, false},
-		"run shorter than a checkpoint": {func(_ *Job, attempt *Attempt) {
+		"run shorter than saving a checkpoint": {func(_ *Job, attempt *Attempt) {
 			attempt.RunningSince = now.Add(-3 * time.Second)
 		}, false},
 		"first task has just started": {func(job *Job, attempt *Attempt) {
--- a/internal/controller/jobs/bitset.go
+++ b/internal/controller/jobs/bitset.go
@@ -10,7 +10,7 @@
 	bytesPerWord = bitsPerWord / 8
 )
 
-// bitset has one bit for each task of a job.
+// bitset holds one bit per task of a job.
 type bitset []uint64
 
 func newBitset(bits int) bitset { return make(bitset, (bits+bitsPerWord-1)/bitsPerWord) }
@@ -19,7 +19,7 @@
 
 func (s bitset) set(i int) { s[i/bitsPerWord] |= 1 << (i % bitsPerWord) }
 
-// count returns how many of the first n bits are set.
+// count returns the number of set bits among the first n.
 func (s bitset) count(n int) int {
 	count := 0
 	for i := range n {
@@ -30,7 +30,7 @@
 	return count
 }
 
-// encode returns the words as base64 of little-endian bytes, without trailing zero bytes. This is the stored form.
+// encode returns the stored form of the set: its little-endian bytes without trailing zero bytes, in base64 without padding.
 func (s bitset) encode() string {
 	raw := make([]byte, 0, len(s)*bytesPerWord)
 	for _, word := range s {
@@ -44,14 +44,14 @@
 	return base64.RawStdEncoding.EncodeToString(raw)
 }
 
-// decode adds the bits of an encoded set.
+// decode adds the bits of an encoded set. It fails if the set has more words than s.
 func (s bitset) decode(encoded string) error {
 	raw, err := base64.RawStdEncoding.DecodeString(encoded)
 	if err != nil {
-		return fmt.Errorf("task results: %w", err)
+		return fmt.Errorf("decode task results: %w", err)
 	}
 	if len(raw) > len(s)*bytesPerWord {
-		return fmt.Errorf("task results: %d bytes for %d words", len(raw), len(s))
+		return fmt.Errorf("decode task results: got %d bytes, which do not fit into %d words of 64 bits", len(raw), len(s))
 	}
 	for i, b := range raw {
 		s[i/bytesPerWord] |= uint64(b) << (8 * (i % bytesPerWord))
--- a/internal/controller/jobs/fields.go
+++ b/internal/controller/jobs/fields.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	maxTextBytes = 200
+	maxTextBytes = 200 // the text of the validation error names this limit
 	maxAmount    = 1e12
 	maxDuration  = 365 * 24 * time.Hour
 )
 
-// ValidationError is the reason why a submission is refused. Users see it.
+// ValidationError is the error for a submission that is refused. Users see the reason.
 type ValidationError struct {
-	Status int // HTTP status of the answer
+	Status int // HTTP status of the response
 	Reason string
 }
 
-// Error returns the reason.
+// Error returns Reason.
 func (e *ValidationError) Error() string { return e.Reason }
 
-func invalid(format string, args ...any) error {
+func newValidationError(format string, args ...any) error {
 	return &ValidationError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// fieldReader reads the fields of a submission. It keeps the first error; after it the read methods return what they can, so that the
-// caller checks err once at the end.
+// fieldReader reads the fields of a submission. It keeps the first error. The read methods go on after an error, so that the
+// caller checks err only once, at the end.
 type fieldReader struct {
 	values map[string]any
 	err    error
@@ -37,13 +37,13 @@
 
 func (f *fieldReader) reject(name, reason string) {
 	if f.err == nil {
-		f.err = invalid("field %s: %s", name, reason)
+		f.err = newValidationError("field %s: %s", name, reason)
 	}
 }
 
 func (f *fieldReader) isNull(name string) bool { return f.values[name] == nil }
 
-func (f *fieldReader) readText(name string) string {
+func (f *fieldReader) readString(name string) string {
 	text, ok := f.values[name].(string)
 	if !ok || text == "" || len(text) > maxTextBytes {
 		f.reject(name, "not a text of 1 to 200 bytes")
@@ -51,7 +51,7 @@
 	return text
 }
 
-func (f *fieldReader) readFlag(name string) bool {
+func (f *fieldReader) readBool(name string) bool {
 	flag, ok := f.values[name].(bool)
 	if !ok {
 		f.reject(name, "not true or false")
@@ -59,7 +59,7 @@
 	return flag
 }
 
-// readAmount reads a number. Users may write whole numbers as integers or decimals.
+// readAmount reads a number that is not negative. Users may send it as an integer or as a floating-point number.
 func (f *fieldReader) readAmount(name string) float64 {
 	var amount float64
 	switch value := f.values[name].(type) {
--- a/internal/controller/jobs/golden_bytes_test.go
+++ b/internal/controller/jobs/golden_bytes_test.go
@@ -6,6 +6,7 @@
 	"gullrudder/internal/goldenbytes"
 )
 
+// TestGoldenBytes checks the encoding of records and chunks byte by byte, since older versions read them too.
 func TestGoldenBytes(t *testing.T) {
 	record := Record{
 		State:                     recordAccepted,
--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -1,25 +1,27 @@
-// Package jobs has the jobs that users submit and the state of their tasks: which are done, which run, which wait to be started.
-// It reads submissions (ParseSpec) and converts jobs to and from their stored form (Record, Chunk). A Job owns the progress of
-// its tasks; package dependencies sets which job waits for which, and package heartbeat sets failures.
+// Package jobs defines the jobs that users submit and the state of their tasks: done, running or waiting to be started. It
+// parses submissions (ParseSpec) and converts jobs to and from their stored form (Record, Chunk). A Job owns the progress of
+// its tasks. Package dependencies sets its dependency status, and package heartbeat sets its failures.
 //
-// The package writes and sends nothing, and decides nothing about where or when a task runs. It has no locks: a Job belongs to
-// the controller's one goroutine that owns the state. Design notes: docs/design/storage.md, docs/design/upgrade.md.
+// The package does no I/O and does not decide where or when a task runs. It has no locks: a Job belongs to the one goroutine
+// of the controller that owns the state.
+//
+// Design notes: docs/design/storage.md, docs/design/upgrade.md.
 package jobs
 
 import "time"
 
-// State is the state of a job that is in the state service.
+// State is the state of a job in the state service. Users see Job.StateName.
 type State int
 
 // States of a job.
 const (
-	Pending   State = iota // its acceptance is not durable yet
+	Pending   State = iota // acceptance is not durable yet
 	Accepted               // durable, unfinished
 	Done                   // durable, all tasks done
-	Cancelled              // durable, cancelled by its user
+	Cancelled              // durable, cancelled by the user
 )
 
-// Names of a job's state that users see.
+// Names of job states that users see.
 const (
 	nameQueued    = "queued"
 	nameRunning   = "running"
@@ -27,7 +29,7 @@
 	nameCancelled = "cancelled"
 )
 
-// String returns the name of the state. Users see that of a finished job; for all others see Job.StateName.
+// String returns the name of the state. Users see this name for finished jobs only; Job.StateName returns the name for any job.
 func (s State) String() string {
 	switch s {
 	case Pending:
@@ -42,37 +44,37 @@
 	return "unknown"
 }
 
-// FinalState is what is kept of a finished job.
+// FinalState holds what is kept of a finished job.
 type FinalState struct {
 	State State // Done or Cancelled
 	Tasks int   // number of tasks of the job
 }
 
-// Terms are what was decided for a job when it was accepted.
+// Terms holds what was decided for a job when it was accepted.
 type Terms struct {
 	Guaranteed           bool          // admitted with a reservation; otherwise best effort
-	FirstStartBound      time.Duration // bound on the wait for its first task to start; 0: none was stated
-	LastStartBound       time.Duration // bound on the wait for its last task to start; 0: none was stated
-	MissedStartBound     bool          // FirstStartBound was missed, which has been logged
+	FirstStartBound      time.Duration // bound given to the user on the wait for the first task to start; 0: none
+	LastStartBound       time.Duration // bound given to the user on the wait for the last task to start; 0: none
+	MissedStartBound     bool          // FirstStartBound was missed, and this was logged
 	AcceptedByThisLeader bool          // this leader committed the acceptance, so no earlier one can have started a task
 }
 
-// DependencyStatus is a job's place in the graph of dependencies.
+// DependencyStatus holds what follows for a job from its dependencies and dependents.
 type DependencyStatus struct {
-	UnmetDependencies      int       // dependencies whose end is not durable yet; set by dependencies.Graph
-	ReadyAt                time.Time // when the last dependency was done; zero: the job never waited for one
-	HasUndecidedDependency bool      // one of them may have been cancelled: the archive has to be read to decide
-	InheritedDeadline      time.Time // from jobs that depend on this one; zero: none
+	UnmetDependencies      int       // number of dependencies whose completion is not durable yet; set by dependencies.Graph
+	ReadyAt                time.Time // when the last dependency was done; zero: the job has not waited for any
+	HasUndecidedDependency bool      // a dependency may have been cancelled; the archive has to be read to decide
+	InheritedDeadline      time.Time // from the jobs that depend on this one; zero: none
 	InheritedPriority      Priority  // of the most urgent job that depends on this one
-	RequiredByGuaranteed   bool      // a guaranteed job depends on this one, so it is treated as guaranteed itself
+	RequiredByGuaranteed   bool      // a guaranteed job depends on this one, which therefore counts as guaranteed
 }
 
-// FailureStatus records a job's failed attempts. Package heartbeat sets it.
+// FailureStatus holds the failures of a job's attempts. Package heartbeat sets it.
 type FailureStatus struct {
 	FailedMachines map[string]bool // machines on which tasks of the job failed
-	NotBefore      time.Time       // no task starts before this
-	FailureCount   int
-	CrashLooping   bool // tasks fail wherever they are tried: one is tried at a time
+	NotBefore      time.Time       // no task starts before this time
+	FailureCount   int             // number of failed attempts
+	CrashLooping   bool            // tasks fail on every machine; they are tried one at a time
 }
 
 // Job is a submitted job that is not archived yet.
@@ -85,15 +87,15 @@
 
 	State             State
 	SubmittedAt       time.Time
-	IsCancelling      bool      // a cancellation is being committed; nothing starts any more
-	IsFinishing       bool      // all tasks are done, and that is being committed
-	CancelConfirmedAt time.Time // earliest time at which the cancellation can have been confirmed to its user; zero: unknown
-	PassedOverSince   time.Time // since when the job has left machines without its image to other jobs; zero: it does not
+	IsCancelling      bool      // a cancellation is being committed; no more tasks start
+	IsFinishing       bool      // all tasks are done, and the completion is being committed
+	CancelConfirmedAt time.Time // earliest time at which the cancellation can have been confirmed to the user; zero: unknown
+	PassedOverSince   time.Time // since when the job has skipped machines without its image; zero: it has not skipped any
 
-	maxRecordBytes int // see MaxRecordBytes; 0: not calculated yet
+	maxRecordBytes int // cached result of MaxRecordBytes; 0: not calculated yet
 }
 
-// New returns a job that is not accepted yet.
+// New returns a pending job. submittedAt is the time of the submission.
 func New(spec Spec, submittedAt time.Time) *Job {
 	return &Job{Spec: spec, SubmittedAt: submittedAt, Progress: newProgress(spec.Tasks)}
 }
@@ -103,7 +105,7 @@
 	return j.State == Accepted && !j.IsCancelling && !j.IsFinishing && j.UnmetDependencies == 0
 }
 
-// StateName returns the state as users see it.
+// StateName returns the name of the state that users see: queued, running, done or cancelled.
 func (j *Job) StateName() string {
 	switch {
 	case j.State == Done || j.State == Cancelled:
@@ -114,8 +116,8 @@
 	return nameQueued
 }
 
-// EligibleSince returns since when the job waits for nothing but resources. Ages and bounds count from then; the deadline counts
-// from the submission.
+// EligibleSince returns the time since which the job waits for resources only, not for dependencies. Ages and bounds count from
+// this time. The deadline counts from the submission.
 func (j *Job) EligibleSince() time.Time {
 	if j.ReadyAt.After(j.SubmittedAt) {
 		return j.ReadyAt
@@ -123,8 +125,8 @@
 	return j.SubmittedAt
 }
 
-// DueAt returns by when the job has to be complete: its own deadline or an inherited one, whichever is earlier. It is the
-// zero time if there is neither.
+// DueAt returns the time by which the job has to be complete: its own deadline or the inherited one, whichever is earlier. It
+// returns the zero time if there is neither.
 func (j *Job) DueAt() time.Time {
 	var due time.Time
 	if j.Deadline > 0 {
@@ -136,7 +138,7 @@
 	return due
 }
 
-// TimeToDeadline returns how long after EligibleSince the job has to be complete; 0 if it has no deadline.
+// TimeToDeadline returns the time from EligibleSince to DueAt, at least 1 ms. It returns 0 if the job has no deadline.
 func (j *Job) TimeToDeadline() time.Duration {
 	due := j.DueAt()
 	if due.IsZero() {
@@ -145,8 +147,8 @@
 	return max(due.Sub(j.EligibleSince()), time.Millisecond)
 }
 
-// HasGuarantee reports whether resources are reserved for the job: it is guaranteed, or a guaranteed job depends on it.
+// HasGuarantee reports whether resources are reserved for the job: either it is guaranteed, or a guaranteed job depends on it.
 func (j *Job) HasGuarantee() bool { return j.Guaranteed || j.RequiredByGuaranteed }
 
-// EffectivePriority returns the job's priority, or that of the most urgent job that depends on it if that is higher.
+// EffectivePriority returns the job's own or its inherited priority, whichever is higher.
 func (j *Job) EffectivePriority() Priority { return max(j.Priority, j.InheritedPriority) }
--- a/internal/controller/jobs/parse.go
+++ b/internal/controller/jobs/parse.go
@@ -7,22 +7,23 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// maxMachineTypes is how many machine types a submission may allow by name.
+// maxMachineTypes is the maximum number of machine types that a submission may list.
 const maxMachineTypes = 100
 
-// ParseSpec reads a submission, a MessagePack map (wire protocol, "POST /work"). The error is a *ValidationError with status 400
-// that names the first invalid field. The Spec then has the fields that could be read; its ID may be valid.
+// ParseSpec parses a submission, which is a MessagePack map (wire protocol, "POST /work"). On failure, the error is a
+// *ValidationError with status 400 that names the first invalid field. The Spec then holds the fields that could be read,
+// possibly including a valid ID.
 func ParseSpec(body []byte) (Spec, error) {
 	values, err := codec.UnmarshalMap(body)
 	if err != nil {
-		return Spec{}, invalid("%v", err)
+		return Spec{}, newValidationError("%v", err)
 	}
 	fields := &fieldReader{values: values}
 	spec := Spec{
-		ID: fields.readText("id"), Class: fields.readText("berth"), Team: fields.readText("crew"),
+		ID: fields.readString("id"), Class: fields.readString("berth"), Team: fields.readString("crew"),
 		CPUs: fields.readAmount("cpus"), GPUs: fields.readAmount("cards"), MemoryGB: fields.readAmount("mem_gb"),
-		Image: fields.readText("hull"), ImageGB: fields.readAmount("image_gb"),
-		SingleZone: fields.readFlag("one_zone"), SpreadAcrossZones: fields.readFlag("spread"), AllowsSpot: fields.readFlag("driftwood"),
+		Image: fields.readString("hull"), ImageGB: fields.readAmount("image_gb"),
+		SingleZone: fields.readBool("one_zone"), SpreadAcrossZones: fields.readBool("spread"), AllowsSpot: fields.readBool("driftwood"),
 		RunTimeEstimate:    fields.readDuration("voyage_s"),
 		CheckpointInterval: fields.readDuration("mooring_s"), CheckpointDuration: fields.readDuration("tieup_s"),
 	}
@@ -35,17 +36,17 @@
 	}
 	spec.IsService, spec.IsGang = fields.readJobKind("rig")
 	spec.Priority = fields.readPriority("heading")
-	fields.readOptional(&spec)
+	fields.readOptionalFields(&spec)
 	if !spec.IsService && spec.RunTimeEstimate == 0 {
 		fields.reject("voyage_s", "zero for an array")
 	}
 	return spec, fields.err
 }
 
-// readOptional reads the fields that may be missing or null.
-func (f *fieldReader) readOptional(spec *Spec) {
+// readOptionalFields reads the fields that may be missing or null.
+func (f *fieldReader) readOptionalFields(spec *Spec) {
 	if !f.isNull("harbour") {
-		spec.Zone = f.readText("harbour")
+		spec.Zone = f.readString("harbour")
 	}
 	if !f.isNull("keels") {
 		spec.MachineTypes = f.readMachineTypes("keels")
@@ -69,13 +70,13 @@
 }
 
 func (f *fieldReader) readJobKind(name string) (isService, isGang bool) {
-	switch f.readText(name) {
+	switch f.readString(name) {
 	case "array":
 		return false, false
 	case "service":
 		return true, false
 	case "ensemble":
-		// Not in the wire protocol, but the platform's own check submits it.
+		// This kind is not in the wire protocol, but the platform's own check submits such jobs.
 		return false, true
 	}
 	f.reject(name, "not array, service or ensemble")
@@ -83,7 +84,7 @@
 }
 
 func (f *fieldReader) readPriority(name string) Priority {
-	switch f.readText(name) {
+	switch f.readString(name) {
 	case "critical":
 		return Critical
 	case "high":
@@ -113,7 +114,7 @@
 	return types
 }
 
-// readDependencies reads a list of job IDs. One that is named twice counts once.
+// readDependencies reads a list of job IDs without duplicates.
 func (f *fieldReader) readDependencies(name string) []string {
 	list, ok := f.values[name].([]any)
 	if !ok || len(list) > maxDependencies {
--- a/internal/controller/jobs/parse_test.go
+++ b/internal/controller/jobs/parse_test.go
@@ -43,7 +43,7 @@
 // TestParseSpec checks every field of a valid submission.
 func TestParseSpec(t *testing.T) {
 	fields := submission()
-	fields["cpus"], fields["strokes"] = 8, 16.0 // a whole number for an amount, and the reverse
+	fields["cpus"], fields["strokes"] = 8, 16.0 // an integer for an amount, and a floating-point number for a count
 	got, err := parse(t, fields)
 	want := Spec{
 		ID: "job-000412", Class: "train", Team: "vision", Priority: High, Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64,
@@ -99,8 +99,7 @@
 	}
 }
 
-// TestParseSpecRejectsImpossibleValues checks that every field rejects a value of a type that no field has, or one
-// beyond all bounds.
+// TestParseSpecRejectsImpossibleValues checks that every field rejects values of wrong types and values out of any range.
 func TestParseSpecRejectsImpossibleValues(t *testing.T) {
 	impossible := []any{map[string]any{}, []any{}, math.Inf(1), math.Inf(-1), strings.Repeat("x", maxTextBytes+1), 1e300}
 	for name := range submission() {
@@ -112,7 +111,7 @@
 	}
 }
 
-// TestParseSpecRejectsOtherMessages checks that messages that are not a submission are rejected.
+// TestParseSpecRejectsOtherMessages checks that messages other than maps are rejected.
 func TestParseSpecRejectsOtherMessages(t *testing.T) {
 	for _, message := range []any{nil, 3, "x", []int{1}} {
 		if _, err := parse(t, message); err == nil {
--- a/internal/controller/jobs/production_test.go
+++ b/internal/controller/jobs/production_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// productionRecord is the record as the version in production decodes and writes it, with that version's field names.
+// productionRecord is the record as the version in production reads and writes it. The field names are those of that version.
 type productionRecord struct {
 	State      string   `msgpack:"s"`
 	Tasks      int      `msgpack:"n"`
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestRecordHasProductionFieldsOnly checks that records have only the fields of the version in production, with the
-// same names and types, and those of dependencies.
+// TestRecordHasProductionFieldsOnly checks that records have only the fields of the version in production, with the same tags
+// and types. The fields for dependencies are the only exception.
 func TestRecordHasProductionFieldsOnly(t *testing.T) {
 	known := map[string]reflect.Type{}
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[productionRecord]()) {
@@ -137,16 +137,15 @@
 	}
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[Record]()) {
 		tag := field.Tag.Get("msgpack")
-		isOfDependencies := tag == "nd,omitempty" || tag == "rd,omitempty"
-		if known[tag] != field.Type && !isOfDependencies {
-			t.Errorf("field %s (%s): type %v, want that of production, %v", field.Name, tag, field.Type, known[tag])
+		isDependencyField := tag == "nd,omitempty" || tag == "rd,omitempty"
+		if known[tag] != field.Type && !isDependencyField {
+			t.Errorf("field %s (%s): got type %v, want %v as in production", field.Name, tag, field.Type, known[tag])
 		}
 	}
 }
 
-// TestProductionReadsNewRecords checks that the version in production reads the record of any job. The fields of
-// dependencies are written only for jobs that have dependencies, which are submitted only once that version is no
-// longer in use.
+// TestProductionReadsNewRecords checks that the version in production can read the record of any job. The fields for
+// dependencies are written only for jobs with dependencies. Such jobs are submitted only after that version is out of use.
 func TestProductionReadsNewRecords(t *testing.T) {
 	for _, dependencies := range [][]string{nil, {"job-1", "job-2"}} {
 		spec := Spec{
--- a/internal/controller/jobs/record.go
+++ b/internal/controller/jobs/record.go
@@ -9,8 +9,8 @@
 	"gullrudder/internal/units"
 )
 
-// Record is a job as the state service keeps it. Of a finished job only the state and the number of tasks are kept. The tags
-// are the stored form, which older versions read too: they never change. docs/design/upgrade.md has the rules.
+// Record is a job as the state service stores it. The record of a finished job holds only the state and the number of tasks.
+// The tags define the stored form and never change, since older versions read it too. docs/design/upgrade.md has the rules.
 type Record struct {
 	State                     string   `msgpack:"s" json:"s"`
 	Tasks                     int      `msgpack:"n" json:"n"`
@@ -37,11 +37,11 @@
 	DeadlineSeconds           float64  `msgpack:"dl,omitempty" json:"dl,omitempty"`
 	FirstStartBoundSeconds    int64    `msgpack:"bf,omitempty" json:"bf,omitempty"`
 	LastStartBoundSeconds     int64    `msgpack:"bl,omitempty" json:"bl,omitempty"`
-	TimeAccount               string   `msgpack:"ac,omitempty" json:"ac,omitempty"` // an encoded accounting.Breakdown
+	TimeAccount               string   `msgpack:"ac,omitempty" json:"ac,omitempty"` // encoded accounting.Breakdown
 	CrashLooping              bool     `msgpack:"mk,omitempty" json:"mk,omitempty"`
 	Dependencies              []string `msgpack:"nd,omitempty" json:"nd,omitempty"`
 	ReadyMs                   int64    `msgpack:"rd,omitempty" json:"rd,omitempty"` // ms since 1970; see DependencyStatus.ReadyAt
-	DoneBits                  string   `msgpack:"b,omitempty" json:"b,omitempty"`   // an encoded bitset; empty for jobs with chunks
+	DoneBits                  string   `msgpack:"b,omitempty" json:"b,omitempty"`   // encoded bitset; empty for jobs with chunks
 }
 
 // Stored forms of a job's state.
@@ -52,15 +52,16 @@
 )
 
 const (
-	// MaxTimeAccountBytes is the most JSON bytes that a record's time account takes together with its field name.
+	// MaxTimeAccountBytes is the maximum size of a record's time account as JSON, including its field name.
 	MaxTimeAccountBytes = 90
-	// maxDoneBitsOverhead is the most JSON bytes of the name, the quotes and the padding of a record's DoneBits.
+	// maxDoneBitsOverhead is the maximum number of bytes for the field name, quotes and padding of DoneBits in JSON.
 	maxDoneBitsOverhead = 10
-	// unencodableRecordBytes is larger than any page of the state service, so that such a record is refused.
+	// unencodableRecordBytes is the size returned for a record that cannot be encoded. It exceeds the size of any page of the
+	// state service, so that the record is refused.
 	unencodableRecordBytes = 1 << 20
 )
 
-// NewFinalRecord returns the record of a finished job.
+// NewFinalRecord returns the record of a finished job. state is Done or Cancelled.
 func NewFinalRecord(state State, tasks int) Record {
 	if state == Done {
 		return Record{State: recordDone, Tasks: tasks}
@@ -68,7 +69,7 @@
 	return Record{State: recordCancelled, Tasks: tasks}
 }
 
-// Record returns the job's present record, without its time account.
+// Record returns the record of the unfinished job, without its time account.
 func (j *Job) Record() Record {
 	record := Record{
 		State:                     recordAccepted,
@@ -108,8 +109,8 @@
 	return record
 }
 
-// MaxRecordBytes returns the most JSON bytes that the job's record can need while the job is unfinished. Space of that size is
-// reserved in its page when the job is accepted, so that its progress can always be written.
+// MaxRecordBytes returns the maximum size of the job's record as JSON, in bytes, while the job is unfinished. This space is
+// reserved in a page when the job is accepted, so that the job's progress can always be written. The result is cached.
 func (j *Job) MaxRecordBytes() int {
 	if j.maxRecordBytes == 0 {
 		j.maxRecordBytes = j.calculateMaxRecordBytes()
@@ -134,13 +135,13 @@
 	return size
 }
 
-// base64Bytes returns how many characters encode so many bytes, without padding or rounding up.
-func base64Bytes(bytes int) int { return bytes * 4 / 3 }
+// base64Bytes returns the length of the base64 encoding of byteCount bytes, rounded down and without padding.
+func base64Bytes(byteCount int) int { return byteCount * 4 / 3 }
 
-// FromRecord rebuilds a job from its record. The results of jobs with chunks are added by RestoreChunk.
+// FromRecord rebuilds a job from its record. For a job with chunks, the caller adds the results with RestoreChunk.
 func FromRecord(jobID string, record Record) (*Job, error) {
 	if record.Tasks < 1 || record.Tasks > MaxTasks {
-		return nil, fmt.Errorf("job %s: %d tasks in its record", jobID, record.Tasks)
+		return nil, fmt.Errorf("job %s: record has %d tasks, expected 1 to %d", jobID, record.Tasks, MaxTasks)
 	}
 	job := New(record.spec(jobID), time.UnixMilli(record.SubmittedMs))
 	job.Guaranteed, job.CrashLooping = record.Guaranteed, record.CrashLooping
@@ -157,7 +158,7 @@
 	case recordCancelled:
 		job.State = Cancelled
 	default:
-		return nil, fmt.Errorf("job %s: state %q in its record", jobID, record.State)
+		return nil, fmt.Errorf("job %s: record has unknown state %q", jobID, record.State)
 	}
 	return job, job.restoreBits(job.doneBits, record.DoneBits)
 }
@@ -189,12 +190,12 @@
 	}
 }
 
-// restoreBits adds stored results to part, which is all of doneBits or one chunk of it.
-func (j *Job) restoreBits(part bitset, encoded string) error {
+// restoreBits adds stored results to bits, which is all of doneBits or one chunk of it.
+func (j *Job) restoreBits(bits bitset, encoded string) error {
 	if encoded == "" {
 		return nil
 	}
-	if err := part.decode(encoded); err != nil {
+	if err := bits.decode(encoded); err != nil {
 		return fmt.Errorf("job %s: %w", j.ID, err)
 	}
 	copy(j.durableBits, j.doneBits)
--- a/internal/controller/jobs/record_test.go
+++ b/internal/controller/jobs/record_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRecordRoundTrip checks that a job is restored from its stored records, with its results in the record or in many
-// chunks, and that its record never exceeds the bytes reserved for it.
+// TestRecordRoundTrip checks that a job is restored from its record, with its results in the record or in chunks. It also
+// checks that the record never exceeds the space reserved for it.
 func TestRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := drawJob(t)
@@ -41,7 +41,7 @@
 	return job
 }
 
-// drawProgress completes some tasks and returns the chunks that were to be stored for them.
+// drawProgress completes some tasks and returns the chunks that TakeUnsaved returned for them, by entry name.
 func drawProgress(t *rapid.T, job *Job) map[string]Chunk {
 	if len(job.Dependencies) > 0 && rapid.Bool().Draw(t, "met") {
 		job.ReadyAt = time.UnixMilli(223456)
--- a/internal/controller/jobs/spec.go
+++ b/internal/controller/jobs/spec.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Priority orders jobs by urgency: the higher, the more urgent.
+// Priority is the urgency of a job. Higher values are more urgent.
 type Priority int
 
 // Priorities of a submission.
@@ -17,24 +17,24 @@
 )
 
 const (
-	// MaxTasks is the most tasks that a job may have.
+	// MaxTasks is the maximum number of tasks of a job.
 	MaxTasks = 100_000
-	// maxDependencies is how many other jobs a submission may name.
+	// maxDependencies is the maximum number of dependencies of a job.
 	maxDependencies = 64
-	// maxIDDigits is how many digits the number in a job ID may have.
+	// maxIDDigits is the maximum number of digits in a job ID.
 	maxIDDigits = 32
 
 	idPrefix = "job-"
 )
 
-// Spec is a job as its user submitted it. It never changes after the submission. Amounts are per task.
+// Spec is a job as its user submitted it. It never changes after the submission. Resource amounts are per task.
 type Spec struct {
 	ID    string
 	Class string
 	Team  string
 
 	IsService bool // tasks run until the job is cancelled
-	IsGang    bool // all tasks run at the same time or none does
+	IsGang    bool // either all tasks run at the same time or none
 	Priority  Priority
 	Tasks     int // at least 1, at most MaxTasks
 
@@ -45,19 +45,19 @@
 	ImageGB  float64
 
 	MachineTypes      []string // allowed types; empty: any
-	Zone              string   // the one allowed zone; empty: any
+	Zone              string   // the only allowed zone; empty: any
 	SingleZone        bool     // all tasks run in one zone
 	SpreadAcrossZones bool     // at most half of the tasks, rounded up, run in one zone
-	AllowsSpot        bool
+	AllowsSpot        bool     // tasks may run on spot instances
 
 	RunTimeEstimate    time.Duration // of one task; 0 only for a service
-	CheckpointInterval time.Duration // progress between checkpoints; 0: the tasks save none
-	CheckpointDuration time.Duration // how long a task takes to save its state when it is stopped
+	CheckpointInterval time.Duration // run time between checkpoints; 0: the tasks save no checkpoints
+	CheckpointDuration time.Duration // how long a stopped task takes to save a checkpoint
 	Deadline           time.Duration // counted from the submission; 0: none
-	Dependencies       []string      // IDs of the jobs that have to be done before any task of this one starts
+	Dependencies       []string      // IDs of the jobs that have to be done before any task of this job starts
 }
 
-// ValidID reports whether an ID has the form of all job IDs: "job-" and 1 to 32 digits.
+// ValidID reports whether id has the form of a job ID: "job-" followed by 1 to 32 decimal digits.
 func ValidID(id string) bool {
 	digits, ok := strings.CutPrefix(id, idPrefix)
 	if !ok || digits == "" || len(digits) > maxIDDigits {
