--- a/internal/controller/dependencies/graph.go
+++ b/internal/controller/dependencies/graph.go
@@ -1,12 +1,16 @@
-// Package dependencies has the graph of which unfinished job depends on which: what a job still waits for, which jobs become
-// ready when one is done, which are cancelled together with one, and by when a job has to be done for those that depend on it.
-// A Graph belongs to one leadership; it is rebuilt from storage at each failover.
+// Package dependencies keeps the graph of dependencies between unfinished jobs. The graph answers four questions:
+//   - which jobs a job still waits for;
+//   - which jobs become ready when a job is done;
+//   - which jobs are cancelled together with a job;
+//   - when a job has to be done so that its dependents meet their deadlines.
 //
-// The package writes, sends and starts nothing, and it never decides that a dependency is met: the caller reports that once it is
-// durable. The cost of an operation grows with the edges it follows, not with the number of jobs. Design note:
-// docs/design/dependencies.md.
+// A Graph belongs to one leader and is rebuilt from storage at each failover. The package does no I/O and starts no tasks. It
+// never decides that a dependency is met: the caller reports that once the completion is durable. The cost of an operation
+// grows with the number of edges that it follows, not with the number of jobs.
 //
-// There are no cycles: a job names only jobs that were accepted before it.
+// The graph has no cycles, since a job can only depend on jobs that were accepted before it.
+//
+// Design note: docs/design/dependencies.md.
 package dependencies
 
 import (
@@ -17,23 +21,24 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// TaskRunTime estimates how long a task of the job runs.
+// TaskRunTime returns the estimated run time of one task of the job.
 type TaskRunTime func(job *jobs.Job) time.Duration
 
-// Graph is the graph of unmet dependencies. Each edge is kept twice, by
-// either end: dependents[id] has job exactly if unmet[job] has id. A job's UnmetDependencies is the number of its edges.
+// Graph is the graph of unmet dependencies. It stores each edge under both ends: dependents[id] contains job if and only if
+// unmet[job] contains id. It sets Job.UnmetDependencies to the number of the job's unmet dependencies. A Graph is not safe for
+// concurrent use.
 type Graph struct {
-	findJob    func(id string) *jobs.Job     // an unfinished job; nil if there is none of that ID
-	dependents map[string]map[*jobs.Job]bool // jobs that wait for an unfinished job, by its ID
-	unmet      map[*jobs.Job]map[string]bool // IDs of the unfinished jobs that a job waits for
+	findJob    func(id string) *jobs.Job     // returns an unfinished job; nil: no unfinished job has this ID
+	dependents map[string]map[*jobs.Job]bool // by ID of an unfinished job, the jobs that wait for it
+	unmet      map[*jobs.Job]map[string]bool // by job, the IDs of the unfinished jobs that it waits for
 }
 
-// New returns an empty graph. findJob returns an unfinished job by its ID, or nil.
+// New returns an empty graph. findJob returns the unfinished job with the given ID, or nil if there is none.
 func New(findJob func(id string) *jobs.Job) *Graph {
 	return &Graph{findJob: findJob, dependents: map[string]map[*jobs.Job]bool{}, unmet: map[*jobs.Job]map[string]bool{}}
 }
 
-// Add makes a job wait for the given jobs, which are not done durably yet.
+// Add makes a job wait for the given jobs. Their completion must not be durable yet, since only RecordDone removes the edges.
 func (g *Graph) Add(job *jobs.Job, unmet []string) {
 	for _, id := range unmet {
 		g.addEdge(job, id)
@@ -52,8 +57,8 @@
 	g.dependents[id][job] = true
 }
 
-// RecordDone records that a job is done durably. It returns the jobs that wait for nothing any more, by ID, and sets their
-// ReadyAt.
+// RecordDone records that the completion of a job is durable. It returns the jobs that become ready, that is, whose last unmet
+// dependency this was, sorted by ID. It sets their ReadyAt to now.
 func (g *Graph) RecordDone(now time.Time, jobID string) []*jobs.Job {
 	var ready []*jobs.Job
 	for job := range g.dependents[jobID] {
@@ -69,7 +74,7 @@
 	return sortByID(ready)
 }
 
-// Remove removes the edges from a cancelled job to its dependencies. The edges of the jobs that wait for it stay, under its ID.
+// Remove removes the edges from a cancelled job to its dependencies. The edges from its dependents to the job stay.
 func (g *Graph) Remove(job *jobs.Job) {
 	for id := range g.unmet[job] {
 		delete(g.dependents[id], job)
@@ -80,7 +85,7 @@
 	delete(g.unmet, job)
 }
 
-// Dependents returns all jobs that depend on this one, directly or through others, by ID.
+// Dependents returns all jobs that depend on this job, directly or indirectly, sorted by ID.
 func (g *Graph) Dependents(jobID string) []*jobs.Job {
 	found := map[*jobs.Job]bool{}
 	var list []*jobs.Job
@@ -96,7 +101,7 @@
 	return sortByID(list)
 }
 
-// Unmet returns the IDs of the jobs that a job waits for directly, in order.
+// Unmet returns the IDs of the unfinished jobs that a job depends on directly, sorted.
 func (g *Graph) Unmet(job *jobs.Job) []string {
 	ids := make([]string, 0, len(g.unmet[job]))
 	for id := range g.unmet[job] {
@@ -106,8 +111,8 @@
 	return ids
 }
 
-// ancestors returns the unfinished jobs that a job depends on, directly or through others. Each stands before those that it
-// depends on itself.
+// ancestors returns the unfinished jobs that a job depends on, directly or indirectly. Each job comes before its own
+// dependencies.
 func (g *Graph) ancestors(job *jobs.Job) []*jobs.Job {
 	found := map[*jobs.Job]bool{}
 	var list []*jobs.Job
@@ -126,29 +131,29 @@
 	return list
 }
 
-// CriticalPath returns the least time that the jobs take on which a job depends: the longest sum of run times along any chain of
-// dependencies. It also returns all of these jobs.
+// CriticalPath returns the shortest time in which the unfinished dependencies of a job can finish: the largest sum of run times
+// along any chain of dependencies. It also returns these jobs, dependents before their dependencies.
 func (g *Graph) CriticalPath(job *jobs.Job, runTime TaskRunTime) (time.Duration, []*jobs.Job) {
 	ancestors := g.ancestors(job)
-	finish := map[*jobs.Job]time.Duration{}
+	finishTimes := map[*jobs.Job]time.Duration{}
 	earliestStart := func(job *jobs.Job) time.Duration {
 		latest := time.Duration(0)
 		for id := range g.unmet[job] {
 			if dependency := g.findJob(id); dependency != nil {
-				latest = max(latest, finish[dependency])
+				latest = max(latest, finishTimes[dependency])
 			}
 		}
 		return latest
 	}
 	for _, ancestor := range slices.Backward(ancestors) { // dependencies before their dependents
-		finish[ancestor] = earliestStart(ancestor) + runTime(ancestor)
+		finishTimes[ancestor] = earliestStart(ancestor) + runTime(ancestor)
 	}
 	return earliestStart(job), ancestors
 }
 
-// PropagateDeadline passes a job's deadline and priority on to all jobs that it depends on. Each of them is due early enough that
-// its dependents can run before their own deadlines; startDelay is the time between the end of one job and the start of the
-// next. If guaranteed is set, the jobs that inherit a deadline are treated as guaranteed too.
+// PropagateDeadline passes a job's deadline and priority on to all jobs that it depends on. Each of them is due early enough for
+// its dependents to meet their own deadlines. startDelay is the time from the end of a job to the start of its dependents. If
+// guaranteed is set, the jobs that inherit a deadline are treated as guaranteed, too.
 func (g *Graph) PropagateDeadline(job *jobs.Job, runTime TaskRunTime, startDelay time.Duration, guaranteed bool) {
 	dependents := append([]*jobs.Job{job}, g.ancestors(job)...)
 	for _, dependent := range dependents { // dependents before their dependencies
--- a/internal/controller/dependencies/graph_test.go
+++ b/internal/controller/dependencies/graph_test.go
@@ -25,9 +25,9 @@
 
 func estimatedRunTime(job *jobs.Job) time.Duration { return job.RunTimeEstimate }
 
-// plainModel answers each question by walking over all jobs.
+// plainModel is the reference model for Graph. It computes each result from a list of all jobs.
 type plainModel struct {
-	jobs []*jobs.Job // of those that were not cancelled, in the order of their submission
+	jobs []*jobs.Job // without cancelled jobs, in order of submission
 	done map[string]bool
 }
 
@@ -62,16 +62,16 @@
 	return false
 }
 
-func (m *plainModel) jobsWhere(holds func(job *jobs.Job) bool) (list []*jobs.Job) {
+func (m *plainModel) jobsWhere(matches func(job *jobs.Job) bool) (list []*jobs.Job) {
 	for _, job := range m.jobs {
-		if holds(job) {
+		if matches(job) {
 			list = append(list, job)
 		}
 	}
 	return list
 }
 
-// criticalPath tries all chains.
+// criticalPath computes the critical path by following every chain of dependencies.
 func (m *plainModel) criticalPath(job *jobs.Job) time.Duration {
 	longest := time.Duration(0)
 	for _, id := range m.unmet(job) {
@@ -82,7 +82,7 @@
 	return longest
 }
 
-// graphTest compares a graph with the model.
+// graphTest applies the same actions to a graph and to the model.
 type graphTest struct {
 	model      *plainModel
 	unfinished map[string]*jobs.Job
@@ -116,7 +116,7 @@
 	g.model.jobs, g.unfinished[job.ID] = append(g.model.jobs, job), job
 }
 
-// finish completes a job that waits for nothing.
+// finish completes a job without unmet dependencies and compares the jobs that become ready.
 func (g *graphTest) finish(t *rapid.T) {
 	job := g.drawJob(t, "done")
 	if g.unfinished[job.ID] == nil || len(g.model.unmet(job)) > 0 {
@@ -126,11 +126,11 @@
 	delete(g.unfinished, job.ID)
 	g.model.done[job.ID] = true
 	if got := g.graph.RecordDone(start.Add(time.Minute), job.ID); !slices.Equal(got, want) {
-		t.Fatalf("jobs that become ready: got %d, want %d", len(got), len(want))
+		t.Fatalf("jobs that become ready differ from the model: got %d jobs, want %d", len(got), len(want))
 	}
 }
 
-// cancel removes a job and all that depend on it.
+// cancel removes a job with all its dependents and compares the dependents.
 func (g *graphTest) cancel(t *rapid.T) {
 	job := g.drawJob(t, "cancelled")
 	if g.unfinished[job.ID] == nil {
@@ -139,7 +139,7 @@
 	want := g.model.jobsWhere(func(other *jobs.Job) bool { return g.model.dependsOn(other, job.ID) })
 	got := g.graph.Dependents(job.ID)
 	if !slices.Equal(got, want) {
-		t.Fatalf("dependents: got %d, want %d", len(got), len(want))
+		t.Fatalf("dependents differ from the model: got %d jobs, want %d", len(got), len(want))
 	}
 	for _, cancelled := range append(got, job) {
 		g.graph.Remove(cancelled)
@@ -148,6 +148,7 @@
 	}
 }
 
+// check compares the unmet dependencies and the critical path of each unfinished job.
 func (g *graphTest) check(t *rapid.T) {
 	for _, job := range g.model.jobs {
 		if g.unfinished[job.ID] == nil {
@@ -166,8 +167,8 @@
 	}
 }
 
-// TestGraphMatchesModel compares the graph with a model on random graphs, as jobs are submitted, done, and
-// cancelled with all their dependents.
+// TestGraphMatchesModel compares the graph with a reference model while random jobs are submitted, completed, and cancelled
+// with their dependents.
 func TestGraphMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		test := newGraphTest()
@@ -186,8 +187,8 @@
 	})
 }
 
-// TestPropagateDeadline checks that a deadline and a priority propagate backwards through a diamond: each job is due
-// when the longest chain after it has to start.
+// TestPropagateDeadline checks that a deadline and a priority propagate from a job to its dependencies in a diamond-shaped
+// graph. Each job is due when the longest chain of its dependents has to start.
 func TestPropagateDeadline(t *testing.T) {
 	root, slow, fast, last := newJob("job-1"), newJob("job-2", "job-1"), newJob("job-3", "job-1"), newJob("job-4", "job-2", "job-3")
 	slow.RunTimeEstimate, last.Deadline, last.Priority = 30*time.Second, 100*time.Second, jobs.High
@@ -202,18 +203,21 @@
 	}
 	for job, want := range dueAfter {
 		if due := job.DueAt(); due.IsZero() || due.Sub(start) != want {
-			t.Errorf("%s: due after %v, want %v", job.ID, due.Sub(start), want)
+			t.Errorf("%s: got due after %v, want %v", job.ID, due.Sub(start), want)
 		}
 		if job != last && (!job.RequiredByGuaranteed || job.InheritedPriority != jobs.High) {
 			t.Errorf(
-				"%s: required by guaranteed %v, inherited priority %v, want true, %v",
+				"%s: got required by guaranteed %v, inherited priority %v, want true, %v",
 				job.ID, job.RequiredByGuaranteed, job.InheritedPriority, jobs.High,
 			)
 		}
 	}
-	// All times but the deadline count from the end of the last dependency.
+	// The age and the time to the deadline count from the end of the last dependency.
 	graph.RecordDone(start.Add(50*time.Second), "job-1")
 	if slow.TimeToDeadline() != 38*time.Second || slow.EligibleSince() != start.Add(50*time.Second) {
-		t.Errorf("time to deadline %v, eligible since %v, want 38s, %v", slow.TimeToDeadline(), slow.EligibleSince(), start.Add(50*time.Second))
+		t.Errorf(
+			"time to deadline: got %v, eligible since %v, want 38s, %v",
+			slow.TimeToDeadline(), slow.EligibleSince(), start.Add(50*time.Second),
+		)
 	}
 }
