--- a/internal/controller/queue/benchmark_test.go
+++ b/internal/controller/queue/benchmark_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// benchmarkQueue returns a queue of jobs of all kinds and ages. It is the same at each call.
+// benchmarkQueue returns a queue of jobs of all kinds and ages. The same arguments always give the same queue.
 func benchmarkQueue(now time.Time, size int) []*jobs.Job {
 	random := rand.New(rand.NewPCG(1, 2))
 	queue := make([]*jobs.Job, 0, size)
--- a/internal/controller/queue/legacy_order_test.go
+++ b/internal/controller/queue/legacy_order_test.go
@@ -151,7 +151,7 @@
 		}
 		overdue = append(overdue, fairshare.OverdueJob{
 			Job: job, RemainingCPUSeconds: p.RemainingCPUSeconds(job, now), StartableTasks: capacity.StartableTasks(job),
-			IsUnserved: age > min(5*p.longestAllowed(job)/4, p.overdueAfter(now, job)),
+			IsUnserved: age > min(5*p.longestTimeLimit(job)/4, p.overdueAfter(now, job)),
 		})
 	}
 	return p.fairShare.Allocate(now, overdue, live, capacity.CPUs)
@@ -214,8 +214,8 @@
 	return marked
 }
 
-// longestAllowed returns the longest time in which the job meets one of its objectives; the age bound if it has none.
-func (p *legacyPlanner) longestAllowed(job *jobs.Job) time.Duration {
+// longestTimeLimit returns the longest time limit of the job's objectives and its deadline; the age bound if it has neither.
+func (p *legacyPlanner) longestTimeLimit(job *jobs.Job) time.Duration {
 	longest := 3 * job.TimeToDeadline() / 2
 	if finishObjectives := p.finishObjectives[job.Class]; len(finishObjectives) > 0 {
 		longest = max(longest, finishObjectives[len(finishObjectives)-1])
@@ -248,10 +248,10 @@
 	}[e.Rank]
 }
 
-// legacyMinLimitedWork is the time that a team's work at its quota has to exceed for the team to be limit-bound.
-const legacyMinLimitedWork = time.Minute
+// legacyMinLimitBoundTime is the time that a team's work at its quota has to exceed for the team to be limit-bound.
+const legacyMinLimitBoundTime = time.Minute
 
-// limitBoundTeams returns the teams whose work, at their quota, takes longer than legacyMinLimitedWork and longer than the
+// limitBoundTeams returns the teams whose work, at their quota, takes longer than legacyMinLimitBoundTime and longer than the
 // cluster needs for the work of all teams.
 func (p *legacyPlanner) limitBoundTeams(now time.Time, live []*jobs.Job, capacity admission.Capacity) map[string]bool {
 	workByTeam, totalWork := map[string]float64{}, 0.0
@@ -260,7 +260,7 @@
 		workByTeam[job.Team] += work
 		totalWork += work
 	}
-	minSeconds := max(legacyMinLimitedWork.Seconds(), totalWork/max(capacity.CPUs, 1))
+	minSeconds := max(legacyMinLimitBoundTime.Seconds(), totalWork/max(capacity.CPUs, 1))
 	marked := map[string]bool{}
 	for name, work := range workByTeam {
 		if limit := p.teams[name].CPULimit; limit > 0 && work > limit*minSeconds {
--- a/internal/controller/queue/objectives.go
+++ b/internal/controller/queue/objectives.go
@@ -50,9 +50,9 @@
 	return firstAfter(start, age) == 0 && firstAfter(finish, earliestFinish) == 0 && (deadline <= 0 || deadline <= earliestFinish)
 }
 
-// longestAllowed returns the longest time limit of the job's objectives and its deadline, or 0 if it has neither. The
+// longestTimeLimit returns the longest time limit of the job's objectives and its deadline, or 0 if it has neither. The
 // deadline counts one and a half times, a start objective together with the run time of a task.
-func (o *objectives) longestAllowed(job *jobs.Job, taskRunTime time.Duration) time.Duration {
+func (o *objectives) longestTimeLimit(job *jobs.Job, taskRunTime time.Duration) time.Duration {
 	longest := 3 * job.TimeToDeadline() / 2
 	if finish := o.finish[job.Class]; len(finish) > 0 {
 		longest = max(longest, finish[len(finish)-1])
--- a/internal/controller/queue/overdue.go
+++ b/internal/controller/queue/overdue.go
@@ -38,7 +38,7 @@
 // isStarved reports whether an overdue job counts against the served share of its class and team. It does once it has
 // waited a quarter longer than its longest objective allows, or longer than overdueAfter.
 func (r *Ranker) isStarved(c *candidate) bool {
-	longest := r.objectives.longestAllowed(c.job, c.taskRunTime)
+	longest := r.objectives.longestTimeLimit(c.job, c.taskRunTime)
 	if longest <= 0 {
 		longest = r.options.AgeBound
 	}
--- a/internal/controller/queue/queue.go
+++ b/internal/controller/queue/queue.go
@@ -20,7 +20,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// Entry is a job in the order, with the values that placement needs.
+// Entry is a job in the order, with its estimates and the limits for starting its tasks.
 type Entry struct {
 	Job                 *jobs.Job
 	Rank                Rank
@@ -48,7 +48,7 @@
 	candidates []candidate // of the last call of Order; the next call reuses the memory
 }
 
-// Components are the parts of the controller that a Ranker uses. The caller keeps them up to date.
+// Components are the parts of the controller that a Ranker uses. The caller updates their settings.
 type Components struct {
 	Estimator *estimate.Estimator
 	Planner   *admission.Planner
--- a/internal/controller/queue/quota.go
+++ b/internal/controller/queue/quota.go
@@ -9,11 +9,11 @@
 	"gullrudder/internal/units"
 )
 
-// minLimitedWork is the time that a team's work at its quota has to exceed for the team to be limit-bound.
-const minLimitedWork = time.Minute
+// minLimitBoundTime is the time that a team's work at its quota has to exceed for the team to be limit-bound.
+const minLimitBoundTime = time.Minute
 
 // limitBoundTeams returns the teams whose work is delayed by their quota rather than by the cluster. At the team's quota, the
-// work takes longer than minLimitedWork and longer than the cluster needs for the work of all teams. Such a team can never
+// work takes longer than minLimitBoundTime and longer than the cluster needs for the work of all teams. Such a team can never
 // catch up on quota that it leaves unused now, however many machines are added.
 func (r *Ranker) limitBoundTeams(candidates []candidate, clusterCPUs float64) map[string]bool {
 	workByTeam, totalWork := map[string]float64{}, 0.0
@@ -22,7 +22,7 @@
 		workByTeam[c.job.Team] += c.remainingCPUSeconds
 		totalWork += c.remainingCPUSeconds
 	}
-	minSeconds := max(minLimitedWork.Seconds(), totalWork/clusterCPUs)
+	minSeconds := max(minLimitBoundTime.Seconds(), totalWork/clusterCPUs)
 	bound := map[string]bool{}
 	for team, work := range workByTeam {
 		if limit := r.teams[team].CPULimit; limit > 0 && work > limit*minSeconds {
--- a/internal/controller/queue/rules.go
+++ b/internal/controller/queue/rules.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// crashLoopingRule ranks jobs last whose tasks fail on every machine. Their tasks are retried one at a time.
+// crashLoopingRule ranks jobs whose tasks fail on every machine after all other jobs. Their tasks are retried one at a time.
 type crashLoopingRule struct{}
 
 func (crashLoopingRule) matches(c *candidate) bool { return c.job.CrashLooping }
