--- a/internal/controller/estimate/estimate.go
+++ b/internal/controller/estimate/estimate.go
@@ -40,7 +40,7 @@
 	samples int
 }
 
-// New returns an Estimator without samples. It returns the owners' estimates until run times are recorded.
+// New returns an Estimator without samples. Until run times are recorded, its predictions are the owners' estimates.
 func New() *Estimator {
 	return &Estimator{byClass: map[string]*classRatio{}}
 }
