--- a/internal/controller/submission/tickets.go
+++ b/internal/controller/submission/tickets.go
@@ -21,7 +21,8 @@
 
 func (q *ticketQueue) isFull() bool { return len(q.queue) >= maxTicketsPerTeam }
 
-// issue adds a ticket for the job and returns its notBefore, which is at least one interval after that of the last ticket.
+// issue adds a ticket for the job and returns its notBefore. It is at least minRetryAfter from now, and at least one interval
+// after the notBefore of the last ticket.
 func (q *ticketQueue) issue(now time.Time, jobID string, interval time.Duration) time.Time {
 	notBefore := now.Add(minRetryAfter)
 	if !q.isEmpty() {
