--- a/internal/controller/dependencies/graph.go
+++ b/internal/controller/dependencies/graph.go
@@ -38,7 +38,7 @@
 	return &Graph{findJob: findJob, dependents: map[string]map[*jobs.Job]bool{}, unmet: map[*jobs.Job]map[string]bool{}}
 }
 
-// Add makes a job wait for the given jobs. Their completion must not be durable yet, since only RecordDone removes the edges.
+// Add makes a job wait for the given jobs, whose completion is not durable yet. It sets UnmetDependencies of the job.
 func (g *Graph) Add(job *jobs.Job, unmet []string) {
 	for _, id := range unmet {
 		g.addEdge(job, id)
