--- a/internal/controller/placement/benchmark_test.go
+++ b/internal/controller/placement/benchmark_test.go
@@ -8,7 +8,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// newLoadedFixture is a cluster under load: seven of eight machines are full, and jobs wait.
+// newLoadedFixture returns a cluster under load: seven of eight machines are full, and jobs wait.
 func newLoadedFixture(machines, waitingJobs int) *fixture {
 	f := newFixture()
 	for i := range waitingJobs {
@@ -26,8 +26,8 @@
 
 var benchmarkSizes = [...]int{250, 1000, 5000}
 
-// BenchmarkStartTasks is a heartbeat of a machine with free resources, with its starts; they are taken back, so that the
-// next one finds the same.
+// BenchmarkStartTasks measures one heartbeat of a machine with available resources, including its starts. The starts are
+// taken back after each iteration, so that all iterations do the same work.
 func BenchmarkStartTasks(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -41,13 +41,13 @@
 	}
 }
 
-// BenchmarkRefreshOrder is the order with its reservations.
+// BenchmarkRefreshOrder measures one computation of the order with its reservations.
 func BenchmarkRefreshOrder(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f := newLoadedFixture(size, size)
 			for b.Loop() {
-				f.order.isStale, f.order.madeAt = true, time.Time{}
+				f.order.isStale, f.order.computedAt = true, time.Time{}
 				f.refreshOrder(f.Now)
 			}
 		})
--- a/internal/controller/placement/eligibility.go
+++ b/internal/controller/placement/eligibility.go
@@ -24,18 +24,18 @@
 		job.MemoryGB <= machineType.MemoryGB+units.ResourceTolerance
 }
 
-// TypeResources is the resources of an empty machine of the type.
+// TypeResources returns the resources of an empty machine of the type.
 func TypeResources(machineType *cloud.MachineType) worker.Resources {
 	return worker.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 }
 
-// TasksPerMachine is the number of the job's tasks that fit on an empty machine of the type.
+// TasksPerMachine returns how many of the job's tasks fit on an empty machine of the type.
 func TasksPerMachine(job *jobs.Job, machineType *cloud.MachineType) int {
 	return TypeResources(machineType).TasksThatFit(job)
 }
 
-// TasksAllowedInZone is the number of further tasks of the job that its zone constraints allow in the zone, given where its
-// other tasks are or may still be.
+// TasksAllowedInZone returns how many more tasks of the job its zone constraints allow in the zone. Every active attempt
+// counts, also one that may already have ended. Without zone constraints, the result is the job's number of tasks.
 func TasksAllowedInZone(job *jobs.Job, zone string) int {
 	if !job.SingleZone && !job.SpreadAcrossZones {
 		return job.Tasks
@@ -50,14 +50,14 @@
 	return job.Tasks
 }
 
-// MachineKind is the instance kind of a machine.
+// MachineKind returns the instance kind of a machine.
 func MachineKind(machine *worker.Machine) cloud.InstanceKind {
 	return cloud.InstanceKind{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
 }
 
-// IsEligible reports whether tasks of the job may start on the machine if it has free resources. None may on a sentinel,
-// whose free resources would keep reservations from being made elsewhere, or on a machine that seems to receive nothing
-// from this leader.
+// IsEligible reports whether tasks of the job may start on the machine if it has enough available resources. A sentinel is
+// not eligible: its available resources would prevent reservations on other machines. Neither is a machine that probably
+// receives no responses from this leader.
 func IsEligible(job *jobs.Job, machine *worker.Machine) bool {
 	return machine.DrainReason == worker.NotDraining && !machine.IsSentinel && !machine.IsUnreachable &&
 		machine.CPUs+machine.MemoryGB > 0 &&
@@ -65,8 +65,8 @@
 		KindAllowed(job, MachineKind(machine))
 }
 
-// IsFuller reports whether a is packed before b: the machine with the larger share of its CPUs in use, of two with the same
-// share the larger one.
+// IsFuller reports whether a is filled before b: the machine with the larger share of its CPUs in use, then the one with
+// more CPUs, then the one with the lower ID.
 func IsFuller(a, b *worker.Machine) bool {
 	usedA, usedB := a.UsedCPUs/max(a.CPUs, units.ResourceTolerance), b.UsedCPUs/max(b.CPUs, units.ResourceTolerance)
 	if math.Abs(usedA-usedB) > units.ResourceTolerance {
--- a/internal/controller/placement/fixture_test.go
+++ b/internal/controller/placement/fixture_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// fixture is a placer on a cluster of its own.
+// fixture is a Placer with its own cluster.
 type fixture struct {
 	*Placer
 	*clustertest.Cluster
@@ -31,14 +31,14 @@
 		Outbox:       cluster.Outbox,
 		Log:          cluster.Log,
 	})}
-	f.SetCapacityForecaster(presentCapacity{cluster.Workers})
+	f.SetCapacityForecaster(currentCapacity{cluster.Workers})
 	return f
 }
 
-// presentCapacity forecasts that the machines stay as they are.
-type presentCapacity struct{ workers *worker.Registry }
+// currentCapacity forecasts that the set of machines stays as it is.
+type currentCapacity struct{ workers *worker.Registry }
 
-func (p presentCapacity) ExpectedCapacity(time.Time) admission.Capacity {
+func (p currentCapacity) ExpectedCapacity(time.Time) admission.Capacity {
 	capacity := admission.Capacity{MachineCPUs: 16}
 	for _, machine := range p.workers.Machines {
 		capacity.CPUs += machine.CPUs
@@ -46,7 +46,7 @@
 	return capacity
 }
 
-// clearMachine takes all tasks off a machine; they are to be started again.
+// clearMachine removes all tasks from a machine and requeues them.
 func (f *fixture) clearMachine(machine *worker.Machine) {
 	for _, ended := range f.workers.ReleaseAll(machine) {
 		ended.Attempt.Job.Requeue(ended.Attempt.Task.Index)
@@ -54,7 +54,7 @@
 	f.InvalidateOrder()
 }
 
-// addJob adds an accepted job, whose number decides on its deadline and its constraints.
+// addJob adds an accepted job. Its deadline and constraints depend on its number, see clustertest.Cluster.AddJob.
 func (f *fixture) addJob(number, tasks int, cpus float64) *jobs.Job {
 	job := f.AddJob(number, tasks, cpus)
 	f.InvalidateOrder()
--- a/internal/controller/placement/gangs.go
+++ b/internal/controller/placement/gangs.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// gangCompletionTimeout is how long a gang may run in part before it is stopped, to be started again as a whole.
+	// gangCompletionTimeout is how long a gang may run in part before it is stopped, to be restarted as a whole.
 	gangCompletionTimeout = 15 * time.Second
-	// gangStartSlack is how long after two heartbeat intervals a start that was not sent is taken back.
+	// gangStartSlack is how long, in addition to two heartbeat intervals, a start command may stay unsent before it is
+	// withdrawn.
 	gangStartSlack = time.Second
 )
 
-// gangPart is the tasks of a gang that one machine runs.
+// gangPart is the tasks of a gang that are assigned to one machine.
 type gangPart struct {
 	machine *worker.Machine
 	tasks   int
 }
 
-// gangZone is the machines of a zone that can run tasks of a gang.
+// gangZone is the machines of one zone on which tasks of a gang fit.
 type gangZone struct {
 	name     string
 	machines []*worker.Machine
-	tasks    int // that fit on them
+	tasks    int // number of tasks that fit on the machines
 }
 
-// scheduleGangs places gangs: all tasks at once or none. The starts are sent with the responses to the machines' next
-// heartbeats; until then they use the machines' resources.
+// scheduleGangs places gangs: all tasks at once or none. The start commands are sent with the responses to the machines'
+// next heartbeats. Until then the tasks occupy the machines' resources.
 func (p *Placer) scheduleGangs(now time.Time) {
 	p.refreshOrder(now)
 	for i := range p.order.entries {
@@ -48,8 +49,8 @@
 	p.withdrawGangStarts(now)
 }
 
-// withdrawGangStarts takes back starts that were not sent yet, if the machine is silent or draining or the job must not start
-// any more.
+// withdrawGangStarts withdraws unsent start commands if the machine is silent or draining, or if the job must not start any
+// more.
 func (p *Placer) withdrawGangStarts(now time.Time) {
 	maxWait := 2*p.platform.HeartbeatInterval + gangStartSlack
 	for attempt, machine := range p.pendingGangStarts {
@@ -64,7 +65,7 @@
 	}
 }
 
-// stopPartialGang stops the tasks of a gang of which others have been missing for too long.
+// stopPartialGang stops the tasks of a gang if other tasks of it have been missing for too long.
 func stopPartialGang(now time.Time, job *jobs.Job) {
 	if job.WaitingTasks() == 0 {
 		return
@@ -76,18 +77,18 @@
 	}
 }
 
-// placeGang assigns all tasks of a gang to as few machines as possible, if there are enough.
+// placeGang assigns all tasks of a gang to as few machines as possible, or none if they do not all fit.
 func (p *Placer) placeGang(now time.Time, job *jobs.Job) {
 	tasks := job.WaitingTasks()
 	if tasks == 0 || p.startableTasksOf(job) < tasks {
 		return
 	}
-	parts := p.partsOfGang(now, job, tasks)
+	parts := p.distributeGang(now, job, tasks)
 	if parts == nil {
 		return
 	}
 	p.log.Debug("gang placed", logkeys.Job, job.ID, logkeys.Count, tasks, logkeys.Machines, len(parts))
-	// The workers bring the tasks of a gang together by their common attempt number.
+	// The workers match the tasks of a gang by their common attempt number.
 	number := p.nextAttemptNumber()
 	for _, part := range parts {
 		for range part.tasks {
@@ -102,8 +103,9 @@
 	}
 }
 
-// partsOfGang distributes the tasks to machines, those first on which the most tasks fit; nil if not all of them fit.
-func (p *Placer) partsOfGang(now time.Time, job *jobs.Job, tasks int) []gangPart {
+// distributeGang distributes the tasks to machines, starting with the machines on which the most tasks fit. It returns nil
+// if not all tasks fit.
+func (p *Placer) distributeGang(now time.Time, job *jobs.Job, tasks int) []gangPart {
 	var parts []gangPart
 	left := tasks
 	for _, zone := range p.gangZones(now, job) {
@@ -128,12 +130,12 @@
 	return nil
 }
 
-// gangZones lists the machines on which tasks of the gang fit, by zone, those zones first in which the most tasks fit.
+// gangZones returns the machines on which tasks of the gang fit, by zone. The zone in which the most tasks fit comes first.
 func (p *Placer) gangZones(now time.Time, job *jobs.Job) []gangZone {
 	var zones []gangZone
 	for _, machine := range p.workers.SortedMachines() {
 		tasks := machine.TasksThatFit(job)
-		if !machine.Reconciled || !machine.Registered || !p.heartbeatIsRecent(now, machine) || tasks == 0 || !IsEligible(job, machine) {
+		if !machine.Reconciled || !machine.Registered || !p.contactIsRecent(now, machine) || tasks == 0 || !IsEligible(job, machine) {
 			continue
 		}
 		i := slices.IndexFunc(zones, func(zone gangZone) bool { return zone.name == machine.Zone })
--- a/internal/controller/placement/gangs_test.go
+++ b/internal/controller/placement/gangs_test.go
@@ -8,14 +8,14 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// addGang adds a gang of tasks with the given CPUs each.
+// addGang adds a gang whose tasks need the given CPUs each.
 func (f *fixture) addGang(tasks int, cpus float64) *jobs.Job {
 	job := f.addJob(0, tasks, cpus)
 	job.IsGang, job.AllowsSpot = true, true
 	return job
 }
 
-// startGangs lets all machines send a heartbeat, and returns the starts by machine and the attempt numbers.
+// startGangs sends a heartbeat of each machine, and returns the starts by machine and the set of their attempt numbers.
 func (f *fixture) startGangs() (starts []int, numbers map[uint64]bool) {
 	numbers = map[uint64]bool{}
 	for _, machine := range f.workers.SortedMachines() {
@@ -28,8 +28,8 @@
 	return starts, numbers
 }
 
-// TestGangIsPlacedAllOrNothing checks that a gang is placed with all its tasks on the fewest machines, or not at all, and
-// that its starts have one attempt number and are sent with the machines' heartbeat responses.
+// TestGangIsPlacedAllOrNothing checks that a gang is placed with all its tasks on the fewest machines, or not at all. Its
+// starts must have one attempt number and be sent with the responses to the machines' heartbeats.
 func TestGangIsPlacedAllOrNothing(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -57,29 +57,29 @@
 				t.Errorf("attempt numbers in one gang: got %d, want at most 1", len(numbers))
 			}
 			if len(f.pendingGangStarts) != 0 {
-				t.Errorf("pending starts of gangs: got %d, want 0", len(f.pendingGangStarts))
+				t.Errorf("pending gang starts: got %d, want 0", len(f.pendingGangStarts))
 			}
 		})
 	}
 }
 
-// TestGangStartsAreWithdrawn checks that the starts for a silent machine are withdrawn, and that the gang waits as a
-// whole again.
+// TestGangStartsAreWithdrawn checks that the starts on a silent machine are withdrawn, and that all tasks of the gang wait
+// again.
 func TestGangStartsAreWithdrawn(t *testing.T) {
 	f := newFixture()
 	machine := f.AddMachine(0, "large", "a", false)
 	job := f.addGang(4, 4)
 	f.Tick(f.Now, true)
 	if len(machine.Attempts) != 4 || job.WaitingTasks() != 0 {
-		t.Fatalf("placed gang: %d tasks placed, %d waiting, want 4, 0", len(machine.Attempts), job.WaitingTasks())
+		t.Fatalf("placed gang: got %d tasks placed, %d waiting, want 4, 0", len(machine.Attempts), job.WaitingTasks())
 	}
 	f.Now = f.Now.Add(2*f.platform.HeartbeatInterval + gangStartSlack + time.Millisecond)
 	f.Tick(f.Now, true)
 	if len(machine.Attempts) != 0 || job.WaitingTasks() != 4 {
-		t.Errorf("withdrawn gang: %d tasks placed, %d waiting, want 0, 4", len(machine.Attempts), job.WaitingTasks())
+		t.Errorf("withdrawn gang: got %d tasks placed, %d waiting, want 0, 4", len(machine.Attempts), job.WaitingTasks())
 	}
 	if len(f.pendingGangStarts) != 0 {
-		t.Errorf("pending starts of gangs: got %d, want 0", len(f.pendingGangStarts))
+		t.Errorf("pending gang starts: got %d, want 0", len(f.pendingGangStarts))
 	}
 }
 
--- a/internal/controller/placement/placement.go
+++ b/internal/controller/placement/placement.go
@@ -1,6 +1,7 @@
-// Package placement decides on which machine a task runs: the rules for machine types, zones and instance kinds, the teams'
-// quotas, and the bin packing. Its Placer owns the present order of the queue, the reservations of machines for jobs, and
-// the placed gangs whose starts are not sent yet. It never requests or terminates instances and never writes to storage.
+// Package placement decides on which machine a task runs. It applies the constraints on machine types, zones and instance
+// kinds, the teams' quotas, and bin packing. Its Placer owns the current order of the queue, the reservations of machines
+// for jobs, and the placed gangs whose start commands are not sent yet. The package never requests or terminates instances
+// and never writes to storage.
 //
 // Design note: docs/design/queue.md.
 package placement
@@ -18,7 +19,7 @@
 )
 
 const (
-	// maxOrderAge is the age at which the order is computed again even if InvalidateOrder was not called.
+	// maxOrderAge is the age at which the order is recomputed even if InvalidateOrder was not called.
 	maxOrderAge = 500 * time.Millisecond
 	// gangInterval is the time between two attempts to place waiting gangs.
 	gangInterval = 200 * time.Millisecond
@@ -26,15 +27,15 @@
 	preemptionInterval = 500 * time.Millisecond
 )
 
-// Placer decides where tasks start. Each leadership has its own. It is not safe for concurrent use. It returns starts as
-// commands for the response to a machine's heartbeat.
+// Placer decides where tasks start, and returns the start commands for the responses to the machines' heartbeats. Each
+// leadership has its own Placer. It is not safe for concurrent use.
 type Placer struct {
 	platform     *config.Platform
 	teams        map[string]config.Team
 	log          *slog.Logger
 	outbox       *client.Outbox
 	fencingToken uint64
-	jobs         map[string]*jobs.Job // of the job store, read only
+	jobs         map[string]*jobs.Job // owned by the job store; only read here
 	workers      *worker.Registry
 	ranker       *queue.Ranker
 	forecaster   CapacityForecaster
@@ -42,9 +43,9 @@
 	attemptCounter    uint64
 	order             jobOrder
 	reservations      reservations
-	shapeChecks       []shapeCheck                      // by shape, for the machine whose starts are chosen
-	pendingGangStarts map[*jobs.Attempt]*worker.Machine // to be sent with the machines' next heartbeat responses
-	unseenUsage       UnseenUsage                       // nil if every job may start
+	shapeChecks       []shapeCheck                      // by shape number, for the machine that StartTasks was called for
+	pendingGangStarts map[*jobs.Attempt]*worker.Machine // start commands that wait for the machines' next heartbeats
+	unreconciledUsage UnseenUsage                       // nil if every job may start, see SetPartialStart
 
 	nextPreemption     time.Time
 	nextGangScheduling time.Time
@@ -52,11 +53,11 @@
 
 // CapacityForecaster forecasts the capacity of the cluster.
 type CapacityForecaster interface {
-	// ExpectedCapacity returns the capacity that the order of the queue may count on.
+	// ExpectedCapacity returns the capacity for which the order of the queue is computed.
 	ExpectedCapacity(now time.Time) admission.Capacity
 }
 
-// Components are the parts of the controller that a Placer works with.
+// Components are the dependencies of a Placer. All of them are required.
 type Components struct {
 	Platform     *config.Platform
 	FencingToken uint64
@@ -67,7 +68,7 @@
 	Log          *slog.Logger
 }
 
-// New makes the placer of a new leadership. SetCapacityForecaster completes it.
+// New returns the Placer of a new leadership. SetCapacityForecaster must be called before its first use.
 func New(components Components) *Placer {
 	return &Placer{
 		platform:          components.Platform,
@@ -84,14 +85,15 @@
 	}
 }
 
-// SetCapacityForecaster sets the source of the expected capacity. It is called once, before the queue is first ordered: the
-// autoscaler, which forecasts, is made with the Placer.
+// SetCapacityForecaster sets the source of the expected capacity. It must be called once, before the order is first
+// computed. The forecaster is no argument of New, since the autoscaler, which forecasts, is created together with the
+// Placer.
 func (p *Placer) SetCapacityForecaster(forecaster CapacityForecaster) { p.forecaster = forecaster }
 
-// Tick does what is due besides the responses to heartbeats: it places gangs, and preempts tasks for guaranteed jobs.
-// canPlace is false until the failover is completed; nothing is placed before.
+// Tick places gangs and preempts tasks for guaranteed jobs, each at its own interval. canPlace is false until the failover
+// is completed; until then nothing is placed or preempted.
 func (p *Placer) Tick(now time.Time, canPlace bool) {
-	if now.Sub(p.order.madeAt) > maxOrderAge {
+	if now.Sub(p.order.computedAt) > maxOrderAge {
 		p.order.isStale = true
 	}
 	if !canPlace {
@@ -107,18 +109,19 @@
 	}
 }
 
-// heartbeatIsRecent reports whether a heartbeat of the machine arrived within the last two heartbeat intervals.
-func (p *Placer) heartbeatIsRecent(now time.Time, machine *worker.Machine) bool {
+// contactIsRecent reports whether the last contact with the machine is less than two heartbeat intervals ago.
+func (p *Placer) contactIsRecent(now time.Time, machine *worker.Machine) bool {
 	return now.Sub(machine.LastContactAt) < 2*p.platform.HeartbeatInterval
 }
 
-// nextAttemptNumber returns a new attempt number. It derives from the fencing token, so that no other leader ever uses it.
+// nextAttemptNumber returns a new attempt number. It contains the fencing token, so no other leader ever uses the same
+// number.
 func (p *Placer) nextAttemptNumber() uint64 {
 	p.attemptCounter++
 	return p.fencingToken<<24 | p.attemptCounter
 }
 
-// newAttempt assigns a new attempt of the task to the machine.
+// newAttempt creates an attempt of the task and assigns it to the machine.
 func (p *Placer) newAttempt(now time.Time, machine *worker.Machine, job *jobs.Job, task int, number uint64) *jobs.Attempt {
 	attempt := &jobs.Attempt{
 		Task:       jobs.TaskID{JobID: job.ID, Index: task},
--- a/internal/controller/placement/placement_test.go
+++ b/internal/controller/placement/placement_test.go
@@ -11,8 +11,8 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// TestJobWithImageOnMachineStartsFirst checks that of two jobs of one rank the one whose image is on the machine starts
-// first, until the other one has waited as long as it takes to fetch its image.
+// TestJobWithImageOnMachineStartsFirst checks that, of two jobs of one rank, the one whose image is on the machine starts
+// first. Once the other job has waited for as long as fetching its image takes, it starts first.
 func TestJobWithImageOnMachineStartsFirst(t *testing.T) {
 	f := newFixture()
 	machine := f.AddMachine(1, "small", "a", false)
@@ -40,12 +40,12 @@
 	}
 	f.Now = f.Now.Add(4 * time.Second)
 	if got := firstStarted(); got != without.ID {
-		t.Errorf("job started first after the time to fetch its image: got %s, want %s", got, without.ID)
+		t.Errorf("job started first after a wait as long as its image fetch: got %s, want %s", got, without.ID)
 	}
 }
 
-// TestShapeFitsMatchWalk compares the result cached for a shape with a walk over the machines for the job itself.
-func TestShapeFitsMatchWalk(t *testing.T) {
+// TestShapeFitsMatchScan compares the count cached for a shape with a scan of the machines for the job itself.
+func TestShapeFitsMatchScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFixture()
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
@@ -54,25 +54,25 @@
 				f.StartTasks(f.Now, machine, rapid.IntRange(0, 9).Draw(t, "starts"))
 			}
 		}
-		free, fits := f.machinesByFreeCPUs(), newShapeFits(12)
+		machines, fits := f.machinesByAvailableCPUs(), newShapeFits(12)
 		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
 			job := f.addJob(i, rapid.IntRange(1, 40).Draw(t, "tasks"), rapid.SampledFrom([]float64{0, 1, 3}).Draw(t, "cpus"))
 			job.AllowsSpot, job.Zone = rapid.Bool().Draw(t, "spot"), rapid.SampledFrom([]string{"", "a"}).Draw(t, "zone")
 			if rapid.IntRange(0, 3).Draw(t, "failed") == 0 {
-				free[0].FailedJobs[job.ID] = true
+				machines[0].FailedJobs[job.ID] = true
 				job.FailureCount = 1
 			}
-			wanted := rapid.IntRange(1, job.Tasks).Draw(t, "want")
-			got, want := fits.fittingTasks(job, f.order.shapeNumber(job), free, wanted), countFittingTasks(job, free, wanted)
+			maxTasks := rapid.IntRange(1, job.Tasks).Draw(t, "want")
+			got, want := fits.fittingTasks(job, f.order.shapeNumber(job), machines, maxTasks), countFittingTasks(job, machines, maxTasks)
 			if got != want {
-				t.Fatalf("tasks of %s that fit: got %d, want %d of %d", job.ID, got, want, wanted)
+				t.Fatalf("tasks of %s that fit: got %d, want %d of %d", job.ID, got, want, maxTasks)
 			}
 		}
 	})
 }
 
-// tasksOnFullerByWalk is what tasksOnFuller finds, by a walk over all machines.
-func (f *fixture) tasksOnFullerByWalk(job *jobs.Job, machine *worker.Machine) int {
+// tasksOnFullerByScan is the reference for tasksOnFuller: it scans all machines.
+func (f *fixture) tasksOnFullerByScan(job *jobs.Job, machine *worker.Machine) int {
 	tasks := 0
 	for _, other := range f.workers.Machines {
 		if other != machine && other.HasReported && other.Reconciled && other.Registered &&
@@ -85,9 +85,9 @@
 	return min(tasks, job.WaitingTasks())
 }
 
-// TestIndexesMatchWalks compares the indexes that are updated with each change with walks: the utilization buckets of
-// the machines, and a job's running tasks, their remaining work and their zones.
-func TestIndexesMatchWalks(t *testing.T) {
+// TestIndexesMatchScans compares data that is updated incrementally with full scans: the utilization buckets of the
+// machines, and each job's running tasks, remaining work and zones.
+func TestIndexesMatchScans(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFixture()
 		machines, list := f.drawCluster(t)
@@ -96,7 +96,7 @@
 			machine := rapid.SampledFrom(machines).Draw(t, "machine")
 			job := rapid.SampledFrom(list).Draw(t, "job")
 			f.drawChange(t, machine)
-			got, want := f.tasksOnFuller(f.Now, job, machine, job.WaitingTasks(), 1<<30), f.tasksOnFullerByWalk(job, machine)
+			got, want := f.tasksOnFuller(f.Now, job, machine, job.WaitingTasks(), 1<<30), f.tasksOnFullerByScan(job, machine)
 			if got != want {
 				t.Fatalf("tasks of %s that fit on machines fuller than %s: got %d, want %d", job.ID, machine.ID, got, want)
 			}
@@ -124,7 +124,7 @@
 	return machines, list
 }
 
-// drawChange draws a change of one machine, or of the order.
+// drawChange draws a change of one machine, or invalidates the order.
 func (f *fixture) drawChange(t *rapid.T, machine *worker.Machine) {
 	switch rapid.IntRange(0, 4).Draw(t, "what") {
 	case 0, 1:
@@ -142,7 +142,7 @@
 	}
 }
 
-// checkShapes compares the results cached by shape with walks for each candidate.
+// checkShapes compares the results cached by shape with scans for each candidate.
 func (f *fixture) checkShapes(t *rapid.T, machine *worker.Machine) {
 	f.refreshOrder(f.Now)
 	f.resetShapeChecks()
@@ -152,7 +152,7 @@
 		if got, want := f.rejects(machine, entry), machine.TasksThatFit(job) == 0 || !KindAllowed(job, MachineKind(machine)); got != want {
 			t.Fatalf("%s rejects %s: got %v, want %v", machine.ID, job.ID, got, want)
 		}
-		if got, want := f.tasksLeftToFuller(f.Now, entry, machine), f.tasksOnFullerByWalk(job, machine); got != want {
+		if got, want := f.tasksLeftToFuller(f.Now, entry, machine), f.tasksOnFullerByScan(job, machine); got != want {
 			t.Fatalf("cached by shape: tasks of %s that fit on machines fuller than %s: got %d, want %d", job.ID, machine.ID, got, want)
 		}
 	}
@@ -170,7 +170,7 @@
 	}
 	got, want := job.RemainingWork(taskRunTime, now), time.Duration(job.Tasks-job.DoneTasks)*taskRunTime-ran
 	if got != want || job.RunningTasks() != running {
-		t.Fatalf("%s: remaining work %v, %d running tasks, want %v, %d", job.ID, got, job.RunningTasks(), want, running)
+		t.Fatalf("%s: got remaining work %v, %d running tasks, want %v, %d", job.ID, got, job.RunningTasks(), want, running)
 	}
 	if inZone, _ := job.AttemptsInZone("a"); job.SpreadAcrossZones && inZone != byZone["a"] {
 		t.Fatalf("%s: attempts in zone a: got %d, want %d", job.ID, inZone, byZone["a"])
--- a/internal/controller/placement/preempt.go
+++ b/internal/controller/placement/preempt.go
@@ -13,7 +13,7 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// preemptionSlack is how long before the latest possible start, besides two heartbeats, preemption begins.
+// preemptionSlack is how long before the latest possible start preemption begins, in addition to two heartbeat intervals.
 const preemptionSlack = 5 * time.Second
 
 // victim is a running task that may be preempted.
@@ -22,21 +22,21 @@
 	attempt *jobs.Attempt
 }
 
-// freeableMachine is a machine with free resources, or with tasks that are being stopped.
+// freeableMachine is a machine with available resources or with tasks that are being stopped.
 type freeableMachine struct {
 	machine      *worker.Machine
-	stoppingCPUs float64 // of the tasks that are being stopped
+	stoppingCPUs float64 // CPUs of the tasks that are being stopped
 }
 
-// preemptionSurvey is where resources are free or about to be, and which tasks may be preempted, the newest first.
+// preemptionSurvey lists the machines on which resources are or will soon be available, and the tasks that may be preempted.
 type preemptionSurvey struct {
 	freeable []freeableMachine
-	victims  []victim
+	victims  []victim // the newest first
 }
 
-// preempt stops best-effort tasks where a guaranteed job would otherwise miss its deadline. The protocol allows it for a
-// team's guaranteed quota too, but a trial of that gained nothing: stopping with a checkpoint takes as long as waiting.
-// Only tasks with checkpoints are stopped, and their machines are reserved for the job.
+// preempt stops best-effort tasks where a guaranteed job would otherwise miss its deadline. It stops only tasks with
+// checkpoints, and reserves their machines for the job. The protocol also allows preemption for a team's guaranteed quota.
+// That would gain nothing: stopping with a checkpoint takes as long as waiting.
 func (p *Placer) preempt(now time.Time) {
 	p.refreshOrder(now)
 	var survey *preemptionSurvey
@@ -63,7 +63,7 @@
 	return entry.Job.DueAt().Sub(now) < entry.TaskRunTime+2*heartbeatInterval+preemptionSlack
 }
 
-// surveyPreemption walks the machines once for all jobs that need preemption.
+// surveyPreemption scans the machines once for all jobs that need preemption.
 func (p *Placer) surveyPreemption(now time.Time) *preemptionSurvey {
 	survey := &preemptionSurvey{}
 	for _, machine := range p.workers.Machines {
@@ -78,14 +78,14 @@
 	return survey
 }
 
-// add adds a machine and its tasks. Tasks are preempted only on machines with a recent heartbeat.
-func (s *preemptionSurvey) add(now time.Time, machine *worker.Machine, isHeartbeatRecent bool) {
+// add adds a machine and its tasks. Tasks are preempted only on machines with recent contact.
+func (s *preemptionSurvey) add(now time.Time, machine *worker.Machine, isContactRecent bool) {
 	freeable := freeableMachine{machine: machine}
 	for _, attempt := range machine.Attempts {
 		switch {
 		case !attempt.StopSentAt.IsZero() && attempt.Job != nil:
 			freeable.stoppingCPUs += attempt.Job.CPUs
-		case isHeartbeatRecent && attempt.CanBePreempted(now):
+		case isContactRecent && attempt.CanBePreempted(now):
 			s.victims = append(s.victims, victim{machine, attempt})
 		}
 	}
@@ -94,7 +94,8 @@
 	}
 }
 
-// tasksWithoutMachine is how many of the job's tasks fit neither on free resources nor on those about to become free.
+// tasksWithoutMachine returns how many of the job's tasks fit neither on available resources nor on those that will soon be
+// available. Zero or less means that all of them fit.
 func (s *preemptionSurvey) tasksWithoutMachine(job *jobs.Job, tasks int) int {
 	for _, freeable := range s.freeable {
 		if tasks <= 0 {
@@ -111,7 +112,7 @@
 	return tasks
 }
 
-// preemptFor stops the newest of the victims until the job's tasks have machines.
+// preemptFor stops victims, the newest first, until the given number of the job's tasks have machines.
 func (p *Placer) preemptFor(now time.Time, job *jobs.Job, tasks int, victims []victim) {
 	for _, victim := range victims {
 		if tasks <= 0 {
--- a/internal/controller/placement/preempt_test.go
+++ b/internal/controller/placement/preempt_test.go
@@ -8,8 +8,8 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// preemptionFixture is a machine full of best-effort tasks that have run for a minute, and a guaranteed job of two tasks
-// with the given time to its deadline.
+// preemptionFixture returns a machine full of best-effort tasks that have run for a minute, and a guaranteed job of two
+// tasks that is due after the given time.
 func preemptionFixture(checkpointInterval, deadline time.Duration) (*fixture, *worker.Machine, *jobs.Job) {
 	f := newFixture()
 	machine := f.AddMachine(0, "large", "a", false)
@@ -36,7 +36,7 @@
 }
 
 // TestPreemption checks that tasks with checkpoints are preempted for a guaranteed job that would otherwise miss its
-// deadline, no more than it needs, and that their machine is reserved for it.
+// deadline. No more tasks are stopped than the job needs, and their machine is reserved for it.
 func TestPreemption(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/internal/controller/placement/quota.go
+++ b/internal/controller/placement/quota.go
@@ -10,13 +10,14 @@
 	"gullrudder/internal/units"
 )
 
-// unlimitedResource is more of a resource than any cluster has.
+// unlimitedResource is the amount of a resource without a limit. No cluster has as much.
 const unlimitedResource = 1e12
 
-// UnseenUsage is, by team, the most that tasks of earlier leaders may use on machines that are not reconciled yet.
+// UnseenUsage is, by team, an upper bound of what tasks of earlier leaders use on machines that are not reconciled yet.
 type UnseenUsage map[string]worker.Usage
 
-// TasksAllowedByQuota is the number of further tasks of the job that its team's quota allows.
+// TasksAllowedByQuota returns how many more tasks of the job its team's quota allows, up to the job's number of tasks. usage
+// is what the team uses now.
 func TasksAllowedByQuota(job *jobs.Job, team config.Team, usage *worker.Usage) int {
 	tasks := job.Tasks
 	if team.CPULimit > 0 && job.CPUs > 0 {
@@ -28,7 +29,8 @@
 	return max(tasks, 0)
 }
 
-// ExceedsQuota reports whether the job can never run within its team's quota. Services and gangs run as a whole.
+// ExceedsQuota reports whether the job can never run within its team's quota. Services and gangs need the quota for all
+// their tasks at once, other jobs for one task.
 func ExceedsQuota(job *jobs.Job, team config.Team) bool {
 	tasks := 1.0
 	if job.IsService || job.IsGang {
@@ -38,29 +40,30 @@
 		team.GPULimit > 0 && tasks*job.GPUs > team.GPULimit+units.ResourceTolerance
 }
 
-// SetPartialStart limits starts to jobs that this leader itself has accepted as long as usage is not nil: no earlier
-// leader can have started a task of theirs. Their teams' quotas hold with the unseen usage counted.
-func (p *Placer) SetPartialStart(usage UnseenUsage) { p.unseenUsage = usage }
+// SetPartialStart restricts starts to the jobs that this leader itself has accepted: no earlier leader can have started any
+// of their tasks. usage counts against the teams' quotas. A nil usage lifts the restriction.
+func (p *Placer) SetPartialStart(usage UnseenUsage) { p.unreconciledUsage = usage }
 
-// canStart reports whether tasks of the job may start at all at present.
+// canStart reports whether tasks of the job may start at present.
 func (p *Placer) canStart(job *jobs.Job) bool {
-	return p.unseenUsage == nil || job.AcceptedByThisLeader
+	return p.unreconciledUsage == nil || job.AcceptedByThisLeader
 }
 
-// tasksAllowedByQuota is the number of further tasks of the job that its team's quota allows, with unseen usage counted.
+// tasksAllowedByQuota returns how many more tasks of the job its team's quota allows. The usage on unreconciled machines
+// counts.
 func (p *Placer) tasksAllowedByQuota(job *jobs.Job) int {
 	used := *p.workers.TeamUsage(job.Team)
-	unseen := p.unseenUsage[job.Team]
-	return TasksAllowedByQuota(job, p.teams[job.Team], &worker.Usage{CPUs: used.CPUs + unseen.CPUs, GPUs: used.GPUs + unseen.GPUs})
+	unreconciled := p.unreconciledUsage[job.Team]
+	return TasksAllowedByQuota(job, p.teams[job.Team], &worker.Usage{CPUs: used.CPUs + unreconciled.CPUs, GPUs: used.GPUs + unreconciled.GPUs})
 }
 
-// startableTasksOf is the number of waiting tasks of the job that its team's quota allows to run.
+// startableTasksOf returns how many of the job's waiting tasks its team's quota allows to run.
 func (p *Placer) startableTasksOf(job *jobs.Job) int {
 	return min(job.WaitingTasks(), TasksAllowedByQuota(job, p.teams[job.Team], p.workers.TeamUsage(job.Team)))
 }
 
-// StartableTasks is, by entry of an order, the number of waiting tasks that the quotas allow to run together. What is left
-// of a team's quota goes to its first job first.
+// StartableTasks returns, for each entry of an order, how many of its waiting tasks may run at the same time as those of the
+// earlier entries. The remainder of a team's quota goes to the team's jobs in order.
 func (p *Placer) StartableTasks(order []queue.Entry) []int {
 	quotaLeft := map[string]worker.Resources{}
 	tasks := make([]int, len(order))
@@ -81,7 +84,7 @@
 	return tasks
 }
 
-// remainingQuota is what the team may use besides what it uses.
+// remainingQuota returns how much more the team may use.
 func remainingQuota(team config.Team, used *worker.Usage) worker.Resources {
 	left := worker.Resources{CPUs: unlimitedResource, GPUs: unlimitedResource, MemoryGB: unlimitedResource}
 	if team.CPULimit > 0 {
--- a/internal/controller/placement/reservations.go
+++ b/internal/controller/placement/reservations.go
@@ -10,15 +10,15 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// reservations are the machines whose free resources are reserved for a job (worker.Machine.ReservedFor).
+// reservations tracks the machines whose available resources are reserved for a job (worker.Machine.ReservedFor).
 type reservations struct {
 	machines []*worker.Machine
-	jobs     map[*jobs.Job]bool // jobs that machines are reserved for
+	jobs     map[*jobs.Job]bool // jobs with reserved machines
 }
 
 func newReservations() reservations { return reservations{jobs: map[*jobs.Job]bool{}} }
 
-// reserve reserves the free resources of a machine for a job.
+// reserve reserves the available resources of a machine for a job, in place of an earlier reservation of the machine.
 func (r *reservations) reserve(machine *worker.Machine, job *jobs.Job) {
 	if machine.ReservedFor == nil {
 		r.machines = append(r.machines, machine)
@@ -36,14 +36,15 @@
 	clear(r.jobs)
 }
 
-// reservationPass is the state of one pass over the order.
+// reservationPass is the state of one update of the reservations.
 type reservationPass struct {
-	free []*worker.Machine // not reserved, the most free CPUs first; nil until it is needed
-	fits shapeFits
+	unreserved []*worker.Machine // machines with the most available CPUs first; nil until needed
+	fits       shapeFits
 }
 
-// updateReservations reserves machines anew for the jobs that may reserve but fit nowhere yet, in their order and on the
-// machines with the most free CPUs, so that smaller tasks do not take their free resources bit by bit.
+// updateReservations replaces all reservations. In the order of the queue, it reserves machines for the jobs that may
+// reserve and do not fit anywhere yet. Machines with the most available CPUs are reserved first. Without reservations,
+// smaller tasks would keep taking the available resources bit by bit.
 func (p *Placer) updateReservations(now time.Time) {
 	p.reservations.clear()
 	pass := reservationPass{fits: newShapeFits(len(p.order.shapes))}
@@ -53,11 +54,11 @@
 		if tasks <= 0 {
 			continue
 		}
-		if pass.free == nil {
-			pass.free = p.machinesByFreeCPUs()
+		if pass.unreserved == nil {
+			pass.unreserved = p.machinesByAvailableCPUs()
 		}
 		if entry.Job.IsGang {
-			tasks -= p.reserveForGang(entry.Job, pass.free, tasks)
+			tasks -= p.reserveForGang(entry.Job, pass.unreserved, tasks)
 		}
 		if !p.reserveFor(&pass, entry.Job, p.order.shapeNumbers[i], tasks) {
 			return
@@ -65,8 +66,8 @@
 	}
 }
 
-// tasksToReserve is the number of the job's tasks for which machines may be reserved, besides those that have free
-// resources for them; 0 or less: none.
+// tasksToReserve returns the number of the job's tasks for which machines may be reserved; zero or less means none. Tasks
+// that fit on available resources are not subtracted yet.
 func (p *Placer) tasksToReserve(now time.Time, entry *queue.Entry) int {
 	job := entry.Job
 	if !entry.MayReserve || job.WaitingTasks() == 0 || now.Before(job.NotBefore) {
@@ -82,42 +83,43 @@
 	return tasks
 }
 
-// reserveFor reserves a machine for each of the tasks that fits on none of the free machines. It reports false once no
-// machine is free any more.
+// reserveFor reserves one machine for each of the tasks that fits on none of the unreserved machines. It returns false once
+// no unreserved machine is left.
 func (p *Placer) reserveFor(pass *reservationPass, job *jobs.Job, shapeNumber, tasks int) bool {
 	if tasks > 0 {
-		tasks -= pass.fits.fittingTasks(job, shapeNumber, pass.free, tasks)
+		tasks -= pass.fits.fittingTasks(job, shapeNumber, pass.unreserved, tasks)
 	}
 	if tasks <= 0 || pass.fits.isExhausted(job, shapeNumber) {
 		return true
 	}
-	unreserved := pass.free[:0]
+	remaining := pass.unreserved[:0]
 	reserved := 0
-	for _, machine := range pass.free {
-		if reserved < tasks && couldHold(machine, job) {
+	for _, machine := range pass.unreserved {
+		if reserved < tasks && isReservable(machine, job) {
 			p.reservations.reserve(machine, job)
 			reserved++
 		}
 		if machine.ReservedFor == nil {
-			unreserved = append(unreserved, machine)
+			remaining = append(remaining, machine)
 		}
 	}
-	pass.fits.recordReservation(job, shapeNumber, reserved, len(pass.free)-len(unreserved))
-	pass.free = unreserved
-	return len(pass.free) > 0
+	pass.fits.recordReservation(job, shapeNumber, reserved, len(pass.unreserved)-len(remaining))
+	pass.unreserved = remaining
+	return len(pass.unreserved) > 0
 }
 
-// couldHold reports whether the machine is too full for a task of the job now but could hold one when empty.
-func couldHold(machine *worker.Machine, job *jobs.Job) bool {
+// isReservable reports whether the machine can be reserved for a task of the job: it is not reserved yet, is too full for a
+// task now, and could hold one when empty.
+func isReservable(machine *worker.Machine, job *jobs.Job) bool {
 	return machine.ReservedFor == nil && IsEligible(job, machine) && machine.TasksThatFit(job) == 0 &&
 		machine.CPUs >= job.CPUs && machine.MemoryGB >= job.MemoryGB
 }
 
-// reserveForGang reserves machines for a waiting gang by what they hold when empty, and returns the number of tasks that
-// this covers.
-func (p *Placer) reserveForGang(job *jobs.Job, free []*worker.Machine, tasks int) int {
+// reserveForGang reserves machines for a waiting gang by the number of tasks that they hold when empty. It returns the
+// number of tasks that the reserved machines hold.
+func (p *Placer) reserveForGang(job *jobs.Job, machines []*worker.Machine, tasks int) int {
 	covered := 0
-	for _, machine := range free {
+	for _, machine := range machines {
 		if covered >= tasks {
 			break
 		}
@@ -132,8 +134,8 @@
 	return covered
 }
 
-// machinesByFreeCPUs lists the machines that are up, those with the most free CPUs first.
-func (p *Placer) machinesByFreeCPUs() []*worker.Machine {
+// machinesByAvailableCPUs returns the machines that send heartbeats, those with the most available CPUs first.
+func (p *Placer) machinesByAvailableCPUs() []*worker.Machine {
 	machines := p.workers.ReportingMachines()
 	slices.SortFunc(machines, func(a, b *worker.Machine) int {
 		return cmp.Or(cmp.Compare(b.CPUs-b.UsedCPUs, a.CPUs-a.UsedCPUs), cmp.Compare(b.CPUs, a.CPUs), compareIDs(a, b))
--- a/internal/controller/placement/reservations_test.go
+++ b/internal/controller/placement/reservations_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// TestReservedMachineIsKeptForJob checks that a machine that is too full for a guaranteed job is reserved for it: free
-// resources go to that job and not to smaller tasks of best-effort jobs.
+// TestReservedMachineIsKeptForJob checks that a machine that is too full for a guaranteed job is reserved for it. Resources
+// that become available go to that job and not to smaller tasks of best-effort jobs.
 func TestReservedMachineIsKeptForJob(t *testing.T) {
 	f := newFixture()
 	machine := f.AddMachine(0, "small", "a", false)
 	small := f.addJob(0, 100, 1)
-	small.Team, small.ImageGB = "without quota", 1 // it must not reserve machines
+	small.Team, small.ImageGB = "without quota", 1 // a job of this team may not reserve machines
 	if commands := f.StartTasks(f.Now, machine, 3); len(commands) != 3 {
 		t.Fatalf("starts on an empty machine: got %d, want 3", len(commands))
 	}
@@ -28,6 +28,6 @@
 	f.clearMachine(machine)
 	commands := f.StartTasks(f.Now, machine, 300)
 	if len(commands) != 1 || len(large.ActiveAttempts) != 1 {
-		t.Errorf("starts: got %d, attempts of the large job %d, want 1, 1", len(commands), len(large.ActiveAttempts))
+		t.Errorf("starts: got %d, with %d attempts of the large job, want 1, 1", len(commands), len(large.ActiveAttempts))
 	}
 }
--- a/internal/controller/placement/start_tasks.go
+++ b/internal/controller/placement/start_tasks.go
@@ -11,19 +11,19 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// maxMachinesExamined bounds the fuller machines that are examined for one job in one heartbeat: the cost of a heartbeat
-// must not grow with the cluster. Packing loses little by it: if so many fuller machines have no resources for the job,
-// there are few free resources in the cluster.
+// maxMachinesExamined bounds the fuller machines that are examined for one job in one heartbeat, so that the cost of a
+// heartbeat does not grow with the cluster. Packing hardly suffers: if so many fuller machines have no resources for the
+// job, few resources are available in the cluster.
 const maxMachinesExamined = 64
 
-// shapeCheck caches what was found for the tasks of one shape on the machine whose starts are chosen.
+// shapeCheck caches the results for tasks of one shape on the machine that StartTasks was called for.
 type shapeCheck struct {
-	isRejected      bool // none of them fits, or the machine's kind is not allowed
+	isRejected      bool // no task fits, or the machine's kind is not allowed
 	isFullerCounted bool
-	tasksOnFuller   int // that fit on fuller machines; valid if isFullerCounted
+	tasksOnFuller   int // number of tasks that fit on fuller machines; valid if isFullerCounted
 }
 
-// startBatch is the starts that are chosen for a machine's heartbeat response.
+// startBatch collects the start commands for the response to one heartbeat.
 type startBatch struct {
 	now         time.Time
 	machine     *worker.Machine
@@ -31,7 +31,8 @@
 	commands    []workerapi.Command
 }
 
-// StartTasks chooses up to maxStarts tasks that the machine starts now and returns the commands for its heartbeat response.
+// StartTasks assigns up to maxStarts waiting tasks to the machine, and returns the start commands for the response to its
+// heartbeat. The result is nil if the machine may not start tasks now.
 func (p *Placer) StartTasks(now time.Time, machine *worker.Machine, maxStarts int) []workerapi.Command {
 	if !machine.Reconciled || !machine.Registered || machine.DrainReason != worker.NotDraining ||
 		machine.CPUs+machine.MemoryGB == 0 || now.Before(machine.StartsNotBefore) {
@@ -51,13 +52,13 @@
 	return batch.commands
 }
 
-// isFull reports whether no further start is possible: the commands are enough, or not even the smallest task fits.
+// isFull reports whether no more starts are possible: the batch is full, or not even the smallest waiting task fits.
 func (p *Placer) isFull(batch *startBatch) bool {
 	machine := batch.machine
 	return len(batch.commands) >= batch.maxCommands || machine.CPUs-machine.UsedCPUs < p.order.smallestTaskCPUs-units.ResourceTolerance
 }
 
-// countSameRank is how many candidates have the rank of the first one.
+// countSameRank returns how many candidates at the start of the list have the rank of the first one.
 func countSameRank(candidates []candidate) int {
 	count := 1
 	for count < len(candidates) && candidates[count].Rank == candidates[0].Rank {
@@ -66,7 +67,8 @@
 	return count
 }
 
-// startSameRank starts tasks of candidates of one rank: first of those whose image is on the machine, then of the others.
+// startSameRank starts tasks of candidates of one rank: first of the jobs whose image is cached on the machine, then of the
+// others.
 func (p *Placer) startSameRank(batch *startBatch, candidates []candidate) {
 	for _, withImage := range [...]bool{true, false} {
 		for i := range candidates {
@@ -75,7 +77,7 @@
 			}
 			entry := &candidates[i]
 			if p.rejects(batch.machine, entry) {
-				continue // the usual case in a long queue
+				continue // the most frequent case in a long queue
 			}
 			if prefersMachine(batch.now, entry.Job, batch.machine) == withImage {
 				p.startTasksOf(batch, entry)
@@ -86,8 +88,8 @@
 	}
 }
 
-// prefersMachine reports whether the job's tasks lose nothing by starting on the machine: it has their image, or they have
-// waited for a machine that has it as long as fetching takes.
+// prefersMachine reports whether the job's tasks need not wait for a better machine: their image is cached on this one, or
+// they have waited for a machine with the image for as long as fetching it takes.
 func prefersMachine(now time.Time, job *jobs.Job, machine *worker.Machine) bool {
 	return machine.ImageCache.Has(job.Image) ||
 		!job.PassedOverSince.IsZero() && now.Sub(job.PassedOverSince) >= machine.ImageCache.FetchTime(job.ImageGB)
@@ -110,7 +112,7 @@
 	}
 }
 
-// tasksToStart is the number of the job's tasks that the machine starts now; 0 or less: none.
+// tasksToStart returns how many of the job's tasks start on the machine now. Zero or less means none.
 func (p *Placer) tasksToStart(batch *startBatch, entry *candidate) int {
 	job, machine := entry.Job, batch.machine
 	count := min(machine.TasksThatFit(job), job.WaitingTasks(), batch.maxCommands-len(batch.commands))
@@ -121,7 +123,7 @@
 		return 0
 	}
 	if entry.MaxTasks > 0 {
-		count = min(count, entry.MaxTasks-len(job.ActiveAttempts)) // until the next order
+		count = min(count, entry.MaxTasks-len(job.ActiveAttempts)) // the maximum holds until the order is recomputed
 	}
 	count = min(count, TasksAllowedInZone(job, machine.Zone), p.tasksAllowedByQuota(job))
 	if count > 0 {
@@ -130,8 +132,9 @@
 	return count
 }
 
-// mayUseReserved reports whether the job may start on the machine in spite of a reservation for another job. Jobs that may
-// reserve machines themselves may, but only an older aged job may use what is reserved for one that is served first.
+// mayUseReserved reports whether the job may start on the machine despite a reservation for another job. Jobs that may
+// reserve machines themselves may do so. If the other job is aged and served first, only an older job that is aged and
+// served first may do so.
 func (p *Placer) mayUseReserved(machine *worker.Machine, entry *candidate) bool {
 	reservedFor := machine.ReservedFor
 	if reservedFor == nil || reservedFor == entry.Job {
@@ -143,7 +146,7 @@
 	return !p.order.agedFirst[reservedFor] || entry.IsAgedFirst() && ageing.IsOlder(entry.Job, reservedFor)
 }
 
-// gangStarts are the starts of placed gangs that were waiting for the machine's heartbeat.
+// gangStarts returns the start commands of placed gangs that waited for the machine's heartbeat.
 func (p *Placer) gangStarts(now time.Time, machine *worker.Machine, maxStarts int) []workerapi.Command {
 	if len(p.pendingGangStarts) == 0 {
 		return nil
@@ -159,7 +162,7 @@
 	return commands
 }
 
-// resetShapeChecks clears the checks, which are for another machine.
+// resetShapeChecks clears the cache, whose results are for another machine.
 func (p *Placer) resetShapeChecks() {
 	shapes := len(p.order.shapes)
 	if cap(p.shapeChecks) < shapes {
@@ -169,26 +172,27 @@
 	clear(p.shapeChecks)
 }
 
-// invalidateFullerCounts takes into account that the machine has got tasks: fewer other machines are fuller now. What was rejected
-// is still rejected.
+// invalidateFullerCounts drops the cached counts after tasks were assigned to the machine: fewer other machines are fuller
+// than it now. Cached rejections stay valid.
 func (p *Placer) invalidateFullerCounts() {
 	for i := range p.shapeChecks {
 		p.shapeChecks[i].isFullerCounted = false
 	}
 }
 
-// rejects reports whether no task of the job may start on the machine for lack of resources or by the machine's kind.
+// rejects reports whether no task of the job can start on the machine, because none fits or the machine's kind is not
+// allowed.
 func (p *Placer) rejects(machine *worker.Machine, entry *candidate) bool {
 	check := &p.shapeChecks[entry.shapeNumber]
 	check.isRejected = check.isRejected || machine.TasksThatFit(entry.Job) == 0 || !KindAllowed(entry.Job, MachineKind(machine))
 	return check.isRejected
 }
 
-// tasksLeftToFuller is how many of the job's waiting tasks are left to fuller machines.
+// tasksLeftToFuller returns how many of the job's waiting tasks are left to fuller machines.
 func (p *Placer) tasksLeftToFuller(now time.Time, entry *candidate, machine *worker.Machine) int {
 	job := entry.Job
 	if job.SingleZone || job.SpreadAcrossZones || job.FailureCount > 0 || p.reservations.jobs[job] {
-		// The job may differ from others of its shape.
+		// The result for such a job may differ from that for other jobs of its shape.
 		return p.tasksOnFuller(now, job, machine, job.WaitingTasks(), maxMachinesExamined)
 	}
 	check := &p.shapeChecks[entry.shapeNumber]
@@ -198,21 +202,21 @@
 	return min(check.tasksOnFuller, job.WaitingTasks())
 }
 
-// tasksOnFuller is the number of the job's tasks, up to maxTasks, that fit on fuller machines that send a heartbeat soon;
-// those tasks are left to them.
+// tasksOnFuller returns how many of the job's tasks, up to maxTasks, fit on fuller machines that will send a heartbeat soon.
+// It examines up to maxMachines machines. Those tasks are left to the fuller machines.
 func (p *Placer) tasksOnFuller(now time.Time, job *jobs.Job, machine *worker.Machine, maxTasks, maxMachines int) int {
 	tasks := 0
-	highest := worker.BucketCount
+	highestBucket := worker.BucketCount
 	if job.CPUs > 0 {
-		highest-- // in the last bucket no CPU is free
+		highestBucket-- // machines in the last bucket have no available CPU
 	}
-	own := machine.UtilizationBucket()
-	for bucket := highest; bucket >= own; bucket-- {
+	ownBucket := machine.UtilizationBucket()
+	for bucket := highestBucket; bucket >= ownBucket; bucket-- {
 		for _, other := range p.workers.MachinesInBucket(bucket) {
 			if maxMachines--; maxMachines < 0 || tasks >= maxTasks {
 				return min(tasks, maxTasks)
 			}
-			if other != machine && (bucket > own || IsFuller(other, machine)) && p.takesTasksSoon(now, job, other) {
+			if other != machine && (bucket > ownBucket || IsFuller(other, machine)) && p.takesTasksSoon(now, job, other) {
 				tasks += min(other.TasksThatFit(job), TasksAllowedInZone(job, other.Zone))
 			}
 		}
@@ -222,6 +226,6 @@
 
 // takesTasksSoon reports whether the machine may start tasks of the job with its next heartbeat.
 func (p *Placer) takesTasksSoon(now time.Time, job *jobs.Job, machine *worker.Machine) bool {
-	return machine.Reconciled && machine.Registered && p.heartbeatIsRecent(now, machine) && !now.Before(machine.StartsNotBefore) &&
+	return machine.Reconciled && machine.Registered && p.contactIsRecent(now, machine) && !now.Before(machine.StartsNotBefore) &&
 		(machine.ReservedFor == nil || machine.ReservedFor == job) && IsEligible(job, machine)
 }
