--- a/internal/controller/ageing/ageing_test.go
+++ b/internal/controller/ageing/ageing_test.go
@@ -30,9 +30,9 @@
 	return live
 }
 
-// firstJobsByWalk is the model: it takes one job after the other, the oldest first, and recomputes everything
-// each time.
-func firstJobsByWalk(policy Policy, now time.Time, live []*jobs.Job, cpus float64, startableTasks func(*jobs.Job) int) map[string]bool {
+// firstJobsReference is the reference implementation of Policy.FirstJobs. It selects one job at a time, the oldest first,
+// and recomputes all sums each time.
+func firstJobsReference(policy Policy, now time.Time, live []*jobs.Job, cpus float64, startableTasks func(*jobs.Job) int) map[string]bool {
 	first := map[string]bool{}
 	for {
 		usedCPUs := 0.0
@@ -58,9 +58,10 @@
 	}
 }
 
-// TestFirstJobsMatchWalk compares the jobs that are served first with a model. Cancelling a job and submitting it again
-// gains nothing: no other job loses its place, and the new jobs are not first.
-func TestFirstJobsMatchWalk(t *testing.T) {
+// TestFirstJobsMatchReference compares the jobs that are served first with the reference implementation. It also checks that
+// cancelling a job and submitting it again gains nothing: no other job loses its place, and the new jobs are not served
+// first.
+func TestFirstJobsMatchReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(10_000, 0)
 		policy := Policy{AgeBound: 5 * time.Minute, Share: rapid.Float64Range(0.01, 0.9).Draw(t, "share"), EstimateError: 2}
@@ -69,13 +70,13 @@
 		limit := map[string]int{"a": rapid.IntRange(0, 3).Draw(t, "limit"), "b": 9}
 		startableTasks := func(job *jobs.Job) int { return min(job.WaitingTasks(), limit[job.Team]) }
 		got := policy.FirstJobs(now, live, cpus, startableTasks)
-		want := firstJobsByWalk(policy, now, live, cpus, startableTasks)
+		want := firstJobsReference(policy, now, live, cpus, startableTasks)
 		if len(got) != len(want) {
-			t.Fatalf("number of first jobs: got %d, want %v", len(got), want)
+			t.Fatalf("number of first jobs: got %d, want %d: %v", len(got), len(want), want)
 		}
 		for job := range got {
 			if !want[job.ID] {
-				t.Fatalf("first job %s: want one of %v", job.ID, want)
+				t.Fatalf("first jobs: got %s, want only %v", job.ID, want)
 			}
 		}
 		cancelled := rapid.IntRange(0, len(live)-1).Draw(t, "again")
@@ -85,18 +86,18 @@
 		later := policy.FirstJobs(now, resubmit(now, live, cancelled), cpus, startableTasks)
 		for job := range got {
 			if job != live[cancelled] && !later[job] {
-				t.Fatalf("%s: no longer first after another job was resubmitted, want first", job.ID)
+				t.Fatalf("%s after another job was resubmitted: got not first, want first", job.ID)
 			}
 		}
 		for job := range later {
 			if job.SubmittedAt.Equal(now) {
-				t.Fatalf("resubmitted job %s: first, want not first", job.ID)
+				t.Fatalf("resubmitted job %s: got first, want not first", job.ID)
 			}
 		}
 	})
 }
 
-// resubmit returns the jobs with one of them cancelled and submitted again as several jobs of the same total size.
+// resubmit returns the jobs with one of them cancelled and submitted again as jobs of one task each.
 func resubmit(now time.Time, live []*jobs.Job, cancelled int) []*jobs.Job {
 	resubmitted := append(slices.Clone(live[:cancelled]), live[cancelled+1:]...)
 	for index := range live[cancelled].Tasks {
--- a/internal/controller/ageing/wait_bound_test.go
+++ b/internal/controller/ageing/wait_bound_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestWaitBound checks the bound for a known load ahead, and that there is none without an aged share.
+// TestWaitBound checks the bound for a known load ahead, and that it is unknown without a share for aged jobs.
 func TestWaitBound(t *testing.T) {
 	policy := Policy{AgeBound: 7 * time.Minute, Share: 0.1, EstimateError: 2}
 	ahead := WorkAhead{
@@ -18,20 +18,19 @@
 		UsableCPUs:  240,
 		StartDelay:  10 * time.Second,
 	}
-	// On 24 CPUs: 36,000 CPU seconds that may take twice as long, 120 CPUs that wait 130 s for their machines, and then
-	// 130 s for the job's own machine.
+	// The share is 24 CPUs. 36,000 CPU seconds that may take twice as long take 3000 s, and 120 CPUs that each wait 130 s for
+	// a machine take 650 s. Then the job waits 130 s for its own machine.
 	first := 7*time.Minute + 3000*time.Second + 650*time.Second + 130*time.Second
 	want := WaitBound{FirstStart: first, LastStart: first + 100*time.Second + 130*time.Second, IsKnown: true}
 	if got := policy.WaitBound(ahead); got != want {
 		t.Errorf("wait bound: got %+v, want %+v", got, want)
 	}
 	if got := (Policy{AgeBound: time.Minute, EstimateError: 2}).WaitBound(ahead); got.IsKnown {
-		t.Errorf("wait bound without an aged share: got %+v, want unknown", got)
+		t.Errorf("wait bound without a share for aged jobs: got %+v, want unknown", got)
 	}
 }
 
-// TestWaitBoundGrowsWithWorkAhead checks that a bound never falls because of more work ahead, less capacity, or a
-// quota.
+// TestWaitBoundGrowsWithWorkAhead checks that more work ahead, less capacity or a quota never lowers the bound.
 func TestWaitBoundGrowsWithWorkAhead(t *testing.T) {
 	policy := Policy{AgeBound: 7 * time.Minute, Share: 0.1, EstimateError: 2}
 	rapid.Check(t, func(t *rapid.T) {
