--- a/internal/controller/fairshare/allocate.go
+++ b/internal/controller/fairshare/allocate.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// minClassShareForLargest is the share of a class that is to be done before its largest jobs go ahead of the others.
-	// Without it the longest of six jobs got capacity as the third, could not be done by the end of the simulated day, and
-	// kept the capacity from a job that could: two were done (a4e2-15).
+	// minClassShareForLargest is the share of a class that must be done before its largest jobs are served ahead of its
+	// other jobs. Without this limit, the longest of six jobs was the third to get capacity. It could not finish by the end
+	// of the simulated day, and took the capacity from a job that could. Only two of the six jobs were done (a4e2-15).
 	minClassShareForLargest = 0.5
-	// maxShareOfOneGroup is the part of a share that one group gets while jobs of other groups wait for it.
+	// maxShareOfOneGroup is the part of a share that one group may use while jobs of other groups wait for the share.
 	maxShareOfOneGroup = 0.5
 )
 
-// OverdueJob is an overdue job and what it needs.
+// OverdueJob is an overdue job with its needs.
 type OverdueJob struct {
 	Job                 *jobs.Job
 	RemainingCPUSeconds float64
 	StartableTasks      int  // waiting tasks that the team's quota allows to run
-	IsUnserved          bool // it counts against the served share of its class and team
+	IsUnserved          bool // counts against the served share of its class and team
 }
 
-// Reason is why an overdue job has capacity of its own; the zero value means that it has none.
+// Reason is why an overdue job has allocated capacity. The zero value means that it has none.
 type Reason int
 
-// The reasons.
+// Reasons for allocated capacity.
 const (
-	Overdue       Reason = iota + 1 // within the share of all overdue jobs
-	BelowMinShare                   // a class or team of the job is served less than the minimum share
+	Overdue       Reason = iota + 1 // within Policy.OverdueShare, for all overdue jobs
+	BelowMinShare                   // a group of the job is below its minimum served share
 )
 
-// groupState is how a group is served while capacity is allocated.
+// groupState is the state of a group during an allocation.
 type groupState struct {
 	minServedShare float64
-	done           float64 // jobs done, with those that were allocated capacity
-	unserved       float64 // unserved jobs without capacity
-	usedCPUs       float64
-	waiting        []int // overdue jobs that can start tasks, by index, the least remaining work first
+	done           float64 // decayed count of done jobs, plus the jobs that got capacity in this allocation
+	unserved       float64 // unserved jobs that did not get capacity in this allocation
+	usedCPUs       float64 // CPUs of the allocations to jobs of the group
+	waiting        []int   // indexes of the overdue jobs that can start tasks; the least remaining work first
 }
 
 func (s *groupState) servedShare() float64 {
@@ -59,14 +59,14 @@
 	allocator *Allocator
 	overdue   []OverdueJob // the least remaining work first
 	states    map[Group]*groupState
-	groups    []Group // of the states, in order
-	usedCPUs  float64
+	groups    []Group // keys of states, in the order of compareGroups
+	usedCPUs  float64 // CPUs of all allocations
 	totalCPUs float64
 	reasons   map[*jobs.Job]Reason // the result
 }
 
-// Allocate decides which overdue jobs have capacity of their own now, and why. live are all jobs that may run, and
-// totalCPUs those of the cluster.
+// Allocate decides which overdue jobs have allocated capacity now, and returns the reason for each of them. live are all
+// jobs that may run, and totalCPUs the CPUs of the cluster. The result is nil if no job is overdue.
 func (a *Allocator) Allocate(now time.Time, overdue []OverdueJob, live []*jobs.Job, totalCPUs float64) map[*jobs.Job]Reason {
 	a.dropFinished(overdue)
 	clear(a.status)
@@ -90,7 +90,7 @@
 	return allocation.reasons
 }
 
-// dropFinished drops the allocations of jobs that are not overdue any more or have no active attempt.
+// dropFinished ends the allocations of jobs that are no longer overdue or have no active attempt.
 func (a *Allocator) dropFinished(overdue []OverdueJob) {
 	if len(a.allocated) == 0 {
 		return
@@ -102,18 +102,18 @@
 	maps.DeleteFunc(a.allocated, func(job *jobs.Job, _ bool) bool { return !isOverdue[job] || len(job.ActiveAttempts) == 0 })
 }
 
-// newAllocation counts what each group has, with the CPUs that earlier allocations still use.
+// newAllocation computes the state of each group. CPUs that earlier allocations still use count as used.
 func (a *Allocator) newAllocation(now time.Time, overdue []OverdueJob, totalCPUs float64) *allocation {
-	list := slices.Clone(overdue)
-	slices.SortFunc(list, func(x, y OverdueJob) int {
+	sorted := slices.Clone(overdue)
+	slices.SortFunc(sorted, func(x, y OverdueJob) int {
 		return cmp.Or(
 			cmp.Compare(x.RemainingCPUSeconds, y.RemainingCPUSeconds),
 			x.Job.EligibleSince().Compare(y.Job.EligibleSince()),
 			cmp.Compare(x.Job.ID, y.Job.ID),
 		)
 	})
-	n := &allocation{allocator: a, overdue: list, states: map[Group]*groupState{}, totalCPUs: totalCPUs, reasons: map[*jobs.Job]Reason{}}
-	for i := range list {
+	n := &allocation{allocator: a, overdue: sorted, states: map[Group]*groupState{}, totalCPUs: totalCPUs, reasons: map[*jobs.Job]Reason{}}
+	for i := range sorted {
 		n.count(now, i)
 	}
 	n.groups = slices.SortedFunc(maps.Keys(n.states), compareGroups)
@@ -140,7 +140,7 @@
 	}
 }
 
-// state returns the state of a group, which it makes if there is none.
+// state returns the state of a group, and creates it if it does not exist.
 func (n *allocation) state(now time.Time, group Group) *groupState {
 	state := n.states[group]
 	if state == nil {
@@ -153,7 +153,7 @@
 	return state
 }
 
-// distribute allocates capacity to the groups that are served least until the shares are used up.
+// distribute allocates capacity to the least served groups until the shares are used up.
 func (n *allocation) distribute() {
 	for {
 		state := n.next()
@@ -164,9 +164,9 @@
 	}
 }
 
-// next is the group that gets capacity next: the one that is served least. Since a group that floods the queue is always
-// served least, a group that uses maxShareOfOneGroup goes behind the other groups with waiting jobs; but a group below the
-// minimum share never goes behind one above it.
+// next returns the group that gets capacity next: the least served one, or nil if no job waits. A group that floods the
+// queue is always served least. A group that uses maxShareOfOneGroup therefore goes behind the other groups with waiting
+// jobs. But a group below its minimum share never goes behind a group above its own.
 func (n *allocation) next() *groupState {
 	var least, leastBelowCap *groupState
 	for _, group := range n.groups {
@@ -189,7 +189,7 @@
 	return least
 }
 
-// skipAllocated drops the group's first waiting jobs that have got capacity by another group.
+// skipAllocated drops the group's first waiting jobs that already got capacity through another group.
 func (n *allocation) skipAllocated(state *groupState) {
 	for len(state.waiting) > 0 && n.reasons[n.overdue[state.waiting[0]].Job] != 0 {
 		state.waiting = state.waiting[1:]
@@ -205,7 +205,7 @@
 	return len(class.waiting) > 0 && class.servedShare() < minClassShareForLargest
 }
 
-// shareFor is the share of the cluster's CPUs up to which the group gets capacity.
+// shareFor returns the share of the cluster's CPUs up to which the group gets capacity.
 func (n *allocation) shareFor(state *groupState) float64 {
 	return n.allocator.policy.cpuShareFor(state.servedShare(), state.minServedShare)
 }
--- a/internal/controller/fairshare/best_choice_test.go
+++ b/internal/controller/fairshare/best_choice_test.go
@@ -12,7 +12,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// servedCounts counts, by class and team, the done jobs and all jobs.
+// servedCounts holds the number of done jobs and of all jobs, by class and team.
 type servedCounts struct{ done, all map[Group]float64 }
 
 func newServedCounts(done map[Group]float64) servedCounts {
@@ -28,8 +28,8 @@
 	}
 }
 
-// least is the share of the group that is served least.
-func (c servedCounts) least() float64 {
+// leastServedShare returns the served share of the least served group.
+func (c servedCounts) leastServedShare() float64 {
 	least := 1.0
 	for group, all := range c.all {
 		least = min(least, c.done[group]/all)
@@ -37,7 +37,7 @@
 	return least
 }
 
-// classAndTeam are the groups of a job that is none of the largest.
+// classAndTeam returns the groups of a job that is not one of the largest of its class.
 func classAndTeam(job *jobs.Job) []Group {
 	return []Group{{Name: job.Class}, {IsTeam: true, Name: job.Team}}
 }
@@ -46,8 +46,9 @@
 	return float64(candidate.StartableTasks) * estimate.CountedCPUs(candidate.Job)
 }
 
-// bestLeastShare is the model: the most that the least served group can have, by every set of jobs that fits.
-func bestLeastShare(done map[Group]float64, overdue []OverdueJob, availableCPUs float64) float64 {
+// bestLeastServedShare is the reference: it tries every set of jobs that fits, and returns the highest possible served share
+// of the least served group.
+func bestLeastServedShare(done map[Group]float64, overdue []OverdueJob, availableCPUs float64) float64 {
 	best := 0.0
 	for code := range 1 << len(overdue) {
 		usedCPUs := 0.0
@@ -60,13 +61,13 @@
 			counts.add(candidate.Job, isChosen)
 		}
 		if usedCPUs <= availableCPUs+1e-9 {
-			best = max(best, counts.least())
+			best = max(best, counts.leastServedShare())
 		}
 	}
 	return best
 }
 
-// drawDone records random numbers of done jobs of three classes and two teams, and returns them by group.
+// drawDone records random numbers of done jobs in three classes and two teams, and returns them by group.
 func drawDone(t *rapid.T, now time.Time, allocator *Allocator) map[Group]float64 {
 	done := map[Group]float64{}
 	for class := range 3 {
@@ -92,8 +93,8 @@
 	return overdue
 }
 
-// TestLeastServedNearBestChoice checks on small cases that the least served group gets nearly what the best choice of
-// jobs would give it, and that only the last job may exceed the share.
+// TestLeastServedNearBestChoice checks on small cases that the least served group gets nearly as much as with the best
+// choice of jobs. Only the last allocated job may exceed the share.
 func TestLeastServedNearBestChoice(t *testing.T) {
 	const totalCPUs = 60
 	sum, sumOfBest, worst := 0.0, 0.0, 0.0
@@ -117,13 +118,13 @@
 		if len(allocations) > 1 && usedCPUs-largest >= shareCPUs {
 			t.Errorf("allocated CPUs: got %g, want at most the share of %g and one job", usedCPUs, shareCPUs)
 		}
-		// The last job may exceed the share: the best choice may use as much.
-		best := bestLeastShare(done, overdue, max(usedCPUs, shareCPUs))
-		sum, sumOfBest = sum+counts.least(), sumOfBest+best
-		worst = max(worst, best-counts.least())
+		// Since the last job may exceed the share, the best choice may use as many CPUs.
+		best := bestLeastServedShare(done, overdue, max(usedCPUs, shareCPUs))
+		sum, sumOfBest = sum+counts.leastServedShare(), sumOfBest+best
+		worst = max(worst, best-counts.leastServedShare())
 	})
-	t.Logf("the group served least gets %.3f of the best choice, at worst %.2f less", sum/max(sumOfBest, 1e-9), worst)
+	t.Logf("served share of the least served group: %.3f of the best choice, at worst %.2f less", sum/max(sumOfBest, 1e-9), worst)
 	if sum < 0.85*sumOfBest {
-		t.Errorf("share of the best choice for the group served least: got %.3f, want at least 0.85", sum/sumOfBest)
+		t.Errorf("served share of the least served group, relative to the best choice: got %.3f, want at least 0.85", sum/sumOfBest)
 	}
 }
--- a/internal/controller/fairshare/decaying_count.go
+++ b/internal/controller/fairshare/decaying_count.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// minListedCount is the count below which a group is neither listed nor saved.
+// minListedCount is the count of done jobs below which a group is neither listed nor saved.
 const minListedCount = 0.01
 
 // decayingCount is a number of jobs that decays exponentially with time.
@@ -14,7 +14,7 @@
 	updatedAt time.Time
 }
 
-// decayTo brings the count up to date and returns it.
+// decayTo decays the count up to now and returns it. window is the time constant.
 func (c *decayingCount) decayTo(now time.Time, window time.Duration) float64 {
 	if elapsed := now.Sub(c.updatedAt); elapsed > 0 && window > 0 {
 		c.count *= math.Exp(-elapsed.Seconds() / window.Seconds())
--- a/internal/controller/fairshare/fairshare.go
+++ b/internal/controller/fairshare/fairshare.go
@@ -1,11 +1,12 @@
-// Package fairshare keeps any class of jobs and any team from being left unserved in a long shortage (fair sharing). An
-// Allocator owns the counts of recently done jobs by class and team, and the set of overdue jobs that have capacity of
-// their own. The queue calls it for each order. It never starts, stops or places a task.
+// Package fairshare ensures that no class of jobs and no team stays unserved during a long shortage (fair sharing). Its
+// Allocator owns the counts of recently done jobs by class and team, and the set of overdue jobs with allocated capacity.
+// The queue calls it for each order. The package never starts, stops or places a task.
 //
-// A job is overdue if it can meet none of its objectives any more or has waited past the age bound; it is unserved if it
-// is overdue by so much that it counts against its class and team. Overdue jobs have two shares of the cluster: a small
-// one at all times, and a larger one while a class or team has less than the minimum share of its jobs done. Both go first
-// to the class or team that is served least, and there to the job with the least remaining work.
+// A job is overdue if it can no longer meet any of its objectives, or has waited longer than the age bound. An overdue job
+// is unserved if it is overdue by so much that it counts against its class and team. Overdue jobs have two shares of the
+// cluster: a small one at all times, and a larger one while a class or team has less than the minimum share of its jobs
+// done. Both shares go first to the class or team that is served least, and within it to the job with the least remaining
+// work.
 //
 // Design note, with the alternatives and their limits: docs/design/fairshare.md.
 package fairshare
@@ -22,13 +23,13 @@
 
 // Policy holds the operators' settings for fair sharing.
 type Policy struct {
-	Window         time.Duration // time constant with which the counts of done jobs decay
-	MinServedShare float64       // share of the jobs of each class and team that is to be done
-	CapacityShare  float64       // of the cluster's CPUs, for classes and teams below MinServedShare
-	OverdueShare   float64       // of the cluster's CPUs, for overdue jobs of any class and team
+	Window         time.Duration // time constant of the exponential decay of the counts of done jobs
+	MinServedShare float64       // minimum share of the jobs of each class and team that should be done
+	CapacityShare  float64       // share of the cluster's CPUs for classes and teams below MinServedShare
+	OverdueShare   float64       // share of the cluster's CPUs for overdue jobs of any class and team
 }
 
-// PolicyOf returns the policy that the operators have set.
+// PolicyOf returns the policy that the options set.
 func PolicyOf(options config.Options) Policy {
 	return Policy{
 		Window:         options.FairShareWindow,
@@ -38,19 +39,19 @@
 	}
 }
 
-// largestLeniency is how much less of the largest jobs than of their class is to be done. In a busy period they are the
-// first to be overdue, and capacity for them is taken from many others.
-const largestLeniency = 0.1
+// largestMinShareReduction is how much lower the minimum served share of the largest jobs of a class is than that of the
+// class. In a busy period these jobs are overdue first, and capacity for them is taken from many other jobs.
+const largestMinShareReduction = 0.1
 
-// minServedShareOf is the share of the group's jobs that is to be done.
+// minServedShareOf returns the minimum share of the group's jobs that should be done.
 func (p Policy) minServedShareOf(group Group) float64 {
 	if group.IsLargest {
-		return p.MinServedShare - largestLeniency
+		return p.MinServedShare - largestMinShareReduction
 	}
 	return p.MinServedShare
 }
 
-// cpuShareFor is the share of the cluster's CPUs up to which a group with the given shares gets capacity.
+// cpuShareFor returns the share of the cluster's CPUs up to which a group gets capacity.
 func (p Policy) cpuShareFor(servedShare, minServedShare float64) float64 {
 	if servedShare < minServedShare {
 		return max(p.CapacityShare, p.OverdueShare)
@@ -58,14 +59,15 @@
 	return p.OverdueShare
 }
 
-// Group is a class of jobs, a team, or the largest jobs of a class.
+// Group is a class of jobs, a team, or the largest jobs of a class. It is comparable.
 type Group struct {
-	IsTeam    bool // a team; otherwise a class
+	IsTeam    bool // the group is a team; otherwise a class
 	Name      string
-	IsLargest bool // the largest jobs of the class
+	IsLargest bool // the group is only the largest jobs of the class
 }
 
-// compareGroups orders classes before teams before the largest jobs of classes, and these by name.
+// compareGroups orders classes before teams, and teams before the largest jobs of classes. Groups of one kind are ordered by
+// name.
 func compareGroups(a, b Group) int {
 	return cmp.Or(cmp.Compare(a.kind(), b.kind()), cmp.Compare(a.Name, b.Name))
 }
@@ -80,29 +82,29 @@
 	return 0
 }
 
-// GroupStatus is how a group was served when capacity was allocated last.
+// GroupStatus describes how a group was served as of the last allocation.
 type GroupStatus struct {
 	Group
-	Done        float64 // jobs done, decayed
+	Done        float64 // decayed count of done jobs
 	Unserved    int     // unserved jobs
-	Allocated   int     // overdue jobs with capacity of their own
-	ServedShare float64 // done jobs, of done and unserved ones
+	Allocated   int     // overdue jobs with allocated capacity
+	ServedShare float64 // done jobs as a fraction of done and unserved jobs
 }
 
-// Allocator allocates capacity to overdue jobs. Each leadership has its own. It is not safe for concurrent use.
+// Allocator allocates capacity to overdue jobs. Each leadership has its own Allocator. It is not safe for concurrent use.
 type Allocator struct {
 	policy      Policy
-	done        map[Group]*decayingCount // jobs done
-	recentSizes map[string][]jobSize     // by class, of the jobs done last
-	largestFrom map[string]jobSize       // by class, the size from which a job is one of the largest
-	allocated   map[*jobs.Job]bool       // have, or had, capacity of their own and still run
-	status      map[Group]GroupStatus    // as of the last allocation
+	done        map[Group]*decayingCount // decayed counts of done jobs
+	recentSizes map[string][]jobSize     // by class: the sizes of the jobs done last
+	largestFrom map[string]jobSize       // by class: the size from which a job is one of the largest
+	allocated   map[*jobs.Job]bool       // jobs that have, or had, allocated capacity and still run
+	status      map[Group]GroupStatus    // groups with overdue jobs, as of the last allocation
 
-	isChanged bool // since the counts were saved last
+	isChanged bool // the counts have changed since they were last saved
 	nextSave  time.Time
 }
 
-// New returns an allocator without counts.
+// New returns an Allocator without counts. Restore sets the counts of an earlier leader.
 func New(policy Policy) *Allocator {
 	return &Allocator{
 		policy:      policy,
@@ -117,7 +119,7 @@
 // SetPolicy replaces the operators' settings.
 func (a *Allocator) SetPolicy(policy Policy) { a.policy = policy }
 
-// RecordDone counts a job that is done.
+// RecordDone counts a job that is done for its groups, and ends its allocation.
 func (a *Allocator) RecordDone(now time.Time, job *jobs.Job) {
 	delete(a.allocated, job)
 	a.isChanged = true
@@ -133,13 +135,14 @@
 	}
 }
 
-// NoneDoneRecently reports whether practically no job of the class was done within the window.
+// NoneDoneRecently reports whether almost no job of the class was done within the window. The decayed count must be below
+// one half.
 func (a *Allocator) NoneDoneRecently(now time.Time, class string) bool {
 	count := a.done[Group{Name: class}]
 	return count == nil || count.decayTo(now, a.policy.Window) < 0.5
 }
 
-// groupsOf are the groups that a job counts for.
+// groupsOf returns the groups for which a job counts.
 func (a *Allocator) groupsOf(job *jobs.Job) []Group {
 	groups := []Group{{Name: job.Class}, {IsTeam: true, Name: job.Team}}
 	if a.isLargest(job) {
@@ -148,8 +151,8 @@
 	return groups
 }
 
-// ReservedCPUShare is the share of the cluster's CPUs that must not be planned for deadline jobs, since overdue jobs may
-// use it now.
+// ReservedCPUShare returns the share of the cluster's CPUs that must not be planned for jobs with deadlines, since overdue
+// jobs may use it now. It is 0 if no overdue job has allocated capacity.
 func (a *Allocator) ReservedCPUShare() float64 {
 	share := 0.0
 	for _, status := range a.status {
@@ -160,8 +163,8 @@
 	return share
 }
 
-// Status lists how each group was served as of the last allocation, the least served first: the groups with overdue jobs
-// and those of which jobs were done recently.
+// Status returns how each group was served as of the last allocation, the least served group first. It lists the groups with
+// overdue jobs and the groups with recently done jobs.
 func (a *Allocator) Status(now time.Time) []GroupStatus {
 	groups := map[Group]GroupStatus{}
 	for group, count := range a.done {
--- a/internal/controller/fairshare/fairshare_test.go
+++ b/internal/controller/fairshare/fairshare_test.go
@@ -18,7 +18,7 @@
 	return Policy{Window: 10 * time.Minute, MinServedShare: 0.6, CapacityShare: 0.2, OverdueShare: 0.1}
 }
 
-// newJob returns an accepted job with tasks of a minute.
+// newJob returns an accepted job whose tasks run for a minute.
 func newJob(number int, class, team string, tasks int, cpus float64) *jobs.Job {
 	job := jobs.New(
 		jobs.Spec{
@@ -36,7 +36,7 @@
 	return job
 }
 
-// unservedJob is the job as an overdue one that counts against its class and team.
+// unservedJob returns the job as an overdue job that counts against its class and team.
 func unservedJob(job *jobs.Job) OverdueJob {
 	return OverdueJob{
 		Job:                 job,
@@ -54,7 +54,8 @@
 	}
 }
 
-// TestServedCountsAreRestored checks that a leader elected in a shortage restores the served counts with their age.
+// TestServedCountsAreRestored checks that a leader elected during a shortage restores the served counts, decayed since they
+// were saved.
 func TestServedCountsAreRestored(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	store := storage.New(storage.Options{MaxValueBytes: 4096, MaxTransactionOps: 8, WriteRate: 20}, 1, log)
@@ -85,10 +86,10 @@
 	}
 }
 
-// TestOverdueIsNotYetUnserved checks that jobs that are overdue but not yet unserved get the small share only. On a
-// busy day of the first site whole classes were overdue and done soon after, and two fifths of the cluster for them
-// made other jobs miss their objectives.
-func TestOverdueIsNotYetUnserved(t *testing.T) {
+// TestOverdueNotUnservedGetsSmallShare checks that jobs that are overdue but not unserved get only the small share. On a
+// busy day of the first site, whole classes were overdue and done soon after. Two fifths of the cluster for them made other
+// jobs miss their objectives.
+func TestOverdueNotUnservedGetsSmallShare(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		isUnserved bool
@@ -118,13 +119,13 @@
 	}
 }
 
-// TestAllocatedCPUsCountWhileInUse checks that allocated capacity counts while it is in use, also if its job has
-// nothing left to start.
+// TestAllocatedCPUsCountWhileInUse checks that allocated capacity counts while it is in use, even if its job has no task
+// left to start.
 func TestAllocatedCPUsCountWhileInUse(t *testing.T) {
 	allocator, now := New(testPolicy()), time.Unix(10_000, 0)
 	first, second := newJob(1, "c", "t", 20, 1), newJob(2, "c", "t", 20, 1)
 	if allocator.Allocate(now, []OverdueJob{unservedJob(first)}, nil, 100)[first] == 0 {
-		t.Fatal("allocation of an overdue job: got none, want one")
+		t.Fatal("allocation to an overdue job: got none, want one")
 	}
 	startAllTasks(first)
 	if allocations := allocator.Allocate(now, []OverdueJob{unservedJob(first), unservedJob(second)}, nil, 100); len(allocations) != 0 {
@@ -139,9 +140,9 @@
 	}
 }
 
-// TestLargestJobsOfClass checks that in a class with jobs of one size no job is among the largest, and that in other
-// classes the top tenth by work or by tasks is, at least one job. The largest are below the minimum share as a group of
-// their own although their class is served well.
+// TestLargestJobsOfClass checks that a class with jobs of one size has no largest jobs. In other classes these are the top
+// tenth by work or by tasks, at least one job. As a group of their own, the largest jobs can be below the minimum share
+// although their class is served well.
 func TestLargestJobsOfClass(t *testing.T) {
 	now := time.Unix(5000, 0)
 	allocator := New(Policy{Window: time.Hour, MinServedShare: 0.7, CapacityShare: 0.5})
@@ -149,30 +150,30 @@
 	for i := range 30 {
 		live = append(live, newJob(i, "even", "t", 7, 1), newJob(100+i, "odd", "t", 5, 1))
 	}
-	most, widest := newJob(300, "odd", "t", 400, 1), newJob(301, "odd", "t", 500, 0.01)
-	live = append(live, most, widest)
+	mostWork, mostTasks := newJob(300, "odd", "t", 400, 1), newJob(301, "odd", "t", 500, 0.01)
+	live = append(live, mostWork, mostTasks)
 	for range 40 {
 		allocator.RecordDone(now, live[0])
 		allocator.RecordDone(now, live[1])
 	}
-	allocations := allocator.Allocate(now, []OverdueJob{unservedJob(most), unservedJob(live[1])}, live, 10_000)
+	allocations := allocator.Allocate(now, []OverdueJob{unservedJob(mostWork), unservedJob(live[1])}, live, 10_000)
 	for _, job := range live {
 		isLargest := len(allocator.groupsOf(job)) == 3
-		if want := job == most || job == widest; isLargest != want {
-			t.Errorf("%s of %d tasks: largest %v, want %v", job.Class, job.Tasks, isLargest, want)
+		if want := job == mostWork || job == mostTasks; isLargest != want {
+			t.Errorf("job of class %s with %d tasks: got largest %v, want %v", job.Class, job.Tasks, isLargest, want)
 		}
 	}
-	if allocations[most] != BelowMinShare || allocations[live[1]] == BelowMinShare {
+	if allocations[mostWork] != BelowMinShare || allocations[live[1]] == BelowMinShare {
 		t.Errorf(
 			"reasons: got %v for one of the largest, %v for another job, want only the first %v",
-			allocations[most], allocations[live[1]], BelowMinShare,
+			allocations[mostWork], allocations[live[1]], BelowMinShare,
 		)
 	}
 }
 
-// TestHalfOfClassBeforeItsLargest checks that the largest job of a class does not go first while less than half of the
-// class is done: it would take the capacity of a job that can still be done.
-func TestHalfOfClassBeforeItsLargest(t *testing.T) {
+// TestLargestJobsWaitForHalfOfClass checks that the largest job of a class is not served first while less than half of the
+// class is done. It would take the capacity of a job that can still be done.
+func TestLargestJobsWaitForHalfOfClass(t *testing.T) {
 	now := time.Unix(5000, 0)
 	allocator := New(Policy{Window: time.Hour, MinServedShare: 0.7, CapacityShare: 0.4})
 	var live []*jobs.Job
@@ -189,14 +190,14 @@
 	allocations := allocator.Allocate(now, overdue, live, 3300)
 	for i, job := range live {
 		if want := i < 3; (allocations[job] != 0) != want {
-			t.Errorf("job %d with tasks of %v: allocation %v, want allocated %v", i, job.RunTimeEstimate, allocations[job], want)
+			t.Errorf("job %d with tasks of %v: got reason %v, want allocated %v", i, job.RunTimeEstimate, allocations[job], want)
 		}
 	}
-	// Once half of the class is done, the largest is served least.
+	// Once half of the class is done, the group of its largest jobs is the least served.
 	for _, job := range live[:3] {
 		allocator.RecordDone(now, job)
 	}
 	if allocations := allocator.Allocate(now, overdue[3:], live[3:], 1000); allocations[live[5]] == 0 || allocations[live[3]] != 0 {
-		t.Errorf("allocations after half of the class: got %v, want one for %s and none for %s", allocations, live[5].ID, live[3].ID)
+		t.Errorf("allocations after half of the class is done: got %v, want one for %s and none for %s", allocations, live[5].ID, live[3].ID)
 	}
 }
--- a/internal/controller/fairshare/flood_test.go
+++ b/internal/controller/fairshare/flood_test.go
@@ -7,19 +7,19 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// floodCPUs are those of the cluster in the flood.
+// floodCPUs is the number of CPUs of the cluster in the flood.
 const floodCPUs = 600
 
-// floodStream submits jobs of one kind.
+// floodStream submits jobs of one kind at an interval, and counts them.
 type floodStream struct {
-	class, team  string
-	tasks        int
-	cpus         float64
-	interval     int // seconds between two jobs
-	came, served int
+	class, team       string
+	tasks             int
+	cpus              float64
+	interval          int // seconds between two jobs
+	submitted, served int
 }
 
-// flood simulates a shortage in which all jobs are overdue and run only on capacity of their own, 30 s each.
+// flood simulates a shortage in which all jobs are overdue and run only on allocated capacity. Every task runs for 30 s.
 type flood struct {
 	allocator *Allocator
 	now       time.Time
@@ -33,13 +33,13 @@
 	for _, stream := range f.streams {
 		if second%stream.interval == 0 {
 			f.submitted++
-			stream.came++
+			stream.submitted++
 			f.live[newJob(f.submitted, stream.class, stream.team, stream.tasks, stream.cpus)] = stream
 		}
 	}
 }
 
-// allocate starts the jobs that get capacity and returns the CPUs that were in use before.
+// allocate starts the jobs that get capacity, and returns the CPUs that were in use before.
 func (f *flood) allocate() float64 {
 	var overdue []OverdueJob
 	usedCPUs := 0.0
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestEveryGroupServedInFlood checks that in an endless shortage in which one class floods the queue every class and
-// team gets its jobs done, also that of a single large job, and that the allocated capacity stays within the share.
+// TestEveryGroupServedInFlood checks an endless shortage in which one class floods the queue. Every class and team must get
+// jobs done, even a class with a single large job. The allocated capacity must stay within the share.
 func TestEveryGroupServedInFlood(t *testing.T) {
 	flooding := &floodStream{class: "flood", team: "a", tasks: 50, cpus: 1, interval: 1}
 	f := &flood{
@@ -78,7 +78,7 @@
 			{class: "lone", team: "c", tasks: 300, cpus: 0.25, interval: 100_000},
 		},
 	}
-	const largestJobCPUs = 75 // it is allocated all it needs at once
+	const largestJobCPUs = 75 // a job is allocated all CPUs that it needs at once
 	for second := range 1200 {
 		f.now = f.now.Add(time.Second)
 		f.submit(second)
@@ -88,11 +88,11 @@
 		f.finish()
 	}
 	for _, stream := range f.streams {
-		if stream != flooding && float64(stream.served) < 0.5*float64(stream.came) {
-			t.Errorf("%s: got %d of %d jobs done, want at least half", stream.class, stream.served, stream.came)
+		if stream != flooding && float64(stream.served) < 0.5*float64(stream.submitted) {
+			t.Errorf("%s: got %d of %d jobs done, want at least half", stream.class, stream.served, stream.submitted)
 		}
 	}
 	if flooding.served < 30 {
-		t.Errorf("flooding class: got %d of %d jobs done, want at least 30", flooding.served, flooding.came)
+		t.Errorf("flooding class: got %d of %d jobs done, want at least 30", flooding.served, flooding.submitted)
 	}
 }
--- a/internal/controller/fairshare/job_size.go
+++ b/internal/controller/fairshare/job_size.go
@@ -8,17 +8,17 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// The users do not define which jobs are the largest of a class. Jobs count as largest by work or by number of tasks: the
-// top tenth of the recent jobs of the class, one at least, if they are larger than the median.
+// The largest jobs of a class are not configured by users. They are the top tenth of the recent jobs of the class by work or
+// by number of tasks, at least one job, as far as they are larger than the median.
 const (
 	largestQuantile = 0.9
-	// maxRecentSizes bounds the sizes of done jobs that are kept by class.
+	// maxRecentSizes bounds the sizes of done jobs that are kept per class.
 	maxRecentSizes = 128
-	// thresholdInterval is after how many done jobs the thresholds of a class are computed anew.
+	// thresholdInterval is the number of done jobs after which the thresholds of a class are recomputed.
 	thresholdInterval = 16
 )
 
-// jobSize is the size of a job by both measures.
+// jobSize is the size of a job by both measures: its work in CPU seconds, and its number of tasks.
 type jobSize struct{ work, tasks float64 }
 
 func sizeOf(job *jobs.Job) jobSize {
@@ -32,7 +32,7 @@
 	return ok && (size.work >= threshold.work || size.tasks >= threshold.tasks)
 }
 
-// recordSize keeps the size of a job that is done.
+// recordSize adds the size of a job that is done.
 func (a *Allocator) recordSize(job *jobs.Job) {
 	sizes := a.recentSizes[job.Class]
 	sizes = append(sizes, sizeOf(job))
@@ -42,7 +42,7 @@
 	}
 }
 
-// updateThresholds computes the thresholds of all classes, by the jobs done recently and the live ones.
+// updateThresholds recomputes the thresholds of all classes from the recently done jobs and the live jobs.
 func (a *Allocator) updateThresholds(live []*jobs.Job) {
 	sizes := map[string][]jobSize{}
 	for class, recent := range a.recentSizes {
@@ -59,7 +59,7 @@
 	}
 }
 
-// largestThresholds are the sizes from which a job is one of the largest.
+// largestThresholds returns the sizes from which a job is one of the largest.
 func largestThresholds(sizes []jobSize) jobSize {
 	return jobSize{
 		work:  largestThreshold(sizes, func(size jobSize) float64 { return size.work }),
@@ -67,8 +67,8 @@
 	}
 }
 
-// largestThreshold is the smallest value of the top tenth that is larger than the median; infinite if all are of one
-// size.
+// largestThreshold returns the smallest value of the top tenth that is larger than the median, or +Inf if there is none. Of
+// two values, the smaller one counts as the median.
 func largestThreshold(sizes []jobSize, measure func(jobSize) float64) float64 {
 	values := make([]float64, len(sizes))
 	for i, size := range sizes {
--- a/internal/controller/fairshare/saved_state.go
+++ b/internal/controller/fairshare/saved_state.go
@@ -11,16 +11,17 @@
 	"gullrudder/internal/logkeys"
 )
 
-// EntryName is the storage entry that keeps the counts of done jobs. Without it a leader elected in a shortage would
-// count every group as not served, and the groups that were left unserved before would wait again.
+// EntryName is the storage entry with the counts of done jobs. Without it, a leader elected during a shortage would count
+// every group as unserved, and groups that were unserved before would have to wait again.
 const EntryName = "f:served"
 
 const (
-	// saveInterval is the least time between two writes, which share a commit with other changes.
+	// saveInterval is the minimum time between two writes, which share a commit with other changes.
 	saveInterval = 5 * time.Second
-	// maxSavedGroups bounds the saved groups to those with the most jobs, and fewer if a page does not hold them.
+	// maxSavedGroups bounds the saved groups to those with the most done jobs. Fewer are saved if the storage page has less
+	// space.
 	maxSavedGroups = 24
-	// maxEntryBytes is what maxSavedGroups need at most.
+	// maxEntryBytes is the maximum size of an entry with maxSavedGroups groups.
 	maxEntryBytes = 2200
 	// maxNameBytes bounds the names of saved groups. Groups with longer names are not saved.
 	maxNameBytes = 40
@@ -40,10 +41,11 @@
 	IsLargest bool    `msgpack:"l,omitempty" json:"l,omitempty"`
 }
 
-// entryBytes is the space that the entry has in its page.
+// entryBytes returns the space that is reserved for the entry in its storage page.
 func entryBytes(store *storage.Store) int { return min(maxEntryBytes, store.MaxEntryBytes(EntryName)) }
 
-// Save writes the counts to storage if they have changed and the last write is long enough ago.
+// Save writes the counts to storage if they have changed, storage is healthy, and the last write was at least saveInterval
+// ago. An error is logged; the counts are then saved after their next change.
 func (a *Allocator) Save(now time.Time, store *storage.Store, log *slog.Logger) {
 	if !a.isChanged || now.Before(a.nextSave) || !store.IsHealthy() {
 		return
@@ -57,7 +59,7 @@
 	}
 }
 
-// groupsToSave are the groups that can be saved, those with the most jobs first.
+// groupsToSave returns the groups that can be saved, those with the most done jobs first.
 func (a *Allocator) groupsToSave(now time.Time) []savedGroup {
 	var groups []savedGroup
 	for group, count := range a.done {
@@ -72,7 +74,8 @@
 	return groups
 }
 
-// Restore takes over the counts that an earlier leader has saved.
+// Restore sets the counts that an earlier leader saved, and reserves the entry's space in storage. decode decodes the
+// entry's value into its argument.
 func (a *Allocator) Restore(now time.Time, decode func(any) error, store *storage.Store) error {
 	var state savedState
 	if err := decode(&state); err != nil {
