--- a/internal/controller/accounting/account.go
+++ b/internal/controller/accounting/account.go
@@ -6,16 +6,16 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// account is the time account of an unfinished job. The breakdown always sums to countedMs exactly.
+// account is the time account of an unfinished job. The sum of breakdown is always exactly countedMs.
 type account struct {
 	breakdown Breakdown
-	countedMs int64              // ms since the job's submission that are counted
-	reason    WaitReason         // of the time since then
-	lostTasks map[int]WaitReason // unfinished tasks whose last attempt was lost, and how; by task index
+	countedMs int64              // time since the job's submission that is counted already
+	reason    WaitReason         // reason of the time after that
+	lostTasks map[int]WaitReason // how the last attempt was lost, by index of the unfinished task
 }
 
-// countUntil counts the time up to ms, which is since the submission, to the reason that was found last. Time that has been
-// counted already stays counted: the clock of a new leader may be behind.
+// countUntil counts the time up to ms after the submission to the reason that was found last. Time that was already counted
+// stays counted: the clock of a new leader may be behind.
 func (a *account) countUntil(ms int64) {
 	if ms > a.countedMs {
 		a.breakdown[a.reason] += ms - a.countedMs
@@ -23,8 +23,8 @@
 	}
 }
 
-// lossReason returns how the unfinished tasks were lost, the first of the reasons if there are several. It returns false unless all
-// of them were lost.
+// lossReason returns how the unfinished tasks were lost. If they were lost for several reasons, it returns the
+// lowest-numbered one. It returns false unless all unfinished tasks were lost.
 func (a *account) lossReason(unfinished int) (WaitReason, bool) {
 	if len(a.lostTasks) < unfinished {
 		return 0, false
--- a/internal/controller/accounting/availability.go
+++ b/internal/controller/accounting/availability.go
@@ -5,18 +5,18 @@
 	"gullrudder/internal/controller/placement"
 )
 
-// availability is what the machines offer to tasks of a shape. A sample walks the machines once for each shape and not for
-// each job.
+// availability describes what the machines offer to tasks of one shape. A sample scans the machines once per shape instead
+// of once per job.
 type availability struct {
-	hasUsable         bool               // a reporting machine is large enough
-	hasBooting        bool               // a booting instance is large enough
-	hasFree           bool               // a machine has resources available that are not reserved
-	hasFreeOrReserved bool               // a machine has resources available
-	reservedFor       map[*jobs.Job]bool // the jobs for which they are reserved
+	hasUsable         bool               // an eligible machine is large enough
+	hasBooting        bool               // an allowed booting instance is large enough
+	hasFree           bool               // a task fits on an unreserved machine
+	hasFreeOrReserved bool               // a task fits on a machine, reserved or not
+	reservedFor       map[*jobs.Job]bool // jobs with reserved machines on which a task fits
 }
 
 func (s *sample) availabilityFor(job *jobs.Job) availability {
-	// A job with failures avoids the machines on which it failed, so its availability differs from others of its shape.
+	// A job with failures avoids the machines on which it failed, so the cached availability does not apply to it.
 	if job.FailureCount > 0 {
 		return s.findAvailability(job)
 	}
--- a/internal/controller/accounting/breakdown.go
+++ b/internal/controller/accounting/breakdown.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// maxEncodedReasons bounds the reasons that are stored of a job: the largest ones. The rest is added to EarlierLeader, so
-	// that the total stays the same.
+	// maxEncodedReasons bounds the stored reasons of a job to the largest ones. The time of the others is added to
+	// EarlierLeader, so that the total stays the same.
 	maxEncodedReasons = 8
-	// maxEncodedMs fits into six bytes of a varint. It is over a hundred years.
+	// maxEncodedMs is the largest stored time of a reason, over a hundred years. It fits into six bytes of a varint.
 	maxEncodedMs = 1<<42 - 1
-	// maxEntryBytes is a byte for the reason and a varint of its milliseconds.
+	// maxEntryBytes is the size of one stored reason: a byte for the reason and a varint of its milliseconds.
 	maxEntryBytes = 1 + 6
-	// maxEncodedBytes is the most bytes that Tracker.EncodedAccount returns.
+	// maxEncodedBytes is the maximum length of the result of Tracker.EncodedAccount.
 	maxEncodedBytes = (maxEncodedReasons*maxEntryBytes*4 + 2) / 3
 )
 
-// Breakdown is the time that was counted to each wait reason, in whole milliseconds.
+// Breakdown is the time counted to each wait reason, in whole milliseconds. The index is the WaitReason.
 type Breakdown [WaitReasonCount]int64
 
 // Total returns the sum over all reasons, in milliseconds.
@@ -38,7 +38,8 @@
 	}
 }
 
-// encode returns the stored form: base64 of a byte for the reason and a varint of its milliseconds, for each that is not zero.
+// encode returns the stored form: base64 of the reasons that are not zero, each as a byte for the reason and a varint of its
+// milliseconds.
 func (b *Breakdown) encode() string {
 	kept := b.limited()
 	raw := make([]byte, 0, maxEncodedReasons*maxEntryBytes)
@@ -51,38 +52,38 @@
 	return base64.RawStdEncoding.EncodeToString(raw)
 }
 
-// limited returns the breakdown with maxEncodedReasons reasons at most and the same total.
+// limited returns a breakdown with at most maxEncodedReasons reasons and the same total.
 func (b *Breakdown) limited() Breakdown {
 	kept := *b
-	known := make([]int, 0, WaitReasonCount)
+	reasons := make([]int, 0, WaitReasonCount)
 	for reason := range kept {
 		if kept[reason] > 0 && WaitReason(reason) != EarlierLeader {
-			known = append(known, reason)
+			reasons = append(reasons, reason)
 		}
 	}
-	if len(known) < maxEncodedReasons {
+	if len(reasons) < maxEncodedReasons {
 		return kept
 	}
-	slices.SortFunc(known, func(x, y int) int { return cmp.Compare(kept[y], kept[x]) })
-	for _, reason := range known[maxEncodedReasons-1:] {
+	slices.SortFunc(reasons, func(x, y int) int { return cmp.Compare(kept[y], kept[x]) })
+	for _, reason := range reasons[maxEncodedReasons-1:] {
 		kept[EarlierLeader] += kept[reason]
 		kept[reason] = 0
 	}
 	return kept
 }
 
-// parseBreakdown reads what encode writes.
+// parseBreakdown decodes what encode returns.
 func parseBreakdown(encoded string) (Breakdown, error) {
 	raw, err := base64.RawStdEncoding.DecodeString(encoded)
 	if err != nil {
-		return Breakdown{}, fmt.Errorf("time account: %w", err)
+		return Breakdown{}, fmt.Errorf("decode time account %q: %w", encoded, err)
 	}
 	var breakdown Breakdown
 	for len(raw) > 0 {
 		reason := int(raw[0])
 		ms, length := binary.Uvarint(raw[1:])
 		if length <= 0 || reason >= WaitReasonCount || ms > maxEncodedMs {
-			return Breakdown{}, fmt.Errorf("time account: reason %d is unknown or cut short", reason)
+			return Breakdown{}, fmt.Errorf("decode time account %q: reason %d is unknown, or its time is truncated or too large", encoded, reason)
 		}
 		breakdown[reason] += int64(ms)
 		raw = raw[1+length:]
--- a/internal/controller/accounting/breakdown_test.go
+++ b/internal/controller/accounting/breakdown_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestBreakdownRoundTrip checks that a stored account is decoded as it was counted. If there are more reasons than are
-// stored, the total is the same.
+// TestBreakdownRoundTrip checks that a breakdown is the same after encoding and decoding. If it has more reasons than are
+// stored, at least its total is the same.
 func TestBreakdownRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want Breakdown
@@ -26,11 +26,11 @@
 	})
 }
 
-// TestParseBreakdownRejectsInvalidText checks that text that no account is encoded to is rejected.
+// TestParseBreakdownRejectsInvalidText checks that text that encode never returns is rejected.
 func TestParseBreakdownRejectsInvalidText(t *testing.T) {
 	for _, text := range []string{"?", "AA", "//8B"} {
 		if _, err := parseBreakdown(text); err == nil {
-			t.Errorf("parse %q: no error, want one", text)
+			t.Errorf("parse %q: got no error, want one", text)
 		}
 	}
 }
--- a/internal/controller/accounting/cluster_test.go
+++ b/internal/controller/accounting/cluster_test.go
@@ -37,7 +37,7 @@
 	return job
 }
 
-// cluster has machines of one type.
+// cluster is a ClusterState with machines of one type.
 type cluster struct {
 	ClusterState
 	now time.Time
--- a/internal/controller/accounting/finished.go
+++ b/internal/controller/accounting/finished.go
@@ -8,7 +8,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// maxFinishedAccounts is how many accounts of finished jobs are kept.
+// maxFinishedAccounts is the number of accounts of finished jobs that are kept.
 const maxFinishedAccounts = 4096
 
 // FinishedAccount is the account of a finished job.
@@ -21,11 +21,11 @@
 	Breakdown Breakdown
 }
 
-// finishedAccounts is a ring of the last finished accounts.
+// finishedAccounts is a ring buffer of the latest accounts of finished jobs.
 type finishedAccounts struct {
 	ring      []FinishedAccount
-	oldest    int            // slot that is overwritten next, once the ring is full
-	slotByJob map[string]int // by job ID
+	oldest    int            // slot that is overwritten next if the ring is full
+	slotByJob map[string]int // index in ring, by job ID
 }
 
 func newFinishedAccounts() *finishedAccounts { return &finishedAccounts{slotByJob: map[string]int{}} }
@@ -50,7 +50,7 @@
 	return f.ring[slot], true
 }
 
-// totalsSince sums the kept accounts of the jobs that ended since a moment.
+// totalsSince returns the totals of the kept accounts of jobs that finished at since or later.
 func (f *finishedAccounts) totalsSince(since time.Time) groupTotals {
 	totals := groupTotals{}
 	for i := range f.ring {
@@ -61,7 +61,7 @@
 	return totals
 }
 
-// GroupTotal is the sum over the finished jobs of a class of a team.
+// GroupTotal is the sum over the finished jobs of one class of one team.
 type GroupTotal struct {
 	Team      string
 	Class     string
@@ -84,7 +84,7 @@
 	total.Breakdown.add(&account.Breakdown)
 }
 
-// list returns the totals ordered by team and class. An empty team or class stands for any.
+// list returns the totals ordered by team and class. An empty team or class matches all.
 func (g groupTotals) list(team, class string) []GroupTotal {
 	keys := slices.SortedFunc(maps.Keys(g), func(a, b groupKey) int {
 		return slices.Compare([]string{a.team, a.class}, []string{b.team, b.class})
--- a/internal/controller/accounting/finished_test.go
+++ b/internal/controller/accounting/finished_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestFinishedAccountsAreBounded checks that the accounts of the jobs that finished last are kept, and no others.
+// TestFinishedAccountsAreBounded checks that only the accounts of the jobs that finished last are kept.
 func TestFinishedAccountsAreBounded(t *testing.T) {
 	tracker, now := newTracker(), time.Unix(10_000, 0)
 	for i := range maxFinishedAccounts + 50 {
@@ -20,7 +20,7 @@
 	kept, indexed := len(tracker.finished.ring), len(tracker.finished.slotByJob)
 	if kept != maxFinishedAccounts || indexed != maxFinishedAccounts || keepsDropped || !keepsLast {
 		t.Errorf(
-			"finished accounts: %d kept, %d indexed, the 50th kept %v, the last %v, want %d, %[5]d, false, true",
+			"finished accounts: got %d kept, %d indexed, the 50th kept %v, the last kept %v, want %d, %[5]d, false, true",
 			kept, indexed, keepsDropped, keepsLast, maxFinishedAccounts,
 		)
 	}
--- a/internal/controller/accounting/golden_bytes_test.go
+++ b/internal/controller/accounting/golden_bytes_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestGoldenBytes(t *testing.T) {
-	var spent Breakdown
-	for cause := range spent {
-		spent[cause] = int64(cause+1) * 1000
+	var breakdown Breakdown
+	for reason := range breakdown {
+		breakdown[reason] = int64(reason+1) * 1000
 	}
-	goldenbytes.Check(t, goldenbytes.Bytes("account", []byte(spent.encode()), func(raw []byte) ([]byte, error) {
-		again, err := parseBreakdown(string(raw))
-		return []byte(again.encode()), err
+	goldenbytes.Check(t, goldenbytes.Bytes("account", []byte(breakdown.encode()), func(raw []byte) ([]byte, error) {
+		decoded, err := parseBreakdown(string(raw))
+		return []byte(decoded.encode()), err
 	}))
 }
--- a/internal/controller/accounting/metrics.go
+++ b/internal/controller/accounting/metrics.go
@@ -6,19 +6,19 @@
 
 const metricNamespace = "gullrudder"
 
-// Metrics are the accounts of ended jobs as Prometheus counters, over all leaderships of a controller.
+// Metrics holds Prometheus metrics of the accounts of finished jobs, over all leaderships of a controller process.
 type Metrics struct {
 	jobSeconds *prometheus.CounterVec
 	jobsEnded  *prometheus.CounterVec
 	openJobs   prometheus.Gauge
 }
 
-// NewMetrics makes the counters and registers them. It panics if they are registered already.
+// NewMetrics creates the metrics and registers them. It panics if they are already registered.
 func NewMetrics(registry *prometheus.Registry) *Metrics {
 	metrics := &Metrics{
 		jobSeconds: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: metricNamespace, Name: "job_seconds_total",
-			Help: "Time from submission to the final state of jobs that ended while this controller led, by what kept them.",
+			Help: "Time from submission to the final state of jobs that ended while this controller led, by wait reason.",
 		}, []string{"team", "class", "cause"}),
 		jobsEnded: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: metricNamespace, Name: "jobs_ended_total",
@@ -26,7 +26,7 @@
 		}, []string{"team", "class", "state"}),
 		openJobs: prometheus.NewGauge(prometheus.GaugeOpts{
 			Namespace: metricNamespace, Name: "jobs_open",
-			Help: "Jobs that are not finished, as the leader knows them.",
+			Help: "Unfinished jobs that this controller knows as the leader; 0 on other controllers.",
 		}),
 	}
 	registry.MustRegister(metrics.jobSeconds, metrics.jobsEnded, metrics.openJobs)
--- a/internal/controller/accounting/sample.go
+++ b/internal/controller/accounting/sample.go
@@ -11,25 +11,25 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// ClusterState is the state that a sample reads. The sample changes none of it.
+// ClusterState is the state that Tracker.Sample reads. Sample does not change it.
 type ClusterState struct {
 	FailoverCompleted bool // the leader may place tasks
-	StorageHealthy    bool // the state service takes changes
+	StorageHealthy    bool // the state service accepts changes
 	Teams             map[string]config.Team
 	Workers           *worker.Registry
 	Cloud             *cloud.Client
-	Queue             []queue.Entry // the waiting jobs, in the order in which they get resources
+	Queue             []queue.Entry // the jobs in the order in which they get resources
 }
 
-// sample is the state of the cluster at one moment, with what is derived from it.
+// sample is the state of the cluster at one moment, with data derived from it.
 type sample struct {
 	ClusterState
-	machines     []*worker.Machine // that report
-	bootingKinds []cloud.InstanceKind
-	freeCPUs     float64               // available and not reserved
-	reservedCPUs float64               // available and reserved
-	cpusAhead    map[*jobs.Job]float64 // CPUs of the tasks that wait before a job in the queue
-	byShape      map[placement.Shape]availability
+	machines     []*worker.Machine                // machines that send heartbeats
+	bootingKinds []cloud.InstanceKind             // kinds of the instances without a worker
+	freeCPUs     float64                          // CPUs that are available and not reserved
+	reservedCPUs float64                          // CPUs that are available and reserved
+	cpusAhead    map[*jobs.Job]float64            // CPUs of the waiting tasks ahead of a job in the queue
+	byShape      map[placement.Shape]availability // cached
 }
 
 func newSample(state ClusterState) *sample {
@@ -62,7 +62,7 @@
 	}
 }
 
-// findBootingKinds lists the kinds of the instances whose workers have not reported yet.
+// findBootingKinds collects the kinds of the instances whose workers have not sent a heartbeat yet.
 func (s *sample) findBootingKinds() {
 	found := map[cloud.InstanceKind]bool{}
 	for id, instance := range s.Cloud.Instances {
@@ -75,8 +75,8 @@
 	}
 }
 
-// reasonFor returns what keeps the job from being done now. The unfinished task that is furthest from being done decides; tasks
-// that run again after a loss count as lost once that applies to all unfinished ones.
+// reasonFor returns what keeps the job from being done now. The unfinished task that is furthest from completion decides.
+// Tasks that run again after a loss count as lost only if all unfinished tasks were lost.
 func (s *sample) reasonFor(now time.Time, job *jobs.Job, account *account) WaitReason {
 	switch {
 	case job.State == jobs.Pending:
@@ -102,7 +102,8 @@
 	return Running
 }
 
-// unlessStateUnavailable returns the reason of a job that waits for a commit.
+// unlessStateUnavailable returns the reason of a job that waits for a commit: the given one, or StateUnavailable if the
+// state service accepts no changes.
 func (s *sample) unlessStateUnavailable(reason WaitReason) WaitReason {
 	if !s.StorageHealthy {
 		return StateUnavailable
@@ -133,8 +134,8 @@
 	return NoUsableMachine
 }
 
-// startReason returns why a job of which every unfinished task has a machine does not run. Until the worker has reported a task,
-// its start command is on its way.
+// startReason returns why a job does not run completely although every unfinished task has a machine. Until the worker has
+// reported a task, its start command is assumed to be on its way.
 func startReason(job *jobs.Job) WaitReason {
 	for _, attempt := range job.ActiveAttempts {
 		if attempt.RunningSince.IsZero() && attempt.LastSeenReconcile == 0 {
--- a/internal/controller/accounting/tracker.go
+++ b/internal/controller/accounting/tracker.go
@@ -1,9 +1,11 @@
-// Package accounting counts each moment of a job, from its submission to its final state, to one wait reason: what kept it from
-// being done at that moment. Its Tracker owns the accounts of a leadership's unfinished jobs, the last accounts of finished ones and the
-// totals by team and class; Metrics has the totals of the process.
+// Package accounting attributes each moment of a job, from its submission to its final state, to one wait reason: what kept
+// the job from being done at that moment. Its Tracker owns the accounts of a leadership's unfinished jobs, the latest
+// accounts of finished jobs, and the totals by team and class. Metrics holds the totals of the process.
 //
-// The package samples jobs, workers and instances at intervals and changes none of them; it decides and sends nothing. Design note:
-// docs/design/accounting.md.
+// The package samples jobs, workers and instances at intervals and changes none of them. It makes no decisions and sends
+// nothing.
+//
+// Design note: docs/design/accounting.md.
 package accounting
 
 import (
@@ -15,21 +17,22 @@
 	"gullrudder/internal/logkeys"
 )
 
-// logInterval is how often the totals are logged: often enough that the end of a day's log has the day's totals.
+// logInterval is the time between two log lines of the totals. It is short, so that the end of a day's log has the totals of
+// the day.
 const logInterval = time.Minute
 
-// Tracker has the accounts of a leadership.
+// Tracker keeps the time accounts of one leadership. It is not safe for concurrent use.
 type Tracker struct {
-	log       *slog.Logger
-	metrics   *Metrics
-	accounts  map[*jobs.Job]*account // of unfinished jobs
-	finished  *finishedAccounts
-	totals    groupTotals // of all jobs that ended under this leader
-	idleSince time.Time   // since when the leader lease has been lost; zero: it is held
-	nextLog   time.Time
+	log         *slog.Logger
+	metrics     *Metrics
+	accounts    map[*jobs.Job]*account // of unfinished jobs
+	finished    *finishedAccounts
+	totals      groupTotals // of all jobs that finished under this leader
+	leaseLostAt time.Time   // zero while the leader lease is held
+	nextLog     time.Time
 }
 
-// New returns the tracker of a new leadership.
+// New returns the Tracker of a new leadership.
 func New(metrics *Metrics, log *slog.Logger) *Tracker {
 	return &Tracker{
 		log: log, metrics: metrics, accounts: map[*jobs.Job]*account{}, finished: newFinishedAccounts(), totals: groupTotals{},
@@ -39,8 +42,9 @@
 // Open opens the account of a job that was just submitted.
 func (t *Tracker) Open(job *jobs.Job) { t.accounts[job] = &account{reason: NotAccepted} }
 
-// Restore opens the account of a job that an earlier leader has accepted. encoded is what that leader stored of the account; the
-// time from there to leaderSince, when this leadership began, is counted to EarlierLeader.
+// Restore opens the account of a job that an earlier leader accepted. encoded is the account that the earlier leader stored.
+// The time after it, up to leaderSince, when this leadership began, is counted as EarlierLeader. If encoded is invalid, that
+// is logged, and all the time up to leaderSince is counted as EarlierLeader.
 func (t *Tracker) Restore(job *jobs.Job, encoded string, leaderSince time.Time) {
 	restored := &account{reason: EarlierLeader}
 	if breakdown, err := parseBreakdown(encoded); err != nil {
@@ -53,7 +57,8 @@
 	t.accounts[job] = restored
 }
 
-// EncodedAccount returns a job's account for its stored record; empty if there is none. It has maxEncodedBytes at most.
+// EncodedAccount returns a job's account for its stored record, or an empty string if there is none. It has at most
+// maxEncodedBytes.
 func (t *Tracker) EncodedAccount(job *jobs.Job) string {
 	account := t.accounts[job]
 	if account == nil {
@@ -62,8 +67,9 @@
 	return account.breakdown.encode()
 }
 
-// RecordTaskLost records that a task has to run again, and how its attempt was lost: MachineLost, AttemptFailed or Preempted.
-func (t *Tracker) RecordTaskLost(job *jobs.Job, task int, how WaitReason) {
+// RecordTaskLost records that a task has to run again, and how its attempt was lost: MachineLost, AttemptFailed or
+// Preempted.
+func (t *Tracker) RecordTaskLost(job *jobs.Job, task int, reason WaitReason) {
 	account := t.accounts[job]
 	if account == nil {
 		return
@@ -71,7 +77,7 @@
 	if account.lostTasks == nil {
 		account.lostTasks = map[int]WaitReason{}
 	}
-	account.lostTasks[task] = how
+	account.lostTasks[task] = reason
 }
 
 // RecordTaskDone records that a task is done.
@@ -81,17 +87,17 @@
 	}
 }
 
-// LeaseLost records that the leader lease is not held any more. The next Sample means that it is held again.
+// LeaseLost records that the leader lease is no longer held. The next call of Sample means that it is held again.
 func (t *Tracker) LeaseLost(now time.Time) {
-	if t.idleSince.IsZero() {
-		t.idleSince = now
+	if t.leaseLostAt.IsZero() {
+		t.leaseLostAt = now
 	}
 }
 
-// End records that the leadership is over.
+// End records the end of the leadership: it sets the metric of open jobs to zero.
 func (t *Tracker) End() { t.metrics.openJobs.Set(0) }
 
-// Finish closes the account of a job that is done or cancelled.
+// Finish closes the account of a job that is done or cancelled. Without an open account it does nothing.
 func (t *Tracker) Finish(now time.Time, job *jobs.Job) {
 	account := t.accounts[job]
 	if account == nil {
@@ -107,26 +113,27 @@
 	t.metrics.recordEnded(&finished)
 }
 
-// Sample counts the time since the last call to the reasons that were found then, and determines those that apply now. The leader calls
-// it about twice a second while it holds the leader lease.
+// Sample counts the time since the last call to the reasons found then, and determines the reasons that apply now. While the
+// leader holds the leader lease, it calls Sample about twice a second, less often with many unfinished jobs.
 func (t *Tracker) Sample(now time.Time, state ClusterState) {
-	if !t.idleSince.IsZero() {
+	if !t.leaseLostAt.IsZero() {
 		for job, account := range t.accounts {
-			account.countUntil(msSinceSubmission(job, t.idleSince))
+			account.countUntil(msSinceSubmission(job, t.leaseLostAt))
 			account.reason = NoLeader
 		}
-		t.idleSince = time.Time{}
+		t.leaseLostAt = time.Time{}
 	}
-	found := newSample(state)
+	current := newSample(state)
 	for job, account := range t.accounts {
 		account.countUntil(msSinceSubmission(job, now))
-		account.reason = found.reasonFor(now, job, account)
+		account.reason = current.reasonFor(now, job, account)
 	}
 	t.metrics.openJobs.Set(float64(len(t.accounts)))
 	t.logTotals(now)
 }
 
-// Account returns the account of an unfinished job up to now, and the present reason. ok is false if this leader has no account.
+// Account returns the account of an unfinished job up to now, and the current reason. ok is false if this leader has no
+// account of the job.
 func (t *Tracker) Account(now time.Time, job *jobs.Job) (breakdown Breakdown, reason WaitReason, ok bool) {
 	account := t.accounts[job]
 	if account == nil {
@@ -137,13 +144,14 @@
 	return current.breakdown, current.reason, true
 }
 
-// FinishedAccount returns the account of a job that has ended under this leader, as long as it is kept.
+// FinishedAccount returns the account of a job that finished under this leader. It returns false if there is none or it is
+// no longer kept.
 func (t *Tracker) FinishedAccount(jobID string) (FinishedAccount, bool) {
 	return t.finished.find(jobID)
 }
 
-// Totals returns the totals by team and class over the jobs that ended since a moment, as far as their accounts are kept, or over
-// all that ended under this leader if since is zero. An empty team or class stands for any.
+// Totals returns the totals by team and class of the jobs that finished at since or later and whose accounts are still kept.
+// If since is zero, all jobs that finished under this leader count. An empty team or class matches all.
 func (t *Tracker) Totals(team, class string, since time.Time) []GroupTotal {
 	if since.IsZero() {
 		return t.totals.list(team, class)
@@ -151,10 +159,10 @@
 	return t.finished.totalsSince(since).list(team, class)
 }
 
-// OpenCount returns the number of unfinished jobs.
+// OpenCount returns the number of open accounts, which are those of the unfinished jobs.
 func (t *Tracker) OpenCount() int { return len(t.accounts) }
 
-// logTotals logs a line for each team and class at every logInterval.
+// logTotals logs one line for each team and class, once per logInterval.
 func (t *Tracker) logTotals(now time.Time) {
 	if now.Before(t.nextLog) {
 		return
--- a/internal/controller/accounting/tracker_test.go
+++ b/internal/controller/accounting/tracker_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// reasonTest takes a job of two tasks through all wait reasons, one after the other.
+// reasonTest takes a job of two tasks through the wait reasons, one after the other.
 type reasonTest struct {
 	*cluster
 	t          *testing.T
@@ -24,7 +24,7 @@
 	want       Breakdown
 }
 
-// expect changes the cluster and expects the reason from then on for a step of 1.5 s.
+// expect changes the cluster, expects the reason to apply from then on, and lets 1.5 s pass.
 func (r *reasonTest) expect(reason WaitReason, change func()) {
 	r.t.Helper()
 	change()
@@ -36,8 +36,9 @@
 	r.now = r.now.Add(1500 * time.Millisecond)
 }
 
-// TestEachWaitReason produces each reason on one job, and checks that the account sums to the job's time.
-func TestEachWaitReason(t *testing.T) {
+// TestWaitReasonsOfJob produces wait reasons one after the other on one job, and checks that the account sums to the job's
+// time.
+func TestWaitReasonsOfJob(t *testing.T) {
 	tracker, registry := newTrackerWithMetrics()
 	r := &reasonTest{cluster: newCluster(), t: t, tracker: tracker}
 	r.job, r.other = newJob(1, 2, r.now), newJob(2, 9, r.now)
@@ -88,7 +89,7 @@
 	return first, second, machine
 }
 
-// finishTasks completes the first task; the second one is lost, and completes when it has run again.
+// finishTasks completes the first task. The second one is lost, and completes after it has run again.
 func (r *reasonTest) finishTasks(first, second *jobs.Attempt, machine *worker.Machine) {
 	r.expect(Running, func() {
 		r.job.RecordTaskDone(first.Task.Index)
@@ -121,7 +122,7 @@
 	r.t.Helper()
 	finished, ok := r.tracker.FinishedAccount(r.job.ID)
 	if !ok || finished.Breakdown != r.want || finished.Breakdown.Total() != r.now.Sub(r.job.SubmittedAt).Milliseconds() {
-		r.t.Errorf("account: got %+v (found %v), want %v in total %d ms", finished, ok, r.want, r.now.Sub(r.job.SubmittedAt).Milliseconds())
+		r.t.Errorf("account: got %+v (found %v), want %v, total %d ms", finished, ok, r.want, r.now.Sub(r.job.SubmittedAt).Milliseconds())
 	}
 	all := r.tracker.Totals("t", "", time.Time{})
 	if len(all) != 1 || all[0].JobCount != 1 || all[0].Breakdown != r.want {
@@ -156,11 +157,11 @@
 	tracker *Tracker
 	machine *worker.Machine
 	jobs    []*jobs.Job
-	endedMs map[string]int64 // by job ID: the time from its submission to its end
+	endedMs map[string]int64 // time from submission to the final state, by job ID
 }
 
-// TestAccountsSumExactly checks over random events, several leaders and clocks that differ that an account sums exactly
-// to the job's time, and so do the totals by class.
+// TestAccountsSumExactly checks that each account sums exactly to the job's time, and that the totals by class sum to the
+// same. It draws random events, several leaders and clocks that differ.
 func TestAccountsSumExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &sumTest{cluster: newCluster(), tracker: newTracker(), endedMs: map[string]int64{}}
@@ -221,9 +222,10 @@
 	return ended
 }
 
-// changeLeader goes on with another leader, whose clock is a little behind or ahead. The finished accounts are kept for check.
+// changeLeader continues with another leader, whose clock is a little behind or ahead. The finished accounts are kept for
+// check.
 func (s *sumTest) changeLeader(t *rapid.T) {
-	const fieldBytes = 12 // of the name and the quotes in a job's record
+	const fieldBytes = 12 // the field's name and quotes in a job's record
 	next := newTracker()
 	skew := time.Duration(rapid.IntRange(-500, 500).Draw(t, "skew")) * time.Millisecond
 	for _, job := range s.jobs {
@@ -246,7 +248,7 @@
 	sum := int64(0)
 	for id, ms := range s.endedMs {
 		finished, ok := s.tracker.FinishedAccount(id)
-		// A new leader's clock that is behind takes nothing back.
+		// No counted time is taken back if a new leader's clock is behind.
 		if !ok || finished.Breakdown.Total() < ms || finished.Breakdown.Total() > ms+maxClockErrorMs {
 			t.Fatalf("account of %s: got %d ms (found %v), want %d ms", id, finished.Breakdown.Total(), ok, ms)
 		}
@@ -260,7 +262,7 @@
 	}
 }
 
-// BenchmarkSample samples as many jobs as machines, all of which are full.
+// BenchmarkSample samples a cluster of full machines with as many jobs as machines.
 func BenchmarkSample(b *testing.B) {
 	for _, size := range []int{250, 1000, 5000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
