--- a/internal/controller/ageing/wait_bound.go
+++ b/internal/controller/ageing/wait_bound.go
@@ -8,7 +8,7 @@
 	"gullrudder/internal/units"
 )
 
-// maxWaitBound is the longest known bound of a wait. A longer bound counts as unknown.
+// maxWaitBound is the limit of known bounds. If the bound of the first start reaches it, the bound counts as unknown.
 const maxWaitBound = 30 * 24 * time.Hour
 
 // minQuotaRate is the minimum rate, in CPUs, at which a team's older work is assumed to run under its quota.
--- a/internal/controller/fairshare/allocate.go
+++ b/internal/controller/fairshare/allocate.go
@@ -112,24 +112,24 @@
 			cmp.Compare(x.Job.ID, y.Job.ID),
 		)
 	})
-	n := &allocation{allocator: a, overdue: sorted, states: map[Group]*groupState{}, totalCPUs: totalCPUs, reasons: map[*jobs.Job]Reason{}}
+	alloc := &allocation{allocator: a, overdue: sorted, states: map[Group]*groupState{}, totalCPUs: totalCPUs, reasons: map[*jobs.Job]Reason{}}
 	for i := range sorted {
-		n.count(now, i)
+		alloc.count(now, i)
 	}
-	n.groups = slices.SortedFunc(maps.Keys(n.states), compareGroups)
-	return n
+	alloc.groups = slices.SortedFunc(maps.Keys(alloc.states), compareGroups)
+	return alloc
 }
 
 // count adds an overdue job to the states of its groups.
-func (n *allocation) count(now time.Time, index int) {
-	candidate := &n.overdue[index]
+func (alloc *allocation) count(now time.Time, index int) {
+	candidate := &alloc.overdue[index]
 	running := 0.0
-	if n.allocator.allocated[candidate.Job] {
+	if alloc.allocator.allocated[candidate.Job] {
 		running = float64(len(candidate.Job.ActiveAttempts)) * estimate.CountedCPUs(candidate.Job)
 	}
-	n.usedCPUs += running
-	for _, group := range n.allocator.groupsOf(candidate.Job) {
-		state := n.state(now, group)
+	alloc.usedCPUs += running
+	for _, group := range alloc.allocator.groupsOf(candidate.Job) {
+		state := alloc.state(now, group)
 		state.usedCPUs += running
 		if candidate.IsUnserved {
 			state.unserved++
@@ -141,44 +141,44 @@
 }
 
 // state returns the state of a group, and creates it if it does not exist.
-func (n *allocation) state(now time.Time, group Group) *groupState {
-	state := n.states[group]
+func (alloc *allocation) state(now time.Time, group Group) *groupState {
+	state := alloc.states[group]
 	if state == nil {
-		state = &groupState{minServedShare: n.allocator.policy.minServedShareOf(group)}
-		if count := n.allocator.done[group]; count != nil {
-			state.done = count.decayTo(now, n.allocator.policy.Window)
+		state = &groupState{minServedShare: alloc.allocator.policy.minServedShareOf(group)}
+		if count := alloc.allocator.done[group]; count != nil {
+			state.done = count.decayTo(now, alloc.allocator.policy.Window)
 		}
-		n.states[group] = state
+		alloc.states[group] = state
 	}
 	return state
 }
 
 // distribute allocates capacity to the least served groups until the shares are used up.
-func (n *allocation) distribute() {
+func (alloc *allocation) distribute() {
 	for {
-		state := n.next()
-		if state == nil || n.usedCPUs >= n.shareFor(state)*n.totalCPUs {
+		state := alloc.next()
+		if state == nil || alloc.usedCPUs >= alloc.shareFor(state)*alloc.totalCPUs {
 			return
 		}
-		n.allocateNext(state)
+		alloc.allocateNext(state)
 	}
 }
 
 // next returns the group that gets capacity next: the least served one, or nil if no job waits. A group that floods the
 // queue is always served least. A group that uses maxShareOfOneGroup therefore goes behind the other groups with waiting
 // jobs. But a group below its minimum share never goes behind a group above its own.
-func (n *allocation) next() *groupState {
+func (alloc *allocation) next() *groupState {
 	var least, leastBelowCap *groupState
-	for _, group := range n.groups {
-		state := n.states[group]
-		n.skipAllocated(state)
-		if len(state.waiting) == 0 || n.waitsForClass(group) {
+	for _, group := range alloc.groups {
+		state := alloc.states[group]
+		alloc.skipAllocated(state)
+		if len(state.waiting) == 0 || alloc.waitsForClass(group) {
 			continue
 		}
 		if least == nil || state.servedShare() < least.servedShare() {
 			least = state
 		}
-		isBelowCap := state.usedCPUs < maxShareOfOneGroup*n.shareFor(state)*n.totalCPUs
+		isBelowCap := state.usedCPUs < maxShareOfOneGroup*alloc.shareFor(state)*alloc.totalCPUs
 		if isBelowCap && (leastBelowCap == nil || state.servedShare() < leastBelowCap.servedShare()) {
 			leastBelowCap = state
 		}
@@ -190,38 +190,38 @@
 }
 
 // skipAllocated drops the group's first waiting jobs that already got capacity through another group.
-func (n *allocation) skipAllocated(state *groupState) {
-	for len(state.waiting) > 0 && n.reasons[n.overdue[state.waiting[0]].Job] != 0 {
+func (alloc *allocation) skipAllocated(state *groupState) {
+	for len(state.waiting) > 0 && alloc.reasons[alloc.overdue[state.waiting[0]].Job] != 0 {
 		state.waiting = state.waiting[1:]
 	}
 }
 
 // waitsForClass reports whether a group of largest jobs has to wait for the other jobs of its class.
-func (n *allocation) waitsForClass(group Group) bool {
+func (alloc *allocation) waitsForClass(group Group) bool {
 	if !group.IsLargest {
 		return false
 	}
-	class := n.states[Group{Name: group.Name}]
+	class := alloc.states[Group{Name: group.Name}]
 	return len(class.waiting) > 0 && class.servedShare() < minClassShareForLargest
 }
 
 // shareFor returns the share of the cluster's CPUs up to which the group gets capacity.
-func (n *allocation) shareFor(state *groupState) float64 {
-	return n.allocator.policy.cpuShareFor(state.servedShare(), state.minServedShare)
+func (alloc *allocation) shareFor(state *groupState) float64 {
+	return alloc.allocator.policy.cpuShareFor(state.servedShare(), state.minServedShare)
 }
 
 // allocateNext allocates capacity to the first waiting job of the group.
-func (n *allocation) allocateNext(state *groupState) {
-	candidate := n.overdue[state.waiting[0]]
+func (alloc *allocation) allocateNext(state *groupState) {
+	candidate := alloc.overdue[state.waiting[0]]
 	reason := Overdue
 	if state.isBelowMinShare() {
 		reason = BelowMinShare
 	}
-	n.reasons[candidate.Job] = reason
+	alloc.reasons[candidate.Job] = reason
 	cpus := float64(candidate.StartableTasks) * estimate.CountedCPUs(candidate.Job)
-	n.usedCPUs += cpus
-	for _, group := range n.allocator.groupsOf(candidate.Job) {
-		groupState := n.states[group]
+	alloc.usedCPUs += cpus
+	for _, group := range alloc.allocator.groupsOf(candidate.Job) {
+		groupState := alloc.states[group]
 		groupState.usedCPUs += cpus
 		groupState.done++
 		if candidate.IsUnserved {
--- a/internal/controller/fairshare/best_choice_test.go
+++ b/internal/controller/fairshare/best_choice_test.go
@@ -50,11 +50,11 @@
 // of the least served group.
 func bestLeastServedShare(done map[Group]float64, overdue []OverdueJob, availableCPUs float64) float64 {
 	best := 0.0
-	for code := range 1 << len(overdue) {
+	for subset := range 1 << len(overdue) {
 		usedCPUs := 0.0
 		counts := newServedCounts(done)
 		for i, candidate := range overdue {
-			isChosen := code>>i&1 == 1
+			isChosen := subset>>i&1 == 1
 			if isChosen {
 				usedCPUs += neededCPUs(candidate)
 			}
--- a/internal/controller/fairshare/fairshare.go
+++ b/internal/controller/fairshare/fairshare.go
@@ -119,7 +119,7 @@
 // SetPolicy replaces the operators' settings.
 func (a *Allocator) SetPolicy(policy Policy) { a.policy = policy }
 
-// RecordDone counts a job that is done for its groups, and ends its allocation.
+// RecordDone counts a done job in each of its groups, and ends its allocation.
 func (a *Allocator) RecordDone(now time.Time, job *jobs.Job) {
 	delete(a.allocated, job)
 	a.isChanged = true
--- a/internal/controller/placement/placement.go
+++ b/internal/controller/placement/placement.go
@@ -86,8 +86,7 @@
 }
 
 // SetCapacityForecaster sets the source of the expected capacity. It must be called once, before the order is first
-// computed. The forecaster is no argument of New, since the autoscaler, which forecasts, is created together with the
-// Placer.
+// computed. It is separate from New because the autoscaler, which makes the forecasts, is created together with the Placer.
 func (p *Placer) SetCapacityForecaster(forecaster CapacityForecaster) { p.forecaster = forecaster }
 
 // Tick places gangs and preempts tasks for guaranteed jobs, each at its own interval. canPlace is false until the failover
--- a/internal/controller/placement/reservations.go
+++ b/internal/controller/placement/reservations.go
@@ -43,8 +43,8 @@
 }
 
 // updateReservations replaces all reservations. In the order of the queue, it reserves machines for the jobs that may
-// reserve and do not fit anywhere yet. Machines with the most available CPUs are reserved first. Without reservations,
-// smaller tasks would keep taking the available resources bit by bit.
+// reserve and do not fit anywhere yet, starting with the machines that have the most available CPUs. Without reservations,
+// smaller tasks would keep taking these resources bit by bit.
 func (p *Placer) updateReservations(now time.Time) {
 	p.reservations.clear()
 	pass := reservationPass{fits: newShapeFits(len(p.order.shapes))}
