--- a/internal/controller/fairshare/allocate.go
+++ b/internal/controller/fairshare/allocate.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// minClassShareForLargest is the share of a class that is to be done before its largest jobs go ahead of the others.
-	// Without it the longest of six jobs got capacity as the third, could not be done by the end of the simulated day, and
-	// kept the capacity from a job that could: two were done (a4e2-15).
+	// minClassShareForLargest is the share of a class that must be done before its largest jobs are served ahead of its
+	// other jobs. Without this limit, the longest of six jobs was the third to get capacity. It could not finish by the end
+	// of the simulated day, and took the capacity from a job that could. Only two of the six jobs were done (a4e2-15).
 	minClassShareForLargest = 0.5
-	// maxShareOfOneGroup is the part of a share that one group gets while jobs of other groups wait for it.
+	// maxShareOfOneGroup is the part of a share that one group may use while jobs of other groups wait for the share.
 	maxShareOfOneGroup = 0.5
 )
 
-// OverdueJob is an overdue job and what it needs.
+// OverdueJob is an overdue job with its needs.
 type OverdueJob struct {
 	Job                 *jobs.Job
 	RemainingCPUSeconds float64
 	StartableTasks      int  // waiting tasks that the team's quota allows to run
-	IsUnserved          bool // it counts against the served share of its class and team
+	IsUnserved          bool // counts against the served share of its class and team
 }
 
-// Reason is why an overdue job has capacity of its own; the zero value means that it has none.
+// Reason is why an overdue job has allocated capacity. The zero value means that it has none.
 type Reason int
 
-// The reasons.
+// Reasons for allocated capacity.
 const (
-	Overdue       Reason = iota + 1 // within the share of all overdue jobs
-	BelowMinShare                   // a class or team of the job is served less than the minimum share
+	Overdue       Reason = iota + 1 // within Policy.OverdueShare, for all overdue jobs
+	BelowMinShare                   // a group of the job is below its minimum served share
 )
 
-// groupState is how a group is served while capacity is allocated.
+// groupState is the state of a group during an allocation.
 type groupState struct {
 	minServedShare float64
-	done           float64 // jobs done, with those that were allocated capacity
-	unserved       float64 // unserved jobs without capacity
-	usedCPUs       float64
-	waiting        []int // overdue jobs that can start tasks, by index, the least remaining work first
+	done           float64 // decayed count of done jobs, plus the jobs that got capacity in this allocation
+	unserved       float64 // unserved jobs that did not get capacity in this allocation
+	usedCPUs       float64 // CPUs of the allocations to jobs of the group
+	waiting        []int   // indexes of the overdue jobs that can start tasks; the least remaining work first
 }
 
 func (s *groupState) servedShare() float64 {
@@ -59,14 +59,14 @@
 	allocator *Allocator
 	overdue   []OverdueJob // the least remaining work first
 	states    map[Group]*groupState
-	groups    []Group // of the states, in order
-	usedCPUs  float64
+	groups    []Group // keys of states, in the order of compareGroups
+	usedCPUs  float64 // CPUs of all allocations
 	totalCPUs float64
 	reasons   map[*jobs.Job]Reason // the result
 }
 
-// Allocate decides which overdue jobs have capacity of their own now, and why. live are all jobs that may run, and
-// totalCPUs those of the cluster.
+// Allocate decides which overdue jobs have allocated capacity now, and returns the reason for each of them. live are all
+// jobs that may run, and totalCPUs the CPUs of the cluster. The result is nil if no job is overdue.
 func (a *Allocator) Allocate(now time.Time, overdue []OverdueJob, live []*jobs.Job, totalCPUs float64) map[*jobs.Job]Reason {
 	a.dropFinished(overdue)
 	clear(a.status)
@@ -90,7 +90,7 @@
 	return allocation.reasons
 }
 
-// dropFinished drops the allocations of jobs that are not overdue any more or have no active attempt.
+// dropFinished ends the allocations of jobs that are no longer overdue or have no active attempt.
 func (a *Allocator) dropFinished(overdue []OverdueJob) {
 	if len(a.allocated) == 0 {
 		return
@@ -102,34 +102,34 @@
 	maps.DeleteFunc(a.allocated, func(job *jobs.Job, _ bool) bool { return !isOverdue[job] || len(job.ActiveAttempts) == 0 })
 }
 
-// newAllocation counts what each group has, with the CPUs that earlier allocations still use.
+// newAllocation computes the state of each group. CPUs that earlier allocations still use count as used.
 func (a *Allocator) newAllocation(now time.Time, overdue []OverdueJob, totalCPUs float64) *allocation {
-	list := slices.Clone(overdue)
-	slices.SortFunc(list, func(x, y OverdueJob) int {
+	sorted := slices.Clone(overdue)
+	slices.SortFunc(sorted, func(x, y OverdueJob) int {
 		return cmp.Or(
 			cmp.Compare(x.RemainingCPUSeconds, y.RemainingCPUSeconds),
 			x.Job.EligibleSince().Compare(y.Job.EligibleSince()),
 			cmp.Compare(x.Job.ID, y.Job.ID),
 		)
 	})
-	n := &allocation{allocator: a, overdue: list, states: map[Group]*groupState{}, totalCPUs: totalCPUs, reasons: map[*jobs.Job]Reason{}}
-	for i := range list {
-		n.count(now, i)
+	alloc := &allocation{allocator: a, overdue: sorted, states: map[Group]*groupState{}, totalCPUs: totalCPUs, reasons: map[*jobs.Job]Reason{}}
+	for i := range sorted {
+		alloc.count(now, i)
 	}
-	n.groups = slices.SortedFunc(maps.Keys(n.states), compareGroups)
-	return n
+	alloc.groups = slices.SortedFunc(maps.Keys(alloc.states), compareGroups)
+	return alloc
 }
 
 // count adds an overdue job to the states of its groups.
-func (n *allocation) count(now time.Time, index int) {
-	candidate := &n.overdue[index]
+func (alloc *allocation) count(now time.Time, index int) {
+	candidate := &alloc.overdue[index]
 	running := 0.0
-	if n.allocator.allocated[candidate.Job] {
+	if alloc.allocator.allocated[candidate.Job] {
 		running = float64(len(candidate.Job.ActiveAttempts)) * estimate.CountedCPUs(candidate.Job)
 	}
-	n.usedCPUs += running
-	for _, group := range n.allocator.groupsOf(candidate.Job) {
-		state := n.state(now, group)
+	alloc.usedCPUs += running
+	for _, group := range alloc.allocator.groupsOf(candidate.Job) {
+		state := alloc.state(now, group)
 		state.usedCPUs += running
 		if candidate.IsUnserved {
 			state.unserved++
@@ -140,45 +140,45 @@
 	}
 }
 
-// state returns the state of a group, which it makes if there is none.
-func (n *allocation) state(now time.Time, group Group) *groupState {
-	state := n.states[group]
+// state returns the state of a group, and creates it if it does not exist.
+func (alloc *allocation) state(now time.Time, group Group) *groupState {
+	state := alloc.states[group]
 	if state == nil {
-		state = &groupState{minServedShare: n.allocator.policy.minServedShareOf(group)}
-		if count := n.allocator.done[group]; count != nil {
-			state.done = count.decayTo(now, n.allocator.policy.Window)
+		state = &groupState{minServedShare: alloc.allocator.policy.minServedShareOf(group)}
+		if count := alloc.allocator.done[group]; count != nil {
+			state.done = count.decayTo(now, alloc.allocator.policy.Window)
 		}
-		n.states[group] = state
+		alloc.states[group] = state
 	}
 	return state
 }
 
-// distribute allocates capacity to the groups that are served least until the shares are used up.
-func (n *allocation) distribute() {
+// distribute allocates capacity to the least served groups until the shares are used up.
+func (alloc *allocation) distribute() {
 	for {
-		state := n.next()
-		if state == nil || n.usedCPUs >= n.shareFor(state)*n.totalCPUs {
+		state := alloc.next()
+		if state == nil || alloc.usedCPUs >= alloc.shareFor(state)*alloc.totalCPUs {
 			return
 		}
-		n.allocateNext(state)
+		alloc.allocateNext(state)
 	}
 }
 
-// next is the group that gets capacity next: the one that is served least. Since a group that floods the queue is always
-// served least, a group that uses maxShareOfOneGroup goes behind the other groups with waiting jobs; but a group below the
-// minimum share never goes behind one above it.
-func (n *allocation) next() *groupState {
+// next returns the group that gets capacity next: the least served one, or nil if no job waits. A group that floods the
+// queue is always served least. A group that uses maxShareOfOneGroup therefore goes behind the other groups with waiting
+// jobs. But a group below its minimum share never goes behind a group above its own.
+func (alloc *allocation) next() *groupState {
 	var least, leastBelowCap *groupState
-	for _, group := range n.groups {
-		state := n.states[group]
-		n.skipAllocated(state)
-		if len(state.waiting) == 0 || n.waitsForClass(group) {
+	for _, group := range alloc.groups {
+		state := alloc.states[group]
+		alloc.skipAllocated(state)
+		if len(state.waiting) == 0 || alloc.waitsForClass(group) {
 			continue
 		}
 		if least == nil || state.servedShare() < least.servedShare() {
 			least = state
 		}
-		isBelowCap := state.usedCPUs < maxShareOfOneGroup*n.shareFor(state)*n.totalCPUs
+		isBelowCap := state.usedCPUs < maxShareOfOneGroup*alloc.shareFor(state)*alloc.totalCPUs
 		if isBelowCap && (leastBelowCap == nil || state.servedShare() < leastBelowCap.servedShare()) {
 			leastBelowCap = state
 		}
@@ -189,39 +189,39 @@
 	return least
 }
 
-// skipAllocated drops the group's first waiting jobs that have got capacity by another group.
-func (n *allocation) skipAllocated(state *groupState) {
-	for len(state.waiting) > 0 && n.reasons[n.overdue[state.waiting[0]].Job] != 0 {
+// skipAllocated drops the group's first waiting jobs that already got capacity through another group.
+func (alloc *allocation) skipAllocated(state *groupState) {
+	for len(state.waiting) > 0 && alloc.reasons[alloc.overdue[state.waiting[0]].Job] != 0 {
 		state.waiting = state.waiting[1:]
 	}
 }
 
 // waitsForClass reports whether a group of largest jobs has to wait for the other jobs of its class.
-func (n *allocation) waitsForClass(group Group) bool {
+func (alloc *allocation) waitsForClass(group Group) bool {
 	if !group.IsLargest {
 		return false
 	}
-	class := n.states[Group{Name: group.Name}]
+	class := alloc.states[Group{Name: group.Name}]
 	return len(class.waiting) > 0 && class.servedShare() < minClassShareForLargest
 }
 
-// shareFor is the share of the cluster's CPUs up to which the group gets capacity.
-func (n *allocation) shareFor(state *groupState) float64 {
-	return n.allocator.policy.cpuShareFor(state.servedShare(), state.minServedShare)
+// shareFor returns the share of the cluster's CPUs up to which the group gets capacity.
+func (alloc *allocation) shareFor(state *groupState) float64 {
+	return alloc.allocator.policy.cpuShareFor(state.servedShare(), state.minServedShare)
 }
 
 // allocateNext allocates capacity to the first waiting job of the group.
-func (n *allocation) allocateNext(state *groupState) {
-	candidate := n.overdue[state.waiting[0]]
+func (alloc *allocation) allocateNext(state *groupState) {
+	candidate := alloc.overdue[state.waiting[0]]
 	reason := Overdue
 	if state.isBelowMinShare() {
 		reason = BelowMinShare
 	}
-	n.reasons[candidate.Job] = reason
+	alloc.reasons[candidate.Job] = reason
 	cpus := float64(candidate.StartableTasks) * estimate.CountedCPUs(candidate.Job)
-	n.usedCPUs += cpus
-	for _, group := range n.allocator.groupsOf(candidate.Job) {
-		groupState := n.states[group]
+	alloc.usedCPUs += cpus
+	for _, group := range alloc.allocator.groupsOf(candidate.Job) {
+		groupState := alloc.states[group]
 		groupState.usedCPUs += cpus
 		groupState.done++
 		if candidate.IsUnserved {
