--- a/internal/controller/autoscaler/scaler.go
+++ b/internal/controller/autoscaler/scaler.go
@@ -1,8 +1,10 @@
 // Package autoscaler decides which instances are requested from the cloud and which are terminated. Its Scaler compares the order
-// of the waiting jobs with the capacity that is there or booting: cheap kinds of instances are requested while the waiting work
-// would last long enough, expensive ones while they prevent enough objective misses for their price. It owns the forecast of the
-// platform's objectives, the rates at which jobs arrive, and the times at which it acts next. It never starts, stops or places a
-// task, except to drain a machine that is hardly used; package cloud sends the requests. Design note: docs/design/autoscaler.md.
+// of the waiting jobs with the capacity that is running or booting. Cheap kinds of instances are requested if the waiting work
+// would last long enough. Expensive kinds are requested if they prevent enough objective misses for their price.
+//
+// The Scaler owns the forecast of the platform's objectives, the arrival rates of jobs, and the times of its next decisions. It
+// never starts, stops or places a task, except that it drains machines with low utilization. Package cloud sends the requests.
+// Design note: docs/design/autoscaler.md.
 package autoscaler
 
 import (
@@ -22,18 +24,18 @@
 
 const (
 	scaleInterval = time.Second
-	// minScaleInterval is the least time between two decisions when a new job makes an early one due.
+	// minScaleInterval is the minimum time between two decisions if an accepted job makes the next one due early.
 	minScaleInterval      = 300 * time.Millisecond
 	consolidationInterval = 5 * time.Second
 )
 
-// LeadershipHistory tells what there was before this leader.
+// LeadershipHistory tells whether the cluster had a leader before this one.
 type LeadershipHistory interface {
-	// IsFirstLeader reports whether no leader before this one has stored anything.
+	// IsFirstLeader reports whether no earlier leader has stored anything.
 	IsFirstLeader() bool
 }
 
-// Components are the parts of the leadership that a Scaler works with.
+// Components are the dependencies of a Scaler. All fields are required.
 type Components struct {
 	Platform     *config.Platform
 	Options      *config.Options
@@ -50,7 +52,8 @@
 	Log          *slog.Logger
 }
 
-// Scaler requests and terminates instances for a leader. It is used on the controller's goroutine only.
+// Scaler requests and terminates instances for a leader. It is not safe for concurrent use: only the controller's goroutine uses
+// it.
 type Scaler struct {
 	// Components.
 	platform     *config.Platform
@@ -72,17 +75,17 @@
 	schedule   schedule
 	objectives objectiveTracker
 	arrivals   arrivalTracker
-	instances  []trackedInstance // as of the present decision
+	instances  []trackedInstance // as of the last refreshInstances
 }
 
-// schedule says when the Scaler acts next.
+// schedule holds the times of the last and the next decisions.
 type schedule struct {
 	lastScaled        time.Time
 	nextScale         time.Time
 	nextConsolidation time.Time
 }
 
-// New returns the Scaler of a new leadership.
+// New returns the Scaler for a new leadership. The first Tick takes all decisions.
 func New(components Components) *Scaler {
 	return &Scaler{
 		platform:     components.Platform,
@@ -104,20 +107,20 @@
 	}
 }
 
-// Tick takes the decisions that are due. An answer of the cloud to a request makes the next one due.
+// Tick takes the decisions that are due. The result of a request for instances makes the next scaling decision due at once.
 func (s *Scaler) Tick(now time.Time) {
 	if !now.Before(s.schedule.nextConsolidation) {
 		s.schedule.nextConsolidation = now.Add(consolidationInterval)
 		s.cordonStragglers(now)
 		s.consolidate(now)
 	}
-	if !now.Before(s.schedule.nextScale) || s.cloud.TakeRequestAnswered() {
+	if !now.Before(s.schedule.nextScale) || s.cloud.TakeResultReceived() {
 		s.schedule.lastScaled, s.schedule.nextScale = now, now.Add(scaleInterval)
 		s.scale(now)
 	}
 }
 
-// JobAccepted records that a job has arrived, and makes the next decision due soon: instances take long to boot.
+// JobAccepted records the arrival of a job. It makes the next decision due soon, since instances take long to boot.
 func (s *Scaler) JobAccepted(now time.Time, job *jobs.Job) {
 	s.arrivals.record(now, job, s.estimator)
 	if early := s.schedule.lastScaled.Add(minScaleInterval); early.Before(s.schedule.nextScale) {
@@ -125,7 +128,7 @@
 	}
 }
 
-// JobEnded records whether a job that has ended kept the objectives of its class.
+// JobEnded records whether a job that has ended met the objectives of its class.
 func (s *Scaler) JobEnded(now time.Time, job *jobs.Job) {
 	s.objectives.recordEnded(now, job, s.estimator)
 }
--- a/internal/controller/cloud/boottime/estimator.go
+++ b/internal/controller/cloud/boottime/estimator.go
@@ -1,10 +1,10 @@
 // Package boottime estimates how long instances of each machine type take from their request to their first heartbeat. Its
-// Estimator owns the last boot times of each type and the ages of the instances that have not reported yet. It never requests or
-// terminates an instance.
+// Estimator owns the last boot times of each type and the ages of the instances that have not sent a heartbeat yet. It never
+// requests or terminates an instance.
 //
-// The cloud states a usual time. At times all instances take a multiple or a small part of it, and some never report. With a
-// constant timeout, instances that are late together would all be replaced, and the replacements would be later still.
-// Design note: docs/design/autoscaler.md.
+// The cloud publishes a nominal boot time. At times all instances take a multiple or a small part of it, and some never send a
+// heartbeat. With a constant timeout, instances that are late together would all be replaced, and the replacements would be later
+// still. Design note: docs/design/autoscaler.md.
 package boottime
 
 import (
@@ -13,37 +13,37 @@
 )
 
 const (
-	// maxSamples is the number of boots of a type that count, the last ones.
+	// maxSamples is the number of most recent boots of a type that are kept.
 	maxSamples = 32
-	// statedWeight is the number of boots that the cloud's stated time weighs.
-	statedWeight = 4
-	// maxFactor bounds a boot time as a multiple of the stated one: a longer one only says that it is long.
+	// nominalWeight is the number of boots that the nominal time counts as.
+	nominalWeight = 4
+	// maxFactor bounds a boot time as a multiple of the nominal one. Longer boots are all counted alike.
 	maxFactor = 8
-	// timeoutRank, timeoutFactor and timeoutGrace make the timeout: that quantile of the boot times, times the factor, and
-	// the grace for the list and the first heartbeat.
-	timeoutRank   = 0.9
-	timeoutFactor = 2.5
-	timeoutGrace  = 30 * time.Second
-	medianRank    = 0.5
-	// maxBooting is the number of booting instances of a type that count.
+	// timeoutQuantile, timeoutFactor and timeoutGrace determine the timeout. It is that quantile of the boot times, times the
+	// factor, plus the grace for the list and the first heartbeat.
+	timeoutQuantile = 0.9
+	timeoutFactor   = 2.5
+	timeoutGrace    = 30 * time.Second
+	medianQuantile  = 0.5
+	// maxBooting is the number of booting instances of a type that are recorded.
 	maxBooting = 64
-	// overdueAgeDivisor and overdueStatedDivisor estimate the rest of a boot that takes longer than expected: that part of its
-	// age, and at least that part of the stated time.
-	overdueAgeDivisor    = 4
-	overdueStatedDivisor = 8
+	// overdueAgeDivisor and overdueNominalDivisor estimate the rest of a boot that takes longer than expected. It is that fraction
+	// of its age, and at least that fraction of the nominal time.
+	overdueAgeDivisor     = 4
+	overdueNominalDivisor = 8
 )
 
-// samples are the observations of one machine type, as multiples of its stated boot time.
+// samples holds the observations of one machine type, as multiples of its nominal boot time.
 type samples struct {
-	factors        []float64 // a ring buffer of completed boots
-	nextSlot       int       // in factors, once it is full
-	bootingFactors []float64 // ages of the instances that have not reported, as last observed
+	factors        []float64 // ring buffer of completed boots
+	nextSlot       int       // index in factors that is overwritten next, once the buffer is full
+	bootingFactors []float64 // ages of the instances that have sent no heartbeat, as last observed
 }
 
-// Estimator holds the samples of each machine type.
+// Estimator estimates boot times by machine type. It is not safe for concurrent use.
 type Estimator struct{ types map[string]*samples }
 
-// New returns the estimator of a new leadership, without samples.
+// New returns an estimator without samples.
 func New() *Estimator { return &Estimator{types: map[string]*samples{}} }
 
 func (e *Estimator) samplesOf(machineType string) *samples {
@@ -55,14 +55,14 @@
 	return s
 }
 
-// ObserveBoot records an instance that has reported, so long after its request. stated is the boot time that the cloud states for
-// its type.
-func (e *Estimator) ObserveBoot(machineType string, took, stated time.Duration) {
-	if stated <= 0 || took < 0 {
+// ObserveBoot records the time from the request of an instance to its first heartbeat. nominal is the boot time that the cloud
+// publishes for the type. A negative boot time is ignored, and so is a nominal time that is not positive.
+func (e *Estimator) ObserveBoot(machineType string, bootTime, nominal time.Duration) {
+	if nominal <= 0 || bootTime < 0 {
 		return
 	}
 	s := e.samplesOf(machineType)
-	factor := min(took.Seconds()/stated.Seconds(), maxFactor)
+	factor := min(bootTime.Seconds()/nominal.Seconds(), maxFactor)
 	if len(s.factors) < maxSamples {
 		s.factors = append(s.factors, factor)
 		return
@@ -71,29 +71,30 @@
 	s.nextSlot = (s.nextSlot + 1) % maxSamples
 }
 
-// ObserveBooting records the ages of all instances that have not reported, by type; of many the first ones count. Instances that
-// are late together raise the estimate before any of them reports.
-func (e *Estimator) ObserveBooting(agesByType map[string][]time.Duration, statedTimeOf func(machineType string) time.Duration) {
+// ObserveBooting replaces the ages of the instances that have sent no heartbeat, by type. Of each type only the first maxBooting
+// ages are recorded. Instances that are late together raise the estimate before any of them sends a heartbeat. A type is ignored
+// if nominalTimeOf is not positive for it.
+func (e *Estimator) ObserveBooting(agesByType map[string][]time.Duration, nominalTimeOf func(machineType string) time.Duration) {
 	for _, s := range e.types {
 		s.bootingFactors = s.bootingFactors[:0]
 	}
 	for machineType, ages := range agesByType {
-		stated := statedTimeOf(machineType)
-		if stated <= 0 {
+		nominal := nominalTimeOf(machineType)
+		if nominal <= 0 {
 			continue
 		}
 		s := e.samplesOf(machineType)
 		for _, age := range ages[:min(len(ages), maxBooting)] {
-			s.bootingFactors = append(s.bootingFactors, min(age.Seconds()/stated.Seconds(), maxFactor))
+			s.bootingFactors = append(s.bootingFactors, min(age.Seconds()/nominal.Seconds(), maxFactor))
 		}
 	}
 }
 
-// quantile returns a quantile of the boot times with the stated time among them. Booting instances that are older than the
-// median count as if they reported now.
-func (s *samples) quantile(rank float64) float64 {
+// quantile returns a quantile of the boot times, with the nominal time among them. Booting instances that are older than the
+// median count as if they had booted now.
+func (s *samples) quantile(fraction float64) float64 {
 	all := slices.Clone(s.factors)
-	for range statedWeight {
+	for range nominalWeight {
 		all = append(all, 1)
 	}
 	slices.Sort(all)
@@ -104,33 +105,34 @@
 		}
 	}
 	slices.Sort(all)
-	return all[min(int(rank*float64(len(all))), len(all)-1)]
+	return all[min(int(fraction*float64(len(all))), len(all)-1)]
 }
 
-// Expected returns the expected time from the request of an instance of the type to its first heartbeat.
-func (e *Estimator) Expected(machineType string, stated time.Duration) time.Duration {
+// Expected returns the expected time from the request of an instance of the type to its first heartbeat. Without samples it is
+// the nominal time.
+func (e *Estimator) Expected(machineType string, nominal time.Duration) time.Duration {
 	s := e.types[machineType]
 	if s == nil {
-		return stated
+		return nominal
 	}
-	return time.Duration(s.quantile(medianRank) * float64(stated))
+	return time.Duration(s.quantile(medianQuantile) * float64(nominal))
 }
 
-// Timeout returns the age from which an instance that has not reported counts as failed. It is never shorter than
-// the stated time makes it: a few quick boots do not make the next one quick.
-func (e *Estimator) Timeout(machineType string, stated time.Duration) time.Duration {
+// Timeout returns the age from which an instance that has sent no heartbeat counts as failed. It is never shorter than the
+// timeout for the nominal time, since a few fast boots do not make the next one fast.
+func (e *Estimator) Timeout(machineType string, nominal time.Duration) time.Duration {
 	factor := 1.0
 	if s := e.types[machineType]; s != nil {
-		factor = max(s.quantile(timeoutRank), 1)
+		factor = max(s.quantile(timeoutQuantile), 1)
 	}
-	return time.Duration(timeoutFactor*factor*float64(stated)) + timeoutGrace
+	return time.Duration(timeoutFactor*factor*float64(nominal)) + timeoutGrace
 }
 
-// Remaining returns how much longer an instance of that age is expected to take: what is left of the expected time or, once that
-// is over, a share of its age.
-func (e *Estimator) Remaining(machineType string, age, stated time.Duration) time.Duration {
-	if left := e.Expected(machineType, stated) - age; left > 0 {
+// Remaining returns how much longer an instance of the given age is expected to boot. After the expected time it is a fraction of
+// the age.
+func (e *Estimator) Remaining(machineType string, age, nominal time.Duration) time.Duration {
+	if left := e.Expected(machineType, nominal) - age; left > 0 {
 		return left
 	}
-	return max(age/overdueAgeDivisor, stated/overdueStatedDivisor)
+	return max(age/overdueAgeDivisor, nominal/overdueNominalDivisor)
 }
--- a/internal/controller/cloud/call_queue_test.go
+++ b/internal/controller/cloud/call_queue_test.go
@@ -10,8 +10,8 @@
 	"gullrudder/internal/wire/client"
 )
 
-// respondFor lets a span pass and answers each call with the status and body that respond returns; status 0 is no answer. It
-// returns the number of calls by path and zone.
+// respondFor lets a span pass and responds to each call with the status and body that respond returns. Status 0 stands for no
+// response. It returns the number of calls by path and zone.
 func (f *fixture) respondFor(span time.Duration, respond func(call client.Call) (int, any)) map[string]int {
 	f.t.Helper()
 	counts := map[string]int{}
@@ -32,9 +32,9 @@
 	return counts
 }
 
-// TestFailingZoneDoesNotBlockOtherCalls checks that requests in a zone that does not answer delay neither those in
-// another zone, nor deletions, nor lists. They are retried within half of the call rate, and nothing more is requested
-// in that zone.
+// TestFailingZoneDoesNotBlockOtherCalls checks the calls while requests in one zone get no usable response. Requests in another
+// zone, deletions and lists must not be delayed. The failing requests are retried within half of the call rate, and nothing more
+// is requested in that zone.
 func TestFailingZoneDoesNotBlockOtherCalls(t *testing.T) {
 	f := newFixture(t)
 	for i := range 6 {
@@ -47,7 +47,7 @@
 		case call.Path == "/hosts/delete":
 			return 200, nil
 		case body["harbour"] == "failing" && zoneFails:
-			return 500, nil // the outcome stays unknown
+			return 500, nil // leaves the outcome unknown
 		case body["harbour"] != nil:
 			return 200, map[string]any{"oarlocks": []string{"vm-" + body["charter"].(string)}}
 		}
@@ -86,14 +86,14 @@
 	}
 }
 
-// TestRefusedDeletionIsSplit checks that an instance that cannot be deleted does not prevent the deletion of the others
+// TestRefusedDeletionIsSplit checks that an instance that cannot be deleted does not prevent the deletion of the other instances
 // in its request.
 func TestRefusedDeletionIsSplit(t *testing.T) {
 	f := newFixture(t)
 	var ids []string
 	for i := range 100 {
 		ids = append(ids, fmt.Sprintf("vm-%06d", i))
-		f.client.Instances[ids[i]] = &Instance{ID: ids[i], LastListed: f.now.Add(time.Hour)}
+		f.client.Instances[ids[i]] = &Instance{ID: ids[i], LastSeenAt: f.now.Add(time.Hour)}
 	}
 	f.client.Terminate(ids, "test")
 	f.respondFor(time.Minute, func(call client.Call) (int, any) {
@@ -106,20 +106,20 @@
 		return 200, nil
 	})
 	if deleted := f.client.TakeConfirmedDeletions(); len(deleted) != 99 || f.client.IsDeleted("vm-000042") {
-		t.Errorf("deletions confirmed: got %d, vm-000042 deleted %v, want 99, false", len(deleted), f.client.IsDeleted("vm-000042"))
+		t.Errorf("confirmed deletions: got %d, vm-000042 deleted %v, want 99, false", len(deleted), f.client.IsDeleted("vm-000042"))
 	}
 }
 
-// TestUnavailableCloudIsProbed checks that a cloud that does not answer is called about once a second, whatever is
-// queued, and that the whole queue is sent when it answers again.
+// TestUnavailableCloudIsProbed checks that a cloud that does not respond is called about once a second, regardless of the length
+// of the queue. The whole queue is sent once the cloud responds again.
 func TestUnavailableCloudIsProbed(t *testing.T) {
 	f := newFixture(t)
 	for i := range 12 {
 		f.client.RequestInstances(InstanceKind{fmt.Sprintf("k%d", i), fmt.Sprint("zone", i), false}, 1)
 	}
-	cloudAnswers := false
+	cloudResponds := false
 	respond := func(call client.Call) (int, any) {
-		if !cloudAnswers {
+		if !cloudResponds {
 			return 0, nil
 		}
 		if body, _ := call.Body.(map[string]any); body["charter"] != nil {
@@ -133,11 +133,11 @@
 		calls += count
 	}
 	if calls < 12 || calls > 45 {
-		t.Errorf("calls in 20 s to a cloud that does not answer: got %d, want 12 to 45", calls)
+		t.Errorf("calls in 20 s to a cloud that does not respond: got %d, want 12 to 45", calls)
 	}
-	cloudAnswers = true
+	cloudResponds = true
 	f.respondFor(20*time.Second, respond)
 	if len(f.client.Instances) != 12 {
-		t.Errorf("instances once the cloud answers: got %d, want 12", len(f.client.Instances))
+		t.Errorf("instances once the cloud responds: got %d, want 12", len(f.client.Instances))
 	}
 }
--- a/internal/controller/cloud/client.go
+++ b/internal/controller/cloud/client.go
@@ -1,7 +1,8 @@
-// Package cloud is the client of the cloud's API: it reads the machine types, lists the instances, requests new ones and deletes
-// those that are not needed. It owns the list of instances and the pending requests. It never decides what is requested or
-// deleted (package autoscaler does), and has no access to tasks. A Client belongs to one leadership and is used on the
-// controller's goroutine only. Design note: docs/design/autoscaler.md.
+// Package cloud is the client of the cloud's API. It reads the machine types, lists the instances, requests new ones and deletes
+// those that are not needed. It owns the list of instances and the pending requests. Package autoscaler decides what is requested
+// or deleted. The client has no access to tasks.
+//
+// A Client belongs to one leadership and is used on the controller's goroutine only. Design note: docs/design/autoscaler.md.
 package cloud
 
 import (
@@ -15,19 +16,20 @@
 
 const (
 	callTimeout = 5 * time.Second
-	// usedRateShare is the share of the cloud's call rate that is used, since the cloud measures the rate by its own clock.
+	// usedRateShare is the share of the cloud's call rate that is used. It is below 1 because the cloud measures the rate by its
+	// own clock.
 	usedRateShare = 0.95
-	// minOverloadPause is the least time without calls after the cloud said that it is overloaded.
+	// minOverloadPause is the minimum time without calls after the cloud responded that it is overloaded.
 	minOverloadPause = 500 * time.Millisecond
 )
 
-// Client is a leader's connection with the cloud.
+// Client calls the cloud's API for a leader. It is not safe for concurrent use: only the controller's goroutine uses it.
 type Client struct {
-	// MachineTypes are the types that the cloud offers, by name; empty until they were read.
+	// MachineTypes are the types that the cloud offers, by name. The map is empty until they have been read.
 	MachineTypes map[string]*MachineType
-	// Instances are the instances that are listed, requested or reporting, by ID.
+	// Instances are the instances that were listed or requested, or that sent a heartbeat, by ID.
 	Instances map[string]*Instance
-	// CompletedLists counts the lists that were read to their last page.
+	// CompletedLists counts the lists of instances that were read to their last page.
 	CompletedLists int
 
 	log       *slog.Logger
@@ -37,18 +39,18 @@
 	callsPerSecond float64
 	limiter        *client.RateLimiter
 	queue          callQueue
-	pausedUntil    time.Time // the cloud is overloaded
+	pausedUntil    time.Time // the cloud is overloaded: no call is sent before this time
 
 	nextTypesRead  time.Time
 	isReadingTypes bool
 	listing        listing
-	deletedIDs     map[string]bool // confirmed deletions; lists lag and still show them
+	deletedIDs     map[string]bool // confirmed deletions; lists lag and may still show them
 	newDeletions   []string        // confirmed deletions that TakeConfirmedDeletions has not returned yet
 	requests       requests
 }
 
-// New returns the client of a new leadership. callsPerSecond is the call rate that the cloud allows, listLag how long its lists
-// may lag behind.
+// New returns the client for a new leadership. callsPerSecond is the call rate that the cloud allows. listLag is how far its
+// lists may lag behind.
 func New(fencingToken uint64, callsPerSecond float64, listLag time.Duration, log *slog.Logger) *Client {
 	return &Client{
 		MachineTypes:   map[string]*MachineType{},
@@ -64,17 +66,17 @@
 	}
 }
 
-// Close ends the client: results that arrive later are ignored.
+// Close ends the client. Results that arrive later are ignored.
 func (c *Client) Close() { c.isClosed = true }
 
-// Tick sends the calls that are due, as far as the cloud's call rate allows: the read of machine types first, then the calls in
-// the queue, then a list.
+// Tick adds the calls that are due to the outbox, within the cloud's call rate. It reads the machine types first, then sends the
+// queued calls, then lists the instances.
 func (c *Client) Tick(now time.Time, outbox *client.Outbox) {
 	if now.Before(c.pausedUntil) {
 		return
 	}
 	if c.canCall(now) && !c.isReadingTypes && !now.Before(c.nextTypesRead) {
-		c.spendCall(now)
+		c.countCall(now)
 		c.readMachineTypes(outbox)
 	}
 	for c.canCall(now) {
@@ -82,11 +84,11 @@
 		if send == nil {
 			break
 		}
-		c.spendCall(now)
+		c.countCall(now)
 		send(outbox)
 	}
 	if c.canCall(now) && !c.listing.inProgress && !now.Before(c.listing.next) {
-		c.spendCall(now)
+		c.countCall(now)
 		c.listing.seenIDs = map[string]bool{}
 		c.listInstances(outbox, "")
 	}
@@ -97,13 +99,13 @@
 	return !c.queue.isPaused(now) && c.limiter.Available(now) > 0
 }
 
-// spendCall counts a call against the rate.
-func (c *Client) spendCall(now time.Time) {
+// countCall counts a call against the call rate.
+func (c *Client) countCall(now time.Time) {
 	c.limiter.Take(1)
-	c.queue.callSent(now)
+	c.queue.recordSent(now)
 }
 
-// send adds a call to the outbox. Its Done is not run once the client is closed.
+// send adds a call to the outbox. Its Done does not run once the client is closed.
 func (c *Client) send(outbox *client.Outbox, call client.Call) {
 	done := call.Done
 	call.Destination, call.Timeout = client.CloudAPI, callTimeout
@@ -120,7 +122,8 @@
 	outbox.Add(call)
 }
 
-// isOverloaded reports whether the cloud refused a call because of too many calls. A 503 with a body is an answer to the call.
+// isOverloaded reports whether the cloud refused a call because of too many calls. A 503 with a body is a response to the call
+// itself.
 func isOverloaded(result client.Result) bool {
 	return result.Status == http.StatusTooManyRequests || result.Status == http.StatusServiceUnavailable && len(result.Body) == 0
 }
@@ -128,14 +131,15 @@
 // IsDeleted reports whether the cloud has confirmed the deletion of the instance.
 func (c *Client) IsDeleted(id string) bool { return c.deletedIDs[id] }
 
-// TakeConfirmedDeletions returns the IDs of the instances whose deletion the cloud has confirmed since the last call.
+// TakeConfirmedDeletions returns the IDs of the instances whose deletion the cloud has confirmed since the previous call, or nil.
 func (c *Client) TakeConfirmedDeletions() []string {
 	deleted := c.newDeletions
 	c.newDeletions = nil
 	return deleted
 }
 
-// ObserveHeartbeat records that the worker of an instance sent a heartbeat. The first one gives a sample of the boot time.
+// ObserveHeartbeat records a heartbeat from the worker of an instance and adds the instance if it is unknown. The first heartbeat
+// of an instance that this leader requested is a sample of the boot time.
 func (c *Client) ObserveHeartbeat(now time.Time, id, addr string, kind InstanceKind) {
 	instance := c.Instances[id]
 	if instance == nil {
@@ -143,17 +147,18 @@
 		c.Instances[id] = instance
 	}
 	if machineType := c.MachineTypes[kind.Type]; machineType != nil && !instance.HasReported && instance.RequestedByThisLeader {
-		c.bootTimes.ObserveBoot(kind.Type, now.Sub(instance.RequestedAt), machineType.statedBootTime())
+		c.bootTimes.ObserveBoot(kind.Type, now.Sub(instance.RequestedAt), machineType.nominalBootTime())
 	}
 	instance.HasReported, instance.Kind = true, kind
-	instance.LastListed = now
+	instance.LastSeenAt = now
 }
 
-// ObserveBooting records the ages of the instances that have not reported yet, by machine type.
+// ObserveBooting replaces the recorded ages of the instances that have sent no heartbeat yet, by machine type. Only the first
+// ages of a type count, so the caller passes the highest ones first.
 func (c *Client) ObserveBooting(agesByType map[string][]time.Duration) {
 	c.bootTimes.ObserveBooting(agesByType, func(name string) time.Duration {
 		if machineType := c.MachineTypes[name]; machineType != nil {
-			return machineType.statedBootTime()
+			return machineType.nominalBootTime()
 		}
 		return 0
 	})
@@ -161,15 +166,15 @@
 
 // ExpectedBootTime returns how long an instance of the type is expected to take until its first heartbeat.
 func (c *Client) ExpectedBootTime(machineType *MachineType) time.Duration {
-	return c.bootTimes.Expected(machineType.Name, machineType.statedBootTime())
+	return c.bootTimes.Expected(machineType.Name, machineType.nominalBootTime())
 }
 
-// RemainingBootTime returns how much longer an instance of that age is expected to take until its first heartbeat.
+// RemainingBootTime returns how much longer an instance of the given age is expected to take until its first heartbeat.
 func (c *Client) RemainingBootTime(machineType *MachineType, age time.Duration) time.Duration {
-	return c.bootTimes.Remaining(machineType.Name, age, machineType.statedBootTime())
+	return c.bootTimes.Remaining(machineType.Name, age, machineType.nominalBootTime())
 }
 
-// BootTimeout returns the age from which an instance that has not reported is taken for one that never will.
+// BootTimeout returns the age from which an instance that has sent no heartbeat counts as failed.
 func (c *Client) BootTimeout(machineType *MachineType) time.Duration {
-	return c.bootTimes.Timeout(machineType.Name, machineType.statedBootTime())
+	return c.bootTimes.Timeout(machineType.Name, machineType.nominalBootTime())
 }
--- a/internal/controller/cloud/client_test.go
+++ b/internal/controller/cloud/client_test.go
@@ -10,7 +10,7 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// fixture is a client with a clock of its own. The test answers the client's calls.
+// fixture is a client with a clock of its own. The test responds to the client's calls.
 type fixture struct {
 	t      *testing.T
 	client *Client
@@ -25,7 +25,7 @@
 	return f
 }
 
-// callsAfter lets time pass and returns the calls that are then made.
+// callsAfter advances the clock and returns the calls that the client then sends.
 func (f *fixture) callsAfter(d time.Duration) []client.Call {
 	f.now = f.now.Add(d)
 	f.client.Tick(f.now, &f.outbox)
@@ -57,15 +57,15 @@
 	return map[string]any{"oarlocks": rows, "has_next": more}
 }
 
-// TestTruncatedListDropsNoInstances checks that a list without its last pages drops no instances, however often that
-// happens, and that a complete list does.
+// TestTruncatedListDropsNoInstances checks that a list without its last pages never drops an instance, even if it is repeated. A
+// complete list drops those that it does not show.
 func TestTruncatedListDropsNoInstances(t *testing.T) {
 	f := newFixture(t)
 	list := f.callsAfter(0)
 	f.respond(list[0], 200, instancePage(0, 500, true))
 	f.respond(f.callsAfter(time.Second)[0], 200, instancePage(500, 900, false))
 	if len(f.client.Instances) != 900 || f.client.CompletedLists != 1 {
-		t.Fatalf("instances %d after %d lists, want 900 after 1", len(f.client.Instances), f.client.CompletedLists)
+		t.Fatalf("got %d instances after %d complete lists, want 900 after 1", len(f.client.Instances), f.client.CompletedLists)
 	}
 	for range 20 {
 		for _, call := range f.callsAfter(3 * time.Second) {
@@ -76,7 +76,7 @@
 		}
 	}
 	if len(f.client.Instances) != 900 || f.client.CompletedLists != 1 {
-		t.Fatalf("after twenty truncated lists: instances %d, complete lists %d, want 900, 1", len(f.client.Instances), f.client.CompletedLists)
+		t.Fatalf("after 20 truncated lists: got %d instances, %d complete lists, want 900, 1", len(f.client.Instances), f.client.CompletedLists)
 	}
 	for f.client.CompletedLists < 4 {
 		for _, call := range f.callsAfter(6 * time.Second) {
@@ -88,9 +88,8 @@
 	}
 }
 
-// TestRequestsAreRetriedUnderTheirNames checks that a request for more instances than one call allows becomes several
-// calls with a name each, that a call without a response is retried under its name, and that no more instances of the
-// kind are requested meanwhile.
+// TestRequestsAreRetriedUnderTheirNames checks that a request for more instances than one call allows becomes several calls, each
+// with its own name. A call without a response is retried under its name. No more instances of the kind are requested meanwhile.
 func TestRequestsAreRetriedUnderTheirNames(t *testing.T) {
 	f := newFixture(t)
 	f.client.listing.next = f.now.Add(time.Hour)
@@ -113,17 +112,17 @@
 	first[1].Done(f.now, client.Result{})
 	f.respond(first[2], 503, map[string]string{"error": "no capacity"})
 	if f.client.CanRequest(f.now, kind) {
-		t.Error("further request allowed while one is unanswered, want refused")
+		t.Error("further request while one has no response: got allowed, want not allowed")
 	}
 	retries := f.callsAfter(time.Second)
 	record(retries)
 	if len(retries) != 1 || callsByName["r-7-2"] != 2 || len(callsByName) != 3 {
-		t.Fatalf("calls by name: got %v, %d retries, want one retry, of r-7-2", callsByName, len(retries))
+		t.Fatalf("calls by name: got %v with %d retries, want 1 retry, that of r-7-2", callsByName, len(retries))
 	}
 	f.respond(retries[0], 200, map[string]any{"oarlocks": []string{"vm-2", "vm-3"}})
 	if len(f.client.Instances) != 3 || !f.client.CanRequest(f.now.Add(time.Minute), kind) {
 		t.Errorf(
-			"instances %d, further request allowed %v, want 3, true",
+			"got %d instances, further request allowed %v, want 3, true",
 			len(f.client.Instances), f.client.CanRequest(f.now.Add(time.Minute), kind),
 		)
 	}
--- a/internal/controller/cloud/deletions.go
+++ b/internal/controller/cloud/deletions.go
@@ -9,10 +9,11 @@
 	"gullrudder/internal/wire/client"
 )
 
-// maxRefusedDeletions is after how many refusals a deletion of several instances is split.
+// maxRefusedDeletions is the number of refusals after which a deletion of several instances is split.
 const maxRefusedDeletions = 2
 
-// Terminate deletes instances. The reason goes into the log.
+// Terminate queues the deletion of instances and marks them as Deleting. It is retried until the cloud confirms it. The reason
+// only goes into the log. Terminate sorts ids in place and keeps the slice.
 func (c *Client) Terminate(ids []string, reason string) {
 	sort.Strings(ids)
 	for len(ids) > 0 {
@@ -24,7 +25,7 @@
 			}
 			c.log.Info("instance termination requested", logkeys.Instance, id, logkeys.Reason, reason)
 		}
-		// Deletions go first: they give back capacity that a request may be waiting for.
+		// Deletions go first: they free capacity that a request may be waiting for.
 		c.queue.add(urgentCall, func(outbox *client.Outbox) { c.sendDeletion(outbox, batch, 0) })
 	}
 }
@@ -48,8 +49,8 @@
 	})
 }
 
-// retryDeletion repeats a deletion. One that is refused repeatedly is split in halves, down to the instance that cannot be
-// deleted: otherwise that one blocks the deletion of up to ninety-nine others.
+// retryDeletion retries a deletion. A deletion that is refused repeatedly is split in halves, down to the instance that cannot be
+// deleted. Otherwise that instance blocks the deletion of up to 99 others.
 func (c *Client) retryDeletion(now time.Time, ids []string, retries int, result client.Result) {
 	if isRefusal(result) && retries >= maxRefusedDeletions && len(ids) > 1 {
 		c.log.Info("instance deletion split", logkeys.Count, len(ids), logkeys.Status, result.Status)
@@ -61,7 +62,7 @@
 	c.queue.retry(now, urgentCall, retries, func(outbox *client.Outbox) { c.sendDeletion(outbox, ids, retries+1) })
 }
 
-// isRefusal reports whether the cloud answered that it does not carry the call out, and not that it is overloaded.
+// isRefusal reports whether the cloud refused to execute the call, for another reason than overload.
 func isRefusal(result client.Result) bool {
 	return result.Status >= http.StatusBadRequest &&
 		result.Status != http.StatusTooManyRequests && result.Status != http.StatusServiceUnavailable
--- a/internal/controller/cloud/listing.go
+++ b/internal/controller/cloud/listing.go
@@ -14,18 +14,18 @@
 const (
 	typesInterval   = time.Minute
 	minListInterval = 2 * time.Second
-	// readRetryDelay is the wait after a read of types or instances that failed.
+	// readRetryDelay is the delay after a failed read of machine types or instances.
 	readRetryDelay = time.Second
-	// unlistedGrace is what an instance may be missing from lists beyond three times their lag.
+	// unlistedGrace is added to three times the lag of lists: an instance that is missing for longer is dropped.
 	unlistedGrace = 5 * time.Second
 )
 
-// listing is the state of reading the list of instances, which comes in pages.
+// listing is the state of reading the list of instances page by page.
 type listing struct {
-	lag        time.Duration // how long lists lag behind
+	lag        time.Duration // how far lists lag behind
 	next       time.Time
 	inProgress bool
-	seenIDs    map[string]bool // instances on the pages of the present list
+	seenIDs    map[string]bool // instances on the pages of the current list
 }
 
 func (c *Client) readMachineTypes(outbox *client.Outbox) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// listInstances reads the page of the list that follows an instance ID, the first one for "".
+// listInstances requests the page of the list that follows afterID, or the first page if afterID is "".
 func (c *Client) listInstances(outbox *client.Outbox, afterID string) {
 	c.listing.inProgress = true
 	query := url.Values{"most": {strconv.Itoa(listPageSize)}}
@@ -57,7 +57,7 @@
 	c.send(outbox, client.Call{Method: http.MethodGet, Path: "/hosts?" + query.Encode(), Done: c.receiveInstances})
 }
 
-// receiveInstances takes in a page of the list. Only a complete list says that an instance is gone.
+// receiveInstances processes a page of the list. Only a complete list shows that an instance is gone.
 func (c *Client) receiveInstances(now time.Time, result client.Result) {
 	c.listing.inProgress = false
 	var page instancesResponse
@@ -92,8 +92,8 @@
 	instance.updateFromList(now, listed)
 }
 
-// dropUnlisted drops instances that the cloud no longer lists: reclaimed or deleted. They only cease to be counted; package
-// worker decides by their leases whether tasks on them have ended.
+// dropUnlisted drops instances that the cloud no longer lists because they were reclaimed or deleted. They only stop counting as
+// instances. Package worker decides by their leases whether their tasks have ended.
 func (c *Client) dropUnlisted(now time.Time) {
 	for id, instance := range c.Instances {
 		if c.listing.seenIDs[id] {
--- a/internal/controller/cloud/messages.go
+++ b/internal/controller/cloud/messages.go
@@ -11,13 +11,13 @@
 	maxInstancesPerRequest  = 50
 	maxInstancesPerDeletion = 100
 	listPageSize            = 500
-	rateBurst               = 2 * time.Second // how much of its call rate the cloud takes at once
+	rateBurst               = 2 * time.Second // the cloud accepts the calls of this much time at once
 )
 
-// errorNoCapacity is the error text of a request that the cloud has no capacity for.
+// errorNoCapacity is the error text of the cloud if it has no capacity for a request.
 const errorNoCapacity = "no capacity"
 
-// errorUnreadable stands for a response that cannot be decoded.
+// errorUnreadable replaces the error text of a response that cannot be decoded.
 const errorUnreadable = "unreadable"
 
 // machineTypesResponse is the response to GET /flavors.
@@ -50,15 +50,15 @@
 	More      bool             `msgpack:"has_next"`
 }
 
-// createRequest is a request for instances of one kind (POST /hosts). The cloud carries out requests of the same name once.
+// createRequest is a request for instances of one kind (POST /hosts). The cloud executes requests with the same name only once.
 type createRequest struct {
 	name  string
 	kind  InstanceKind
 	count int
 }
 
-// body returns the message under the names of the cloud's protocol. It is a map because the codec writes integers of a map
-// as short as they are and those of a struct in eight bytes.
+// body returns the message with the field names of the cloud's protocol. It is a map because the codec encodes an integer in a
+// map as short as possible, and in a struct in eight bytes.
 func (r createRequest) body() any {
 	return map[string]any{
 		"charter":   r.name,
@@ -69,13 +69,13 @@
 	}
 }
 
-// createResponse is the response to POST /hosts. It may name fewer instances than were requested.
+// createResponse is the response to POST /hosts. It may contain fewer instances than requested.
 type createResponse struct {
 	IDs   []string `msgpack:"oarlocks"`
 	Error string   `msgpack:"error"`
 }
 
-// deletionBody returns the message of POST /hosts/delete, which deletes all of the instances or none.
+// deletionBody returns the message of POST /hosts/delete, which deletes either all of the instances or none.
 func deletionBody(ids []string) any {
 	return map[string]any{"oarlocks": ids}
 }
--- a/internal/controller/cloud/requests.go
+++ b/internal/controller/cloud/requests.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// maxUnresolvedPerZone is how many requests of a zone may be without an outcome. Beyond it nothing more is requested there,
-	// and the retries of these show when the zone is back.
+	// maxUnresolvedPerZone is the number of requests of a zone whose outcome may be unknown. At that number nothing more is
+	// requested in the zone. The retries of these requests show when the zone has recovered.
 	maxUnresolvedPerZone = 2
-	// minRefusalBackoff and maxRefusalBackoff bound the wait after a refused request. It stays short: capacity that the cloud
-	// reclaims in a wave is soon offered again.
+	// minRefusalBackoff and maxRefusalBackoff bound the delay after a refused request. The delay stays short because capacity that
+	// the cloud reclaims in a wave is soon offered again.
 	minRefusalBackoff = 3 * time.Second
 	maxRefusalBackoff = 12 * time.Second
 )
@@ -23,16 +23,16 @@
 // requests is the state of the requests for instances.
 type requests struct {
 	fencingToken     uint64
-	count            int // requests of this leadership, for their names
+	count            int // requests of this leadership, used for their names
 	byKind           map[InstanceKind]*kindRequests
-	unresolvedByZone map[string]int // retries without an answer: the outcome of these requests is uncertain
-	isAnswered       bool           // a request was answered since TakeRequestAnswered
+	unresolvedByZone map[string]int // requests that had no definite outcome and are being retried
+	resultReceived   bool           // a request had a result since the last call of TakeResultReceived
 }
 
 // kindRequests is the state of the requests for one kind of instances.
 type kindRequests struct {
-	pending   int       // requests without an answer
-	notBefore time.Time // the end of the backoff
+	pending   int       // requests without a definite outcome
+	notBefore time.Time // end of the backoff
 	backoff   time.Duration
 }
 
@@ -55,36 +55,36 @@
 	return fmt.Sprintf("r-%d-%d", r.fencingToken, r.count)
 }
 
-// increaseBackoff doubles the wait until the next request of the kind.
+// increaseBackoff doubles the delay before the next request of the kind, within its bounds.
 func (k *kindRequests) increaseBackoff() {
 	k.backoff = min(max(2*k.backoff, minRefusalBackoff), maxRefusalBackoff)
 }
 
-// CanRequest reports whether instances of the kind may be requested now: no request is pending, its backoff is over, and the
-// zone answers.
+// CanRequest reports whether instances of the kind may be requested now: no request is pending, its backoff is over, and fewer
+// than maxUnresolvedPerZone requests in its zone are unresolved.
 func (c *Client) CanRequest(now time.Time, kind InstanceKind) bool {
 	state := c.requests.ofKind(kind)
 	return state.pending == 0 && !now.Before(state.notBefore) && c.requests.unresolvedByZone[kind.Zone] < maxUnresolvedPerZone
 }
 
-// HasPendingRequest reports whether a request for instances of the kind has no answer yet.
+// HasPendingRequest reports whether a request for instances of the kind has no definite outcome yet.
 func (c *Client) HasPendingRequest(kind InstanceKind) bool {
 	return c.requests.ofKind(kind).pending > 0
 }
 
-// MaxRequestable returns how many instances of a kind can be requested at a time: as many requests as the cloud takes in a
-// second, and one at least.
+// MaxRequestable returns how many instances of a kind can be requested at a time. It is the number that the cloud takes in one
+// second, and at least that of one request.
 func (c *Client) MaxRequestable() int { return maxInstancesPerRequest * max(int(c.callsPerSecond), 1) }
 
-// TakeRequestAnswered reports whether a request has been answered since it was last called.
-func (c *Client) TakeRequestAnswered() bool {
-	answered := c.requests.isAnswered
-	c.requests.isAnswered = false
-	return answered
+// TakeResultReceived reports whether a request for instances had a result, also a failure, since the previous call.
+func (c *Client) TakeResultReceived() bool {
+	received := c.requests.resultReceived
+	c.requests.resultReceived = false
+	return received
 }
 
-// RequestInstances asks the cloud for count instances of a kind. A request without an answer is repeated under the same name
-// until it has one; since the name contains the fencing token, no other leader ever uses it.
+// RequestInstances queues requests for count instances of a kind. A request without a definite outcome is retried under the same
+// name. The name contains the fencing token, so no other leader ever uses it.
 func (c *Client) RequestInstances(kind InstanceKind, count int) {
 	for ; count > 0; count -= maxInstancesPerRequest {
 		request := createRequest{kind: kind, count: min(count, maxInstancesPerRequest)}
@@ -112,7 +112,7 @@
 	if len(result.Body) > 0 && codec.Unmarshal(result.Body, &response) != nil {
 		response.Error = errorUnreadable
 	}
-	c.requests.isAnswered = true
+	c.requests.resultReceived = true
 	if retries > 0 {
 		c.requests.unresolvedByZone[request.kind.Zone]--
 	}
@@ -132,7 +132,8 @@
 	}
 }
 
-// addRequested takes in the instances that the cloud gave for a request. If there are fewer than requested, it has no more.
+// addRequested adds the instances that the cloud created for a request. If there are fewer than requested, the cloud has no more,
+// and the backoff increases.
 func (c *Client) addRequested(now time.Time, request createRequest, ids []string) {
 	state := c.requests.ofKind(request.kind)
 	state.pending--
