--- a/internal/controller/autoscaler/arrivals.go
+++ b/internal/controller/autoscaler/arrivals.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// arrivalWindow is the time over which arrivals are summed up.
+	// arrivalWindow is the length of a window in which arrivals are summed.
 	arrivalWindow = 10 * time.Second
-	// keptWindows is the number of complete windows that count.
+	// keptWindows is the number of complete windows from which a rate is computed.
 	keptWindows = 6
-	// minRateWindows is the number of complete windows that a rate takes.
+	// minRateWindows is the number of complete windows that a rate requires.
 	minRateWindows = 2
-	// profileWeight is the number of jobs over which the mean profile of a flow is taken.
+	// profileWeight is the number of jobs over which the profile of a flow is averaged.
 	profileWeight = 8
 )
 
-// flowKey identifies the jobs that arrive together in the forecast.
+// flowKey identifies the jobs whose arrivals are forecast together.
 type flowKey struct{ class, team string }
 
-// arrivalTracker tracks the arrivals by class and team.
+// arrivalTracker holds the arrivals by class and team.
 type arrivalTracker map[flowKey]*arrivalFlow
 
-// arrivalFlow is the arrivals of a class of a team.
+// arrivalFlow holds the recent arrivals of one class and team.
 type arrivalFlow struct {
 	team            string
-	profile         jobProfile                  // moving mean of the jobs
-	windows         [keptWindows + 1]arrivalSum // the present window first
-	windowStart     time.Time                   // of the present window
-	completeWindows int                         // of the others, those that are complete
+	profile         jobProfile                  // moving average over the jobs
+	windows         [keptWindows + 1]arrivalSum // the current window first
+	windowStart     time.Time                   // of the current window
+	completeWindows int                         // number of complete windows after the current one
 }
 
-// arrivalSum is the arrivals in a window, or in a second.
+// arrivalSum is the number of jobs and their work that arrive in a window, or per second.
 type arrivalSum struct{ jobs, cpuSeconds float64 }
 
-// record adds a job that was accepted.
+// record adds an accepted job to the arrivals of its class and team.
 func (t arrivalTracker) record(now time.Time, job *jobs.Job, estimator *estimate.Estimator) {
 	key := flowKey{class: job.Class, team: job.Team}
 	flow := t[key]
@@ -50,7 +50,7 @@
 	flow.updateProfile(estimator.TaskRunTime(job), job.TimeToDeadline())
 }
 
-// updateProfile moves the mean profile towards that of a job.
+// updateProfile moves the average profile towards that of a job.
 func (f *arrivalFlow) updateProfile(taskDuration, deadline time.Duration) {
 	if f.profile.taskDuration == 0 {
 		f.profile.taskDuration, f.profile.deadline = taskDuration, deadline
@@ -73,8 +73,8 @@
 	}
 }
 
-// rate returns the arrivals in a second, from the complete windows without the one with the most work: a burst of
-// jobs is in the queue already and does not predict further arrivals.
+// rate returns the arrivals per second, or zero if there are too few complete windows. It leaves out the window with the most
+// work: the jobs of a burst are in the queue already and do not predict further arrivals.
 func (f *arrivalFlow) rate(now time.Time) arrivalSum {
 	f.advance(now)
 	if f.completeWindows < minRateWindows {
--- a/internal/controller/autoscaler/arrivals_test.go
+++ b/internal/controller/autoscaler/arrivals_test.go
@@ -7,15 +7,15 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// TestArrivalRate checks that a single burst of arrivals has no rate, and that a steady flow has its rate until it
-// ends.
+// TestArrivalRate checks that a single burst of arrivals gives a rate of zero. A steady flow gives its rate, and zero once it has
+// ended.
 func TestArrivalRate(t *testing.T) {
 	f := newFixture()
 	record := func(tasks int) {
 		spec := jobs.Spec{ID: "job-1", Class: "c", Team: "t", Tasks: tasks, CPUs: 1, RunTimeEstimate: time.Minute}
 		f.arrivals.record(f.Now, jobs.New(spec, f.Now), f.estimator)
 	}
-	for i := range 60 { // a burst, and nothing after it
+	for i := range 60 { // a burst, followed by no arrivals
 		record(100)
 		if i == 30 {
 			f.Now = f.Now.Add(time.Second)
--- a/internal/controller/autoscaler/backlog.go
+++ b/internal/controller/autoscaler/backlog.go
@@ -5,7 +5,7 @@
 // teamBacklog is the remaining work of a team's jobs.
 type teamBacklog struct {
 	cpuSeconds float64
-	cpuLimit   float64 // the team's quota, 0 for none
+	cpuLimit   float64 // CPUs that the team's quota allows, 0 without a quota
 }
 
 // teamBacklogs is the remaining work by team.
@@ -27,8 +27,8 @@
 	return backlogs
 }
 
-// completableWithin returns how many CPU seconds of the work could be done in that time on any number of machines: no team exceeds
-// its quota.
+// completableWithin returns how many CPU seconds of the work could be done in that many seconds on any number of machines. Each
+// team is limited by its quota.
 func (b teamBacklogs) completableWithin(seconds float64) float64 {
 	sum := 0.0
 	for _, team := range b {
--- a/internal/controller/autoscaler/capacity.go
+++ b/internal/controller/autoscaler/capacity.go
@@ -9,11 +9,11 @@
 	"gullrudder/internal/controller/placement"
 )
 
-// AssumedGrowth is the least number of further instances of a requestable kind that are counted on when jobs are admitted.
+// AssumedGrowth is the minimum number of additional instances of a requestable kind that the admission of jobs counts on.
 const AssumedGrowth = 4
 
-// ExpectedCapacity returns the capacity for the admission of jobs: of the instances that are up or booting, and of those that can
-// still be requested.
+// ExpectedCapacity returns the capacity for the admission of jobs. It covers the instances that are running or booting, and the
+// growth by instances that can still be requested.
 func (s *Scaler) ExpectedCapacity(now time.Time) admission.Capacity {
 	capacity := admission.Capacity{TasksAllowedByQuota: func(job *jobs.Job) int {
 		return placement.TasksAllowedByQuota(job, s.teams[job.Team], s.workers.TeamUsage(job.Team))
@@ -33,8 +33,8 @@
 				if !s.cloud.CanRequest(now, kind) || s.zones.IsUnavailable(zone) {
 					continue
 				}
-				// The cloud does not publish its capacity. Of a kind that can be requested, it is assumed to have as many instances
-				// again as there are, and at least AssumedGrowth.
+				// The cloud does not publish its capacity. The number of instances of a requestable kind is assumed to double, and to
+				// grow by at least AssumedGrowth.
 				capacity.GrowthCPUs += float64(max(AssumedGrowth, countByKind[kind])) * machineType.CPUs
 				capacity.BootTime = max(capacity.BootTime, s.cloud.ExpectedBootTime(machineType))
 			}
@@ -43,7 +43,7 @@
 	return capacity
 }
 
-// isExpected reports whether an instance is up or booting.
+// isExpected reports whether an instance is running or booting and counts for admission.
 func (s *Scaler) isExpected(now time.Time, id string, instance *cloud.Instance) bool {
 	if instance.Deleting || s.zones.IsUnavailable(instance.Kind.Zone) {
 		return false
--- a/internal/controller/autoscaler/capacity_timeline.go
+++ b/internal/controller/autoscaler/capacity_timeline.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// capacityStep is CPUs that begin to serve at a time, in seconds from now. It is negative for CPUs that are taken away.
+// capacityStep adds CPUs to the capacity at a time in seconds from now. A negative number removes CPUs.
 type capacityStep struct{ at, cpus float64 }
 
-// capacityTimeline is the cluster's CPUs over time, with one further step whose effect is to be predicted.
+// capacityTimeline holds the changes of the cluster's CPUs over time, and one extra step whose effect is to be predicted.
 type capacityTimeline struct {
-	steps []capacityStep // by time
+	steps []capacityStep // sorted by time
 	extra capacityStep
 }
 
-// insertStep inserts a step by its time.
+// insertStep inserts a step into steps that are sorted by time.
 func insertStep(steps []capacityStep, step capacityStep) []capacityStep {
 	i, _ := slices.BinarySearchFunc(steps, step, compareSteps)
 	return slices.Insert(steps, i, step)
@@ -23,7 +23,7 @@
 
 func compareSteps(a, b capacityStep) int { return cmp.Compare(a.at, b.at) }
 
-// cpusAt returns the CPUs that serve at a time.
+// cpusAt returns the CPUs that are available at a time in seconds from now.
 func (c capacityTimeline) cpusAt(at float64) float64 {
 	sum := 0.0
 	for _, step := range c.steps {
@@ -37,16 +37,17 @@
 	return max(sum, 0)
 }
 
-// workSweep follows a timeline and finds when increasing amounts of work are done.
+// workSweep moves forward along a timeline and finds when increasing amounts of work are done.
 type workSweep struct {
 	capacity capacityTimeline
-	next     int     // of the steps, the first that is still to come
-	elapsed  float64 // seconds
-	cpus     float64 // from then on
-	done     float64 // CPU seconds by then
+	next     int     // index of the first step that is not applied yet
+	elapsed  float64 // time of the last applied step, in seconds from now
+	cpus     float64 // available from then on
+	done     float64 // CPU seconds done by then
 }
 
-// finishTime returns when the given work is done, infinity if never. cpuSeconds must not be less than in the previous call.
+// finishTime returns when the given work is done, in seconds from now, or infinity if it never is. cpuSeconds must not be less
+// than in the previous call.
 func (s *workSweep) finishTime(cpuSeconds float64) float64 {
 	for {
 		nextStep, isExtra := s.nextStep()
@@ -68,7 +69,7 @@
 	}
 }
 
-// nextStep returns the step that is to come next, at infinity if there is none, and whether it is the extra one.
+// nextStep returns the next step to apply and whether it is the extra one. If there is no further step, its time is infinite.
 func (s *workSweep) nextStep() (step capacityStep, isExtra bool) {
 	step = capacityStep{at: math.Inf(1)}
 	if s.next < len(s.capacity.steps) {
--- a/internal/controller/autoscaler/capacity_timeline_test.go
+++ b/internal/controller/autoscaler/capacity_timeline_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// walkedFinishTime returns when so much work is done, found in small steps of time.
-func walkedFinishTime(capacity capacityTimeline, cpuSeconds float64) float64 {
+// simulatedFinishTime returns when the given work is done, computed in small steps of time.
+func simulatedFinishTime(capacity capacityTimeline, cpuSeconds float64) float64 {
 	const tick = 0.01
 	for at := 0.0; at < 3000; at += tick {
 		if cpuSeconds -= capacity.cpusAt(at) * tick; cpuSeconds <= 0 {
@@ -18,8 +18,9 @@
 	return math.Inf(1)
 }
 
-// TestWorkSweepMatchesStepwiseWalk compares the sweep with a walk in small steps, also if capacity is removed.
-func TestWorkSweepMatchesStepwiseWalk(t *testing.T) {
+// TestWorkSweepMatchesSimulation compares the finish times of the sweep with a simulation in small steps of time. It covers
+// capacity that is removed.
+func TestWorkSweepMatchesSimulation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := capacityTimeline{extra: capacityStep{
 			at: float64(rapid.IntRange(0, 40).Draw(t, "from")), cpus: rapid.Float64Range(-40, 40).Draw(t, "extra"),
@@ -33,9 +34,9 @@
 		work := 0.0
 		for range 3 {
 			work += rapid.Float64Range(1, 2000).Draw(t, "work")
-			got, want := sweep.finishTime(work), walkedFinishTime(capacity, work)
+			got, want := sweep.finishTime(work), simulatedFinishTime(capacity, work)
 			if math.Abs(got-want) > 0.05+want*0.001 && !(got > 2990 && want > 2990) {
-				t.Fatalf("time to do %g CPU s: got %g s, want %g s as in the stepwise walk: %+v", work, got, want, capacity)
+				t.Fatalf("time to do %g CPU s: got %g s, want %g s as in the simulation: %+v", work, got, want, capacity)
 			}
 		}
 	})
--- a/internal/controller/autoscaler/consolidate.go
+++ b/internal/controller/autoscaler/consolidate.go
@@ -12,21 +12,23 @@
 )
 
 const (
-	// freeCPUShare is the share of the CPUs that stays free for jobs that arrive.
+	// freeCPUShare is the share of the CPUs that stays free for arriving jobs.
 	freeCPUShare = 0.1
-	// minRunBeforeMove is how long a task runs on a machine before it may be moved.
+	// minRunBeforeMove is how long a task must have been assigned to a machine before it may be moved.
 	minRunBeforeMove = 30 * time.Second
-	// moveGain is how many times its cost a move must save. The cost is that of the CPUs which are unused while the task
-	// checkpoints and its image is fetched.
+	// moveGain is the least ratio of what a move saves to what it costs. The cost is the CPU time that is unused while the task
+	// saves a checkpoint and its image is fetched.
 	moveGain = 3
-	// maxDrainedDivisor is the part of the machines that are drained at a time: tasks that are moved have to start again.
+	// maxDrainedDivisor limits the machines that are drained at a time to about one in ten, since the moved tasks have to start
+	// again.
 	maxDrainedDivisor = 10
-	// maxConsolidatedBucket is the utilization bucket beyond which a machine is not drained.
+	// maxConsolidatedBucket is the highest utilization bucket from which machines are drained.
 	maxConsolidatedBucket = worker.BucketCount / 2
 )
 
-// consolidate drains machines that are hardly used, if fuller ones have capacity for their tasks and the cluster stays large enough
-// for the waiting tasks and some arrivals. Without this a few long tasks keep many machines. Only tasks with checkpoints are moved.
+// consolidate drains machines with low utilization if fuller ones have capacity for their tasks. The cluster must stay large
+// enough for the waiting tasks and some arrivals. Without consolidation a few long tasks keep many machines. Only tasks with
+// checkpoints are moved.
 func (s *Scaler) consolidate(now time.Time) {
 	machines, freeCPUs := s.consolidationCandidates(now)
 	if freeCPUs <= 0 {
@@ -58,7 +60,8 @@
 	}
 }
 
-// consolidationCandidates returns the machines in use, the emptiest first, and the CPUs that can be spared of them.
+// consolidationCandidates returns the machines in use, the emptiest first, and how many of their CPUs are not needed. It returns
+// nil and 0 if all are needed.
 func (s *Scaler) consolidationCandidates(now time.Time) (machines []*worker.Machine, freeCPUs float64) {
 	for _, machine := range s.workers.ReportingMachines() {
 		if machine.DrainReason == worker.NotDraining && machine.Reconciled && !s.workers.IsLeaseExpired(now, machine) {
@@ -82,10 +85,10 @@
 	return machines, freeCPUs
 }
 
-// isMovable reports whether all tasks on the machine can be moved and doing so saves more than it costs.
+// isMovable reports whether all tasks on the machine can be moved and the move saves more than it costs.
 func (s *Scaler) isMovable(now time.Time, machine *worker.Machine) bool {
-	var untilEmpty time.Duration // without a move
-	cost := 0.0                  // CPU seconds that are not used
+	var untilEmpty time.Duration // how long the tasks would stay without a move
+	cost := 0.0                  // CPU seconds that the move leaves unused
 	for _, attempt := range machine.Attempts {
 		if !attempt.CanBePreempted(now) || now.Sub(attempt.AssignedAt) < minRunBeforeMove {
 			return false
@@ -99,8 +102,8 @@
 	return untilEmpty.Seconds()*machine.CPUs > moveGain*cost
 }
 
-// fitOnOthers places all tasks of the machine on what is available on others, the last ones first. If not all fit, it changes
-// nothing.
+// fitOnOthers reports whether all tasks of the machine fit on others. It tries the last of the others first and subtracts the
+// tasks from what is available there. If not all fit, available stays unchanged.
 func fitOnOthers(machine *worker.Machine, others []*worker.Machine, available []worker.Resources) bool {
 	type move struct {
 		target int
@@ -121,7 +124,7 @@
 	return true
 }
 
-// findTarget returns the index of the last machine that can take a task of the job, -1 if none can.
+// findTarget returns the index of the last machine that can take a task of the job, or -1 if none can.
 func findTarget(job *jobs.Job, machines []*worker.Machine, available []worker.Resources) int {
 	for i, machine := range slices.Backward(machines) {
 		if available[i].TasksThatFit(job) > 0 && placement.IsEligible(job, machine) && machine.ReservedFor == nil {
--- a/internal/controller/autoscaler/consolidate_test.go
+++ b/internal/controller/autoscaler/consolidate_test.go
@@ -10,8 +10,8 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// TestUnderusedMachinesAreDrained checks that a machine with low utilization is drained if its tasks have checkpoints
-// and other machines have capacity for them, and that the tasks start again there.
+// TestUnderusedMachinesAreDrained checks that a machine with low utilization is drained if its tasks have checkpoints and other
+// machines have capacity for them. Its tasks must start again on those machines.
 func TestUnderusedMachinesAreDrained(t *testing.T) {
 	t.Run("tasks with checkpoints", func(t *testing.T) {
 		f, job, machines := newUnderusedFixture(15 * time.Second)
@@ -26,7 +26,8 @@
 	})
 }
 
-// newUnderusedFixture has a machine with one task of a job and a machine with two, which have run for two minutes.
+// newUnderusedFixture returns a cluster with one machine that runs one task of a job and one that runs two. The tasks have run
+// for two minutes.
 func newUnderusedFixture(checkpointInterval time.Duration) (*fixture, *jobs.Job, []*worker.Machine) {
 	f := newFixture()
 	job := f.addJob(2, 3, 4)
@@ -47,7 +48,8 @@
 	return f, job, machines
 }
 
-// consolidateAndCheck consolidates and checks how many machines with tasks are drained, by one call each.
+// consolidateAndCheck runs consolidate and returns the drained machines that have tasks. It checks their number, and that each
+// was drained by one call.
 func (f *fixture) consolidateAndCheck(t *testing.T, machines []*worker.Machine, want int) []*worker.Machine {
 	t.Helper()
 	f.consolidate(f.Now)
@@ -58,13 +60,14 @@
 		}
 	}
 	if calls := f.Outbox.TakeCalls(); len(drained) != want || len(calls) != len(drained) {
-		t.Errorf("drained machines %d by %d calls, want %d, one call each", len(drained), len(calls), want)
+		t.Errorf("drained machines: got %d by %d calls, want %d, one call each", len(drained), len(calls), want)
 		return nil
 	}
 	return drained
 }
 
-// checkTasksMove has the tasks of a drained machine exit, and checks that it is terminated and that they start on other machines.
+// checkTasksMove lets the tasks of a drained machine exit. It checks that the machine is terminated and that the tasks start on
+// other machines.
 func (f *fixture) checkTasksMove(t *testing.T, job *jobs.Job, drained *worker.Machine, machines []*worker.Machine) {
 	t.Helper()
 	exited := f.sendExits(drained)
@@ -91,7 +94,7 @@
 	}
 }
 
-// sendExits takes in a heartbeat by which all tasks of the machine have exited with a checkpoint. It returns their number.
+// sendExits processes a heartbeat in which all tasks of the machine have exited with a checkpoint. It returns their number.
 func (f *fixture) sendExits(machine *worker.Machine) int {
 	heartbeat := clustertest.NextHeartbeat(machine)
 	heartbeat.FencingToken = 1
--- a/internal/controller/autoscaler/demand.go
+++ b/internal/controller/autoscaler/demand.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// maxForecastJobs bounds the waiting jobs in a forecast: of a longer queue every n-th job is sampled, with weight n.
+	// maxForecastJobs bounds the waiting jobs in a forecast. Of a longer queue every n-th job is sampled, with weight n.
 	maxForecastJobs = 300
-	// bootGridSeconds is the resolution of the times at which booting instances begin to serve.
-	bootGridSeconds = 5
-	// positionAgeOffset is added to ages, in seconds, when the positions of waiting jobs are averaged.
+	// bootResolutionSeconds is the resolution of the times at which booting instances become available.
+	bootResolutionSeconds = 5
+	// positionAgeOffset, in seconds, is added to the age of a waiting job. The position of the job is weighted by the inverse of
+	// the sum.
 	positionAgeOffset = 5
 )
 
-// newObjectiveForecast returns the forecast for the cluster and the queue as they are.
+// newObjectiveForecast returns the forecast for the present cluster and queue.
 func (s *Scaler) newObjectiveForecast(now time.Time, order []queue.Entry) *objectiveForecast {
 	forecast := &objectiveForecast{
 		objectives: s.objectives.objectives,
@@ -38,38 +39,38 @@
 	return forecast
 }
 
-// addInstances fills in the capacity and the cost of the cluster.
+// addInstances adds the capacity and the cost of the cluster to the forecast.
 func (s *Scaler) addInstances(now time.Time, forecast *objectiveForecast) {
-	cpusByGridTime := map[int]float64{}
+	cpusByInterval := map[int]float64{}
 	for i := range s.instances {
 		tracked := &s.instances[i]
-		if !tracked.isCounted() || tracked.leaseExpired || s.zones.IsUnavailable(tracked.Kind.Zone) {
+		if !tracked.isActive() || tracked.leaseExpired || s.zones.IsUnavailable(tracked.Kind.Zone) {
 			continue
 		}
 		switch {
 		case tracked.machine == nil:
 			remaining := s.cloud.RemainingBootTime(tracked.machineType, now.Sub(tracked.RequestedAt))
-			cpusByGridTime[int(remaining.Seconds())/bootGridSeconds+1] += tracked.machineType.CPUs
+			cpusByInterval[int(remaining.Seconds())/bootResolutionSeconds+1] += tracked.machineType.CPUs
 		case tracked.machine.DrainReason == worker.NotDraining:
-			cpusByGridTime[0] += tracked.machineType.CPUs
+			cpusByInterval[0] += tracked.machineType.CPUs
 		}
 		forecast.spendRate += tracked.machineType.HourlyPriceFor(tracked.Kind.Spot) / secondsPerHour
 	}
-	for gridTime, cpus := range cpusByGridTime {
-		forecast.capacitySteps = append(forecast.capacitySteps, capacityStep{at: float64(gridTime * bootGridSeconds), cpus: cpus})
+	for interval, cpus := range cpusByInterval {
+		forecast.capacitySteps = append(forecast.capacitySteps, capacityStep{at: float64(interval * bootResolutionSeconds), cpus: cpus})
 	}
 	slices.SortFunc(forecast.capacitySteps, compareSteps)
 }
 
-// queueDemand is the waiting work, by job, team and class.
+// queueDemand holds the waiting work by job, team and class.
 type queueDemand struct {
 	queue            []queuedJob
 	cpuSecondsByTeam map[string]float64
 	positionByClass  map[string]*queuePosition
 }
 
-// newQueueDemand goes through the order of the jobs. A waiting task is taken to start once the work that waits before it is done;
-// running tasks do not count as work ahead, since their capacity is in the forecast already.
+// newQueueDemand sums the waiting work in the order of the queue. A waiting task is assumed to start once the work that waits
+// ahead of it is done. Running tasks do not count as work ahead, since their capacity is in the forecast already.
 func (s *Scaler) newQueueDemand(now time.Time, order []queue.Entry) queueDemand {
 	demand := queueDemand{cpuSecondsByTeam: map[string]float64{}, positionByClass: map[string]*queuePosition{}}
 	waitingWork, waitingJobs, total := make([]float64, len(order)), 0, 0.0
@@ -105,7 +106,7 @@
 	return demand
 }
 
-// waitingCPUSeconds returns the work of a job's waiting tasks. Services never end and do not count.
+// waitingCPUSeconds returns the work of a job's waiting tasks. It is 0 for services, which never end.
 func waitingCPUSeconds(entry *queue.Entry) float64 {
 	if entry.Job.IsService {
 		return 0
@@ -114,7 +115,8 @@
 	return min(float64(entry.Job.WaitingTasks())*perTask*estimate.CountedCPUs(entry.Job), entry.RemainingCPUSeconds)
 }
 
-// quotaDelay returns how many seconds a team needs at least, because of its quota, for what waits of it so far; 0 without a quota.
+// quotaDelay returns the minimum number of seconds that a team needs, because of its quota, for its waiting work so far. It is 0
+// without a quota.
 func (s *Scaler) quotaDelay(team string, demand queueDemand) float64 {
 	limit := s.teams[team].CPULimit
 	if limit <= 0 {
@@ -123,7 +125,7 @@
 	return demand.cpuSecondsByTeam[team] / limit
 }
 
-// addArrivals fills in the jobs that are still to arrive.
+// addArrivals adds the jobs that are expected to arrive to the forecast.
 func (s *Scaler) addArrivals(now time.Time, forecast *objectiveForecast, demand queueDemand) {
 	for _, flow := range s.arrivals {
 		rate := flow.rate(now)
@@ -140,7 +142,7 @@
 	}
 }
 
-// queuePosition estimates where in the queue a new job of a class would stand: where those stand that arrived last.
+// queuePosition estimates where in the queue a new job of a class would be. The jobs of the class that arrived last weigh most.
 type queuePosition struct{ sum, weight float64 }
 
 func (d *queueDemand) positionOf(class string) *queuePosition {
@@ -152,12 +154,12 @@
 	return position
 }
 
-// observe adds a job of some age at a position from 0, the front of the queue, to 1, its end.
+// observe adds a job of the given age at a position from 0 (front of the queue) to 1 (end).
 func (p *queuePosition) observe(age time.Duration, position float64) {
 	weight := 1 / (age.Seconds() + positionAgeOffset)
 	p.sum += weight * position
 	p.weight += weight
 }
 
-// mean returns the mean position, in which younger jobs weigh more.
+// mean returns the average position, weighted towards younger jobs.
 func (p *queuePosition) mean() float64 { return p.sum / p.weight }
--- a/internal/controller/autoscaler/expensive.go
+++ b/internal/controller/autoscaler/expensive.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// expensiveRatio is the multiple of the cheapest price beyond which a kind is expensive: it must be worth its price by the
-	// objectives.
+	// expensiveRatio is the multiple of the cheapest price above which a kind is expensive. Expensive kinds are evaluated against
+	// the objectives.
 	expensiveRatio = 1.5
-	// expensiveCPUShare is how many CPUs of expensive kinds there may be for each cheap one because of the objectives. Without
-	// the bound a short queue on a small cluster looks worth ten times the cluster's cost, since there is no arrival rate yet.
-	// Work that lasts for the required backlog is not bound by it.
+	// expensiveCPUShare limits how many CPUs of expensive kinds are requested for the objectives, per CPU of cheap kinds. Without
+	// the limit a short queue on a small cluster seems worth ten times the cost of the cluster, since there is no arrival rate yet.
+	// Requests for work that lasts for the required backlog are not limited.
 	expensiveCPUShare = 0.5
 	secondsPerHour    = 3600
 )
 
-// kindSet is a set of kinds of instances.
 type kindSet map[cloud.InstanceKind]bool
 
-// machinesByKind are machines by their kind.
 type machinesByKind map[cloud.InstanceKind][]*worker.Machine
 
-// weighExpensive weighs the expensive kinds by the objective misses that they save. It returns how many instances of each are worth
-// requesting now. Machines in use that are not worth their price any more are cordoned, and cordoned ones are used again before
-// others are requested. A kind that is not in the result is not weighed: it is cheap, or the platform states no objectives.
-func (s *Scaler) weighExpensive(
+// evaluateExpensive evaluates the expensive kinds by the objective misses that they prevent. It returns how many instances of
+// each kind are worth requesting now. It cordons the machines in use that are no longer worth their price, and uncordons cordoned
+// machines before others are requested.
+//
+// A kind that is not in the result was not evaluated: it is cheap, or the platform has no objectives.
+func (s *Scaler) evaluateExpensive(
 	now time.Time, offerings []offering, order []queue.Entry, backlog teamBacklogs,
 ) map[cloud.InstanceKind]int {
 	if len(s.objectives.objectives) == 0 {
@@ -63,7 +63,8 @@
 	return worthwhile
 }
 
-// cordonSurplus cordons the machines of expensive kinds that are not worth their price any more, the most expensive first.
+// cordonSurplus cordons the machines of expensive kinds that are no longer worth their price, those of the most expensive kind
+// first.
 func (s *Scaler) cordonSurplus(forecast *objectiveForecast, offerings []offering, expensive kindSet, inUse machinesByKind) {
 	for _, offered := range slices.Backward(offerings) {
 		if !expensive[offered.kind] {
@@ -81,7 +82,7 @@
 	}
 }
 
-// uncordon takes as many of the cordoned machines of a kind back into use as are worth their price.
+// uncordon uncordons as many of the cordoned machines of a kind as are worth their price.
 func (s *Scaler) uncordon(forecast *objectiveForecast, offered offering, cordoned []*worker.Machine) {
 	candidate := s.candidateOf(offered, len(cordoned))
 	candidate.bootSeconds = 0
@@ -92,7 +93,8 @@
 	}
 }
 
-// worthwhileCount returns how many instances of a kind are worth requesting, within the headroom of expensive CPUs.
+// worthwhileCount returns how many instances of a kind are worth requesting. headroom is the number of CPUs of expensive kinds
+// that may still be requested.
 func (s *Scaler) worthwhileCount(now time.Time, forecast *objectiveForecast, offered offering, headroom float64) int {
 	if s.maxRequestable(now, offered.kind) == 0 || s.zones.IsUnavailable(offered.kind.Zone) {
 		return 0
@@ -107,7 +109,7 @@
 	return count
 }
 
-// expensiveKinds returns the kinds that are expensive.
+// expensiveKinds returns the kinds whose price exceeds expensiveRatio times the cheapest price.
 func expensiveKinds(offerings []offering) kindSet {
 	expensive := kindSet{}
 	for _, offered := range offerings {
@@ -118,7 +120,8 @@
 	return expensive
 }
 
-// expensiveCPUHeadroom returns how many more CPUs of expensive kinds may be requested because of the objectives.
+// expensiveCPUHeadroom returns how many more CPUs of expensive kinds may be requested for the objectives. It is negative if there
+// are too many already.
 func (s *Scaler) expensiveCPUHeadroom(expensive kindSet) float64 {
 	for kind := range expensive {
 		if s.cloud.HasPendingRequest(kind) {
@@ -129,7 +132,7 @@
 	for i := range s.instances {
 		tracked := &s.instances[i]
 		switch {
-		case !tracked.isCounted() || tracked.leaseExpired:
+		case !tracked.isActive() || tracked.leaseExpired:
 		case expensive[tracked.Kind]:
 			headroom -= tracked.machineType.CPUs
 		default:
@@ -139,7 +142,7 @@
 	return headroom
 }
 
-// candidateOf returns up to maxCount instances of an offering as a candidate.
+// candidateOf returns up to maxCount instances of an offering as a candidate for the forecast.
 func (s *Scaler) candidateOf(offered offering, maxCount int) candidateKind {
 	return candidateKind{
 		cpus:          offered.machineType.CPUs,
@@ -149,8 +152,8 @@
 	}
 }
 
-// expensiveMachines returns the reporting machines of expensive kinds: those in use whose minBilledTime is over, the emptiest
-// first, and those that are cordoned as too expensive, the fullest first.
+// expensiveMachines returns the reporting machines of expensive kinds. inUse are those in use whose minBilledTime is over, the
+// emptiest first. cordoned are those that are cordoned as too expensive, the fullest first.
 func (s *Scaler) expensiveMachines(now time.Time, expensive kindSet) (inUse, cordoned machinesByKind) {
 	inUse, cordoned = machinesByKind{}, machinesByKind{}
 	for _, machine := range s.workers.ReportingMachines() {
@@ -169,8 +172,8 @@
 	return inUse, cordoned
 }
 
-// cordonExpensive is used if the platform states no objectives. It cordons machines of expensive kinds while the cheaper machines
-// can do the work in half of the time from which the expensive kind would be requested, and uncordons them otherwise.
+// cordonExpensive is used if the platform has no objectives. It cordons the machines of an expensive kind while the cheaper
+// machines can do the work in half the time that would justify a request for the kind. Otherwise it uncordons them.
 func (s *Scaler) cordonExpensive(now time.Time, offerings []offering, backlog teamBacklogs) {
 	reporting := machinesByKind{}
 	for _, machine := range s.workers.Machines {
--- a/internal/controller/autoscaler/fixture_test.go
+++ b/internal/controller/autoscaler/fixture_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// fixture is a Scaler with a cloud, on a cluster of its own.
+// fixture is a Scaler with a cloud client on a cluster of its own.
 type fixture struct {
 	*Scaler
 	*clustertest.Cluster
@@ -39,7 +39,7 @@
 		Options:      &f.Options,
 		FencingToken: 1,
 		ElectedAt:    f.Now,
-		History:      firstLeader{},
+		History:      firstLeaderHistory{},
 		Cloud:        cloudClient,
 		Workers:      f.Workers,
 		Estimator:    queueing.Estimator,
@@ -53,12 +53,12 @@
 	return f
 }
 
-// firstLeader is the history of a cluster without an earlier leader.
-type firstLeader struct{}
+// firstLeaderHistory is the LeadershipHistory of a cluster without an earlier leader.
+type firstLeaderHistory struct{}
 
-func (firstLeader) IsFirstLeader() bool { return true }
+func (firstLeaderHistory) IsFirstLeader() bool { return true }
 
-// setObjectives replaces the objectives of the platform.
+// setObjectives replaces the objectives of the Scaler.
 func (f *fixture) setObjectives(configured ...config.Objective) {
 	f.objectives = newObjectiveTracker(objectivesOf(configured), f.Now)
 }
@@ -87,7 +87,7 @@
 	}
 }
 
-// requestCalls lets the cloud client send its calls and returns the requests for instances among them.
+// requestCalls lets the cloud client send its calls. It returns those that request instances.
 func (f *fixture) requestCalls() []client.Call {
 	f.cloud.Tick(f.Now, f.Outbox)
 	var requests []client.Call
--- a/internal/controller/autoscaler/forecast_test.go
+++ b/internal/controller/autoscaler/forecast_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// randomForecast returns a forecast of a queue of two classes on a cluster that may be too small.
+// randomForecast returns a forecast of a queue with two classes on a cluster that may be too small.
 func randomForecast(t *rapid.T) *objectiveForecast {
 	forecast := &objectiveForecast{
 		costWeight:   rapid.Float64Range(0, 2).Draw(t, "cost weight"),
@@ -47,14 +47,14 @@
 	return forecast
 }
 
-// withOwnSteps returns a copy of the forecast whose capacity can be changed.
+// withOwnSteps returns a copy of the forecast whose capacity steps can be changed independently.
 func (f *objectiveForecast) withOwnSteps() *objectiveForecast {
 	c := *f
 	c.capacitySteps = slices.Clone(f.capacitySteps)
 	return &c
 }
 
-// combinedGain returns what counts of several candidates are worth together.
+// combinedGain returns the gain of requesting the given counts of all candidates together.
 func (f *objectiveForecast) combinedGain(candidates []candidateKind, counts []int) float64 {
 	sum := f.loss(f.predictMisses(capacityStep{}))
 	changed := f.withOwnSteps()
@@ -64,15 +64,15 @@
 		}
 		added := candidate.capacityOf(counts[i])
 		p := changed.predictMisses(added)
-		sum -= changed.costOf(candidate.costUntil(p.drainedAfter, counts[i]))
+		sum -= changed.costOf(candidate.costUntil(p.queueEmptyAfter, counts[i]))
 		changed.addCapacity(added)
 	}
 	return sum - changed.loss(changed.predictMisses(capacityStep{}))
 }
 
-// TestGreedyChoiceIsNearTheBest checks that the greedy choice, kind by kind out of 1, 2, 4 and so on, is never worse
-// than no instance, and that over all small cases it is close to the best choice of every count of every kind.
-func TestGreedyChoiceIsNearTheBest(t *testing.T) {
+// TestGreedyChoiceIsNearOptimal checks the greedy choice, which selects a count out of 1, 2, 4 and so on kind by kind. It must
+// never be worse than requesting nothing. Over all small cases it must be close to the best combination of counts.
+func TestGreedyChoiceIsNearOptimal(t *testing.T) {
 	chosen, possible, worst := 0.0, 0.0, 0.0
 	rapid.Check(t, func(t *rapid.T) {
 		forecast := randomForecast(t)
@@ -93,18 +93,18 @@
 			}
 		}
 		if greedy < -1e-9 {
-			t.Fatalf("value of the chosen counts %v: got %g, want at least that of none, 0", counts, greedy)
+			t.Fatalf("gain of the chosen counts %v: got %g, want at least 0, the gain of requesting nothing", counts, greedy)
 		}
 		chosen, possible, worst = chosen+greedy, possible+best, max(worst, best-greedy)
 	})
-	t.Logf("the choice is worth %.1f %% of the best, at worst %.2f objectives less", 100*chosen/max(possible, 1e-9), worst)
+	t.Logf("the greedy choice has %.1f %% of the best gain; the largest difference is %.2f objectives", 100*chosen/max(possible, 1e-9), worst)
 	if chosen < 0.9*possible {
-		t.Errorf("value of the greedy choice: got %g, want at least 0.9 of the best, %g", chosen, possible)
+		t.Errorf("gain of the greedy choice: got %g, want at least 0.9 of the best, %g", chosen, possible)
 	}
 }
 
-// TestMoreMachinesNeverRaisePredictedMisses checks that more machines never raise the predicted misses, and that no
-// machine helps against a team's quota.
+// TestMoreMachinesNeverRaisePredictedMisses checks that more machines never raise the predicted misses, and that they do not
+// lower the misses caused by a team's quota.
 func TestMoreMachinesNeverRaisePredictedMisses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		forecast := randomForecast(t)
@@ -112,7 +112,7 @@
 		before := forecast.predictMisses(capacityStep{})
 		for i, missed := range more.missed {
 			if missed > before.missed[i]+1e-9 || missed > more.jobs[i]+1e-9 {
-				t.Fatalf("objective %d: %g missed with more machines, want at most %g as before and %g jobs", i, missed, before.missed[i], more.jobs[i])
+				t.Fatalf("objective %d: got %g misses with more machines, want at most %g (before), %g (jobs)", i, missed, before.missed[i], more.jobs[i])
 			}
 		}
 		for i := range forecast.queue {
@@ -122,13 +122,13 @@
 		more = forecast.predictMisses(capacityStep{0, 1000})
 		before = forecast.predictMisses(capacityStep{})
 		if !slices.Equal(more.missed, before.missed) {
-			t.Fatalf("jobs missed beyond a team's quota with more machines: got %v, want %v", more.missed, before.missed)
+			t.Fatalf("misses caused by a team's quota, with more machines: got %v, want %v", more.missed, before.missed)
 		}
 	})
 }
 
-// TestForecastEdgeCases checks that no instance is worth its price if no job waits, and that one without a price is if
-// jobs wait.
+// TestForecastEdgeCases checks that no instance is worth its price if no job waits, and that an instance without a price is worth
+// requesting if jobs wait.
 func TestForecastEdgeCases(t *testing.T) {
 	forecast := &objectiveForecast{objectives: objectivesOf(edgeCaseObjectives), records: make([]objectiveRecord, 2), costWeight: 1}
 	if n := forecast.bestCount(candidateKind{cpus: 8, costPerSecond: 1, bootSeconds: 40, maxCount: 64}); n != 0 {
--- a/internal/controller/autoscaler/instances.go
+++ b/internal/controller/autoscaler/instances.go
@@ -9,24 +9,25 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// minBilledTime is the least time that the cloud charges for an instance.
+// minBilledTime is the minimum time for which the cloud bills an instance.
 const minBilledTime = time.Minute
 
-// trackedInstance is an instance with its machine type and its machine.
+// trackedInstance joins an instance with its machine type and its machine.
 type trackedInstance struct {
 	*cloud.Instance
 	machineType  *cloud.MachineType // nil if the cloud does not list the type
-	machine      *worker.Machine    // nil before its first heartbeat, unless an earlier leader has registered it
-	leaseExpired bool               // no task runs on it
+	machine      *worker.Machine    // nil before the first heartbeat, unless an earlier leader registered the machine
+	leaseExpired bool               // the lease of the machine has expired, so no task runs on it
 }
 
-// isCounted reports whether the instance is part of the cluster: it neither failed nor is it being deleted.
-func (t *trackedInstance) isCounted() bool {
+// isActive reports whether the instance counts as part of the cluster: its type is known, it has not failed, and it is not being
+// deleted.
+func (t *trackedInstance) isActive() bool {
 	return t.machineType != nil && !t.Deleting && t.State != cloud.StateFailed
 }
 
-// refreshInstances looks up each instance's machine and type once for all parts of a decision, and passes the ages of the booting
-// instances to the cloud client.
+// refreshInstances looks up the machine and the type of each instance once per decision. It also passes the ages of the booting
+// instances to the cloud client, which estimates boot times from them.
 func (s *Scaler) refreshInstances(now time.Time) {
 	s.instances = s.instances[:0]
 	bootingAges := map[string][]time.Duration{}
@@ -48,7 +49,8 @@
 	s.cloud.ObserveBooting(bootingAges)
 }
 
-// prepaidTime returns how long an instance has been paid for beyond now, because of minBilledTime.
+// prepaidTime returns how much of minBilledTime is left for an instance: terminating it earlier saves nothing. It is 0 for an
+// unknown instance.
 func (s *Scaler) prepaidTime(now time.Time, id string) time.Duration {
 	instance := s.cloud.Instances[id]
 	if instance == nil {
--- a/internal/controller/autoscaler/objectives.go
+++ b/internal/controller/autoscaler/objectives.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// minAllowedMissShare stands for the share that may miss an objective which all jobs are to keep.
+	// minAllowedMissShare is the least share of misses that an objective allows. It also applies if all jobs are to meet the
+	// objective.
 	minAllowedMissShare = 0.001
-	// negligibleMissShare is the part of the allowed share of misses below which fewer misses gain nothing.
+	// negligibleMissShare is a fraction of the allowed share of misses. Below that fraction, fewer misses have no value.
 	negligibleMissShare = 0.3
 )
 
-// objective requires of a class that a share of its jobs starts, or finishes, within a time.
+// objective requires that a share of the jobs of a class starts, or finishes, within a time limit.
 type objective struct {
 	class            string
-	isStart          bool          // for the start of jobs, not for their end
-	timeLimit        time.Duration // if deadlineFactor is 0
-	deadlineFactor   float64       // if not 0, the limit is that multiple of the job's deadline
-	allowedMissShare float64       // the share of jobs that may miss it
+	isStart          bool          // the time limit applies to the start of jobs instead of their end
+	timeLimit        time.Duration // used if deadlineFactor is 0
+	deadlineFactor   float64       // if not 0, the time limit is this multiple of the job's deadline
+	allowedMissShare float64       // share of the jobs that may miss the objective
 }
 
-// objectivesOf returns those objectives of the platform that more machines can help to keep.
+// objectivesOf returns the configured objectives that more machines can help to meet.
 func objectivesOf(configured []config.Objective) []objective {
 	var list []objective
 	for _, c := range configured {
@@ -44,8 +45,8 @@
 	return list
 }
 
-// slack returns how long a job of some age may still wait without missing the objective. It returns false if the objective does
-// not apply because the job has no deadline.
+// slack returns how long a job of the given age may still wait without missing the objective. It returns false if the objective
+// does not apply because the job has no deadline.
 func (o *objective) slack(age time.Duration, profile jobProfile) (time.Duration, bool) {
 	limit := o.timeLimit
 	if o.deadlineFactor > 0 {
@@ -60,24 +61,25 @@
 	return limit - age, true
 }
 
-// missScore is what misses of the objective cost. Each halving of the share of misses is worth the same, from all jobs to the
-// negligible share.
+// missScore returns the cost of a share of misses, from 0 for a negligible share to 1 if all jobs miss the objective. Each
+// halving of the share lowers the cost by the same amount.
 func (o *objective) missScore(missShare float64) float64 {
 	negligible := negligibleMissShare * o.allowedMissShare
 	return math.Log(max(missShare, negligible)/negligible) / math.Log(1/negligible)
 }
 
-// jobProfile is what decides whether a job can keep an objective.
+// jobProfile holds the properties that decide whether a job can meet an objective.
 type jobProfile struct {
 	class        string
 	taskDuration time.Duration
-	deadline     time.Duration // from its submission, 0 for none
+	deadline     time.Duration // time from submission to deadline, 0 without a deadline
 }
 
-// objectiveRecord counts the jobs that ended lately and those that missed an objective. Both decay over forecastSpan.
+// objectiveRecord counts the jobs that ended recently and how many of them missed an objective. Both counts decay exponentially
+// over forecastSpan.
 type objectiveRecord struct{ jobs, missed float64 }
 
-// objectiveTracker holds the objectives and how they were kept.
+// objectiveTracker holds the objectives and records how well they are met.
 type objectiveTracker struct {
 	objectives []objective
 	records    []objectiveRecord // by objective
@@ -88,7 +90,7 @@
 	return objectiveTracker{objectives: objectives, records: make([]objectiveRecord, len(objectives)), updated: now}
 }
 
-// recordEnded records whether a job that has ended kept the objectives of its class.
+// recordEnded records whether a job that has ended met the objectives of its class.
 func (t *objectiveTracker) recordEnded(now time.Time, job *jobs.Job, estimator *estimate.Estimator) {
 	decay := math.Exp(-now.Sub(t.updated).Seconds() / forecastSpan.Seconds())
 	t.updated = now
@@ -104,7 +106,7 @@
 			continue
 		}
 		if objective.isStart {
-			// The tasks' start times are not recorded here: the last task is taken to have run until now.
+			// Start times of tasks are not recorded here. The last task is assumed to have run until now.
 			slack += estimator.TaskRunTime(job)
 		}
 		record.jobs++
--- a/internal/controller/autoscaler/objectives_test.go
+++ b/internal/controller/autoscaler/objectives_test.go
@@ -7,23 +7,24 @@
 	"gullrudder/internal/config"
 )
 
-// edgeCaseObjectives are one with a time limit, one that more machines do not help, and one that all jobs are to keep.
+// edgeCaseObjectives are an objective with a time limit, one that more machines cannot help to meet, and one that all jobs must
+// meet.
 var edgeCaseObjectives = []config.Objective{
 	{Kind: "finished", Class: "c", TimeLimit: time.Minute, TargetShare: 0.95},
 	{Kind: "guarantee", TimeLimit: time.Minute, TargetShare: 0.9},
 	{Kind: "deadline", Class: "c", TargetShare: 1, DeadlineFactor: 1.5},
 }
 
-// TestObjectivesOfConfiguration checks that objectives that more machines cannot help are left out, and that an
-// objective for all jobs allows a small share to miss it.
-func TestObjectivesOfConfiguration(t *testing.T) {
+// TestObjectivesFromConfiguration checks that objectives that more machines cannot help to meet are left out. An objective that
+// all jobs must meet still allows a small share of misses.
+func TestObjectivesFromConfiguration(t *testing.T) {
 	list := objectivesOf(edgeCaseObjectives)
 	if len(list) != 2 || list[1].allowedMissShare != minAllowedMissShare || list[1].deadlineFactor != 1.5 {
 		t.Errorf("objectives: got %+v, want 2, the second with allowed miss share %v and deadline factor 1.5", list, minAllowedMissShare)
 	}
 }
 
-// TestObjectiveHistoryDecays checks that the record of missed objectives decays over time.
+// TestObjectiveHistoryDecays checks that the counts of ended jobs and misses decay over time.
 func TestObjectiveHistoryDecays(t *testing.T) {
 	f := newFixture()
 	f.setObjectives(config.Objective{Kind: "finished", Class: "c", TimeLimit: time.Minute, TargetShare: 0.95})
--- a/internal/controller/autoscaler/offering.go
+++ b/internal/controller/autoscaler/offering.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// expectedService is how long an instance is expected to be of use.
-	expectedService = 3 * time.Minute
-	// cpusPerGPU is what a GPU weighs against CPUs when prices are compared.
+	// expectedServiceTime is how long an instance is expected to be useful after it has booted.
+	expectedServiceTime = 3 * time.Minute
+	// cpusPerGPU is the number of CPUs that a GPU counts as when prices are compared.
 	cpusPerGPU = 8
-	// minComparedCPUs stands for the size of a machine type without CPUs and GPUs.
+	// minComparedCPUs is the size, in CPUs, of a machine type without CPUs and GPUs when prices are compared.
 	minComparedCPUs = 0.1
-	// requiredBacklogDivisor is the part of the option ScaleOutBacklog that the work must last for the cheapest kind.
+	// requiredBacklogDivisor divides the option ScaleOutBacklog. The result is how long the work must last to justify the cheapest
+	// kind.
 	requiredBacklogDivisor = 3
 )
 
@@ -22,7 +23,7 @@
 type offering struct {
 	kind        cloud.InstanceKind
 	machineType *cloud.MachineType
-	price       float64 // an hour for a CPU, with the time to boot spread over expectedService
+	price       float64 // per CPU and hour, with the cost of the boot time spread over expectedServiceTime
 }
 
 // offerings returns the kinds of instances that the cloud offers, the cheapest first.
@@ -31,7 +32,7 @@
 	for _, machineType := range s.cloud.MachineTypes {
 		size := max(machineType.CPUs, machineType.GPUs*cpusPerGPU, minComparedCPUs)
 		// An instance is paid for while it boots.
-		size *= expectedService.Seconds() / (expectedService + s.cloud.ExpectedBootTime(machineType)).Seconds()
+		size *= expectedServiceTime.Seconds() / (expectedServiceTime + s.cloud.ExpectedBootTime(machineType)).Seconds()
 		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{false, true} {
 				list = append(list, offering{
@@ -46,7 +47,7 @@
 	return list
 }
 
-// isBefore orders offerings by price.
+// isBefore orders offerings by price, then by machine type and zone.
 func (o *offering) isBefore(other *offering) bool {
 	if o.price != other.price {
 		return o.price < other.price
@@ -57,13 +58,14 @@
 	return o.kind.Zone < other.kind.Zone
 }
 
-// requiredBacklog returns how many seconds the waiting work must last on the present capacity for a kind of that price to be
-// requested: the more expensive, the longer. If the platform states objectives, this decides for the cheap kinds only.
+// requiredBacklog returns how many seconds the waiting work must last on the present capacity to justify a request for a kind of
+// the given price. It is proportional to the price. If the platform has objectives, expensive kinds may also be requested because
+// of these.
 func (s *Scaler) requiredBacklog(price, cheapest float64) float64 {
 	return s.options.ScaleOutBacklog.Seconds() * priceRatio(price, cheapest) / requiredBacklogDivisor
 }
 
-// priceRatio returns how many times the cheapest price a price is, and 1 if the cheapest is free.
+// priceRatio returns a price as a multiple of the cheapest one, or 1 if the cheapest is free.
 func priceRatio(price, cheapest float64) float64 {
 	if cheapest <= 0 {
 		return 1
--- a/internal/controller/autoscaler/projection.go
+++ b/internal/controller/autoscaler/projection.go
@@ -8,27 +8,26 @@
 	"gullrudder/internal/units"
 )
 
-// capacityProjection is the capacity of the machines that are up, booting or planned. The waiting tasks are placed on it.
+// capacityProjection holds the capacity of the machines that are running, booting or planned. The waiting tasks are placed on it.
 type capacityProjection struct {
 	totalCPUs        float64
-	slots            []slot // machines on which a task may still fit
+	machines         []projectedMachine // machines on which a task may still fit
 	byKind           map[cloud.InstanceKind]*kindCapacity
-	smallestTaskCPUs float64 // of the waiting tasks
+	smallestTaskCPUs float64 // lowest CPU request of the waiting tasks
 }
 
-// slot is a machine in the projection.
-type slot struct {
+type projectedMachine struct {
 	kind      cloud.InstanceKind
 	available worker.Resources
 }
 
-// kindCapacity is the empty machines of a kind.
+// kindCapacity counts the machines of a kind. machineResources are those of one empty machine.
 type kindCapacity struct {
 	machineResources worker.Resources
 	count            int
 }
 
-// projectCapacity returns the projection of the instances as they are. Machines with an expired lease and machines in unavailable
+// projectCapacity returns the projection of the present instances. Machines with an expired lease and machines in unavailable
 // zones do not count: their tasks need new instances at once.
 func (s *Scaler) projectCapacity() *capacityProjection {
 	projection := &capacityProjection{
@@ -37,30 +36,30 @@
 	}
 	for i := range s.instances {
 		tracked := &s.instances[i]
-		if !tracked.isCounted() || tracked.leaseExpired || s.zones.IsUnavailable(tracked.Kind.Zone) {
+		if !tracked.isActive() || tracked.leaseExpired || s.zones.IsUnavailable(tracked.Kind.Zone) {
 			continue
 		}
 		machine := tracked.machine
 		switch {
 		case machine == nil:
-			projection.add(tracked.Kind, tracked.machineType)
+			projection.addMachine(tracked.Kind, tracked.machineType)
 		case machine.DrainReason != worker.NotDraining:
-		case !machine.HasReported: // its tasks are unknown: counted as full
-			projection.add(tracked.Kind, tracked.machineType)
-			projection.setLast(worker.Resources{})
+		case !machine.HasReported: // its tasks are unknown, so it counts as full
+			projection.addMachine(tracked.Kind, tracked.machineType)
+			projection.setLastAvailable(worker.Resources{})
 		default:
-			projection.add(tracked.Kind, tracked.machineType)
-			projection.setLast(machine.Available())
+			projection.addMachine(tracked.Kind, tracked.machineType)
+			projection.setLastAvailable(machine.Available())
 		}
 	}
 	return projection
 }
 
-// add adds an empty machine.
-func (p *capacityProjection) add(kind cloud.InstanceKind, machineType *cloud.MachineType) {
+// addMachine adds an empty machine.
+func (p *capacityProjection) addMachine(kind cloud.InstanceKind, machineType *cloud.MachineType) {
 	resources := placement.TypeResources(machineType)
 	p.totalCPUs += machineType.CPUs
-	p.slots = append(p.slots, slot{kind: kind, available: resources})
+	p.machines = append(p.machines, projectedMachine{kind: kind, available: resources})
 	capacity := p.byKind[kind]
 	if capacity == nil {
 		capacity = &kindCapacity{machineResources: resources}
@@ -69,48 +68,48 @@
 	capacity.count++
 }
 
-// setLast sets what is available on the machine that was added last.
-func (p *capacityProjection) setLast(available worker.Resources) {
-	p.slots[len(p.slots)-1].available = available
+// setLastAvailable sets the available resources of the machine that was added last.
+func (p *capacityProjection) setLastAvailable(available worker.Resources) {
+	p.machines[len(p.machines)-1].available = available
 }
 
-// reserveLast places tasks on the machine that was added last. It returns their number.
-func (p *capacityProjection) reserveLast(job *jobs.Job, tasks int) int {
-	return p.slots[len(p.slots)-1].reserve(job, tasks)
+// reserveOnLast places tasks on the machine that was added last. It returns their number.
+func (p *capacityProjection) reserveOnLast(job *jobs.Job, tasks int) int {
+	return p.machines[len(p.machines)-1].reserve(job, tasks)
 }
 
-func (s *slot) reserve(job *jobs.Job, tasks int) int {
-	s.available = s.available.AfterPlacing(job, tasks)
+func (m *projectedMachine) reserve(job *jobs.Job, tasks int) int {
+	m.available = m.available.AfterPlacing(job, tasks)
 	return tasks
 }
 
-// fill places up to maxTasks tasks of the job and returns how many found a place. It drops the slots that are full on its way, so
+// placeTasks places up to maxTasks tasks of the job and returns how many it placed. It drops the full machines that it passes, so
 // that a loaded cluster is walked only once.
-func (p *capacityProjection) fill(job *jobs.Job, maxTasks int) int {
+func (p *capacityProjection) placeTasks(job *jobs.Job, maxTasks int) int {
 	placed, kept := 0, 0
-	for i := range p.slots {
+	for i := range p.machines {
 		if placed >= maxTasks {
 			if kept == i {
 				return placed
 			}
-			kept += copy(p.slots[kept:], p.slots[i:])
-			p.slots = p.slots[:kept]
+			kept += copy(p.machines[kept:], p.machines[i:])
+			p.machines = p.machines[:kept]
 			return placed
 		}
-		current := &p.slots[i]
+		current := &p.machines[i]
 		if fit := current.available.TasksThatFit(job); fit > 0 && placement.KindAllowed(job, current.kind) {
 			placed += current.reserve(job, min(fit, maxTasks-placed))
 		}
 		if current.available.CPUs >= p.smallestTaskCPUs-units.ResourceTolerance {
-			p.slots[kept] = *current
+			p.machines[kept] = *current
 			kept++
 		}
 	}
-	p.slots = p.slots[:kept]
+	p.machines = p.machines[:kept]
 	return placed
 }
 
-// requiredTasks returns how many tasks of a job must have a place at the same time for it to make progress.
+// requiredTasks returns how many tasks of a job must be placed at the same time for it to make progress.
 func requiredTasks(job *jobs.Job) int {
 	if job.IsGang || job.IsService {
 		return job.Tasks
--- a/internal/controller/autoscaler/scaleout.go
+++ b/internal/controller/autoscaler/scaleout.go
@@ -31,8 +31,8 @@
 	plan.request(now, s.zones, s.cloud)
 }
 
-// isInstanceListReliable reports whether the list of instances can be relied on. What an earlier leader requested last may not be listed
-// yet, unless there was no earlier leader.
+// isInstanceListReliable reports whether the list of instances can be relied on. The last requests of an earlier leader may not
+// be listed yet. Without an earlier leader there are no such requests.
 func (s *Scaler) isInstanceListReliable(now time.Time) bool {
 	if len(s.cloud.MachineTypes) == 0 {
 		return false
@@ -40,25 +40,26 @@
 	return s.history.IsFirstLeader() || s.cloud.CompletedLists > 0 && now.Sub(s.electedAt) >= s.platform.CloudListLag
 }
 
-// scaleOutPlan decides how many instances of each kind to request, job by job in the order in which they are to start. The tasks
-// of a job go onto the projected capacity first; for the rest instances are added to it.
+// scaleOutPlan decides how many instances of each kind to request. It takes the jobs in the order in which they are to start. The
+// tasks of a job are placed on the projected capacity first, and instances are added for the rest.
 type scaleOutPlan struct {
 	capacity *capacityProjection
-	kinds    []*plannedKind // the cheapest first
-	// saturatedShapes are the shapes of tasks that found no capacity and justified no request. Jobs of the same shape are skipped.
+	kinds    []*plannedKind // cheapest first
+	// saturatedShapes are the task shapes that found no capacity and justified no request. Further jobs of such a shape are
+	// skipped.
 	saturatedShapes map[int]bool
 }
 
-// plannedKind is a kind of instances in the plan.
+// plannedKind is a kind of instances with the number to request.
 type plannedKind struct {
 	offering
 	maxRequestable    int
 	requested         int
 	isZoneUnavailable bool
-	isWeighed         bool // it is expensive, and weighed against the objectives
-	worthwhile        int  // if it is weighed: the number that is worth its price
-	// requiredBacklog is how many seconds the waiting work must last, and completableWork the CPU seconds of it that can be
-	// done within these.
+	isEvaluated       bool // the kind is expensive and was evaluated against the objectives
+	worthwhileCount   int  // if isEvaluated: number of instances that are worth their price
+	// requiredBacklog is how many seconds the waiting work must last to justify a request. completableWork is the part of that
+	// work, in CPU seconds, that can be done in that time.
 	requiredBacklog float64
 	completableWork float64
 }
@@ -66,96 +67,97 @@
 func (s *Scaler) newScaleOutPlan(now time.Time, offerings []offering, order []queue.Entry) *scaleOutPlan {
 	plan := &scaleOutPlan{capacity: s.projectCapacity(), saturatedShapes: map[int]bool{}}
 	backlog := s.backlogByTeam(order)
-	worthwhile := s.weighExpensive(now, offerings, order, backlog)
+	worthwhile := s.evaluateExpensive(now, offerings, order, backlog)
 	byKind := map[cloud.InstanceKind]*plannedKind{}
 	for _, offered := range offerings {
-		kind := byKind[offered.kind]
-		if kind == nil {
+		planned := byKind[offered.kind]
+		if planned == nil {
 			required := s.requiredBacklog(offered.price, offerings[0].price)
-			kind = &plannedKind{
+			planned = &plannedKind{
 				offering:          offered,
 				maxRequestable:    s.maxRequestable(now, offered.kind),
 				isZoneUnavailable: s.zones.IsUnavailable(offered.kind.Zone),
 				requiredBacklog:   required,
 				completableWork:   backlog.completableWithin(required),
 			}
-			kind.worthwhile, kind.isWeighed = worthwhile[offered.kind]
-			byKind[offered.kind] = kind
+			planned.worthwhileCount, planned.isEvaluated = worthwhile[offered.kind]
+			byKind[offered.kind] = planned
 		}
-		plan.kinds = append(plan.kinds, kind)
+		plan.kinds = append(plan.kinds, planned)
 	}
 	return plan
 }
 
-// jobDemand is what a job still needs while its instances are planned.
+// jobDemand tracks what a job still needs while instances are planned for it.
 type jobDemand struct {
 	job           *jobs.Job
 	unplacedTasks int
 	// missingPlaces is the number of required tasks that would not fit even on an otherwise empty cluster. Instances for them are
-	// requested however small the waiting work is.
+	// requested however little work waits.
 	missingPlaces int
 }
 
-// addJob plans the instances for a job with that many startable tasks.
+// addJob plans the instances for a job. startableTasks is the number of its tasks that can start, shape the number of its task
+// shape.
 func (p *scaleOutPlan) addJob(job *jobs.Job, startableTasks, shape int) {
 	isUniform := !job.IsGang && !job.IsService
 	if startableTasks == 0 || isUniform && p.saturatedShapes[shape] {
 		return
 	}
-	unplaced := startableTasks - p.capacity.fill(job, startableTasks)
+	unplaced := startableTasks - p.capacity.placeTasks(job, startableTasks)
 	if unplaced <= 0 {
 		return
 	}
 	demand := jobDemand{job: job, unplacedTasks: unplaced, missingPlaces: requiredTasks(job) - p.capacity.taskCapacity(job)}
 	if job.HasGuarantee() && !job.AllowsSpot {
-		// Most capacity is spot instances, on which the job may not run, so the backlog of the cluster does not show how long the
-		// job waits. Without this such jobs queue for a single machine past their deadlines.
+		// Most capacity is spot instances, on which the job may not run. The backlog of the cluster therefore does not show how long
+		// the job waits. Without this rule such jobs queue for a single machine past their deadlines.
 		demand.missingPlaces = max(demand.missingPlaces, unplaced)
 	}
 	hasRequested := p.addInstancesFor(&demand)
 	p.saturatedShapes[shape] = isUniform && unplaced == startableTasks && !hasRequested
 }
 
-// addInstancesFor plans instances of each kind that the job may use and that its demand justifies. It reports whether there are
+// addInstancesFor plans instances of each kind that the job may use and that its demand justifies. It reports whether it planned
 // any.
 func (p *scaleOutPlan) addInstancesFor(demand *jobDemand) bool {
 	hasRequested := false
-	for _, kind := range p.kinds {
+	for _, planned := range p.kinds {
 		if demand.unplacedTasks <= 0 {
 			break
 		}
-		perMachine := placement.TasksPerMachine(demand.job, kind.machineType)
-		if perMachine == 0 || !placement.KindAllowed(demand.job, kind.kind) || kind.maxRequestable == 0 {
+		perMachine := placement.TasksPerMachine(demand.job, planned.machineType)
+		if perMachine == 0 || !placement.KindAllowed(demand.job, planned.kind) || planned.maxRequestable == 0 {
 			continue
 		}
-		for demand.unplacedTasks > 0 && kind.requested < kind.maxRequestable && p.isJustified(kind, demand) {
-			kind.requested++
+		for demand.unplacedTasks > 0 && planned.requested < planned.maxRequestable && p.isJustified(planned, demand) {
+			planned.requested++
 			hasRequested = true
 			clear(p.saturatedShapes)
-			if kind.isZoneUnavailable {
-				break // a probe: its capacity does not count
+			if planned.isZoneUnavailable {
+				break // a probe of the zone: its capacity does not count
 			}
-			p.capacity.add(kind.kind, kind.machineType)
+			p.capacity.addMachine(planned.kind, planned.machineType)
 			demand.missingPlaces -= perMachine
-			demand.unplacedTasks -= p.capacity.reserveLast(demand.job, min(perMachine, demand.unplacedTasks))
+			demand.unplacedTasks -= p.capacity.reserveOnLast(demand.job, min(perMachine, demand.unplacedTasks))
 		}
 	}
 	return hasRequested
 }
 
-// isJustified reports whether one more instance of the kind is to be requested for the demand.
-func (p *scaleOutPlan) isJustified(kind *plannedKind, demand *jobDemand) bool {
+// isJustified reports whether the demand justifies one more instance of the kind.
+func (p *scaleOutPlan) isJustified(planned *plannedKind, demand *jobDemand) bool {
 	return demand.missingPlaces > 0 ||
-		kind.isWeighed && kind.requested < kind.worthwhile ||
-		kind.completableWork > p.capacity.totalCPUs*kind.requiredBacklog
+		planned.isEvaluated && planned.requested < planned.worthwhileCount ||
+		planned.completableWork > p.capacity.totalCPUs*planned.requiredBacklog
 }
 
-// request sends the planned requests.
+// request queues the planned requests for instances and records them by zone.
 func (p *scaleOutPlan) request(now time.Time, tracker *zones.Tracker, cloudClient *cloud.Client) {
-	for _, kind := range p.kinds {
-		if kind.requested > 0 {
-			tracker.RecordRequest(now, kind.kind.Zone, kind.requested)
-			cloudClient.RequestInstances(kind.kind, kind.requested)
+	for _, planned := range p.kinds {
+		if planned.requested > 0 {
+			tracker.RecordRequest(now, planned.kind.Zone, planned.requested)
+			cloudClient.RequestInstances(planned.kind, planned.requested)
 		}
 	}
 }
--- a/internal/controller/autoscaler/scaleout_test.go
+++ b/internal/controller/autoscaler/scaleout_test.go
@@ -13,9 +13,9 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// TestMachinesLostWithPreviousLeaderAreReplaced checks that machines that were lost with an earlier leader count
-// neither as capacity nor as booting. Once their leases have expired, instances are requested for the waiting tasks and
-// the lost ones are terminated.
+// TestMachinesLostWithPreviousLeaderAreReplaced covers machines that were lost together with an earlier leader. They count
+// neither as capacity nor as booting. Once their leases have expired, instances are requested for the waiting tasks and the lost
+// instances are terminated.
 func TestMachinesLostWithPreviousLeaderAreReplaced(t *testing.T) {
 	f := newFixture()
 	for i := range 6 {
@@ -28,7 +28,7 @@
 		}
 		machine := f.workers.GetOrAdd(id)
 		machine.Registered = true
-		f.RenewLease(machine) // at the election
+		f.RenewLease(machine) // as at the election
 	}
 	f.addJob(2, 96, 1)
 	countRequested := func() int {
@@ -44,9 +44,9 @@
 	}
 	f.Now = f.Now.Add(f.workers.LeaseExpiry() + time.Second)
 	if f.scale(f.Now); countRequested() == 0 {
-		t.Error("instances requested in place of the lost machines: got 0, want at least 1")
+		t.Error("instances requested to replace the lost machines: got 0, want at least 1")
 	}
-	f.Now = f.Now.Add(silenceGrace)
+	f.Now = f.Now.Add(lostMachineGrace)
 	f.scale(f.Now)
 	for id, instance := range f.cloud.Instances {
 		if !instance.Deleting {
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestExpensiveInstancesAreBoundByCheapOnes checks that a queue on a small cluster, shortly after an election, does not
-// lead to requests of many times the cluster at the expensive price.
-func TestExpensiveInstancesAreBoundByCheapOnes(t *testing.T) {
+// TestExpensiveInstancesAreLimitedByCheapOnes checks the requests for a queue on a small cluster, shortly after an election.
+// Expensive instances must not be requested for many times the size of the cluster.
+func TestExpensiveInstancesAreLimitedByCheapOnes(t *testing.T) {
 	f := newFixture()
 	f.setObjectives(config.Objective{Kind: "finished", Class: "c", TimeLimit: time.Minute, TargetShare: 0.82})
 	for i := range 4 {
@@ -75,7 +75,7 @@
 		}
 		f.scale(f.Now)
 		for _, call := range f.requestCalls() {
-			created += f.answerWithoutSpot(t, call, created)
+			created += f.respondWithoutSpot(t, call, created)
 		}
 	}
 	cpus := 0.0
@@ -89,9 +89,9 @@
 	}
 }
 
-// answerWithoutSpot answers a request with the instances that it asks for, but none if these are spot instances. It returns their
-// number; firstID numbers them.
-func (f *fixture) answerWithoutSpot(t *testing.T, call client.Call, firstID int) int {
+// respondWithoutSpot responds to a request with the requested instances, or with none if it is for spot instances. It returns
+// their number. Their IDs are numbered from firstID.
+func (f *fixture) respondWithoutSpot(t *testing.T, call client.Call, firstID int) int {
 	t.Helper()
 	var ids []string
 	if call.Body.(map[string]any)["driftwood"] == false {
@@ -107,37 +107,36 @@
 	return len(ids)
 }
 
-// TestUnavailableZonesAreNotCountedOn checks that nothing in an unavailable zone counts as capacity, including booting
-// instances. If no machine is left there, one instance at a time is requested as a probe, and a heartbeat ends the
-// outage.
-func TestUnavailableZonesAreNotCountedOn(t *testing.T) {
+// TestUnavailableZonesAreNotCountedAsCapacity checks that nothing in an unavailable zone counts as capacity, including booting
+// instances. If no machine is left there, one instance at a time is requested as a probe. A heartbeat ends the outage.
+func TestUnavailableZonesAreNotCountedAsCapacity(t *testing.T) {
 	f := newFixture()
 	for i := range 8 {
 		f.addMachine(i, "large", []string{"a", "b"}[i%2], true)
 	}
 	kindInB := cloud.InstanceKind{Type: "large", Zone: "b", Spot: true}
-	f.passSecond("a", "b")
+	f.advanceSecond("a", "b")
 	if cpus := f.ExpectedCapacity(f.Now).CPUs; cpus != 8*16 || f.projectCapacity().totalCPUs != 8*16 {
-		t.Fatalf("expected CPUs %g, projected %v, want 128", cpus, f.projectCapacity().totalCPUs)
+		t.Fatalf("CPUs: got %g expected, %v projected, want 128 of both", cpus, f.projectCapacity().totalCPUs)
 	}
 	for range 8 {
-		f.passSecond("a")
+		f.advanceSecond("a")
 	}
 	requestable := f.maxRequestable(f.Now, kindInB)
 	if cpus := f.ExpectedCapacity(f.Now).CPUs; cpus != 4*16 || f.projectCapacity().totalCPUs != 4*16 || requestable != 0 {
 		t.Errorf(
-			"unavailable zone: expected CPUs %g, projected %v, %d instances requestable, want 64, 64, 0",
+			"unavailable zone: got %g CPUs expected, %v projected, %d instances requestable, want 64, 64, 0",
 			cpus, f.projectCapacity().totalCPUs, requestable,
 		)
 	}
-	for _, machine := range f.workers.SortedMachines() { // they are terminated
+	for _, machine := range f.workers.SortedMachines() { // terminates the machines of the unavailable zone
 		if machine.Zone == "b" {
 			f.workers.Remove(machine)
 			delete(f.cloud.Instances, machine.ID)
 		}
 	}
 	for range 20 {
-		f.passSecond("a")
+		f.advanceSecond("a")
 	}
 	if n := f.maxRequestable(f.Now, kindInB); n != 1 {
 		t.Errorf("instances requestable as a probe: got %d, want 1", n)
@@ -147,17 +146,17 @@
 		t.Errorf("instances requestable after a probe: got %d, want 0", f.maxRequestable(f.Now, kindInB))
 	}
 	f.addMachine(20, "large", "b", true)
-	f.passSecond("a", "b")
+	f.advanceSecond("a", "b")
 	if f.ExpectedCapacity(f.Now).CPUs != 5*16 || f.maxRequestable(f.Now, kindInB) < 2 {
 		t.Errorf(
-			"after a machine has reported: expected CPUs %g, %d instances requestable, want 80, at least 2",
+			"after a heartbeat from the zone: got %g CPUs expected, %d instances requestable, want 80, at least 2",
 			f.ExpectedCapacity(f.Now).CPUs, f.maxRequestable(f.Now, kindInB),
 		)
 	}
 }
 
-// passSecond lets a second pass in which the machines of the zones send heartbeats.
-func (f *fixture) passSecond(zoneNames ...string) {
+// advanceSecond advances the clock by a second. Only the machines of the given zones send heartbeats.
+func (f *fixture) advanceSecond(zoneNames ...string) {
 	f.Now = f.Now.Add(time.Second)
 	reachable := map[string]bool{}
 	for _, name := range zoneNames {
@@ -178,7 +177,7 @@
 	f.refreshInstances(f.Now)
 }
 
-// newLoadedFixture has machines of which seven in eight are full, and jobs that wait.
+// newLoadedFixture returns a cluster in which seven of eight machines are full and jobs wait.
 func newLoadedFixture(machines, waiting int) *fixture {
 	f := newFixture()
 	for i := range waiting {
@@ -198,7 +197,7 @@
 	return f
 }
 
-// BenchmarkScale is the decision about requests and terminations, with three objectives to weigh.
+// BenchmarkScale measures one scaling decision with three objectives.
 func BenchmarkScale(b *testing.B) {
 	for _, size := range [...]int{250, 1000, 5000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/controller/autoscaler/stragglers.go
+++ b/internal/controller/autoscaler/stragglers.go
@@ -7,12 +7,12 @@
 	"gullrudder/internal/logkeys"
 )
 
-// maxCordonedShare is the share of the machines that may be cordoned as slow at a time. If more look slow, the cause is rather the
-// work or the cloud than the machines.
+// maxCordonedShare is the share of the machines that may be cordoned as slow at a time. If more machines seem slow, the workload
+// or the cloud is the more likely cause.
 const maxCordonedShare = 0.05
 
-// cordonStragglers cordons slow machines, which cost as much as others: no more tasks start on them, those that run go on, then
-// they are terminated. Machines that cost nothing are kept: their replacements could be as slow.
+// cordonStragglers cordons slow machines, since they cost as much as fast ones. No more tasks start on a cordoned machine, its
+// running tasks continue, and then it is terminated. Machines without a price are kept: their replacements could be as slow.
 func (s *Scaler) cordonStragglers(now time.Time) {
 	reporting, cordoned := 0, 0
 	var slow []*worker.Machine
@@ -39,7 +39,7 @@
 	}
 }
 
-// costsMoney reports whether the machine is an instance of the cloud that has a price.
+// costsMoney reports whether the machine is a known instance of the cloud and its type has a price.
 func (s *Scaler) costsMoney(machine *worker.Machine) bool {
 	machineType := s.cloud.MachineTypes[machine.Type]
 	return machineType != nil && machineType.HourlyPrice > 0 && s.cloud.Instances[machine.ID] != nil
--- a/internal/controller/autoscaler/stragglers_test.go
+++ b/internal/controller/autoscaler/stragglers_test.go
@@ -7,8 +7,8 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// TestStragglersAreTerminated checks that machines on which tasks take four times as long are cordoned and terminated,
-// but only a small part of the machines at a time, and none without a price.
+// TestStragglersAreTerminated checks that machines on which tasks take four times as long are cordoned and terminated. Only a
+// small share of the machines is cordoned at a time, and none without a price.
 func TestStragglersAreTerminated(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -16,7 +16,7 @@
 		want  int
 	}{
 		{"machines with a price", 1, 2},
-		{"machines that cost nothing", 0, 0},
+		{"machines without a price", 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture()
@@ -42,7 +42,7 @@
 	}
 }
 
-// machinesDrainedAs returns the IDs of the machines with a drain reason.
+// machinesDrainedAs returns the IDs of the machines with the given drain reason.
 func (f *fixture) machinesDrainedAs(reason worker.DrainReason) []string {
 	var ids []string
 	for _, machine := range f.workers.SortedMachines() {
@@ -53,7 +53,7 @@
 	return ids
 }
 
-// addMachinesWithRuns adds machines that have run tasks, the first of them slow ones.
+// addMachinesWithRuns adds machines that have run tasks. Tasks on the first slow ones took four times as long.
 func (f *fixture) addMachinesWithRuns(count, slow int) {
 	for i := range count {
 		machine := f.addMachine(i, "small", "a", false)
--- a/internal/controller/autoscaler/terminate.go
+++ b/internal/controller/autoscaler/terminate.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// silenceGrace is how long after its lease has expired a silent machine is kept.
-	silenceGrace = 15 * time.Second
-	// busyIdleFactor is how many times the option IdleTimeout a machine may be idle while tasks wait that do not fit on it.
-	busyIdleFactor = 3
+	// lostMachineGrace is how long a machine is kept after its lease has expired.
+	lostMachineGrace = 15 * time.Second
+	// idleFactorWithBacklog multiplies the option IdleTimeout while tasks wait that do not fit on the idle machine.
+	idleFactorWithBacklog = 3
 )
 
-// Reasons for a termination, besides the drain reasons of package worker.
+// Reasons for a termination, in addition to the drain reasons of package worker.
 const (
 	reasonFailed        = "failed"
 	reasonNeverReported = "never up"
@@ -22,8 +22,8 @@
 	reasonIdle          = "idle"
 )
 
-// terminateUnneeded terminates instances that are idle, drained, failed, lost, or that never reported. startableTasks are the
-// waiting tasks by job.
+// terminateUnneeded terminates instances that are idle, drained, failed or lost, and those that never sent a heartbeat.
+// startableTasks holds the number of waiting tasks that can start, by job.
 func (s *Scaler) terminateUnneeded(now time.Time, startableTasks []int) {
 	waiting := 0
 	for _, tasks := range startableTasks {
@@ -50,7 +50,7 @@
 	}
 }
 
-// terminationReason returns why an instance is not needed, and "" if it is.
+// terminationReason returns why an instance is not needed, or "" if it is needed.
 func (s *Scaler) terminationReason(now time.Time, tracked *trackedInstance, hasWaitingTasks bool) string {
 	machine := tracked.machine
 	switch {
@@ -73,29 +73,30 @@
 	return ""
 }
 
-// hasBootTimedOut reports whether an instance has not reported within its boot timeout. It is false shortly after the election,
-// since the heartbeats may have gone to the earlier leader.
+// hasBootTimedOut reports whether an instance has sent no heartbeat within its boot timeout. It returns false shortly after the
+// election, since the heartbeats may have gone to the earlier leader.
 func (s *Scaler) hasBootTimedOut(now time.Time, tracked *trackedInstance) bool {
 	return tracked.machineType != nil && now.Sub(tracked.RequestedAt) > s.cloud.BootTimeout(tracked.machineType) &&
 		now.Sub(s.electedAt) > s.workers.LeaseExpiry()
 }
 
-// isLost reports whether a machine whose lease has expired is given up. Sentinels of an unavailable zone are kept.
+// isLost reports whether a machine counts as lost because its lease expired some time ago. Sentinels of an unavailable zone are
+// kept.
 func (s *Scaler) isLost(now time.Time, tracked *trackedInstance) bool {
 	if tracked.machine.IsSentinel && s.zones.IsUnavailable(tracked.Kind.Zone) {
 		return false
 	}
-	return now.Sub(tracked.machine.LeaseRenewedAt) > s.workers.LeaseExpiry()+silenceGrace
+	return now.Sub(tracked.machine.LeaseRenewedAt) > s.workers.LeaseExpiry()+lostMachineGrace
 }
 
-// isIdle reports whether a machine has been without tasks for so long that it is not needed.
+// isIdle reports whether a machine has had no tasks for so long that it is not needed.
 func (s *Scaler) isIdle(now time.Time, machine *worker.Machine, hasWaitingTasks bool) bool {
 	if machine.DrainReason != worker.NotDraining || len(machine.Attempts) > 0 || s.prepaidTime(now, machine.ID) > 0 {
 		return false
 	}
 	timeout := s.options.IdleTimeout
 	if hasWaitingTasks {
-		timeout *= busyIdleFactor
+		timeout *= idleFactorWithBacklog
 	}
 	return now.Sub(machine.IdleSince) > timeout
 }
