--- a/internal/controller/autoscaler/forecast_test.go
+++ b/internal/controller/autoscaler/forecast_test.go
@@ -112,7 +112,7 @@
 		before := forecast.predictMisses(capacityStep{})
 		for i, missed := range more.missed {
 			if missed > before.missed[i]+1e-9 || missed > more.jobs[i]+1e-9 {
-				t.Fatalf("objective %d: got %g misses with more machines, want at most %g (before), %g (jobs)", i, missed, before.missed[i], more.jobs[i])
+				t.Fatalf("objective %d: got %g misses with more machines, want at most %g before, %g jobs", i, missed, before.missed[i], more.jobs[i])
 			}
 		}
 		for i := range forecast.queue {
--- a/internal/controller/cloud/client.go
+++ b/internal/controller/cloud/client.go
@@ -150,7 +150,7 @@
 		c.bootTimes.ObserveBoot(kind.Type, now.Sub(instance.RequestedAt), machineType.nominalBootTime())
 	}
 	instance.HasReported, instance.Kind = true, kind
-	instance.LastSeenAt = now
+	instance.LastListed = now
 }
 
 // ObserveBooting replaces the recorded ages of the instances that have sent no heartbeat yet, by machine type. Only the first
