--- a/internal/controller/api/accounts.go
+++ b/internal/controller/api/accounts.go
@@ -13,12 +13,12 @@
 	"gullrudder/internal/wire/server"
 )
 
-// maxSinceSeconds bounds since_s, so that the time that it names can be represented.
+// maxSinceSeconds bounds since_s so that the resulting time can be represented.
 const maxSinceSeconds = 1e9
 
 var errSinceOutOfRange = errors.New("since_s is negative or too large")
 
-// newTimeShares lists the reasons to which any time was counted.
+// newTimeShares returns the wait reasons with a time above zero.
 func newTimeShares(breakdown *accounting.Breakdown) []TimeShare {
 	shares := []TimeShare{}
 	for reason, ms := range breakdown {
@@ -29,8 +29,8 @@
 	return shares
 }
 
-// serveAccounts answers where the time of finished jobs went, by team and class. since_s limits it to jobs that ended so many
-// seconds ago or later.
+// serveAccounts responds with the time of finished jobs by wait reason, for each team and class. The parameter since_s limits it to
+// jobs that ended at most that many seconds ago.
 func (v *viewHandler) serveAccounts(now time.Time, request *server.Request) {
 	query, err := parseQuery(request)
 	var since time.Time
@@ -51,7 +51,7 @@
 	v.responder.Respond(request, http.StatusOK, accounts, 0)
 }
 
-// parseSince returns the time that since_s names, zero if there is none.
+// parseSince returns the time that lies since_s seconds before now. It is zero without the parameter.
 func parseSince(now time.Time, query url.Values) (time.Time, error) {
 	text := query.Get("since_s")
 	if text == "" {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return time.Time{}, fmt.Errorf("since_s: %w", err)
 	}
-	if !(seconds >= 0 && seconds < maxSinceSeconds) { // also if it is no number
+	if !(seconds >= 0 && seconds < maxSinceSeconds) { // also rejects NaN
 		return time.Time{}, errSinceOutOfRange
 	}
 	return now.Add(-units.DurationFromSeconds(seconds)), nil
--- a/internal/controller/api/archived.go
+++ b/internal/controller/api/archived.go
@@ -10,16 +10,16 @@
 	"gullrudder/internal/wire/server"
 )
 
-// archivedRequest is a request for a job that may be in the archive.
+// archivedRequest is a request about a job that may be in the archive.
 type archivedRequest struct {
 	request    *server.Request
 	jobID      string
-	withCounts bool                // the answer has the numbers of tasks
-	ifAbsent   func(now time.Time) // called if the archive has been read and does not have the job
+	withCounts bool                // whether the response has the task counts
+	ifAbsent   func(now time.Time) // called after the archive was read, if it does not have the job
 }
 
-// serveArchived answers for a job that is neither unfinished nor recently finished: from the archive, or with 404. If the job was
-// submitted while the archive was read, serve answers as usual.
+// serveArchived responds for a job that is neither unfinished nor recently finished: from the archive, or with 404. If the job was
+// submitted while the archive was read, it calls serve.
 func (h *jobHandler) serveArchived(
 	now time.Time, request *server.Request, jobID string, withCounts bool, serve func(time.Time, *server.Request, string),
 ) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// respondFromArchive answers for an archived job. It returns false, without an answer or a call of ifAbsent, if the archive's
-// index rules the job out. If the index does not decide, it reads the archive's data and answers afterwards.
+// respondFromArchive responds for an archived job. If the archive's index rules the job out, it returns false without a response or a
+// call of ifAbsent. If the index alone does not decide, it reads the archive's data and responds afterwards.
 func (h *jobHandler) respondFromArchive(now time.Time, archived archivedRequest) bool {
 	indexed := h.jobStore.Archive().LookupIndex(archived.jobID)
 	switch {
@@ -58,7 +58,7 @@
 		case err == nil && indexed == archive.Undetermined:
 			archived.ifAbsent(now)
 		case indexed == archive.Done && h.jobStore.Archive().IsUnreachable(now):
-			// The index has the job's state. Only the numbers of tasks, which are for display, are missing.
+			// The index has the job's state. Only the task counts are missing, which are for display.
 			h.respondFinal(archived, jobs.FinalState{State: jobs.Done}, false)
 		default:
 			h.refuseArchived(archived, err)
--- a/internal/controller/api/cancel.go
+++ b/internal/controller/api/cancel.go
@@ -10,7 +10,7 @@
 	"gullrudder/internal/wire/server"
 )
 
-// serveCancellation cancels a job. The user is answered once the cancellation is durable.
+// serveCancellation cancels a job. It responds once the cancellation is durable.
 func (h *jobHandler) serveCancellation(now time.Time, request *server.Request, jobID string) {
 	if final, ok := h.jobStore.FinalState(jobID); ok {
 		h.responder.Respond(request, http.StatusOK, finalResponse(jobID, final, false), 0)
@@ -22,15 +22,15 @@
 		h.serveArchived(now, request, jobID, false, h.serveCancellation)
 	case job.State == jobs.Pending:
 		h.responder.RespondError(request, http.StatusServiceUnavailable, textNotSaved, retryDelay)
-	case h.hasUnconfirmedTasks(job):
+	case h.mustAwaitTaskEnd(job):
 		h.responder.RespondError(request, http.StatusServiceUnavailable, textTasksStillRunning, retryDelay)
 	case job.State == jobs.Cancelled:
 		h.responder.Respond(request, http.StatusOK, jobResponse{ID: jobID, State: jobs.Cancelled.String()}, 0)
 	case job.IsFinishing || job.IsCancelling:
-		// The commit under way decides; the user retries.
+		// A commit in progress decides the outcome; the user retries.
 		h.responder.RespondError(request, http.StatusServiceUnavailable, textNotSaved, retryDelay)
 	case !h.storage.IsHealthy():
-		// The cancellation is written once the state service takes changes; the user retries.
+		// The cancellation is written once the state service accepts changes; the user retries.
 		h.commitCancellation(now, job, nil)
 		h.responder.RespondError(request, http.StatusServiceUnavailable, textNotSaved, retryDelay)
 	default:
@@ -38,8 +38,8 @@
 	}
 }
 
-// commitCancellation stores the cancellation. From now on no task of the job starts. The request, if not nil, is answered once the
-// outcome is known, or has become uncertain.
+// commitCancellation stores the cancellation. No task of the job starts from now on. A request that is not nil gets its response once
+// the outcome is known or uncertain.
 func (h *jobHandler) commitCancellation(now time.Time, job *jobs.Job, request *server.Request) {
 	job.IsCancelling = true
 	h.placer.InvalidateOrder()
@@ -66,7 +66,7 @@
 	switch {
 	case !isDurable:
 		h.responder.RespondError(request, http.StatusServiceUnavailable, textNotSaved, retryDelay)
-	case h.hasUnconfirmedTasks(job):
+	case h.mustAwaitTaskEnd(job):
 		h.responder.RespondError(request, http.StatusServiceUnavailable, textTasksStillRunning, retryDelay)
 	default:
 		h.responder.Respond(request, http.StatusOK, jobResponse{ID: job.ID, State: jobs.Cancelled.String()}, 0)
--- a/internal/controller/api/dependencies.go
+++ b/internal/controller/api/dependencies.go
@@ -12,18 +12,18 @@
 
 // dependencyCheck is the result of looking up the dependencies of a submission.
 type dependencyCheck struct {
-	unmet        []string // IDs of those that are not done
-	hasCancelled bool     // one of them is cancelled
+	unmet        []string // IDs of the dependencies that are not done
+	hasCancelled bool     // at least one dependency is cancelled
 }
 
-// checkDependencies looks up the dependencies of a submission. It returns false if it has refused the submission, or if it reads
-// the archive first and serves the submission again afterwards.
+// checkDependencies looks up the dependencies of a submission. It returns false if it has refused the submission. It also returns
+// false if it has to read the archive: it then serves the submission again after the read.
 func (h *submissionHandler) checkDependencies(now time.Time, submitted jobSubmission) (dependencyCheck, bool) {
 	var check dependencyCheck
 	for _, id := range submitted.spec.Dependencies {
 		state := h.jobStore.DependencyState(id)
-		if lookedUp, ok := submitted.archivedStates[id]; ok && state == jobstore.DependencyArchived {
-			state = lookedUp
+		if archived, ok := submitted.archivedStates[id]; ok && state == jobstore.DependencyArchived {
+			state = archived
 		}
 		switch state {
 		case jobstore.DependencyMet:
@@ -53,19 +53,19 @@
 	}
 }
 
-// lookUpDependency reads the final state of a dependency from the archive's data, and then serves the submission again.
+// lookUpDependency reads the final state of a dependency from the archive's data and then serves the submission again.
 func (h *submissionHandler) lookUpDependency(now time.Time, submitted jobSubmission, jobID string) {
 	h.jobStore.Archive().LookupData(now, h.outbox, jobID, func(now time.Time, final jobs.FinalState, found bool, err error) {
 		if !h.holdsLease() || err != nil {
 			h.responder.RespondError(submitted.request, http.StatusServiceUnavailable, textDependencyUndecided, archiveRetryDelay)
 			return
 		}
-		looked := maps.Clone(submitted.archivedStates)
-		if looked == nil {
-			looked = map[string]jobstore.DependencyState{}
+		states := maps.Clone(submitted.archivedStates)
+		if states == nil {
+			states = map[string]jobstore.DependencyState{}
 		}
-		looked[jobID] = archivedDependencyState(final, found)
-		submitted.archivedStates = looked
+		states[jobID] = archivedDependencyState(final, found)
+		submitted.archivedStates = states
 		h.serveNew(now, submitted)
 	})
 }
--- a/internal/controller/api/explain.go
+++ b/internal/controller/api/explain.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// maxJobsAhead is the number of jobs ahead of a job that are listed.
+	// maxJobsAhead bounds the jobs ahead of a job that are listed, and the dependencies that are named.
 	maxJobsAhead = 5
-	// maxReasons is how many reasons, and how many remedies, an explanation has.
+	// maxReasons bounds the reasons of an explanation, and separately its remedies.
 	maxReasons = 8
 )
 
-// explanationHandler answers why a job waits.
+// explanationHandler explains why a job waits.
 type explanationHandler struct {
 	*jobHandler
 	options   *config.Options
@@ -34,13 +34,13 @@
 	ranker    *queue.Ranker
 }
 
-// serveExplanation answers why a job waits, which jobs are before it, and what would change that.
+// serveExplanation responds with the reasons why a job waits, the jobs ahead of it, and what would let it start earlier.
 func (h *explanationHandler) serveExplanation(now time.Time, request *server.Request, jobID string) {
-	// The account of a job that ended under this leader is kept after the job is archived.
+	// The time account of a job that ended under this leader is kept after the job is archived.
 	if finished, ok := h.accounting.FinishedAccount(jobID); ok {
 		h.responder.Respond(request, http.StatusOK, Explanation{
 			QueuedJob: QueuedJob{ID: jobID, Team: finished.Team, Class: finished.Class}, State: finished.State.String(),
-			Reasons: []string{"it is over"}, TimeShares: newTimeShares(&finished.Breakdown),
+			Reasons: []string{"the job has ended"}, TimeShares: newTimeShares(&finished.Breakdown),
 		}, 0)
 		return
 	}
@@ -58,7 +58,7 @@
 
 func explainEarlierJob(jobID string, final jobs.FinalState) Explanation {
 	return Explanation{
-		QueuedJob: QueuedJob{ID: jobID}, State: final.State.String(), Reasons: []string{"it is over, under an earlier leader"},
+		QueuedJob: QueuedJob{ID: jobID}, State: final.State.String(), Reasons: []string{"the job ended under an earlier leader"},
 	}
 }
 
@@ -77,7 +77,7 @@
 	return explanation
 }
 
-// setPosition finds the job in the queue, and the waiting jobs before it.
+// setPosition sets the job's rank and position in the queue, and the waiting jobs ahead of it.
 func (x *Explanation) setPosition(now time.Time, job *jobs.Job, order []queue.Entry) {
 	ahead := []QueuedJob{}
 	jobsAhead, cpuSecondsAhead := 0, 0.0
--- a/internal/controller/api/explain_wait.go
+++ b/internal/controller/api/explain_wait.go
@@ -9,7 +9,7 @@
 	"gullrudder/internal/controller/worker"
 )
 
-// waitExplanation finds the reasons and remedies of one job. It checks every condition that placement checks
+// waitExplanation collects the reasons and remedies of one job. It checks every condition that placement checks
 // before it starts a task.
 type waitExplanation struct {
 	*explanationHandler
@@ -36,19 +36,19 @@
 	w.explainAgeing()
 }
 
-// explainBlocked gives the reason of a job that needs no machine at present. It returns false if the job waits for machines.
+// explainBlocked adds the reason of a job that needs no machine at present. It returns false if the job waits for machines.
 func (w *waitExplanation) explainBlocked() bool {
 	switch {
 	case w.job.State == jobs.Pending:
-		w.addReason("it is not saved yet")
+		w.addReason("the job is not saved yet")
 	case w.job.IsCancelling || w.job.State == jobs.Cancelled:
-		w.addReason("its user has cancelled it")
+		w.addReason("the job was cancelled")
 	case w.job.UnmetDependencies > 0:
 		w.explainDependencies()
 	case w.job.CrashLooping:
 		w.explainCrashLoop()
 	case w.job.WaitingTasks() == 0:
-		w.addReason("all of its tasks run or are done")
+		w.addReason("all tasks of the job are running or done")
 	default:
 		return false
 	}
@@ -59,56 +59,56 @@
 	graph := w.jobStore.DependencyGraph()
 	unmet := graph.Unmet(w.job)
 	listed := unmet[:min(len(unmet), maxJobsAhead)]
-	w.addReason("it waits for %d other jobs that have to be done first: %s", len(unmet), strings.Join(listed, ", "))
+	w.addReason("the job waits until %d other jobs are done: %s", len(unmet), strings.Join(listed, ", "))
 	runTime, _ := graph.CriticalPath(w.job, w.estimator.TaskRunTime)
-	w.addReason("by the longest way through them that takes %.0f s at least", runTime.Seconds())
-	w.addRemedy("the end of those jobs; if one of them is cancelled, so is this one")
+	w.addReason("the longest chain of these jobs takes at least %.0f s", runTime.Seconds())
+	w.addRemedy("completion of these jobs; if one of them is cancelled, this job is cancelled too")
 }
 
 func (w *waitExplanation) explainCrashLoop() {
-	// A crash loop takes failures on two machines at least; those under an earlier leader are not counted here.
+	// A crash loop means failures on at least two machines. Failures under an earlier leader are not counted here.
 	machines := max(w.failures.FailedMachineCount(w.job.ID), 2)
-	w.addReason("its tasks have failed on %d machines and on none of them has one completed: "+
-		"it looks as if it was submitted with a mistake", machines)
-	w.addReason("one task is tried at a time; the next in %.0f s", max(w.job.NotBefore.Sub(w.now), 0).Seconds())
-	w.addRemedy("a task that completes: then all are started again")
-	w.addRemedy("its cancellation, and a submission without the mistake")
+	w.addReason("tasks of the job failed on %d machines, and no task has completed; "+
+		"the job was probably submitted with a mistake", machines)
+	w.addReason("one task is tried at a time; the next one starts in %.0f s at the earliest", max(w.job.NotBefore.Sub(w.now), 0).Seconds())
+	w.addRemedy("completion of one task; after that, all tasks may start again")
+	w.addRemedy("cancellation (gullrudder cancel JOB), and submission of a corrected job under a new ID")
 }
 
 func (w *waitExplanation) explainFailover() {
 	if !w.failover.Completed() {
-		w.addReason("a new leader has taken over, and %d machines have not said yet what runs on them", w.failover.UnreconciledMachines())
+		w.addReason("a new leader has taken over; %d machines have not reported yet what they run", w.failover.UnreconciledMachines())
 	}
 }
 
 func (w *waitExplanation) explainInheritedDeadline() {
 	if due := w.job.InheritedDeadline; !due.IsZero() {
-		w.addReason("a job that needs it has a deadline: for that it has to be done in %.0f s", due.Sub(w.now).Seconds())
+		w.addReason("a job that depends on this one has a deadline; this job must be done within %.0f s", due.Sub(w.now).Seconds())
 	}
 }
 
 func (w *waitExplanation) explainRetry() {
 	if w.now.Before(w.job.NotBefore) {
-		w.addReason("its tasks failed or were refused lately: it is tried again in %.0f s", w.job.NotBefore.Sub(w.now).Seconds())
+		w.addReason("tasks of the job failed or were refused recently; the job is retried in %.0f s", w.job.NotBefore.Sub(w.now).Seconds())
 	}
 }
 
 func (w *waitExplanation) explainQuota() {
 	team := w.teams[w.job.Team]
 	if placement.TasksAllowedByQuota(w.job, team, w.workers.TeamUsage(w.job.Team)) == 0 {
-		w.addReason("team %s uses all that its limit allows (%g CPUs, %g cards)", w.job.Team, team.CPULimit, team.GPULimit)
-		w.addRemedy("a higher limit of team %s, or the end of a task of the team", w.job.Team)
+		w.addReason("team %s has no quota left for another task of the job (limit: %g CPUs, %g GPUs)", w.job.Team, team.CPULimit, team.GPULimit)
+		w.addRemedy("a higher limit for team %s, or the end of one of its tasks", w.job.Team)
 	}
 }
 
-// machineSurvey is what the machines offer to a job. The numbers are of machines that report.
+// machineSurvey counts the machines that a job can use, and those that it cannot use now. Only machines that have sent a heartbeat count.
 type machineSurvey struct {
-	eligible    int // may run the job
-	reserved    int // have capacity for a task, but it is reserved for another job
-	zoneFull    int // have capacity for a task, but are in a zone where the job may have no more tasks
-	freeTasks   int // tasks for which there is capacity on the other machines
-	withImage   int // machines with such capacity that have the job's image
-	unreachable int // send heartbeats, but seem to receive no responses
+	eligible     int // may run tasks of the job
+	reserved     int // have available resources for a task, but are reserved for another job
+	zoneFull     int // have available resources for a task, but the job may have no further task in their zone
+	fittingTasks int // tasks that the available resources of the other machines allow
+	withImage    int // machines that count for fittingTasks and have the job's image
+	unreachable  int // send heartbeats but seem to receive no responses
 }
 
 func (w *waitExplanation) surveyMachines() machineSurvey {
@@ -129,7 +129,7 @@
 		case machine.ReservedFor != nil && machine.ReservedFor != w.job:
 			survey.reserved++
 		default:
-			survey.freeTasks += tasks
+			survey.fittingTasks += tasks
 			if machine.ImageCache.Has(w.job.Image) {
 				survey.withImage++
 			}
@@ -142,36 +142,37 @@
 	waiting := w.job.WaitingTasks()
 	switch {
 	case machines.eligible == 0:
-		w.addReason("no machine that is up may run it%s", describeConstraints(w.job))
-		w.addRemedy("a machine of a type, zone and kind that the job allows")
-	case machines.freeTasks == 0:
-		w.addReason("%d machines may run it, and none has room for one more task (%g CPUs, %g cards, %g GB)%s",
+		w.addReason("no machine that is up may run the job%s", describeConstraints(w.job))
+		w.addRemedy("a machine that meets the constraints of the job on type, zone and spot")
+	case machines.fittingTasks == 0:
+		w.addReason("%d machines may run the job; none has enough available resources for one more task (%g CPUs, %g GPUs, %g GB)%s",
 			machines.eligible, w.job.CPUs, w.job.GPUs, w.job.MemoryGB, describeConstraints(w.job))
 		if w.Position > 1 {
-			w.addReason("%d jobs with %.0f CPU seconds of work get room before it", w.Position-1, w.CPUSecondsAhead)
+			w.addReason("%d jobs with %.0f CPU seconds of work get resources first", w.Position-1, w.CPUSecondsAhead)
 		}
-		w.addRemedy("room that comes free, or another machine")
-	case w.job.IsGang && machines.freeTasks < waiting:
-		w.addReason("its %d tasks start at the same time or not at all; there is room for %d", waiting, machines.freeTasks)
-		w.addRemedy("room for all of them at one time: it is held machine by machine")
+		w.addRemedy("resources that become available, or another machine")
+	case w.job.IsGang && machines.fittingTasks < waiting:
+		w.addReason("the %d waiting tasks start together or not at all; resources are available for %d", waiting, machines.fittingTasks)
+		w.addRemedy("available resources for all of these tasks at the same time; machines are reserved one by one")
 	default:
-		w.addReason("there is room for %d of its tasks: they start with the next reports of those machines", min(machines.freeTasks, waiting))
+		w.addReason("resources are available for %d tasks of the job; they start with the next heartbeats of the machines",
+			min(machines.fittingTasks, waiting))
 		if machines.withImage == 0 {
-			w.addReason("no machine with room has its image %s yet", w.job.Image)
+			w.addReason("no machine with available resources has the image %s yet", w.job.Image)
 		}
 	}
 }
 
 func (w *waitExplanation) explainReservations(machines machineSurvey) {
 	if machines.reserved > 0 {
-		w.addReason("%d machines with room are held for jobs before it", machines.reserved)
+		w.addReason("%d machines with available resources are reserved for other jobs", machines.reserved)
 	}
 }
 
 func (w *waitExplanation) explainUnreachable(machines machineSurvey) {
 	if machines.unreachable > 0 {
-		w.addReason("%d machines report and seem to hear nothing of us: "+
-			"they start nothing, and are given back if they answer no question", machines.unreachable)
+		w.addReason("%d machines send heartbeats but seem to receive no responses; "+
+			"they start no tasks, and are terminated if they answer no probe", machines.unreachable)
 	}
 }
 
@@ -182,13 +183,13 @@
 	if bound <= 0 || w.job.IsService || w.job.IsGang || hasStarted || waited >= bound {
 		return
 	}
-	w.addRemedy("waiting: if nothing of it has begun in %.0f s, some of its tasks go before others", (bound - waited).Seconds())
+	w.addRemedy("waiting: if no task has started in %.0f s, some tasks of the job go ahead of other jobs", (bound - waited).Seconds())
 }
 
 func (w *waitExplanation) explainZoneRules(machines machineSurvey) {
 	if machines.zoneFull > 0 {
-		w.addReason("%d machines with room are in zones where it may have no more tasks", machines.zoneFull)
-		w.addRemedy("a job that is not bound to one zone, or spread less")
+		w.addReason("%d machines with available resources are in zones where the job may have no further task", machines.zoneFull)
+		w.addRemedy("a job that is neither limited to one zone nor spread across zones")
 	}
 }
 
@@ -198,11 +199,11 @@
 		return
 	}
 	remaining := policy.AgeBound - w.now.Sub(w.job.EligibleSince())
-	w.addRemedy("waiting: in %.0f s it is aged, and %.0f %% of the fleet go to the aged, the oldest first",
+	w.addRemedy("waiting: the job counts as aged in %.0f s; aged jobs get %.0f %% of the cluster, the oldest first",
 		remaining.Seconds(), 100*policy.Share)
 }
 
-// describeConstraints lists what limits the machines that the job may use, empty if nothing does.
+// describeConstraints lists the job's constraints on machines. It returns an empty string without any.
 func describeConstraints(job *jobs.Job) string {
 	var list []string
 	if len(job.MachineTypes) > 0 {
@@ -217,5 +218,5 @@
 	if len(list) == 0 {
 		return ""
 	}
-	return "; it allows " + strings.Join(list, "; ")
+	return "; constraints: " + strings.Join(list, "; ")
 }
--- a/internal/controller/api/golden_bytes_test.go
+++ b/internal/controller/api/golden_bytes_test.go
@@ -6,6 +6,7 @@
 	"gullrudder/internal/goldenbytes"
 )
 
+// TestGoldenBytes checks the encoded messages against testdata/golden-bytes.txt.
 func TestGoldenBytes(t *testing.T) {
 	count := 3
 	waiting := QueuedJob{
--- a/internal/controller/api/handler.go
+++ b/internal/controller/api/handler.go
@@ -1,9 +1,9 @@
-// Package api answers the users' requests: submissions, queries and cancellations of jobs, and the views of the queue, of waiting
-// jobs, of time accounts, of served shares and of zones. Its Handler owns the limit of submissions that are not durable yet; each
-// leadership has one.
+// Package api serves the users' requests: submissions, queries and cancellations of jobs. It also serves the views of the queue, of
+// waiting jobs, of time accounts, of served shares and of zones. A Handler owns the limit of submissions that are not durable yet.
+// Each leadership has its own Handler.
 //
-// The package confirms nothing that is not durable, and changes no state but jobs: it creates and cancels them through storage and
-// the job store. It starts no task and sends nothing to workers or to the cloud. Everything runs on the controller's one goroutine.
+// The package confirms nothing that is not durable. It changes no state except jobs, which it creates and cancels through storage and
+// the job store. It starts no task and sends nothing to workers or the cloud. All code runs on the controller's single goroutine.
 // Design notes: docs/design/dependencies.md, docs/design/accounting.md, docs/design/ageing.md.
 package api
 
@@ -33,20 +33,20 @@
 )
 
 const (
-	// typicalRecordBytes is about what the record of a submitted job takes of a page.
+	// typicalRecordBytes is the assumed size of a submitted job's record in a page.
 	typicalRecordBytes = 512
-	// pendingSeconds bounds the submissions that wait for a commit: to the writes of that many seconds.
-	pendingSeconds = 2
+	// maxPendingSeconds bounds the submissions that wait for a commit to the number that the state service writes in this time.
+	maxPendingSeconds = 2
 )
 
-// Stores are the parts that keep jobs and their history.
+// Stores holds the components that keep jobs and their history.
 type Stores struct {
 	Storage    *storage.Store
 	Jobs       *jobstore.Store
 	Accounting *accounting.Tracker
 }
 
-// Queueing are the parts that decide which job gets resources next.
+// Queueing holds the components that decide which job gets resources next.
 type Queueing struct {
 	Planner   *admission.Planner
 	Estimator *estimate.Estimator
@@ -55,7 +55,7 @@
 	Placer    *placement.Placer
 }
 
-// Machines are the parts that keep workers, instances and zones.
+// Machines holds the components that keep workers, instances and zones.
 type Machines struct {
 	Workers    *worker.Registry
 	Cloud      *cloud.Client
@@ -65,11 +65,11 @@
 	Zones      *zones.Tracker
 }
 
-// Components are the parts of a leadership that the handler uses.
+// Components holds what the handler uses of a leadership.
 type Components struct {
 	Platform   *config.Platform
 	Options    *config.Options
-	HoldsLease func() bool // the leader lease is valid, so that this controller may answer
+	HoldsLease func() bool // whether the leader lease is valid, so that this controller may respond
 	Stores     Stores
 	Queueing   Queueing
 	Machines   Machines
@@ -78,7 +78,7 @@
 	Log        *slog.Logger
 }
 
-// Handler answers users on behalf of a leader.
+// Handler serves users' requests on behalf of a leader. It is not safe for concurrent use.
 type Handler struct {
 	jobs         *jobHandler
 	submissions  *submissionHandler
@@ -102,7 +102,7 @@
 	return &jobHandler{
 		responder: c.Responder, outbox: c.Outbox, log: c.Log, holdsLease: c.HoldsLease,
 		storage: c.Stores.Storage, jobStore: c.Stores.Jobs, placer: c.Queueing.Placer, accounting: c.Stores.Accounting,
-		leaseOutlastsCancel: renewal.Window(c.Platform.CancelTimeout, c.Machines.Workers.LeaseExpiry()) <= 0,
+		leaseOutlastsCancelTimeout: renewal.Window(c.Platform.CancelTimeout, c.Machines.Workers.LeaseExpiry()) <= 0,
 	}
 }
 
@@ -115,7 +115,7 @@
 			platform: c.Platform, options: c.Options, teams: teams,
 			jobStore: c.Stores.Jobs, cloud: c.Machines.Cloud, estimator: c.Queueing.Estimator, ranker: c.Queueing.Ranker,
 		},
-		limiter: submission.New(int(pendingSeconds*submissionsPerSecond), submissionsPerSecond),
+		limiter: submission.New(int(maxPendingSeconds*submissionsPerSecond), submissionsPerSecond),
 	}
 }
 
@@ -133,8 +133,8 @@
 	}
 }
 
-// Serve answers a user's request. segments are the parts of its path; MethodFor has returned the request's method for them. The
-// answer is given now, or later if the handler has to wait for a commit or for the archive.
+// Serve handles a user's request. segments are the parts of its path; MethodFor must have returned the request's method for them.
+// Serve sends the response now, or later if it has to wait for a commit or the archive. Without a matching route it sends none.
 func (h *Handler) Serve(now time.Time, request *server.Request, segments []string) {
 	if route := findRoute(segments); route != nil {
 		route.serve(h, now, request, segments)
--- a/internal/controller/api/messages.go
+++ b/internal/controller/api/messages.go
@@ -1,19 +1,20 @@
 package api
 
-// The tags of these messages are the users' protocol and the JSON that `gullrudder` prints: neither they nor the order of the
-// fields changes.
+// The tags of these messages are the users' protocol and the JSON that `gullrudder` prints. Neither the tags nor the order of the
+// fields may change.
 
-// jobResponse is a job's state, the answer to a submission, a query and a cancellation.
+// jobResponse is the response to a submission, a query or a cancellation: the state of the job.
 type jobResponse struct {
 	ID         string `msgpack:"id"`
 	State      string `msgpack:"trim"`
 	Label      string `msgpack:"label,omitempty"`
 	Done       *int   `msgpack:"done,omitempty"`    // done tasks
-	Running    *int   `msgpack:"running,omitempty"` // tasks seen running
-	WaitReason string `msgpack:"because,omitempty"` // what keeps the job from being done
+	Running    *int   `msgpack:"running,omitempty"` // tasks reported as running
+	WaitReason string `msgpack:"because,omitempty"` // what keeps the job from being done now
 }
 
-// QueuedJob is a job of the queue as it is shown. Times are in seconds.
+// QueuedJob is a job in a view of the queue. Times are in seconds. The start bounds were set when the job was accepted; 0 means that
+// there is none.
 type QueuedJob struct {
 	ID                     string  `msgpack:"id" json:"id"`
 	Team                   string  `msgpack:"team" json:"team"`
@@ -28,11 +29,11 @@
 	MissedStartBound       bool    `msgpack:"late,omitempty" json:"late,omitempty"`
 }
 
-// Queue is what `gullrudder queue` shows: the jobs that wait, in the order in which they get resources.
+// Queue is what `gullrudder queue` shows: the waiting jobs in the order in which they get resources.
 type Queue struct {
 	Jobs              []QueuedJob `msgpack:"jobs" json:"jobs"`
-	Total             int         `msgpack:"total" json:"total"` // of the jobs that match, also those beyond the list
-	MissedStartBounds int         `msgpack:"bounds_missed" json:"bounds_missed"`
+	Total             int         `msgpack:"total" json:"total"`                 // matching jobs, also those that are not listed
+	MissedStartBounds int         `msgpack:"bounds_missed" json:"bounds_missed"` // jobs whose first task did not start within its bound
 }
 
 // Explanation is what `gullrudder explain` shows.
@@ -40,20 +41,20 @@
 	QueuedJob       `msgpack:",inline"`
 	State           string      `msgpack:"state" json:"state"`
 	Position        int         `msgpack:"position" json:"position"` // in the queue, from 1; 0: not in the queue
-	JobsAhead       []QueuedJob `msgpack:"before" json:"before"`     // the first of them
+	JobsAhead       []QueuedJob `msgpack:"before" json:"before"`     // the first ones, at most maxJobsAhead
 	CPUSecondsAhead float64     `msgpack:"cpu_s_before" json:"cpu_s_before"`
-	Reasons         []string    `msgpack:"because" json:"because"`
-	Remedies        []string    `msgpack:"would_change" json:"would_change"`
-	TimeShares      []TimeShare `msgpack:"account" json:"account"` // where its time went so far
+	Reasons         []string    `msgpack:"because" json:"because"`           // why the job waits
+	Remedies        []string    `msgpack:"would_change" json:"would_change"` // what would let the job start earlier
+	TimeShares      []TimeShare `msgpack:"account" json:"account"`           // the job's time so far, by wait reason
 }
 
-// TimeShare is the time that was counted to one wait reason.
+// TimeShare is the time of one wait reason.
 type TimeShare struct {
 	Reason       string `msgpack:"cause" json:"cause"`
 	Milliseconds int64  `msgpack:"ms" json:"ms"`
 }
 
-// ClassAccount is where the time of a team's finished jobs of a class went.
+// ClassAccount is the time of a team's finished jobs of a class, by wait reason.
 type ClassAccount struct {
 	Team         string      `msgpack:"team" json:"team"`
 	Class        string      `msgpack:"class" json:"class"`
@@ -68,24 +69,24 @@
 	OpenJobs int            `msgpack:"open" json:"open"` // unfinished jobs, which are not counted
 }
 
-// ServedShare is the share of the jobs of a class or team that were done lately.
+// ServedShare is the share of the recent jobs of a class or team that were done.
 type ServedShare struct {
 	IsTeam        bool    `msgpack:"team" json:"team"` // a team; otherwise a class
 	Name          string  `msgpack:"name" json:"name"`
-	DoneJobs      float64 `msgpack:"done" json:"done"`       // the longer ago, the less they count
+	DoneJobs      float64 `msgpack:"done" json:"done"`       // recently done jobs; each counts less with time
 	UnservedJobs  int     `msgpack:"late" json:"late"`       // overdue jobs that count against the share
 	AllocatedJobs int     `msgpack:"owed" json:"owed"`       // overdue jobs with capacity of their own
-	Share         float64 `msgpack:"share" json:"share"`     // done jobs, of done and unserved ones
-	IsLargestJobs bool    `msgpack:"largest" json:"largest"` // the group is the largest jobs of the class
+	Share         float64 `msgpack:"share" json:"share"`     // done jobs as a share of the done and unserved jobs
+	IsLargestJobs bool    `msgpack:"largest" json:"largest"` // the group has only the largest jobs of the class
 }
 
 // ServedShares is what `gullrudder served` shows, the least served first.
 type ServedShares struct {
 	Groups   []ServedShare `msgpack:"groups" json:"groups"`
-	MinShare float64       `msgpack:"least" json:"least"` // below it, a class or team goes ahead of others
+	MinShare float64       `msgpack:"least" json:"least"` // a class or team with a lower share goes ahead of others
 }
 
-// ZoneStatus is the state of a zone, as its heartbeats show it. Times are in seconds.
+// ZoneStatus is the state of a zone according to its heartbeats. Times are in seconds.
 type ZoneStatus struct {
 	Name                 string  `msgpack:"name" json:"name"`
 	State                string  `msgpack:"state" json:"state"`
@@ -93,7 +94,7 @@
 	LastHeartbeatSeconds float64 `msgpack:"heard_s_ago" json:"heard_s_ago"` // since the last heartbeat from the zone
 	Machines             int     `msgpack:"machines" json:"machines"`       // machines whose heartbeats are expected
 	Overdue              int     `msgpack:"overdue" json:"overdue"`         // of these, machines whose heartbeats are overdue
-	Outages              int     `msgpack:"cuts" json:"cuts"`               // of the last ten minutes
+	Outages              int     `msgpack:"cuts" json:"cuts"`               // in the last ten minutes
 }
 
 // Zones is what `gullrudder zones` shows.
--- a/internal/controller/api/query.go
+++ b/internal/controller/api/query.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// retryDelay is the Retry-After of most answers of 503.
+	// retryDelay is the Retry-After of most responses with status 503.
 	retryDelay = time.Second
-	// archiveRetryDelay is the Retry-After of an answer for a job that cannot be looked up in the archive.
+	// archiveRetryDelay is the Retry-After of a response about a job that cannot be looked up in the archive now.
 	archiveRetryDelay = time.Second
 )
 
-// Texts to users.
+// Error texts for users.
 const (
 	textNotSaved            = "not saved yet"
 	textTasksStillRunning   = "cancelled, and its tasks are not gone yet"
 	textDependencyUndecided = "it cannot be told yet what became of a job that it needs"
 )
 
-// Labels of the terms on which a job was accepted.
+// Labels that say whether a job was accepted with a guarantee.
 const (
 	labelGuaranteed = "guaranteed"
 	labelBestEffort = "best_effort"
 )
 
-// jobHandler answers for jobs that were submitted: queries and cancellations.
+// jobHandler serves queries and cancellations of jobs.
 type jobHandler struct {
 	responder  *server.Responder
 	outbox     *client.Outbox
@@ -44,9 +44,9 @@
 	jobStore   *jobstore.Store
 	placer     *placement.Placer
 	accounting *accounting.Tracker
-	// leaseOutlastsCancel is set if a worker's lease that was just renewed may outlast the time within which the tasks of a
-	// cancelled job have to be gone.
-	leaseOutlastsCancel bool
+	// leaseOutlastsCancelTimeout is set if a worker's newly renewed lease may outlast the platform's cancel timeout, within which the
+	// tasks of a cancelled job have to end.
+	leaseOutlastsCancelTimeout bool
 }
 
 func labelOf(guaranteed bool) string {
@@ -56,7 +56,7 @@
 	return labelBestEffort
 }
 
-// finalResponse returns the answer for a finished job. Queries have the numbers of tasks, other requests do not.
+// finalResponse returns the response for a finished job. Only responses to queries have the task counts.
 func finalResponse(jobID string, final jobs.FinalState, withCounts bool) jobResponse {
 	response := jobResponse{ID: jobID, State: final.State.String()}
 	if withCounts {
@@ -69,12 +69,12 @@
 	return response
 }
 
-// acceptedResponse returns the answer to the submission of a job that is durable.
+// acceptedResponse returns the response to a submission whose job is durable.
 func acceptedResponse(job *jobs.Job) jobResponse {
 	return jobResponse{ID: job.ID, State: job.StateName(), Label: labelOf(job.Guaranteed)}
 }
 
-// serveQuery answers with the state of a job.
+// serveQuery responds with the state of a job.
 func (h *jobHandler) serveQuery(now time.Time, request *server.Request, jobID string) {
 	if final, ok := h.jobStore.FinalState(jobID); ok {
 		h.responder.Respond(request, http.StatusOK, finalResponse(jobID, final, true), 0)
@@ -85,7 +85,7 @@
 		h.serveArchived(now, request, jobID, true, h.serveQuery)
 		return
 	}
-	if h.refuseUndecided(request, job) {
+	if h.refuseIfUndecided(request, job) {
 		return
 	}
 	response := acceptedResponse(job)
@@ -97,12 +97,12 @@
 	h.responder.Respond(request, http.StatusOK, response, 0)
 }
 
-// refuseUndecided refuses to answer for a job whose state is not certain now. It returns false if it is certain.
-func (h *jobHandler) refuseUndecided(request *server.Request, job *jobs.Job) bool {
+// refuseIfUndecided responds with 503 for a job whose state is uncertain now. It returns false, without a response, if it is certain.
+func (h *jobHandler) refuseIfUndecided(request *server.Request, job *jobs.Job) bool {
 	switch {
 	case job.State == jobs.Pending:
 		h.responder.RespondError(request, http.StatusServiceUnavailable, textNotSaved, retryDelay)
-	case h.hasUnconfirmedTasks(job):
+	case h.mustAwaitTaskEnd(job):
 		h.responder.RespondError(request, http.StatusServiceUnavailable, textTasksStillRunning, retryDelay)
 	case job.HasUndecidedDependency:
 		h.responder.RespondError(request, http.StatusServiceUnavailable, textDependencyUndecided, archiveRetryDelay)
@@ -112,8 +112,8 @@
 	return true
 }
 
-// hasUnconfirmedTasks reports whether the cancellation of the job may not be confirmed yet: if a worker's lease can outlast the time
-// within which the tasks have to be gone, they have to be gone before it is.
-func (h *jobHandler) hasUnconfirmedTasks(job *jobs.Job) bool {
-	return h.leaseOutlastsCancel && job.State == jobs.Cancelled && h.jobStore.IsStopping(job)
+// mustAwaitTaskEnd reports whether the cancellation of the job must not be confirmed yet. If a worker's lease may outlast the cancel
+// timeout, the tasks of the job have to end before the confirmation.
+func (h *jobHandler) mustAwaitTaskEnd(job *jobs.Job) bool {
+	return h.leaseOutlastsCancelTimeout && job.State == jobs.Cancelled && h.jobStore.IsStopping(job)
 }
--- a/internal/controller/api/query_parameters_test.go
+++ b/internal/controller/api/query_parameters_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// TestParseQueueFilter checks which queries of the queue are valid, and their filters.
+// TestParseQueueFilter checks which parameters of a queue request are valid, and the filters that they give.
 func TestParseQueueFilter(t *testing.T) {
 	cases := map[string]struct {
 		query string
 		want  queueFilter
 		valid bool
 	}{
-		"nothing":             {"", queueFilter{maxJobs: maxQueuedJobs}, true},
-		"team and class":      {"team=vision&class=train", queueFilter{team: "vision", class: "train", maxJobs: maxQueuedJobs}, true},
-		"also running":        {"all=1", queueFilter{includeRunning: true, maxJobs: maxQueuedJobs}, true},
-		"at most one":         {"most=1", queueFilter{maxJobs: 1}, true},
-		"at most none":        {"most=0", queueFilter{}, false},
-		"more than the bound": {"most=201", queueFilter{}, false},
-		"no number":           {"most=x", queueFilter{}, false},
+		"nothing":            {"", queueFilter{maxJobs: maxListedJobs}, true},
+		"team and class":     {"team=vision&class=train", queueFilter{team: "vision", class: "train", maxJobs: maxListedJobs}, true},
+		"running jobs too":   {"all=1", queueFilter{includeRunning: true, maxJobs: maxListedJobs}, true},
+		"lowest limit":       {"most=1", queueFilter{maxJobs: 1}, true},
+		"limit of zero":      {"most=0", queueFilter{}, false},
+		"limit above bound":  {"most=201", queueFilter{}, false},
+		"limit not a number": {"most=x", queueFilter{}, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestParseSince checks which start times of a query are valid, and their values.
+// TestParseSince checks which values of since_s are valid, and the times that they give.
 func TestParseSince(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	cases := map[string]struct {
@@ -42,13 +42,13 @@
 		want  time.Time
 		valid bool
 	}{
-		"nothing":     {"", time.Time{}, true},
-		"seconds":     {"since_s=90.5", now.Add(-90500 * time.Millisecond), true},
-		"now":         {"since_s=0", now, true},
-		"negative":    {"since_s=-1", time.Time{}, false},
-		"too large":   {"since_s=1e9", time.Time{}, false},
-		"not a value": {"since_s=NaN", time.Time{}, false},
-		"no number":   {"since_s=x", time.Time{}, false},
+		"nothing":            {"", time.Time{}, true},
+		"seconds":            {"since_s=90.5", now.Add(-90500 * time.Millisecond), true},
+		"now":                {"since_s=0", now, true},
+		"negative":           {"since_s=-1", time.Time{}, false},
+		"too large":          {"since_s=1e9", time.Time{}, false},
+		"not a finite value": {"since_s=NaN", time.Time{}, false},
+		"not a number":       {"since_s=x", time.Time{}, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/controller/api/queue.go
+++ b/internal/controller/api/queue.go
@@ -17,10 +17,10 @@
 	"gullrudder/internal/wire/server"
 )
 
-// maxQueuedJobs is how many jobs an answer lists: a bound on the work and the bytes of one answer.
-const maxQueuedJobs = 200
+// maxListedJobs bounds the jobs that one response lists, and thereby its work and its bytes.
+const maxListedJobs = 200
 
-// viewHandler answers requests for views of the whole cluster, without any change of state.
+// viewHandler serves the read-only views of the whole cluster.
 type viewHandler struct {
 	responder  *server.Responder
 	options    *config.Options
@@ -47,20 +47,20 @@
 	}
 }
 
-// queueFilter selects the jobs of the queue that an answer lists.
+// queueFilter selects the jobs of the queue that a response lists.
 type queueFilter struct {
 	team           string // empty: any
 	class          string // empty: any
-	includeRunning bool   // also jobs of which every unfinished task runs
-	maxJobs        int
+	includeRunning bool   // also jobs whose unfinished tasks all run
+	maxJobs        int    // 1 to maxListedJobs
 }
 
 func parseQueueFilter(query url.Values) (filter queueFilter, valid bool) {
-	maxJobs, err := maxQueuedJobs, error(nil)
+	maxJobs, err := maxListedJobs, error(nil)
 	if text := query.Get("most"); text != "" {
 		maxJobs, err = strconv.Atoi(text)
 	}
-	if err != nil || maxJobs < 1 || maxJobs > maxQueuedJobs {
+	if err != nil || maxJobs < 1 || maxJobs > maxListedJobs {
 		return queueFilter{}, false
 	}
 	return queueFilter{query.Get("team"), query.Get("class"), query.Get("all") != "", maxJobs}, true
@@ -70,7 +70,7 @@
 	return (f.team == "" || f.team == job.Team) && (f.class == "" || f.class == job.Class)
 }
 
-// serveQueue answers with the jobs that wait: first those that wait for resources, in their order, then those that wait for other
+// serveQueue responds with the waiting jobs: first those that wait for resources, in queue order, then those that wait for other
 // jobs.
 func (v *viewHandler) serveQueue(now time.Time, request *server.Request) {
 	query, err := parseQuery(request)
@@ -80,7 +80,7 @@
 	}
 	filter, valid := parseQueueFilter(query)
 	if !valid {
-		v.responder.RespondError(request, http.StatusBadRequest, fmt.Sprintf("most is not between 1 and %d", maxQueuedJobs), 0)
+		v.responder.RespondError(request, http.StatusBadRequest, fmt.Sprintf("most is not between 1 and %d", maxListedJobs), 0)
 		return
 	}
 	v.responder.Respond(request, http.StatusOK, v.listQueue(now, filter), 0)
--- a/internal/controller/api/routes.go
+++ b/internal/controller/api/routes.go
@@ -9,7 +9,7 @@
 	"gullrudder/internal/wire/server"
 )
 
-// anySegment stands in a route's path for a job ID.
+// anySegment is the segment of a route's path that matches any job ID.
 const anySegment = "*"
 
 // route is a path that the handler serves.
@@ -19,7 +19,7 @@
 	serve  func(h *Handler, now time.Time, request *server.Request, segments []string)
 }
 
-// routes are the users' paths. A path is served with one method.
+// routes are the users' paths. Each path is served with one method only.
 var routes = []route{
 	{[]string{"work"}, http.MethodPost, func(h *Handler, now time.Time, request *server.Request, _ []string) {
 		h.submissions.serveSubmission(now, request)
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// MethodFor returns the method with which a path is served, empty if the handler does not serve it. segments are the parts of the
-// path.
+// MethodFor returns the HTTP method with which a path is served. It returns an empty string if no route matches. segments are the parts
+// of the path.
 func MethodFor(segments []string) string {
 	if route := findRoute(segments); route != nil {
 		return route.method
@@ -77,7 +77,7 @@
 	return ""
 }
 
-// parseQuery returns the parameters of the request's target.
+// parseQuery returns the query parameters of the request's target.
 func parseQuery(request *server.Request) (url.Values, error) {
 	_, query, _ := strings.Cut(request.Target, "?")
 	return url.ParseQuery(query)
--- a/internal/controller/api/served_shares.go
+++ b/internal/controller/api/served_shares.go
@@ -7,9 +7,9 @@
 	"gullrudder/internal/wire/server"
 )
 
-// serveServedShares answers how each class and team was served.
+// serveServedShares responds with the served share of each class and team.
 func (v *viewHandler) serveServedShares(now time.Time, request *server.Request) {
-	v.placer.Order(now) // the shares are as of the last order
+	v.placer.Order(now) // updates the shares
 	shares := ServedShares{Groups: []ServedShare{}, MinShare: v.options.MinServedShare}
 	for _, group := range v.fairShare.Status(now) {
 		shares.Groups = append(shares.Groups, ServedShare{
--- a/internal/controller/api/start_bounds.go
+++ b/internal/controller/api/start_bounds.go
@@ -15,7 +15,7 @@
 	"gullrudder/internal/units"
 )
 
-// startBounds computes, when a job is accepted, how long it waits at worst.
+// startBounds computes the longest waits until the first and the last start of a job that is about to be accepted.
 type startBounds struct {
 	platform  *config.Platform
 	options   *config.Options
@@ -26,7 +26,7 @@
 	ranker    *queue.Ranker
 }
 
-// set sets the bounds of a job that is about to be accepted. Services have none.
+// set sets the start bounds of a job that is about to be accepted. Services have none.
 func (b *startBounds) set(now time.Time, job *jobs.Job) {
 	if job.IsService {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// workAhead sums up the work that can be served before a job.
+// workAhead returns the work that may be served before a job.
 func (b *startBounds) workAhead(now time.Time, job *jobs.Job) ageing.WorkAhead {
 	ahead := ageing.WorkAhead{
 		TeamCPULimit: b.teams[job.Team].CPULimit,
@@ -47,18 +47,18 @@
 	ahead.Own.Add(job, b.estimator.RemainingCPUSeconds(job, now))
 	b.addOlderJobs(now, job, &ahead)
 	ahead.UsableCPUs = b.usableCPUs(job)
-	offer := b.findOffer(now, job)
-	if ahead.UsableCPUs == 0 { // no instance is there yet: count the smallest growth that is about to be requested for the job
-		ahead.UsableCPUs = offer.leastCPUs
-		ahead.StartDelay += offer.longestBoot
+	bounds := b.findMachineTypeBounds(now, job)
+	if ahead.UsableCPUs == 0 { // no usable instance exists: count the smallest growth that can be requested for the job
+		ahead.UsableCPUs = bounds.minGrowthCPUs
+		ahead.StartDelay += bounds.maxBootTime
 	}
-	// The fetch time counts twice: for the job's own image, and for the wait for a machine that has it already.
-	ahead.StartDelay += units.DurationFromSeconds(2 * offer.longestFetchSeconds)
+	// The fetch time counts twice: for the job's own image, and for the wait for a machine that already has the image.
+	ahead.StartDelay += units.DurationFromSeconds(2 * bounds.maxFetchSeconds)
 	return ahead
 }
 
-// startDelay returns the time from free capacity to a running task, without its image: two heartbeats, and the stop of what held
-// the capacity.
+// startDelay returns the time from available capacity to a running task, without the fetch of its image. It consists of two heartbeats
+// and the stop of the task that held the capacity: a checkpoint, taken to be as long as the job's own, and a planning interval.
 func (b *startBounds) startDelay(job *jobs.Job) time.Duration {
 	return 2*b.platform.HeartbeatInterval + job.CheckpointDuration + b.options.PlanningInterval
 }
@@ -80,7 +80,7 @@
 	}
 }
 
-// usableCPUs returns the CPUs of the instances that the job can use.
+// usableCPUs returns the sum of the CPUs of the instances that the job can use.
 func (b *startBounds) usableCPUs(job *jobs.Job) float64 {
 	cpus := 0.0
 	for _, instance := range b.cloud.Instances {
@@ -92,34 +92,34 @@
 	return cpus
 }
 
-// instanceOffer is what the cloud offers for a job at worst.
-type instanceOffer struct {
-	leastCPUs           float64 // of the growth that the autoscaler counts on, with the smallest type; 0: none can be requested
-	longestBoot         time.Duration
-	longestFetchSeconds float64 // to fetch the job's image
+// machineTypeBounds holds the worst case of all machine types on which a task of a job fits.
+type machineTypeBounds struct {
+	minGrowthCPUs   float64       // CPUs of the assumed growth with the smallest type that can be requested; 0: none can be requested
+	maxBootTime     time.Duration // expected, of the types that can be requested
+	maxFetchSeconds float64       // to fetch the job's image
 }
 
-func (b *startBounds) findOffer(now time.Time, job *jobs.Job) instanceOffer {
-	var offer instanceOffer
+func (b *startBounds) findMachineTypeBounds(now time.Time, job *jobs.Job) machineTypeBounds {
+	var bounds machineTypeBounds
 	for _, machineType := range b.cloud.MachineTypes {
 		if !placement.FitsType(job, machineType) {
 			continue
 		}
 		if machineType.FetchGBPerSecond > 0 {
-			offer.longestFetchSeconds = max(offer.longestFetchSeconds, job.ImageGB/machineType.FetchGBPerSecond)
+			bounds.maxFetchSeconds = max(bounds.maxFetchSeconds, job.ImageGB/machineType.FetchGBPerSecond)
 		}
 		if !b.canRequest(now, job, machineType) {
 			continue
 		}
-		if cpus := float64(autoscaler.AssumedGrowth) * machineType.CPUs; offer.leastCPUs == 0 || cpus < offer.leastCPUs {
-			offer.leastCPUs = cpus
+		if cpus := float64(autoscaler.AssumedGrowth) * machineType.CPUs; bounds.minGrowthCPUs == 0 || cpus < bounds.minGrowthCPUs {
+			bounds.minGrowthCPUs = cpus
 		}
-		offer.longestBoot = max(offer.longestBoot, b.cloud.ExpectedBootTime(machineType))
+		bounds.maxBootTime = max(bounds.maxBootTime, b.cloud.ExpectedBootTime(machineType))
 	}
-	return offer
+	return bounds
 }
 
-// canRequest reports whether instances of a type that the job may use can be requested in any zone, spot or not.
+// canRequest reports whether instances of a type that the job may use can be requested in at least one zone, spot or not.
 func (b *startBounds) canRequest(now time.Time, job *jobs.Job, machineType *cloud.MachineType) bool {
 	found := false
 	for _, zone := range machineType.Zones {
--- a/internal/controller/api/submission.go
+++ b/internal/controller/api/submission.go
@@ -19,10 +19,10 @@
 	"gullrudder/internal/wire/server"
 )
 
-// unsavedRetryDelay is the Retry-After of a submission while the state service takes no changes.
+// unsavedRetryDelay is the Retry-After of a submission that the state service has not saved.
 const unsavedRetryDelay = 2 * retryDelay
 
-// submissionHandler accepts jobs.
+// submissionHandler serves submissions.
 type submissionHandler struct {
 	*jobHandler
 	teams      map[string]config.Team
@@ -38,12 +38,12 @@
 type jobSubmission struct {
 	request        *server.Request
 	spec           jobs.Spec
-	invalid        error                               // why the spec is not valid, nil if it is
-	archivedStates map[string]jobstore.DependencyState // of dependencies that were looked up in the archive's data, by job ID
+	invalid        error                               // why the spec is invalid; nil if it is valid
+	archivedStates map[string]jobstore.DependencyState // dependencies that were looked up in the archive's data, by job ID
 }
 
-// serveSubmission accepts or refuses a job. Submissions are idempotent: a request for an existing job is answered with the
-// job's state, whatever the rest of the request is.
+// serveSubmission accepts or refuses a job. Submissions are idempotent: a request with the ID of an existing job gets the job's state
+// as its response, whatever else the request contains.
 func (h *submissionHandler) serveSubmission(now time.Time, request *server.Request) {
 	spec, err := jobs.ParseSpec(request.Body)
 	submitted := jobSubmission{request: request, spec: spec, invalid: err}
@@ -56,7 +56,7 @@
 	h.serveNew(now, submitted)
 }
 
-// respondIfKnown answers the repetition of a submission whose job is not archived. It returns false if there is no such job.
+// respondIfKnown responds to a repeated submission whose job is not archived. It returns false if there is no such job.
 func (h *submissionHandler) respondIfKnown(request *server.Request, jobID string) bool {
 	if final, ok := h.jobStore.FinalState(jobID); ok {
 		h.responder.Respond(request, http.StatusOK, finalResponse(jobID, final, false), 0)
@@ -66,7 +66,7 @@
 	if job == nil {
 		return false
 	}
-	if !h.refuseUndecided(request, job) {
+	if !h.refuseIfUndecided(request, job) {
 		h.responder.Respond(request, http.StatusOK, acceptedResponse(job), 0)
 	}
 	return true
@@ -76,7 +76,7 @@
 func (h *submissionHandler) serveNew(now time.Time, submitted jobSubmission) {
 	request := submitted.request
 	if h.respondIfKnown(request, submitted.spec.ID) {
-		return // the same submission came again while the archive was read
+		return // the submission was repeated while the archive was read
 	}
 	job, ok := h.validate(now, submitted)
 	if !ok {
@@ -111,8 +111,8 @@
 	h.jobStore.Add(job)
 }
 
-// validate returns the submitted job. If it is not valid, can never run, or cannot be decided on now, it refuses the submission and
-// returns false.
+// validate returns the submitted job. It refuses the submission and returns false if the job is invalid, can never run, or cannot be
+// checked or saved now.
 func (h *submissionHandler) validate(now time.Time, submitted jobSubmission) (*jobs.Job, bool) {
 	request := submitted.request
 	var invalid *jobs.ValidationError
@@ -137,7 +137,7 @@
 	return job, true
 }
 
-// unsatisfiableReason returns why a job can never run, empty if it can.
+// unsatisfiableReason returns why a job can never run. It returns an empty string if it can.
 func (h *submissionHandler) unsatisfiableReason(job *jobs.Job) string {
 	team, ok := h.teams[job.Team]
 	if len(h.teams) > 0 && !ok {
@@ -157,8 +157,8 @@
 	return "a task fits no allowed machine type"
 }
 
-// plan decides whether the job is guaranteed, and sets its start bounds. Its dependencies are put into the graph first, since they
-// are part of the plan.
+// plan decides whether the job is guaranteed, and sets its start bounds. It adds the dependencies to the graph first, since they are
+// part of the plan.
 func (h *submissionHandler) plan(now time.Time, job *jobs.Job, unmet []string) {
 	h.jobStore.WaitForDependencies(now, job, unmet)
 	runTime, dependencies := h.jobStore.DependencyGraph().CriticalPath(job, h.estimator.TaskRunTime)
@@ -173,14 +173,14 @@
 
 // pendingSubmission is a job whose acceptance is being committed.
 type pendingSubmission struct {
-	request     *server.Request
-	job         *jobs.Job
-	isCancelled bool // it depends on a cancelled job, and so is accepted as cancelled
-	holdsSlot   bool // the limiter still counts it
-	isAnswered  bool
+	request      *server.Request
+	job          *jobs.Job
+	isCancelled  bool // it depends on a cancelled job, so it is accepted as cancelled
+	holdsSlot    bool // the limiter still counts the submission
+	hasResponded bool
 }
 
-// finishCommit is called when the acceptance is durable, or when its outcome is uncertain; in that case it may be called again.
+// finishCommit is called when the acceptance is durable or its outcome is uncertain. After an uncertain outcome it may be called again.
 func (h *submissionHandler) finishCommit(now time.Time, pending *pendingSubmission, isDurable bool) {
 	job := pending.job
 	if pending.holdsSlot {
@@ -190,10 +190,10 @@
 	if isDurable && job.State == jobs.Pending {
 		h.accept(now, job, pending.isCancelled)
 	}
-	if pending.isAnswered {
+	if pending.hasResponded {
 		return
 	}
-	pending.isAnswered = true
+	pending.hasResponded = true
 	if isDurable {
 		h.responder.Respond(pending.request, http.StatusCreated, acceptedResponse(job), 0)
 	} else {
--- a/internal/controller/api/zones.go
+++ b/internal/controller/api/zones.go
@@ -7,10 +7,10 @@
 	"gullrudder/internal/wire/server"
 )
 
-// heartbeatAgePrecision is the precision in which the age of a zone's last heartbeat is shown.
+// heartbeatAgePrecision is the precision of the age of a zone's last heartbeat in a response.
 const heartbeatAgePrecision = 100 * time.Millisecond
 
-// serveZones answers with the state of each zone.
+// serveZones responds with the state of each zone.
 func (v *viewHandler) serveZones(now time.Time, request *server.Request) {
 	list := Zones{Zones: []ZoneStatus{}}
 	for _, zone := range v.zones.Views() {
