--- a/internal/controller/dynamicconfig/record.go
+++ b/internal/controller/dynamicconfig/record.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// maxTextBytes bounds the XML that is stored.
+	// maxTextBytes bounds the stored XML.
 	maxTextBytes = 1 << 10
-	// maxChanges bounds the record of changes.
+	// maxChanges bounds the changes that the record keeps.
 	maxChanges = 12
-	// maxAuthorBytes bounds the name of who made a change.
+	// maxAuthorBytes bounds the name of the author of a change.
 	maxAuthorBytes = 60
-	// maxRecordBytes is the most JSON bytes that a record may need. A page of the state service may hold less.
+	// maxRecordBytes bounds the record in JSON bytes. A page of the state service may hold less.
 	maxRecordBytes = 3000
 )
 
-// record is what the state service keeps: the options that were applied last, and who changed what. The tags are the stored
-// form, which other versions read too.
+// record is the entry in the state service: the options that were applied last, and the record of changes. The tags are the stored
+// format, which other versions read too.
 type record struct {
 	Text    string   `msgpack:"x" json:"x"`
 	Version int      `msgpack:"v" json:"v"`
 	Changes []Change `msgpack:"c" json:"c"` // newest first
 }
 
-// size returns the record's JSON bytes.
+// size returns the size of the record in JSON bytes.
 func (r *record) size() int {
 	raw, err := codec.Marshal(r)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return codec.JSONSize(raw)
 }
 
-// addChange puts a change first. The oldest are dropped once there are too many of them or they do not fit into maxBytes.
+// addChange adds a change at the front. It drops the oldest changes beyond maxChanges or maxBytes, and always keeps the newest.
 func (r *record) addChange(change Change, maxBytes int) {
 	r.Changes = append([]Change{change}, r.Changes...)
 	r.Changes = r.Changes[:min(len(r.Changes), maxChanges)]
--- a/internal/controller/dynamicconfig/store.go
+++ b/internal/controller/dynamicconfig/store.go
@@ -1,9 +1,9 @@
-// Package dynamicconfig has the operators' options that are in effect: those of the controller's own file, or those that were
-// applied while the controllers run, which the state service keeps. Its Store owns the options and the record of their changes; each
-// leadership has one, and other packages only read it.
+// Package dynamicconfig holds the operators' options that are in effect. They come from the controller's own file, or from the state
+// service if an operator has applied options at run time. A Store owns the options and the record of their changes. Each leadership
+// has its own Store; other packages only read it.
 //
-// The package never changes the options of the election (leader lease and grant), which all controllers have to have from their
-// start. Design note: docs/operations/controllers.md describes each option.
+// The package never changes the options of the election (leader lease and grant), which all controllers need from their start. Design
+// note: docs/operations/controllers.md describes each option.
 package dynamicconfig
 
 import (
@@ -20,12 +20,12 @@
 	"gullrudder/internal/wire/server"
 )
 
-// EntryKey names the stored entry of the applied options. Every leader reads the same one, so that a restart changes nothing. If
-// there is none, each controller's own file is in effect.
+// EntryKey is the name of the stored entry with the applied options. Every leader reads the same entry, so a restart changes no
+// option. Without the entry, each controller's own file is in effect.
 const EntryKey = "s:options"
 
 const (
-	// busyRetryAfter is the Retry-After of a change while another one is being committed.
+	// busyRetryAfter is the Retry-After of a change while another one is being committed or the state service accepts no changes.
 	busyRetryAfter = time.Second
 	// unsavedRetryAfter is the Retry-After of a change whose commit has an uncertain outcome.
 	unsavedRetryAfter = 2 * time.Second
@@ -37,19 +37,19 @@
 	errElectionOptions  = errors.New("leader-lease and promise are read when a controller starts, from its own file")
 )
 
-// Store has the options of a leadership.
+// Store holds the options of a leadership. It is not safe for concurrent use.
 type Store struct {
 	fileOptions  config.Options // of the controller's own file
 	current      config.Options // in effect
-	applied      *record        // what the state service keeps; nil: nothing was applied
-	isCommitting bool           // a change is being committed; there is no second one until it is durable
+	applied      *record        // the entry in the state service; nil: no options were applied
+	isCommitting bool           // a change is being committed; no other one is accepted until it is durable
 	log          *slog.Logger
 	responder    *server.Responder
 	storage      *storage.Store
 	onChange     func(config.Options)
 }
 
-// New returns the options of a new leadership, those of the file until Restore is called.
+// New returns the Store of a new leadership. The options of the file are in effect until Restore finds stored ones.
 func New(fileOptions config.Options, stored *storage.Store, responder *server.Responder, log *slog.Logger) *Store {
 	return &Store{
 		fileOptions: fileOptions, current: fileOptions, log: log, responder: responder, storage: stored,
@@ -57,13 +57,13 @@
 	}
 }
 
-// Options returns the options in effect. They change in place.
+// Options returns the options in effect. Changes are made in place, so the pointer stays valid. Callers must not change them.
 func (s *Store) Options() *config.Options { return &s.current }
 
-// OnChange sets the function that is called with the new options when others take effect. There is one such function.
+// OnChange sets the function that is called with the new options whenever options take effect. A later call replaces the function.
 func (s *Store) OnChange(changed func(config.Options)) { s.onChange = changed }
 
-// ServeView answers a request for the options and the record of changes.
+// ServeView responds with the options in effect and the record of changes.
 func (s *Store) ServeView(_ time.Time, request *server.Request) {
 	s.responder.Respond(request, http.StatusOK, s.View(), 0)
 }
@@ -77,7 +77,7 @@
 	return view
 }
 
-// ServeChange answers a request for other options. It applies all of them or none. They take effect once they are durable.
+// ServeChange serves a request to change options. It applies all of them or none. They take effect once they are durable.
 func (s *Store) ServeChange(now time.Time, request *server.Request) {
 	change, options, err := s.parseChange(request.Body)
 	if err != nil {
@@ -122,16 +122,16 @@
 	if s.applied != nil {
 		next.Version, next.Changes = s.applied.Version+1, s.applied.Changes
 	}
-	line := Change{Version: next.Version, AppliedAt: now.Unix(), Author: change.Author, Details: details}
-	next.addChange(line, s.reservedBytes())
+	newest := Change{Version: next.Version, AppliedAt: now.Unix(), Author: change.Author, Details: details}
+	next.addChange(newest, s.reservedBytes())
 	return next
 }
 
-// commit stores a record. The request is answered once the outcome is known or uncertain; an uncertain commit may still become
-// durable later, and the options take effect then.
+// commit stores a record. The request gets its response once the outcome is known or uncertain. An uncertain commit may still become
+// durable later; the options take effect then.
 func (s *Store) commit(now time.Time, request *server.Request, next *record, options config.Options) error {
 	s.isCommitting = true
-	answered := false
+	responded := false
 	done := func(_ time.Time, isDurable bool) {
 		if isDurable {
 			s.isCommitting = false
@@ -139,10 +139,10 @@
 			s.activate(options)
 			s.logApplied(next)
 		}
-		if answered {
+		if responded {
 			return
 		}
-		answered = true
+		responded = true
 		if isDurable {
 			s.responder.Respond(request, http.StatusOK, s.View(), 0)
 		} else {
@@ -170,11 +170,11 @@
 	s.onChange(options)
 }
 
-// reservedBytes is the most JSON bytes that the record may need. They are reserved in its page, which it never leaves.
+// reservedBytes returns the largest size of the record in JSON bytes. This space is reserved in its page, which the record never leaves.
 func (s *Store) reservedBytes() int { return min(maxRecordBytes, s.storage.MaxEntryBytes(EntryKey)) }
 
-// Restore reads the stored entry when a leader loads its state. An entry that this version cannot read stays as it is, and the
-// controller's own file is in effect.
+// Restore reads the stored entry when a leader loads its state. If this version cannot read the entry, the entry stays unchanged and
+// the controller's own file is in effect.
 func (s *Store) Restore(decode func(any) error) {
 	var stored record
 	err := decode(&stored)
