--- a/internal/site/kvserver/backup.go
+++ b/internal/site/kvserver/backup.go
@@ -7,12 +7,13 @@
 	"path/filepath"
 )
 
-// restoreRevisionGap is added to the revision and the last lease ID of a restored store. It is more than the changes since the backup
-// can be: a leader's fencing token is a revision, and workers reject tokens lower than the highest that they have received.
+// restoreRevisionGap is added to the revision and the last lease ID of a restored store. It exceeds any number of changes made since the
+// backup, so that no revision is used twice. A leader's fencing token is a revision, and workers reject tokens lower than the highest
+// that they have received.
 const restoreRevisionGap = 1 << 40
 
-// Backup writes the content of a store's directory to a file, as one snapshot. The file appears only once it is complete and
-// durable. A store may run in the directory.
+// Backup writes the content of the store in the directory path to a file, as one snapshot. The file appears only once it is complete
+// and durable. A server may be running in the directory.
 func Backup(path, file string) (Inspection, error) {
 	recovered, err := recoverWithRetry(path)
 	if err != nil {
@@ -45,15 +46,15 @@
 	return (&OSDirectory{path: filepath.Dir(file)}).SyncDir()
 }
 
-// freezeForBackup returns a view after which the log starts with segment 1 and frame 1.
+// freezeForBackup returns a view after which the log begins with segment 1 and frame 1.
 func (k *keyspace) freezeForBackup() *View {
 	view := k.Freeze()
 	view.segment, view.nextFrame = 1, 1
 	return view
 }
 
-// Restore writes a backup to a store's directory, which must be empty or absent. The store's revisions continue restoreRevisionGap
-// above the backup's.
+// Restore writes a backup to the directory path, which must be empty or must not exist. The revision of the restored store is
+// restoreRevisionGap above that of the backup.
 func Restore(file, path string) (Inspection, error) {
 	backup, err := os.ReadFile(file)
 	if err != nil {
@@ -61,7 +62,7 @@
 	}
 	content, err := readSnapshot(file, backup)
 	if err != nil {
-		return Inspection{}, fmt.Errorf("restore: the backup is not whole: %w", err)
+		return Inspection{}, fmt.Errorf("restore: the backup is incomplete or damaged: %w", err)
 	}
 	dir, err := LockDirectory(path)
 	if err != nil {
@@ -78,7 +79,7 @@
 	}
 	recovered, err := recoverDirectory(dir)
 	if err != nil {
-		return Inspection{}, fmt.Errorf("restore: what was written cannot be read: %w", err)
+		return Inspection{}, fmt.Errorf("restore: check the restored directory: %w", err)
 	}
 	return recovered.inspection, nil
 }
@@ -90,13 +91,13 @@
 	}
 	for _, name := range names {
 		if name != lockFileName {
-			return fmt.Errorf("restore: %s is not empty: it holds %s", dir.path, name)
+			return fmt.Errorf("restore: directory %s must be empty, but contains %s", dir.path, name)
 		}
 	}
 	return nil
 }
 
-// writeRestored writes the segment first: a snapshot without the segment after it would count as damage.
+// writeRestored writes the segment before the snapshot: a snapshot without the segment after it would count as damage.
 func writeRestored(dir *OSDirectory, view *View) error {
 	wal, err := createSegment(dir, segmentHeader{segment: view.segment, firstFrame: view.nextFrame, revision: view.revision})
 	if err != nil {
--- a/internal/site/kvserver/directory.go
+++ b/internal/site/kvserver/directory.go
@@ -10,19 +10,19 @@
 	"syscall"
 )
 
-// Directory is the directory of a store. The content of a file is durable only after File.Sync, and its name, also after a Rename,
-// only after SyncDir. The errors are those of package os.
+// Directory is the directory of a store. The content of a file is durable only after File.Sync. Its name is durable only after SyncDir,
+// also after a Rename. The errors are those of package os.
 type Directory interface {
 	Create(name string) (File, error) // a new empty file; replaces an existing one
 	Open(name string) (File, error)   // to write to
 	Read(name string) ([]byte, error) // the whole file
 	Rename(from, to string) error     // replaces an existing file
 	Remove(name string) error         // deletes a file
-	List() ([]string, error)          // the names of the files, in order
+	List() ([]string, error)          // the names of the files, in ascending order
 	SyncDir() error                   // makes the names durable
 }
 
-// File is an open file of a store.
+// File is an open file of a store. It is not safe for concurrent use.
 type File interface {
 	io.WriterAt
 	Truncate(size int64) error
@@ -30,16 +30,17 @@
 	Close() error
 }
 
-// OSDirectory is a directory of the operating system.
+// OSDirectory implements Directory with a directory of the operating system.
 type OSDirectory struct {
 	path string
-	lock *os.File // nil: read only
+	lock *os.File // nil: not locked, for reading only
 }
 
 // ErrLocked is returned for a directory that another process has locked.
-var ErrLocked = errors.New("another process has this directory")
+var ErrLocked = errors.New("another process has locked this directory")
 
-// LockDirectory creates a directory if it does not exist, and locks it for this process until it is closed.
+// LockDirectory creates a directory if it does not exist, and locks it for this process until Close is called. The error wraps ErrLocked
+// if another process has locked it.
 func LockDirectory(path string) (*OSDirectory, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("data directory: %w", err)
@@ -49,7 +50,7 @@
 		return nil, fmt.Errorf("data directory: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = lock.Close() // not written to
+		_ = lock.Close() // nothing was written
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, fmt.Errorf("%s: %w", path, ErrLocked)
 		}
@@ -58,7 +59,7 @@
 	return &OSDirectory{path, lock}, nil
 }
 
-// readOnlyDirectory returns a directory for reading only. Another process may have locked it.
+// readOnlyDirectory returns a directory for reading only, without locking it. Another process may have locked it.
 func readOnlyDirectory(path string) (*OSDirectory, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, fmt.Errorf("data directory: %w", err)
@@ -66,7 +67,7 @@
 	return &OSDirectory{path: path}, nil
 }
 
-// Close releases the lock of the directory.
+// Close releases the lock of the directory. Without a lock it does nothing.
 func (d *OSDirectory) Close() error {
 	if d.lock == nil {
 		return nil
@@ -132,7 +133,7 @@
 
 type osFile struct{ *os.File }
 
-// Sync makes the content durable, but not the file's times.
+// Sync makes the content durable, but not the file's timestamps.
 func (f osFile) Sync() error {
 	for {
 		if err := syscall.Fdatasync(int(f.Fd())); !errors.Is(err, syscall.EINTR) {
--- a/internal/site/kvserver/golden_bytes_test.go
+++ b/internal/site/kvserver/golden_bytes_test.go
@@ -11,7 +11,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// storedRecords are the records of a log frame: a lease, a commit, and the end of the lease.
+// storedRecords returns the records of a log frame: a lease grant, a commit, and the end of the lease.
 func storedRecords() []byte {
 	out := appendLeaseGrantRecord(nil, 300, 1500*time.Millisecond)
 	out = appendCommitRecord(
@@ -22,7 +22,7 @@
 	return appendLeaseEndRecord(out, 300, 70_001)
 }
 
-// storedSnapshot is a complete snapshot: its header, its leases, its keys and their number.
+// storedSnapshot returns a complete snapshot: its header, leases, keys, and number of keys.
 func storedSnapshot(keys *keyspace, segment, next uint64) ([]byte, error) {
 	view := keys.Freeze()
 	view.segment, view.nextFrame = segment, next
@@ -100,19 +100,22 @@
 		goldenbytes.Bytes("segment header", segment, func(raw []byte) ([]byte, error) {
 			header, ok := parseSegmentHeader(raw)
 			if !ok {
-				t.Error("segment header: not readable, want readable")
+				t.Error("parse segment header: got not ok, want ok")
 			}
 			return header.encode(), nil
 		}),
 		goldenbytes.Bytes("frame", appendFrame(nil, 900, storedRecords()), func(raw []byte) ([]byte, error) {
-			number, payload, rest, ok := cutFrame(raw)
+			number, payload, rest, ok := parseFrame(raw)
 			if !ok || len(rest) != 0 {
-				t.Errorf("frame: readable %v, %d bytes left, want true, 0", ok, len(rest))
+				t.Errorf("parse frame: got ok %v with %d bytes left, want true with 0", ok, len(rest))
 			}
 			replayed := newKeyspace()
 			err := replayed.replayRecords(payload)
 			if replayed.revision != 70_001 || replayed.lastLeaseID != 300 || replayed.tree.Len() != 0 {
-				t.Errorf("replayed: revision %d, lease %d, %d keys, want 70001, 300, 0", replayed.revision, replayed.lastLeaseID, replayed.tree.Len())
+				t.Errorf(
+					"replayed frame: got revision %d, last lease %d, %d keys, want 70001, 300, 0",
+					replayed.revision, replayed.lastLeaseID, replayed.tree.Len(),
+				)
 			}
 			return appendFrame(nil, number, payload), err
 		}),
--- a/internal/site/kvserver/helpers_test.go
+++ b/internal/site/kvserver/helpers_test.go
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 )
 
-// openEmpty opens a store in an empty directory of a disk that fails on demand.
+// openEmpty opens a store in an empty directory of a simulated disk that can be made to fail.
 func openEmpty(t rapid.TB, options config.KVServerOptions, now time.Time) (*kvserver.State, *kvserver.Storage, *faultydisk.Disk) {
 	t.Helper()
 	files := faultydisk.New(rand.New(rand.NewPCG(1, 1)))
@@ -41,7 +41,7 @@
 	return kvserver.Request{Method: http.MethodPost, Target: target, Body: raw}
 }
 
-// sendOne steps the state with one request, which has to be answered at once.
+// sendOne steps the state with one request, and fails the test if it is not answered at once.
 func sendOne(t rapid.TB, state *kvserver.State, now time.Time, request kvserver.Request) kvserver.Response {
 	t.Helper()
 	effects := state.Step(now, []kvserver.Request{request})
@@ -50,11 +50,11 @@
 			return response
 		}
 	}
-	t.Fatalf("%s %s: no response, want one", request.Method, request.Target)
+	t.Fatalf("%s %s: got no response, want one", request.Method, request.Target)
 	return kvserver.Response{}
 }
 
-// decode decodes a response from its encoded form.
+// decode encodes the body of a response and decodes it into v.
 func decode(t rapid.TB, response kvserver.Response, v any) {
 	t.Helper()
 	raw, err := codec.Marshal(response.Body)
@@ -95,13 +95,13 @@
 	return inspection, err
 }
 
-// The messages of the protocol as a client has them.
+// The messages of the protocol as a client encodes and decodes them.
 type (
 	commitRequest struct {
-		Guards []guard     `msgpack:"guards,omitempty"`
-		Apply  []operation `msgpack:"apply,omitempty"`
+		Preconditions []precondition `msgpack:"guards,omitempty"`
+		Operations    []operation    `msgpack:"apply,omitempty"`
 	}
-	guard struct {
+	precondition struct {
 		Key         string `msgpack:"path"`
 		ModRevision uint64 `msgpack:"mark"`
 	}
--- a/internal/site/kvserver/inspection.go
+++ b/internal/site/kvserver/inspection.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Inspection describes the content of a directory. `gullrudder state inspect` prints it.
+// Inspection describes the content of a store's directory. `gullrudder state inspect` prints it.
 type Inspection struct {
 	Revision            uint64   `json:"revision"`
 	Keys                int      `json:"keys"`
 	Leases              int      `json:"leases"`
-	Snapshot            string   `json:"snapshot,omitempty"` // the one that was loaded
+	Snapshot            string   `json:"snapshot,omitempty"` // snapshot that was loaded; empty: none
 	Snapshots           []string `json:"snapshots,omitempty"`
 	Segments            []string `json:"segments,omitempty"`
-	Frames              int      `json:"frames"` // replayed frames
+	Frames              int      `json:"frames"` // frames of the log that were replayed
 	LogBytes            int64    `json:"log_bytes"`
 	SnapshotBytes       int64    `json:"snapshot_bytes"`
 	TornBytes           int64    `json:"torn_bytes"`       // at the end of the log: written, but never confirmed
@@ -23,17 +23,17 @@
 	UnfinishedSnapshots []string `json:"unused,omitempty"`
 }
 
-// DamageError prevents a start: data that was confirmed as durable cannot be read.
+// DamageError means that data that was confirmed as durable cannot be read. A store with such damage does not open.
 type DamageError struct {
 	File   string
-	Offset int64 // bytes from its start
+	Offset int64 // in bytes from the start of the file
 	Reason string
 }
 
-// Error returns the file, the offset, and what an operator can do.
+// Error returns the file, the offset, the reason, and what an operator can do.
 func (e *DamageError) Error() string {
-	return fmt.Sprintf("%s at byte %d: %s; nothing was changed. Look with 'gullrudder state inspect', and restore a backup "+
-		"into an empty directory, or the file if a copy of it is whole", e.File, e.Offset, e.Reason)
+	return fmt.Sprintf("%s at byte %d: %s; nothing was changed. Run 'gullrudder state inspect'. Then restore a backup "+
+		"into an empty directory, or replace the file with an undamaged copy", e.File, e.Offset, e.Reason)
 }
 
 func newDamageError(file string, offset int, format string, args ...any) error {
@@ -41,13 +41,13 @@
 }
 
 const (
-	// inspectRetries bounds the repeated reads of a directory in which a running store deletes files meanwhile.
+	// inspectRetries bounds the retries of reading a directory in which a running server deletes files meanwhile.
 	inspectRetries = 5
-	// inspectRetryDelay is the wait before such a read.
+	// inspectRetryDelay is the delay before each of these retries.
 	inspectRetryDelay = 100 * time.Millisecond
 )
 
-// Inspect reads a directory and changes nothing. A store may run there; its concurrent writes may make the end of
+// Inspect reads a store's directory and changes nothing. A server may be running there, and its concurrent writes may make the end of
 // the log look torn. For a damaged directory, the readable part is returned with a DamageError.
 func Inspect(path string) (Inspection, error) {
 	dir, err := readOnlyDirectory(path)
@@ -64,12 +64,12 @@
 // KeyInfo describes a key of a store.
 type KeyInfo struct {
 	Key         string `json:"key"`
-	ValueBytes  int    `json:"bytes"` // as JSON
+	ValueBytes  int    `json:"bytes"` // size of the value as JSON
 	ModRevision uint64 `json:"mark"`
 	LeaseID     uint64 `json:"lease,omitempty"`
 }
 
-// Keys lists the keys of a directory, in order. A store may run there.
+// Keys lists the keys of the store in a directory, in ascending order. A server may be running there.
 func Keys(path string) ([]KeyInfo, error) {
 	recovered, err := recoverWithRetry(path)
 	if err != nil {
@@ -83,8 +83,8 @@
 	return keys, nil
 }
 
-// recoverWithRetry reads a directory in which a store may run. It reads again if a segment was deleted meanwhile because a new snapshot
-// covers it.
+// recoverWithRetry reads a directory in which a server may be running. It retries after damage or a missing file: the server may have
+// deleted a file meanwhile because a new snapshot covers it.
 func recoverWithRetry(path string) (*recovery, error) {
 	dir, err := readOnlyDirectory(path)
 	if err != nil {
--- a/internal/site/kvserver/keyspace.go
+++ b/internal/site/kvserver/keyspace.go
@@ -13,19 +13,21 @@
 )
 
 const (
-	// retainedEvents is the least number of changes that are kept for watches. Older ones are dropped once there are twice as many.
+	// retainedEvents is the minimum number of past changes that are kept for watches. Older ones are dropped once there are twice
+	// as many.
 	retainedEvents = 10_000
-	// btreeDegree is the degree of the tree of keys. While a snapshot reads the tree, a commit copies the path that it changes.
+	// btreeDegree is the degree of the tree of keys. While a snapshot reads the tree, a commit copies the nodes on the path that it
+	// changes.
 	btreeDegree = 32
 )
 
-// item is a key with its value. Items are never changed, only replaced: a snapshot may still read them.
+// item is a key with its value. Items are immutable and only replaced as a whole, since a snapshot may still read them.
 type item struct {
 	key         string
 	value       []byte
-	modRevision uint64 // of its last change
+	modRevision uint64 // revision of its last change
 	leaseID     uint64 // the key is deleted when this lease ends; 0: none
-	jsonBytes   int    // of the value
+	jsonBytes   int    // size of the value as JSON
 }
 
 func newItem(key string, value []byte, modRevision, leaseID uint64) *item {
@@ -64,8 +66,8 @@
 	leases            map[uint64]*lease // by ID
 	revision          uint64
 	lastLeaseID       uint64
-	events            []event // by revision
-	compactedRevision uint64  // changes up to this revision are not among the events
+	events            []event // in the order of their revisions
+	compactedRevision uint64  // events up to this revision are not retained
 }
 
 // undoFunc reverts a change that was not made durable.
@@ -89,7 +91,7 @@
 	}
 }
 
-// remove deletes a key and returns its item, or nil.
+// remove deletes a key and returns its item, or nil if the key does not exist.
 func (k *keyspace) remove(key string) *item {
 	previous, found := k.tree.Delete(&item{key: key})
 	if found {
@@ -104,7 +106,7 @@
 	}
 }
 
-// restoreItem restores the previous item of a key; nil: the key did not exist.
+// restoreItem restores the previous item of a key. If previous is nil the key did not exist, and is deleted.
 func (k *keyspace) restoreItem(key string, previous *item) {
 	if previous == nil {
 		k.remove(key)
@@ -113,7 +115,7 @@
 	k.put(previous)
 }
 
-// apply makes the changes of one commit, and appends their reversal to undos unless that is nil.
+// apply applies the changes of one commit. It appends functions that revert them to undos, unless that is nil.
 func (k *keyspace) apply(revision uint64, changes []change, undos *[]undoFunc) {
 	previousRevision := k.revision
 	k.revision = revision
@@ -150,7 +152,7 @@
 		return
 	}
 	cut := len(k.events) - retainedEvents
-	// The changes of a commit have one revision: they are kept or dropped together.
+	// The changes of a commit have the same revision and are dropped together.
 	k.compactedRevision = k.events[cut-1].modRevision
 	for cut < len(k.events) && k.events[cut].modRevision == k.compactedRevision {
 		cut++
@@ -170,7 +172,7 @@
 	}
 }
 
-// removeLease ends a lease and deletes its keys at the revision, in the order of the keys.
+// removeLease ends a lease and deletes its keys at the revision, in ascending order.
 func (k *keyspace) removeLease(leaseID, revision uint64, undos *[]undoFunc) {
 	l := k.leases[leaseID]
 	if l == nil {
@@ -185,19 +187,19 @@
 	}
 	delete(k.leases, leaseID)
 	if undos != nil {
-		// Undone first, before the keys are restored, which attach themselves to their lease.
+		// This function runs before those that restore the keys: put attaches a key to its lease, which has to exist by then.
 		*undos = append(*undos, func(k *keyspace) { k.leases[leaseID] = l })
 	}
 }
 
-// undoAll undoes in reverse order.
+// undoAll calls the functions in reverse order.
 func (k *keyspace) undoAll(undos []undoFunc) {
 	for _, undo := range slices.Backward(undos) {
 		undo(k)
 	}
 }
 
-// eventsSince returns the events of a prefix after a revision; ok is false if not all of them are retained.
+// eventsSince returns the events of keys with a prefix after a revision; ok is false if not all of them are retained.
 func (k *keyspace) eventsSince(revision uint64, prefix string) (found []event, ok bool) {
 	if revision < k.compactedRevision {
 		return nil, false
--- a/internal/site/kvserver/leases.go
+++ b/internal/site/kvserver/leases.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// renewLease gives a lease its full time to live again. There is no record of it: after a restart every lease has its full time.
+// renewLease gives a lease its full time to live again. It writes no record, since a restart renews every lease.
 func (s *State) renewLease(request *Request, id string) {
 	l := s.findLease(request, id)
 	if l == nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// endLease ends a lease and deletes its keys at a revision of their own, if it has any.
+// endLease ends a lease. If it has keys, they are deleted together at a new revision.
 func (s *State) endLease(id uint64) {
 	revision := uint64(0)
 	if len(s.leases[id].keys) > 0 {
--- a/internal/site/kvserver/limits.go
+++ b/internal/site/kvserver/limits.go
@@ -13,18 +13,18 @@
 	maxLeases             = 10_000
 	maxTransactionBytes   = 64 << 10
 	maxPreconditionsPerOp = 4
-	// maxQueryCount is the largest number of entries that a list request may have; a list has maxListedKeys at most.
+	// maxQueryCount is the largest number of entries that a list request may ask for. A response has at most maxListedKeys.
 	maxQueryCount = 1 << 32
-	// maxJSONBytesPerByte is the most bytes of JSON for a byte of a body: a control character is escaped with six.
+	// maxJSONBytesPerByte is the largest size in JSON of one byte of a body: a control character is escaped with six bytes.
 	maxJSONBytesPerByte = 6
 	// listedEntryOverheadBytes is the size of a listed entry in JSON without its key and value.
 	listedEntryOverheadBytes = 64
-	// limitRetryAfter is the Retry-After of requests that are refused because of a limit or a failing disk.
+	// limitRetryAfter is the Retry-After of requests that are refused because of a limit, a full queue or a failing disk.
 	limitRetryAfter = time.Second
 )
 
 const (
-	touchSuffix = "/touch"
-	// notDurable is the error text for changes while the log cannot be written.
-	notDurable = "changes cannot be kept"
+	leaseRenewalSuffix = "/touch"
+	// notDurableMessage is the error text of responses to changes while the log cannot be written.
+	notDurableMessage = "changes cannot be kept"
 )
--- a/internal/site/kvserver/messages.go
+++ b/internal/site/kvserver/messages.go
@@ -6,29 +6,29 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Request is a request to the store.
+// Request is a request to the store. Its Handle identifies it in the Response.
 type Request = server.Request
 
 // Response answers a request. It may be sent only once the records of its step are durable.
 type Response = server.ValueResponse
 
-// Effects are the results of a step.
+// Effects are what the caller has to do after a step.
 type Effects struct {
-	Records   []byte     // for the log; to be made durable before any response is sent
+	Records   []byte     // to be appended to the log and synced before any response is sent
 	Responses []Response // to be sent once the records are durable
 	undos     []undoFunc // revert the step if the records are not made durable
 }
 
-// The messages of the protocol. Its names are in the tags only: path is a key, mark a mod revision, permit a lease ID, tide the
-// revision of the store.
+// The messages of the protocol. The protocol's own names occur only in the tags: path is a key, mark a mod revision, permit a lease ID,
+// and tide the revision of the store.
 
-// precondition holds if the key has the mod revision; a key that does not exist has 0.
+// precondition holds if the key has the mod revision. A key that does not exist has mod revision 0.
 type precondition struct {
 	Key         string `msgpack:"path"`
 	ModRevision uint64 `msgpack:"mark"`
 }
 
-// operation writes a key or deletes one: WriteKey or DeleteKey is set.
+// operation writes a key or deletes one: exactly one of WriteKey and DeleteKey is set.
 type operation struct {
 	WriteKey  string             `msgpack:"write"`
 	DeleteKey string             `msgpack:"drop"`
@@ -71,7 +71,7 @@
 	LeaseID uint64 `msgpack:"permit"`
 }
 
-// eventResponse is a change as it is sent to a watch: WrittenKey or DeletedKey is set.
+// eventResponse is a change in the response to a watch: exactly one of WrittenKey and DeletedKey is set.
 type eventResponse struct {
 	WrittenKey  string             `msgpack:"write,omitempty"`
 	DeletedKey  string             `msgpack:"drop,omitempty"`
--- a/internal/site/kvserver/metrics.go
+++ b/internal/site/kvserver/metrics.go
@@ -18,10 +18,10 @@
 	metricSubsystem = "state"
 )
 
-// otherKind is the label of paths and methods that the protocol does not have.
-const otherKind = "other"
+// otherLabel is the label value of paths and methods that are not part of the protocol.
+const otherLabel = "other"
 
-// Metrics are the Prometheus metrics of a store. They are safe to read while the server updates them.
+// Metrics are the Prometheus metrics of a store. They are safe for concurrent use.
 type Metrics struct {
 	registry            *prometheus.Registry
 	requestCount        *prometheus.CounterVec
@@ -52,27 +52,27 @@
 		registry: prometheus.NewRegistry(),
 		requestCount: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: metricNamespace, Subsystem: metricSubsystem, Name: "requests_total",
-			Help: "Requests answered, by method, kind and status.",
+			Help: "Requests answered, by method, kind of path and status.",
 		}, []string{"method", "kind", "status"}),
-		shedCount:           counter("shed_total", "Requests refused because the queue was full."),
+		shedCount:           counter("shed_total", "Requests refused because the request queue was full."),
 		failedWriteCount:    counter("failed_writes_total", "Writes or syncs of the log that failed."),
-		failedSnapshotCount: counter("failed_snapshots_total", "Snapshots that failed."),
+		failedSnapshotCount: counter("failed_snapshots_total", "Snapshots that could not be written."),
 		snapshotSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: metricNamespace, Subsystem: metricSubsystem, Name: "snapshot_seconds",
-			Help: "Time that a snapshot took.", Buckets: prometheus.ExponentialBuckets(0.001, 4, 10),
+			Help: "Duration of a snapshot in seconds.", Buckets: prometheus.ExponentialBuckets(0.001, 4, 10),
 		}),
 		syncSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: metricNamespace, Subsystem: metricSubsystem, Name: "sync_seconds",
-			Help: "Time to write and sync one step's records.", Buckets: prometheus.ExponentialBuckets(0.00005, 2, 16),
+			Help: "Time in seconds to write and sync one frame of the log.", Buckets: prometheus.ExponentialBuckets(0.00005, 2, 16),
 		}),
-		snapshotBytes: gauge("snapshot_bytes", "Size of the last snapshot."),
+		snapshotBytes: gauge("snapshot_bytes", "Size of the last snapshot in bytes."),
 		revision:      gauge("revision", "Revision of the last change."),
-		keys:          gauge("keys", "Keys that are there."),
-		leases:        gauge("leases", "Leases that are there."),
-		watches:       gauge("watches", "Watches that wait."),
-		queueLength:   gauge("queue", "Requests that wait."),
-		failing:       gauge("failing", "1 while changes cannot be kept."),
-		logBytes:      gauge("log_bytes", "Bytes of log that no snapshot covers."),
+		keys:          gauge("keys", "Keys in the store."),
+		leases:        gauge("leases", "Leases that have not ended."),
+		watches:       gauge("watches", "Open watches."),
+		queueLength:   gauge("queue", "Requests waiting in the queue."),
+		failing:       gauge("failing", "1 while the log cannot be written and changes are refused, otherwise 0."),
+		logBytes:      gauge("log_bytes", "Size in bytes of the log that no durable snapshot covers."),
 	}
 	m.registry.MustRegister(
 		m.requestCount, m.shedCount, m.failedWriteCount, m.failedSnapshotCount, m.snapshotSeconds, m.syncSeconds, m.snapshotBytes,
@@ -88,19 +88,19 @@
 	m.snapshotBytes.Set(float64(bytes))
 }
 
-// countResponse counts a response. Unknown paths and methods count as otherKind, so that clients cannot add label values.
+// countResponse counts a response. Unknown paths and methods count under otherLabel, so that clients cannot add label values.
 func (m *Metrics) countResponse(method, target string, status int) {
 	kind, _, _ := strings.Cut(strings.TrimPrefix(target, "/"), "/")
 	kind, _, _ = strings.Cut(kind, "?")
 	switch kind {
 	case "keys", "commit", "leases", "watch", "ready":
 	default:
-		kind = otherKind
+		kind = otherLabel
 	}
 	switch method {
 	case http.MethodGet, http.MethodPost, http.MethodDelete:
 	default:
-		method = otherKind
+		method = otherLabel
 	}
 	m.requestCount.WithLabelValues(method, kind, strconv.Itoa(status)).Inc()
 }
@@ -119,7 +119,7 @@
 	m.failing.Set(failing)
 }
 
-// Serve answers GET /metrics at an address until the listener fails; it always returns an error.
+// Serve answers GET /metrics at an address until the listener fails. It always returns an error.
 func (m *Metrics) Serve(addr string, log *slog.Logger) error {
 	return metrics.Serve(m.registry, addr, log)
 }
--- a/internal/site/kvserver/model_test.go
+++ b/internal/site/kvserver/model_test.go
@@ -15,23 +15,23 @@
 	"pgregory.net/rapid"
 )
 
-// modelTest sends the same requests to a store and to a simple model, and follows the store's changes with a watch.
+// modelTest sends the same requests to a store and to a simple model of it, and follows the store's changes with watches.
 type modelTest struct {
-	now     time.Time
-	state   *kvserver.State
-	model   *crashtest.Model
-	watched map[string]uint64 // the keys by what the watch has said, with the revisions of their last changes
-	from    uint64            // the watch goes on from here
-	keys    *rapid.Generator[string]
+	now              time.Time
+	state            *kvserver.State
+	model            *crashtest.Model
+	watchedRevisions map[string]uint64 // mod revisions by key, as the watches reported them
+	watchedThrough   uint64            // the watches have reported the changes up to this revision
+	keys             *rapid.Generator[string]
 }
 
-// TestStateAgreesWithModel compares transactions with preconditions, reads, and lists in pages of any size with a
-// model. A client that follows the watch has the same keys as one that reads them.
+// TestStateAgreesWithModel checks that transactions with preconditions, reads and paged lists give the same results as a model.
+// It also checks that a client that follows the watches has the same keys as one that reads them.
 func TestStateAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
 		state, _, _ := openEmpty(t, config.DefaultKVServerOptions(), now)
-		m := &modelTest{now: now, state: state, model: crashtest.NewModel(), watched: map[string]uint64{}}
+		m := &modelTest{now: now, state: state, model: crashtest.NewModel(), watchedRevisions: map[string]uint64{}}
 		m.keys = rapid.Custom(func(t *rapid.T) string {
 			return rapid.SampledFrom([]string{"a", "a/b", "a/c", "ab", "b/1", "b/10", "b/2", "ü"}).Draw(t, "key")
 		})
@@ -89,37 +89,37 @@
 	t.Helper()
 	key := m.keys.Draw(t, "key")
 	response := m.send(t, get("/keys/"+key))
-	if kept := m.model.Keys[key]; (kept.ModRevision > 0) != (response.Status == http.StatusOK) {
-		t.Fatalf("read %s: got status %d, want that of %+v", key, response.Status, kept)
+	if entry := m.model.Keys[key]; (entry.ModRevision > 0) != (response.Status == http.StatusOK) {
+		t.Fatalf("read %s: got status %d, want that of the model's %+v", key, response.Status, entry)
 	}
 }
 
 func (m *modelTest) commit(t *rapid.T) {
 	t.Helper()
-	var guards []crashtest.Precondition
+	var preconditions []crashtest.Precondition
 	for range rapid.IntRange(0, 3).Draw(t, "guards") {
 		key := m.keys.Draw(t, "guard")
-		isOff := uint64(rapid.IntRange(0, 6).Draw(t, "off") / 6) // one in seven does not hold
-		guards = append(guards, crashtest.Precondition{Key: key, ModRevision: m.model.Keys[key].ModRevision + isOff})
+		offset := uint64(rapid.IntRange(0, 6).Draw(t, "off") / 6) // 1 in one of seven preconditions, which fails then
+		preconditions = append(preconditions, crashtest.Precondition{Key: key, ModRevision: m.model.Keys[key].ModRevision + offset})
 	}
-	var ops []crashtest.Operation
+	var operations []crashtest.Operation
 	for range rapid.IntRange(0, 3).Draw(t, "ops") {
-		ops = append(ops, m.drawOperation(t))
+		operations = append(operations, m.drawOperation(t))
 	}
-	wantStatus, wantFailed := m.model.Commit(guards, ops)
-	response := m.send(t, crashtest.CommitRequest(guards, ops))
+	wantStatus, wantFailed := m.model.Commit(preconditions, operations)
+	response := m.send(t, crashtest.CommitRequest(preconditions, operations))
 	var got commitResponse
 	decode(t, response, &got)
 	hasRevision := wantStatus == http.StatusBadRequest || got.Revision == m.model.Revision
 	if response.Status != wantStatus || !slices.Equal(got.FailedKeys, wantFailed) || !hasRevision {
 		t.Fatalf(
 			"commit %+v %+v: got %d %+v, want %d %v at revision %d",
-			guards, ops, response.Status, got, wantStatus, wantFailed, m.model.Revision,
+			preconditions, operations, response.Status, got, wantStatus, wantFailed, m.model.Revision,
 		)
 	}
 }
 
-// drawOperation is a delete, or a write with a lease (that may not exist) in four of eleven.
+// drawOperation returns a delete or a write. Four of eleven writes have a lease, which may not exist.
 func (m *modelTest) drawOperation(t *rapid.T) crashtest.Operation {
 	t.Helper()
 	op := crashtest.Operation{Key: m.keys.Draw(t, "op"), Value: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "value")}
@@ -129,29 +129,29 @@
 	return op
 }
 
-// watch applies the watched changes to a copy, which must equal the model.
+// watch requests the changes since the last watch. With them, watchedRevisions must equal the model.
 func (m *modelTest) watch(t *rapid.T) {
 	t.Helper()
 	var changes watchResponse
-	decode(t, m.send(t, get(fmt.Sprintf("/watch?starts=&from=%d", m.from))), &changes)
+	decode(t, m.send(t, get(fmt.Sprintf("/watch?starts=&from=%d", m.watchedThrough))), &changes)
 	for _, event := range changes.Events {
-		delete(m.watched, event.DeletedKey)
+		delete(m.watchedRevisions, event.DeletedKey)
 		if event.WrittenKey != "" {
-			m.watched[event.WrittenKey] = event.ModRevision
+			m.watchedRevisions[event.WrittenKey] = event.ModRevision
 		}
 	}
-	m.from = changes.Revision
-	if len(m.watched) != len(m.model.Keys) {
-		t.Fatalf("keys known to the watcher: got %v, want %v", m.watched, m.model.Keys)
+	m.watchedThrough = changes.Revision
+	if len(m.watchedRevisions) != len(m.model.Keys) {
+		t.Fatalf("keys reported by the watches: got %v, want %v", m.watchedRevisions, m.model.Keys)
 	}
-	for key, kept := range m.model.Keys {
-		if m.watched[key] != kept.ModRevision {
-			t.Fatalf("revision of %s known to the watcher: got %d, want %d", key, m.watched[key], kept.ModRevision)
+	for key, entry := range m.model.Keys {
+		if m.watchedRevisions[key] != entry.ModRevision {
+			t.Fatalf("revision of %s reported by the watches: got %d, want %d", key, m.watchedRevisions[key], entry.ModRevision)
 		}
 	}
 }
 
-// list reads the keys of a prefix in pages of two.
+// list lists the keys with a prefix in pages of two, and compares them with the model.
 func (m *modelTest) list(t *rapid.T) {
 	t.Helper()
 	prefix := rapid.SampledFrom([]string{"", "a", "a/", "b/1", "c"}).Draw(t, "prefix")
--- a/internal/site/kvserver/reads.go
+++ b/internal/site/kvserver/reads.go
@@ -28,7 +28,7 @@
 	return keyResponse{Key: it.key, Value: it.value, ModRevision: it.modRevision, LeaseID: it.leaseID}
 }
 
-// queryNumber reads a number of at most limit from a query; a missing field is 0.
+// queryNumber parses a field of a query; a missing field is 0. The second result is false if the field is not a number or exceeds limit.
 func queryNumber(query url.Values, name string, limit uint64) (uint64, bool) {
 	text := query.Get(name)
 	if text == "" {
@@ -38,7 +38,7 @@
 	return number, err == nil && number <= limit
 }
 
-// listKeys lists the keys of a prefix that follow the key "from", as many as fit into a response.
+// listKeys lists the keys with a prefix that follow the key "from", as many as fit into a response.
 func (s *State) listKeys(request *Request, query url.Values) {
 	prefix, from := query.Get("starts"), query.Get("from")
 	maxEntries, ok := queryNumber(query, "most", maxQueryCount)
--- a/internal/site/kvserver/record.go
+++ b/internal/site/kvserver/record.go
@@ -8,7 +8,8 @@
 )
 
 // The payload of a frame is a sequence of records: commits, lease grants and lease ends. A record is a byte for its kind, followed by
-// numbers as varints, and keys and values with their length before them. The format is on disk: it may be extended, but never changed.
+// its fields. Numbers are encoded as varints, and keys and values with their length before them. The format is stored on disk: it may
+// be extended, but never changed.
 const (
 	recordCommit     = 1
 	recordLeaseGrant = 2
@@ -18,7 +19,7 @@
 	opDelete = 2
 )
 
-var errRecordTruncated = errors.New("a record ends early")
+var errRecordTruncated = errors.New("a record is truncated")
 
 func appendBytes(out, s []byte) []byte {
 	out = binary.AppendUvarint(out, uint64(len(s)))
@@ -46,13 +47,13 @@
 	return binary.AppendUvarint(out, uint64(ttl.Milliseconds()))
 }
 
-// appendLeaseEndRecord records the end of a lease; revision is that of the deletion of its keys, 0 if it had none.
+// appendLeaseEndRecord appends the end of a lease. Its keys are deleted at the revision, which is 0 if it has none.
 func appendLeaseEndRecord(out []byte, id, revision uint64) []byte {
 	out = binary.AppendUvarint(append(out, recordLeaseEnd), id)
 	return binary.AppendUvarint(out, revision)
 }
 
-// recordReader reads the fields of records. After an error it returns zero values.
+// recordReader reads the fields of records. After an error its methods return zero values.
 type recordReader struct {
 	rest []byte
 	err  error
@@ -68,7 +69,7 @@
 	return number
 }
 
-// readBytes reads a key or value. The result is a part of the payload.
+// readBytes reads a key or value. The result shares the memory of the payload.
 func (r *recordReader) readBytes() []byte {
 	length := r.readUvarint()
 	if length > uint64(len(r.rest)) {
@@ -99,8 +100,7 @@
 	return c
 }
 
-// replayRecords applies the records of a frame. An invalid record in a frame with a valid checksum is an error; the records before
-// it are applied.
+// replayRecords applies the records of a frame. It returns an error at the first invalid record; the records before it are applied.
 func (k *keyspace) replayRecords(payload []byte) error {
 	r := &recordReader{rest: payload}
 	for len(r.rest) > 0 {
@@ -129,7 +129,7 @@
 			k.removeLease(id, revision, nil)
 		}
 	default:
-		return fmt.Errorf("a record of kind %d", kind)
+		return fmt.Errorf("unknown record kind %d", kind)
 	}
 	return nil
 }
@@ -145,7 +145,7 @@
 		return reader.err
 	}
 	if revision <= k.revision {
-		return fmt.Errorf("revision %d after %d", revision, k.revision)
+		return fmt.Errorf("revision of a commit is %d, expected more than %d", revision, k.revision)
 	}
 	k.apply(revision, changes, nil)
 	return nil
--- a/internal/site/kvserver/recovery.go
+++ b/internal/site/kvserver/recovery.go
@@ -43,7 +43,7 @@
 		case strings.HasSuffix(name, tempSuffix):
 			r.inspection.UnfinishedSnapshots = append(r.inspection.UnfinishedSnapshots, name)
 		case name != lockFileName:
-			return nil, fmt.Errorf("file %q is none of a store's: is this the right directory?", name)
+			return nil, fmt.Errorf("unexpected file %q in the data directory: check that this is the directory of a store", name)
 		}
 	}
 	slices.Sort(segments)
@@ -52,7 +52,7 @@
 	return r, r.load(files, snapshots, segments)
 }
 
-// load reads the newest valid snapshot, and replays the log after it.
+// load reads the newest valid snapshot and replays the log after it. Without a valid snapshot it replays the whole log.
 func (r *recovery) load(files Directory, snapshots, segments []uint64) error {
 	var firstDamage error
 	for _, number := range snapshots {
@@ -63,7 +63,7 @@
 		}
 		content, err := readSnapshot(name, raw)
 		if err == nil && content.segment != number {
-			err = &fileError{name, magicBytes, fmt.Errorf("it is of segment %d", content.segment)}
+			err = &fileError{name, magicBytes, fmt.Errorf("its header names segment %d", content.segment)}
 		}
 		if err != nil {
 			r.inspection.SkippedDamage = append(r.inspection.SkippedDamage, err.Error())
@@ -85,13 +85,14 @@
 	return r.replayLog(files, segments, 1, 1)
 }
 
-// preferDamage returns the damage of a skipped snapshot, if any, rather than an error that follows from skipping it.
-func preferDamage(first, then error) error {
+// preferDamage returns the damage of a skipped snapshot, if there is any, and laterErr otherwise. laterErr may be a mere consequence of
+// skipping the snapshot.
+func preferDamage(skippedErr, laterErr error) error {
 	var damage *fileError
-	if errors.As(first, &damage) {
+	if errors.As(skippedErr, &damage) {
 		return &DamageError{File: damage.file, Offset: damage.offset, Reason: damage.err.Error()}
 	}
-	return then
+	return laterErr
 }
 
 func segmentsFrom(segments []uint64, first uint64) []uint64 {
@@ -115,7 +116,7 @@
 	hasValidHeader bool
 }
 
-// replayLog replays the segments from number first on, whose first frame is firstFrame.
+// replayLog replays the segments. The log has to begin with segment number first, and that segment with frame number firstFrame.
 func (r *recovery) replayLog(files Directory, numbers []uint64, first, firstFrame uint64) error {
 	defer r.summarize()
 	r.nextFrame, r.newSegment = firstFrame, first
@@ -145,13 +146,13 @@
 		r.lastSegment, r.newSegment = &header, header.segment+1
 	}
 	if len(complete) < len(segments) {
-		r.lastSegment = nil // the unfinished one is created again
+		r.lastSegment = nil // the unfinished segment is created again
 		r.newSegment = numbers[len(numbers)-1]
 	}
 	return nil
 }
 
-// readSegments reads the segments. It is a DamageError if one is missing.
+// readSegments reads the segments. If one is missing, the error is a DamageError.
 func (r *recovery) readSegments(files Directory, numbers []uint64, first uint64) ([]segmentFile, error) {
 	segments := make([]segmentFile, 0, len(numbers))
 	for i, number := range numbers {
@@ -173,35 +174,37 @@
 	return segments, nil
 }
 
-// dropUnfinishedSegment leaves out a last segment without a valid header: the process ended while it was created. If the segment has a
-// valid frame, its header was damaged instead.
+// dropUnfinishedSegment leaves out a last segment without a valid header: the process ended while it created the segment. If the segment
+// has a valid frame, its header was damaged instead, and the error is a DamageError.
 func (r *recovery) dropUnfinishedSegment(segments []segmentFile) ([]segmentFile, error) {
 	last := &segments[len(segments)-1]
 	if last.hasValidHeader {
 		return segments, nil
 	}
-	if at, found := findWholeFrame(last.raw, 0, 0); found {
-		return nil, newDamageError(last.name, 0, "the header is damaged, and a whole frame follows at byte %d", at)
+	if at, found := findValidFrame(last.raw, 0, 0); found {
+		return nil, newDamageError(last.name, 0, "the header is damaged, but a valid frame follows at byte %d", at)
 	}
 	r.inspection.TornBytes += int64(len(last.raw))
 	return segments[:len(segments)-1], nil
 }
 
-// replaySegment applies a segment's frames below endFrame, which is the first frame of the next segment.
+// replaySegment applies a segment's frames with numbers below endFrame, the first frame of the next segment.
 func (r *recovery) replaySegment(segment *segmentFile, endFrame uint64) error {
 	if !segment.hasValidHeader {
-		return newDamageError(segment.name, 0, "the header of the segment is damaged")
+		return newDamageError(segment.name, 0, "the segment header is damaged")
 	}
 	if segment.header.firstFrame != r.nextFrame {
-		return newDamageError(segment.name, magicBytes, "frames %d to %d are missing before it", r.nextFrame, segment.header.firstFrame-1)
+		return newDamageError(
+			segment.name, magicBytes, "frames %d to %d are missing before this segment", r.nextFrame, segment.header.firstFrame-1,
+		)
 	}
 	raw := segment.raw
 	rest := raw[segmentHeaderBytes:]
 	for r.nextFrame < endFrame {
 		offset := len(raw) - len(rest)
-		number, payload, remaining, ok := cutFrame(rest)
+		number, payload, remaining, ok := parseFrame(rest)
 		if !ok || number != r.nextFrame {
-			if err := r.checkTorn(segment, offset, endFrame); err != nil {
+			if err := r.checkTornEnd(segment, offset, endFrame); err != nil {
 				return err
 			}
 			r.inspection.TornBytes = int64(len(rest))
@@ -218,24 +221,25 @@
 	return nil
 }
 
-// checkTorn returns an error if the invalid frame at the offset is not the torn end of the log, but damage before its end.
-func (r *recovery) checkTorn(segment *segmentFile, offset int, endFrame uint64) error {
+// checkTornEnd returns an error unless the invalid frame at the offset is the torn end of the log. If a segment or a valid frame follows,
+// durable data was damaged.
+func (r *recovery) checkTornEnd(segment *segmentFile, offset int, endFrame uint64) error {
 	if endFrame != noEndFrame {
-		return newDamageError(segment.name, offset, "frame %d is damaged, and the log goes on behind it", r.nextFrame)
+		return newDamageError(segment.name, offset, "frame %d is damaged, but a later segment exists", r.nextFrame)
 	}
-	if at, found := findWholeFrame(segment.raw, offset+1, r.nextFrame); found {
-		return newDamageError(segment.name, offset, "frame %d is damaged, and a whole one follows at byte %d", r.nextFrame, at)
+	if at, found := findValidFrame(segment.raw, offset+1, r.nextFrame); found {
+		return newDamageError(segment.name, offset, "frame %d is damaged, but a valid frame follows at byte %d", r.nextFrame, at)
 	}
 	return nil
 }
 
-// findWholeFrame searches for a valid frame of at least the given number, from an offset on.
-func findWholeFrame(raw []byte, from int, minNumber uint64) (at int, found bool) {
+// findValidFrame searches for a valid frame with at least the given number, starting at an offset.
+func findValidFrame(raw []byte, from int, minNumber uint64) (at int, found bool) {
 	for at = from; at+frameHeaderBytes <= len(raw); at++ {
 		if raw[at] != frameMagic&0xff {
 			continue
 		}
-		if number, _, _, ok := cutFrame(raw[at:]); ok && number >= minNumber {
+		if number, _, _, ok := parseFrame(raw[at:]); ok && number >= minNumber {
 			return at, true
 		}
 	}
@@ -253,11 +257,11 @@
 		return nil, fmt.Errorf("open %s: %w", name, err)
 	}
 	if r.inspection.TornBytes > 0 {
-		// The torn bytes were never confirmed, and must not be read by a later recovery.
+		// The torn bytes were never confirmed. They are removed so that no later recovery reads them.
 		err = file.Truncate(r.offset)
 	}
 	if err == nil {
-		// What an earlier process wrote may be in the page cache only. Reads return it from now on, so it has to be durable.
+		// Frames of an earlier process may be in the page cache only. They have to be durable before reads return their changes.
 		err = file.Sync()
 	}
 	if err == nil {
--- a/internal/site/kvserver/server.go
+++ b/internal/site/kvserver/server.go
@@ -13,26 +13,32 @@
 )
 
 const (
-	// requestQueueLength bounds the requests that wait for a step; further ones are answered with 503 at once.
+	// requestQueueLength bounds the requests that wait for a step. Further ones get status 503 at once.
 	requestQueueLength = 4096
-	// maxBatchRequests bounds the requests of a step. Steps are processed while the disk syncs the records of earlier ones; with
+	// maxBatchRequests bounds the requests of a step. The disk syncs the records of earlier steps while a step is processed. With
 	// large steps the disk and the processor would wait for each other.
 	maxBatchRequests = 16
-	// responseQueueLength is how many groups of steps may wait for their responses to be encoded and sent.
+	// responseQueueLength bounds the groups of steps whose responses wait to be encoded and sent.
 	responseQueueLength = 256
-	// tickInterval is how often leases and watches are checked without a request.
+	// tickInterval is the time between checks of leases and watches when there are no requests.
 	tickInterval = 20 * time.Millisecond
-	// idleTimeout closes a connection without a request. An open watch is a request.
+	// idleTimeout closes a connection that has no request in progress. An open watch is a request in progress.
 	idleTimeout = 75 * time.Second
-	// readTimeout closes a connection whose request is incomplete for this long.
+	// readTimeout closes a connection whose request has been incomplete for this long.
 	readTimeout = 10 * time.Second
 )
 
-// Server connects a State with the network, the clock and the disk. Four kinds of goroutines share the work, each with its own
-// state: the event loop steps the State, the writer appends to the log, the sender encodes and sends responses, and one writes
-// a snapshot when one is due. While the disk syncs the records of some steps, the following steps are collected. Their responses wait for
-// the next sync, also those of reads: a read may return changes that are not durable yet, and a crash would revert them. The goroutines
-// run until the process ends.
+// Server connects a State to the network, the clock and the disk. The work is shared by four kinds of goroutines, each with its own
+// state:
+//   - the event loop steps the State,
+//   - the writer appends to the log,
+//   - the sender encodes and sends responses,
+//   - a further one writes a snapshot when one is due.
+//
+// The goroutines run until the process ends.
+//
+// While the disk syncs the records of some steps, the following steps are collected. Their responses wait for the next sync, including
+// those of reads. A read may return changes that are not durable yet, and a crash would revert them.
 type Server struct {
 	state     *State
 	storage   *Storage
@@ -40,12 +46,12 @@
 	log       *slog.Logger
 	metrics   *Metrics
 	requests  chan Request
-	responses chan []Effects // whose records are durable
+	responses chan []Effects // of steps whose records are durable
 	writes    writePipeline
 	snapshots snapshotSchedule
 }
 
-// NewServer returns the server of an opened store.
+// NewServer returns a server for the state and storage that Open returned. It does nothing until Serve is called.
 func NewServer(state *State, storage *Storage, options config.KVServerOptions, metrics *Metrics, log *slog.Logger) *Server {
 	return &Server{
 		state: state, storage: storage, options: options, log: log, metrics: metrics,
@@ -56,7 +62,8 @@
 	}
 }
 
-// Serve runs the server; it returns only if it cannot listen on the address.
+// Serve starts the goroutines and serves requests at an address. It returns only if it cannot listen on the address. It may be called
+// only once.
 func (s *Server) Serve(addr string) error {
 	go s.runWriter()
 	go s.runEventLoop()
@@ -68,7 +75,7 @@
 	return server.RunWithRestart(s.log)
 }
 
-// enqueue queues a request for the event loop. It runs on the goroutine of the connections.
+// enqueue queues a request for the event loop, or refuses it if the queue is full. It runs on the goroutine of the connections.
 func (s *Server) enqueue(r *http1.Request) {
 	select {
 	case s.requests <- Request{Handle: r, Method: r.Method, Target: r.Target, Body: r.Body}:
@@ -78,7 +85,7 @@
 	}
 }
 
-// runEventLoop steps the state through the requests and the results of the other goroutines.
+// runEventLoop steps the state with the requests, and handles the results of the other goroutines.
 func (s *Server) runEventLoop() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
--- a/internal/site/kvserver/server_test.go
+++ b/internal/site/kvserver/server_test.go
@@ -24,29 +24,29 @@
 	err error
 }
 
-func (b *failingDirectory) setError(err error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.err = err
+func (d *failingDirectory) setError(err error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.err = err
 }
 
-func (b *failingDirectory) failing() error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.err
+func (d *failingDirectory) currentError() error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.err
 }
 
-func (b *failingDirectory) Create(name string) (kvserver.File, error) {
-	if err := b.failing(); err != nil {
+func (d *failingDirectory) Create(name string) (kvserver.File, error) {
+	if err := d.currentError(); err != nil {
 		return nil, err
 	}
-	f, err := b.Directory.Create(name)
-	return &failingFile{f, b}, err
+	f, err := d.Directory.Create(name)
+	return &failingFile{f, d}, err
 }
 
-func (b *failingDirectory) Open(name string) (kvserver.File, error) {
-	f, err := b.Directory.Open(name)
-	return &failingFile{f, b}, err
+func (d *failingDirectory) Open(name string) (kvserver.File, error) {
+	f, err := d.Directory.Open(name)
+	return &failingFile{f, d}, err
 }
 
 type failingFile struct {
@@ -55,13 +55,13 @@
 }
 
 func (f *failingFile) Sync() error {
-	if err := f.directory.failing(); err != nil {
+	if err := f.directory.currentError(); err != nil {
 		return err
 	}
 	return f.File.Sync()
 }
 
-// testServer is a server on loopback, and a client of it.
+// testServer is a server on the loopback interface with a client.
 type testServer struct {
 	addr   string
 	path   string
@@ -69,7 +69,7 @@
 	client *http1.Client
 }
 
-// startServer starts a server that repairs its log after 20 ms, and takes a snapshot after 4 KiB of log.
+// startServer starts a server that retries a failed disk after 20 ms, and takes a snapshot after 4 KiB of log.
 func startServer(t *testing.T) *testServer {
 	t.Helper()
 	path := t.TempDir()
@@ -106,7 +106,7 @@
 	return listener.Addr().String()
 }
 
-// send returns the status of the response; an error means that there was none.
+// send returns the status of the response, or an error if there was no response.
 func (s *testServer) send(request kvserver.Request) (status int, err error) {
 	response, err := s.client.Do(s.addr, request.Method, request.Target, request.Body, 10*time.Second)
 	if err != nil {
@@ -115,8 +115,8 @@
 	return response.Status, nil
 }
 
-// waitFor repeats a request until it gets the status.
-func (s *testServer) waitFor(t *testing.T, what string, request kvserver.Request, status int) {
+// waitFor repeats a request until the response has the status, for at least 10 s.
+func (s *testServer) waitFor(t *testing.T, description string, request kvserver.Request, status int) {
 	t.Helper()
 	for range 2000 {
 		if got, err := s.send(request); err == nil && got == status {
@@ -124,14 +124,14 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("%s: status %d was never received", what, status)
+	t.Fatalf("%s: got no response with status %d, want one", description, status)
 }
 
-func writeOf(key string) kvserver.Request {
+func writeRequest(key string) kvserver.Request {
 	return crashtest.CommitRequest(nil, []crashtest.Operation{{Key: key, Value: "v"}})
 }
 
-// commitFromClients commits a hundred keys from each of eight clients at once.
+// commitFromClients commits 100 keys from each of eight concurrent clients.
 func (s *testServer) commitFromClients(t *testing.T) {
 	t.Helper()
 	var clients sync.WaitGroup
@@ -148,17 +148,17 @@
 	clients.Wait()
 }
 
-// TestServerDuringDiskFailure checks a server whose disk fails for a while: requests with an uncertain outcome get no
-// response, further changes get 503 at once, and reads are served. Once the disk works changes are accepted again, and
-// after the directory is reopened every confirmed change is there.
+// TestServerDuringDiskFailure checks a server whose disk fails for a while. Requests with an uncertain outcome must get no
+// response. Further changes must get status 503 at once, and reads must be served. Once the disk works again, changes
+// must be accepted, and the directory must contain every confirmed change.
 func TestServerDuringDiskFailure(t *testing.T) {
 	s := startServer(t)
 	s.commitFromClients(t)
 	s.files.setError(errors.New("the disk fails"))
-	if status, err := s.send(writeOf("doubt")); err == nil {
+	if status, err := s.send(writeRequest("doubt")); err == nil {
 		t.Errorf("commit whose sync failed: got status %d, want no response", status)
 	}
-	s.waitFor(t, "the next commit", writeOf("refused"), http.StatusServiceUnavailable)
+	s.waitFor(t, "the next commit", writeRequest("refused"), http.StatusServiceUnavailable)
 	if status, err := s.send(get("/keys/k/3/7")); err != nil || status != http.StatusOK {
 		t.Errorf("read while the disk fails: got status %d, error %v, want 200", status, err)
 	}
@@ -166,7 +166,7 @@
 		t.Errorf("read of a key that is not durable: got status %d, error %v, want 404", status, err)
 	}
 	s.files.setError(nil)
-	s.waitFor(t, "a commit once the disk works", writeOf("after"), http.StatusOK)
+	s.waitFor(t, "a commit once the disk works", writeRequest("after"), http.StatusOK)
 	response, err := s.client.Do(s.addr, http.MethodGet, "/keys?starts=k/&most=1000", nil, 5*time.Second)
 	var list listResponse
 	if err != nil || codec.Unmarshal(response.Body, &list) != nil || len(list.Entries) != 800 {
--- a/internal/site/kvserver/snapshot.go
+++ b/internal/site/kvserver/snapshot.go
@@ -9,28 +9,28 @@
 	"github.com/google/btree"
 )
 
-// A snapshot is a header and a sequence of blocks, each with its length and checksum: the leases, the keys in several blocks, an empty
-// block, and the number of keys. It is written to a temporary file and renamed once it is durable. The number in its name is that of
-// the segment with which the log continues.
+// A snapshot is a header and a sequence of blocks, each with its length and checksum. The blocks are the leases, the keys in several
+// blocks, an empty block, and the number of keys. A snapshot is written to a temporary file, which is renamed once it is durable. The
+// number in its name is that of the segment with which the log continues.
 const (
 	snapshotMagic       = "gullSNP1"
-	snapshotHeaderBytes = 8 + 8 + 8 + 8 + 8 + checksumBytes // magic, segment, next frame, revision, last lease, checksum
+	snapshotHeaderBytes = 8 + 8 + 8 + 8 + 8 + checksumBytes // magic number, segment, next frame, revision, last lease ID, checksum
 	blockHeaderBytes    = 4 + checksumBytes                 // length, checksum
-	// snapshotBlockBytes is the size from which a block is complete. A step writes one block, so this bounds the time of a step.
+	// snapshotBlockBytes is the size from which a block is complete. A step writes one block, so this bounds the duration of a step.
 	snapshotBlockBytes = 64 << 10
 )
 
-// View is a keyspace at one moment. It does not change while commits go on.
+// View is the content of a keyspace at one revision. Later commits do not change it.
 type View struct {
 	tree        *btree.BTreeG[*item]
 	leases      []lease // ordered by ID
 	revision    uint64
 	lastLeaseID uint64
-	segment     uint64 // with which the log continues
-	nextFrame   uint64 // first frame of that segment
+	segment     uint64 // number of the segment with which the log continues
+	nextFrame   uint64 // number of the first frame of that segment
 }
 
-// Freeze returns a view of the keyspace. The tree is shared, copy-on-write.
+// Freeze returns a view of the current content. It shares the tree with the keyspace, copy-on-write.
 func (k *keyspace) Freeze() *View {
 	view := &View{tree: k.tree.Clone(), revision: k.revision, lastLeaseID: k.lastLeaseID}
 	for _, l := range k.leases {
@@ -53,7 +53,7 @@
 	return out
 }
 
-// encodeBlock puts the header of a block before its content.
+// encodeBlock returns a block: its header, followed by the content.
 func encodeBlock(content []byte) []byte {
 	out := make([]byte, 0, blockHeaderBytes+len(content))
 	out = binary.LittleEndian.AppendUint32(out, uint32(len(content)))
@@ -72,7 +72,7 @@
 	stageSyncDir                      // make the name durable
 )
 
-// stageMessages are logged when a stage is done. The crash tests kill the process at each of them.
+// stageMessages are logged when a stage is completed. cmd/faulttest matches some of them to kill the process at that moment.
 var stageMessages = [...]string{
 	stageBegin:  "snapshot begun",
 	stageBlocks: "snapshot written",
@@ -80,14 +80,14 @@
 	stageRename: "snapshot renamed",
 }
 
-// SnapshotWriter writes a snapshot of a view in steps. It belongs to one goroutine.
+// SnapshotWriter writes a snapshot of a view in steps. It is not safe for concurrent use.
 type SnapshotWriter struct {
 	files    Directory
 	view     *View
-	file     File // nil: not created yet, or closed
+	file     File // nil: not created yet, or already closed
 	offset   int64
-	lastKey  string // last written key
-	keyCount uint64 // number of written keys
+	lastKey  string // last key that was written
+	keyCount uint64 // number of keys that were written
 	stage    snapshotStage
 }
 
@@ -99,8 +99,8 @@
 	return err
 }
 
-// Step executes the next stage, or writes the next block; done is true once the snapshot is durable under its name. After an error
-// only Abort may be called; the previous snapshot stays valid.
+// Step executes the next stage, or writes the next block. done is true once the snapshot is durable under its name. After an error only
+// Abort may be called. The previous snapshot stays valid.
 func (s *SnapshotWriter) Step() (done bool, err error) {
 	switch s.stage {
 	case stageBegin:
@@ -133,7 +133,7 @@
 	return s.append(encodeBlock(s.view.encodeLeases()))
 }
 
-// writeBlock writes a block of the keys after lastKey, or the end of the snapshot if there are none.
+// writeBlock writes a block of the keys after lastKey. If there are none, it writes the end of the snapshot.
 func (s *SnapshotWriter) writeBlock() error {
 	var block []byte
 	s.view.tree.AscendGreaterOrEqual(&item{key: s.lastKey}, func(it *item) bool {
@@ -166,7 +166,7 @@
 	return err
 }
 
-// Abort removes the file of a failed snapshot.
+// Abort closes and removes the temporary file of a failed snapshot.
 func (s *SnapshotWriter) Abort() error {
 	var closeErr error
 	if s.file != nil {
@@ -175,7 +175,7 @@
 	return errors.Join(closeErr, s.files.Remove(s.fileName()+tempSuffix))
 }
 
-// writeAll writes the whole snapshot; stageDone, if given, is called after each stage but the last.
+// writeAll writes the whole snapshot. It calls stageDone after each stage but the last, unless stageDone is nil.
 func (s *SnapshotWriter) writeAll(stageDone func(stage snapshotStage)) error {
 	for reported := stageBegin; ; {
 		done, err := s.Step()
@@ -188,8 +188,8 @@
 	}
 }
 
-// removeCoveredFiles deletes the segments and snapshots that a durable snapshot covers. It tries all of them and returns the first
-// error.
+// removeCoveredFiles deletes the segments and snapshots that a durable snapshot covers. After an error it continues with the next file,
+// and returns the first error.
 func removeCoveredFiles(files Directory, snapshot uint64) error {
 	names, err := files.List()
 	if err != nil {
@@ -207,7 +207,7 @@
 	return firstErr
 }
 
-// isCovered reports whether a file is a segment or snapshot from before a snapshot.
+// isCovered reports whether a file is a segment or snapshot with a lower number than a snapshot.
 func isCovered(name string, snapshot uint64) bool {
 	for _, prefix := range []string{segmentPrefix, snapshotPrefix} {
 		if number, ok := parseFileNumber(name, prefix); ok && number < snapshot {
--- a/internal/site/kvserver/snapshot_read.go
+++ b/internal/site/kvserver/snapshot_read.go
@@ -8,11 +8,11 @@
 )
 
 var (
-	errNoSnapshotHeader = errors.New("no header of a snapshot")
+	errNoSnapshotHeader = errors.New("the snapshot header is missing or damaged")
 	errBlockDamaged     = errors.New("a block is damaged or missing")
 )
 
-// fileError is an unreadable place in a file.
+// fileError is the error of a file that cannot be read from an offset on.
 type fileError struct {
 	file   string
 	offset int64
@@ -32,7 +32,7 @@
 	nextFrame uint64
 }
 
-// readSnapshot reads a snapshot. If it is incomplete or damaged, the error is a fileError.
+// readSnapshot decodes a snapshot; name is that of its file. If it is incomplete or damaged, the error is a fileError.
 func readSnapshot(name string, raw []byte) (*snapshotContent, error) {
 	if len(raw) < snapshotHeaderBytes || string(raw[:magicBytes]) != snapshotMagic || !hasChecksum(raw[:snapshotHeaderBytes]) {
 		return nil, &fileError{name, 0, errNoSnapshotHeader}
@@ -50,8 +50,8 @@
 // blockReader reads the blocks of a snapshot.
 type blockReader struct {
 	raw        []byte
-	offset     int // of the next block
-	blockStart int // of the last read block
+	offset     int // offset of the next block
+	blockStart int // offset of the last block that was read
 }
 
 // next returns the content of the next block.
@@ -96,7 +96,7 @@
 	}
 }
 
-// readEnd reads the last block, which must have the number of keys and end the file.
+// readEnd reads the last block. It must contain the number of keys, and the file must end after it.
 func (r *blockReader) readEnd(keyCount uint64) error {
 	block, err := r.next()
 	if err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// readLeases adds the leases of a block. The last lease ID stays that of the header, whose lease may have ended.
+// readLeases adds the leases of a block. It keeps the last lease ID of the header, since that lease may have ended.
 func (k *keyspace) readLeases(block []byte) error {
 	r := &recordReader{rest: block}
 	lastLeaseID := k.lastLeaseID
--- a/internal/site/kvserver/snapshot_schedule.go
+++ b/internal/site/kvserver/snapshot_schedule.go
@@ -7,16 +7,16 @@
 	"gullrudder/internal/logkeys"
 )
 
-// snapshotRetryIntervals is the number of disk retry intervals after which a failed snapshot is retried. It writes far more than a
-// commit, and is not urgent, since the log has all changes.
+// snapshotRetryIntervals is the number of disk retry intervals after which a failed snapshot is retried. A snapshot writes far more than
+// a commit, and is not urgent, since the log has all changes.
 const snapshotRetryIntervals = 10
 
-// snapshotSchedule is the event loop's state of snapshots, of which one is written at a time.
+// snapshotSchedule is the event loop's state of snapshots. One is written at a time.
 type snapshotSchedule struct {
-	isRunning   bool      // from the decision to write a snapshot until its result
-	isScheduled bool      // it begins after the records in flight
-	nextAt      time.Time // no snapshot before this
-	results     chan snapshotResult
+	isRunning       bool      // from the decision to write a snapshot until its result
+	isAwaitingWrite bool      // the snapshot begins after the frame in flight
+	nextAt          time.Time // earliest time of the next snapshot
+	results         chan snapshotResult
 }
 
 type snapshotResult struct {
@@ -27,8 +27,8 @@
 
 func (s *snapshotSchedule) canBegin(now time.Time) bool { return !s.isRunning && now.After(s.nextAt) }
 
-// runSnapshot writes a snapshot on a goroutine of its own, and then deletes the segments that it covers. The crash tests kill the
-// process at each of its messages.
+// runSnapshot writes a snapshot and then deletes the files that it covers. It runs on its own goroutine.
+// cmd/faulttest matches its log messages to kill the process at that moment.
 func (s *Server) runSnapshot(snapshot *SnapshotWriter) {
 	startedAt := time.Now()
 	log := s.log.With(logkeys.Snapshot, snapshot.fileName())
@@ -57,7 +57,7 @@
 		logkeys.Duration, result.duration.Round(time.Millisecond))
 }
 
-// deferSnapshot postpones a failed snapshot. The log grows meanwhile.
+// deferSnapshot postpones the retry of a failed snapshot. The log grows until then.
 func (s *Server) deferSnapshot(now time.Time, err error) {
 	s.snapshots.isRunning = false
 	s.snapshots.nextAt = now.Add(snapshotRetryIntervals * s.options.DiskRetryInterval)
--- a/internal/site/kvserver/storage.go
+++ b/internal/site/kvserver/storage.go
@@ -8,20 +8,21 @@
 	"gullrudder/internal/logkeys"
 )
 
-// Storage is the directory of a running store: the write-ahead log, and the sizes that decide when a snapshot is due. Append,
-// BeginSnapshot, Repair and IsBroken access the log and belong to the writer's goroutine, Prune to the snapshot's, and the other
-// methods to the event loop's.
+// Storage manages the directory of a running store: its write-ahead log, and the sizes that decide when a snapshot is due.
+//
+// Append, BeginSnapshot, Repair and IsBroken access the log and are called by the writer's goroutine only. Prune is called by the
+// snapshot's goroutine, and the other methods by the event loop's.
 type Storage struct {
 	files                   Directory
 	wal                     *writeAheadLog
 	options                 config.KVServerOptions
-	uncoveredLogBytes       int64 // of log that is in no snapshot
-	pendingSnapshotLogBytes int64 // of log that the running snapshot will cover
+	uncoveredLogBytes       int64 // size of the log that no snapshot covers, neither a durable nor a running one
+	pendingSnapshotLogBytes int64 // size of the log that the running snapshot will cover
 	lastSnapshotBytes       int64 // size of the last snapshot
 }
 
-// Open recovers a store from its directory and opens its log for appending. If the directory is damaged, the error is a DamageError
-// and nothing is changed.
+// Open recovers a store from its directory and opens its log for appending. Every lease has its full time to live, counted from now.
+// If the directory is damaged, the error is a DamageError and nothing is changed.
 func Open(files Directory, options config.KVServerOptions, now time.Time, log *slog.Logger) (*State, *Storage, Inspection, error) {
 	recovered, err := recoverDirectory(files)
 	if err != nil {
@@ -57,13 +58,15 @@
 // uncoveredBytes returns the size of the log that no durable snapshot covers.
 func (s *Storage) uncoveredBytes() int64 { return s.uncoveredLogBytes + s.pendingSnapshotLogBytes }
 
-// Append makes a step's records durable in the log. See writeAheadLog.append for its errors.
+// Append makes a step's records durable in the log. After ErrNotWritten they are certainly not in the log. After ErrUncertain they may
+// be, and the log accepts no records until Repair has succeeded.
 func (s *Storage) Append(records []byte) error { return s.wal.append(records) }
 
-// RecordAppended counts the bytes of appended records.
+// RecordAppended adds the size of appended records to that of the log.
 func (s *Storage) RecordAppended(bytes int) { s.uncoveredLogBytes += int64(bytes + frameHeaderBytes) }
 
-// BeginSnapshot continues the log in a new segment, so that a snapshot of the view covers all earlier ones.
+// BeginSnapshot continues the log in a new segment and returns a writer for a snapshot of the view. The snapshot will cover all earlier
+// segments. The view has to include every record that was appended.
 func (s *Storage) BeginSnapshot(view *View) (*SnapshotWriter, error) {
 	if err := s.wal.rotate(view.revision); err != nil {
 		return nil, err
@@ -72,12 +75,12 @@
 	return &SnapshotWriter{files: s.files, view: view}, nil
 }
 
-// RecordSnapshotBegun counts the log so far as covered by the running snapshot.
+// RecordSnapshotBegun records that the running snapshot will cover the log so far.
 func (s *Storage) RecordSnapshotBegun() {
 	s.pendingSnapshotLogBytes, s.uncoveredLogBytes = s.uncoveredLogBytes, 0
 }
 
-// RecordSnapshotDone records the result of the running snapshot.
+// RecordSnapshotDone records whether the running snapshot succeeded. If it did not, the log that it would have covered is uncovered again.
 func (s *Storage) RecordSnapshotDone(writer *SnapshotWriter, ok bool) {
 	if ok {
 		s.lastSnapshotBytes = writer.offset
@@ -87,14 +90,14 @@
 	s.pendingSnapshotLogBytes = 0
 }
 
-// IsBroken reports whether the log takes no records until Repair has succeeded.
+// IsBroken reports whether the log accepts no records until Repair has succeeded.
 func (s *Storage) IsBroken() bool { return s.wal.isBroken }
 
-// Repair continues the log in a new segment after a failed sync. Once the new segment is durable, the frame whose sync failed is void,
-// whether the old segment has it or not.
+// Repair continues the log in a new segment after a failed sync. revision is that of the last durable change. Once the new segment is
+// durable, a recovery ignores the frame whose sync failed, even if the old segment contains it.
 func (s *Storage) Repair(revision uint64) error { return s.wal.rotate(revision) }
 
-// Prune deletes the files that a durable snapshot covers.
+// Prune deletes the segments and snapshots that a completed snapshot covers.
 func (s *Storage) Prune(writer *SnapshotWriter) error {
 	return removeCoveredFiles(s.files, writer.view.segment)
 }
--- a/internal/site/kvserver/storage_test.go
+++ b/internal/site/kvserver/storage_test.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	damagedSnapshot = "snapshot-0000000000000002"
-	damagedSegment  = "log-0000000000000002"
+	snapshotToDamage = "snapshot-0000000000000002"
+	segmentToDamage  = "log-0000000000000002"
 )
 
-// directoryToDamage is a directory with a snapshot of five keys and five frames after it.
-func directoryToDamage(t *testing.T) *faultydisk.Disk {
+// newDirectoryToDamage returns a directory with a snapshot of five keys and five frames after it.
+func newDirectoryToDamage(t *testing.T) *faultydisk.Disk {
 	t.Helper()
 	state, storage, files := openEmpty(t, config.DefaultKVServerOptions(), time.Unix(100, 0))
 	for i := range 5 {
@@ -33,38 +33,38 @@
 	for i := range 5 {
 		commitKey(t, state, storage, fmt.Sprintf("b/%d", i), strings.Repeat("y", 50))
 	}
-	kept := files.AfterCrash(faultydisk.LoseNothing)
-	if kept.Size(damagedSnapshot) == 0 || kept.Size(damagedSegment) == 0 {
+	durable := files.AfterCrash(faultydisk.LoseNothing)
+	if durable.Size(snapshotToDamage) == 0 || durable.Size(segmentToDamage) == 0 {
 		t.Fatalf(
 			"sizes of %s and %s: got %d, %d, want above 0",
-			damagedSnapshot, damagedSegment, kept.Size(damagedSnapshot), kept.Size(damagedSegment),
+			snapshotToDamage, segmentToDamage, durable.Size(snapshotToDamage), durable.Size(segmentToDamage),
 		)
 	}
-	return kept
+	return durable
 }
 
-// TestOpenReportsDamage checks that a damaged byte before confirmed records is reported with the file and the offset,
-// and that nothing is overwritten. In the last frame damage cannot be distinguished from a torn write.
+// TestOpenReportsDamage checks that a damaged byte before confirmed records is reported with the name of the file, and
+// that nothing is overwritten. In the last frame, damage cannot be distinguished from a torn write.
 func TestOpenReportsDamage(t *testing.T) {
-	taken := 0
-	for _, name := range []string{damagedSnapshot, damagedSegment} {
-		for at := range directoryToDamage(t).Size(name) {
-			if isTakenForTorn(t, name, at) {
-				taken++
+	tornCount := 0
+	for _, name := range []string{snapshotToDamage, segmentToDamage} {
+		for at := range newDirectoryToDamage(t).Size(name) {
+			if opensAsTornWrite(t, name, at) {
+				tornCount++
 			}
 		}
 	}
 	const segmentHeaderBytes, frames = 36, 5
-	if frameBytes := (directoryToDamage(t).Size(damagedSegment) - segmentHeaderBytes) / frames; taken != frameBytes {
-		t.Errorf("damaged bytes taken for a torn write: got %d, want the %d of the last frame", taken, frameBytes)
+	if frameBytes := (newDirectoryToDamage(t).Size(segmentToDamage) - segmentHeaderBytes) / frames; tornCount != frameBytes {
+		t.Errorf("damaged bytes that open as a torn write: got %d, want the %d of the last frame", tornCount, frameBytes)
 	}
 }
 
-// isTakenForTorn damages one byte and reports whether the directory opens as after a torn write. Otherwise the damage has to be
-// reported, and nothing may be written.
-func isTakenForTorn(t *testing.T, name string, offset int) bool {
+// opensAsTornWrite damages one byte and reports whether the directory opens as it does after a torn write. Otherwise the damage has to
+// be reported, and nothing may be written.
+func opensAsTornWrite(t *testing.T, name string, offset int) bool {
 	t.Helper()
-	files := directoryToDamage(t)
+	files := newDirectoryToDamage(t)
 	files.CorruptByte(name, offset)
 	operations := files.Operations
 	inspection, err := reopenDirectory(files)
@@ -72,12 +72,15 @@
 	switch {
 	case errors.As(err, &damage):
 		if files.Operations != operations || !strings.Contains(err.Error(), name) {
-			t.Fatalf("%s at %d: %d operations, error %v, want none and an error that names the file", name, offset, files.Operations-operations, err)
+			t.Fatalf(
+				"%s damaged at %d: got %d operations, error %v, want 0 and an error that names the file",
+				name, offset, files.Operations-operations, err,
+			)
 		}
 		return false
 	case err != nil:
 		t.Fatalf("open %s damaged at %d: %v", name, offset, err)
-	case inspection.TornBytes == 0 || inspection.Keys != 9 || name != damagedSegment:
+	case inspection.TornBytes == 0 || inspection.Keys != 9 || name != segmentToDamage:
 		t.Fatalf("%s damaged at %d: got %+v, want a torn write in the last segment and 9 keys", name, offset, inspection)
 	}
 	return true
@@ -85,17 +88,17 @@
 
 // TestOpenReportsMissingSegment checks that a directory without one of its segments does not open.
 func TestOpenReportsMissingSegment(t *testing.T) {
-	files := directoryToDamage(t)
-	if err := files.Remove(damagedSegment); err != nil {
+	files := newDirectoryToDamage(t)
+	if err := files.Remove(segmentToDamage); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := reopenDirectory(files); err == nil {
-		t.Error("open without a segment: no error, want one")
+		t.Error("open without a segment: got no error, want one")
 	}
 }
 
-// TestFullDiskKeepsState checks that a snapshot that fails on a full disk leaves the store unchanged, and that a commit
-// that fails there is not applied while later ones are.
+// TestFullDiskKeepsState checks that a snapshot that fails on a full disk leaves the store unchanged. It also checks that
+// a commit that fails there is not applied, and that commits succeed once the disk has space again.
 func TestFullDiskKeepsState(t *testing.T) {
 	now := time.Unix(100, 0)
 	state, storage, files := openEmpty(t, config.DefaultKVServerOptions(), now)
@@ -109,10 +112,10 @@
 		done, err = writer.Step()
 	}
 	if err == nil {
-		t.Fatal("snapshot on a full disk: no error, want one")
+		t.Fatal("snapshot on a full disk: got no error, want one")
 	}
 	if err := writer.Abort(); err == nil {
-		t.Error("abort of a snapshot that has no file: no error, want one")
+		t.Error("abort of a snapshot that has no file: got no error, want one")
 	}
 	effects := state.Step(now, []kvserver.Request{crashtest.CommitRequest(nil, []crashtest.Operation{{Key: "b", Value: "no room"}})})
 	if err := storage.Append(effects.Records); !errors.Is(err, kvserver.ErrNotWritten) {
@@ -145,8 +148,8 @@
 	}
 }
 
-// TestBackupAndRestore checks that backups are complete and are restored to empty directories only, and that a restored
-// store continues with revisions that were never used.
+// TestBackupAndRestore checks that backups are complete and are restored to empty directories only, that a damaged backup
+// is not restored, and that a restored store continues with revisions that were never used.
 func TestBackupAndRestore(t *testing.T) {
 	root := t.TempDir()
 	data, file, restored := filepath.Join(root, "data"), filepath.Join(root, "backup"), filepath.Join(root, "again")
@@ -164,7 +167,7 @@
 		t.Errorf("restored keys: got %v, error %v, want 30, the last one k/29", keys, err)
 	}
 	if _, err := kvserver.Restore(file, restored); err == nil {
-		t.Error("restore over a directory in use: no error, want one")
+		t.Error("restore over a directory in use: got no error, want one")
 	}
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -175,11 +178,11 @@
 		t.Fatal(err)
 	}
 	if _, err := kvserver.Restore(file, filepath.Join(root, "third")); err == nil {
-		t.Error("restore of a truncated backup: no error, want one")
+		t.Error("restore of a damaged backup: got no error, want one")
 	}
 }
 
-// fillDirectory creates a store of thirty keys, with a snapshot before the last nine, and keeps it open.
+// fillDirectory creates a store with 30 keys and a snapshot before the last nine, and keeps it open.
 func fillDirectory(t *testing.T, path string) {
 	t.Helper()
 	dir, err := kvserver.LockDirectory(path)
--- a/internal/site/kvserver/transaction.go
+++ b/internal/site/kvserver/transaction.go
@@ -22,11 +22,11 @@
 		s.rejectNotDurable(request.Handle)
 		return
 	}
-	if !s.takeWrites(len(t.Operations)) {
+	if !s.takeWriteTokens(len(t.Operations)) {
 		s.rejectOverLimit(request.Handle, "more than %g changes a second", s.options.WriteRate)
 		return
 	}
-	if !s.hasLeasesOf(&t) {
+	if !s.leasesExist(&t) {
 		s.rejectMalformed(request.Handle, "no such lease")
 		return
 	}
@@ -42,8 +42,8 @@
 	s.respond(request.Handle, http.StatusOK, revisionResponse{s.revision})
 }
 
-// takeWrites reports whether the rate limit allows as many changes, and counts them if so.
-func (s *State) takeWrites(count int) bool {
+// takeWriteTokens takes a token of the rate limit for each change. If there are too few, it takes none and returns false.
+func (s *State) takeWriteTokens(count int) bool {
 	if s.writeLimiter == nil {
 		return true
 	}
@@ -54,8 +54,8 @@
 	return true
 }
 
-// hasLeasesOf reports whether the leases of all operations exist.
-func (s *State) hasLeasesOf(t *transaction) bool {
+// leasesExist reports whether the leases of all operations exist.
+func (s *State) leasesExist(t *transaction) bool {
 	for _, o := range t.Operations {
 		if o.LeaseID != 0 && s.leases[o.LeaseID] == nil {
 			return false
@@ -64,7 +64,7 @@
 	return true
 }
 
-// failedPreconditions returns the keys whose mod revision is not that of the precondition.
+// failedPreconditions returns the keys whose mod revision differs from that of their precondition.
 func (s *State) failedPreconditions(t *transaction) []string {
 	var failed []string
 	for _, p := range t.Preconditions {
--- a/internal/site/kvserver/wal.go
+++ b/internal/site/kvserver/wal.go
@@ -7,22 +7,22 @@
 )
 
 var (
-	// ErrNotWritten means that the frame is not in the log and never will be.
+	// ErrNotWritten is returned if the frame is certainly not in the log.
 	ErrNotWritten = errors.New("not written")
-	// ErrUncertain means that it is uncertain whether the frame is in the log, because a sync failed.
-	ErrUncertain = errors.New("a sync failed")
-	// ErrLogBroken means that the log takes no frame until it continues in a new segment.
-	ErrLogBroken = errors.New("the log waits for a new segment after a failed sync")
+	// ErrUncertain is returned if it is uncertain whether the frame is in the log, because a write or a sync failed.
+	ErrUncertain = errors.New("outcome of the write is uncertain")
+	// ErrLogBroken is returned if the log accepts no frames until it continues in a new segment.
+	ErrLogBroken = errors.New("the log accepts no frames until it continues in a new segment")
 )
 
-// writeAheadLog is the write-ahead log, with the segment that is appended to. It belongs to one goroutine.
+// writeAheadLog appends frames to the last segment of a store's log. It is not safe for concurrent use.
 type writeAheadLog struct {
 	files     Directory
 	file      File
 	segment   uint64
 	nextFrame uint64 // number of the next frame
 	offset    int64  // of the next frame
-	isBroken  bool   // a sync failed: this segment is never written to again
+	isBroken  bool   // a write or a sync failed: this segment is never written to again
 }
 
 // createSegment creates an empty, durable segment.
@@ -45,8 +45,8 @@
 	return &writeAheadLog{files: files, file: file, segment: header.segment, nextFrame: header.firstFrame, offset: int64(len(raw))}, nil
 }
 
-// append writes one frame and makes it durable. After ErrNotWritten the log can be used, unless the error is ErrLogBroken too; after
-// ErrUncertain it needs a new segment.
+// append writes one frame and makes it durable. After ErrNotWritten the log is still usable, unless the error is also ErrLogBroken. After
+// ErrUncertain the log needs a new segment.
 func (l *writeAheadLog) append(payload []byte) error {
 	if l.isBroken {
 		return fmt.Errorf("%w: %w", ErrNotWritten, ErrLogBroken)
@@ -61,8 +61,8 @@
 		return l.appendError(ErrUncertain, err)
 	}
 	if err := l.file.Sync(); err != nil {
-		// The kernel may have dropped the dirty pages, so that another sync would succeed without having written them. This
-		// segment is never written to again.
+		// The kernel may have dropped the dirty pages. Another sync could then succeed without writing them, so this segment
+		// is never written to again.
 		l.isBroken = true
 		return l.appendError(ErrUncertain, err)
 	}
@@ -79,18 +79,17 @@
 func (l *writeAheadLog) rotate(revision uint64) error {
 	next, err := createSegment(l.files, segmentHeader{segment: l.segment + 1, firstFrame: l.nextFrame, revision: revision})
 	if err != nil {
-		// The new segment may exist, complete or in part, and a recovery that finds it voids later frames of the old one. So
-		// unless it is certainly removed, the old segment must not be written to.
+		// The new segment may exist, complete or in part. A recovery that finds it ignores later frames of the old segment. So
+		// the old segment must not be written to, unless the new one is certainly removed.
 		removeErr := l.files.Remove(segmentName(l.segment + 1))
 		if removeErr != nil && !errors.Is(removeErr, fs.ErrNotExist) || l.files.SyncDir() != nil {
 			l.isBroken = true
 		}
 		return err
 	}
-	_ = l.file.Close() // every frame was synced by itself
+	_ = l.file.Close() // every frame is already synced
 	*l = *next
 	return nil
 }
 
-// close closes the segment.
 func (l *writeAheadLog) close() error { return l.file.Close() }
--- a/internal/site/kvserver/watches.go
+++ b/internal/site/kvserver/watches.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// watch is a request that waits for a change of a key with its prefix, or for its deadline.
+// watch is a request that waits until a key with its prefix changes, or until its deadline.
 type watch struct {
 	handle       any
 	prefix       string
-	fromRevision uint64 // the watcher has the changes up to this one
+	fromRevision uint64 // the client has the changes up to this revision
 	deadline     time.Time
 }
 
-// openWatch answers a watch at once if there are changes, and keeps it otherwise.
+// openWatch answers a watch at once if there are changes, and keeps it open otherwise.
 func (s *State) openWatch(request *Request, query url.Values) {
 	from, isValidFrom := queryNumber(query, "from", math.MaxUint64)
 	wait, isValidWait := queryNumber(query, "wait_ms", uint64(maxWatchWait.Milliseconds()))
@@ -39,8 +39,8 @@
 	s.watches = append(s.watches, w)
 }
 
-// notifyWatches answers the watches with changes since a revision, and those past their deadline. While writes fail, deadlines do not
-// count.
+// notifyWatches answers the watches that match changes since a revision, and those past their deadline. While writes fail, deadlines
+// are ignored.
 func (s *State) notifyWatches(since uint64) {
 	events, areRetained := s.eventsSince(since, "")
 	open := s.watches[:0]
@@ -57,7 +57,8 @@
 	s.watches = open
 }
 
-// answerWatch answers a watch if there are changes or its deadline has passed, and reports whether it did.
+// answerWatch answers a watch if there are changes, if its deadline has passed, or if the changes since its revision are not retained
+// any more. It reports whether it answered.
 func (s *State) answerWatch(watcher *watch) bool {
 	events, areRetained := s.eventsSince(watcher.fromRevision, watcher.prefix)
 	if !areRetained {
--- a/internal/site/kvserver/watches_test.go
+++ b/internal/site/kvserver/watches_test.go
@@ -13,8 +13,8 @@
 	"gullrudder/internal/site/kvserver"
 )
 
-// TestWatches checks that a watch waits until a key of its prefix changes, gets no change twice, and gets status 410 if
-// the changes since its revision are not retained.
+// TestWatches checks that a watch waits until a key with its prefix changes, that it gets no change twice, and that it
+// gets status 410 if the changes since its revision are not retained.
 func TestWatches(t *testing.T) {
 	now := time.Unix(100, 0)
 	state, _, _ := openEmpty(t, config.DefaultKVServerOptions(), now)
@@ -31,7 +31,7 @@
 	}
 	otherPrefix := crashtest.CommitRequest(nil, []crashtest.Operation{{Key: "b", Value: "v"}})
 	if effects := state.Step(now, []kvserver.Request{otherPrefix}); len(effects.Responses) != 1 {
-		t.Fatalf("commit under another prefix: got %d responses, want that of the commit only", len(effects.Responses))
+		t.Fatalf("commit under another prefix: got %d responses, want 1, that of the commit", len(effects.Responses))
 	}
 	effects := state.Step(now, []kvserver.Request{crashtest.CommitRequest(nil, []crashtest.Operation{{Key: "a/2", Value: "v"}, {Key: "a/1"}})})
 	if len(effects.Responses) != 2 || effects.Responses[1].Handle != "watcher" {
@@ -64,7 +64,8 @@
 }
 
 // TestWatchAcrossRestart checks that a watch continues after a restart if the log still has the changes after its
-// revision. Changes that a snapshot covers are not retained, and the client has to read the keys again.
+// revision. Changes that a snapshot covers are not retained: the watch gets status 410 and its client has to read the
+// keys again.
 func TestWatchAcrossRestart(t *testing.T) {
 	state, storage, files := openEmpty(t, config.DefaultKVServerOptions(), time.Unix(100, 0))
 	for i := range 4 {
--- a/internal/site/kvserver/writer.go
+++ b/internal/site/kvserver/writer.go
@@ -10,29 +10,29 @@
 	"gullrudder/internal/wire/server"
 )
 
-// writePipeline is the event loop's state of the writer, which has one job at a time.
+// writePipeline is the event loop's part of the writer's state. The writer has one job at a time.
 type writePipeline struct {
 	pending         []Effects // steps whose records were not passed to the writer yet
 	inFlight        []Effects // steps whose records are being written; nil: none
-	inFlightBytes   int       // of these records
+	inFlightBytes   int       // size of the records in flight
 	jobs            chan writeJob
 	results         chan writeResult
-	nextRepairAt    time.Time // no repair before this
+	nextRepairAt    time.Time // earliest time of the next repair
 	isRepairPending bool
 }
 
-// writeJob is a frame to be appended, or a repair of the log.
+// writeJob appends a frame to the log, or repairs the log.
 type writeJob struct {
 	records  []byte
 	revision uint64
-	view     *View // of a snapshot that begins after the frame; nil: none
+	view     *View // begin a snapshot of it after the frame; nil: none
 	isRepair bool
 }
 
 type writeResult struct {
 	err         error
 	duration    time.Duration
-	isBroken    bool // the log takes no records until it is repaired
+	isBroken    bool // the log accepts no records until it is repaired
 	isRepair    bool
 	snapshot    *SnapshotWriter // to be written; nil: none
 	snapshotErr error
@@ -79,8 +79,8 @@
 	}
 	job := writeJob{records: records, revision: s.state.revision}
 	if s.snapshots.canBegin(now) && s.storage.isSnapshotDue() {
-		// This frame has the records of all steps so far, so the present keyspace is the one right after the frame.
-		s.snapshots.isRunning, s.snapshots.isScheduled = true, true
+		// This frame has the records of all steps so far. So the current keyspace is the state right after the frame.
+		s.snapshots.isRunning, s.snapshots.isAwaitingWrite = true, true
 		job.view = s.state.Freeze()
 	}
 	s.writes.inFlightBytes = len(records)
@@ -113,14 +113,14 @@
 		go s.runSnapshot(result.snapshot)
 	case result.snapshotErr != nil:
 		s.deferSnapshot(now, result.snapshotErr)
-	case result.err != nil && s.snapshots.isScheduled:
-		s.snapshots.isRunning = false // it was to begin after the failed records
+	case result.err != nil && s.snapshots.isAwaitingWrite:
+		s.snapshots.isRunning = false // the snapshot would have begun after the frame that failed
 	}
-	s.snapshots.isScheduled = false
+	s.snapshots.isAwaitingWrite = false
 }
 
-// rollBack undoes the steps whose records were not made durable, and the later ones. Requests whose records certainly are not in the
-// log are refused. For the others the outcome is uncertain, and their connections are closed without a response.
+// rollBack undoes the steps whose records were not made durable, and all later steps. If the records are certainly not in the log, the
+// requests are refused. Otherwise the outcome is uncertain, and their connections are closed without a response.
 func (s *Server) rollBack(steps []Effects, err error) {
 	s.metrics.failedWriteCount.Inc()
 	s.log.Error("write to the log failed", logkeys.Err, err)
@@ -131,7 +131,7 @@
 	if errors.Is(err, ErrNotWritten) {
 		s.refuse(steps)
 	} else {
-		abort(steps)
+		abortConnections(steps)
 	}
 }
 
@@ -146,13 +146,13 @@
 		for _, response := range effects.Responses {
 			s.sendResponse(Response{
 				Handle: response.Handle, Status: http.StatusServiceUnavailable,
-				Body: server.ErrorResponse{Error: notDurable}, RetryAfter: s.options.DiskRetryInterval,
+				Body: server.ErrorResponse{Error: notDurableMessage}, RetryAfter: s.options.DiskRetryInterval,
 			})
 		}
 	}
 }
 
-func abort(steps []Effects) {
+func abortConnections(steps []Effects) {
 	for _, effects := range steps {
 		for _, response := range effects.Responses {
 			if request, ok := response.Handle.(*http1.Request); ok {
