--- a/internal/site/machinepool/cloudapi.go
+++ b/internal/site/machinepool/cloudapi.go
@@ -22,26 +22,27 @@
 )
 
 const (
-	// workerTimeout is how long after its last report a worker may get a machine.
+	// workerTimeout is how long after its last report a worker may still be assigned a machine.
 	workerTimeout = 5 * time.Second
-	// deletionTimeout is how long a deletion waits for the workers' reports before the caller gets a response to retry.
+	// deletionTimeout is how long a deletion waits for the workers' reports. After that the caller has to retry.
 	deletionTimeout = 3 * time.Second
-	// deletionRetryAfter is when a caller whose deletion timed out is to repeat it.
+	// deletionRetryAfter is the Retry-After of a deletion that timed out.
 	deletionRetryAfter = time.Second
-	// maxStoredRequests is the number of create requests above which those whose machines are all gone are forgotten.
+	// maxStoredRequests is the number of stored create requests from which stale ones are removed.
 	maxStoredRequests = 10_000
 )
 
-// Values of a machine type that the cloud's protocol asks for and a site's own machine does not have.
+// Properties of a machine type that the cloud's protocol requires, but that machines of a site do not have.
 const (
-	// spotPriceFactor times the ordinary price is the price of a spot machine: a site has none, and none is to be requested.
+	// spotPriceFactor is the ratio of the spot price to the ordinary price. It is high so that no spot machines are requested, since a
+	// site has none.
 	spotPriceFactor  = 100
 	bootSeconds      = 1
-	imageCacheGB     = 1000 // images are not fetched
+	imageCacheGB     = 1000 // ample, since a site fetches no images
 	fetchGBPerSecond = 1000
 )
 
-// States of an instance under the names of the cloud's protocol.
+// States of an instance in the cloud's protocol.
 const (
 	instanceStarting = "starting"
 	instanceRunning  = "running"
@@ -98,23 +99,23 @@
 }
 
 func (s *State) instance(now time.Time, machineID string, machine *Machine) instance {
-	listed := instance{
+	view := instance{
 		ID: machineID, Type: machine.Type, Zone: s.options.Zone, State: instanceStarting,
 		AgeSeconds: now.Sub(machine.CreatedAt).Seconds(),
 	}
 	if w := s.workers[machine.Worker]; w != nil {
-		listed.Addr = w.Addr
+		view.Addr = w.Addr
 	}
 	switch {
 	case machine.HasFailed:
-		listed.State = instanceFailed
+		view.State = instanceFailed
 	case machine.IsRunning:
-		listed.State = instanceRunning
+		view.State = instanceRunning
 	}
-	return listed
+	return view
 }
 
-// createMachines assigns machines to free workers. A request that was answered with machines gets the same answer again.
+// createMachines assigns machines to free workers. A repeated request that has got machines gets the same response again.
 func (s *State) createMachines(now time.Time, request Request) {
 	var message createRequest
 	if codec.Unmarshal(request.Body, &message) != nil || !message.isValid() {
@@ -131,7 +132,7 @@
 		return
 	}
 	if len(s.record.MachinesByRequest) >= maxStoredRequests {
-		s.forgetOldRequests()
+		s.removeStaleRequests()
 	}
 	s.record.MachinesByRequest[message.Name] = ids
 	s.recordChanged = true
@@ -142,7 +143,7 @@
 	return r.Name != "" && len(r.Name) <= maxRequestNameBytes && r.Count >= 1 && r.Count <= maxMachinesPerRequest
 }
 
-// assignMachines creates up to as many machines as are asked for, one for each free worker of the type, and returns their IDs.
+// assignMachines creates one machine for each free worker of the type, up to the requested number, and returns their IDs.
 func (s *State) assignMachines(now time.Time, message createRequest) []string {
 	ids := []string{}
 	if s.record.IsDraining || message.Spot || message.Zone != s.options.Zone {
@@ -153,7 +154,7 @@
 			break
 		}
 		w := s.workers[name]
-		isFree := w.Machine == "" && now.Sub(w.reportedAt) <= workerTimeout && s.machineOf(name) == ""
+		isFree := w.Machine == "" && now.Sub(w.reportedAt) <= workerTimeout && s.machineIDOfWorker(name) == ""
 		if w.Type != message.Type || !isFree {
 			continue
 		}
@@ -166,21 +167,21 @@
 	return ids
 }
 
-// forgetOldRequests forgets the create requests whose machines are all gone. One that is repeated after that gets other machines;
-// the controllers find them in the list of instances, and use or delete them.
-func (s *State) forgetOldRequests() {
+// removeStaleRequests removes the create requests whose machines are all gone. If such a request is repeated later, it gets new machines.
+// The controllers find them in the list of instances, and use or delete them.
+func (s *State) removeStaleRequests() {
 	for name, ids := range s.record.MachinesByRequest {
-		if !s.anyExists(ids) {
+		if !s.anyMachineExists(ids) {
 			delete(s.record.MachinesByRequest, name)
 		}
 	}
 }
 
-func (s *State) anyExists(ids []string) bool {
+func (s *State) anyMachineExists(ids []string) bool {
 	return slices.ContainsFunc(ids, func(id string) bool { return s.record.Machines[id] != nil })
 }
 
-// deletion is a request that is answered once its machines are gone.
+// deletion is a delete request that is waiting until its machines are gone.
 type deletion struct {
 	handle   any
 	ids      []string
@@ -199,7 +200,7 @@
 	s.pendingDeletions = append(s.pendingDeletions, &deletion{request.Handle, message.IDs, now.Add(deletionTimeout)})
 }
 
-// terminate takes the machine from its worker, which learns of it with its next assignment.
+// terminate marks a machine as terminating and notifies its worker, which loses the machine with its next assignment.
 func (s *State) terminate(id string) {
 	m := s.record.Machines[id]
 	if m == nil || m.IsTerminating {
@@ -211,12 +212,12 @@
 	}
 }
 
-// completeDeletions answers the deletions whose machines are gone for certain, and those that have timed out.
+// completeDeletions answers the deletions whose machines are certainly gone, and those that have timed out.
 func (s *State) completeDeletions(now time.Time) {
 	pending := s.pendingDeletions[:0]
 	for _, d := range s.pendingDeletions {
 		switch {
-		case !s.anyExists(d.ids):
+		case !s.anyMachineExists(d.ids):
 			s.respond(d.handle, http.StatusOK, nil)
 		case now.After(d.deadline):
 			s.effects.Responses = append(s.effects.Responses, Response{
--- a/internal/site/machinepool/database.go
+++ b/internal/site/machinepool/database.go
@@ -11,28 +11,28 @@
 	"go.etcd.io/bbolt"
 )
 
-// Names in the database. Those of earlier versions have the same.
+// Names in the database. Databases of earlier versions have the same names.
 const (
 	databaseFileName = "site.db"
 	recordBucket     = "pool"
 	recordKey        = "record"
 	failuresBucket   = "failures"
-	// failureKeyTime is the form of the time in a failure's key: keys are in the order of time.
-	failureKeyTime = "20060102T150405.000000000"
+	// failureKeyTimeFormat is the format of the time at the start of a failure's key. It sorts the failures by time.
+	failureKeyTimeFormat = "20060102T150405.000000000"
 )
 
 const (
 	maxStoredFailures = 1000
 	maxListedFailures = 50
-	// maxFailureListBytes leaves room for the encoding of the list in a response.
+	// maxFailureListBytes is below the limit of a response, to leave space for the encoding of the list.
 	maxFailureListBytes = http1.MaxBodyBytes / 2
-	// databaseOpenTimeout is how long another process that has the database open is waited for.
+	// databaseOpenTimeout is how long to wait for another process to close the database.
 	databaseOpenTimeout = time.Second
-	// maxBatchDelay is how long a spec waits for others that are written with the same sync of the disk.
+	// maxBatchDelay is how long a job spec waits for others that are written with the same disk sync.
 	maxBatchDelay = 2 * time.Millisecond
 )
 
-// openDatabase opens the pool's database in dir and reads the record that is stored in it.
+// openDatabase opens or creates the pool's database in dir and reads the record that is stored in it.
 func openDatabase(dir string) (*bbolt.DB, Record, error) {
 	var record Record
 	path := filepath.Join(dir, databaseFileName)
@@ -59,7 +59,7 @@
 	return db, record, nil
 }
 
-// storeEffects stores what a step has changed. All of it is durable when storeEffects returns, or none.
+// storeEffects stores the changes of a step in one transaction. They are durable if it returns nil; otherwise none of them is stored.
 func storeEffects(database *bbolt.DB, effects Effects) error {
 	if effects.Record == nil && len(effects.TaskFailures) == 0 {
 		return nil
@@ -78,7 +78,8 @@
 	})
 }
 
-// storeFailures adds failures and removes the oldest ones above maxStoredFailures. One that is reported again replaces itself.
+// storeFailures adds failures and removes the oldest ones above maxStoredFailures. A failure that is reported again replaces its earlier
+// entry.
 func storeFailures(bucket *bbolt.Bucket, encodedFailures []string) error {
 	if len(encodedFailures) == 0 {
 		return nil
@@ -86,9 +87,9 @@
 	for _, encoded := range encodedFailures {
 		var failure Failure
 		if json.Unmarshal([]byte(encoded), &failure) != nil {
-			continue // nothing that could be shown
+			continue // it could not be shown
 		}
-		key := failure.FinishedAt.UTC().Format(failureKeyTime) + " " + failure.Task
+		key := failure.FinishedAt.UTC().Format(failureKeyTimeFormat) + " " + failure.Task
 		if err := bucket.Put([]byte(key), []byte(encoded)); err != nil {
 			return err
 		}
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// readFailures returns the newest failures: as many as limit, and as fit a response.
+// readFailures returns the newest failures, at most limit, and only as many as fit into a response.
 func readFailures(database *bbolt.DB, limit int) (FailureList, error) {
 	list := FailureList{EncodedFailures: []string{}}
 	err := database.View(func(tx *bbolt.Tx) error {
--- a/internal/site/machinepool/handlers.go
+++ b/internal/site/machinepool/handlers.go
@@ -16,14 +16,14 @@
 
 const (
 	maxJobIDBytes = 64
-	// busyRetryAfter is when a caller is to repeat a request that found a queue full or the database failing.
+	// busyRetryAfter is the Retry-After of requests that are refused because a queue is full or a read of the database failed.
 	busyRetryAfter = time.Second
-	// specRetryAfter is the same for a job spec that could not be stored, which a full disk is the usual cause of.
+	// specRetryAfter is the Retry-After of job specs that could not be stored. The usual cause is a full disk.
 	specRetryAfter = 5 * time.Second
 )
 
-// handle passes a request on to the goroutine that answers it, and refuses it if that has too many waiting. Job specs and
-// failures wait for the disk; all others are the State's.
+// handle queues a request for the goroutine that answers it, or refuses it if the queue is full. Requests for job specs and failures
+// wait for the disk and go to the database workers. All others go to the State.
 func (s *Service) handle(request *http1.Request) {
 	path, query, _ := strings.Cut(request.Target, "?")
 	job, isSpec := strings.CutPrefix(path, "/descriptions/")
--- a/internal/site/machinepool/messages.go
+++ b/internal/site/machinepool/messages.go
@@ -9,13 +9,13 @@
 // Options of a machine pool.
 type Options struct {
 	Zone        string
-	HourlyPrice float64 // of a machine
+	HourlyPrice float64 // price of a machine per hour
 }
 
-// Request is a request to the pool.
+// Request is a request to the pool. Its Handle identifies it in the Response.
 type Request = server.Request
 
-// Response answers a request. It is sent only once the record and the failures of its step are durable.
+// Response answers a request. It may be sent only once the record and the failures of its step are durable.
 type Response = server.ValueResponse
 
 // Effects are what the Service has to do after a step, in the order of the fields.
@@ -23,33 +23,33 @@
 	Record          *Record  // to be stored; nil if it has not changed
 	TaskFailures    []string // to be stored; each is a Failure in JSON
 	Responses       []Response
-	WorkersToNotify []string // addresses of workers that have a new assignment to ask for
+	WorkersToNotify []string // addresses of workers that should report at once, to get a new assignment
 }
 
-// Record is what a pool stores. It survives a restart of the pool's process.
+// Record is the stored state of a pool. It survives a restart of the pool's process.
 type Record struct {
 	LastMachineNumber int                 `json:"counter"`
 	IsDraining        bool                `json:"draining"`
 	Machines          map[string]*Machine `json:"machines"` // by machine ID
-	MachinesByRequest map[string][]string `json:"charters"` // IDs of the machines that a create request was answered with, by its name
+	MachinesByRequest map[string][]string `json:"charters"` // by name of a create request: the machine IDs in its response
 }
 
-// Machine is a machine that a controller has requested. It exists from its assignment to a worker until it is certain that none
-// of its tasks is left there.
+// Machine is a machine that a controller has requested. It exists from its assignment to a worker until it is certain that the worker
+// has none of its tasks left.
 type Machine struct {
 	Worker        string    `json:"worker"`
 	WorkerEpoch   uint64    `json:"epoch"` // start of the worker's process at the assignment
 	Type          string    `json:"type"`
 	CreatedAt     time.Time `json:"born"`
 	IsRunning     bool      `json:"up"`     // the worker has accepted the assignment
-	HasFailed     bool      `json:"failed"` // the worker's process has been restarted
+	HasFailed     bool      `json:"failed"` // the worker's process was restarted since the assignment
 	IsTerminating bool      `json:"leaving"`
-	// releasedAtSerial is the serial of the first assignment without this machine; 0: none yet. It is not stored: a restarted pool
-	// releases the machine again, with a higher serial.
+	// releasedAtSerial is the serial of the first assignment of the worker without this machine; 0: none yet. It is not stored. A
+	// restarted pool releases the machine again, with a higher serial.
 	releasedAtSerial uint64
 }
 
-// Overview is the state of the site's machines, as users see it.
+// Overview is the state of a site's machines, as users see it.
 type Overview struct {
 	IsDraining   bool         `msgpack:"draining" json:"draining"`
 	MachineCount int          `msgpack:"rented" json:"rented"`
@@ -57,7 +57,7 @@
 	Workers      []WorkerView `msgpack:"workers" json:"workers"`
 }
 
-// AllWorkersSilentFor reports whether no worker has reported within the limit. It is true if there is no worker.
+// AllWorkersSilentFor reports whether no worker has reported within the limit. It is true if there are no workers.
 func (o Overview) AllWorkersSilentFor(limit time.Duration) bool {
 	for _, w := range o.Workers {
 		if w.SilentSeconds < limit.Seconds() {
@@ -67,10 +67,10 @@
 	return true
 }
 
-// WorkerView is one worker of the site, as users see it.
+// WorkerView is a worker of a site, as users see it.
 type WorkerView struct {
 	Name          string  `msgpack:"name" json:"name"`
-	Machine       string  `msgpack:"machine" json:"machine"` // empty: none
+	Machine       string  `msgpack:"machine" json:"machine"` // ID of its machine; empty: none
 	CPUs          float64 `msgpack:"cpus" json:"cpus"`
 	MemoryGB      float64 `msgpack:"mem_gb" json:"mem_gb"`
 	RunningTasks  int     `msgpack:"busy" json:"tasks"`
@@ -83,11 +83,11 @@
 	Task        string    `json:"task"`
 	ExitCode    int       `json:"exit"`
 	Reason      string    `json:"reason"`
-	ErrorOutput string    `json:"tail"` // end of the task's error output
+	ErrorOutput string    `json:"tail"` // last part of the task's error output
 	FinishedAt  time.Time `json:"finished"`
 }
 
-// FailureList is the response to GET /site/failures: each entry is a Failure in JSON, the newest first.
+// FailureList is the response to GET /site/failures. Each entry is a Failure in JSON, the newest first.
 type FailureList struct {
 	EncodedFailures []string `msgpack:"list"`
 }
@@ -97,7 +97,7 @@
 	Types []machineType `msgpack:"keels"`
 }
 
-// machineType is a type of machines under the names of the cloud's protocol.
+// machineType is a machine type, with the names of the cloud's protocol in the tags.
 type machineType struct {
 	Name             string   `msgpack:"name"`
 	CPUs             float64  `msgpack:"cpus"`
@@ -117,7 +117,7 @@
 	HasNext   bool       `msgpack:"has_next"`
 }
 
-// instance is a machine under the names of the cloud's protocol.
+// instance is a machine as the cloud lists it, with the names of the cloud's protocol in the tags.
 type instance struct {
 	ID         string  `msgpack:"id"`
 	Addr       string  `msgpack:"addr"`
@@ -128,7 +128,7 @@
 	AgeSeconds float64 `msgpack:"age_s"`
 }
 
-// createRequest asks for machines (POST /hosts). A request that comes again under the same name gets the same answer.
+// createRequest asks for machines (POST /hosts). A repeated request with the same name gets the same response.
 type createRequest struct {
 	Name  string `msgpack:"charter"`
 	Type  string `msgpack:"keel"`
--- a/internal/site/machinepool/reports.go
+++ b/internal/site/machinepool/reports.go
@@ -9,7 +9,7 @@
 	"gullrudder/internal/wire/poolapi"
 )
 
-// handleReport takes in a worker's report and answers with its assignment.
+// handleReport records a worker's report and responds with its assignment.
 func (s *State) handleReport(now time.Time, request Request) {
 	var report poolapi.WorkerReport
 	if codec.Unmarshal(request.Body, &report) != nil || report.Name == "" || report.Addr == "" || report.Type == "" {
@@ -22,25 +22,25 @@
 	}
 	s.workers[report.Name] = &worker{report, now}
 	s.effects.TaskFailures = append(s.effects.TaskFailures, report.Failures...)
-	// The clock keeps serials increasing across restarts of this process.
+	// Serials are taken from the clock so that they also increase across restarts of this process.
 	s.lastSerial = max(s.lastSerial+1, uint64(now.UnixNano()))
-	answer := poolapi.MachineAssignment{Serial: s.lastSerial}
+	assignment := poolapi.MachineAssignment{Serial: s.lastSerial}
 	for _, id := range s.sortedMachineIDs() {
 		m := s.record.Machines[id]
 		if m.Worker == report.Name && s.reconcile(id, m, &report) {
-			answer.Machine, answer.HasDrainNotice = id, s.record.IsDraining
+			assignment.Machine, assignment.HasDrainNotice = id, s.record.IsDraining
 		}
 	}
-	s.respond(request.Handle, http.StatusOK, answer)
+	s.respond(request.Handle, http.StatusOK, assignment)
 }
 
-// reconcile updates a machine from the report of its worker. It reports whether the worker is to have the machine.
+// reconcile updates a machine from the report of its worker. isAssigned is whether the machine stays assigned to the worker.
 func (s *State) reconcile(machineID string, machine *Machine, report *poolapi.WorkerReport) (isAssigned bool) {
-	hasIt := report.Machine == machineID
+	workerHasMachine := report.Machine == machineID
 	switch {
-	case machine.WorkerEpoch != report.Epoch && !hasIt:
-		// The worker was restarted. The new process ended all that was left before its first report: nothing of the machine
-		// is there.
+	case machine.WorkerEpoch != report.Epoch && !workerHasMachine:
+		// The worker was restarted. Before its first report, the new process ended all tasks that were left. So nothing of the
+		// machine is left.
 		s.recordChanged = s.recordChanged || !machine.HasFailed || machine.IsTerminating
 		machine.HasFailed = true
 		if machine.IsTerminating {
@@ -51,11 +51,11 @@
 		s.release(machineID, machine, report)
 		return false
 	}
-	if hasIt && !machine.IsRunning {
+	if workerHasMachine && !machine.IsRunning {
 		machine.IsRunning, s.recordChanged = true, true
 	}
-	if s.record.IsDraining && machine.IsRunning && hasIt && report.RunningTasks == 0 {
-		// Drained: no task is left, and none is started any more.
+	if s.record.IsDraining && machine.IsRunning && workerHasMachine && report.RunningTasks == 0 {
+		// The machine is drained: no task is left, and no further task is started.
 		s.terminate(machineID)
 		machine.releasedAtSerial = s.lastSerial
 		return false
@@ -63,8 +63,8 @@
 	return true
 }
 
-// release removes a terminating machine once its worker has applied an assignment without it and has nothing left. A report
-// that the worker does not have the machine is not enough: the assignment to take it may still be on its way.
+// release removes a terminating machine once its worker has applied an assignment without it and reports that it does not have it. The
+// report alone is not enough: an earlier assignment with the machine may still be on its way to the worker.
 func (s *State) release(machineID string, machine *Machine, report *poolapi.WorkerReport) {
 	switch {
 	case machine.releasedAtSerial == 0:
--- a/internal/site/machinepool/service.go
+++ b/internal/site/machinepool/service.go
@@ -16,10 +16,10 @@
 	"go.etcd.io/bbolt"
 )
 
-// stepInterval is the time between two steps without a request.
+// stepInterval is the time between steps when there are no requests.
 const stepInterval = 100 * time.Millisecond
 
-// Sizes of the queues, and of the batch of requests that one step handles and one write of the disk stores.
+// Sizes of the queues, and of the batch of requests that one step handles and one disk write stores.
 const (
 	maxQueuedRequests      = 1024
 	maxQueuedNotifications = 256
@@ -27,7 +27,7 @@
 	maxBatchRequests       = 64
 )
 
-// databaseWorkers is the number of goroutines that run database calls: so many specs may share one sync of the disk.
+// databaseWorkers is the number of goroutines that run database calls. Up to so many job specs share one disk sync.
 const databaseWorkers = 16
 
 // Limits of the service's connections.
@@ -37,25 +37,26 @@
 	readTimeout    = 10 * time.Second
 )
 
-// Limits of the client that notifies workers.
+// Limits of the HTTP client that notifies workers.
 const (
 	maxNotifyConnections     = 4
 	maxIdleNotifyConnections = 2
 	notifyTimeout            = 500 * time.Millisecond
 )
 
-// Service connects a State with the clock, the network and the disk, and serves the job specs and failures of a site.
+// Service connects a State to the clock, the network and the disk. It also serves the job specs and task failures of a site.
 type Service struct {
-	state         *State // belongs to runOwner
+	state         *State // used by runEventLoop only
 	db            *bbolt.DB
 	specs         *jobspec.Store
 	log           *slog.Logger
 	requests      chan Request
-	notifications chan string // addresses of workers
-	databaseCalls chan func() // requests that wait for the disk, which runOwner must not
+	notifications chan string // addresses of workers to notify
+	databaseCalls chan func() // requests for job specs and failures, which bypass runEventLoop because they wait for the disk
 }
 
-// NewService opens the pool's database in dir. With less than minFreeDiskBytes on its disk it accepts no more job specs.
+// NewService opens the pool's database in dir, or creates it. While the disk of dir has less than minFreeDiskBytes free, the service
+// refuses job specs. It does nothing until Serve is called.
 func NewService(dir string, options Options, minFreeDiskBytes uint64, log *slog.Logger) (*Service, error) {
 	db, record, err := openDatabase(dir)
 	if err != nil {
@@ -76,8 +77,8 @@
 	return s, err
 }
 
-// Serve serves requests at the address. It returns only if the address cannot be opened. Its goroutines run until the process
-// ends; Serve is called once.
+// Serve starts the service's goroutines, which run until the process ends, and serves requests at the address. It returns only if it
+// cannot listen on the address. It may be called only once.
 func (s *Service) Serve(addr string) error {
 	go s.runEventLoop()
 	go s.notifyWorkers()
@@ -98,7 +99,7 @@
 	return server.RunWithRestart(s.log)
 }
 
-// runEventLoop runs the steps of the State, one after another.
+// runEventLoop steps the State with the requests, and applies the effects of each step.
 func (s *Service) runEventLoop() {
 	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
@@ -115,12 +116,12 @@
 	}
 }
 
-// apply stores what a step has changed, and then answers. If that cannot be stored the process ends: the State has changes that
-// the disk has not, and the next process goes on from the disk.
+// apply stores the changes of a step and then sends its responses. If storing fails, the process ends: the State has changes that the
+// disk does not have, and the next process continues from the disk.
 func (s *Service) apply(effects Effects) {
 	if err := storeEffects(s.db, effects); err != nil {
 		s.log.Error("machine pool record not written", logkeys.Err, err)
-		panic(fmt.Sprintf("pool: %v", err))
+		panic(fmt.Sprintf("store machine pool record: %v", err))
 	}
 	for _, response := range effects.Responses {
 		if request, ok := response.Handle.(*http1.Request); ok {
@@ -130,7 +131,7 @@
 	for _, addr := range effects.WorkersToNotify {
 		select {
 		case s.notifications <- addr:
-		default: // the worker learns of it with its next report
+		default: // the worker gets its assignment with its next regular report
 		}
 	}
 }
@@ -143,7 +144,7 @@
 	request.Respond(status, encoded, retryAfter)
 }
 
-// notifyWorkers asks workers to report at once, so that they get their new assignment.
+// notifyWorkers asks workers to report at once, so that they get their new assignments.
 func (s *Service) notifyWorkers() {
 	client := http1.NewClient(maxNotifyConnections, maxIdleNotifyConnections, http1.MaxBodyBytes)
 	for addr := range s.notifications {
--- a/internal/site/machinepool/state.go
+++ b/internal/site/machinepool/state.go
@@ -1,8 +1,9 @@
-// Package machinepool offers the machines that a site owns as a cloud: creating an instance assigns a machine to a worker, and a
-// deletion is confirmed only once that worker has reported that nothing of the machine is left. Its State owns which machines
-// exist, which worker has which, and whether the site is being drained; it is a pure step. Its Service stores every change before
-// it answers, and owns the database with the pool's record, the job specs and the failures of tasks. The package never starts or
-// stops a task. docs/design/site.md describes a site.
+// Package machinepool serves the machines that a site owns through the protocol of a cloud. Creating an instance assigns a machine to a
+// worker. A deletion is confirmed only once that worker has reported that nothing of the machine is left.
+//
+// State owns which machines exist, which worker has each of them, and whether the site is being drained. It does no I/O. Service stores
+// every change before it responds. It owns the database with the pool's record, the job specs and the failures of tasks. The package
+// never starts or stops a task. docs/design/site.md describes a site.
 package machinepool
 
 import (
@@ -16,24 +17,25 @@
 	"gullrudder/internal/wire/server"
 )
 
-// State is the pure part of a pool. It belongs to the goroutine that calls Step.
+// State is the state of a pool. It does no I/O, and is not safe for concurrent use.
 type State struct {
 	options          Options
 	record           Record
-	workers          map[string]*worker // by name; only those that have reported to this process
-	lastSerial       uint64             // of assignments
+	workers          map[string]*worker // by name; only workers that have reported to this process
+	lastSerial       uint64             // of the last assignment
 	pendingDeletions []*deletion
 	recordChanged    bool
 	effects          Effects
 }
 
-// worker is the newest report of a worker, and when it came.
+// worker is the newest report of a worker, and the time when it was received.
 type worker struct {
 	poolapi.WorkerReport
 	reportedAt time.Time
 }
 
-// NewState returns the state of a pool from the record that an earlier process has stored.
+// NewState returns the state of a pool with the record that an earlier process stored; the zero Record is that of a new pool. The State
+// modifies the record's maps.
 func NewState(options Options, record Record) *State {
 	if record.Machines == nil {
 		record.Machines = map[string]*Machine{}
@@ -44,7 +46,8 @@
 	return &State{options: options, record: record, workers: map[string]*worker{}}
 }
 
-// Step handles a batch of requests. It is called without requests too, so that waiting deletions time out.
+// Step handles a batch of requests. The caller carries out the effects. It has to be called regularly, also without requests, so that
+// waiting deletions time out.
 func (s *State) Step(now time.Time, requests []Request) Effects {
 	s.effects, s.recordChanged = Effects{}, false
 	for _, r := range requests {
@@ -96,8 +99,8 @@
 
 func (s *State) sortedWorkerNames() []string { return slices.Sorted(maps.Keys(s.workers)) }
 
-// machineOf returns the ID of the worker's machine, in whatever state it is, or "".
-func (s *State) machineOf(workerName string) string {
+// machineIDOfWorker returns the ID of the worker's machine, in any state, or "" if it has none.
+func (s *State) machineIDOfWorker(workerName string) string {
 	for id, m := range s.record.Machines {
 		if m.Worker == workerName {
 			return id
--- a/internal/site/machinepool/state_test.go
+++ b/internal/site/machinepool/state_test.go
@@ -16,16 +16,16 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// machinePoolModel is a pool with a plain model of its workers: what each was assigned and has.
+// machinePoolModel is a pool with a simple model of its workers: the machine that each has, and the assignments on their way to it.
 type machinePoolModel struct {
 	t                *rapid.T
 	state            *State
 	now              time.Time
 	workers          []*modelWorker
-	pendingDeletions map[int][]string // machine IDs by handle of the request
+	pendingDeletions map[int][]string // machine IDs by handle of the delete request
 	lastHandle       int
-	created          map[string]string // answer by name of the create request
-	machines         []string          // IDs of all that were created
+	created          map[string]string // machine IDs in the response, by name of the create request
+	machines         []string          // IDs of all machines that were created
 }
 
 type modelWorker struct {
@@ -33,11 +33,11 @@
 	epoch         uint64
 	machine       string
 	appliedSerial uint64
-	assignments   []poolapi.MachineAssignment // on their way to the worker, the newest last
+	assignments   []poolapi.MachineAssignment // on their way to the worker, in the order of their serials
 }
 
-// isToTake reports whether the newest assignment on its way to the worker is the machine.
-func (w *modelWorker) isToTake(id string) bool {
+// isAboutToTake reports whether the newest assignment on its way to the worker has the machine.
+func (w *modelWorker) isAboutToTake(id string) bool {
 	count := len(w.assignments)
 	return count > 0 && w.assignments[count-1].Machine == id
 }
@@ -69,7 +69,7 @@
 	return e.Responses
 }
 
-// checkDeletion checks the response to a deletion: if it is confirmed, no worker has a machine of it or is about to take one.
+// checkDeletion checks the response to a deletion: if it is confirmed, no worker may have one of its machines or be about to take one.
 func (m *machinePoolModel) checkDeletion(response Response) {
 	handle, ok := response.Handle.(int)
 	ids := m.pendingDeletions[handle]
@@ -82,7 +82,7 @@
 	}
 	for _, id := range ids {
 		for _, w := range m.workers {
-			if w.machine == id || w.isToTake(id) {
+			if w.machine == id || w.isAboutToTake(id) {
 				m.t.Fatalf("deletion of %s confirmed while %s has it: machine %q, assignments %v", id, w.name, w.machine, w.assignments)
 			}
 		}
@@ -94,13 +94,13 @@
 		Name: w.name, Addr: w.name + ":1", Type: "t", Zone: "z", CPUs: 4, Epoch: w.epoch,
 		Machine: w.machine, AppliedSerial: w.appliedSerial,
 	}) {
-		if answer, ok := r.Body.(poolapi.MachineAssignment); ok && r.Handle == m.lastHandle {
-			w.assignments = append(w.assignments, answer)
+		if assignment, ok := r.Body.(poolapi.MachineAssignment); ok && r.Handle == m.lastHandle {
+			w.assignments = append(w.assignments, assignment)
 		}
 	}
 }
 
-// applyAssignment has the worker apply the oldest assignment on its way. By then nothing of its earlier machine is left.
+// applyAssignment makes the worker apply the oldest assignment on its way. Nothing of its earlier machine is left then.
 func (m *machinePoolModel) applyAssignment(w *modelWorker) {
 	if len(w.assignments) > 0 {
 		oldest := w.assignments[0]
@@ -117,7 +117,7 @@
 		}
 		ids := r.Body.(createResponse).IDs
 		if earlier, ok := m.created[name]; ok && earlier != fmt.Sprint(ids) {
-			m.t.Fatalf("answer of request %s: got %v, want %s as before", name, ids, earlier)
+			m.t.Fatalf("response to request %s: got machines %v, want %s as before", name, ids, earlier)
 		}
 		m.created[name] = fmt.Sprint(ids)
 		m.machines = append(m.machines, ids...)
@@ -132,13 +132,13 @@
 	}
 }
 
-// restartWorker ends the worker's process; the next one has ended all that was left.
+// restartWorker restarts the worker's process. The new process has ended all tasks that were left.
 func (m *machinePoolModel) restartWorker(w *modelWorker) {
 	w.machine, w.appliedSerial, w.assignments = "", 0, nil
 	w.epoch += 10
 }
 
-// restartProcess ends the pool's process; the next one has what was stored.
+// restartProcess restarts the pool's process, in half of the calls. The new process has the stored record only.
 func (m *machinePoolModel) restartProcess() {
 	if rapid.Bool().Draw(m.t, "restart") {
 		m.state = NewState(m.state.options, reloaded(m.state.record))
@@ -146,8 +146,8 @@
 	}
 }
 
-// checkOneMachineEach checks that no worker has two machines.
-func (m *machinePoolModel) checkOneMachineEach() {
+// checkOneMachinePerWorker checks that no worker has two machines.
+func (m *machinePoolModel) checkOneMachinePerWorker() {
 	byWorker := map[string]string{}
 	for id, machine := range m.state.record.Machines {
 		if other, ok := byWorker[machine.Worker]; ok {
@@ -157,10 +157,10 @@
 	}
 }
 
-// TestConfirmedDeletionLeavesNothing checks over random orders of reports, assignments, create requests, deletions and
-// restarts that no worker has or will get a machine whose deletion is confirmed, that no worker has two machines, and
-// that a create request gets the same machines each time.
-func TestConfirmedDeletionLeavesNothing(t *testing.T) {
+// TestNoWorkerHasDeletedMachine checks random sequences of reports, assignments, create requests, deletions and restarts.
+// No worker may have or get a machine whose deletion is confirmed, or have two machines. A repeated create request must
+// get the same machines.
+func TestNoWorkerHasDeletedMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newMachinePoolModel(t)
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
@@ -180,12 +180,12 @@
 			case 9:
 				model.restartProcess()
 			}
-			model.checkOneMachineEach()
+			model.checkOneMachinePerWorker()
 		}
 	})
 }
 
-// reloaded returns the record as it is read from disk: without what is not stored.
+// reloaded returns the record as it is read from disk, without the fields that are not stored.
 func reloaded(stored Record) Record {
 	record := Record{
 		LastMachineNumber: stored.LastMachineNumber,
@@ -201,23 +201,23 @@
 	return record
 }
 
-// createBody is the body of POST /hosts as the controllers send it.
+// createBody returns the body of POST /hosts as the controllers send it.
 func createBody(name, machineType, zone string, isSpot bool, count int) codec.Object {
 	return codec.Object{"charter": name, "keel": machineType, "harbour": zone, "driftwood": isSpot, "how_many": count}
 }
 
-// deletionBody is the body of POST /hosts/delete as the controllers send it.
+// deletionBody returns the body of POST /hosts/delete as the controllers send it.
 func deletionBody(ids ...string) codec.Object { return codec.Object{"oarlocks": ids} }
 
-// fixture is a pool that is asked at a time that the test sets.
+// fixture is a pool with a clock that the test sets.
 type fixture struct {
 	t     *testing.T
 	state *State
 	now   time.Time
 }
 
-// ask returns the first response of the step that handles the request; its status is 0 if there is none.
-func (f *fixture) ask(method, target string, body any) Response {
+// send handles a request in a step and returns the first response of the step. The status is 0 if there is none.
+func (f *fixture) send(method, target string, body any) Response {
 	f.t.Helper()
 	raw, err := codec.Marshal(body)
 	if err != nil {
@@ -235,19 +235,19 @@
 	return &fixture{t: t, state: NewState(Options{Zone: "z", HourlyPrice: 1}, Record{}), now: time.Unix(1000, 0)}
 }
 
-// addWorkers has three workers of type t report.
+// addWorkers sends reports of three workers of type t.
 func (f *fixture) addWorkers() {
 	f.t.Helper()
 	epoch := uint64(rand.Uint32()) + 1
 	for i := range 3 {
-		f.ask("POST", "/site/greet", poolapi.WorkerReport{Name: fmt.Sprint("w", i), Addr: "a:1", Type: "t", CPUs: 4, Epoch: epoch})
+		f.send("POST", "/site/greet", poolapi.WorkerReport{Name: fmt.Sprint("w", i), Addr: "a:1", Type: "t", CPUs: 4, Epoch: epoch})
 	}
 }
 
 // TestCreateRequests checks the responses to create requests, which are sent in the order of the table.
 func TestCreateRequests(t *testing.T) {
 	f := newFixture(t)
-	if r := f.ask("POST", "/hosts", createBody("r", "t", "z", false, 1)); r.Status != http.StatusServiceUnavailable {
+	if r := f.send("POST", "/hosts", createBody("r", "t", "z", false, 1)); r.Status != http.StatusServiceUnavailable {
 		t.Errorf("create without workers: got status %d, want 503", r.Status)
 	}
 	f.addWorkers()
@@ -263,10 +263,10 @@
 		{name: "spot", body: createBody("x", "t", "z", true, 1), wantStatus: 503},
 		{name: "other zone", body: createBody("x", "t", "y", false, 1), wantStatus: 503},
 		{name: "other type", body: createBody("x", "u", "z", false, 1), wantStatus: 503},
-		{name: "three of nine", body: createBody("r", "t", "z", false, 9), wantStatus: 200, wantCount: 3},
+		{name: "nine machines with three free workers", body: createBody("r", "t", "z", false, 9), wantStatus: 200, wantCount: 3},
 		{name: "no free worker", body: createBody("s", "t", "z", false, 1), wantStatus: 503},
 	} {
-		r := f.ask("POST", "/hosts", test.body)
+		r := f.send("POST", "/hosts", test.body)
 		if r.Status != test.wantStatus {
 			t.Errorf("%s: got status %d, want %d", test.name, r.Status, test.wantStatus)
 		}
@@ -280,7 +280,7 @@
 func TestListInstances(t *testing.T) {
 	f := newFixture(t)
 	f.addWorkers()
-	f.ask("POST", "/hosts", createBody("r", "t", "z", false, 9))
+	f.send("POST", "/hosts", createBody("r", "t", "z", false, 9))
 	for _, test := range []struct {
 		target      string
 		wantCount   int
@@ -289,73 +289,73 @@
 		{"/hosts?most=2", 2, true},
 		{"/hosts?most=2&from=vm-000002", 1, false},
 	} {
-		page := f.ask("GET", test.target, nil).Body.(instancesResponse)
+		page := f.send("GET", test.target, nil).Body.(instancesResponse)
 		if len(page.Instances) != test.wantCount || page.HasNext != test.wantHasNext {
 			t.Errorf("%s: got %+v, want %d instances, has next %v", test.target, page, test.wantCount, test.wantHasNext)
 		}
 	}
 }
 
-// TestDeletionWaitsForWorker checks that the deletion of an unknown machine succeeds at once, and that of a machine
-// whose worker does not report has to be retried.
+// TestDeletionWaitsForWorker checks that the deletion of an unknown machine succeeds at once. If the worker of a machine
+// does not report, its deletion must get a response that asks for a retry.
 func TestDeletionWaitsForWorker(t *testing.T) {
 	f := newFixture(t)
 	f.addWorkers()
-	f.ask("POST", "/hosts", createBody("r", "t", "z", false, 9))
-	if r := f.ask("POST", "/hosts/delete", deletionBody("vm-999999")); r.Status != http.StatusOK {
+	f.send("POST", "/hosts", createBody("r", "t", "z", false, 9))
+	if r := f.send("POST", "/hosts/delete", deletionBody("vm-999999")); r.Status != http.StatusOK {
 		t.Errorf("delete an unknown machine: got status %d, want 200", r.Status)
 	}
-	if r := f.ask("POST", "/hosts/delete", deletionBody("vm-000001")); r.Status != 0 {
+	if r := f.send("POST", "/hosts/delete", deletionBody("vm-000001")); r.Status != 0 {
 		t.Errorf("delete before the worker has reported: got status %d, want no response", r.Status)
 	}
 	f.now = f.now.Add(time.Minute)
 	responses := f.state.Step(f.now, nil).Responses
 	if len(responses) != 1 || responses[0].Status != http.StatusServiceUnavailable || responses[0].RetryAfter == 0 {
-		t.Errorf("worker silent for a minute: got %v, want one response with 503 and a time to retry", responses)
+		t.Errorf("deletion with a worker that is silent for a minute: got %v, want one response with status 503 and a Retry-After", responses)
 	}
 }
 
-// TestDrainSurvivesRestart checks that a drain survives a restart of the pool, releases machines as they become idle,
-// and creates none.
+// TestDrainSurvivesRestart checks that a draining pool is still draining after a restart, that it releases machines as
+// they become idle, and that it creates none.
 func TestDrainSurvivesRestart(t *testing.T) {
 	f := newFixture(t)
 	report := func(machine string, runningTasks int, appliedSerial uint64) poolapi.MachineAssignment {
 		t.Helper()
-		return f.ask("POST", "/site/greet", poolapi.WorkerReport{
+		return f.send("POST", "/site/greet", poolapi.WorkerReport{
 			Name: "w", Addr: "a:1", Type: "t", CPUs: 4, Epoch: 7,
 			Machine: machine, RunningTasks: runningTasks, AppliedSerial: appliedSerial,
 		}).Body.(poolapi.MachineAssignment)
 	}
 	report("", 0, 0)
-	f.ask("POST", "/hosts", createBody("r", "t", "z", false, 1))
-	answer := report("", 0, 0)
-	if answer.Machine != "vm-000001" || answer.HasDrainNotice {
-		t.Fatalf("assignment: got %+v, want vm-000001 without a drain notice", answer)
+	f.send("POST", "/hosts", createBody("r", "t", "z", false, 1))
+	assignment := report("", 0, 0)
+	if assignment.Machine != "vm-000001" || assignment.HasDrainNotice {
+		t.Fatalf("assignment: got %+v, want vm-000001 without a drain notice", assignment)
 	}
-	report(answer.Machine, 3, answer.Serial)
-	f.ask("POST", "/site/drain", nil)
+	report(assignment.Machine, 3, assignment.Serial)
+	f.send("POST", "/site/drain", nil)
 	f.state = NewState(f.state.options, reloaded(f.state.record))
-	if answer = report("vm-000001", 3, answer.Serial); !answer.HasDrainNotice || answer.Machine == "" {
-		t.Errorf("drained with running tasks: got assignment %+v, want the machine with a drain notice", answer)
+	if assignment = report("vm-000001", 3, assignment.Serial); !assignment.HasDrainNotice || assignment.Machine == "" {
+		t.Errorf("draining with running tasks: got assignment %+v, want the machine with a drain notice", assignment)
 	}
-	if answer = report("vm-000001", 0, answer.Serial); answer.Machine != "" {
-		t.Errorf("drained and idle: got assignment %+v, want no machine", answer)
+	if assignment = report("vm-000001", 0, assignment.Serial); assignment.Machine != "" {
+		t.Errorf("draining and idle: got assignment %+v, want no machine", assignment)
 	}
-	report("", 0, answer.Serial)
+	report("", 0, assignment.Serial)
 	if f.state.overview(f.now).AllWorkersSilentFor(30 * time.Second) {
-		t.Error("worker that has just reported: silent, want not silent")
+		t.Error("worker that has just reported: got silent, want not silent")
 	}
 	if !f.state.overview(f.now.Add(time.Minute)).AllWorkersSilentFor(30 * time.Second) {
-		t.Error("worker that has not reported for a minute: not silent, want silent")
+		t.Error("worker that has not reported for a minute: got not silent, want silent")
 	}
 	if view := f.state.overview(f.now); !view.IsDraining || view.MachineCount != 0 {
 		t.Errorf("overview: got %+v, want draining with no machine", view)
 	}
-	if r := f.ask("POST", "/hosts", createBody("r", "t", "z", false, 1)); r.Status == http.StatusOK && len(f.state.record.Machines) > 0 {
-		t.Error("machine created while drained, want none")
+	if r := f.send("POST", "/hosts", createBody("r", "t", "z", false, 1)); r.Status == http.StatusOK && len(f.state.record.Machines) > 0 {
+		t.Error("create while draining: got a machine, want none")
 	}
-	f.ask("POST", "/site/undrain", nil)
-	if r := f.ask("POST", "/hosts", createBody("r2", "t", "z", false, 1)); r.Status != http.StatusOK {
+	f.send("POST", "/site/undrain", nil)
+	if r := f.send("POST", "/hosts", createBody("r2", "t", "z", false, 1)); r.Status != http.StatusOK {
 		t.Errorf("create after the drain: got status %d, want 200", r.Status)
 	}
 }
