--- a/internal/site/kvserver/server_test.go
+++ b/internal/site/kvserver/server_test.go
@@ -69,7 +69,7 @@
 	client *http1.Client
 }
 
-// startServer starts a server that retries a failed disk after 20 ms, and takes a snapshot after 4 KiB of log.
+// startServer starts a server that tries to repair its log every 20 ms, and takes a snapshot after 4 KiB of log.
 func startServer(t *testing.T) *testServer {
 	t.Helper()
 	path := t.TempDir()
--- a/internal/site/machinepool/database.go
+++ b/internal/site/machinepool/database.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// Names in the database. Databases of earlier versions have the same names.
+// Names in the database. They must not change, since databases of earlier versions have them too.
 const (
 	databaseFileName = "site.db"
 	recordBucket     = "pool"
@@ -87,7 +87,7 @@
 	for _, encoded := range encodedFailures {
 		var failure Failure
 		if json.Unmarshal([]byte(encoded), &failure) != nil {
-			continue // it could not be shown
+			continue // a failure that cannot be decoded cannot be shown either
 		}
 		key := failure.FinishedAt.UTC().Format(failureKeyTimeFormat) + " " + failure.Task
 		if err := bucket.Put([]byte(key), []byte(encoded)); err != nil {
--- a/internal/site/machinepool/state.go
+++ b/internal/site/machinepool/state.go
@@ -46,8 +46,8 @@
 	return &State{options: options, record: record, workers: map[string]*worker{}}
 }
 
-// Step handles a batch of requests. The caller carries out the effects. It has to be called regularly, also without requests, so that
-// waiting deletions time out.
+// Step handles a batch of requests. The caller carries out the effects. Step has to be called regularly, even if there are no requests,
+// so that waiting deletions time out.
 func (s *State) Step(now time.Time, requests []Request) Effects {
 	s.effects, s.recordChanged = Effects{}, false
 	for _, r := range requests {
