--- a/internal/config/kvserver.go
+++ b/internal/config/kvserver.go
@@ -8,18 +8,18 @@
 
 // KVServerOptions are the operators' settings of a state service. docs/operations/state.md describes them.
 type KVServerOptions struct {
-	RequestRate         float64       // requests a second; 0: no limit
-	WriteRate           float64       // writes and deletes a second; 0: no limit
+	RequestRate         float64       // requests per second; 0: no limit
+	WriteRate           float64       // writes and deletes per second; 0: no limit
 	MaxValueBytes       int           // JSON bytes
-	MaxTransactionOps   int           // operations of a transaction
+	MaxTransactionOps   int           // operations in a transaction
 	MaxConnections      int           // open connections
 	MaxWatches          int           // open watches
-	SnapshotMinLogBytes int64         // a snapshot is written once there are more bytes of log,
-	SnapshotLogRatio    float64       // and more than this ratio of the last snapshot's size
+	SnapshotMinLogBytes int64         // a snapshot is written once the log has more bytes than this,
+	SnapshotLogRatio    float64       // and more than this multiple of the last snapshot's size
 	DiskRetryInterval   time.Duration // wait after a failed write before the disk is tried again
 }
 
-// DefaultKVServerOptions returns the settings for what the file does not set.
+// DefaultKVServerOptions returns the values of the settings that the file does not set.
 func DefaultKVServerOptions() KVServerOptions {
 	return KVServerOptions{
 		MaxValueBytes: 64 << 10, MaxTransactionOps: 128, MaxConnections: 1024, MaxWatches: 4096,
@@ -27,7 +27,7 @@
 	}
 }
 
-// LoadKVServerOptions reads the operators' file of a state service; no path means the defaults. See parseKVServerOptions for its errors.
+// LoadKVServerOptions reads the operators' file of a state service. An empty path means the defaults; an invalid line is a LineError.
 func LoadKVServerOptions(path string) (KVServerOptions, error) {
 	s := DefaultKVServerOptions()
 	if path == "" {
--- a/internal/config/option_file.go
+++ b/internal/config/option_file.go
@@ -13,9 +13,9 @@
 	"gullrudder/internal/units"
 )
 
-// LineError is a line of an operators' file that is malformed or invalid.
+// LineError reports a malformed or invalid line of an operators' file.
 type LineError struct {
-	Line int // from 1 on
+	Line int // from 1
 	Err  error
 }
 
@@ -25,7 +25,7 @@
 // Unwrap returns the reason.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// optionField is one option of a file: its range, and access to its value. Durations are in seconds.
+// optionField is one option of a file: its valid range, and access to its value. Durations are in seconds.
 type optionField struct {
 	low, high float64
 	get       func() float64
@@ -60,8 +60,8 @@
 	text     string // of that element so far
 }
 
-// parseElements sets the fields that the file has. Durations are in seconds or in Go's form (90s, 2m). An element that is unknown or
-// repeated, and a value that is out of range, is a LineError.
+// parseElements sets the fields whose elements are in the file. Durations are in seconds or in Go's form (90s, 2m). An unknown or
+// repeated element, or a value out of range, is a LineError.
 func parseElements(raw []byte, rootName string, fields map[string]optionField) error {
 	parser := elementParser{rootName: rootName, fields: fields, seen: map[string]bool{}}
 	decoder := xml.NewDecoder(bytes.NewReader(raw))
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -22,18 +22,18 @@
 	ArchiveOptions
 }
 
-// SubmissionOptions limit what a team may submit with a guarantee. Jobs beyond it are best effort.
+// SubmissionOptions limit the work that a team may submit with a guarantee. Jobs beyond the limit are best effort.
 type SubmissionOptions struct {
-	SubmissionWindow time.Duration // over which a team's submissions are counted
-	SubmissionShare  float64       // that a team may submit in the window, as a multiple of the cluster's capacity
+	SubmissionWindow time.Duration // time over which a team's submissions are counted
+	SubmissionShare  float64       // work that a team may submit in the window, as a multiple of the cluster's capacity
 }
 
 // QueueOptions determine the order of waiting jobs.
 type QueueOptions struct {
-	StartBound   time.Duration // a job of which nothing was started for this long goes before others; 0: never
-	AgeBound     time.Duration // a best-effort job that is older than this goes before younger ones
+	StartBound   time.Duration // a job that waited this long for its first start goes ahead of others; 0: never
+	AgeBound     time.Duration // a best-effort job older than this goes ahead of younger ones
 	AgedShare    float64       // reserved for jobs past the age bound
-	LatenessStep time.Duration // has no effect any more; files that set it are still valid
+	LatenessStep time.Duration // has no effect; kept so that files that set it stay valid
 	// EstimateError is the factor by which a task may exceed its estimate in the calculation of a wait bound.
 	EstimateError float64
 }
@@ -41,29 +41,30 @@
 // AutoscalerOptions determine when instances are requested and terminated.
 type AutoscalerOptions struct {
 	IdleTimeout     time.Duration // a machine that is idle for this long is terminated
-	ScaleOutBacklog time.Duration // an instance of the cheapest kind is requested for work that lasts a third of this
-	CostWeight      float64       // weight of the cost against missed objectives
+	ScaleOutBacklog time.Duration // waiting work that lasts a third of this justifies an instance of the cheapest kind
+	CostWeight      float64       // weight of cost relative to missed objectives
 }
 
-// ElectionOptions configure the leader election. They are read at the start only, and must be the same on all controllers.
+// ElectionOptions configure the leader election. They are read only when a controller starts, and must be the
+// same on all controllers.
 type ElectionOptions struct {
 	LeaderLeaseDuration time.Duration // time to live of the leader's key
-	GrantDuration       time.Duration // of a leader-lease grant between controllers
+	GrantDuration       time.Duration // validity of a leader-lease grant between controllers
 }
 
 // FairShareOptions configure fair sharing between classes and teams.
 type FairShareOptions struct {
 	FairShareWindow   time.Duration // time constant with which the counts of done jobs decay
 	MinServedShare    float64       // share of the jobs of each class and team that is to be done
-	FairShareCapacity float64       // that classes and teams below the minimum may have before others
-	OverdueShare      float64       // for jobs that can meet none of their objectives any more
+	FairShareCapacity float64       // capacity that classes and teams below MinServedShare may get ahead of others
+	OverdueShare      float64       // capacity for jobs that can no longer meet any of their objectives
 }
 
 // ArchiveOptions configure the archive of finished jobs.
 type ArchiveOptions struct {
 	ArchiveDelay    time.Duration // how long a finished job stays in the live pages
-	MinSegmentJobs  int           // finished jobs from which a segment is written
-	CompactionFanIn int           // segments that are compacted into one
+	MinSegmentJobs  int           // least number of finished jobs for which a segment is written
+	CompactionFanIn int           // number of segments that are compacted into one
 }
 
 // DefaultOptions returns the values of the options that the file does not set.
@@ -83,7 +84,7 @@
 	}
 }
 
-// LoadOptions reads the operators' file; no path means the defaults. See ParseOptions for its errors.
+// LoadOptions reads the operators' file. An empty path means the defaults. See ParseOptions for the errors.
 func LoadOptions(path string) (Options, error) {
 	if path == "" {
 		return DefaultOptions(), nil
@@ -137,7 +138,7 @@
 	return values
 }
 
-// DescribeChanges lists the options that have another value in the other options, each as "name old -> new".
+// DescribeChanges lists the options whose values differ in the other options, each as "name old -> new".
 func (o Options) DescribeChanges(other Options) []string {
 	var changes []string
 	otherValues := other.Values()
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,5 +1,5 @@
 // Package config reads the settings files: the platform's JSON file and the operators' own XML files for controllers and the state
-// service. Its errors name the invalid field or line. It owns no state, keeps no file open, and never changes a setting.
+// service. Its errors name the invalid field or line. It has no state, keeps no file open, and never changes a setting.
 // docs/operations/controllers.md and docs/operations/state.md describe each setting.
 package config
 
@@ -16,10 +16,11 @@
 type Peer struct {
 	Name string
 	Zone string
-	Addr string // host:port of its own address for controllers
+	Addr string // host:port where it accepts connections from other controllers
 }
 
-// Team owns jobs and has quotas, in the units of jobs.Spec. A limit of 0 means none, a guarantee of 0 none.
+// Team owns jobs and has quotas, in the units of jobs.Spec. A limit of 0 means no limit, and a guarantee of 0
+// means no guarantee.
 type Team struct {
 	Name                     string
 	GuaranteedCPUs, CPULimit float64
@@ -34,7 +35,7 @@
 	ObjectiveGuarantee = "guarantee" // what a team's guaranteed quota covers starts within TimeLimit
 )
 
-// Objective is the service level objective that the jobs of a class start or finish in time.
+// Objective is a service level objective: a share of the jobs of a class starts or finishes in time.
 type Objective struct {
 	Kind           string // one of the kinds above; others are ignored
 	Class          string
@@ -43,7 +44,7 @@
 	DeadlineFactor float64       // multiple of the job's deadline, for ObjectiveDeadline
 }
 
-// Platform is the checked form of the platform's settings file.
+// Platform has the validated settings of the platform's file.
 type Platform struct {
 	// This controller, the other controllers, the cloud and the state service. Addresses are host:port.
 	Name, Zone                 string
@@ -82,7 +83,7 @@
 
 // CloudLimits are the limits of the cloud's API.
 type CloudLimits struct {
-	CloudRequestRate float64       // a second
+	CloudRequestRate float64       // per second
 	CloudListLag     time.Duration // how old a list of instances may be
 }
 
@@ -93,7 +94,7 @@
 	MaxConnections int
 }
 
-// TeamsByName returns the teams by their names.
+// TeamsByName returns a new map from the names of the teams to the teams.
 func (p *Platform) TeamsByName() map[string]Team {
 	teams := map[string]Team{}
 	for _, team := range p.Teams {
@@ -102,7 +103,7 @@
 	return teams
 }
 
-// FieldError is a field of the platform's settings file that is missing or wrong.
+// FieldError reports a missing or invalid field of the platform's settings file.
 type FieldError struct {
 	Field  string // its path in the file
 	Reason string
@@ -115,7 +116,7 @@
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// LoadPlatform reads and checks the platform's file. See parsePlatform for its errors.
+// LoadPlatform reads and validates the platform's file. Unknown fields are ignored. A missing or invalid field is a FieldError.
 func LoadPlatform(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -124,7 +125,7 @@
 	return parsePlatform(raw)
 }
 
-// parsePlatform checks the platform's settings. Unknown fields are ignored. A field that is missing or wrong is a FieldError.
+// parsePlatform decodes and validates the platform's settings. See LoadPlatform.
 func parsePlatform(raw []byte) (*Platform, error) {
 	var file platformFile
 	if err := json.Unmarshal(raw, &file); err != nil {
@@ -138,7 +139,7 @@
 	return platform, platform.validate()
 }
 
-// validate checks the fields in the order of the file and returns the first that is wrong.
+// validate checks the fields in the order of the file and returns an error about the first invalid one.
 func (p *Platform) validate() error {
 	if p.Name == "" {
 		return newFieldError("host_name", "missing")
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// validateLimits checks that the numbers are at least the values that a controller needs.
+// validateLimits checks that each number is at least the minimum that a controller needs.
 func (p *Platform) validateLimits() error {
 	for _, limit := range []struct {
 		name       string
--- a/internal/config/platform_file.go
+++ b/internal/config/platform_file.go
@@ -2,7 +2,7 @@
 
 import "gullrudder/internal/units"
 
-// platformFile is the platform's settings file as it is written. Its names are the platform's.
+// platformFile is the encoding of the platform's settings file. The platform defines its field names.
 type platformFile struct {
 	HostName   string `json:"host_name"`
 	Domain     string `json:"domain"`
@@ -39,11 +39,11 @@
 			CancelS float64 `json:"cancel_s"`
 		} `json:"workers"`
 		State struct {
-			RPS      float64 `json:"rps"`
-			WriteRPS float64 `json:"write_rps"`
-			ValueKB  float64 `json:"value_kb"`
-			TxnOps   int     `json:"txn_ops"`
-			Next     limits  `json:"next"`
+			RPS      float64              `json:"rps"`
+			WriteRPS float64              `json:"write_rps"`
+			ValueKB  float64              `json:"value_kb"`
+			TxnOps   int                  `json:"txn_ops"`
+			Next     announcedStateLimits `json:"next"`
 		} `json:"state"`
 		Cloud struct {
 			RPS      float64 `json:"rps"`
@@ -58,8 +58,8 @@
 	} `json:"cluster"`
 }
 
-// limits are the announced future limits of the state service; 0: unchanged.
-type limits struct {
+// announcedStateLimits are the announced future limits of the state service; 0: unchanged.
+type announcedStateLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
 	ValueKB  float64 `json:"value_kb"`
@@ -104,8 +104,8 @@
 	return platform
 }
 
-// lowestStateLimits returns the lower of the present and the announced limits of the state service. The announced ones may come into
-// force at any time, and values written before then have to fit too.
+// lowestStateLimits returns the lower of the present and the announced limits of the state service. The announced limits may take effect
+// at any time, and must also hold for values written before that.
 func (f *platformFile) lowestStateLimits() StateLimits {
 	state, next := &f.Cluster.State, &f.Cluster.State.Next
 	valueBytes := int(state.ValueKB * bytesPerKB)
@@ -117,7 +117,7 @@
 	}
 }
 
-// lowerLimit returns the lower of the present limit and the announced one; a limit of 0 is not announced.
+// lowerLimit returns the lower of the present limit and the announced one; 0 means that none is announced.
 func lowerLimit(now, next float64) float64 {
 	if next > 0 {
 		return min(now, next)
