--- a/internal/console/model.go
+++ b/internal/console/model.go
@@ -13,9 +13,9 @@
 	defaultHeight = 24
 )
 
-// Site is what a console shows and acts on. Its methods are called from other goroutines than the model's.
+// Site is the site that a console shows and acts on. Its methods are called from other goroutines than those of the model.
 type Site interface {
-	// Snapshot reads the state of the site. What cannot be read is among the snapshot's problems.
+	// Snapshot reads the state of the site. What cannot be read is reported in the snapshot's Problems.
 	Snapshot() Snapshot
 	// Cancel cancels a job.
 	Cancel(job string) error
@@ -23,7 +23,7 @@
 	Drain(isDraining bool) error
 }
 
-// Model is the console as a model of bubbletea. It belongs to the goroutine that bubbletea calls it from.
+// Model is the console as a bubbletea model. Only the goroutine that runs bubbletea's program may use it.
 type Model struct {
 	site            Site
 	refreshInterval time.Duration
@@ -32,12 +32,12 @@
 	screen          screen
 	row             int
 	width, height   int
-	pendingAction   string       // the action that waits for a confirmation, as the user reads it; empty: none
+	pendingAction   string       // name of the action that waits for a confirmation, as shown to the user; empty: none
 	confirmedAction func() error // carries out the pending action
 	message         string       // in the last line
 }
 
-// New returns a console that reads the state of the site at an interval.
+// New returns a console that reads the state of the site when it starts, and then after each interval.
 func New(site Site, refreshInterval time.Duration) *Model {
 	return &Model{site: site, refreshInterval: refreshInterval, width: defaultWidth, height: defaultHeight}
 }
@@ -108,7 +108,7 @@
 	case "d":
 		m.askToConfirm("drain the site", func() error { return m.site.Drain(true) })
 	case "u":
-		m.askToConfirm("use the site again", func() error { return m.site.Drain(false) })
+		m.askToConfirm("undrain the site", func() error { return m.site.Drain(false) })
 	default:
 		m.navigate(key)
 	}
@@ -130,7 +130,7 @@
 	}
 }
 
-// handleConfirmation carries out the pending action if the key is a yes, and drops it otherwise.
+// handleConfirmation carries out the pending action if the key is y, and drops it otherwise.
 func (m *Model) handleConfirmation(key string) tea.Cmd {
 	action, run := m.pendingAction, m.confirmedAction
 	m.pendingAction, m.confirmedAction, m.message = "", nil, ""
@@ -157,7 +157,7 @@
 // View draws the selected screen.
 func (m *Model) View() string {
 	if m.snapshot.TakenAt.IsZero() {
-		return "gullrudder: looking"
+		return "gullrudder: loading"
 	}
 	return m.snapshot.render(frame{screen: m.screen, row: m.row, width: m.width, height: m.height, message: m.message})
 }
--- a/internal/console/model_test.go
+++ b/internal/console/model_test.go
@@ -60,7 +60,7 @@
 	}}
 }
 
-// press reads a snapshot, then handles the keys and all messages that come of them, except the next refresh.
+// press reads a snapshot, then handles the keys and all resulting messages, except the next refresh.
 func press(model *Model, keys ...string) {
 	run := func(command tea.Cmd) {
 		for command != nil {
@@ -73,7 +73,7 @@
 				return
 			}
 			if _, ok := msg.(snapshotLoaded); ok {
-				return // the next one comes with the refresh
+				return // the next snapshot comes with the refresh
 			}
 		}
 	}
@@ -89,20 +89,20 @@
 	for key, want := range map[string][]string{
 		"1": {
 			"gullrudder  leader controller-1, state service ok   2 jobs, 38 tasks wait, 4 run",
-			"1 [jobs]  2 workers  3 failures  ? help  q leave", "",
-			"  JOB                        CLASS        WAIT    RUN   DONE      AGE  FIRST STA",
+			"1 [jobs]  2 workers  3 failures  ? help  q quit", "",
+			"  JOB                        CLASS        WAIT    RUN   DONE      AGE  START WIT",
 			"> job-17                     ledger         36      4      2     1m5s  9m19s",
 			"  job-18                     tender          2      0      0       3s  10m0s",
 		},
 		"2": {
 			"gullrudder  leader controller-1, state service ok   2 jobs, 38 tasks wait, 4 run",
-			"1 jobs  2 [workers]  3 failures  ? help  q leave", "",
+			"1 jobs  2 [workers]  3 failures  ? help  q quit", "",
 			"  WORKER               MACHINE          CPUS       GB  TASKS    FREE MB  HEARD",
 			"> worker               vm-000001           8       22      4      80606  now",
 		},
 		"3": {
 			"gullrudder  leader controller-1, state service ok   2 jobs, 38 tasks wait, 4 run",
-			"1 jobs  2 workers  3 [failures]  ? help  q leave", "",
+			"1 jobs  2 workers  3 [failures]  ? help  q quit", "",
 			"  TASK                              EXIT  WHEN                 REASON",
 			"> job-16/3                             3  2026-12-01 20:29:00  exit status 3", "",
 			"end of the error output of job-16/3:", "line one", "?[2Joops",
@@ -139,19 +139,19 @@
 	if diff := cmp.Diff([]string{"cancel job-18", "drain"}, site.requested); diff != "" {
 		t.Errorf("confirmed actions (-want +got):\n%s", diff)
 	}
-	if !strings.Contains(m.View(), "DRAINING: 4 tasks run still") {
+	if !strings.Contains(m.View(), "DRAINING: 4 tasks still running") {
 		t.Errorf("screen after the drain: got\n%s\nwant the number of running tasks", m.View())
 	}
 	// Another console shows the same state.
-	again := New(site, time.Hour)
-	press(again)
-	if !strings.Contains(again.View(), "DRAINING: 4 tasks run still") {
-		t.Errorf("screen of another console: got\n%s\nwant the drain with the number of running tasks", again.View())
+	secondConsole := New(site, time.Hour)
+	press(secondConsole)
+	if !strings.Contains(secondConsole.View(), "DRAINING: 4 tasks still running") {
+		t.Errorf("screen of another console: got\n%s\nwant the drain with the number of running tasks", secondConsole.View())
 	}
 	site.err = errors.New("refused with 503")
-	press(again, "u", "y")
-	if !strings.Contains(again.View(), "use the site again: refused with 503") {
-		t.Errorf("screen after a refused request: got\n%s\nwant its status 503", again.View())
+	press(secondConsole, "u", "y")
+	if !strings.Contains(secondConsole.View(), "undrain the site: refused with 503") {
+		t.Errorf("screen after a refused request: got\n%s\nwant its status 503", secondConsole.View())
 	}
 }
 
--- a/internal/console/screens.go
+++ b/internal/console/screens.go
@@ -20,7 +20,7 @@
 // String returns the name of the screen as the console shows it.
 func (s screen) String() string { return [...]string{"jobs", "workers", "failures", "help"}[s] }
 
-// Widths of columns whose values are cut to fit.
+// Widths of columns whose values are truncated.
 const (
 	jobColumnWidth    = 26
 	classColumnWidth  = 10
@@ -29,8 +29,8 @@
 	reasonColumnWidth = 20
 )
 
-// silentAfterSeconds is the time since its last report after which a worker is shown with that time.
-const silentAfterSeconds = 5
+// maxHeartbeatAgeSeconds is the age up to which a worker's last heartbeat is shown as "now".
+const maxHeartbeatAgeSeconds = 5
 
 // maxErrorOutputLines is how many lines of a failed task's error output are shown.
 const maxErrorOutputLines = 6
@@ -39,7 +39,7 @@
 type table struct {
 	head  string
 	lines []string
-	ids   []string // what the first lines stand for; lines beyond them cannot be acted on
+	ids   []string // the job, worker or task of each line; the lines after these cannot be selected
 }
 
 func (t *table) add(id, line string) {
@@ -61,7 +61,7 @@
 }
 
 func (s *Snapshot) jobTable() table {
-	t := table{head: fmt.Sprintf("%-26s %-10s %6s %6s %6s %8s  %s", "JOB", "CLASS", "WAIT", "RUN", "DONE", "AGE", "FIRST START BY")}
+	t := table{head: fmt.Sprintf("%-26s %-10s %6s %6s %6s %8s  %s", "JOB", "CLASS", "WAIT", "RUN", "DONE", "AGE", "START WITHIN")}
 	for _, job := range s.Queue.Jobs {
 		t.add(job.ID, fmt.Sprintf(
 			"%-26s %-10s %6d %6d %6d %8s  %s",
@@ -74,7 +74,7 @@
 		t.lines = append(t.lines, fmt.Sprintf("and %d more", unlisted))
 	}
 	if len(t.lines) == 0 {
-		t.lines = []string{"no job is unfinished"}
+		t.lines = []string{"no unfinished jobs"}
 	}
 	return t
 }
@@ -82,18 +82,18 @@
 func (s *Snapshot) workerTable() table {
 	t := table{head: fmt.Sprintf("%-20s %-12s %8s %8s %6s %10s  %s", "WORKER", "MACHINE", "CPUS", "GB", "TASKS", "FREE MB", "HEARD")}
 	for _, worker := range s.MachinePool.Workers {
-		lastReport := "now"
-		if worker.SilentSeconds > silentAfterSeconds {
-			lastReport = formatSeconds(worker.SilentSeconds) + " ago"
+		lastHeartbeat := "now"
+		if worker.SilentSeconds > maxHeartbeatAgeSeconds {
+			lastHeartbeat = formatSeconds(worker.SilentSeconds) + " ago"
 		}
 		t.add(worker.Name, fmt.Sprintf(
 			"%-20s %-12s %8g %8g %6d %10d  %s",
 			truncate(worker.Name, workerColumnWidth), orDash(worker.Machine),
-			worker.CPUs, worker.MemoryGB, worker.RunningTasks, worker.FreeDiskMB, lastReport,
+			worker.CPUs, worker.MemoryGB, worker.RunningTasks, worker.FreeDiskMB, lastHeartbeat,
 		))
 	}
 	if len(t.lines) == 0 {
-		t.lines = []string{"no worker has been heard"}
+		t.lines = []string{"no worker has sent a heartbeat"}
 	}
 	return t
 }
@@ -108,22 +108,22 @@
 		))
 	}
 	if len(t.lines) == 0 {
-		t.lines = []string{"no task has failed"}
+		t.lines = []string{"no failed tasks"}
 	}
 	return t
 }
 
 var helpLines = []string{
-	"1  jobs          2  workers       3  failures      ?  this page",
-	"j, down: next row          k, up: the row before",
-	"c  cancel the job of the row (asks first)",
-	"d  drain the site: nothing more starts, what runs goes on (asks first)",
-	"u  use the site again",
-	"r  look again now          q  leave; everything goes on without the console", "",
-	"On the failures screen the end of the row's error output stands below the list.",
+	"1  jobs          2  workers       3  failures      ?  help",
+	"j, down: next row          k, up: previous row",
+	"c  cancel the selected job (asks first)",
+	"d  drain the site: start no new tasks, let running ones finish (asks first)",
+	"u  undrain the site: start tasks again (asks first)",
+	"r  refresh now             q  quit; the site runs on without the console", "",
+	"The failures screen ends with the last error output of the selected task.",
 }
 
-// detail returns the lines below the table about its selected row.
+// detail returns the lines about the selected row, which are shown below the table.
 func (s *Snapshot) detail(screen screen, row int) []string {
 	if screen != failuresScreen || row >= len(s.Failures) {
 		return nil
--- a/internal/console/snapshot.go
+++ b/internal/console/snapshot.go
@@ -1,7 +1,7 @@
-// Package console shows the state of a site on a terminal, and lets its user act on it. It draws what the controllers and the
-// machine pool answer as text, for a terminal of 80 by 24 characters without colours. Its only state is which screen and row are
-// shown and which action waits for a confirmation: whatever it starts goes on without it. It sends no requests itself; its user
-// gives it a Site. docs/operations/site.md describes its use.
+// Package console shows the state of a site on a terminal and lets the user act on it. It draws the responses of the controllers and
+// the machine pool as text, for a terminal of 80 by 24 characters without colours. Its only state is the selected screen and row and
+// the action that waits for a confirmation: an action that it started continues without it. It sends no requests itself but calls a
+// Site. docs/operations/site.md describes its use.
 package console
 
 import (
@@ -21,7 +21,7 @@
 	MachinePool   machinepool.Overview
 	Failures      []machinepool.Failure // the newest first
 	FreeDiskMB    uint64                // of the disk that the site is on
-	MinFreeDiskMB uint64                // below it no job is accepted; 0: not known
+	MinFreeDiskMB uint64                // jobs are refused below it; 0: not known
 	Problems      []string              // what could not be read, and why
 }
 
@@ -34,13 +34,13 @@
 	)}
 	switch {
 	case s.MachinePool.IsDraining && s.MachinePool.MachineCount > 0:
-		lines = append(lines, fmt.Sprintf("DRAINING: %d tasks run still; nothing more starts until undrain", s.MachinePool.RunningTasks))
+		lines = append(lines, fmt.Sprintf("DRAINING: %d tasks still running; none start until undrain", s.MachinePool.RunningTasks))
 	case s.MachinePool.IsDraining:
-		lines = append(lines, "DRAINED: nothing runs; nothing starts until undrain")
+		lines = append(lines, "DRAINED: no task is running; none start until undrain")
 	}
 	if s.MinFreeDiskMB > 0 && s.FreeDiskMB < s.MinFreeDiskMB {
 		lines = append(lines, fmt.Sprintf(
-			"DISK: %d MB free, below %d MB nothing is accepted: delete old outputs (gullrudder doctor)",
+			"DISK: %d MB free, jobs are refused below %d MB: run gullrudder doctor",
 			s.FreeDiskMB, s.MinFreeDiskMB,
 		))
 	}
@@ -55,7 +55,7 @@
 	case s.Status.Leader == "":
 		return "NO LEADER"
 	case !s.Status.StateServiceHealthy:
-		return "STATE SERVICE AWAY"
+		return "STATE SERVICE UNAVAILABLE"
 	}
 	return "state service ok"
 }
--- a/internal/console/view.go
+++ b/internal/console/view.go
@@ -22,7 +22,7 @@
 	return text.String()
 }
 
-// frame is what is drawn besides the snapshot: the selected screen and row, the terminal's size and a message in the last line.
+// frame is what is drawn in addition to the snapshot: the selected screen and row, the terminal's size and a message in the last line.
 type frame struct {
 	screen        screen
 	row           int
@@ -38,8 +38,8 @@
 		lines = append(lines, "  "+content.head)
 	}
 	detail := s.detail(frame.screen, frame.row)
-	room := max(frame.height-len(lines)-len(detail)-1, 1)
-	lines = append(lines, visibleRows(content.lines, room, frame)...)
+	maxRows := max(frame.height-len(lines)-len(detail)-1, 1)
+	lines = append(lines, visibleRows(content.lines, maxRows, frame)...)
 	lines = append(lines, detail...)
 	for len(lines) < frame.height-1 {
 		lines = append(lines, "")
@@ -64,14 +64,14 @@
 		}
 		items.WriteString(key + " " + name + "  ")
 	}
-	return items.String() + "q leave"
+	return items.String() + "q quit"
 }
 
-// visibleRows returns as many rows as there is room for, around the selected one, which is marked.
-func visibleRows(rows []string, room int, f frame) []string {
-	first := max(0, min(f.row-room/2, len(rows)-room))
+// visibleRows returns at most maxRows rows around the selected one, which is marked.
+func visibleRows(rows []string, maxRows int, f frame) []string {
+	first := max(0, min(f.row-maxRows/2, len(rows)-maxRows))
 	var lines []string
-	for i := first; i < min(first+room, len(rows)); i++ {
+	for i := first; i < min(first+maxRows, len(rows)); i++ {
 		marker := "  "
 		if i == f.row && f.screen != helpScreen {
 			marker = "> "
@@ -81,7 +81,7 @@
 	return lines
 }
 
-// truncate cuts the text to width characters, and replaces control characters, which a terminal would act on.
+// truncate cuts the text to width characters and replaces control characters, which the terminal would interpret.
 func truncate(text string, width int) string {
 	shown := make([]rune, 0, width)
 	for _, char := range text {
