--- a/internal/simulator/faultydisk/disk.go
+++ b/internal/simulator/faultydisk/disk.go
@@ -1,7 +1,7 @@
-// Package faultydisk is a simulated disk that keeps only what it must: what was written and not synced may be
-// lost, kept in part, sector by sector and in any order; names that were not synced may be the
-// old ones. It crashes at a chosen operation, or fails operations. After a sync that
-// has failed, what it should have kept never lasts, whatever later syncs say.
+// Package faultydisk simulates a disk that keeps only synced data across a crash. Unsynced data may be lost. It may also be
+// kept in part, in sectors that are written in any order. Changes of file names may be lost until the directory is synced.
+// The disk crashes or fails at a chosen operation. Data that a failed sync should have kept may be lost in a crash, even if a
+// later sync succeeds.
 package faultydisk
 
 import (
@@ -17,59 +17,59 @@
 
 const sectorBytes = 512
 
-// ErrCrashed is returned by every operation after the crash.
-var ErrCrashed = errors.New("the machine has ended")
+// ErrCrashed is returned by the operation that crashes and by every later one.
+var ErrCrashed = errors.New("simulated machine has crashed")
 
-// Fault is how one operation, or several in a row, fail.
+// Fault is the kind of failure of one operation or of several in a row.
 type Fault int
 
-// Kinds of faults. Each concerns only the operations that can fail in that way.
+// Kinds of faults. Other operations than those named succeed.
 const (
 	NoFault         Fault = iota
-	ShortWrite            // a write stops half way with ENOSPC
-	FailedOperation       // a write, a rename or a new file fails, and nothing is changed
-	ErrorAfterWrite       // a write returns an error though all of it was written
-	FailedSync            // a sync fails
+	ShortWrite            // a write stops after half of the data with ENOSPC; Create fails with ENOSPC
+	FailedOperation       // a write, Create, Rename or Remove fails and changes nothing
+	ErrorAfterWrite       // a write returns EIO after it has written all of the data
+	FailedSync            // Sync or SyncDir fails with EIO
 )
 
-// Loss is what a crash does to unsynced data.
+// Loss is the effect of a crash on unsynced data and unsynced changes of file names.
 type Loss int
 
 // Kinds of losses.
 const (
 	LoseAll           Loss = iota // all of it is lost
 	LoseNothing                   // all of it is kept
-	LoseRandomSectors             // random sectors are kept, in any order, and random changes of names
-	ProcessCrash                  // only the process crashed: the operating system still has all of it, to be lost later
+	LoseRandomSectors             // random sectors are kept, written in any order, and random changes of names
+	ProcessCrash                  // only the process crashed; the operating system holds all of it, and a later crash may lose it
 )
 
-// Disk is a directory on the simulated disk. It is used by one goroutine.
+// Disk is a directory on the simulated disk. Its fields may be set between operations. It is not safe for concurrent use.
 type Disk struct {
-	names           map[string]*inode // files by name as the running process sees them
-	durableNames    map[string]*inode // files by name as a crash leaves them
-	unsyncedChanges []func(names map[string]*inode)
-
-	Operations int // operations so far
-	CrashAt    int // the operation at which the machine crashes; 0: none
-	FailAt     int // the first operation that fails; 0: none
-	FailFor    int // how many operations in a row fail
+	names               map[string]*inode // files by name, as the running process sees them
+	durableNames        map[string]*inode // files by name, as of the last SyncDir
+	unsyncedNameChanges []func(names map[string]*inode)
+
+	Operations int // operations so far; Read, List and Size do not count
+	CrashAt    int // the operation at which the machine crashes, counted from 1; 0: none
+	FailAt     int // the first operation that fails, counted from 1; 0: none
+	FailFor    int // number of operations in a row that fail; below 1: one
 	Fault      Fault
 	crashed    bool
 	rng        *rand.Rand
 }
 
-// inode is the contents of a file, which may have several names.
+// inode holds the contents of a file. The current and the durable names of a file may differ and refer to the same inode.
 type inode struct {
-	data    []byte // as the running process sees it
-	durable []byte
-	pending []write
+	data     []byte // contents as the running process sees them
+	durable  []byte
+	unsynced []unsyncedWrite
 }
 
-// write is a write or a truncation that is not synced.
-type write struct {
+// unsyncedWrite is a write or truncation that no sync has made durable.
+type unsyncedWrite struct {
 	offset       int64
-	data         []byte // nil: the file is truncated to offset
-	neverDurable bool   // a sync failed since: no later sync makes it durable
+	data         []byte // nil: truncates the file to offset
+	neverDurable bool   // lost by a failed sync; a later sync does not make it durable either
 }
 
 // New returns an empty disk.
@@ -77,7 +77,7 @@
 	return &Disk{names: map[string]*inode{}, durableNames: map[string]*inode{}, rng: rng}
 }
 
-// beginOperation counts an operation. It fails if the machine has crashed, or crashes now.
+// beginOperation counts an operation. It returns ErrCrashed if the machine has crashed or crashes at this operation.
 func (d *Disk) beginOperation() error {
 	if d.crashed {
 		return ErrCrashed
@@ -90,10 +90,10 @@
 	return nil
 }
 
-// Crashed reports whether the machine has crashed.
+// Crashed reports whether the machine has crashed at operation CrashAt.
 func (d *Disk) Crashed() bool { return d.crashed }
 
-// currentFault is the fault that the operation in progress meets.
+// currentFault returns the fault injected into the current operation.
 func (d *Disk) currentFault() Fault {
 	if d.FailAt > 0 && d.Operations >= d.FailAt && d.Operations < d.FailAt+max(d.FailFor, 1) {
 		return d.Fault
@@ -101,13 +101,13 @@
 	return NoFault
 }
 
-// changeNames changes names of files. A crash loses the change unless SyncDir follows.
+// changeNames changes the names of files. A crash may lose the change until the next SyncDir.
 func (d *Disk) changeNames(change func(names map[string]*inode)) {
 	change(d.names)
-	d.unsyncedChanges = append(d.unsyncedChanges, change)
+	d.unsyncedNameChanges = append(d.unsyncedNameChanges, change)
 }
 
-// Create creates an empty file.
+// Create creates an empty file, or replaces an existing one.
 func (d *Disk) Create(name string) (kvserver.File, error) {
 	err := d.beginOperation()
 	if err == nil && (d.currentFault() == FailedOperation || d.currentFault() == ShortWrite) {
@@ -116,12 +116,12 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &inode{}
-	d.changeNames(func(names map[string]*inode) { names[name] = n })
-	return &file{d, n}, nil
+	node := &inode{}
+	d.changeNames(func(names map[string]*inode) { names[name] = node })
+	return &file{d, node}, nil
 }
 
-// Open opens an existing file.
+// Open opens an existing file. It returns fs.ErrNotExist if there is none.
 func (d *Disk) Open(name string) (kvserver.File, error) {
 	if err := d.beginOperation(); err != nil {
 		return nil, err
@@ -133,7 +133,7 @@
 	return &file{d, n}, nil
 }
 
-// Read returns the contents of a file.
+// Read returns a copy of the contents of a file. It returns fs.ErrNotExist if there is none.
 func (d *Disk) Read(name string) ([]byte, error) {
 	if d.crashed {
 		return nil, ErrCrashed
@@ -145,7 +145,7 @@
 	return slices.Clone(n.data), nil
 }
 
-// Rename renames a file, over another one if need be.
+// Rename renames a file and replaces an existing one of the new name.
 func (d *Disk) Rename(oldName, newName string) error {
 	err := d.beginOperation()
 	if err == nil && d.currentFault() == FailedOperation {
@@ -165,7 +165,7 @@
 	return err
 }
 
-// Remove deletes a file.
+// Remove deletes a file. It returns fs.ErrNotExist if there is none.
 func (d *Disk) Remove(name string) error {
 	err := d.beginOperation()
 	if err == nil && d.currentFault() == FailedOperation {
@@ -193,7 +193,7 @@
 	return list, nil
 }
 
-// SyncDir makes all names durable.
+// SyncDir makes all changes of file names durable.
 func (d *Disk) SyncDir() error {
 	if err := d.beginOperation(); err != nil {
 		return err
@@ -201,50 +201,49 @@
 	if d.currentFault() == FailedSync {
 		return syscall.EIO
 	}
-	for _, c := range d.unsyncedChanges {
-		c(d.durableNames)
+	for _, change := range d.unsyncedNameChanges {
+		change(d.durableNames)
 	}
-	d.unsyncedChanges = nil
+	d.unsyncedNameChanges = nil
 	return nil
 }
 
-// file is an open file.
 type file struct {
 	disk  *Disk
 	inode *inode
 }
 
-// WriteAt writes at an offset. The data is lost in a crash unless it is synced.
+// WriteAt writes at an offset. A crash may lose the data until the next Sync.
 func (f *file) WriteAt(data []byte, offset int64) (int, error) {
 	if err := f.disk.beginOperation(); err != nil {
 		if f.disk.Operations == f.disk.CrashAt {
-			f.put(data, offset) // a crash during a write may leave part of it
+			f.writeUnsynced(data, offset) // a crash during a write may leave part of it
 		}
 		return 0, err
 	}
 	switch f.disk.currentFault() {
 	case ShortWrite:
 		n := len(data) / 2
-		f.put(data[:n], offset)
+		f.writeUnsynced(data[:n], offset)
 		return n, syscall.ENOSPC
 	case FailedOperation:
 		return 0, syscall.EIO
 	case ErrorAfterWrite:
-		f.put(data, offset)
+		f.writeUnsynced(data, offset)
 		return len(data), syscall.EIO
 	}
-	f.put(data, offset)
+	f.writeUnsynced(data, offset)
 	return len(data), nil
 }
 
-// put changes what the running process reads, without syncing it.
-func (f *file) put(data []byte, offset int64) {
-	f.inode.pending = append(f.inode.pending, write{offset: offset, data: slices.Clone(data)})
-	f.inode.data = applyWrite(f.inode.data, f.inode.pending[len(f.inode.pending)-1])
+// writeUnsynced changes the contents that the running process sees, without syncing them.
+func (f *file) writeUnsynced(data []byte, offset int64) {
+	f.inode.unsynced = append(f.inode.unsynced, unsyncedWrite{offset: offset, data: slices.Clone(data)})
+	f.inode.data = applyWrite(f.inode.data, f.inode.unsynced[len(f.inode.unsynced)-1])
 }
 
-// applyWrite returns the contents of a file after a write or a truncation.
-func applyWrite(contents []byte, change write) []byte {
+// applyWrite returns the contents of a file after a write or truncation. It may change the given slice.
+func applyWrite(contents []byte, change unsyncedWrite) []byte {
 	if change.data == nil {
 		if int64(len(contents)) > change.offset {
 			return contents[:change.offset:change.offset]
@@ -259,58 +258,60 @@
 	return contents
 }
 
-// Truncate cuts the file off. The change is lost in a crash unless it is synced.
+// Truncate shortens the file to a size in bytes. It does not extend a shorter file. A crash may lose the change until the
+// next Sync.
 func (f *file) Truncate(size int64) error {
 	if err := f.disk.beginOperation(); err != nil {
 		return err
 	}
-	f.inode.pending = append(f.inode.pending, write{offset: size})
-	f.inode.data = slices.Clone(applyWrite(f.inode.data, f.inode.pending[len(f.inode.pending)-1]))
+	f.inode.unsynced = append(f.inode.unsynced, unsyncedWrite{offset: size})
+	f.inode.data = slices.Clone(applyWrite(f.inode.data, f.inode.unsynced[len(f.inode.unsynced)-1]))
 	return nil
 }
 
-// Sync makes everything written so far durable, except what an earlier failed sync has lost.
+// Sync makes all earlier writes durable, except those that an earlier failed sync has lost. A failed sync loses each
+// unsynced write with a probability of one half.
 func (f *file) Sync() error {
 	if err := f.disk.beginOperation(); err != nil {
 		return err
 	}
 	if f.disk.currentFault() == FailedSync {
-		for i := range f.inode.pending {
-			f.inode.pending[i].neverDurable = f.inode.pending[i].neverDurable || f.disk.rng.IntN(2) == 0
+		for i := range f.inode.unsynced {
+			f.inode.unsynced[i].neverDurable = f.inode.unsynced[i].neverDurable || f.disk.rng.IntN(2) == 0
 		}
 		return syscall.EIO
 	}
-	for _, change := range f.inode.pending {
+	for _, change := range f.inode.unsynced {
 		if !change.neverDurable {
 			f.inode.durable = applyWrite(f.inode.durable, change)
 		}
 	}
-	f.inode.pending = slices.DeleteFunc(f.inode.pending, func(change write) bool { return !change.neverDurable })
+	f.inode.unsynced = slices.DeleteFunc(f.inode.unsynced, func(change unsyncedWrite) bool { return !change.neverDurable })
 	return nil
 }
 
-// Close does nothing: the data is neither synced nor lost.
+// Close does nothing. Unsynced data stays unsynced.
 func (f *file) Close() error { return nil }
 
-// AfterCrash returns the disk as the next process finds it.
+// AfterCrash returns the disk as the next process finds it. The new disk has no faults and counts its operations from 0.
 func (d *Disk) AfterCrash(loss Loss) *Disk {
 	next := New(d.rng)
 	if loss == ProcessCrash {
-		next.names, next.durableNames, next.unsyncedChanges = d.names, d.durableNames, d.unsyncedChanges
+		next.names, next.durableNames, next.unsyncedNameChanges = d.names, d.durableNames, d.unsyncedNameChanges
 		return next
 	}
 	names := map[string]*inode{}
 	for name, node := range d.durableNames {
 		names[name] = node
 	}
-	for _, change := range d.unsyncedChanges {
+	for _, change := range d.unsyncedNameChanges {
 		if loss == LoseNothing || loss == LoseRandomSectors && d.rng.IntN(2) == 0 {
 			change(names)
 		}
 	}
 	for name, node := range names {
 		data := slices.Clone(node.durable)
-		pending := slices.Clone(node.pending)
+		pending := slices.Clone(node.unsynced)
 		if loss == LoseRandomSectors {
 			d.rng.Shuffle(len(pending), func(i, j int) { pending[i], pending[j] = pending[j], pending[i] })
 		}
@@ -328,8 +329,8 @@
 	return next
 }
 
-// applySectors applies a write, or random sectors of it.
-func (d *Disk) applySectors(data []byte, change write, loss Loss) []byte {
+// applySectors applies a write or, with LoseRandomSectors, random sectors of it. A truncation is applied or lost as a whole.
+func (d *Disk) applySectors(data []byte, change unsyncedWrite, loss Loss) []byte {
 	if loss == LoseNothing || change.data == nil {
 		if change.data == nil && loss == LoseRandomSectors && d.rng.IntN(2) == 0 {
 			return data
@@ -337,24 +338,25 @@
 		return applyWrite(data, change)
 	}
 	for from := 0; from < len(change.data); {
-		// Sectors are aligned to the file, not to the write.
+		// Sectors are aligned to the beginning of the file and not to the write.
 		to := min(len(change.data), int((change.offset+int64(from))/sectorBytes+1)*sectorBytes-int(change.offset))
 		if d.rng.IntN(3) > 0 {
-			data = applyWrite(data, write{offset: change.offset + int64(from), data: change.data[from:to]})
+			data = applyWrite(data, unsyncedWrite{offset: change.offset + int64(from), data: change.data[from:to]})
 		}
 		from = to
 	}
 	return data
 }
 
-// CorruptByte flips bits of one durable byte.
-func (d *Disk) CorruptByte(name string, at int) {
+// CorruptByte flips bits of one byte of a file. The current contents of the file become the durable ones. It panics if the
+// file or the offset does not exist.
+func (d *Disk) CorruptByte(name string, offset int) {
 	n := d.names[name]
-	n.data[at] ^= 0x55
+	n.data[offset] ^= 0x55
 	n.durable = slices.Clone(n.data)
 }
 
-// Size is the size of a file in bytes, 0 if there is none.
+// Size returns the size of a file in bytes, 0 if there is none.
 func (d *Disk) Size(name string) int {
 	if n := d.names[name]; n != nil {
 		return len(n.data)
