--- a/internal/simulator/modelcheck/modelcheck.go
+++ b/internal/simulator/modelcheck/modelcheck.go
@@ -1,6 +1,6 @@
-// Package modelcheck explores every schedule of a small model up to a depth. States are distinguished by
-// their keys, and each is expanded once. It knows nothing of what is modelled. A model need not be copyable: it
-// is replayed from its beginning for each state, which costs little for small models.
+// Package modelcheck explores all schedules of a small model up to a depth. States with the same key are the same, and each
+// is expanded once. Models need not be copyable: to reach a state, a new model replays its moves. That is cheap for small
+// models.
 package modelcheck
 
 import (
@@ -10,144 +10,146 @@
 	"sync"
 )
 
-// Model is a deterministic state machine: the same moves always lead to the same state.
+// Model is a deterministic state machine: the same moves always lead to the same state. Each model is used by one goroutine.
 type Model interface {
-	// Moves lists the moves that are possible in this state.
+	// Moves returns the possible moves in this state. RandomWalks needs at least one, and prefers the first.
 	Moves() []string
 	// Do makes a move.
 	Do(move string)
-	// Key identifies the state: two models with the same key behave the same from here on.
+	// Key identifies the state. Two models with the same key behave the same after the same further moves.
 	Key() string
-	// Broken describes the rule that is broken, empty if none is.
+	// Broken describes a violated rule. It is empty if no rule is violated.
 	Broken() string
 }
 
 // Result of an exploration.
 type Result struct {
-	States      int
-	Depth       int      // length of the longest schedule
-	IsTruncated bool     // there were more states than allowed
-	Violation   string   // the first rule that was broken
-	Schedule    []string // the moves that break it
+	States      int      // distinct states of CheckAll, or moves made by RandomWalks
+	Depth       int      // length of the longest schedule in moves; of RandomWalks with a violation, of its schedule
+	IsTruncated bool     // the limit on the number of states was reached
+	Violation   string   // describes the first violated rule; empty if none was violated
+	Schedule    []string // the moves that lead to the violation
 }
 
+// state is a node of the search tree. The root has no parent and no move.
 type state struct {
 	parent *state
 	move   string
 	depth  int
 }
 
-func (n *state) moves() []string {
-	list := make([]string, n.depth)
-	for ; n.parent != nil; n = n.parent {
-		list[n.depth-1] = n.move
+func (s *state) moves() []string {
+	list := make([]string, s.depth)
+	for ; s.parent != nil; s = s.parent {
+		list[s.depth-1] = s.move
 	}
 	return list
 }
 
 // successor is the state that a move leads to.
 type successor struct {
-	next   *state
-	key    uint64
-	broken string
+	next      *state
+	key       uint64
+	violation string
 }
 
-// CheckAll explores all schedules of up to depth moves, breadth first, until a rule is broken or most states were found.
-func CheckAll(begin func() Model, depth, most int) Result {
+// CheckAll explores all schedules of up to maxDepth moves, breadth first. It stops when a rule is violated or maxStates
+// distinct states were found. It calls newModel concurrently.
+func CheckAll(newModel func() Model, maxDepth, maxStates int) Result {
 	seed := maphash.MakeSeed()
-	met := map[uint64]bool{}
-	var r Result
+	visited := map[uint64]bool{}
+	var result Result
 	level := []*state{{}}
-	for d := 1; d <= depth && len(level) > 0; d++ {
+	for depth := 1; depth <= maxDepth && len(level) > 0; depth++ {
 		var next []*state
-		for _, list := range expand(begin, level, seed) {
-			for _, f := range list {
-				if f.broken != "" {
-					r.Violation, r.Schedule = f.broken, f.next.moves()
-					return r
+		for _, successors := range expand(newModel, level, seed) {
+			for _, found := range successors {
+				if found.violation != "" {
+					result.Violation, result.Schedule = found.violation, found.next.moves()
+					return result
 				}
-				if met[f.key] {
+				if visited[found.key] {
 					continue
 				}
-				met[f.key] = true
-				r.States++
-				r.Depth = d
-				if r.States >= most {
-					r.IsTruncated = true
-					return r
+				visited[found.key] = true
+				result.States++
+				result.Depth = depth
+				if result.States >= maxStates {
+					result.IsTruncated = true
+					return result
 				}
-				next = append(next, f.next)
+				next = append(next, found.next)
 			}
 		}
 		level = next
 	}
-	return r
+	return result
 }
 
-// expand makes every move from each of the states, in parallel.
-func expand(begin func() Model, level []*state, seed maphash.Seed) [][]successor {
+// expand makes every possible move from each state of a level, in parallel.
+func expand(newModel func() Model, level []*state, seed maphash.Seed) [][]successor {
 	all := make([][]successor, len(level))
-	var wait sync.WaitGroup
-	work := make(chan int)
+	var workers sync.WaitGroup
+	indices := make(chan int)
 	for range runtime.GOMAXPROCS(0) {
-		wait.Go(func() {
-			for i := range work {
-				all[i] = successors(begin, level[i], seed)
+		workers.Go(func() {
+			for i := range indices {
+				all[i] = successors(newModel, level[i], seed)
 			}
 		})
 	}
 	for i := range level {
-		work <- i
+		indices <- i
 	}
-	close(work)
-	wait.Wait()
+	close(indices)
+	workers.Wait()
 	return all
 }
 
-func successors(begin func() Model, at *state, seed maphash.Seed) []successor {
+func successors(newModel func() Model, from *state, seed maphash.Seed) []successor {
 	var list []successor
-	prefix := at.moves()
-	w := replay(begin, prefix)
-	for i, m := range w.Moves() {
+	prefix := from.moves()
+	model := replay(newModel, prefix)
+	for i, move := range model.Moves() {
 		if i > 0 {
-			w = replay(begin, prefix)
+			model = replay(newModel, prefix)
 		}
-		w.Do(m)
-		list = append(list, successor{&state{at, m, at.depth + 1}, maphash.String(seed, w.Key()), w.Broken()})
+		model.Do(move)
+		list = append(list, successor{&state{from, move, from.depth + 1}, maphash.String(seed, model.Key()), model.Broken()})
 	}
 	return list
 }
 
-func replay(begin func() Model, moves []string) Model {
-	w := begin()
-	for _, m := range moves {
-		w.Do(m)
+func replay(newModel func() Model, moves []string) Model {
+	model := newModel()
+	for _, move := range moves {
+		model.Do(move)
 	}
-	return w
+	return model
 }
 
-// RandomWalks runs a number of random schedules of the given length, until a rule is broken. Two of
-// three moves are the first that is possible. It is for schedules that are too long for CheckAll.
-func RandomWalks(begin func() Model, length, walks int, rng *rand.Rand) Result {
-	var r Result
+// RandomWalks runs random schedules of a given length in moves. It stops when a rule is violated. In two of three cases the
+// move is the first possible one. Use it for schedules that are too long for CheckAll.
+func RandomWalks(newModel func() Model, length, walks int, rng *rand.Rand) Result {
+	var result Result
 	for range walks {
-		w := begin()
-		var made []string
+		model := newModel()
+		var schedule []string
 		for range length {
-			moves := w.Moves()
-			m := moves[0]
+			moves := model.Moves()
+			move := moves[0]
 			if rng.IntN(3) == 0 {
-				m = moves[rng.IntN(len(moves))]
+				move = moves[rng.IntN(len(moves))]
 			}
-			w.Do(m)
-			made = append(made, m)
-			r.States++
-			if b := w.Broken(); b != "" {
-				r.Violation, r.Schedule, r.Depth = b, made, len(made)
-				return r
+			model.Do(move)
+			schedule = append(schedule, move)
+			result.States++
+			if violation := model.Broken(); violation != "" {
+				result.Violation, result.Schedule, result.Depth = violation, schedule, len(schedule)
+				return result
 			}
 		}
 	}
-	r.Depth = length
-	return r
+	result.Depth = length
+	return result
 }
