--- a/internal/simulator/emulator/cloud.go
+++ b/internal/simulator/emulator/cloud.go
@@ -1,5 +1,5 @@
-// Package emulator runs a cloud with its workers on loopback, in real time, for controllers that are
-// real processes. It records the commands to its workers and their execution, and checks the protocol's rules on it.
+// Package emulator runs a cloud and its workers on the loopback interface in real time, for controllers that run as separate
+// processes. It records how the workers execute commands, and checks the protocol's rules on these records.
 package emulator
 
 import (
@@ -17,38 +17,39 @@
 	"gullrudder/internal/wire/http1"
 )
 
-// Options of an emulated cloud.
+// Options of an emulated cloud. All fields but Seed must be positive or not empty.
 type Options struct {
-	Controllers       map[string]string // addresses of the controllers by name
+	Controllers       map[string]string // HOST:PORT of the controllers by name
 	HeartbeatInterval time.Duration
-	WorkerLease       time.Duration
-	MaxMachines       int           // most machines that are up at a time
-	MaxRunTime        time.Duration // longest run time of a task
-	Seed              uint64
+	WorkerLease       time.Duration // a worker ends its tasks if no heartbeat is answered for longer
+	MaxMachines       int           // maximum number of machines at a time
+	MaxRunTime        time.Duration // a task runs for 10 ms plus a random time below this
+	Seed              uint64        // of the tasks' run times
 }
 
-// Cloud is the simulated cloud: it starts and terminates machines, each with a worker.
+// Cloud starts and terminates machines on request of the controllers. Each machine has an emulated worker. It is safe for
+// concurrent use.
 type Cloud struct {
 	options     Options
 	History     *History
 	machineType cloud.MachineType
 	server      *httpServer
 
-	mu         sync.Mutex
-	rng        *rand.Rand
-	machines   map[string]*emulatedWorker
-	machineIDs []string
-	requests   map[string][]string
+	mu           sync.Mutex
+	rng          *rand.Rand
+	machines     map[string]*emulatedWorker // machines that are up, by ID
+	machineIDs   []string                   // of all machines started so far
+	idsByRequest map[string][]string        // machine IDs by request token; a repeated request gets the same IDs
 }
 
-// NewCloud starts a cloud on a free port of loopback; Close ends it.
-func NewCloud(opt Options) (*Cloud, error) {
+// NewCloud starts a cloud on a free port of 127.0.0.1. Call Close to stop it.
+func NewCloud(options Options) (*Cloud, error) {
 	c := &Cloud{
-		options:  opt,
-		History:  newHistory(),
-		machines: map[string]*emulatedWorker{},
-		requests: map[string][]string{},
-		rng:      rand.New(rand.NewPCG(opt.Seed, 11)),
+		options:      options,
+		History:      newHistory(),
+		machines:     map[string]*emulatedWorker{},
+		idsByRequest: map[string][]string{},
+		rng:          rand.New(rand.NewPCG(options.Seed, 11)),
 		machineType: cloud.MachineType{
 			Name:             "bench",
 			CPUs:             8,
@@ -66,16 +67,16 @@
 	return c, err
 }
 
-// Addr is the cloud's address.
+// Addr returns the address of the cloud's API as HOST:PORT.
 func (c *Cloud) Addr() string { return c.server.addr() }
 
-// Close stops the cloud and its workers.
+// Close stops the cloud's API and all workers.
 func (c *Cloud) Close() {
 	c.server.close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, w := range c.machines {
-		w.stop()
+	for _, worker := range c.machines {
+		worker.stop()
 	}
 }
 
@@ -87,24 +88,24 @@
 	case path == "/flavors":
 		return http.StatusOK, map[string]any{"keels": []cloud.MachineType{c.machineType}}
 	case path == "/hosts" && request.Method == http.MethodGet:
-		rows := []any{}
+		instances := []any{}
 		for _, id := range c.machineIDs {
 			if worker := c.machines[id]; worker != nil {
-				rows = append(rows, map[string]any{
+				instances = append(instances, map[string]any{
 					"id": id, "addr": worker.server.addr(), "keel": c.machineType.Name, "harbour": "a", "driftwood": worker.spot,
 					"trim": "running", "age_s": time.Since(worker.startedAt).Seconds(),
 				})
 			}
 		}
-		return http.StatusOK, map[string]any{"oarlocks": rows, "has_next": false}
+		return http.StatusOK, map[string]any{"oarlocks": instances, "has_next": false}
 	case path == "/hosts/delete":
 		var deletion struct {
-			Hosts []string `msgpack:"oarlocks"`
+			InstanceIDs []string `msgpack:"oarlocks"`
 		}
 		if codec.Unmarshal(request.Body, &deletion) != nil {
 			return http.StatusBadRequest, nil
 		}
-		for _, id := range deletion.Hosts {
+		for _, id := range deletion.InstanceIDs {
 			if worker := c.machines[id]; worker != nil {
 				worker.stop()
 				delete(c.machines, id)
@@ -118,37 +119,37 @@
 }
 
 func (c *Cloud) requestInstances(body []byte) (int, any) {
-	var order struct {
-		Charter string `msgpack:"charter"`
-		Spot    bool   `msgpack:"driftwood"`
-		Count   int    `msgpack:"how_many"`
+	var request struct {
+		RequestToken string `msgpack:"charter"`
+		Spot         bool   `msgpack:"driftwood"`
+		Count        int    `msgpack:"how_many"`
 	}
-	if codec.Unmarshal(body, &order) != nil {
+	if codec.Unmarshal(body, &request) != nil {
 		return http.StatusBadRequest, nil
 	}
-	if ids, ok := c.requests[order.Charter]; ok {
+	if ids, ok := c.idsByRequest[request.RequestToken]; ok {
 		return http.StatusOK, map[string]any{"oarlocks": ids}
 	}
 	ids := []string{}
-	for range min(order.Count, c.options.MaxMachines-len(c.machines)) {
+	for range min(request.Count, c.options.MaxMachines-len(c.machines)) {
 		id := fmt.Sprintf("vm-%06d", len(c.machineIDs))
-		w, err := newWorker(c, id, order.Spot, rand.New(rand.NewPCG(c.rng.Uint64(), 1)))
+		worker, err := newWorker(c, id, request.Spot, rand.New(rand.NewPCG(c.rng.Uint64(), 1)))
 		if err != nil {
-			c.History.reportViolation("a worker cannot be started: %v", err)
+			c.History.reportViolation("start of a worker failed: %v", err)
 			break
 		}
-		c.machines[id] = w
+		c.machines[id] = worker
 		c.machineIDs = append(c.machineIDs, id)
 		ids = append(ids, id)
 	}
 	if len(ids) == 0 {
 		return http.StatusServiceUnavailable, map[string]string{"error": "no capacity"}
 	}
-	c.requests[order.Charter] = ids
+	c.idsByRequest[request.RequestToken] = ids
 	return http.StatusOK, map[string]any{"oarlocks": ids}
 }
 
-// httpServer is a small server: a goroutine for each connection.
+// httpServer is a minimal HTTP server with one goroutine per connection.
 type httpServer struct {
 	listener    net.Listener
 	mu          sync.Mutex
@@ -157,58 +158,58 @@
 }
 
 func serveHTTP(serve func(*http1.Message) (int, any)) (*httpServer, error) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	f := &httpServer{listener: l, connections: map[net.Conn]bool{}}
+	s := &httpServer{listener: listener, connections: map[net.Conn]bool{}}
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			f.mu.Lock()
-			f.connections[conn] = !f.isClosed
-			ended := f.isClosed
-			f.mu.Unlock()
-			if ended {
-				_ = conn.Close() // the server is closed, nobody waits for a response
+			s.mu.Lock()
+			s.connections[conn] = !s.isClosed
+			isClosed := s.isClosed
+			s.mu.Unlock()
+			if isClosed {
+				_ = conn.Close() // the server is closed, so no client waits for a response
 				return
 			}
-			go f.serveConnection(conn, serve)
+			go s.serveConnection(conn, serve)
 		}
 	}()
-	return f, nil
+	return s, nil
 }
 
-func (f *httpServer) addr() string { return f.listener.Addr().String() }
+func (s *httpServer) addr() string { return s.listener.Addr().String() }
 
-func (f *httpServer) close() {
-	_ = f.listener.Close() // it was open until now
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.isClosed = true
-	for c := range f.connections {
-		_ = c.Close() // the other side sees the end either way
+func (s *httpServer) close() {
+	_ = s.listener.Close() // a failed close leaves nothing to clean up
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.isClosed = true
+	for conn := range s.connections {
+		_ = conn.Close() // the client notices the closed connection even if this fails
 	}
 }
 
-func (f *httpServer) serveConnection(conn net.Conn, serve func(*http1.Message) (int, any)) {
+func (s *httpServer) serveConnection(conn net.Conn, serve func(*http1.Message) (int, any)) {
 	defer func() {
-		_ = conn.Close() // the other side sees the end either way
-		f.mu.Lock()
-		delete(f.connections, conn)
-		f.mu.Unlock()
+		_ = conn.Close() // the client notices the closed connection even if this fails
+		s.mu.Lock()
+		delete(s.connections, conn)
+		s.mu.Unlock()
 	}()
 	var buf []byte
 	chunk := make([]byte, 16<<10)
 	for {
-		m, used, err := http1.Parse(buf, false, http1.MaxBodyBytes)
+		request, used, err := http1.Parse(buf, false, http1.MaxBodyBytes)
 		if err != nil {
 			return
 		}
-		if m == nil {
+		if request == nil {
 			n, err := conn.Read(chunk)
 			if err != nil && !errors.Is(err, io.EOF) || n == 0 {
 				return
@@ -216,12 +217,12 @@
 			buf = append(buf, chunk[:n]...)
 			continue
 		}
-		status, body := serve(m)
+		status, body := serve(request)
 		raw, err := codec.Marshal(body)
 		if err != nil {
 			return
 		}
-		if _, err := conn.Write(http1.AppendResponse(nil, status, raw, 0, m.CloseConnection)); err != nil || m.CloseConnection {
+		if _, err := conn.Write(http1.AppendResponse(nil, status, raw, 0, request.CloseConnection)); err != nil || request.CloseConnection {
 			return
 		}
 		buf = append([]byte(nil), buf[used:]...)
--- a/internal/simulator/emulator/history.go
+++ b/internal/simulator/emulator/history.go
@@ -7,22 +7,23 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// History records what became of every task. A task is forgotten once its worker was
-// told to forget its result: from then on only the state service knows the result.
+// History records the starts and ends of all tasks, and the violations of the protocol's rules. A task counts as forgotten
+// after a command to its worker to forget its result. From then on only the state service has the result. The methods are
+// safe for concurrent use; the fields are not.
 type History struct {
 	mu             sync.Mutex
-	placements     map[jobs.TaskID]string
-	attempts       map[uint64]string
+	placements     map[jobs.TaskID]string // machine on which a task runs
+	attempts       map[uint64]string      // task of each attempt number
 	completedTasks map[jobs.TaskID]bool
 	forgottenTasks map[jobs.TaskID]bool
-	dependencies   map[string][]dependency
+	dependencies   map[string][]dependency // by job ID
 
-	Started    int
-	Duplicated int      // tasks that were started again although their results were durable
-	Violations []string // rules that were broken; Run stops at the first
+	Started    int      // number of starts of tasks
+	Duplicated int      // number of starts of tasks whose results were already durable
+	Violations []string // descriptions of the violated rules, in the order of their occurrence
 }
 
-// dependency is a job that has to be done before another starts.
+// dependency is a job that must be done before a dependent job starts.
 type dependency struct {
 	jobID     string
 	taskCount int
@@ -44,74 +45,75 @@
 	h.Violations = append(h.Violations, fmt.Sprintf(format, args...))
 }
 
-func (h *History) taskStarted(key jobs.TaskID, attempt uint64, machine string) {
+func (h *History) taskStarted(taskID jobs.TaskID, attempt uint64, machine string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.Started++
-	if other, ok := h.placements[key]; ok {
-		h.Violations = append(h.Violations, fmt.Sprintf("ran_twice: %s starts on %s while on %s", key, machine, other))
+	if otherMachine, ok := h.placements[taskID]; ok {
+		h.Violations = append(h.Violations, fmt.Sprintf("ran_twice: %s starts on %s while it runs on %s", taskID, machine, otherMachine))
 	}
-	if before, ok := h.attempts[attempt]; ok {
-		h.Violations = append(h.Violations, fmt.Sprintf("attempt %d of %s was used before: %s", attempt, key, before))
+	if otherTask, ok := h.attempts[attempt]; ok {
+		h.Violations = append(h.Violations, fmt.Sprintf("attempt %d of %s was used before: %s", attempt, taskID, otherTask))
 	}
-	if h.forgottenTasks[key] {
+	if h.forgottenTasks[taskID] {
 		h.Duplicated++
-		h.Violations = append(h.Violations, fmt.Sprintf("%s starts again after its result was durable", key))
+		h.Violations = append(h.Violations, fmt.Sprintf("%s starts again although its result is durable", taskID))
 	}
-	for _, n := range h.dependencies[key.JobID] {
-		for i := range n.taskCount {
-			if !h.completedTasks[jobs.TaskID{JobID: n.jobID, Index: i}] {
-				h.Violations = append(h.Violations, fmt.Sprintf("too_early: %s starts before %s is done", key, n.jobID))
+	for _, required := range h.dependencies[taskID.JobID] {
+		for i := range required.taskCount {
+			if !h.completedTasks[jobs.TaskID{JobID: required.jobID, Index: i}] {
+				h.Violations = append(h.Violations, fmt.Sprintf("too_early: %s starts before job %s is done", taskID, required.jobID))
 				break
 			}
 		}
 	}
-	h.attempts[attempt] = key.String()
-	h.placements[key] = machine
+	h.attempts[attempt] = taskID.String()
+	h.placements[taskID] = machine
 }
 
-// AddDependency records that a job must not start before all tasks of another are done.
-func (h *History) AddDependency(job, other string, tasks int) {
+// AddDependency records that a job must not start before all tasks of requiredJob are done. tasks is the number of tasks of
+// requiredJob.
+func (h *History) AddDependency(job, requiredJob string, tasks int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.dependencies[job] = append(h.dependencies[job], dependency{other, tasks})
+	h.dependencies[job] = append(h.dependencies[job], dependency{requiredJob, tasks})
 }
 
-func (h *History) taskStopped(key jobs.TaskID, machine string) {
+func (h *History) taskStopped(taskID jobs.TaskID, machine string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.placements[key] == machine {
-		delete(h.placements, key)
+	if h.placements[taskID] == machine {
+		delete(h.placements, taskID)
 	}
 }
 
-func (h *History) taskCompleted(key jobs.TaskID) {
+func (h *History) taskCompleted(taskID jobs.TaskID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.completedTasks[key] = true
+	h.completedTasks[taskID] = true
 }
 
-func (h *History) resultForgotten(key jobs.TaskID) {
+func (h *History) resultForgotten(taskID jobs.TaskID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.forgottenTasks[key] = true
+	h.forgottenTasks[taskID] = true
 }
 
-// CompletedTasks counts the tasks of a job that have completed at least once.
+// CompletedTasks returns how many tasks of a job have completed at least once. tasks is the number of tasks of the job.
 func (h *History) CompletedTasks(job string, tasks int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := 0
+	count := 0
 	for i := range tasks {
 		if h.completedTasks[jobs.TaskID{JobID: job, Index: i}] {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Summary returns what was recorded so far.
-func (h *History) Summary() (started, duplicated int, broken []string) {
+// Summary returns the number of starts, the number of starts after a durable result, and a copy of the violations so far.
+func (h *History) Summary() (started, duplicated int, violations []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.Started, h.Duplicated, append([]string(nil), h.Violations...)
--- a/internal/simulator/emulator/worker.go
+++ b/internal/simulator/emulator/worker.go
@@ -17,15 +17,15 @@
 
 func cutQuery(target string) (path, query string, ok bool) { return strings.Cut(target, "?") }
 
-// emulatedWorker is the worker of one machine.
+// emulatedWorker is the worker of one machine. It runs no processes: a task ends after a random time.
 type emulatedWorker struct {
 	cloud     *Cloud
 	id        string
 	spot      bool
 	startedAt time.Time
 	server    *httpServer
-	changes   chan struct{}
-	stopped   chan struct{}
+	changed   chan struct{} // signals that the next heartbeat should be sent soon
+	stopped   chan struct{} // closed when the machine is terminated
 
 	mu             sync.Mutex
 	rng            *rand.Rand
@@ -38,7 +38,7 @@
 }
 
 type task struct {
-	key     jobs.TaskID
+	id      jobs.TaskID
 	attempt uint64
 	state   workerapi.TaskState
 	reason  workerapi.ExitReason
@@ -46,7 +46,7 @@
 
 func newWorker(c *Cloud, id string, spot bool, rng *rand.Rand) (*emulatedWorker, error) {
 	w := &emulatedWorker{
-		cloud: c, id: id, spot: spot, startedAt: time.Now(), changes: make(chan struct{}, 1), stopped: make(chan struct{}), rng: rng,
+		cloud: c, id: id, spot: spot, startedAt: time.Now(), changed: make(chan struct{}, 1), stopped: make(chan struct{}), rng: rng,
 		incarnation: 1, leaseRenewedAt: time.Now(), tasks: map[string]*task{},
 	}
 	var err error
@@ -57,7 +57,7 @@
 	return w, nil
 }
 
-// stop terminates the machine: when it returns, none of its tasks runs.
+// stop terminates the machine. When it returns, none of its tasks runs.
 func (w *emulatedWorker) stop() {
 	w.mu.Lock()
 	if !w.isTerminated {
@@ -71,12 +71,12 @@
 
 func (w *emulatedWorker) dropTasks() {
 	for _, t := range w.tasks {
-		w.cloud.History.taskStopped(t.key, w.id)
+		w.cloud.History.taskStopped(t.id, w.id)
 	}
 	w.tasks = map[string]*task{}
 }
 
-func (w *emulatedWorker) checkLease() {
+func (w *emulatedWorker) endIncarnationIfLeaseExpired() {
 	if time.Since(w.leaseRenewedAt) > w.cloud.options.WorkerLease {
 		w.dropTasks()
 		w.incarnation++
@@ -87,7 +87,7 @@
 
 func (w *emulatedWorker) heartbeat() workermessages.Heartbeat {
 	w.sequence++
-	r := workermessages.Heartbeat{
+	heartbeat := workermessages.Heartbeat{
 		Machine:      w.id,
 		Addr:         w.server.addr(),
 		Type:         w.cloud.machineType.Name,
@@ -99,12 +99,14 @@
 		Tasks:        []workermessages.TaskStatus{},
 	}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, workermessages.TaskStatus{Task: t.key.String(), Attempt: t.attempt, State: t.state, Reason: t.reason})
+		heartbeat.Tasks = append(heartbeat.Tasks, workermessages.TaskStatus{
+			Task: t.id.String(), Attempt: t.attempt, State: t.state, Reason: t.reason,
+		})
 	}
-	return r
+	return heartbeat
 }
 
-// run sends heartbeats until the machine is terminated: at intervals, and when something has changed.
+// run sends heartbeats at intervals and after changes, until the machine is terminated.
 func (w *emulatedWorker) run() {
 	var names []string
 	for name := range w.cloud.options.Controllers {
@@ -112,34 +114,34 @@
 	}
 	slices.Sort(names)
 	client := http1.NewClient(1, 1, http1.MaxBodyBytes)
-	target := int(w.startedAt.UnixNano()) % len(names)
+	index := int(w.startedAt.UnixNano()) % len(names)
 	for {
 		w.mu.Lock()
-		w.checkLease()
+		w.endIncarnationIfLeaseExpired()
 		heartbeat := w.heartbeat()
 		w.mu.Unlock()
 		raw, err := codec.Marshal(heartbeat)
 		if err != nil {
-			w.cloud.History.reportViolation("a heartbeat cannot be encoded: %v", err)
+			w.cloud.History.reportViolation("encode a heartbeat: %v", err)
 			return
 		}
-		sent := time.Now()
-		msg, err := client.Do(w.cloud.options.Controllers[names[target]], "POST", "/v1/report", raw, 4*time.Second)
+		sentAt := time.Now()
+		response, err := client.Do(w.cloud.options.Controllers[names[index]], "POST", "/v1/report", raw, 4*time.Second)
 		pause := w.cloud.options.HeartbeatInterval
 		switch {
-		case err == nil && msg.Status == http.StatusOK:
-			w.takeResponse(msg.Body, heartbeat.Incarnation, sent)
-		case err == nil && msg.Status == http.StatusMisdirectedRequest:
-			target, pause = w.redirect(msg.Body, names, target)
+		case err == nil && response.Status == http.StatusOK:
+			w.handleResponse(response.Body, heartbeat.Incarnation, sentAt)
+		case err == nil && response.Status == http.StatusMisdirectedRequest:
+			index, pause = w.redirect(response.Body, names, index)
 		default:
-			target = (target + 1) % len(names)
+			index = (index + 1) % len(names)
 			pause = w.cloud.options.HeartbeatInterval / 2
 		}
 		select {
 		case <-w.stopped:
 			return
 		case <-time.After(pause):
-		case <-w.changes:
+		case <-w.changed:
 			select {
 			case <-w.stopped:
 				return
@@ -149,53 +151,54 @@
 	}
 }
 
-// redirectPause is how long a worker waits before it reports to the leader that it was redirected to.
+// redirectPause is the delay of the heartbeat to the leader after a redirect.
 const redirectPause = 20 * time.Millisecond
 
-// redirect returns the controller to report to after a redirect, and how long to wait before: the leader at once, or the next
-// controller if the response names none, an unknown one or the same.
-func (w *emulatedWorker) redirect(body []byte, names []string, target int) (next int, pause time.Duration) {
+// redirect returns the index in names of the controller that gets the next heartbeat after a redirect, and the delay until
+// then. This is the leader that the response names. If it names none, an unknown one or the redirecting controller itself, it
+// is the next controller in the list.
+func (w *emulatedWorker) redirect(body []byte, names []string, index int) (next int, pause time.Duration) {
 	var redirect workerapi.Redirect
 	next = -1
 	if codec.Unmarshal(body, &redirect) == nil {
 		next = slices.Index(names, redirect.Leader)
 	}
-	if next < 0 || next == target {
-		return (target + 1) % len(names), w.cloud.options.HeartbeatInterval / 2
+	if next < 0 || next == index {
+		return (index + 1) % len(names), w.cloud.options.HeartbeatInterval / 2
 	}
 	return next, redirectPause
 }
 
 func (w *emulatedWorker) signalChange() {
 	select {
-	case w.changes <- struct{}{}:
+	case w.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (w *emulatedWorker) takeResponse(body []byte, session uint64, sent time.Time) {
+func (w *emulatedWorker) handleResponse(body []byte, incarnation uint64, sentAt time.Time) {
 	var response workermessages.HeartbeatResponse
 	if codec.Unmarshal(body, &response) != nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.checkLease()
-	if w.isTerminated || response.FencingToken < w.fencingToken || session != w.incarnation {
+	w.endIncarnationIfLeaseExpired()
+	if w.isTerminated || response.FencingToken < w.fencingToken || incarnation != w.incarnation {
 		return
 	}
 	if response.FencingToken > w.fencingToken {
 		w.fencingToken = response.FencingToken
 		w.signalChange()
 	}
-	w.leaseRenewedAt = sent
+	w.leaseRenewedAt = sentAt
 	w.execute(response.Commands)
 }
 
 func (w *emulatedWorker) serveDirect(request *http1.Message) (int, any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.checkLease()
+	w.endIncarnationIfLeaseExpired()
 	if request.Target == "/status" {
 		return http.StatusOK, w.heartbeat()
 	}
@@ -211,35 +214,35 @@
 	return http.StatusOK, w.heartbeat()
 }
 
-func (w *emulatedWorker) execute(list []workermessages.Command) {
-	for _, command := range list {
-		key, err := jobs.ParseTaskID(command.Task)
+func (w *emulatedWorker) execute(commands []workermessages.Command) {
+	for _, command := range commands {
+		taskID, err := jobs.ParseTaskID(command.Task)
 		if err != nil {
-			w.cloud.History.reportViolation("a command for %q", command.Task)
+			w.cloud.History.reportViolation("command for task %q: invalid task ID", command.Task)
 			continue
 		}
-		started := w.tasks[command.Task]
+		current := w.tasks[command.Task]
 		switch {
-		case command.Operation == "start" && (started == nil || started.attempt != command.Attempt):
-			if started != nil && started.state != workerapi.StateExited {
-				w.cloud.History.reportViolation("%s is started on %s, which has it", command.Task, w.id)
+		case command.Operation == "start" && (current == nil || current.attempt != command.Attempt):
+			if current != nil && current.state != workerapi.StateExited {
+				w.cloud.History.reportViolation("%s is started on %s, where it already runs", command.Task, w.id)
 				continue
 			}
-			started = &task{key: key, attempt: command.Attempt, state: workerapi.StateRunning}
-			w.tasks[command.Task] = started
-			w.cloud.History.taskStarted(key, command.Attempt, w.id)
+			current = &task{id: taskID, attempt: command.Attempt, state: workerapi.StateRunning}
+			w.tasks[command.Task] = current
+			w.cloud.History.taskStarted(taskID, command.Attempt, w.id)
 			w.signalChange()
 			time.AfterFunc(
 				time.Millisecond*time.Duration(10+w.rng.IntN(int(w.cloud.options.MaxRunTime.Milliseconds()))),
-				func() { w.finish(started) },
+				func() { w.finish(current) },
 			)
-		case command.Operation == "kill" && started != nil && started.attempt == command.Attempt && started.state != workerapi.StateExited:
-			started.state, started.reason = workerapi.StateExited, "halted"
-			w.cloud.History.taskStopped(key, w.id)
+		case command.Operation == "kill" && current != nil && current.attempt == command.Attempt && current.state != workerapi.StateExited:
+			current.state, current.reason = workerapi.StateExited, "halted"
+			w.cloud.History.taskStopped(taskID, w.id)
 			w.signalChange()
-		case command.Operation == "forget" && started != nil && started.attempt == command.Attempt && started.state == workerapi.StateExited:
-			if started.reason == workerapi.ReasonDone {
-				w.cloud.History.resultForgotten(key)
+		case command.Operation == "forget" && current != nil && current.attempt == command.Attempt && current.state == workerapi.StateExited:
+			if current.reason == workerapi.ReasonDone {
+				w.cloud.History.resultForgotten(taskID)
 			}
 			delete(w.tasks, command.Task)
 		}
@@ -249,11 +252,11 @@
 func (w *emulatedWorker) finish(t *task) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.isTerminated || w.tasks[t.key.String()] != t || t.state != workerapi.StateRunning {
+	if w.isTerminated || w.tasks[t.id.String()] != t || t.state != workerapi.StateRunning {
 		return
 	}
 	t.state, t.reason = workerapi.StateExited, workerapi.ReasonDone
-	w.cloud.History.taskCompleted(t.key)
-	w.cloud.History.taskStopped(t.key, w.id)
+	w.cloud.History.taskCompleted(t.id)
+	w.cloud.History.taskStopped(t.id, w.id)
 	w.signalChange()
 }
