--- a/internal/simulator/sitetest/sitetest.go
+++ b/internal/simulator/sitetest/sitetest.go
@@ -1,5 +1,5 @@
-// Package sitetest tests a whole site of real processes: tasks run while its processes are killed, and
-// the files that they leave show whether each completed and no two attempts of one ran at the same time.
+// Package sitetest tests a whole site of real processes. It kills the processes while tasks run. The files that the tasks
+// write show whether each task completed, and whether two attempts of a task ran at the same time.
 package sitetest
 
 import (
@@ -20,27 +20,28 @@
 
 // Run is the configuration of one test run.
 type Run struct {
-	Program string // path of gullrudder
-	Dir     string // data directory of the site, which must not exist yet
-	Tasks   int
-	Seed    uint64
-	Log     func(string, ...any)
+	Program string               // path of the gullrudder program
+	Dir     string               // data directory for a new site; must not contain a site yet
+	Tasks   int                  // number of tasks, which run 0.3 s each
+	Seed    uint64               // of the order and times of the kills
+	Log     func(string, ...any) // prints the progress in the manner of log.Printf; required
 }
 
 // Report is the result of a run.
 type Report struct {
 	FirstTaskAfter time.Duration // from the start of `up` until the first task ran
-	AllDoneAfter   time.Duration // from the start of `up` until all tasks were done, kills included
-	Kills          int
+	AllDoneAfter   time.Duration // from the start of `up` until all tasks were done, with all kills and the restart
+	Kills          int           // processes that were killed one at a time, before all were killed at once
 }
 
-// siteParts are the processes of a site, by the beginning of their arguments.
-func siteParts() []string {
+// processPatterns returns, for each kind of process of a site, the beginning of its arguments.
+func processPatterns() []string {
 	return []string{"worker --data", "pool --data", "serve --config", "state --data"}
 }
 
-// Execute starts a site, kills each of its processes once while tasks run, then all at once, drains it,
-// and stops it. It returns an error if a task is lost, runs twice at a time, or leaves a process behind.
+// Execute starts a site and submits tasks. It kills each kind of process once and then all at once, restarts the site and
+// waits for the tasks. Then it drains and stops the site. It returns an error if a task is lost, two attempts of a task run
+// at the same time, or a process of the site remains.
 func (r Run) Execute() (report Report, err error) {
 	taskDir, err := os.MkdirTemp("", "task-files")
 	if err != nil {
@@ -51,40 +52,40 @@
 	if err != nil {
 		return report, err
 	}
-	// No process of this run may be left behind, whatever fails.
+	// All processes of this run must end, even after an error.
 	defer func() {
 		if site, openErr := datadir.Open(r.Dir); openErr == nil {
 			err = errors.Join(err, r.endRemaining(site))
 		}
-		_ = supervisor.Process.Kill() // it has exited by then unless something failed
+		_ = supervisor.Process.Kill() // it has already exited unless the run failed
 		_ = supervisor.Wait()
 	}()
-	began := time.Now()
+	startedAt := time.Now()
 	if err := r.submitTasks(taskDir); err != nil {
 		return report, err
 	}
-	report.FirstTaskAfter = time.Since(began)
+	report.FirstTaskAfter = time.Since(startedAt)
 	site, err := datadir.Open(r.Dir)
 	if err != nil {
 		return report, err
 	}
-	report.Kills = r.killParts(site, supervisor)
+	report.Kills = r.killProcesses(site, supervisor)
 	if supervisor, err = r.start(); err != nil {
 		return report, err
 	}
-	if err := r.waitUntil(func() bool { return r.jobState("job-1") == "done" }, 90*time.Second, "all tasks to be done"); err != nil {
+	if err := r.waitUntil(func() bool { return r.jobState("job-1") == "done" }, 90*time.Second, "all tasks to complete"); err != nil {
 		return report, err
 	}
-	report.AllDoneAfter = time.Since(began)
+	report.AllDoneAfter = time.Since(startedAt)
 	if err := r.checkTaskFiles(taskDir); err != nil {
 		return report, err
 	}
 	return report, r.cancelAndDrain(site, taskDir)
 }
 
-// submitTasks submits a job whose tasks leave files in a directory, and waits until the first runs.
+// submitTasks submits a job whose tasks write files to a directory, and waits until the first task runs.
 func (r Run) submitTasks(taskDir string) error {
-	// A task holds a lock while it runs, which the kernel releases however the task ends.
+	// A task holds a file lock while it runs. The kernel releases the lock even if the task is killed.
 	script := "exec 9>" + taskDir + "/lock.{task}; flock -n 9 || { echo {task} >> " + taskDir + "/overlap; exit 9; }; : > " + taskDir +
 		"/ran.{task}; sleep 0.3; : > " + taskDir + "/done.{task}"
 	if err := r.command("submit", "--id", "job-1", "--tasks", strconv.Itoa(r.Tasks), "--cpus", "0.5", "--mem", "0.05",
@@ -94,41 +95,42 @@
 	return r.waitUntil(func() bool { return countFiles(taskDir, "ran.") > 0 }, 30*time.Second, "the first task to run")
 }
 
-// killParts kills each part of the site once, in a random order, and then all at once. It returns how many of the first kills hit.
-func (r Run) killParts(site *datadir.Site, supervisor *exec.Cmd) (kills int) {
+// killProcesses kills each kind of process of the site once, in random order, and then all at once. It returns how many
+// processes were found and killed one at a time.
+func (r Run) killProcesses(site *datadir.Site, supervisor *exec.Cmd) (kills int) {
 	rng := rand.New(rand.NewPCG(r.Seed, 5))
-	parts := siteParts()
-	rng.Shuffle(len(parts), func(i, j int) { parts[i], parts[j] = parts[j], parts[i] })
-	for _, part := range parts {
+	patterns := processPatterns()
+	rng.Shuffle(len(patterns), func(i, j int) { patterns[i], patterns[j] = patterns[j], patterns[i] })
+	for _, pattern := range patterns {
 		time.Sleep(time.Duration(200+rng.IntN(800)) * time.Millisecond)
-		if r.killProcess(site, part) {
+		if r.killProcess(site, pattern) {
 			kills++
 		}
 	}
 	time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
-	_ = supervisor.Process.Kill() // the supervisor first, so that it restarts nothing
-	_ = supervisor.Wait()         // it was killed
-	for _, part := range parts {
-		r.killProcess(site, part)
+	_ = supervisor.Process.Kill() // killed first, so that it does not restart the other processes
+	_ = supervisor.Wait()         // the error only says that it was killed
+	for _, pattern := range patterns {
+		r.killProcess(site, pattern)
 	}
 	return kills
 }
 
-// checkTaskFiles checks that every task has completed and no two attempts of one ran at the same time.
+// checkTaskFiles checks that every task has completed and that no two attempts of a task ran at the same time.
 func (r Run) checkTaskFiles(taskDir string) error {
 	if n := countFiles(taskDir, "done."); n != r.Tasks {
-		return fmt.Errorf("the job is done, and %d of %d tasks have left their file", n, r.Tasks)
+		return fmt.Errorf("job job-1 is done, but only %d of %d tasks wrote their done file", n, r.Tasks)
 	}
 	if _, err := os.Stat(filepath.Join(taskDir, "overlap")); err == nil {
-		return errors.New("two attempts of a task ran at a time")
+		return errors.New("two attempts of a task ran at the same time")
 	}
 	return nil
 }
 
-// cancelAndDrain cancels a job whose tasks fork and ignore SIGTERM, and drains and stops the site:
-// none of their processes may be left.
+// cancelAndDrain cancels a job whose tasks fork and ignore SIGTERM, and checks that all processes of the job end. Then it
+// drains and stops the site.
 func (r Run) cancelAndDrain(site *datadir.Site, taskDir string) error {
-	stubborn := "trap '' TERM; : > " + taskDir + "/stubborn.{task}; (setsid sleep 300 &) ; sleep 300"
+	script := "trap '' TERM; : > " + taskDir + "/stubborn.{task}; (setsid sleep 300 &) ; sleep 300"
 	if err := r.command(
 		"submit",
 		"--id",
@@ -142,14 +144,14 @@
 		"--",
 		"sh",
 		"-c",
-		stubborn,
+		script,
 	); err != nil {
 		return err
 	}
 	if err := r.waitUntil(
 		func() bool { return countFiles(taskDir, "stubborn.") == 2 },
 		30*time.Second,
-		"the stubborn tasks to run",
+		"the tasks that ignore SIGTERM to run",
 	); err != nil {
 		return err
 	}
@@ -164,7 +166,7 @@
 	if err := r.waitUntil(
 		func() bool { return len(process.Find(environment, nil)) == 0 },
 		15*time.Second,
-		"a cancelled job's processes to end",
+		"the processes of the cancelled job to end",
 	); err != nil {
 		return err
 	}
@@ -182,7 +184,7 @@
 	return cmd, cmd.Start()
 }
 
-// command runs a command of gullrudder against the site.
+// command runs a gullrudder command on the site. The error contains the command's output.
 func (r Run) command(args ...string) error {
 	out, err := r.output(args...)
 	if err != nil {
@@ -196,7 +198,7 @@
 	if err := r.waitUntil(
 		func() bool { _, err := datadir.Open(r.Dir); return err == nil },
 		10*time.Second,
-		"the site's directory",
+		"the data directory of the site to exist",
 	); err != nil {
 		return "", err
 	}
@@ -219,22 +221,22 @@
 	return fields[1]
 }
 
-// killProcess sends SIGKILL to a process of the site and reports whether there was one.
-func (r Run) killProcess(site *datadir.Site, part string) bool {
+// killProcess sends SIGKILL to one process of the site whose arguments match the pattern. It reports whether there was one.
+func (r Run) killProcess(site *datadir.Site, pattern string) bool {
 	for _, pid := range process.Find(map[string]bool{"GULLRUDDER_SITE=" + site.ID: true}, nil) {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/cmdline", pid))
-		if err != nil || !strings.Contains(strings.ReplaceAll(string(raw), "\x00", " "), " "+part) {
+		if err != nil || !strings.Contains(strings.ReplaceAll(string(raw), "\x00", " "), " "+pattern) {
 			continue
 		}
 		if id, err := process.Identify(pid); err == nil && id.Signal(syscall.SIGKILL) == nil {
-			r.Log("killed %s", part)
+			r.Log("killed %s", pattern)
 			return true
 		}
 	}
 	return false
 }
 
-// endRemaining ends processes that are left of the site and returns an error if there were any.
+// endRemaining ends the remaining processes of the site and its tasks. It returns an error if there were any.
 func (r Run) endRemaining(site *datadir.Site) error {
 	environment := map[string]bool{"GULLRUDDER_SITE=" + site.ID: true}
 	if raw, err := os.ReadFile(site.Path("worker", "id")); err == nil {
@@ -244,14 +246,14 @@
 	if len(list) == 0 {
 		return nil
 	}
-	_ = process.End(environment, nil, 5*time.Second) // the error below says what was found
-	return fmt.Errorf("%d processes were left", len(list))
+	_ = process.End(environment, nil, 5*time.Second) // the run fails in any case, with the error below
+	return fmt.Errorf("%d processes of the site or its tasks remained after the run", len(list))
 }
 
-func (r Run) waitUntil(good func() bool, within time.Duration, what string) error {
-	for end := time.Now().Add(within); !good(); time.Sleep(50 * time.Millisecond) {
-		if time.Now().After(end) {
-			return fmt.Errorf("waited %v for %s", within, what)
+func (r Run) waitUntil(condition func() bool, timeout time.Duration, description string) error {
+	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(50 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			return fmt.Errorf("timed out after %v waiting for %s", timeout, description)
 		}
 	}
 	return nil
