--- a/internal/simulator/crashtest/driver.go
+++ b/internal/simulator/crashtest/driver.go
@@ -18,18 +18,18 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// decodeText decodes a value, all of which are texts here.
+// decodeText decodes a value of the store. All values in this package are strings.
 func decodeText(value []byte) string {
 	var s string
 	if err := msgpack.Unmarshal(value, &s); err != nil {
-		return "no text: " + err.Error()
+		return "not a string: " + err.Error()
 	}
 	return s
 }
 
-// Player makes random requests to a store and applies them to a model. It drives
-// the store as its server does, but one step after the other.
-type Player struct {
+// Driver sends random requests to a store and applies them to a model. It calls the store in the same order as the store's
+// server does, but in one goroutine. It is not safe for concurrent use.
+type Driver struct {
 	disk           *faultydisk.Disk
 	rng            *rand.Rand
 	state          *kvserver.State
@@ -37,67 +37,69 @@
 	snapshotWriter *kvserver.SnapshotWriter
 	now            time.Time
 
-	acknowledged *Model   // every transaction that was acknowledged
-	uncertain    []*Model // other states that the store may recover, since a write had no outcome
-	needsRepair  bool     // the log refuses writes until a new segment is begun
-	leaseExpiry  map[uint64]time.Time
-	Violation    string // the first guarantee that was broken, empty if none was
+	acknowledged   *Model   // contains every acknowledged transaction
+	possibleModels []*Model // other states that the store may recover, because the outcome of a write is unknown
+	needsRepair    bool     // the log rejects writes until Repair has begun a new segment
+	leaseExpiry    map[uint64]time.Time
+	Violation      string // describes the first violated guarantee; empty if none was violated
 }
 
 const leaseDuration = 5 * time.Second
 
-// NewPlayer returns a player for an empty disk; Open has to be called first.
-func NewPlayer(disk *faultydisk.Disk, rng *rand.Rand) *Player {
-	return &Player{disk: disk, rng: rng, acknowledged: NewModel(), now: time.Unix(1000, 0), leaseExpiry: map[uint64]time.Time{}}
+// NewDriver returns a driver for an empty disk. Call Open before Step.
+func NewDriver(disk *faultydisk.Disk, rng *rand.Rand) *Driver {
+	return &Driver{disk: disk, rng: rng, acknowledged: NewModel(), now: time.Unix(1000, 0), leaseExpiry: map[uint64]time.Time{}}
 }
 
-// Open recovers the store, on another disk if one is given, and compares it with the model. It returns false after a crash or a violation.
-func (p *Player) Open(disk *faultydisk.Disk) bool {
+// Open recovers the store and compares it with the model. If disk is not nil, it replaces the driver's disk. Open returns
+// false after a crash, a violation, or an error on a disk with injected faults.
+func (d *Driver) Open(disk *faultydisk.Disk) bool {
 	if disk != nil {
-		p.disk = disk
+		d.disk = disk
 	}
-	state, log, _, err := kvserver.Open(p.disk, config.DefaultKVServerOptions(), p.now, slog.New(slog.DiscardHandler))
+	state, storage, _, err := kvserver.Open(d.disk, config.DefaultKVServerOptions(), d.now, slog.New(slog.DiscardHandler))
 	if errors.Is(err, faultydisk.ErrCrashed) {
 		return false
 	}
 	if err != nil {
-		if p.disk.FailAt == 0 {
-			p.Violation = fmt.Sprintf("the store cannot be opened: %v", err)
+		if d.disk.FailAt == 0 {
+			d.Violation = fmt.Sprintf("open the store on a disk without faults: %v", err)
 		}
 		return false
 	}
-	why := p.acknowledged.Difference(state)
-	for _, m := range p.uncertain {
-		if why == "" {
+	difference := d.acknowledged.Difference(state)
+	for _, model := range d.possibleModels {
+		if difference == "" {
 			break
 		}
-		if m.Difference(state) == "" {
-			why, p.acknowledged = "", m
+		if model.Difference(state) == "" {
+			difference, d.acknowledged = "", model
 		}
 	}
-	if why != "" {
-		p.Violation = fmt.Sprintf("the recovered state differs: %s; it may also be one of %d others", why, len(p.uncertain))
+	if difference != "" {
+		d.Violation = fmt.Sprintf("recovered state differs from the acknowledged one: %s; it also differs from %d other allowed states",
+			difference, len(d.possibleModels))
 		return false
 	}
-	p.uncertain, p.state, p.storage, p.snapshotWriter, p.needsRepair = nil, state, log, nil, false
-	p.leaseExpiry = map[uint64]time.Time{}
-	for id := range p.acknowledged.Leases {
-		p.leaseExpiry[id] = p.now.Add(leaseDuration)
+	d.possibleModels, d.state, d.storage, d.snapshotWriter, d.needsRepair = nil, state, storage, nil, false
+	d.leaseExpiry = map[uint64]time.Time{}
+	for id := range d.acknowledged.Leases {
+		d.leaseExpiry[id] = d.now.Add(leaseDuration)
 	}
 	return true
 }
 
-// key draws a key.
-func (p *Player) key() string { return fmt.Sprintf("k/%d", p.rng.IntN(12)) }
+func (d *Driver) randomKey() string { return fmt.Sprintf("k/%d", d.rng.IntN(12)) }
 
-// randomRequest draws a request, applies it to the model, and returns a check of the store's response.
-func (p *Player) randomRequest(model *Model) (request kvserver.Request, check func(kvserver.Response) string) {
+// randomRequest returns a random request and a check of the store's response, and applies the request to the model. The
+// check returns a description of a wrong response.
+func (d *Driver) randomRequest(model *Model) (request kvserver.Request, check func(kvserver.Response) string) {
 	want := http.StatusOK
-	switch p.rng.IntN(10) {
+	switch d.rng.IntN(10) {
 	case 0:
 		leaseID := model.GrantLease()
-		request = post("/leases", map[string]any{"ttl_ms": leaseDuration.Milliseconds()})
-		p.leaseExpiry[leaseID] = p.now.Add(leaseDuration)
+		request = newPostRequest("/leases", map[string]any{"ttl_ms": leaseDuration.Milliseconds()})
+		d.leaseExpiry[leaseID] = d.now.Add(leaseDuration)
 	case 1:
 		leaseID := uint64(1)
 		for other := range model.Leases {
@@ -109,26 +111,26 @@
 		model.EndLease(leaseID)
 		request = kvserver.Request{Method: "DELETE", Target: fmt.Sprintf("/leases/%d", leaseID)}
 	default:
-		preconditions := p.randomPreconditions(model)
-		operations := p.randomOperations()
+		preconditions := d.randomPreconditions(model)
+		operations := d.randomOperations()
 		want, _ = model.Commit(preconditions, operations)
 		request = CommitRequest(preconditions, operations)
 	}
 	return request, func(got kvserver.Response) string {
 		if got.Status != want {
-			return fmt.Sprintf("%s %s is answered %d, want %d", request.Method, request.Target, got.Status, want)
+			return fmt.Sprintf("status of %s %s: got %d, want %d", request.Method, request.Target, got.Status, want)
 		}
 		return ""
 	}
 }
 
-// randomPreconditions draws up to two preconditions, some of which fail.
-func (p *Player) randomPreconditions(model *Model) []Precondition {
+// randomPreconditions returns up to two preconditions. Some of them fail.
+func (d *Driver) randomPreconditions(model *Model) []Precondition {
 	var list []Precondition
-	for range p.rng.IntN(3) {
-		key := p.key()
+	for range d.rng.IntN(3) {
+		key := d.randomKey()
 		precondition := Precondition{key, model.Keys[key].ModRevision}
-		if p.rng.IntN(6) == 0 {
+		if d.rng.IntN(6) == 0 {
 			precondition.ModRevision++
 		}
 		list = append(list, precondition)
@@ -136,15 +138,15 @@
 	return list
 }
 
-// randomOperations draws one to three writes and drops, some with a lease that may not exist.
-func (p *Player) randomOperations() []Operation {
+// randomOperations returns one to three writes and deletions. Some writes name a lease that may not exist.
+func (d *Driver) randomOperations() []Operation {
 	var list []Operation
-	for range 1 + p.rng.IntN(3) {
-		operation := Operation{Key: p.key()}
-		if p.rng.IntN(4) > 0 {
-			operation.Value = fmt.Sprintf("%d-%0*d", p.rng.IntN(1000), 1+p.rng.IntN(900), 7)
-			if p.rng.IntN(5) == 0 {
-				operation.LeaseID = uint64(1 + p.rng.IntN(4))
+	for range 1 + d.rng.IntN(3) {
+		operation := Operation{Key: d.randomKey()}
+		if d.rng.IntN(4) > 0 {
+			operation.Value = fmt.Sprintf("%d-%0*d", d.rng.IntN(1000), 1+d.rng.IntN(900), 7)
+			if d.rng.IntN(5) == 0 {
+				operation.LeaseID = uint64(1 + d.rng.IntN(4))
 			}
 		}
 		list = append(list, operation)
@@ -152,8 +154,7 @@
 	return list
 }
 
-// post is a POST request with an encoded body.
-func post(target string, body any) kvserver.Request {
+func newPostRequest(target string, body any) kvserver.Request {
 	raw, err := codec.Marshal(body)
 	if err != nil {
 		panic(err) // maps of numbers and strings can always be encoded
@@ -161,11 +162,11 @@
 	return kvserver.Request{Method: "POST", Target: target, Body: raw}
 }
 
-// CommitRequest is the request for a transaction as the store's server receives it.
+// CommitRequest returns the HTTP request of a transaction as the store's server receives it.
 func CommitRequest(preconditions []Precondition, operations []Operation) kvserver.Request {
-	encodedGuards, encodedOperations := []any{}, []any{}
+	encodedPreconditions, encodedOperations := []any{}, []any{}
 	for _, precondition := range preconditions {
-		encodedGuards = append(encodedGuards, map[string]any{"path": precondition.Key, "mark": precondition.ModRevision})
+		encodedPreconditions = append(encodedPreconditions, map[string]any{"path": precondition.Key, "mark": precondition.ModRevision})
 	}
 	for _, operation := range operations {
 		switch {
@@ -178,167 +179,168 @@
 			encodedOperations = append(encodedOperations, write)
 		}
 	}
-	return post("/commit", map[string]any{"guards": encodedGuards, "apply": encodedOperations})
+	return newPostRequest("/commit", map[string]any{"guards": encodedPreconditions, "apply": encodedOperations})
 }
 
-// Step runs one step. It returns false after a crash or a violation.
-func (p *Player) Step() bool {
-	p.now = p.now.Add(time.Duration(p.rng.IntN(900)) * time.Millisecond)
-	if p.needsRepair {
-		if !p.repair() {
+// Step advances the time by less than a second, repairs a broken log, expires leases, sends requests, and advances a
+// snapshot. It returns false after a crash or a violation.
+func (d *Driver) Step() bool {
+	d.now = d.now.Add(time.Duration(d.rng.IntN(900)) * time.Millisecond)
+	if d.needsRepair {
+		if !d.repair() {
 			return false
 		}
 	}
-	if !p.needsRepair && (!p.expireLeases() || !p.sendRequests()) {
+	if !d.needsRepair && (!d.expireLeases() || !d.sendRequests()) {
 		return false
 	}
-	return p.snapshot()
+	return d.advanceSnapshot()
 }
 
-// expireLeases lets leases expire and checks that none does so early or late.
-func (p *Player) expireLeases() bool {
-	effects := p.state.Step(p.now, nil)
-	next := p.acknowledged.Clone()
-	remaining := map[uint64]bool{}
-	for _, leaseID := range p.state.LeaseIDs() {
-		remaining[leaseID] = true
+// expireLeases lets the store expire leases, and checks that none expires early or late.
+func (d *Driver) expireLeases() bool {
+	effects := d.state.Step(d.now, nil)
+	next := d.acknowledged.Clone()
+	exists := map[uint64]bool{}
+	for _, leaseID := range d.state.LeaseIDs() {
+		exists[leaseID] = true
 	}
-	for _, leaseID := range slices.Sorted(maps.Keys(p.acknowledged.Leases)) {
-		isValid := p.now.Before(p.leaseExpiry[leaseID])
-		if remaining[leaseID] != isValid {
-			p.Violation = fmt.Sprintf("lease %d exists: got %v, want %v, %v before its expiry",
-				leaseID, remaining[leaseID], isValid, p.leaseExpiry[leaseID].Sub(p.now))
+	for _, leaseID := range slices.Sorted(maps.Keys(d.acknowledged.Leases)) {
+		wantExists := d.now.Before(d.leaseExpiry[leaseID])
+		if exists[leaseID] != wantExists {
+			d.Violation = fmt.Sprintf("lease %d exists: got %v, want %v, at %v before its expiry",
+				leaseID, exists[leaseID], wantExists, d.leaseExpiry[leaseID].Sub(d.now))
 			return false
 		}
-		if !remaining[leaseID] {
+		if !exists[leaseID] {
 			next.EndLease(leaseID)
 		}
 	}
-	return p.appendStep(effects, next)
+	return d.appendStep(effects, next)
 }
 
 // sendRequests sends up to three requests in one step.
-func (p *Player) sendRequests() bool {
-	for id := range p.acknowledged.Leases {
-		// Its end could not be written and is tried again.
-		if p.needsRepair || !p.now.Before(p.leaseExpiry[id]) {
+func (d *Driver) sendRequests() bool {
+	for id := range d.acknowledged.Leases {
+		// The end of an expired lease could not be written. The next step tries it again.
+		if d.needsRepair || !d.now.Before(d.leaseExpiry[id]) {
 			return true
 		}
 	}
-	if p.needsRepair {
+	if d.needsRepair {
 		return true
 	}
-	next := p.acknowledged.Clone()
-	var batch []kvserver.Request
+	next := d.acknowledged.Clone()
+	var requests []kvserver.Request
 	var checks []func(kvserver.Response) string
-	for range 1 + p.rng.IntN(3) {
-		request, check := p.randomRequest(next)
-		batch, checks = append(batch, request), append(checks, check)
+	for range 1 + d.rng.IntN(3) {
+		request, check := d.randomRequest(next)
+		requests, checks = append(requests, request), append(checks, check)
 	}
-	effects := p.state.Step(p.now, batch)
+	effects := d.state.Step(d.now, requests)
 	for i, check := range checks {
-		if why := check(effects.Responses[i]); why != "" {
-			p.Violation = why
+		if violation := check(effects.Responses[i]); violation != "" {
+			d.Violation = violation
 			return false
 		}
 	}
-	return p.appendStep(effects, next)
+	return d.appendStep(effects, next)
 }
 
-// appendStep appends the records of a step to the log and updates the model by the outcome.
-func (p *Player) appendStep(effects kvserver.Effects, next *Model) bool {
+// appendStep appends the records of a step to the log and updates the models according to the result.
+func (d *Driver) appendStep(effects kvserver.Effects, next *Model) bool {
 	if len(effects.Records) == 0 {
 		return true
 	}
-	err := p.storage.Append(effects.Records)
+	err := d.storage.Append(effects.Records)
 	switch {
 	case err == nil:
-		p.acknowledged = next
-		p.storage.RecordAppended(len(effects.Records))
+		d.acknowledged = next
+		d.storage.RecordAppended(len(effects.Records))
 		return true
 	case errors.Is(err, faultydisk.ErrCrashed):
-		p.uncertain = append(p.uncertain, next)
+		d.possibleModels = append(d.possibleModels, next)
 		return false
 	case errors.Is(err, kvserver.ErrNotWritten):
-		p.state.Undo(effects)
+		d.state.Undo(effects)
 	default:
-		p.state.Undo(effects)
-		p.uncertain = append(p.uncertain, next)
+		d.state.Undo(effects)
+		d.possibleModels = append(d.possibleModels, next)
 	}
-	if why := p.acknowledged.Difference(p.state); why != "" {
-		p.Violation = "a failed step is not undone: " + why
+	if difference := d.acknowledged.Difference(d.state); difference != "" {
+		d.Violation = "state after the undo of a failed step: " + difference
 		return false
 	}
-	p.recordFailure()
+	d.refuseWritesIfBroken()
 	return true
 }
 
-// recordFailure lets the store refuse writes if its log is broken.
-func (p *Player) recordFailure() {
-	if p.storage.IsBroken() && !p.needsRepair {
-		p.needsRepair = true
-		p.state.SetWritesFailing(p.now, true)
+// refuseWritesIfBroken makes the store reject writes after its log has broken.
+func (d *Driver) refuseWritesIfBroken() {
+	if d.storage.IsBroken() && !d.needsRepair {
+		d.needsRepair = true
+		d.state.SetWritesFailing(d.now, true)
 	}
 }
 
-// repair begins a new segment. While the disk fails, the store has to refuse writes.
-func (p *Player) repair() bool {
-	err := p.storage.Repair(p.state.Revision())
+// repair begins a new log segment. If that fails, it checks that the store rejects writes.
+func (d *Driver) repair() bool {
+	err := d.storage.Repair(d.state.Revision())
 	if errors.Is(err, faultydisk.ErrCrashed) {
 		return false
 	}
 	if err != nil {
-		effects := p.state.Step(p.now, []kvserver.Request{CommitRequest(nil, []Operation{{Key: "k/0", Value: "no"}})})
+		effects := d.state.Step(d.now, []kvserver.Request{CommitRequest(nil, []Operation{{Key: "k/0", Value: "no"}})})
 		if len(effects.Responses) != 1 || effects.Responses[0].Status != http.StatusServiceUnavailable || len(effects.Records) > 0 {
-			p.Violation = fmt.Sprintf("a commit while the log is broken: got %+v and %d records, want one response 503 and none",
+			d.Violation = fmt.Sprintf("commit while the log is broken: got responses %+v and %d records, want one with status 503 and no records",
 				effects.Responses, len(effects.Records))
 			return false
 		}
 		return true
 	}
-	// Writes of unknown outcome are dropped by the new segment.
-	p.needsRepair, p.uncertain = false, nil
-	p.state.SetWritesFailing(p.now, false)
-	for id := range p.acknowledged.Leases {
-		p.leaseExpiry[id] = p.now.Add(leaseDuration)
+	// The new segment discards writes with an unknown outcome.
+	d.needsRepair, d.possibleModels = false, nil
+	d.state.SetWritesFailing(d.now, false)
+	for id := range d.acknowledged.Leases {
+		d.leaseExpiry[id] = d.now.Add(leaseDuration)
 	}
 	return true
 }
 
-// snapshot begins a snapshot now and then, or advances the one that is being written.
-func (p *Player) snapshot() bool {
-	if p.snapshotWriter == nil {
-		if p.needsRepair || p.rng.IntN(5) > 0 {
+// advanceSnapshot advances the snapshot in progress. If there is none, it begins one in a fifth of the calls.
+func (d *Driver) advanceSnapshot() bool {
+	if d.snapshotWriter == nil {
+		if d.needsRepair || d.rng.IntN(5) > 0 {
 			return true
 		}
-		snap, err := p.storage.BeginSnapshot(p.state.Freeze())
+		writer, err := d.storage.BeginSnapshot(d.state.Freeze())
 		if errors.Is(err, faultydisk.ErrCrashed) {
 			return false
 		}
 		if err != nil {
-			p.recordFailure()
+			d.refuseWritesIfBroken()
 			return true
 		}
-		p.storage.RecordSnapshotBegun()
-		p.snapshotWriter = snap
+		d.storage.RecordSnapshotBegun()
+		d.snapshotWriter = writer
 		return true
 	}
-	done, err := p.snapshotWriter.Step()
+	done, err := d.snapshotWriter.Step()
 	switch {
 	case errors.Is(err, faultydisk.ErrCrashed):
 		return false
 	case err != nil:
-		if errors.Is(p.snapshotWriter.Abort(), faultydisk.ErrCrashed) {
+		if errors.Is(d.snapshotWriter.Abort(), faultydisk.ErrCrashed) {
 			return false
 		}
-		p.storage.RecordSnapshotDone(p.snapshotWriter, false)
-		p.snapshotWriter = nil
+		d.storage.RecordSnapshotDone(d.snapshotWriter, false)
+		d.snapshotWriter = nil
 	case done:
-		if errors.Is(p.storage.Prune(p.snapshotWriter), faultydisk.ErrCrashed) {
+		if errors.Is(d.storage.Prune(d.snapshotWriter), faultydisk.ErrCrashed) {
 			return false
 		}
-		p.storage.RecordSnapshotDone(p.snapshotWriter, true)
-		p.snapshotWriter = nil
+		d.storage.RecordSnapshotDone(d.snapshotWriter, true)
+		d.snapshotWriter = nil
 	}
 	return true
 }
--- a/internal/simulator/crashtest/model.go
+++ b/internal/simulator/crashtest/model.go
@@ -1,5 +1,5 @@
-// Package crashtest runs the key-value store on a faulty disk, crashes it at every operation, and
-// compares what it recovers with a simple model of what was acknowledged.
+// Package crashtest runs the key-value store on a faulty disk and crashes it at every disk operation. It compares the
+// recovered state with a simple model of the acknowledged transactions.
 package crashtest
 
 import (
@@ -13,42 +13,43 @@
 	"gullrudder/internal/site/kvserver"
 )
 
-// Model is a simple model of the key-value store.
+// Model is the state that the key-value store is expected to have. It is not safe for concurrent use.
 type Model struct {
 	Keys        map[string]ModelKey
-	Leases      map[uint64]bool
-	Revision    uint64
-	LastLeaseID uint64
+	Leases      map[uint64]bool // IDs of the leases that have not ended
+	Revision    uint64          // of the last change of a key; 0 for an empty store
+	LastLeaseID uint64          // ID of the lease granted last; 0 if none was granted
 }
 
-// ModelKey is a key of the model.
+// ModelKey is the value of a key with its metadata.
 type ModelKey struct {
 	Value       string
-	ModRevision uint64
-	LeaseID     uint64
+	ModRevision uint64 // revision of the transaction that last wrote the key
+	LeaseID     uint64 // lease that the key is attached to; 0 if none
 }
 
-// Precondition of a transaction: the key still has the mod revision, 0 if it must not exist.
+// Precondition of a transaction: the key has this mod revision. 0 means that the key must not exist.
 type Precondition struct {
 	Key         string
 	ModRevision uint64
 }
 
-// Operation of a transaction: a write, or a drop if the value is empty.
+// Operation of a transaction. It writes the key, or deletes it if the value is empty.
 type Operation struct {
 	Key, Value string
-	LeaseID    uint64
+	LeaseID    uint64 // lease that a written key is attached to; 0 for none
 }
 
 // NewModel returns the model of an empty store.
 func NewModel() *Model { return &Model{Keys: map[string]ModelKey{}, Leases: map[uint64]bool{}} }
 
-// Clone returns a copy that shares nothing with the model.
+// Clone returns a deep copy.
 func (m *Model) Clone() *Model {
 	return &Model{maps.Clone(m.Keys), maps.Clone(m.Leases), m.Revision, m.LastLeaseID}
 }
 
-// Commit applies a transaction and returns the response that the store has to give.
+// Commit applies a transaction and returns the expected response of the store: the HTTP status and, with status 409, the
+// keys whose preconditions failed. The model changes only with status 200.
 func (m *Model) Commit(preconditions []Precondition, operations []Operation) (status int, failed []string) {
 	for _, operation := range operations {
 		if operation.LeaseID != 0 && !m.Leases[operation.LeaseID] {
@@ -76,14 +77,14 @@
 	return http.StatusOK, nil
 }
 
-// GrantLease grants the next lease.
+// GrantLease grants a lease and returns its ID, which is the previous ID plus one.
 func (m *Model) GrantLease() uint64 {
 	m.LastLeaseID++
 	m.Leases[m.LastLeaseID] = true
 	return m.LastLeaseID
 }
 
-// EndLease ends a lease and removes the keys that are attached to it.
+// EndLease ends a lease and deletes the keys attached to it. It does nothing if the lease does not exist.
 func (m *Model) EndLease(leaseID uint64) {
 	if !m.Leases[leaseID] {
 		return
@@ -101,11 +102,11 @@
 	}
 }
 
-// SortedKeys lists the keys with a prefix that come after a key.
-func (m *Model) SortedKeys(prefix, from string) []string {
+// SortedKeys returns the keys with a prefix that sort after another key, in ascending order.
+func (m *Model) SortedKeys(prefix, after string) []string {
 	var keys []string
 	for key := range m.Keys {
-		if strings.HasPrefix(key, prefix) && key > from {
+		if strings.HasPrefix(key, prefix) && key > after {
 			keys = append(keys, key)
 		}
 	}
@@ -113,26 +114,26 @@
 	return keys
 }
 
-// Difference describes how a store differs from the model, empty if it does not.
+// Difference describes the first difference between a store and the model. It is empty if they are equal.
 func (m *Model) Difference(state *kvserver.State) string {
 	if state.Revision() != m.Revision || state.LastLeaseID() != m.LastLeaseID {
-		return fmt.Sprintf("revision %d and %d leases granted, want %d and %d",
+		return fmt.Sprintf("revision and last lease ID: got %d and %d, want %d and %d",
 			state.Revision(), state.LastLeaseID(), m.Revision, m.LastLeaseID)
 	}
-	seen := 0
-	why := ""
+	keyCount := 0
+	difference := ""
 	state.ForEachKey(func(key string, value []byte, modRevision, lease uint64) {
-		seen++
+		keyCount++
 		want, ok := m.Keys[key]
-		if got := (ModelKey{decodeText(value), modRevision, lease}); why == "" && (!ok || got != want) {
-			why = fmt.Sprintf("%s is %+v, want %+v (%v)", key, got, want, ok)
+		if got := (ModelKey{decodeText(value), modRevision, lease}); difference == "" && (!ok || got != want) {
+			difference = fmt.Sprintf("key %s: got %+v, want %+v (key expected: %v)", key, got, want, ok)
 		}
 	})
-	if why == "" && seen != len(m.Keys) {
-		why = fmt.Sprintf("%d keys, want %d", seen, len(m.Keys))
+	if difference == "" && keyCount != len(m.Keys) {
+		difference = fmt.Sprintf("number of keys: got %d, want %d", keyCount, len(m.Keys))
 	}
-	if got, want := state.LeaseIDs(), slices.Sorted(maps.Keys(m.Leases)); why == "" && !slices.Equal(got, want) {
-		why = fmt.Sprintf("leases %v, want %v", got, want)
+	if got, want := state.LeaseIDs(), slices.Sorted(maps.Keys(m.Leases)); difference == "" && !slices.Equal(got, want) {
+		difference = fmt.Sprintf("leases: got %v, want %v", got, want)
 	}
-	return why
+	return difference
 }
