--- a/internal/site/agent/attempt.go
+++ b/internal/site/agent/attempt.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// tailBytes is how much of a failed task's error output its result keeps.
+	// tailBytes is the size of the end of a failed task's error output that its result keeps.
 	tailBytes = 2048
-	// exitNotFound is the exit status of a command that could not be started, as a shell has it.
+	// exitNotFound is the exit status of a command that could not be started, as in a shell.
 	exitNotFound = 127
-	// exitSignal is added to the number of the signal that ended a command, as a shell does.
+	// exitSignal is added to the number of the signal that ended a command, as in a shell.
 	exitSignal = 128
 )
 
 // attemptFiles are the directories and open files of an attempt.
 type attemptFiles struct {
 	job, index     string
-	workDir        string // of this attempt alone
-	checkpointDir  string // of all attempts of the task
+	workDir        string // used by this attempt only
+	checkpointDir  string // shared by all attempts of the task
 	stdout, stderr *os.File
 }
 
-// openAttemptFiles makes the directories below dir and opens the output files. The directories belong to the credential's user; nil:
-// to the worker's.
+// openAttemptFiles creates the directories below dir and opens the output files. The directories belong to the credential's user, or
+// to the worker's user if it is nil.
 func openAttemptFiles(dir string, attempt attemptKey, credential *syscall.Credential) (*attemptFiles, error) {
 	job, index, _ := strings.Cut(attempt.task, "/")
 	files := &attemptFiles{
@@ -40,29 +40,29 @@
 	}
 	for _, path := range []string{files.workDir, files.checkpointDir} {
 		if err := os.MkdirAll(path, 0o755); err != nil {
-			return nil, fmt.Errorf("attempt's directory: %w", err)
+			return nil, fmt.Errorf("create attempt directory: %w", err)
 		}
 		if credential == nil {
 			continue
 		}
 		if err := os.Chown(path, int(credential.Uid), int(credential.Gid)); err != nil {
-			return nil, fmt.Errorf("attempt's directory: %w", err)
+			return nil, fmt.Errorf("change owner of attempt directory: %w", err)
 		}
 	}
 	var err error
 	if files.stdout, err = os.Create(filepath.Join(files.workDir, "out.txt")); err != nil {
-		return nil, fmt.Errorf("attempt's output: %w", err)
+		return nil, fmt.Errorf("create attempt output file: %w", err)
 	}
 	if files.stderr, err = os.Create(filepath.Join(files.workDir, "err.txt")); err != nil {
-		return nil, errors.Join(fmt.Errorf("attempt's output: %w", err), files.stdout.Close())
+		return nil, errors.Join(fmt.Errorf("create attempt output file: %w", err), files.stdout.Close())
 	}
 	return files, nil
 }
 
 func (f *attemptFiles) close() error { return errors.Join(f.stdout.Close(), f.stderr.Close()) }
 
-// newCommand returns the command of the Spec for this attempt. {task} stands for the task's index. The tags come first in its
-// environment; by them the processes of the attempt are found.
+// newCommand returns the command of the Spec for this attempt, with {task} replaced by the task's index. The tags come first in its
+// environment. They identify the processes of the attempt.
 func newCommand(spec *Spec, files *attemptFiles, tags ...string) *exec.Cmd {
 	args := make([]string, len(spec.Command))
 	for i, arg := range spec.Command {
@@ -84,7 +84,7 @@
 	return cmd
 }
 
-// exitStatus returns the exit status as a shell has it.
+// exitStatus returns the exit status as a shell reports it: exitSignal plus the signal's number if a signal ended the command.
 func exitStatus(exit *exec.ExitError) int {
 	if status, ok := exit.Sys().(syscall.WaitStatus); ok && status.Signaled() {
 		return exitSignal + int(status.Signal())
@@ -92,7 +92,7 @@
 	return exit.ExitCode()
 }
 
-// readTail returns the end of a file, made valid UTF-8; empty if it cannot be read.
+// readTail returns the last tailBytes of a file as valid UTF-8, or "" if the file cannot be read.
 func readTail(f *os.File) string {
 	size, err := f.Seek(0, io.SeekEnd)
 	if err != nil {
--- a/internal/site/agent/cleanup.go
+++ b/internal/site/agent/cleanup.go
@@ -13,12 +13,12 @@
 	"gullrudder/internal/site/process"
 )
 
-// cleanUpDelay is how long an exited process waits for others to be cleaned up with.
+// cleanUpDelay is how long the cleanup waits for further exited processes, to handle them together.
 const cleanUpDelay = 20 * time.Millisecond
 
-// endLeftProcesses ends the tasks of an earlier process of this worker: by their tags, and by their records where a task has
-// cleared its environment.
-func (r *Runner) endLeftProcesses() error {
+// endLeftoverProcesses ends the tasks of an earlier process of this worker. It finds them by their tags. A task that has cleared its
+// environment is found by its record on disk.
+func (r *Runner) endLeftoverProcesses() error {
 	records, err := filepath.Glob(filepath.Join(r.dir, "running", "*"))
 	if err != nil {
 		return err
@@ -31,18 +31,18 @@
 		}
 	}
 	if err := process.End(map[string]bool{r.workerTag: true}, groups, endTimeout); err != nil {
-		return fmt.Errorf("tasks of an earlier process: %w", err)
+		return fmt.Errorf("end tasks of an earlier worker process: %w", err)
 	}
 	for _, path := range records {
 		if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
-			return fmt.Errorf("remove record of an earlier process: %w", err)
+			return fmt.Errorf("remove task record of an earlier worker process: %w", err)
 		}
 	}
 	return nil
 }
 
-// cleanUpExited ends the processes that attempts leave when their first process has exited. Those that exited within cleanUpDelay are
-// handled together, since to list all processes takes some milliseconds. It runs as long as the worker's process.
+// cleanUpExited ends the child processes that attempts leave behind when their first process has exited. Attempts that exit within
+// cleanUpDelay are handled together, since listing all processes takes some milliseconds. It never returns.
 func (r *Runner) cleanUpExited() {
 	for first := range r.exited {
 		batch := []*taskProcess{first}
@@ -55,15 +55,15 @@
 				more = false
 			}
 		}
-		marks, groups := map[string]bool{}, map[int]bool{}
+		tags, groups := map[string]bool{}, map[int]bool{}
 		for _, child := range batch {
-			marks[child.processTag()] = true
+			tags[child.processTag()] = true
 			if child.processGroup > 0 {
 				groups[child.processGroup] = true
 			}
 		}
-		for process.End(marks, groups, endTimeout) != nil {
-			r.log.Error("left task processes not ended", logkeys.Count, len(batch))
+		for process.End(tags, groups, endTimeout) != nil {
+			r.log.Error("leftover task processes not ended", logkeys.Count, len(batch))
 		}
 		for _, child := range batch {
 			close(child.ended)
@@ -71,7 +71,7 @@
 	}
 }
 
-// Clear ends all attempts and returns when nothing of them is left. onEnded is called for each all the same.
+// Clear kills all attempts and returns when none of their processes is left. onEnded is called for each attempt.
 func (r *Runner) Clear() {
 	r.mu.Lock()
 	var children []*taskProcess
--- a/internal/site/agent/commands.go
+++ b/internal/site/agent/commands.go
@@ -10,20 +10,20 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// maxTasks bounds the attempts in a heartbeat, whose body must stay below 64 KiB.
-const maxTasks = 400
+// maxAttempts bounds the attempts that a worker keeps. A heartbeat lists all of them, and its body must stay below 64 KiB.
+const maxAttempts = 400
 
-// handleDirect answers a request to the worker's own address, and executes its commands. They do not renew the lease.
-func (s *State) handleDirect(now time.Time, direct Direct, effects *Effects) {
+// handleDirectRequest answers a request to the worker's own address and executes its commands. Such a request does not renew the lease.
+func (s *State) handleDirectRequest(now time.Time, request DirectRequest, effects *Effects) {
 	reply := func(status int) {
-		effects.Replies = append(effects.Replies, Reply{direct.Handle, status, s.nextHeartbeat()})
+		effects.Replies = append(effects.Replies, Reply{request.Handle, status, s.nextHeartbeat()})
 	}
-	if !direct.HasCommands {
+	if !request.HasCommands {
 		reply(http.StatusOK)
 		return
 	}
 	var message controllerMessage
-	if codec.Unmarshal(direct.Body, &message) != nil || message.FencingToken == nil || message.Incarnation == nil {
+	if codec.Unmarshal(request.Body, &message) != nil || message.FencingToken == nil || message.Incarnation == nil {
 		reply(http.StatusBadRequest)
 		return
 	}
@@ -36,10 +36,10 @@
 	reply(http.StatusOK)
 }
 
-// execute carries out commands. Those about an attempt that is not known, but for its start, have no effect.
+// execute executes commands. A kill or forget command for an unknown attempt has no effect.
 func (s *State) execute(commands []workerapi.Command, effects *Effects) {
 	for _, command := range commands {
-		attempt := s.tasks[attemptKey{command.Task, command.Attempt}]
+		attempt := s.attempts[attemptKey{command.Task, command.Attempt}]
 		switch command.Operation {
 		case workerapi.OperationStart:
 			if attempt == nil {
@@ -51,30 +51,30 @@
 			}
 		case workerapi.OperationForget:
 			if attempt != nil && attempt.state == workerapi.StateExited {
-				delete(s.tasks, attempt.attemptKey)
+				delete(s.attempts, attempt.attemptKey)
 			}
 		}
 	}
 }
 
-// start takes in a new attempt, or refuses it: then it has exited at once.
+// start adds a new attempt. A refused attempt is added as exited, with the reason for the refusal.
 func (s *State) start(command workerapi.Command) {
 	s.hasChanged = true
 	attempt := &taskAttempt{attemptKey: attemptKey{command.Task, command.Attempt}, state: workerapi.StateFetching}
 	job, _, ok := strings.Cut(command.Task, "/")
 	switch {
 	case !ok || job == "":
-		attempt.exit(workerapi.ReasonNotFound)
-	case len(s.tasks) >= maxTasks:
-		attempt.exit(workerapi.ReasonNoCapacity)
+		attempt.setExited(workerapi.ReasonNotFound)
+	case len(s.attempts) >= maxAttempts:
+		attempt.setExited(workerapi.ReasonNoCapacity)
 	case s.hasActiveAttempt(command.Task):
-		attempt.exit(workerapi.ReasonInUse)
+		attempt.setExited(workerapi.ReasonInUse)
 	}
-	s.tasks[attempt.attemptKey] = attempt
+	s.attempts[attempt.attemptKey] = attempt
 }
 
 func (s *State) hasActiveAttempt(task string) bool {
-	for _, other := range s.tasks {
+	for _, other := range s.attempts {
 		if other.task == task && other.state != workerapi.StateExited {
 			return true
 		}
@@ -82,8 +82,8 @@
 	return false
 }
 
-// kill stops an attempt: with time to save a checkpoint if it can and the command grants enough, else at once. It keeps its
-// resources until Ended says that nothing of it is left.
+// kill stops an attempt. The attempt gets time to save a checkpoint if it supports that and the command grants enough time. Otherwise it
+// is killed at once. It keeps its resources until an Ended input reports that none of its processes is left.
 func (s *State) kill(attempt *taskAttempt, graceSeconds *float64, effects *Effects) {
 	grace := 0.0
 	if graceSeconds != nil {
@@ -92,19 +92,19 @@
 	switch {
 	case attempt.state == workerapi.StateExited:
 	case attempt.state == workerapi.StateFetching:
-		attempt.exit(workerapi.ReasonStopped)
+		attempt.setExited(workerapi.ReasonStopped)
 		s.hasChanged = true
 	case attempt.canSaveWithin(graceSeconds):
 		attempt.state, s.hasChanged = workerapi.StateCheckpointing, true
 		effects.Stops = append(effects.Stops, Stop{attempt.task, attempt.number, units.DurationFromSeconds(grace)})
-	case attempt.state == workerapi.StateCheckpointing && grace > 0, attempt.isKilled: // it is being stopped already
+	case attempt.state == workerapi.StateCheckpointing && grace > 0, attempt.isKilled: // already being stopped
 	default:
 		attempt.isKilled = true
 		effects.Stops = append(effects.Stops, Stop{attempt.task, attempt.number, 0})
 	}
 }
 
-// canSaveWithin reports whether a running attempt can save a checkpoint in that time; nil: none is granted.
+// canSaveWithin reports whether the attempt is running and can save a checkpoint within graceSeconds. nil means that no time is granted.
 func (t *taskAttempt) canSaveWithin(graceSeconds *float64) bool {
 	if graceSeconds == nil || t.state != workerapi.StateRunning || t.isKilled {
 		return false
@@ -112,9 +112,9 @@
 	return t.spec.CheckpointSeconds > 0 && *graceSeconds >= t.spec.CheckpointSeconds
 }
 
-// handleEnded takes in that an attempt has exited.
+// handleEnded marks an attempt as exited and sets the reason.
 func (s *State) handleEnded(ended Ended) {
-	attempt := s.tasks[attemptKey{ended.Task, ended.Attempt}]
+	attempt := s.attempts[attemptKey{ended.Task, ended.Attempt}]
 	if attempt == nil || attempt.state == workerapi.StateExited {
 		return
 	}
@@ -122,11 +122,11 @@
 	wasCheckpointing := attempt.state == workerapi.StateCheckpointing
 	switch {
 	case ended.Stopped:
-		attempt.exit(workerapi.ReasonStopped)
+		attempt.setExited(workerapi.ReasonStopped)
 		attempt.checkpointSaved = wasCheckpointing && ended.CheckpointSaved
 	case ended.Failed:
-		attempt.exit(workerapi.ReasonError)
+		attempt.setExited(workerapi.ReasonError)
 	default:
-		attempt.exit(workerapi.ReasonDone)
+		attempt.setExited(workerapi.ReasonDone)
 	}
 }
--- a/internal/site/agent/heartbeat.go
+++ b/internal/site/agent/heartbeat.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// minHeartbeatInterval is the least time between two heartbeats.
+	// minHeartbeatInterval is the minimum time between two heartbeats.
 	minHeartbeatInterval = 500 * time.Millisecond
 	// responseTimeout is how long the worker waits for the response to a heartbeat.
 	responseTimeout = 4 * time.Second
 	// nextControllerDelay is how long the worker waits before it tries another controller.
 	nextControllerDelay = time.Second
-	// drainNoticeSeconds is the time that a machine to be drained reports to have left.
+	// drainNoticeSeconds is the time until reclaim that a worker reports while its machine has a drain notice.
 	drainNoticeSeconds = 3600.0
 )
 
@@ -26,13 +26,13 @@
 	heartbeat := workerapi.Heartbeat{
 		Machine: s.machine, Addr: s.options.Addr, Type: s.options.Type, Zone: s.options.Zone,
 		Incarnation: s.incarnation, Sequence: s.sequence, FencingToken: s.fencingToken,
-		Tasks: make([]workerapi.TaskStatus, 0, len(s.tasks)),
+		Tasks: make([]workerapi.TaskStatus, 0, len(s.attempts)),
 	}
 	if s.hasDrainNotice {
 		remaining := drainNoticeSeconds
 		heartbeat.ReclaimInSeconds = &remaining
 	}
-	for _, t := range s.sortedTasks() {
+	for _, t := range s.sortedAttempts() {
 		heartbeat.Tasks = append(heartbeat.Tasks, workerapi.TaskStatus{
 			Task: t.task, Attempt: t.number, State: t.state, Reason: t.reason, CheckpointSaved: t.checkpointSaved,
 		})
@@ -40,7 +40,8 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends a heartbeat if one is due: at the interval, or when something has changed, and one at a time.
+// sendHeartbeat sends a heartbeat if one is due: after the interval, or when something has changed. Only one heartbeat at a time awaits
+// its response.
 func (s *State) sendHeartbeat(now time.Time, effects *Effects) {
 	isDue := s.hasChanged || !now.Before(s.nextHeartbeatAt)
 	if s.isAwaitingResponse || len(s.controllers) == 0 || now.Sub(s.sentAt) < minHeartbeatInterval || !isDue {
@@ -48,33 +49,33 @@
 	}
 	s.isAwaitingResponse, s.hasChanged = true, false
 	s.sentAt, s.sentIncarnation = now, s.incarnation
-	effects.Heartbeat = &OutgoingHeartbeat{s.options.Controllers[s.controllers[s.current]], s.nextHeartbeat()}
+	effects.Heartbeat = &OutgoingHeartbeat{s.options.Controllers[s.controllers[s.currentController]], s.nextHeartbeat()}
 }
 
-// handleAnswered takes in the outcome of the heartbeat that was sent last. After a redirect, or without a usable response, the next
-// one goes to another controller.
-func (s *State) handleAnswered(now time.Time, answered Answered, effects *Effects) {
+// handleHeartbeatResult handles the result of the last heartbeat. After a redirect, or without a usable response, the next one goes to
+// another controller.
+func (s *State) handleHeartbeatResult(now time.Time, result HeartbeatResult, effects *Effects) {
 	s.isAwaitingResponse = false
 	s.nextHeartbeatAt = s.sentAt.Add(s.options.HeartbeatInterval)
 	var message controllerMessage
-	isReadable := answered.Status != 0 && codec.Unmarshal(answered.Body, &message) == nil
+	isReadable := result.Status != 0 && codec.Unmarshal(result.Body, &message) == nil
 	switch {
-	case answered.Status == http.StatusOK:
+	case result.Status == http.StatusOK:
 		if isReadable {
 			s.handleResponse(now, &message, effects)
 		}
-	case answered.Status == http.StatusMisdirectedRequest && isReadable && s.isOtherController(message.Leader):
-		s.current = slices.Index(s.controllers, message.Leader)
+	case result.Status == http.StatusMisdirectedRequest && isReadable && s.isOtherController(message.Leader):
+		s.currentController = slices.Index(s.controllers, message.Leader)
 		s.nextHeartbeatAt = now
 	default:
-		s.current = (s.current + 1) % len(s.controllers)
+		s.currentController = (s.currentController + 1) % len(s.controllers)
 		s.nextHeartbeatAt = now.Add(nextControllerDelay)
 		s.hasChanged = false
 	}
 }
 
-// handleResponse renews the lease, counted from when the heartbeat was sent, and executes the commands. A response with a lower
-// fencing token, of another incarnation, or too late does neither.
+// handleResponse renews the lease, which starts when the heartbeat was sent, and executes the commands. It ignores a response that has a
+// lower fencing token, belongs to another incarnation, or arrives after responseTimeout.
 func (s *State) handleResponse(now time.Time, message *controllerMessage, effects *Effects) {
 	isOutdated := s.isClearing || s.sentIncarnation != s.incarnation || now.Sub(s.sentAt) > responseTimeout
 	if message.FencingToken == nil || *message.FencingToken < s.fencingToken || isOutdated {
@@ -86,10 +87,10 @@
 }
 
 func (s *State) isOtherController(name string) bool {
-	return slices.Contains(s.controllers, name) && name != s.controllers[s.current]
+	return slices.Contains(s.controllers, name) && name != s.controllers[s.currentController]
 }
 
-// raiseFencingToken takes in a fencing token. A higher one counts as a change, at most once in half of the lease.
+// raiseFencingToken adopts a higher fencing token. This triggers a heartbeat ahead of the interval, at most once per half a lease.
 func (s *State) raiseFencingToken(now time.Time, fencingToken uint64) {
 	if fencingToken > s.fencingToken {
 		s.fencingToken = fencingToken
--- a/internal/site/agent/results.go
+++ b/internal/site/agent/results.go
@@ -9,12 +9,12 @@
 	"go.etcd.io/bbolt"
 )
 
-// Result is how a task ended on this machine. It is shown to the user.
+// Result records how a task ended on this machine. It is shown to the user.
 type Result struct {
 	Task       string    `json:"task"`
 	Attempt    uint64    `json:"attempt"`
-	Exit       int       `json:"exit"`             // status; 128 and the number of the signal that ended it
-	Reason     string    `json:"reason,omitempty"` // in words, if Exit is not 0
+	Exit       int       `json:"exit"`             // exit status; 128 plus the signal's number if a signal ended it
+	Reason     string    `json:"reason,omitempty"` // text, if Exit is not 0
 	ErrorTail  string    `json:"tail,omitempty"`   // the end of its error output, if Exit is not 0
 	StartedAt  time.Time `json:"began"`
 	FinishedAt time.Time `json:"finished"`
@@ -23,20 +23,20 @@
 // results stores the results of tasks on disk. A task with a stored result is not run again on this machine.
 type results struct{ db *bbolt.DB }
 
-// errNoResult says that no result of the task is stored.
+// errNoResult is returned if no result of the task is stored.
 var errNoResult = errors.New("no result stored")
 
-// Names of the buckets in the file.
+// Names of the buckets in the database.
 var (
 	resultsBucket    = []byte("results") // results in JSON, by task ID
 	unreportedBucket = []byte("untold")  // task IDs of failures that the machine pool does not have yet
 )
 
-// openResults opens the file and locks it. It fails after a second if another process holds the lock.
+// openResults opens the database file and locks it. It fails after a second if another process holds the lock.
 func openResults(path string) (*results, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
-		return nil, fmt.Errorf("results %s: %w", path, err)
+		return nil, fmt.Errorf("open results database %s: %w", path, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
 		for _, name := range [][]byte{resultsBucket, unreportedBucket} {
@@ -47,12 +47,12 @@
 		return nil
 	})
 	if err != nil {
-		return nil, fmt.Errorf("results %s: %w", path, err)
+		return nil, fmt.Errorf("create buckets in results database %s: %w", path, err)
 	}
 	return &results{db}, nil
 }
 
-// store stores a result durably. Results that are stored at the same time share one write.
+// store stores a result durably. Concurrent calls share one write.
 func (r *results) store(res Result) error {
 	raw, err := json.Marshal(res)
 	if err != nil {
@@ -83,7 +83,7 @@
 // unreported returns at most limit failures that the machine pool does not have yet.
 func (r *results) unreported(limit int) []Result {
 	var failures []Result
-	// A result that cannot be read is left out; it stays on this machine's disk.
+	// A result that cannot be read is skipped. It stays on this machine's disk.
 	_ = r.db.View(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(unreportedBucket).Cursor()
 		for k, _ := c.First(); k != nil && len(failures) < limit; k, _ = c.Next() {
--- a/internal/site/agent/runner.go
+++ b/internal/site/agent/runner.go
@@ -21,58 +21,59 @@
 )
 
 const (
-	// maxOutputBytes bounds each file that a task writes, its output included.
+	// maxOutputBytes bounds the size of each file that a task writes, including its output.
 	maxOutputBytes = 1 << 30
-	// maxOpenFiles is how many files a task may have open.
+	// maxOpenFiles is the number of files that a task may have open.
 	maxOpenFiles = 1024
-	// taskNiceness is the niceness of tasks, so that the own processes of the site go first.
+	// taskNiceness is the niceness of tasks. It gives the site's own processes priority.
 	taskNiceness = 5
-	// endTimeout is how long processes may take to end before that is logged and they are killed again.
+	// endTimeout is how long processes may take to end before an error is logged and they are killed again.
 	endTimeout = 5 * time.Second
-	// exitedBuffer is how many exited processes may wait to be cleaned up before their goroutines block.
-	exitedBuffer = 1024
+	// exitedQueueSize is how many exited processes may wait for cleanup before their goroutines block.
+	exitedQueueSize = 1024
 )
 
-// Runner runs attempts as processes: each in a session of its own, tagged in its environment, and with a record on disk as long as it
-// runs, so that a later worker process can end what is left. It owns the processes and the directories of the attempts. Its methods
-// may be called from any goroutine.
+// Runner runs attempts as processes. Each has a session of its own, a tag in its environment and a record on disk while it runs, so that
+// a later worker process can end leftover processes. Runner owns the processes and the directories of the attempts. Its methods may be
+// called from any goroutine.
 type Runner struct {
 	dir        string
 	workerTag  string // in the environment of all tasks of this worker
 	results    *results
 	credential *syscall.Credential
 	log        *slog.Logger
-	onEnded    func(ended Ended, hasFailed bool) // hasFailed: there is a result to report to the pool
+	onEnded    func(ended Ended, hasFailed bool) // hasFailed: a failure is to be reported to the machine pool
 
 	mu        sync.Mutex
 	processes map[attemptKey]*taskProcess
-	exited    chan *taskProcess // to be cleaned up
+	exited    chan *taskProcess // waiting for cleanup
 }
 
-// taskProcess is the process of an attempt, from its launch until nothing of it is left.
+// taskProcess is the process of an attempt. It exists from the launch until no process of the attempt is left.
 type taskProcess struct {
 	attemptKey
 	spec         *Spec
 	processGroup int           // 0: not started
 	isStopped    bool          // a stop was requested
-	isKilled     bool          // without time to save a checkpoint, or after that time
-	ended        chan struct{} // closed when nothing is left
+	isKilled     bool          // it was killed, at once or after its time to save a checkpoint
+	ended        chan struct{} // closed when no process of the attempt is left
 }
 
-// newRunner ends what an earlier process of this worker left and returns a Runner. dir must not be in use by another worker.
+// newRunner returns a Runner, after ending the tasks that an earlier process of this worker left running. It fails if another worker
+// uses dir.
 func newRunner(
 	dir string, credential *syscall.Credential, log *slog.Logger, onEnded func(ended Ended, hasFailed bool),
 ) (*Runner, error) {
 	r := &Runner{
 		dir: dir, credential: credential, log: log, onEnded: onEnded,
-		processes: map[attemptKey]*taskProcess{}, exited: make(chan *taskProcess, exitedBuffer),
+		processes: map[attemptKey]*taskProcess{}, exited: make(chan *taskProcess, exitedQueueSize),
 	}
 	for _, sub := range []string{"running", "work", "save"} {
 		if err := os.MkdirAll(filepath.Join(dir, sub), 0o755); err != nil {
-			return nil, fmt.Errorf("worker's directory: %w", err)
+			return nil, fmt.Errorf("create worker directory: %w", err)
 		}
 	}
-	id, err := identity(filepath.Join(dir, "id"))
+	id, err := loadOrCreateWorkerID(filepath.Join(dir, "id"))
 	if err != nil {
 		return nil, err
 	}
@@ -81,24 +82,24 @@
 	if r.results, err = openResults(filepath.Join(dir, "results.db")); err != nil {
 		return nil, err
 	}
-	if err := r.endLeftProcesses(); err != nil {
+	if err := r.endLeftoverProcesses(); err != nil {
 		return nil, err
 	}
 	go r.cleanUpExited()
 	return r, nil
 }
 
-// recordName is the name of the file that records the process of an attempt.
+// recordName returns the name of the file that records the process of an attempt.
 func (k attemptKey) recordName() string {
 	return strings.ReplaceAll(k.task, "/", ".") + "." + strconv.FormatUint(k.number, 10)
 }
 
-// processTag is the variable in the environment of an attempt's processes by which they are found.
+// processTag returns the environment variable that identifies the processes of an attempt.
 func (k attemptKey) processTag() string {
 	return fmt.Sprintf("GULLRUDDER_ATTEMPT=%s#%d", k.task, k.number)
 }
 
-// Launch starts an attempt. onEnded is called once nothing of it is left.
+// Launch starts an attempt and returns at once. onEnded is called once none of its processes is left.
 func (r *Runner) Launch(launch Launch) {
 	child := &taskProcess{attemptKey: attemptKey{launch.Task, launch.Attempt}, spec: launch.Spec, ended: make(chan struct{})}
 	r.mu.Lock()
@@ -107,7 +108,7 @@
 	go r.run(child)
 }
 
-// run takes an attempt from its start to its end, with the retries that its Spec allows.
+// run runs an attempt to its end, with the retries that its Spec allows, and stores the result.
 func (r *Runner) run(child *taskProcess) {
 	var result Result
 	var err error
@@ -126,7 +127,7 @@
 	r.mu.Unlock()
 	switch {
 	case err == nil && stopped && (!killed || result.Exit > exitSignal || child.processGroup == 0):
-		// An attempt that exited by itself within its time has saved a checkpoint, from which another one resumes.
+		// An attempt that exited by itself in time has saved a checkpoint, from which the next attempt resumes.
 		ended.Stopped, ended.CheckpointSaved = true, !killed
 	case err == nil:
 		err = r.results.store(result)
@@ -147,7 +148,7 @@
 	return child.isStopped
 }
 
-// runOnce runs the command and waits for its exit. An error is this machine's fault; the user's faults are in the result.
+// runOnce runs the command and waits for its exit. An error is a failure of this machine. Failures of the command are in the result.
 func (r *Runner) runOnce(child *taskProcess) (Result, error) {
 	result := Result{Task: child.task, Attempt: child.number, StartedAt: time.Now()}
 	files, err := openAttemptFiles(r.dir, child.attemptKey, r.credential)
@@ -162,7 +163,7 @@
 	cmd := newCommand(child.spec, files, r.workerTag, child.processTag())
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true, Credential: r.credential}
 	if err := r.start(child, cmd); err != nil {
-		// The directory or the program does not exist, which would be so on any machine.
+		// The directory or the program does not exist. This would fail on any machine.
 		result.Exit, result.Reason, result.FinishedAt = exitNotFound, err.Error(), time.Now()
 		return result, nil
 	}
@@ -177,7 +178,7 @@
 	return result, err
 }
 
-// start starts the command with its limits and writes its record. An attempt that was stopped before is not started.
+// start starts the command, writes its record and sets its limits. It returns an error if the attempt was stopped before.
 func (r *Runner) start(child *taskProcess, cmd *exec.Cmd) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -197,14 +198,14 @@
 	if err == nil {
 		err = os.WriteFile(filepath.Join(r.dir, "running", child.recordName()), raw, 0o600)
 	}
-	if err != nil { // a later worker process finds it by its tag
+	if err != nil { // not fatal: a later worker process finds the task by its tag
 		r.log.Error("task record not written", logkeys.Task, child.task, logkeys.Err, err)
 	}
 	r.setLimits(child)
 	return nil
 }
 
-// setLimits limits what the process of an attempt may use.
+// setLimits sets the resource limits and the niceness of an attempt's process.
 func (r *Runner) setLimits(child *taskProcess) {
 	limits := map[int]uint64{unix.RLIMIT_CORE: 0, unix.RLIMIT_NOFILE: maxOpenFiles, unix.RLIMIT_FSIZE: maxOutputBytes}
 	if child.spec.MemoryGB > 0 {
@@ -221,7 +222,7 @@
 	}
 }
 
-// Stop has an attempt save a checkpoint and exit within stop.Grace, or kills it at once.
+// Stop signals an attempt to save a checkpoint and exit, and kills it after stop.Grace. Without Grace it kills it at once.
 func (r *Runner) Stop(stop Stop) {
 	r.mu.Lock()
 	child := r.processes[attemptKey{stop.Task, stop.Attempt}]
@@ -234,7 +235,7 @@
 	group := child.processGroup
 	r.mu.Unlock()
 	if group == 0 {
-		return // and start does not start it
+		return // start checks isStopped and does not start it
 	}
 	if stop.Grace <= 0 {
 		r.signal(group, syscall.SIGKILL)
@@ -252,8 +253,8 @@
 	})
 }
 
-// signal signals the whole process group. Its ID cannot be reused before its leader was waited for, nor as long as a process of the
-// group is left.
+// signal sends a signal to the whole process group. The ID of a group is not reused until its leader has been waited for and no process
+// of the group is left.
 func (r *Runner) signal(group int, sig syscall.Signal) {
 	if err := syscall.Kill(-group, sig); err != nil && !errors.Is(err, syscall.ESRCH) {
 		r.log.Error("signalling of task processes failed", logkeys.ProcessGroup, group, logkeys.Err, err)
--- a/internal/site/agent/runner_test.go
+++ b/internal/site/agent/runner_test.go
@@ -13,39 +13,39 @@
 	"gullrudder/internal/site/process"
 )
 
-// runnerBench is a Runner with the attempts that have ended.
-type runnerBench struct {
+// runnerFixture is a Runner with the attempts that have ended.
+type runnerFixture struct {
 	*testing.T
 	runner *Runner
 	ended  chan Ended
 }
 
-func newRunnerBench(t *testing.T, dir string) *runnerBench {
+func newRunnerFixture(t *testing.T, dir string) *runnerFixture {
 	t.Helper()
-	bench := &runnerBench{T: t, ended: make(chan Ended, 16)}
+	fixture := &runnerFixture{T: t, ended: make(chan Ended, 16)}
 	var err error
-	bench.runner, err = newRunner(dir, nil, slog.New(slog.DiscardHandler), func(ended Ended, _ bool) { bench.ended <- ended })
+	fixture.runner, err = newRunner(dir, nil, slog.New(slog.DiscardHandler), func(ended Ended, _ bool) { fixture.ended <- ended })
 	if err != nil {
 		t.Fatal(err)
 	}
-	return bench
+	return fixture
 }
 
-// close closes the file with the results, as the end of the worker's process does.
-func (b *runnerBench) close() {
-	b.Helper()
-	if err := b.runner.results.db.Close(); err != nil {
-		b.Fatal(err)
+// close closes the results database, as the exit of the worker's process does.
+func (tb *runnerFixture) close() {
+	tb.Helper()
+	if err := tb.runner.results.db.Close(); err != nil {
+		tb.Fatal(err)
 	}
 }
 
-func (b *runnerBench) launch(task, script string, spec Spec) {
+func (tb *runnerFixture) launch(task, script string, spec Spec) {
 	spec.Command = []string{"sh", "-c", script}
-	b.runner.Launch(Launch{task, 1, &spec})
+	tb.runner.Launch(Launch{task, 1, &spec})
 }
 
-// waitForFile waits until a file exists; the test's own time limit ends it otherwise.
-func (b *runnerBench) waitForFile(path string) {
+// waitForFile waits until a file exists. If it never does, the test times out.
+func (tb *runnerFixture) waitForFile(path string) {
 	for {
 		if _, err := os.Stat(path); err == nil {
 			return
@@ -54,13 +54,13 @@
 	}
 }
 
-// runnerCase is a task, what is done while it runs, and how it ends.
+// runnerCase is a task, the stop request sent while it runs, and the expected end.
 type runnerCase struct {
-	script     string // READY stands for a file that shows that the task runs
+	script     string // READY is replaced by the path of a file that the script creates once it runs
 	spec       Spec
 	stop       *Stop // sent once READY exists; nil: none
 	want       Ended
-	wantExit   int // of the stored result; -1: none is stored
+	wantExit   int // exit status of the stored result; -1: no result is stored
 	wantReason string
 }
 
@@ -88,19 +88,19 @@
 	}
 }
 
-// check runs the task of a case, and compares how it ends and which result is stored.
-func (c runnerCase) check(t *testing.T, bench *runnerBench, task, ready string) {
+// check runs the task of a case and compares its end and the stored result with the expected ones.
+func (c runnerCase) check(t *testing.T, fixture *runnerFixture, task, ready string) {
 	t.Helper()
-	bench.launch(task, strings.ReplaceAll(c.script, "READY", ready), c.spec)
+	fixture.launch(task, strings.ReplaceAll(c.script, "READY", ready), c.spec)
 	if c.stop != nil {
-		bench.waitForFile(ready)
-		bench.runner.Stop(Stop{task, 1, c.stop.Grace})
+		fixture.waitForFile(ready)
+		fixture.runner.Stop(Stop{task, 1, c.stop.Grace})
 	}
 	c.want.Task, c.want.Attempt = task, 1
-	if got := <-bench.ended; got != c.want {
+	if got := <-fixture.ended; got != c.want {
 		t.Errorf("end of the task: got %+v, want %+v", got, c.want)
 	}
-	result, err := bench.runner.results.get(task)
+	result, err := fixture.runner.results.get(task)
 	if c.wantExit < 0 {
 		if err == nil {
 			t.Errorf("stored result: got %+v, want none", result)
@@ -115,28 +115,28 @@
 	}
 }
 
-// TestRunnerReportsHowTasksEnd checks how tasks end and which result is stored.
+// TestRunnerReportsHowTasksEnd checks which end is reported and which result is stored for tasks that exit, fail or are stopped.
 func TestRunnerReportsHowTasksEnd(t *testing.T) {
 	dir := t.TempDir()
-	bench := newRunnerBench(t, dir+"/worker")
-	defer bench.close()
+	fixture := newRunnerFixture(t, dir+"/worker")
+	defer fixture.close()
 	number := 0
 	for name, c := range runnerCases(dir) {
 		number++
 		task := fmt.Sprintf("job-%d/7", number)
 		ready := filepath.Join(dir, strings.ReplaceAll(name, " ", "-"))
-		t.Run(name, func(t *testing.T) { c.check(t, bench, task, ready) })
+		t.Run(name, func(t *testing.T) { c.check(t, fixture, task, ready) })
 	}
-	if n := len(bench.runner.results.unreported(99)); n != 3 {
+	if n := len(fixture.runner.results.unreported(99)); n != 3 {
 		t.Errorf("unreported failures: got %d, want 3", n)
 	}
 }
 
-// TestNewWorkerEndsTasksOfItsPredecessor checks that a new worker process first ends the tasks that a killed one left,
-// also a task that has cleared its environment, and that it does not start while the other process still runs.
+// TestNewWorkerEndsTasksOfItsPredecessor checks that a new worker process first ends the tasks that a killed one left running, including
+// a task that has cleared its environment. It also checks that a worker does not start while another process uses its directory.
 func TestNewWorkerEndsTasksOfItsPredecessor(t *testing.T) {
 	dir := t.TempDir()
-	first := newRunnerBench(t, dir+"/worker")
+	first := newRunnerFixture(t, dir+"/worker")
 	first.launch("job-1/0", "exec env -i sh -c ': > "+dir+"/a; sleep 300'", Spec{})
 	first.launch("job-1/1", "(setsid sleep 300 &); : > "+dir+"/b; sleep 300", Spec{})
 	first.waitForFile(dir + "/a")
@@ -146,7 +146,7 @@
 	}
 	records, err := filepath.Glob(dir + "/worker/running/*")
 	if err != nil || len(records) != 2 {
-		t.Fatalf("files of running tasks: got %v, error %v, want 2", records, err)
+		t.Fatalf("records of running tasks: got %v, error %v, want 2", records, err)
 	}
 	first.close()
 	groups := map[int]bool{}
@@ -155,13 +155,13 @@
 		groups[child.processGroup] = true
 	}
 	first.runner.mu.Unlock()
-	second := newRunnerBench(t, dir+"/worker")
+	second := newRunnerFixture(t, dir+"/worker")
 	defer second.close()
 	if left := process.Find(map[string]bool{second.runner.workerTag: true}, groups); len(left) > 0 {
 		t.Errorf("processes of the former worker: got %v, want none", left)
 	}
-	// The first runner looks for processes with the tags of these attempts until they have ended. A later run of this test has
-	// attempts with the same tags.
+	// The first runner kills processes with the tags of these attempts until onEnded was called. Without this wait it could kill the
+	// attempts of a later run of this test, which have the same tags.
 	for range 2 {
 		<-first.ended
 	}
--- a/internal/site/agent/runtime.go
+++ b/internal/site/agent/runtime.go
@@ -24,17 +24,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// RuntimeOptions are the settings of a Runtime beside those of its State.
+// RuntimeOptions are the settings of a Runtime in addition to those of its State.
 type RuntimeOptions struct {
-	DataDir         string              // of this worker alone
-	Name            string              // among the site's workers
+	DataDir         string              // used by this worker only
+	Name            string              // unique among the site's workers
 	MachinePoolAddr string              // address of the machine pool
 	Credential      *syscall.Credential // the user that tasks run as; nil: the worker's
 	MinFreeDisk     uint64              // in bytes; with less, nothing is started
 }
 
-// Runtime connects a State with the clock, the network and the processes. One goroutine owns the State and steps it; calls and
-// processes run in goroutines of their own and put their outcomes into the queue.
+// Runtime connects a State with the clock, the network and the processes. One goroutine owns the State and steps it. Calls and
+// processes run in goroutines of their own and put their results into the queue.
 type Runtime struct {
 	options         Options
 	runtimeOptions  RuntimeOptions
@@ -43,25 +43,25 @@
 	runner          *Runner
 	queue           chan Input
 	reportRequested chan struct{} // the next report to the machine pool is due at once
-	epoch           uint64
+	epoch           uint64        // start time of this process, in Unix nanoseconds
 
-	mu     sync.Mutex           // guards what follows
-	status poolapi.WorkerReport // the next report to the machine pool
-	specs  map[string][]byte    // encoded, by job ID; they never change
+	mu        sync.Mutex           // guards the fields below
+	status    poolapi.WorkerReport // the next report to the machine pool
+	specCache map[string][]byte    // encoded, by job ID; the Spec of a job never changes
 }
 
 const (
-	reportInterval = time.Second
-	reportTimeout  = 2 * time.Second
-	tickInterval   = 50 * time.Millisecond
-	maxFailures    = 16 // in one report
-	maxSpecs       = 256
-	queueSize      = 4096 // inputs for the State
-	maxBatchInputs = 64   // inputs of one step
+	reportInterval      = time.Second
+	reportTimeout       = 2 * time.Second
+	tickInterval        = 50 * time.Millisecond
+	maxReportedFailures = 16 // in one report
+	maxCachedSpecs      = 256
+	inputQueueSize      = 4096 // inputs for the State
+	maxBatchInputs      = 64   // inputs of one step
 )
 
-// identity returns the worker's ID in the file, which is made if there is none.
-func identity(path string) (string, error) {
+// loadOrCreateWorkerID returns the worker's ID from the file. It creates the file with a random ID if there is none.
+func loadOrCreateWorkerID(path string) (string, error) {
 	if raw, err := os.ReadFile(path); err == nil && len(raw) >= 16 {
 		return strings.TrimSpace(string(raw)), nil
 	}
@@ -73,8 +73,8 @@
 	return id, os.WriteFile(path, []byte(id), 0o600)
 }
 
-// clock returns the time since the machine booted, including sleep: a lease expires while the machine sleeps, and a change of the
-// time of day does not affect it.
+// clock returns the time since the machine booted, including the time that it was suspended. A lease therefore also expires while the
+// machine is suspended, and setting the time of day does not affect it.
 func clock() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -83,20 +83,20 @@
 	return time.Unix(ts.Sec, ts.Nsec)
 }
 
-// NewRuntime ends what an earlier process of the worker left, and returns a Runtime for Run.
+// NewRuntime returns a Runtime that is started with Run. It first ends the tasks that an earlier process of the worker left running.
 func NewRuntime(options Options, runtimeOptions RuntimeOptions, log *slog.Logger) (*Runtime, error) {
 	r := &Runtime{
 		options: options, runtimeOptions: runtimeOptions, log: log, state: NewState(options),
-		queue: make(chan Input, queueSize), reportRequested: make(chan struct{}, 1),
-		epoch: uint64(time.Now().UnixNano()), specs: map[string][]byte{},
+		queue: make(chan Input, inputQueueSize), reportRequested: make(chan struct{}, 1),
+		epoch: uint64(time.Now().UnixNano()), specCache: map[string][]byte{},
 	}
 	if err := os.MkdirAll(runtimeOptions.DataDir, 0o755); err != nil {
-		return nil, fmt.Errorf("worker's directory: %w", err)
+		return nil, fmt.Errorf("create worker directory: %w", err)
 	}
 	var err error
-	r.runner, err = newRunner(runtimeOptions.DataDir, runtimeOptions.Credential, log, func(e Ended, failed bool) {
-		r.queue <- Input{Ended: &e}
-		if failed {
+	r.runner, err = newRunner(runtimeOptions.DataDir, runtimeOptions.Credential, log, func(ended Ended, hasFailed bool) {
+		r.queue <- Input{Ended: &ended}
+		if hasFailed {
 			r.requestReport()
 		}
 	})
@@ -107,9 +107,9 @@
 	return r, nil
 }
 
-// Run serves the worker's address and returns when that is not possible.
+// Run starts the event loop and serves the worker's address. It returns an error if it cannot listen on the address.
 func (r *Runtime) Run() error {
-	go r.runOwner()
+	go r.runEventLoop()
 	go r.sendReports()
 	server := http1.NewServer(
 		http1.ServerOptions{
@@ -126,19 +126,20 @@
 // Close ends all tasks.
 func (r *Runtime) Close() { r.runner.Clear() }
 
-// handle answers the requests to the worker's own address: the machine pool's, and commands and status for the State.
+// handle handles the requests to the worker's own address: the machine pool's request for a report, and commands and status requests,
+// which the State answers.
 func (r *Runtime) handle(request *http1.Request) {
 	path, _, _ := strings.Cut(request.Target, "?")
 	switch {
 	case path == "/site/look" && request.Method == http.MethodPost:
 		select {
 		case r.reportRequested <- struct{}{}:
-		default: // a report is due already
+		default: // a report is already due
 		}
 		request.Respond(200, nil, 0)
 	case path == "/status" && request.Method == http.MethodGet, path == "/commands" && request.Method == http.MethodPost:
 		select {
-		case r.queue <- Input{Direct: &Direct{Handle: request, HasCommands: path == "/commands", Body: request.Body}}:
+		case r.queue <- Input{DirectRequest: &DirectRequest{Handle: request, HasCommands: path == "/commands", Body: request.Body}}:
 		default:
 			request.Respond(503, nil, time.Second)
 		}
@@ -147,12 +148,12 @@
 	}
 }
 
-// runOwner steps the State with what is in the queue, as long as the process runs.
-func (r *Runtime) runOwner() {
+// runEventLoop steps the State with the inputs in the queue, and at least every tickInterval. It never returns.
+func (r *Runtime) runEventLoop() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	reports := http1.NewClient(4, 1, http1.MaxBodyBytes)
-	calls := http1.NewClient(64, 4, http1.MaxBodyBytes)
+	heartbeatClient := http1.NewClient(4, 1, http1.MaxBodyBytes)
+	specClient := http1.NewClient(64, 4, http1.MaxBodyBytes)
 	batch := make([]Input, 0, maxBatchInputs)
 	for {
 		batch = batch[:0]
@@ -162,28 +163,28 @@
 		case <-ticker.C:
 		}
 		batch = eventloop.Drain(r.queue, batch)
-		r.apply(r.state.Step(clock(), batch), reports, calls)
+		r.apply(r.state.Step(clock(), batch), heartbeatClient, specClient)
 		r.publishStatus()
 	}
 }
 
-// apply does what a step wants done. What takes long runs in a goroutine that puts its outcome into the queue.
-func (r *Runtime) apply(effects Effects, reports, calls *http1.Client) {
-	for _, p := range effects.Replies {
-		raw, err := codec.Marshal(p.Body)
+// apply executes the effects of a step. Slow operations run in goroutines that put their results into the queue.
+func (r *Runtime) apply(effects Effects, heartbeatClient, specClient *http1.Client) {
+	for _, reply := range effects.Replies {
+		raw, err := codec.Marshal(reply.Body)
 		if err != nil {
 			r.log.Error("heartbeat encoding failed", logkeys.Err, err)
 			continue
 		}
-		if q, ok := p.Handle.(*http1.Request); ok {
-			q.Respond(p.Status, raw, 0)
+		if request, ok := reply.Handle.(*http1.Request); ok {
+			request.Respond(reply.Status, raw, 0)
 		}
 	}
-	for _, s := range effects.Stops {
-		r.runner.Stop(s)
+	for _, stop := range effects.Stops {
+		r.runner.Stop(stop)
 	}
-	for _, l := range effects.Launches {
-		r.runner.Launch(l)
+	for _, launch := range effects.Launches {
+		r.runner.Launch(launch)
 	}
 	if effects.ClearEpoch != nil {
 		epoch := *effects.ClearEpoch
@@ -193,69 +194,70 @@
 			r.requestReport()
 		}()
 	}
-	for _, l := range effects.SpecRequests {
-		go func() { r.queue <- Input{Described: r.fetchSpec(l, calls)} }()
+	for _, specRequest := range effects.SpecRequests {
+		go func() { r.queue <- Input{SpecResult: r.fetchSpec(specRequest, specClient)} }()
 	}
-	if s := effects.Heartbeat; s != nil {
-		go func() { r.queue <- Input{Answered: r.send(s, reports)} }()
+	if heartbeat := effects.Heartbeat; heartbeat != nil {
+		go func() { r.queue <- Input{HeartbeatResult: r.postHeartbeat(heartbeat, heartbeatClient)} }()
 	}
 }
 
-// fetchSpec gets the Spec of an attempt, from memory or from the machine pool. It gets none if the task's result is stored here.
-func (r *Runtime) fetchSpec(launch Launch, calls *http1.Client) *Described {
-	described := &Described{Task: launch.Task, Attempt: launch.Attempt}
+// fetchSpec returns the Spec of an attempt, from the cache or from the machine pool. It returns none if the result of the task is
+// already stored on this machine.
+func (r *Runtime) fetchSpec(launch Launch, client *http1.Client) *SpecResult {
+	result := &SpecResult{Task: launch.Task, Attempt: launch.Attempt}
 	switch _, err := r.runner.results.get(launch.Task); {
 	case err == nil:
-		described.IsDone = true
-		return described
+		result.HasStoredResult = true
+		return result
 	case !errors.Is(err, errNoResult):
 		r.log.Error("result not readable", logkeys.Task, launch.Task, logkeys.Err, err)
-		return described
+		return result
 	}
 	if r.freeDisk() < r.runtimeOptions.MinFreeDisk {
-		return described // requested again later: nothing is started on a full disk
+		return result // no task is started on a full disk; the State requests the Spec again later
 	}
 	job, _, _ := strings.Cut(launch.Task, "/")
 	r.mu.Lock()
-	described.Body = r.specs[job]
+	result.Body = r.specCache[job]
 	r.mu.Unlock()
-	if described.Body != nil {
-		described.Status = 200
-		return described
+	if result.Body != nil {
+		result.Status = 200
+		return result
 	}
-	msg, err := calls.Do(r.runtimeOptions.MachinePoolAddr, "GET", "/descriptions/"+job, nil, reportTimeout)
+	msg, err := client.Do(r.runtimeOptions.MachinePoolAddr, "GET", "/descriptions/"+job, nil, reportTimeout)
 	if err != nil {
 		r.log.Debug("spec request failed", logkeys.Job, job, logkeys.Err, err)
-		return described
+		return result
 	}
-	described.Status, described.Body = msg.Status, msg.Body
-	if described.Status == 200 {
+	result.Status, result.Body = msg.Status, msg.Body
+	if result.Status == 200 {
 		r.mu.Lock()
-		if len(r.specs) >= maxSpecs {
-			clear(r.specs)
+		if len(r.specCache) >= maxCachedSpecs {
+			clear(r.specCache)
 		}
-		r.specs[job] = described.Body
+		r.specCache[job] = result.Body
 		r.mu.Unlock()
 	}
-	return described
+	return result
 }
 
-// send sends a heartbeat and waits for its response.
-func (r *Runtime) send(heartbeat *OutgoingHeartbeat, client *http1.Client) *Answered {
+// postHeartbeat sends a heartbeat and waits for its response.
+func (r *Runtime) postHeartbeat(heartbeat *OutgoingHeartbeat, client *http1.Client) *HeartbeatResult {
 	raw, err := codec.Marshal(heartbeat.Body)
 	if err != nil {
 		r.log.Error("heartbeat encoding failed", logkeys.Err, err)
-		return &Answered{}
+		return &HeartbeatResult{}
 	}
 	msg, err := client.Do(heartbeat.To, "POST", "/v1/report", raw, responseTimeout)
 	if err != nil {
 		r.log.Debug("heartbeat not answered", logkeys.Controller, heartbeat.To, logkeys.Err, err)
-		return &Answered{}
+		return &HeartbeatResult{}
 	}
-	return &Answered{msg.Status, msg.Body}
+	return &HeartbeatResult{msg.Status, msg.Body}
 }
 
-// requestReport has the next report to the machine pool sent at once.
+// requestReport makes the next report to the machine pool due at once.
 func (r *Runtime) requestReport() {
 	select {
 	case r.reportRequested <- struct{}{}:
@@ -263,13 +265,13 @@
 	}
 }
 
-// freeDisk returns the free disk space in bytes, 0 if it is unknown.
+// freeDisk returns the free disk space in bytes, or 0 if it is unknown.
 func (r *Runtime) freeDisk() uint64 {
-	left, err := datadir.FreeDisk(r.runtimeOptions.DataDir)
+	freeBytes, err := datadir.FreeDisk(r.runtimeOptions.DataDir)
 	if err != nil {
 		r.log.Error("free disk space unknown", logkeys.Err, err)
 	}
-	return left
+	return freeBytes
 }
 
 // publishStatus updates the report to the machine pool. The event loop calls it after each step.
@@ -279,13 +281,13 @@
 	r.status = poolapi.WorkerReport{
 		Name: r.runtimeOptions.Name, Addr: r.options.Addr, Type: r.options.Type, Zone: r.options.Zone,
 		CPUs: r.options.CPUs, MemoryGB: r.options.MemoryGB,
-		Epoch: r.epoch, Machine: name, AppliedSerial: applied, RunningTasks: r.state.ActiveTasks(),
+		Epoch: r.epoch, Machine: name, AppliedSerial: applied, RunningTasks: r.state.ActiveAttempts(),
 	}
 	r.mu.Unlock()
 }
 
-// sendReports reports to the machine pool as long as the process runs, and takes in which machine the worker is to be. While the
-// pool is unavailable nothing changes: the lease is the controllers'.
+// sendReports reports to the machine pool at an interval and passes the assignments in the responses to the State. It never returns.
+// Tasks keep running while the pool is unavailable, since only the controllers renew the lease.
 func (r *Runtime) sendReports() {
 	client := http1.NewClient(1, 1, http1.MaxBodyBytes)
 	for {
@@ -293,7 +295,7 @@
 		report := r.status
 		r.mu.Unlock()
 		report.FreeDiskBytes = r.freeDisk()
-		failures := r.runner.results.unreported(maxFailures)
+		failures := r.runner.results.unreported(maxReportedFailures)
 		for _, res := range failures {
 			if raw, err := json.Marshal(res); err == nil {
 				report.Failures = append(report.Failures, string(raw))
--- a/internal/site/agent/spec.go
+++ b/internal/site/agent/spec.go
@@ -13,13 +13,13 @@
 const (
 	// specRetryDelay is how long the worker waits after a failed request for a Spec.
 	specRetryDelay = time.Second
-	// maxTaskIndex bounds the index of a task.
+	// maxTaskIndex bounds the index of a task, so that parsing it does not overflow.
 	maxTaskIndex = 1e6
 )
 
-// requestSpecs requests the Spec of each attempt that waits for one.
+// requestSpecs requests the Spec of each attempt that has none, unless a request is pending or must still wait after a failure.
 func (s *State) requestSpecs(now time.Time, effects *Effects) {
-	for _, attempt := range s.sortedTasks() {
+	for _, attempt := range s.sortedAttempts() {
 		needsSpec := attempt.state == workerapi.StateFetching && attempt.spec == nil
 		if needsSpec && !attempt.isSpecRequested && !now.Before(attempt.requestSpecAt) {
 			attempt.isSpecRequested = true
@@ -28,26 +28,27 @@
 	}
 }
 
-// handleDescribed starts the attempt with the Spec that was requested, or refuses it.
-func (s *State) handleDescribed(now time.Time, described Described, effects *Effects) {
-	attempt := s.tasks[attemptKey{described.Task, described.Attempt}]
+// handleSpecResult starts the attempt with the Spec that was received, or refuses the attempt. After a failed request the Spec is
+// requested again.
+func (s *State) handleSpecResult(now time.Time, result SpecResult, effects *Effects) {
+	attempt := s.attempts[attemptKey{result.Task, result.Attempt}]
 	if attempt == nil || attempt.state != workerapi.StateFetching || attempt.spec != nil {
 		return
 	}
 	attempt.isSpecRequested = false
 	exit := func(reason workerapi.ExitReason) {
-		attempt.exit(reason)
+		attempt.setExited(reason)
 		s.hasChanged = true
 	}
 	var spec Spec
 	switch {
-	case described.IsDone:
+	case result.HasStoredResult:
 		exit(workerapi.ReasonDone)
-	case described.Status == http.StatusNotFound:
+	case result.Status == http.StatusNotFound:
 		exit(workerapi.ReasonNotFound)
-	case described.Status != http.StatusOK:
+	case result.Status != http.StatusOK:
 		attempt.requestSpecAt = now.Add(specRetryDelay)
-	case codec.Unmarshal(described.Body, &spec) != nil || len(spec.Command) == 0 || !isTaskOf(described.Task, spec):
+	case codec.Unmarshal(result.Body, &spec) != nil || len(spec.Command) == 0 || !isTaskOf(result.Task, spec):
 		exit(workerapi.ReasonNotFound)
 	case !s.fits(attempt, spec):
 		exit(workerapi.ReasonNoCapacity)
@@ -58,9 +59,9 @@
 	}
 }
 
-// isTaskOf reports whether the job has a task with this ID.
-func isTaskOf(name string, spec Spec) bool {
-	job, digits, _ := strings.Cut(name, "/")
+// isTaskOf reports whether taskID is JOB/INDEX with the job of the Spec and the index of one of its tasks.
+func isTaskOf(taskID string, spec Spec) bool {
+	job, digits, _ := strings.Cut(taskID, "/")
 	index := 0
 	for _, digit := range digits {
 		if digit < '0' || digit > '9' || index > maxTaskIndex {
@@ -71,10 +72,10 @@
 	return digits != "" && job == spec.JobID && index < spec.Tasks
 }
 
-// fits reports whether the machine has the resources for one more attempt beside those with a Spec.
+// fits reports whether the machine has the resources for the attempt in addition to the attempts that have a Spec and have not exited.
 func (s *State) fits(attempt *taskAttempt, spec Spec) bool {
 	cpus, memoryGB := spec.CPUs, spec.MemoryGB
-	for _, other := range s.tasks {
+	for _, other := range s.attempts {
 		if other != attempt && other.spec != nil && other.state != workerapi.StateExited {
 			cpus += other.spec.CPUs
 			memoryGB += other.spec.MemoryGB
--- a/internal/site/agent/state.go
+++ b/internal/site/agent/state.go
@@ -11,86 +11,87 @@
 
 // Options are the settings of a worker.
 type Options struct {
-	Addr              string // the worker's own address
-	Type, Zone        string
+	Addr              string // the worker's own address, host:port
+	Type, Zone        string // of the machine
 	CPUs, MemoryGB    float64
 	Controllers       map[string]string // addresses by name
 	HeartbeatInterval time.Duration
 	LeaseDuration     time.Duration
 }
 
-// State is the worker without its processes, files and connections: a pure step from inputs to effects.
+// State is the worker's state machine. Step turns inputs into effects and does no I/O. It is not safe for concurrent use.
 type State struct {
 	options     Options
 	controllers []string // names, sorted
 	assignment
 	lease
-	exchange
-	tasks map[attemptKey]*taskAttempt
+	heartbeatSchedule
+	attempts map[attemptKey]*taskAttempt
 }
 
-// assignment is which machine this worker is. It changes only once no task of the former machine is left.
+// assignment is the machine that this worker acts as. It changes only once no task of the former machine is left.
 type assignment struct {
 	machine        string // empty: none
 	hasDrainNotice bool
-	appliedSerial  uint64   // of the newest assignment that was taken in
-	isClearing     bool     // all tasks are being ended; until then no heartbeat is sent and no command executed
-	clearEpoch     uint64   // counts the clearings
+	appliedSerial  uint64   // serial of the newest assignment that was received
+	isClearing     bool     // all tasks are being ended; meanwhile no heartbeat is sent and no command executed
+	clearEpoch     uint64   // number of times that all tasks were ended
 	nextAssignment Assigned // takes effect once the tasks are cleared
 }
 
-// lease is what the worker knows of the leader that may command it.
+// lease is the worker's lease and the fencing token of the leader that may command it.
 type lease struct {
 	incarnation, sequence uint64
-	fencingToken          uint64 // the highest that was seen
+	fencingToken          uint64 // the highest that was received
 	leaseRenewedAt        time.Time
-	tokenRaisedAt         time.Time // when a higher token last counted as a change
+	tokenRaisedAt         time.Time // when a higher token last triggered a heartbeat
 }
 
-// exchange is the heartbeat that was sent last, and when and where to the next is due.
-type exchange struct {
-	current            int // index in State.controllers of the one that heartbeats go to
+// heartbeatSchedule holds when the last heartbeat was sent, and when and to which controller the next one is due.
+type heartbeatSchedule struct {
+	currentController  int // index in State.controllers of the controller that heartbeats go to
 	sentAt             time.Time
 	sentIncarnation    uint64
 	isAwaitingResponse bool
-	hasChanged         bool // something changed since, so that the next heartbeat does not wait for the interval
+	hasChanged         bool // the status changed since, so the next heartbeat does not wait for the interval
 	nextHeartbeatAt    time.Time
 }
 
-// attemptKey identifies an attempt. A refused one may exist beside the one that runs the task.
+// attemptKey identifies an attempt. A task may have a refused attempt besides the one that is running.
 type attemptKey struct {
 	task   string
 	number uint64
 }
 
-// taskAttempt is an attempt until the leader has it forgotten.
+// taskAttempt is an attempt of a task. It is kept until the leader sends a forget command.
 type taskAttempt struct {
 	attemptKey
 	state           workerapi.TaskState
 	reason          workerapi.ExitReason
 	checkpointSaved bool
-	spec            *Spec // nil: not known yet
+	spec            *Spec // nil: not received yet
 	isKilled        bool  // it is being stopped without time for a checkpoint
-	isSpecRequested bool  // a request for its Spec is on its way
+	isSpecRequested bool  // a request for its Spec is pending
 	requestSpecAt   time.Time
 }
 
-func (t *taskAttempt) exit(reason workerapi.ExitReason) {
+func (t *taskAttempt) setExited(reason workerapi.ExitReason) {
 	t.state, t.reason = workerapi.StateExited, reason
 }
 
-// NewState returns the State of a process that has just started. It is no machine yet.
+// NewState returns the State of a worker that was just started and has no machine yet.
 func NewState(options Options) *State {
-	return &State{options: options, controllers: slices.Sorted(maps.Keys(options.Controllers)), tasks: map[attemptKey]*taskAttempt{}}
+	return &State{options: options, controllers: slices.Sorted(maps.Keys(options.Controllers)), attempts: map[attemptKey]*taskAttempt{}}
 }
 
-// Machine returns the machine that this worker is, or whose tasks may still be on it, and the serial of the newest assignment.
+// Machine returns the machine that this worker acts as, or whose tasks may still be running on it, and the serial of the newest
+// assignment. The name is empty if there is no machine.
 func (s *State) Machine() (name string, applied uint64) { return s.machine, s.appliedSerial }
 
-// ActiveTasks returns how many attempts have not exited.
-func (s *State) ActiveTasks() int {
+// ActiveAttempts returns the number of attempts that have not exited.
+func (s *State) ActiveAttempts() int {
 	count := 0
-	for _, t := range s.tasks {
+	for _, t := range s.attempts {
 		if t.state != workerapi.StateExited {
 			count++
 		}
@@ -98,7 +99,7 @@
 	return count
 }
 
-// Step takes in a batch of inputs, which may be empty, and returns what is to be done. now must not decrease.
+// Step applies a batch of inputs, which may be empty, and returns the effects. now must not decrease between calls.
 func (s *State) Step(now time.Time, inputs []Input) Effects {
 	var effects Effects
 	s.expireLease(now, &effects)
@@ -108,12 +109,12 @@
 			s.handleTasksRemoved(now, *input.TasksRemoved)
 		case input.Assigned != nil:
 			s.handleAssigned(*input.Assigned, &effects)
-		case input.Answered != nil:
-			s.handleAnswered(now, *input.Answered, &effects)
-		case input.Direct != nil:
-			s.handleDirect(now, *input.Direct, &effects)
-		case input.Described != nil:
-			s.handleDescribed(now, *input.Described, &effects)
+		case input.HeartbeatResult != nil:
+			s.handleHeartbeatResult(now, *input.HeartbeatResult, &effects)
+		case input.DirectRequest != nil:
+			s.handleDirectRequest(now, *input.DirectRequest, &effects)
+		case input.SpecResult != nil:
+			s.handleSpecResult(now, *input.SpecResult, &effects)
 		case input.Ended != nil:
 			s.handleEnded(*input.Ended)
 		}
@@ -125,9 +126,9 @@
 	return effects
 }
 
-// expireLease ends the lease once its time is over: all tasks are ended and forgotten, and a new incarnation begins when nothing is
-// left of them. A tenth of the lease is kept for that: the controllers rely on it that nothing runs when the lease has expired, and
-// killing takes a while on a busy machine.
+// expireLease ends all tasks when nine tenths of the lease have passed. A new incarnation begins once none of their processes is left.
+// The last tenth is reserved for killing the tasks, which takes a while on a busy machine: the controllers assume that no task runs
+// after the lease has expired.
 func (s *State) expireLease(now time.Time, effects *Effects) {
 	if s.machine == "" || s.isClearing || now.Sub(s.leaseRenewedAt) <= s.options.LeaseDuration*9/10 {
 		return
@@ -135,16 +136,16 @@
 	s.clearTasks(Assigned{Machine: s.machine, HasDrainNotice: s.hasDrainNotice}, effects)
 }
 
-// clearTasks ends all tasks; next takes effect once they are gone.
+// clearTasks ends all tasks. The next assignment takes effect once none of their processes is left.
 func (s *State) clearTasks(next Assigned, effects *Effects) {
 	s.clearEpoch++
 	s.isClearing, s.nextAssignment = true, next
-	s.tasks = map[attemptKey]*taskAttempt{}
+	s.attempts = map[attemptKey]*taskAttempt{}
 	epoch := s.clearEpoch
 	effects.ClearEpoch = &epoch
 }
 
-// handleTasksRemoved makes the next assignment take effect, in a new incarnation.
+// handleTasksRemoved applies the next assignment and begins a new incarnation.
 func (s *State) handleTasksRemoved(now time.Time, removed TasksRemoved) {
 	if !s.isClearing || removed.Epoch != s.clearEpoch {
 		return
@@ -158,7 +159,7 @@
 	s.leaseRenewedAt, s.nextHeartbeatAt, s.hasChanged = now, now, true
 }
 
-// handleAssigned takes in an assignment. To become another machine, or none, the worker has to end all tasks first.
+// handleAssigned handles an assignment. If the machine changes or is withdrawn, all tasks are ended first.
 func (s *State) handleAssigned(assigned Assigned, effects *Effects) {
 	s.appliedSerial = max(s.appliedSerial, assigned.Serial)
 	switch {
@@ -171,9 +172,9 @@
 	}
 }
 
-// sortedTasks returns the attempts in the order of heartbeats.
-func (s *State) sortedTasks() []*taskAttempt {
-	tasks := slices.Collect(maps.Values(s.tasks))
+// sortedAttempts returns the attempts sorted by task and number, as heartbeats list them.
+func (s *State) sortedAttempts() []*taskAttempt {
+	tasks := slices.Collect(maps.Values(s.attempts))
 	slices.SortFunc(tasks, func(a, b *taskAttempt) int {
 		return cmp.Or(cmp.Compare(a.task, b.task), cmp.Compare(a.number, b.number))
 	})
