--- a/internal/site/datadir/controllerconfig.go
+++ b/internal/site/datadir/controllerconfig.go
@@ -2,22 +2,22 @@
 
 import "encoding/json"
 
-// Limits that the settings of a site's controllers state: of the state service and the machine pool, which serve this site
-// alone, and of the controllers themselves.
+// Limits in the settings of a site's controllers: limits of the state service and the machine pool, which serve this site only, and of
+// the controllers themselves.
 const (
 	stateRequestRate   = 2000 // a second, reads and writes each
 	stateMaxValueKB    = 32
-	stateMaxOperations = 64 // in one transaction
-	cloudRequestRate   = 20 // a second
-	cloudListLag       = 0.5
+	stateMaxOperations = 64  // in one transaction
+	cloudRequestRate   = 20  // a second
+	cloudListLag       = 0.5 // in seconds
 	controllerCPUs     = 1
 	controllerMemoryMB = 512
 	maxConnections     = 512
 	clockErrorMS       = 100
 )
 
-// controllerConfig is a controller's settings in the platform's form, which config.LoadPlatform reads. The fields stand in the
-// order of their names: the file of a new site is the same as that of earlier versions.
+// controllerConfig holds a controller's settings in the format that config.LoadPlatform reads. The fields are in alphabetical order of
+// their JSON names, so that the file of a new site has the same bytes as one of earlier versions.
 type controllerConfig struct {
 	Cluster    clusterConfig  `json:"cluster"`
 	Zone       string         `json:"domain"`
@@ -105,7 +105,7 @@
 			},
 			Teams: []teamConfig{{CPUs: s.CPUs, Name: DefaultTeam}},
 			Workers: workerTiming{
-				// Twice the lease: by then the lease of a worker that is out of reach has ended what was cancelled.
+				// Twice the lease: by then the lease of an unreachable worker has expired and its cancelled tasks have ended.
 				CancelSeconds:    2 * WorkerLeaseDuration.Seconds(),
 				LeaseSeconds:     WorkerLeaseDuration.Seconds(),
 				HeartbeatSeconds: HeartbeatInterval.Seconds(),
--- a/internal/site/datadir/create.go
+++ b/internal/site/datadir/create.go
@@ -24,13 +24,13 @@
 	reservedMemoryGB     = 1.0 // for the site's own processes and the operating system
 	kilobytesPerGB       = 1 << 20
 	maxPorts             = 16
-	// sharedAddrs are those of the state service, the machine pool and the worker; each controller has addrsPerController.
-	sharedAddrs        = 3
+	// commonAddrs is the number of addresses of the state service, the machine pool and the worker.
+	commonAddrs        = 3
 	addrsPerController = 2
 )
 
-// initialOptions are the operators' settings of a new site. The leader lease is longer than the default, which is meant for a
-// state service of several machines: the disk of a small site may stall for longer than that.
+// initialOptions is the options file of a new site. Its leader lease is longer than the default: the default is meant for a state service
+// on several machines, and the disk of a small site may stall for longer than that.
 const initialOptions = `<gullrudder>
   <leader-lease>5</leader-lease>
   <promise>5</promise>
@@ -38,15 +38,15 @@
 </gullrudder>
 `
 
-// CreateOptions are what the user may choose for a new site.
+// CreateOptions are the settings that the user may choose for a new site.
 type CreateOptions struct {
-	CPUs, MemoryGB float64 // 0: what the machine has
-	Controllers    int     // 0: 1
-	TaskUser       string  // the user that tasks run as where the site runs as root; empty: nobody
+	CPUs, MemoryGB float64 // 0: all CPUs of the machine; its memory less a reserve for the system
+	Controllers    int     // number of controllers; 0: 1
+	TaskUser       string  // the user that tasks run as if the site runs as root; empty: nobody
 }
 
-// OpenOrCreate opens the site in dir, or creates one. If it is interrupted, no site is there: site.xml is written last. The
-// options and the version count for a new site only.
+// OpenOrCreate opens the site in dir, or creates one. An interrupted creation leaves no site, since site.xml is written last. The options
+// and the version are used for a new site only.
 func OpenOrCreate(dir string, options CreateOptions, version string) (*Site, error) {
 	site, err := Open(dir)
 	if err == nil || !errors.Is(err, ErrNoSite) {
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	if err := os.MkdirAll(dir, 0o711); err != nil {
-		return nil, fmt.Errorf("site: %w", err)
+		return nil, fmt.Errorf("create site directory: %w", err)
 	}
 	site, err = newSite(dir, options, version)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return site, site.writeFiles()
 }
 
-// newSite chooses all values of a new site and writes nothing.
+// newSite returns the description of a new site. It writes no file.
 func newSite(dir string, options CreateOptions, version string) (*Site, error) {
 	id := make([]byte, siteIDBytes)
 	if _, err := rand.Read(id); err != nil {
@@ -95,13 +95,13 @@
 }
 
 func (s *Site) chooseAddrs(controllers int) error {
-	addrs, err := findFreeAddrs(sharedAddrs + addrsPerController*controllers)
+	addrs, err := findFreeAddrs(commonAddrs + addrsPerController*controllers)
 	if err != nil {
 		return err
 	}
 	s.StateAddr, s.MachinePoolAddr, s.WorkerAddr = addrs[0], addrs[1], addrs[2]
 	for i := range controllers {
-		first := sharedAddrs + addrsPerController*i
+		first := commonAddrs + addrsPerController*i
 		s.Controllers = append(s.Controllers, Controller{
 			Name: fmt.Sprintf("controller-%d", i+1), PublicAddr: addrs[first], PeerAddr: addrs[first+1],
 		})
@@ -123,10 +123,10 @@
 	if err != nil {
 		return err
 	}
-	return replaceFile(s.Path(siteFileName), append(encoded, '\n')) // last: from now on there is a site
+	return replaceFile(s.Path(siteFileName), append(encoded, '\n')) // last: the site exists once this file does
 }
 
-// findFreeAddrs returns loopback addresses at which no process listens.
+// findFreeAddrs returns count loopback addresses on which no process listens, at most maxPorts.
 func findFreeAddrs(count int) (addrs []string, err error) {
 	var listeners []net.Listener
 	defer func() {
@@ -137,7 +137,7 @@
 	for range min(count, maxPorts) {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
-			return nil, fmt.Errorf("a free port: %w", err)
+			return nil, fmt.Errorf("find a free port: %w", err)
 		}
 		listeners = append(listeners, listener)
 		addrs = append(addrs, listener.Addr().String())
--- a/internal/site/datadir/datadir_test.go
+++ b/internal/site/datadir/datadir_test.go
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestOpenOrCreate checks that a site is created once with settings that the controllers accept, that a creation
-// interrupted before its last file leaves no site, and that two supervisors never hold the lock at the same time.
+// TestOpenOrCreate checks that a site is created once, with settings that the controllers accept. It also checks that a creation
+// interrupted before its last file leaves no site, and that only one supervisor can hold the lock.
 func TestOpenOrCreate(t *testing.T) {
 	dir := t.TempDir() + "/site"
 	if _, err := Open(dir); !errors.Is(err, ErrNoSite) {
@@ -22,20 +22,21 @@
 		t.Fatal(err)
 	}
 	for i := range site.Controllers {
-		p, err := config.LoadPlatform(site.ControllerConfig(i))
+		platform, err := config.LoadPlatform(site.ControllerConfig(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(p.Peers) != 2 || p.CloudAddr != site.MachinePoolAddr || p.StateAddr != site.StateAddr || p.Name != site.Controllers[i].Name {
-			t.Errorf("settings of controller %d: got %+v, want the addresses and name of the site", i, p)
+		if len(platform.Peers) != 2 || platform.CloudAddr != site.MachinePoolAddr || platform.StateAddr != site.StateAddr ||
+			platform.Name != site.Controllers[i].Name {
+			t.Errorf("settings of controller %d: got %+v, want the addresses and name of the site", i, platform)
 		}
 	}
 	if _, err := config.LoadOptions(site.OptionsFile()); err != nil {
 		t.Errorf("load the options: %v", err)
 	}
-	again, err := OpenOrCreate(dir, CreateOptions{CPUs: 9}, "w")
-	if err != nil || again.ID != site.ID || again.CPUs != 4 || again.WorkerAddr != site.WorkerAddr {
-		t.Errorf("second call: got %+v, error %v, want the site as it was created", again, err)
+	reopened, err := OpenOrCreate(dir, CreateOptions{CPUs: 9}, "w")
+	if err != nil || reopened.ID != site.ID || reopened.CPUs != 4 || reopened.WorkerAddr != site.WorkerAddr {
+		t.Errorf("second call: got %+v, error %v, want the site as it was created", reopened, err)
 	}
 	lock, err := site.Lock()
 	if err != nil {
@@ -46,7 +47,7 @@
 			t.Errorf("release the lock: %v", err)
 		}
 	})
-	if _, err := again.Lock(); err == nil {
+	if _, err := reopened.Lock(); err == nil {
 		t.Error("second lock: no error, want one")
 	}
 	if err := os.Remove(dir + "/site.xml"); err != nil {
@@ -57,8 +58,7 @@
 	}
 }
 
-// TestControllerConfigBytes checks that the settings of a controller are byte for byte those that earlier versions have
-// written.
+// TestControllerConfigBytes checks that the settings of a controller have the same bytes as those that earlier versions wrote.
 func TestControllerConfigBytes(t *testing.T) {
 	site := &Site{
 		Zone: "here", CPUs: 7.5, StateAddr: "127.0.0.1:1", MachinePoolAddr: "127.0.0.1:2", dir: t.TempDir(),
