--- a/internal/site/jobspec/store.go
+++ b/internal/site/jobspec/store.go
@@ -1,6 +1,6 @@
-// Package jobspec stores what the tasks of jobs run, as users uploaded it. It owns one bucket of a database that the machine
-// pool owns: job ID to encoded spec, each written once and never changed. It knows nothing of jobs' states and never decodes a
-// spec. docs/design/site.md describes a site.
+// Package jobspec stores the job specifications that users upload. It owns one bucket of the machine pool's database, which maps job IDs
+// to encoded specs. A spec is written once and never changed. The package does not track jobs' states and never decodes a spec.
+// docs/design/site.md describes a site.
 package jobspec
 
 import (
@@ -11,36 +11,35 @@
 	"go.etcd.io/bbolt"
 )
 
-// bucketName is the bucket of the specs. Databases of earlier versions have it by this name.
+// bucketName is the name of the bucket in databases of all versions.
 const bucketName = "descriptions"
 
-// ErrConflict says that a job already has another spec. Its text is part of the response to the user.
+// ErrConflict is returned if a job already has a different spec. Its text is part of the response to the user.
 var ErrConflict = errors.New("the job has another description")
 
-// ErrDiskFull says that there is too little free space on the disk for another spec. Its text is part of the response to the
-// user.
+// ErrDiskFull is returned if the disk has too little free space for another spec. Its text is part of the response to the user.
 var ErrDiskFull = errors.New("the disk is nearly full")
 
-// Store stores specs. It may be used by several goroutines.
+// Store stores specs by job ID. Its methods may be called from any goroutine.
 type Store struct {
-	db      *bbolt.DB
-	hasRoom func() bool // whether the disk has room for another spec
+	db           *bbolt.DB
+	hasFreeSpace func() bool // whether the disk has space for another spec
 }
 
-// New returns a store in db, which stays open as long as the store is in use. No spec is added while hasRoom returns false.
-func New(db *bbolt.DB, hasRoom func() bool) (*Store, error) {
+// New returns a store in db. The caller keeps db open while the store is in use. No spec is added while hasFreeSpace returns false.
+func New(db *bbolt.DB, hasFreeSpace func() bool) (*Store, error) {
 	err := db.Update(func(tx *bbolt.Tx) error {
 		_, err := tx.CreateBucketIfNotExists([]byte(bucketName))
 		return err
 	})
 	if err != nil {
-		return nil, fmt.Errorf("descriptions: %w", err)
+		return nil, fmt.Errorf("create bucket %q: %w", bucketName, err)
 	}
-	return &Store{db, hasRoom}, nil
+	return &Store{db, hasFreeSpace}, nil
 }
 
-// Put stores the spec of a job. It is durable when Put returns. Putting the same spec again succeeds; another one for the same
-// job gets ErrConflict, and ErrDiskFull is returned if the disk has no room.
+// Put stores the spec of a job durably. Storing the same spec again succeeds. Put returns ErrConflict if the job has a different spec,
+// and ErrDiskFull if the disk has no space for a new one.
 func (s *Store) Put(job string, encoded []byte) error {
 	stored, err := s.Get(job)
 	switch {
@@ -50,12 +49,12 @@
 		return nil
 	case stored != nil:
 		return ErrConflict
-	case !s.hasRoom():
+	case !s.hasFreeSpace():
 		return ErrDiskFull
 	}
 	return s.db.Batch(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket([]byte(bucketName))
-		// Another request may have stored one since the check above.
+		// Another request may have stored a spec since the check above.
 		if stored := bucket.Get([]byte(job)); stored != nil && !bytes.Equal(stored, encoded) {
 			return ErrConflict
 		}
--- a/internal/site/jobspec/store_test.go
+++ b/internal/site/jobspec/store_test.go
@@ -7,8 +7,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// TestSpecIsWrittenOnce checks that a stored spec may be put again but not replaced, that new specs are refused on a
-// full disk while stored ones stay, and that specs survive a restart.
+// TestSpecIsWrittenOnce checks that a stored spec can be put again but not replaced, and that specs survive a restart. It also checks
+// that a full disk refuses new specs but still accepts stored ones.
 func TestSpecIsWrittenOnce(t *testing.T) {
 	path := t.TempDir() + "/db"
 	open := func() *bbolt.DB {
@@ -18,9 +18,9 @@
 		}
 		return db
 	}
-	hasRoom := true
+	hasFreeSpace := true
 	db := open()
-	store, err := New(db, func() bool { return hasRoom })
+	store, err := New(db, func() bool { return hasFreeSpace })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 	put("job-1", "one", nil)
 	put("job-1", "one", nil)
 	put("job-1", "other", ErrConflict)
-	hasRoom = false
+	hasFreeSpace = false
 	put("job-2", "two", ErrDiskFull)
 	put("job-1", "one", nil)
 	if err := db.Close(); err != nil {
