--- a/internal/site/process/find.go
+++ b/internal/site/process/find.go
@@ -12,11 +12,13 @@
 // endInterval is the pause between two searches of End: long enough for killed processes to be gone.
 const endInterval = 2 * time.Millisecond
 
-// EndError says that processes were still running when the timeout of End had passed.
+// EndError is returned by End if processes are still running after the timeout. Count is their number.
 type EndError struct{ Count int }
 
 // Error implements error.
-func (e *EndError) Error() string { return fmt.Sprintf("%d processes cannot be ended", e.Count) }
+func (e *EndError) Error() string {
+	return fmt.Sprintf("%d processes still running after the timeout", e.Count)
+}
 
 func listPIDs() []int {
 	entries, err := os.ReadDir("/proc")
@@ -32,7 +34,7 @@
 	return pids
 }
 
-// hasTag reports whether the environment that the process was started with contains one of the tags.
+// hasTag reports whether the process was started with one of the tags in its environment.
 func hasTag(pid int, tags map[string]bool) bool {
 	if len(tags) == 0 {
 		return false
@@ -50,7 +52,7 @@
 }
 
 // Find returns the PIDs of the processes that have one of the tags ("NAME=value") in their environment, belong to one of the
-// process groups, or descend from such a process. The calling process is never among them.
+// process groups, or descend from such a process. It never returns the calling process or zombies.
 func Find(tags map[string]bool, groups map[int]bool) []int {
 	own := os.Getpid()
 	stats := map[int]procStat{}
@@ -85,9 +87,9 @@
 	}
 }
 
-// End kills the processes that Find returns until it returns none, and returns an EndError if some are left after the timeout.
-// Each process is stopped before any is killed: otherwise one could fork faster than it is searched for. Children that it
-// forked before it was stopped are found in the next search.
+// End kills the processes that Find returns, and repeats this until Find returns none. It returns an EndError if processes are left after
+// the timeout. All found processes are stopped (SIGSTOP) before any is killed: otherwise a process could fork faster than the search finds
+// its children. The next search finds children that were forked before their parent was stopped.
 func End(tags map[string]bool, groups map[int]bool, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -107,7 +109,7 @@
 func signalAll(pids []int, sig syscall.Signal) {
 	for _, pid := range pids {
 		if id, err := Identify(pid); err == nil {
-			_ = id.Signal(sig) // it may have exited meanwhile; the next search finds out
+			_ = id.Signal(sig) // fails if it has exited meanwhile; the next search skips it
 		}
 	}
 }
--- a/internal/site/process/process.go
+++ b/internal/site/process/process.go
@@ -1,7 +1,7 @@
-// Package process identifies, finds and ends processes of the operating system. It holds no state. A process is found by a
-// tag in its environment, which its children inherit, by its process group, or as a descendant of one found so. It is
-// identified by its start time as well as its PID, so that a process that was given a reused PID is never signalled.
-// docs/design/site.md says why processes are found this way.
+// Package process identifies, finds and ends processes of the operating system. It holds no state. A process is found by a tag in its
+// environment, which its children inherit, by its process group, or as a descendant of a found process. It is identified by its PID, its
+// start time and the boot, so that a process with a reused PID is never signalled. docs/design/site.md explains why processes are found
+// this way.
 package process
 
 import (
@@ -14,7 +14,7 @@
 	"syscall"
 )
 
-// Fields of /proc/PID/stat, counted from the one after the command name; see proc(5).
+// Indexes of fields of /proc/PID/stat, where 0 is the field after the command name; see proc(5).
 const (
 	statFieldState        = 0
 	statFieldParent       = 1
@@ -23,11 +23,12 @@
 	statFieldCount        = 20
 )
 
-// Identity identifies a process across reuse of its PID and across reboots. Records of running tasks hold it as JSON.
+// Identity identifies a process even if its PID is reused or the machine reboots. It is stored as JSON in records of running tasks and of
+// the supervisor.
 type Identity struct {
 	PID        int    `json:"pid"`
 	StartTicks uint64 `json:"began"` // start time, in clock ticks since boot
-	BootID     string `json:"boot"`  // the boot in which the process was started
+	BootID     string `json:"boot"`  // the kernel's ID of the boot in which the process was started
 }
 
 // procStat holds the fields of /proc/PID/stat that are used here.
@@ -37,12 +38,12 @@
 	startTicks    uint64
 }
 
-// UnreadableStatError says that /proc/PID/stat is not in the expected form.
+// UnreadableStatError is returned if /proc/PID/stat does not have the expected format.
 type UnreadableStatError struct{ PID int }
 
 // Error implements error.
 func (e *UnreadableStatError) Error() string {
-	return fmt.Sprintf("process %d: its state cannot be read", e.PID)
+	return fmt.Sprintf("process %d: unexpected format of its stat file in /proc", e.PID)
 }
 
 func readStat(pid int) (procStat, error) {
@@ -50,7 +51,7 @@
 	if err != nil {
 		return procStat{}, fmt.Errorf("process %d: %w", pid, err)
 	}
-	// The command name stands in parentheses and may itself contain spaces and parentheses.
+	// The command name is in parentheses and may itself contain spaces and parentheses.
 	nameEnd := bytes.LastIndexByte(raw, ')')
 	fields := strings.Fields(string(raw[nameEnd+1:]))
 	if nameEnd < 0 || len(fields) < statFieldCount {
@@ -77,7 +78,7 @@
 	return strings.TrimSpace(string(raw))
 }
 
-// Identify returns the identity of a process that exists.
+// Identify returns the identity of the process with this PID. It returns an error if there is none.
 func Identify(pid int) (Identity, error) {
 	stat, err := readStat(pid)
 	return Identity{pid, stat.startTicks, bootID()}, err
@@ -89,14 +90,14 @@
 	return err == nil && !stat.isZombie && stat.startTicks == id.StartTicks && id.BootID == bootID()
 }
 
-// Signal sends a signal to the process. It returns os.ErrProcessDone if that process is no longer running.
+// Signal sends a signal to the process. It returns os.ErrProcessDone if the process is no longer running.
 func (id Identity) Signal(sig syscall.Signal) error {
-	// On Linux this opens a handle (pidfd), so that the PID cannot come to mean another process after the check.
+	// On Linux FindProcess opens a pidfd. The signal therefore cannot reach a process that gets the same PID after the check below.
 	handle, err := os.FindProcess(id.PID)
 	if err != nil {
 		return fmt.Errorf("signal process %d: %w", id.PID, err)
 	}
-	defer func() { _ = handle.Release() }() // a failed release leaks a descriptor at worst
+	defer func() { _ = handle.Release() }() // a failed release leaks at most a file descriptor
 	if !id.IsRunning() {
 		return os.ErrProcessDone
 	}
--- a/internal/site/process/process_test.go
+++ b/internal/site/process/process_test.go
@@ -11,8 +11,8 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// TestEndFindsAllDescendants checks that all descendants of a tagged process are found and ended, also those that have
-// left its process group and session and those that have cleared their environment.
+// TestEndFindsAllDescendants checks that all descendants of a tagged process are found and ended, including those that have left its
+// process group and session and those that have cleared their environment.
 func TestEndFindsAllDescendants(t *testing.T) {
 	tag := "GULLRUDDER_TEST=" + t.Name()
 	ready := t.TempDir() + "/ready"
@@ -23,7 +23,7 @@
 	}
 	tags := map[string]bool{tag: true}
 	for len(Find(tags, nil)) < 4 {
-		time.Sleep(5 * time.Millisecond) // until all four run; otherwise the test times out
+		time.Sleep(5 * time.Millisecond) // until all four run; if they never do, the test times out
 	}
 	if err := End(tags, nil, time.Minute); err != nil {
 		t.Errorf("end the processes: %v", err)
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestReusedPIDIsAnotherProcess checks that a process with the same PID but another start time or boot is not taken for
-// the identified one.
+// TestReusedPIDIsAnotherProcess checks that an identity with the PID of a running process, but another start time or boot, counts as not
+// running and cannot be signalled.
 func TestReusedPIDIsAnotherProcess(t *testing.T) {
 	id, err := Identify(os.Getpid())
 	if err != nil || !id.IsRunning() {
