--- a/internal/site/supervisor/child.go
+++ b/internal/site/supervisor/child.go
@@ -17,22 +17,22 @@
 const (
 	minRestartDelay = 200 * time.Millisecond
 	maxRestartDelay = 10 * time.Second
-	// stableRunTime is how long a process has to run for the restart delay to fall back to the minimum.
+	// stableRunTime is how long a process must run for the restart delay to be reset to the minimum.
 	stableRunTime = 10 * time.Second
 )
 
-// child is one process of the site, across its restarts.
+// child is one process of the site, including its restarts.
 type child struct {
 	ProcessSpec
 	program string
-	logPath string // where the output of the process goes
-	tag     string // in the environment of the process
+	logPath string // receives the output of the process
+	tag     string // environment variable of the process, NAME=value
 	log     *slog.Logger
 
 	mu      sync.Mutex
-	cmd     *exec.Cmd     // guarded by mu; the newest start, nil before the first
-	exited  chan struct{} // closed when the process has exited and is not restarted
-	stopped chan struct{} // closed when the process is not to be started any more
+	cmd     *exec.Cmd     // guarded by mu; the last start, nil before the first
+	exited  chan struct{} // closed when the process has exited and will not be restarted
+	stopped chan struct{} // closed when the process must not be started any more
 }
 
 func (s *Supervisor) newChild(spec ProcessSpec) *child {
@@ -56,13 +56,13 @@
 	}
 }
 
-// stop asks the process to exit and keeps it from being restarted.
+// stop sends SIGTERM to the process and prevents its restart.
 func (c *child) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	close(c.stopped)
 	if c.cmd != nil && c.cmd.Process != nil {
-		_ = c.cmd.Process.Signal(syscall.SIGTERM) // fails if it has exited by itself
+		_ = c.cmd.Process.Signal(syscall.SIGTERM) // fails if the process has already exited
 	}
 }
 
@@ -70,11 +70,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cmd != nil && c.cmd.Process != nil {
-		_ = c.cmd.Process.Kill() // fails if it has exited by itself
+		_ = c.cmd.Process.Kill() // fails if the process has already exited
 	}
 }
 
-// start starts cmd unless the child is stopped; the lock keeps Stop from missing a process that is being started.
+// start starts cmd unless the child is stopped. It holds the lock so that stop does not miss a process that is being started.
 func (c *child) start(cmd *exec.Cmd) (isStarted bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +89,7 @@
 	return true, nil
 }
 
-// runUntilStopped runs the process again and again, until the child is stopped.
+// runUntilStopped runs the process and restarts it with exponential backoff until the child is stopped.
 func (c *child) runUntilStopped() {
 	delay := minRestartDelay
 	for {
@@ -113,17 +113,17 @@
 	}
 }
 
-// runOnce starts the process and waits until it exits. It returns why the process did not start, or how it exited.
+// runOnce starts the process and waits until it exits. The error says why the process did not start or how it exited.
 func (c *child) runOnce() (err error) {
 	output, err := openLog(c.logPath)
 	if err != nil {
-		return fmt.Errorf("log of %s: %w", c.Name, err)
+		return fmt.Errorf("open log of %s: %w", c.Name, err)
 	}
 	defer func() { err = errors.Join(err, output.Close()) }()
 	cmd := exec.Command(c.program, c.Args...)
 	cmd.Stdout, cmd.Stderr = output, output
 	cmd.Env = append(os.Environ(), c.tag)
-	// A process group of its own: an interrupt at the terminal goes to the supervisor alone, which stops all in order.
+	// A separate process group: an interrupt at the terminal reaches only the supervisor, which stops the processes in order.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	isStarted, err := c.start(cmd)
 	if err != nil || !isStarted {
--- a/internal/site/supervisor/supervisor_test.go
+++ b/internal/site/supervisor/supervisor_test.go
@@ -35,13 +35,13 @@
 		return strings.Count(string(raw), "run")
 	}
 	for runs("first") < 3 || runs("last") < 1 {
-		time.Sleep(10 * time.Millisecond) // otherwise the test times out
+		time.Sleep(10 * time.Millisecond) // if the runs never start, the test times out
 	}
 	tags := map[string]bool{s.tag: true}
 	if len(process.Find(tags, nil)) == 0 {
 		t.Error("processes with the tag of the site: got none, want those of the supervisor")
 	}
-	// Another supervisor of the site, as after this one was killed, ends its processes first.
+	// A new supervisor of the site first ends the processes of the earlier one.
 	if _, err := New("/bin/sh", dir, "test-"+t.Name(), nil, slog.New(slog.DiscardHandler)); err != nil {
 		t.Errorf("second supervisor: %v", err)
 	}
