--- a/internal/wire/codec/codec.go
+++ b/internal/wire/codec/codec.go
@@ -1,8 +1,7 @@
 // Package codec encodes and decodes the MessagePack bodies that controllers, workers, the state service, the cloud and users
-// exchange. Its one duty is to decode safely: a body from outside is validated in one pass before it is decoded, so that neither
-// deep nesting nor a huge declared length costs memory. It holds no state and declares no message type; the
-// packages that send and receive messages do. It also computes the size of a value as JSON, in which the limits of the state service
-// are counted.
+// exchange. A body from outside is validated in one pass before it is decoded, so that neither deep nesting nor a huge declared length
+// costs memory. The package holds no state. Message types are declared by the packages that send and receive them. The package also
+// computes the size of a value as JSON: the limits of the state service refer to that size.
 package codec
 
 import (
@@ -20,10 +19,10 @@
 // ErrNull is returned for a body that is null where a map is required.
 var ErrNull = errors.New("null is not a map")
 
-// Marshal encodes a message. The keys of a map are in no fixed order; see MarshalSorted.
+// Marshal encodes a message. The keys of a Go map are in random order; see MarshalSorted.
 func Marshal(v any) ([]byte, error) { return msgpack.Marshal(v) }
 
-// MarshalSorted encodes a message with the keys of its maps in order, so that equal messages have equal bytes.
+// MarshalSorted encodes a message with sorted map keys, so that equal messages have equal bytes.
 func MarshalSorted(v any) ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := msgpack.NewEncoder(&buffer)
@@ -34,8 +33,8 @@
 	return buffer.Bytes(), nil
 }
 
-// Unmarshal validates a body and decodes it into the message that v points to. Its error is one of Validate's or wraps the
-// decoder's.
+// Unmarshal validates a body and decodes it into the message that v points to. It returns an error of Validate, or one that wraps an
+// error of the decoder.
 func Unmarshal(body []byte, v any) error {
 	if err := Validate(body); err != nil {
 		return err
@@ -46,8 +45,8 @@
 	return nil
 }
 
-// UnmarshalMap validates a body that has to be one map with string keys, and decodes it. It is for bodies whose fields are checked
-// one by one, so that an answer can name the field that is wrong.
+// UnmarshalMap validates and decodes a body that must be one map with string keys; for null it returns ErrNull. It is used where fields
+// are checked one by one, so that the response can name the wrong field.
 func UnmarshalMap(body []byte) (Object, error) {
 	if err := Validate(body); err != nil {
 		return nil, err
--- a/internal/wire/codec/format.go
+++ b/internal/wire/codec/format.go
@@ -4,8 +4,8 @@
 	"encoding/binary"
 )
 
-// First bytes of MessagePack values (https://github.com/msgpack/msgpack/blob/master/spec.md). Binary and extension types are not
-// used by the protocol.
+// First bytes of MessagePack values (https://github.com/msgpack/msgpack/blob/master/spec.md). The protocol uses no binary and extension
+// types.
 const (
 	positiveFixintMax = 0x7f
 	fixmapMax         = 0x8f
@@ -35,14 +35,14 @@
 	negativeFixintMin = 0xe0
 )
 
-// Masks of the length in a first byte that holds one.
+// Masks of the length in the first byte of a short value.
 const (
 	fixCollectionMask = 0x0f // of a fixmap or fixarray
 	fixstrMask        = 0x1f
 )
 
-// readLength reads a length of 1, 2 or 4 bytes and returns what follows it. Every element of a collection and every byte of a string
-// takes a byte at least, so a length above the remaining bytes is refused before anything is allocated for it.
+// readLength reads a length of width bytes (1, 2 or 4) and returns it with the remaining bytes. Each element of a collection and each byte
+// of a string takes at least one byte. A length above the number of remaining bytes is therefore refused before memory is allocated.
 func readLength(b []byte, width int) (int, []byte, error) {
 	if len(b) < width {
 		return 0, nil, ErrTruncated
--- a/internal/wire/codec/json_size.go
+++ b/internal/wire/codec/json_size.go
@@ -6,17 +6,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// notANumberBytes is the size that is counted for NaN and infinite numbers, which JSON cannot represent.
-const notANumberBytes = 24
+// nonFiniteNumberBytes is the size that NaN and infinite numbers count with, which JSON cannot represent.
+const nonFiniteNumberBytes = 24
 
-// JSONSize returns the bytes that a validated value takes as JSON, in which the limits of the state service are counted. It returns 0
-// for an invalid value.
+// JSONSize returns the number of bytes that a validated MessagePack value takes as JSON. The limits of the state service refer to this
+// size. JSONSize returns 0 for an invalid value.
 func JSONSize(raw []byte) int {
 	size, _ := jsonValueSize(raw)
 	return size
 }
 
-// jsonValueSize returns the size of the value at the front of b, and the bytes that follow it.
+// jsonValueSize returns the JSON size of the first value in b, and the bytes that follow the value.
 func jsonValueSize(b []byte) (size int, rest []byte) {
 	if len(b) == 0 {
 		return 0, nil
@@ -45,7 +45,7 @@
 	return jsonScalarSize(b)
 }
 
-// jsonCollectionSize returns the size of an array or map whose first byte, which has been cut off, does not hold its length.
+// jsonCollectionSize returns the JSON size of an array or map whose length is at the start of b, after the first byte code.
 func jsonCollectionSize(code byte, b []byte) (size int, rest []byte) {
 	length, rest, err := readLength(b, 2<<((code-array16Code)&1))
 	switch {
@@ -57,7 +57,7 @@
 	return jsonMapSize(rest, length)
 }
 
-// jsonScalarSize returns the size of a number, boolean or null, by encoding it.
+// jsonScalarSize returns the JSON size of a number, boolean or null. It encodes the value to measure it.
 func jsonScalarSize(b []byte) (size int, rest []byte) {
 	var value any
 	rest, err := skipValue(b, 0)
@@ -66,7 +66,7 @@
 	}
 	text, err := json.Marshal(value)
 	if err != nil {
-		return notANumberBytes, rest
+		return nonFiniteNumberBytes, rest
 	}
 	return len(text), rest
 }
--- a/internal/wire/codec/json_size_test.go
+++ b/internal/wire/codec/json_size_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestJSONSizeEqualsLengthOfJSON checks that JSONSize equals the length of the JSON encoding of the same value.
+// TestJSONSizeEqualsLengthOfJSON checks for random values that JSONSize equals the length of their JSON encoding.
 func TestJSONSizeEqualsLengthOfJSON(t *testing.T) {
 	text := rapid.OneOf(rapid.StringMatching(`[a-z0-9 <>"\\]{0,40}`), rapid.String())
 	var value func(depth int) *rapid.Generator[any]
@@ -27,12 +27,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		plain, err := json.Marshal(v)
+		encoded, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := JSONSize(raw); got != len(plain) {
-			t.Fatalf("JSON size: got %d bytes, want %d of %s", got, len(plain), plain)
+		if got := JSONSize(raw); got != len(encoded) {
+			t.Fatalf("JSON size: got %d bytes, want %d of %s", got, len(encoded), encoded)
 		}
 	})
 }
--- a/internal/wire/codec/validate.go
+++ b/internal/wire/codec/validate.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// maxNestingDepth bounds how deep a body may be nested, and with it the depth of the recursion of the decoder.
+// maxNestingDepth bounds the nesting of a body, and with it the recursion depth of the decoder.
 const maxNestingDepth = 16
 
-// Errors of Validate. Their texts are sent to the sender of the body.
+// Errors of Validate. Their texts are part of the response to the sender of the body.
 var (
 	ErrTruncated       = errors.New("body ends early")
 	ErrNestedTooDeeply = errors.New("nested too deeply")
@@ -16,19 +16,19 @@
 	ErrKeyNotString    = errors.New("a key is not text")
 )
 
-// UnsupportedTypeError is a value of a type that the protocol does not use: binary, an extension, or no MessagePack at all.
+// UnsupportedTypeError is returned for a value whose type the protocol does not use: binary, an extension, or invalid MessagePack.
 type UnsupportedTypeError struct {
 	Code byte // the value's first byte
 }
 
-// Error names the first byte of the value.
+// Error returns a text with the first byte of the value.
 func (e *UnsupportedTypeError) Error() string {
 	return fmt.Sprintf("type 0x%02x is not used here", e.Code)
 }
 
-// Validate walks a body without decoding it: it has to be exactly one value, made of maps with string keys, arrays, strings,
-// numbers, booleans and null, nested no deeper than maxNestingDepth. Its errors are ErrTruncated, ErrNestedTooDeeply,
-// ErrTrailingBytes, ErrKeyNotString and UnsupportedTypeError.
+// Validate checks a body without decoding it. The body must be exactly one value, made of maps with string keys, arrays, strings,
+// numbers, booleans and null, nested at most maxNestingDepth deep. Validate returns ErrTruncated, ErrNestedTooDeeply, ErrTrailingBytes,
+// ErrKeyNotString or an UnsupportedTypeError.
 func Validate(body []byte) error {
 	rest, err := skipValue(body, 0)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// skipValue returns the bytes that follow the value at the front of b.
+// skipValue checks the first value in b and returns the bytes that follow it.
 func skipValue(b []byte, depth int) ([]byte, error) {
 	if depth > maxNestingDepth {
 		return nil, ErrNestedTooDeeply
@@ -60,11 +60,11 @@
 	case code <= fixstrMax:
 		return skipBytes(b, int(code&fixstrMask))
 	}
-	return skipLongValue(code, b, depth)
+	return skipValueAfterCode(code, b, depth)
 }
 
-// skipLongValue returns the bytes that follow a value whose first byte, already removed from b, holds its type only.
-func skipLongValue(code byte, b []byte, depth int) ([]byte, error) {
+// skipValueAfterCode is skipValue for a value whose first byte holds only its type. That byte is passed as code and is not part of b.
+func skipValueAfterCode(code byte, b []byte, depth int) ([]byte, error) {
 	switch code {
 	case uint8Code, int8Code:
 		return skipBytes(b, 1)
--- a/internal/wire/codec/validate_test.go
+++ b/internal/wire/codec/validate_test.go
@@ -6,21 +6,21 @@
 	"testing"
 )
 
-// TestValidateRejectsBodiesThatCostMemory checks that bodies that are truncated, malformed or deeply nested are
-// rejected before they are decoded.
+// TestValidateRejectsBodiesThatCostMemory checks that Validate rejects bodies that are truncated, malformed or deeply nested, so that they
+// are not decoded.
 func TestValidateRejectsBodiesThatCostMemory(t *testing.T) {
 	deep := append(bytes.Repeat([]byte{0x91}, 1000), 0xc0)
 	for name, test := range map[string]struct {
 		body []byte
 		want error
 	}{
-		"deep nesting":          {deep, ErrNestedTooDeeply},
-		"huge declared array":   {[]byte{0xdd, 0xff, 0xff, 0xff, 0xff}, ErrTruncated},
-		"huge declared map":     {[]byte{0xdf, 0xff, 0xff, 0xff, 0xff}, ErrTruncated},
-		"huge declared string":  {[]byte{0xdb, 0x7f, 0xff, 0xff, 0xff, 'a'}, ErrTruncated},
-		"key that is no string": {[]byte{0x81, 0x01, 0x01}, ErrKeyNotString},
-		"trailing bytes":        {[]byte{0xc0, 0xc0}, ErrTrailingBytes},
-		"empty":                 {[]byte{}, ErrTruncated},
+		"deep nesting":         {deep, ErrNestedTooDeeply},
+		"huge declared array":  {[]byte{0xdd, 0xff, 0xff, 0xff, 0xff}, ErrTruncated},
+		"huge declared map":    {[]byte{0xdf, 0xff, 0xff, 0xff, 0xff}, ErrTruncated},
+		"huge declared string": {[]byte{0xdb, 0x7f, 0xff, 0xff, 0xff, 'a'}, ErrTruncated},
+		"key is not a string":  {[]byte{0x81, 0x01, 0x01}, ErrKeyNotString},
+		"trailing bytes":       {[]byte{0xc0, 0xc0}, ErrTrailingBytes},
+		"empty":                {[]byte{}, ErrTruncated},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := Validate(test.body); !errors.Is(err, test.want) {
