--- a/internal/wire/server/server.go
+++ b/internal/wire/server/server.go
@@ -1,6 +1,6 @@
-// Package server has the requests to an event loop, and its responses. The runtime (or a simulated cluster) makes a
-// Request of each HTTP request; the event loop's step answers through a Responder; the runtime then sends the collected responses. The
-// package does no I/O and owns only the responses of one step. Design note: docs/design.md.
+// Package server defines the requests to an event loop and its responses. The runtime (or a simulated cluster) converts each HTTP request
+// to a Request. The event loop's step answers through a Responder. The runtime then sends the collected responses. The package does no I/O
+// and owns only the responses of one step. Design note: docs/design.md.
 package server
 
 import (
@@ -14,8 +14,8 @@
 
 // Request is a received request.
 type Request struct {
-	Handle   any  // identifies the connection to the runtime
-	FromPeer bool // received on the controllers' own address
+	Handle   any  // identifies the request to the runtime
+	FromPeer bool // received on the address that only the controllers use
 	Method   string
 	Target   string // path and query
 	Body     []byte
@@ -25,16 +25,16 @@
 type Response struct {
 	Handle     any
 	Status     int
-	Body       []byte        // encoded; nil: none
-	RetryAfter time.Duration // 0: not given
+	Body       []byte        // encoded in MessagePack; nil: none
+	RetryAfter time.Duration // 0: not sent
 }
 
-// ValueResponse is a Response whose body is not encoded yet: the sender encodes it, off the event loop's goroutine.
+// ValueResponse is a Response whose body is not encoded yet. The sender encodes it outside of the event loop's goroutine.
 type ValueResponse struct {
 	Handle     any
 	Status     int
 	Body       any
-	RetryAfter time.Duration // 0: not given
+	RetryAfter time.Duration // 0: not sent
 }
 
 // ErrorResponse is the body of the response to a refused request.
@@ -42,13 +42,14 @@
 	Error string `msgpack:"error"`
 }
 
-// Responder collects the responses of one step. It belongs to the goroutine that runs the step.
+// Responder collects the responses of one step. It is not safe for concurrent use: only the goroutine that runs the step uses it.
 type Responder struct {
 	Log       *slog.Logger
 	responses []Response
 }
 
-// Respond answers a request with a body that is encoded in MessagePack, or with none if it is nil. A retryAfter of 0 is not sent.
+// Respond answers a request. The body is encoded in MessagePack; nil: no body. A retryAfter of 0 is not sent. If the body cannot be
+// encoded, an error is logged and the status is 503.
 func (r *Responder) Respond(request *Request, status int, body any, retryAfter time.Duration) {
 	var encoded []byte
 	if body != nil {
@@ -66,7 +67,7 @@
 	r.Respond(request, status, ErrorResponse{Error: message}, retryAfter)
 }
 
-// RespondRaw answers a request with an encoded body, such as a forwarded response of a peer.
+// RespondRaw answers a request with a body that is already encoded, such as a forwarded response of a peer.
 func (r *Responder) RespondRaw(request *Request, status int, body []byte, retryAfter time.Duration) {
 	r.responses = append(r.responses, Response{Handle: request.Handle, Status: status, Body: body, RetryAfter: retryAfter})
 }
