--- a/internal/wire/stateapi/messages.go
+++ b/internal/wire/stateapi/messages.go
@@ -1,6 +1,6 @@
-// Package stateapi defines the transactions that controllers send to the state service, and its responses to them. The election claims
-// the leader's key with them, and package storage writes the pages. It holds no state and sends nothing; the struct tags are the names
-// on the wire, and every version sends the same bytes.
+// Package stateapi defines the transactions that controllers send to the state service, and the responses. The election uses them to claim
+// the leader's key, and package storage to write the pages. The package holds no state and sends nothing. The struct tags are the names on
+// the wire. All versions send the same bytes.
 package stateapi
 
 import "github.com/vmihailenco/msgpack/v5"
@@ -8,22 +8,22 @@
 // CommitPath is the path to which a CommitRequest is posted.
 const CommitPath = "/commit"
 
-// Precondition is what a commit requires of one key.
+// Precondition is the revision that a key must have for a commit to be executed.
 type Precondition struct {
 	Key         string `msgpack:"path"`
-	ModRevision uint64 `msgpack:"mark"` // revision of the key's last write, 0 if it must not exist
+	ModRevision uint64 `msgpack:"mark"` // revision of the key's last write; 0: the key must not exist
 
-	// compactZero selects the short encoding of ModRevision 0, which all versions use for keys other than pages.
+	// compactZero selects the one-byte encoding of ModRevision 0, which all versions use for keys other than pages.
 	compactZero bool
 }
 
 var _ msgpack.CustomEncoder = Precondition{}
 
-// RequireAbsent returns the precondition that a key other than a page does not exist. For a page that was never written all versions
-// send a Precondition with ModRevision 0, which means the same and is longer.
+// RequireAbsent returns the precondition that a key does not exist. It is for keys other than pages: for a page that was never written,
+// all versions send a Precondition with ModRevision 0, which means the same but has a longer encoding.
 func RequireAbsent(key string) Precondition { return Precondition{Key: key, compactZero: true} }
 
-// EncodeMsgpack encodes the precondition as the state service decodes it.
+// EncodeMsgpack implements msgpack.CustomEncoder. It encodes ModRevision in 9 bytes, or 0 in one byte if compactZero is set.
 func (p Precondition) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	if err := encoder.EncodeMapLen(2); err != nil {
 		return err
@@ -45,19 +45,20 @@
 
 // Operation is one write or one deletion of a commit.
 type Operation struct {
-	Write   string `msgpack:"write,omitempty"` // key that gets Value
+	Write   string `msgpack:"write,omitempty"` // key that is set to Value
 	Value   any    `msgpack:"value,omitempty"`
-	LeaseID uint64 `msgpack:"permit,omitempty"` // lease with which the written key is deleted, 0 if it stays
+	LeaseID uint64 `msgpack:"permit,omitempty"` // the written key is deleted when this lease ends; 0: never
 	Delete  string `msgpack:"drop,omitempty"`   // key that is deleted
 }
 
-// CommitRequest is the body of POST /commit: the state service executes all operations atomically if all preconditions hold, else none.
+// CommitRequest is the body of POST /commit. The state service executes all operations atomically if all preconditions hold, and none
+// otherwise.
 type CommitRequest struct {
 	Preconditions []Precondition `msgpack:"guards"`
 	Operations    []Operation    `msgpack:"apply"`
 }
 
-// CommitResponse is the response to a commit that was executed.
+// CommitResponse is the response to a commit that was executed. Revision is the revision of the commit.
 type CommitResponse struct {
 	Revision uint64 `msgpack:"tide"`
 }
--- a/internal/wire/stateapi/messages_test.go
+++ b/internal/wire/stateapi/messages_test.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	leaderGuard = "82a470617468a66c6561646572a46d61726bcf0000000000000006"
-	oneGuard    = "82a667756172647391" + leaderGuard + "a56170706c79"
+	leaderPreconditionHex = "82a470617468a66c6561646572a46d61726bcf0000000000000006"
+	onePreconditionHex    = "82a667756172647391" + leaderPreconditionHex + "a56170706c79"
 )
 
 func checkEncoding(t *testing.T, message any, want string) {
@@ -19,11 +19,11 @@
 		t.Fatal(err)
 	}
 	if got := hex.EncodeToString(raw); got != want {
-		t.Errorf("encoded as\n%s, want\n%s", got, want)
+		t.Errorf("encoding: got\n%s, want\n%s", got, want)
 	}
 }
 
-// A precondition has the bytes that all versions have sent so far.
+// TestPreconditionEncoding checks that preconditions have the same bytes as in all earlier versions.
 func TestPreconditionEncoding(t *testing.T) {
 	const keyBytes = "82" + "a470617468" + "a161" + "a46d61726b"
 	for _, test := range []struct {
@@ -39,7 +39,7 @@
 	}
 }
 
-// The bytes of whole commits are those of the two earlier definitions, in packages election and storage.
+// TestCommitEncoding checks that commits have the same bytes as with the two earlier definitions, in packages election and storage.
 func TestCommitEncoding(t *testing.T) {
 	leader := Precondition{Key: "leader", ModRevision: 6}
 	for _, test := range []struct {
@@ -72,7 +72,7 @@
 					{Write: "page/1", Value: map[string]string{"p": "x"}}, {Write: "page/~format", Value: "history 1"},
 				},
 			},
-			"82a667756172647394" + leaderGuard +
+			"82a667756172647394" + leaderPreconditionHex +
 				"82a470617468a6706167652f31a46d61726bcf000000000000012c82a470617468a6706167652f32a46d61726bcf0000000000000000" +
 				"82a470617468ac706167652f7e666f726d6174a46d61726b00a56170706c7992" +
 				"82a57772697465a6706167652f31a576616c756581a170a178" +
@@ -81,9 +81,9 @@
 		{
 			"deletion",
 			CommitRequest{Preconditions: []Precondition{leader}, Operations: []Operation{{Delete: "results/1"}}},
-			oneGuard + "9181a464726f70a9726573756c74732f31",
+			onePreconditionHex + "9181a464726f70a9726573756c74732f31",
 		},
-		{"no operation", CommitRequest{Preconditions: []Precondition{leader}}, oneGuard + "c0"},
+		{"no operation", CommitRequest{Preconditions: []Precondition{leader}}, onePreconditionHex + "c0"},
 	} {
 		t.Run(test.name, func(t *testing.T) { checkEncoding(t, test.request, test.want) })
 	}
