--- a/internal/wire/http1/client.go
+++ b/internal/wire/http1/client.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Client sends requests and keeps idle connections for the next one. It may be used by several goroutines.
+// Client sends requests and reuses idle connections. Its methods may be called from any goroutine.
 type Client struct {
 	maxIdlePerAddr int
 	maxBodyBytes   int
@@ -23,16 +23,16 @@
 }
 
 const (
-	// maxIdleTime is how long an idle connection may be reused. Servers close theirs after 75 s without a request.
+	// maxIdleTime is how long an idle connection may be reused. Servers close connections after 75 s without a request.
 	maxIdleTime = 20 * time.Second
-	// responseBufferBytes holds most responses without growing.
+	// responseBufferBytes is the initial size of the response buffer. Most responses fit without growing it.
 	responseBufferBytes = 2 << 10
 )
 
-// ErrTooManyRequests is returned by Do while as many requests are open as the client may have.
+// ErrTooManyRequests is returned by Do while the maximum number of requests is open.
 var ErrTooManyRequests = errors.New("too many open requests")
 
-// NewClient bounds the open requests, the idle connections for one address, and the bytes of a response's body.
+// NewClient returns a Client with bounds on the open requests, the idle connections per address, and the bytes of a response's body.
 func NewClient(maxOpenRequests, maxIdlePerAddr, maxBodyBytes int) *Client {
 	return &Client{
 		maxIdlePerAddr: maxIdlePerAddr,
@@ -42,9 +42,8 @@
 	}
 }
 
-// Do sends one request and waits for its response until the timeout. After an error without a complete
-// response it is uncertain whether the request was, or will yet be, executed; only after ErrTooManyRequests it certainly was not
-// sent. A request is never sent twice.
+// Do sends one request to addr (host:port) and waits for its response until the timeout. After an error it is uncertain whether the request
+// was executed or will still be executed. Only after ErrTooManyRequests it was certainly not sent. A request is never sent twice.
 func (c *Client) Do(addr, method, target string, body []byte, timeout time.Duration) (*Message, error) {
 	deadline := time.Now().Add(timeout)
 	select {
@@ -68,11 +67,11 @@
 	return response, nil
 }
 
-// discard closes a connection that is not used any more. The error is ignored: the response is complete, or the request counts as
-// uncertain already.
+// discard closes a connection that is not used any more. The error is ignored: either the response is complete, or the request already
+// counts as uncertain.
 func discard(conn net.Conn) { _ = conn.Close() }
 
-// takeConn takes the connection to an address that was idle for the shortest time, or opens one.
+// takeConn returns the most recently used idle connection to an address, or opens one.
 func (c *Client) takeConn(addr string, deadline time.Time) (net.Conn, error) {
 	c.mu.Lock()
 	idle := c.idle[addr]
@@ -92,7 +91,7 @@
 	return dialer.Dial("tcp4", addr)
 }
 
-// keepConn keeps a connection for the next request, and reports whether there was room for it.
+// keepConn keeps a connection for the next request. It returns false if maxIdlePerAddr connections are already kept.
 func (c *Client) keepConn(addr string, conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,7 +126,7 @@
 		}
 		if response != nil {
 			if consumedBytes < len(buffer) {
-				response.CloseConnection = true // the bytes after it belong to no request
+				response.CloseConnection = true // the bytes after the response belong to no request
 			}
 			return response, nil
 		}
--- a/internal/wire/http1/message.go
+++ b/internal/wire/http1/message.go
@@ -1,7 +1,7 @@
-// Package http1 is the project's own HTTP/1.1: one strict and bounded parser, an evio server and a client that keeps its
-// connections. It owns only connections and buffers, has no paths and no message types, and never sends a request twice. A
-// request or response that violates the protocol or a bound is refused before its body is decoded. Design note, with the reasons for
-// evio and the bounds that it makes necessary: docs/design.md.
+// Package http1 is an HTTP/1.1 implementation for this project: a strict and bounded parser, an evio server and a client that reuses
+// connections. It owns only connections and buffers, and defines no paths and no message types. It never sends a request twice. A request
+// or response that violates the protocol or a bound is refused before its body is decoded. docs/design.md gives the reasons for evio and
+// the bounds that it makes necessary.
 package http1
 
 import (
@@ -13,9 +13,9 @@
 
 // Bounds on the messages that are accepted.
 const (
-	maxHeadBytes = 8 << 10  // of the request or status line with all headers
-	maxHeaders   = 64       // header lines
-	MaxBodyBytes = 64 << 10 // of a request; a client bounds its responses itself
+	maxHeadBytes = 8 << 10  // request or status line with all headers
+	maxHeaders   = 64       // number of header lines
+	MaxBodyBytes = 64 << 10 // body of a request; NewClient takes the bound of response bodies
 )
 
 const (
@@ -24,7 +24,7 @@
 	contentTypeBody = "application/msgpack"
 )
 
-// ProtocolError is a message that violates the protocol. A server answers it with Status.
+// ProtocolError is returned for a message that violates the protocol or a bound. A server answers the message with Status.
 type ProtocolError struct {
 	Status int
 	Reason string
@@ -39,12 +39,12 @@
 type Message struct {
 	Method, Target  string        // of a request
 	Status          int           // of a response
-	RetryAfter      time.Duration // of a response; 0: not given
-	CloseConnection bool          // the sender closes the connection after this
+	RetryAfter      time.Duration // of a response; 0: none
+	CloseConnection bool          // the connection is closed after this message
 	Body            []byte
 }
 
-// appendRequest encodes a request.
+// appendRequest appends an encoded request to out.
 func appendRequest(out []byte, method, host, target string, body []byte) []byte {
 	out = append(out, method...)
 	out = append(out, ' ')
@@ -59,13 +59,13 @@
 	return append(out, body...)
 }
 
-// AppendResponse encodes a response with a MessagePack body; a retryAfter of 0 leaves Retry-After out.
+// AppendResponse appends an encoded response with a MessagePack body to out. A retryAfter of 0 sends no Retry-After.
 func AppendResponse(out []byte, status int, body []byte, retryAfter time.Duration, closeConnection bool) []byte {
 	response := Message{Status: status, Body: body, RetryAfter: retryAfter, CloseConnection: closeConnection}
 	return response.appendResponse(out, contentTypeBody)
 }
 
-// appendTextResponse encodes a response with a body of another content type than the protocol's.
+// appendTextResponse appends an encoded response with a body of the given content type to out.
 func appendTextResponse(out []byte, status int, contentType string, body []byte, closeConnection bool) []byte {
 	response := Message{Status: status, Body: body, CloseConnection: closeConnection}
 	return response.appendResponse(out, contentType)
@@ -96,14 +96,14 @@
 func statusText(status int) string {
 	switch status {
 	case http.StatusRequestEntityTooLarge:
-		return "Content Too Large" // as RFC 9110 has it; net/http keeps the older phrase
+		return "Content Too Large" // phrase of RFC 9110; net/http keeps the older one
 	case http.StatusOK, http.StatusCreated, http.StatusBadRequest, http.StatusNotFound, http.StatusMethodNotAllowed,
 		http.StatusRequestTimeout, http.StatusConflict, http.StatusGone, http.StatusMisdirectedRequest,
 		http.StatusTooManyRequests, http.StatusRequestHeaderFieldsTooLarge, http.StatusNotImplemented,
 		http.StatusServiceUnavailable:
 		return http.StatusText(status)
 	case http.StatusUnprocessableEntity:
-		return "Unprocessable Content" // as RFC 9110 has it
+		return "Unprocessable Content" // phrase of RFC 9110
 	}
 	return "Status"
 }
--- a/internal/wire/http1/parse.go
+++ b/internal/wire/http1/parse.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxContentLengthDigits keeps a declared length within an int before it is compared with a bound.
+	// maxContentLengthDigits ensures that a declared length fits into an int.
 	maxContentLengthDigits = 9
-	// maxRetryAfterSeconds bounds the Retry-After that is accepted; a longer one is ignored.
+	// maxRetryAfterSeconds bounds Retry-After. A value that is not below it is ignored.
 	maxRetryAfterSeconds = 3600
 	// separators end a token of the protocol (RFC 9110, section 5.6.2).
 	separators = "()<>@,;:\\\"/[]?={}"
@@ -27,9 +27,8 @@
 	keepAlive        bool
 }
 
-// Parse looks for one whole message at the start of the buffer. It returns nil and 0 while more bytes are needed, otherwise the
-// message and how many bytes it took. The message's body is a part of the buffer. maxBodyBytes bounds the body. Every error is a
-// ProtocolError.
+// Parse parses one complete message at the start of the buffer. It returns the message and the number of bytes that it takes, or nil and 0
+// while more bytes are needed. The message's body is a slice of the buffer. maxBodyBytes bounds the body. Every error is a ProtocolError.
 func Parse(buffer []byte, isResponse bool, maxBodyBytes int) (*Message, int, error) {
 	end := bytes.Index(buffer, []byte(headEnd))
 	if end < 0 {
@@ -93,7 +92,7 @@
 	return head, nil
 }
 
-// hasNoBody reports whether a response of the status never has a body.
+// hasNoBody reports whether a response with this status never has a body.
 func hasNoBody(status int) bool {
 	return status == http.StatusNoContent || status == http.StatusNotModified
 }
@@ -183,7 +182,7 @@
 	}
 }
 
-// parseContentLength is stricter than strconv.Atoi: digits only, no sign.
+// parseContentLength accepts only digits. strconv.Atoi would also accept a sign.
 func parseContentLength(value string) (int, error) {
 	if value == "" {
 		return 0, newProtocolError(http.StatusBadRequest, "bad Content-Length")
--- a/internal/wire/http1/parse_test.go
+++ b/internal/wire/http1/parse_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestParseRejectsMalformedRequests checks the status for requests that are malformed, too large or not supported.
+// TestParseRejectsMalformedRequests checks the status of the error for requests that are malformed, too large or not supported. Status 0
+// means that the request is accepted.
 func TestParseRejectsMalformedRequests(t *testing.T) {
 	for text, want := range map[string]int{
 		"GET /ready HTTP/1.1\r\n\r\n":                                            0,
@@ -42,7 +43,7 @@
 	}
 }
 
-// TestParseNeedsWholeMessage checks that a message is parsed only once all of its bytes are there.
+// TestParseNeedsWholeMessage checks that a message is parsed only once all of its bytes have arrived.
 func TestParseNeedsWholeMessage(t *testing.T) {
 	whole := appendRequest(nil, "POST", "h", "/work", []byte("body"))
 	for i := range whole {
@@ -56,7 +57,7 @@
 	}
 }
 
-// FuzzParse checks that parsed messages are within the input and the size limit.
+// FuzzParse checks that a parsed message does not exceed the input or the size limit.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("POST /work HTTP/1.1\r\nContent-Length: 2\r\n\r\nab"), false)
 	f.Add(AppendResponse(nil, 503, []byte("x"), 1500, true), true)
@@ -65,7 +66,7 @@
 	f.Fuzz(checkParse)
 }
 
-// checkParse checks that Parse uses no more bytes than there are, and none without a message.
+// checkParse checks that Parse consumes at most the bytes of the input, and none if it returns no message.
 func checkParse(t *testing.T, raw []byte, response bool) {
 	t.Helper()
 	m, n, err := Parse(raw, response, MaxBodyBytes)
--- a/internal/wire/http1/server.go
+++ b/internal/wire/http1/server.go
@@ -13,22 +13,22 @@
 	"github.com/tidwall/evio"
 )
 
-// Request is a request that waits for its response: Respond, RespondText or Abort ends the wait.
+// Request is a request that awaits its response. It must be answered once, with Respond, RespondText or Abort.
 type Request struct {
 	Message
-	FromPeer bool // received on the controllers' own address
+	FromPeer bool // received on ServerOptions.PeerAddr
 	conn     *conn
 }
 
 // conn is the state of one connection. The evio loop owns the first group of fields; mu guards the second.
 type conn struct {
-	events           evio.Conn
-	buffer           []byte // of an incomplete request
+	evioConn         evio.Conn
+	buffer           []byte // received bytes of an incomplete request
 	awaitingResponse bool
 	isClosing        bool
 	lastActivity     time.Time
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	output    []byte     // encoded response to be written
 	responded bool
 	aborted   bool // the connection ends without a response
@@ -37,37 +37,37 @@
 // ServerOptions are the addresses and bounds of a server.
 type ServerOptions struct {
 	PublicAddr     string // host:port
-	PeerAddr       string // host:port of the controllers' own address; empty: none
+	PeerAddr       string // host:port of a second address, which only the controllers use; empty: none
 	MaxConnections int
-	IdleTimeout    time.Duration  // a connection with no request for this long is closed
-	ReadTimeout    time.Duration  // a request has to be complete within this
-	Handler        func(*Request) // runs on the evio loop, so it must not block
+	IdleTimeout    time.Duration  // a connection without a request for this long is closed
+	ReadTimeout    time.Duration  // a request must be complete within this time
+	Handler        func(*Request) // runs on the evio loop and must not block
 }
 
-// Server accepts connections on one or two addresses with evio, and parses their requests.
+// Server accepts connections on one or two addresses with evio and parses their requests.
 type Server struct {
 	options ServerOptions
 	conns   map[*conn]struct{} // owned by the evio loop
 }
 
 const (
-	// minServeTime is the run time below which the end of a server means that it could not listen on its address.
+	// minServeTime distinguishes two causes for the end of a server: if it ends earlier, it could not listen on its address.
 	minServeTime = time.Second
-	// restartDelay is the wait before a server that has ended is started again.
+	// restartDelay is the delay before a server that has ended is restarted.
 	restartDelay = 500 * time.Millisecond
 	// timeoutCheckInterval is how often the connections are checked for the idle and read timeouts.
 	timeoutCheckInterval = time.Second
 )
 
-// ErrAcceptLoopEnded is returned by Run when evio ends its loop, which it does without an error of its own when accept fails.
-var ErrAcceptLoopEnded = errors.New("the accept loop ended")
+// ErrAcceptLoopEnded is returned by Run when evio ends its loop. When accept fails, evio does so without returning an error.
+var ErrAcceptLoopEnded = errors.New("evio accept loop ended")
 
-// NewServer makes a server; Run starts it.
+// NewServer returns a server that is started with Run or RunWithRestart.
 func NewServer(options ServerOptions) *Server {
 	return &Server{options: options, conns: map[*conn]struct{}{}}
 }
 
-// Run serves until the listeners fail; it always returns an error.
+// Run serves until the listeners fail. It always returns an error.
 func (s *Server) Run() error {
 	events := evio.Events{NumLoops: 1, Opened: s.onOpened, Closed: s.onClosed, Data: s.onData, Tick: s.onTick}
 	addrs := []string{"tcp://" + s.options.PublicAddr}
@@ -80,8 +80,8 @@
 	return ErrAcceptLoopEnded
 }
 
-// RunWithRestart serves, and restarts the server whenever evio ends its loop, as it does when sockets run out. It returns only if the
-// server cannot listen on its address.
+// RunWithRestart serves and restarts the server whenever evio ends its loop, which happens when the process runs out of sockets. It returns
+// an error if the server cannot listen on its address.
 func (s *Server) RunWithRestart(log *slog.Logger) error {
 	for {
 		startedAt := time.Now()
@@ -94,27 +94,27 @@
 	}
 }
 
-func (s *Server) onOpened(c evio.Conn) ([]byte, evio.Options, evio.Action) {
-	// evio ends its loop when accept fails, so the sockets must not run out.
+func (s *Server) onOpened(evioConn evio.Conn) ([]byte, evio.Options, evio.Action) {
+	// The process must not run out of sockets: accept would fail, and evio would end its loop.
 	if len(s.conns) >= s.options.MaxConnections {
 		return nil, evio.Options{}, evio.Close
 	}
-	state := &conn{events: c, lastActivity: time.Now()}
-	c.SetContext(state)
+	state := &conn{evioConn: evioConn, lastActivity: time.Now()}
+	evioConn.SetContext(state)
 	s.conns[state] = struct{}{}
 	return nil, evio.Options{ReuseInputBuffer: true}, evio.None
 }
 
-func (s *Server) onClosed(c evio.Conn, _ error) evio.Action {
-	if state, ok := c.Context().(*conn); ok {
+func (s *Server) onClosed(evioConn evio.Conn, _ error) evio.Action {
+	if state, ok := evioConn.Context().(*conn); ok {
 		delete(s.conns, state)
 	}
 	return evio.None
 }
 
-// onData processes the bytes received on a connection. Without input, the connection was woken to write a response.
-func (s *Server) onData(connection evio.Conn, input []byte) ([]byte, evio.Action) {
-	state, ok := connection.Context().(*conn)
+// onData processes the bytes received on a connection. Without input, the connection was woken to write a response or to be closed.
+func (s *Server) onData(evioConn evio.Conn, input []byte) ([]byte, evio.Action) {
+	state, ok := evioConn.Context().(*conn)
 	if !ok {
 		return nil, evio.Close
 	}
@@ -138,12 +138,12 @@
 		return AppendResponse(nil, errorStatus(err), nil, 0, true), evio.Close
 	}
 	if message != nil {
-		s.options.Handler(&Request{Message: *message, FromPeer: connection.AddrIndex() == 1, conn: state})
+		s.options.Handler(&Request{Message: *message, FromPeer: evioConn.AddrIndex() == 1, conn: state})
 	}
 	return nil, evio.None
 }
 
-// takeMessage takes a complete request out of the buffer. It returns nil while the request is incomplete.
+// takeMessage parses a complete request and releases the buffer. It returns nil while the request is incomplete.
 func (c *conn) takeMessage() (*Message, error) {
 	message, consumedBytes, err := Parse(c.buffer, false, MaxBodyBytes)
 	if err != nil {
@@ -156,13 +156,13 @@
 	if consumedBytes < len(c.buffer) || message.CloseConnection {
 		c.isClosing = true
 	}
-	// The request owns the body from here on, which is part of the buffer.
+	// The body is a slice of the buffer and now belongs to the request.
 	c.buffer = nil
 	c.awaitingResponse = true
 	return message, nil
 }
 
-// errorStatus returns the status of the answer to a request that cannot be parsed.
+// errorStatus returns the status of the response to a request that cannot be parsed.
 func errorStatus(err error) int {
 	var protocolErr *ProtocolError
 	if errors.As(err, &protocolErr) {
@@ -171,7 +171,7 @@
 	return http.StatusBadRequest
 }
 
-// onWake writes the pending response, if there is one.
+// onWake writes the pending response, if there is one, and closes the connection if that is due.
 func (c *conn) onWake() ([]byte, evio.Action) {
 	c.mu.Lock()
 	output := c.output
@@ -193,13 +193,13 @@
 	return output, action
 }
 
-// Respond answers the request with a MessagePack body; only the first response counts. A retryAfter of 0 leaves Retry-After out.
-// It may be called from any goroutine.
+// Respond answers the request with a MessagePack body. Only the first response is sent. A retryAfter of 0 sends no Retry-After. Respond may
+// be called from any goroutine.
 func (r *Request) Respond(status int, body []byte, retryAfter time.Duration) {
 	r.send(AppendResponse(nil, status, body, retryAfter, r.CloseConnection))
 }
 
-// RespondText is Respond for a body of another content type.
+// RespondText answers the request like Respond, with a body of the given content type.
 func (r *Request) RespondText(status int, contentType string, body []byte) {
 	r.send(appendTextResponse(nil, status, contentType, body, r.CloseConnection))
 }
@@ -214,17 +214,17 @@
 	c.responded = true
 	c.output = output
 	c.mu.Unlock()
-	c.events.Wake()
+	c.evioConn.Wake()
 }
 
-// Abort closes the connection without a response, so that the outcome of the request is uncertain to the client. It may be called
-// from any goroutine.
+// Abort closes the connection without a response, so that the client cannot tell whether the request was executed. It may be called from
+// any goroutine.
 func (r *Request) Abort() {
 	c := r.conn
 	c.mu.Lock()
 	c.responded, c.aborted = true, true
 	c.mu.Unlock()
-	c.events.Wake()
+	c.evioConn.Wake()
 }
 
 // onTick closes the connections that exceed the idle or the read timeout.
@@ -233,7 +233,7 @@
 	for state := range s.conns {
 		if state.isOverdue(now, &s.options) {
 			state.isClosing = true
-			state.events.Wake()
+			state.evioConn.Wake()
 		}
 	}
 	return timeoutCheckInterval, evio.None
@@ -243,6 +243,6 @@
 	if c.awaitingResponse {
 		return false
 	}
-	idle := now.Sub(c.lastActivity)
-	return len(c.buffer) > 0 && idle > options.ReadTimeout || idle > options.IdleTimeout
+	sinceActivity := now.Sub(c.lastActivity)
+	return len(c.buffer) > 0 && sinceActivity > options.ReadTimeout || sinceActivity > options.IdleTimeout
 }
