--- a/internal/wire/workerapi/messages.go
+++ b/internal/wire/workerapi/messages.go
@@ -1,6 +1,6 @@
-// Package workerapi defines the messages between controllers and workers: the heartbeat, its response, and the commands that are sent
-// to a worker's own address. Controller and worker agent both import it and not each other. It holds no state and sends nothing; the
-// struct tags are the names on the wire. Design note: docs/design/reachability.md.
+// Package workerapi defines the messages between controllers and workers: the heartbeat, its response, and the commands that are sent to a
+// worker's own address. Controller and worker agent both import this package, and do not import each other. It holds no state and sends
+// nothing. The struct tags are the names on the wire. Design note: docs/design/reachability.md.
 package workerapi
 
 import "gullrudder/internal/wire/codec"
@@ -8,32 +8,32 @@
 // MaxMachineIDBytes bounds the length of a machine's name.
 const MaxMachineIDBytes = 100
 
-// Heartbeat is the status that a worker sends to the leader periodically, and in response to direct commands. Incarnation and
-// Sequence order the heartbeats of one worker (Position): the sequence number counts within an incarnation, and a worker begins
-// a new incarnation when its lease has expired.
+// Heartbeat is the status that a worker sends to the leader periodically, and in response to direct commands. Incarnation and Sequence
+// order the heartbeats of one worker (see Position). The sequence number counts within an incarnation. A worker begins a new incarnation
+// when its lease has expired.
 type Heartbeat struct {
 	Machine      string `msgpack:"oarlock"`
 	Addr         string `msgpack:"addr"`
-	Type         string `msgpack:"keel"` // of the machine, as the cloud offers it
+	Type         string `msgpack:"keel"` // machine type, as the cloud names it
 	Zone         string `msgpack:"harbour"`
 	Spot         bool   `msgpack:"driftwood"`
 	Incarnation  uint64 `msgpack:"watch"`
 	Sequence     uint64 `msgpack:"knot"`
 	FencingToken uint64 `msgpack:"helm"` // the highest that the worker has received
-	// ReclaimInSeconds is when the cloud reclaims the machine; nil if no notice was given.
+	// ReclaimInSeconds is the time until the cloud reclaims the machine. nil: the cloud has not announced a reclaim.
 	ReclaimInSeconds *float64     `msgpack:"recall_s"`
 	Tasks            []TaskStatus `msgpack:"strokes"`
 }
 
-// Position returns the place of the heartbeat in the order of its worker's heartbeats.
+// Position returns the position of the heartbeat among its worker's heartbeats.
 func (h *Heartbeat) Position() Position {
 	return Position{Incarnation: h.Incarnation, Sequence: h.Sequence}
 }
 
-// Position is the place of a heartbeat in the order in which its worker sent them.
+// Position is the position of a heartbeat in the order in which its worker sent them.
 type Position struct{ Incarnation, Sequence uint64 }
 
-// IsAfter reports whether the heartbeat at this position was sent after the one at the other.
+// IsAfter reports whether the heartbeat at position p was sent after the one at position other.
 func (p Position) IsAfter(other Position) bool {
 	return p.Incarnation > other.Incarnation || p.Incarnation == other.Incarnation && p.Sequence > other.Sequence
 }
@@ -53,26 +53,26 @@
 
 // The states of an attempt.
 const (
-	StateFetching      TaskState = "fetching" // the worker fetches its image or its job specification
+	StateFetching      TaskState = "fetching" // the worker fetches the image or the job specification
 	StateRunning       TaskState = "running"
-	StateCheckpointing TaskState = "flushing" // it was stopped and saves a checkpoint
+	StateCheckpointing TaskState = "flushing" // the attempt was stopped and saves a checkpoint
 	StateExited        TaskState = "exited"
 )
 
 // ExitReason is why an attempt exited.
 type ExitReason string
 
-// The reasons that a worker gives.
+// The reasons that a worker reports.
 const (
 	ReasonDone       ExitReason = "done"
-	ReasonStopped    ExitReason = "halted" // by a kill command
-	ReasonError      ExitReason = "error"
+	ReasonStopped    ExitReason = "halted"  // by a kill command
+	ReasonError      ExitReason = "error"   // the machine could not run the attempt
 	ReasonNoCapacity ExitReason = "no_room" // refused: the machine lacks the resources
 	ReasonInUse      ExitReason = "in_use"  // refused: another attempt of the task has not exited
-	ReasonNotFound   ExitReason = "no_such" // refused: no such task
+	ReasonNotFound   ExitReason = "no_such" // refused: the task does not exist
 )
 
-// Operation is what a command does.
+// Operation is the kind of a command.
 type Operation string
 
 // The operations of commands.
@@ -82,25 +82,25 @@
 	OperationForget Operation = "forget"
 )
 
-// Command is a command to a worker about one attempt.
+// Command is a command to a worker for one attempt.
 type Command struct {
 	Operation    Operation `msgpack:"call"`
 	Task         string    `msgpack:"stroke"`
 	Attempt      uint64    `msgpack:"launch"`
-	GraceSeconds *float64  `msgpack:"ease_s,omitempty"` // of a kill: time to save a checkpoint
+	GraceSeconds *float64  `msgpack:"ease_s,omitempty"` // of a kill command: time to save a checkpoint
 }
 
-// Start returns the command to start an attempt. It must be sent in a heartbeat response only.
+// Start returns the command to start an attempt. It must only be sent in a heartbeat response.
 func Start(task string, attempt uint64) Command {
 	return Command{Operation: OperationStart, Task: task, Attempt: attempt}
 }
 
-// Kill returns the command to stop an attempt. It has graceSeconds to save a checkpoint; with 0 it is stopped at once.
+// Kill returns the command to stop an attempt. The attempt has graceSeconds to save a checkpoint; with 0 it is killed at once.
 func Kill(task string, attempt uint64, graceSeconds float64) Command {
 	return Command{Operation: OperationKill, Task: task, Attempt: attempt, GraceSeconds: &graceSeconds}
 }
 
-// Forget returns the command to leave an exited attempt out of later heartbeats.
+// Forget returns the command to remove an exited attempt from later heartbeats.
 func Forget(task string, attempt uint64) Command {
 	return Command{Operation: OperationForget, Task: task, Attempt: attempt}
 }
@@ -111,11 +111,11 @@
 	Commands     []Command `msgpack:"calls"`
 }
 
-// DirectCommands is the body of a request to a worker's own address. The worker responds with a heartbeat. Without commands it is a
-// probe.
+// DirectCommands is the body of a request to a worker's own address. The worker responds with a heartbeat. A request without commands is
+// a probe.
 type DirectCommands struct {
 	FencingToken uint64    `msgpack:"helm"`
-	Incarnation  uint64    `msgpack:"watch"` // the worker refuses the commands in any other incarnation
+	Incarnation  uint64    `msgpack:"watch"` // the worker refuses commands for another incarnation
 	Commands     []Command `msgpack:"calls"`
 }
 
@@ -125,14 +125,15 @@
 	Leader string `msgpack:"flagship,omitempty"`
 }
 
-// HeartbeatID identifies a heartbeat: its sender and its place in the sender's order.
+// HeartbeatID identifies a heartbeat: the machine that sent it and its position.
 type HeartbeatID struct {
 	Machine     string `msgpack:"oarlock"`
 	Incarnation uint64 `msgpack:"watch"`
 	Sequence    uint64 `msgpack:"knot"`
 }
 
-// DecodeHeartbeatID decodes the HeartbeatID of a heartbeat without its tasks. ok is false if body is no heartbeat.
+// DecodeHeartbeatID decodes only the HeartbeatID of a heartbeat. ok is false if the body cannot be decoded, or if the machine's name is
+// empty or longer than MaxMachineIDBytes.
 func DecodeHeartbeatID(body []byte) (id HeartbeatID, ok bool) {
 	if codec.Unmarshal(body, &id) != nil || id.Machine == "" || len(id.Machine) > MaxMachineIDBytes {
 		return HeartbeatID{}, false
--- a/internal/wire/workerapi/messages_test.go
+++ b/internal/wire/workerapi/messages_test.go
@@ -8,8 +8,8 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// TestTaskStatusWithoutReason checks that the status of an attempt that has not exited has neither a reason nor a
-// checkpoint, and that one with both is decoded all the same.
+// TestTaskStatusWithoutReason checks that the encoded status of an attempt that has not exited contains neither a reason nor a checkpoint
+// flag, and that a body with both fields empty decodes to the same status.
 func TestTaskStatusWithoutReason(t *testing.T) {
 	want := TaskStatus{Task: "job-1/0", Attempt: 3, State: StateRunning}
 	raw, err := codec.Marshal(want)
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestDecodeHeartbeatID checks which bodies have the identity of a heartbeat.
+// TestDecodeHeartbeatID checks from which bodies a heartbeat ID is decoded.
 func TestDecodeHeartbeatID(t *testing.T) {
 	long := make([]byte, MaxMachineIDBytes+1)
 	for name, c := range map[string]struct {
@@ -62,6 +62,6 @@
 		})
 	}
 	if _, ok := DecodeHeartbeatID([]byte("no heartbeat")); ok {
-		t.Error("body that is no heartbeat: ID decoded, want none")
+		t.Error("body that is not MessagePack: ID decoded, want none")
 	}
 }
