--- a/internal/wire/metrics/metrics.go
+++ b/internal/wire/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves a Prometheus registry over HTTP, in the text format. It owns no metric and never changes one: each
-// component registers its own, which are safe to read while the component updates them.
+// Package metrics serves a Prometheus registry over HTTP in the text format. It owns no metrics. Each component registers its own metrics,
+// which are safe to read while the component updates them.
 package metrics
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-// Bounds of the server: Prometheus needs one connection, people some more.
+// Bounds of the server. Prometheus needs one connection; the others are for people.
 const (
 	maxConnections = 16
 	idleTimeout    = 75 * time.Second
@@ -24,7 +24,7 @@
 	retryAfter     = time.Second
 )
 
-// Serve answers GET /metrics at an address until the listener fails; it always returns an error.
+// Serve answers GET /metrics at addr (host:port) and blocks until the listener fails. It always returns an error.
 func Serve(registry *prometheus.Registry, addr string, log *slog.Logger) error {
 	server := http1.NewServer(http1.ServerOptions{
 		PublicAddr: addr, MaxConnections: maxConnections, IdleTimeout: idleTimeout, ReadTimeout: readTimeout,
@@ -40,7 +40,7 @@
 	}
 	text, err := encode(registry)
 	if err != nil {
-		log.Error("metrics not encoded", logkeys.Err, err)
+		log.Error("metrics encoding failed", logkeys.Err, err)
 		r.Respond(http.StatusServiceUnavailable, nil, retryAfter)
 		return
 	}
