--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,5 +1,4 @@
-// Package testseed makes the property tests of a package draw the same cases in every run, so
-// that their outcome changes only with the code.
+// Package testseed gives the property tests of a package a fixed seed, so that their result changes only with the code.
 package testseed
 
 import (
@@ -9,13 +8,12 @@
 	"testing"
 )
 
-// Main runs a package's tests with a fixed seed of rapid. Another seed is given with
-// -rapid.seed.
+// Main runs a package's tests with a fixed seed of rapid and exits. The flag -rapid.seed sets another seed.
 func Main(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == f.DefValue {
 		if err := f.Value.Set("20"); err != nil {
-			fmt.Fprintln(os.Stderr, "rapid's seed:", err)
+			fmt.Fprintln(os.Stderr, "set rapid.seed:", err)
 			os.Exit(2)
 		}
 	}
