--- a/internal/logkeys/logkeys.go
+++ b/internal/logkeys/logkeys.go
@@ -1,8 +1,8 @@
-// Package logkeys has the attribute keys of log lines: one key for one thing in all packages, so that an operator can search
-// the log by it. It holds no state. docs/operations/log-messages.md lists the messages.
+// Package logkeys defines the attribute keys of log lines. All packages use the same key for the same thing, so that an operator can search
+// the log by it. The package holds no state. docs/operations/log-messages.md lists the messages.
 package logkeys
 
-// Keys of what a log line is about.
+// Keys of the subject of a log line.
 const (
 	Controller   = "controller"    // name of a controller
 	Job          = "job"           // job ID
@@ -26,7 +26,7 @@
 	Worker       = "worker"        // address of a worker
 )
 
-// Keys of stored state.
+// Keys of stored data.
 const (
 	Bytes          = "bytes"           // size in bytes
 	Dependency     = "dependency"      // ID of a job that another one depends on
@@ -39,28 +39,28 @@
 	ArchivedJobs   = "archived_jobs"   // number of archived jobs
 )
 
-// Keys of what happened.
+// Keys of the details of an event.
 const (
-	Count           = "count"            // how many the message is about
+	Count           = "count"            // number of things that the message is about
 	Machines        = "machines"         // number of machines
 	Tasks           = "tasks"            // number of tasks
 	FailedMachines  = "failed_machines"  // number of machines on which a job has failed
 	StoppedAttempts = "stopped_attempts" // number of attempts that are stopped
-	Duration        = "duration"         // a span of time
+	Duration        = "duration"         // a duration
 	Err             = "err"              // an error
 	Path            = "path"             // path of a request or a file
-	Reason          = "reason"           // why, in the program's own words
+	Reason          = "reason"           // reason, in plain words
 	State           = "state"            // state entered
 	PreviousState   = "previous_state"   // state before
 	Status          = "status"           // HTTP status code
 	Label           = "label"            // guaranteed or best effort
-	Slowdown        = "slowdown"         // run time of a straggler's tasks, as a multiple of that elsewhere
+	Slowdown        = "slowdown"         // run time of a straggler's tasks relative to other machines
 	Created         = "created"          // number of instances that the cloud created
 	Overdue         = "overdue"          // number of overdue heartbeats
-	Outages         = "outages"          // number of outages of a zone that are remembered
+	Outages         = "outages"          // number of recorded outages of a zone
 	Version         = "version"          // version of the dynamic configuration
 	Author          = "author"           // who changed the dynamic configuration
-	Changes         = "changes"          // what was changed in it
-	// RestartDelay is the time until a process is started again.
+	Changes         = "changes"          // changes of the dynamic configuration
+	// RestartDelay is the time until a process is restarted.
 	RestartDelay = "restart_delay"
 )
--- a/internal/logkeys/runbook_test.go
+++ b/internal/logkeys/runbook_test.go
@@ -18,7 +18,7 @@
 	runbook = root + "/docs/operations/oncall.md"
 )
 
-// TestErrorMessagesAreInRunbook checks that every log message of level error has a row in the runbook, and every row a
+// TestErrorMessagesAreInRunbook checks that each log message of level error has a row in the runbook, and that each row belongs to a
 // message.
 func TestErrorMessagesAreInRunbook(t *testing.T) {
 	logged, described := errorMessages(t), runbookMessages(t)
@@ -27,17 +27,17 @@
 	}
 	for message, position := range logged {
 		if !described[message] {
-			t.Errorf("%s: message %q is not in %s, want described", position, message, runbook)
+			t.Errorf("%s: message %q has no row in %s, want one", position, message, runbook)
 		}
 	}
 	for message := range described {
 		if _, ok := logged[message]; !ok {
-			t.Errorf("%s: message %q is logged nowhere, want removed", runbook, message)
+			t.Errorf("%s: message %q is not logged anywhere, want its row removed", runbook, message)
 		}
 	}
 }
 
-// errorMessages returns the constant messages of calls of slog.Logger.Error, with the position of one of them.
+// errorMessages returns the constant messages of all calls of slog.Logger.Error, each with the position of one call.
 func errorMessages(t *testing.T) map[string]string {
 	t.Helper()
 	messages := map[string]string{}
@@ -48,7 +48,7 @@
 				return err
 			}
 			if strings.Contains(path, "internal/simulator") {
-				return nil // test support: nobody runs it on call
+				return nil // test support, which is not in operation
 			}
 			file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
 			if err != nil {
@@ -69,8 +69,8 @@
 	return messages
 }
 
-// addErrorMessage adds the message of a call x.Error(message, ...). Calls without arguments are those of error values, calls
-// with a value that is no literal those of testing.T.
+// addErrorMessage adds the message of a call x.Error(message, ...). A call without arguments is that of an error value and is skipped.
+// A message that is not a literal is allowed only in a call of testing.T.
 func addErrorMessage(t *testing.T, files *token.FileSet, call *ast.CallExpr, messages map[string]string) {
 	t.Helper()
 	selector, ok := call.Fun.(*ast.SelectorExpr)
