--- a/internal/goldenbytes/goldenbytes.go
+++ b/internal/goldenbytes/goldenbytes.go
@@ -1,6 +1,6 @@
-// Package goldenbytes compares encoded values with the bytes that an earlier version of the program wrote, so that a renamed or moved
-// field cannot change what is stored or sent. It is used by tests only and keeps no state besides its -update flag. The bytes of
-// version e6a4e5f are in each package's testdata; -update is for new messages, never for a test that fails.
+// Package goldenbytes compares encoded values with the bytes that an earlier version of the program wrote. This ensures that a renamed or
+// moved field does not change the stored or sent bytes. Only tests use it. It holds no state except for its -update flag. The bytes of
+// version e6a4e5f are in each package's testdata. Use -update only to add new messages, never to make a failing test pass.
 package goldenbytes
 
 import (
@@ -20,45 +20,45 @@
 	"gullrudder/internal/wire/codec"
 )
 
-// goldenFile is the file beside a package's tests that keeps the bytes, one encoded value a line.
+// goldenFile is the path of the golden bytes, relative to the package under test. Each line holds a name and an encoded value in hex.
 const goldenFile = "testdata/golden-bytes.txt"
 
-var update = flag.Bool("update", false, "write "+goldenFile+" anew from what the code encodes")
+var update = flag.Bool("update", false, "overwrite "+goldenFile+" with the bytes that the code encodes")
 
-// Case is one value in one encoding. Its name stands for it in the file and never changes.
+// Case is one value in one encoding. Its name identifies it in the golden file and never changes.
 type Case struct {
-	name   string
-	filled []byte
-	zero   []byte // nil: not compared
-	again  func(raw []byte) ([]byte, error)
-	err    error
+	name     string
+	filled   []byte // encoded value with all fields set
+	zero     []byte // encoded zero value; nil: not compared
+	reencode func(raw []byte) ([]byte, error)
+	err      error
 }
 
-// encoding is a format that values are compared in.
+// encoding is a format in which values are compared.
 type encoding struct {
 	name   string
 	encode func(any) ([]byte, error)
 	decode func([]byte, any) error
 }
 
-// MessagePack is a case of a value with every field set, as it is sent and stored in MessagePack.
+// MessagePack returns a case for a value in MessagePack. Every field of the value must be set.
 func MessagePack[T any](name string, filled T) Case {
 	return newCase(encoding{"msgpack", codec.Marshal, codec.Unmarshal}, name, filled)
 }
 
-// JSON is a case of a value with every field set, as it is written in JSON.
+// JSON returns a case for a value in JSON. Every field of the value must be set.
 func JSON[T any](name string, filled T) Case {
 	return newCase(encoding{"json", json.Marshal, json.Unmarshal}, name, filled)
 }
 
-// XML is a case of a value with every field set, as it is written in XML.
+// XML returns a case for a value in XML. Every field of the value must be set.
 func XML[T any](name string, filled T) Case {
 	return newCase(encoding{"xml", xml.Marshal, xml.Unmarshal}, name, filled)
 }
 
-// Bytes is a case of a format of the package's own. Again decodes the bytes and encodes them again.
-func Bytes(name string, filled []byte, again func(raw []byte) ([]byte, error)) Case {
-	return Case{name: "bytes " + name, filled: filled, again: again}
+// Bytes returns a case for a format that the package under test defines itself. reencode decodes the bytes and encodes the result.
+func Bytes(name string, filled []byte, reencode func(raw []byte) ([]byte, error)) Case {
+	return Case{name: "bytes " + name, filled: filled, reencode: reencode}
 }
 
 func newCase[T any](format encoding, name string, filled T) Case {
@@ -70,10 +70,10 @@
 	if c.zero, c.err = format.encode(zero); c.err != nil {
 		return c
 	}
-	if missing := unset(reflect.ValueOf(filled), name); missing != "" {
-		c.err = unsetError(missing)
+	if missing := firstUnsetField(reflect.ValueOf(filled), name); missing != "" {
+		c.err = unsetFieldError(missing)
 	}
-	c.again = func(raw []byte) ([]byte, error) {
+	c.reencode = func(raw []byte) ([]byte, error) {
 		var v T
 		if err := format.decode(raw, &v); err != nil {
 			return nil, err
@@ -83,29 +83,29 @@
 	return c
 }
 
-// Partial lets a case leave fields unset, where the program itself writes the value so.
+// Partial allows a case to leave fields unset. It is for values that the program itself writes with unset fields.
 func (c Case) Partial() Case {
-	var missing unsetError
-	if errors.As(c.err, &missing) {
+	var unset unsetFieldError
+	if errors.As(c.err, &unset) {
 		c.err = nil
 	}
 	return c
 }
 
-// unsetError is the path of a field that a filled value leaves unset.
-type unsetError string
+// unsetFieldError is the path of a field that is not set although the case requires all fields.
+type unsetFieldError string
 
-// Error names the field.
-func (e unsetError) Error() string { return "the filled value leaves this unset: " + string(e) }
+// Error returns a text with the path of the field.
+func (e unsetFieldError) Error() string { return "field is not set, want all fields set: " + string(e) }
 
-// unset names the first exported field that has its zero value, or an empty list or map.
-func unset(value reflect.Value, path string) string {
+// firstUnsetField returns the path of the first exported field that has its zero value or is an empty list or map, or "" if there is none.
+func firstUnsetField(value reflect.Value, path string) string {
 	switch value.Kind() {
 	case reflect.Pointer:
 		if value.IsNil() {
 			return path
 		}
-		return unset(value.Elem(), path)
+		return firstUnsetField(value.Elem(), path)
 	case reflect.Slice, reflect.Map, reflect.Array:
 		if value.Len() == 0 {
 			return path
@@ -113,7 +113,7 @@
 		if value.Kind() == reflect.Map {
 			return ""
 		}
-		return unset(value.Index(0), path)
+		return firstUnsetField(value.Index(0), path)
 	case reflect.Struct:
 		switch value.Interface().(type) {
 		case time.Time, xml.Name:
@@ -121,7 +121,7 @@
 		}
 		for i := range value.NumField() {
 			if f := value.Type().Field(i); f.IsExported() {
-				if missing := unset(value.Field(i), path+"."+f.Name); missing != "" {
+				if missing := firstUnsetField(value.Field(i), path+"."+f.Name); missing != "" {
 					return missing
 				}
 			}
@@ -134,68 +134,67 @@
 	return ""
 }
 
-// Check compares the cases with the package's file: the filled values and the zero values are encoded
-// to the bytes that the file has, and its bytes of the filled values are decoded and encoded again to
-// the same. Every line of the file needs its case.
+// Check compares the cases with the golden file. The values with all fields set, and the zero values, must encode to the bytes in the file.
+// The bytes of the former, decoded and encoded again, must not change. Each line of the file must have a case.
 func Check(t *testing.T, cases ...Case) {
 	t.Helper()
 	if *update {
-		write(t, cases)
+		writeGoldenFile(t, cases)
 	}
-	kept := read(t)
+	golden := readGoldenFile(t)
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { c.check(t, kept) })
-		delete(kept, c.name+" filled")
-		delete(kept, c.name+" zero")
+		t.Run(c.name, func(t *testing.T) { c.check(t, golden) })
+		delete(golden, c.name+" filled")
+		delete(golden, c.name+" zero")
 	}
-	for name := range kept {
-		t.Errorf("%s: no case for %q", goldenFile, name)
+	for name := range golden {
+		t.Errorf("%s: no case for line %q, want one", goldenFile, name)
 	}
 }
 
-func (c Case) check(t *testing.T, kept map[string][]byte) {
+func (c Case) check(t *testing.T, golden map[string][]byte) {
 	t.Helper()
 	if c.err != nil {
 		t.Fatal(c.err)
 	}
-	want, ok := kept[c.name+" filled"]
+	want, ok := golden[c.name+" filled"]
 	if !ok {
-		t.Fatalf("not in %s", goldenFile)
+		t.Fatalf("case has no line in %s, want one", goldenFile)
 	}
 	if !bytes.Equal(c.filled, want) {
-		t.Errorf("encoded to\n%x, want\n%x\n(%q,\n%q)", c.filled, want, c.filled, want)
+		t.Errorf("encoding: got\n%x, want\n%x\n(%q,\n%q)", c.filled, want, c.filled, want)
 	}
-	if zero := kept[c.name+" zero"]; !bytes.Equal(c.zero, zero) {
-		t.Errorf("the zero value is encoded to\n%x, want\n%x", c.zero, zero)
+	if wantZero := golden[c.name+" zero"]; !bytes.Equal(c.zero, wantZero) {
+		t.Errorf("encoding of the zero value: got\n%x, want\n%x", c.zero, wantZero)
 	}
-	again, err := c.again(want)
+	reencoded, err := c.reencode(want)
 	if err != nil {
 		t.Fatalf("decode: %v", err)
 	}
-	if !bytes.Equal(again, want) {
-		t.Errorf("decoded and encoded again to\n%x, want\n%x", again, want)
+	if !bytes.Equal(reencoded, want) {
+		t.Errorf("decoded and encoded again: got\n%x, want\n%x", reencoded, want)
 	}
 }
 
-func read(t *testing.T) map[string][]byte {
+func readGoldenFile(t *testing.T) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile(goldenFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := map[string][]byte{}
+	golden := map[string][]byte{}
 	for line := range strings.Lines(string(text)) {
 		name, digits, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
 		raw, err := hex.DecodeString(digits)
 		if !ok || err != nil {
 			t.Fatalf("%s: %q: %v", goldenFile, line, err)
 		}
-		kept[name] = raw
+		golden[name] = raw
 	}
-	return kept
+	return golden
 }
 
-func write(t *testing.T, cases []Case) {
+func writeGoldenFile(t *testing.T, cases []Case) {
 	t.Helper()
 	var out bytes.Buffer
 	for _, c := range cases {
