--- a/internal/site/agent/runtime.go
+++ b/internal/site/agent/runtime.go
@@ -30,7 +30,7 @@
 	Name            string              // unique among the site's workers
 	MachinePoolAddr string              // address of the machine pool
 	Credential      *syscall.Credential // the user that tasks run as; nil: the worker's
-	MinFreeDisk     uint64              // in bytes; with less, nothing is started
+	MinFreeDisk     uint64              // in bytes; with less free space no task is started
 }
 
 // Runtime connects a State with the clock, the network and the processes. One goroutine owns the State and steps it. Calls and
--- a/internal/site/agent/state.go
+++ b/internal/site/agent/state.go
@@ -11,9 +11,9 @@
 
 // Options are the settings of a worker.
 type Options struct {
-	Addr              string // the worker's own address, host:port
-	Type, Zone        string // of the machine
-	CPUs, MemoryGB    float64
+	Addr              string            // the worker's own address, host:port
+	Type, Zone        string            // of the machine
+	CPUs, MemoryGB    float64           // total resources of the machine
 	Controllers       map[string]string // addresses by name
 	HeartbeatInterval time.Duration
 	LeaseDuration     time.Duration
--- a/internal/site/agent/state_test.go
+++ b/internal/site/agent/state_test.go
@@ -98,8 +98,8 @@
 func (tb *workerFixture) provideSpecs(effects Effects, spec Spec) {
 	var inputs []Input
 	for _, request := range effects.SpecRequests {
-		described := &SpecResult{Task: request.Task, Attempt: request.Attempt, Status: 200, Body: tb.marshal(spec)}
-		inputs = append(inputs, Input{SpecResult: described})
+		result := &SpecResult{Task: request.Task, Attempt: request.Attempt, Status: 200, Body: tb.marshal(spec)}
+		inputs = append(inputs, Input{SpecResult: result})
 	}
 	tb.step(inputs...)
 }
@@ -126,9 +126,9 @@
 		ended.Task, ended.Attempt = "job-1/0", 1
 		return func(fixture *workerFixture) { fixture.step(Input{Ended: &ended}) }
 	}
-	specReceived := func(described SpecResult) func(*workerFixture) {
-		described.Attempt = 1
-		return func(fixture *workerFixture) { fixture.step(Input{SpecResult: &described}) }
+	specReceived := func(result SpecResult) func(*workerFixture) {
+		result.Attempt = 1
+		return func(fixture *workerFixture) { fixture.step(Input{SpecResult: &result}) }
 	}
 	specsProvided := func(fixture *workerFixture) { fixture.provideSpecs(fixture.last, spec) }
 	return map[string]commandCase{
