--- a/internal/controller/election/campaign_test.go
+++ b/internal/controller/election/campaign_test.go
@@ -31,7 +31,7 @@
 	calls := f.tick(0)
 	for _, call := range calls {
 		if call.Path == "/peer/inquiry" && call.Addr == "b" {
-			call.Done(f.now, success(t, VoteQueryResponse{}))
+			call.Done(f.now, success(t, LeaderQueryResponse{}))
 		}
 	}
 	f.respondKeyAbsent(calls)
@@ -45,7 +45,7 @@
 func TestGrantPreventsCampaign(t *testing.T) {
 	f := newFixture(t)
 	calls := f.tick(0)
-	f.respond(calls, "/peer/inquiry", http.StatusOK, VoteQueryResponse{})
+	f.respond(calls, "/peer/inquiry", http.StatusOK, LeaderQueryResponse{})
 	f.now = f.now.Add(10 * time.Millisecond)
 	if !f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 4}).Granted {
 		t.Fatal("ping of leader b: no grant, want one")
@@ -133,7 +133,7 @@
 				for _, call := range f.tick(100 * time.Millisecond) {
 					switch {
 					case call.Destination == client.PeerController && test.peers:
-						call.Done(f.now, success(t, VoteQueryResponse{IsLeader: true}))
+						call.Done(f.now, success(t, LeaderQueryResponse{IsLeader: true}))
 					case call.Destination == client.StateService && test.stateService:
 						call.Done(f.now, client.Result{Status: http.StatusServiceUnavailable})
 					default:
--- a/internal/controller/election/fixture_test.go
+++ b/internal/controller/election/fixture_test.go
@@ -80,7 +80,7 @@
 func (f *fixture) campaignWithLease() {
 	f.t.Helper()
 	calls := f.tick(0)
-	f.respond(calls, "/peer/inquiry", http.StatusOK, VoteQueryResponse{})
+	f.respond(calls, "/peer/inquiry", http.StatusOK, LeaderQueryResponse{})
 	f.respondKeyAbsent(calls)
 	calls = f.tick(100 * time.Millisecond)
 	if f.respond(calls, "/leases", http.StatusOK, map[string]int{"permit": 3}) != 1 {
--- a/internal/controller/election/golden_bytes_test.go
+++ b/internal/controller/election/golden_bytes_test.go
@@ -15,7 +15,7 @@
 			StateLoaded: true, OldestCancellationAge: 1500 * time.Millisecond, EchoedNonce: 1 << 40,
 		}),
 		goldenbytes.MessagePack("peer hello answer", PingResponse{Granted: true, StateServiceOK: true, RecentWorkers: 12, Nonce: 1 << 40}),
-		goldenbytes.MessagePack("peer inquiry answer", VoteQueryResponse{IsLeader: true}),
+		goldenbytes.MessagePack("peer inquiry answer", LeaderQueryResponse{IsLeader: true}),
 		goldenbytes.MessagePack("leader key", leaderRecord{Name: "node-a", LeaseID: 17}),
 	)
 }
--- a/internal/controller/election/lease_test.go
+++ b/internal/controller/election/lease_test.go
@@ -97,14 +97,14 @@
 	f := newFixture(t)
 	f.elect()
 	f.now = f.now.Add(leaseDuration)
-	if f.election.HoldsLease(f.now) || !f.election.HandleVoteQuery(f.now).IsLeader {
+	if f.election.HoldsLease(f.now) || !f.election.HandleLeaderQuery(f.now).IsLeader {
 		t.Errorf(
 			"late renewal: got holds lease %v, response %+v, want no lease, leader",
-			f.election.HoldsLease(f.now), f.election.HandleVoteQuery(f.now),
+			f.election.HoldsLease(f.now), f.election.HandleLeaderQuery(f.now),
 		)
 	}
 	f.tick(2 * leaseDuration)
-	if f.election.HandleVoteQuery(f.now).IsLeader {
+	if f.election.HandleLeaderQuery(f.now).IsLeader {
 		t.Error("leader query after stepping down: got leader, want not leader")
 	}
 }
--- a/internal/controller/election/messages.go
+++ b/internal/controller/election/messages.go
@@ -4,8 +4,8 @@
 
 // Paths that a controller serves on its peer address.
 const (
-	PingPath      = "/peer/hello"
-	VoteQueryPath = "/peer/inquiry"
+	PingPath        = "/peer/hello"
+	LeaderQueryPath = "/peer/inquiry"
 )
 
 // PingRequest is the ping that a leader sends to each peer to request a leader-lease grant. A former leader also sends
@@ -47,8 +47,8 @@
 	Nonce uint64 `msgpack:"stamp,omitempty"`
 }
 
-// VoteQueryResponse is the response to a controller that asks whether its peer leads. A restarted controller asks
+// LeaderQueryResponse is the response to a controller that asks whether its peer leads. A restarted controller asks
 // because a leader may still rely on a grant that it gave before the restart.
-type VoteQueryResponse struct {
+type LeaderQueryResponse struct {
 	IsLeader bool `msgpack:"leading"`
 }
--- a/internal/controller/election/model_links_test.go
+++ b/internal/controller/election/model_links_test.go
@@ -160,7 +160,7 @@
 	}
 	e := m.controllers[peer]
 	if call.Path == "/peer/inquiry" {
-		return success(m.t, e.HandleVoteQuery(m.now))
+		return success(m.t, e.HandleLeaderQuery(m.now))
 	}
 	request := call.Body.(PingRequest)
 	if m.mutant == grantByNonFollower && e.role != roleFollower {
--- a/internal/controller/election/restart.go
+++ b/internal/controller/election/restart.go
@@ -38,7 +38,7 @@
 		}
 		outbox.Add(e.leaderQuery(peer, func(now time.Time, result client.Result) {
 			e.contact.recordPeer(now, result)
-			var response VoteQueryResponse
+			var response LeaderQueryResponse
 			if result.Status == http.StatusOK && codec.Unmarshal(result.Body, &response) == nil && !response.IsLeader {
 				guard.notLeading[peer.Name] = true
 			}
@@ -49,15 +49,15 @@
 // leaderQuery returns the call that asks a peer whether it is the leader.
 func (e *Election) leaderQuery(peer Peer, done func(time.Time, client.Result)) client.Call {
 	return client.Call{
-		Destination: client.PeerController, Addr: peer.Addr, Method: http.MethodPost, Path: VoteQueryPath,
+		Destination: client.PeerController, Addr: peer.Addr, Method: http.MethodPost, Path: LeaderQueryPath,
 		Timeout: e.options.peerTimeout(), Done: done,
 	}
 }
 
-// HandleVoteQuery returns the response to a peer that asks whether this controller leads. A leader whose renewal is late
+// HandleLeaderQuery returns the response to a peer that asks whether this controller leads. A leader whose renewal is late
 // still responds that it leads. If the renewal succeeds, a grant of the peer's previous process that is still in transit
 // becomes valid, and the new process must be bound by that grant.
-func (e *Election) HandleVoteQuery(now time.Time) VoteQueryResponse {
+func (e *Election) HandleLeaderQuery(now time.Time) LeaderQueryResponse {
 	e.contact.peerAt = now
-	return VoteQueryResponse{IsLeader: e.role == roleLeader}
+	return LeaderQueryResponse{IsLeader: e.role == roleLeader}
 }
--- a/internal/controller/election/transfer_test.go
+++ b/internal/controller/election/transfer_test.go
@@ -69,7 +69,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			calls := f.tick(0)
-			f.respond(calls, "/peer/inquiry", http.StatusOK, VoteQueryResponse{})
+			f.respond(calls, "/peer/inquiry", http.StatusOK, LeaderQueryResponse{})
 			f.respond(calls, "/keys/", http.StatusOK, map[string]any{"value": map[string]any{"name": "b", "permit": 3}, "mark": 4})
 			f.outbox.TakeCalls()
 			f.election.HandlePing(f.now, PingRequest{Name: "b", FencingToken: 4})
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -55,8 +55,8 @@
 		return endpoint{apiMethod, handle}, true
 	case path == election.PingPath && request.FromPeer:
 		return endpoint{http.MethodPost, c.handlePing}, true
-	case path == election.VoteQueryPath && request.FromPeer:
-		return endpoint{http.MethodPost, c.handleVoteQuery}, true
+	case path == election.LeaderQueryPath && request.FromPeer:
+		return endpoint{http.MethodPost, c.handleLeaderQuery}, true
 	}
 	return endpoint{}, false
 }
@@ -113,9 +113,9 @@
 	c.responder.Respond(request, http.StatusOK, c.election.HandlePing(now, ping), 0)
 }
 
-// handleVoteQuery tells a restarted controller whether this one leads.
-func (c *Controller) handleVoteQuery(now time.Time, request *server.Request) {
-	c.responder.Respond(request, http.StatusOK, c.election.HandleVoteQuery(now), 0)
+// handleLeaderQuery tells a restarted controller whether this one leads.
+func (c *Controller) handleLeaderQuery(now time.Time, request *server.Request) {
+	c.responder.Respond(request, http.StatusOK, c.election.HandleLeaderQuery(now), 0)
 }
 
 // handleReady reports whether this controller can serve users. It is not ready until it knows a leader for the first time. While it
