--- a/internal/controller/failover/partial_start.go
+++ b/internal/controller/failover/partial_start.go
@@ -14,15 +14,15 @@
 	// partialStartDelay is the minimum age of a leadership for a partial start. Most failovers are completed within it, and then all
 	// jobs start in the order of the queue.
 	partialStartDelay = 2 * time.Second
-	// unseenUsageInterval is the time between two computations of the unseen usage. An outdated result is safe: the unseen usage only
-	// decreases, since new tasks start on reconciled machines.
-	unseenUsageInterval = time.Second
+	// unreconciledUsageInterval is the time between two computations of the unreconciled usage. An outdated result is safe: the
+	// unreconciled usage only decreases, since new tasks start on reconciled machines.
+	unreconciledUsageInterval = time.Second
 )
 
 // partialStart is the state of a partial start, in which some jobs start before the failover is completed.
 type partialStart struct {
 	active     bool      // jobs accepted by this leader may start although machines are unreconciled
-	nextUpdate time.Time // time of the next computation of the unseen usage
+	nextUpdate time.Time // time of the next computation of the unreconciled usage
 }
 
 // CanStartTasks reports whether tasks may start. Before the failover is completed, only jobs whose acceptance this leader committed may
@@ -30,8 +30,8 @@
 // a series of leaderships of 37 s, in each of which half of the machines were unreachable for a worker lease.
 func (r *Reconciler) CanStartTasks() bool { return r.progress.completed || r.partialStart.active }
 
-// updatePartialStart passes the unseen usage to the placer, which subtracts it from the quotas. It clears the unseen usage once all
-// machines are reconciled.
+// updatePartialStart passes the unreconciled usage to the placer, which subtracts it from the quotas. It clears the unreconciled usage
+// once all machines are reconciled.
 func (r *Reconciler) updatePartialStart(now time.Time) {
 	if len(r.unreconciled) == 0 {
 		r.partialStart.active = false
@@ -41,8 +41,8 @@
 	if now.Sub(r.electedAt) < partialStartDelay || now.Before(r.partialStart.nextUpdate) {
 		return
 	}
-	r.partialStart.nextUpdate = now.Add(unseenUsageInterval)
-	r.placer.SetPartialStart(r.unseenUsage())
+	r.partialStart.nextUpdate = now.Add(unreconciledUsageInterval)
+	r.placer.SetPartialStart(r.unreconciledUsage())
 	if !r.partialStart.active {
 		r.partialStart.active = true
 		r.placer.InvalidateOrder()
@@ -50,25 +50,25 @@
 	}
 }
 
-// unseenUsage returns an upper bound of each team's usage on the unreconciled machines. It is the sum of the resources of the team's
+// unreconciledUsage returns an upper bound of each team's usage on the unreconciled machines. It is the sum of the resources of the team's
 // tasks that are neither done nor on a reconciled machine, limited by the capacity of the unreconciled machines. Cancelled jobs count
 // until their tasks have ended.
-func (r *Reconciler) unseenUsage() placement.UnseenUsage {
+func (r *Reconciler) unreconciledUsage() placement.UnreconciledUsage {
 	capacity := worker.Usage{}
 	for _, machine := range r.unreconciled {
 		cpus, gpus := r.maxCapacity(machine)
 		capacity.CPUs, capacity.GPUs = capacity.CPUs+cpus, capacity.GPUs+gpus
 	}
-	usageByTeam := placement.UnseenUsage{}
+	usageByTeam := placement.UnreconciledUsage{}
 	for _, job := range r.stores.Jobs.Unfinished {
 		if job.AcceptedByThisLeader || job.State == jobs.Pending || job.UnmetDependencies > 0 {
 			continue
 		}
 		usage := usageByTeam[job.Team]
-		unseen := float64(job.Tasks - job.DoneTasks - len(job.ActiveAttempts))
+		unreconciledTasks := float64(job.Tasks - job.DoneTasks - len(job.ActiveAttempts))
 		usageByTeam[job.Team] = worker.Usage{
-			CPUs: min(usage.CPUs+unseen*job.CPUs, capacity.CPUs),
-			GPUs: min(usage.GPUs+unseen*job.GPUs, capacity.GPUs),
+			CPUs: min(usage.CPUs+unreconciledTasks*job.CPUs, capacity.CPUs),
+			GPUs: min(usage.GPUs+unreconciledTasks*job.GPUs, capacity.GPUs),
 		}
 	}
 	return usageByTeam
--- a/internal/controller/placement/placement.go
+++ b/internal/controller/placement/placement.go
@@ -45,7 +45,7 @@
 	reservations      reservations
 	shapeChecks       []shapeCheck                      // by shape number, for the machine that StartTasks was called for
 	pendingGangStarts map[*jobs.Attempt]*worker.Machine // start commands that wait for the machines' next heartbeats
-	unreconciledUsage UnseenUsage                       // nil if every job may start, see SetPartialStart
+	unreconciledUsage UnreconciledUsage                 // nil if every job may start, see SetPartialStart
 
 	nextPreemption     time.Time
 	nextGangScheduling time.Time
--- a/internal/controller/placement/quota.go
+++ b/internal/controller/placement/quota.go
@@ -13,8 +13,8 @@
 // unlimitedResource is the amount of a resource without a limit. No cluster has as much.
 const unlimitedResource = 1e12
 
-// UnseenUsage is, by team, an upper bound of what tasks of earlier leaders use on machines that are not reconciled yet.
-type UnseenUsage map[string]worker.Usage
+// UnreconciledUsage is, by team, an upper bound of what tasks of earlier leaders use on machines that are not reconciled yet.
+type UnreconciledUsage map[string]worker.Usage
 
 // TasksAllowedByQuota returns how many more tasks of the job its team's quota allows, up to the job's number of tasks. usage
 // is what the team uses now.
@@ -42,7 +42,7 @@
 
 // SetPartialStart restricts starts to the jobs that this leader itself has accepted: no earlier leader can have started any
 // of their tasks. usage counts against the teams' quotas. A nil usage lifts the restriction.
-func (p *Placer) SetPartialStart(usage UnseenUsage) { p.unreconciledUsage = usage }
+func (p *Placer) SetPartialStart(usage UnreconciledUsage) { p.unreconciledUsage = usage }
 
 // canStart reports whether tasks of the job may start at present.
 func (p *Placer) canStart(job *jobs.Job) bool {
