--- a/internal/controller/api/dependencies.go
+++ b/internal/controller/api/dependencies.go
@@ -22,7 +22,7 @@
 	var check dependencyCheck
 	for _, id := range submitted.spec.Dependencies {
 		state := h.jobStore.DependencyState(id)
-		if archived, ok := submitted.archivedStates[id]; ok && state == jobstore.DependencyArchived {
+		if archived, ok := submitted.archivedStates[id]; ok && state == jobstore.DependencyUnresolved {
 			state = archived
 		}
 		switch state {
@@ -31,7 +31,7 @@
 			check.hasCancelled = true
 		case jobstore.DependencyOpen:
 			check.unmet = append(check.unmet, id)
-		case jobstore.DependencyArchived:
+		case jobstore.DependencyUnresolved:
 			h.lookUpDependency(now, submitted, id)
 			return dependencyCheck{}, false
 		default:
--- a/internal/controller/jobstore/dependencies.go
+++ b/internal/controller/jobstore/dependencies.go
@@ -26,7 +26,7 @@
 	DependencyCancelled                            // durably cancelled
 	DependencyUndecided                            // its acceptance or cancellation is being written, or one of its dependencies is unresolved
 	DependencyService                              // a service, which is never done
-	DependencyArchived                             // may be in the archive; the index does not tell, only the data does
+	DependencyUnresolved                           // may be in the archive; only the archive's data tells, not its index
 )
 
 // dependencyState is the graph of unmet dependencies and the progress of resolving dependencies in the archive's data.
@@ -61,7 +61,7 @@
 	case archive.Cancelled:
 		return DependencyCancelled
 	case archive.Undetermined:
-		return DependencyArchived
+		return DependencyUnresolved
 	}
 	return DependencyNeverAccepted
 }
@@ -202,7 +202,7 @@
 			continue
 		case DependencyCancelled:
 			hasCancelled = true
-		case DependencyArchived:
+		case DependencyUnresolved:
 			job.HasUndecidedDependency = true
 			s.dependencies.unresolved = append(s.dependencies.unresolved, &unresolvedDependency{job: job, dependency: id})
 		case DependencyNeverAccepted:
