--- a/cmd/gullrudder/served.go
+++ b/cmd/gullrudder/served.go
@@ -34,6 +34,6 @@
 			behind = "behind"
 		}
 		out.printf("%s\t%s\t%.0f %%\t%.1f\t%d\t%d\t%s\n",
-			kind, group.Name, 100*group.Share, group.DoneJobs, group.UnservedJobs, group.AllocatedJobs, behind)
+			kind, group.Name, 100*group.Share, group.DoneJobs, group.StarvedJobs, group.AllocatedJobs, behind)
 	}
 }
--- a/internal/controller/api/golden_bytes_test.go
+++ b/internal/controller/api/golden_bytes_test.go
@@ -32,7 +32,7 @@
 	}
 	served := ServedShares{
 		Groups: []ServedShare{
-			{IsTeam: true, Name: "vision", DoneJobs: 12.5, UnservedJobs: 2, AllocatedJobs: 1, Share: 0.75, IsLargestJobs: true},
+			{IsTeam: true, Name: "vision", DoneJobs: 12.5, StarvedJobs: 2, AllocatedJobs: 1, Share: 0.75, IsLargestJobs: true},
 		},
 		MinShare: 0.25,
 	}
--- a/internal/controller/api/messages.go
+++ b/internal/controller/api/messages.go
@@ -74,9 +74,9 @@
 	IsTeam        bool    `msgpack:"team" json:"team"` // a team; otherwise a class
 	Name          string  `msgpack:"name" json:"name"`
 	DoneJobs      float64 `msgpack:"done" json:"done"`       // recently done jobs; each counts less with time
-	UnservedJobs  int     `msgpack:"late" json:"late"`       // overdue jobs that count against the share
+	StarvedJobs   int     `msgpack:"late" json:"late"`       // overdue by so much that they count against the share
 	AllocatedJobs int     `msgpack:"owed" json:"owed"`       // overdue jobs with capacity of their own
-	Share         float64 `msgpack:"share" json:"share"`     // done jobs as a share of the done and unserved jobs
+	Share         float64 `msgpack:"share" json:"share"`     // done jobs as a share of the done and starved jobs
 	IsLargestJobs bool    `msgpack:"largest" json:"largest"` // the group has only the largest jobs of the class
 }
 
--- a/internal/controller/api/served_shares.go
+++ b/internal/controller/api/served_shares.go
@@ -13,7 +13,7 @@
 	shares := ServedShares{Groups: []ServedShare{}, MinShare: v.options.MinServedShare}
 	for _, group := range v.fairShare.Status(now) {
 		shares.Groups = append(shares.Groups, ServedShare{
-			IsTeam: group.IsTeam, Name: group.Name, DoneJobs: group.Done, UnservedJobs: group.Unserved,
+			IsTeam: group.IsTeam, Name: group.Name, DoneJobs: group.Done, StarvedJobs: group.Starved,
 			AllocatedJobs: group.Allocated, Share: group.ServedShare, IsLargestJobs: group.IsLargest,
 		})
 	}
--- a/internal/controller/fairshare/allocate.go
+++ b/internal/controller/fairshare/allocate.go
@@ -24,7 +24,7 @@
 	Job                 *jobs.Job
 	RemainingCPUSeconds float64
 	StartableTasks      int  // waiting tasks that the team's quota allows to run
-	IsUnserved          bool // counts against the served share of its class and team
+	IsStarved           bool // counts against the served share of its class and team
 }
 
 // Reason is why an overdue job has allocated capacity. The zero value means that it has none.
@@ -40,16 +40,16 @@
 type groupState struct {
 	minServedShare float64
 	done           float64 // decayed count of done jobs, plus the jobs that got capacity in this allocation
-	unserved       float64 // unserved jobs that did not get capacity in this allocation
+	starved        float64 // starved jobs that did not get capacity in this allocation
 	usedCPUs       float64 // CPUs of the allocations to jobs of the group
 	waiting        []int   // indexes of the overdue jobs that can start tasks; the least remaining work first
 }
 
 func (s *groupState) servedShare() float64 {
-	if s.done+s.unserved <= 0 {
+	if s.done+s.starved <= 0 {
 		return 1
 	}
-	return s.done / (s.done + s.unserved)
+	return s.done / (s.done + s.starved)
 }
 
 func (s *groupState) isBelowMinShare() bool { return s.servedShare() < s.minServedShare }
@@ -76,7 +76,7 @@
 	a.updateThresholds(live)
 	allocation := a.newAllocation(now, overdue, totalCPUs)
 	for group, state := range allocation.states {
-		a.status[group] = GroupStatus{Group: group, Done: state.done, Unserved: int(state.unserved), ServedShare: state.servedShare()}
+		a.status[group] = GroupStatus{Group: group, Done: state.done, Starved: int(state.starved), ServedShare: state.servedShare()}
 	}
 	allocation.distribute()
 	for job := range allocation.reasons {
@@ -131,8 +131,8 @@
 	for _, group := range alloc.allocator.groupsOf(candidate.Job) {
 		state := alloc.state(now, group)
 		state.usedCPUs += running
-		if candidate.IsUnserved {
-			state.unserved++
+		if candidate.IsStarved {
+			state.starved++
 		}
 		if candidate.StartableTasks > 0 {
 			state.waiting = append(state.waiting, index)
@@ -224,8 +224,8 @@
 		groupState := alloc.states[group]
 		groupState.usedCPUs += cpus
 		groupState.done++
-		if candidate.IsUnserved {
-			groupState.unserved--
+		if candidate.IsStarved {
+			groupState.starved--
 		}
 	}
 }
--- a/internal/controller/fairshare/best_choice_test.go
+++ b/internal/controller/fairshare/best_choice_test.go
@@ -88,7 +88,7 @@
 		class := fmt.Sprint("c", rapid.IntRange(0, 2).Draw(t, "class"))
 		team := fmt.Sprint("t", rapid.IntRange(0, 1).Draw(t, "team"))
 		tasks, cpus := rapid.IntRange(1, 6).Draw(t, "tasks"), rapid.IntRange(1, 2).Draw(t, "cpus")
-		overdue = append(overdue, unservedJob(newJob(i, class, team, tasks, float64(cpus))))
+		overdue = append(overdue, starvedJob(newJob(i, class, team, tasks, float64(cpus))))
 	}
 	return overdue
 }
--- a/internal/controller/fairshare/fairshare.go
+++ b/internal/controller/fairshare/fairshare.go
@@ -1,9 +1,9 @@
-// Package fairshare ensures that no class of jobs and no team stays unserved during a long shortage (fair sharing). Its
+// Package fairshare ensures that jobs of every class and every team are done during a long shortage (fair sharing). Its
 // Allocator owns the counts of recently done jobs by class and team, and the set of overdue jobs with allocated capacity.
 // The queue calls it for each order. The package never starts, stops or places a task.
 //
 // A job is overdue if it can no longer meet any of its objectives, or has waited longer than the age bound. An overdue job
-// is unserved if it is overdue by so much that it counts against its class and team. Overdue jobs have two shares of the
+// is starved if it is overdue by so much that it counts against its class and team. Overdue jobs have two shares of the
 // cluster: a small one at all times, and a larger one while a class or team has less than the minimum share of its jobs
 // done. Both shares go first to the class or team that is served least, and within it to the job with the least remaining
 // work.
@@ -86,9 +86,9 @@
 type GroupStatus struct {
 	Group
 	Done        float64 // decayed count of done jobs
-	Unserved    int     // unserved jobs
+	Starved     int     // starved jobs
 	Allocated   int     // overdue jobs with allocated capacity
-	ServedShare float64 // done jobs as a fraction of done and unserved jobs
+	ServedShare float64 // done jobs as a fraction of done and starved jobs
 }
 
 // Allocator allocates capacity to overdue jobs. Each leadership has its own Allocator. It is not safe for concurrent use.
--- a/internal/controller/fairshare/fairshare_test.go
+++ b/internal/controller/fairshare/fairshare_test.go
@@ -36,13 +36,13 @@
 	return job
 }
 
-// unservedJob returns the job as an overdue job that counts against its class and team.
-func unservedJob(job *jobs.Job) OverdueJob {
+// starvedJob returns the job as an overdue job that counts against its class and team.
+func starvedJob(job *jobs.Job) OverdueJob {
 	return OverdueJob{
 		Job:                 job,
 		RemainingCPUSeconds: float64(job.Tasks) * job.CPUs * 60,
 		StartableTasks:      job.WaitingTasks(),
-		IsUnserved:          true,
+		IsStarved:           true,
 	}
 }
 
@@ -86,24 +86,24 @@
 	}
 }
 
-// TestOverdueNotUnservedGetsSmallShare checks that jobs that are overdue but not unserved get only the small share. On a
+// TestOverdueNotStarvedGetsSmallShare checks that jobs that are overdue but not starved get only the small share. On a
 // busy day of the first site, whole classes were overdue and done soon after. Two fifths of the cluster for them made other
 // jobs miss their objectives.
-func TestOverdueNotUnservedGetsSmallShare(t *testing.T) {
+func TestOverdueNotStarvedGetsSmallShare(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		isUnserved bool
-		want       int // of 40 jobs
-		reason     Reason
+		name      string
+		isStarved bool
+		want      int // of 40 jobs
+		reason    Reason
 	}{
 		{"overdue", false, 10, Overdue},
-		{"unserved", true, 20, BelowMinShare},
+		{"starved", true, 20, BelowMinShare},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var overdue []OverdueJob
 			for i := range 40 {
-				candidate := unservedJob(newJob(i, "c", "t", 1, 1))
-				candidate.IsUnserved = c.isUnserved
+				candidate := starvedJob(newJob(i, "c", "t", 1, 1))
+				candidate.IsStarved = c.isStarved
 				overdue = append(overdue, candidate)
 			}
 			allocations := New(testPolicy()).Allocate(time.Unix(10_000, 0), overdue, nil, 100)
@@ -124,18 +124,18 @@
 func TestAllocatedCPUsCountWhileInUse(t *testing.T) {
 	allocator, now := New(testPolicy()), time.Unix(10_000, 0)
 	first, second := newJob(1, "c", "t", 20, 1), newJob(2, "c", "t", 20, 1)
-	if allocator.Allocate(now, []OverdueJob{unservedJob(first)}, nil, 100)[first] == 0 {
+	if allocator.Allocate(now, []OverdueJob{starvedJob(first)}, nil, 100)[first] == 0 {
 		t.Fatal("allocation to an overdue job: got none, want one")
 	}
 	startAllTasks(first)
-	if allocations := allocator.Allocate(now, []OverdueJob{unservedJob(first), unservedJob(second)}, nil, 100); len(allocations) != 0 {
+	if allocations := allocator.Allocate(now, []OverdueJob{starvedJob(first), starvedJob(second)}, nil, 100); len(allocations) != 0 {
 		t.Errorf("allocations beyond the share: got %d, want 0", len(allocations))
 	}
 	if allocator.ReservedCPUShare() != 0 {
 		t.Errorf("reserved share of the CPUs without allocations: got %g, want 0", allocator.ReservedCPUShare())
 	}
 	allocator.RecordDone(now, first)
-	if allocator.Allocate(now, []OverdueJob{unservedJob(second)}, nil, 100)[second] == 0 {
+	if allocator.Allocate(now, []OverdueJob{starvedJob(second)}, nil, 100)[second] == 0 {
 		t.Error("allocation of released capacity: got none, want one")
 	}
 }
@@ -156,7 +156,7 @@
 		allocator.RecordDone(now, live[0])
 		allocator.RecordDone(now, live[1])
 	}
-	allocations := allocator.Allocate(now, []OverdueJob{unservedJob(mostWork), unservedJob(live[1])}, live, 10_000)
+	allocations := allocator.Allocate(now, []OverdueJob{starvedJob(mostWork), starvedJob(live[1])}, live, 10_000)
 	for _, job := range live {
 		isLargest := len(allocator.groupsOf(job)) == 3
 		if want := job == mostWork || job == mostTasks; isLargest != want {
@@ -184,7 +184,7 @@
 		live = append(live, job)
 		overdue = append(
 			overdue,
-			OverdueJob{Job: job, RemainingCPUSeconds: 55 * 8 * job.RunTimeEstimate.Seconds(), StartableTasks: 55, IsUnserved: true},
+			OverdueJob{Job: job, RemainingCPUSeconds: 55 * 8 * job.RunTimeEstimate.Seconds(), StartableTasks: 55, IsStarved: true},
 		)
 	}
 	allocations := allocator.Allocate(now, overdue, live, 3300)
--- a/internal/controller/fairshare/flood_test.go
+++ b/internal/controller/fairshare/flood_test.go
@@ -44,7 +44,7 @@
 	var overdue []OverdueJob
 	usedCPUs := 0.0
 	for job := range f.live {
-		overdue = append(overdue, unservedJob(job))
+		overdue = append(overdue, starvedJob(job))
 		usedCPUs += float64(len(job.ActiveAttempts)) * job.CPUs
 	}
 	for job := range f.allocator.Allocate(f.now, overdue, nil, floodCPUs) {
--- a/internal/controller/fairshare/saved_state.go
+++ b/internal/controller/fairshare/saved_state.go
@@ -11,8 +11,8 @@
 	"gullrudder/internal/logkeys"
 )
 
-// EntryName is the storage entry with the counts of done jobs. Without it, a leader elected during a shortage would count
-// every group as unserved, and groups that were unserved before would have to wait again.
+// EntryName is the storage entry with the counts of done jobs. Without it, a leader elected during a shortage would know of
+// no done job in any group, and the groups that were served least before would have to wait again.
 const EntryName = "f:served"
 
 const (
--- a/internal/controller/queue/legacy_order_test.go
+++ b/internal/controller/queue/legacy_order_test.go
@@ -151,7 +151,7 @@
 		}
 		overdue = append(overdue, fairshare.OverdueJob{
 			Job: job, RemainingCPUSeconds: p.RemainingCPUSeconds(job, now), StartableTasks: capacity.StartableTasks(job),
-			IsUnserved: age > min(5*p.longestTimeLimit(job)/4, p.overdueAfter(now, job)),
+			IsStarved: age > min(5*p.longestTimeLimit(job)/4, p.overdueAfter(now, job)),
 		})
 	}
 	return p.fairShare.Allocate(now, overdue, live, capacity.CPUs)
--- a/internal/controller/queue/overdue.go
+++ b/internal/controller/queue/overdue.go
@@ -21,7 +21,7 @@
 			Job:                 c.job,
 			RemainingCPUSeconds: c.remainingCPUSeconds,
 			StartableTasks:      capacity.StartableTasks(c.job),
-			IsUnserved:          r.isStarved(c),
+			IsStarved:           r.isStarved(c),
 		})
 	}
 	reasons := r.fairShare.Allocate(now, overdue, live, capacity.CPUs)
