--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -50,8 +50,8 @@
 	Tasks int   // number of tasks of the job
 }
 
-// Terms holds what was decided for a job when it was accepted.
-type Terms struct {
+// AcceptanceDecision holds what was decided for a job when it was accepted.
+type AcceptanceDecision struct {
 	Guaranteed           bool          // admitted with a reservation; otherwise best effort
 	FirstStartBound      time.Duration // bound given to the user on the wait for the first task to start; 0: none
 	LastStartBound       time.Duration // bound given to the user on the wait for the last task to start; 0: none
@@ -80,17 +80,17 @@
 // Job is a submitted job that is not archived yet.
 type Job struct {
 	Spec
-	Terms
+	AcceptanceDecision
 	DependencyStatus
 	FailureStatus
 	Progress
 
-	State             State
-	SubmittedAt       time.Time
-	IsCancelling      bool      // a cancellation is being committed; no more tasks start
-	IsFinishing       bool      // all tasks are done, and the completion is being committed
-	CancelConfirmedAt time.Time // earliest time at which the cancellation can have been confirmed to the user; zero: unknown
-	PassedOverSince   time.Time // since when the job has skipped machines without its image; zero: it has not skipped any
+	State              State
+	SubmittedAt        time.Time
+	IsCancelling       bool      // a cancellation is being committed; no more tasks start
+	IsFinishing        bool      // all tasks are done, and the completion is being committed
+	CancelConfirmedAt  time.Time // earliest time at which the cancellation can have been confirmed to the user; zero: unknown
+	AwaitingImageSince time.Time // since when the job skips machines without its image; zero: it has not skipped any
 
 	maxRecordBytes int // cached result of MaxRecordBytes; 0: not calculated yet
 }
--- a/internal/controller/placement/start_tasks.go
+++ b/internal/controller/placement/start_tasks.go
@@ -81,8 +81,8 @@
 			}
 			if prefersMachine(batch.now, entry.Job, batch.machine) == withImage {
 				p.startTasksOf(batch, entry)
-			} else if withImage && entry.Job.PassedOverSince.IsZero() {
-				entry.Job.PassedOverSince = batch.now
+			} else if withImage && entry.Job.AwaitingImageSince.IsZero() {
+				entry.Job.AwaitingImageSince = batch.now
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 // they have waited for a machine with the image for as long as fetching it takes.
 func prefersMachine(now time.Time, job *jobs.Job, machine *worker.Machine) bool {
 	return machine.ImageCache.Has(job.Image) ||
-		!job.PassedOverSince.IsZero() && now.Sub(job.PassedOverSince) >= machine.ImageCache.FetchTime(job.ImageGB)
+		!job.AwaitingImageSince.IsZero() && now.Sub(job.AwaitingImageSince) >= machine.ImageCache.FetchTime(job.ImageGB)
 }
 
 // startTasksOf starts as many tasks of one job as fit on the machine and are allowed.
@@ -105,7 +105,7 @@
 		}
 		attempt := p.newAttempt(batch.now, batch.machine, job, task, p.nextAttemptNumber())
 		batch.commands = append(batch.commands, workerapi.Start(attempt.Task.String(), attempt.Number))
-		job.PassedOverSince = time.Time{}
+		job.AwaitingImageSince = time.Time{}
 	}
 	if len(batch.commands) > started {
 		p.invalidateFullerCounts()
