--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -112,9 +112,9 @@
 	return &early
 }
 
-// Feasible returns the guaranteed jobs whose work still fits before their deadlines if jobs are served by earliest deadline
+// FeasibleJobs returns the guaranteed jobs whose work still fits before their deadlines if jobs are served by earliest deadline
 // first. Jobs whose deadline has passed are left out.
-func (p *Planner) Feasible(now time.Time, live []*jobs.Job, capacity Capacity) map[*jobs.Job]bool {
+func (p *Planner) FeasibleJobs(now time.Time, live []*jobs.Job, capacity Capacity) map[*jobs.Job]bool {
 	inTime := slices.DeleteFunc(guaranteedJobs(live), func(entry guaranteedJob) bool { return now.After(entry.dueAt) })
 	_, feasible := p.planGuaranteed(now, inTime, capacity)
 	return feasible
--- a/internal/controller/admission/admission_test.go
+++ b/internal/controller/admission/admission_test.go
@@ -37,7 +37,7 @@
 		t.Error("job that fits although another job is overdue: refused, want admitted")
 	}
 	newJob.Guaranteed = true
-	feasible := planner.Feasible(now, []*jobs.Job{overdue, newJob}, capacity)
+	feasible := planner.FeasibleJobs(now, []*jobs.Job{overdue, newJob}, capacity)
 	if feasible[overdue] || !feasible[newJob] {
 		t.Errorf("feasible jobs: got overdue job %v, new job %v, want false, true", feasible[overdue], feasible[newJob])
 	}
--- a/internal/controller/queue/candidate.go
+++ b/internal/controller/queue/candidate.go
@@ -45,7 +45,7 @@
 	inputs.limitBound = r.limitBoundTeams(candidates, inputs.clusterCPUs)
 	r.setWithinQuota(candidates)
 	r.setAwaitingStart(candidates, capacity)
-	planned := r.planner.Feasible(now, live, capacity)
+	planned := r.planner.FeasibleJobs(now, live, capacity)
 	agedFirst := r.AgeingPolicy().FirstJobs(now, live, capacity.CPUs, capacity.StartableTasks)
 	for i := range candidates {
 		c := &candidates[i]
