--- a/internal/controller/autoscaler/expensive.go
+++ b/internal/controller/autoscaler/expensive.go
@@ -177,7 +177,7 @@
 func (s *Scaler) cordonExpensive(now time.Time, offerings []offering, backlog teamBacklogs) {
 	reporting := machinesByKind{}
 	for _, machine := range s.workers.Machines {
-		if machine.HasReported && (machine.DrainReason == worker.NotDraining || machine.DrainReason == worker.DrainExpensive) {
+		if machine.HasSentHeartbeat && (machine.DrainReason == worker.NotDraining || machine.DrainReason == worker.DrainExpensive) {
 			kind := placement.MachineKind(machine)
 			reporting[kind] = append(reporting[kind], machine)
 		}
--- a/internal/controller/autoscaler/projection.go
+++ b/internal/controller/autoscaler/projection.go
@@ -44,7 +44,7 @@
 		case machine == nil:
 			projection.addMachine(tracked.Kind, tracked.machineType)
 		case machine.DrainReason != worker.NotDraining:
-		case !machine.HasReported: // its tasks are unknown, so it counts as full
+		case !machine.HasSentHeartbeat: // its tasks are unknown, so it counts as full
 			projection.addMachine(tracked.Kind, tracked.machineType)
 			projection.setLastAvailable(worker.Resources{})
 		default:
--- a/internal/controller/autoscaler/scaleout_test.go
+++ b/internal/controller/autoscaler/scaleout_test.go
@@ -170,7 +170,7 @@
 	f.zones.Observe(f.Now, false, func(visit func(zones.Machine)) {
 		for _, machine := range f.workers.Machines {
 			visit(zones.Machine{
-				Zone: machine.Zone, HasReported: true, LeaseValid: !f.workers.IsLeaseExpired(f.Now, machine), LastHeartbeat: machine.LastContactAt,
+				Zone: machine.Zone, HasSentHeartbeat: true, LeaseValid: !f.workers.IsLeaseExpired(f.Now, machine), LastHeartbeat: machine.LastContactAt,
 			})
 		}
 	})
--- a/internal/controller/autoscaler/stragglers.go
+++ b/internal/controller/autoscaler/stragglers.go
@@ -17,7 +17,7 @@
 	reporting, cordoned := 0, 0
 	var slow []*worker.Machine
 	for _, machine := range s.workers.SortedMachines() {
-		if !machine.HasReported || s.workers.IsLeaseExpired(now, machine) {
+		if !machine.HasSentHeartbeat || s.workers.IsLeaseExpired(now, machine) {
 			continue
 		}
 		reporting++
--- a/internal/controller/autoscaler/terminate.go
+++ b/internal/controller/autoscaler/terminate.go
@@ -64,7 +64,7 @@
 		if s.isLost(now, tracked) {
 			return reasonLost
 		}
-	case !machine.HasReported: // registered by an earlier leader: its tasks are not reconciled yet
+	case !machine.HasSentHeartbeat: // registered by an earlier leader: its tasks are not reconciled yet
 	case machine.DrainReason.LeadsToTermination() && len(machine.Attempts) == 0:
 		return string(machine.DrainReason)
 	case s.isIdle(now, machine, hasWaitingTasks):
--- a/internal/controller/cloud/call_queue_test.go
+++ b/internal/controller/cloud/call_queue_test.go
@@ -93,7 +93,7 @@
 	var ids []string
 	for i := range 100 {
 		ids = append(ids, fmt.Sprintf("vm-%06d", i))
-		f.client.Instances[ids[i]] = &Instance{ID: ids[i], LastListed: f.now.Add(time.Hour)}
+		f.client.Instances[ids[i]] = &Instance{ID: ids[i], LastSeenAt: f.now.Add(time.Hour)}
 	}
 	f.client.Terminate(ids, "test")
 	f.respondFor(time.Minute, func(call client.Call) (int, any) {
--- a/internal/controller/cloud/client.go
+++ b/internal/controller/cloud/client.go
@@ -146,11 +146,11 @@
 		instance = &Instance{ID: id, Addr: addr, RequestedAt: now, Kind: kind, State: StateRunning}
 		c.Instances[id] = instance
 	}
-	if machineType := c.MachineTypes[kind.Type]; machineType != nil && !instance.HasReported && instance.RequestedByThisLeader {
+	if machineType := c.MachineTypes[kind.Type]; machineType != nil && !instance.HasSentHeartbeat && instance.RequestedByThisLeader {
 		c.bootTimes.ObserveBoot(kind.Type, now.Sub(instance.RequestedAt), machineType.nominalBootTime())
 	}
-	instance.HasReported, instance.Kind = true, kind
-	instance.LastListed = now
+	instance.HasSentHeartbeat, instance.Kind = true, kind
+	instance.LastSeenAt = now
 }
 
 // ObserveBooting replaces the recorded ages of the instances that have sent no heartbeat yet, by machine type. Only the first
--- a/internal/controller/cloud/instance.go
+++ b/internal/controller/cloud/instance.go
@@ -64,14 +64,14 @@
 	State                 InstanceState // as last listed
 	RequestedAt           time.Time     // exact if RequestedByThisLeader, otherwise derived from the listed age or the first heartbeat
 	RequestedByThisLeader bool
-	LastListed            time.Time // last time that a list or a heartbeat showed it; zero if none did
+	LastSeenAt            time.Time // last time that a list or a heartbeat showed it; zero if none did
 	Deleting              bool      // its deletion was requested
-	HasReported           bool      // its worker has sent a heartbeat to this leader
+	HasSentHeartbeat      bool      // its worker has sent a heartbeat to this leader
 }
 
 // updateFromList updates the instance from a list. Lists may arrive out of order, so a state never goes back to an earlier one.
 func (i *Instance) updateFromList(now time.Time, listed *listedInstance) {
-	i.Addr, i.Kind, i.LastListed = listed.Addr, listed.kind(), now
+	i.Addr, i.Kind, i.LastSeenAt = listed.Addr, listed.kind(), now
 	if i.State != StateFailed && (i.State != StateRunning || listed.State != StateStarting) {
 		i.State = listed.State
 	}
@@ -79,8 +79,8 @@
 
 // unseenFor returns how long neither a list nor a heartbeat has shown the instance.
 func (i *Instance) unseenFor(now time.Time) time.Duration {
-	if i.LastListed.IsZero() {
+	if i.LastSeenAt.IsZero() {
 		return now.Sub(i.RequestedAt)
 	}
-	return now.Sub(i.LastListed)
+	return now.Sub(i.LastSeenAt)
 }
--- a/internal/controller/failover/probe_sample.go
+++ b/internal/controller/failover/probe_sample.go
@@ -39,9 +39,10 @@
 	}
 }
 
-// probeSample probes the next few machines if the connectivity monitor needs probes. If any machines have reported to this leadership,
-// only these are probed. Otherwise a leader that has lost a zone would count machines that no longer exist as evidence of a partition.
-// If the only sign of a partition is that workers contact other controllers, only machines without overdue heartbeats are probed.
+// probeSample probes the next few machines if the connectivity monitor needs probes. If any machines have sent a heartbeat to this
+// leadership, only these are probed. Otherwise a leader that has lost a zone would count machines that no longer exist as evidence of a
+// partition. If the only sign of a partition is that workers contact other controllers, only machines without overdue heartbeats are
+// probed.
 func (s *sampler) probeSample(now time.Time) {
 	if now.Before(s.nextSample) || !s.connectivity.NeedsProbes(now) {
 		return
@@ -49,11 +50,11 @@
 	s.nextSample = now.Add(probeSampleInterval)
 	suspected := s.connectivity.SuspectsPartition(now)
 	machines := s.workers.SortedMachines()
-	anyReported := slices.ContainsFunc(machines, func(machine *worker.Machine) bool { return machine.HasReported })
+	anySentHeartbeat := slices.ContainsFunc(machines, func(machine *worker.Machine) bool { return machine.HasSentHeartbeat })
 	for remaining, visited := probeSampleSize, 0; remaining > 0 && visited < len(machines); visited++ {
 		s.offset++
 		machine := machines[s.offset%len(machines)]
-		if anyReported && !machine.HasReported || !s.isCandidate(now, machine, suspected) {
+		if anySentHeartbeat && !machine.HasSentHeartbeat || !s.isCandidate(now, machine, suspected) {
 			continue
 		}
 		if !s.prober.canProbe() {
--- a/internal/controller/failover/reconciler_test.go
+++ b/internal/controller/failover/reconciler_test.go
@@ -46,7 +46,7 @@
 	reconciler.progress.completed = false
 	for id, state := range map[string]cloud.InstanceState{"vm-1": cloud.StateFailed, "vm-2": cloud.StateRunning} {
 		reconciler.addUnreconciled(now, id)
-		reconciler.cloud.Instances[id] = &cloud.Instance{ID: id, State: state, LastListed: now.Add(time.Hour)}
+		reconciler.cloud.Instances[id] = &cloud.Instance{ID: id, State: state, LastSeenAt: now.Add(time.Hour)}
 	}
 	reconciler.unresponsive.check(now, reconciler.Completed())
 	if !reconciler.cloud.Instances["vm-1"].Deleting || reconciler.cloud.Instances["vm-2"].Deleting {
--- a/internal/controller/failover/unresponsive.go
+++ b/internal/controller/failover/unresponsive.go
@@ -163,9 +163,9 @@
 	})
 }
 
-// mayBeRunning reports whether the machine may be running: it has reported or is registered, and is not being terminated.
+// mayBeRunning reports whether the machine may be running: it has sent a heartbeat or is registered, and is not being terminated.
 func mayBeRunning(machine *worker.Machine) bool {
-	return (machine.HasReported || machine.Registered) &&
+	return (machine.HasSentHeartbeat || machine.Registered) &&
 		machine.DrainReason != worker.DrainUnresponsive && machine.DrainReason != worker.DrainTerminating
 }
 
--- a/internal/controller/failover/unresponsive_test.go
+++ b/internal/controller/failover/unresponsive_test.go
@@ -66,12 +66,12 @@
 	reconciler.zones.Observe(now, false, func(visit func(zones.Machine)) {
 		for _, machine := range reconciler.workers.SortedMachines() {
 			visit(zones.Machine{
-				Zone:          machine.Zone,
-				HasReported:   true,
-				LeaseValid:    !reconciler.workers.IsLeaseExpired(now, machine),
-				LastHeartbeat: machine.LastContactAt,
-				Deleting:      machine.DrainReason == worker.DrainUnresponsive,
-				Sentinel:      machine.IsSentinel,
+				Zone:             machine.Zone,
+				HasSentHeartbeat: true,
+				LeaseValid:       !reconciler.workers.IsLeaseExpired(now, machine),
+				LastHeartbeat:    machine.LastContactAt,
+				Deleting:         machine.DrainReason == worker.DrainUnresponsive,
+				Sentinel:         machine.IsSentinel,
 			})
 		}
 	})
--- a/internal/controller/heartbeat/expiry.go
+++ b/internal/controller/heartbeat/expiry.go
@@ -18,7 +18,7 @@
 }
 
 func (h *Handler) expireLease(now time.Time, machine *worker.Machine) {
-	if !machine.HasReported && !machine.Registered && !machine.Registering {
+	if !machine.HasSentHeartbeat && !machine.Registered && !machine.Registering {
 		h.workers.Remove(machine)
 		h.reachability.Forget(machine.ID)
 		return
--- a/internal/controller/heartbeat/registration.go
+++ b/internal/controller/heartbeat/registration.go
@@ -20,7 +20,7 @@
 	Addr string `msgpack:"a" json:"a"`
 }
 
-// register updates the instance and the capacity of a machine that has reported, and writes its MachineRecord.
+// register updates the instance and the capacity of a machine that has sent a heartbeat, and writes its MachineRecord.
 func (h *Handler) register(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) {
 	kind := cloud.InstanceKind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}
 	h.cloud.ObserveHeartbeat(now, heartbeat.Machine, heartbeat.Addr, kind)
--- a/internal/controller/placement/placement_test.go
+++ b/internal/controller/placement/placement_test.go
@@ -75,7 +75,7 @@
 func (f *fixture) tasksOnFullerByScan(job *jobs.Job, machine *worker.Machine) int {
 	tasks := 0
 	for _, other := range f.workers.Machines {
-		if other != machine && other.HasReported && other.Reconciled && other.Registered &&
+		if other != machine && other.HasSentHeartbeat && other.Reconciled && other.Registered &&
 			f.Now.Sub(other.LastContactAt) < 2*f.platform.HeartbeatInterval && !f.Now.Before(other.StartsNotBefore) &&
 			IsFuller(other, machine) && IsEligible(job, other) &&
 			(other.ReservedFor == nil || other.ReservedFor == job) {
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -80,8 +80,8 @@
 	return max(minWaitSampleInterval, time.Duration(cost/(waitSampleCPUShare*cpuQuota)))
 }
 
-// visitMachines calls visit for every machine whose zone is known. The zone of a machine that has not reported to this leader is taken
-// from the cloud's list of instances.
+// visitMachines calls visit for every machine whose zone is known. The zone of a machine that has sent no heartbeat to this leader is
+// taken from the cloud's list of instances.
 func (l *leadership) visitMachines(now time.Time, visit func(zones.Machine)) {
 	for id, machine := range l.workers.Machines {
 		zone := machine.Zone
@@ -92,12 +92,12 @@
 			continue
 		}
 		visit(zones.Machine{
-			Zone:          zone,
-			HasReported:   machine.HasReported,
-			LeaseValid:    (machine.HasReported || machine.Registered) && !l.workers.IsLeaseExpired(now, machine),
-			LastHeartbeat: machine.LastContactAt,
-			Deleting:      machine.DrainReason == worker.DrainUnresponsive || machine.DrainReason == worker.DrainTerminating,
-			Sentinel:      machine.IsSentinel,
+			Zone:             zone,
+			HasSentHeartbeat: machine.HasSentHeartbeat,
+			LeaseValid:       (machine.HasSentHeartbeat || machine.Registered) && !l.workers.IsLeaseExpired(now, machine),
+			LastHeartbeat:    machine.LastContactAt,
+			Deleting:         machine.DrainReason == worker.DrainUnresponsive || machine.DrainReason == worker.DrainTerminating,
+			Sentinel:         machine.IsSentinel,
 		})
 	}
 }
--- a/internal/controller/worker/machine.go
+++ b/internal/controller/worker/machine.go
@@ -30,11 +30,11 @@
 type Contact struct {
 	workerapi.Position // of the newest heartbeat that was accepted
 
-	HasReported    bool      // a heartbeat was accepted since this leader was elected
-	Reconciled     bool      // the leader knows all attempts that may run on it
-	LeaseRenewedAt time.Time // when the leader last sent it a response with status 200
-	LastContactAt  time.Time // last proof that it is alive: a fresh heartbeat or a response to a probe (set by reachability)
-	IsUnreachable  bool      // its heartbeats arrive, but it probably receives no responses (set by reachability)
+	HasSentHeartbeat bool      // a heartbeat was accepted since this leader was elected
+	Reconciled       bool      // the leader knows all attempts that may run on it
+	LeaseRenewedAt   time.Time // when the leader last sent it a response with status 200
+	LastContactAt    time.Time // last proof that it is alive: a fresh heartbeat or a response to a probe (set by reachability)
+	IsUnreachable    bool      // its heartbeats arrive, but it probably receives no responses (set by reachability)
 }
 
 // Registration is whether the state service has a record of the machine. A machine without a record is sent no start commands.
@@ -69,7 +69,7 @@
 
 // IsNewer reports whether the heartbeat is newer than all that were accepted from the machine.
 func (m *Machine) IsNewer(heartbeat *workerapi.Heartbeat) bool {
-	return !m.HasReported || heartbeat.Position().IsAfter(m.Position)
+	return !m.HasSentHeartbeat || heartbeat.Position().IsAfter(m.Position)
 }
 
 func (m *Machine) addAttempt(attempt *jobs.Attempt) {
--- a/internal/controller/worker/reachability/freshness.go
+++ b/internal/controller/worker/reachability/freshness.go
@@ -28,9 +28,9 @@
 func (t *Tracker) classify(now time.Time, machine *worker.Machine, heartbeat *workerapi.Heartbeat) Freshness {
 	link := t.linkOf(machine)
 	switch {
-	case !machine.HasReported && heartbeat.FencingToken != t.fencingToken:
+	case !machine.HasSentHeartbeat && heartbeat.FencingToken != t.fencingToken:
 		return link.classifyUnverified()
-	case !machine.HasReported:
+	case !machine.HasSentHeartbeat:
 	case t.showsCountersReset(machine, link, heartbeat):
 		t.recordCountersReset(now, machine, link)
 		return Stale
@@ -52,7 +52,7 @@
 		machine.IsNewer(heartbeat) && heartbeat.FencingToken < t.fencingToken
 }
 
-// classifyUnverified classifies a heartbeat without the leader's fencing token, from a machine that has not reported to this leader.
+// classifyUnverified classifies a heartbeat without the leader's fencing token. This leader has accepted no heartbeat of the machine yet.
 // The heartbeat may have been sent before the election, and its machine may be gone. The response contains the token, and a live
 // machine sends it in its next heartbeat. If neither responses nor probes reach the machine, its heartbeats are refused. Otherwise its
 // lease would never expire, and the failover, which waits for that, would never be completed.
@@ -95,7 +95,7 @@
 // lostLeaseDespiteResponses reports whether the lease of the machine's last incarnation expired although a response with status 200
 // should have renewed it.
 func (t *Tracker) lostLeaseDespiteResponses(now time.Time, machine *worker.Machine, link *linkState) bool {
-	hasHeartbeat := machine.HasReported && link.position.Incarnation != 0
+	hasHeartbeat := machine.HasSentHeartbeat && link.position.Incarnation != 0
 	isLeaseRecent := now.Sub(machine.LeaseRenewedAt) < t.leaseDuration*4/5
 	return hasHeartbeat && isLeaseRecent && !link.countersReset
 }
--- a/internal/controller/worker/reachability/model_test.go
+++ b/internal/controller/worker/reachability/model_test.go
@@ -76,10 +76,10 @@
 	l.worker.fencingToken, l.hasReceivedAnything = testFencingToken, true
 	sent := l.worker.sendHeartbeat(l.now)
 	countersReset := l.tracker.ProbeAnswered(l.now, l.machine, probe, &sent.heartbeat)
-	if countersReset && l.machine.HasReported && l.newestSentAt.After(sent.sentAt) {
+	if countersReset && l.machine.HasSentHeartbeat && l.newestSentAt.After(sent.sentAt) {
 		l.Fatalf("step %d: counters reset by a response sent at %v, before the newest heartbeat of %v", l.step, sent.sentAt, l.newestSentAt)
 	}
-	if !countersReset && sent.heartbeat.FencingToken == testFencingToken && l.machine.IsNewer(&sent.heartbeat) && !l.machine.HasReported {
+	if !countersReset && sent.heartbeat.FencingToken == testFencingToken && l.machine.IsNewer(&sent.heartbeat) && !l.machine.HasSentHeartbeat {
 		l.accept(sent, false)
 	}
 }
--- a/internal/controller/worker/reachability/probe.go
+++ b/internal/controller/worker/reachability/probe.go
@@ -47,7 +47,7 @@
 	machine.LastContactAt, link.lastProbeResponseAt = now, now
 	t.metrics.probes.WithLabelValues(probeAnswered).Inc()
 	link.unansweredProbes = 0
-	if machine.HasReported && !probe.isOlderThan(heartbeat) {
+	if machine.HasSentHeartbeat && !probe.isOlderThan(heartbeat) {
 		t.recordCountersReset(now, machine, link)
 		return true
 	}
--- a/internal/controller/worker/reconcile.go
+++ b/internal/controller/worker/reconcile.go
@@ -59,8 +59,8 @@
 
 // recordHeartbeat updates the properties of the machine from a heartbeat.
 func (r *Registry) recordHeartbeat(now time.Time, machine *Machine, heartbeat *workerapi.Heartbeat) {
-	if !machine.HasReported {
-		machine.HasReported = true
+	if !machine.HasSentHeartbeat {
+		machine.HasSentHeartbeat = true
 		machine.IdleSince = now
 		r.updateBucket(machine)
 	}
--- a/internal/controller/worker/registry.go
+++ b/internal/controller/worker/registry.go
@@ -73,7 +73,7 @@
 
 // Remove drops a machine that is gone. The caller must have released its attempts (ReleaseAll).
 func (r *Registry) Remove(machine *Machine) {
-	machine.HasReported = false
+	machine.HasSentHeartbeat = false
 	r.updateBucket(machine)
 	delete(r.Machines, machine.ID)
 }
--- a/internal/controller/worker/utilization.go
+++ b/internal/controller/worker/utilization.go
@@ -14,7 +14,7 @@
 // not change or keep the slice.
 func (r *Registry) MachinesInBucket(bucket int) []*Machine { return r.buckets[bucket] }
 
-// ReportingMachines returns the machines that have reported and whose capacity is known, the emptiest buckets first.
+// ReportingMachines returns the machines that have sent a heartbeat and whose capacity is known, the emptiest buckets first.
 func (r *Registry) ReportingMachines() []*Machine { return slices.Concat(r.buckets[1:]...) }
 
 // UtilizationBucket returns the bucket of a machine, or 0 if it is not in any.
@@ -23,7 +23,7 @@
 // bucketFor returns the bucket of the machine by its present utilization.
 func bucketFor(machine *Machine) int {
 	switch {
-	case !machine.HasReported || machine.CPUs+machine.MemoryGB == 0:
+	case !machine.HasSentHeartbeat || machine.CPUs+machine.MemoryGB == 0:
 		return 0
 	case machine.CPUs-machine.UsedCPUs < units.ResourceTolerance:
 		return BucketCount
--- a/internal/controller/zones/state.go
+++ b/internal/controller/zones/state.go
@@ -21,12 +21,12 @@
 
 // Machine is what a Tracker needs to know about a machine.
 type Machine struct {
-	Zone          string
-	HasReported   bool      // to this leader
-	LeaseValid    bool      // heartbeats are expected
-	LastHeartbeat time.Time // or the election, if there was none since then
-	Deleting      bool      // its silence is not evidence
-	Sentinel      bool      // kept although it is silent, to detect the recovery of its zone
+	Zone             string
+	HasSentHeartbeat bool      // to this leader
+	LeaseValid       bool      // heartbeats are expected
+	LastHeartbeat    time.Time // or the election, if there was none since then
+	Deleting         bool      // its silence is not evidence
+	Sentinel         bool      // kept although it is silent, to detect the recovery of its zone
 }
 
 // View is the state of a zone as users see it.
--- a/internal/controller/zones/tracker.go
+++ b/internal/controller/zones/tracker.go
@@ -94,7 +94,7 @@
 // count adds a machine to the counts of its zone.
 func (t *Tracker) count(now time.Time, machine Machine, overdueAfter time.Duration) {
 	z := t.getOrAddZone(machine.Zone)
-	if machine.HasReported && machine.LastHeartbeat.After(z.lastHeartbeat) {
+	if machine.HasSentHeartbeat && machine.LastHeartbeat.After(z.lastHeartbeat) {
 		z.lastHeartbeat = machine.LastHeartbeat
 	}
 	if machine.Deleting {
--- a/internal/controller/zones/tracker_test.go
+++ b/internal/controller/zones/tracker_test.go
@@ -72,10 +72,10 @@
 // observed returns what the tracker observes of a machine.
 func (m *model) observed(machine *modelMachine) Machine {
 	return Machine{
-		Zone:          machine.zone,
-		HasReported:   true,
-		LeaseValid:    m.now.Sub(machine.lastHeartbeat) <= leaseDuration,
-		LastHeartbeat: machine.lastHeartbeat,
+		Zone:             machine.zone,
+		HasSentHeartbeat: true,
+		LeaseValid:       m.now.Sub(machine.lastHeartbeat) <= leaseDuration,
+		LastHeartbeat:    machine.lastHeartbeat,
 	}
 }
 
