--- a/internal/controller/election/model_test.go
+++ b/internal/controller/election/model_test.go
@@ -213,7 +213,7 @@
 	}
 }
 
-// Broken returns the first violation of the invariant, or "" if there is none.
-func (m *electionModel) Broken() string { return m.violation }
+// Violation returns the first violation of the invariant, or "" if there is none.
+func (m *electionModel) Violation() string { return m.violation }
 
 var _ modelcheck.Model = (*electionModel)(nil)
--- a/internal/simulator/crashtest/crashpoints.go
+++ b/internal/simulator/crashtest/crashpoints.go
@@ -87,7 +87,7 @@
 
 // tryFault injects a fault at an operation, alone and followed by a crash 1 to 20 operations later.
 func (r *variantRunner) tryFault(operation int, fault faultydisk.Fault, failures int) error {
-	injectFault := func(d *faultydisk.Disk) { d.FailAt, d.FailFor, d.Fault = operation, failures, fault }
+	injectFault := func(d *faultydisk.Disk) { d.FailAt, d.FailCount, d.Fault = operation, failures, fault }
 	description := fmt.Sprintf("fault %d from operation %d for %d operations", fault, operation, failures)
 	if err := r.run(description, injectFault, faultydisk.LoseRandomSectors, 0); err != nil {
 		return err
--- a/internal/simulator/faultydisk/disk.go
+++ b/internal/simulator/faultydisk/disk.go
@@ -52,7 +52,7 @@
 	Operations int // operations so far; Read, List and Size do not count
 	CrashAt    int // the operation at which the machine crashes, counted from 1; 0: none
 	FailAt     int // the first operation that fails, counted from 1; 0: none
-	FailFor    int // number of operations in a row that fail; below 1: one
+	FailCount  int // number of operations in a row that fail; below 1: one
 	Fault      Fault
 	crashed    bool
 	rng        *rand.Rand
@@ -95,7 +95,7 @@
 
 // currentFault returns the fault injected into the current operation.
 func (d *Disk) currentFault() Fault {
-	if d.FailAt > 0 && d.Operations >= d.FailAt && d.Operations < d.FailAt+max(d.FailFor, 1) {
+	if d.FailAt > 0 && d.Operations >= d.FailAt && d.Operations < d.FailAt+max(d.FailCount, 1) {
 		return d.Fault
 	}
 	return NoFault
--- a/internal/simulator/modelcheck/modelcheck.go
+++ b/internal/simulator/modelcheck/modelcheck.go
@@ -18,8 +18,8 @@
 	Do(move string)
 	// Key identifies the state. Two models with the same key behave the same after the same further moves.
 	Key() string
-	// Broken describes a violated rule. It is empty if no rule is violated.
-	Broken() string
+	// Violation describes a violated rule. It is empty if no rule is violated.
+	Violation() string
 }
 
 // Result of an exploration.
@@ -115,7 +115,7 @@
 			model = replay(newModel, prefix)
 		}
 		model.Do(move)
-		list = append(list, successor{&state{from, move, from.depth + 1}, maphash.String(seed, model.Key()), model.Broken()})
+		list = append(list, successor{&state{from, move, from.depth + 1}, maphash.String(seed, model.Key()), model.Violation()})
 	}
 	return list
 }
@@ -144,7 +144,7 @@
 			model.Do(move)
 			schedule = append(schedule, move)
 			result.States++
-			if violation := model.Broken(); violation != "" {
+			if violation := model.Violation(); violation != "" {
 				result.Violation, result.Schedule, result.Depth = violation, schedule, len(schedule)
 				return result
 			}
--- a/internal/site/kvserver/storage_test.go
+++ b/internal/site/kvserver/storage_test.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	files.FailAt, files.FailFor, files.Fault = files.Operations+1, 3, faultydisk.ShortWrite
+	files.FailAt, files.FailCount, files.Fault = files.Operations+1, 3, faultydisk.ShortWrite
 	for done := false; err == nil && !done; {
 		done, err = writer.Step()
 	}
