--- a/cmd/gullrudder/up.go
+++ b/cmd/gullrudder/up.go
@@ -97,7 +97,7 @@
 		{Name: "pool", Args: []string{"pool", "--data", site.Path()}},
 	}
 	for i, node := range site.Controllers {
-		args := []string{"serve", "--config", site.ControllerConfig(i), "--options", site.OptionsFile()}
+		args := []string{"serve", "--config", site.ControllerConfigPath(i), "--options", site.OptionsPath()}
 		specs = append(specs, supervisor.ProcessSpec{Name: node.Name, Args: args})
 	}
 	return append(specs, supervisor.ProcessSpec{Name: "worker", Args: []string{"worker", "--data", site.Path()}})
--- a/internal/controller/jobs/golden_bytes_test.go
+++ b/internal/controller/jobs/golden_bytes_test.go
@@ -45,7 +45,7 @@
 		goldenbytes.JSON("job", record),
 		goldenbytes.MessagePack("chunk", Chunk{DoneBits: "AAE"}),
 		goldenbytes.JSON("chunk", Chunk{DoneBits: "AAE"}),
-		goldenbytes.MessagePack("job done", NewFinalRecord(Done, 16)).Partial(),
-		goldenbytes.MessagePack("job cancelled", NewFinalRecord(Cancelled, 16)).Partial(),
+		goldenbytes.MessagePack("job done", NewFinalRecord(Done, 16)).AllowUnsetFields(),
+		goldenbytes.MessagePack("job cancelled", NewFinalRecord(Cancelled, 16)).AllowUnsetFields(),
 	)
 }
--- a/internal/goldenbytes/goldenbytes.go
+++ b/internal/goldenbytes/goldenbytes.go
@@ -83,8 +83,9 @@
 	return c
 }
 
-// Partial allows a case to leave fields unset. It is for values that the program itself writes with unset fields.
-func (c Case) Partial() Case {
+// AllowUnsetFields returns the case without the check that all fields are set. It is for values that the program itself writes with
+// unset fields.
+func (c Case) AllowUnsetFields() Case {
 	var unset unsetFieldError
 	if errors.As(c.err, &unset) {
 		c.err = nil
--- a/internal/site/datadir/controllerconfig.go
+++ b/internal/site/datadir/controllerconfig.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	return replaceFile(s.ControllerConfig(index), append(encoded, '\n'))
+	return replaceFile(s.ControllerConfigPath(index), append(encoded, '\n'))
 }
 
 func (s *Site) controllerConfig(index int) controllerConfig {
--- a/internal/site/datadir/create.go
+++ b/internal/site/datadir/create.go
@@ -116,7 +116,7 @@
 			return err
 		}
 	}
-	if err := replaceFile(s.OptionsFile(), []byte(initialOptions)); err != nil {
+	if err := replaceFile(s.OptionsPath(), []byte(initialOptions)); err != nil {
 		return err
 	}
 	encoded, err := xml.MarshalIndent(s, "", "  ")
--- a/internal/site/datadir/datadir.go
+++ b/internal/site/datadir/datadir.go
@@ -81,13 +81,13 @@
 	return filepath.Join(append([]string{s.dir}, name...)...)
 }
 
-// ControllerConfig returns the path of the settings of Controllers[index].
-func (s *Site) ControllerConfig(index int) string {
+// ControllerConfigPath returns the path of the settings of Controllers[index].
+func (s *Site) ControllerConfigPath(index int) string {
 	return s.Path(fmt.Sprintf("controller-%d.json", index+1))
 }
 
-// OptionsFile returns the path of the operators' settings of the controllers.
-func (s *Site) OptionsFile() string { return s.Path("options.xml") }
+// OptionsPath returns the path of the operators' settings of the controllers.
+func (s *Site) OptionsPath() string { return s.Path("options.xml") }
 
 // supervisorFile returns the path of the record of the process that supervises the site.
 func (s *Site) supervisorFile() string { return s.Path("up.json") }
--- a/internal/site/datadir/datadir_test.go
+++ b/internal/site/datadir/datadir_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	for i := range site.Controllers {
-		platform, err := config.LoadPlatform(site.ControllerConfig(i))
+		platform, err := config.LoadPlatform(site.ControllerConfigPath(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,7 +31,7 @@
 			t.Errorf("settings of controller %d: got %+v, want the addresses and name of the site", i, platform)
 		}
 	}
-	if _, err := config.LoadOptions(site.OptionsFile()); err != nil {
+	if _, err := config.LoadOptions(site.OptionsPath()); err != nil {
 		t.Errorf("load the options: %v", err)
 	}
 	reopened, err := OpenOrCreate(dir, CreateOptions{CPUs: 9}, "w")
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := os.ReadFile(site.ControllerConfig(0))
+	got, err := os.ReadFile(site.ControllerConfigPath(0))
 	if err != nil {
 		t.Fatal(err)
 	}
