--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -115,7 +115,7 @@
 	})
 	for {
 		err := httpServer.Run()
-		rt.log.Error("server stopped and is restarted", logkeys.Err, err)
+		rt.log.Error("server stopped, restarting", logkeys.Err, err)
 		time.Sleep(serverRestartDelay)
 	}
 }
--- a/internal/site/kvserver/server.go
+++ b/internal/site/kvserver/server.go
@@ -126,7 +126,7 @@
 	status := response.Status
 	body, err := codec.Marshal(response.Body)
 	if err != nil {
-		s.log.Error("response not encoded", logkeys.Status, status, logkeys.Err, err)
+		s.log.Error("response encoding failed", logkeys.Status, status, logkeys.Err, err)
 		status, body = http.StatusServiceUnavailable, nil
 	}
 	if request, ok := response.Handle.(*http1.Request); ok {
--- a/internal/site/machinepool/service.go
+++ b/internal/site/machinepool/service.go
@@ -139,7 +139,7 @@
 func (s *Service) respond(request *http1.Request, status int, body any, retryAfter time.Duration) {
 	encoded, err := codec.Marshal(body)
 	if err != nil {
-		s.log.Error("response not encoded", logkeys.Path, request.Target, logkeys.Err, err)
+		s.log.Error("response encoding failed", logkeys.Path, request.Target, logkeys.Err, err)
 	}
 	request.Respond(status, encoded, retryAfter)
 }
--- a/internal/site/supervisor/child.go
+++ b/internal/site/supervisor/child.go
@@ -102,7 +102,7 @@
 		if ranFor > stableRunTime {
 			delay = minRestartDelay
 		}
-		c.log.Error("process exited and is restarted", logkeys.Process, c.Name,
+		c.log.Error("process exited, restarting", logkeys.Process, c.Name,
 			logkeys.Duration, ranFor.Round(time.Millisecond), logkeys.Err, err, logkeys.RestartDelay, delay)
 		select {
 		case <-c.stopped:
--- a/internal/site/supervisor/supervisor.go
+++ b/internal/site/supervisor/supervisor.go
@@ -78,7 +78,7 @@
 			continue
 		case <-time.After(stopTimeout):
 		}
-		s.log.Error("process did not exit in time and is killed", logkeys.Process, c.Name)
+		s.log.Error("process did not exit in time, killing it", logkeys.Process, c.Name)
 		c.kill()
 		<-c.exited
 	}
--- a/internal/wire/http1/server.go
+++ b/internal/wire/http1/server.go
@@ -89,7 +89,7 @@
 		if time.Since(startedAt) < minServeTime {
 			return fmt.Errorf("serve %s: %w", s.options.PublicAddr, err)
 		}
-		log.Error("server stopped and is restarted", logkeys.Err, err)
+		log.Error("server stopped, restarting", logkeys.Err, err)
 		time.Sleep(restartDelay)
 	}
 }
--- a/internal/wire/server/server.go
+++ b/internal/wire/server/server.go
@@ -55,7 +55,7 @@
 	if body != nil {
 		var err error
 		if encoded, err = codec.Marshal(body); err != nil {
-			r.Log.Error("response not encoded", logkeys.Path, request.Target, logkeys.Err, err)
+			r.Log.Error("response encoding failed", logkeys.Path, request.Target, logkeys.Err, err)
 			status, encoded = http.StatusServiceUnavailable, nil
 		}
 	}
