--- a/internal/controller/queue/queue_test.go
+++ b/internal/controller/queue/queue_test.go
@@ -40,7 +40,8 @@
 }
 
 // TestLimitBoundTeams checks that a team is limit-bound if its work is delayed by its quota rather than by the cluster.
-// Without the comparison with the cluster, the score of a smaller simulated load fell from 0.80 to 0.78 on three seeds.
+// Without the comparison with the cluster, the score of the smaller varga deployment (docs/measurements.md) fell from 0.80 to
+// 0.78 on three seeds.
 func TestLimitBoundTeams(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	ranker := newTestRanker(&config.Platform{Teams: []config.Team{{Name: "t", CPULimit: 10}, {Name: "u"}}})
