--- a/internal/simulator/accounting_test.go
+++ b/internal/simulator/accounting_test.go
@@ -156,7 +156,7 @@
 		}
 		spent, sum := sim.timeAccount(jobID)
 		if spent == nil {
-			t.Fatalf("the leader returns no time accounting of %s", jobID)
+			t.Fatalf("time accounting of %s: got none, want one", jobID)
 		}
 		checkPhases(t, jobID, accountedPhases(spent, sum), records[jobID], tolerance)
 		checked++
--- a/internal/simulator/ageing_test.go
+++ b/internal/simulator/ageing_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// runOverload is TestAgeingBoundsWaitUnderOverload with one seed.
+// runOverload runs TestAgeingBoundsWaitUnderOverload with one seed.
 func runOverload(t *testing.T, seed uint64) {
 	t.Helper()
 	longestWait, largestBound := map[bool]time.Duration{}, time.Duration(0)
--- a/internal/simulator/capacityloss.go
+++ b/internal/simulator/capacityloss.go
@@ -169,8 +169,8 @@
 			for range copies {
 				spec := work.jobSpec(n)
 				n++
-				run := sim.randomRunTime(work.runTime)
-				sim.At(at+sim.randomDelay(time.Second), func() { sim.Users.SubmitJob(spec, run) })
+				runTime := sim.randomRunTime(work.runTime)
+				sim.At(at+sim.randomDelay(time.Second), func() { sim.Users.SubmitJob(spec, runTime) })
 			}
 		}
 	}
@@ -179,7 +179,7 @@
 // crashLeaseHolders crashes every controller that holds the leader lease.
 func (sim *Cluster) crashLeaseHolders(restartAfter time.Duration) {
 	for i := range sim.controllers {
-		if acting, _ := sim.leadershipOf(i); acting {
+		if holdsLease, _ := sim.leadershipOf(i); holdsLease {
 			sim.Crash(i, restartAfter)
 		}
 	}
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -19,8 +19,8 @@
 // Cluster is one simulated cluster: the controllers and every service and host that they communicate with. It is not safe for concurrent
 // use.
 type Cluster struct {
-	Now              time.Time
-	Rand             *rand.Rand
+	Now              time.Time   // current virtual time
+	Rand             *rand.Rand  // source of all random choices
 	Violations       []Violation // broken rules; Run stops at the first
 	Options          Options
 	events           eventHeap
@@ -46,14 +46,14 @@
 	Controllers         int
 	Teams               []config.Team
 	HeartbeatInterval   time.Duration
-	WorkerLease         time.Duration
-	CancelTimeout       time.Duration
-	LossShare           float64 // share of messages that are lost, 0 to 1
-	LateShare           float64 // share of messages sent during a cut that arrive after its end; the others are lost
-	MachinesPerKind     int     // capacity of the cloud for each type, zone and spot or regular; 0: 6
-	MaxTasks            int     // maximum number of tasks of a random job; 0: 9
-	NoTaskFailures      bool    // tasks fail only on faulty machines or in jobs whose tasks always fail
-	StopPollingFinished bool    // users stop polling a job after they received a final state
+	WorkerLease         time.Duration // time after its last accepted heartbeat when a worker kills its tasks
+	CancelTimeout       time.Duration // time after the confirmed cancellation of a job when all of its tasks must be gone
+	LossShare           float64       // share of messages that are lost, 0 to 1
+	LateShare           float64       // share of messages sent during a cut that arrive after its end; the others are lost
+	MachinesPerKind     int           // capacity of the cloud for each type, zone and spot or regular; 0: 6
+	MaxTasks            int           // maximum number of tasks of a random job; 0: 9
+	NoTaskFailures      bool          // tasks fail only on faulty machines or in jobs whose tasks always fail
+	StopPollingFinished bool          // users stop polling a job after they received a final state
 	Tuning              config.Options
 	SkipCostlyChecks    bool                   // skip the checks of quotas and of the durability of results
 	AdjustPlatform      func(*config.Platform) // changes the platform configuration of each controller; nil: no changes
--- a/internal/simulator/failover_test.go
+++ b/internal/simulator/failover_test.go
@@ -9,8 +9,8 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// A leader crashes while half of the machines hang for longer than their leases. Jobs that the next leader accepts start on the other
-// machines before those leases expire; nothing that may still run elsewhere starts again, and a team at its quota stays within it.
+// A leader crashes while half of the machines hang for longer than their leases. Jobs that the next leader accepts must start on the other
+// machines before those leases expire. No task that may still run elsewhere may start again, and a team at its quota must stay within it.
 func TestAcceptedJobsStartDuringFailover(t *testing.T) {
 	forEachSeed(t, 4, clusterAtQuota, func(sim scenario) {
 		for _, m := range sim.Cloud.randomMachines(len(sim.Cloud.runningMachines()) / 2) {
@@ -31,8 +31,8 @@
 	})
 }
 
-// A team is at its quota during two failovers in a row, some of its machines are unreachable, and jobs of it are cancelled meanwhile:
-// tasks that may still run count, those of cancelled jobs too, until they are known to have stopped.
+// A team is at its quota during two failovers in a row. Some machines are unreachable, and jobs of the team are cancelled meanwhile. Tasks
+// that may still run must count towards the quota, including those of cancelled jobs, until they are known to have stopped.
 func TestQuotaDuringFailover(t *testing.T) {
 	forEachSeed(t, 4, clusterAtQuota, func(sim scenario) {
 		for _, m := range sim.Cloud.randomMachines(len(sim.Cloud.runningMachines()) / 2) {
@@ -53,8 +53,8 @@
 	})
 }
 
-// Heartbeats of machines reach no controller, while commands reach the machines. Tasks of cancelled jobs stop there in time, through a
-// failover too, and when a machine reports again within a second of its lease's expiry; nothing runs twice.
+// Commands reach the machines, but the heartbeats of the machines reach no controller. Tasks of cancelled jobs must stop in time, also
+// during a failover and if a machine's heartbeats arrive again within a second of the end of its lease. No task may run twice.
 func TestOutboundUnreachableMachines(t *testing.T) {
 	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		sim.Cloud.CutOutbound(
@@ -73,8 +73,8 @@
 	})
 }
 
-// All controllers are down for longer than a lease just after cancellations: every worker begins a new incarnation, tasks whose results
-// were lost with the old one run again, and neither instances nor starts are requested in excess.
+// All controllers are down for longer than a lease just after cancellations. Every worker begins a new incarnation, and tasks whose results
+// were lost with the old one run again. The controllers must not request too many instances or starts.
 func TestAllControllersDownPastLease(t *testing.T) {
 	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		sim.Cloud.DuplicateHeartbeats(30 * time.Second)
@@ -94,7 +94,7 @@
 	})
 }
 
-// Heartbeats are delayed until the next leader has acted, and then list tasks that it has replaced or cancelled.
+// Heartbeats arrive so late that the next leader has already replaced or cancelled the tasks listed in them.
 func TestHeartbeatDelayedPastFailover(t *testing.T) {
 	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		delivered := 0
@@ -125,8 +125,9 @@
 	})
 }
 
-// Cancellations, polls and repeated submissions arrive as the last task of a job completes: every response of every controller has the
-// same final state, after the job is archived too; without other faults, with transactions of unknown outcome, and through failovers.
+// Cancellations, polls and repeated submissions arrive when the last task of a job completes. All controllers must respond with the same
+// final state, also after the job is archived. Depending on the seed there are no other faults, transactions of unknown outcome, or
+// failovers.
 func TestCancellationAsJobsEnd(t *testing.T) {
 	forEachSeed(t, 6, busyCluster, func(sim scenario) {
 		sim.Users.CancelAsJobsEnd(1, time.Minute)
@@ -145,13 +146,13 @@
 		cancelled := sim.Users.CancelledCount()
 		doneAnyway := sim.Users.countJobs(func(job *observedJob) bool { return job.cancelRequested && !job.finishedAt.IsZero() })
 		if cancelled+doneAnyway < 20 || doneAnyway == 0 {
-			sim.t.Errorf("jobs cancelled, and done although their users asked to cancel them: got %d and %d, want 20 together and 1 done",
+			sim.t.Errorf("jobs cancelled, and done despite a cancellation request: got %d and %d, want at least 20 together and 1 done",
 				cancelled, doneAnyway)
 		}
 	})
 }
 
-// The leader changes ten times in two minutes, partly during an outage; then all controllers crash, and one returns within a second.
+// The leader changes ten times in two minutes, partly during an outage. Then all controllers crash, and one restarts within a second.
 func TestTenFailoversInTwoMinutes(t *testing.T) {
 	forEachSeed(t, 3, busyCluster, func(sim scenario) {
 		sim.watchSingleLeader()
@@ -171,20 +172,21 @@
 		sim.At(50*time.Second, func() { sim.Users.CancelLongest(3, 5*time.Second) })
 		sim.Run(115 * time.Second)
 		if len(tokens) < 7 {
-			sim.t.Errorf("terms of leaders: got %d, want at least 7", len(tokens))
+			sim.t.Errorf("different fencing tokens: got %d, want at least 7", len(tokens))
 		}
 		for i := range sim.controllers {
 			sim.Crash(i, time.Duration(500+4000*((i+int(sim.seed))%3))*time.Millisecond)
 		}
 		sim.Run(2 * time.Minute)
 		if served := sim.servedOf("short"); served.Share() < 0.9 {
-			sim.t.Errorf("share of the short jobs that are done: got %.2f, want at least 0.9", served.Share())
+			sim.t.Errorf("share of short jobs done: got %.2f, want at least 0.9", served.Share())
 		}
 	})
 }
 
-// Jobs that are bound to one zone, or spread, lose machines, some of which are unreachable but may still run tasks, while the leader
-// crashes: no task starts in another zone while one may still run in the first, and all jobs finish.
+// Jobs that are bound to one zone, or spread across zones, lose machines while the leader crashes. Some of the machines are only
+// unreachable and may still run tasks. No task of a bound job may start in another zone while one may still run in the first. All jobs
+// must finish.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	forEachSeed(t, 4, clusterWithoutTaskFailures, func(sim scenario) {
 		for i := range 10 {
@@ -216,8 +218,8 @@
 	})
 }
 
-// Jobs are cancelled at the moment at which the state service refuses the leader alone; their machines hang, and a second later the
-// state service has an outage of more than the cancellation timeout.
+// Jobs are cancelled at about the time at which the state service begins to refuse only the leader. Their machines hang. A second later the
+// state service has an outage longer than the cancellation timeout.
 func TestCancellationAsLeaderIsRefused(t *testing.T) {
 	forEachSeed(t, 6, busyCluster, func(sim scenario) {
 		sim.Users.CancelLongest(5, time.Duration(sim.seed)*3*time.Second)
@@ -227,7 +229,7 @@
 	})
 }
 
-// A zone with workers and a controller is cut off for longer than a lease; the leader is inside or outside.
+// A zone with workers and one controller is cut off for longer than a lease. Depending on the seed that controller is the leader.
 func TestPartitionedZoneWithController(t *testing.T) {
 	forEachSeed(t, 6, busyCluster, func(sim scenario) {
 		sim.watchSingleLeader()
@@ -244,7 +246,8 @@
 	})
 }
 
-// More jobs than the cluster can run, of all priorities, over slow and lossy links: no rule is broken and all jobs finish.
+// The cluster gets more jobs than it can run, of all priorities, while links lose messages and the state service is slow. No rule may be
+// broken, and all jobs must finish.
 func TestOverloadOverLossyLinks(t *testing.T) {
 	forEachSeed(t, 3, overloadedLossyCluster, func(sim scenario) {
 		for i := range 60 {
@@ -260,15 +263,15 @@
 	})
 }
 
-// The checker itself: it reports jobs that wait although machines have capacity, and an invalid job that is accepted.
+// Tests the checker itself: it must report jobs that wait although machines have capacity, and an invalid job that is accepted.
 func TestCheckerReportsStartableJobsLeftWaiting(t *testing.T) {
 	t.Parallel()
 	sim := busyCluster(t, 1).Cluster
 	for _, process := range sim.controllers {
-		process.controller = nil // stops for good, which the simulator does not count as a fault
+		process.controller = nil // stopped without a restart, which the simulator does not count as a fault
 		process.generation++
 	}
-	var answerAll func() // unanswered polls would break another rule first
+	var answerAll func() // polls without a response would break RuleForgotten first
 	answerAll = func() {
 		for _, job := range sim.checker.jobs {
 			job.lastResponseAt = sim.Now
@@ -278,7 +281,7 @@
 	answerAll()
 	sim.Run(sim.Options.WorkerLease + maxStartableWait)
 	if len(sim.Violations) > 0 {
-		t.Fatalf("violations before the longest allowed wait has passed: got %v, want none", sim.Violations)
+		t.Fatalf("violations before maxStartableWait has passed: got %v, want none", sim.Violations)
 	}
 	if sim.Run(20 * time.Second); len(sim.Violations) == 0 {
 		t.Errorf("violations for jobs that are left waiting: got none, want one of %s", RuleLeftWaiting)
@@ -286,7 +289,7 @@
 	sim = New(1, testOptions(), testLogger())
 	sim.Run(8 * time.Second)
 	spec := jobArray("job-1", "c", "red", 1, time.Second)
-	for range 5 { // one of them arrives
+	for range 5 { // five attempts, because messages can be lost
 		sim.Users.expectRejected(spec.ID, SubmissionFields(spec), http.StatusUnprocessableEntity)
 	}
 	sim.Run(3 * time.Second)
--- a/internal/simulator/faultday.go
+++ b/internal/simulator/faultday.go
@@ -75,8 +75,8 @@
 			if n++; n%25 == 0 {
 				spec.Tasks *= 10
 			}
-			run := sim.randomRunTime(work.runTime)
-			sim.At(at+sim.randomDelay(time.Second), func() { sim.Users.SubmitJob(spec, run) })
+			runTime := sim.randomRunTime(work.runTime)
+			sim.At(at+sim.randomDelay(time.Second), func() { sim.Users.SubmitJob(spec, runTime) })
 		}
 	}
 }
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -167,7 +167,7 @@
 	sim.At(10*time.Millisecond, func() {
 		var leaders []string
 		for i := range sim.controllers {
-			if acting, _ := sim.leadershipOf(i); acting {
+			if holdsLease, _ := sim.leadershipOf(i); holdsLease {
 				leaders = append(leaders, controllerName(i))
 			}
 		}
--- a/internal/simulator/harness_test.go
+++ b/internal/simulator/harness_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// busyCluster returns a cluster that runs ten job arrays of eight tasks, with a worker lease of 8 s.
+// busyCluster returns a cluster that runs ten job arrays of eight tasks on about a dozen machines, with a worker lease of 8 s.
 func busyCluster(t *testing.T, seed uint64) scenario {
 	t.Helper()
 	return busyClusterWith(t, seed, testOptions())
@@ -171,7 +171,7 @@
 	return scenario{sim, t, seed, sim.LeaderIndex()}
 }
 
-// clusterWithoutTaskFailures returns a cluster that has just started and in which no task fails.
+// clusterWithoutTaskFailures returns a cluster that has just started, without machines and jobs, and in which no task fails.
 func clusterWithoutTaskFailures(t *testing.T, seed uint64) scenario {
 	t.Helper()
 	options := testOptions()
--- a/internal/simulator/invariants_test.go
+++ b/internal/simulator/invariants_test.go
@@ -8,7 +8,7 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// A run without faults must complete all jobs. This guards against a run without violations only because no task was started.
+// A run without faults must complete all jobs. This guards against runs that break no rule only because they start no task.
 func TestRunWithoutFaultsCompletesAllJobs(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
--- a/internal/simulator/leaderfailures.go
+++ b/internal/simulator/leaderfailures.go
@@ -39,9 +39,9 @@
 }
 
 // rollingRestart crashes all controllers one after the other, beginning with the given one.
-func (sim *Cluster) rollingRestart(first int, every time.Duration) {
+func (sim *Cluster) rollingRestart(first int, interval time.Duration) {
 	for i := range sim.Options.Controllers {
-		sim.At(time.Duration(i)*every, func() { sim.Crash((first+i)%sim.Options.Controllers, 3*time.Second) })
+		sim.At(time.Duration(i)*interval, func() { sim.Crash((first+i)%sim.Options.Controllers, 3*time.Second) })
 	}
 }
 
@@ -62,7 +62,7 @@
 	sim.Run(15*time.Second + time.Duration(sim.Rand.IntN(3000))*time.Millisecond)
 	leader := -1
 	for i := range sim.controllers {
-		if acting, _ := sim.leadershipOf(i); acting {
+		if holdsLease, _ := sim.leadershipOf(i); holdsLease {
 			leader = i
 		}
 	}
@@ -76,10 +76,10 @@
 		sim.Run(step)
 		anyLeader, anyPlacing, anyAccepting := false, false, false
 		for i := range sim.controllers {
-			acting, placing := sim.leadershipOf(i)
-			anyLeader, anyPlacing = anyLeader || acting, anyPlacing || placing
+			holdsLease, placing := sim.leadershipOf(i)
+			anyLeader, anyPlacing = anyLeader || holdsLease, anyPlacing || placing
 			anyAccepting = anyAccepting ||
-				acting && !sim.State.isRefusing(controllerName(i)) && !sim.Now.Before(sim.linkCutUntil(controllerName(i), stateHost))
+				holdsLease && !sim.State.isRefusing(controllerName(i)) && !sim.Now.Before(sim.linkCutUntil(controllerName(i), stateHost))
 		}
 		if !anyLeader {
 			gap.WithoutLeader += step
--- a/internal/simulator/machinefaults.go
+++ b/internal/simulator/machinefaults.go
@@ -73,8 +73,8 @@
 	c.sim.extendFaults(span + 4*c.sim.Options.WorkerLease + time.Second)
 }
 
-// DelayMachines delays up to count machines, beginning with one every 200 ms, for a span each. They alternately hang and lose their inbound
-// messages.
+// DelayMachines delays up to count machines for a span each, one after the other at intervals of 200 ms. Alternately they hang or lose
+// their inbound messages.
 func (c *Cloud) DelayMachines(count int, span time.Duration) {
 	for k, m := range c.randomMachines(count) {
 		c.sim.At(time.Duration(k)*200*time.Millisecond, func() {
--- a/internal/simulator/partitions_test.go
+++ b/internal/simulator/partitions_test.go
@@ -55,13 +55,13 @@
 		sim.At(500*time.Millisecond, func() { sim.Cloud.FailMachine(); failedMachines++ })
 		sim.At(3*time.Second, func() {
 			for i := range sim.controllers {
-				if acting, _ := sim.leadershipOf(i); acting && i != sim.leader && sim.seed%2 == 1 {
+				if holdsLease, _ := sim.leadershipOf(i); holdsLease && i != sim.leader && sim.seed%2 == 1 {
 					sim.Crash(i, 300*time.Millisecond)
 				}
 			}
 		})
 		sim.Run(2 * time.Second)
-		if acting, _ := sim.leadershipOf(sim.leader); acting {
+		if holdsLease, _ := sim.leadershipOf(sim.leader); holdsLease {
 			sim.t.Errorf("leader lease 2 s after the leader was isolated: got held, want expired")
 		}
 		sim.Run(18 * time.Second)
--- a/internal/simulator/soak_test.go
+++ b/internal/simulator/soak_test.go
@@ -21,15 +21,15 @@
 	soakSeeds         = flag.Int("seeds", 2, "number of runs, each with its own seed")
 	soakWithoutFaults = flag.Bool("without-faults", false, "inject no faults")
 	soakAgedShare     = flag.Float64("aged-share", 0.1, "share of the cluster for aged jobs, 0 to 1")
-	soakTasksPerDay   = flag.Int("tasks", 200_000, "number of tasks submitted per day")
+	soakTasksPerDay   = flag.Int("tasks", 200_000, "number of tasks submitted per simulated day")
 )
 
 type soakClass struct {
 	name, team string
 	share      float64 // of all tasks
 	cpus       float64
-	tasks      int
-	run        time.Duration // median run time of a task
+	meanTasks  int
+	runTime    time.Duration // median run time of a task
 	priority   jobs.Priority
 	deadline   float64 // as a multiple of the estimated run time; 0: no deadline
 }
@@ -45,7 +45,7 @@
 	}
 	n := 0
 	for _, class := range classes {
-		count := int(float64(tasks) * class.share / float64(class.tasks))
+		count := int(float64(tasks) * class.share / float64(class.meanTasks))
 		for range count {
 			at := rng.Float64()
 			if class.deadline > 0 { // three waves of submissions
@@ -55,9 +55,9 @@
 			} else {
 				at *= 0.5 // submitted in the first half
 			}
-			run := time.Duration(float64(class.run) * math.Exp(rng.NormFloat64()*0.7))
-			run = min(max(run, time.Second), 20*class.run)
-			estimate := time.Duration(float64(run) / (0.7 + 1.2*rng.Float64()))
+			runTime := time.Duration(float64(class.runTime) * math.Exp(rng.NormFloat64()*0.7))
+			runTime = min(max(runTime, time.Second), 20*class.runTime)
+			estimate := time.Duration(float64(runTime) / (0.7 + 1.2*rng.Float64()))
 			spec := jobs.Spec{
 				ID: fmt.Sprintf(
 					"job-%07d",
@@ -66,7 +66,7 @@
 				Class:           class.name,
 				Team:            class.team,
 				Priority:        class.priority,
-				Tasks:           1 + rng.IntN(2*class.tasks),
+				Tasks:           1 + rng.IntN(2*class.meanTasks),
 				CPUs:            class.cpus,
 				MemoryGB:        1,
 				Image:           class.name,
@@ -76,13 +76,13 @@
 				Deadline:        time.Duration(class.deadline * float64(estimate)),
 			}
 			n++
-			sim.At(time.Duration(at*float64(length)), func() { sim.Users.SubmitJob(spec, run) })
+			sim.At(time.Duration(at*float64(length)), func() { sim.Users.SubmitJob(spec, runTime) })
 		}
 	}
 }
 
-// A long run of mixed jobs: no job may start later than its bound on the first start. The bound is set at acceptance. It is set again,
-// later, for jobs that lost work with a machine or were waiting during a failover; the test uses the last one.
+// A long run of mixed jobs: no job may start later than its bound on the first start, which is set at acceptance. A job that lost work
+// with a machine, or that waited during a failover, gets a new bound. The test uses the last one.
 func TestSoak(t *testing.T) {
 	if *soakLength == 0 {
 		t.Skip("-soak-length is not given")
--- a/internal/simulator/userfaults.go
+++ b/internal/simulator/userfaults.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// CancelLongest cancels up to limit running jobs within 200 ms, those with the most work left. Then up to eight of their machines hang; 0:
-// none does.
+// CancelLongest cancels up to limit running jobs within 200 ms, those with the most work left. If hang is positive, up to eight of
+// their machines hang for that time afterwards.
 func (u *Users) CancelLongest(limit int, hang time.Duration) {
 	remainingWork := func(id string) time.Duration {
 		job := u.sim.checker.jobs[id]
