--- a/internal/simulator/bench_test.go
+++ b/internal/simulator/bench_test.go
@@ -8,8 +8,8 @@
 	"gullrudder/internal/config"
 )
 
-// BenchmarkLargeCluster simulates a minute of a large cluster without faults. With -cpuprofile, what is below Controller.Step is the cost
-// of a leader.
+// BenchmarkLargeCluster simulates a minute of a large cluster without faults. In a profile made with -cpuprofile, Controller.Step and the
+// functions that it calls are the cost of the controllers, mostly of the leader.
 func BenchmarkLargeCluster(b *testing.B) {
 	for _, machines := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprintf("%d machines", machines), func(b *testing.B) {
@@ -22,9 +22,9 @@
 				for i := range 120 {
 					sim.At(time.Duration(i)*500*time.Millisecond, sim.Users.SubmitRandom)
 				}
-				start := sim.stepDuration
+				start := sim.totalStepTime
 				sim.Run(time.Minute)
-				b.ReportMetric(float64(sim.stepDuration-start)/float64(b.N)/1e6, "step-ms/day-minute")
+				b.ReportMetric(float64(sim.totalStepTime-start)/float64(b.N)/1e6, "step-ms/day-minute")
 				b.ReportMetric(float64(len(sim.Cloud.runningMachines())), "machines")
 			}
 		})
--- a/internal/simulator/faultday.go
+++ b/internal/simulator/faultday.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// FaultDay is the result of RunFaultDay: how every class and team was served.
+// FaultDay is the result of RunFaultDay: how many jobs of each class and team were done.
 type FaultDay struct {
 	Classes, Teams map[string]Served
-	// Largest is the largest tenth of each class, at least one job, by work and by number of tasks.
+	// Largest has two groups for each class: the largest tenth of its jobs by work and by number of tasks, each at least one job.
 	Largest                                  map[string]Served
-	LatestFirstStart                         time.Duration // from submission to first start, the longest of the largest jobs
-	IsForgotten                              bool          // the first violation was one of RuleForgotten
-	MaxMachines                              int           // the most machines that were up at a time
-	RequestedCPUSeconds, AvailableCPUSeconds float64       // by all jobs that were not cancelled; of all machines that were up
+	LatestFirstStart                         time.Duration // longest time from submission to first start among the largest jobs
+	IsForgotten                              bool          // the first violation broke RuleForgotten
+	MaxMachines                              int           // largest number of machines that were up at the same time
+	RequestedCPUSeconds, AvailableCPUSeconds float64       // of all jobs that were not cancelled; of all machines that were up
 }
 
-// LeastServed returns the smallest share of done jobs of any class, any team and any group of largest jobs.
+// LeastServed returns the smallest share of done jobs among the classes, among the teams and among the groups of largest jobs.
 func (d FaultDay) LeastServed() (class, team, largest float64) {
 	_, class = LeastServed(d.Classes)
 	_, team = LeastServed(d.Teams)
@@ -26,73 +26,73 @@
 	return class, team, largest
 }
 
-// IsFeasible reports whether the machines that were up could have run all jobs, with a fifth to spare for lost work. It ignores
-// placement and time.
+// IsFeasible reports whether the machines that were up had enough CPU time for all jobs, plus a fifth for lost work. It ignores placement
+// and timing.
 func (d FaultDay) IsFeasible() bool { return d.RequestedCPUSeconds*1.2 <= d.AvailableCPUSeconds }
 
-// The phases of a fault day, from its beginning.
+// Phases and load of RunFaultDay. Times count from its beginning.
 const (
-	faultDaySubmissions = 240 * time.Second // jobs are submitted until then
-	faultDayFirstFault  = 40 * time.Second
-	faultDayFaultsLast  = 240 * time.Second
-	faultDayLength      = 640 * time.Second
-	faultDayRate        = 4 // times the submissions of RunCapacityLoss
-	faultDaySampling    = 5 * time.Second
+	faultRunSubmissionsEnd = 240 * time.Second // no submissions after that
+	faultRunFaultsStart    = 40 * time.Second
+	faultRunFaultsDuration = 240 * time.Second
+	faultRunLength         = 640 * time.Second
+	faultRunRateFactor     = 4 // multiple of the submission rate of RunCapacityLoss
+	faultRunSampleInterval = 5 * time.Second
 )
 
-// RunFaultDay simulates the workload of RunCapacityLoss at four times its rate. For four minutes it injects ten faults of the given
-// kinds, two at about the same time, and then runs on without faults.
+// RunFaultDay simulates the workload of RunCapacityLoss at four times its rate. It injects ten random faults of the given kinds over four
+// minutes, two at about the same time, and continues without faults to the end. It returns an error for an unknown kind.
 func (sim *Cluster) RunFaultDay(kinds []string) (FaultDay, error) {
 	for _, name := range kinds {
-		if _, ok := findFaultKind(dayFaults, name); !ok {
-			return FaultDay{}, fmt.Errorf("no fault is called %q", name)
+		if _, ok := findFaultKind(faultRunKinds, name); !ok {
+			return FaultDay{}, fmt.Errorf("fault kind %q does not exist, expected one of %q", name, FaultKinds())
 		}
 	}
-	day := FaultDay{Classes: map[string]Served{}, Teams: map[string]Served{}, Largest: map[string]Served{}}
-	sim.scheduleFaultDayJobs()
-	sim.scheduleDayFaults(kinds)
-	for at := faultDaySampling; at < faultDayLength; at += faultDaySampling {
+	result := FaultDay{Classes: map[string]Served{}, Teams: map[string]Served{}, Largest: map[string]Served{}}
+	sim.scheduleFaultRunJobs()
+	sim.scheduleFaultRunFaults(kinds)
+	for at := faultRunSampleInterval; at < faultRunLength; at += faultRunSampleInterval {
 		sim.At(at, func() {
 			machines := sim.Cloud.runningMachines()
-			day.MaxMachines = max(day.MaxMachines, len(machines))
+			result.MaxMachines = max(result.MaxMachines, len(machines))
 			for _, m := range machines {
-				day.AvailableCPUSeconds += faultDaySampling.Seconds() * m.machineType.CPUs
+				result.AvailableCPUSeconds += faultRunSampleInterval.Seconds() * m.machineType.CPUs
 			}
 		})
 	}
-	sim.Run(faultDayLength)
-	day.IsForgotten = len(sim.Violations) > 0 && sim.Violations[0].Rule == RuleForgotten
-	day.countServed(sim)
-	return day, nil
+	sim.Run(faultRunLength)
+	result.IsForgotten = len(sim.Violations) > 0 && sim.Violations[0].Rule == RuleForgotten
+	result.countServed(sim)
+	return result, nil
 }
 
-// scheduleFaultDayJobs submits the jobs of RunFaultDay; every 25th has ten times the tasks.
-func (sim *Cluster) scheduleFaultDayJobs() {
+// scheduleFaultRunJobs schedules the submissions of RunFaultDay. Every 25th job has ten times the tasks.
+func (sim *Cluster) scheduleFaultRunJobs() {
 	n := 0
 	for _, work := range capacityLossWorkload {
-		for at := time.Duration(0); at < faultDaySubmissions; at += work.every / faultDayRate {
+		for at := time.Duration(0); at < faultRunSubmissionsEnd; at += work.interval / faultRunRateFactor {
 			spec := work.jobSpec(n)
 			if n++; n%25 == 0 {
 				spec.Tasks *= 10
 			}
-			run := sim.randomRunTime(work.run)
-			sim.At(at+sim.randomDelay(time.Second), func() { sim.Users.SubmitJob(spec, run) })
+			runTime := sim.randomRunTime(work.runTime)
+			sim.At(at+sim.randomDelay(time.Second), func() { sim.Users.SubmitJob(spec, runTime) })
 		}
 	}
 }
 
-// scheduleDayFaults injects random faults of the given kinds, two at about the same time.
-func (sim *Cluster) scheduleDayFaults(kinds []string) {
-	const times, together = 5, 2
-	for i := range times {
-		at := faultDayFirstFault + time.Duration(i)*faultDayFaultsLast/times
-		for range together {
-			kind, _ := findFaultKind(dayFaults, kinds[sim.Rand.IntN(len(kinds))])
+// scheduleFaultRunFaults schedules random faults of the given kinds, two at about the same time.
+func (sim *Cluster) scheduleFaultRunFaults(kinds []string) {
+	const rounds, faultsPerRound = 5, 2
+	for i := range rounds {
+		at := faultRunFaultsStart + time.Duration(i)*faultRunFaultsDuration/rounds
+		for range faultsPerRound {
+			kind, _ := findFaultKind(faultRunKinds, kinds[sim.Rand.IntN(len(kinds))])
 			fault := Fault{
 				Kind:         kind.Name,
 				Span:         time.Duration(3000+sim.Rand.IntN(40_000)) * time.Millisecond,
 				Severity:     1 + sim.Rand.IntN(3),
-				FarSides:     1 + sim.Rand.IntN(1<<farSideCount-1),
+				HostGroups:   1 + sim.Rand.IntN(1<<hostGroupCount-1),
 				RestartAfter: time.Duration(1+sim.Rand.IntN(900)) * time.Millisecond,
 			}
 			sim.At(at+time.Duration(sim.Rand.IntN(8000))*time.Millisecond, func() { kind.inject(sim, fault) })
@@ -100,7 +100,7 @@
 	}
 }
 
-// countServed counts the jobs that were accepted and not cancelled by their users.
+// countServed counts the jobs that were accepted and whose users did not request their cancellation.
 func (d *FaultDay) countServed(sim *Cluster) {
 	byClass := map[string][]*observedJob{}
 	for _, jobID := range sim.Users.jobIDs {
@@ -111,8 +111,8 @@
 		class, team := job.spec.Class, job.spec.Team
 		d.RequestedCPUSeconds += float64(job.spec.Tasks) * job.spec.CPUs * job.runTime.Seconds()
 		byClass[class] = append(byClass[class], job)
-		d.Classes[class] = d.Classes[class].with(job)
-		d.Teams[team] = d.Teams[team].with(job)
+		d.Classes[class] = d.Classes[class].withJob(job)
+		d.Teams[team] = d.Teams[team].withJob(job)
 	}
 	sizes := map[string]func(*observedJob) float64{
 		"by work": func(job *observedJob) float64 {
@@ -120,28 +120,28 @@
 		},
 		"by tasks": func(job *observedJob) float64 { return float64(job.spec.Tasks) },
 	}
-	for class, list := range byClass {
+	for class, jobsOfClass := range byClass {
 		for name, size := range sizes {
-			slices.SortStableFunc(list, func(a, b *observedJob) int { return cmp.Compare(size(b), size(a)) })
-			for _, job := range list[:max(len(list)/10, 1)] {
+			slices.SortStableFunc(jobsOfClass, func(a, b *observedJob) int { return cmp.Compare(size(b), size(a)) })
+			for _, job := range jobsOfClass[:max(len(jobsOfClass)/10, 1)] {
 				group := class + " " + name
-				d.Largest[group] = d.Largest[group].with(job)
+				d.Largest[group] = d.Largest[group].withJob(job)
 				d.LatestFirstStart = max(d.LatestFirstStart, timeToFirstStart(job))
 			}
 		}
 	}
 }
 
-// timeToFirstStart is the time from submission to the first start, the whole day if there was none.
+// timeToFirstStart returns the time from submission to the first start, or the length of the run if there was none.
 func timeToFirstStart(job *observedJob) time.Duration {
 	if job.firstStartedAt.IsZero() {
-		return faultDayLength
+		return faultRunLength
 	}
 	return job.firstStartedAt.Sub(job.submittedAt)
 }
 
-// with counts a job.
-func (s Served) with(job *observedJob) Served {
+// withJob returns the counts with one more job.
+func (s Served) withJob(job *observedJob) Served {
 	if len(job.completedTasks) == job.spec.Tasks {
 		s.Done++
 	}
--- a/internal/simulator/invariants_test.go
+++ b/internal/simulator/invariants_test.go
@@ -8,7 +8,7 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// A run without faults completes all jobs. Without this test, a checker that reports no violation could be one that sees nothing run.
+// A run without faults must complete all jobs. This guards against runs that break no rule only because they start no task.
 func TestRunWithoutFaultsCompletesAllJobs(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -27,18 +27,18 @@
 					sim.checker.TaskStarts,
 				)
 			}
-			if runs, merged := sim.State.archiveSegments(); runs == 0 || !merged {
-				t.Errorf("archive: got %d segments, merged %v, want at least one, and merged", runs, merged)
+			if segments, compacted := sim.State.archiveSegments(); segments == 0 || !compacted {
+				t.Errorf("archive: got %d segments, compacted %v, want at least 1, compacted true", segments, compacted)
 			}
 			if err := sim.State.CheckLimits(); err != nil {
-				t.Errorf("limits of the state service: %v", err)
+				t.Errorf("stored values: got %v, want all within the limits", err)
 			}
 		})
 	}
 }
 
-// A delayed heartbeat lists a machine without the tasks that an earlier leader has started since. A new leader must not believe it, since
-// the worker had not seen its fencing token.
+// A delayed heartbeat does not list tasks that an earlier leader has started since. A new leader must not conclude that these tasks are
+// gone: the worker had not seen the new fencing token when it sent the heartbeat.
 func TestNewLeaderRejectsStaleHeartbeat(t *testing.T) {
 	t.Parallel()
 	sim := New(5, testOptions(), testLogger())
@@ -46,24 +46,24 @@
 		sim.At(time.Duration(i)*500*time.Millisecond, func() {
 			sim.Users.SubmitRandom()
 			for _, j := range sim.checker.jobs {
-				j.runTime = 30 * time.Second // so that many tasks run when the leader crashes
+				j.runTime = 30 * time.Second // many tasks must run when the leader crashes
 			}
 		})
 	}
 	sim.Run(20 * time.Second)
-	first, last := sim.State.leaderName(), ""
+	firstLeader, remainingController := sim.State.leaderName(), ""
 	for i := range sim.Options.Controllers {
-		if controllerName(i) == first || last != "" {
+		if controllerName(i) == firstLeader || remainingController != "" {
 			sim.Crash(i, time.Minute)
 		} else {
-			last = controllerName(i)
+			remainingController = controllerName(i)
 		}
 	}
 	// For a while the new leader receives only delayed heartbeats.
 	for _, m := range sim.Cloud.runningMachines() {
-		sim.CutLink(last, m.id, 4500*time.Millisecond)
+		sim.CutLink(remainingController, m.id, 4500*time.Millisecond)
 	}
-	stale := func() {
+	deliverStaleHeartbeats := func() {
 		for _, m := range sim.Cloud.runningMachines() {
 			raw, err := codec.Marshal(workerapi.Heartbeat{
 				Machine: m.id, Addr: m.id, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
@@ -72,18 +72,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			sim.deliverHeartbeat(last, raw, ignoreResponse)
+			sim.deliverHeartbeat(remainingController, raw, ignoreResponse)
 		}
 	}
 	for i := range 2000 {
-		sim.At(time.Duration(i)*5*time.Millisecond, stale)
+		sim.At(time.Duration(i)*5*time.Millisecond, deliverStaleHeartbeats)
 	}
 	sim.Run(9 * time.Minute)
 	expectNoViolations(t, sim)
 	if n := sim.Users.UnfinishedCount(); n > 0 {
 		t.Errorf("unfinished jobs: got %d, want 0", n)
 	}
-	if now := sim.State.leaderName(); now == first || now == "" {
-		t.Errorf("leader after the failover: got %q, want another than %q", now, first)
+	if now := sim.State.leaderName(); now == firstLeader || now == "" {
+		t.Errorf("leader after the failover: got %q, want another than %q", now, firstLeader)
 	}
 }
--- a/internal/simulator/leaderfailures.go
+++ b/internal/simulator/leaderfailures.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// leaderFailures are the ways in which a leader can fail, by name.
+// leaderFailures returns functions that inject a failure of the leader, by the name of the failure. cmd/faulttest prints the names.
 func (sim *Cluster) leaderFailures() map[string]func(leader int) {
 	const span = 12 * time.Second
 	cutFrom := func(leader int, hosts ...string) {
@@ -38,31 +38,31 @@
 	}
 }
 
-// rollingRestart crashes all controllers one after the other, beginning with one.
-func (sim *Cluster) rollingRestart(first int, every time.Duration) {
+// rollingRestart crashes all controllers one after the other, beginning with the given one.
+func (sim *Cluster) rollingRestart(first int, interval time.Duration) {
 	for i := range sim.Options.Controllers {
-		sim.At(time.Duration(i)*every, func() { sim.Crash((first+i)%sim.Options.Controllers, 3*time.Second) })
+		sim.At(time.Duration(i)*interval, func() { sim.Crash((first+i)%sim.Options.Controllers, 3*time.Second) })
 	}
 }
 
-// LeaderGap is the result of FailLeader: for how long the cluster was without a service after the leader failed.
+// LeaderGap is the result of FailLeader: for how long the cluster lacked each service after the leader failed.
 type LeaderGap struct {
 	Cause string
-	// Time without a controller that holds the leader lease, without one that places tasks, and without a leader that reaches the
-	// state service, so that it can accept jobs.
+	// Total time without a controller that holds the leader lease, without one that places tasks, and without a leader that reaches the
+	// state service and so can accept jobs.
 	WithoutLeader, WithoutPlacement, WithoutAcceptance time.Duration
 }
 
-// FailLeader simulates a cluster with some jobs and machines, injects one failure of the leader and
-// measures the gaps that follow it.
-func (sim *Cluster) FailLeader(cause string, watch time.Duration) LeaderGap {
+// FailLeader simulates a cluster with jobs and machines, injects one failure of the leader and measures the gaps for the given time. The
+// cause must be one of LeaderFailures. All gaps are zero if there is no leader to fail.
+func (sim *Cluster) FailLeader(cause string, observedFor time.Duration) LeaderGap {
 	for i := range 20 {
 		sim.At(time.Duration(i)*500*time.Millisecond, sim.Users.SubmitRandom)
 	}
 	sim.Run(15*time.Second + time.Duration(sim.Rand.IntN(3000))*time.Millisecond)
 	leader := -1
 	for i := range sim.controllers {
-		if acting, _ := sim.leadershipOf(i); acting {
+		if holdsLease, _ := sim.leadershipOf(i); holdsLease {
 			leader = i
 		}
 	}
@@ -72,29 +72,29 @@
 	}
 	sim.leaderFailures()[cause](leader)
 	const step = 5 * time.Millisecond
-	for range int(watch / step) {
+	for range int(observedFor / step) {
 		sim.Run(step)
-		someActs, somePlaces, someAccept := false, false, false
+		anyLeader, anyPlacing, anyAccepting := false, false, false
 		for i := range sim.controllers {
-			acting, placing := sim.leadershipOf(i)
-			someActs, somePlaces = someActs || acting, somePlaces || placing
-			someAccept = someAccept ||
-				acting && !sim.State.isRefusing(controllerName(i)) && !sim.Now.Before(sim.linkCutUntil(controllerName(i), stateHost))
+			holdsLease, placing := sim.leadershipOf(i)
+			anyLeader, anyPlacing = anyLeader || holdsLease, anyPlacing || placing
+			anyAccepting = anyAccepting ||
+				holdsLease && !sim.State.isRefusing(controllerName(i)) && !sim.Now.Before(sim.linkCutUntil(controllerName(i), stateHost))
 		}
-		if !someActs {
+		if !anyLeader {
 			gap.WithoutLeader += step
 		}
-		if !someAccept {
+		if !anyAccepting {
 			gap.WithoutAcceptance += step
 		}
-		if !somePlaces {
+		if !anyPlacing {
 			gap.WithoutPlacement += step
 		}
 	}
 	return gap
 }
 
-// LeaderFailures lists the causes that FailLeader knows, in no order.
+// LeaderFailures returns the causes that FailLeader accepts, in random order.
 func (sim *Cluster) LeaderFailures() []string {
 	var list []string
 	for name := range sim.leaderFailures() {
@@ -104,10 +104,10 @@
 }
 
 // leadershipOf reports whether a controller holds the leader lease, and whether it places tasks.
-func (sim *Cluster) leadershipOf(i int) (acting, placing bool) {
-	c := sim.controllers[i]
-	if c.controller == nil || sim.Now.Before(c.pausedUntil) {
+func (sim *Cluster) leadershipOf(i int) (holdsLease, placing bool) {
+	process := sim.controllers[i]
+	if process.controller == nil || sim.Now.Before(process.pausedUntil) {
 		return false, false
 	}
-	return c.controller.LeadershipState(sim.localTime(c))
+	return process.controller.LeadershipState(sim.localTime(process))
 }
--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -23,33 +23,33 @@
 	lastLeaseID           uint64
 	changeLog             []stateChange
 	watches               []func()
-	outageUntil           time.Time            // until when every request gets 503
-	refusedUntil          map[string]time.Time // controller -> until when it alone gets 503
-	lateUntil             time.Time            // until when some transactions are executed late
-	lateShare             float64              // share of the transactions that are executed late
-	slowUntil             time.Time            // until when responses are slow
-	oversizedTransactions int                  // transactions that were refused for their size
-	maxValueBytes         int                  // of a value, once limits are lowered; 0: as the settings say
-	maxOperations         int                  // of a transaction, once limits are lowered
+	outageUntil           time.Time            // every request gets 503 until then
+	refusedUntil          map[string]time.Time // controller -> time until which it gets 503
+	lateUntil             time.Time            // some transactions are executed late until then
+	lateShare             float64              // share of transactions that are executed late, 0 to 1
+	slowUntil             time.Time            // responses are slow until then
+	oversizedTransactions int                  // number of transactions refused for their size
+	maxValueBytes         int                  // limit of a value since LowerLimits was called; 0: not called
+	maxOperations         int                  // limit of a transaction since LowerLimits was called
 }
 
-// stateKey is a stored key.
+// stateKey is the stored value of a key with its metadata.
 type stateKey struct {
 	value       msgpack.RawMessage
 	modRevision uint64
 	leaseID     uint64
 }
 
-// stateLease is a lease; expiresAt moves with every renewal and outage.
+// stateLease is a lease. Every renewal and outage moves expiresAt.
 type stateLease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// stateChange is a change as a watch returns it.
+// stateChange is a change of one key as a watch returns it.
 type stateChange struct {
-	Write       string             `msgpack:"write,omitempty"`
-	Drop        string             `msgpack:"drop,omitempty"`
+	WrittenKey  string             `msgpack:"write,omitempty"`
+	DeletedKey  string             `msgpack:"drop,omitempty"`
 	Value       msgpack.RawMessage `msgpack:"value,omitempty"`
 	ModRevision uint64             `msgpack:"mark"`
 }
@@ -58,7 +58,7 @@
 	return &StateService{sim: sim, keys: map[string]*stateKey{}, leases: map[uint64]*stateLease{}, refusedUntil: map[string]time.Time{}}
 }
 
-// expire ends a lease whose time is over.
+// expire ends a lease if its TTL has passed.
 func (s *StateService) expire(leaseID uint64) {
 	lease := s.leases[leaseID]
 	if lease == nil || s.sim.Now.Before(lease.expiresAt) {
@@ -67,7 +67,7 @@
 	s.endLease(leaseID)
 }
 
-// endLease ends a lease and removes the keys that are attached to it.
+// endLease ends a lease and deletes the keys attached to it.
 func (s *StateService) endLease(leaseID uint64) {
 	delete(s.leases, leaseID)
 	var deleted []string
@@ -82,26 +82,26 @@
 	}
 	for _, k := range deleted {
 		delete(s.keys, k)
-		s.changeLog = append(s.changeLog, stateChange{Drop: k, ModRevision: s.revision})
+		s.changeLog = append(s.changeLog, stateChange{DeletedKey: k, ModRevision: s.revision})
 	}
-	s.wakeWatches()
+	s.notifyWatches()
 }
 
-// wakeWatches lets every watch look for changes.
-func (s *StateService) wakeWatches() {
+// notifyWatches makes every open watch check for changes.
+func (s *StateService) notifyWatches() {
 	watches := s.watches
 	s.watches = nil
-	for _, wake := range watches {
-		wake()
+	for _, notify := range watches {
+		notify()
 	}
 }
 
-// isRefusing reports whether the state service answers a controller with 503.
+// isRefusing reports whether a controller's requests get 503.
 func (s *StateService) isRefusing(controller string) bool {
 	return s.sim.Now.Before(s.outageUntil) || s.sim.Now.Before(s.refusedUntil[controller])
 }
 
-// serve executes a request of a controller: at once, late or slowly, as the faults in effect say.
+// serve handles a controller's request. Depending on the active faults it refuses, delays or executes it.
 func (s *StateService) serve(controller, method, target string, body []byte, respond responder) {
 	if s.isRefusing(controller) {
 		respond(http.StatusServiceUnavailable, nil)
@@ -136,7 +136,7 @@
 	s.execute(method, target, body, respond)
 }
 
-// Exchange serves a call at once, without a simulated network.
+// Exchange executes a call and returns its result immediately, without the simulated network and faults. It does not support watches.
 func (s *StateService) Exchange(call client.Call) (result client.Result) {
 	body, err := encode(call.Body)
 	if err != nil {
@@ -152,7 +152,7 @@
 	return result
 }
 
-// execute serves every request but a watch.
+// execute handles every request except watches.
 func (s *StateService) execute(method, target string, body []byte, respond responder) {
 	u, err := url.Parse(target)
 	if err != nil {
@@ -212,21 +212,21 @@
 	}
 }
 
-// transaction is the body of a commit.
+// transaction is the body of a commit request.
 type transaction struct {
-	Guards []struct {
+	Preconditions []struct {
 		Path        string `msgpack:"path"`
 		ModRevision uint64 `msgpack:"mark"`
 	} `msgpack:"guards"`
-	Apply []struct {
-		Write   string             `msgpack:"write"`
-		Drop    string             `msgpack:"drop"`
-		Value   msgpack.RawMessage `msgpack:"value"`
-		LeaseID uint64             `msgpack:"permit"`
+	Operations []struct {
+		WrittenKey string             `msgpack:"write"`
+		DeletedKey string             `msgpack:"drop"`
+		Value      msgpack.RawMessage `msgpack:"value"`
+		LeaseID    uint64             `msgpack:"permit"`
 	} `msgpack:"apply"`
 }
 
-// Limits of a transaction. Controllers must not exceed them.
+// Limits of a transaction. A controller that exceeds one breaks RuleMalformed.
 const (
 	maxTransactionOperations = 8
 	maxPreconditions         = 4 * maxTransactionOperations
@@ -237,12 +237,12 @@
 func (s *StateService) commit(body []byte, respond responder) {
 	var t transaction
 	if err := codec.Unmarshal(body, &t); err != nil {
-		s.sim.reportViolation(RuleMalformed, "the state service got a malformed transaction: %v", err)
+		s.sim.reportViolation(RuleMalformed, "the state service received a malformed transaction: %v", err)
 		return
 	}
-	if len(t.Apply) > maxTransactionOperations || len(t.Guards) > maxPreconditions || len(body) > maxTransactionBytes {
-		s.sim.reportViolation(RuleMalformed, "a transaction is over the limits: %d operations, %d preconditions, %d bytes",
-			len(t.Apply), len(t.Guards), len(body))
+	if len(t.Operations) > maxTransactionOperations || len(t.Preconditions) > maxPreconditions || len(body) > maxTransactionBytes {
+		s.sim.reportViolation(RuleMalformed, "a transaction exceeds the limits: %d operations, %d preconditions, %d bytes",
+			len(t.Operations), len(t.Preconditions), len(body))
 		return
 	}
 	if refusal := s.refusal(t); refusal != "" {
@@ -255,13 +255,13 @@
 	}
 	s.apply(t)
 	respond(http.StatusOK, map[string]uint64{"tide": s.revision})
-	s.wakeWatches()
+	s.notifyWatches()
 }
 
-// refusal is why a transaction cannot be executed whatever its preconditions, empty if it can.
+// refusal returns why a transaction cannot be executed regardless of its preconditions. It is empty if the transaction is valid.
 func (s *StateService) refusal(t transaction) string {
-	for _, operation := range t.Apply {
-		if s.maxValueBytes > 0 && (len(operation.Value) > s.maxValueBytes || len(t.Apply) > s.maxOperations) {
+	for _, operation := range t.Operations {
+		if s.maxValueBytes > 0 && (len(operation.Value) > s.maxValueBytes || len(t.Operations) > s.maxOperations) {
 			s.oversizedTransactions++
 			return "too large"
 		}
@@ -272,37 +272,37 @@
 	return ""
 }
 
-// failedPrecondition returns the first key that has another mod revision than the transaction requires.
+// failedPrecondition returns the first key whose mod revision differs from the one that the transaction requires.
 func (s *StateService) failedPrecondition(t transaction) (key string, failed bool) {
-	for _, guard := range t.Guards {
+	for _, precondition := range t.Preconditions {
 		modRevision := uint64(0)
-		if stored := s.keys[guard.Path]; stored != nil {
+		if stored := s.keys[precondition.Path]; stored != nil {
 			modRevision = stored.modRevision
 		}
-		if modRevision != guard.ModRevision {
-			return guard.Path, true
+		if modRevision != precondition.ModRevision {
+			return precondition.Path, true
 		}
 	}
 	return "", false
 }
 
-// apply executes all operations of a transaction at one new revision.
+// apply executes all operations of a transaction under one new revision.
 func (s *StateService) apply(t transaction) {
 	s.revision++
-	for _, operation := range t.Apply {
-		if operation.Drop != "" {
-			delete(s.keys, operation.Drop)
-			s.changeLog = append(s.changeLog, stateChange{Drop: operation.Drop, ModRevision: s.revision})
+	for _, operation := range t.Operations {
+		if operation.DeletedKey != "" {
+			delete(s.keys, operation.DeletedKey)
+			s.changeLog = append(s.changeLog, stateChange{DeletedKey: operation.DeletedKey, ModRevision: s.revision})
 			continue
 		}
-		s.keys[operation.Write] = &stateKey{operation.Value, s.revision, operation.LeaseID}
-		s.changeLog = append(s.changeLog, stateChange{Write: operation.Write, Value: operation.Value, ModRevision: s.revision})
+		s.keys[operation.WrittenKey] = &stateKey{operation.Value, s.revision, operation.LeaseID}
+		s.changeLog = append(s.changeLog, stateChange{WrittenKey: operation.WrittenKey, Value: operation.Value, ModRevision: s.revision})
 	}
 }
 
-// listKeys lists the keys with a prefix that come after a key.
+// listKeys lists keys by prefix, starting after the key in query parameter from.
 func (s *StateService) listKeys(query url.Values, respond responder) {
-	most, _ := strconv.Atoi(query.Get("most"))
+	limit, _ := strconv.Atoi(query.Get("most"))
 	var names []string
 	for k := range s.keys {
 		if strings.HasPrefix(k, query.Get("starts")) && k > query.Get("from") {
@@ -310,9 +310,9 @@
 		}
 	}
 	sort.Strings(names)
-	more := most > 0 && len(names) > most
+	more := limit > 0 && len(names) > limit
 	if more {
-		names = names[:most]
+		names = names[:limit]
 	}
 	list := []any{}
 	for _, k := range names {
@@ -321,11 +321,12 @@
 	respond(http.StatusOK, map[string]any{"entries": list, "has_next": more, "tide": s.revision})
 }
 
-// watch responds with the changes since a revision as soon as there are any, at the latest at a given time.
+// watch responds with the changes since a revision as soon as there are any, or with none at the given time. While the state service
+// refuses the controller it does not respond.
 func (s *StateService) watch(controller, prefix string, from uint64, until time.Time, respond responder) {
 	var found []stateChange
 	for _, change := range s.changeLog {
-		if change.ModRevision > from && strings.HasPrefix(change.Write+change.Drop, prefix) {
+		if change.ModRevision > from && strings.HasPrefix(change.WrittenKey+change.DeletedKey, prefix) {
 			found = append(found, change)
 		}
 	}
@@ -333,18 +334,18 @@
 		respond(http.StatusOK, map[string]any{"tide": s.revision, "log": found})
 		return
 	}
-	again := func() { s.watch(controller, prefix, from, until, respond) }
+	retry := func() { s.watch(controller, prefix, from, until, respond) }
 	if s.sim.Now.Before(until) {
 		fired := false
 		once := func() {
 			if !fired {
 				fired = true
-				again()
+				retry()
 			}
 		}
 		s.watches = append(s.watches, once)
 		s.sim.At(until.Sub(s.sim.Now), once)
 		return
 	}
-	s.sim.At(200*time.Millisecond, again)
+	s.sim.At(200*time.Millisecond, retry)
 }
