--- a/internal/controller/placement/benchmark_test.go
+++ b/internal/controller/placement/benchmark_test.go
@@ -26,8 +26,8 @@
 
 var benchmarkSizes = [...]int{250, 1000, 5000}
 
-// BenchmarkStartTasks measures one heartbeat of a machine with available resources, including its starts. The starts are
-// taken back after each iteration, so that all iterations do the same work.
+// BenchmarkStartTasks measures one heartbeat of a machine with available resources, including its starts. The machine is
+// cleared after each iteration, so that all iterations do the same work.
 func BenchmarkStartTasks(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/controller/placement/gangs.go
+++ b/internal/controller/placement/gangs.go
@@ -31,8 +31,8 @@
 	tasks    int // number of tasks that fit on the machines
 }
 
-// scheduleGangs places gangs: all tasks at once or none. The start commands are sent with the responses to the machines'
-// next heartbeats. Until then the tasks occupy the machines' resources.
+// scheduleGangs places gangs: all tasks at the same time or none. The start commands are sent with the responses to the
+// machines' next heartbeats. Until then the tasks occupy the machines' resources.
 func (p *Placer) scheduleGangs(now time.Time) {
 	p.refreshOrder(now)
 	for i := range p.order.entries {
--- a/internal/controller/placement/quota.go
+++ b/internal/controller/placement/quota.go
@@ -30,7 +30,7 @@
 }
 
 // ExceedsQuota reports whether the job can never run within its team's quota. Services and gangs need the quota for all
-// their tasks at once, other jobs for one task.
+// their tasks at the same time, other jobs for one task.
 func ExceedsQuota(job *jobs.Job, team config.Team) bool {
 	tasks := 1.0
 	if job.IsService || job.IsGang {
--- a/internal/controller/placement/start_tasks.go
+++ b/internal/controller/placement/start_tasks.go
@@ -31,8 +31,9 @@
 	commands    []workerapi.Command
 }
 
-// StartTasks assigns up to maxStarts waiting tasks to the machine, and returns the start commands for the response to its
-// heartbeat. The result is nil if the machine may not start tasks now.
+// StartTasks returns up to maxStarts start commands for the response to the machine's heartbeat: first those of gangs that
+// were placed on the machine, then those of waiting tasks, which it assigns to the machine. The result is nil if the machine
+// may not start tasks now.
 func (p *Placer) StartTasks(now time.Time, machine *worker.Machine, maxStarts int) []workerapi.Command {
 	if !machine.Reconciled || !machine.Registered || machine.DrainReason != worker.NotDraining ||
 		machine.CPUs+machine.MemoryGB == 0 || now.Before(machine.StartsNotBefore) {
@@ -67,7 +68,7 @@
 	return count
 }
 
-// startSameRank starts tasks of candidates of one rank: first of the jobs whose image is cached on the machine, then of the
+// startSameRank starts tasks of candidates of one rank: first of the jobs for which prefersMachine is true, then of the
 // others.
 func (p *Placer) startSameRank(batch *startBatch, candidates []candidate) {
 	for _, withImage := range [...]bool{true, false} {
@@ -88,8 +89,8 @@
 	}
 }
 
-// prefersMachine reports whether the job's tasks need not wait for a better machine: their image is cached on this one, or
-// they have waited for a machine with the image for as long as fetching it takes.
+// prefersMachine reports whether the job's tasks start on the machine before those of other jobs of the same rank. Their
+// image is cached on the machine, or they have waited for a machine with the image for as long as fetching it takes.
 func prefersMachine(now time.Time, job *jobs.Job, machine *worker.Machine) bool {
 	return machine.ImageCache.Has(job.Image) ||
 		!job.AwaitingImageSince.IsZero() && now.Sub(job.AwaitingImageSince) >= machine.ImageCache.FetchTime(job.ImageGB)
@@ -132,9 +133,9 @@
 	return count
 }
 
-// mayUseReserved reports whether the job may start on the machine despite a reservation for another job. Jobs that may
-// reserve machines themselves may do so. If the other job is aged and served first, only an older job that is aged and
-// served first may do so.
+// mayUseReserved reports whether the job may start on the machine despite a reservation for another job. This requires that
+// the job may itself reserve machines. If the reservation is for an aged job that is served first, the job must also be an
+// aged job that is served first, and older.
 func (p *Placer) mayUseReserved(machine *worker.Machine, entry *candidate) bool {
 	reservedFor := machine.ReservedFor
 	if reservedFor == nil || reservedFor == entry.Job {
