--- a/internal/controller/ageing/wait_bound.go
+++ b/internal/controller/ageing/wait_bound.go
@@ -26,7 +26,6 @@
 	l.CPUs += float64(job.Tasks-job.DoneTasks) * estimate.CountedCPUs(job)
 }
 
-// plus returns the sum of two loads.
 func (l Load) plus(other Load) Load {
 	return Load{CPUSeconds: l.CPUSeconds + other.CPUSeconds, CPUs: l.CPUs + other.CPUs}
 }
@@ -46,13 +45,14 @@
 // WaitBound is an upper bound of a job's wait.
 type WaitBound struct {
 	FirstStart time.Duration // until its first task starts
-	LastStart  time.Duration // until its last task starts
+	LastStart  time.Duration // until its last task starts; maxWaitBound if its bound is longer
 	IsKnown    bool          // false without a share for aged jobs or usable CPUs, or if FirstStart reaches maxWaitBound
 }
 
 // WaitBound returns an upper bound of a job's wait from the work ahead of it. The bound is the sum of the age bound, the
 // time that the older work takes at the rate of the share, and the time until a machine is available for the job itself.
-// Each older task, too, may wait until the longest running task has left its machine.
+// Each older task may also wait until the longest running task has left its machine. If the team has a quota, the time that
+// its older work takes under the quota is added.
 //
 // The bound holds while UsableCPUs are up, no task exceeds its estimate by more than the factor EstimateError, and no older
 // work is lost. docs/design/ageing.md has the bounds for the other cases.
