--- a/internal/controller/fairshare/allocate.go
+++ b/internal/controller/fairshare/allocate.go
@@ -13,13 +13,13 @@
 const (
 	// minClassShareForLargest is the share of a class that must be done before its largest jobs are served ahead of its
 	// other jobs. Without this limit, the longest of six jobs was the third to get capacity. It could not finish by the end
-	// of the simulated day, and took the capacity from a job that could. Only two of the six jobs were done (a4e2-15).
+	// of the simulated run, and took the capacity from a job that could. Only two of the six jobs were done (a4e2-15).
 	minClassShareForLargest = 0.5
 	// maxShareOfOneGroup is the part of a share that one group may use while jobs of other groups wait for the share.
 	maxShareOfOneGroup = 0.5
 )
 
-// OverdueJob is an overdue job with its needs.
+// OverdueJob describes an overdue job to Allocate.
 type OverdueJob struct {
 	Job                 *jobs.Job
 	RemainingCPUSeconds float64
@@ -166,7 +166,7 @@
 
 // next returns the group that gets capacity next: the least served one, or nil if no job waits. A group that floods the
 // queue is always served least. A group that uses maxShareOfOneGroup therefore goes behind the other groups with waiting
-// jobs. But a group below its minimum share never goes behind a group above its own.
+// jobs. However, a group below its minimum share never goes behind a group that has at least its minimum share.
 func (alloc *allocation) next() *groupState {
 	var least, leastBelowCap *groupState
 	for _, group := range alloc.groups {
--- a/internal/controller/fairshare/fairshare.go
+++ b/internal/controller/fairshare/fairshare.go
@@ -96,7 +96,7 @@
 	policy      Policy
 	done        map[Group]*decayingCount // decayed counts of done jobs
 	recentSizes map[string][]jobSize     // by class: the sizes of the jobs done last
-	largestFrom map[string]jobSize       // by class: the size from which a job is one of the largest
+	thresholds  map[string]jobSize       // by class: the size from which a job is one of the largest
 	allocated   map[*jobs.Job]bool       // jobs that have, or had, allocated capacity and still run
 	status      map[Group]GroupStatus    // groups with overdue jobs, as of the last allocation
 
@@ -110,7 +110,7 @@
 		policy:      policy,
 		done:        map[Group]*decayingCount{},
 		recentSizes: map[string][]jobSize{},
-		largestFrom: map[string]jobSize{},
+		thresholds:  map[string]jobSize{},
 		allocated:   map[*jobs.Job]bool{},
 		status:      map[Group]GroupStatus{},
 	}
--- a/internal/controller/fairshare/fairshare_test.go
+++ b/internal/controller/fairshare/fairshare_test.go
@@ -140,9 +140,9 @@
 	}
 }
 
-// TestLargestJobsOfClass checks that a class with jobs of one size has no largest jobs. In other classes these are the top
-// tenth by work or by tasks, at least one job. As a group of their own, the largest jobs can be below the minimum share
-// although their class is served well.
+// TestLargestJobsOfClass checks that a class with jobs of one size has no largest jobs. In other classes, the top tenth by
+// work or by tasks are largest jobs, and at least one job is. As a group of their own, the largest jobs can be below the
+// minimum share although their class is served well.
 func TestLargestJobsOfClass(t *testing.T) {
 	now := time.Unix(5000, 0)
 	allocator := New(Policy{Window: time.Hour, MinServedShare: 0.7, CapacityShare: 0.5})
--- a/internal/controller/fairshare/flood_test.go
+++ b/internal/controller/fairshare/flood_test.go
@@ -78,7 +78,7 @@
 			{class: "lone", team: "c", tasks: 300, cpus: 0.25, interval: 100_000},
 		},
 	}
-	const largestJobCPUs = 75 // a job is allocated all CPUs that it needs at once
+	const largestJobCPUs = 75 // of the class "lone"; one allocation covers all tasks of a job
 	for second := range 1200 {
 		f.now = f.now.Add(time.Second)
 		f.submit(second)
--- a/internal/controller/fairshare/job_size.go
+++ b/internal/controller/fairshare/job_size.go
@@ -9,7 +9,7 @@
 )
 
 // The largest jobs of a class are not configured by users. They are the top tenth of the recent jobs of the class by work or
-// by number of tasks, at least one job, as far as they are larger than the median.
+// by number of tasks, and at least one job. A job that is not larger than the median is never one of them.
 const (
 	largestQuantile = 0.9
 	// maxRecentSizes bounds the sizes of done jobs that are kept per class.
@@ -27,18 +27,18 @@
 
 // isLargest reports whether the job is one of the largest of its class by either measure.
 func (a *Allocator) isLargest(job *jobs.Job) bool {
-	threshold, ok := a.largestFrom[job.Class]
+	threshold, ok := a.thresholds[job.Class]
 	size := sizeOf(job)
 	return ok && (size.work >= threshold.work || size.tasks >= threshold.tasks)
 }
 
-// recordSize adds the size of a job that is done.
+// recordSize adds the size of a job that is done, and recomputes the thresholds of its class if that is due.
 func (a *Allocator) recordSize(job *jobs.Job) {
 	sizes := a.recentSizes[job.Class]
 	sizes = append(sizes, sizeOf(job))
 	a.recentSizes[job.Class] = sizes[max(len(sizes)-maxRecentSizes, 0):]
-	if _, ok := a.largestFrom[job.Class]; !ok || len(sizes)%thresholdInterval == 0 {
-		a.largestFrom[job.Class] = largestThresholds(a.recentSizes[job.Class])
+	if _, ok := a.thresholds[job.Class]; !ok || len(sizes)%thresholdInterval == 0 {
+		a.thresholds[job.Class] = largestThresholds(a.recentSizes[job.Class])
 	}
 }
 
@@ -53,9 +53,9 @@
 			sizes[job.Class] = append(sizes[job.Class], sizeOf(job))
 		}
 	}
-	clear(a.largestFrom)
+	clear(a.thresholds)
 	for class, list := range sizes {
-		a.largestFrom[class] = largestThresholds(list)
+		a.thresholds[class] = largestThresholds(list)
 	}
 }
 
