--- a/internal/controller/accounting/tracker.go
+++ b/internal/controller/accounting/tracker.go
@@ -17,8 +17,8 @@
 	"gullrudder/internal/logkeys"
 )
 
-// logInterval is the time between two log lines of the totals. It is short, so that the end of a day's log has the totals of
-// the day.
+// logInterval is the time between two log lines of the totals. It is short, so that the last totals in the log of a run cover
+// nearly the whole run.
 const logInterval = time.Minute
 
 // Tracker keeps the time accounts of one leadership. It is not safe for concurrent use.
--- a/internal/controller/accounting/tracker_test.go
+++ b/internal/controller/accounting/tracker_test.go
@@ -160,8 +160,8 @@
 	endedMs map[string]int64 // time from submission to the final state, by job ID
 }
 
-// TestAccountsSumExactly checks that each account sums exactly to the job's time, and that the totals by class sum to the
-// same. It draws random events, several leaders and clocks that differ.
+// TestAccountsSumExactly checks that each account sums exactly to the job's time, and that the totals by class have the same
+// sum. It draws random events under several leaders whose clocks differ.
 func TestAccountsSumExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &sumTest{cluster: newCluster(), tracker: newTracker(), endedMs: map[string]int64{}}
