--- a/internal/controller/autoscaler/backlog.go
+++ b/internal/controller/autoscaler/backlog.go
@@ -27,8 +27,8 @@
 	return backlogs
 }
 
-// completableWithin returns how many CPU seconds of the work could be done in that many seconds on any number of machines. Each
-// team is limited by its quota.
+// completableWithin returns how many CPU seconds of the work could be done within the given number of seconds, on any number of
+// machines. Each team is limited by its quota.
 func (b teamBacklogs) completableWithin(seconds float64) float64 {
 	sum := 0.0
 	for _, team := range b {
--- a/internal/controller/autoscaler/demand.go
+++ b/internal/controller/autoscaler/demand.go
@@ -115,8 +115,8 @@
 	return min(float64(entry.Job.WaitingTasks())*perTask*estimate.CountedCPUs(entry.Job), entry.RemainingCPUSeconds)
 }
 
-// quotaDelay returns the minimum number of seconds that a team needs, because of its quota, for its waiting work so far. It is 0
-// without a quota.
+// quotaDelay returns the minimum number of seconds that the waiting work of a team in demand takes because of the team's quota.
+// It is 0 without a quota.
 func (s *Scaler) quotaDelay(team string, demand queueDemand) float64 {
 	limit := s.teams[team].CPULimit
 	if limit <= 0 {
--- a/internal/controller/autoscaler/expensive.go
+++ b/internal/controller/autoscaler/expensive.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// expensiveMachines returns the reporting machines of expensive kinds. inUse are those in use whose minBilledTime is over, the
-// emptiest first. cordoned are those that are cordoned as too expensive, the fullest first.
+// expensiveMachines returns the machines of expensive kinds that have sent a heartbeat. inUse are those in use whose minBilledTime
+// is over, the emptiest first. cordoned are those that are cordoned as too expensive, the fullest first.
 func (s *Scaler) expensiveMachines(now time.Time, expensive kindSet) (inUse, cordoned machinesByKind) {
 	inUse, cordoned = machinesByKind{}, machinesByKind{}
 	for _, machine := range s.workers.ReportingMachines() {
@@ -175,11 +175,11 @@
 // cordonExpensive is used if the platform has no objectives. It cordons the machines of an expensive kind while the cheaper
 // machines can do the work in half the time that would justify a request for the kind. Otherwise it uncordons them.
 func (s *Scaler) cordonExpensive(now time.Time, offerings []offering, backlog teamBacklogs) {
-	reporting := machinesByKind{}
+	byKind := machinesByKind{}
 	for _, machine := range s.workers.Machines {
 		if machine.HasSentHeartbeat && (machine.DrainReason == worker.NotDraining || machine.DrainReason == worker.DrainExpensive) {
 			kind := placement.MachineKind(machine)
-			reporting[kind] = append(reporting[kind], machine)
+			byKind[kind] = append(byKind[kind], machine)
 		}
 	}
 	cheaperCPUs := 0.0
@@ -187,7 +187,7 @@
 		required := s.requiredBacklog(offered.price, offerings[0].price)
 		isExpensive := offered.price > expensiveRatio*offerings[0].price
 		isSpare := isExpensive && backlog.completableWithin(required) < cheaperCPUs*required/2
-		for _, machine := range reporting[offered.kind] {
+		for _, machine := range byKind[offered.kind] {
 			cheaperCPUs += machine.CPUs
 			switch {
 			case isSpare && machine.DrainReason == worker.NotDraining && s.prepaidTime(now, machine.ID) == 0:
--- a/internal/controller/autoscaler/forecast.go
+++ b/internal/controller/autoscaler/forecast.go
@@ -30,7 +30,7 @@
 type queuedJob struct {
 	jobProfile
 	age        time.Duration
-	workAhead  float64 // waiting CPU seconds ahead of the end of its last task, including its own
+	workAhead  float64 // CPU seconds of its own waiting tasks and of the waiting tasks ahead of them
 	quotaDelay float64 // minimum wait because of its team's quota, in seconds
 	weight     float64 // number of jobs that it represents
 }
@@ -171,8 +171,8 @@
 	return f.baseline
 }
 
-// costOf returns the loss that results from spending more money over forecastSpan. It is negative if less is spent.
-func (f *objectiveForecast) costOf(money float64) float64 {
+// lossFromSpending returns the loss that results from spending more money over forecastSpan. It is negative if less is spent.
+func (f *objectiveForecast) lossFromSpending(money float64) float64 {
 	base := max(f.spendRate*forecastSpan.Seconds(), minSpend)
 	if money > 0 {
 		money = max(money-f.costAllowance, 0)
@@ -200,7 +200,7 @@
 	bestCount, bestGain := 0, 0.0
 	for count := 1; count <= candidate.maxCount; count = min(2*count, candidate.maxCount) {
 		p := f.predictMisses(candidate.capacityOf(count))
-		gain := baseline - f.loss(p) - f.costOf(candidate.costUntil(p.queueEmptyAfter, count))
+		gain := baseline - f.loss(p) - f.lossFromSpending(candidate.costUntil(p.queueEmptyAfter, count))
 		if gain > bestGain {
 			bestCount, bestGain = count, gain
 		}
@@ -220,13 +220,13 @@
 }
 
 // surplusCount returns how many running instances of a candidate are no longer worth their price. It tries all of them, then half
-// of them, and so on. It returns the first of these numbers that can be given up, or 0.
+// of them, and so on. It returns the first of these numbers that is not worth its price, or 0.
 func (f *objectiveForecast) surplusCount(candidate candidateKind) int {
 	baseline := f.baselineLoss()
 	for count := candidate.maxCount; count > 0; count /= 2 {
 		p := f.predictMisses(capacityStep{at: 0, cpus: -float64(count) * candidate.cpus})
 		saved := float64(count) * candidate.costPerSecond * max(p.queueEmptyAfter, minBilledTime.Seconds())
-		if f.loss(p)-baseline < retentionFactor*-f.costOf(-saved) {
+		if f.loss(p)-baseline < retentionFactor*-f.lossFromSpending(-saved) {
 			return count
 		}
 	}
--- a/internal/controller/autoscaler/forecast_test.go
+++ b/internal/controller/autoscaler/forecast_test.go
@@ -64,7 +64,7 @@
 		}
 		added := candidate.capacityOf(counts[i])
 		p := changed.predictMisses(added)
-		sum -= changed.costOf(candidate.costUntil(p.queueEmptyAfter, counts[i]))
+		sum -= changed.lossFromSpending(candidate.costUntil(p.queueEmptyAfter, counts[i]))
 		changed.addCapacity(added)
 	}
 	return sum - changed.loss(changed.predictMisses(capacityStep{}))
--- a/internal/controller/autoscaler/projection.go
+++ b/internal/controller/autoscaler/projection.go
@@ -28,7 +28,7 @@
 }
 
 // projectCapacity returns the projection of the present instances. Machines with an expired lease and machines in unavailable
-// zones do not count: their tasks need new instances at once.
+// zones do not count: their tasks need new instances immediately.
 func (s *Scaler) projectCapacity() *capacityProjection {
 	projection := &capacityProjection{
 		byKind:           map[cloud.InstanceKind]*kindCapacity{},
@@ -84,7 +84,7 @@
 }
 
 // placeTasks places up to maxTasks tasks of the job and returns how many it placed. It drops the full machines that it passes, so
-// that a loaded cluster is walked only once.
+// that a loaded cluster is scanned only once.
 func (p *capacityProjection) placeTasks(job *jobs.Job, maxTasks int) int {
 	placed, kept := 0, 0
 	for i := range p.machines {
--- a/internal/controller/autoscaler/scaleout.go
+++ b/internal/controller/autoscaler/scaleout.go
@@ -92,16 +92,17 @@
 type jobDemand struct {
 	job           *jobs.Job
 	unplacedTasks int
-	// missingPlaces is the number of required tasks that would not fit even on an otherwise empty cluster. Instances for them are
-	// requested however little work waits.
+	// missingPlaces is the number of tasks for which instances are requested regardless of the amount of waiting work. These are
+	// the required tasks that would not fit even on an otherwise empty cluster. For a guaranteed job that must not use spot
+	// instances they are at least all unplaced tasks.
 	missingPlaces int
 }
 
 // addJob plans the instances for a job. startableTasks is the number of its tasks that can start, shape the number of its task
 // shape.
 func (p *scaleOutPlan) addJob(job *jobs.Job, startableTasks, shape int) {
-	isUniform := !job.IsGang && !job.IsService
-	if startableTasks == 0 || isUniform && p.saturatedShapes[shape] {
+	hasIndependentTasks := !job.IsGang && !job.IsService
+	if startableTasks == 0 || hasIndependentTasks && p.saturatedShapes[shape] {
 		return
 	}
 	unplaced := startableTasks - p.capacity.placeTasks(job, startableTasks)
@@ -115,7 +116,7 @@
 		demand.missingPlaces = max(demand.missingPlaces, unplaced)
 	}
 	hasRequested := p.addInstancesFor(&demand)
-	p.saturatedShapes[shape] = isUniform && unplaced == startableTasks && !hasRequested
+	p.saturatedShapes[shape] = hasIndependentTasks && unplaced == startableTasks && !hasRequested
 }
 
 // addInstancesFor plans instances of each kind that the job may use and that its demand justifies. It reports whether it planned
--- a/internal/controller/autoscaler/scaler.go
+++ b/internal/controller/autoscaler/scaler.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// Tick takes the decisions that are due. The result of a request for instances makes the next scaling decision due at once.
+// Tick takes the decisions that are due. The result of a request for instances makes the next scaling decision due immediately.
 func (s *Scaler) Tick(now time.Time) {
 	if !now.Before(s.schedule.nextConsolidation) {
 		s.schedule.nextConsolidation = now.Add(consolidationInterval)
--- a/internal/controller/autoscaler/stragglers.go
+++ b/internal/controller/autoscaler/stragglers.go
@@ -14,13 +14,13 @@
 // cordonStragglers cordons slow machines, since they cost as much as fast ones. No more tasks start on a cordoned machine, its
 // running tasks continue, and then it is terminated. Machines without a price are kept: their replacements could be as slow.
 func (s *Scaler) cordonStragglers(now time.Time) {
-	reporting, cordoned := 0, 0
+	withValidLease, cordoned := 0, 0
 	var slow []*worker.Machine
 	for _, machine := range s.workers.SortedMachines() {
 		if !machine.HasSentHeartbeat || s.workers.IsLeaseExpired(now, machine) {
 			continue
 		}
-		reporting++
+		withValidLease++
 		switch {
 		case machine.DrainReason == worker.DrainSlow:
 			cordoned++
@@ -29,7 +29,7 @@
 		}
 	}
 	for _, machine := range slow {
-		if float64(cordoned) >= maxCordonedShare*float64(reporting) {
+		if float64(cordoned) >= maxCordonedShare*float64(withValidLease) {
 			return
 		}
 		cordoned++
--- a/internal/controller/autoscaler/terminate.go
+++ b/internal/controller/autoscaler/terminate.go
@@ -16,10 +16,10 @@
 
 // Reasons for a termination, in addition to the drain reasons of package worker.
 const (
-	reasonFailed        = "failed"
-	reasonNeverReported = "never up"
-	reasonLost          = "lost"
-	reasonIdle          = "idle"
+	reasonFailed      = "failed"
+	reasonNoHeartbeat = "never up"
+	reasonLost        = "lost"
+	reasonIdle        = "idle"
 )
 
 // terminateUnneeded terminates instances that are idle, drained, failed or lost, and those that never sent a heartbeat.
@@ -58,7 +58,7 @@
 		return reasonFailed
 	case machine == nil:
 		if s.hasBootTimedOut(now, tracked) {
-			return reasonNeverReported
+			return reasonNoHeartbeat
 		}
 	case tracked.leaseExpired:
 		if s.isLost(now, tracked) {
