--- a/internal/controller/cloud/boottime/estimator.go
+++ b/internal/controller/cloud/boottime/estimator.go
@@ -27,8 +27,8 @@
 	medianQuantile  = 0.5
 	// maxBooting is the number of booting instances of a type that are recorded.
 	maxBooting = 64
-	// overdueAgeDivisor and overdueNominalDivisor estimate the rest of a boot that takes longer than expected. It is that fraction
-	// of its age, and at least that fraction of the nominal time.
+	// overdueAgeDivisor and overdueNominalDivisor determine the estimated rest of a boot that takes longer than expected. It is the
+	// age divided by the first, and at least the nominal time divided by the second.
 	overdueAgeDivisor     = 4
 	overdueNominalDivisor = 8
 )
--- a/internal/controller/cloud/call_queue_test.go
+++ b/internal/controller/cloud/call_queue_test.go
@@ -10,8 +10,8 @@
 	"gullrudder/internal/wire/client"
 )
 
-// respondFor lets a span pass and responds to each call with the status and body that respond returns. Status 0 stands for no
-// response. It returns the number of calls by path and zone.
+// respondFor advances the clock by span and responds to each call with the status and body that respond returns. Status 0
+// stands for no response. It returns the number of calls by path and zone.
 func (f *fixture) respondFor(span time.Duration, respond func(call client.Call) (int, any)) map[string]int {
 	f.t.Helper()
 	counts := map[string]int{}
--- a/internal/controller/cloud/client.go
+++ b/internal/controller/cloud/client.go
@@ -94,7 +94,6 @@
 	}
 }
 
-// canCall reports whether a call may be sent now.
 func (c *Client) canCall(now time.Time) bool {
 	return !c.queue.isPaused(now) && c.limiter.Available(now) > 0
 }
--- a/internal/controller/cloud/deletions.go
+++ b/internal/controller/cloud/deletions.go
@@ -12,8 +12,8 @@
 // maxRefusedDeletions is the number of refusals after which a deletion of several instances is split.
 const maxRefusedDeletions = 2
 
-// Terminate queues the deletion of instances and marks them as Deleting. It is retried until the cloud confirms it. The reason
-// only goes into the log. Terminate sorts ids in place and keeps the slice.
+// Terminate queues the deletion of instances and marks them as Deleting. The deletion is retried until the cloud confirms it. The
+// reason only goes into the log. Terminate sorts ids in place and keeps the slice.
 func (c *Client) Terminate(ids []string, reason string) {
 	sort.Strings(ids)
 	for len(ids) > 0 {
--- a/internal/controller/cloud/listing.go
+++ b/internal/controller/cloud/listing.go
@@ -57,7 +57,7 @@
 	c.send(outbox, client.Call{Method: http.MethodGet, Path: "/hosts?" + query.Encode(), Done: c.receiveInstances})
 }
 
-// receiveInstances processes a page of the list. Only a complete list shows that an instance is gone.
+// receiveInstances processes a page of the list. Only a complete list shows that an instance no longer exists.
 func (c *Client) receiveInstances(now time.Time, result client.Result) {
 	c.listing.inProgress = false
 	var page instancesResponse
--- a/internal/controller/cloud/messages.go
+++ b/internal/controller/cloud/messages.go
@@ -11,7 +11,7 @@
 	maxInstancesPerRequest  = 50
 	maxInstancesPerDeletion = 100
 	listPageSize            = 500
-	rateBurst               = 2 * time.Second // the cloud accepts the calls of this much time at once
+	rateBurst               = 2 * time.Second // the cloud accepts as many calls in one burst as its call rate allows in this time
 )
 
 // errorNoCapacity is the error text of the cloud if it has no capacity for a request.
