--- a/internal/controller/api/handler.go
+++ b/internal/controller/api/handler.go
@@ -65,7 +65,7 @@
 	Zones      *zones.Tracker
 }
 
-// Components holds what the handler uses of a leadership.
+// Components are the dependencies of a Handler. All fields are required.
 type Components struct {
 	Platform   *config.Platform
 	Options    *config.Options
--- a/internal/controller/api/messages.go
+++ b/internal/controller/api/messages.go
@@ -33,7 +33,7 @@
 type Queue struct {
 	Jobs              []QueuedJob `msgpack:"jobs" json:"jobs"`
 	Total             int         `msgpack:"total" json:"total"`                 // matching jobs, also those that are not listed
-	MissedStartBounds int         `msgpack:"bounds_missed" json:"bounds_missed"` // jobs whose first task did not start within its bound
+	MissedStartBounds int         `msgpack:"bounds_missed" json:"bounds_missed"` // jobs that missed their first start bound under this leader
 }
 
 // Explanation is what `gullrudder explain` shows.
@@ -75,7 +75,7 @@
 	Name          string  `msgpack:"name" json:"name"`
 	DoneJobs      float64 `msgpack:"done" json:"done"`       // recently done jobs; each counts less with time
 	StarvedJobs   int     `msgpack:"late" json:"late"`       // overdue by so much that they count against the share
-	AllocatedJobs int     `msgpack:"owed" json:"owed"`       // overdue jobs with capacity of their own
+	AllocatedJobs int     `msgpack:"owed" json:"owed"`       // overdue jobs with allocated capacity
 	Share         float64 `msgpack:"share" json:"share"`     // done jobs as a share of the done and starved jobs
 	IsLargestJobs bool    `msgpack:"largest" json:"largest"` // the group has only the largest jobs of the class
 }
--- a/internal/controller/api/query.go
+++ b/internal/controller/api/query.go
@@ -97,7 +97,8 @@
 	h.responder.Respond(request, http.StatusOK, response, 0)
 }
 
-// refuseIfUndecided responds with 503 for a job whose state is uncertain now. It returns false, without a response, if it is certain.
+// refuseIfUndecided responds with 503 for a job whose state is uncertain now. If the state is certain, it returns false without a
+// response.
 func (h *jobHandler) refuseIfUndecided(request *server.Request, job *jobs.Job) bool {
 	switch {
 	case job.State == jobs.Pending:
--- a/internal/controller/api/submission.go
+++ b/internal/controller/api/submission.go
@@ -22,7 +22,6 @@
 // unsavedRetryDelay is the Retry-After of a submission that the state service has not saved.
 const unsavedRetryDelay = 2 * retryDelay
 
-// submissionHandler serves submissions.
 type submissionHandler struct {
 	*jobHandler
 	teams      map[string]config.Team
