--- a/internal/controller/election/campaign_test.go
+++ b/internal/controller/election/campaign_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestIsolation checks that a controller counts as isolated after isolationTimeout without contact to the state service
-// and to any peer. Without a leader there are no pings, and leader queries show whether the peers are reachable.
+// TestIsolation checks that a controller counts as isolated after isolationTimeout without contact with the state service
+// or any peer. Without a leader there are no pings, and leader queries show whether the peers are reachable.
 func TestIsolation(t *testing.T) {
 	for _, test := range []struct {
 		name                string
--- a/internal/controller/election/connectivity/contacts.go
+++ b/internal/controller/election/connectivity/contacts.go
@@ -9,8 +9,9 @@
 const (
 	// contactWindow is how long a contact counts as recent. A worker tries every controller within this time.
 	contactWindow = 10 * time.Second
-	// sequenceRetention is how long a contact is kept, to recognize late duplicates of its heartbeats by their position.
-	sequenceRetention = 2 * time.Minute
+	// contactRetention is how long a contact is kept. The position in it shows whether a late heartbeat of the worker is a
+	// duplicate.
+	contactRetention = 2 * time.Minute
 	// maxContacts limits the number of machines in a contactTable.
 	maxContacts = 20_000
 )
@@ -39,7 +40,7 @@
 	count := 0
 	for machine, last := range t {
 		switch age := now.Sub(last.at); {
-		case age > sequenceRetention:
+		case age > contactRetention:
 			delete(t, machine)
 		case age <= contactWindow:
 			count++
--- a/internal/controller/election/connectivity/monitor.go
+++ b/internal/controller/election/connectivity/monitor.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	// missedHeartbeats is the number of heartbeats, expected from all machines together, whose absence makes a partition
-	// suspected. The probability of such a silence by chance is about 1 in 100 000.
+	// missedHeartbeats determines the silence after which a partition is suspected: the time in which all machines together
+	// should send this number of heartbeats. The probability of such a silence by chance is about 1 in 100 000.
 	missedHeartbeats = 12
 	// minSilence is the shortest silence that makes a partition suspected. High load may delay all heartbeats by up to this time.
 	minSilence = time.Second
 	// pauseThreshold is the time between two calls of Tick above which this process counts as paused.
 	pauseThreshold = 300 * time.Millisecond
-	// minPeerShare is the minimum share of the expected machines, and minWorkers their minimum number, that have to contact
-	// another controller for evidence of a partition.
+	// Workers that contact another controller are evidence of a partition only if their share of the expected machines is at
+	// least minPeerShare and their number is at least minWorkers.
 	minPeerShare = 0.125
 	minWorkers   = 3
 	// overdueShare is the share of machines with overdue heartbeats at which the leader suspects a partition although it
@@ -181,8 +181,8 @@
 	return !m.transferredAt.IsZero() && now.Sub(m.transferredAt) < campaignDeferral
 }
 
-// RecordLeaderStatus records whether the leader's last ping requested that workers are not redirected to the leader.
-func (m *Monitor) RecordLeaderStatus(now time.Time, suspendRedirects bool) {
+// RecordSuspendRedirects records whether the leader's last ping requested that workers are not redirected to the leader.
+func (m *Monitor) RecordSuspendRedirects(now time.Time, suspendRedirects bool) {
 	if !suspendRedirects {
 		m.redirectsSuspendedUntil = time.Time{}
 		return
--- a/internal/controller/election/connectivity/monitor_test.go
+++ b/internal/controller/election/connectivity/monitor_test.go
@@ -17,9 +17,9 @@
 	return m
 }
 
-// TestPartitionDetection checks the time until a leader that machines no longer reach suspects a partition: about a second
-// with a thousand machines, and the time in which all should have sent a heartbeat with three. A leader that receives
-// heartbeats with jitter does not suspect a partition.
+// TestPartitionDetection checks the time until a leader that machines no longer reach suspects a partition. With a thousand
+// machines it is about a second. With three it is about the time in which all of them should have sent a heartbeat. A
+// leader that receives heartbeats with jitter does not suspect a partition.
 func TestPartitionDetection(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, test := range []struct {
@@ -212,14 +212,14 @@
 // passed or a ping does not request it.
 func TestRedirectsSuspended(t *testing.T) {
 	m, now := New(heartbeatInterval), time.Unix(1000, 0)
-	m.RecordLeaderStatus(now, true)
+	m.RecordSuspendRedirects(now, true)
 	if !m.RedirectsSuspended(now) || m.RedirectsSuspended(now.Add(redirectSuspension)) {
 		t.Errorf(
 			"redirects suspended: got %v, later %v, want true, false",
 			m.RedirectsSuspended(now), m.RedirectsSuspended(now.Add(redirectSuspension)),
 		)
 	}
-	m.RecordLeaderStatus(now, false)
+	m.RecordSuspendRedirects(now, false)
 	if m.RedirectsSuspended(now) {
 		t.Error("redirects suspended although the last ping does not request it, want allowed")
 	}
--- a/internal/controller/election/contact.go
+++ b/internal/controller/election/contact.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// isolationTimeout is the time without contact to the state service and to every peer after which this controller
-	// counts as isolated.
+	// isolationTimeout is the time without contact with the state service or any peer after which this controller counts
+	// as isolated.
 	isolationTimeout = 5 * time.Second
-	// peerProbeInterval is the time without contact to any peer after which all peers are probed. It is also the time between
+	// peerProbeInterval is the time without contact with any peer after which all peers are probed. It is also the time between
 	// two such rounds of probes.
 	peerProbeInterval = time.Second
 )
@@ -37,15 +37,15 @@
 	}
 }
 
-// IsIsolated reports whether this controller has had no contact to the state service and to any peer for isolationTimeout.
-// It is false without peers, and in an outage of the state service alone: the other controllers could not serve users
-// better in that case.
+// IsIsolated reports whether this controller has had no contact with the state service or any peer for isolationTimeout.
+// It is false if there are no peers. It is also false in an outage of the state service alone: the other controllers could
+// not serve users better in that case.
 func (e *Election) IsIsolated(now time.Time) bool {
 	return len(e.options.Peers) > 0 &&
 		now.Sub(e.contact.peerAt) >= isolationTimeout && now.Sub(e.contact.stateServiceAt) >= isolationTimeout
 }
 
-// probePeers sends leader queries to the peers after peerProbeInterval without contact to any of them. Without a leader
+// probePeers sends leader queries to the peers after peerProbeInterval without contact with any of them. Without a leader
 // there are no pings that would show whether the peers are reachable.
 func (e *Election) probePeers(now time.Time, outbox *client.Outbox) {
 	if now.Sub(e.contact.peerAt) < peerProbeInterval || now.Before(e.contact.nextPeerProbeAt) {
--- a/internal/controller/election/election.go
+++ b/internal/controller/election/election.go
@@ -28,7 +28,7 @@
 // LeaderKey is the key of the state service that the leader holds.
 const LeaderKey = "leader"
 
-// Peer is another controller. Addr is the address on which it serves the paths of the peer link.
+// Peer is another controller. Addr is its peer address, on which it serves PingPath and LeaderQueryPath.
 type Peer struct{ Name, Addr string }
 
 // Options are the parameters of an election, which do not change after New.
--- a/internal/controller/election/given_grant.go
+++ b/internal/controller/election/given_grant.go
@@ -38,7 +38,7 @@
 	}
 	e.follower.grant.give(now, now.Add(e.options.extendForDrift(e.options.GrantDuration)), request)
 	e.follower.stateProbe.requested = e.follower.stateProbe.requested || request.ProbeStateService
-	e.connectivity.RecordLeaderStatus(now, request.SuspendRedirects)
+	e.connectivity.RecordSuspendRedirects(now, request.SuspendRedirects)
 	if request.StateLoaded {
 		e.renewalLimit.RecordLeaderPing(request.EchoedNonce, request.OldestCancellationAge)
 	}
--- a/internal/controller/election/messages.go
+++ b/internal/controller/election/messages.go
@@ -29,7 +29,8 @@
 
 	// StateLoaded is set if the leader has loaded its state and OldestCancellationAge is valid.
 	StateLoaded bool `msgpack:"read,omitempty"`
-	// OldestCancellationAge is an age: every cancellation that was confirmed longer ago is completed.
+	// OldestCancellationAge is the age of the oldest cancellation whose tasks may still run. Every cancellation that was
+	// confirmed longer ago is completed.
 	OldestCancellationAge time.Duration `msgpack:"age,omitempty"`
 	// EchoedNonce is the nonce of the peer's last response to this leader.
 	EchoedNonce uint64 `msgpack:"echo,omitempty"`
--- a/internal/controller/election/model_links_test.go
+++ b/internal/controller/election/model_links_test.go
@@ -19,7 +19,7 @@
 	linkOpen linkMode = iota
 	linkDropping
 	linkDelaying          // requests are delayed until the link is open
-	linkDelayingResponses // requests arrive at once, responses are delayed until the link is open
+	linkDelayingResponses // requests arrive without delay, responses are delayed until the link is open
 	linkModeCount         // number of modes
 )
 
--- a/internal/controller/election/model_test.go
+++ b/internal/controller/election/model_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// startWithoutRestartGuard replaces a controller with a process that may campaign at once.
+// startWithoutRestartGuard replaces a controller with a process that may campaign immediately.
 func (m *electionModel) startWithoutRestartGuard(controller int) {
 	m.start(controller)
 	m.endRestartGuard(controller)
--- a/internal/controller/election/renewal/limit.go
+++ b/internal/controller/election/renewal/limit.go
@@ -30,8 +30,8 @@
 	issuedAt time.Time
 }
 
-// Limit holds the time before which all confirmed cancellations are completed, and derives from it until when leases may
-// be renewed. It is not safe for concurrent use.
+// Limit holds the earliest time at which a cancellation that is not completed may have been confirmed. From this time it
+// derives until when leases may be renewed. It is not safe for concurrent use.
 type Limit struct {
 	window          time.Duration // result of Window
 	lastNonce       uint64
@@ -91,8 +91,8 @@
 	}
 }
 
-// CompletedBefore returns a time: every cancellation that was confirmed before it is completed. It never decreases, and is
-// the zero time if nothing is known.
+// CompletedBefore returns the earliest time at which a cancellation that is not completed may have been confirmed: all
+// earlier ones are completed. It never decreases, and is the zero time if nothing is known.
 func (l *Limit) CompletedBefore() time.Time { return l.completedBefore }
 
 // RenewUntil returns until when a leader may renew leases before its state is loaded. It is the zero time, so that no lease
--- a/internal/controller/election/timing.go
+++ b/internal/controller/election/timing.go
@@ -31,8 +31,8 @@
 // absentReadInterval is the time between two reads of the leader's key while it is absent.
 func (o *Options) absentReadInterval() time.Duration { return o.LeaseDuration / 6 }
 
-// refusedClaimDelay is the time between a refused claim and the next read of the leader's key. It is short, since another
-// controller was elected.
+// refusedClaimDelay is the time between a refused claim and the next read of the leader's key. It is short, since a claim
+// is usually refused because another controller was elected.
 func (o *Options) refusedClaimDelay() time.Duration { return o.LeaseDuration / 30 }
 
 // watchDuration is how long the state service holds a watch of the leader's key open.
--- a/internal/controller/election/transfer.go
+++ b/internal/controller/election/transfer.go
@@ -18,8 +18,8 @@
 }
 
 // recordPeerReachesState records that a peer reaches the state service. It has no effect until two renewals of this leader
-// have failed, or one has failed and the next one is slow. The leadership is transferred once this has lasted for
-// peerReachesStateThreshold and the renewals have failed for failedRenewalThreshold.
+// have failed, or one has failed and the next one is slow. The leadership is transferred once a peer has reached the state
+// service for peerReachesStateThreshold and the renewals have failed for failedRenewalThreshold.
 func (e *Election) recordPeerReachesState(now time.Time, outbox *client.Outbox, peerName string) {
 	failed := e.lease.failedRenewals
 	if e.role != roleLeader || failed == 0 || failed == 1 && !e.isRenewalSlow(now) {
@@ -48,7 +48,7 @@
 	e.connectivity.RecordTransfer(now)
 }
 
-// transferLeadership steps down at once in favor of the successor, or of any peer if successor is empty. A ping to the
+// transferLeadership steps down immediately in favor of the successor, or of any peer if successor is empty. A ping to the
 // peers releases their grants and names the lease to revoke. Without it, the next election would wait until the lease and
 // the grants expire, which took three times as long.
 func (e *Election) transferLeadership(now time.Time, outbox *client.Outbox, reason, successor string) {
