--- a/internal/controller/failover/partial_start.go
+++ b/internal/controller/failover/partial_start.go
@@ -30,8 +30,8 @@
 // a series of leaderships of 37 s, in each of which half of the machines were unreachable for a worker lease.
 func (r *Reconciler) CanStartTasks() bool { return r.progress.completed || r.partialStart.active }
 
-// updatePartialStart passes the unreconciled usage to the placer, which subtracts it from the quotas. It clears the unreconciled usage
-// once all machines are reconciled.
+// updatePartialStart begins a partial start once the leadership is old enough, and ends it once all machines are reconciled. During a
+// partial start it passes the unreconciled usage to the placer, which subtracts it from the quotas.
 func (r *Reconciler) updatePartialStart(now time.Time) {
 	if len(r.unreconciled) == 0 {
 		r.partialStart.active = false
--- a/internal/controller/failover/probe.go
+++ b/internal/controller/failover/probe.go
@@ -22,9 +22,9 @@
 	probeRatePerCPU = 1000
 	// maxProbeRetries limits the retries of a probe that the worker refused because it has another incarnation.
 	maxProbeRetries = 3
-	// connectionsPerBurstProbe divides the connection limit of this process into the maximum budget, which is the number of probes that
-	// may be sent at once. connectionsPerInFlightProbe divides it into the maximum number of probes in flight. The other connections
-	// are left for the server and the other clients.
+	// The maximum budget, which is the number of probes that may be sent in one burst, is the connection limit of this process divided
+	// by connectionsPerBurstProbe. The maximum number of probes in flight is the connection limit divided by
+	// connectionsPerInFlightProbe. The other connections are left for the server and the other clients.
 	connectionsPerBurstProbe    = 24
 	connectionsPerInFlightProbe = 16
 )
--- a/internal/controller/failover/probe_sample.go
+++ b/internal/controller/failover/probe_sample.go
@@ -25,7 +25,7 @@
 	connectivity      *connectivity.Monitor
 	prober            *prober
 
-	offset     int // position in the rotation: its remainder is the index of the last machine considered
+	offset     int // number of machines considered so far; modulo the number of machines, the index of the last one
 	nextSample time.Time
 }
 
@@ -40,7 +40,7 @@
 }
 
 // probeSample probes the next few machines if the connectivity monitor needs probes. If any machines have sent a heartbeat to this
-// leadership, only these are probed. Otherwise a leader that has lost a zone would count machines that no longer exist as evidence of a
+// leader, only these are probed. Otherwise a leader that has lost a zone would count machines that no longer exist as evidence of a
 // partition. If the only sign of a partition is that workers contact other controllers, only machines without overdue heartbeats are
 // probed.
 func (s *sampler) probeSample(now time.Time) {
--- a/internal/controller/failover/reconciler.go
+++ b/internal/controller/failover/reconciler.go
@@ -160,7 +160,7 @@
 func (r *Reconciler) reconcileMachines(now time.Time) {
 	r.unreconciled = r.filterUnreconciled(now)
 	for _, machine := range r.unreconciled {
-		// A machine that has just received its first response of this leader sends its next heartbeat at once and needs no probe.
+		// A machine that has just received its first response from this leader sends its next heartbeat immediately and needs no probe.
 		if machine.LeaseRenewedAt.Equal(r.electedAt) || now.Sub(machine.LeaseRenewedAt) > probeTimeout {
 			r.prober.probe(now, machine)
 		}
--- a/internal/controller/failover/reconciler_test.go
+++ b/internal/controller/failover/reconciler_test.go
@@ -39,7 +39,7 @@
 }
 
 // TestFailedInstancesAreTerminatedDuringFailover checks that during a failover an instance that the cloud lists as failed is
-// terminated at once, and that an instance listed as running is not terminated while its lease may be valid.
+// terminated immediately, and that an instance listed as running is not terminated while its lease may be valid.
 func TestFailedInstancesAreTerminatedDuringFailover(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	reconciler := newTestReconciler(now, 9)
--- a/internal/controller/failover/unresponsive.go
+++ b/internal/controller/failover/unresponsive.go
@@ -70,10 +70,10 @@
 
 // check classifies all machines, probes those whose heartbeats are overdue, and terminates failed and unresponsive ones.
 //
-// Machines that the cloud lists as failed have certainly stopped. They are terminated during a failover only, however many others are
-// unresponsive. Without this, a site of one machine whose processes had all been killed waited for the lease of that machine. No other
-// machine is terminated while a partition is suspected (package connectivity): on two recorded days all machines were terminated, a
-// third at a time, although they were healthy.
+// Machines that the cloud lists as failed have certainly stopped. They are terminated only during a failover, and then however many
+// others are unresponsive. Without this, a site of one machine whose processes had all been killed waited for the lease of that
+// machine. No other machine is terminated while a partition is suspected (package connectivity): on two recorded days all machines were
+// terminated, a third at a time, although they were healthy.
 func (u *unresponsiveMonitor) check(now time.Time, failoverCompleted bool) {
 	result := u.classifyMachines(now, failoverCompleted)
 	if len(result.failed) > 0 {
@@ -146,7 +146,7 @@
 }
 
 // keepSentinels removes some machines of each unavailable zone from the list of machines to terminate, and marks them as sentinels.
-// Their heartbeats show at once that the zone has recovered, and they are available then without a boot. The least used machines are
+// Their heartbeats show immediately that the zone has recovered, and they are available then without a boot. The least used machines are
 // kept first.
 func (u *unresponsiveMonitor) keepSentinels(ids []string, sentinels map[string]int) []string {
 	slices.SortFunc(ids, func(a, b string) int {
