--- a/internal/controller/storage/commit.go
+++ b/internal/controller/storage/commit.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// commitSucceeded records that the commit in flight was executed. revision is the one at which it was.
+// commitSucceeded records that the commit in flight was executed at the given revision.
 func (s *Store) commitSucceeded(now time.Time, revision uint64) {
 	txn := s.commits.inFlight
 	s.commits.inFlight = nil
@@ -134,7 +134,7 @@
 	}
 }
 
-// commitFenced records that another leader has written, which ends this leadership.
+// commitFenced ends this leadership, because another leader has written or the stored values may differ from those in memory.
 func (s *Store) commitFenced(writes int) {
 	s.log.Error("commit rejected by its preconditions", logkeys.FencingToken, s.fencingToken, logkeys.Count, writes)
 	s.fenced = true
@@ -166,8 +166,8 @@
 	return s.commits.retryDelay
 }
 
-// notifyUncertain tells the waiters of the commit in flight, and those of later changes, that their changes are uncertain. No other commit
-// is sent until this one has been read back. Without the notification they would wait for the whole length of an outage.
+// notifyUncertain notifies the waiters of the commit in flight, and those of later changes, that their changes are uncertain. No other
+// commit is sent until this one has been read back. Without the notification the waiters would wait for the whole length of an outage.
 func (s *Store) notifyUncertain(now time.Time) {
 	if s.commits.failingSince.IsZero() {
 		s.commits.failingSince = now
--- a/internal/controller/storage/commit_test.go
+++ b/internal/controller/storage/commit_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// TestReadBackDistinguishesAttempts checks that the read-back after an uncertain outcome tells attempts apart. If an
+// TestReadBackDistinguishesAttempts checks that the read-back after an uncertain outcome distinguishes attempts. If an
 // earlier attempt with fewer entries was executed, the change that only the later attempt contains is not durable yet.
 func TestReadBackDistinguishesAttempts(t *testing.T) {
 	f := newLoadedFixture(t)
@@ -179,7 +179,7 @@
 }
 
 // TestWaitersBehindUncertainCommitAreNotified checks that no other commit is sent while the outcome of one is uncertain.
-// Callers that wait for a later change are notified at once that it is uncertain, and again when it is durable.
+// Callers that wait for a later change are notified immediately that it is uncertain, and again when it is durable.
 func TestWaitersBehindUncertainCommitAreNotified(t *testing.T) {
 	f := newLoadedFixture(t)
 	f.set("job-1", 1, nil)
--- a/internal/controller/storage/flush.go
+++ b/internal/controller/storage/flush.go
@@ -56,7 +56,7 @@
 	return due
 }
 
-// choosePages returns the pages of the next commit. Pages that are not urgent leave the writes of half a second to urgent ones.
+// choosePages returns the pages of the next commit. Pages that are not urgent leave half a second's worth of writes to urgent ones.
 func (s *Store) choosePages(now time.Time, due []*page) []*page {
 	budget := s.writeLimiter.Available(now)
 	var chosen []*page
--- a/internal/controller/storage/store.go
+++ b/internal/controller/storage/store.go
@@ -36,7 +36,7 @@
 	MaxValueBytes     int           // limit of the size of a value, in JSON bytes
 	MaxTransactionOps int           // limit of the number of operations in a transaction
 	WriteRate         float64       // write limit of the state service, in operations per second
-	BatchDelay        time.Duration // minimum age of a change that is not urgent before it is written
+	BatchDelay        time.Duration // minimum age at which a change that is not urgent is written, so that it is batched with others
 }
 
 // Store is a leader's copy of the pages, including changes that are not written yet. It must be used only from the controller's event
@@ -47,7 +47,7 @@
 	fencingToken uint64
 	writeLimiter *client.RateLimiter
 	closed       bool // responses are ignored
-	fenced       bool // another leader has written, so this one must step down
+	fenced       bool // nothing more is written, so this leader must step down
 
 	pages   pageTable
 	loading loadProgress
@@ -75,7 +75,8 @@
 // IsLoaded reports whether all pages and the archive's head and index have been read.
 func (s *Store) IsLoaded() bool { return s.loading.completed }
 
-// IsFenced reports whether another leader has written. This leadership is then over, and Flush sends nothing more.
+// IsFenced reports whether this leadership must end, because another leader has written, or because an uncertain commit may have changed
+// stored values without the change being applied in memory. Flush sends nothing more then.
 func (s *Store) IsFenced() bool { return s.fenced }
 
 // IsHealthy reports whether no commit has failed or become uncertain since the last successful one.
@@ -204,8 +205,8 @@
 	}
 }
 
-// SpareWrites returns the number of writes that are available now for changes that are not urgent. The writes of half a second stay
-// reserved for urgent changes.
+// SpareWrites returns the number of writes that are available now for changes that are not urgent. Half a second's worth of writes
+// stays reserved for urgent changes.
 func (s *Store) SpareWrites(now time.Time) int {
 	return max(s.writeLimiter.Available(now)-int(s.options.WriteRate/2), 0)
 }
