--- a/internal/controller/jobstore/cancellation.go
+++ b/internal/controller/jobstore/cancellation.go
@@ -17,8 +17,8 @@
 	s.cancelDependents(now, s.dependencies.graph.Dependents(job.ID))
 }
 
-// RetireCancelled records that a job is cancelled because one of its dependencies had been cancelled before it was accepted. It is retired
-// at once, with the final state cancelled.
+// RetireCancelled records that a job is cancelled because one of its dependencies had been cancelled before the job was accepted. The job
+// is retired immediately, with the final state cancelled.
 func (s *Store) RetireCancelled(now time.Time, job *jobs.Job) {
 	job.State, job.CancelConfirmedAt = jobs.Cancelled, now
 	s.accounting.Finish(now, job)
--- a/internal/controller/jobstore/dependencies.go
+++ b/internal/controller/jobstore/dependencies.go
@@ -20,17 +20,17 @@
 
 // States of a dependency.
 const (
-	DependencyNeverAccepted DependencyState = iota // unknown to pages and archive
+	DependencyNeverAccepted DependencyState = iota // neither in the pages nor in the archive
 	DependencyOpen                                 // accepted, neither done nor cancelled
 	DependencyMet                                  // durably done
 	DependencyCancelled                            // durably cancelled
 	DependencyUndecided                            // its acceptance or cancellation is being written, or one of its dependencies is unresolved
 	DependencyService                              // a service, which is never done
-	DependencyUnresolved                           // may be in the archive; only the archive's data tells, not its index
+	DependencyUnresolved                           // may be in the archive; its index cannot decide this, only its data
 )
 
-// dependencyState is the graph of unmet dependencies and the progress of resolving dependencies in the archive's data.
-type dependencyState struct {
+// dependencyTracker is the graph of unmet dependencies and the progress of resolving dependencies in the archive's data.
+type dependencyTracker struct {
 	graph         *dependencies.Graph
 	unresolved    []*unresolvedDependency
 	nextResolveAt time.Time
@@ -97,17 +97,17 @@
 // DependencyGraph returns the graph of unmet dependencies. Other packages must not modify it.
 func (s *Store) DependencyGraph() *dependencies.Graph { return s.dependencies.graph }
 
-// WaitForDependencies adds the unmet dependencies of a job that is about to be accepted to the graph. missing has the IDs of the jobs on
-// which it waits. A job whose dependencies are all met is marked as ready.
-func (s *Store) WaitForDependencies(now time.Time, job *jobs.Job, missing []string) {
+// WaitForDependencies adds the unmet dependencies of a job that is about to be accepted to the graph. unmet has the IDs of these
+// dependencies. A job whose dependencies are all met is marked as ready.
+func (s *Store) WaitForDependencies(now time.Time, job *jobs.Job, unmet []string) {
 	if len(job.Dependencies) == 0 {
 		return
 	}
-	if len(missing) == 0 {
+	if len(unmet) == 0 {
 		job.ReadyAt = now
 		return
 	}
-	s.dependencies.graph.Add(job, missing)
+	s.dependencies.graph.Add(job, unmet)
 }
 
 // ApplyAcceptance records that the acceptance of a job is durable, and applies changes of its dependencies since the commit was sent. If
@@ -129,11 +129,11 @@
 	s.observer.JobReady(now, job)
 }
 
-// releaseDependents marks the jobs as ready whose last unmet dependency was the job with this ID, which is now durably done.
+// releaseDependents handles that the job with this ID is durably done. It marks as ready the jobs that had no other unmet dependency.
 func (s *Store) releaseDependents(now time.Time, id string) {
 	for _, job := range s.dependencies.graph.RecordDone(now, id) {
 		if job.State != jobs.Accepted {
-			continue // its acceptance is being written; ApplyAcceptance will report it as ready
+			continue // its acceptance is being written; ApplyAcceptance will notify the observer
 		}
 		s.SaveRecord(now, job)
 		s.observer.JobReady(now, job)
@@ -173,12 +173,12 @@
 		if len(job.Dependencies) == 0 || job.State != jobs.Accepted || !job.ReadyAt.IsZero() {
 			continue // it has no unmet dependencies
 		}
-		missing, hasCancelled := s.unmetDependencies(job)
+		unmet, hasCancelled := s.unmetDependencies(job)
 		if hasCancelled {
 			cancelled = append(cancelled, job)
 		}
-		if len(missing) > 0 {
-			s.dependencies.graph.Add(job, missing)
+		if len(unmet) > 0 {
+			s.dependencies.graph.Add(job, unmet)
 		} else {
 			job.ReadyAt = now // its dependencies were done under an earlier leader, which did not save ReadyAt
 		}
@@ -195,7 +195,7 @@
 
 // unmetDependencies returns the IDs of the dependencies of a restored job that are not done, and whether one of them is cancelled.
 // Dependencies that must be looked up in the archive's data are added to the unresolved ones.
-func (s *Store) unmetDependencies(job *jobs.Job) (missing []string, hasCancelled bool) {
+func (s *Store) unmetDependencies(job *jobs.Job) (unmet []string, hasCancelled bool) {
 	for _, id := range job.Dependencies {
 		switch s.DependencyState(id) {
 		case DependencyMet:
@@ -208,9 +208,9 @@
 		case DependencyNeverAccepted:
 			s.log.Error("dependency unknown", logkeys.Job, job.ID, logkeys.Dependency, id)
 		}
-		missing = append(missing, id)
+		unmet = append(unmet, id)
 	}
-	return missing, hasCancelled
+	return unmet, hasCancelled
 }
 
 // resolveDependencies looks up unresolved dependencies in the archive's data. Until a dependency is resolved, no request about the jobs
--- a/internal/controller/jobstore/restore.go
+++ b/internal/controller/jobstore/restore.go
@@ -42,7 +42,7 @@
 func (s *Store) RestoreChunk(now time.Time, name, jobID string, chunk int, results jobs.Chunk) {
 	job := s.Unfinished[jobID]
 	if job == nil {
-		// The job is finished, but the earlier leader's leadership ended before it had deleted the chunks.
+		// The job is finished, but an earlier leadership ended before the chunks were deleted.
 		s.storage.Delete(now, name)
 		return
 	}
--- a/internal/controller/jobstore/store.go
+++ b/internal/controller/jobstore/store.go
@@ -76,7 +76,7 @@
 	finished     map[string]finishedJob // finished jobs that are still in the pages, by ID
 	stopping     map[*jobs.Job]bool     // cancelled jobs whose tasks may still run
 	archive      archiveState
-	dependencies dependencyState
+	dependencies dependencyTracker
 	saving       saveState
 }
 
