--- a/internal/controller/archive/build_test.go
+++ b/internal/controller/archive/build_test.go
@@ -47,7 +47,7 @@
 
 // TestFailedWriteIsRetriedUnchanged checks that a write of several parts without a response is retried with the same
 // parts, although the budget may allow more parts by then. If the first attempt is executed late, the read-back checks
-// only its first part. With other parts in the retry, parts would be taken as written that are missing.
+// only its first part. If the retry had other parts, missing parts would count as written.
 func TestFailedWriteIsRetriedUnchanged(t *testing.T) {
 	cluster := simulator.New(1, simulator.Options{}, slog.New(slog.DiscardHandler))
 	leader := becomeLeader(t, cluster, time.Unix(5000, 0), 1, 3)
--- a/internal/controller/archive/compaction.go
+++ b/internal/controller/archive/compaction.go
@@ -11,7 +11,7 @@
 // segmentReader reads the keys of a segment in ascending order, with their payloads.
 type segmentReader struct {
 	segment   *Segment
-	ids       roaring64.IntPeekable64
+	keys      roaring64.IntPeekable64
 	parts     []string
 	remaining []byte // unread rest of the current part
 	nextPart  int
@@ -22,11 +22,11 @@
 	if len(parts) != len(segment.partStarts) {
 		return nil, fmt.Errorf("segment %d: read %d data parts, expected %d", segment.Number, len(parts), len(segment.partStarts))
 	}
-	return &segmentReader{segment: segment, ids: segment.ids.Iterator(), parts: parts}, nil
+	return &segmentReader{segment: segment, keys: segment.keys.Iterator(), parts: parts}, nil
 }
 
 // isAt reports whether the next key is key.
-func (r *segmentReader) isAt(key uint64) bool { return r.ids.HasNext() && r.ids.PeekNext() == key }
+func (r *segmentReader) isAt(key uint64) bool { return r.keys.HasNext() && r.keys.PeekNext() == key }
 
 // next returns the payload of the next key and advances the reader. There must be a next key.
 func (r *segmentReader) next() (payload []byte, err error) {
@@ -36,7 +36,7 @@
 		}
 		r.nextPart++
 	}
-	key := r.ids.Next()
+	key := r.keys.Next()
 	r.rank++
 	if payload, r.remaining, err = splitPayload(r.remaining, key >= hashedKeyBit); err != nil {
 		return nil, fmt.Errorf("segment %d, key %d: %w", r.segment.Number, key, err)
@@ -83,10 +83,10 @@
 // leastKey returns the smallest key that is not merged yet. ok is false if all keys are merged.
 func (c *compaction) leastKey() (least uint64, ok bool) {
 	for _, source := range c.sources {
-		if !source.ids.HasNext() {
+		if !source.keys.HasNext() {
 			continue
 		}
-		if key := source.ids.PeekNext(); !ok || key < least {
+		if key := source.keys.PeekNext(); !ok || key < least {
 			least, ok = key, true
 		}
 	}
--- a/internal/controller/archive/encoding.go
+++ b/internal/controller/archive/encoding.go
@@ -47,7 +47,7 @@
 		raw = binary.AppendUvarint(raw, start-previous)
 		previous = start
 	}
-	for _, bitmap := range []*roaring64.Bitmap{segment.ids, segment.cancelled} {
+	for _, bitmap := range []*roaring64.Bitmap{segment.keys, segment.cancelled} {
 		bytes, err := bitmap.ToBytes()
 		if err != nil {
 			return nil, fmt.Errorf("encode bitmap: %w", err)
@@ -90,7 +90,7 @@
 		start += difference
 		s.partStarts = append(s.partStarts, start)
 	}
-	if s.ids, raw, err = readBitmap(raw); err != nil {
+	if s.keys, raw, err = readBitmap(raw); err != nil {
 		return err
 	}
 	s.cancelled, _, err = readBitmap(raw)
--- a/internal/controller/archive/garbage.go
+++ b/internal/controller/archive/garbage.go
@@ -27,7 +27,8 @@
 
 // collectGarbage performs the next step of deleting a segment's parts. The parts are listed with their revisions, deleted at these
 // revisions, and listed again until there are none. A deletion has preconditions on the revisions of the leader's key and of the parts. The
-// former rejects delayed deletions of an earlier leader, the latter delayed deletions of this leader.
+// precondition on the leader's key rejects delayed deletions of an earlier leader. Those on the parts reject delayed deletions of this
+// leader.
 func (s *Store) collectGarbage(now time.Time, outbox *client.Outbox) {
 	target := s.garbage.segments[0]
 	if len(target.parts) == 0 {
--- a/internal/controller/archive/golden_bytes_test.go
+++ b/internal/controller/archive/golden_bytes_test.go
@@ -29,7 +29,7 @@
 	var finishedJobs []finishedJob
 	for _, id := range ids {
 		key, ok := jobKey(id)
-		if !ok || !segment.ids.Contains(key) {
+		if !ok || !segment.keys.Contains(key) {
 			t.Fatalf("%s: not in the index, want it in the index", id)
 		}
 		part, position := segment.locate(segment.rank(key))
--- a/internal/controller/archive/lookup.go
+++ b/internal/controller/archive/lookup.go
@@ -55,7 +55,7 @@
 		return Absent
 	}
 	for _, segment := range s.segments {
-		if !segment.ids.Contains(key) {
+		if !segment.keys.Contains(key) {
 			continue
 		}
 		switch {
@@ -110,7 +110,7 @@
 // next reads the part of the next segment that may have the job.
 func (l *lookup) next(now time.Time) {
 	i := slices.IndexFunc(l.store.segments, func(segment *Segment) bool {
-		return !l.searched[segment.Number] && segment.ids.Contains(l.key)
+		return !l.searched[segment.Number] && segment.keys.Contains(l.key)
 	})
 	if i < 0 {
 		l.done(now, jobs.FinalState{}, false, nil)
--- a/internal/controller/archive/segment.go
+++ b/internal/controller/archive/segment.go
@@ -57,7 +57,7 @@
 	Level      int // 0 for a new segment, else one more than the highest level that was compacted into it
 	JobCount   int // may exceed the number of keys, since hashed IDs can share a key
 	indexParts int
-	ids        *roaring64.Bitmap // keys of all jobs
+	keys       *roaring64.Bitmap // keys of all jobs
 	cancelled  *roaring64.Bitmap // exact keys of cancelled jobs
 	partStarts []uint64          // for each data part, the rank of its first key
 }
@@ -76,7 +76,7 @@
 }
 
 // rank returns the position of a key among the segment's sorted keys, counted from 0. The segment must have the key.
-func (s *Segment) rank(key uint64) uint64 { return s.ids.Rank(key) - 1 }
+func (s *Segment) rank(key uint64) uint64 { return s.keys.Rank(key) - 1 }
 
 // locate returns the index of the data part that has the key with this rank, and the position of the key in that part.
 func (s *Segment) locate(rank uint64) (part, position int) {
@@ -97,7 +97,7 @@
 	segment      *Segment
 	nextRank     uint64
 	lastKey      uint64
-	partOpen     bool // part was begun and is not closed, though it may be empty
+	partOpen     bool // part has payloads and is not closed yet
 	part         []byte
 	dataParts    []string
 }
@@ -105,7 +105,7 @@
 func newSegmentBuilder(number uint64, level, maxPartBytes int) *segmentBuilder {
 	return &segmentBuilder{
 		maxPartBytes: maxPartBytes,
-		segment:      &Segment{Number: number, Level: level, ids: roaring64.New(), cancelled: roaring64.New()},
+		segment:      &Segment{Number: number, Level: level, keys: roaring64.New(), cancelled: roaring64.New()},
 	}
 }
 
@@ -120,7 +120,7 @@
 		b.segment.partStarts = append(b.segment.partStarts, b.nextRank)
 	}
 	b.part = append(b.part, payload...)
-	b.segment.ids.Add(key)
+	b.segment.keys.Add(key)
 	if state, _ := binary.Uvarint(payload); key < hashedKeyBit && state&cancelledBit != 0 {
 		b.segment.cancelled.Add(key)
 	}
@@ -139,7 +139,7 @@
 	if b.partOpen {
 		b.closePart()
 	}
-	b.segment.ids.RunOptimize()
+	b.segment.keys.RunOptimize()
 	b.segment.cancelled.RunOptimize()
 	raw, err := encodeIndex(b.segment)
 	if err != nil {
--- a/internal/controller/archive/store.go
+++ b/internal/controller/archive/store.go
@@ -73,7 +73,7 @@
 	storage    *storage.Store
 	log        *slog.Logger
 	segments   []*Segment // sorted by number
-	nextNumber uint64     // number of the next segment; a build, also one of an earlier leader, may already have written parts of it
+	nextNumber uint64     // number of the next segment; a build of this or an earlier leader may already have written parts of it
 	building   *segmentBuild
 	nextScanAt time.Time // when the pages are next searched for finished jobs
 
