--- a/internal/controller/archived_jobs_test.go
+++ b/internal/controller/archived_jobs_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	u.controller.holdsLease = true
 	u.controller.route(now, &server.Request{Method: method, Target: target, Body: marshal(t, body)})
-	u.service.answerAllCalls(t, now, u.controller)
+	u.service.respondToAllCalls(t, now, u.controller)
 	reply := u.controller.takeResponse(t)
 	var response userResponse
 	unmarshal(t, reply.Body, &response)
@@ -90,7 +90,7 @@
 		l.jobStore.Tick(now, &controller.outbox)
 		l.jobStore.Save(now, true)
 		l.storage.Flush(now, &controller.outbox)
-		service.answerCalls(t, now, controller)
+		service.respondToCalls(t, now, controller)
 	}
 	if finished, inArchive := l.jobStore.FinishedCount(), l.jobStore.Archive().JobCount(); finished != len(archivedJobs) ||
 		inArchive != len(archivedJobs) {
@@ -100,8 +100,8 @@
 }
 
 // TestQueriesOfArchivedJobs checks that queries of archived jobs get the same responses as before the jobs were
-// archived. The task counts are read back from the state service. While that fails, the response is 503 at first. In a
-// long outage it has the state without counts, since a job whose queries fail for 90 s is considered lost.
+// archived. The task counts are read back from the state service. While that fails, the status is 503 at first. In a long
+// outage the response has the state without counts, since a job whose queries fail for 90 s is considered lost.
 func TestQueriesOfArchivedJobs(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	options := config.DefaultOptions()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	// tickInterval is the time between two ticks, in which the periodic work is done.
+	// tickInterval is the time between two ticks. A tick does the periodic work.
 	tickInterval = 50 * time.Millisecond
 	// leaseSafetyMargin shortens each lease and grant for its holder, in addition to the bound of the clock drift.
 	leaseSafetyMargin = 100 * time.Millisecond
--- a/internal/controller/dynamic_config_test.go
+++ b/internal/controller/dynamic_config_test.go
@@ -31,7 +31,7 @@
 	o.controller.holdsLease = true
 	o.controller.route(now, &server.Request{Method: "POST", Target: "/settings", Body: body})
 	o.controller.leadership.storage.Flush(now, &o.controller.outbox)
-	o.service.answerAllCalls(t, now, o.controller)
+	o.service.respondToAllCalls(t, now, o.controller)
 	reply := o.controller.takeResponse(t)
 	response := configResponse{Status: reply.Status}
 	var refusal struct {
--- a/internal/controller/fake_state_service_test.go
+++ b/internal/controller/fake_state_service_test.go
@@ -14,8 +14,8 @@
 	"gullrudder/internal/wire/stateapi"
 )
 
-// fakeStateService is a state service that keeps values with their modification revisions. It responds to calls at once, with
-// status 503 while it is unavailable.
+// fakeStateService is a state service that keeps values with their modification revisions. It responds to calls
+// immediately, with status 503 while it is unavailable.
 type fakeStateService struct {
 	revision     uint64
 	values       map[string]any
@@ -56,8 +56,8 @@
 	}
 }
 
-// answerCalls responds to the outstanding calls of the controller, and returns their number.
-func (service *fakeStateService) answerCalls(t *testing.T, now time.Time, controller *Controller) (answered int) {
+// respondToCalls responds to the outstanding calls of the controller, and returns their number.
+func (service *fakeStateService) respondToCalls(t *testing.T, now time.Time, controller *Controller) (responses int) {
 	t.Helper()
 	calls := controller.outbox.TakeCalls()
 	for _, call := range calls {
@@ -66,10 +66,10 @@
 	return len(calls)
 }
 
-// answerAllCalls also responds to the calls that the controller makes after a response.
-func (service *fakeStateService) answerAllCalls(t *testing.T, now time.Time, controller *Controller) {
+// respondToAllCalls responds to calls until the controller makes no more. A response may lead to further calls.
+func (service *fakeStateService) respondToAllCalls(t *testing.T, now time.Time, controller *Controller) {
 	t.Helper()
-	for service.answerCalls(t, now, controller) > 0 {
+	for service.respondToCalls(t, now, controller) > 0 {
 		continue
 	}
 }
@@ -108,7 +108,7 @@
 func (c *Controller) loadState(t *testing.T, now time.Time, service *fakeStateService) {
 	t.Helper()
 	c.leadership.storage.Load(&c.outbox)
-	service.answerCalls(t, now, c)
+	service.respondToCalls(t, now, c)
 	c.leadership.failover.LoadState(now)
 }
 
--- a/internal/controller/latency.go
+++ b/internal/controller/latency.go
@@ -17,7 +17,7 @@
 // Latency is a row of the latency table: the response times of one kind of request, in milliseconds.
 type Latency struct {
 	Kind  string `msgpack:"kind" json:"kind"`
-	Count int64  `msgpack:"count" json:"count"` // requests answered since the process started
+	Count int64  `msgpack:"count" json:"count"` // responses sent since the process started
 	P50   int64  `msgpack:"p50_ms" json:"p50_ms"`
 	P99   int64  `msgpack:"p99_ms" json:"p99_ms"`
 	Max   int64  `msgpack:"max_ms" json:"max_ms"`
