--- a/internal/controller/heartbeat/ended.go
+++ b/internal/controller/heartbeat/ended.go
@@ -13,7 +13,7 @@
 // retryDelay is the delay before a job or a machine is tried again after a refused start, or after a job failed on many machines.
 const retryDelay = 2 * time.Second
 
-// HandleEnded processes attempts of a machine that are gone. Their tasks are requeued unless they are done.
+// HandleEnded processes the ended attempts of a machine. Their tasks are requeued unless they are done.
 func (h *Handler) HandleEnded(now time.Time, machine *worker.Machine, endedAttempts []worker.EndedAttempt) {
 	for _, ended := range endedAttempts {
 		h.handleEndedAttempt(now, machine, ended)
--- a/internal/controller/heartbeat/failure.go
+++ b/internal/controller/heartbeat/failure.go
@@ -80,7 +80,7 @@
 	h.placer.InvalidateOrder()
 }
 
-// recordCompletion records that a task of the job has completed on the machine, which revokes its verdict of crash-looping.
+// recordCompletion records that a task of the job has completed on the machine, which revokes the verdict that the job is crash-looping.
 func (h *Handler) recordCompletion(now time.Time, machine *worker.Machine, job *jobs.Job) {
 	h.observers.failures.RecordCompletion(job.ID, machine.ID)
 	if !job.CrashLooping {
--- a/internal/controller/heartbeat/handler.go
+++ b/internal/controller/heartbeat/handler.go
@@ -3,7 +3,7 @@
 // of registered machines in the state service. A Handler is created at each election.
 //
 // Start commands are sent in heartbeat responses only, and the placer chooses them. The Handler reconciles only heartbeats that the
-// reachability tracker classifies as fresh. The rules of package worker alone decide when an attempt is gone.
+// reachability tracker classifies as fresh. The rules of package worker alone decide when an attempt has ended.
 // Design notes: docs/design/reachability.md, docs/design/failure-attribution.md.
 package heartbeat
 
@@ -129,7 +129,7 @@
 		freshness = h.reachability.Classify(now, machine, heartbeat)
 	}
 	if freshness == reachability.Stale {
-		// Status 200 would keep renewing the lease of a machine that is gone while duplicates of its heartbeats arrive.
+		// With status 200, duplicates of heartbeats would keep renewing the lease of a machine that no longer exists.
 		h.responder.RespondError(request, http.StatusServiceUnavailable, "an older report", 0)
 		return false
 	}
--- a/internal/controller/heartbeat/response.go
+++ b/internal/controller/heartbeat/response.go
@@ -16,11 +16,11 @@
 	maxRegistrationWait = 700 * time.Millisecond
 	// maxCommandsPerResponse bounds the commands of one response, whose body must stay below 64 KiB.
 	maxCommandsPerResponse = 300
-	// minKillsSent is the number of kill commands for an attempt from which on the machine counts as ignoring them. One may still
-	// be in transit.
+	// minKillsSent is the number of kill commands that must have been sent for an attempt before the machine counts as ignoring
+	// them. The last one may still be in transit.
 	minKillsSent = 2
-	// Before a reclaim, the command to save a checkpoint is sent earlier than the checkpoint duration of the task requires: by
-	// reclaimSlack and reclaimHeartbeats heartbeat intervals.
+	// The command to save a checkpoint is sent once the time to the reclaim is below the sum of the checkpoint duration, reclaimSlack
+	// and reclaimHeartbeats heartbeat intervals.
 	reclaimSlack      = time.Second
 	reclaimHeartbeats = 3
 )
@@ -88,8 +88,8 @@
 	return commands
 }
 
-// killCommands returns the commands to kill the tasks of cancelled jobs that appear in a heartbeat that is not fresh. They
-// must end however old the heartbeat is: a response without the commands would keep them running for another lease.
+// killCommands returns the commands to kill the tasks of cancelled jobs that appear in a heartbeat that is not fresh. The
+// tasks must end however old the heartbeat is: a response without the commands would keep them running for another lease.
 func (h *Handler) killCommands(heartbeat *workerapi.Heartbeat) []workerapi.Command {
 	commands := []workerapi.Command{}
 	for _, status := range heartbeat.Tasks {
