--- a/internal/controller/worker/machine.go
+++ b/internal/controller/worker/machine.go
@@ -32,7 +32,7 @@
 
 	HasSentHeartbeat bool      // a heartbeat was accepted since this leader was elected
 	Reconciled       bool      // the leader knows all attempts that may run on it
-	LeaseRenewedAt   time.Time // when the leader last sent it a response with status 200
+	LeaseRenewedAt   time.Time // when its lease may last have been renewed: by a heartbeat or its response, or at the election
 	LastContactAt    time.Time // last proof that it is alive: a fresh heartbeat or a response to a probe (set by reachability)
 	IsUnreachable    bool      // its heartbeats arrive, but it probably receives no responses (set by reachability)
 }
--- a/internal/controller/worker/reachability/freshness.go
+++ b/internal/controller/worker/reachability/freshness.go
@@ -53,8 +53,8 @@
 }
 
 // classifyUnverified classifies a heartbeat without the leader's fencing token. This leader has accepted no heartbeat of the machine yet.
-// The heartbeat may have been sent before the election, and its machine may be gone. The response contains the token, and a live
-// machine sends it in its next heartbeat. If neither responses nor probes reach the machine, its heartbeats are refused. Otherwise its
+// The heartbeat may have been sent before the election, and its machine may no longer exist. The response contains the token, and a
+// live machine sends it in its next heartbeat. If neither responses nor probes reach the machine, its heartbeats are refused. Otherwise its
 // lease would never expire, and the failover, which waits for that, would never be completed.
 func (l *linkState) classifyUnverified() Freshness {
 	if l.unansweredProbes >= maxUnansweredProbes && l.ineffectiveResponses >= maxIneffectiveResponses {
--- a/internal/controller/worker/reachability/probe.go
+++ b/internal/controller/worker/reachability/probe.go
@@ -39,7 +39,7 @@
 
 // ProbeAnswered records a machine's response to a probe. It proves that the machine receives the leader's messages, and its heartbeat
 // is certainly newer than those known when the probe was sent. If the position of the heartbeat is not newer, the worker has lost its
-// counters: countersReset is true, and all earlier attempts on the machine are gone.
+// counters: countersReset is true, and all earlier attempts on the machine have ended.
 func (t *Tracker) ProbeAnswered(
 	now time.Time, machine *worker.Machine, probe Probe, heartbeat *workerapi.Heartbeat,
 ) (countersReset bool) {
--- a/internal/controller/worker/reachability/suspicion.go
+++ b/internal/controller/worker/reachability/suspicion.go
@@ -33,7 +33,7 @@
 // RecordAcknowledged records that a response with status 200 is sent to the machine's newest heartbeat.
 func (t *Tracker) RecordAcknowledged(machine *worker.Machine) { t.linkOf(machine).acknowledged = true }
 
-// RecordEnded records the attempts that are gone according to a heartbeat of the machine. If the start command of one was sent and
+// RecordEnded records the attempts that have ended according to a heartbeat of the machine. If the start command of one was sent and
 // the attempt never appeared, the response with the command was lost.
 func (t *Tracker) RecordEnded(now time.Time, machine *worker.Machine, endedAttempts []worker.EndedAttempt) {
 	for _, ended := range endedAttempts {
@@ -60,8 +60,8 @@
 	machine.IsUnreachable = l.countersReset
 }
 
-// recordCountersReset records that the machine's worker has lost its counters. Its earlier attempts count as gone once the response to
-// a probe proves it, or the lease has expired.
+// recordCountersReset records that the machine's worker has lost its counters. Its earlier attempts count as ended once the response
+// to a probe proves it, or the lease has expired.
 func (t *Tracker) recordCountersReset(now time.Time, machine *worker.Machine, link *linkState) {
 	if !link.countersReset {
 		link.countersReset, link.suspectSince = true, now
--- a/internal/controller/worker/reachability/tracker.go
+++ b/internal/controller/worker/reachability/tracker.go
@@ -1,7 +1,7 @@
 // Package reachability tracks both directions of the link between the leader and each machine: what a heartbeat proves about
 // its machine, and whether the machine receives the leader's messages. A Tracker owns the state of the links. It is created at
 // each election and kept in memory only. It decides which heartbeats are stale and whether a machine may be sent start commands. It
-// sends nothing, and does not decide whether a task is gone.
+// sends nothing, and does not decide whether a task has ended.
 //
 // A heartbeat may be duplicated and delayed, so it proves only that its machine was alive when it was sent. A response to a probe
 // arrives on a connection that the leader opened and is certainly fresh. A machine whose heartbeats arrive may still be unreachable (an
@@ -64,7 +64,7 @@
 	return &Tracker{fencingToken: fencingToken, leaseDuration: leaseDuration, metrics: metrics, log: log, links: map[string]*linkState{}}
 }
 
-// Forget drops the link of a machine that is gone.
+// Forget drops the link of a machine that no longer exists.
 func (t *Tracker) Forget(machineID string) { delete(t.links, machineID) }
 
 func (t *Tracker) linkOf(machine *worker.Machine) *linkState {
--- a/internal/controller/worker/reachability/tracker_test.go
+++ b/internal/controller/worker/reachability/tracker_test.go
@@ -88,10 +88,10 @@
 	}
 }
 
-// TestReportingMachineMayBeUnreachable checks a machine whose heartbeats arrive and that receives nothing. Its first start
+// TestMachineWithHeartbeatsMayBeUnreachable checks a machine whose heartbeats arrive and that receives nothing. Its first start
 // command is lost, and it counts as unreachable. After two failed probes it is unresponsive although its heartbeats arrive
 // on time. Once it responds to a probe it is reachable again.
-func TestReportingMachineMayBeUnreachable(t *testing.T) {
+func TestMachineWithHeartbeatsMayBeUnreachable(t *testing.T) {
 	tracker, now := newTestTracker(), time.Unix(1000, 0)
 	machine, registry := newTestMachine(true), newTestRegistry()
 	sequence := uint64(0)
--- a/internal/controller/worker/reconcile.go
+++ b/internal/controller/worker/reconcile.go
@@ -9,7 +9,7 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// ReasonLost is the exit reason of an attempt that is gone without a reported exit. It is not used on the wire.
+// ReasonLost is the exit reason of an attempt that has ended without a reported exit. It is not used on the wire.
 const ReasonLost workerapi.ExitReason = "lost"
 
 // maxReclaimNotice bounds the time to the reclaim. Longer times in reclaim notices are shortened to it.
@@ -18,7 +18,7 @@
 // JobLookup returns the unfinished job with this ID, or nil if there is none.
 type JobLookup func(id string) *jobs.Job
 
-// EndedAttempt is an attempt that is known to be gone.
+// EndedAttempt is an attempt that has certainly ended.
 type EndedAttempt struct {
 	Attempt         *jobs.Attempt
 	Reason          workerapi.ExitReason // as reported, or ReasonLost
@@ -26,8 +26,8 @@
 }
 
 // Reconcile updates the machine from a heartbeat that is newer than all earlier ones (Machine.IsNewer), and returns the attempts that
-// are gone. complete is false for the response to direct commands. The worker may have sent that before it received a heartbeat
-// response with start commands, so attempts that are missing in it may still start.
+// have ended. complete is false for the response to direct commands. The worker may have sent that response before it received a
+// heartbeat response with start commands, so attempts that are missing in it may still start.
 func (r *Registry) Reconcile(
 	now time.Time, machine *Machine, heartbeat *workerapi.Heartbeat, complete bool, findJob JobLookup,
 ) []EndedAttempt {
@@ -98,7 +98,7 @@
 }
 
 // reconcileActive processes the status of an attempt that has not exited. A different attempt of the task that was recorded on this
-// machine is gone.
+// machine has ended.
 func (r *Registry) reconcileActive(
 	now time.Time, machine *Machine, task jobs.TaskID, status *workerapi.TaskStatus, findJob JobLookup,
 ) []EndedAttempt {
@@ -137,7 +137,7 @@
 }
 
 // adopt records an attempt that a worker reports and the leader does not know. It is an orphan unless its task may run. An orphan has
-// to be killed and uses its resources until it is gone.
+// to be killed and uses its resources until it has ended.
 func (r *Registry) adopt(now time.Time, machine *Machine, task jobs.TaskID, number uint64, job *jobs.Job) *jobs.Attempt {
 	attempt := &jobs.Attempt{Task: task, Number: number, MachineID: machine.ID, Zone: machine.Zone, Job: job, AssignedAt: now}
 	attempt.IsOrphan = job == nil || !mayRun(job, task.Index)
--- a/internal/controller/worker/registry.go
+++ b/internal/controller/worker/registry.go
@@ -2,9 +2,9 @@
 // usage of each team. A Registry is created at each election and kept in memory only. The heartbeat handler stores a record of each
 // machine that may hold tasks in the state service. Only the event loop may call the package.
 //
-// An attempt leaves the Registry only when it is certainly gone: it has exited or is missing in a newer heartbeat, the deletion of its
-// machine was confirmed, or the worker's lease has expired with its margin. The package does not decide which tasks start. Only
-// SendCommands sends anything. Design notes: docs/architecture.md, docs/design/reachability.md.
+// An attempt whose start command was sent leaves the Registry only when it has certainly ended: it has exited or is missing in a newer
+// heartbeat, the deletion of its machine was confirmed, or the worker's lease has expired with its margin. The package does not decide
+// which tasks start. Only SendCommands sends anything. Design notes: docs/architecture.md, docs/design/reachability.md.
 package worker
 
 import (
@@ -20,7 +20,8 @@
 const leaseMargin = 500 * time.Millisecond
 
 // LeaseExpiry returns how long a worker's tasks may still run after the leader's last response with status 200. lease is the duration
-// of the worker's lease, which begins when the worker sends the heartbeat, before the response. The worker's clock may run slow.
+// of the worker's lease, which begins when the worker sends the heartbeat, before the response. The result allows for a slow clock of
+// the worker.
 func LeaseExpiry(lease time.Duration) time.Duration {
 	return lease + clockdrift.Bound(lease) + leaseMargin
 }
@@ -29,7 +30,7 @@
 type Registry struct {
 	Machines       map[string]*Machine         // by ID
 	UsageByTeam    map[string]*Usage           // by name of the team
-	buckets        [BucketCount + 1][]*Machine // reporting machines by utilization; index 0 is not used
+	buckets        [BucketCount + 1][]*Machine // machines that have sent a heartbeat, by utilization; index 0 is not used
 	reconcileCount uint64                      // number of reconciled heartbeats; see jobs.Attempt.LastSeenReconcile
 	leaseExpiry    time.Duration
 	log            *slog.Logger
@@ -71,7 +72,7 @@
 	r.updateBucket(machine)
 }
 
-// Remove drops a machine that is gone. The caller must have released its attempts (ReleaseAll).
+// Remove drops a machine that no longer exists. The caller must have released its attempts (ReleaseAll).
 func (r *Registry) Remove(machine *Machine) {
 	machine.HasSentHeartbeat = false
 	r.updateBucket(machine)
--- a/internal/controller/worker/resources.go
+++ b/internal/controller/worker/resources.go
@@ -29,5 +29,5 @@
 	return Resources{r.CPUs - count*job.CPUs, r.GPUs - count*job.GPUs, r.MemoryGB - count*job.MemoryGB}
 }
 
-// Usage is the resources that a team's attempts use. It includes attempts that may be gone already.
+// Usage is the resources that a team's attempts use. It includes attempts that may have ended already.
 type Usage struct{ CPUs, GPUs float64 }
--- a/internal/controller/worker/utilization.go
+++ b/internal/controller/worker/utilization.go
@@ -6,7 +6,7 @@
 	"gullrudder/internal/units"
 )
 
-// BucketCount is the number of buckets of reporting machines by CPU utilization. Machines in the last bucket have no CPUs available.
+// BucketCount is the number of buckets, which group machines by CPU utilization. Machines in the last bucket have no CPUs available.
 // The placer searches by bucket, so that its work for a heartbeat does not grow with the number of machines.
 const BucketCount = 17
 
