--- a/internal/controller/failures/tracker.go
+++ b/internal/controller/failures/tracker.go
@@ -165,8 +165,8 @@
 	return 0
 }
 
-// IsFaulty reports whether the verdict on the machine is that it is faulty. This takes failures of different jobs that complete tasks
-// elsewhere, or that have no other evidence against them.
+// IsFaulty reports whether the verdict on the machine is that it is faulty. This requires failures of different jobs that complete
+// tasks elsewhere, or that have no other evidence against them.
 func (t *Tracker) IsFaulty(machineID string) bool {
 	m := t.machines[machineID]
 	return m != nil && len(m.failedJobs) >= minFailures && t.faultProbability(machineID, "", maxDepth) > faultThreshold
--- a/internal/controller/failures/tracker_test.go
+++ b/internal/controller/failures/tracker_test.go
@@ -163,7 +163,8 @@
 	return crashLooping, faulty
 }
 
-// verdictCounts counts verdicts on jobs over all cases: all, those that are nearly certain, and how many of the latter are missed.
+// verdictCounts counts jobs over all cases: those with a verdict, those that are certain to be crash-looping (posterior above
+// 0.999), and those of the certain ones that have no verdict.
 type verdictCounts struct{ crashLooping, certain, missed int }
 
 // compare checks the tracker's verdicts against the exact posterior of the case.
