--- a/internal/controller/zones/recovery.go
+++ b/internal/controller/zones/recovery.go
@@ -7,7 +7,7 @@
 	// zone is probed only if it has no machine left whose heartbeat would show that.
 	probeInterval = 20 * time.Second
 	// sentinelShare is the share of an unavailable zone's machines that are kept although they are silent (sentinels), at least
-	// minSentinels. Their first heartbeat shows the recovery at once, while a probe takes up to probeInterval and a boot.
+	// minSentinels. Their first heartbeat shows the recovery immediately, while a probe takes up to probeInterval and a boot.
 	sentinelShare = 0.03
 	minSentinels  = 2
 	// firstRecoveryStep is the number of instances that may be requested in the first step of a zone's recovery. The limit doubles
@@ -20,8 +20,8 @@
 )
 
 // MaxRequestable returns how many instances may be requested in the zone now, at most maxCount. In an Unavailable zone this is one
-// instance in each probeInterval, and only if no machine there would show its recovery. In a Recovering zone it is what the present
-// step still allows.
+// instance in each probeInterval, and only if no machine there would show its recovery. In a Suspected zone it is 0. In a
+// Recovering zone it is what the present step still allows.
 func (t *Tracker) MaxRequestable(now time.Time, name string, maxCount int) int {
 	z := t.zones[name]
 	if z == nil {
--- a/internal/controller/zones/state.go
+++ b/internal/controller/zones/state.go
@@ -8,7 +8,7 @@
 // The states of a zone.
 const (
 	Healthy     State = iota // heartbeats arrive
-	Suspected                // heartbeats of many machines are overdue; it may become Unavailable
+	Suspected                // heartbeats of many machines are overdue; the zone may become Unavailable
 	Degraded                 // heartbeats of many machines are overdue, those of others arrive
 	Unavailable              // no heartbeat arrives
 	Recovering               // heartbeats arrive again; the limit of requested instances grows in steps
--- a/internal/controller/zones/tracker.go
+++ b/internal/controller/zones/tracker.go
@@ -19,16 +19,16 @@
 const (
 	// minSilentMachines is the number of machines whose heartbeats must be overdue for a zone to be suspected.
 	minSilentMachines = 3
-	// minMissedHeartbeats is the number of heartbeats in a row, over all machines of a zone, whose absence chance alone does not
-	// explain.
+	// minMissedHeartbeats is the number of consecutive heartbeats, over all machines of a zone, that must be missing for an outage.
+	// Chance alone does not explain that many.
 	minMissedHeartbeats = 12
 	// minSilence is the shortest silence that counts as evidence. The network alone may delay all heartbeats by this time.
 	minSilence = 1500 * time.Millisecond
 	// overdueShare is the share of a zone's machines whose heartbeats must be overdue for the zone to be suspected.
 	overdueShare = 0.25
-	// maxOverdueInOtherZones is the share of overdue machines in the other zones from which on a failure of this controller is
-	// more likely than one of the zone.
-	maxOverdueInOtherZones = 0.25
+	// maxOverdueShareInOtherZones bounds the share of machines with overdue heartbeats in the other zones. From this share on, a failure of
+	// this controller is more likely than an outage of the zone.
+	maxOverdueShareInOtherZones = 0.25
 	// maxDelay is the time by which the network may delay a heartbeat.
 	maxDelay = 500 * time.Millisecond
 	// pauseThreshold is the time between two observations above which this process counts as paused.
@@ -127,7 +127,7 @@
 	if expected == 0 {
 		return anyReachable
 	}
-	return anyReachable && float64(overdue)/float64(expected) < maxOverdueInOtherZones
+	return anyReachable && float64(overdue)/float64(expected) < maxOverdueShareInOtherZones
 }
 
 // isSilent reports whether the zone has been silent for longer than chance explains. This is the time of minMissedHeartbeats, but not
--- a/internal/controller/zones/tracker_test.go
+++ b/internal/controller/zones/tracker_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// detectionBound is the time within which an outage must be detected. recoveryBound is the time after its end after which the zone
-// must not be Unavailable.
+// detectionBound is the time within which an outage must be detected. recoveryBound is the time within which its end must be
+// detected.
 const (
 	detectionBound = heartbeatInterval*5/4 + time.Second + 2*observeInterval
 	recoveryBound  = heartbeatInterval*5/4 + minSilence + 2*observeInterval
@@ -217,7 +217,7 @@
 			}
 		})
 		if took == 0 || took > detectionBound || machines >= 60 && took > 3*time.Second {
-			t.Errorf("%d machines: outage detected after %v, want within %v, or 3s from 60 machines on", machines, took, detectionBound)
+			t.Errorf("%d machines: outage detected after %v, want within %v, with 60 machines or more within 3s", machines, took, detectionBound)
 		}
 		t.Logf("%d machines a zone: detected after %v", machines, took)
 	}
