--- a/internal/controller/queue/legacy_order_test.go
+++ b/internal/controller/queue/legacy_order_test.go
@@ -159,7 +159,7 @@
 
 // overdueAfter returns the age after which a job is overdue even if it can still meet its objectives: the age bound, or less
 // if no job of its class was done recently. Without the shorter age, only two of six jobs with long objectives were done by
-// the end of the simulated day (a4e2-15).
+// the end of the simulated run (a4e2-15).
 func (p *legacyPlanner) overdueAfter(now time.Time, job *jobs.Job) time.Duration {
 	if p.options.StartBound > 0 && p.fairShare.NoneDoneRecently(now, job.Class) {
 		wait := 8 * p.options.StartBound / 5
--- a/internal/controller/queue/model_test.go
+++ b/internal/controller/queue/model_test.go
@@ -114,7 +114,7 @@
 	got := c.components.Planner.Admit(c.now, request)
 	want := c.legacy.Admit(c.now, legacyRequest)
 	if got != want {
-		t.Fatalf("admission of %s: got %v, model says %v", spec.ID, got, want)
+		t.Fatalf("admission of %s: got %v, want %v", spec.ID, got, want)
 	}
 	for _, j := range []*jobs.Job{job, legacyJob} {
 		j.State, j.Guaranteed = jobs.Accepted, got
--- a/internal/controller/queue/overdue.go
+++ b/internal/controller/queue/overdue.go
@@ -47,7 +47,7 @@
 
 // overdueAfter returns the age after which a job is overdue even if it can still meet its objectives: the age bound, or less
 // if no job of its class was done recently. Without the shorter age, six jobs of a class with long objectives got no capacity
-// before the age bound, and only two were done by the end of the simulated day (a4e2-15).
+// before the age bound, and only two were done by the end of the simulated run (a4e2-15).
 func (r *Ranker) overdueAfter(c *candidate) time.Duration {
 	startBound := r.options.StartBound
 	if startBound <= 0 || !r.fairShare.NoneDoneRecently(c.now, c.job.Class) {
