--- a/internal/controller/estimate/estimate.go
+++ b/internal/controller/estimate/estimate.go
@@ -25,7 +25,7 @@
 	maxJobRuns = 8
 	// minTaskRunTime is the shortest predicted run time.
 	minTaskRunTime = time.Second
-	// minCountedCPUs is the least number of CPUs that a task counts. A task that requests none still occupies a machine.
+	// minCountedCPUs is the minimum number of CPUs that a task counts in sums. A task that requests none still occupies a machine.
 	minCountedCPUs = 0.1
 )
 
