--- a/internal/controller/submission/limiter.go
+++ b/internal/controller/submission/limiter.go
@@ -40,8 +40,8 @@
 	tickets        ticketQueue
 }
 
-// New returns a Limiter that allows maxPending pending submissions, at least 1. saveRate is the expected number of submissions
-// that are saved a second, at least 0.1.
+// New returns a Limiter that allows maxPending pending submissions. saveRate is the expected number of submissions that are saved
+// a second. A maxPending below 1 counts as 1, and a saveRate below 0.1 as 0.1.
 func New(maxPending int, saveRate float64) *Limiter {
 	return &Limiter{maxPending: max(maxPending, 1), saveRate: max(saveRate, minSaveRate), teams: map[string]*team{}}
 }
--- a/internal/controller/submission/limiter_test.go
+++ b/internal/controller/submission/limiter_test.go
@@ -23,22 +23,22 @@
 // simulation simulates the users of two teams that share a limiter. For 20 s, team "flood" submits ten times as many jobs as
 // can be saved. For 40 s, team "calm" submits two jobs a second.
 type simulation struct {
-	limiter       *Limiter
-	retriesAtOnce bool // users of flood ignore Retry-After
-	now           time.Time
-	users         []*user
-	pending       []string                   // teams of the pending submissions, oldest first
-	waits         map[string][]time.Duration // of accepted submissions, by team
-	floodOrder    []int                      // numbers of accepted users of flood, in the order of acceptance
+	limiter           *Limiter
+	ignoresRetryAfter bool // users of flood ignore Retry-After
+	now               time.Time
+	users             []*user
+	pending           []string                   // teams of the pending submissions, oldest first
+	waits             map[string][]time.Duration // of accepted submissions, by team
+	floodOrder        []int                      // numbers of accepted users of flood, in the order of acceptance
 }
 
-func simulateTwoTeams(t *testing.T, retriesAtOnce bool) *simulation {
+func simulateTwoTeams(t *testing.T, ignoresRetryAfter bool) *simulation {
 	t.Helper()
 	s := &simulation{
-		limiter:       New(testMaxPending, testSaveRate),
-		retriesAtOnce: retriesAtOnce,
-		now:           time.Unix(1000, 0),
-		waits:         map[string][]time.Duration{},
+		limiter:           New(testMaxPending, testSaveRate),
+		ignoresRetryAfter: ignoresRetryAfter,
+		now:               time.Unix(1000, 0),
+		waits:             map[string][]time.Duration{},
 	}
 	for tick := range 4000 {
 		s.now = s.now.Add(testTick)
@@ -87,7 +87,7 @@
 			t.Fatalf("retry after: got %v, want 1s to 30s", retryAfter)
 		}
 		u.nextAt = s.now.Add(retryAfter)
-		if s.retriesAtOnce && u.team == "flood" {
+		if s.ignoresRetryAfter && u.team == "flood" {
 			u.nextAt = s.now.Add(20 * time.Millisecond)
 		}
 		if s.now.Sub(u.firstAt) < time.Minute {
@@ -120,11 +120,11 @@
 // obey Retry-After. Users of the flooding team who obey it are accepted in the order of their first submissions.
 func TestTeamsShareTheLimiter(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		retriesAtOnce bool
-	}{{"users of the flooding team obey Retry-After", false}, {"users of the flooding team retry at once", true}} {
+		name              string
+		ignoresRetryAfter bool
+	}{{"users of the flooding team obey Retry-After", false}, {"users of the flooding team retry immediately", true}} {
 		t.Run(c.name, func(t *testing.T) {
-			s := simulateTwoTeams(t, c.retriesAtOnce)
+			s := simulateTwoTeams(t, c.ignoresRetryAfter)
 			if n := len(s.waits["calm"]); n < 76 {
 				t.Errorf("accepted submissions of the calm team: got %d of 80, want at least 76", n)
 			}
@@ -137,15 +137,15 @@
 			if n := len(s.floodOrder); n < 200 {
 				t.Errorf("accepted submissions of the flooding team: got %d, want at least 200 of about 320", n)
 			}
-			if n := s.outOfOrder(); !c.retriesAtOnce && n > len(s.floodOrder)/20 {
+			if n := s.outOfOrder(); !c.ignoresRetryAfter && n > len(s.floodOrder)/20 {
 				t.Errorf("submissions accepted out of order: got %d of %d, want at most a twentieth", n, len(s.floodOrder))
 			}
 		})
 	}
 }
 
-// TestRetryingAtOnceGainsNothing checks that retrying at once increases the accepted submissions by at most a tenth.
-func TestRetryingAtOnceGainsNothing(t *testing.T) {
+// TestImmediateRetriesGainNothing checks that immediate retries increase the accepted submissions by at most a tenth.
+func TestImmediateRetriesGainNothing(t *testing.T) {
 	waiting, retrying := len(simulateTwoTeams(t, false).waits["flood"]), len(simulateTwoTeams(t, true).waits["flood"])
 	if retrying > waiting*11/10 {
 		t.Errorf("accepted with immediate retries: got %d, want at most a tenth more than %d", retrying, waiting)
