--- a/internal/controller/jobs/attempt.go
+++ b/internal/controller/jobs/attempt.go
@@ -13,14 +13,14 @@
 	IsUnsent          bool      // the start command will be sent with the response to the machine's next heartbeat
 	RunningSince      time.Time // when a heartbeat first reported the task as running; zero: not yet
 	IsCheckpointing   bool      // the task is saving a checkpoint
-	StopSentAt        time.Time // when a stop command was last sent; zero: never
+	StopSentAt        time.Time // when it was marked to be stopped, for example for a preemption; zero: it was not
 	LastSeenReconcile uint64    // number of the last reconciliation of the machine that found it; 0: none did
 	KillsSent         int       // number of heartbeat responses with a command to kill it
-	IsOrphan          bool      // it must not run; it is being stopped and occupies resources until it is gone
+	IsOrphan          bool      // it must not run; it is being stopped and occupies resources until it has ended
 }
 
-// minRunBeforePreemption is how long the first tasks of a job run before they may be preempted. A start that is stopped at
-// once gains the waiting user nothing.
+// minRunBeforePreemption is how long the first tasks of a job run before they may be preempted. A task that is stopped
+// immediately after its start gains the waiting user nothing.
 const minRunBeforePreemption = 30 * time.Second
 
 // CanBePreempted reports whether the attempt may be stopped for a job of a higher priority. Only tasks that save
--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -1,6 +1,6 @@
 // Package jobs defines the jobs that users submit and the state of their tasks: done, running or waiting to be started. It
 // parses submissions (ParseSpec) and converts jobs to and from their stored form (Record, Chunk). A Job owns the progress of
-// its tasks. Package dependencies sets its dependency status, and package heartbeat sets its failures.
+// its tasks. Packages dependencies and jobstore set its dependency status, and package heartbeat sets its failures.
 //
 // The package does no I/O and does not decide where or when a task runs. It has no locks: a Job belongs to the one goroutine
 // of the controller that owns the state.
