--- a/internal/controller/dependencies/graph.go
+++ b/internal/controller/dependencies/graph.go
@@ -57,8 +57,8 @@
 	g.dependents[id][job] = true
 }
 
-// RecordDone records that the completion of a job is durable. It returns the jobs that become ready, that is, whose last unmet
-// dependency this was, sorted by ID. It sets their ReadyAt to now.
+// RecordDone records that the completion of a job is durable. It returns the dependents that have no unmet dependencies left, sorted
+// by ID, and sets their ReadyAt to now.
 func (g *Graph) RecordDone(now time.Time, jobID string) []*jobs.Job {
 	var ready []*jobs.Job
 	for job := range g.dependents[jobID] {
