--- a/internal/controller/heartbeat/ended.go
+++ b/internal/controller/heartbeat/ended.go
@@ -10,7 +10,8 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// retryDelay is the delay before a job or a machine is tried again after a refused start, or after a job failed on many machines.
+// retryDelay is the delay before a job or a machine is tried again after a refused start, or after a job failed on
+// maxAvoidedMachines machines.
 const retryDelay = 2 * time.Second
 
 // HandleEnded processes the ended attempts of a machine. Their tasks are requeued unless they are done.
