--- a/internal/controller/queue/overdue.go
+++ b/internal/controller/queue/overdue.go
@@ -8,8 +8,8 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// setOverdueReasons sets overdueReason of the overdue jobs that capacity is set aside for now. Services, crash-looping jobs and
-// jobs that are planned or served first are left out.
+// setOverdueReasons sets overdueReason of the overdue jobs for which capacity is set aside. Services, crash-looping jobs and jobs that
+// are planned or served first are left out.
 func (r *Ranker) setOverdueReasons(now time.Time, candidates []candidate, live []*jobs.Job, capacity admission.Capacity) {
 	var overdue []fairshare.OverdueJob
 	for i := range candidates {
--- a/internal/controller/queue/rank.go
+++ b/internal/controller/queue/rank.go
@@ -7,7 +7,7 @@
 const (
 	RankAgedFirst        Rank = iota // aged, within the share for aged jobs that is served first
 	RankService                      // services
-	RankInitialTasks                 // no task was started within StartBound: the first few tasks
+	RankInitialTasks                 // no task was started within StartBound; limited to the initial tasks
 	RankBelowMinShare                // overdue, and its class or team is served less than the minimum share
 	RankPlanned                      // guaranteed, and its work fits before its deadline
 	RankQuotaInTime                  // within the team's guaranteed quota, and can still start in time
--- a/internal/controller/queue/rules.go
+++ b/internal/controller/queue/rules.go
@@ -71,7 +71,7 @@
 	return position{rank: RankService, sortKey: -float64(c.job.Priority), mayReserve: true}
 }
 
-// initialTasksRule ranks jobs that had no task started within StartBound, for their first few tasks, the oldest job first.
+// initialTasksRule ranks jobs that had no task started within StartBound, the oldest first. It limits them to their initial tasks.
 type initialTasksRule struct{}
 
 func (initialTasksRule) matches(c *candidate) bool { return c.awaitsStart }
