--- a/internal/controller/heartbeat/ended.go
+++ b/internal/controller/heartbeat/ended.go
@@ -10,10 +10,11 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// retryDelay is the delay before a job or a machine is tried again after a refused start, or after a job failed on many machines.
+// retryDelay is the delay before a job or a machine is tried again after a refused start, or after a job failed on
+// maxAvoidedMachines machines.
 const retryDelay = 2 * time.Second
 
-// HandleEnded processes attempts of a machine that are gone. Their tasks are requeued unless they are done.
+// HandleEnded processes the ended attempts of a machine. Their tasks are requeued unless they are done.
 func (h *Handler) HandleEnded(now time.Time, machine *worker.Machine, endedAttempts []worker.EndedAttempt) {
 	for _, ended := range endedAttempts {
 		h.handleEndedAttempt(now, machine, ended)
