--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -32,14 +32,14 @@
 	ObjectiveStart     = "wait"      // a job starts within TimeLimit
 	ObjectiveFinish    = "finished"  // a job finishes within TimeLimit
 	ObjectiveDeadline  = "deadline"  // a job finishes within DeadlineFactor times its deadline
-	ObjectiveGuarantee = "guarantee" // what a team's guaranteed quota covers starts within TimeLimit
+	ObjectiveGuarantee = "guarantee" // a job within its team's guarantee starts within TimeLimit
 )
 
 // Objective is a service level objective: a share of the jobs of a class starts or finishes in time.
 type Objective struct {
 	Kind           string // one of the kinds above; others are ignored
 	Class          string
-	TimeLimit      time.Duration // since submission
+	TimeLimit      time.Duration // counted from jobs.Job.EligibleSince
 	TargetShare    float64       // share of the jobs that are to meet it, 0 to 1
 	DeadlineFactor float64       // multiple of the job's deadline, for ObjectiveDeadline
 }
@@ -139,7 +139,7 @@
 	return platform, platform.validate()
 }
 
-// validate checks the fields in the order of the file and returns an error about the first invalid one.
+// validate returns an error about the first invalid field that it finds.
 func (p *Platform) validate() error {
 	if p.Name == "" {
 		return newFieldError("host_name", "missing")
