--- a/internal/goldenbytes/goldenbytes.go
+++ b/internal/goldenbytes/goldenbytes.go
@@ -136,7 +136,8 @@
 }
 
 // Check compares the cases with the golden file. The values with all fields set, and the zero values, must encode to the bytes in the file.
-// The bytes of the former, decoded and encoded again, must not change. Each line of the file must have a case.
+// The file's bytes of values with all fields set must stay the same when they are decoded and encoded again. Each line of the file must
+// have a case.
 func Check(t *testing.T, cases ...Case) {
 	t.Helper()
 	if *update {
