--- a/internal/site/agent/attempt.go
+++ b/internal/site/agent/attempt.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// tailBytes is the size of the end of a failed task's error output that its result keeps.
+	// tailBytes is the maximum size of Result.ErrorTail.
 	tailBytes = 2048
 	// exitNotFound is the exit status of a command that could not be started, as in a shell.
 	exitNotFound = 127
--- a/internal/site/agent/commands.go
+++ b/internal/site/agent/commands.go
@@ -10,7 +10,8 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// maxAttempts bounds the attempts that a worker keeps. A heartbeat lists all of them, and its body must stay below 64 KiB.
+// maxAttempts is the number of attempts from which a worker refuses new ones. A heartbeat lists all attempts, and its body must stay below
+// 64 KiB.
 const maxAttempts = 400
 
 // handleDirectRequest answers a request to the worker's own address and executes its commands. Such a request does not renew the lease.
--- a/internal/site/agent/heartbeat.go
+++ b/internal/site/agent/heartbeat.go
@@ -52,8 +52,8 @@
 	effects.Heartbeat = &OutgoingHeartbeat{s.options.Controllers[s.controllers[s.currentController]], s.nextHeartbeat()}
 }
 
-// handleHeartbeatResult handles the result of the last heartbeat. After a redirect, or without a usable response, the next one goes to
-// another controller.
+// handleHeartbeatResult handles the result of the last heartbeat. After a redirect to another controller, the next heartbeat goes there.
+// After any other response without status 200, or without a response, it goes to the next controller, after nextControllerDelay.
 func (s *State) handleHeartbeatResult(now time.Time, result HeartbeatResult, effects *Effects) {
 	s.isAwaitingResponse = false
 	s.nextHeartbeatAt = s.sentAt.Add(s.options.HeartbeatInterval)
@@ -90,7 +90,8 @@
 	return slices.Contains(s.controllers, name) && name != s.controllers[s.currentController]
 }
 
-// raiseFencingToken adopts a higher fencing token. This triggers a heartbeat ahead of the interval, at most once per half a lease.
+// raiseFencingToken adopts a higher fencing token. This triggers a heartbeat ahead of the interval, at most once per half of the
+// lease duration.
 func (s *State) raiseFencingToken(now time.Time, fencingToken uint64) {
 	if fencingToken > s.fencingToken {
 		s.fencingToken = fencingToken
--- a/internal/site/agent/results.go
+++ b/internal/site/agent/results.go
@@ -14,7 +14,7 @@
 	Task       string    `json:"task"`
 	Attempt    uint64    `json:"attempt"`
 	Exit       int       `json:"exit"`             // exit status; 128 plus the signal's number if a signal ended it
-	Reason     string    `json:"reason,omitempty"` // text, if Exit is not 0
+	Reason     string    `json:"reason,omitempty"` // exit status or start error as text, if Exit is not 0
 	ErrorTail  string    `json:"tail,omitempty"`   // the end of its error output, if Exit is not 0
 	StartedAt  time.Time `json:"began"`
 	FinishedAt time.Time `json:"finished"`
--- a/internal/site/agent/runner.go
+++ b/internal/site/agent/runner.go
@@ -222,7 +222,8 @@
 	}
 }
 
-// Stop signals an attempt to save a checkpoint and exit, and kills it after stop.Grace. Without Grace it kills it at once.
+// Stop sends SIGTERM, so that the attempt saves a checkpoint and exits, and kills the attempt after stop.Grace. If Grace is 0, it kills the
+// attempt immediately.
 func (r *Runner) Stop(stop Stop) {
 	r.mu.Lock()
 	child := r.processes[attemptKey{stop.Task, stop.Attempt}]
--- a/internal/site/agent/runtime.go
+++ b/internal/site/agent/runtime.go
@@ -52,7 +52,7 @@
 
 const (
 	reportInterval      = time.Second
-	reportTimeout       = 2 * time.Second
+	machinePoolTimeout  = 2 * time.Second
 	tickInterval        = 50 * time.Millisecond
 	maxReportedFailures = 16 // in one report
 	maxCachedSpecs      = 256
@@ -225,7 +225,7 @@
 		result.Status = 200
 		return result
 	}
-	msg, err := client.Do(r.runtimeOptions.MachinePoolAddr, "GET", "/descriptions/"+job, nil, reportTimeout)
+	msg, err := client.Do(r.runtimeOptions.MachinePoolAddr, "GET", "/descriptions/"+job, nil, machinePoolTimeout)
 	if err != nil {
 		r.log.Debug("spec request failed", logkeys.Job, job, logkeys.Err, err)
 		return result
@@ -276,12 +276,12 @@
 
 // publishStatus updates the report to the machine pool. The event loop calls it after each step.
 func (r *Runtime) publishStatus() {
-	name, applied := r.state.Machine()
+	machine, applied := r.state.Machine()
 	r.mu.Lock()
 	r.status = poolapi.WorkerReport{
 		Name: r.runtimeOptions.Name, Addr: r.options.Addr, Type: r.options.Type, Zone: r.options.Zone,
 		CPUs: r.options.CPUs, MemoryGB: r.options.MemoryGB,
-		Epoch: r.epoch, Machine: name, AppliedSerial: applied, RunningTasks: r.state.ActiveAttempts(),
+		Epoch: r.epoch, Machine: machine, AppliedSerial: applied, RunningTasks: r.state.ActiveAttempts(),
 	}
 	r.mu.Unlock()
 }
@@ -302,7 +302,7 @@
 			}
 		}
 		if raw, err := codec.Marshal(report); err == nil {
-			msg, err := client.Do(r.runtimeOptions.MachinePoolAddr, "POST", poolapi.ReportPath, raw, reportTimeout)
+			msg, err := client.Do(r.runtimeOptions.MachinePoolAddr, "POST", poolapi.ReportPath, raw, machinePoolTimeout)
 			var assignment poolapi.MachineAssignment
 			if err == nil && msg.Status == 200 && codec.Unmarshal(msg.Body, &assignment) == nil {
 				if err := r.runner.results.setReported(failures); err != nil {
--- a/internal/site/agent/state.go
+++ b/internal/site/agent/state.go
@@ -53,7 +53,7 @@
 	sentAt             time.Time
 	sentIncarnation    uint64
 	isAwaitingResponse bool
-	hasChanged         bool // the status changed since, so the next heartbeat does not wait for the interval
+	hasChanged         bool // the status has changed since the last heartbeat, so the next one does not wait for the interval
 	nextHeartbeatAt    time.Time
 }
 
@@ -85,8 +85,8 @@
 }
 
 // Machine returns the machine that this worker acts as, or whose tasks may still be running on it, and the serial of the newest
-// assignment. The name is empty if there is no machine.
-func (s *State) Machine() (name string, applied uint64) { return s.machine, s.appliedSerial }
+// assignment. The ID is empty if there is no machine.
+func (s *State) Machine() (machineID string, serial uint64) { return s.machine, s.appliedSerial }
 
 // ActiveAttempts returns the number of attempts that have not exited.
 func (s *State) ActiveAttempts() int {
@@ -174,9 +174,9 @@
 
 // sortedAttempts returns the attempts sorted by task and number, as heartbeats list them.
 func (s *State) sortedAttempts() []*taskAttempt {
-	tasks := slices.Collect(maps.Values(s.attempts))
-	slices.SortFunc(tasks, func(a, b *taskAttempt) int {
+	attempts := slices.Collect(maps.Values(s.attempts))
+	slices.SortFunc(attempts, func(a, b *taskAttempt) int {
 		return cmp.Or(cmp.Compare(a.task, b.task), cmp.Compare(a.number, b.number))
 	})
-	return tasks
+	return attempts
 }
--- a/internal/site/agent/state_test.go
+++ b/internal/site/agent/state_test.go
@@ -43,7 +43,7 @@
 	return tb.last
 }
 
-// finishClearing reports that the tasks that the last step ended are gone.
+// finishClearing reports that no process is left of the tasks that the last step ended.
 func (tb *workerFixture) finishClearing() {
 	tb.Helper()
 	if tb.last.ClearEpoch == nil {
@@ -243,7 +243,7 @@
 	}
 }
 
-// finishPendingClearing reports that the tasks that an earlier step ended are gone.
+// finishPendingClearing reports that no process is left of the tasks that an earlier step ended.
 func (tb *workerFixture) finishPendingClearing() {
 	tb.step(Input{TasksRemoved: &TasksRemoved{tb.state.clearEpoch}})
 }
@@ -265,21 +265,21 @@
 func TestMachineIsReassignedOnceTasksAreRemoved(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.step(Input{Assigned: &Assigned{Machine: "vm-2", Serial: 2}})
-	if name, applied := fixture.state.Machine(); name != "vm-1" || applied != 2 {
-		t.Errorf("machine before clearing: got %s with serial %d, want vm-1, 2", name, applied)
+	if machine, serial := fixture.state.Machine(); machine != "vm-1" || serial != 2 {
+		t.Errorf("machine before clearing: got %s with serial %d, want vm-1, 2", machine, serial)
 	}
 	fixture.step(Input{Assigned: &Assigned{Serial: 3}})
 	fixture.finishPendingClearing()
-	if name, _ := fixture.state.Machine(); name != "" {
-		t.Errorf("machine after the assignment was withdrawn: got %s, want none", name)
+	if machine, _ := fixture.state.Machine(); machine != "" {
+		t.Errorf("machine after the assignment was withdrawn: got %s, want none", machine)
 	}
 	if fixture.advance(time.Minute).Heartbeat != nil {
 		t.Error("heartbeat sent without a machine, want none")
 	}
 }
 
-// TestHeartbeatDestination checks that the next heartbeat goes to another controller after a redirect, and after a missing response with
-// a delay of at least one second.
+// TestHeartbeatDestination checks that the next heartbeat goes to another controller after a redirect or a missing response. After a
+// missing response it must be delayed by at least one second.
 func TestHeartbeatDestination(t *testing.T) {
 	fixture := newFixture(t)
 	destination := func() string {
