--- a/internal/site/datadir/controllerconfig.go
+++ b/internal/site/datadir/controllerconfig.go
@@ -5,7 +5,7 @@
 // Limits in the settings of a site's controllers: limits of the state service and the machine pool, which serve this site only, and of
 // the controllers themselves.
 const (
-	stateRequestRate   = 2000 // a second, reads and writes each
+	stateRequestRate   = 2000 // a second, for requests and for changes
 	stateMaxValueKB    = 32
 	stateMaxOperations = 64  // in one transaction
 	cloudRequestRate   = 20  // a second
--- a/internal/site/datadir/datadir.go
+++ b/internal/site/datadir/datadir.go
@@ -1,6 +1,6 @@
 // Package datadir reads and writes the data directory of a site on one machine. It owns the files in the directory's root: the addresses
-// and size of the site (site.xml), the settings of its controllers, the lock and the record of the supervisor. All but the last two are
-// written when the site is created and not changed afterwards. The processes of the site own their directories below the root.
+// and size of the site (site.xml), the settings of its controllers, the lock and the record of the supervisor. site.xml and the settings
+// are written when the site is created and not changed afterwards. The processes of the site own their directories below the root.
 // docs/design/site.md describes a site.
 package datadir
 
