--- a/internal/site/kvserver/directory.go
+++ b/internal/site/kvserver/directory.go
@@ -14,7 +14,7 @@
 // also after a Rename. The errors are those of package os.
 type Directory interface {
 	Create(name string) (File, error) // a new empty file; replaces an existing one
-	Open(name string) (File, error)   // to write to
+	Open(name string) (File, error)   // an existing file, for writing
 	Read(name string) ([]byte, error) // the whole file
 	Rename(from, to string) error     // replaces an existing file
 	Remove(name string) error         // deletes a file
--- a/internal/site/kvserver/helpers_test.go
+++ b/internal/site/kvserver/helpers_test.go
@@ -41,7 +41,7 @@
 	return kvserver.Request{Method: http.MethodPost, Target: target, Body: raw}
 }
 
-// sendOne steps the state with one request, and fails the test if it is not answered at once.
+// sendOne steps the state with one request, and fails the test if the step does not answer it.
 func sendOne(t rapid.TB, state *kvserver.State, now time.Time, request kvserver.Request) kvserver.Response {
 	t.Helper()
 	effects := state.Step(now, []kvserver.Request{request})
--- a/internal/site/kvserver/keyspace.go
+++ b/internal/site/kvserver/keyspace.go
@@ -161,13 +161,13 @@
 }
 
 func (k *keyspace) addLease(id uint64, ttl time.Duration, now time.Time, undos *[]undoFunc) {
-	previousLeaseID := k.lastLeaseID
+	previousLastLeaseID := k.lastLeaseID
 	k.lastLeaseID = max(k.lastLeaseID, id)
 	k.leases[id] = &lease{id: id, ttl: ttl, expiresAt: now.Add(ttl), keys: map[string]bool{}}
 	if undos != nil {
 		*undos = append(*undos, func(k *keyspace) {
 			delete(k.leases, id)
-			k.lastLeaseID = previousLeaseID
+			k.lastLeaseID = previousLastLeaseID
 		})
 	}
 }
--- a/internal/site/kvserver/messages.go
+++ b/internal/site/kvserver/messages.go
@@ -12,7 +12,7 @@
 // Response answers a request. It may be sent only once the records of its step are durable.
 type Response = server.ValueResponse
 
-// Effects are what the caller has to do after a step.
+// Effects are the actions that the caller takes after a step.
 type Effects struct {
 	Records   []byte     // to be appended to the log and synced before any response is sent
 	Responses []Response // to be sent once the records are durable
--- a/internal/site/kvserver/model_test.go
+++ b/internal/site/kvserver/model_test.go
@@ -90,7 +90,7 @@
 	key := m.keys.Draw(t, "key")
 	response := m.send(t, get("/keys/"+key))
 	if entry := m.model.Keys[key]; (entry.ModRevision > 0) != (response.Status == http.StatusOK) {
-		t.Fatalf("read %s: got status %d, want that of the model's %+v", key, response.Status, entry)
+		t.Fatalf("read %s: got status %d, want the status for the model's entry %+v", key, response.Status, entry)
 	}
 }
 
@@ -99,7 +99,7 @@
 	var preconditions []crashtest.Precondition
 	for range rapid.IntRange(0, 3).Draw(t, "guards") {
 		key := m.keys.Draw(t, "guard")
-		offset := uint64(rapid.IntRange(0, 6).Draw(t, "off") / 6) // 1 in one of seven preconditions, which fails then
+		offset := uint64(rapid.IntRange(0, 6).Draw(t, "off") / 6) // 1 for one in seven preconditions, so that it fails
 		preconditions = append(preconditions, crashtest.Precondition{Key: key, ModRevision: m.model.Keys[key].ModRevision + offset})
 	}
 	var operations []crashtest.Operation
--- a/internal/site/kvserver/recovery.go
+++ b/internal/site/kvserver/recovery.go
@@ -85,8 +85,8 @@
 	return r.replayLog(files, segments, 1, 1)
 }
 
-// preferDamage returns the damage of a skipped snapshot, if there is any, and laterErr otherwise. laterErr may be a mere consequence of
-// skipping the snapshot.
+// preferDamage returns the damage of a skipped snapshot if there is any, since laterErr may only be a consequence of skipping that
+// snapshot. Otherwise it returns laterErr.
 func preferDamage(skippedErr, laterErr error) error {
 	var damage *fileError
 	if errors.As(skippedErr, &damage) {
--- a/internal/site/kvserver/server.go
+++ b/internal/site/kvserver/server.go
@@ -37,8 +37,8 @@
 //
 // The goroutines run until the process ends.
 //
-// While the disk syncs the records of some steps, the following steps are collected. Their responses wait for the next sync, including
-// those of reads. A read may return changes that are not durable yet, and a crash would revert them.
+// While the disk syncs the records of some steps, the following steps are collected. Their responses wait for the next sync. Responses to
+// reads wait too, because they may contain changes that are not durable yet and that a crash would revert.
 type Server struct {
 	state     *State
 	storage   *Storage
--- a/internal/site/kvserver/snapshot.go
+++ b/internal/site/kvserver/snapshot.go
@@ -207,7 +207,7 @@
 	return firstErr
 }
 
-// isCovered reports whether a file is a segment or snapshot with a lower number than a snapshot.
+// isCovered reports whether a file is a segment or snapshot with a lower number than the given snapshot.
 func isCovered(name string, snapshot uint64) bool {
 	for _, prefix := range []string{segmentPrefix, snapshotPrefix} {
 		if number, ok := parseFileNumber(name, prefix); ok && number < snapshot {
--- a/internal/site/kvserver/snapshot_schedule.go
+++ b/internal/site/kvserver/snapshot_schedule.go
@@ -28,7 +28,7 @@
 func (s *snapshotSchedule) canBegin(now time.Time) bool { return !s.isRunning && now.After(s.nextAt) }
 
 // runSnapshot writes a snapshot and then deletes the files that it covers. It runs on its own goroutine.
-// cmd/faulttest matches its log messages to kill the process at that moment.
+// cmd/faulttest matches its log messages to kill the process at these moments.
 func (s *Server) runSnapshot(snapshot *SnapshotWriter) {
 	startedAt := time.Now()
 	log := s.log.With(logkeys.Snapshot, snapshot.fileName())
--- a/internal/site/kvserver/storage.go
+++ b/internal/site/kvserver/storage.go
@@ -62,7 +62,7 @@
 // be, and the log accepts no records until Repair has succeeded.
 func (s *Storage) Append(records []byte) error { return s.wal.append(records) }
 
-// RecordAppended adds the size of appended records to that of the log.
+// RecordAppended records that a frame with records of this size was appended to the log.
 func (s *Storage) RecordAppended(bytes int) { s.uncoveredLogBytes += int64(bytes + frameHeaderBytes) }
 
 // BeginSnapshot continues the log in a new segment and returns a writer for a snapshot of the view. The snapshot will cover all earlier
--- a/internal/site/kvserver/storage_test.go
+++ b/internal/site/kvserver/storage_test.go
@@ -117,7 +117,7 @@
 	if err := writer.Abort(); err == nil {
 		t.Error("abort of a snapshot that has no file: got no error, want one")
 	}
-	effects := state.Step(now, []kvserver.Request{crashtest.CommitRequest(nil, []crashtest.Operation{{Key: "b", Value: "no room"}})})
+	effects := state.Step(now, []kvserver.Request{crashtest.CommitRequest(nil, []crashtest.Operation{{Key: "b", Value: "no space"}})})
 	if err := storage.Append(effects.Records); !errors.Is(err, kvserver.ErrNotWritten) {
 		t.Fatalf("append on a full disk: got error %v, want %v", err, kvserver.ErrNotWritten)
 	}
--- a/internal/site/kvserver/writer.go
+++ b/internal/site/kvserver/writer.go
@@ -10,7 +10,8 @@
 	"gullrudder/internal/wire/server"
 )
 
-// writePipeline is the event loop's part of the writer's state. The writer has one job at a time.
+// writePipeline holds the steps that wait for the writer, and those whose records it is writing. Only the event loop accesses the fields
+// other than the channels.
 type writePipeline struct {
 	pending         []Effects // steps whose records were not passed to the writer yet
 	inFlight        []Effects // steps whose records are being written; nil: none
@@ -119,8 +120,9 @@
 	s.snapshots.isAwaitingWrite = false
 }
 
-// rollBack undoes the steps whose records were not made durable, and all later steps. If the records are certainly not in the log, the
-// requests are refused. Otherwise the outcome is uncertain, and their connections are closed without a response.
+// rollBack undoes the steps whose records were not made durable, and all later steps. It refuses the requests of the later steps. It also
+// refuses those of the failed steps if their records are certainly not in the log. Otherwise the outcome of these requests is uncertain,
+// and it closes their connections without a response.
 func (s *Server) rollBack(steps []Effects, err error) {
 	s.metrics.failedWriteCount.Inc()
 	s.log.Error("write to the log failed", logkeys.Err, err)
