--- a/internal/site/machinepool/cloudapi.go
+++ b/internal/site/machinepool/cloudapi.go
@@ -115,7 +115,7 @@
 	return view
 }
 
-// createMachines assigns machines to free workers. A repeated request that has got machines gets the same response again.
+// createMachines assigns machines to free workers. A repeated request gets the same machines if the first one got any.
 func (s *State) createMachines(now time.Time, request Request) {
 	var message createRequest
 	if codec.Unmarshal(request.Body, &message) != nil || !message.isValid() {
@@ -167,8 +167,8 @@
 	return ids
 }
 
-// removeStaleRequests removes the create requests whose machines are all gone. If such a request is repeated later, it gets new machines.
-// The controllers find them in the list of instances, and use or delete them.
+// removeStaleRequests removes the create requests whose machines are no longer in the record. If such a request is repeated later, it gets
+// new machines. The controllers find the new machines in the list of instances, and use or delete them.
 func (s *State) removeStaleRequests() {
 	for name, ids := range s.record.MachinesByRequest {
 		if !s.anyMachineExists(ids) {
@@ -181,7 +181,7 @@
 	return slices.ContainsFunc(ids, func(id string) bool { return s.record.Machines[id] != nil })
 }
 
-// deletion is a delete request that is waiting until its machines are gone.
+// deletion is a delete request that is waiting until its machines are removed from the record.
 type deletion struct {
 	handle   any
 	ids      []string
@@ -212,7 +212,7 @@
 	}
 }
 
-// completeDeletions answers the deletions whose machines are certainly gone, and those that have timed out.
+// completeDeletions answers the deletions whose machines are all removed from the record, and those that have timed out.
 func (s *State) completeDeletions(now time.Time) {
 	pending := s.pendingDeletions[:0]
 	for _, d := range s.pendingDeletions {
--- a/internal/site/machinepool/messages.go
+++ b/internal/site/machinepool/messages.go
@@ -18,7 +18,7 @@
 // Response answers a request. It may be sent only once the record and the failures of its step are durable.
 type Response = server.ValueResponse
 
-// Effects are what the Service has to do after a step, in the order of the fields.
+// Effects are the actions that the Service takes after a step, in the order of the fields.
 type Effects struct {
 	Record          *Record  // to be stored; nil if it has not changed
 	TaskFailures    []string // to be stored; each is a Failure in JSON
--- a/internal/site/machinepool/reports.go
+++ b/internal/site/machinepool/reports.go
@@ -39,8 +39,8 @@
 	workerHasMachine := report.Machine == machineID
 	switch {
 	case machine.WorkerEpoch != report.Epoch && !workerHasMachine:
-		// The worker was restarted. Before its first report, the new process ended all tasks that were left. So nothing of the
-		// machine is left.
+		// The worker was restarted. Before its first report, the new process ended all tasks that were left. So none of the
+		// machine's tasks is left.
 		s.recordChanged = s.recordChanged || !machine.HasFailed || machine.IsTerminating
 		machine.HasFailed = true
 		if machine.IsTerminating {
--- a/internal/site/machinepool/service.go
+++ b/internal/site/machinepool/service.go
@@ -27,7 +27,7 @@
 	maxBatchRequests       = 64
 )
 
-// databaseWorkers is the number of goroutines that run database calls. Up to so many job specs share one disk sync.
+// databaseWorkers is the number of goroutines that run database calls. Up to this many job specs share one disk sync.
 const databaseWorkers = 16
 
 // Limits of the service's connections.
--- a/internal/site/machinepool/state.go
+++ b/internal/site/machinepool/state.go
@@ -1,5 +1,5 @@
 // Package machinepool serves the machines that a site owns through the protocol of a cloud. Creating an instance assigns a machine to a
-// worker. A deletion is confirmed only once that worker has reported that nothing of the machine is left.
+// worker. A deletion is confirmed only once that worker has reported that none of the machine's tasks is left.
 //
 // State owns which machines exist, which worker has each of them, and whether the site is being drained. It does no I/O. Service stores
 // every change before it responds. It owns the database with the pool's record, the job specs and the failures of tasks. The package
--- a/internal/site/machinepool/state_test.go
+++ b/internal/site/machinepool/state_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// applyAssignment makes the worker apply the oldest assignment on its way. Nothing of its earlier machine is left then.
+// applyAssignment makes the worker apply the oldest assignment on its way. No task of its earlier machine is left then.
 func (m *machinePoolModel) applyAssignment(w *modelWorker) {
 	if len(w.assignments) > 0 {
 		oldest := w.assignments[0]
