--- a/internal/site/process/find.go
+++ b/internal/site/process/find.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// endInterval is the pause between two searches of End: long enough for killed processes to be gone.
+// endInterval is the pause between two searches of End: long enough for killed processes to exit.
 const endInterval = 2 * time.Millisecond
 
 // EndError is returned by End if processes are still running after the timeout. Count is their number.
