--- a/internal/site/supervisor/child.go
+++ b/internal/site/supervisor/child.go
@@ -123,7 +123,7 @@
 	cmd := exec.Command(c.program, c.Args...)
 	cmd.Stdout, cmd.Stderr = output, output
 	cmd.Env = append(os.Environ(), c.tag)
-	// A separate process group: an interrupt at the terminal reaches only the supervisor, which stops the processes in order.
+	// A separate process group: an interrupt at the terminal reaches only the supervisor, which stops the processes one after another.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	isStarted, err := c.start(cmd)
 	if err != nil || !isStarted {
