--- a/internal/wire/client/rate_limiter.go
+++ b/internal/wire/client/rate_limiter.go
@@ -10,8 +10,8 @@
 	updatedAt time.Time
 }
 
-// NewRateLimiter returns a limiter that allows rate tokens a second on average, and at once at most those that accumulate during burst. It
-// starts full.
+// NewRateLimiter returns a limiter that allows rate tokens a second on average. Its capacity is the number of tokens that accumulate during
+// burst. It starts full.
 func NewRateLimiter(rate float64, burst time.Duration) *RateLimiter {
 	capacity := rate * burst.Seconds()
 	return &RateLimiter{rate: rate, capacity: capacity, tokens: capacity}
