--- a/internal/wire/codec/format.go
+++ b/internal/wire/codec/format.go
@@ -4,8 +4,8 @@
 	"encoding/binary"
 )
 
-// First bytes of MessagePack values (https://github.com/msgpack/msgpack/blob/master/spec.md). The protocol uses no binary and extension
-// types.
+// First bytes of MessagePack values (https://github.com/msgpack/msgpack/blob/master/spec.md). The protocol uses neither binary nor
+// extension types.
 const (
 	positiveFixintMax = 0x7f
 	fixmapMax         = 0x8f
--- a/internal/wire/codec/json_size.go
+++ b/internal/wire/codec/json_size.go
@@ -6,7 +6,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// nonFiniteNumberBytes is the size that NaN and infinite numbers count with, which JSON cannot represent.
+// nonFiniteNumberBytes is the size that is counted for NaN and infinite numbers, which JSON cannot represent.
 const nonFiniteNumberBytes = 24
 
 // JSONSize returns the number of bytes that a validated MessagePack value takes as JSON. The limits of the state service refer to this
@@ -45,7 +45,7 @@
 	return jsonScalarSize(b)
 }
 
-// jsonCollectionSize returns the JSON size of an array or map whose length is at the start of b, after the first byte code.
+// jsonCollectionSize returns the JSON size of an array or map. code is its first byte, and b begins with its length.
 func jsonCollectionSize(code byte, b []byte) (size int, rest []byte) {
 	length, rest, err := readLength(b, 2<<((code-array16Code)&1))
 	switch {
