--- a/internal/wire/http1/server.go
+++ b/internal/wire/http1/server.go
@@ -51,7 +51,8 @@
 }
 
 const (
-	// minServeTime distinguishes two causes for the end of a server: if it ends earlier, it could not listen on its address.
+	// minServeTime is the run time below which a server that has ended counts as unable to listen on its address. A server that ran
+	// longer is restarted.
 	minServeTime = time.Second
 	// restartDelay is the delay before a server that has ended is restarted.
 	restartDelay = 500 * time.Millisecond
