--- a/internal/wire/workerapi/messages.go
+++ b/internal/wire/workerapi/messages.go
@@ -5,7 +5,7 @@
 
 import "gullrudder/internal/wire/codec"
 
-// MaxMachineIDBytes bounds the length of a machine's name.
+// MaxMachineIDBytes bounds the length of a machine ID.
 const MaxMachineIDBytes = 100
 
 // Heartbeat is the status that a worker sends to the leader periodically, and in response to direct commands. Incarnation and Sequence
@@ -132,7 +132,7 @@
 	Sequence    uint64 `msgpack:"knot"`
 }
 
-// DecodeHeartbeatID decodes only the HeartbeatID of a heartbeat. ok is false if the body cannot be decoded, or if the machine's name is
+// DecodeHeartbeatID decodes only the HeartbeatID of a heartbeat. ok is false if the body cannot be decoded, or if the machine ID is
 // empty or longer than MaxMachineIDBytes.
 func DecodeHeartbeatID(body []byte) (id HeartbeatID, ok bool) {
 	if codec.Unmarshal(body, &id) != nil || id.Machine == "" || len(id.Machine) > MaxMachineIDBytes {
