--- a/cmd/faulttest/faults.go
+++ b/cmd/faulttest/faults.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 )
 
-// Limits that each simulated day with faults must meet.
+// Limits that each run must meet.
 const (
 	minServedShare = 0.5             // of the jobs of each class, team and group of largest jobs
 	maxFirstStart  = 4 * time.Minute // from submission to first start, of the largest jobs
@@ -52,10 +52,10 @@
 	tuning.StartBound = o.startBound
 	options := simulator.CapacityLossOptions(tuning)
 	options.MachinesPerKind, options.LateShare, options.LossShare = o.capacity, 0.5, 0.002
-	days, violations, failures := make([]simulator.FaultDay, o.runs), make([][]simulator.Violation, o.runs), make([]error, o.runs)
+	results, violations, failures := make([]simulator.FaultRun, o.runs), make([][]simulator.Violation, o.runs), make([]error, o.runs)
 	runInParallel(o.runs, o.parallelism, func(i int) {
 		sim := simulator.New(o.seed+uint64(i), options, slog.New(slog.DiscardHandler))
-		days[i], failures[i] = sim.RunFaultDay(o.kinds)
+		results[i], failures[i] = sim.RunWithFaults(o.kinds)
 		violations[i] = sim.Violations
 	})
 	if err := errors.Join(failures...); err != nil {
@@ -63,12 +63,12 @@
 	}
 	out := &output{w: cmd.OutOrStdout()}
 	summary := faultSummary{class: 2, team: 2, largest: 2}
-	for i, day := range days {
-		summary.add(out, o.seed+uint64(i), day, violations[i])
+	for i, result := range results {
+		summary.add(out, o.seed+uint64(i), result, violations[i])
 	}
-	fewest, most := days[0].MaxMachines, 0
-	for _, day := range days {
-		fewest, most = min(fewest, day.MaxMachines), max(most, day.MaxMachines)
+	fewest, most := results[0].MaxMachines, 0
+	for _, result := range results {
+		fewest, most = min(fewest, result.MaxMachines), max(most, result.MaxMachines)
 	}
 	out.printf("peak machines per run: %d to %d\n", fewest, most)
 	out.printf("%d runs, %d rules broken, %d forgotten, least served %.2f (class) %.2f (team) %.2f (largest), latest first start %.0f s\n",
@@ -80,34 +80,34 @@
 	return out.err
 }
 
-// faultSummary holds the worst results of several simulated days.
+// faultSummary holds the worst results of several runs.
 type faultSummary struct {
 	broken, forgotten    int
 	class, team, largest float64       // smallest shares of done jobs
 	firstStart           time.Duration // longest time from submission to first start, of the largest jobs
 }
 
-// add adds a simulated day. The shares and the first start of a day count unless it broke a rule, or it missed a limit and its
-// machines could not have run all jobs.
-func (s *faultSummary) add(out *output, seed uint64, day simulator.FaultDay, violations []simulator.Violation) {
+// add adds the result of a run. The shares and the first start of a run are ignored in two cases: the run broke a rule, or it missed
+// a limit and its machines could not have run all jobs.
+func (s *faultSummary) add(out *output, seed uint64, result simulator.FaultRun, violations []simulator.Violation) {
 	if len(violations) > 0 {
 		s.broken++
-		if day.IsForgotten {
+		if result.HasForgottenJob {
 			s.forgotten++
 		}
 		out.printf("seed %d: a rule is broken: %v\n", seed, violations)
 		return
 	}
-	class, team, largest := day.LeastServed()
-	if min(class, team, largest) < minServedShare || day.LatestFirstStart > maxFirstStart {
+	class, team, largest := result.LeastServed()
+	if min(class, team, largest) < minServedShare || result.LatestFirstStart > maxFirstStart {
 		out.printf("seed %d: %d machines, least served %.2f (class) %.2f (team) %.2f (largest), latest first start %.0f s; "+
 			"%.0f CPU seconds requested, %.0f available, feasible: %v\n",
-			seed, day.MaxMachines, class, team, largest, day.LatestFirstStart.Seconds(),
-			day.RequestedCPUSeconds, day.AvailableCPUSeconds, day.IsFeasible())
-		if !day.IsFeasible() {
+			seed, result.MaxMachines, class, team, largest, result.LatestFirstStart.Seconds(),
+			result.RequestedCPUSeconds, result.AvailableCPUSeconds, result.IsFeasible())
+		if !result.IsFeasible() {
 			return
 		}
 	}
 	s.class, s.team, s.largest = min(s.class, class), min(s.team, team), min(s.largest, largest)
-	s.firstStart = max(s.firstStart, day.LatestFirstStart)
+	s.firstStart = max(s.firstStart, result.LatestFirstStart)
 }
--- a/cmd/faulttest/pipelines.go
+++ b/cmd/faulttest/pipelines.go
@@ -36,7 +36,7 @@
 	for i := range runs {
 		sim := simulator.New(seed+uint64(i), pipelinesOptions(), slog.New(slog.DiscardHandler))
 		result := sim.RunPipelines(pipelinesPerRun)
-		total, lost, lateness = total+result.Played, lost+result.Lost, append(lateness, result.Lateness...)
+		total, lost, lateness = total+result.Total, lost+result.Unfinished, append(lateness, result.Lateness...)
 		for _, violation := range sim.Violations {
 			broken++
 			out.printf("broken: seed %d: %s\n", seed+uint64(i), violation)
--- a/cmd/faulttest/scale.go
+++ b/cmd/faulttest/scale.go
@@ -33,7 +33,7 @@
 		result, err := simulator.New(seed, scaleOptions(size), slog.New(slog.DiscardHandler)).RunScale(size)
 		out.printf("%d\t%d\t%.0f\t%v\t%v\t%.3f\t%.1f\t%d\t%v\t%v\n", result.Machines, result.Tasks, float64(result.Steps)/60,
 			result.MeanStep.Round(time.Microsecond), result.LongestStep.Round(100*time.Microsecond), result.CPUShare,
-			result.WritesPerSecond, result.HeapMB, result.PlacingAfter, result.RecoveredAfter)
+			result.WritesPerSecond, result.HeapMiB, result.PlacementAfter, result.RecoveredAfter)
 		if err != nil {
 			return fmt.Errorf("cluster of %d machines: %w", size, err)
 		}
--- a/internal/simulator/faultkinds.go
+++ b/internal/simulator/faultkinds.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// faultRunKinds are the kinds of faults that RunFaultDay injects into a large cluster. Severity is 1 to 3. The kinds are sorted by name
+// faultRunKinds are the kinds of faults that RunWithFaults injects into a large cluster. Severity is 1 to 3. The kinds are sorted by name
 // and must stay so, since random choices select them by index. Names must not change: cmd/faulttest takes them as values of --kinds, and
 // recorded measurements contain them.
 var faultRunKinds = []FaultKind{
@@ -105,7 +105,7 @@
 	}},
 }
 
-// FaultKinds returns the names of the kinds that RunFaultDay accepts, sorted.
+// FaultKinds returns the names of the kinds that RunWithFaults accepts, sorted.
 func FaultKinds() []string {
 	names := make([]string, len(faultRunKinds))
 	for i, kind := range faultRunKinds {
--- a/internal/simulator/faultday.go
+++ b/internal/simulator/faultrun.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// FaultDay is the result of RunFaultDay: how many jobs of each class and team were done.
-type FaultDay struct {
+// FaultRun is the result of RunWithFaults: how many jobs of each class and team were done.
+type FaultRun struct {
 	Classes, Teams map[string]Served
 	// Largest has two groups for each class: the largest tenth of its jobs by work and by number of tasks, each at least one job.
 	Largest                                  map[string]Served
 	LatestFirstStart                         time.Duration // longest time from submission to first start among the largest jobs
-	IsForgotten                              bool          // the first violation broke RuleForgotten
+	HasForgottenJob                          bool          // the first violation broke RuleForgotten
 	MaxMachines                              int           // largest number of machines that were up at the same time
 	RequestedCPUSeconds, AvailableCPUSeconds float64       // of all jobs that were not cancelled; of all machines that were up
 }
 
 // LeastServed returns the smallest share of done jobs among the classes, among the teams and among the groups of largest jobs.
-func (d FaultDay) LeastServed() (class, team, largest float64) {
-	_, class = LeastServed(d.Classes)
-	_, team = LeastServed(d.Teams)
-	_, largest = LeastServed(d.Largest)
+func (r FaultRun) LeastServed() (class, team, largest float64) {
+	_, class = LeastServed(r.Classes)
+	_, team = LeastServed(r.Teams)
+	_, largest = LeastServed(r.Largest)
 	return class, team, largest
 }
 
 // IsFeasible reports whether the machines that were up had enough CPU time for all jobs, plus a fifth for lost work. It ignores placement
 // and timing.
-func (d FaultDay) IsFeasible() bool { return d.RequestedCPUSeconds*1.2 <= d.AvailableCPUSeconds }
+func (r FaultRun) IsFeasible() bool { return r.RequestedCPUSeconds*1.2 <= r.AvailableCPUSeconds }
 
-// Phases and load of RunFaultDay. Times count from its beginning.
+// Phases and load of RunWithFaults. Times count from its beginning.
 const (
 	faultRunSubmissionsEnd = 240 * time.Second // no submissions after that
 	faultRunFaultsStart    = 40 * time.Second
@@ -40,15 +40,15 @@
 	faultRunSampleInterval = 5 * time.Second
 )
 
-// RunFaultDay simulates the workload of RunCapacityLoss at four times its rate. It injects ten random faults of the given kinds over four
+// RunWithFaults simulates the workload of RunCapacityLoss at four times its rate. It injects ten random faults of the given kinds over four
 // minutes, two at about the same time, and continues without faults to the end. It returns an error for an unknown kind.
-func (sim *Cluster) RunFaultDay(kinds []string) (FaultDay, error) {
+func (sim *Cluster) RunWithFaults(kinds []string) (FaultRun, error) {
 	for _, name := range kinds {
 		if _, ok := findFaultKind(faultRunKinds, name); !ok {
-			return FaultDay{}, fmt.Errorf("fault kind %q does not exist, expected one of %q", name, FaultKinds())
+			return FaultRun{}, fmt.Errorf("fault kind %q does not exist, expected one of %q", name, FaultKinds())
 		}
 	}
-	result := FaultDay{Classes: map[string]Served{}, Teams: map[string]Served{}, Largest: map[string]Served{}}
+	result := FaultRun{Classes: map[string]Served{}, Teams: map[string]Served{}, Largest: map[string]Served{}}
 	sim.scheduleFaultRunJobs()
 	sim.scheduleFaultRunFaults(kinds)
 	for at := faultRunSampleInterval; at < faultRunLength; at += faultRunSampleInterval {
@@ -61,12 +61,12 @@
 		})
 	}
 	sim.Run(faultRunLength)
-	result.IsForgotten = len(sim.Violations) > 0 && sim.Violations[0].Rule == RuleForgotten
+	result.HasForgottenJob = len(sim.Violations) > 0 && sim.Violations[0].Rule == RuleForgotten
 	result.countServed(sim)
 	return result, nil
 }
 
-// scheduleFaultRunJobs schedules the submissions of RunFaultDay. Every 25th job has ten times the tasks.
+// scheduleFaultRunJobs schedules the submissions of RunWithFaults. Every 25th job has ten times the tasks.
 func (sim *Cluster) scheduleFaultRunJobs() {
 	n := 0
 	for _, work := range capacityLossWorkload {
@@ -101,7 +101,7 @@
 }
 
 // countServed counts the jobs that were accepted and whose users did not request their cancellation.
-func (d *FaultDay) countServed(sim *Cluster) {
+func (r *FaultRun) countServed(sim *Cluster) {
 	byClass := map[string][]*observedJob{}
 	for _, jobID := range sim.Users.jobIDs {
 		job := sim.checker.jobs[jobID]
@@ -109,10 +109,10 @@
 			continue
 		}
 		class, team := job.spec.Class, job.spec.Team
-		d.RequestedCPUSeconds += float64(job.spec.Tasks) * job.spec.CPUs * job.runTime.Seconds()
+		r.RequestedCPUSeconds += float64(job.spec.Tasks) * job.spec.CPUs * job.runTime.Seconds()
 		byClass[class] = append(byClass[class], job)
-		d.Classes[class] = d.Classes[class].withJob(job)
-		d.Teams[team] = d.Teams[team].withJob(job)
+		r.Classes[class] = r.Classes[class].withJob(job)
+		r.Teams[team] = r.Teams[team].withJob(job)
 	}
 	sizes := map[string]func(*observedJob) float64{
 		"by work": func(job *observedJob) float64 {
@@ -125,8 +125,8 @@
 			slices.SortStableFunc(jobsOfClass, func(a, b *observedJob) int { return cmp.Compare(size(b), size(a)) })
 			for _, job := range jobsOfClass[:max(len(jobsOfClass)/10, 1)] {
 				group := class + " " + name
-				d.Largest[group] = d.Largest[group].withJob(job)
-				d.LatestFirstStart = max(d.LatestFirstStart, timeToFirstStart(job))
+				r.Largest[group] = r.Largest[group].withJob(job)
+				r.LatestFirstStart = max(r.LatestFirstStart, timeToFirstStart(job))
 			}
 		}
 	}
--- a/internal/simulator/pipelines.go
+++ b/internal/simulator/pipelines.go
@@ -83,8 +83,8 @@
 
 // PipelineResult is the result of RunPipelines. It counts pipelines by the state of their last job.
 type PipelineResult struct {
-	Played, Lost int             // all pipelines, and those neither done nor cancelled at the end
-	Lateness     []time.Duration // of each pipeline that was done; negative if it met its deadline
+	Total, Unfinished int             // all pipelines, and those neither done nor cancelled at the end
+	Lateness          []time.Duration // of each pipeline that was done; negative if it met its deadline
 }
 
 // pipelineShape lists the indexes of the dependencies of each job of a pipeline.
@@ -145,11 +145,11 @@
 func (sim *Cluster) pipelineResult(pipelines [][]string) PipelineResult {
 	var result PipelineResult
 	for _, jobIDs := range pipelines {
-		result.Played++
+		result.Total++
 		last := sim.checker.jobs[jobIDs[len(jobIDs)-1]]
 		switch {
 		case last == nil || last.finishedAt.IsZero() && last.cancelledAt.IsZero():
-			result.Lost++
+			result.Unfinished++
 		case !last.finishedAt.IsZero():
 			result.Lateness = append(result.Lateness, last.finishedAt.Sub(last.submittedAt.Add(last.spec.Deadline)))
 		}
--- a/internal/simulator/scale.go
+++ b/internal/simulator/scale.go
@@ -16,8 +16,8 @@
 	MeanStep, LongestStep time.Duration // real time of a step
 	CPUShare              float64       // CPU time of all controllers together as a share of one CPU
 	WritesPerSecond       float64       // revisions of the state service
-	HeapMB                int           // heap of the whole process, including the simulator
-	PlacingAfter          time.Duration // from the failure until a leader places tasks again
+	HeapMiB               int           // heap of the whole process, including the simulator
+	PlacementAfter        time.Duration // from the failure until a leader places tasks again
 	RecoveredAfter        time.Duration // from the failure until the remaining machines run 95 % of the tasks that they can hold
 }
 
@@ -81,7 +81,7 @@
 		LongestStep:     sim.longestStep,
 		CPUShare:        sim.totalStepTime.Seconds() / sim.Now.Sub(began).Seconds(),
 		WritesPerSecond: float64(sim.State.revision-revision) / time.Minute.Seconds(),
-		HeapMB:          int(memory.HeapAlloc >> 20),
+		HeapMiB:         int(memory.HeapAlloc >> 20),
 	}
 }
 
@@ -89,14 +89,14 @@
 // scaleRecoveryLimit.
 func (sim *Cluster) measureRecovery(result *ScaleResult) {
 	remaining, failedAt := result.Tasks*2/3, sim.Now
-	for sim.Now.Sub(failedAt) < scaleRecoveryLimit && (result.PlacingAfter == 0 || result.RecoveredAfter == 0) {
+	for sim.Now.Sub(failedAt) < scaleRecoveryLimit && (result.PlacementAfter == 0 || result.RecoveredAfter == 0) {
 		sim.Run(100 * time.Millisecond)
 		for i := range sim.controllers {
-			if _, placing := sim.leadershipOf(i); placing && result.PlacingAfter == 0 {
-				result.PlacingAfter = sim.Now.Sub(failedAt)
+			if _, placing := sim.leadershipOf(i); placing && result.PlacementAfter == 0 {
+				result.PlacementAfter = sim.Now.Sub(failedAt)
 			}
 		}
-		if result.PlacingAfter > 0 && result.RecoveredAfter == 0 && sim.runningTasks() >= remaining*95/100 {
+		if result.PlacementAfter > 0 && result.RecoveredAfter == 0 && sim.runningTasks() >= remaining*95/100 {
 			result.RecoveredAfter = sim.Now.Sub(failedAt)
 		}
 	}
