--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -17,7 +17,7 @@
 	machineTypes     map[string]cloud.MachineType
 	machines         map[string]*machine
 	machineIDs       []string
-	requests         map[string][]string // request ID -> IDs of the instances started for it
+	requests         map[string][]string // request token -> IDs of the instances started for it
 	machinesPerKind  int
 	nextID           int
 	listings         []listing
@@ -105,13 +105,13 @@
 		respond(http.StatusOK, map[string]any{"oarlocks": selected.instances, "has_next": false})
 	case path == "/hosts/delete":
 		var deletion struct {
-			Hosts []string `msgpack:"oarlocks"`
+			InstanceIDs []string `msgpack:"oarlocks"`
 		}
 		if codec.Unmarshal(body, &deletion) != nil {
 			respond(http.StatusBadRequest, nil)
 			return
 		}
-		for _, id := range deletion.Hosts {
+		for _, id := range deletion.InstanceIDs {
 			if m := c.machines[id]; m != nil {
 				m.terminate()
 			}
@@ -127,18 +127,18 @@
 	}
 }
 
-// instanceRequest is the body of a request for instances. A request that repeats an earlier ID starts no further instances.
+// instanceRequest is the body of a request for instances. A request that repeats an earlier token starts no further instances.
 type instanceRequest struct {
-	ID          string `msgpack:"charter"`
-	MachineType string `msgpack:"keel"`
-	Zone        string `msgpack:"harbour"`
-	Spot        bool   `msgpack:"driftwood"`
-	Count       int    `msgpack:"how_many"`
+	RequestToken string `msgpack:"charter"`
+	MachineType  string `msgpack:"keel"`
+	Zone         string `msgpack:"harbour"`
+	Spot         bool   `msgpack:"driftwood"`
+	Count        int    `msgpack:"how_many"`
 }
 
 // requestInstances starts instances. It starts fewer than requested if the cloud has too few of the type, zone and spot setting.
 func (c *Cloud) requestInstances(request instanceRequest, respond responder) {
-	if ids, ok := c.requests[request.ID]; ok {
+	if ids, ok := c.requests[request.RequestToken]; ok {
 		respond(http.StatusOK, map[string]any{"oarlocks": ids})
 		return
 	}
@@ -175,7 +175,7 @@
 			c.sim.At(time.Duration(m.machineType.BootSeconds*(0.3+c.sim.Rand.Float64())*float64(time.Second)), m.start)
 		}
 	}
-	c.requests[request.ID] = ids
+	c.requests[request.RequestToken] = ids
 	respond(http.StatusOK, map[string]any{"oarlocks": ids})
 }
 
@@ -197,7 +197,7 @@
 		return
 	}
 	m.whenNotHung(func() {
-		m.checkLease()
+		m.endIncarnationIfLeaseExpired()
 		var commands workermessages.DirectCommands
 		if codec.Unmarshal(body, &commands) != nil {
 			respond(http.StatusBadRequest, nil)
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -47,7 +47,7 @@
 	Teams               []config.Team
 	HeartbeatInterval   time.Duration
 	WorkerLease         time.Duration // time after its last accepted heartbeat when a worker kills its tasks
-	CancelTimeout       time.Duration // time after the confirmed cancellation of a job when all of its tasks must be gone
+	CancelTimeout       time.Duration // time after the confirmed cancellation of a job when all of its tasks must have stopped
 	LossShare           float64       // share of messages that are lost, 0 to 1
 	LateShare           float64       // share of messages sent during a cut that arrive after its end; the others are lost
 	MachinesPerKind     int           // capacity of the cloud for each type, zone and spot or regular; 0: 6
--- a/internal/simulator/crashtest/crashpoints.go
+++ b/internal/simulator/crashtest/crashpoints.go
@@ -9,7 +9,7 @@
 
 // Result counts the crash points and runs of RunCrashPoints.
 type Result struct {
-	CrashPoints int // disk operations of the run without faults; each is crashed in other runs
+	CrashPoints int // disk operations of the run without faults; other runs crash at each of them
 	Runs        int // all runs, the one without faults included
 }
 
--- a/internal/simulator/emulator/cloud.go
+++ b/internal/simulator/emulator/cloud.go
@@ -21,7 +21,7 @@
 type Options struct {
 	Controllers       map[string]string // HOST:PORT of the controllers by name
 	HeartbeatInterval time.Duration
-	WorkerLease       time.Duration // a worker ends its tasks if no heartbeat is answered for longer
+	WorkerLease       time.Duration // a worker ends its tasks if it gets no response to a heartbeat for longer
 	MaxMachines       int           // maximum number of machines at a time
 	MaxRunTime        time.Duration // a task runs for 10 ms plus a random time below this
 	Seed              uint64        // of the tasks' run times
--- a/internal/simulator/failover_test.go
+++ b/internal/simulator/failover_test.go
@@ -94,7 +94,7 @@
 	})
 }
 
-// Heartbeats arrive so late that the next leader has already replaced or cancelled the tasks listed in them.
+// Heartbeats arrive so late that the next leader has already replaced or cancelled the tasks that they list. No rule may be broken.
 func TestHeartbeatDelayedPastFailover(t *testing.T) {
 	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		delivered := 0
@@ -126,8 +126,8 @@
 }
 
 // Cancellations, polls and repeated submissions arrive when the last task of a job completes. All controllers must respond with the same
-// final state, also after the job is archived. Depending on the seed there are no other faults, transactions of unknown outcome, or
-// failovers.
+// final state, also after the job is archived. A third of the seeds has no other faults, a third has transactions of unknown outcome, and a
+// third has failovers.
 func TestCancellationAsJobsEnd(t *testing.T) {
 	forEachSeed(t, 6, busyCluster, func(sim scenario) {
 		sim.Users.CancelAsJobsEnd(1, time.Minute)
@@ -218,8 +218,8 @@
 	})
 }
 
-// Jobs are cancelled at about the time at which the state service begins to refuse only the leader. Their machines hang. A second later the
-// state service has an outage longer than the cancellation timeout.
+// Jobs are cancelled at about the time when the state service begins to refuse only the leader. The machines of these jobs hang. A second
+// later the state service has an outage longer than the cancellation timeout.
 func TestCancellationAsLeaderIsRefused(t *testing.T) {
 	forEachSeed(t, 6, busyCluster, func(sim scenario) {
 		sim.Users.CancelLongest(5, time.Duration(sim.seed)*3*time.Second)
@@ -271,14 +271,14 @@
 		process.controller = nil // stopped without a restart, which the simulator does not count as a fault
 		process.generation++
 	}
-	var answerAll func() // polls without a response would break RuleForgotten first
-	answerAll = func() {
+	var recordResponses func() // polls without a response would break RuleForgotten first
+	recordResponses = func() {
 		for _, job := range sim.checker.jobs {
 			job.lastResponseAt = sim.Now
 		}
-		sim.At(time.Second, answerAll)
+		sim.At(time.Second, recordResponses)
 	}
-	answerAll()
+	recordResponses()
 	sim.Run(sim.Options.WorkerLease + maxStartableWait)
 	if len(sim.Violations) > 0 {
 		t.Fatalf("violations before maxStartableWait has passed: got %v, want none", sim.Violations)
--- a/internal/simulator/faultcombinations_test.go
+++ b/internal/simulator/faultcombinations_test.go
@@ -12,8 +12,8 @@
 // the injected defect that makes the test fail.
 
 // The leader confirms cancellations, but its commands reach no machine, and it crashes. The next leader writes the leader key but cannot
-// load the state, because an outage longer than the cancellation timeout begins. It holds its lease by grants of the other controllers,
-// and workers send it heartbeats. The cancelled tasks must stop in time.
+// load the state, because an outage longer than the cancellation timeout begins. This leader holds its lease by grants of the other
+// controllers, and workers send it heartbeats. The cancelled tasks must stop in time.
 func TestCancellationBeforeLeaderThatCannotRead(t *testing.T) {
 	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		for _, m := range sim.Cloud.runningMachines() {
@@ -87,7 +87,7 @@
 }
 
 // Job arrays of two and three tasks that end 20 s apart. Two failovers happen in between, one by a refusal of the state service and one by
-// a crash. Completed tasks must stay completed, and no job may be called done before all of its tasks are completed.
+// a crash. Completed tasks must stay completed, and no job may be reported as done before all of its tasks are completed.
 func TestTasksEndingFarApart(t *testing.T) {
 	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		for i := range 12 {
@@ -208,7 +208,8 @@
 	})
 }
 
-// The leadership changes six times at intervals of 900 ms. Then all controllers crash, one of which restarts at once and the others later.
+// The leadership changes six times at intervals of 900 ms. Then all controllers crash. One restarts after 100 ms, the others 3 s and 6 s
+// later.
 func TestLeadershipHandedBackAndForth(t *testing.T) {
 	forEachSeed(t, 4, busyCluster, func(sim scenario) {
 		sim.watchSingleLeader()
@@ -259,8 +260,8 @@
 	})
 }
 
-// If the worker lease is longer than the cancellation timeout, a job must not be called cancelled before its tasks have stopped. Machines
-// receive no messages for a while, leaders crash, and there is an outage.
+// If the worker lease is longer than the cancellation timeout, a job must not be reported as cancelled before its tasks have stopped.
+// Machines receive no messages for a while, leaders crash, and there is an outage.
 func TestCancelledOnlyAfterTasksStopped(t *testing.T) {
 	shortCancelTimeout := func(t *testing.T, seed uint64) scenario {
 		t.Helper()
--- a/internal/simulator/faultkinds.go
+++ b/internal/simulator/faultkinds.go
@@ -26,7 +26,7 @@
 // zoneOf returns the zone that a fault affects.
 func zoneOf(fault Fault) string { return []string{"a", "b"}[fault.HostGroups%2] }
 
-// crashAll crashes all controllers at once.
+// crashAll crashes all controllers at the same time.
 func (sim *Cluster) crashAll(restartAfter time.Duration) {
 	for i := range sim.Options.Controllers {
 		sim.Crash(i, restartAfter)
--- a/internal/simulator/faultrun.go
+++ b/internal/simulator/faultrun.go
@@ -13,7 +13,7 @@
 	// Largest has two groups for each class: the largest tenth of its jobs by work and by number of tasks, each at least one job.
 	Largest                                  map[string]Served
 	LatestFirstStart                         time.Duration // longest time from submission to first start among the largest jobs
-	HasForgottenJob                          bool          // the first violation broke RuleForgotten
+	HasForgottenJob                          bool          // the first violation is one of RuleForgotten
 	MaxMachines                              int           // largest number of machines that were up at the same time
 	RequestedCPUSeconds, AvailableCPUSeconds float64       // of all jobs that were not cancelled; of all machines that were up
 }
--- a/internal/simulator/harness_test.go
+++ b/internal/simulator/harness_test.go
@@ -49,7 +49,7 @@
 	Fatalf(format string, args ...any)
 }
 
-// expectNoViolations fails the test at once if a rule is broken.
+// expectNoViolations fails the test and ends it if a rule is broken.
 func expectNoViolations(t fataler, sim *Cluster) {
 	t.Helper()
 	if len(sim.Violations) > 0 {
@@ -79,7 +79,7 @@
 func testOptions() Options {
 	tuning := config.DefaultOptions()
 	tuning.ScaleOutBacklog = 5 * time.Second
-	// Finished jobs are archived at once and segments are compacted early, so that every run includes both.
+	// Finished jobs are archived immediately and segments are compacted early, so that every run includes both.
 	tuning.ArchiveDelay, tuning.MinSegmentJobs, tuning.CompactionFanIn = 0, 2, 2
 	return Options{
 		Controllers: 3, HeartbeatInterval: time.Second, WorkerLease: 8 * time.Second, CancelTimeout: 20 * time.Second,
--- a/internal/simulator/invariants_test.go
+++ b/internal/simulator/invariants_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// A delayed heartbeat does not list tasks that an earlier leader has started since. A new leader must not conclude that these tasks are
-// gone: the worker had not seen the new fencing token when it sent the heartbeat.
+// A delayed heartbeat does not list tasks that an earlier leader has started since. A new leader must not conclude that these tasks have
+// ended: the worker had not seen the new fencing token when it sent the heartbeat.
 func TestNewLeaderRejectsStaleHeartbeat(t *testing.T) {
 	t.Parallel()
 	sim := New(5, testOptions(), testLogger())
--- a/internal/simulator/largecluster_test.go
+++ b/internal/simulator/largecluster_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// A burst of ten times the usual submissions, then many cancellations. Submissions that exceed the limit must be rejected at once, the
+// A burst of ten times the usual submissions, then many cancellations. Submissions that exceed the limit must be rejected immediately, the
 // leader must keep its lease, and all accepted jobs must finish afterwards.
 func TestBurstOfSubmissionsAndCancellations(t *testing.T) {
 	t.Parallel()
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -34,7 +34,7 @@
 	isFaulty         bool            // every task on it fails
 	outboundCutUntil time.Time       // its heartbeats are lost until then
 	failedJobs       map[string]bool // jobs that had a failed task on this machine
-	bootCount        int             // ends the heartbeat loop of an earlier boot
+	bootCount        int             // number of restarts; heartbeat loops of earlier boots end
 }
 
 // machineTask is one attempt of a task on a machine.
@@ -95,8 +95,8 @@
 	m.heartbeatLoop(m.bootCount)
 }
 
-// checkLease kills all tasks and begins a new incarnation if the worker's lease has expired.
-func (m *machine) checkLease() {
+// endIncarnationIfLeaseExpired kills all tasks and begins a new incarnation if the worker's lease has expired.
+func (m *machine) endIncarnationIfLeaseExpired() {
 	if m.sim.Now.Sub(m.leaseRenewedAt) > m.sim.Options.WorkerLease {
 		m.dropTasks()
 		m.incarnation++
--- a/internal/simulator/machinefaults.go
+++ b/internal/simulator/machinefaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ReclaimMachine reclaims a random machine after a notice period; 0: at once.
+// ReclaimMachine makes the cloud reclaim a random machine after a notice period. 0 reclaims it immediately, without a notice.
 func (c *Cloud) ReclaimMachine(notice time.Duration) {
 	list := c.runningMachines()
 	if len(list) == 0 {
--- a/internal/simulator/modelcheck/modelcheck.go
+++ b/internal/simulator/modelcheck/modelcheck.go
@@ -1,6 +1,6 @@
-// Package modelcheck explores all schedules of a small model up to a depth. States with the same key are the same, and each
-// is expanded once. Models need not be copyable: to reach a state, a new model replays its moves. That is cheap for small
-// models.
+// Package modelcheck explores all schedules of a small model up to a depth. All states with the same key count as one state,
+// which is expanded once. Models need not be copyable: to reach a state, a new model replays its moves. That is cheap for
+// small models.
 package modelcheck
 
 import (
@@ -25,7 +25,7 @@
 // Result of an exploration.
 type Result struct {
 	States      int      // distinct states of CheckAll, or moves made by RandomWalks
-	Depth       int      // length of the longest schedule in moves; of RandomWalks with a violation, of its schedule
+	Depth       int      // moves in the longest schedule, or in Schedule if RandomWalks found a violation
 	IsTruncated bool     // the limit on the number of states was reached
 	Violation   string   // describes the first violated rule; empty if none was violated
 	Schedule    []string // the moves that lead to the violation
--- a/internal/simulator/partitions_test.go
+++ b/internal/simulator/partitions_test.go
@@ -11,7 +11,7 @@
 )
 
 // Three machines send heartbeats but receive no responses or commands. Meanwhile a machine fails, and with one seed the leader restarts.
-// The three machines must be detected and terminated, and no task may run twice.
+// The leader must detect that the three machines are unreachable and terminate them. No task may run twice.
 func TestInboundUnreachableMachines(t *testing.T) {
 	forEachSeed(t, 3, busyClusterWithSlowHeartbeats, func(sim scenario) {
 		before := len(sim.Cloud.runningMachines())
--- a/internal/simulator/pipelines.go
+++ b/internal/simulator/pipelines.go
@@ -59,7 +59,8 @@
 // pipelineRetryInterval is the time between checks whether the dependencies of a job are accepted, so that it can be submitted.
 const pipelineRetryInterval = 200 * time.Millisecond
 
-// SubmitPipeline submits the jobs of a pipeline, each as soon as its dependencies are accepted. It returns the IDs of the jobs at once.
+// SubmitPipeline schedules the submission of the jobs of a pipeline, each as soon as its dependencies are accepted. It returns their IDs
+// immediately.
 func (u *Users) SubmitPipeline(pipeline Pipeline) []string {
 	jobIDs := make([]string, len(pipeline.Dependencies))
 	for i := range jobIDs {
@@ -83,7 +84,7 @@
 
 // PipelineResult is the result of RunPipelines. It counts pipelines by the state of their last job.
 type PipelineResult struct {
-	Total, Unfinished int             // all pipelines, and those neither done nor cancelled at the end
+	Total, Unfinished int             // all pipelines, and those that were neither done nor cancelled at the end
 	Lateness          []time.Duration // of each pipeline that was done; negative if it met its deadline
 }
 
--- a/internal/simulator/rulechecks.go
+++ b/internal/simulator/rulechecks.go
@@ -122,7 +122,7 @@
 	return false
 }
 
-// checkNotDone checks that a job is not called done before all of its tasks are completed.
+// checkNotDone checks that a job is not reported as done before all of its tasks are completed.
 func (checker *invariantChecker) checkNotDone(jobID string) {
 	job := checker.jobs[jobID]
 	if len(job.completedTasks) < job.spec.Tasks {
@@ -130,8 +130,8 @@
 	}
 }
 
-// checkWentBack checks that a final state never changes. It also checks that a job is called cancelled only if a user requested to cancel
-// it or one of its direct or indirect dependencies.
+// checkWentBack checks that a final state never changes. It also checks that a job is reported as cancelled only if a user requested to
+// cancel it or one of its direct or indirect dependencies.
 func (checker *invariantChecker) checkWentBack(jobID, state string, requestedAt time.Time) {
 	job := checker.jobs[jobID]
 	wasCancelled, wasDone := !job.cancelledAt.IsZero(), !job.finishedAt.IsZero()
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -11,13 +11,13 @@
 // Rules of the protocol, under the names that it gives them. No rule detects a run that starts no tasks: the tests check the number of
 // starts.
 const (
-	RuleRanTwice     Rule = "ran_twice"     // a task ran on two machines at once
+	RuleRanTwice     Rule = "ran_twice"     // a task ran on two machines at the same time
 	RuleQuota        Rule = "quota"         // a team used more CPUs than its limit
 	RuleWrongPlace   Rule = "wrong_place"   // a task ran on a machine or in a zone that its job does not allow
 	RuleRanCancelled Rule = "ran_cancelled" // a task of a cancelled job ran after CancelTimeout
-	RuleForgotten    Rule = "forgotten"     // a request about an accepted job was rejected or not answered
+	RuleForgotten    Rule = "forgotten"     // a request about an accepted job was rejected or got no response
 	RuleInvented     Rule = "invented"      // a response gave a state for a job that was never submitted
-	RuleNotDone      Rule = "not_done"      // a job was called done before all of its tasks were
+	RuleNotDone      Rule = "not_done"      // a job was reported as done before all of its tasks were
 	RuleWentBack     Rule = "went_back"     // a final state changed, or a job was cancelled without a request
 	// Rules of dependencies.
 	RuleTooEarly Rule = "too_early" // a task ran before a dependency of its job was durably done
@@ -38,7 +38,7 @@
 	RuleLeftWaiting Rule = "left_waiting"
 	// RuleInvalidAccepted is broken if an invalid submission is not rejected with the expected status.
 	RuleInvalidAccepted Rule = "invalid_accepted"
-	// RuleSingleLeader is broken if two controllers hold the leader lease at once.
+	// RuleSingleLeader is broken if two controllers hold the leader lease at the same time.
 	RuleSingleLeader Rule = "single_leader"
 	// RuleMalformed is broken if a message or stored data cannot be encoded or decoded, or is over a limit.
 	RuleMalformed Rule = "malformed"
--- a/internal/simulator/scale.go
+++ b/internal/simulator/scale.go
@@ -8,14 +8,14 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// ScaleResult is the result of RunScale: the cost of a large cluster for its controllers, in real time, and its recovery from the failure
-// of many machines at once, in virtual time.
+// ScaleResult is the result of RunScale. The cost of a large cluster for its controllers is in real time. Its recovery from the failure of
+// many machines at the same time is in virtual time.
 type ScaleResult struct {
 	Machines, Tasks       int           // machines up and tasks running before the failure
 	Steps                 int           // steps of all controllers in a minute of load
 	MeanStep, LongestStep time.Duration // real time of a step
-	CPUShare              float64       // CPU time of all controllers together as a share of one CPU
-	WritesPerSecond       float64       // revisions of the state service
+	CPUShare              float64       // real time of the steps of all controllers per second of virtual time; about the number of CPUs used
+	WritesPerSecond       float64       // increase of the state service's revision per second
 	HeapMiB               int           // heap of the whole process, including the simulator
 	PlacementAfter        time.Duration // from the failure until a leader places tasks again
 	RecoveredAfter        time.Duration // from the failure until the remaining machines run 95 % of the tasks that they can hold
--- a/internal/simulator/sitetest/sitetest.go
+++ b/internal/simulator/sitetest/sitetest.go
@@ -31,7 +31,7 @@
 type Report struct {
 	FirstTaskAfter time.Duration // from the start of `up` until the first task ran
 	AllDoneAfter   time.Duration // from the start of `up` until all tasks were done, with all kills and the restart
-	Kills          int           // processes that were killed one at a time, before all were killed at once
+	Kills          int           // processes that were killed one at a time, before all were killed together
 }
 
 // processPatterns returns, for each kind of process of a site, the beginning of its arguments.
@@ -39,7 +39,7 @@
 	return []string{"worker --data", "pool --data", "serve --config", "state --data"}
 }
 
-// Execute starts a site and submits tasks. It kills each kind of process once and then all at once, restarts the site and
+// Execute starts a site and submits tasks. It kills each kind of process once and then all together, restarts the site and
 // waits for the tasks. Then it drains and stops the site. It returns an error if a task is lost, two attempts of a task run
 // at the same time, or a process of the site remains.
 func (r Run) Execute() (report Report, err error) {
@@ -95,7 +95,7 @@
 	return r.waitUntil(func() bool { return countFiles(taskDir, "ran.") > 0 }, 30*time.Second, "the first task to run")
 }
 
-// killProcesses kills each kind of process of the site once, in random order, and then all at once. It returns how many
+// killProcesses kills each kind of process of the site once, in random order, and then all together. It returns how many
 // processes were found and killed one at a time.
 func (r Run) killProcesses(site *datadir.Site, supervisor *exec.Cmd) (kills int) {
 	rng := rand.New(rand.NewPCG(r.Seed, 5))
--- a/internal/simulator/statefaults.go
+++ b/internal/simulator/statefaults.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Outage answers every request with 503 for a span. At its end every lease has its full TTL again.
+// Outage refuses every request with status 503 for a span. At its end every lease has its full TTL again.
 func (s *StateService) Outage(span time.Duration) {
 	s.outageUntil = s.sim.Now.Add(span)
 	s.sim.extendFaults(span)
@@ -16,7 +16,7 @@
 	}
 }
 
-// Refuse answers the requests of one controller with 503 for a span.
+// Refuse refuses the requests of one controller with status 503 for a span.
 func (s *StateService) Refuse(controller string, span time.Duration) {
 	s.refusedUntil[controller] = s.sim.Now.Add(span)
 	s.sim.extendFaults(span)
--- a/internal/simulator/statereader.go
+++ b/internal/simulator/statereader.go
@@ -126,7 +126,7 @@
 	return leader.Name
 }
 
-// Revision returns the current revision. Each transaction that changes keys increments it.
+// Revision returns the current revision. Each transaction increments it, and so does the end of a lease that has keys.
 func (s *StateService) Revision() uint64 { return s.revision }
 
 // Count returns the number of keys with a prefix.
--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -40,7 +40,7 @@
 	leaseID     uint64
 }
 
-// stateLease is a lease. Every renewal and outage moves expiresAt.
+// stateLease is a lease of the state service. Renewals and outages postpone expiresAt.
 type stateLease struct {
 	ttl       time.Duration
 	expiresAt time.Time
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -16,7 +16,7 @@
 		if m.bootCount != bootCount {
 			return
 		}
-		m.checkLease()
+		m.endIncarnationIfLeaseExpired()
 		m.sendIfIdle()
 		interval := m.sim.Options.HeartbeatInterval
 		m.sim.At(interval*3/4+time.Duration(m.sim.Rand.Int64N(int64(interval/2))), func() { m.heartbeatLoop(bootCount) })
@@ -92,7 +92,7 @@
 			m.sim.At(delay, func() {
 				m.whenNotHung(func() {
 					if m.isAwaiting(sent) {
-						m.takeResponse(status, body, sent)
+						m.handleResponse(status, body, sent)
 					}
 				})
 			})
@@ -125,7 +125,7 @@
 
 // heartbeatAfter sends a heartbeat after a delay, unless the worker awaits a response at that time.
 func (m *machine) heartbeatAfter(delay time.Duration) {
-	m.sim.At(delay, func() { m.whenNotHung(func() { m.checkLease(); m.sendIfIdle() }) })
+	m.sim.At(delay, func() { m.whenNotHung(func() { m.endIncarnationIfLeaseExpired(); m.sendIfIdle() }) })
 }
 
 // sendIfIdle sends a heartbeat unless the worker awaits a response.
@@ -135,9 +135,9 @@
 	}
 }
 
-// takeResponse handles the response to a heartbeat. A redirect changes the target controller, and commands are executed. After any other
+// handleResponse handles the response to a heartbeat. A redirect changes the target controller, and commands are executed. After any other
 // response the worker tries the next controller.
-func (m *machine) takeResponse(status int, body any, sent sentHeartbeat) {
+func (m *machine) handleResponse(status int, body any, sent sentHeartbeat) {
 	raw, err := encode(body)
 	if err != nil {
 		m.sim.reportViolation(RuleMalformed, "a response cannot be encoded: %v", err)
@@ -152,7 +152,7 @@
 		return
 	}
 	m.awaitsResponse = false
-	m.checkLease()
+	m.endIncarnationIfLeaseExpired()
 	if response.FencingToken < m.fencingToken || sent.incarnation != m.incarnation {
 		return
 	}
@@ -259,7 +259,7 @@
 	stage := task.stage
 	m.sim.At(delay, func() {
 		m.whenNotHung(func() {
-			m.checkLease()
+			m.endIncarnationIfLeaseExpired()
 			if m.tasks[task.id.String()] == task && task.stage == stage && task.state != workerapi.StateExited {
 				action()
 			}
