--- a/cmd/faulttest/commits.go
+++ b/cmd/faulttest/commits.go
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// paddedNumber is a decimal number with leading zeros, of a size in bytes.
+// paddedNumber returns a decimal number with leading zeros, of a size in bytes.
 func paddedNumber(i, bytes int) string { return fmt.Sprintf("%0*d", bytes, i) }
 
 // commitLoad commits from a number of clients. Each sends its next commit when it has the response to the last. It returns the
--- a/cmd/faulttest/storeprobe.go
+++ b/cmd/faulttest/storeprobe.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// applyCommit applies a commit to the model that was executed at a revision.
+// applyCommit applies to the model a commit that the state service executed at a revision.
 func (p *storeProbe) applyCommit(operations []crashtest.Operation, revision uint64) {
 	p.revision = max(p.revision, revision)
 	p.uncertainCommit = nil
--- a/cmd/faulttest/upgrade.go
+++ b/cmd/faulttest/upgrade.go
@@ -93,7 +93,6 @@
 	longestWithoutPlacement    time.Duration // longest time in which no controller reported that it places tasks
 }
 
-// add adds the result of another upgrade.
 func (u *upgradeResult) add(r upgradeResult) {
 	u.broken = append(u.broken, r.broken...)
 	u.lost, u.duplicated = u.lost+r.lost, u.duplicated+r.duplicated
@@ -111,7 +110,6 @@
 	longest time.Duration
 }
 
-// record records an event.
 func (g *gapTimer) record(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -170,7 +168,8 @@
 	if err != nil {
 		return result, err
 	}
-	bed.state.path = o.newProgram // the state service runs the new version from the start: only controllers are upgraded
+	// The state service belongs to the platform. It runs the new version from the start: only controllers are upgraded.
+	bed.state.path = o.newProgram
 	for i := range controllerCount {
 		if err := announceLimits(filepath.Join(dir, fmt.Sprintf("node-%d.json", i))); err != nil {
 			return result, err
