--- a/internal/simulator/pipelines.go
+++ b/internal/simulator/pipelines.go
@@ -59,7 +59,8 @@
 // pipelineRetryInterval is the time between checks whether the dependencies of a job are accepted, so that it can be submitted.
 const pipelineRetryInterval = 200 * time.Millisecond
 
-// SubmitPipeline submits the jobs of a pipeline, each as soon as its dependencies are accepted. It returns the IDs of the jobs at once.
+// SubmitPipeline schedules the submission of the jobs of a pipeline, each as soon as its dependencies are accepted. It returns their IDs
+// immediately.
 func (u *Users) SubmitPipeline(pipeline Pipeline) []string {
 	jobIDs := make([]string, len(pipeline.Dependencies))
 	for i := range jobIDs {
@@ -83,8 +84,8 @@
 
 // PipelineResult is the result of RunPipelines. It counts pipelines by the state of their last job.
 type PipelineResult struct {
-	Played, Lost int             // all pipelines, and those neither done nor cancelled at the end
-	Lateness     []time.Duration // of each pipeline that was done; negative if it met its deadline
+	Total, Unfinished int             // all pipelines, and those that were neither done nor cancelled at the end
+	Lateness          []time.Duration // of each pipeline that was done; negative if it met its deadline
 }
 
 // pipelineShape lists the indexes of the dependencies of each job of a pipeline.
@@ -145,11 +146,11 @@
 func (sim *Cluster) pipelineResult(pipelines [][]string) PipelineResult {
 	var result PipelineResult
 	for _, jobIDs := range pipelines {
-		result.Played++
+		result.Total++
 		last := sim.checker.jobs[jobIDs[len(jobIDs)-1]]
 		switch {
 		case last == nil || last.finishedAt.IsZero() && last.cancelledAt.IsZero():
-			result.Lost++
+			result.Unfinished++
 		case !last.finishedAt.IsZero():
 			result.Lateness = append(result.Lateness, last.finishedAt.Sub(last.submittedAt.Add(last.spec.Deadline)))
 		}
--- a/internal/simulator/scale.go
+++ b/internal/simulator/scale.go
@@ -8,16 +8,16 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// ScaleResult is the result of RunScale: the cost of a large cluster for its controllers, in real time, and its recovery from the failure
-// of many machines at once, in virtual time.
+// ScaleResult is the result of RunScale. The cost of a large cluster for its controllers is in real time. Its recovery from the failure of
+// many machines at the same time is in virtual time.
 type ScaleResult struct {
 	Machines, Tasks       int           // machines up and tasks running before the failure
 	Steps                 int           // steps of all controllers in a minute of load
 	MeanStep, LongestStep time.Duration // real time of a step
-	CPUShare              float64       // CPU time of all controllers together as a share of one CPU
-	WritesPerSecond       float64       // revisions of the state service
-	HeapMB                int           // heap of the whole process, including the simulator
-	PlacingAfter          time.Duration // from the failure until a leader places tasks again
+	CPUShare              float64       // real time of the steps of all controllers per second of virtual time; about the number of CPUs used
+	WritesPerSecond       float64       // increase of the state service's revision per second
+	HeapMiB               int           // heap of the whole process, including the simulator
+	PlacementAfter        time.Duration // from the failure until a leader places tasks again
 	RecoveredAfter        time.Duration // from the failure until the remaining machines run 95 % of the tasks that they can hold
 }
 
@@ -81,7 +81,7 @@
 		LongestStep:     sim.longestStep,
 		CPUShare:        sim.totalStepTime.Seconds() / sim.Now.Sub(began).Seconds(),
 		WritesPerSecond: float64(sim.State.revision-revision) / time.Minute.Seconds(),
-		HeapMB:          int(memory.HeapAlloc >> 20),
+		HeapMiB:         int(memory.HeapAlloc >> 20),
 	}
 }
 
@@ -89,14 +89,14 @@
 // scaleRecoveryLimit.
 func (sim *Cluster) measureRecovery(result *ScaleResult) {
 	remaining, failedAt := result.Tasks*2/3, sim.Now
-	for sim.Now.Sub(failedAt) < scaleRecoveryLimit && (result.PlacingAfter == 0 || result.RecoveredAfter == 0) {
+	for sim.Now.Sub(failedAt) < scaleRecoveryLimit && (result.PlacementAfter == 0 || result.RecoveredAfter == 0) {
 		sim.Run(100 * time.Millisecond)
 		for i := range sim.controllers {
-			if _, placing := sim.leadershipOf(i); placing && result.PlacingAfter == 0 {
-				result.PlacingAfter = sim.Now.Sub(failedAt)
+			if _, placing := sim.leadershipOf(i); placing && result.PlacementAfter == 0 {
+				result.PlacementAfter = sim.Now.Sub(failedAt)
 			}
 		}
-		if result.PlacingAfter > 0 && result.RecoveredAfter == 0 && sim.runningTasks() >= remaining*95/100 {
+		if result.PlacementAfter > 0 && result.RecoveredAfter == 0 && sim.runningTasks() >= remaining*95/100 {
 			result.RecoveredAfter = sim.Now.Sub(failedAt)
 		}
 	}
