--- a/internal/controller/dynamicconfig/store.go
+++ b/internal/controller/dynamicconfig/store.go
@@ -20,9 +20,9 @@
 	"gullrudder/internal/wire/server"
 )
 
-// EntryKey is the name of the stored entry with the applied options. Every leader reads the same entry, so a restart changes no
+// EntryName is the name of the stored entry with the applied options. Every leader reads the same entry, so a restart changes no
 // option. Without the entry, each controller's own file is in effect.
-const EntryKey = "s:options"
+const EntryName = "s:options"
 
 const (
 	// busyRetryAfter is the Retry-After of a change while another one is being committed or the state service accepts no changes.
@@ -150,7 +150,7 @@
 		}
 	}
 	write := storage.SetOptions{ReservedBytes: s.reservedBytes(), Urgent: true, Done: done}
-	err := s.storage.Set(now, EntryKey, next, write)
+	err := s.storage.Set(now, EntryName, next, write)
 	if err != nil {
 		s.isCommitting = false
 	}
@@ -171,7 +171,7 @@
 }
 
 // reservedBytes returns the largest size of the record in JSON bytes. This space is reserved in its page, which the record never leaves.
-func (s *Store) reservedBytes() int { return min(maxRecordBytes, s.storage.MaxEntryBytes(EntryKey)) }
+func (s *Store) reservedBytes() int { return min(maxRecordBytes, s.storage.MaxEntryBytes(EntryName)) }
 
 // Restore reads the stored entry when a leader loads its state. If this version cannot read the entry, the entry stays unchanged and
 // the controller's own file is in effect.
@@ -187,6 +187,6 @@
 		return
 	}
 	s.applied = &stored
-	s.storage.Reserve(EntryKey, s.reservedBytes())
+	s.storage.Reserve(EntryName, s.reservedBytes())
 	s.activate(options)
 }
--- a/internal/controller/failover/restore.go
+++ b/internal/controller/failover/restore.go
@@ -59,7 +59,7 @@
 		return chunkEntry{}, false
 	}
 	switch key {
-	case dynamicconfig.EntryKey:
+	case dynamicconfig.EntryName:
 		r.stores.DynamicConfig.Restore(decode)
 		return chunkEntry{}, false
 	case fairshare.EntryName:
