--- a/internal/controller/autoscaler/consolidate.go
+++ b/internal/controller/autoscaler/consolidate.go
@@ -140,7 +140,7 @@
 	s.log.Info("machine drained", logkeys.Machine, machine.ID, logkeys.Tasks, len(machine.Attempts))
 	var commands []workerapi.Command
 	for _, attempt := range machine.Attempts {
-		attempt.StopSentAt = now
+		attempt.StopRequestedAt = now
 		commands = append(commands, workerapi.Kill(attempt.Task.String(), attempt.Number, attempt.Job.CheckpointDuration.Seconds()))
 	}
 	worker.SendCommands(s.outbox, s.fencingToken, machine, commands)
--- a/internal/controller/heartbeat/ended.go
+++ b/internal/controller/heartbeat/ended.go
@@ -82,7 +82,7 @@
 // lossCause returns the wait reason to which the accounting attributes an attempt that did not complete its task.
 func lossCause(ended worker.EndedAttempt) accounting.WaitReason {
 	switch {
-	case !ended.Attempt.StopSentAt.IsZero() || ended.Reason == workerapi.ReasonStopped:
+	case !ended.Attempt.StopRequestedAt.IsZero() || ended.Reason == workerapi.ReasonStopped:
 		return accounting.Preempted
 	case ended.Reason == worker.ReasonLost:
 		return accounting.MachineLost
--- a/internal/controller/heartbeat/failure.go
+++ b/internal/controller/heartbeat/failure.go
@@ -69,8 +69,8 @@
 	job.CrashLooping = true
 	stopped := 0
 	for _, attempt := range job.ActiveAttempts {
-		if !attempt.IsUnsent && attempt.StopSentAt.IsZero() {
-			attempt.StopSentAt = now
+		if !attempt.IsUnsent && attempt.StopRequestedAt.IsZero() {
+			attempt.StopRequestedAt = now
 			stopped++
 		}
 	}
--- a/internal/controller/heartbeat/response.go
+++ b/internal/controller/heartbeat/response.go
@@ -148,7 +148,7 @@
 		case attempt.IsOrphan || job == nil || job.IsCancelling || job.State == jobs.Cancelled:
 			attempt.KillsSent++
 			commands = append(commands, workerapi.Kill(attempt.Task.String(), attempt.Number, 0))
-		case !attempt.StopSentAt.IsZero() && !attempt.IsCheckpointing:
+		case !attempt.StopRequestedAt.IsZero() && !attempt.IsCheckpointing:
 			commands = append(commands, workerapi.Kill(attempt.Task.String(), attempt.Number, job.CheckpointDuration.Seconds()))
 		}
 	}
@@ -163,9 +163,9 @@
 	}
 	for _, attempt := range machine.Attempts {
 		job := attempt.Job
-		canStop := job != nil && job.CheckpointInterval > 0 && attempt.StopSentAt.IsZero() && !attempt.RunningSince.IsZero()
+		canStop := job != nil && job.CheckpointInterval > 0 && attempt.StopRequestedAt.IsZero() && !attempt.RunningSince.IsZero()
 		if canStop && machine.ReclaimAt.Sub(now) < job.CheckpointDuration+leadTime {
-			attempt.StopSentAt = now
+			attempt.StopRequestedAt = now
 		}
 	}
 }
--- a/internal/controller/jobs/attempt.go
+++ b/internal/controller/jobs/attempt.go
@@ -13,7 +13,7 @@
 	IsUnsent          bool      // the start command will be sent with the response to the machine's next heartbeat
 	RunningSince      time.Time // when a heartbeat first reported the task as running; zero: not yet
 	IsCheckpointing   bool      // the task is saving a checkpoint
-	StopSentAt        time.Time // when it was marked to be stopped, for example for a preemption; zero: it was not
+	StopRequestedAt   time.Time // when it was marked to be stopped, for example for a preemption; zero: it was not
 	LastSeenReconcile uint64    // number of the last reconciliation of the machine that found it; 0: none did
 	KillsSent         int       // number of heartbeat responses with a command to kill it
 	IsOrphan          bool      // it must not run; it is being stopped and occupies resources until it has ended
@@ -27,7 +27,7 @@
 // checkpoints qualify, so that little work is lost. They must have run for at least as long as saving a checkpoint takes.
 func (a *Attempt) CanBePreempted(now time.Time) bool {
 	job := a.Job
-	if job == nil || a.IsOrphan || a.IsUnsent || !a.StopSentAt.IsZero() || a.RunningSince.IsZero() {
+	if job == nil || a.IsOrphan || a.IsUnsent || !a.StopRequestedAt.IsZero() || a.RunningSince.IsZero() {
 		return false
 	}
 	if job.IsGang || job.IsService || job.Guaranteed || job.CheckpointInterval <= 0 {
--- a/internal/controller/jobs/attempt_test.go
+++ b/internal/controller/jobs/attempt_test.go
@@ -17,7 +17,7 @@
 		"orphan":                    {func(_ *Job, attempt *Attempt) { attempt.IsOrphan = true }, false},
 		"start not sent":            {func(_ *Job, attempt *Attempt) { attempt.IsUnsent = true }, false},
 		"not running yet":           {func(_ *Job, attempt *Attempt) { attempt.RunningSince = time.Time{} }, false},
-		"stop sent":                 {func(_ *Job, attempt *Attempt) { attempt.StopSentAt = now }, false},
+		"stop requested":            {func(_ *Job, attempt *Attempt) { attempt.StopRequestedAt = now }, false},
 		"gang":                      {func(job *Job, _ *Attempt) { job.IsGang = true }, false},
 		"service":                   {func(job *Job, _ *Attempt) { job.IsService = true }, false},
 		"guaranteed":                {func(job *Job, _ *Attempt) { job.Guaranteed = true }, false},
--- a/internal/controller/placement/gangs.go
+++ b/internal/controller/placement/gangs.go
@@ -71,8 +71,8 @@
 		return
 	}
 	for _, attempt := range job.ActiveAttempts {
-		if !attempt.IsUnsent && attempt.StopSentAt.IsZero() && now.Sub(attempt.AssignedAt) > gangCompletionTimeout {
-			attempt.StopSentAt = now
+		if !attempt.IsUnsent && attempt.StopRequestedAt.IsZero() && now.Sub(attempt.AssignedAt) > gangCompletionTimeout {
+			attempt.StopRequestedAt = now
 		}
 	}
 }
--- a/internal/controller/placement/gangs_test.go
+++ b/internal/controller/placement/gangs_test.go
@@ -102,7 +102,7 @@
 		stopped := 0
 		stopPartialGang(f.Now.Add(c.after), job)
 		for _, attempt := range job.ActiveAttempts {
-			if !attempt.StopSentAt.IsZero() {
+			if !attempt.StopRequestedAt.IsZero() {
 				stopped++
 			}
 		}
--- a/internal/controller/placement/preempt.go
+++ b/internal/controller/placement/preempt.go
@@ -83,7 +83,7 @@
 	freeable := freeableMachine{machine: machine}
 	for _, attempt := range machine.Attempts {
 		switch {
-		case !attempt.StopSentAt.IsZero() && attempt.Job != nil:
+		case !attempt.StopRequestedAt.IsZero() && attempt.Job != nil:
 			freeable.stoppingCPUs += attempt.Job.CPUs
 		case isContactRecent && attempt.CanBePreempted(now):
 			s.victims = append(s.victims, victim{machine, attempt})
@@ -119,11 +119,11 @@
 			return
 		}
 		attempt, machine := victim.attempt, victim.machine
-		if !attempt.StopSentAt.IsZero() || attempt.Job.EffectivePriority() >= job.EffectivePriority() ||
+		if !attempt.StopRequestedAt.IsZero() || attempt.Job.EffectivePriority() >= job.EffectivePriority() ||
 			!IsEligible(job, machine) || TasksAllowedInZone(job, machine.Zone) == 0 {
 			continue
 		}
-		attempt.StopSentAt = now
+		attempt.StopRequestedAt = now
 		tasks -= max(int(attempt.Job.CPUs/estimate.CountedCPUs(job)), 1)
 		p.reservations.reserve(machine, job)
 		p.log.Info("task preempted", logkeys.Task, attempt.Task, logkeys.Machine, machine.ID, logkeys.Job, job.ID)
--- a/internal/controller/placement/preempt_test.go
+++ b/internal/controller/placement/preempt_test.go
@@ -28,7 +28,7 @@
 func countStopped(machine *worker.Machine) int {
 	stopped := 0
 	for _, attempt := range machine.Attempts {
-		if !attempt.StopSentAt.IsZero() {
+		if !attempt.StopRequestedAt.IsZero() {
 			stopped++
 		}
 	}
