--- a/internal/controller/accounting/sample.go
+++ b/internal/controller/accounting/sample.go
@@ -24,7 +24,7 @@
 // sample is the state of the cluster at one moment, with data derived from it.
 type sample struct {
 	ClusterState
-	machines     []*worker.Machine                // machines that send heartbeats
+	machines     []*worker.Machine                // machines with known capacity
 	bootingKinds []cloud.InstanceKind             // kinds of the instances without a worker
 	freeCPUs     float64                          // CPUs that are available and not reserved
 	reservedCPUs float64                          // CPUs that are available and reserved
@@ -33,7 +33,7 @@
 }
 
 func newSample(state ClusterState) *sample {
-	s := &sample{ClusterState: state, machines: state.Workers.ReportingMachines(), byShape: map[placement.Shape]availability{}}
+	s := &sample{ClusterState: state, machines: state.Workers.MachinesWithCapacity(), byShape: map[placement.Shape]availability{}}
 	s.sumAvailableCPUs()
 	s.sumCPUsAhead()
 	s.findBootingKinds()
--- a/internal/controller/api/explain_wait.go
+++ b/internal/controller/api/explain_wait.go
@@ -113,7 +113,7 @@
 
 func (w *waitExplanation) surveyMachines() machineSurvey {
 	var survey machineSurvey
-	for _, machine := range w.workers.ReportingMachines() {
+	for _, machine := range w.workers.MachinesWithCapacity() {
 		if machine.IsUnreachable {
 			survey.unreachable++
 		}
--- a/internal/controller/autoscaler/consolidate.go
+++ b/internal/controller/autoscaler/consolidate.go
@@ -63,7 +63,7 @@
 // consolidationCandidates returns the machines in use, the emptiest first, and how many of their CPUs are not needed. It returns
 // nil and 0 if all are needed.
 func (s *Scaler) consolidationCandidates(now time.Time) (machines []*worker.Machine, freeCPUs float64) {
-	for _, machine := range s.workers.ReportingMachines() {
+	for _, machine := range s.workers.MachinesWithCapacity() {
 		if machine.DrainReason == worker.NotDraining && machine.Reconciled && !s.workers.IsLeaseExpired(now, machine) {
 			machines = append(machines, machine)
 			freeCPUs += (1-freeCPUShare)*machine.CPUs - machine.UsedCPUs
--- a/internal/controller/autoscaler/expensive.go
+++ b/internal/controller/autoscaler/expensive.go
@@ -156,7 +156,7 @@
 // is over, the emptiest first. cordoned are those that are cordoned as too expensive, the fullest first.
 func (s *Scaler) expensiveMachines(now time.Time, expensive kindSet) (inUse, cordoned machinesByKind) {
 	inUse, cordoned = machinesByKind{}, machinesByKind{}
-	for _, machine := range s.workers.ReportingMachines() {
+	for _, machine := range s.workers.MachinesWithCapacity() {
 		kind := placement.MachineKind(machine)
 		switch {
 		case !expensive[kind] || s.workers.IsLeaseExpired(now, machine):
--- a/internal/controller/placement/reservations.go
+++ b/internal/controller/placement/reservations.go
@@ -134,9 +134,9 @@
 	return covered
 }
 
-// machinesByAvailableCPUs returns the machines that send heartbeats, those with the most available CPUs first.
+// machinesByAvailableCPUs returns the machines with known capacity, those with the most available CPUs first.
 func (p *Placer) machinesByAvailableCPUs() []*worker.Machine {
-	machines := p.workers.ReportingMachines()
+	machines := p.workers.MachinesWithCapacity()
 	slices.SortFunc(machines, func(a, b *worker.Machine) int {
 		return cmp.Or(cmp.Compare(b.CPUs-b.UsedCPUs, a.CPUs-a.UsedCPUs), cmp.Compare(b.CPUs, a.CPUs), compareIDs(a, b))
 	})
--- a/internal/controller/worker/registry.go
+++ b/internal/controller/worker/registry.go
@@ -30,7 +30,7 @@
 type Registry struct {
 	Machines       map[string]*Machine         // by ID
 	UsageByTeam    map[string]*Usage           // by name of the team
-	buckets        [BucketCount + 1][]*Machine // machines that have sent a heartbeat, by utilization; index 0 is not used
+	buckets        [BucketCount + 1][]*Machine // MachinesWithCapacity by utilization; index 0 is not used
 	reconcileCount uint64                      // number of reconciled heartbeats; see jobs.Attempt.LastSeenReconcile
 	leaseExpiry    time.Duration
 	log            *slog.Logger
--- a/internal/controller/worker/utilization.go
+++ b/internal/controller/worker/utilization.go
@@ -14,8 +14,9 @@
 // not change or keep the slice.
 func (r *Registry) MachinesInBucket(bucket int) []*Machine { return r.buckets[bucket] }
 
-// ReportingMachines returns the machines that have sent a heartbeat and whose capacity is known, the emptiest buckets first.
-func (r *Registry) ReportingMachines() []*Machine { return slices.Concat(r.buckets[1:]...) }
+// MachinesWithCapacity returns the machines that have sent this leader a heartbeat and whose capacity is known, the emptiest buckets
+// first. It includes machines whose lease has expired. The caller may change the slice.
+func (r *Registry) MachinesWithCapacity() []*Machine { return slices.Concat(r.buckets[1:]...) }
 
 // UtilizationBucket returns the bucket of a machine, or 0 if it is not in any.
 func (m *Machine) UtilizationBucket() int { return m.bucket }
