--- a/internal/controller/autoscaler/objectives.go
+++ b/internal/controller/autoscaler/objectives.go
@@ -72,7 +72,7 @@
 type jobProfile struct {
 	class        string
 	taskDuration time.Duration
-	deadline     time.Duration // time from submission to deadline, 0 without a deadline
+	deadline     time.Duration // time from Job.EligibleSince to the deadline, 0 without a deadline
 }
 
 // objectiveRecord counts the jobs that ended recently and how many of them missed an objective. Both counts decay exponentially
