--- a/internal/controller/autoscaler/consolidate.go
+++ b/internal/controller/autoscaler/consolidate.go
@@ -63,7 +63,7 @@
 // consolidationCandidates returns the machines in use, the emptiest first, and how many of their CPUs are not needed. It returns
 // nil and 0 if all are needed.
 func (s *Scaler) consolidationCandidates(now time.Time) (machines []*worker.Machine, freeCPUs float64) {
-	for _, machine := range s.workers.ReportingMachines() {
+	for _, machine := range s.workers.MachinesWithCapacity() {
 		if machine.DrainReason == worker.NotDraining && machine.Reconciled && !s.workers.IsLeaseExpired(now, machine) {
 			machines = append(machines, machine)
 			freeCPUs += (1-freeCPUShare)*machine.CPUs - machine.UsedCPUs
@@ -140,7 +140,7 @@
 	s.log.Info("machine drained", logkeys.Machine, machine.ID, logkeys.Tasks, len(machine.Attempts))
 	var commands []workerapi.Command
 	for _, attempt := range machine.Attempts {
-		attempt.StopSentAt = now
+		attempt.StopRequestedAt = now
 		commands = append(commands, workerapi.Kill(attempt.Task.String(), attempt.Number, attempt.Job.CheckpointDuration.Seconds()))
 	}
 	worker.SendCommands(s.outbox, s.fencingToken, machine, commands)
