--- a/internal/controller/jobstore/store.go
+++ b/internal/controller/jobstore/store.go
@@ -52,12 +52,16 @@
 // noObserver ignores all notifications. It is the default until SetObserver is called.
 type noObserver struct{}
 
+// OrderChanged ignores that jobs have left the queue: there is no order to sort again.
 func (noObserver) OrderChanged() {}
 
+// JobDone ignores that a job's final record is durable: nobody counts done jobs.
 func (noObserver) JobDone(time.Time, *jobs.Job) {}
 
+// JobWaiting ignores an accepted job with unmet dependencies: it sets no deadline for them.
 func (noObserver) JobWaiting(*jobs.Job) {}
 
+// JobReady ignores that an accepted job may start: there is no queue to add it to.
 func (noObserver) JobReady(time.Time, *jobs.Job) {}
 
 // Store holds all jobs of a leadership. It must be used only from the controller's event loop: it is not safe for concurrent use.
