--- a/internal/site/agent/runtime.go
+++ b/internal/site/agent/runtime.go
@@ -52,7 +52,7 @@
 
 const (
 	reportInterval      = time.Second
-	machinePoolTimeout  = 2 * time.Second
+	requestTimeout      = 2 * time.Second // for the response of the machine pool to a report or a request for a Spec
 	tickInterval        = 50 * time.Millisecond
 	maxReportedFailures = 16 // in one report
 	maxCachedSpecs      = 256
@@ -225,7 +225,7 @@
 		result.Status = 200
 		return result
 	}
-	msg, err := client.Do(r.runtimeOptions.MachinePoolAddr, "GET", "/descriptions/"+job, nil, machinePoolTimeout)
+	msg, err := client.Do(r.runtimeOptions.MachinePoolAddr, "GET", "/descriptions/"+job, nil, requestTimeout)
 	if err != nil {
 		r.log.Debug("spec request failed", logkeys.Job, job, logkeys.Err, err)
 		return result
@@ -302,7 +302,7 @@
 			}
 		}
 		if raw, err := codec.Marshal(report); err == nil {
-			msg, err := client.Do(r.runtimeOptions.MachinePoolAddr, "POST", poolapi.ReportPath, raw, machinePoolTimeout)
+			msg, err := client.Do(r.runtimeOptions.MachinePoolAddr, "POST", poolapi.ReportPath, raw, requestTimeout)
 			var assignment poolapi.MachineAssignment
 			if err == nil && msg.Status == 200 && codec.Unmarshal(msg.Body, &assignment) == nil {
 				if err := r.runner.results.setReported(failures); err != nil {
