--- a/cmd/gullrudder/account.go
+++ b/cmd/gullrudder/account.go
@@ -14,8 +14,10 @@
 	var team, class string
 	var since time.Duration
 	cmd := userCommand("account", "Show what the time of finished jobs was spent on",
-		"Show what the time of finished jobs was spent on, by team and class. Each moment from submission to the final state counts\n"+
-			"towards one cause. Only jobs that ended under the current leader are counted. For one job: gullrudder explain JOB.", cobra.NoArgs,
+		"Show what the time of finished jobs was spent on, by team and class.\n\n"+
+			"Each moment from submission to the final state counts towards one reason.\n"+
+			"Only jobs that ended under the current leader are counted.\n"+
+			"For one job, run gullrudder explain JOB.", cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
 			query := url.Values{}
 			setIfGiven(query, "team", team)
--- a/cmd/gullrudder/apiclient.go
+++ b/cmd/gullrudder/apiclient.go
@@ -70,9 +70,9 @@
 func apiFlags(cmd *cobra.Command, a *apiClient) {
 	cmd.Flags().StringVar(&a.server, "server", os.Getenv("GULLRUDDER_SERVER"), "controller address, host:port (env GULLRUDDER_SERVER)")
 	cmd.Flags().StringVar(&a.dataDir, "data", os.Getenv("GULLRUDDER_DATA"),
-		"data directory of a local site, unless --server is set (env GULLRUDDER_DATA); empty: ~/.gullrudder")
+		"data directory of the local site, used if --server is not set (env GULLRUDDER_DATA); empty: ~/.gullrudder")
 	cmd.Flags().StringVar(&a.output, "output", outputTable, "output format: table or json")
-	cmd.Flags().DurationVar(&a.retryTimeout, "patience", time.Minute, "how long to retry while the service cannot answer")
+	cmd.Flags().DurationVar(&a.retryTimeout, "patience", time.Minute, "how long to retry a request while the service is unavailable")
 }
 
 // resolveServers sets the controller addresses: that of --server, or else those of the local site.
@@ -83,7 +83,7 @@
 	}
 	site, err := datadir.Open(siteDir(a.dataDir))
 	if err != nil {
-		return &exitError{exitUsage, fmt.Errorf("no controller address (set --server or GULLRUDDER_SERVER) and no local site: %w", err)}
+		return &exitError{exitUsage, fmt.Errorf("no controller address (--server or GULLRUDDER_SERVER) is set, and no local site opens: %w", err)}
 	}
 	a.site = site
 	for _, controller := range site.Controllers {
--- a/cmd/gullrudder/console.go
+++ b/cmd/gullrudder/console.go
@@ -23,7 +23,9 @@
 
 func consoleCommand() *cobra.Command {
 	return userCommand("console", "Watch and operate the site in a terminal",
-		"Watch and operate the site in a terminal. Press ? for the keys. The site runs on when the console is closed.", cobra.NoArgs,
+		"Watch and operate the site in a terminal. Press ? for the keys.\n"+
+			"The site runs on when the console is closed.\n"+
+			"--output and --patience have no effect.", cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
 			a.retryTimeout = consoleTimeout
 			_, err := tea.NewProgram(console.New(consoleSite{a}, consoleInterval), tea.WithAltScreen()).Run()
@@ -35,7 +37,8 @@
 	var once bool
 	var interval time.Duration
 	cmd := userCommand("top", "Print the screens of the console as text",
-		"Print the screens of the console as text, repeatedly until interrupted.", cobra.NoArgs,
+		"Print the screens of the console as text, repeatedly until interrupted.\n"+
+			"--output and --patience have no effect.", cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
 			a.retryTimeout = consoleTimeout
 			p := newPrinter(a.out)
--- a/cmd/gullrudder/down.go
+++ b/cmd/gullrudder/down.go
@@ -20,7 +20,11 @@
 func downCommand() *cobra.Command {
 	var data string
 	cmd := &cobra.Command{
-		Use: "down", Short: "Stop the site; running tasks start again at the next up", Args: cobra.NoArgs,
+		Use: "down", Short: "Stop the site on this machine", Args: cobra.NoArgs,
+		Long: "Stop the site and wait until its processes have ended.\n\n" +
+			"Running tasks are killed and start again at the next up.\n" +
+			"To let them finish, run gullrudder drain --wait first.\n" +
+			"A drain lasts until gullrudder undrain, also after the next up.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			site, err := openSite(data)
 			if err != nil {
--- a/cmd/gullrudder/explain.go
+++ b/cmd/gullrudder/explain.go
@@ -53,6 +53,6 @@
 		out.printf("bound at acceptance\tfirst start within %s, last start within %s%s\n",
 			formatSeconds(explanation.FirstStartBoundSeconds), formatSeconds(explanation.LastStartBoundSeconds), missed)
 	case explanation.Team != "":
-		out.println("bound at acceptance\tnone: there was no usable capacity, or the job is a service")
+		out.println("bound at acceptance\tnone: there was no usable capacity, the job is a service, or it has ended")
 	}
 }
--- a/cmd/gullrudder/install.go
+++ b/cmd/gullrudder/install.go
@@ -27,8 +27,10 @@
 	var data string
 	cmd := &cobra.Command{
 		Use:   "install FILE",
-		Short: "Write a systemd unit for the site to FILE, nothing else",
-		Args:  cobra.ExactArgs(1),
+		Short: "Write a systemd unit for the site",
+		Long: "Write a systemd unit for the site to FILE.\n\n" +
+			"Nothing else is changed: install and enable the unit with systemctl.",
+		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			program, err := os.Executable()
 			if err != nil {
--- a/cmd/gullrudder/pool.go
+++ b/cmd/gullrudder/pool.go
@@ -14,6 +14,8 @@
 	var data string
 	cmd := &cobra.Command{
 		Use: "pool", Short: "Run a site's machine pool and job description store", Args: cobra.NoArgs,
+		Long: "Run a site's machine pool and job description store.\n" +
+			"gullrudder up runs this command for each site.",
 		RunE: func(*cobra.Command, []string) error {
 			site, err := openSite(data)
 			if err != nil {
--- a/cmd/gullrudder/queue.go
+++ b/cmd/gullrudder/queue.go
@@ -15,7 +15,11 @@
 	var team, class string
 	var limit int
 	cmd := userCommand("queue", "List waiting jobs in scheduling order",
-		"List waiting jobs in scheduling order. START WITHIN is the longest wait for a first task, as stated at acceptance.",
+		"List waiting jobs in scheduling order.\n\n"+
+			"START WITHIN: the longest wait for the first task, as computed at acceptance.\n"+
+			"It counts from the submission, or from the end of the jobs that the job depends on.\n"+
+			"RANK: why the job has its place.\n"+
+			"The number of jobs that missed START WITHIN includes jobs of all teams and classes.",
 		cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
 			query := url.Values{"most": {strconv.Itoa(limit)}}
@@ -26,7 +30,7 @@
 				return err
 			}
 			return a.show(queue, func(p *printer) {
-				p.printf("jobs waiting: %d; jobs that missed START WITHIN so far: %d\n", queue.Total, queue.MissedStartBounds)
+				p.printf("jobs waiting: %d; jobs that missed START WITHIN under this leader: %d\n", queue.Total, queue.MissedStartBounds)
 				printQueuedJobs(p, queue.Jobs, "JOB")
 			})
 		})
--- a/cmd/gullrudder/root.go
+++ b/cmd/gullrudder/root.go
@@ -12,6 +12,13 @@
 func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "gullrudder", Short: "A cluster scheduler for jobs with deadlines",
+		Long: "A cluster scheduler for jobs with deadlines.\n\n" +
+			"Exit codes:\n" +
+			"  0  success\n" +
+			"  1  the request was refused, or a check failed\n" +
+			"  2  invalid usage or settings\n" +
+			"  3  the service cannot answer\n" +
+			"  4  the directory of a state service is damaged or in use",
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	cmd.AddCommand(
--- a/cmd/gullrudder/serve.go
+++ b/cmd/gullrudder/serve.go
@@ -23,8 +23,8 @@
 type configFiles struct{ platform, operators string }
 
 func (f *configFiles) addFlags(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&f.platform, "config", "", "platform settings file, JSON (required)")
-	cmd.Flags().StringVar(&f.operators, "options", "", "operators' options file, XML; empty: default options")
+	cmd.Flags().StringVar(&f.platform, "config", "", "settings file of the platform, JSON (required)")
+	cmd.Flags().StringVar(&f.operators, "options", "", "options file of the operators, XML; empty: default options")
 	if err := cmd.MarkFlagRequired("config"); err != nil {
 		panic(err) // programming error: the flag is not defined
 	}
@@ -47,6 +47,11 @@
 	var metricsAddr string
 	cmd := &cobra.Command{
 		Use: "serve", Short: "Run a controller", Args: cobra.NoArgs,
+		Long: "Run a controller. The controllers elect a leader, and the others forward requests to it.\n\n" +
+			"The files are read when the controller starts.\n" +
+			"Options that were applied with gullrudder settings apply replace those of the options file,\n" +
+			"except for leader-lease and promise.\n" +
+			"The environment variable LOG_LEVEL is error (default), info or debug.",
 		RunE: func(*cobra.Command, []string) error {
 			platform, options, err := files.load()
 			if err != nil {
@@ -104,6 +109,8 @@
 	var files configFiles
 	cmd := &cobra.Command{
 		Use: "check", Short: "Check the settings files of a controller", Args: cobra.NoArgs,
+		Long: "Check the settings files of a controller without starting it.\n\n" +
+			"The exit code is 2 if a file is invalid. A warning does not change the exit code.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			platform, _, err := files.load()
 			if err != nil {
--- a/cmd/gullrudder/settings.go
+++ b/cmd/gullrudder/settings.go
@@ -30,7 +30,13 @@
 func applySettingsCommand() *cobra.Command {
 	var author string
 	cmd := userCommand("apply FILE", "Apply an options file to all controllers",
-		"Apply FILE (format of serve --options) without a restart: all of it or nothing. An option not in FILE gets its default.",
+		"Apply FILE to all controllers without a restart.\n\n"+
+			"FILE is an options file of the operators, as for serve --options, of at most 1 KiB.\n"+
+			"Either all options of FILE take effect or none.\n"+
+			"An option that FILE does not name gets its default.\n"+
+			"FILE must name leader-lease and promise with the values of the controllers' own files,\n"+
+			"unless these are the defaults.\n"+
+			"The change needs an author: set --who if USER is not set.",
 		cobra.ExactArgs(1), func(a *apiClient, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
@@ -46,7 +52,7 @@
 			}
 			return a.show(view, func(p *printer) { printSettings(p, view) })
 		})
-	cmd.Flags().StringVar(&author, "who", os.Getenv("USER"), "author of the change, for the change history")
+	cmd.Flags().StringVar(&author, "who", os.Getenv("USER"), "author of the change, recorded in the history of changes (required; env USER)")
 	return cmd
 }
 
--- a/cmd/gullrudder/state.go
+++ b/cmd/gullrudder/state.go
@@ -19,13 +19,17 @@
 	var flags stateServiceFlags
 	cmd := &cobra.Command{
 		Use: "state", Short: "Run a state service", Args: cobra.NoArgs,
-		Long: "Run a state service for controllers: keys, guarded transactions, leases and watches, stored in a directory.\n" +
-			"Exit codes: 2 invalid usage or settings, 3 an address cannot be served, 4 the directory is damaged or in use.",
+		Long: "Run a state service for controllers. It stores keys in a directory,\n" +
+			"and serves guarded transactions, leases and watches.\n\n" +
+			"Exit codes:\n" +
+			"  2  invalid usage or settings\n" +
+			"  3  an address cannot be served\n" +
+			"  4  the directory is damaged or in use",
 		RunE: func(*cobra.Command, []string) error { return runStateService(flags) },
 	}
-	cmd.Flags().StringVar(&flags.data, "data", "", "data directory of the store (required)")
+	cmd.Flags().StringVar(&flags.data, "data", "", "data directory of the state service (required)")
 	cmd.Flags().StringVar(&flags.listen, "listen", "", "address to serve on, host:port (required)")
-	cmd.Flags().StringVar(&flags.operators, "options", "", "operators' options file of the store, XML; empty: default options")
+	cmd.Flags().StringVar(&flags.operators, "options", "", "options file of the state service, XML; empty: default options")
 	cmd.Flags().StringVar(&flags.metrics, "metrics", "", "address to serve GET /metrics on, host:port; empty: no metrics")
 	cmd.AddCommand(stateInspectCommand(), stateBackupCommand(), stateRestoreCommand())
 	return cmd
@@ -63,8 +67,9 @@
 
 func stateBackupCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "backup DIR FILE", Short: "Back up a store's directory to a file", Args: cobra.ExactArgs(2),
-		Long: "Back up a store's directory to a file, which appears only once it is complete. The state service may be running.",
+		Use: "backup DIR FILE", Short: "Back up a state service's directory to a file", Args: cobra.ExactArgs(2),
+		Long: "Back up a state service's directory to a file. The file appears only once it is complete.\n" +
+			"The state service may be running.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			report, err := kvserver.Backup(args[0], args[1])
 			return printInspection(newPrinter(cmd.OutOrStdout()), report, err)
@@ -74,9 +79,9 @@
 
 func stateRestoreCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "restore FILE DIR", Short: "Create a store's directory from a backup", Args: cobra.ExactArgs(2),
-		Long: "Create a store's directory from a backup. The directory must be empty or absent. Revisions continue far above the backup's,\n" +
-			"so that no fencing token is issued twice.",
+		Use: "restore FILE DIR", Short: "Create a state service's directory from a backup", Args: cobra.ExactArgs(2),
+		Long: "Create a state service's directory from a backup. The directory must be empty or absent.\n" +
+			"Revisions continue far above the backup's, so that no fencing token is issued twice.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			report, err := kvserver.Restore(args[0], args[1])
 			return printInspection(newPrinter(cmd.OutOrStdout()), report, err)
--- a/cmd/gullrudder/stateinspect.go
+++ b/cmd/gullrudder/stateinspect.go
@@ -17,7 +17,7 @@
 	var output string
 	var listKeys bool
 	cmd := &cobra.Command{
-		Use: "inspect DIR", Short: "Show the content and the damage of a store's directory", Args: cobra.ExactArgs(1),
+		Use: "inspect DIR", Short: "Show content and damage of a state service's directory", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := checkOutput(output); err != nil {
 				return err
@@ -55,7 +55,7 @@
 		view.Revision, view.Keys, view.Leases, orDash(view.Snapshot), view.SnapshotBytes,
 		len(view.Segments), view.Frames, view.LogBytes)
 	if view.TornBytes > 0 {
-		out.printf("torn write at the end\t%d bytes, never confirmed\n", view.TornBytes)
+		out.printf("incomplete last write\t%d bytes, never confirmed\n", view.TornBytes)
 	}
 	for _, name := range view.Segments {
 		out.printf("segment\t%s\n", name)
--- a/cmd/gullrudder/submit.go
+++ b/cmd/gullrudder/submit.go
@@ -44,10 +44,17 @@
 func submitCommand() *cobra.Command {
 	var f jobFlags
 	cmd := userCommand("submit FILE | submit [flags] -- COMMAND...", "Submit a job",
-		"Submit a job: a JSON file with the fields of the protocol ('-' reads standard input), or a command for the tasks to run.\n"+
-			"In a command, {task} stands for the task number. In a file, 'command' (a list), 'env', 'workdir', 'retries' and 'save_s'\n"+
-			"say what the tasks run on a local site. It is safe to submit a file again: jobs with the same id are the same job.\n"+
-			"An id that is in use with another command is refused.",
+		"Submit a job: a job file, or a command for the tasks to run.\n\n"+
+			"FILE is a job file: JSON with the fields of the protocol.\n"+
+			"Its name ends in .json, or is - for standard input.\n"+
+			"The flags that describe a job have no effect on a job file.\n"+
+			"Its fields command (a list), env, workdir, retries and save_s say what the tasks run\n"+
+			"on a local site.\n\n"+
+			"COMMAND is what each task runs. {task} in it stands for the task number, from 0.\n\n"+
+			"Jobs with the same ID are the same job, so it is safe to submit a file again.\n"+
+			"An ID that is in use with another command is refused.\n"+
+			"A job is done when all of its tasks have ended, also if some failed.\n"+
+			"gullrudder failures lists the failed tasks.",
 		cobra.MinimumNArgs(1), func(a *apiClient, args []string) error {
 			fields, err := f.jobFields(args)
 			if err != nil {
@@ -61,7 +68,7 @@
 	cmd.Flags().StringVar(&f.priority, "priority", "standard", "priority: critical, high, standard or best_effort")
 	cmd.Flags().StringVar(&f.workingDir, "workdir", "", "working directory of the tasks; empty: a separate one for each task")
 	cmd.Flags().IntVar(&f.tasks, "tasks", 1, "number of tasks")
-	cmd.Flags().IntVar(&f.retries, "retries", 0, "how often a failed task is run again before it counts as failed")
+	cmd.Flags().IntVar(&f.retries, "retries", 0, "how often a task is run again after an exit status other than 0, before it counts as failed")
 	cmd.Flags().Float64Var(&f.cpus, "cpus", 1, "CPUs of each task")
 	cmd.Flags().Float64Var(&f.memoryGB, "mem", 0.5, "memory of each task, in GB")
 	cmd.Flags().DurationVar(&f.deadline, "deadline", 0, "time from now until the job should be done; 0: no deadline")
@@ -69,7 +76,7 @@
 	cmd.Flags().DurationVar(&f.checkpointDuration, "save", 0, "time that a task needs to save its state after SIGTERM; 0: it cannot save")
 	cmd.Flags().StringToStringVar(&f.env, "env", nil, "environment variables of the tasks, NAME=value")
 	cmd.Flags().StringSliceVar(&f.after, "after", nil,
-		"jobs that must be done before a task of this one starts; if one is cancelled, so is this one")
+		"IDs of jobs that must be done before this job starts; if one is cancelled, this job is cancelled too")
 	cmd.Flags().BoolVar(&f.wait, "wait", false, "wait until the job is done or cancelled")
 	// Flags after the first argument belong to the command that the tasks run.
 	cmd.Flags().SetInterspersed(false)
--- a/cmd/gullrudder/up.go
+++ b/cmd/gullrudder/up.go
@@ -30,8 +30,10 @@
 	var options datadir.CreateOptions
 	cmd := &cobra.Command{
 		Use: "up", Short: "Run a whole site on this machine, in the foreground", Args: cobra.NoArgs,
-		Long: "Run a whole site on this machine: state service, machine pool, controllers and worker. A process that exits is restarted.\n" +
-			"The first run creates the data directory; flags other than --data apply only then. Stop the site with SIGTERM or Ctrl-C.",
+		Long: "Run a whole site on this machine: state service, machine pool, controllers and worker.\n\n" +
+			"A process that exits is restarted.\n" +
+			"The first run creates the data directory. Flags other than --data apply only then.\n" +
+			"Stop the site with gullrudder down, SIGTERM or Ctrl-C.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			site, err := datadir.OpenOrCreate(siteDir(data), options, version)
 			if err != nil {
@@ -42,9 +44,9 @@
 	}
 	dataFlag(cmd, &data)
 	cmd.Flags().Float64Var(&options.CPUs, "cpus", 0, "CPUs for tasks; 0: all of the machine")
-	cmd.Flags().Float64Var(&options.MemoryGB, "mem", 0, "memory for tasks, in GB; 0: all of the machine but 1 GB")
+	cmd.Flags().Float64Var(&options.MemoryGB, "mem", 0, "memory for tasks, in GB; 0: the memory of the machine less 1 GB")
 	cmd.Flags().IntVar(&options.Controllers, "controllers", 1, "number of controllers, 1 or 3")
-	cmd.Flags().StringVar(&options.TaskUser, "as", "", "user that runs the tasks if the site runs as root; empty: nobody")
+	cmd.Flags().StringVar(&options.TaskUser, "as", "", "user that tasks run as if the site runs as root; empty: the user nobody")
 	return cmd
 }
 
--- a/cmd/gullrudder/worker.go
+++ b/cmd/gullrudder/worker.go
@@ -18,6 +18,7 @@
 	var data string
 	cmd := &cobra.Command{
 		Use: "worker", Short: "Run a site's worker, which runs the tasks", Args: cobra.NoArgs,
+		Long: "Run a site's worker, which runs the tasks. gullrudder up runs this command for each site.",
 		RunE: func(*cobra.Command, []string) error {
 			site, err := openSite(data)
 			if err != nil {
--- a/cmd/gullrudder/zones.go
+++ b/cmd/gullrudder/zones.go
@@ -8,8 +8,21 @@
 
 func zonesCommand() *cobra.Command {
 	return userCommand("zones", "Show each zone's connection state",
-		"Show each zone's connection state.\n\nbright: heartbeats arrive\ndoubtful: many are overdue\npartly away: many overdue, some arrive\n"+
-			"cut: none arrive but other zones' do; not relied upon\nreturning: trusted in steps, later after each outage of the last 10 minutes",
+		"Show each zone's connection state.\n\n"+
+			"STATE is one of:\n"+
+			"  bright: heartbeats arrive.\n"+
+			"  doubtful: heartbeats of many machines are overdue and none arrived lately.\n"+
+			"    No instances are requested there.\n"+
+			"  partly away: heartbeats of many machines are overdue, those of others arrive.\n"+
+			"  cut: no heartbeats arrive from the zone, but those of other zones do.\n"+
+			"    Its machines are not relied on.\n"+
+			"  returning: heartbeats arrive again. Instances are requested in growing steps.\n"+
+			"Each earlier outage of the last 10 minutes doubles the time between these steps.\n\n"+
+			"IN STATE: time since the state began.\n"+
+			"LAST HEARTBEAT: time since the last heartbeat of any machine of the zone.\n"+
+			"MACHINES: machines whose heartbeats are expected.\n"+
+			"OVERDUE: those of them whose heartbeat is overdue.\n"+
+			"OUTAGES: outages in the last 10 minutes. At most 5 are counted.",
 		cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
 			var zones api.Zones
--- a/internal/console/snapshot.go
+++ b/internal/console/snapshot.go
@@ -30,7 +30,7 @@
 	lines := []string{fmt.Sprintf(
 		"gullrudder  leader %s, %s   %d jobs, %d tasks wait, %d run   %s",
 		orDash(s.Status.Leader), s.serviceState(), s.Status.Jobs, s.Status.WaitingTasks, s.Status.PlacedTasks,
-		s.TakenAt.UTC().Format("15:04:05"),
+		s.TakenAt.UTC().Format("15:04:05 UTC"),
 	)}
 	switch {
 	case s.MachinePool.IsDraining && s.MachinePool.MachineCount > 0:
