--- a/internal/controller/config_warnings.go
+++ b/internal/controller/config_warnings.go
@@ -9,10 +9,10 @@
 )
 
 // shortCancelTimeoutWarning warns of a cancel timeout that is too short for a new leader to renew leases before it has loaded its state.
-const shortCancelTimeoutWarning = "cluster.workers.cancel_s: %v is not above lease_s with its margin (%v): a cancellation is confirmed " +
-	"only once the job's tasks are gone, and a new leader renews no lease before it has read its ledger"
+const shortCancelTimeoutWarning = "cluster.workers.cancel_s: %v is too short, expected more than lease_s with its margin (%v): " +
+	"a new leader cannot renew leases before it has loaded its state, and confirms a cancellation only once the job's tasks have ended"
 
-// ConfigWarnings returns warnings about settings that keep every guarantee and reduce availability.
+// ConfigWarnings returns warnings about settings that are safe but reduce availability. It returns nil if there are none.
 func ConfigWarnings(platform *config.Platform) []string {
 	leaseExpiry := worker.LeaseExpiry(platform.WorkerLeaseDuration)
 	if renewal.Window(platform.CancelTimeout, leaseExpiry) > 0 {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -3,7 +3,7 @@
 //
 // A Controller owns the election, the leadership while there is one, and the state of a follower. Step is pure: it reads no clock,
 // does no I/O and starts no goroutine; Runtime connects it with the clock and the network. All components run inside Step, one at a
-// time, and need no locks. The package never decides about jobs or machines: the components of the leadership do.
+// time, and need no locks. The components of the leadership decide about jobs and machines; this package does not.
 // Design note: docs/architecture.md.
 package controller
 
@@ -27,14 +27,14 @@
 const (
 	// tickInterval is the time between two ticks, in which the periodic work is done.
 	tickInterval = 50 * time.Millisecond
-	// leaseSafetyMargin shortens each lease and grant for the side that relies on it, in addition to the clock drift.
+	// leaseSafetyMargin shortens each lease and grant for its holder, in addition to the bound of the clock drift.
 	leaseSafetyMargin = 100 * time.Millisecond
 )
 
 // Controller is the state of a controller process. Only the event loop may call its methods, apart from Registry.
 type Controller struct {
 	platform *config.Platform
-	options  config.Options // from the controller's own file; users may have changed them for the leadership (dynamicconfig)
+	options  config.Options // from the controller's own file; those of the leadership may differ (dynamicconfig)
 	log      *slog.Logger
 	teams    map[string]config.Team
 	peers    map[string]string // addresses of the other controllers by name
@@ -51,7 +51,7 @@
 	latencies *latencyTable
 }
 
-// metrics are the metrics of the process. They count on over its leaderships.
+// metrics are the metrics of the process. The counters are not reset when a leadership ends.
 type metrics struct {
 	registry     *prometheus.Registry
 	accounting   *accounting.Metrics
@@ -93,13 +93,13 @@
 }
 
 // Step processes a batch of inputs: first the outcomes of calls, then the requests, then the periodic work if a tick is due.
-// Responses to heartbeats and the commit of state come last, so that the changes of one step are sent together.
+// Responses to heartbeats and the commit of state come last, so that one response or commit contains all changes of the step.
 func (c *Controller) Step(now time.Time, inputs []Input) Effects {
-	c.followElection(now)
+	c.updateLeadership(now)
 	for _, input := range inputs {
 		if outcome := input.Outcome; outcome != nil {
 			outcome.Call.Done(now, outcome.Result)
-			c.followElection(now)
+			c.updateLeadership(now)
 		}
 	}
 	for _, input := range inputs {
@@ -120,14 +120,14 @@
 // tick does the periodic work of the election and, on a leader, of the leadership.
 func (c *Controller) tick(now time.Time) {
 	c.election.Tick(now, &c.outbox)
-	c.followElection(now)
+	c.updateLeadership(now)
 	if c.holdsLease {
 		c.tickLeadership(now)
 	}
 }
 
-// finishStep answers the heartbeats of this step and commits its changes of state. While the leader lease is not valid because its
-// renewal is late, heartbeats are rejected and nothing is committed.
+// finishStep responds to the heartbeats of this step and commits its state changes. While the leader lease is not valid because its
+// renewal is late, it rejects the heartbeats and commits nothing.
 func (c *Controller) finishStep(now time.Time) {
 	leader := c.leadership
 	if !c.holdsLease {
@@ -139,13 +139,13 @@
 	leader.storage.Flush(now, &c.outbox)
 }
 
-// followElection begins or ends the leadership as the election has changed.
-func (c *Controller) followElection(now time.Time) {
+// updateLeadership begins or ends the leadership according to the state of the election.
+func (c *Controller) updateLeadership(now time.Time) {
 	if c.leadership != nil && c.leadership.storage.IsFenced() {
 		c.election.StepDown(now, &c.outbox, "another leader has written")
 	}
-	// While a renewal is late the leadership is kept and does nothing. It must not be rebuilt under the same fencing token: its
-	// attempt numbers would start again and be used twice.
+	// While a renewal is late, the leadership is suspended but not ended. A second leadership under the same fencing token would use
+	// its attempt numbers again.
 	if c.leadership != nil && (!c.election.IsLeader() || c.leadership.fencingToken != c.election.FencingToken()) {
 		c.endLeadership()
 	}
@@ -162,5 +162,5 @@
 	return leading, leading && c.leadership.failover.Completed()
 }
 
-// Registry returns the registry of the controller's metrics. It may be used at any time and from any goroutine.
+// Registry returns the registry of the controller's metrics. It is safe for concurrent use.
 func (c *Controller) Registry() *prometheus.Registry { return c.metrics.registry }
--- a/internal/controller/fake_state_service_test.go
+++ b/internal/controller/fake_state_service_test.go
@@ -14,8 +14,8 @@
 	"gullrudder/internal/wire/stateapi"
 )
 
-// fakeStateService is a state service of keys with their modification revisions. It answers calls at once, with 503 while it
-// is unavailable.
+// fakeStateService is a state service that keeps values with their modification revisions. It responds to calls at once, with
+// status 503 while it is unavailable.
 type fakeStateService struct {
 	revision     uint64
 	values       map[string]any
@@ -56,7 +56,7 @@
 	}
 }
 
-// answerCalls answers the calls of the controller once; answerAllCalls also those that the answers lead to.
+// answerCalls responds to the outstanding calls of the controller, and returns their number.
 func (service *fakeStateService) answerCalls(t *testing.T, now time.Time, controller *Controller) (answered int) {
 	t.Helper()
 	calls := controller.outbox.TakeCalls()
@@ -66,6 +66,7 @@
 	return len(calls)
 }
 
+// answerAllCalls also responds to the calls that the controller makes after a response.
 func (service *fakeStateService) answerAllCalls(t *testing.T, now time.Time, controller *Controller) {
 	t.Helper()
 	for service.answerCalls(t, now, controller) > 0 {
@@ -89,7 +90,7 @@
 	}
 }
 
-// newTestLeader is a controller at the start of a leadership, before its state is loaded.
+// newTestLeader returns a controller at the start of a leadership, before its state is loaded.
 func newTestLeader(now time.Time, options config.Options) *Controller {
 	platform := &config.Platform{
 		Name:         "n",
@@ -103,7 +104,7 @@
 	return controller
 }
 
-// loadState loads the state from the service and restores it.
+// loadState loads and restores the state that the service has stored.
 func (c *Controller) loadState(t *testing.T, now time.Time, service *fakeStateService) {
 	t.Helper()
 	c.leadership.storage.Load(&c.outbox)
@@ -111,7 +112,7 @@
 	c.leadership.failover.LoadState(now)
 }
 
-// takeResponse returns the response to the only request.
+// takeResponse removes and returns the only response that is ready to be sent.
 func (c *Controller) takeResponse(t *testing.T) server.Response {
 	t.Helper()
 	responses := c.responder.TakeResponses()
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// noLeaderRetryAfter is the Retry-After of a response that was refused because no leader is available.
+	// noLeaderRetryAfter is the Retry-After of a request that is refused because no leader is available.
 	noLeaderRetryAfter = time.Second
-	// forwardReadTimeout and forwardWriteTimeout limit the wait for the leader's response to a forwarded request. Requests that
-	// change state have to wait for a commit.
+	// forwardReadTimeout and forwardWriteTimeout limit the wait for the leader's response to a forwarded request. The leader
+	// responds to a request that changes state only after a commit.
 	forwardReadTimeout  = 1800 * time.Millisecond
 	forwardWriteTimeout = 4 * time.Second
 )
 
 // serveOrForward serves a user's request if this controller leads and its state is loaded. A follower forwards it to the
-// leader; a request that was forwarded once is not forwarded again.
+// leader, unless another controller has already forwarded it.
 func (c *Controller) serveOrForward(now time.Time, request *server.Request, serve func()) {
 	if c.holdsLease {
 		if !c.leadership.failover.StateLoaded() {
@@ -59,7 +59,7 @@
 }
 
 // passResponse returns the leader's response to the user, unless another controller has become leader since the request was
-// forwarded: the user may already have a newer answer from that one.
+// forwarded. The user may already have a newer response from the new leader.
 func (c *Controller) passResponse(request *server.Request, result client.Result, followedToken uint64) {
 	switch {
 	case c.holdsLease || c.election.FollowedToken() != followedToken:
--- a/internal/controller/job_observer.go
+++ b/internal/controller/job_observer.go
@@ -15,15 +15,15 @@
 // OrderChanged has the placer sort the queue again before the next placement.
 func (o jobObserver) OrderChanged() { o.placer.InvalidateOrder() }
 
-// JobDone counts the job for its class and team, and drops what the autoscaler and the failure tracker keep for it.
+// JobDone counts the job for its class and team, and drops the autoscaler's and the failure tracker's records of it.
 func (o jobObserver) JobDone(now time.Time, job *jobs.Job) {
 	o.autoscaler.JobEnded(now, job)
 	o.fairShare.RecordDone(now, job)
 	o.failures.ForgetJob(job.ID)
 }
 
-// JobWaiting passes the deadline of a job on to its unmet dependencies. Two heartbeat intervals are kept free for the start of
-// each of them.
+// JobWaiting propagates the deadline of a job to its unmet dependencies. It allows two heartbeat intervals for the start of each
+// of them.
 func (o jobObserver) JobWaiting(job *jobs.Job) {
 	o.jobStore.DependencyGraph().PropagateDeadline(job, o.estimator.TaskRunTime, 2*o.heartbeatInterval, job.Guaranteed)
 }
--- a/internal/controller/latency.go
+++ b/internal/controller/latency.go
@@ -14,7 +14,7 @@
 	latencySignificantDigits = 2 // significant digits that the histograms keep
 )
 
-// Latency is one row of the latency table. Its quantiles are in milliseconds.
+// Latency is a row of the latency table: the response times of one kind of request, in milliseconds.
 type Latency struct {
 	Kind  string `msgpack:"kind" json:"kind"`
 	Count int64  `msgpack:"count" json:"count"` // requests answered since the process started
@@ -23,7 +23,7 @@
 	Max   int64  `msgpack:"max_ms" json:"max_ms"`
 }
 
-// latencyTable has a histogram of the response times of this controller for each kind of request.
+// latencyTable has a histogram of the response times of this controller for each kind of request (see requestKind).
 type latencyTable struct {
 	byRequestKind map[string]*hdrhistogram.Histogram
 }
@@ -56,7 +56,7 @@
 	return rows
 }
 
-// recordLatency records the response time of a request. kind is its group, see requestKind.
+// recordLatency records the response time of a request. kind is the result of requestKind.
 func (c *Controller) recordLatency(kind string, duration time.Duration) {
 	c.latencies.record(kind, duration)
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -26,11 +26,11 @@
 	"gullrudder/internal/controller/zones"
 )
 
-// commitBatchDelay is how long a change that no request waits for is held back, so that others are committed with it.
+// commitBatchDelay is how long a change that no request waits for may be delayed, to be committed together with later changes.
 const commitBatchDelay = 500 * time.Millisecond
 
-// leadership is everything that ends with the leader lease: one component for each duty, each with state that no other
-// writes. The components are made at the election and dropped whole when the leadership ends.
+// leadership has the components that exist only while this controller leads. Each component owns its state; no other component
+// writes it. All of them are created at the election and discarded when the leadership ends.
 type leadership struct {
 	fencingToken uint64
 	persistentState
@@ -38,11 +38,11 @@
 	scheduling
 	services
 
-	nextLeaseCheck time.Time // when worker leases are checked for expiry next
-	nextWaitSample time.Time // when the reasons that jobs wait for are sampled next
+	nextLeaseCheck time.Time // time of the next check for expired worker leases
+	nextWaitSample time.Time // time of the next sample of wait reasons
 }
 
-// persistentState are the components whose state is committed to the state service, or derived from it.
+// persistentState has the components whose state is committed to the state service, or is derived from committed state.
 type persistentState struct {
 	storage       *storage.Store
 	dynamicConfig *dynamicconfig.Store
@@ -50,7 +50,7 @@
 	accounting    *accounting.Tracker
 }
 
-// machineState are the components with the leader's view of the machines.
+// machineState has the components with the leader's view of the machines.
 type machineState struct {
 	workers      *worker.Registry
 	cloud        *cloud.Client
@@ -60,7 +60,7 @@
 	failures     *failures.Tracker
 }
 
-// scheduling are the components that decide where tasks run and how many machines there are.
+// scheduling has the components that decide where tasks run and how many machines there are.
 type scheduling struct {
 	estimator  *estimate.Estimator
 	planner    *admission.Planner
@@ -70,20 +70,20 @@
 	autoscaler *autoscaler.Scaler
 }
 
-// services are the components that answer workers and users.
+// services has the components that respond to workers and users.
 type services struct {
 	heartbeats *heartbeat.Handler
 	failover   *failover.Reconciler
 	api        *api.Handler
 }
 
-// beginLeadership starts a leadership and the load of persistent state.
+// beginLeadership starts a leadership, and starts to load the persistent state.
 func (c *Controller) beginLeadership(now time.Time) {
 	c.leadership = c.newLeadership(now, c.election.FencingToken())
 	c.leadership.storage.Load(&c.outbox)
 }
 
-// endLeadership drops everything that belonged to the leadership. Users and workers that wait for a response are asked to retry.
+// endLeadership discards the leadership. Users and workers that wait for a response are asked to retry.
 func (c *Controller) endLeadership() {
 	leader := c.leadership
 	c.leadership = nil
@@ -94,7 +94,7 @@
 	leader.heartbeats.RejectPending()
 }
 
-// newLeadership makes the components and connects them with one another.
+// newLeadership creates the components and connects them.
 func (c *Controller) newLeadership(now time.Time, fencingToken uint64) *leadership {
 	leader := &leadership{fencingToken: fencingToken}
 	leader.storage = storage.New(storage.Options{
@@ -137,7 +137,7 @@
 	}
 }
 
-// newScheduling makes the components of the queue and the placer. The autoscaler, which needs more components, is made later.
+// newScheduling creates the components of the queue and the placer. The autoscaler depends on more components and is created later.
 func (c *Controller) newScheduling(leader *leadership) scheduling {
 	queueing := queue.NewComponents(c.options)
 	ranker := queue.NewRanker(c.options, c.platform, queueing)
@@ -159,7 +159,7 @@
 	}
 }
 
-// newScaler makes the autoscaler. It uses the placer's results, and the placer uses its forecast.
+// newScaler creates the autoscaler. It uses the placer's results, and the placer uses its capacity forecast.
 func (c *Controller) newScaler(now time.Time, leader *leadership) *autoscaler.Scaler {
 	return autoscaler.New(autoscaler.Components{
 		Platform:     c.platform,
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -5,7 +5,7 @@
 	"gullrudder/internal/wire/server"
 )
 
-// Input is one item of the event loop's queue: a request that was received or the outcome of a call. Exactly one of the fields is set.
+// Input is an item of the event loop's queue: a request that was received, or the outcome of a call. Exactly one field is set.
 type Input struct {
 	Request *server.Request
 	Outcome *Outcome
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// redirectHeartbeat redirects a worker to the leader. It records that the worker contacted this controller: this is evidence that the
-// leader may be unreachable for workers. While redirects are suspended, the response names no leader.
+// redirectHeartbeat redirects a worker to the leader. It also records the contact, since a worker that contacts a follower is evidence
+// that workers may be unable to reach the leader. While redirects are suspended, the response contains no leader.
 func (c *Controller) redirectHeartbeat(now time.Time, request *server.Request) {
 	connectivity := c.election.Connectivity()
 	if id, ok := workerapi.DecodeHeartbeatID(request.Body); ok {
@@ -97,7 +97,7 @@
 	c.serveOrForward(now, request, func() { c.leadership.dynamicConfig.ServeView(now, request) })
 }
 
-// handleConfigChange changes the options.
+// handleConfigChange applies a change of the options.
 func (c *Controller) handleConfigChange(now time.Time, request *server.Request) {
 	c.serveOrForward(now, request, func() { c.leadership.dynamicConfig.ServeChange(now, request) })
 }
@@ -113,13 +113,13 @@
 	c.responder.Respond(request, http.StatusOK, c.election.HandlePing(now, ping), 0)
 }
 
-// handleVoteQuery responds to a restarted controller whether this one leads.
+// handleVoteQuery tells a restarted controller whether this one leads.
 func (c *Controller) handleVoteQuery(now time.Time, request *server.Request) {
 	c.responder.Respond(request, http.StatusOK, c.election.HandleVoteQuery(now), 0)
 }
 
-// handleReady responds whether users may be sent to this controller. It is not ready before it has known a leader, nor while
-// it is isolated: the other controllers can then serve the requests that it would refuse.
+// handleReady reports whether this controller can serve users. It is not ready until it knows a leader for the first time. While it
+// is isolated it is not ready either: it would refuse requests that the other controllers can serve.
 func (c *Controller) handleReady(now time.Time, request *server.Request) {
 	if c.holdsLease {
 		c.leaderSeen = true
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	// inputQueueLength bounds the requests that wait for the event loop; further ones are refused with status 503.
+	// inputQueueLength bounds the requests that wait for the event loop. Further requests are refused with status 503.
 	inputQueueLength = 4096
 	// maxBatchSize bounds the inputs of one step, so that ticks are not delayed.
 	maxBatchSize = 128
-	// maxResponseBytes bounds the size of a response: lists of the cloud and pages of state are the largest.
+	// maxResponseBytes bounds the size of a response. The largest responses are lists of cloud instances and pages of state.
 	maxResponseBytes = 16 << 20
 	// serverRestartDelay is the time before a server that has stopped is started again.
 	serverRestartDelay = 500 * time.Millisecond
 	// idleTimeout and readTimeout apply to the connections of the server.
 	idleTimeout = 75 * time.Second
 	readTimeout = 10 * time.Second
-	// minServerConnections and minConnectionsPerService are the least numbers, whatever the connection limit.
-	minServerConnections     = 8
-	minConnectionsPerService = 4
-	// keptConnections and keptPeerConnections are the numbers of idle connections that are kept open to the state service and to
-	// the cloud, and to each other controller. Connections to workers are not kept: probes are rare.
-	keptConnections     = 4
-	keptPeerConnections = 8
-	// gcPercent makes garbage collections rare while there is memory, since they use the same CPU quota.
+	// minServerConnections and minClientConnections are lower bounds that apply however small the connection limit is.
+	minServerConnections = 8
+	minClientConnections = 4
+	// maxIdleConnections bounds the idle connections that are kept open to the state service, and those to the cloud API.
+	// maxIdlePeerConnections bounds those to each other controller. Connections to workers are not kept, since probes are rare.
+	maxIdleConnections     = 4
+	maxIdlePeerConnections = 8
+	// gcPercent makes garbage collections rare until the memory limit is near, since they use the same CPU quota.
 	gcPercent = 400
 	// heapShare is the share of the memory quota for the Go heap. The rest is for memory that the runtime does not count.
 	heapShare = 0.6
 )
 
-// receivedRequest is a request with its connection, on which it is answered.
+// receivedRequest is a request with the connection for its response, and the time of its arrival.
 type receivedRequest struct {
 	*http1.Request
 	receivedAt time.Time
@@ -59,11 +59,11 @@
 	clients    map[client.Destination]*http1.Client
 }
 
-// NewRuntime returns the runtime of a controller. The server has three quarters of the connections. Each destination of calls has a
-// fixed part of the rest, so that many calls to one destination cannot block the renewal of the leader lease or the pings.
+// NewRuntime returns the runtime of a controller. The server may use three quarters of the connections. Each destination of calls has
+// a fixed part of the rest, so that many calls to one destination cannot block the renewal of the leader lease or the pings.
 func NewRuntime(controller *Controller, platform *config.Platform, log *slog.Logger) *Runtime {
-	perService := max(platform.MaxConnections/12, minConnectionsPerService)
-	perSingleServer := max(perService/4, minConnectionsPerService)
+	multiServerConnections := max(platform.MaxConnections/12, minClientConnections)
+	singleServerConnections := max(multiServerConnections/4, minClientConnections)
 	return &Runtime{
 		controller: controller,
 		platform:   platform,
@@ -71,15 +71,15 @@
 		queue:      make(chan Input, inputQueueLength),
 		outcomes:   make(chan Input, inputQueueLength),
 		clients: map[client.Destination]*http1.Client{
-			client.StateService:   http1.NewClient(perSingleServer, keptConnections, maxResponseBytes),
-			client.CloudAPI:       http1.NewClient(perSingleServer, keptConnections, maxResponseBytes),
-			client.PeerController: http1.NewClient(perService, keptPeerConnections, maxResponseBytes),
-			client.WorkerAgent:    http1.NewClient(perService, 0, maxResponseBytes),
+			client.StateService:   http1.NewClient(singleServerConnections, maxIdleConnections, maxResponseBytes),
+			client.CloudAPI:       http1.NewClient(singleServerConnections, maxIdleConnections, maxResponseBytes),
+			client.PeerController: http1.NewClient(multiServerConnections, maxIdlePeerConnections, maxResponseBytes),
+			client.WorkerAgent:    http1.NewClient(multiServerConnections, 0, maxResponseBytes),
 		},
 	}
 }
 
-// Serve runs the controller. It does not return; the process ends by a signal.
+// Serve runs the controller. It does not return; a signal ends the process.
 func (rt *Runtime) Serve() {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(rt.platform.MemoryQuotaMB * heapShare * units.BytesPerMB))
@@ -102,7 +102,7 @@
 	}
 }
 
-// listen runs the server, and restarts it when accept has failed, for example because no file descriptor was left.
+// listen runs the server, and restarts it if accepting connections fails, for example for lack of file descriptors.
 func (rt *Runtime) listen() {
 	httpServer := http1.NewServer(http1.ServerOptions{
 		PublicAddr:     rt.platform.PublicAddr,
@@ -149,8 +149,8 @@
 	}
 }
 
-// requestKind returns the group of a request in the latency table: its method and the first segment of its path. Requests for unknown
-// paths or methods are one group, so that clients cannot make the table grow.
+// requestKind returns the kind of a request in the latency table: its method and the first segment of its path. Requests for unknown
+// paths or methods share one kind, so that clients cannot make the table grow.
 func requestKind(method, target string, status int) string {
 	if status == http.StatusNotFound || status == http.StatusMethodNotAllowed {
 		return "other"
@@ -182,7 +182,7 @@
 	if !ok && call.Body != nil {
 		var err error
 		if body, err = codec.Marshal(call.Body); err != nil {
-			rt.log.Error("request not encodable", logkeys.Path, call.Path, logkeys.Err, err)
+			rt.log.Error("request encoding failed", logkeys.Path, call.Path, logkeys.Err, err)
 			return client.Result{Err: err}
 		}
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -8,7 +8,7 @@
 	"gullrudder/internal/wire/server"
 )
 
-// MachineStatus is one machine in the status. State is "ok", "silent" (its lease has expired), "does not hear" (it does not receive
+// MachineStatus is a machine in the status. State is "ok", "silent" (its lease has expired), "does not hear" (it does not receive
 // the leader's responses), or a worker.DrainReason.
 type MachineStatus struct {
 	ID       string  `msgpack:"id" json:"id"`
@@ -20,7 +20,7 @@
 	UsedCPUs float64 `msgpack:"cpus_used" json:"cpus_used"`
 }
 
-// Status is what `gullrudder status` shows. A follower fills only Controller, Leader, Budgets and Latencies.
+// Status is the response to `gullrudder status`. A follower fills only Controller, Leader, Budgets and Latencies.
 type Status struct {
 	Controller          string          `msgpack:"node" json:"node"`
 	Leader              string          `msgpack:"leader" json:"leader"`
@@ -76,7 +76,7 @@
 	c.responder.Respond(request, http.StatusOK, status, 0)
 }
 
-// fillStatus fills in the fields that only a leader has.
+// fillStatus sets the fields that only a leader fills.
 func (l *leadership) fillStatus(now time.Time, status *Status) {
 	status.FencingToken = l.fencingToken
 	status.Placing = l.failover.Completed()
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -15,12 +15,12 @@
 	minWaitSampleInterval = 500 * time.Millisecond
 	// waitSampleCPUShare is the largest share of the CPU quota that sampling wait reasons may take.
 	waitSampleCPUShare = 0.02
-	// waitSampleCostPerJob is the CPU time of sampling one open job, as measured by the benchmark of package accounting.
+	// waitSampleCostPerJob is the CPU time of sampling one open job (see the benchmark of package accounting).
 	waitSampleCostPerJob = 150 * time.Nanosecond
 )
 
-// tickLeadership does the periodic work of each component of the leadership. Until the state is loaded, only the cloud client and the
-// load are served.
+// tickLeadership does the periodic work of each component of the leadership. Until the state is loaded, only the cloud client and
+// the loading itself make progress.
 func (c *Controller) tickLeadership(now time.Time) {
 	leader := c.leadership
 	leader.cloud.Tick(now, &c.outbox)
