--- a/cmd/gullrudder/console.go
+++ b/cmd/gullrudder/console.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// consoleTimeout is how long the console waits for one answer.
+	// consoleTimeout is how long console and top retry a request.
 	consoleTimeout = 2 * time.Second
-	// consoleInterval is the time between two snapshots of the console, defaultTopInterval that of top.
+	// consoleInterval and defaultTopInterval are the times between two snapshots of console and of top.
 	consoleInterval    = time.Second
 	defaultTopInterval = 2 * time.Second
 )
 
 func consoleCommand() *cobra.Command {
-	return userCommand("console", "Watch and run the site from a terminal",
-		"Watch and run the site from a terminal. ? shows the keys. It keeps no state.", cobra.NoArgs,
+	return userCommand("console", "Watch and operate the site in a terminal",
+		"Watch and operate the site in a terminal. Press ? for the keys. The site runs on when the console is closed.", cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
 			a.retryTimeout = consoleTimeout
 			_, err := tea.NewProgram(console.New(consoleSite{a}, consoleInterval), tea.WithAltScreen()).Run()
@@ -34,24 +34,26 @@
 func topCommand() *cobra.Command {
 	var once bool
 	var interval time.Duration
-	cmd := userCommand("top", "Print what the console shows, as text", "", cobra.NoArgs, func(a *apiClient, _ []string) error {
-		a.retryTimeout = consoleTimeout
-		p := newPrinter(a.out)
-		for {
-			snapshot := consoleSite{a}.Snapshot()
-			p.print(snapshot.Text())
-			if err := p.firstError(); err != nil || once {
-				return err
+	cmd := userCommand("top", "Print the screens of the console as text",
+		"Print the screens of the console as text, repeatedly until interrupted.", cobra.NoArgs,
+		func(a *apiClient, _ []string) error {
+			a.retryTimeout = consoleTimeout
+			p := newPrinter(a.out)
+			for {
+				snapshot := consoleSite{a}.Snapshot()
+				p.print(snapshot.Text())
+				if err := p.firstError(); err != nil || once {
+					return err
+				}
+				time.Sleep(interval)
 			}
-			time.Sleep(interval)
-		}
-	})
-	cmd.Flags().BoolVar(&once, "once", false, "print it once")
-	cmd.Flags().DurationVar(&interval, "every", defaultTopInterval, "otherwise, how often")
+		})
+	cmd.Flags().BoolVar(&once, "once", false, "print once and exit")
+	cmd.Flags().DurationVar(&interval, "every", defaultTopInterval, "time between two prints, without --once")
 	return cmd
 }
 
-// consoleSite is the console.Site of a client.
+// consoleSite is a console.Site that sends its requests through a client.
 type consoleSite struct{ *apiClient }
 
 // Snapshot implements console.Site.
--- a/cmd/gullrudder/failures.go
+++ b/cmd/gullrudder/failures.go
@@ -11,7 +11,8 @@
 )
 
 func failuresCommand() *cobra.Command {
-	return userCommand("failures", "Show the tasks of this site that failed last, with the end of their error output", "", cobra.NoArgs,
+	return userCommand("failures", "Show the last failed tasks of this site",
+		"Show the last failed tasks of this site, the newest first, with the end of their error output.", cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
 			failures, err := a.listFailures()
 			if err != nil {
@@ -21,7 +22,7 @@
 		})
 }
 
-// listFailures returns the failures that the machine pool of the site on this machine has stored, the newest first.
+// listFailures returns the failures that the machine pool of the local site has stored, the newest first.
 func (a *apiClient) listFailures() ([]machinepool.Failure, error) {
 	var list machinepool.FailureList
 	if err := a.callMachinePool(http.MethodGet, failuresPath, &list); err != nil {
--- a/cmd/gullrudder/format.go
+++ b/cmd/gullrudder/format.go
@@ -8,8 +8,8 @@
 	"gullrudder/internal/controller/api"
 )
 
-// exactBelow is the duration below which one is printed with its milliseconds.
-const exactBelow = 10 * time.Second
+// minRoundedDuration is the shortest duration that is rounded to seconds; shorter ones are printed with milliseconds.
+const minRoundedDuration = 10 * time.Second
 
 func orDash(text string) string {
 	if text == "" {
@@ -34,13 +34,13 @@
 
 func formatMilliseconds(milliseconds int64) string {
 	duration := time.Duration(milliseconds) * time.Millisecond
-	if duration < exactBelow {
+	if duration < minRoundedDuration {
 		return duration.String()
 	}
 	return duration.Round(time.Second).String()
 }
 
-// formatTimeShares lists reasons with their times.
+// formatTimeShares lists wait reasons with their times.
 func formatTimeShares(shares []api.TimeShare) string {
 	var parts []string
 	for _, share := range shares {
--- a/cmd/gullrudder/install.go
+++ b/cmd/gullrudder/install.go
@@ -8,7 +8,7 @@
 	"github.com/spf13/cobra"
 )
 
-// unitTemplate is a systemd unit; its values are the program and the site's directory.
+// unitTemplate is a systemd unit; its two values are the paths of the program and of the site's data directory.
 const unitTemplate = `[Unit]
 Description=gullrudder, a cluster scheduler for small sites
 After=network.target
@@ -27,7 +27,7 @@
 	var data string
 	cmd := &cobra.Command{
 		Use:   "install FILE",
-		Short: "Write a service unit that runs the site, to the file that is named and nothing else",
+		Short: "Write a systemd unit for the site to FILE, nothing else",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			program, err := os.Executable()
@@ -42,7 +42,7 @@
 				return &exitError{exitUsage, err}
 			}
 			p := newPrinter(cmd.OutOrStdout())
-			p.printf("written: %s\n", args[0])
+			p.printf("wrote %s\n", args[0])
 			return p.firstError()
 		},
 	}
--- a/cmd/gullrudder/job.go
+++ b/cmd/gullrudder/job.go
@@ -6,7 +6,7 @@
 	"github.com/spf13/cobra"
 )
 
-// jobStatus is a job as the controllers answer.
+// jobStatus is the controllers' response about a job.
 type jobStatus struct {
 	ID           string `msgpack:"id" json:"id"`
 	State        string `msgpack:"trim" json:"state"`
@@ -24,22 +24,22 @@
 	})
 }
 
-// cancelCommand cancels a job. Its old name, which earlier scripts use, is not listed.
-func cancelCommand(isOldName bool) *cobra.Command {
+// cancelCommand returns the command that cancels a job, or its alias withdraw, which older scripts use and the help hides.
+func cancelCommand(isLegacyAlias bool) *cobra.Command {
 	use := "cancel JOB"
-	if isOldName {
+	if isLegacyAlias {
 		use = "withdraw JOB"
 	}
 	cmd := userCommand(use, "Cancel a job", "", cobra.ExactArgs(1), func(a *apiClient, args []string) error {
 		return a.showJobFrom(http.MethodPost, cancelPath(args[0]), nil)
 	})
-	cmd.Hidden = isOldName
+	cmd.Hidden = isLegacyAlias
 	return cmd
 }
 
 func cancelPath(job string) string { return "/work/" + escapePathSegment(job) + "/withdraw" }
 
-// showJobFrom sends a request that is answered with a job, and prints that.
+// showJobFrom sends a request whose response is a job, and prints the job.
 func (a *apiClient) showJobFrom(method, path string, body []byte) error {
 	var job jobStatus
 	if err := a.send(method, path, body, &job); err != nil {
@@ -50,7 +50,7 @@
 
 func (a *apiClient) showJob(job jobStatus) error {
 	return a.show(job, func(p *printer) {
-		p.println("JOB\tSTATE\tLABEL\tDONE\tRUNNING")
+		p.println("JOB\tSTATE\tADMISSION\tDONE TASKS\tRUNNING TASKS")
 		p.printf("%s\t%s\t%s\t%s\t%s\n",
 			job.ID, job.State, orDash(job.Admission), formatCount(job.DoneTasks), formatCount(job.RunningTasks))
 	})
--- a/cmd/gullrudder/main.go
+++ b/cmd/gullrudder/main.go
@@ -1,6 +1,6 @@
 // Command gullrudder is a cluster scheduler: one program for the controllers, for a site on one machine with its state service,
-// machine pool and worker, and for their users. Each command has its file; they read flags, call a package and print what it
-// returns. They own no state and decide nothing. docs/architecture.md shows which programs run where.
+// machine pool and worker, and for their users. Each command has its own file: it reads its flags, calls a package and prints the
+// result. Commands keep no state and make no scheduling decisions. docs/architecture.md shows which programs run where.
 package main
 
 import (
@@ -11,13 +11,13 @@
 
 // Exit codes, besides 0.
 const (
-	exitRefused     = 1 // the request was refused, or something is wrong
-	exitUsage       = 2 // wrong usage or settings
+	exitRefused     = 1 // the request was refused, or a check failed
+	exitUsage       = 2 // invalid usage or settings
 	exitUnavailable = 3 // the service cannot answer
 	exitDamaged     = 4 // the directory of a state service is damaged or in use
 )
 
-// exitError is an error with the exit code that it ends the program with. Other errors end it with exitUsage.
+// exitError is an error with the exit code of the program. For an error of another type the program exits with exitUsage.
 type exitError struct {
 	code int
 	err  error
--- a/cmd/gullrudder/pool.go
+++ b/cmd/gullrudder/pool.go
@@ -13,7 +13,7 @@
 func poolCommand() *cobra.Command {
 	var data string
 	cmd := &cobra.Command{
-		Use: "pool", Short: "Run a site's pool: its machines as a cloud, and the jobs' descriptions", Args: cobra.NoArgs,
+		Use: "pool", Short: "Run a site's machine pool and job description store", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			site, err := openSite(data)
 			if err != nil {
--- a/cmd/gullrudder/printer.go
+++ b/cmd/gullrudder/printer.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// printer prints to an output and keeps the first error of a write, for which the command asks once at its end. After an error
-// nothing more is written. Several goroutines may use it.
+// printer writes to an output and keeps the first write error, which the command checks once at its end. After an error it writes
+// nothing more. It is safe for concurrent use.
 type printer struct {
 	mu  sync.Mutex
 	out io.Writer
--- a/cmd/gullrudder/queue.go
+++ b/cmd/gullrudder/queue.go
@@ -14,7 +14,9 @@
 func queueCommand() *cobra.Command {
 	var team, class string
 	var limit int
-	cmd := userCommand("queue", "List the jobs that wait, in the order in which they get room", "", cobra.NoArgs,
+	cmd := userCommand("queue", "List waiting jobs in scheduling order",
+		"List waiting jobs in scheduling order. START WITHIN is the longest wait for a first task, as stated at acceptance.",
+		cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
 			query := url.Values{"most": {strconv.Itoa(limit)}}
 			setIfGiven(query, "team", team)
@@ -24,29 +26,29 @@
 				return err
 			}
 			return a.show(queue, func(p *printer) {
-				p.printf("%d jobs wait; %d have waited longer than was stated\n", queue.Total, queue.MissedStartBounds)
+				p.printf("jobs waiting: %d; jobs that missed START WITHIN so far: %d\n", queue.Total, queue.MissedStartBounds)
 				printQueuedJobs(p, queue.Jobs, "JOB")
 			})
 		})
-	cmd.Flags().StringVar(&team, "team", "", "only those of a team")
-	cmd.Flags().StringVar(&class, "class", "", "only those of a class")
-	cmd.Flags().IntVar(&limit, "most", defaultListedJobs, "how many to list, at most 200")
+	cmd.Flags().StringVar(&team, "team", "", "list only jobs of this team; empty: all teams")
+	cmd.Flags().StringVar(&class, "class", "", "list only jobs of this class; empty: all classes")
+	cmd.Flags().IntVar(&limit, "most", defaultListedJobs, "maximum number of jobs to list, 1 to 200")
 	return cmd
 }
 
-// setIfGiven adds a parameter to a query unless it is empty.
+// setIfGiven sets a parameter of a query unless the value is empty.
 func setIfGiven(query url.Values, name, value string) {
 	if value != "" {
 		query.Set(name, value)
 	}
 }
 
-// printQueuedJobs prints a table of jobs, and nothing if there are none.
+// printQueuedJobs prints a table of jobs, or nothing if there are none. The title is the header of its first column.
 func printQueuedJobs(out *printer, jobs []api.QueuedJob, title string) {
 	if len(jobs) == 0 {
 		return
 	}
-	out.printf("%s\tTEAM\tCLASS\tWAIT\tRUN\tAGE\tFIRST START BY\tSTANDING\n", title)
+	out.printf("%s\tTEAM\tCLASS\tWAITING TASKS\tRUNNING TASKS\tAGE\tSTART WITHIN\tRANK\n", title)
 	for _, job := range jobs {
 		out.printf("%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", job.ID, job.Team, job.Class, job.WaitingTasks, job.RunningTasks,
 			formatSeconds(job.AgeSeconds), formatSeconds(job.FirstStartBoundSeconds), job.Rank)
--- a/cmd/gullrudder/root.go
+++ b/cmd/gullrudder/root.go
@@ -11,7 +11,7 @@
 
 func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "gullrudder", Short: "A cluster scheduler for deadline jobs",
+		Use: "gullrudder", Short: "A cluster scheduler for jobs with deadlines",
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	cmd.AddCommand(
--- a/cmd/gullrudder/serve.go
+++ b/cmd/gullrudder/serve.go
@@ -16,17 +16,17 @@
 	"github.com/spf13/cobra"
 )
 
-// metricsRestartDelay is the time after which the metrics' address is opened again.
+// metricsRestartDelay is the delay before a failed metrics server is started again.
 const metricsRestartDelay = time.Second
 
 // configFiles are the settings files of a controller.
 type configFiles struct{ platform, operators string }
 
 func (f *configFiles) addFlags(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&f.platform, "config", "", "the platform's settings file (JSON)")
-	cmd.Flags().StringVar(&f.operators, "options", "", "the operators' own settings (XML)")
+	cmd.Flags().StringVar(&f.platform, "config", "", "platform settings file, JSON (required)")
+	cmd.Flags().StringVar(&f.operators, "options", "", "operators' options file, XML; empty: default options")
 	if err := cmd.MarkFlagRequired("config"); err != nil {
-		panic(err) // the flag does not exist: a fault of the program
+		panic(err) // programming error: the flag is not defined
 	}
 }
 
@@ -57,7 +57,7 @@
 		},
 	}
 	files.addFlags(cmd)
-	cmd.Flags().StringVar(&metricsAddr, "metrics", "", "serve figures for Prometheus at this address; empty: nowhere")
+	cmd.Flags().StringVar(&metricsAddr, "metrics", "", "address to serve Prometheus metrics on, host:port; empty: no metrics")
 	return cmd
 }
 
@@ -79,16 +79,16 @@
 	controller.NewRuntime(node, platform, log).Serve()
 }
 
-// serveMetrics serves the metrics until the process ends, and opens the address again if that fails.
+// serveMetrics serves the metrics until the process ends, and starts the server again if it fails.
 func serveMetrics(node *controller.Controller, addr string, log *slog.Logger) {
 	for {
 		err := metrics.Serve(node.Registry(), addr, log)
-		log.Error("metrics are not served, and tried again", logkeys.Err, err)
+		log.Error("metrics server failed, retrying", logkeys.Err, err)
 		time.Sleep(metricsRestartDelay)
 	}
 }
 
-// newLogger returns a logger of the level "info" or "debug"; any other one is error.
+// newLogger returns a logger of the level "info" or "debug". Any other level means "error".
 func newLogger(out io.Writer, level string) *slog.Logger {
 	minLevel := slog.LevelError
 	switch level {
@@ -103,7 +103,7 @@
 func checkCommand() *cobra.Command {
 	var files configFiles
 	cmd := &cobra.Command{
-		Use: "check", Short: "Check the settings files", Args: cobra.NoArgs,
+		Use: "check", Short: "Check the settings files of a controller", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			platform, _, err := files.load()
 			if err != nil {
@@ -113,7 +113,7 @@
 			for _, warning := range controller.ConfigWarnings(platform) {
 				p.println("warning: " + warning)
 			}
-			p.printf("ok: %s, %d other controllers, %d teams\n", platform.Name, len(platform.Peers), len(platform.Teams))
+			p.printf("ok: controller %s, %d other controllers, %d teams\n", platform.Name, len(platform.Peers), len(platform.Teams))
 			return p.firstError()
 		},
 	}
--- a/cmd/gullrudder/served.go
+++ b/cmd/gullrudder/served.go
@@ -7,9 +7,10 @@
 )
 
 func servedCommand() *cobra.Command {
-	return userCommand("served", "Show which class and which team is served least",
-		"DONE counts jobs of the last minutes, what is longer ago counting ever less; LATE are jobs that can keep none of their\n"+
-			"aims any more. Below the least share (floor-least) a class or team has room ahead of others (floor-share).", cobra.NoArgs,
+	return userCommand("served", "Show the share of done jobs by class and team",
+		"Show the share of done jobs by class and team, lowest first. DONE JOBS counts recent jobs most. OVERDUE JOBS can no longer meet\n"+
+			"any objective; ALLOCATED JOBS of them have reserved capacity. 'behind': below option floor-least, gets floor-share first.",
+		cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
 			var shares api.ServedShares
 			if err := a.get("/served", &shares); err != nil {
@@ -20,7 +21,7 @@
 }
 
 func printServedShares(out *printer, shares api.ServedShares) {
-	out.println("\tNAME\tSERVED\tDONE\tLATE\tWITH ROOM OF THEIR OWN")
+	out.println("KIND\tNAME\tDONE SHARE\tDONE JOBS\tOVERDUE JOBS\tALLOCATED JOBS")
 	for _, group := range shares.Groups {
 		kind, behind := "class", ""
 		switch {
--- a/cmd/gullrudder/site.go
+++ b/cmd/gullrudder/site.go
@@ -28,7 +28,8 @@
 }
 
 func dataFlag(cmd *cobra.Command, data *string) {
-	cmd.Flags().StringVar(data, "data", os.Getenv("GULLRUDDER_DATA"), "directory of the site (or GULLRUDDER_DATA); empty: .gullrudder at home")
+	cmd.Flags().StringVar(data, "data", os.Getenv("GULLRUDDER_DATA"),
+		"data directory of the site (env GULLRUDDER_DATA); empty: ~/.gullrudder")
 }
 
 // openSite opens the site in the directory of --data.
@@ -40,7 +41,7 @@
 	return site, nil
 }
 
-// taskCredential returns the user that tasks run as; nil for the user that the site runs as.
+// taskCredential returns the credential that tasks run with; nil means that of the site's own processes.
 func taskCredential(site *datadir.Site) (*syscall.Credential, error) {
 	if os.Getuid() != 0 || site.TaskUser == "root" {
 		return nil, nil
@@ -57,7 +58,7 @@
 	return &syscall.Credential{Uid: uint32(uid), Gid: uint32(gid)}, err
 }
 
-// siteLogLevel is the log level of a site's own processes: info unless LOG_LEVEL says otherwise.
+// siteLogLevel returns the log level of a site's own processes: LOG_LEVEL, or info if that is not set.
 func siteLogLevel() string {
 	if level := os.Getenv("LOG_LEVEL"); level != "" {
 		return level
--- a/cmd/gullrudder/state.go
+++ b/cmd/gullrudder/state.go
@@ -19,14 +19,14 @@
 	var flags stateServiceFlags
 	cmd := &cobra.Command{
 		Use: "state", Short: "Run a state service", Args: cobra.NoArgs,
-		Long: "Run a state service for controllers: keys, guarded commits, leases and watches, kept in a directory.\n" +
-			"Exit codes: 2 wrong usage or settings, 4 the directory is damaged or taken.",
+		Long: "Run a state service for controllers: keys, guarded transactions, leases and watches, stored in a directory.\n" +
+			"Exit codes: 2 invalid usage or settings, 3 an address cannot be served, 4 the directory is damaged or in use.",
 		RunE: func(*cobra.Command, []string) error { return runStateService(flags) },
 	}
-	cmd.Flags().StringVar(&flags.data, "data", "", "the directory that the store is kept in")
-	cmd.Flags().StringVar(&flags.listen, "listen", "", "address of the service, host:port")
-	cmd.Flags().StringVar(&flags.operators, "options", "", "the operators' settings of the store (XML)")
-	cmd.Flags().StringVar(&flags.metrics, "metrics", "", "address of GET /metrics, host:port; none if it is not given")
+	cmd.Flags().StringVar(&flags.data, "data", "", "data directory of the store (required)")
+	cmd.Flags().StringVar(&flags.listen, "listen", "", "address to serve on, host:port (required)")
+	cmd.Flags().StringVar(&flags.operators, "options", "", "operators' options file of the store, XML; empty: default options")
+	cmd.Flags().StringVar(&flags.metrics, "metrics", "", "address to serve GET /metrics on, host:port; empty: no metrics")
 	cmd.AddCommand(stateInspectCommand(), stateBackupCommand(), stateRestoreCommand())
 	return cmd
 }
@@ -63,8 +63,8 @@
 
 func stateBackupCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "backup DIR FILE", Short: "Write what a store's directory holds to a file", Args: cobra.ExactArgs(2),
-		Long: "Write what a store's directory holds to a file, which appears only once it is whole. The service may run.",
+		Use: "backup DIR FILE", Short: "Back up a store's directory to a file", Args: cobra.ExactArgs(2),
+		Long: "Back up a store's directory to a file, which appears only once it is complete. The state service may be running.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			report, err := kvserver.Backup(args[0], args[1])
 			return printInspection(newPrinter(cmd.OutOrStdout()), report, err)
@@ -74,9 +74,9 @@
 
 func stateRestoreCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "restore FILE DIR", Short: "Make a store's directory of a backup", Args: cobra.ExactArgs(2),
-		Long: "Make a store's directory of a backup. The directory must hold nothing. Revisions go on far above the backup's,\n" +
-			"so that no token is given out twice.",
+		Use: "restore FILE DIR", Short: "Create a store's directory from a backup", Args: cobra.ExactArgs(2),
+		Long: "Create a store's directory from a backup. The directory must be empty or absent. Revisions continue far above the backup's,\n" +
+			"so that no fencing token is issued twice.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			report, err := kvserver.Restore(args[0], args[1])
 			return printInspection(newPrinter(cmd.OutOrStdout()), report, err)
--- a/cmd/gullrudder/stateinspect.go
+++ b/cmd/gullrudder/stateinspect.go
@@ -6,7 +6,7 @@
 	"github.com/spf13/cobra"
 )
 
-// inspectionView is what inspect prints as JSON.
+// inspectionView is the output of inspect; as JSON under these names.
 type inspectionView struct {
 	kvserver.Inspection
 	Damage  string             `json:"damage,omitempty"` // why the directory cannot be opened
@@ -17,7 +17,7 @@
 	var output string
 	var listKeys bool
 	cmd := &cobra.Command{
-		Use: "inspect DIR", Short: "Show what a store's directory holds, and what is damaged", Args: cobra.ExactArgs(1),
+		Use: "inspect DIR", Short: "Show the content and the damage of a store's directory", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := checkOutput(output); err != nil {
 				return err
@@ -33,12 +33,12 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&output, "output", outputTable, "table or json")
-	cmd.Flags().BoolVar(&listKeys, "keys", false, "list the keys too")
+	cmd.Flags().StringVar(&output, "output", outputTable, "output format: table or json")
+	cmd.Flags().BoolVar(&listKeys, "keys", false, "also list the keys")
 	return cmd
 }
 
-// inspect reads a store's directory. The view holds what could be read, also if the directory is damaged.
+// inspect reads a store's directory. The view has what could be read, even if the directory is damaged.
 func inspect(dir string, listKeys bool) (view inspectionView, damage error) {
 	view.Inspection, damage = kvserver.Inspect(dir)
 	if damage == nil && listKeys {
@@ -55,7 +55,7 @@
 		view.Revision, view.Keys, view.Leases, orDash(view.Snapshot), view.SnapshotBytes,
 		len(view.Segments), view.Frames, view.LogBytes)
 	if view.TornBytes > 0 {
-		out.printf("unfinished at the end\t%d bytes, never answered\n", view.TornBytes)
+		out.printf("torn write at the end\t%d bytes, never confirmed\n", view.TornBytes)
 	}
 	for _, name := range view.Segments {
 		out.printf("segment\t%s\n", name)
@@ -67,7 +67,7 @@
 		out.printf("unfinished snapshot\t%s\n", name)
 	}
 	for _, skipped := range view.SkippedDamage {
-		out.printf("passed over\t%s\n", skipped)
+		out.printf("skipped snapshot\t%s\n", skipped)
 	}
 	damage := view.Damage
 	if damage == "" {
@@ -79,7 +79,7 @@
 
 func printKeys(out *printer, keys []kvserver.KeyInfo) {
 	if len(keys) > 0 {
-		out.println("\nKEY\tBYTES\tMARK\tLEASE")
+		out.println("\nKEY\tBYTES\tREVISION\tLEASE")
 	}
 	for _, key := range keys {
 		out.printf("%s\t%d\t%d\t%d\n", key.Key, key.ValueBytes, key.ModRevision, key.LeaseID)
--- a/cmd/gullrudder/status.go
+++ b/cmd/gullrudder/status.go
@@ -9,7 +9,8 @@
 )
 
 func statusCommand() *cobra.Command {
-	return userCommand("status", "Show what a controller knows: leader, budgets, fleet, queue, latencies", "", cobra.NoArgs,
+	return userCommand("status", "Show a controller's view of the cluster",
+		"Show a controller's view of the cluster: leader, jobs and tasks, request limits, machines and request latencies.", cobra.NoArgs,
 		func(a *apiClient, _ []string) error {
 			msg, err := a.requestFrom(a.servers, http.MethodGet, "/status", nil)
 			if err != nil {
@@ -24,17 +25,18 @@
 }
 
 func printStatus(out *printer, status controller.Status) {
-	out.printf("node\t%s\nleader\t%s\n", status.Controller, orDash(status.Leader))
+	out.printf("controller\t%s\nleader\t%s\n", status.Controller, orDash(status.Leader))
 	if status.FencingToken > 0 {
-		out.printf("token\t%d\nplacing\t%v\nstate service ok\t%v\n", status.FencingToken, status.Placing, status.StateServiceHealthy)
-		out.printf("jobs\t%d\njobs finished\t%d, %d runs sealed\n", status.Jobs, status.FinishedJobs, status.ArchiveSegments)
-		out.printf("tasks waiting\t%d\ntasks placed\t%d\n", status.WaitingTasks, status.PlacedTasks)
+		out.printf("fencing token\t%d\nplacing tasks\t%v\nstate service ok\t%v\n",
+			status.FencingToken, status.Placing, status.StateServiceHealthy)
+		out.printf("unfinished jobs\t%d\nfinished jobs\t%d, %d archive segments\n", status.Jobs, status.FinishedJobs, status.ArchiveSegments)
+		out.printf("waiting tasks\t%d\nplaced tasks\t%d\n", status.WaitingTasks, status.PlacedTasks)
 	}
 	b := status.Budgets
-	out.printf("budgets\tstate %g/s, changes %g/s, cloud %g/s, %d connections, %g MB\n",
+	out.printf("limits\tstate service %g requests/s, %g writes/s, cloud %g requests/s, %d connections, %g MB of memory\n",
 		b.StateRequestRate, b.StateWriteRate, b.CloudRequestRate, b.Connections, b.MemoryMB)
 	if len(status.Machines) > 0 {
-		out.println("\nMACHINE\tTYPE\tZONE\tSPOT\tSTATE\tTASKS\tCPUS")
+		out.println("\nMACHINE\tTYPE\tZONE\tSPOT\tSTATE\tTASKS\tUSED CPUS")
 	}
 	for _, m := range status.Machines {
 		out.printf("%s\t%s\t%s\t%v\t%s\t%d\t%g\n", m.ID, m.Type, m.Zone, m.Spot, m.State, m.Tasks, m.UsedCPUs)
--- a/cmd/gullrudder/worker.go
+++ b/cmd/gullrudder/worker.go
@@ -17,7 +17,7 @@
 func workerCommand() *cobra.Command {
 	var data string
 	cmd := &cobra.Command{
-		Use: "worker", Short: "Run a site's worker: it runs the tasks", Args: cobra.NoArgs,
+		Use: "worker", Short: "Run a site's worker, which runs the tasks", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			site, err := openSite(data)
 			if err != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// runWorker runs the worker until a signal ends it, or it fails.
+// runWorker runs the worker until a signal stops it or it fails.
 func runWorker(worker *agent.Runtime) error {
 	failed := make(chan error, 1)
 	go func() { failed <- worker.Run() }()
