--- a/cmd/faulttest/crash.go
+++ b/cmd/faulttest/crash.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"os"
 	"time"
 
@@ -10,21 +11,21 @@
 	"github.com/spf13/cobra"
 )
 
-// crashRuns are the options of the command.
-type crashRuns struct {
+// crashFlags holds the flags of `faulttest crash`.
+type crashFlags struct {
 	runs, steps     int
 	seed            uint64
 	points, verbose bool
-	path, dir       string
+	program, dir    string
 }
 
 func crashCommand() *cobra.Command {
-	options := crashRuns{}
+	options := crashFlags{}
 	cmd := &cobra.Command{
-		Use: "crash", Short: "Kill a state service and its controllers at random moments and check what comes back",
-		Long: "Starts one gullrudder state and three gullrudder serve, with workers and a cloud of its own, runs jobs, and kills\n" +
-			"processes at random moments, by preference inside snapshots, archiving and compaction. With --points it makes\n" +
-			"short runs on a disk that loses what was not synced, crashed at every operation, --runs of them.",
+		Use: "crash", Short: "Kill processes of a cluster and check what it recovers",
+		Long: "Kill processes of a cluster and check what it recovers.\n\nStart a state service, three controllers and an emulated cloud " +
+			"with workers. Run jobs, and\nkill processes at random moments, preferably during snapshots, archiving and compaction.\n" +
+			"With --points, run only the store of a state service on a simulated disk that loses\nunsynced writes, and crash it at every operation.",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 			if options.seed == 0 {
 				options.seed = uint64(time.Now().UnixNano())
@@ -36,18 +37,20 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&options.runs, "runs", 20, "how many kills, or with --points how many short runs")
-	flags.IntVar(&options.steps, "steps", 30, "with --points: steps of a short run")
-	flags.Uint64Var(&options.seed, "seed", 0, "seed of the random choices; 0: one that is printed")
-	flags.BoolVar(&options.points, "points", false, "every crash point of short runs on a disk that loses unsynced writes")
-	flags.BoolVar(&options.verbose, "verbose", false, "show the log of the processes")
-	flags.StringVar(&options.path, "program", "", "the gullrudder program; it is built if none is given")
-	flags.StringVar(&options.dir, "dir", "", "a directory for the run's files, which stays; a temporary one if none is given")
+	flags.IntVar(&options.runs, "runs", 20, "number of kills; with --points: number of runs on the simulated disk")
+	flags.IntVar(&options.steps, "steps", 30, "requests and other steps of each run; only with --points")
+	flags.Uint64Var(&options.seed, "seed", 0,
+		"seed of the random choices; 0: taken from the clock, printed with the result of --points and with violations")
+	flags.BoolVar(&options.points, "points", false, "crash a simulated disk at every operation instead of killing processes")
+	flags.BoolVar(&options.verbose, "verbose", false, "print the logs of all started processes")
+	flags.StringVar(&options.program, "program", "", "path of the gullrudder program; empty: build it")
+	flags.StringVar(&options.dir, "dir", "",
+		"existing directory for the files of the run, which are kept; empty: a temporary directory, removed at the end")
 	return cmd
 }
 
 // runCrashPoints runs the command with --points.
-func (o crashRuns) runCrashPoints(cmd *cobra.Command) error {
+func (o crashFlags) runCrashPoints(cmd *cobra.Command) error {
 	points, tries := 0, 0
 	for i := range o.runs {
 		result, err := crashtest.RunCrashPoints(o.seed+uint64(i), o.steps)
@@ -62,7 +65,7 @@
 }
 
 // runKills runs the command without --points.
-func (o crashRuns) runKills(cmd *cobra.Command) (err error) {
+func (o crashFlags) runKills(cmd *cobra.Command) (err error) {
 	dir := o.dir
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "faulttest-crash-"); err != nil {
@@ -70,7 +73,7 @@
 		}
 		defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	}
-	path, err := program(o.path, dir)
+	path, err := resolveProgram(o.program, dir)
 	if err != nil {
 		return err
 	}
@@ -95,13 +98,13 @@
 	out := output{w: cmd.OutOrStdout()}
 	bed.printSummary(&out, time.Since(began), kills, violations)
 	if len(violations) > 0 {
-		return errors.New("something was not as it was answered")
+		return fmt.Errorf("%d violations after %d kills, expected none", len(violations), kills)
 	}
 	return out.err
 }
 
-// killUntilBroken starts the testbed and kills processes until a rule is broken or all runs are made.
-func (o crashRuns) killUntilBroken(cmd *cobra.Command, bed *testbed) (kills int, err error) {
+// killUntilBroken starts the testbed and kills processes until a rule is broken or --runs kills were done.
+func (o crashFlags) killUntilBroken(cmd *cobra.Command, bed *testbed) (kills int, err error) {
 	began := time.Now()
 	progress := output{w: cmd.ErrOrStderr()}
 	for err = bed.start(); err == nil && kills < o.runs; {
@@ -119,17 +122,17 @@
 	return kills, err
 }
 
-// maxPrintedViolations is how many violations are printed.
+// maxPrintedViolations limits the violations in the summary.
 const maxPrintedViolations = 10
 
-// printSummary prints what the run did and found. The last line is what scripts read.
+// printSummary prints the counts and violations of the run. Scripts read the last line.
 func (bed *testbed) printSummary(out *output, took time.Duration, kills int, violations []string) {
 	started, duplicated, _ := bed.cloud.History.Summary()
 	commits, uncertain := 0, 0
 	for _, p := range bed.probes {
 		commits, uncertain = commits+p.commits, uncertain+p.uncertainCommits
 	}
-	out.printf("%v; %d commits of the probes, %d without an answer; %d jobs accepted, %d done; %d tasks started\n",
+	out.printf("%v: %d commits of the probes, %d without a response; %d jobs accepted, %d done; %d tasks started\n",
 		took.Round(time.Second), commits, uncertain, bed.users.acceptedCount(), bed.users.doneCount(), started)
 	for name, n := range bed.killCounts {
 		out.printf("%d kills of %s\n", n, name)
@@ -141,6 +144,6 @@
 		out.printf("seed %d\n", bed.seed)
 	}
 	archived, compacted := bed.segmentCounts()
-	out.printf("%d archived segments and %d compactions were seen\n", archived, compacted)
+	out.printf("%d segments archived and %d segments compacted, according to the logs\n", archived, compacted)
 	out.printf("%d kills, %d lost, %d duplicated\n", kills, max(len(violations)-duplicated, 0), duplicated)
 }
--- a/cmd/faulttest/faults.go
+++ b/cmd/faulttest/faults.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"log/slog"
 	"strings"
 	"time"
@@ -12,45 +13,47 @@
 	"github.com/spf13/cobra"
 )
 
-// What every fault day has to reach.
+// Limits that each simulated day with faults must meet.
 const (
-	minServedShare = 0.5
-	maxFirstStart  = 4 * time.Minute
+	minServedShare = 0.5             // of the jobs of each class, team and group of largest jobs
+	maxFirstStart  = 4 * time.Minute // from submission to first start, of the largest jobs
 )
 
-// faultRuns are the options of the command.
-type faultRuns struct {
-	runs, jobs, capacity int
-	seed                 uint64
-	kinds                []string
-	startBound           time.Duration
+// faultFlags holds the flags of `faulttest faults`.
+type faultFlags struct {
+	runs, parallelism, capacity int
+	seed                        uint64
+	kinds                       []string
+	startBound                  time.Duration
 }
 
 func faultsCommand() *cobra.Command {
-	options := faultRuns{}
+	options := faultFlags{}
 	cmd := &cobra.Command{
 		Use: "faults", Aliases: []string{"troubles"}, Args: cobra.NoArgs,
-		Short: "Rules and who is served on days of faults, several at once, in virtual time",
+		Short: "Simulate several faults at once and check the rules",
 		RunE:  func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&options.runs, "runs", 40, "how many days")
-	flags.IntVar(&options.jobs, "jobs", 8, "how many days at a time; the result does not depend on it")
-	flags.Uint64Var(&options.seed, "seed", 1, "of the first day")
-	flags.IntVar(&options.capacity, "capacity", 36, "machines of each of the six kinds")
-	flags.StringSliceVar(&options.kinds, "kinds", simulator.FaultKinds(), "which faults: "+strings.Join(simulator.FaultKinds(), ", "))
+	flags.IntVar(&options.runs, "runs", 40, "number of simulated runs; each uses the next seed")
+	flags.IntVar(&options.parallelism, "jobs", 8, "number of runs in parallel; does not affect the result")
+	flags.Uint64Var(&options.seed, "seed", 1, "seed of the first run")
+	flags.IntVar(&options.capacity, "capacity", 36, "machines that the cloud has of each of the six combinations of type, zone and kind")
+	flags.StringSliceVar(&options.kinds, "kinds", simulator.FaultKinds(),
+		"kinds of faults to inject, separated by commas; quote a kind that contains a comma; all kinds: "+
+			strings.Join(simulator.FaultKinds(), ", "))
 	flags.DurationVar(&options.startBound, "begin-bound", config.DefaultOptions().StartBound,
-		"a job of which nothing has begun after this begins ahead of others; 0: none does")
+		"wait after which a job without a started task goes before other jobs; 0: no bound")
 	return cmd
 }
 
-func (o faultRuns) run(cmd *cobra.Command) error {
+func (o faultFlags) run(cmd *cobra.Command) error {
 	tuning := config.DefaultOptions()
 	tuning.StartBound = o.startBound
 	options := simulator.CapacityLossOptions(tuning)
 	options.MachinesPerKind, options.LateShare, options.LossShare = o.capacity, 0.5, 0.002
 	days, violations, failures := make([]simulator.FaultDay, o.runs), make([][]simulator.Violation, o.runs), make([]error, o.runs)
-	runInParallel(o.runs, o.jobs, func(i int) {
+	runInParallel(o.runs, o.parallelism, func(i int) {
 		sim := simulator.New(o.seed+uint64(i), options, slog.New(slog.DiscardHandler))
 		days[i], failures[i] = sim.RunFaultDay(o.kinds)
 		violations[i] = sim.Violations
@@ -67,23 +70,25 @@
 	for _, day := range days {
 		fewest, most = min(fewest, day.MaxMachines), max(most, day.MaxMachines)
 	}
-	out.printf("%d to %d machines at a time\n", fewest, most)
+	out.printf("peak machines per run: %d to %d\n", fewest, most)
 	out.printf("%d runs, %d rules broken, %d forgotten, least served %.2f (class) %.2f (team) %.2f (largest), latest first start %.0f s\n",
 		o.runs, summary.broken, summary.forgotten, summary.class, summary.team, summary.largest, summary.firstStart.Seconds())
 	if summary.broken > 0 || min(summary.class, summary.team, summary.largest) < minServedShare || summary.firstStart > maxFirstStart {
-		return errors.New("a rule was broken, or somebody was not served")
+		return fmt.Errorf("%d rules broken, least served %.2f, latest first start %v: expected none, at least %.2f and at most %v",
+			summary.broken, min(summary.class, summary.team, summary.largest), summary.firstStart, minServedShare, maxFirstStart)
 	}
 	return out.err
 }
 
-// faultSummary is the worst of several fault days.
+// faultSummary holds the worst results of several simulated days.
 type faultSummary struct {
 	broken, forgotten    int
-	class, team, largest float64 // least served
-	firstStart           time.Duration
+	class, team, largest float64       // smallest shares of done jobs
+	firstStart           time.Duration // longest time from submission to first start, of the largest jobs
 }
 
-// add takes in a day. A day that broke a rule, or that no scheduler could have served, does not count as served badly.
+// add adds a simulated day. The shares and the first start of a day count unless it broke a rule, or it missed a limit and its
+// machines could not have run all jobs.
 func (s *faultSummary) add(out *output, seed uint64, day simulator.FaultDay, violations []simulator.Violation) {
 	if len(violations) > 0 {
 		s.broken++
@@ -96,7 +101,7 @@
 	class, team, largest := day.LeastServed()
 	if min(class, team, largest) < minServedShare || day.LatestFirstStart > maxFirstStart {
 		out.printf("seed %d: %d machines, least served %.2f (class) %.2f (team) %.2f (largest), latest first start %.0f s; "+
-			"%.0f CPU seconds asked for, %.0f there: possible %v\n",
+			"%.0f CPU seconds requested, %.0f available, feasible: %v\n",
 			seed, day.MaxMachines, class, team, largest, day.LatestFirstStart.Seconds(),
 			day.RequestedCPUSeconds, day.AvailableCPUSeconds, day.IsFeasible())
 		if !day.IsFeasible() {
--- a/cmd/faulttest/main.go
+++ b/cmd/faulttest/main.go
@@ -1,5 +1,5 @@
-// Command faulttest runs load and fault-injection tests and long measurements. It starts only
-// processes of this project, on loopback, and kills only those.
+// Command faulttest runs fault-injection, upgrade and load tests, in simulations and with real processes. It starts and kills only
+// processes of this project, which listen on loopback addresses.
 package main
 
 import (
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "faulttest", Short: "Long measurements and random faults", SilenceUsage: true, SilenceErrors: true}
+	root := &cobra.Command{Use: "faulttest", Short: "Run fault-injection, upgrade and load tests", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(
 		crashCommand(),
 		commitsCommand(),
--- a/cmd/faulttest/output.go
+++ b/cmd/faulttest/output.go
@@ -11,7 +11,7 @@
 	err error
 }
 
-// printf writes unless an earlier write has failed.
+// printf writes formatted text. It does nothing after an error.
 func (o *output) printf(format string, args ...any) {
 	if o.err == nil {
 		_, o.err = fmt.Fprintf(o.w, format, args...)
--- a/cmd/faulttest/parallel.go
+++ b/cmd/faulttest/parallel.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// runInParallel calls run for every index below count, at most jobs at a time, and waits for all.
-func runInParallel(count, jobs int, run func(i int)) {
+// runInParallel calls run with each index from 0 to count-1, at most limit calls at a time, and waits for all of them.
+func runInParallel(count, limit int, run func(i int)) {
 	var wait sync.WaitGroup
-	slots := make(chan struct{}, jobs)
+	slots := make(chan struct{}, limit)
 	for i := range count {
 		slots <- struct{}{}
 		wait.Go(func() {
--- a/cmd/faulttest/upgrade.go
+++ b/cmd/faulttest/upgrade.go
@@ -18,52 +18,52 @@
 	"github.com/spf13/cobra"
 )
 
-// upgradeRuns are the options of the command.
-type upgradeRuns struct {
-	runs         int
-	seed         uint64
-	older, newer string
-	verbose      bool
+// upgradeFlags holds the flags of `faulttest upgrade`.
+type upgradeFlags struct {
+	runs                   int
+	seed                   uint64
+	oldProgram, newProgram string
+	verbose                bool
 }
 
 func upgradeCommand() *cobra.Command {
-	options := upgradeRuns{}
+	options := upgradeFlags{}
 	cmd := &cobra.Command{
 		Use:   "upgrade",
-		Short: "Roll controllers from one version to another in drawn orders, with kills, and check what users are told",
-		Long: "Each run starts a state service and three controllers of the older program, with workers and a cloud of its own, runs\n" +
-			"jobs, and brings the controllers back with the newer program, one after the other in a drawn order; others crash before\n" +
-			"their turn and come back old. Once all are new, jobs that depend on others are submitted, and limits that the newer\n" +
-			"version knows of count.",
+		Short: "Upgrade controllers one by one and check the responses",
+		Long: "Upgrade controllers one by one and check the responses.\n\nIn each run, start a state service, three controllers of the old " +
+			"version and an emulated\ncloud with workers, and submit jobs. Restart the controllers with the new version, one at a\n" +
+			"time in a random order. Some controllers crash before or after their turn and restart with\nthe version that they had. Once all " +
+			"run the new version, submit jobs that depend on other\njobs. From then on, limits apply that only the new version knows.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&options.runs, "runs", 4, "how many upgrades")
-	flags.Uint64Var(&options.seed, "seed", 1, "of the first run")
-	flags.StringVar(&options.older, "program-old", "", "the program that the controllers run at first")
-	flags.StringVar(&options.newer, "program-new", "", "the program that they come back with; it is built if none is given")
-	flags.BoolVar(&options.verbose, "verbose", false, "show the log of the processes")
+	flags.IntVar(&options.runs, "runs", 4, "number of upgrades; each uses the next seed")
+	flags.Uint64Var(&options.seed, "seed", 1, "seed of the first upgrade")
+	flags.StringVar(&options.oldProgram, "program-old", "", "path of the program that the controllers run before the upgrade; required")
+	flags.StringVar(&options.newProgram, "program-new", "", "path of the program that the controllers are upgraded to; empty: build it")
+	flags.BoolVar(&options.verbose, "verbose", false, "print the logs of all started processes")
 	return cmd
 }
 
-func (o upgradeRuns) run(cmd *cobra.Command) (err error) {
-	if o.older == "" {
-		return errors.New("--program-old is missing: the README tells how it is built from the history")
+func (o upgradeFlags) run(cmd *cobra.Command) (err error) {
+	if o.oldProgram == "" {
+		return errors.New("--program-old is empty: expected the path of the old program; the README describes how to build it from the history")
 	}
 	dir, err := os.MkdirTemp("", "faulttest-upgrade-")
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
-	if o.older, err = filepath.Abs(o.older); err != nil {
+	if o.oldProgram, err = filepath.Abs(o.oldProgram); err != nil {
 		return err
 	}
-	if o.newer, err = program(o.newer, dir); err != nil {
+	if o.newProgram, err = resolveProgram(o.newProgram, dir); err != nil {
 		return err
 	}
 	out := output{w: cmd.OutOrStdout()}
-	var sum upgradeResult
+	var total upgradeResult
 	for i := range o.runs {
 		seed := o.seed + uint64(i)
 		result, err := o.runUpgrade(seed, filepath.Join(dir, strconv.Itoa(i)))
@@ -73,13 +73,13 @@
 		for _, violation := range result.broken {
 			out.printf("seed %d, broken: %s\n", seed, violation)
 		}
-		sum.add(result)
+		total.add(result)
 	}
-	out.printf("%d jobs accepted, %d of them with needs, %d done\n", sum.accepted, sum.dependents, sum.done)
-	out.printf("%d upgrades, %d rules broken, %d lost, %d doubled, no answer for at most %.1f s, no placing for at most %.1f s\n",
-		o.runs, len(sum.broken), sum.lost, sum.duplicated, sum.longestUnanswered.Seconds(), sum.longestWithoutPlacement.Seconds())
-	if len(sum.broken) > 0 {
-		return errors.New("a rule was broken")
+	out.printf("%d jobs accepted, %d of them with dependencies, %d done\n", total.accepted, total.dependents, total.done)
+	out.printf("%d upgrades, %d rules broken, %d lost, %d doubled, longest time without a response %.1f s, without placement %.1f s\n",
+		o.runs, len(total.broken), total.lost, total.duplicated, total.longestWithoutResponse.Seconds(), total.longestWithoutPlacement.Seconds())
+	if len(total.broken) > 0 {
+		return fmt.Errorf("%d rules broken in %d upgrades, expected none", len(total.broken), o.runs)
 	}
 	return out.err
 }
@@ -89,30 +89,30 @@
 	broken                     []string
 	lost, duplicated           int
 	accepted, done, dependents int
-	longestUnanswered          time.Duration // longest time without a response to a user
-	longestWithoutPlacement    time.Duration // longest time without a controller that places tasks
+	longestWithoutResponse     time.Duration // longest time between two successful responses to users
+	longestWithoutPlacement    time.Duration // longest time in which no controller reported that it places tasks
 }
 
-// add takes in the result of another upgrade.
+// add adds the result of another upgrade.
 func (u *upgradeResult) add(r upgradeResult) {
 	u.broken = append(u.broken, r.broken...)
 	u.lost, u.duplicated = u.lost+r.lost, u.duplicated+r.duplicated
 	u.accepted += r.accepted
 	u.done += r.done
 	u.dependents += r.dependents
-	u.longestUnanswered = max(u.longestUnanswered, r.longestUnanswered)
+	u.longestWithoutResponse = max(u.longestWithoutResponse, r.longestWithoutResponse)
 	u.longestWithoutPlacement = max(u.longestWithoutPlacement, r.longestWithoutPlacement)
 }
 
-// gapTimer measures the longest time between two events.
+// gapTimer measures the longest time between two successive events. It is safe for concurrent use.
 type gapTimer struct {
 	mu      sync.Mutex
 	last    time.Time
 	longest time.Duration
 }
 
-// seen records an event.
-func (g *gapTimer) seen(now time.Time) {
+// record records an event.
+func (g *gapTimer) record(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.last.IsZero() {
@@ -121,15 +121,15 @@
 	g.last = now
 }
 
-// longestGap is the longest time between two events so far.
+// longestGap returns the longest time between two successive events, 0 before the second event.
 func (g *gapTimer) longestGap() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.longest
 }
 
-// watchPlacing polls all controllers for whether they place tasks, until the testbed stops.
-func (bed *testbed) watchPlacing(placements *gapTimer) {
+// watchPlacement polls the status of all controllers until the testbed stops, and records each time that one places tasks.
+func (bed *testbed) watchPlacement(placements *gapTimer) {
 	defer bed.wait.Done()
 	client := http1.NewClient(8, 2, http1.MaxBodyBytes)
 	for {
@@ -144,13 +144,13 @@
 			}
 			response, err := client.Do(addr, "GET", "/status", nil, 200*time.Millisecond)
 			if err == nil && response.Status == http.StatusOK && codec.Unmarshal(response.Body, &status) == nil && status.Placing {
-				placements.seen(time.Now())
+				placements.record(time.Now())
 			}
 		}
 	}
 }
 
-// announceLimits adds the limits to come to a controller's configuration; the older version ignores them.
+// announceLimits adds upcoming limits to a controller's configuration file. The old version ignores them.
 func announceLimits(file string) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -161,16 +161,16 @@
 }
 
 // runUpgrade runs one rolling upgrade in a new directory.
-func (o upgradeRuns) runUpgrade(seed uint64, dir string) (upgradeResult, error) {
+func (o upgradeFlags) runUpgrade(seed uint64, dir string) (upgradeResult, error) {
 	var result upgradeResult
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return result, err
 	}
-	bed, err := newTestbed(seed, o.older, dir, o.verbose)
+	bed, err := newTestbed(seed, o.oldProgram, dir, o.verbose)
 	if err != nil {
 		return result, err
 	}
-	bed.state.path = o.newer // it belongs to the platform and is not upgraded here
+	bed.state.path = o.newProgram // the state service runs the new version from the start: only controllers are upgraded
 	for i := range controllerCount {
 		if err := announceLimits(filepath.Join(dir, fmt.Sprintf("node-%d.json", i))); err != nil {
 			return result, err
@@ -182,8 +182,8 @@
 	}
 	var placements gapTimer
 	bed.wait.Add(1)
-	go bed.watchPlacing(&placements)
-	if err := bed.rollControllers(o.newer); err != nil {
+	go bed.watchPlacement(&placements)
+	if err := bed.rollControllers(o.newProgram); err != nil {
 		return result, err
 	}
 	if err := bed.users.drain(60 * time.Second); err != nil {
@@ -197,13 +197,13 @@
 	result.broken = slices.Concat(result.broken, broken, bed.violations)
 	result.duplicated = duplicated
 	result.accepted, result.done, result.dependents = bed.users.acceptedCount(), bed.users.doneCount(), bed.users.dependentCount()
-	result.longestUnanswered, result.longestWithoutPlacement = bed.users.answers.longestGap(), placements.longestGap()
+	result.longestWithoutResponse, result.longestWithoutPlacement = bed.users.responses.longestGap(), placements.longestGap()
 	return result, nil
 }
 
-// pause sleeps for a random time, in milliseconds.
-func (bed *testbed) pause(least, more int) {
-	time.Sleep(time.Duration(least+bed.rng.IntN(more)) * time.Millisecond)
+// pause sleeps for a random time of at least minMillis and less than minMillis+spreadMillis milliseconds.
+func (bed *testbed) pause(minMillis, spreadMillis int) {
+	time.Sleep(time.Duration(minMillis+bed.rng.IntN(spreadMillis)) * time.Millisecond)
 }
 
 // restart kills a process and starts it again after a short random time.
@@ -213,24 +213,25 @@
 	return p.start()
 }
 
-// rollControllers brings the controllers back with another program in a random order, restarts others in between, and lets users
-// submit jobs with dependencies once all are new.
-func (bed *testbed) rollControllers(newer string) error {
+// rollControllers restarts the controllers with another program, one at a time in a random order. In between it restarts
+// controllers, and sometimes the state service, without an upgrade. Once all controllers are upgraded, it lets users submit jobs
+// with dependencies and restarts a random controller twice.
+func (bed *testbed) rollControllers(newProgram string) error {
 	bed.pause(2500, 1000)
 	order := bed.rng.Perm(controllerCount)
 	for k, i := range order {
-		if bed.rng.IntN(2) == 0 { // one crashes before or after its turn
+		if bed.rng.IntN(2) == 0 { // a random controller crashes before or after its turn
 			if err := bed.restart(bed.controllers[order[bed.rng.IntN(controllerCount)]]); err != nil {
 				return err
 			}
 			bed.pause(200, 1500)
 		}
-		if k == 1 && bed.rng.IntN(3) == 0 { // the state service too, during the upgrade
+		if k == 1 && bed.rng.IntN(3) == 0 { // the state service crashes during the upgrade
 			if err := bed.restart(bed.state); err != nil {
 				return err
 			}
 		}
-		bed.controllers[i].path = newer
+		bed.controllers[i].path = newProgram
 		if err := bed.restart(bed.controllers[i]); err != nil {
 			return err
 		}
