--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -101,8 +101,8 @@
 		respond(http.StatusOK, map[string]any{"keels": list})
 	case method == "GET":
 		// A list may be older than the one before.
-		drawn := c.listings[c.sim.Rand.IntN(len(c.listings))]
-		respond(http.StatusOK, map[string]any{"oarlocks": drawn.instances, "has_next": false})
+		selected := c.listings[c.sim.Rand.IntN(len(c.listings))]
+		respond(http.StatusOK, map[string]any{"oarlocks": selected.instances, "has_next": false})
 	case path == "/hosts/delete":
 		var deletion struct {
 			Hosts []string `msgpack:"oarlocks"`
@@ -142,13 +142,13 @@
 		respond(http.StatusOK, map[string]any{"oarlocks": ids})
 		return
 	}
-	have := 0
+	existing := 0
 	for _, m := range c.machines {
 		if !m.isTerminated && m.machineType.Name == request.MachineType && m.zone == request.Zone && m.spot == request.Spot {
-			have++
+			existing++
 		}
 	}
-	count := min(request.Count, c.machinesPerKind-have)
+	count := min(request.Count, c.machinesPerKind-existing)
 	if count <= 0 {
 		respond(http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 		return
@@ -196,7 +196,7 @@
 	if m == nil || !m.isUp || m.isTerminated || m.hasFailed {
 		return
 	}
-	m.whenAwake(func() {
+	m.whenNotHung(func() {
 		m.checkLease()
 		var commands workermessages.DirectCommands
 		if codec.Unmarshal(body, &commands) != nil {
@@ -209,7 +209,7 @@
 			return
 		}
 		m.fencingToken = commands.FencingToken
-		m.execute(commands.Commands)
+		m.executeCommands(commands.Commands)
 		respond(http.StatusOK, m.heartbeat())
 	})
 }
