--- a/internal/simulator/capacityloss.go
+++ b/internal/simulator/capacityloss.go
@@ -8,20 +8,22 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// CapacityLoss is how each class and team was served by a cluster that lost four in ten of its machines for minutes.
+// CapacityLoss is the result of RunCapacityLoss: how many jobs of each class and team were done although the cluster lost 40 % of its
+// machines for minutes.
 type CapacityLoss struct {
 	Classes, Teams map[string]Served
 	MachinesBefore int // machines up before the loss
-	MachinesDuring int // machines up right after it
+	MachinesDuring int // machines up right after the loss
 }
 
-// Served counts the jobs of a class, a team or another group, and those of them that were done at the end of the run.
+// Served counts the jobs of a class, a team or another group: those that were done at the end of the run, and all of them.
 type Served struct{ Done, All int }
 
-// Share is the share of the jobs that was done, 0 to 1.
+// Share returns the share of the jobs that were done, 0 to 1. It is 0 if there are no jobs.
 func (s Served) Share() float64 { return float64(s.Done) / float64(max(s.All, 1)) }
 
-// LeastServed names the group with the smallest share of done jobs, the first by name if several have it.
+// LeastServed returns the group with the smallest share of done jobs, the first by name if several have it. Without groups the name is
+// empty and the share is 2.
 func LeastServed(served map[string]Served) (name string, share float64) {
 	share = 2
 	for group, counts := range served {
@@ -33,8 +35,8 @@
 	return name, share
 }
 
-// CapacityLossOptions are the options for RunCapacityLoss: three teams, one of which has no guaranteed quota and the jobs of
-// lowest priority only, and objectives for the classes of the others.
+// CapacityLossOptions returns the options for RunCapacityLoss, with the given tuning. Of the three teams, guests has no guaranteed CPUs and
+// submits only jobs of the lowest priority. Four of the five classes have an objective.
 func CapacityLossOptions(tuning config.Options) Options {
 	return Options{
 		Controllers:         3,
@@ -63,31 +65,31 @@
 	}
 }
 
-// workload is a job that is submitted again and again.
+// workload is a job that is submitted at intervals.
 type workload struct {
 	spec     jobs.Spec
 	runTime  time.Duration // expected run time of a task
 	interval time.Duration
 }
 
-// jobSpec is the n-th job of the run.
+// jobSpec returns the workload's job with number n of the run.
 func (w workload) jobSpec(n int) jobs.Spec {
 	spec := w.spec
 	spec.ID, spec.Image, spec.ImageGB, spec.AllowsSpot, spec.RunTimeEstimate = fmt.Sprintf("job-%07d", n), spec.Class, 0.5, true, w.runTime
 	return spec
 }
 
-// randomRunTime is between 0.7 and 1.3 times the expected run time.
+// randomRunTime returns a random duration between 0.7 and 1.3 times the expected run time.
 func (sim *Cluster) randomRunTime(expected time.Duration) time.Duration {
 	return time.Duration(float64(expected) * (0.7 + 0.6*sim.Rand.Float64()))
 }
 
-// randomDelay is shorter than a limit.
+// randomDelay returns a random duration shorter than the limit.
 func (sim *Cluster) randomDelay(limit time.Duration) time.Duration {
 	return time.Duration(sim.Rand.Int64N(int64(limit)))
 }
 
-// capacityLossWorkload is about as much as all machines can run.
+// capacityLossWorkload requests about the capacity of all machines.
 var capacityLossWorkload = []workload{
 	{
 		jobs.Spec{Class: "urgent", Team: "red", Priority: jobs.High, Tasks: 8, CPUs: 1, MemoryGB: 1, Deadline: 40 * time.Second},
@@ -113,19 +115,19 @@
 	{jobs.Spec{Class: "scan", Team: "guests", Priority: jobs.Low, Tasks: 400, CPUs: 0.25, MemoryGB: 0.5}, 40 * time.Second, time.Hour},
 }
 
-// The phases of RunCapacityLoss, from its beginning.
+// Phases of RunCapacityLoss. Times count from its beginning.
 const (
 	capacityLossStart          = time.Minute
 	capacityLossDuration       = 7 * time.Minute
 	capacityLossLength         = 510 * time.Second
 	capacityLossSubmissionsEnd = 7 * time.Minute
-	// remainingMachineTenths of the machines, in tenths, remain during the loss.
+	// remainingMachineTenths is the share of the machines that remains during the loss, in tenths.
 	remainingMachineTenths = 6
 )
 
-// RunCapacityLoss simulates eight and a half minutes. For seven of them, from the first on, the cloud has six in ten of the machines,
-// the others are reclaimed, machines fail, and the leader crashes three times. One class is submitted three times as often for the
-// first minute of the loss.
+// RunCapacityLoss simulates eight and a half minutes. The loss begins after a minute and lasts for seven. During the loss the cloud has
+// 60 % of its machines and reclaims the others, machines fail, and the leader crashes three times. In the first minute of the loss
+// one class is submitted three times as often.
 func (sim *Cluster) RunCapacityLoss() CapacityLoss {
 	result := CapacityLoss{Classes: map[string]Served{}, Teams: map[string]Served{}}
 	sim.scheduleCapacityLossJobs()
@@ -155,7 +157,7 @@
 	return result
 }
 
-// scheduleCapacityLossJobs submits the jobs of RunCapacityLoss.
+// scheduleCapacityLossJobs schedules the submissions of RunCapacityLoss.
 func (sim *Cluster) scheduleCapacityLossJobs() {
 	n := 0
 	for _, work := range capacityLossWorkload {
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -7,8 +7,8 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// invariantChecker is a simple model of the run: which task may be on which machine, and what users were told. Workers and users
-// report events to it, and it calls the check of each rule that an event can break.
+// invariantChecker checks the rules against a simple model of the run: which task may be on which machine, and which responses users
+// received. Workers and users report events to it. For each event it runs the checks of the rules that the event can break.
 type invariantChecker struct {
 	sim        *Cluster
 	jobs       map[string]*observedJob
@@ -17,25 +17,25 @@
 	TaskStarts int
 }
 
-// observedJob is a job with what was observed of it.
+// observedJob is a job with the events observed so far.
 type observedJob struct {
 	spec            jobs.Spec
 	runTime         time.Duration
-	runTimeStep     time.Duration // by how much each task runs longer than the one before
+	runTimeStep     time.Duration // added to the run time for each task index
 	completedTasks  map[int]bool
-	acceptedAt      time.Time // when its user learned it; zero: not yet
-	cancelledAt     time.Time // when its user learned it
+	acceptedAt      time.Time // when its user learned that it is accepted; zero: not yet
+	cancelledAt     time.Time // when its user learned that it is cancelled
 	finishedAt      time.Time // when its user learned that it is done
-	cancelRequested bool      // its user asked to cancel it
+	cancelRequested bool      // its user requested its cancellation
 	submittedAt     time.Time // when it was first submitted
-	firstStartedAt  time.Time // when its first task ran that was not killed within startCountsAfter
-	firstAttempt    uint64    // attempt number of that start
-	lastResponseAt  time.Time // when a request about it was answered last
+	firstStartedAt  time.Time // first start that was not killed within minCountedRunTime; zero: none
+	firstAttempt    uint64    // attempt number of the start at firstStartedAt
+	lastResponseAt  time.Time // time of the last response about it
 	isSubmitted     bool      // it was submitted at least once
-	alwaysFails     bool      // all of its tasks fail
+	alwaysFails     bool      // every attempt of its tasks fails
 	startCount      int
-	startableSince  time.Time  // since when it waits although a machine has capacity
-	fittingMachines []*machine // machines that had capacity all the time since then
+	startableSince  time.Time  // since when a machine has capacity for it; zero: none has
+	fittingMachines []*machine // machines that have had capacity for it ever since
 }
 
 // States of a job in responses to users.
@@ -53,7 +53,7 @@
 	}
 }
 
-// runTime is how long an attempt of the task runs, one second for an unknown job.
+// runTime returns the run time of an attempt of the task. It is a second for an unknown job.
 func (checker *invariantChecker) runTime(taskID jobs.TaskID) time.Duration {
 	if job := checker.jobs[taskID.JobID]; job != nil {
 		return job.runTime + time.Duration(taskID.Index)*job.runTimeStep
@@ -66,14 +66,14 @@
 	return checker.jobs[taskID.JobID] != nil && checker.jobs[taskID.JobID].alwaysFails
 }
 
-// hasCheckpoints reports whether the task saves its progress when it is killed with enough grace.
+// hasCheckpoints reports whether the task saves a checkpoint when it is killed with a sufficient grace period.
 func (checker *invariantChecker) hasCheckpoints(taskID jobs.TaskID) bool {
 	job := checker.jobs[taskID.JobID]
 	return job != nil && job.spec.CheckpointInterval > 0
 }
 
-// mayHoldTasks reports whether the machine's worker can still have tasks: it kills them when its
-// lease ends, and while it hangs it executes none beyond that.
+// mayHoldTasks reports whether tasks may still run on the machine. A worker kills its tasks when its lease expires. A machine that hangs
+// past that time executes no tasks.
 func (checker *invariantChecker) mayHoldTasks(worker *machine) bool {
 	return worker.isAlive() && checker.sim.Now.Sub(worker.leaseRenewedAt) <= checker.sim.Options.WorkerLease
 }
@@ -87,7 +87,7 @@
 	checker.attempts[task.attempt] = fmt.Sprintf("%s on %s", task.id, worker.id)
 }
 
-// taskStarted records that a task is on its machine: the image is there.
+// taskStarted records that a task runs on its machine: the image is fetched.
 func (checker *invariantChecker) taskStarted(worker *machine, task *machineTask) {
 	checker.TaskStarts++
 	job := checker.jobs[task.id.JobID]
@@ -107,7 +107,7 @@
 	}
 }
 
-// taskStopped records that a task has left its machine.
+// taskStopped records that a task no longer runs on a machine.
 func (checker *invariantChecker) taskStopped(worker *machine, task *machineTask) {
 	list := checker.placements[task.id]
 	for i, other := range list {
@@ -129,17 +129,17 @@
 	}
 }
 
-// forgetReceived is called when a worker is sent a forget command for an exited task.
+// forgetReceived is called when a worker receives a forget command for an exited task.
 func (checker *invariantChecker) forgetReceived(task *machineTask) {
 	if !checker.sim.Options.SkipCostlyChecks {
 		checker.checkResultDurable(task)
 	}
 }
 
-// minCountedRunTime is how long a task must not be killed for its start to count, as objectives are measured.
+// minCountedRunTime is the time without a kill after which a start counts as the first start, as in the measurement of objectives.
 const minCountedRunTime = 30 * time.Second
 
-// killReceived is called when a command stops a task.
+// killReceived is called when a worker receives a kill command for a task. A first start that is killed early does not count.
 func (checker *invariantChecker) killReceived(task *machineTask) {
 	job := checker.jobs[task.id.JobID]
 	if job == nil || job.cancelRequested || job.firstStartedAt.IsZero() || job.firstAttempt != task.attempt {
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// event is an action that is scheduled for a moment of virtual time.
+// event is an action scheduled for a point in virtual time.
 type event struct {
 	at       time.Time
-	sequence int // order of the events of the same moment
+	sequence int // orders events of the same time
 	action   func()
 }
 
-// eventHeap orders events by time, those of the same moment as they were scheduled. It implements heap.Interface.
+// eventHeap orders events by time, and events of the same time by the order of scheduling. It implements heap.Interface.
 type eventHeap []event
 
-// Len is the number of events.
+// Len returns the number of events.
 func (h eventHeap) Len() int { return len(h) }
 
 // Less reports whether event i comes before event j.
@@ -29,10 +29,10 @@
 // Swap exchanges two events.
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is called by package heap only.
+// Push appends an event. Only package heap calls it.
 func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-// Pop is called by package heap only.
+// Pop removes and returns the last event. Only package heap calls it.
 func (h *eventHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -40,7 +40,8 @@
 	return last
 }
 
-// At schedules action after a delay in virtual time. Actions of the same moment run in the order in which they were scheduled.
+// At schedules action after a delay in virtual time. A negative delay counts as zero. Actions scheduled for the same time run in the
+// order of scheduling.
 func (sim *Cluster) At(delay time.Duration, action func()) {
 	sim.lastSequence++
 	heap.Push(&sim.events, event{sim.Now.Add(max(delay, 0)), sim.lastSequence, action})
--- a/internal/simulator/leaderfailures.go
+++ b/internal/simulator/leaderfailures.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// leaderFailures are the ways in which a leader can fail, by name.
+// leaderFailures returns functions that inject a failure of the leader, by the name of the failure. cmd/faulttest prints the names.
 func (sim *Cluster) leaderFailures() map[string]func(leader int) {
 	const span = 12 * time.Second
 	cutFrom := func(leader int, hosts ...string) {
@@ -38,23 +38,23 @@
 	}
 }
 
-// rollingRestart crashes all controllers one after the other, beginning with one.
+// rollingRestart crashes all controllers one after the other, beginning with the given one.
 func (sim *Cluster) rollingRestart(first int, every time.Duration) {
 	for i := range sim.Options.Controllers {
 		sim.At(time.Duration(i)*every, func() { sim.Crash((first+i)%sim.Options.Controllers, 3*time.Second) })
 	}
 }
 
-// LeaderGap is the result of FailLeader: for how long the cluster was without a service after the leader failed.
+// LeaderGap is the result of FailLeader: for how long the cluster lacked each service after the leader failed.
 type LeaderGap struct {
 	Cause string
-	// Time without a controller that holds the leader lease, without one that places tasks, and without a leader that reaches the
-	// state service, so that it can accept jobs.
+	// Total time without a controller that holds the leader lease, without one that places tasks, and without a leader that reaches the
+	// state service and so can accept jobs.
 	WithoutLeader, WithoutPlacement, WithoutAcceptance time.Duration
 }
 
-// FailLeader simulates a cluster with some jobs and machines, injects one failure of the leader and
-// measures the gaps that follow it.
+// FailLeader simulates a cluster with jobs and machines, injects one failure of the leader and measures the gaps for the given time. The
+// cause must be one of LeaderFailures. All gaps are zero if there is no leader to fail.
 func (sim *Cluster) FailLeader(cause string, observedFor time.Duration) LeaderGap {
 	for i := range 20 {
 		sim.At(time.Duration(i)*500*time.Millisecond, sim.Users.SubmitRandom)
@@ -94,7 +94,7 @@
 	return gap
 }
 
-// LeaderFailures lists the causes that FailLeader knows, in no order.
+// LeaderFailures returns the causes that FailLeader accepts, in random order.
 func (sim *Cluster) LeaderFailures() []string {
 	var list []string
 	for name := range sim.leaderFailures() {
--- a/internal/simulator/machinefaults.go
+++ b/internal/simulator/machinefaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ReclaimMachine reclaims a random machine, after the notice or at once.
+// ReclaimMachine reclaims a random machine after a notice period; 0: at once.
 func (c *Cloud) ReclaimMachine(notice time.Duration) {
 	list := c.runningMachines()
 	if len(list) == 0 {
@@ -20,7 +20,7 @@
 	c.sim.At(notice, m.terminate)
 }
 
-// FailMachine stops a random machine with all tasks on it. The cloud goes on listing it.
+// FailMachine crashes a random machine with all tasks on it. The cloud continues to list it.
 func (c *Cloud) FailMachine() {
 	if list := c.runningMachines(); len(list) > 0 {
 		m := list[c.sim.Rand.IntN(len(list))]
@@ -29,7 +29,7 @@
 	}
 }
 
-// HangMachine suspends a random machine.
+// HangMachine suspends a random machine for a span.
 func (c *Cloud) HangMachine(span time.Duration) {
 	if list := c.runningMachines(); len(list) > 0 {
 		list[c.sim.Rand.IntN(len(list))].hangsUntil = c.sim.Now.Add(span)
@@ -37,7 +37,7 @@
 	c.sim.extendFaults(span)
 }
 
-// CutMachine cuts a random machine off from every controller.
+// CutMachine cuts a random machine off from every controller for a span.
 func (c *Cloud) CutMachine(span time.Duration) {
 	if list := c.runningMachines(); len(list) > 0 {
 		m := list[c.sim.Rand.IntN(len(list))]
@@ -47,15 +47,15 @@
 	}
 }
 
-// randomMachines draws up to count of the running machines.
+// randomMachines returns up to count random running machines.
 func (c *Cloud) randomMachines(count int) []*machine {
 	list := c.runningMachines()
 	c.sim.Rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(count, len(list))]
 }
 
-// CutInbound makes up to count machines inbound unreachable: their heartbeats arrive, responses and commands do not reach
-// them. With leaderOnly only the leader's messages are lost.
+// CutInbound makes up to count machines inbound unreachable for a span: their heartbeats arrive at controllers, but responses and commands
+// do not reach them. With leaderOnly, only the leader's messages are lost.
 func (c *Cloud) CutInbound(count int, leaderOnly bool, span time.Duration) {
 	for _, m := range c.randomMachines(count) {
 		for i := range c.sim.Options.Controllers {
@@ -66,14 +66,15 @@
 	}
 }
 
-// DuplicateHeartbeats delivers half of the heartbeats that are sent during the span once more, up to four leases later, to a random
-// controller.
+// DuplicateHeartbeats delivers half of the heartbeats sent during the span a second time, to a random controller. The duplicate arrives 1 s
+// to 1 s plus four lease durations later.
 func (c *Cloud) DuplicateHeartbeats(span time.Duration) {
 	c.duplicatingUntil = c.sim.Now.Add(span)
 	c.sim.extendFaults(span + 4*c.sim.Options.WorkerLease + time.Second)
 }
 
-// DelayMachines makes up to count machines hang, or cuts off their inbound messages, one after the other, for a span each.
+// DelayMachines delays up to count machines, beginning with one every 200 ms, for a span each. They alternately hang and lose their inbound
+// messages.
 func (c *Cloud) DelayMachines(count int, span time.Duration) {
 	for k, m := range c.randomMachines(count) {
 		c.sim.At(time.Duration(k)*200*time.Millisecond, func() {
@@ -89,7 +90,7 @@
 	c.sim.extendFaults(span + time.Duration(count)*200*time.Millisecond)
 }
 
-// maybeDuplicate may deliver a heartbeat again while heartbeats are duplicated. The response is dropped.
+// maybeDuplicate delivers half of the heartbeats again while heartbeats are duplicated. The response to the duplicate is dropped.
 func (c *Cloud) maybeDuplicate(raw []byte) {
 	if !c.sim.Now.Before(c.duplicatingUntil) || c.sim.Rand.IntN(2) == 0 {
 		return
@@ -99,8 +100,8 @@
 	c.sim.At(delay, func() { c.sim.deliverHeartbeat(host, raw, ignoreResponse) })
 }
 
-// RestartMachine kills all tasks of a random machine and boots it again under the same name. Its incarnation goes on from
-// the last one, or begins again at the first.
+// RestartMachine kills all tasks of a random machine and boots it again under the same name. With keepsIncarnation its worker continues
+// with the next incarnation, otherwise it starts again at 1.
 func (c *Cloud) RestartMachine(restartAfter time.Duration, keepsIncarnation bool) {
 	if list := c.runningMachines(); len(list) > 0 {
 		list[c.sim.Rand.IntN(len(list))].restart(restartAfter, keepsIncarnation)
@@ -108,7 +109,8 @@
 	c.sim.extendFaults(restartAfter)
 }
 
-// CutOutbound makes up to count machines outbound unreachable: no heartbeat of theirs arrives, direct commands reach them and are answered.
+// CutOutbound makes up to count machines outbound unreachable for a span: their heartbeats are lost, but direct commands and the responses
+// to these arrive.
 func (c *Cloud) CutOutbound(count int, span time.Duration) {
 	for _, m := range c.randomMachines(count) {
 		m.outboundCutUntil = c.sim.Now.Add(span)
@@ -116,7 +118,7 @@
 	c.sim.extendFaults(span)
 }
 
-// CutZone cuts a zone with its machines, and the controllers inside it, off from everything outside.
+// CutZone cuts a zone off from everything outside for a span. The given controllers and the zone's machines are inside.
 func (sim *Cluster) CutZone(zone string, insideControllers []int, span time.Duration) {
 	for i := range sim.controllers {
 		isInside := slices.Contains(insideControllers, i)
--- a/internal/simulator/pipelines.go
+++ b/internal/simulator/pipelines.go
@@ -7,7 +7,7 @@
 	"gullrudder/internal/controller/jobs"
 )
 
-// randomDependencies draws up to most dependencies of a new job: accepted job arrays in any state.
+// randomDependencies returns up to limit random dependencies for a new job: accepted job arrays in any state. It may return duplicates.
 func (u *Users) randomDependencies(limit int) []string {
 	var list []string
 	for range 3 * limit {
@@ -22,19 +22,19 @@
 	return list
 }
 
-// Pipeline is a set of jobs of one team that depend on each other.
+// Pipeline describes a set of jobs of one team that depend on each other.
 type Pipeline struct {
 	Name         string        // part of the jobs' IDs
 	Dependencies [][]int       // indexes of the jobs that each job depends on
 	TasksPerJob  int           // tasks of each job
-	RunTime      time.Duration // of each task
-	Deadline     time.Duration // of the last job, the only one that has a deadline
+	RunTime      time.Duration // run time of each task
+	Deadline     time.Duration // deadline of the last job; the others have none
 }
 
-// jobID is the ID of the job with an index.
+// jobID returns the ID of the job with an index.
 func (p Pipeline) jobID(index int) string { return fmt.Sprintf("job-%s%04d", p.Name, index) }
 
-// jobSpec is the job with an index.
+// jobSpec returns the job with an index.
 func (p Pipeline) jobSpec(index int) jobs.Spec {
 	spec := jobs.Spec{
 		ID:              p.jobID(index),
@@ -56,11 +56,10 @@
 	return spec
 }
 
-// pipelineRetryInterval is how long a user waits who cannot submit a job yet, since a dependency is not accepted.
+// pipelineRetryInterval is the time between checks whether the dependencies of a job are accepted, so that it can be submitted.
 const pipelineRetryInterval = 200 * time.Millisecond
 
-// SubmitPipeline submits the jobs of a pipeline one after another, each as soon as its dependencies are accepted. It returns the jobs'
-// IDs.
+// SubmitPipeline submits the jobs of a pipeline, each as soon as its dependencies are accepted. It returns the IDs of the jobs at once.
 func (u *Users) SubmitPipeline(pipeline Pipeline) []string {
 	jobIDs := make([]string, len(pipeline.Dependencies))
 	for i := range jobIDs {
@@ -82,17 +81,17 @@
 	u.SubmitJob(spec, runTime)
 }
 
-// PipelineResult is the result of RunPipelines.
+// PipelineResult is the result of RunPipelines. It counts pipelines by the state of their last job.
 type PipelineResult struct {
-	Played, Lost int             // lost: neither done nor cancelled at the end
-	Lateness     []time.Duration // lateness of each last job that was done; negative if it met its deadline
+	Played, Lost int             // all pipelines, and those neither done nor cancelled at the end
+	Lateness     []time.Duration // of each pipeline that was done; negative if it met its deadline
 }
 
-// pipelineShape is the dependencies of each job of a pipeline.
+// pipelineShape lists the indexes of the dependencies of each job of a pipeline.
 var pipelineShape = [][]int{nil, {0}, {0}, {1, 2}, {0, 3}}
 
-// RunPipelines simulates pipelines of five jobs, some of which are cancelled, while leaders crash and are refused, machines
-// fail, and the state service delays transactions or has an outage.
+// RunPipelines simulates pipelines of five jobs, some of which are cancelled. Meanwhile leaders crash or are refused by the state service,
+// machines fail or are cut off, and the state service delays transactions or has an outage.
 func (sim *Cluster) RunPipelines(count int) PipelineResult {
 	pipelines := make([][]string, count)
 	for i := range count {
@@ -116,14 +115,14 @@
 	return sim.pipelineResult(pipelines)
 }
 
-// cancelOneOf cancels a random one of the jobs, if it was submitted.
+// cancelOneOf cancels a random job of the list. It does nothing if that job was not submitted yet.
 func (sim *Cluster) cancelOneOf(jobIDs []string) {
 	if id := jobIDs[sim.Rand.IntN(len(jobIDs))]; sim.checker.jobs[id] != nil {
 		sim.Users.cancel(id)
 	}
 }
 
-// injectPipelineFault injects a random fault.
+// injectPipelineFault injects a random fault of RunPipelines. It may inject none if there is no leader.
 func (sim *Cluster) injectPipelineFault() {
 	switch leader := sim.LeaderIndex(); sim.Rand.IntN(6) {
 	case 0:
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -10,7 +10,7 @@
 	"gullrudder/internal/wire/workerapi"
 )
 
-// heartbeatLoop sends heartbeats at about the heartbeat interval, until the machine boots again.
+// heartbeatLoop sends heartbeats at intervals of 3/4 to 5/4 of the heartbeat interval until the machine reboots.
 func (m *machine) heartbeatLoop(bootCount int) {
 	m.whenNotHung(func() {
 		if m.bootCount != bootCount {
@@ -23,12 +23,12 @@
 	})
 }
 
-// heartbeatSoon sends a heartbeat after a change, as workers do.
+// heartbeatSoon sends a heartbeat 500 ms after a change, as a real worker does.
 func (m *machine) heartbeatSoon() {
 	m.sim.At(500*time.Millisecond, func() { m.whenNotHung(m.sendIfIdle) })
 }
 
-// heartbeat is the worker's present status.
+// heartbeat returns a heartbeat with the worker's current status.
 func (m *machine) heartbeat() workermessages.Heartbeat {
 	heartbeat := workermessages.Heartbeat{
 		Machine: m.id, Addr: m.id, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
@@ -51,10 +51,10 @@
 	return heartbeat
 }
 
-// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
+// heartbeatTimeout is the time a worker waits for the response to a heartbeat.
 const heartbeatTimeout = 4 * time.Second
 
-// sentHeartbeat is a heartbeat whose response the worker awaits.
+// sentHeartbeat identifies a heartbeat whose response the worker awaits.
 type sentHeartbeat struct {
 	requestNumber int
 	incarnation   uint64
@@ -62,7 +62,7 @@
 	target        int // index of the controller
 }
 
-// sendHeartbeat sends a heartbeat to the controller that the worker reports to.
+// sendHeartbeat sends a heartbeat to the worker's target controller.
 func (m *machine) sendHeartbeat() {
 	m.sequence++
 	m.requestNumber++
@@ -108,7 +108,7 @@
 	return m.requestNumber == sent.requestNumber && m.awaitsResponse
 }
 
-// abandon ends the wait for the response to a heartbeat, if the worker still waits, and lets it try the next controller.
+// abandon stops waiting for the response to a heartbeat and tries the next controller. It does nothing if the wait is already over.
 func (m *machine) abandon(sent sentHeartbeat) {
 	if m.isAwaiting(sent) {
 		m.requestNumber++
@@ -116,14 +116,14 @@
 	}
 }
 
-// tryNextController sends a heartbeat to the controller after the one that did not accept the last, a second later.
+// tryNextController sends a heartbeat to the next controller a second after the target of sent did not accept it.
 func (m *machine) tryNextController(sent sentHeartbeat) {
 	m.awaitsResponse = false
 	m.targetController = (sent.target + 1) % m.sim.Options.Controllers
 	m.heartbeatAfter(time.Second)
 }
 
-// heartbeatAfter sends a heartbeat after a delay unless the worker awaits a response then.
+// heartbeatAfter sends a heartbeat after a delay, unless the worker awaits a response at that time.
 func (m *machine) heartbeatAfter(delay time.Duration) {
 	m.sim.At(delay, func() { m.whenNotHung(func() { m.checkLease(); m.sendIfIdle() }) })
 }
@@ -135,8 +135,8 @@
 	}
 }
 
-// takeResponse takes in the response to a heartbeat: a redirect, commands, or anything else, after which the worker tries the next
-// controller.
+// takeResponse handles the response to a heartbeat. A redirect changes the target controller, and commands are executed. After any other
+// response the worker tries the next controller.
 func (m *machine) takeResponse(status int, body any, sent sentHeartbeat) {
 	raw, err := encode(body)
 	if err != nil {
@@ -164,7 +164,8 @@
 	m.executeCommands(response.Commands)
 }
 
-// followRedirect lets the worker report to the controller that a redirect names. It returns false if that is none, or the same.
+// followRedirect makes the controller named by a redirect the worker's target. It returns false if the redirect names no known
+// controller or the current target.
 func (m *machine) followRedirect(raw []byte) bool {
 	var redirect workerapi.Redirect
 	if codec.Unmarshal(raw, &redirect) != nil {
@@ -180,7 +181,7 @@
 	return false
 }
 
-// executeCommands executes commands.
+// executeCommands executes the commands of a controller in their order.
 func (m *machine) executeCommands(commands []workermessages.Command) {
 	for _, command := range commands {
 		key, err := jobs.ParseTaskID(command.Task)
@@ -214,7 +215,8 @@
 	}
 }
 
-// startTask executes a start command: the worker fetches the image and runs the task.
+// startTask executes a start command: the worker fetches the image, then runs the task. One start in 60 is refused
+// at random for lack of capacity.
 func (m *machine) startTask(key jobs.TaskID, command workermessages.Command) {
 	if task := m.tasks[command.Task]; task != nil {
 		if task.attempt == command.Attempt {
@@ -251,7 +253,7 @@
 	})
 }
 
-// afterDelay runs an action unless the task has exited or changed its stage by then.
+// afterDelay runs an action after a delay, unless the task has exited or entered a later stage.
 func (m *machine) afterDelay(task *machineTask, delay time.Duration, action func()) {
 	task.stage++
 	stage := task.stage
@@ -265,7 +267,7 @@
 	})
 }
 
-// exitTask records that a task has exited. The worker lists it in its heartbeats until it is told to forget it.
+// exitTask records that a task has exited. The worker lists it in its heartbeats until it receives a forget command.
 func (m *machine) exitTask(task *machineTask, reason workerapi.ExitReason, checkpointSaved bool) {
 	if task.state != workerapi.StateFetching {
 		m.sim.checker.taskStopped(m, task)
